--- /dev/null
+++ b/crates/wheelspread/tests/action_snapshot.rs
@@ -0,0 +1,422 @@
+//! Feeds the balancer three made-up event streams, each drawn from a fixed seed, and compares every action it
+//! orders with a recorded snapshot. A refactoring must leave the snapshots as they are.
+//!
+//! The streams hold joins and leaves, load reports, endpoint list changes, drains, cold nodes, lost reports, late
+//! acknowledgements and a restart. Actions are written in a notation of this file, not by `Debug`, so that renaming a
+//! type does not change a snapshot.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::fmt::Write;
+use wheelspread::facts::{Fact, Facts};
+use wheelspread::ids::*;
+use wheelspread::interface::*;
+use wheelspread::pcg::Pcg;
+use wheelspread::state::Balancer;
+use wheelspread::time::{Moment, Span};
+
+const START_SECONDS: f64 = 5000.0;
+const STEP_SECONDS: f64 = 0.1;
+const STEPS: usize = 500;
+const RESTART_AT_STEP: usize = 380;
+
+struct Fleet {
+    settings: Vec<(&'static str, &'static str)>,
+    zones: u16,
+    nodes: u8,
+    proxies: u16,
+    /// Requests a second that come to one proxy.
+    proxy_rate: f64,
+    /// Requests a second that one node can serve.
+    node_rate: f64,
+    reports: &'static [&'static str],
+    peers: bool,
+}
+
+struct World {
+    fleet: Fleet,
+    random: Pcg,
+    balancer: Balancer,
+    step: usize,
+    nodes: BTreeMap<u8, Member>,
+    joined: BTreeSet<u16>,
+    /// Markers that wait for an answer, by the step in which it comes.
+    unanswered: Vec<(usize, MarkId)>,
+    log: String,
+}
+
+struct Member {
+    listing: Listing,
+    started: Option<Moment>,
+    failing: bool,
+}
+
+fn node_id(number: u8) -> NodeId {
+    NodeId { address: [10, 1, number / 16, number], port: 9000 }
+}
+
+fn settings(fleet: &Fleet) -> Facts {
+    let mut facts = Facts::default();
+    let common = [
+        ("conductor.count", "1"),
+        ("conductor.tick", "0.05"),
+        ("operation.count", "3"),
+        ("channel.lines_waiting_at_most", "3000"),
+        ("channel.lines_per_second", "2000"),
+        ("channel.head_lines", "5"),
+        ("channel.delay_at_most", "0.5"),
+        ("channel.messages_at_most", "24"),
+        ("channel.messages_window", "10"),
+        ("proxy.errors_until_avoided", "3"),
+        ("proxy.connection_idle", "5"),
+        ("sums.period", "1"),
+        ("level.form", "share"),
+        ("price.cross_zone", "0.05"),
+        ("peers.may_tell", "false"),
+        ("rules.cold_overload_factor", "3"),
+        ("rules.cold_start_share", "0.2"),
+        ("rules.warm_after", "8"),
+        ("rules.drain_grace", "2"),
+        ("operation.0.latency_objective", "0.5"),
+        ("operation.0.integration_timeout", "2"),
+        ("operation.0.billed_value", "1"),
+        ("operation.0.repeat", "idempotent"),
+        ("operation.1.latency_objective", "1"),
+        ("operation.1.integration_timeout", "4"),
+        ("operation.1.billed_value", "3"),
+        ("operation.1.repeat", "fingerprinted"),
+        ("operation.1.repeat_group", "all"),
+        ("operation.1.repeat_window", "5"),
+        ("operation.1.stays_in_zone", "true"),
+        ("operation.2.latency_objective", "1"),
+        ("operation.2.integration_timeout", "4"),
+        ("operation.2.billed_value", "2"),
+        ("operation.2.repeat", "side-effecting"),
+    ];
+    let counts = [("zone.count", fleet.zones.to_string()), ("proxy.count", fleet.proxies.to_string())];
+    let reports =
+        fleet.reports.iter().enumerate().map(|(at, name)| (format!("report.field.{at}"), name.to_string()));
+    let all = common.iter().chain(&fleet.settings).map(|(name, value)| (name.to_string(), value.to_string()));
+    for (name, value) in all.chain(counts.map(|(name, value)| (name.to_string(), value))).chain(reports) {
+        let fact = match (value.parse::<f64>(), value.as_str()) {
+            (Ok(number), _) => Fact::Number(number),
+            (_, "true") => Fact::Flag(true),
+            (_, "false") => Fact::Flag(false),
+            _ => Fact::Text(value),
+        };
+        facts.0.insert(name, fact);
+    }
+    facts
+}
+
+impl World {
+    fn new(fleet: Fleet, seed: u64) -> World {
+        let now = Moment::from_seconds(START_SECONDS);
+        let balancer = Balancer::start(now, seed, settings(&fleet)).expect("the settings are complete");
+        let warm = |number| (number, Member { listing: Listing::Ready, started: None, failing: false });
+        World {
+            random: Pcg::new(seed),
+            balancer,
+            step: 0,
+            nodes: (0..fleet.nodes).map(warm).collect(),
+            joined: BTreeSet::new(),
+            unanswered: Vec::new(),
+            log: String::new(),
+            fleet,
+        }
+    }
+
+    fn now(&self) -> Moment {
+        Moment::from_seconds(START_SECONDS + self.step as f64 * STEP_SECONDS)
+    }
+
+    fn chance(&mut self, part: f64) -> bool {
+        self.random.unit() < part
+    }
+
+    fn zone_of_node(&self, number: u8) -> ZoneId {
+        ZoneId(u16::from(number) % self.fleet.zones)
+    }
+
+    fn handle(&mut self, event: &Event) {
+        let now = self.now();
+        if let Err(error) = self.balancer.hear(now, event) {
+            let error = error.to_string();
+            writeln!(self.log, "{} refused, {} bytes", self.step, error.len().min(1))
+                .expect("a string takes all");
+        }
+    }
+
+    fn entry(&self, number: u8) -> ListEntry {
+        let member = &self.nodes[&number];
+        ListEntry {
+            node: node_id(number),
+            zone: self.zone_of_node(number),
+            kind: KindId(number % 2),
+            cell: CellId(u16::from(number % 4)),
+            listing: member.listing,
+            weight: 1.0 + f64::from(number % 2),
+            started: member.started,
+        }
+    }
+
+    fn publish_list(&mut self, kind: ListKind, numbers: &[u8]) {
+        let entries = numbers.iter().map(|number| self.entry(*number)).collect();
+        self.handle(&Event::List { kind, entries });
+    }
+
+    fn join(&mut self, proxy: u16, fresh: bool) {
+        self.joined.insert(proxy);
+        let zone = ZoneId(proxy % self.fleet.zones);
+        let usual_rate = self.fleet.proxy_rate * (0.8 + 0.4 * self.random.unit());
+        self.handle(&Event::ProxyJoined { proxy: ProxyId(proxy), zone, usual_rate, fresh });
+    }
+
+    fn membership(&mut self) {
+        match self.step {
+            0 => {
+                let all: Vec<u8> = self.nodes.keys().copied().collect();
+                self.publish_list(ListKind::Complete, &all);
+            }
+            RESTART_AT_STEP => self.restart(),
+            _ => {}
+        }
+        if self.step < usize::from(self.fleet.proxies) {
+            self.join(self.step as u16, true);
+        }
+        if self.step > 100 && self.chance(0.02) {
+            let proxy = self.random.draw() as u16 % self.fleet.proxies;
+            if self.joined.remove(&proxy) {
+                self.handle(&Event::ProxyLeft { proxy: ProxyId(proxy) });
+            } else {
+                self.join(proxy, false);
+            }
+        }
+    }
+
+    fn restart(&mut self) {
+        let seed = u64::from(self.random.draw());
+        let learnt: Vec<_> = self.balancer.learnt().collect();
+        self.balancer =
+            Balancer::start(self.now(), seed, settings(&self.fleet)).expect("the settings are complete");
+        self.unanswered.clear();
+        let all: Vec<u8> = self.nodes.keys().copied().collect();
+        self.publish_list(ListKind::Cached, &all);
+        self.balancer.recall(&learnt);
+        for proxy in std::mem::take(&mut self.joined) {
+            self.join(proxy, false);
+        }
+    }
+
+    /// One of several things happens to a node: it drains, goes, starts anew, or begins or ends to fail.
+    fn node_changes(&mut self) {
+        if self.step < 60 || !self.chance(0.05) {
+            return;
+        }
+        let number = self.random.draw() as u8 % self.fleet.nodes;
+        let (choice, now) = (self.random.draw() % 4, self.now());
+        let Some(member) = self.nodes.get_mut(&number) else { return };
+        match (choice, member.listing) {
+            (0, Listing::Ready) => member.listing = Listing::Draining,
+            (1, Listing::Draining) => member.listing = Listing::Gone,
+            (_, Listing::Draining | Listing::Gone) => {
+                (member.listing, member.started, member.failing) = (Listing::Ready, Some(now), false);
+            }
+            (2, Listing::Ready) => member.failing = !member.failing,
+            _ => return,
+        }
+        self.publish_list(ListKind::Changes, &[number]);
+    }
+
+    fn reports(&mut self) {
+        if self.step % 10 != 7 {
+            return;
+        }
+        // More is asked for in the middle of the stream than all nodes together can serve.
+        let surge = if (200..300).contains(&self.step) { 2.5 } else { 1.0 };
+        for proxy in self.joined.clone() {
+            for operation in 0..3 {
+                let count = self.fleet.proxy_rate * surge * (0.2 + 0.2 * self.random.unit());
+                let (proxy, operation) = (ProxyId(proxy), OperationId(operation));
+                let over = Span::from_seconds(1.0);
+                self.handle(&Event::Offered { proxy, operation, count, errored: 0.0, over });
+            }
+        }
+        let ready = self.nodes.iter().filter(|(_, member)| member.listing == Listing::Ready);
+        let ready: Vec<(u8, bool)> = ready.map(|(number, member)| (*number, member.failing)).collect();
+        let asked = self.joined.len() as f64 * self.fleet.proxy_rate * surge / ready.len().max(1) as f64;
+        for (number, failing) in ready {
+            let busy = asked / self.fleet.node_rate * (0.8 + 0.4 * self.random.unit());
+            for zone in 0..self.fleet.zones {
+                if self.chance(0.1) {
+                    continue;
+                }
+                self.node_report(number, ZoneId(zone), asked / f64::from(self.fleet.zones), busy, failing);
+            }
+        }
+    }
+
+    fn node_report(&mut self, number: u8, zone: ZoneId, asked: f64, busy: f64, failing: bool) {
+        let tries = (asked * (0.8 + 0.4 * self.random.unit())).round();
+        let part = if failing { 0.95 } else { (busy - 1.0).clamp(0.0, 0.6) };
+        let time = 0.02 + 0.08 * busy.min(3.0) * self.random.unit();
+        let value = |name: &&str| if *name == "queue" { (busy - 0.6).max(0.0) * 10.0 } else { busy.min(1.0) };
+        self.handle(&Event::NodeSums {
+            zone,
+            node: node_id(number),
+            tries,
+            errored: (tries * part).floor(),
+            latency: Span::from_seconds(time),
+            over: Span::from_seconds(1.0),
+            load: self.fleet.reports.iter().map(value).collect(),
+        });
+    }
+
+    fn gossip(&mut self) {
+        if !self.fleet.peers || self.step % 20 != 11 {
+            return;
+        }
+        // The head is two bytes of proxies and four for each sort of table; then eight for each node.
+        let mut bytes = vec![4, 0];
+        for _ in 0..2 * self.fleet.zones {
+            bytes.extend((30.0f32 + self.random.unit() as f32).to_le_bytes());
+        }
+        for number in 0..self.fleet.nodes {
+            bytes.extend(node_id(number).address);
+            bytes.extend(node_id(number).port.to_le_bytes());
+            bytes.extend((64 * u16::from(number + 1)).to_le_bytes());
+        }
+        self.handle(&Event::PeerNote { from: PeerId(2), bytes });
+    }
+
+    fn acknowledge(&mut self) {
+        let step = self.step;
+        let (due, later) = self.unanswered.drain(..).partition(|(at, _)| *at <= step);
+        self.unanswered = later;
+        let due: Vec<(usize, MarkId)> = due;
+        for (_, mark) in due {
+            for proxy in self.joined.clone() {
+                if !self.chance(0.05) {
+                    self.handle(&Event::Acked { proxy: ProxyId(proxy), mark, took: Span::from_seconds(0.2) });
+                }
+            }
+        }
+    }
+
+    fn decide(&mut self) {
+        let mut actions = Vec::new();
+        let now = self.now();
+        self.balancer.settle(now, &mut actions);
+        for action in &actions {
+            if let Action::Mark { mark, .. } = action {
+                let wait = 1 + self.random.draw() as usize % 6;
+                self.unanswered.push((self.step + wait, *mark));
+            }
+            writeln!(self.log, "{} {}", self.step, describe(action)).expect("a string takes all");
+        }
+    }
+
+    fn play(mut self) -> String {
+        while self.step < STEPS {
+            self.membership();
+            self.node_changes();
+            self.reports();
+            self.gossip();
+            self.acknowledge();
+            self.decide();
+            self.step += 1;
+        }
+        self.log
+    }
+}
+
+fn describe_node(node: &NodeId) -> String {
+    format!("n{}", node.address[3])
+}
+
+fn describe_operations(operations: &[OperationId]) -> String {
+    operations.iter().map(|operation| format!("o{}", operation.0)).collect::<Vec<_>>().join("+")
+}
+
+/// All digits of a figure: two that differ in the last bit give different text.
+fn describe(action: &Action) -> String {
+    match action {
+        Action::SetLine { table, node, weight } => {
+            format!("weight t{} {} {weight:?}", table.0, describe_node(node))
+        }
+        Action::ClearTable { table } => format!("clear t{}", table.0),
+        Action::Bind { proxy, table, operations } => {
+            format!("bind p{} t{} {}", proxy.0, table.0, describe_operations(operations))
+        }
+        Action::SetLevel { table, operations, quota, retry } => {
+            let table = table.map_or("all".to_string(), |table| format!("t{}", table.0));
+            let retry = match retry {
+                Retry::Never => "never",
+                Retry::AfterProofItNeverRan => "unprocessed",
+                Retry::OnceAfterAnyFailure => "once",
+                Retry::TwiceAfterAnyFailure => "twice",
+            };
+            format!("admit {table} {} {quota:?} {retry}", describe_operations(operations))
+        }
+        Action::Withdraw { node, out } => format!("withdraw {} {out}", describe_node(node)),
+        Action::Mark { mark, everyone } => format!("marker {} {everyone}", mark.0),
+        Action::Probe { node } => format!("probe {}", describe_node(node)),
+        Action::Tell { peer, bytes } => {
+            let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
+            format!("gossip {:?} {hex}", peer.as_ref().map(|peer| peer.0))
+        }
+        Action::SetTimer { after, timer } => format!("timer {} {}", after.micros(), timer.0),
+        Action::ReadList => "read list".to_string(),
+        Action::Watch { on } => format!("watch {on}"),
+        Action::Remark { text } => format!("log {text}"),
+    }
+}
+
+#[test]
+fn actions_of_a_single_controller_stay_the_same() {
+    let fleet = Fleet {
+        settings: vec![],
+        zones: 2,
+        nodes: 10,
+        proxies: 12,
+        proxy_rate: 40.0,
+        node_rate: 90.0,
+        reports: &["utilization"],
+        peers: false,
+    };
+    insta::assert_snapshot!(World::new(fleet, 1).play());
+}
+
+#[test]
+fn actions_of_a_controller_with_peers_stay_the_same() {
+    let fleet = Fleet {
+        settings: vec![("conductor.count", "2"), ("peers.may_tell", "true"), ("level.form", "rate")],
+        zones: 3,
+        nodes: 9,
+        proxies: 16,
+        proxy_rate: 25.0,
+        node_rate: 80.0,
+        reports: &["queue"],
+        peers: true,
+    };
+    insta::assert_snapshot!(World::new(fleet, 2).play());
+}
+
+#[test]
+fn actions_with_subsets_and_a_tight_queue_stay_the_same() {
+    let fleet = Fleet {
+        settings: vec![
+            ("channel.lines_waiting_at_most", "400"),
+            ("channel.messages_at_most", "12"),
+            ("operation.1.stays_in_zone", "false"),
+            ("rules.warm_after", "5"),
+        ],
+        zones: 1,
+        nodes: 40,
+        proxies: 40,
+        proxy_rate: 15.0,
+        node_rate: 25.0,
+        reports: &[],
+        peers: false,
+    };
+    insta::assert_snapshot!(World::new(fleet, 3).play());
+}
