--- a/crates/change/src/checks.rs
+++ b/crates/change/src/checks.rs
@@ -31,7 +31,11 @@
 }
 
 fn finding(check: &str, forbids: bool, text: String) -> Finding {
-    Finding { check: check.to_string(), text, forbids }
+    Finding {
+        check: check.to_string(),
+        text,
+        forbids,
+    }
 }
 
 pub fn check(before: &Fleet, after: &Fleet, bounds: Bounds, way: Way) -> Verdict {
@@ -49,17 +53,27 @@
 
 /// Hosts that serve an operation in a zone: those of the zone where it stays, all others too where it does not.
 fn open(fleet: &Fleet, zone: &str, stays: bool) -> usize {
-    let serves = |host: &&wheelspread_solve::Host| fleet.room(host) > 0.0 && (!stays || host.zone == zone);
+    let serves =
+        |host: &&wheelspread_solve::Host| fleet.room(host) > 0.0 && (!stays || host.zone == zone);
     fleet.hosts.iter().filter(serves).count()
 }
 
 fn pools(before: &Fleet, after: &Fleet) -> Vec<Finding> {
-    let zones: BTreeSet<&str> = after.gateways.iter().map(|gateway| gateway.zone.as_str()).collect();
+    let zones: BTreeSet<&str> = after
+        .gateways
+        .iter()
+        .map(|gateway| gateway.zone.as_str())
+        .collect();
     let mut findings = Vec::new();
     for operation in &after.operations {
         for zone in &zones {
-            let asks = after.gateways.iter().filter(|gateway| gateway.zone == **zone);
-            let rate: f64 = asks.filter_map(|gateway| gateway.demand.get(&operation.name)).sum();
+            let asks = after
+                .gateways
+                .iter()
+                .filter(|gateway| gateway.zone == **zone);
+            let rate: f64 = asks
+                .filter_map(|gateway| gateway.demand.get(&operation.name))
+                .sum();
             let stays = operation.stays_in_zone;
             let (had, has) = (open(before, zone, stays), open(after, zone, stays));
             if has == 0 && rate > 0.0 {
@@ -71,18 +85,33 @@
         }
     }
     if findings.is_empty() {
-        findings.push(finding("pools", false, "every zone has a host for what it asks for".to_string()));
+        findings.push(finding(
+            "pools",
+            false,
+            "every zone has a host for what it asks for".to_string(),
+        ));
     }
     findings
 }
 
 fn capacity(now: Option<&Solution>, then: &Solution, bounds: Bounds) -> Finding {
-    let full = then.hosts.iter().filter(|host| host.binds == "its capacity").count();
+    let full = then
+        .hosts
+        .iter()
+        .filter(|host| host.binds == "its capacity")
+        .count();
     let Some(now) = now else {
-        let text = format!("{:.2} a second would be served; now nothing can be", then.value_per_s);
+        let text = format!(
+            "{:.2} a second would be served; now nothing can be",
+            then.value_per_s
+        );
         return finding("capacity", false, text);
     };
-    let lost = if now.value_per_s > 0.0 { 1.0 - then.value_per_s / now.value_per_s } else { 0.0 };
+    let lost = if now.value_per_s > 0.0 {
+        1.0 - then.value_per_s / now.value_per_s
+    } else {
+        0.0
+    };
     let text = format!(
         "value served {:.2} a second now, {:.2} after ({:+.1}%, {:.1}% may be lost), {full} of {} hosts full",
         now.value_per_s,
@@ -96,8 +125,14 @@
 
 fn cold(after: &Fleet, then: &Solution, bounds: Bounds) -> Finding {
     let all: f64 = then.hosts.iter().map(|host| host.load).sum();
-    let colds = after.hosts.iter().zip(&then.hosts).filter(|(host, _)| host.state == HostState::Cold);
-    let (count, load) = colds.fold((0, 0.0), |(count, sum), (_, told)| (count + 1, sum + told.load));
+    let colds = after
+        .hosts
+        .iter()
+        .zip(&then.hosts)
+        .filter(|(host, _)| host.state == HostState::Cold);
+    let (count, load) = colds.fold((0, 0.0), |(count, sum), (_, told)| {
+        (count + 1, sum + told.load)
+    });
     let part = if all > 0.0 { load / all } else { 0.0 };
     let text = format!(
         "{count} cold hosts would carry {:.1}% of the work ({:.1}% may be)",
@@ -111,15 +146,25 @@
 fn channel(before: &Fleet, after: &Fleet, bounds: Bounds, way: Way) -> Finding {
     let of = |fleet: &Fleet| -> BTreeMap<String, (String, u64)> {
         let host = |host: &wheelspread_solve::Host| {
-            (host.id.clone(), (host.zone.clone(), (fleet.room(host) * 1e6).round() as u64))
+            (
+                host.id.clone(),
+                (host.zone.clone(), (fleet.room(host) * 1e6).round() as u64),
+            )
         };
         fleet.hosts.iter().map(host).collect()
     };
     let (was, is) = (of(before), of(after));
     let changed = was.keys().chain(is.keys()).collect::<BTreeSet<_>>();
-    let hosts = changed.into_iter().filter(|id| was.get(*id) != is.get(*id)).count();
+    let hosts = changed
+        .into_iter()
+        .filter(|id| was.get(*id) != is.get(*id))
+        .count();
     let gateways = f64::from(way.gateways);
-    let steps = if hosts == 0 { 0.0 } else { f64::from(way.steps.max(1)) };
+    let steps = if hosts == 0 {
+        0.0
+    } else {
+        f64::from(way.steps.max(1))
+    };
     let lines = gateways * (hosts as f64 * after.operations.len() as f64 + way.head_lines * steps);
     let by_pace = lines / way.lines_per_second.max(1.0);
     // Messages beyond the cap wait for the next window.
--- a/crates/change/src/kept.rs
+++ b/crates/change/src/kept.rs
@@ -37,8 +37,15 @@
 impl Kept {
     pub fn take(&mut self, commit: Commit) {
         self.commits += 1;
-        self.configuration = commit.configuration.unwrap_or_else(|| std::mem::take(&mut self.configuration));
-        self.changes.extend(commit.changes.into_iter().map(|record| (record.change.id.0.clone(), record)));
+        self.configuration = commit
+            .configuration
+            .unwrap_or_else(|| std::mem::take(&mut self.configuration));
+        self.changes.extend(
+            commit
+                .changes
+                .into_iter()
+                .map(|record| (record.change.id.0.clone(), record)),
+        );
         for (name, value) in commit.facts {
             match value {
                 Some(value) => drop(self.facts.insert(name, value)),
@@ -52,7 +59,11 @@
         Commit {
             configuration: Some(self.configuration.clone()),
             changes: self.changes.values().cloned().collect(),
-            facts: self.facts.iter().map(|(name, value)| (name.clone(), Some(value.clone()))).collect(),
+            facts: self
+                .facts
+                .iter()
+                .map(|(name, value)| (name.clone(), Some(value.clone())))
+                .collect(),
         }
     }
 }
--- a/crates/change/src/ledger.rs
+++ b/crates/change/src/ledger.rs
@@ -47,7 +47,13 @@
     #[error("it changes nothing")]
     Empty,
     #[error("it was made against version {base}, {version} is in force: `{mine}` and `{theirs}` both change {keys}")]
-    Conflict { base: u64, version: u64, mine: String, theirs: String, keys: String },
+    Conflict {
+        base: u64,
+        version: u64,
+        mine: String,
+        theirs: String,
+        keys: String,
+    },
     #[error("version {0} was never in force")]
     UnknownBase(u64),
     #[error("`{0}` is no change that is known")]
@@ -55,7 +61,11 @@
     #[error("`{waits}` waits: `{runs}` is under way")]
     Busy { waits: String, runs: String },
     #[error("`{id}` can't be undone: `{later}` rests on it ({keys})")]
-    RestsOn { id: String, later: String, keys: String },
+    RestsOn {
+        id: String,
+        later: String,
+        keys: String,
+    },
     #[error("`{id}` is {state:?}, which that does not fit to")]
     Unfit { id: String, state: State },
 }
@@ -142,9 +152,14 @@
                 State::Watched => Some(Effect::Watch),
                 _ => None,
             };
-            orders.extend(effect.map(|effect| Order { id: id.clone(), effect }));
+            orders.extend(effect.map(|effect| Order {
+                id: id.clone(),
+                effect,
+            }));
             let versions = record.made.into_iter().chain(record.unmade);
-            ledger.made.extend(versions.map(|version| (version, id.clone())));
+            ledger
+                .made
+                .extend(versions.map(|version| (version, id.clone())));
             if !record.state.over() {
                 ledger.since.insert(id.clone(), now);
             }
@@ -183,7 +198,11 @@
     pub fn propose(&mut self, now: Moment, change: Change) -> Result<State, Refused> {
         if let Some(known) = self.records.get(&change.id) {
             let same = known.change == change;
-            return if same { Ok(known.state) } else { Err(Refused::OtherContent(change.id.0)) };
+            return if same {
+                Ok(known.state)
+            } else {
+                Err(Refused::OtherContent(change.id.0))
+            };
         }
         if change.base > self.configuration.version {
             return Err(Refused::UnknownBase(change.base));
@@ -211,19 +230,49 @@
 
     /// A change that came into force, or was taken back, after the version that this one was made against.
     fn conflict(&self, change: &Change) -> Option<Refused> {
-        let (version, theirs) = self.made.iter().rev().find(|(version, _)| *version > change.base)?;
+        let (version, theirs) = self
+            .made
+            .iter()
+            .rev()
+            .find(|(version, _)| *version > change.base)?;
         let other = self.records.get(theirs)?;
-        let both = change.sets.keys().filter(|key| other.change.sets.contains_key(*key)).cloned();
+        let both = change
+            .sets
+            .keys()
+            .filter(|key| other.change.sets.contains_key(*key))
+            .cloned();
         let named = |change: &Change| format!("{} by {}", change.id.0, change.by);
         let both = keys(both);
-        let keys = if both.is_empty() { "the configuration".to_string() } else { both };
+        let keys = if both.is_empty() {
+            "the configuration".to_string()
+        } else {
+            both
+        };
         let (mine, theirs) = (named(change), named(&other.change));
-        Some(Refused::Conflict { base: change.base, version: *version, mine, theirs, keys })
+        Some(Refused::Conflict {
+            base: change.base,
+            version: *version,
+            mine,
+            theirs,
+            keys,
+        })
     }
 
-    pub fn checked(&mut self, now: Moment, id: &ChangeId, verdict: Verdict) -> Result<Vec<Order>, Refused> {
-        let forbids = verdict.0.iter().find(|finding| finding.forbids).map(|finding| finding.text.clone());
-        let record = self.records.get_mut(id).ok_or_else(|| Refused::Unknown(id.0.clone()))?;
+    pub fn checked(
+        &mut self,
+        now: Moment,
+        id: &ChangeId,
+        verdict: Verdict,
+    ) -> Result<Vec<Order>, Refused> {
+        let forbids = verdict
+            .0
+            .iter()
+            .find(|finding| finding.forbids)
+            .map(|finding| finding.text.clone());
+        let record = self
+            .records
+            .get_mut(id)
+            .ok_or_else(|| Refused::Unknown(id.0.clone()))?;
         if record.state == State::Proposed {
             record.findings = verdict.0;
         }
@@ -235,15 +284,26 @@
 
     /// An operator wants it in force.
     pub fn apply(&mut self, now: Moment, id: &ChangeId) -> Result<Vec<Order>, Refused> {
-        let record = self.records.get(id).ok_or_else(|| Refused::Unknown(id.0.clone()))?;
+        let record = self
+            .records
+            .get(id)
+            .ok_or_else(|| Refused::Unknown(id.0.clone()))?;
         match record.state {
             State::Staged => {}
             // Told twice: it is under way, or was.
             State::Applying | State::Watched | State::Kept => return Ok(Vec::new()),
-            state => return Err(Refused::Unfit { id: id.0.clone(), state }),
+            state => {
+                return Err(Refused::Unfit {
+                    id: id.0.clone(),
+                    state,
+                })
+            }
         }
         if let Some(runs) = self.open().find(|other| other.state.under_way()) {
-            return Err(Refused::Busy { waits: id.0.clone(), runs: runs.change.id.0.clone() });
+            return Err(Refused::Busy {
+                waits: id.0.clone(),
+                runs: runs.change.id.0.clone(),
+            });
         }
         if let Some(conflict) = self.conflict(&record.change.clone()) {
             self.tell(now, id, Input::BaseMoved, Some(conflict.to_string()))?;
@@ -254,7 +314,10 @@
 
     /// An operator wants it gone, or a condition is broken.
     pub fn undo(&mut self, now: Moment, id: &ChangeId, why: &str) -> Result<Vec<Order>, Refused> {
-        let record = self.records.get(id).ok_or_else(|| Refused::Unknown(id.0.clone()))?;
+        let record = self
+            .records
+            .get(id)
+            .ok_or_else(|| Refused::Unknown(id.0.clone()))?;
         if matches!(record.state, State::Undoing | State::Undone) {
             return Ok(Vec::new());
         }
@@ -263,15 +326,32 @@
             let later = self.made.iter().filter(|(version, _)| *version > made);
             for other in later.filter_map(|(_, other)| self.records.get(other)) {
                 let rests = !matches!(other.state, State::Undone | State::Refused);
-                let both = keys(other.change.sets.keys().filter(|key| mine.contains_key(*key)).cloned());
+                let both = keys(
+                    other
+                        .change
+                        .sets
+                        .keys()
+                        .filter(|key| mine.contains_key(*key))
+                        .cloned(),
+                );
                 if rests && !both.is_empty() {
                     let (id, later) = (id.0.clone(), other.change.id.0.clone());
-                    return Err(Refused::RestsOn { id, later, keys: both });
+                    return Err(Refused::RestsOn {
+                        id,
+                        later,
+                        keys: both,
+                    });
                 }
             }
         }
-        if let Some(runs) = self.open().find(|other| other.change.id != *id && other.state.under_way()) {
-            return Err(Refused::Busy { waits: id.0.clone(), runs: runs.change.id.0.clone() });
+        if let Some(runs) = self
+            .open()
+            .find(|other| other.change.id != *id && other.state.under_way())
+        {
+            return Err(Refused::Busy {
+                waits: id.0.clone(),
+                runs: runs.change.id.0.clone(),
+            });
         }
         self.tell(now, id, Input::Undo, Some(why.to_string()))
     }
@@ -284,8 +364,13 @@
         input: Input,
         why: Option<String>,
     ) -> Result<Vec<Order>, Refused> {
-        let record = self.records.get_mut(id).ok_or_else(|| Refused::Unknown(id.0.clone()))?;
-        let Some((next, effect)) = record.state.turn(input) else { return Ok(Vec::new()) };
+        let record = self
+            .records
+            .get_mut(id)
+            .ok_or_else(|| Refused::Unknown(id.0.clone()))?;
+        let Some((next, effect)) = record.state.turn(input) else {
+            return Ok(Vec::new());
+        };
         let before = std::mem::replace(&mut record.state, next);
         record.why = why.or(record.why.take());
         match next.over() {
@@ -298,12 +383,20 @@
             _ => {}
         }
         let told = !matches!(effect, Effect::Nothing);
-        Ok(told.then(|| Order { id: id.clone(), effect }).into_iter().collect())
+        Ok(told
+            .then(|| Order {
+                id: id.clone(),
+                effect,
+            })
+            .into_iter()
+            .collect())
     }
 
     /// The new values are a version of their own, all at once.
     fn put(&mut self, id: &ChangeId) {
-        let Some(record) = self.records.get_mut(id) else { return };
+        let Some(record) = self.records.get_mut(id) else {
+            return;
+        };
         self.configuration.version += 1;
         for (path, to) in &record.change.sets {
             let values = &mut self.configuration.values;
@@ -319,13 +412,19 @@
 
     /// The former values are a version too: numbers never fall.
     fn put_back(&mut self, id: &ChangeId) {
-        let Some(record) = self.records.get_mut(id) else { return };
+        let Some(record) = self.records.get_mut(id) else {
+            return;
+        };
         self.configuration.version += 1;
         record.unmade = Some(self.configuration.version);
         self.made.push((self.configuration.version, id.clone()));
         for (path, before) in &record.before {
             match before {
-                Some(value) => drop(self.configuration.values.insert(path.clone(), value.clone())),
+                Some(value) => drop(
+                    self.configuration
+                        .values
+                        .insert(path.clone(), value.clone()),
+                ),
                 None => drop(self.configuration.values.remove(path)),
             }
         }
@@ -347,7 +446,8 @@
     pub fn due(&mut self, now: Moment, evidence: Moment) -> Vec<Order> {
         let mut orders = Vec::new();
         for id in self.since.keys().cloned().collect::<Vec<_>>() {
-            let (Some(record), Some(since)) = (self.records.get(&id), self.since.get(&id).copied()) else {
+            let (Some(record), Some(since)) = (self.records.get(&id), self.since.get(&id).copied())
+            else {
                 continue;
             };
             let state = record.state;
@@ -355,7 +455,12 @@
             let late = self.lasts(state).is_some_and(|span| now - since >= span);
             let told = match (watched, late) {
                 (true, _) => self.tell(now, &id, Input::WatchOver, None),
-                (_, true) => self.tell(now, &id, Input::Late, Some(format!("{state:?} lasted too long"))),
+                (_, true) => self.tell(
+                    now,
+                    &id,
+                    Input::Late,
+                    Some(format!("{state:?} lasted too long")),
+                ),
                 _ => continue,
             };
             orders.extend(told.into_iter().flatten());
@@ -367,7 +472,14 @@
         let due = |(id, since): (&ChangeId, &Moment)| {
             let record = self.records.get(id)?;
             let span = self.lasts(record.state)?;
-            Some(*since + if record.state == State::Watched { self.deadlines.watch } else { span })
+            Some(
+                *since
+                    + if record.state == State::Watched {
+                        self.deadlines.watch
+                    } else {
+                        span
+                    },
+            )
         };
         self.since.iter().filter_map(due).min()
     }
--- a/crates/change/src/state.rs
+++ b/crates/change/src/state.rs
@@ -56,23 +56,73 @@
 
 /// What is not in it does not happen: an input that a state has no row for changes nothing.
 pub const TABLE: &[(State, Input, State, Effect)] = &[
-    (State::Proposed, Input::ChecksPassed, State::Checked, Effect::Write),
-    (State::Proposed, Input::ChecksFailed, State::Refused, Effect::Close),
-    (State::Proposed, Input::BaseMoved, State::Refused, Effect::Close),
+    (
+        State::Proposed,
+        Input::ChecksPassed,
+        State::Checked,
+        Effect::Write,
+    ),
+    (
+        State::Proposed,
+        Input::ChecksFailed,
+        State::Refused,
+        Effect::Close,
+    ),
+    (
+        State::Proposed,
+        Input::BaseMoved,
+        State::Refused,
+        Effect::Close,
+    ),
     (State::Proposed, Input::Late, State::Refused, Effect::Close),
     (State::Proposed, Input::Undo, State::Refused, Effect::Close),
-    (State::Checked, Input::Written, State::Staged, Effect::Nothing),
-    (State::Checked, Input::BaseMoved, State::Refused, Effect::Close),
+    (
+        State::Checked,
+        Input::Written,
+        State::Staged,
+        Effect::Nothing,
+    ),
+    (
+        State::Checked,
+        Input::BaseMoved,
+        State::Refused,
+        Effect::Close,
+    ),
     (State::Checked, Input::Undo, State::Refused, Effect::Close),
     // A disk that takes seconds delays the change and nothing else.
     (State::Checked, Input::Late, State::Checked, Effect::Write),
-    (State::Staged, Input::Apply, State::Applying, Effect::PutInForce),
-    (State::Staged, Input::BaseMoved, State::Refused, Effect::Close),
+    (
+        State::Staged,
+        Input::Apply,
+        State::Applying,
+        Effect::PutInForce,
+    ),
+    (
+        State::Staged,
+        Input::BaseMoved,
+        State::Refused,
+        Effect::Close,
+    ),
     (State::Staged, Input::Undo, State::Refused, Effect::Close),
     (State::Staged, Input::Late, State::Refused, Effect::Close),
-    (State::Applying, Input::InForce, State::Watched, Effect::Watch),
-    (State::Applying, Input::Undo, State::Undoing, Effect::PutBack),
-    (State::Applying, Input::Late, State::Undoing, Effect::PutBack),
+    (
+        State::Applying,
+        Input::InForce,
+        State::Watched,
+        Effect::Watch,
+    ),
+    (
+        State::Applying,
+        Input::Undo,
+        State::Undoing,
+        Effect::PutBack,
+    ),
+    (
+        State::Applying,
+        Input::Late,
+        State::Undoing,
+        Effect::PutBack,
+    ),
     (State::Watched, Input::WatchOver, State::Kept, Effect::Keep),
     (State::Watched, Input::Undo, State::Undoing, Effect::PutBack),
     // Evidence that never comes is no good news.
--- a/crates/change/tests/checks.rs
+++ b/crates/change/tests/checks.rs
@@ -30,7 +30,12 @@
         least_share: 0.0,
     };
     Fleet {
-        hosts: vec![host("a1", "a"), host("a2", "a"), host("b1", "b"), host("b2", "b")],
+        hosts: vec![
+            host("a1", "a"),
+            host("a2", "a"),
+            host("b1", "b"),
+            host("b2", "b"),
+        ],
         gateways: vec![gateway("g1", "a"), gateway("g2", "b")],
         operations: vec![operation("quote", 2.0, false), operation("plan", 1.0, true)],
         cross_zone_price: 0.0,
@@ -46,17 +51,30 @@
 
 fn way(lines_per_second: f64, messages_at_most: u32) -> Way {
     let window = Span::from_seconds(10.0);
-    Way { gateways: 100, lines_per_second, head_lines: 6.0, messages_at_most, window, steps: 2 }
+    Way {
+        gateways: 100,
+        lines_per_second,
+        head_lines: 6.0,
+        messages_at_most,
+        window,
+        steps: 2,
+    }
 }
 
 fn forbidden(change: fn(&mut Fleet), way: Way) -> Vec<String> {
     let (before, mut after) = (fleet(), fleet());
     change(&mut after);
-    let bounds = Bounds { loses_at_most: 0.05, cold_at_most: 0.3, takes_at_most: Span::from_seconds(5.0) };
+    let bounds = Bounds {
+        loses_at_most: 0.05,
+        cold_at_most: 0.3,
+        takes_at_most: Span::from_seconds(5.0),
+    };
     let verdict = check(&before, &after, bounds, way);
     assert!(verdict.0.iter().all(|finding| !finding.text.is_empty()));
     let against = verdict.0.into_iter().filter(|finding| finding.forbids);
-    against.map(|finding| format!("{}: {}", finding.check, finding.text)).collect()
+    against
+        .map(|finding| format!("{}: {}", finding.check, finding.text))
+        .collect()
 }
 
 #[test_case(|_| {}, &[]; "nothing changes")]
@@ -83,7 +101,9 @@
 fn what_takes_too_long_on_its_way_is_told(way: Way, forbids: bool) {
     let found = forbidden(|fleet| drop(fleet.hosts.remove(0)), way);
     assert_eq!(
-        found.iter().any(|text| text.starts_with("channel: 1 hosts change: 1400 lines")),
+        found
+            .iter()
+            .any(|text| text.starts_with("channel: 1 hosts change: 1400 lines")),
         forbids,
         "{found:?}"
     );
--- a/crates/change/tests/life.rs
+++ b/crates/change/tests/life.rs
@@ -26,13 +26,24 @@
 
 fn configuration() -> Configuration {
     let values = [("pool.a", "4"), ("pool.b", "6"), ("price", "2")];
-    let values = values.iter().map(|(path, value)| (path.to_string(), value.to_string())).collect();
+    let values = values
+        .iter()
+        .map(|(path, value)| (path.to_string(), value.to_string()))
+        .collect();
     Configuration { version: 7, values }
 }
 
 fn change(id: &str, by: &str, base: u64, sets: &[(&str, Option<&str>)]) -> Change {
-    let sets = sets.iter().map(|(path, to)| (path.to_string(), to.map(str::to_string))).collect();
-    Change { id: ChangeId(id.into()), by: by.into(), base, sets }
+    let sets = sets
+        .iter()
+        .map(|(path, to)| (path.to_string(), to.map(str::to_string)))
+        .collect();
+    Change {
+        id: ChangeId(id.into()),
+        by: by.into(),
+        base,
+        sets,
+    }
 }
 
 fn id(text: &str) -> ChangeId {
@@ -43,15 +54,31 @@
 fn staged(ledger: &mut Ledger, change: Change) -> ChangeId {
     let id = change.id.clone();
     ledger.propose(at(0.0), change).expect("taken");
-    let orders = ledger.checked(at(1.0), &id, Verdict::default()).expect("known");
+    let orders = ledger
+        .checked(at(1.0), &id, Verdict::default())
+        .expect("known");
     assert_eq!(orders[0].effect, Effect::Write);
-    ledger.tell(at(1.5), &id, Input::Written, None).expect("known");
-    assert_eq!(ledger.record(&id).map(|record| record.state), Some(State::Staged));
+    ledger
+        .tell(at(1.5), &id, Input::Written, None)
+        .expect("known");
+    assert_eq!(
+        ledger.record(&id).map(|record| record.state),
+        Some(State::Staged)
+    );
     id
 }
 
 fn moved() -> Change {
-    change("c1", "ada", 7, &[("pool.a", Some("5")), ("pool.b", Some("5")), ("limit", Some("9"))])
+    change(
+        "c1",
+        "ada",
+        7,
+        &[
+            ("pool.a", Some("5")),
+            ("pool.b", Some("5")),
+            ("limit", Some("9")),
+        ],
+    )
 }
 
 #[test]
@@ -60,24 +87,41 @@
         let mut ledger = Ledger::new(configuration(), deadlines());
         assert_eq!(ledger.plan(&moved()).len(), 3);
         let id = staged(&mut ledger, moved());
-        assert_eq!(ledger.configuration(), &configuration(), "staged is not applied");
+        assert_eq!(
+            ledger.configuration(),
+            &configuration(),
+            "staged is not applied"
+        );
         let orders = ledger.apply(at(2.0), &id).expect("nothing is in its way");
         assert_eq!(orders[0].effect, Effect::PutInForce);
         assert_eq!(ledger.configuration().version, 8);
-        assert_eq!(ledger.apply(at(2.1), &id), Ok(vec![]), "an order that is told twice is one");
+        assert_eq!(
+            ledger.apply(at(2.1), &id),
+            Ok(vec![]),
+            "an order that is told twice is one"
+        );
         assert_eq!(ledger.configuration().version, 8);
-        ledger.tell(at(3.0), &id, Input::InForce, None).expect("known");
+        ledger
+            .tell(at(3.0), &id, Input::InForce, None)
+            .expect("known");
         if good {
             assert_eq!(ledger.due(at(32.9), at(32.9)), []);
             assert_eq!(ledger.due(at(33.0), at(33.0))[0].effect, Effect::Keep);
         } else {
-            let orders = ledger.undo(at(10.0), &id, "errors rose to 4%").expect("it is the last");
+            let orders = ledger
+                .undo(at(10.0), &id, "errors rose to 4%")
+                .expect("it is the last");
             assert_eq!(orders[0].effect, Effect::PutBack);
-            ledger.tell(at(11.0), &id, Input::InForce, None).expect("known");
+            ledger
+                .tell(at(11.0), &id, Input::InForce, None)
+                .expect("known");
             assert_eq!(ledger.configuration().values, configuration().values);
             assert_eq!(ledger.configuration().version, 9, "numbers never fall");
             let record = ledger.record(&id).expect("known");
-            assert_eq!((record.state, record.why.as_deref()), (State::Undone, Some("errors rose to 4%")));
+            assert_eq!(
+                (record.state, record.why.as_deref()),
+                (State::Undone, Some("errors rose to 4%"))
+            );
         }
     }
 }
@@ -87,8 +131,14 @@
     let mut ledger = Ledger::new(configuration(), deadlines());
     let id = staged(&mut ledger, moved());
     ledger.apply(at(2.0), &id).expect("applied");
-    ledger.tell(at(3.0), &id, Input::InForce, None).expect("known");
-    assert_eq!(ledger.due(at(40.0), at(20.0)), [], "what is known of ends at 20 s");
+    ledger
+        .tell(at(3.0), &id, Input::InForce, None)
+        .expect("known");
+    assert_eq!(
+        ledger.due(at(40.0), at(20.0)),
+        [],
+        "what is known of ends at 20 s"
+    );
     assert_eq!(ledger.due(at(63.0), at(20.0))[0].effect, Effect::PutBack);
 }
 
@@ -96,16 +146,41 @@
 fn a_conflict_names_both_changes_and_what_they_both_touch() {
     let mut ledger = Ledger::new(configuration(), deadlines());
     let first = staged(&mut ledger, moved());
-    let second = staged(&mut ledger, change("c2", "bob", 7, &[("pool.a", Some("1")), ("price", Some("3"))]));
+    let second = staged(
+        &mut ledger,
+        change(
+            "c2",
+            "bob",
+            7,
+            &[("pool.a", Some("1")), ("price", Some("3"))],
+        ),
+    );
     ledger.apply(at(2.0), &first).expect("the first");
-    let busy = Refused::Busy { waits: "c2".into(), runs: "c1".into() };
+    let busy = Refused::Busy {
+        waits: "c2".into(),
+        runs: "c1".into(),
+    };
     assert_eq!(ledger.apply(at(2.5), &second), Err(busy));
-    ledger.tell(at(3.0), &first, Input::InForce, None).expect("known");
+    ledger
+        .tell(at(3.0), &first, Input::InForce, None)
+        .expect("known");
     ledger.due(at(40.0), at(40.0));
-    let refused = ledger.apply(at(41.0), &second).expect_err("its base has moved").to_string();
-    assert!(refused.contains("c2 by bob") && refused.contains("c1 by ada"), "{refused}");
-    assert!(refused.contains("pool.a") && !refused.contains("price"), "{refused}");
-    assert_eq!(ledger.record(&second).map(|record| record.state), Some(State::Refused));
+    let refused = ledger
+        .apply(at(41.0), &second)
+        .expect_err("its base has moved")
+        .to_string();
+    assert!(
+        refused.contains("c2 by bob") && refused.contains("c1 by ada"),
+        "{refused}"
+    );
+    assert!(
+        refused.contains("pool.a") && !refused.contains("price"),
+        "{refused}"
+    );
+    assert_eq!(
+        ledger.record(&second).map(|record| record.state),
+        Some(State::Refused)
+    );
 }
 
 #[test]
@@ -118,14 +193,26 @@
     ] {
         let id = staged(&mut ledger, change(name, "ada", base, &sets));
         ledger.apply(at(2.0), &id).expect("applied");
-        ledger.tell(at(3.0), &id, Input::InForce, None).expect("known");
+        ledger
+            .tell(at(3.0), &id, Input::InForce, None)
+            .expect("known");
         ledger.due(at(40.0), at(40.0));
     }
-    let rests = Refused::RestsOn { id: "c1".into(), later: "c2".into(), keys: "pool.a".into() };
+    let rests = Refused::RestsOn {
+        id: "c1".into(),
+        later: "c2".into(),
+        keys: "pool.a".into(),
+    };
     assert_eq!(ledger.undo(at(50.0), &id("c1"), "not liked"), Err(rests));
-    ledger.undo(at(51.0), &id("c2"), "not liked").expect("c3 has nothing to do with it");
-    ledger.tell(at(52.0), &id("c2"), Input::InForce, None).expect("known");
-    ledger.undo(at(53.0), &id("c1"), "not liked").expect("nothing rests on it any more");
+    ledger
+        .undo(at(51.0), &id("c2"), "not liked")
+        .expect("c3 has nothing to do with it");
+    ledger
+        .tell(at(52.0), &id("c2"), Input::InForce, None)
+        .expect("known");
+    ledger
+        .undo(at(53.0), &id("c1"), "not liked")
+        .expect("nothing rests on it any more");
     assert_eq!(ledger.configuration().values["pool.a"], "4");
     assert_eq!(ledger.configuration().values["price"], "9");
 }
@@ -134,7 +221,10 @@
 #[test_case(change("c1", "ada", 7, &[("price", Some("2"))]), "changes nothing"; "what is so already")]
 fn what_can_not_be_is_refused_with_its_reason(change: Change, said: &str) {
     let mut ledger = Ledger::new(configuration(), deadlines());
-    let refused = ledger.propose(at(0.0), change).expect_err("it can't be").to_string();
+    let refused = ledger
+        .propose(at(0.0), change)
+        .expect_err("it can't be")
+        .to_string();
     assert!(refused.contains(said), "{refused}");
 }
 
@@ -144,13 +234,28 @@
     assert_eq!(ledger.propose(at(0.0), moved()), Ok(State::Proposed));
     assert_eq!(ledger.propose(at(0.1), moved()), Ok(State::Proposed));
     let other = change("c1", "bob", 7, &[("price", Some("8"))]);
-    assert_eq!(ledger.propose(at(0.2), other), Err(Refused::OtherContent("c1".into())));
+    assert_eq!(
+        ledger.propose(at(0.2), other),
+        Err(Refused::OtherContent("c1".into()))
+    );
     let text = "pool a would have 0 hosts for quote in north".to_string();
-    let finding = Finding { check: "pools".into(), text: text.clone(), forbids: true };
-    ledger.checked(at(1.0), &id("c1"), Verdict(vec![finding])).expect("known");
+    let finding = Finding {
+        check: "pools".into(),
+        text: text.clone(),
+        forbids: true,
+    };
+    ledger
+        .checked(at(1.0), &id("c1"), Verdict(vec![finding]))
+        .expect("known");
     let record = ledger.record(&id("c1")).expect("known");
-    assert_eq!((record.state, record.why.clone()), (State::Refused, Some(text)));
-    assert!(matches!(ledger.apply(at(2.0), &id("c1")), Err(Refused::Unfit { .. })));
+    assert_eq!(
+        (record.state, record.why.clone()),
+        (State::Refused, Some(text))
+    );
+    assert!(matches!(
+        ledger.apply(at(2.0), &id("c1")),
+        Err(Refused::Unfit { .. })
+    ));
 }
 
 #[derive(Clone, Debug)]
--- a/crates/change/tests/model.rs
+++ b/crates/change/tests/model.rs
@@ -10,18 +10,38 @@
 use test_case::test_case;
 use wheelspread::time::{Moment, Span};
 use wheelspread_change::ledger::{Deadlines, Order, Record};
-use wheelspread_change::{Change, ChangeId, Configuration, Effect, Input, Ledger, Refused, State, Verdict};
+use wheelspread_change::{
+    Change, ChangeId, Configuration, Effect, Input, Ledger, Refused, State, Verdict,
+};
 
 fn deadlines() -> Deadlines {
     let span = Span::from_seconds(10.0);
-    Deadlines { checks: span, write: span, staged: span, apply: span, watch: span }
+    Deadlines {
+        checks: span,
+        write: span,
+        staged: span,
+        apply: span,
+        watch: span,
+    }
 }
 
 /// Two operators, two changes that both touch `price`, made against the same version.
 fn change(name: &str) -> Change {
-    let (by, value) = if name == "a" { ("ada", "5") } else { ("bob", "7") };
-    let sets = [("price".to_string(), Some(value.to_string())), (name.to_string(), Some("1".to_string()))];
-    Change { id: ChangeId(name.into()), by: by.into(), base: 1, sets: sets.into() }
+    let (by, value) = if name == "a" {
+        ("ada", "5")
+    } else {
+        ("bob", "7")
+    };
+    let sets = [
+        ("price".to_string(), Some(value.to_string())),
+        (name.to_string(), Some("1".to_string())),
+    ];
+    Change {
+        id: ChangeId(name.into()),
+        by: by.into(),
+        base: 1,
+        sets: sets.into(),
+    }
 }
 
 /// The ledger, compared by what it holds.
@@ -86,7 +106,10 @@
 
 impl Conductor {
     fn new() -> Conductor {
-        let first = Configuration { version: 1, values: BTreeMap::new() };
+        let first = Configuration {
+            version: 1,
+            values: BTreeMap::new(),
+        };
         Conductor {
             memory: Some(Memory(Ledger::new(first.clone(), deadlines()))),
             waits: VecDeque::new(),
@@ -98,18 +121,29 @@
     }
 
     fn tell(&mut self, configuration: &Configuration) {
-        let known = self.told.entry(configuration.version).or_insert_with(|| configuration.clone());
+        let known = self
+            .told
+            .entry(configuration.version)
+            .or_insert_with(|| configuration.clone());
         if known != configuration {
-            self.wrong = Some(format!("version {} was told with two contents", configuration.version));
+            self.wrong = Some(format!(
+                "version {} was told with two contents",
+                configuration.version
+            ));
         }
         if configuration.version < self.holds {
-            self.wrong = Some(format!("from version {} back to {}", self.holds, configuration.version));
+            self.wrong = Some(format!(
+                "from version {} back to {}",
+                self.holds, configuration.version
+            ));
         }
         self.holds = configuration.version;
     }
 
     fn follow(&mut self, orders: Vec<Order>, variant: Variant) {
-        let Some(Memory(ledger)) = self.memory.clone() else { return };
+        let Some(Memory(ledger)) = self.memory.clone() else {
+            return;
+        };
         for Order { id, effect } in orders {
             let effect = match effect {
                 Effect::Write => Some(Force::Staged),
@@ -120,7 +154,11 @@
             if variant == Variant::Hasty && effect == Some(Force::Values) {
                 self.tell(ledger.configuration());
             }
-            let write = Write { configuration: ledger.configuration().clone(), record, effect };
+            let write = Write {
+                configuration: ledger.configuration().clone(),
+                record,
+                effect,
+            };
             if !self.waits.contains(&write) {
                 self.waits.push_back(write);
             }
@@ -145,14 +183,22 @@
         next.memory.as_ref()?;
         let write = next.waits.pop_front()?;
         next.disk.0 = write.configuration.clone();
-        next.disk.1.insert(write.record.change.id.0.clone(), write.record.clone());
+        next.disk
+            .1
+            .insert(write.record.change.id.0.clone(), write.record.clone());
         let Memory(ledger) = next.memory.as_mut()?;
         match write.effect {
             Some(Force::Staged) => {
-                let _ = ledger.tell(Moment::default(), &write.record.change.id, Input::Written, None);
+                let _ = ledger.tell(
+                    Moment::default(),
+                    &write.record.change.id,
+                    Input::Written,
+                    None,
+                );
             }
             // Overtaken by its own undo: that is told when the disk has it.
-            Some(Force::Values) if ledger.configuration().version != write.configuration.version => {}
+            Some(Force::Values)
+                if ledger.configuration().version != write.configuration.version => {}
             Some(Force::Values) if variant != Variant::Hasty => next.tell(&write.configuration),
             _ => {}
         }
@@ -169,7 +215,9 @@
         if let Some(write) = self.waits.front() {
             let mut of = self.clone();
             of.disk.0 = write.configuration.clone();
-            of.disk.1.insert(write.record.change.id.0.clone(), write.record.clone());
+            of.disk
+                .1
+                .insert(write.record.change.id.0.clone(), write.record.clone());
             ends.push(down(of));
         }
         ends
@@ -180,7 +228,12 @@
         let (configuration, records) = next.disk.clone();
         let kept = |record: &Record| variant != Variant::Forgetful || !record.state.under_way();
         let records = records.into_values().filter(kept).collect();
-        let (ledger, _) = Ledger::recover(Moment::default(), configuration.clone(), records, deadlines());
+        let (ledger, _) = Ledger::recover(
+            Moment::default(),
+            configuration.clone(),
+            records,
+            deadlines(),
+        );
         next.memory = Some(Memory(ledger));
         next.tell(&configuration);
         next
@@ -195,7 +248,8 @@
         next.extend(self.written(variant));
         for name in ["a", "b"] {
             let id = ChangeId(name.to_string());
-            let ledger = |what: &dyn Fn(&mut Ledger) -> Result<Vec<Order>, Refused>| self.act(variant, what);
+            let ledger =
+                |what: &dyn Fn(&mut Ledger) -> Result<Vec<Order>, Refused>| self.act(variant, what);
             next.extend(ledger(&|l| {
                 l.propose(now, change(name))?;
                 l.checked(now, &id, Verdict::default())
@@ -205,8 +259,12 @@
             next.extend(ledger(&|l| l.tell(now, &id, Input::Late, None)));
             next.extend(ledger(&|l| l.tell(now, &id, Input::WatchOver, None)));
             // Gateways hold it only after they were told.
-            let version = self.memory.as_ref().map(|memory| memory.0.configuration().version);
-            if version == Some(self.holds) && self.waits.iter().all(|write| write.effect.is_none()) {
+            let version = self
+                .memory
+                .as_ref()
+                .map(|memory| memory.0.configuration().version);
+            if version == Some(self.holds) && self.waits.iter().all(|write| write.effect.is_none())
+            {
                 next.extend(ledger(&|l| l.tell(now, &id, Input::InForce, None)));
             }
         }
@@ -219,29 +277,44 @@
         if let Some(wrong) = &self.wrong {
             return Some(wrong.clone());
         }
-        let Some(Memory(ledger)) = &self.memory else { return None };
-        let under_way = ledger.records().filter(|record| record.state.under_way()).count();
+        let Some(Memory(ledger)) = &self.memory else {
+            return None;
+        };
+        let under_way = ledger
+            .records()
+            .filter(|record| record.state.under_way())
+            .count();
         if under_way > 1 {
             return Some("two changes are under way".to_string());
         }
         // Each change was put in force once at most, and taken back once at most: versions tell.
-        let versions: Vec<u64> =
-            ledger.records().flat_map(|record| record.made.into_iter().chain(record.unmade)).collect();
+        let versions: Vec<u64> = ledger
+            .records()
+            .flat_map(|record| record.made.into_iter().chain(record.unmade))
+            .collect();
         if versions.iter().collect::<BTreeSet<_>>().len() != versions.len() {
             return Some("one version was made by two changes".to_string());
         }
         // With nothing under way and nothing at the disk, gateways hold what the changes in force say.
         if under_way == 0 && self.waits.is_empty() {
-            let kept = ledger.records().filter(|record| record.state == State::Kept);
+            let kept = ledger
+                .records()
+                .filter(|record| record.state == State::Kept);
             let mut wanted = BTreeMap::new();
             for record in kept {
-                let set =
-                    record.change.sets.iter().filter_map(|(path, to)| Some((path.clone(), to.clone()?)));
+                let set = record
+                    .change
+                    .sets
+                    .iter()
+                    .filter_map(|(path, to)| Some((path.clone(), to.clone()?)));
                 wanted.extend(set);
             }
             let held = self.told.get(&self.holds);
             if held.is_some_and(|held| held.values != wanted) {
-                return Some(format!("gateways hold {:?}, {wanted:?} is in force", held.map(|h| &h.values)));
+                return Some(format!(
+                    "gateways hold {:?}, {wanted:?} is in force",
+                    held.map(|h| &h.values)
+                ));
             }
         }
         None
@@ -265,8 +338,11 @@
 
 #[test]
 fn nothing_that_can_happen_to_one_conductor_breaks_it() {
-    let (states, way) =
-        search(Conductor::new(), |state| state.successors(Variant::Right), |state| state.broken().is_some());
+    let (states, way) = search(
+        Conductor::new(),
+        |state| state.successors(Variant::Right),
+        |state| state.broken().is_some(),
+    );
     println!("one conductor: {states} states");
     assert_eq!(way, None);
     assert!(states > 500, "{states}");
@@ -275,8 +351,11 @@
 #[test_case(Variant::Hasty; "gateways are told before the disk has it")]
 #[test_case(Variant::Forgetful; "what was under way is forgotten")]
 fn what_is_broken_on_purpose_is_caught(variant: Variant) {
-    let (_, way) =
-        search(Conductor::new(), |state| state.successors(variant), |state| state.broken().is_some());
+    let (_, way) = search(
+        Conductor::new(),
+        |state| state.successors(variant),
+        |state| state.broken().is_some(),
+    );
     let steps = way.expect("it is caught");
     assert!(steps < 12, "{steps} steps");
 }
@@ -306,7 +385,10 @@
             }
             if self.crashes < 2 {
                 for down in conductor.crash() {
-                    next.push(Three { crashes: self.crashes + 1, ..with(down) });
+                    next.push(Three {
+                        crashes: self.crashes + 1,
+                        ..with(down)
+                    });
                 }
             }
             for name in ["a", "b"] {
@@ -324,17 +406,27 @@
     fn broken(&self) -> bool {
         let stands = |name: &str, at: usize| self.answers.get(&(name.to_string(), at)).copied();
         let all = |name: &str| (0..3).all(|at| stands(name, at) == Some(true));
-        let wrong = self.conductors.iter().any(|conductor| conductor.broken().is_some());
+        let wrong = self
+            .conductors
+            .iter()
+            .any(|conductor| conductor.broken().is_some());
         let both = (0..3).any(|at| stands("a", at) == Some(true) && stands("b", at) == Some(true));
-        let apart =
-            all("a") && self.conductors.iter().any(|c| c.disk.1.get("a").is_none_or(|r| r.made.is_none()));
+        let apart = all("a")
+            && self
+                .conductors
+                .iter()
+                .any(|c| c.disk.1.get("a").is_none_or(|r| r.made.is_none()));
         wrong || both || apart
     }
 }
 
 /// Stages and applies, through the disk and the gateways, to its end.
 fn apply(conductor: &Conductor, name: &str) -> (Conductor, bool) {
-    let (now, id, right) = (Moment::default(), ChangeId(name.to_string()), Variant::Right);
+    let (now, id, right) = (
+        Moment::default(),
+        ChangeId(name.to_string()),
+        Variant::Right,
+    );
     let drain = |mut of: Conductor| {
         while let Some(next) = of.written(right) {
             of = next;
@@ -346,10 +438,16 @@
         l.checked(now, &id, Verdict::default())
     });
     let staged = drain(staged.unwrap_or_else(|| conductor.clone()));
-    let Some(applied) = staged.act(right, |l| l.apply(now, &id)) else { return (staged, false) };
+    let Some(applied) = staged.act(right, |l| l.apply(now, &id)) else {
+        return (staged, false);
+    };
     let mut applied = drain(applied);
     for input in [Input::InForce, Input::WatchOver] {
-        applied = drain(applied.act(right, |l| l.tell(now, &id, input, None)).unwrap_or(applied));
+        applied = drain(
+            applied
+                .act(right, |l| l.tell(now, &id, input, None))
+                .unwrap_or(applied),
+        );
     }
     (applied, true)
 }
@@ -357,7 +455,11 @@
 #[test]
 fn three_conductors_never_let_two_operators_both_believe() {
     let conductors = [Conductor::new(), Conductor::new(), Conductor::new()];
-    let start = Three { conductors, answers: BTreeMap::new(), crashes: 0 };
+    let start = Three {
+        conductors,
+        answers: BTreeMap::new(),
+        crashes: 0,
+    };
     let (states, way) = search(start, Three::successors, Three::broken);
     println!("three conductors: {states} states");
     assert_eq!(way, None);
--- a/crates/cli/src/change.rs
+++ b/crates/cli/src/change.rs
@@ -67,7 +67,8 @@
 fn read(path: &Path) -> Result<Value, String> {
     let said = |text: String| format!("{}: {text}", path.display());
     let text = std::fs::read_to_string(path).map_err(|error| said(error.to_string()))?;
-    let file: ChangeFile = serde_yaml_ng::from_str(&text).map_err(|error| said(error.to_string()))?;
+    let file: ChangeFile =
+        serde_yaml_ng::from_str(&text).map_err(|error| said(error.to_string()))?;
     Ok(json!(file))
 }
 
@@ -87,15 +88,27 @@
                 }
             };
             let plan = matches!(arguments.what, What::Plan { .. });
-            let target = if plan { "/v1/changes/plan" } else { "/v1/changes/stage" };
+            let target = if plan {
+                "/v1/changes/plan"
+            } else {
+                "/v1/changes/stage"
+            };
             ("POST", target.to_string(), Some(body), None)
         }
-        What::Apply { id, wait } => {
-            ("POST", "/v1/changes/apply".to_string(), Some(json!({ "id": id })), wait.then_some(id))
-        }
+        What::Apply { id, wait } => (
+            "POST",
+            "/v1/changes/apply".to_string(),
+            Some(json!({ "id": id })),
+            wait.then_some(id),
+        ),
         What::Undo { id, why, wait } => {
             let body = json!({ "id": id, "why": why });
-            ("POST", "/v1/changes/undo".to_string(), Some(body), wait.then_some(id))
+            (
+                "POST",
+                "/v1/changes/undo".to_string(),
+                Some(body),
+                wait.then_some(id),
+            )
         }
         What::List => ("GET", "/v1/changes".to_string(), None, None),
         What::Show { id } => ("GET", format!("/v1/changes/{id}"), None, None),
@@ -120,7 +133,9 @@
     let mut seen = Instant::now();
     loop {
         match call(root, "GET", &format!("/v1/changes/{id}"), None) {
-            Ok((200, told)) if matches!(told["state"].as_str(), Some("kept" | "undone" | "refused")) => {
+            Ok((200, told))
+                if matches!(told["state"].as_str(), Some("kept" | "undone" | "refused")) =>
+            {
                 return Ok((200, json!({ "change": told })));
             }
             Ok((200, _)) => seen = Instant::now(),
@@ -134,7 +149,13 @@
 /// Prints an answer; returns the exit code that it asks for.
 fn tell(arguments: &ChangeArguments, root: &Path, answer: Result<(u16, Value), String>) -> u8 {
     let several = arguments.at.len() > 1;
-    let head = || if several { format!("{}: ", root.display()) } else { String::new() };
+    let head = || {
+        if several {
+            format!("{}: ", root.display())
+        } else {
+            String::new()
+        }
+    };
     let (status, told) = match answer {
         Ok(answer) => answer,
         Err(reason) => {
@@ -143,12 +164,20 @@
         }
     };
     if arguments.json {
-        let told = if several { json!({ "at": root.display().to_string(), "answer": told }) } else { told };
+        let told = if several {
+            json!({ "at": root.display().to_string(), "answer": told })
+        } else {
+            told
+        };
         say!("{told}");
         return if status == 200 { 0 } else { NOT_CARRIED_OUT };
     }
     if status != 200 {
-        eprintln!("{}{}", head(), told["error"].as_str().unwrap_or("not carried out"));
+        eprintln!(
+            "{}{}",
+            head(),
+            told["error"].as_str().unwrap_or("not carried out")
+        );
         return NOT_CARRIED_OUT;
     }
     match &arguments.what {
@@ -171,7 +200,11 @@
         let against = finding["forbids"].as_bool().unwrap_or(false);
         forbidden |= against;
         let mark = if against { "no" } else { "ok" };
-        say!("  {mark}  {}: {}", shown(&finding["check"]), shown(&finding["text"]));
+        say!(
+            "  {mark}  {}: {}",
+            shown(&finding["check"]),
+            shown(&finding["text"])
+        );
     }
     forbidden
 }
@@ -179,7 +212,11 @@
 fn plan(head: &str, told: &Value) -> u8 {
     say!("{head}against version {}", told["version"]);
     for line in entries(&told["lines"]) {
-        let word = |value: &Value| value.as_str().map_or("(as listed)".to_string(), str::to_string);
+        let word = |value: &Value| {
+            value
+                .as_str()
+                .map_or("(as listed)".to_string(), str::to_string)
+        };
         say!("- {}: {}", shown(&line["path"]), word(&line["from"]));
         say!("+ {}: {}", shown(&line["path"]), word(&line["to"]));
     }
@@ -192,9 +229,17 @@
 
 /// A change; an undone or refused one is told by the exit code too.
 fn one(head: &str, told: &Value) -> u8 {
-    let made = told["made"].as_u64().map_or(String::new(), |version| format!(", version {version}"));
-    let back = told["unmade"].as_u64().map_or(String::new(), |version| format!(", taken back as {version}"));
-    let (id, by, state) = (shown(&told["change"]["id"]), shown(&told["change"]["by"]), shown(&told["state"]));
+    let made = told["made"]
+        .as_u64()
+        .map_or(String::new(), |version| format!(", version {version}"));
+    let back = told["unmade"].as_u64().map_or(String::new(), |version| {
+        format!(", taken back as {version}")
+    });
+    let (id, by, state) = (
+        shown(&told["change"]["id"]),
+        shown(&told["change"]["by"]),
+        shown(&told["state"]),
+    );
     say!("{head}{id} by {by}: {state}{made}{back}");
     if let Some(why) = told["why"].as_str() {
         say!("  {why}");
@@ -211,7 +256,10 @@
 }
 
 fn configuration(head: &str, told: &Value) {
-    let lacking = entries(&told["lacking"]).map(shown).collect::<Vec<_>>().join(" ");
+    let lacking = entries(&told["lacking"])
+        .map(shown)
+        .collect::<Vec<_>>()
+        .join(" ");
     say!("{head}version {} in force", told["version"]);
     if !lacking.is_empty() {
         say!("  not yet at {lacking}");
@@ -222,7 +270,14 @@
 }
 
 fn list(told: &Value) {
-    say!("{:<24}{:<16}{:<10}{:>6}{:>8}  why", "change", "by", "state", "base", "version");
+    say!(
+        "{:<24}{:<16}{:<10}{:>6}{:>8}  why",
+        "change",
+        "by",
+        "state",
+        "base",
+        "version"
+    );
     for told in entries(told) {
         let change = &told["change"];
         say!(
--- a/crates/cli/src/drill.rs
+++ b/crates/cli/src/drill.rs
@@ -62,9 +62,11 @@
     };
     match &arguments.day {
         Some(path) => {
-            let text =
-                std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
-            script.with_day(&text).map_err(|error| format!("{}: {error}", path.display()))
+            let text = std::fs::read_to_string(path)
+                .map_err(|error| format!("{}: {error}", path.display()))?;
+            script
+                .with_day(&text)
+                .map_err(|error| format!("{}: {error}", path.display()))
         }
         None => Ok((script, Vec::new())),
     }
@@ -79,7 +81,10 @@
         }
     };
     if arguments.streams {
-        script.deployment.fronts = FrontPlan { files: false, streams: true };
+        script.deployment.fronts = FrontPlan {
+            files: false,
+            streams: true,
+        };
     }
     let program = match std::env::current_exe() {
         Ok(program) => program,
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -91,7 +91,10 @@
 }
 
 fn user() -> String {
-    std::env::var("USER").ok().filter(|user| !user.is_empty()).unwrap_or_else(|| "operator".to_string())
+    std::env::var("USER")
+        .ok()
+        .filter(|user| !user.is_empty())
+        .unwrap_or_else(|| "operator".to_string())
 }
 
 pub fn fleet(arguments: FleetArguments) -> ExitCode {
@@ -111,20 +114,25 @@
         What::Tables => plain(&fleet, arguments.json, "/v1/tables", view::tables),
         What::Channels => plain(&fleet, arguments.json, "/v1/channel", view::channels),
         What::Sums => plain(&fleet, arguments.json, "/v1/sums", view::sums),
-        What::Where { node } => {
-            plain(&fleet, arguments.json, &format!("/v1/where/{node}"), view::whereabouts)
-        }
+        What::Where { node } => plain(
+            &fleet,
+            arguments.json,
+            &format!("/v1/where/{node}"),
+            view::whereabouts,
+        ),
         What::Sync => sync(&fleet, arguments.json),
         What::Drain(order) => ordered(&fleet, arguments.json, order, Word::Drain),
         What::Undrain(order) => ordered(&fleet, arguments.json, order, Word::Undrain),
         What::Watch { every, times } => watch(&fleet, arguments.json, *every, *times),
-        What::Top { every } => match top::run(&fleet, Duration::from_secs_f64(every.seconds().max(0.1))) {
-            Ok(()) => 0,
-            Err(error) => {
-                eprintln!("the terminal: {error}");
-                BAD_INPUT
+        What::Top { every } => {
+            match top::run(&fleet, Duration::from_secs_f64(every.seconds().max(0.1))) {
+                Ok(()) => 0,
+                Err(error) => {
+                    eprintln!("the terminal: {error}");
+                    BAD_INPUT
+                }
             }
-        },
+        }
     };
     ExitCode::from(code)
 }
@@ -133,8 +141,12 @@
 
 /// Who did not answer, by name.
 fn missing(answers: &Answers) -> BTreeMap<&str, String> {
-    let failed = answers.iter().filter_map(|(name, answer)| Some((name.as_str(), answer.as_ref().err()?)));
-    failed.map(|(name, failed)| (name, failed.to_string())).collect()
+    let failed = answers
+        .iter()
+        .filter_map(|(name, answer)| Some((name.as_str(), answer.as_ref().err()?)));
+    failed
+        .map(|(name, failed)| (name, failed.to_string()))
+        .collect()
 }
 
 fn as_json(answers: &Answers) -> Value {
@@ -146,12 +158,20 @@
 }
 
 /// Asks all the same and prints a table of it.
-fn plain(fleet: &Fleet, as_object: bool, target: &str, table: impl Fn(&str, &Value) -> Vec<String>) -> u8 {
+fn plain(
+    fleet: &Fleet,
+    as_object: bool,
+    target: &str,
+    table: impl Fn(&str, &Value) -> Vec<String>,
+) -> u8 {
     let begin = Instant::now();
     let answers = fleet.ask(&Request::get(target), fleet.within);
     if as_object {
         let seconds = begin.elapsed().as_secs_f64();
-        say!("{}", json!({ "conductors": as_json(&answers), "seconds": seconds }));
+        say!(
+            "{}",
+            json!({ "conductors": as_json(&answers), "seconds": seconds })
+        );
     } else {
         for (name, answer) in &answers {
             if let Ok(told) = answer {
@@ -203,7 +223,10 @@
     let body = drain_order(&order.node, word, &order.by, &order.force);
     let request = Request::post("/v1/drains", body.clone());
     let told = fleet.order(&request, within, u64::from(std::process::id()));
-    let refused = told.conductors.values().any(|(_, reply)| matches!(reply, Some(Reply::Refused { .. })));
+    let refused = told
+        .conductors
+        .values()
+        .any(|(_, reply)| matches!(reply, Some(Reply::Refused { .. })));
     let code = match told.outcome {
         Outcome::Everywhere => 0,
         _ if refused => NOT_CARRIED_OUT,
@@ -215,8 +238,15 @@
         .filter(|(_, (_, reply))| matches!(reply, Some(Reply::Taken { .. })))
         .map(|(name, _)| name.clone())
         .collect();
-    let waited = (order.wait && !taken.is_empty())
-        .then(|| wait(fleet, &order.node, word, &taken, begin + Duration::from_secs_f64(within.seconds())));
+    let waited = (order.wait && !taken.is_empty()).then(|| {
+        wait(
+            fleet,
+            &order.node,
+            word,
+            &taken,
+            begin + Duration::from_secs_f64(within.seconds()),
+        )
+    });
     if as_object {
         say!(
             "{}",
@@ -227,7 +257,9 @@
             let what = match reply {
                 Some(Reply::Taken { state }) => state.clone(),
                 Some(Reply::Refused { reason }) => format!("refused: {reason}"),
-                Some(Reply::Failed { reason }) => format!("not told, after {tries} tries: {reason}"),
+                Some(Reply::Failed { reason }) => {
+                    format!("not told, after {tries} tries: {reason}")
+                }
                 None => "no answer".to_string(),
             };
             say!("{name}: {what}");
@@ -238,7 +270,10 @@
             Outcome::Nowhere => "it holds nowhere",
         };
         say!("{outcome}");
-        waited.iter().flat_map(|waited| &waited.lines).for_each(|line| say!("{line}"));
+        waited
+            .iter()
+            .flat_map(|waited| &waited.lines)
+            .for_each(|line| say!("{line}"));
     }
     match waited {
         Some(waited) if !waited.done => code.max(NO_CONDUCTOR),
@@ -253,15 +288,28 @@
         Some((name.clone(), drains.ok()?))
     });
     let missed = missed(&held.collect());
-    let (mut told, mut code) = (Vec::new(), if missing(&answers).is_empty() { 0 } else { NO_CONDUCTOR });
+    let (mut told, mut code) = (
+        Vec::new(),
+        if missing(&answers).is_empty() {
+            0
+        } else {
+            NO_CONDUCTOR
+        },
+    );
     for (name, order) in missed {
         let one = BTreeSet::from([name.clone()]);
         let request = Request::post("/v1/drains", json!(order));
-        let answer = fleet.ask_some(&one, &request, Instant::now() + fleet.within).remove(&name);
+        let answer = fleet
+            .ask_some(&one, &request, Instant::now() + fleet.within)
+            .remove(&name);
         let result = match answer {
             Some(Ok(drain)) => drain["state"].as_str().unwrap_or("taken").to_string(),
             Some(Err(failed)) => {
-                code = code.max(if failed.passes() { NO_CONDUCTOR } else { NOT_CARRIED_OUT });
+                code = code.max(if failed.passes() {
+                    NO_CONDUCTOR
+                } else {
+                    NOT_CARRIED_OUT
+                });
                 failed.to_string()
             }
             None => "not asked".to_string(),
@@ -322,7 +370,10 @@
 }
 
 fn evidence(drain: &Value, word: Word) -> (bool, String) {
-    let (state, told) = (drain["state"].as_str().unwrap_or("not known"), &drain["evidence"]);
+    let (state, told) = (
+        drain["state"].as_str().unwrap_or("not known"),
+        &drain["evidence"],
+    );
     let number = |name: &str| told[name].as_u64().unwrap_or(0);
     if word == Word::Undrain {
         return (state == "withdrawn", state.to_string());
@@ -337,9 +388,13 @@
             (true, text)
         }
         "in-force" if gateways == 0 => (true, "in force: no gateway is joined".to_string()),
-        "in-force" => {
-            (false, format!("in force: {named} of {gateways} gateways name it, nobody heard since yet"))
-        }
-        _ => (false, format!("{state}: {named} of {gateways} gateways name it")),
+        "in-force" => (
+            false,
+            format!("in force: {named} of {gateways} gateways name it, nobody heard since yet"),
+        ),
+        _ => (
+            false,
+            format!("{state}: {named} of {gateways} gateways name it"),
+        ),
     }
 }
--- a/crates/cli/src/fleet/top.rs
+++ b/crates/cli/src/fleet/top.rs
@@ -66,7 +66,12 @@
 
 impl Screen {
     pub fn new() -> Screen {
-        Screen { snapshot: None, came: Instant::now(), first: 0, troubled: false }
+        Screen {
+            snapshot: None,
+            came: Instant::now(),
+            first: 0,
+            troubled: false,
+        }
     }
 
     pub fn show(&mut self, snapshot: Snapshot) {
@@ -94,18 +99,27 @@
         };
         let minds = snapshot.minds();
         let below = (minds.len().min(4) + 2) as u16;
-        let [head, body, foot] =
-            Layout::vertical([Constraint::Length(1), Constraint::Min(1), Constraint::Length(below)])
-                .areas(frame.area());
+        let [head, body, foot] = Layout::vertical([
+            Constraint::Length(1),
+            Constraint::Min(1),
+            Constraint::Length(below),
+        ])
+        .areas(frame.area());
         let bold = plain.add_modifier(Modifier::BOLD);
         frame.render_widget(Line::styled(Snapshot::HEAD, bold), head);
         let mut rows: Vec<(bool, Line)> = Vec::new();
         for (name, answer) in &snapshot.status {
             rows.push(match answer {
-                Err(failed) => (true, Line::styled(format!("{name:<14.14}{failed}"), plain.fg(Color::Red))),
+                Err(failed) => (
+                    true,
+                    Line::styled(format!("{name:<14.14}{failed}"), plain.fg(Color::Red)),
+                ),
                 Ok(told) => {
                     let fill = told["lines_waiting"].as_f64().unwrap_or(0.0)
-                        / told["lines_waiting_at_most"].as_f64().unwrap_or(1.0).max(1.0);
+                        / told["lines_waiting_at_most"]
+                            .as_f64()
+                            .unwrap_or(1.0)
+                            .max(1.0);
                     let lacking = told["configuration_lacking"].as_u64().unwrap_or(0) > 0;
                     let look = fill > 0.5 || lacking || told["gateways"]["joined"] == 0;
                     let style = if look { plain.fg(Color::Yellow) } else { plain };
@@ -114,9 +128,16 @@
             });
         }
         let all = rows.len();
-        let answered = snapshot.status.values().filter(|answer| answer.is_ok()).count();
-        let rows: Vec<Line> =
-            rows.into_iter().filter(|(look, _)| !self.troubled || *look).map(|(_, line)| line).collect();
+        let answered = snapshot
+            .status
+            .values()
+            .filter(|answer| answer.is_ok())
+            .count();
+        let rows: Vec<Line> = rows
+            .into_iter()
+            .filter(|(look, _)| !self.troubled || *look)
+            .map(|(_, line)| line)
+            .collect();
         let room = usize::from(body.height);
         self.first = self.first.min(rows.len().saturating_sub(room));
         let (first, last) = (self.first, (self.first + room).min(rows.len()));
@@ -125,11 +146,18 @@
             .iter()
             .take(4)
             .map(|text| {
-                Line::from(vec![Span::styled("two minds: ", plain.fg(Color::Red)), text.clone().into()])
+                Line::from(vec![
+                    Span::styled("two minds: ", plain.fg(Color::Red)),
+                    text.clone().into(),
+                ])
             })
             .collect();
         let more = minds.len().saturating_sub(4);
-        let more = if more > 0 { format!(", {more} more of two minds") } else { String::new() };
+        let more = if more > 0 {
+            format!(", {more} more of two minds")
+        } else {
+            String::new()
+        };
         lines.push(Line::styled(
             format!(
                 "{answered} of {all} answered in {:.2} s, {:.0} s ago; lines {}-{last} of {}{more}",
@@ -172,21 +200,42 @@
             7 => Err(Failed::Silent("2.0 s".into())),
             _ => Ok(told.clone()),
         };
-        let status = (0..count).map(|n| (format!("conductor-{n:02}"), answer(n))).collect();
+        let status = (0..count)
+            .map(|n| (format!("conductor-{n:02}"), answer(n)))
+            .collect();
         let held = BTreeMap::from([
-            ("draining by order".to_string(), vec!["conductor-01".to_string()]),
-            ("ready".to_string(), (2..20).map(|n| format!("conductor-{n:02}")).collect()),
+            (
+                "draining by order".to_string(),
+                vec!["conductor-01".to_string()],
+            ),
+            (
+                "ready".to_string(),
+                (2..20).map(|n| format!("conductor-{n:02}")).collect(),
+            ),
         ]);
         let node = Some("127.0.0.1:9001".to_string());
-        let found = Disagreement { matter: Matter::Listing, node, held, lists_differ: false };
-        Snapshot { status, disagreements: vec![found], seconds: 1.25 }
+        let found = Disagreement {
+            matter: Matter::Listing,
+            node,
+            held,
+            lists_differ: false,
+        };
+        Snapshot {
+            status,
+            disagreements: vec![found],
+            seconds: 1.25,
+        }
     }
 
     fn drawn(screen: &mut Screen) -> Vec<String> {
         let mut terminal = Terminal::new(TestBackend::new(80, 24)).expect("a screen in memory");
         terminal.draw(|frame| screen.draw(frame)).expect("drawn");
         let buffer = terminal.backend().buffer().clone();
-        let row = |y| (0..80).map(|x| buffer[(x, y)].symbol().to_string()).collect::<String>();
+        let row = |y| {
+            (0..80)
+                .map(|x| buffer[(x, y)].symbol().to_string())
+                .collect::<String>()
+        };
         (0..24).map(|y| row(y).trim_end().to_string()).collect()
     }
 
@@ -196,17 +245,32 @@
         assert!(drawn(&mut screen)[0].contains("asking"));
         screen.show(snapshot(30));
         let rows = drawn(&mut screen);
-        assert!(rows[0].starts_with("conductor") && rows[0].ends_with("version"), "{rows:#?}");
-        assert!(rows[1].starts_with("conductor-00") && rows[1].contains("267/270"), "{rows:#?}");
+        assert!(
+            rows[0].starts_with("conductor") && rows[0].ends_with("version"),
+            "{rows:#?}"
+        );
+        assert!(
+            rows[1].starts_with("conductor-00") && rows[1].contains("267/270"),
+            "{rows:#?}"
+        );
         assert!(rows[8].contains("no answer within 2.0 s"), "{rows:#?}");
-        assert!(rows[21].contains("127.0.0.1:9001: draining by order: conductor-01"), "{rows:#?}");
-        assert!(rows[22].contains("27 of 30 answered in 1.25 s"), "{rows:#?}");
+        assert!(
+            rows[21].contains("127.0.0.1:9001: draining by order: conductor-01"),
+            "{rows:#?}"
+        );
+        assert!(
+            rows[22].contains("27 of 30 answered in 1.25 s"),
+            "{rows:#?}"
+        );
         screen.key(KeyCode::PageDown);
         let rows = drawn(&mut screen);
         assert!(rows[20].starts_with("conductor-29"), "{rows:#?}");
         screen.key(KeyCode::Char('t'));
         let rows = drawn(&mut screen);
-        assert!(rows[1].starts_with("conductor-07") && rows[3].starts_with("conductor-27"), "{rows:#?}");
+        assert!(
+            rows[1].starts_with("conductor-07") && rows[3].starts_with("conductor-27"),
+            "{rows:#?}"
+        );
         assert!(screen.key(KeyCode::Char('q')));
     }
 }
--- a/crates/cli/src/fleet/view.rs
+++ b/crates/cli/src/fleet/view.rs
@@ -19,7 +19,14 @@
     let view = |node: &Value| {
         let text = |field: &str| node[field].as_str().unwrap_or("").to_string();
         let by_order = node["by_order"].as_bool().unwrap_or(false);
-        (text("node"), View { listing: text("listing"), zone: text("zone"), by_order })
+        (
+            text("node"),
+            View {
+                listing: text("listing"),
+                zone: text("zone"),
+                by_order,
+            },
+        )
     };
     Held {
         list: nodes["list"].as_str().unwrap_or("").to_string(),
@@ -34,7 +41,10 @@
         let begin = Instant::now();
         let (status, nodes) = std::thread::scope(|scope| {
             let nodes = scope.spawn(|| fleet.ask(&Request::get("/v1/nodes"), fleet.within));
-            (fleet.ask(&Request::get("/v1/status"), fleet.within), nodes.join().unwrap_or_default())
+            (
+                fleet.ask(&Request::get("/v1/status"), fleet.within),
+                nodes.join().unwrap_or_default(),
+            )
         });
         let both = status.iter().filter_map(|(name, status)| {
             let (status, nodes) = (status.as_ref().ok()?, nodes.get(name)?.as_ref().ok()?);
@@ -42,7 +52,11 @@
         });
         let all: BTreeMap<String, Held> = both.collect();
         let disagreements = disagreements(&all);
-        Snapshot { status, disagreements, seconds: begin.elapsed().as_secs_f64() }
+        Snapshot {
+            status,
+            disagreements,
+            seconds: begin.elapsed().as_secs_f64(),
+        }
     }
 
     pub fn code(&self) -> u8 {
@@ -66,12 +80,19 @@
         let nodes = &told["nodes"];
         let text = |value: &Value| shown(value);
         let fill = told["lines_waiting"].as_f64().unwrap_or(0.0)
-            / told["lines_waiting_at_most"].as_f64().unwrap_or(1.0).max(1.0);
+            / told["lines_waiting_at_most"]
+                .as_f64()
+                .unwrap_or(1.0)
+                .max(1.0);
         let version = match told["configuration_lacking"].as_u64().unwrap_or(0) {
             0 => text(&told["configuration"]),
             lacking => format!("{} (-{lacking})", text(&told["configuration"])),
         };
-        let gateways = format!("{}/{}", text(&told["gateways"]["joined"]), text(&told["gateways"]["known"]));
+        let gateways = format!(
+            "{}/{}",
+            text(&told["gateways"]["joined"]),
+            text(&told["gateways"]["known"])
+        );
         format!(
             "{name:<14.14}{:>8.8}{:>7}{:>7}{:>6}{gateways:>10}{:>9}{:>8.0}%{version:>10.10}",
             text(&told["list"]),
@@ -83,18 +104,30 @@
         )
     }
 
-    pub const HEAD: &str = "conductor         list  ready  drain  cold  gateways     sums  channel   version";
+    pub const HEAD: &str =
+        "conductor         list  ready  drain  cold  gateways     sums  channel   version";
 
     /// Where conductors are of two minds, one line each.
     pub fn minds(&self) -> Vec<String> {
         let one = |found: &Disagreement| {
             let sides = found.held.iter().map(|(word, by)| {
                 let some = by.iter().take(3).cloned().collect::<Vec<_>>().join(" ");
-                let more = if by.len() > 3 { format!(" and {} more", by.len() - 3) } else { String::new() };
+                let more = if by.len() > 3 {
+                    format!(" and {} more", by.len() - 3)
+                } else {
+                    String::new()
+                };
                 format!("{word}: {some}{more}")
             });
-            let about = found.node.clone().unwrap_or_else(|| "configuration".to_string());
-            let lists = if found.lists_differ { " (their lists differ)" } else { "" };
+            let about = found
+                .node
+                .clone()
+                .unwrap_or_else(|| "configuration".to_string());
+            let lists = if found.lists_differ {
+                " (their lists differ)"
+            } else {
+                ""
+            };
             format!("{about}: {}{lists}", sides.collect::<Vec<_>>().join("; "))
         };
         self.disagreements.iter().map(one).collect()
@@ -109,15 +142,26 @@
             }
         }
         let (all, missing) = (self.status.len(), missing(&self.status).len());
-        lines.push(format!("{} of {all} answered in {:.2} s", all - missing, self.seconds));
-        lines.extend(self.minds().into_iter().map(|text| format!("two minds: {text}")));
+        lines.push(format!(
+            "{} of {all} answered in {:.2} s",
+            all - missing,
+            self.seconds
+        ));
+        lines.extend(
+            self.minds()
+                .into_iter()
+                .map(|text| format!("two minds: {text}")),
+        );
         lines
     }
 }
 
 pub fn tables(name: &str, told: &Value) -> Vec<String> {
-    let mut lines =
-        vec![format!("{name}: list {}, {} lines wait", shown(&told["list"]), told["lines_waiting"])];
+    let mut lines = vec![format!(
+        "{name}: list {}, {} lines wait",
+        shown(&told["list"]),
+        told["lines_waiting"]
+    )];
     for gateway in entries(&told["gateways"]) {
         let text = |field: &str| shown(&gateway[field]);
         lines.push(format!(
@@ -148,8 +192,9 @@
 }
 
 pub fn sums(name: &str, told: &Value) -> Vec<String> {
-    let heard: Vec<f64> =
-        entries(&told["gateways"]).filter_map(|gateway| gateway["heard_s"].as_f64()).collect();
+    let heard: Vec<f64> = entries(&told["gateways"])
+        .filter_map(|gateway| gateway["heard_s"].as_f64())
+        .collect();
     let oldest = heard.iter().copied().fold(0.0, f64::max);
     let silent = entries(&told["gateways"]).count() - heard.len();
     let mut lines = vec![format!(
@@ -179,9 +224,17 @@
     let drain = match told["drain"]["state"].as_str() {
         Some(state) => {
             let order = &told["drain"]["order"];
-            format!(", {} by {} is {state}", shown(&order["word"]), shown(&order["by"]))
+            format!(
+                ", {} by {} is {state}",
+                shown(&order["word"]),
+                shown(&order["by"])
+            )
         }
         None => String::new(),
     };
-    vec![format!("{name:<20}{}, named by {} gateways {some}{drain}", shown(&told["listing"]), named.len())]
+    vec![format!(
+        "{name:<20}{}, named by {} gateways {some}{drain}",
+        shown(&told["listing"]),
+        named.len()
+    )]
 }
--- a/crates/cli/src/import.rs
+++ b/crates/cli/src/import.rs
@@ -44,7 +44,14 @@
 const NOT_ALL: u8 = 1;
 
 pub fn import(arguments: ImportArguments) -> ExitCode {
-    let From::Nginx { file, out, zone, port, json, strict } = arguments.from;
+    let From::Nginx {
+        file,
+        out,
+        zone,
+        port,
+        json,
+        strict,
+    } = arguments.from;
     let imported = match load(&file) {
         Ok(loaded) => pools(&loaded),
         Err(error) => {
@@ -65,7 +72,11 @@
     } else {
         tell(&imported, out.as_deref());
     }
-    let not_all = imported.of(Fate::Left).chain(imported.of(Fate::Assumed)).next().is_some();
+    let not_all = imported
+        .of(Fate::Left)
+        .chain(imported.of(Fate::Assumed))
+        .next()
+        .is_some();
     if imported.pools.is_empty() || (strict && not_all) {
         ExitCode::from(NOT_ALL)
     } else {
@@ -86,7 +97,10 @@
         weight: server.weight,
         started: None,
     };
-    let list = NodeList { version: "1".to_string(), records: pool.servers.iter().map(record).collect() };
+    let list = NodeList {
+        version: "1".to_string(),
+        records: pool.servers.iter().map(record).collect(),
+    };
     let text = wheelspread_xds::nodes::write(&list).map_err(|error| error.to_string())?;
     wheelspread_xds::nodes::read(&text, 0.0).map_err(|error| error.to_string())?;
     let Some(out) = out else { return Ok(()) };
@@ -96,7 +110,10 @@
     for (name, text) in [("conductor.yaml", file), ("nodes.json", text)] {
         let path = directory.join(name);
         if path.exists() {
-            return Err(format!("{} is there already, it is not written over", path.display()));
+            return Err(format!(
+                "{} is there already, it is not written over",
+                path.display()
+            ));
         }
         wheelspread_files::swap::replace(&path, &text).map_err(said)?;
     }
@@ -128,13 +145,24 @@
 
 fn tell(imported: &Imported, out: Option<&Path>) {
     for pool in &imported.pools {
-        let names: Vec<&str> = pool.operations.iter().map(|operation| operation.name.as_str()).collect();
+        let names: Vec<&str> = pool
+            .operations
+            .iter()
+            .map(|operation| operation.name.as_str())
+            .collect();
         let (nodes, names) = (pool.servers.len(), names.join(", "));
-        let place =
-            out.map_or(String::new(), |out| format!(", in {}", out.join(plain(&pool.name)).display()));
-        say!("pool {}: {nodes} nodes; operations {names}{place}", pool.name);
+        let place = out.map_or(String::new(), |out| {
+            format!(", in {}", out.join(plain(&pool.name)).display())
+        });
+        say!(
+            "pool {}: {nodes} nodes; operations {names}{place}",
+            pool.name
+        );
     }
-    for (fate, head) in [(Fate::Left, "not carried over"), (Fate::Assumed, "to be looked at")] {
+    for (fate, head) in [
+        (Fate::Left, "not carried over"),
+        (Fate::Assumed, "to be looked at"),
+    ] {
         let notes: Vec<_> = imported.of(fate).collect();
         if !notes.is_empty() {
             say!("\n{head}:");
@@ -144,7 +172,10 @@
         }
     }
     let carried = imported.of(Fate::Carried).count();
-    let (left, assumed) = (imported.of(Fate::Left).count(), imported.of(Fate::Assumed).count());
+    let (left, assumed) = (
+        imported.of(Fate::Left).count(),
+        imported.of(Fate::Assumed).count(),
+    );
     say!(
         "\n{} directives read: {carried} carried over, {assumed} to be looked at, {left} left",
         imported.read
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -77,7 +77,10 @@
 
 fn main() -> ExitCode {
     match Cli::parse().command {
-        Command::Run { platform: Some(config), .. } => platform(&config),
+        Command::Run {
+            platform: Some(config),
+            ..
+        } => platform(&config),
         Command::Run { file, .. } => run(&file.unwrap_or_default()),
         Command::Check { file } => check(&file),
         Command::Proxy { file } => proxy(&file),
@@ -87,7 +90,12 @@
         Command::Import(arguments) => import::import(arguments),
         Command::Fleet(arguments) => fleet::fleet(arguments),
         Command::Completions { shell } => {
-            clap_complete::generate(shell, &mut Cli::command(), "wheelspread", &mut std::io::stdout());
+            clap_complete::generate(
+                shell,
+                &mut Cli::command(),
+                "wheelspread",
+                &mut std::io::stdout(),
+            );
             ExitCode::SUCCESS
         }
         Command::Man { directory } => match clap_mangen::generate_to(Cli::command(), &directory) {
--- a/crates/cli/src/measure.rs
+++ b/crates/cli/src/measure.rs
@@ -109,7 +109,8 @@
         let ms = fleet::whole_answer(count, 9).map_err(|error| error.to_string())?;
         say!("{count:>12}{ms:>18.1}");
     }
-    let program = std::env::current_exe().map_err(|error| format!("this program can't be found: {error}"))?;
+    let program =
+        std::env::current_exe().map_err(|error| format!("this program can't be found: {error}"))?;
     let (nodes, proxies) = SIZES[2];
     say!(
         "{:>16}{:>14}{:>14}{:>10}{:>10}{:>14}",
@@ -137,7 +138,8 @@
 const CHANGES: [usize; 3] = [100, 1000, 10_000];
 
 fn state() -> Result<(), String> {
-    let program = std::env::current_exe().map_err(|error| format!("this program can't be found: {error}"))?;
+    let program =
+        std::env::current_exe().map_err(|error| format!("this program can't be found: {error}"))?;
     say!(
         "{:>6}{:>9}{:>9}{:>12}{:>14}{:>14}{:>16}{:>16}{:>10}{:>8}{:>8}{:>12}",
         "nodes",
@@ -154,7 +156,8 @@
         "in force ms"
     );
     for ((nodes, proxies), changes) in SIZES.into_iter().zip(CHANGES) {
-        let told = state::measure(&program, nodes, proxies, changes).map_err(|error| error.to_string())?;
+        let told =
+            state::measure(&program, nodes, proxies, changes).map_err(|error| error.to_string())?;
         say!(
             "{:>6}{:>9}{:>9}{:>12.0}{:>14.0}{:>14.0}{:>16.0}{:>16.0}{:>10.1}{:>8.0}{:>8}{:>12.0}",
             told.nodes,
@@ -175,10 +178,17 @@
 }
 
 fn streams(rounds: u32, many: usize, last: bool) -> Result<(), String> {
-    let program = std::env::current_exe().map_err(|error| format!("this program can't be found: {error}"))?;
+    let program =
+        std::env::current_exe().map_err(|error| format!("this program can't be found: {error}"))?;
     say!("nodes x streams: change held by p50, p99, all (ms); joined, all again (ms); bytes and lines of a first table, of a change; KiB a stream; CPU");
-    let sizes: Vec<(usize, usize)> = SIZES.iter().copied().chain([(20, 1000), (20, many)]).collect();
-    let sizes = sizes.into_iter().skip(if last { SIZES.len() + 1 } else { 0 });
+    let sizes: Vec<(usize, usize)> = SIZES
+        .iter()
+        .copied()
+        .chain([(20, 1000), (20, many)])
+        .collect();
+    let sizes = sizes
+        .into_iter()
+        .skip(if last { SIZES.len() + 1 } else { 0 });
     for (nodes, count) in sizes {
         let m = streams::measure(&program, nodes, count, rounds)
             .map_err(|error| format!("{nodes} nodes, {count} streams: {error}"))?;
@@ -282,7 +292,8 @@
         "CPU us each"
     );
     for connections in [1, 10, 100, 1000] {
-        let ways = proxy::measure_proxy(&program, connections, seconds).map_err(|e| e.to_string())?;
+        let ways =
+            proxy::measure_proxy(&program, connections, seconds).map_err(|e| e.to_string())?;
         for way in &ways {
             say!(
                 "{connections:>12}{:>9}{:>12.0}{:>10.3}{:>10.3}{:>10.3}{:>14}",
@@ -297,11 +308,18 @@
         if let [direct, proxied] = &ways[..] {
             let part = proxied.loaded.per_second() / direct.loaded.per_second().max(1.0);
             let added = (proxied.loaded.ms(0.5) - direct.loaded.ms(0.5)) * 1e3;
-            say!("{:>12}  {part:.2} of the direct throughput, {added:.0} us added at the median", "");
+            say!(
+                "{:>12}  {part:.2} of the direct throughput, {added:.0} us added at the median",
+                ""
+            );
         }
     }
-    let (count, bytes) = proxy::measure_idle(&program, 10_000).map_err(|error| error.to_string())?;
-    say!("{count} idle connections: {:.1} kB each", bytes as f64 / 1e3 / count as f64);
+    let (count, bytes) =
+        proxy::measure_idle(&program, 10_000).map_err(|error| error.to_string())?;
+    say!(
+        "{count} idle connections: {:.1} kB each",
+        bytes as f64 / 1e3 / count as f64
+    );
     let (asked, executed, twice) =
         proxy::measure_effects(&program, effects).map_err(|error| error.to_string())?;
     say!("{asked} side-effecting invocations with faults: {executed} took effect, {twice} twice");
@@ -318,7 +336,8 @@
     let zones = ["a", "b", "c"];
     // Numbers that look like chance and are the same each time.
     let drawn = |at: usize, of: u64| {
-        ((at as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15 ^ of) >> 40) as f64 / (1u64 << 24) as f64
+        ((at as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15 ^ of) >> 40) as f64
+            / (1u64 << 24) as f64
     };
     let host = |at: usize| Host {
         id: format!("h{at}"),
@@ -364,13 +383,19 @@
 fn plain(fleet: &wheelspread_solve::Fleet) -> f64 {
     use microlp::{ComparisonOp, OptimizationDirection, Problem};
     let mut problem = Problem::new(OptimizationDirection::Maximize);
-    let dearest = fleet.operations.iter().map(|o| o.billed_value / o.work).fold(0.0, f64::max);
+    let dearest = fleet
+        .operations
+        .iter()
+        .map(|o| o.billed_value / o.work)
+        .fold(0.0, f64::max);
     let mut rooms: Vec<Vec<Vec<(microlp::Variable, f64)>>> =
         vec![vec![Vec::new(); fleet.steps.len()]; fleet.hosts.len()];
     for zone in ["a", "b", "c"] {
         for operation in &fleet.operations {
             let asked = fleet.gateways.iter().filter(|gateway| gateway.zone == zone);
-            let amount: f64 = asked.map(|gateway| gateway.demand[&operation.name] * operation.work).sum();
+            let amount: f64 = asked
+                .map(|gateway| gateway.demand[&operation.name] * operation.work)
+                .sum();
             let mut sum = Vec::new();
             for (at, host) in fleet.hosts.iter().enumerate() {
                 let away = host.zone != zone;
@@ -391,11 +416,17 @@
     for (host, steps) in fleet.hosts.iter().zip(&rooms) {
         let mut before = 0.0;
         for ((until, _), vars) in fleet.steps.iter().zip(steps) {
-            problem.add_constraint(&vars[..], ComparisonOp::Le, fleet.room(host) * (until - before));
+            problem.add_constraint(
+                &vars[..],
+                ComparisonOp::Le,
+                fleet.room(host) * (until - before),
+            );
             before = *until;
         }
     }
-    problem.solve().map_or(f64::NAN, |solution| solution.objective())
+    problem
+        .solve()
+        .map_or(f64::NAN, |solution| solution.objective())
 }
 
 fn solver() {
@@ -417,16 +448,25 @@
             (begin.elapsed().as_secs_f64() * 1e3, objective)
         };
         let solve = || {
-            wheelspread_solve::solve(&fleet, &mut || false).map_or(f64::NAN, |solution| solution.objective)
+            wheelspread_solve::solve(&fleet, &mut || false)
+                .map_or(f64::NAN, |solution| solution.objective)
         };
         let (ours, objective) = timed(&mut || solve());
         times.push((hosts as f64, ours));
         if hosts <= 1006 {
             let (theirs, wanted) = timed(&mut || plain(&fleet));
             let off = (objective - wanted).abs() / wanted.abs();
-            say!("{hosts:>7}{gateways:>10}{ours:>12.2}{theirs:>12.1}{:>10.1}{off:>14.1e}", theirs / ours);
+            say!(
+                "{hosts:>7}{gateways:>10}{ours:>12.2}{theirs:>12.1}{:>10.1}{off:>14.1e}",
+                theirs / ours
+            );
         } else {
-            say!("{hosts:>7}{gateways:>10}{ours:>12.2}{:>12}{:>10}{:>14}", "-", "-", "-");
+            say!(
+                "{hosts:>7}{gateways:>10}{ours:>12.2}{:>12}{:>10}{:>14}",
+                "-",
+                "-",
+                "-"
+            );
         }
     }
     if let [.., middle, _, last] = &times[..] {
--- a/crates/cli/src/measure/bench.rs
+++ b/crates/cli/src/measure/bench.rs
@@ -28,7 +28,12 @@
     pub fn new(nodes: usize) -> Result<Bench, DrillError> {
         let directory = tempfile::tempdir().map_err(io("a temporary directory"))?;
         let listen = free_port().map_err(io("a port"))?;
-        let bench = Bench { directory, listen, nodes, child: None };
+        let bench = Bench {
+            directory,
+            listen,
+            nodes,
+            child: None,
+        };
         bench.root().prepare().map_err(io("the root"))?;
         bench.swap_list(1, &BTreeSet::new())?;
         Ok(bench)
@@ -54,15 +59,25 @@
     }
 
     /// Starts the conductor with what `file` makes of its address, and waits until it listens.
-    pub fn start(&mut self, program: &Path, file: impl FnOnce(&str) -> String) -> Result<(), DrillError> {
+    pub fn start(
+        &mut self,
+        program: &Path,
+        file: impl FnOnce(&str) -> String,
+    ) -> Result<(), DrillError> {
         let path = self.path("conductor.yaml");
         std::fs::write(&path, file(&self.listen.to_string())).map_err(io("a file"))?;
-        let started = Command::new(program).arg("run").arg(&path).stdin(Stdio::null()).spawn();
+        let started = Command::new(program)
+            .arg("run")
+            .arg(&path)
+            .stdin(Stdio::null())
+            .spawn();
         self.child = Some(started.map_err(io("the conductor"))?);
         let patience = Instant::now() + Duration::from_secs(10);
         while TcpStream::connect((Ipv4Addr::from(self.listen().0), self.listen.port())).is_err() {
             if Instant::now() > patience {
-                return Err(DrillError::NotReady("the conductor does not listen".to_string()));
+                return Err(DrillError::NotReady(
+                    "the conductor does not listen".to_string(),
+                ));
             }
             std::thread::sleep(Duration::from_millis(10));
         }
@@ -90,6 +105,12 @@
 /// KiB of memory that a process has in use.
 pub fn memory_of(pid: u32) -> f64 {
     let text = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
-    let line = text.lines().find(|line| line.starts_with("VmRSS:")).unwrap_or("");
-    line.split_whitespace().nth(1).and_then(|kib| kib.parse().ok()).unwrap_or(0.0)
+    let line = text
+        .lines()
+        .find(|line| line.starts_with("VmRSS:"))
+        .unwrap_or("");
+    line.split_whitespace()
+        .nth(1)
+        .and_then(|kib| kib.parse().ok())
+        .unwrap_or(0.0)
 }
--- a/crates/cli/src/measure/conductor.rs
+++ b/crates/cli/src/measure/conductor.rs
@@ -15,7 +15,9 @@
 use wheelspread_reactor::{self as reactor, Interest, Moved, Poll, Token, Watcher};
 use wheelspread_session::membership::Introduction;
 use wheelspread_session::nodes::{NodeList, NodeRecord};
-use wheelspread_session::sums::{Metric, NodeReport, OperationReport, Report, LATENCY, UTILIZATION};
+use wheelspread_session::sums::{
+    Metric, NodeReport, OperationReport, Report, LATENCY, UTILIZATION,
+};
 use wheelspread_xds::loads;
 
 #[derive(Clone, Debug, Serialize)]
@@ -62,7 +64,10 @@
 
 pub fn list(version: u64, nodes: usize, draining: &BTreeSet<usize>) -> NodeList {
     let record = |at: usize| NodeRecord {
-        node: NodeId { address: [127, 0, 1 + (at / 200) as u8, 1 + (at % 200) as u8], port: 9000 },
+        node: NodeId {
+            address: [127, 0, 1 + (at / 200) as u8, 1 + (at % 200) as u8],
+            port: 9000,
+        },
         zone: ZONES[at % 3].to_string(),
         kind: String::new(),
         cell: String::new(),
@@ -70,7 +75,10 @@
         weight: 1.0,
         started: None,
     };
-    NodeList { version: version.to_string(), records: (0..nodes).map(record).collect() }
+    NodeList {
+        version: version.to_string(),
+        records: (0..nodes).map(record).collect(),
+    }
 }
 
 /// What a proxy would tell that met its tables' nodes at its usual rate.
@@ -83,19 +91,39 @@
                 node: Some(*node),
                 succeeded: 2,
                 metrics: BTreeMap::from([
-                    (LATENCY.to_string(), Metric { count: 2, total: 200.0 }),
-                    (UTILIZATION.to_string(), Metric { count: 2, total: 0.8 }),
+                    (
+                        LATENCY.to_string(),
+                        Metric {
+                            count: 2,
+                            total: 200.0,
+                        },
+                    ),
+                    (
+                        UTILIZATION.to_string(),
+                        Metric {
+                            count: 2,
+                            total: 0.8,
+                        },
+                    ),
                 ]),
                 ..NodeReport::default()
             })
             .collect(),
         ..OperationReport::default()
     };
-    let report = Report { over: Span::from_seconds(1.0), operations: vec![met("quote"), met("plan")] };
+    let report = Report {
+        over: Span::from_seconds(1.0),
+        operations: vec![met("quote"), met("plan")],
+    };
     loads::request(&report, |_| String::new()).encode_to_vec()
 }
 
-pub fn measure(program: &Path, nodes: usize, proxies: usize, rounds: u32) -> Result<Measured, DrillError> {
+pub fn measure(
+    program: &Path,
+    nodes: usize,
+    proxies: usize,
+    rounds: u32,
+) -> Result<Measured, DrillError> {
     let mut stage = Stage::new(Bench::new(nodes)?, proxies)?;
     stage.bench.start(program, |listen| file(listen, proxies))?;
     stage.rounds(nodes, proxies, rounds)
@@ -126,7 +154,15 @@
             places.insert(gateway, proxy);
         }
         let (told, told_at) = (BTreeMap::new(), Moment::default());
-        Ok(Stage { poll, watcher, places, peers: Vec::new(), told, told_at, bench })
+        Ok(Stage {
+            poll,
+            watcher,
+            places,
+            peers: Vec::new(),
+            told,
+            told_at,
+            bench,
+        })
     }
 
     /// Lets streams go on until `until`; proxies whose links were swapped, and when.
@@ -142,13 +178,20 @@
                 if ready.token != WATCHER {
                     let peer = &mut self.peers[ready.token.0 as usize];
                     let (events, _) = peer.connection.turn(now);
-                    peer.accepted |= events.iter().any(|event| matches!(event, ClientEvent::Message { .. }));
+                    peer.accepted |= events
+                        .iter()
+                        .any(|event| matches!(event, ClientEvent::Message { .. }));
                     continue;
                 }
                 for moved in self.watcher.moved().unwrap_or_default() {
-                    let Moved::Into { directory, name } = moved else { continue };
+                    let Moved::Into { directory, name } = moved else {
+                        continue;
+                    };
                     if name == CURRENT
-                        && self.places.get(&directory).is_some_and(|proxy| swapped(*proxy, now))
+                        && self
+                            .places
+                            .get(&directory)
+                            .is_some_and(|proxy| swapped(*proxy, now))
                     {
                         return;
                     }
@@ -166,12 +209,22 @@
         self.peers.clear();
         for proxy in 0..proxies {
             let socket = reactor::connect(listen.0, listen.1).map_err(io("a stream"))?;
-            self.poll.add(&socket, Token(proxy as u64), Interest::Edges).map_err(io("a stream"))?;
-            let mut connection = ClientConnection::new(begin, socket, loads::METHOD, Limits::default());
-            let who =
-                Introduction { name: name(proxy), zone: ZONES[proxy % 3].to_string(), usual_rate: None };
+            self.poll
+                .add(&socket, Token(proxy as u64), Interest::Edges)
+                .map_err(io("a stream"))?;
+            let mut connection =
+                ClientConnection::new(begin, socket, loads::METHOD, Limits::default());
+            let who = Introduction {
+                name: name(proxy),
+                zone: ZONES[proxy % 3].to_string(),
+                usual_rate: None,
+            };
             connection.send(&loads::introduce(&who).encode_to_vec());
-            self.peers.push(Peer { connection, zone: proxy % 3, accepted: false });
+            self.peers.push(Peer {
+                connection,
+                zone: proxy % 3,
+                accepted: false,
+            });
         }
         let mut first: BTreeSet<usize> = BTreeSet::new();
         let mut last = begin;
@@ -186,9 +239,16 @@
             return Err(DrillError::NotReady(text));
         }
         for zone in 0..3.min(proxies) {
-            let held = read_tables(&self.bench.root().gateway(&name(zone))).ok().flatten();
-            let lines: Option<Vec<NodeId>> =
-                held.map(|held| held.orders.operations[0].lines.iter().map(|line| line.node).collect());
+            let held = read_tables(&self.bench.root().gateway(&name(zone)))
+                .ok()
+                .flatten();
+            let lines: Option<Vec<NodeId>> = held.map(|held| {
+                held.orders.operations[0]
+                    .lines
+                    .iter()
+                    .map(|line| line.node)
+                    .collect()
+            });
             self.told.insert(zone, report(&lines.unwrap_or_default()));
         }
         Ok((last - begin).seconds() * 1e3)
@@ -212,11 +272,17 @@
         }
     }
 
-    pub fn rounds(&mut self, nodes: usize, proxies: usize, rounds: u32) -> Result<Measured, DrillError> {
+    pub fn rounds(
+        &mut self,
+        nodes: usize,
+        proxies: usize,
+        rounds: u32,
+    ) -> Result<Measured, DrillError> {
         let seconds = Span::from_seconds;
         let pid = self.bench.pid();
         let all_joined_ms = self.join(proxies)?;
-        let mut times = Histogram::<u64>::new(3).map_err(|error| DrillError::NotReady(error.to_string()))?;
+        let mut times =
+            Histogram::<u64>::new(3).map_err(|error| DrillError::NotReady(error.to_string()))?;
         let mut swaps = 0;
         let (cpu_before, since) = (cpu_of(pid), reactor::now());
         for round in 0..rounds {
--- a/crates/cli/src/measure/fleet.rs
+++ b/crates/cli/src/measure/fleet.rs
@@ -23,7 +23,8 @@
         json!({ "node": format!("127.0.{}.{}:9000", at / 200, at % 200), "zone": "north", "listing": "ready",
                 "cold": false, "by_order": false, "weight": 1.0 })
     };
-    let nodes = json!({ "list": "1", "nodes": (0..NODES).map(node).collect::<Vec<_>>() }).to_string();
+    let nodes =
+        json!({ "list": "1", "nodes": (0..NODES).map(node).collect::<Vec<_>>() }).to_string();
     let status = json!({ "interface": 1, "name": "c", "list": "1", "configuration": 1, "configuration_lacking": 0,
         "nodes": { "ready": NODES, "draining": 0, "cold": 0 }, "gateways": { "joined": 890, "known": 890 },
         "sums_heard_s": 0.2, "lines_waiting": 0.0, "lines_waiting_at_most": 9000.0 });
@@ -31,10 +32,18 @@
     std::thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
             let mut asked = [0; 4096];
-            let Ok(count) = stream.read(&mut asked) else { continue };
-            let body = if asked[..count].starts_with(b"GET /v1/nodes") { &nodes } else { &status };
+            let Ok(count) = stream.read(&mut asked) else {
+                continue;
+            };
+            let body = if asked[..count].starts_with(b"GET /v1/nodes") {
+                &nodes
+            } else {
+                &status
+            };
             let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", body.len());
-            let _ = stream.write_all(head.as_bytes()).and_then(|()| stream.write_all(body.as_bytes()));
+            let _ = stream
+                .write_all(head.as_bytes())
+                .and_then(|()| stream.write_all(body.as_bytes()));
         }
     });
 }
@@ -49,7 +58,11 @@
         conductors.insert(format!("c{number:03}"), Line::Unix(path));
     }
     let within = Duration::from_secs(10);
-    let fleet = Fleet { conductors, within, order_within: Span::from_seconds(10.0) };
+    let fleet = Fleet {
+        conductors,
+        within,
+        order_within: Span::from_seconds(10.0),
+    };
     let mut times = Vec::new();
     for _ in 0..rounds {
         let begin = Instant::now();
@@ -74,14 +87,19 @@
     per_second: u32,
 ) -> Result<(conductor::Measured, u64, f64), DrillError> {
     let mut stage = Stage::new(Bench::new(nodes)?, proxies)?;
-    stage.bench.start(program, |listen| conductor::file(listen, proxies))?;
+    stage
+        .bench
+        .start(program, |listen| conductor::file(listen, proxies))?;
     let line = Line::Unix(stage.bench.root().path().join("admin.sock"));
     let (over, answers, spent) = (AtomicBool::new(false), AtomicU64::new(0), AtomicU64::new(0));
     let told = std::thread::scope(|scope| {
         if per_second > 0 {
             scope.spawn(|| {
                 let every = Duration::from_secs_f64(1.0 / f64::from(per_second));
-                for target in ["/v1/status", "/v1/nodes", "/v1/tables", "/v1/sums"].iter().cycle() {
+                for target in ["/v1/status", "/v1/nodes", "/v1/tables", "/v1/sums"]
+                    .iter()
+                    .cycle()
+                {
                     if over.load(Ordering::Relaxed) {
                         return;
                     }
@@ -100,5 +118,9 @@
         told
     })?;
     let answers = answers.into_inner();
-    Ok((told, answers, spent.into_inner() as f64 / 1e3 / answers.max(1) as f64))
+    Ok((
+        told,
+        answers,
+        spent.into_inner() as f64 / 1e3 / answers.max(1) as f64,
+    ))
 }
--- a/crates/cli/src/measure/proxy.rs
+++ b/crates/cli/src/measure/proxy.rs
@@ -34,7 +34,10 @@
 ";
 
 fn named(what: &str) -> impl Fn(io::Error) -> DrillError + '_ {
-    move |source| DrillError::Io { what: what.to_string(), source }
+    move |source| DrillError::Io {
+        what: what.to_string(),
+        source,
+    }
 }
 
 fn not_ready(error: impl ToString) -> DrillError {
@@ -55,7 +58,10 @@
         root.prepare().map_err(named("the root"))?;
         let plan: Deployment = serde_yaml_ng::from_str(PLAN).map_err(not_ready)?;
         let line = |address: &SocketAddrV4| Line {
-            node: NodeId { address: address.ip().octets(), port: address.port() },
+            node: NodeId {
+                address: address.ip().octets(),
+                port: address.port(),
+            },
             zone: "north".to_string(),
             weight: 1.0,
         };
@@ -66,12 +72,20 @@
             quota: None,
             retry: Retry::TwiceAfterAnyFailure,
         };
-        let set =
-            TableSet { bundle: BundleId(0), version: Version(1), configuration: 0, operations: vec![table] };
+        let set = TableSet {
+            bundle: BundleId(0),
+            version: Version(1),
+            configuration: 0,
+            operations: vec![table],
+        };
         let documents = tables::write(&set, &plan).map_err(not_ready)?;
-        Swap::new(&root, set.version, &documents, "g").run().map_err(not_ready)?;
-        let (address, nobody) =
-            (free_port().map_err(named("a port"))?, free_port().map_err(named("a port"))?);
+        Swap::new(&root, set.version, &documents, "g")
+            .run()
+            .map_err(not_ready)?;
+        let (address, nobody) = (
+            free_port().map_err(named("a port"))?,
+            free_port().map_err(named("a port"))?,
+        );
         let text = format!(
             "proxy: {{name: g, zone: north, listen: \"{address}\"}}\n\
              conductors: [{{reports: \"{nobody}\", tables: tables}}]\n\
@@ -87,7 +101,11 @@
             .stderr(Stdio::null())
             .spawn()
             .map_err(named("the proxy"))?;
-        let running = Running { _directory: directory, child, address };
+        let running = Running {
+            _directory: directory,
+            child,
+            address,
+        };
         for _ in 0..500 {
             if TcpStream::connect(address).is_ok() {
                 return Ok(running);
@@ -106,10 +124,17 @@
 }
 
 /// Straight, and through a proxy, with so many connections that each wait for their answer.
-pub fn measure_proxy(program: &Path, connections: usize, seconds: f64) -> Result<Vec<Way>, DrillError> {
+pub fn measure_proxy(
+    program: &Path,
+    connections: usize,
+    seconds: f64,
+) -> Result<Vec<Way>, DrillError> {
     let nodes = FastNodes::start(4, false, 1).map_err(named("nodes"))?;
     let running = Running::start(program, &nodes.addresses)?;
-    let ways = [("direct", nodes.addresses[0], None), ("proxy", running.address, Some(running.child.id()))];
+    let ways = [
+        ("direct", nodes.addresses[0], None),
+        ("proxy", running.address, Some(running.child.id())),
+    ];
     let mut measured = Vec::new();
     for (way, target, pid) in ways {
         let wish = |seconds: f64| Load {
@@ -124,7 +149,11 @@
         let before = pid.map_or(0.0, cpu_of);
         let loaded = load(wish(seconds)).map_err(named("the load"))?;
         let spent = pid.map(|pid| (cpu_of(pid) - before) * 1e6 / loaded.total().max(1) as f64);
-        measured.push(Way { way, loaded, cpu_us: spent });
+        measured.push(Way {
+            way,
+            loaded,
+            cpu_us: spent,
+        });
     }
     Ok(measured)
 }
@@ -151,7 +180,13 @@
 /// effect, and how many did so twice.
 pub fn measure_effects(program: &Path, count: u64) -> Result<(u64, usize, usize), DrillError> {
     let nodes = FastNodes::start(4, true, 3).map_err(named("nodes"))?;
-    let faults = Faults { reset: 0.01, silent: 0.0002, error: 0.02, refuse: 0.05, close: 0.02 };
+    let faults = Faults {
+        reset: 0.01,
+        silent: 0.0002,
+        error: 0.02,
+        refuse: 0.05,
+        close: 0.02,
+    };
     (0..4).for_each(|node| nodes.set_faults(node, faults));
     let running = Running::start(program, &nodes.addresses)?;
     let loaded = load(Load {
--- a/crates/cli/src/measure/state.rs
+++ b/crates/cli/src/measure/state.rs
@@ -38,9 +38,18 @@
 }
 
 fn record(number: usize) -> Record {
-    let path = format!("nodes.127.0.{}.{}:9000.weight", 1 + number % 250, 1 + number % 199);
+    let path = format!(
+        "nodes.127.0.{}.{}:9000.weight",
+        1 + number % 250,
+        1 + number % 199
+    );
     let sets = BTreeMap::from([(path, Some("1.5".to_string()))]);
-    let change = Change { id: ChangeId(format!("c{number}")), by: "measure".into(), base: 1, sets };
+    let change = Change {
+        id: ChangeId(format!("c{number}")),
+        by: "measure".into(),
+        base: 1,
+        sets,
+    };
     let made = Some(number as u64 + 2);
     Record {
         change,
@@ -56,9 +65,18 @@
 /// A state that remembers so many changes, none of whose values is in force any more.
 fn remember(path: &Path, changes: usize) -> Result<(), DrillError> {
     let (mut store, _) = Store::open(path).map_err(stored)?;
-    let configuration = Configuration { version: changes as u64 + 1, values: BTreeMap::new() };
+    let configuration = Configuration {
+        version: changes as u64 + 1,
+        values: BTreeMap::new(),
+    };
     let changes = (0..changes).map(record).collect();
-    store.commit(Commit { configuration: Some(configuration), changes, ..Commit::default() }).map_err(stored)
+    store
+        .commit(Commit {
+            configuration: Some(configuration),
+            changes,
+            ..Commit::default()
+        })
+        .map_err(stored)
 }
 
 fn state(root: &Path) -> Result<(u64, u64), DrillError> {
@@ -70,10 +88,15 @@
 fn start(stage: &mut Stage, program: &Path, proxies: usize) -> Result<(f64, f64), DrillError> {
     let begin = Instant::now();
     let changes = "changes: {watch: 1s}\n";
-    stage.bench.start(program, |listen| format!("{}{changes}", file(listen, proxies)))?;
+    stage.bench.start(program, |listen| {
+        format!("{}{changes}", file(listen, proxies))
+    })?;
     let listens = begin.elapsed();
     let joined = stage.join(proxies)?;
-    Ok((listens.as_secs_f64() * 1e3, listens.as_secs_f64() * 1e3 + joined))
+    Ok((
+        listens.as_secs_f64() * 1e3,
+        listens.as_secs_f64() * 1e3 + joined,
+    ))
 }
 
 /// Stages and applies a change; returns how long until every gateway held it.
@@ -82,8 +105,12 @@
     let node = format!("nodes.127.0.1.{}:9000.weight", 1 + number);
     let body = json!({ "id": format!("m{number}"), "by": "measure", "sets": { node: 2.0 } });
     let told = body.to_string().len();
-    for (target, body) in [("stage", body), ("apply", json!({ "id": format!("m{number}") }))] {
-        let answer = call(root, "POST", &format!("/v1/changes/{target}"), Some(body)).map_err(failed)?;
+    for (target, body) in [
+        ("stage", body),
+        ("apply", json!({ "id": format!("m{number}") })),
+    ] {
+        let answer =
+            call(root, "POST", &format!("/v1/changes/{target}"), Some(body)).map_err(failed)?;
         if answer.0 != 200 {
             return Err(failed(format!("{target}: {}", answer.1)));
         }
@@ -95,7 +122,8 @@
         if told["lacking"].as_array().is_some_and(Vec::is_empty) && told["between_pools"] == 0 {
             held.get_or_insert(begin.elapsed());
         }
-        let (_, change) = call(root, "GET", &format!("/v1/changes/m{number}"), None).map_err(failed)?;
+        let (_, change) =
+            call(root, "GET", &format!("/v1/changes/m{number}"), None).map_err(failed)?;
         match change["state"].as_str() {
             Some("kept") => break,
             Some("undone" | "refused") => return Err(failed(change["why"].to_string())),
@@ -108,7 +136,12 @@
     Ok((held.unwrap_or(begin.elapsed()).as_secs_f64() * 1e3, told))
 }
 
-pub fn measure(program: &Path, nodes: usize, proxies: usize, changes: usize) -> Result<Measured, DrillError> {
+pub fn measure(
+    program: &Path,
+    nodes: usize,
+    proxies: usize,
+    changes: usize,
+) -> Result<Measured, DrillError> {
     let bench = Bench::new(nodes)?;
     let root = bench.root().path().to_path_buf();
     remember(&root.join("state"), changes)?;
--- a/crates/cli/src/measure/streams.rs
+++ b/crates/cli/src/measure/streams.rs
@@ -57,11 +57,23 @@
 fn hello(kind: Kind, prefix: &str) -> Ask {
     let names = match kind {
         Kind::Endpoints => NAMES.iter().map(|name| format!("{prefix}{name}")).collect(),
-        Kind::Lines => NAMES.iter().map(|name| format!("{prefix}{name}/*")).collect(),
+        Kind::Lines => NAMES
+            .iter()
+            .map(|name| format!("{prefix}{name}/*"))
+            .collect(),
         _ => vec![prefix.to_string()],
     };
-    let mode = Mode::Delta { subscribe: names, unsubscribe: Vec::new(), holds: BTreeMap::new() };
-    Ask { kind, nonce: String::new(), error: None, mode }
+    let mode = Mode::Delta {
+        subscribe: names,
+        unsubscribe: Vec::new(),
+        holds: BTreeMap::new(),
+    };
+    Ask {
+        kind,
+        nonce: String::new(),
+        error: None,
+        mode,
+    }
 }
 
 impl Peer {
@@ -85,7 +97,8 @@
             ClientEvent::Opened => {
                 for (at, (kind, prefix)) in ASKED.iter().enumerate() {
                     let who = (at == 0).then_some(&self.who);
-                    self.connection.send(&discovery::ask(who, None, &hello(*kind, prefix)));
+                    self.connection
+                        .send(&discovery::ask(who, None, &hello(*kind, prefix)));
                 }
                 Ok(false)
             }
@@ -98,8 +111,17 @@
                 }
                 let complete = told.kind == Kind::Routes;
                 self.complete += u64::from(complete);
-                let mode = Mode::Delta { subscribe: vec![], unsubscribe: vec![], holds: BTreeMap::new() };
-                let ask = Ask { kind: told.kind, nonce: told.nonce, error: None, mode };
+                let mode = Mode::Delta {
+                    subscribe: vec![],
+                    unsubscribe: vec![],
+                    holds: BTreeMap::new(),
+                };
+                let ask = Ask {
+                    kind: told.kind,
+                    nonce: told.nonce,
+                    error: None,
+                    mode,
+                };
                 self.connection.send(&discovery::ask(None, None, &ask));
                 Ok(complete)
             }
@@ -130,39 +152,76 @@
     }
 }
 
-pub fn measure(program: &Path, nodes: usize, streams: usize, rounds: u32) -> Result<Measured, DrillError> {
+pub fn measure(
+    program: &Path,
+    nodes: usize,
+    streams: usize,
+    rounds: u32,
+) -> Result<Measured, DrillError> {
     let mut bench = Bench::new(nodes)?;
     bench.start(program, |listen| {
         file(listen, streams)
-            .replace("list: nodes.json", "list: nodes.json, connections_at_most: 20000")
-            .replace("delay_at_most: 500ms", "delay_at_most: 500ms, messages_at_most: 60")
-            .replace("deployment:", "deployment:\n  fronts: {files: false, streams: true}")
+            .replace(
+                "list: nodes.json",
+                "list: nodes.json, connections_at_most: 20000",
+            )
+            .replace(
+                "delay_at_most: 500ms",
+                "delay_at_most: 500ms, messages_at_most: 60",
+            )
+            .replace(
+                "deployment:",
+                "deployment:\n  fronts: {files: false, streams: true}",
+            )
     })?;
     go(&bench, nodes, streams, rounds)
 }
 
 /// Connects all at once; how long until each has tables, in milliseconds.
-fn join(poll: &mut Poll, listen: ([u8; 4], u16), streams: usize) -> Result<(Vec<Peer>, f64), DrillError> {
+fn join(
+    poll: &mut Poll,
+    listen: ([u8; 4], u16),
+    streams: usize,
+) -> Result<(Vec<Peer>, f64), DrillError> {
     let mut peers = Vec::new();
     let begin = reactor::now();
     for number in 0..streams {
         let socket = reactor::connect(listen.0, listen.1).map_err(io("a stream"))?;
-        poll.add(&socket, Token(number as u64), Interest::Edges).map_err(io("a stream"))?;
+        poll.add(&socket, Token(number as u64), Interest::Edges)
+            .map_err(io("a stream"))?;
         let connection = ClientConnection::new(begin, socket, discovery::DELTA, Limits::default());
         let zone = ["a", "b", "c"][number % 3].to_string();
-        let who = Introduction { name: name(number), zone, usual_rate: None };
-        peers.push(Peer { connection, who, bytes: 0, lines: 0, complete: 0 });
+        let who = Introduction {
+            name: name(number),
+            zone,
+            usual_rate: None,
+        };
+        peers.push(Peer {
+            connection,
+            who,
+            bytes: 0,
+            lines: 0,
+            complete: 0,
+        });
     }
     let mut first = BTreeSet::new();
     let mut last = begin;
-    turn(poll, &mut peers, begin + Span::from_seconds(60.0), |number, at| {
-        if first.insert(number) {
-            last = at;
-        }
-        first.len() == streams
-    })?;
+    turn(
+        poll,
+        &mut peers,
+        begin + Span::from_seconds(60.0),
+        |number, at| {
+            if first.insert(number) {
+                last = at;
+            }
+            first.len() == streams
+        },
+    )?;
     if first.len() < streams {
-        return Err(DrillError::NotReady(format!("{} of {streams} clients got tables", first.len())));
+        return Err(DrillError::NotReady(format!(
+            "{} of {streams} clients got tables",
+            first.len()
+        )));
     }
     Ok((peers, (last - begin).seconds() * 1e3))
 }
@@ -178,14 +237,23 @@
         (sum(|peer| peer.bytes), sum(|peer| peer.lines))
     };
     let whole = count(&peers);
-    turn(&mut poll, &mut peers, reactor::now() + seconds(3.0), |_, _| false)?;
+    turn(
+        &mut poll,
+        &mut peers,
+        reactor::now() + seconds(3.0),
+        |_, _| false,
+    )?;
     let settled = count(&peers);
-    let mut times = Histogram::<u64>::new(3).map_err(|error| DrillError::NotReady(error.to_string()))?;
+    let mut times =
+        Histogram::<u64>::new(3).map_err(|error| DrillError::NotReady(error.to_string()))?;
     let (mut slowest, cpu_before, since) = (0.0f64, cpu_of(pid), reactor::now());
     for round in 0..rounds {
         // One node drains and the one before it comes back: lines of every table change.
         let at = reactor::now();
-        bench.swap_list(u64::from(round) + 2, &BTreeSet::from([(round as usize * 7) % nodes]))?;
+        bench.swap_list(
+            u64::from(round) + 2,
+            &BTreeSet::from([(round as usize * 7) % nodes]),
+        )?;
         let mut seen = BTreeSet::new();
         turn(&mut poll, &mut peers, at + seconds(1.0), |number, now| {
             if seen.insert(number) {
--- a/crates/cli/src/operator.rs
+++ b/crates/cli/src/operator.rs
@@ -12,7 +12,12 @@
 const PATIENCE: Duration = Duration::from_secs(10);
 
 /// Status and body; an error where there is no answer that can be used.
-pub fn call(root: &Path, method: &str, target: &str, body: Option<Value>) -> Result<(u16, Value), String> {
+pub fn call(
+    root: &Path,
+    method: &str,
+    target: &str,
+    body: Option<Value>,
+) -> Result<(u16, Value), String> {
     let line = Line::Unix(root.join("admin.sock"));
     let request = match (method, body) {
         ("GET", _) => Request::get(target),
@@ -33,10 +38,15 @@
     body: Option<&Value>,
 ) -> Vec<Result<(u16, Value), String>> {
     std::thread::scope(|scope| {
-        let asked: Vec<_> =
-            roots.iter().map(|root| scope.spawn(move || call(root, method, target, body.cloned()))).collect();
+        let asked: Vec<_> = roots
+            .iter()
+            .map(|root| scope.spawn(move || call(root, method, target, body.cloned())))
+            .collect();
         let gone = || Err("the thread that asked is gone".to_string());
-        asked.into_iter().map(|thread| thread.join().unwrap_or_else(|_| gone())).collect()
+        asked
+            .into_iter()
+            .map(|thread| thread.join().unwrap_or_else(|_| gone()))
+            .collect()
     })
 }
 
@@ -50,7 +60,9 @@
     match value {
         Value::Null => "-".to_string(),
         Value::String(text) => text.clone(),
-        Value::Number(number) if number.is_f64() => format!("{:.1} s", number.as_f64().unwrap_or(0.0)),
+        Value::Number(number) if number.is_f64() => {
+            format!("{:.1} s", number.as_f64().unwrap_or(0.0))
+        }
         other => other.to_string(),
     }
 }
--- a/crates/cli/src/solve.rs
+++ b/crates/cli/src/solve.rs
@@ -60,7 +60,10 @@
 pub fn solve(arguments: SolveArguments) -> ExitCode {
     let refuse = |text: String| {
         if arguments.json {
-            say!("{}", serde_json::json!({ "status": "refused", "reason": text }));
+            say!(
+                "{}",
+                serde_json::json!({ "status": "refused", "reason": text })
+            );
         }
         eprintln!("{}: {text}", arguments.fleet.display());
         ExitCode::from(BAD_INPUT)
@@ -79,7 +82,10 @@
     let solved = match arguments.wrong_by {
         None => solve_fleet(&fleet, &mut over),
         Some(part) if (0.0..1.0).contains(&part) => {
-            let wrong = Wrong { least: 1.0 - part, most: 1.0 / (1.0 - part) };
+            let wrong = Wrong {
+                least: 1.0 - part,
+                most: 1.0 / (1.0 - part),
+            };
             hedge(&fleet, wrong, &mut over).map(|(solution, held)| {
                 let worst = guaranteed(&fleet, &solution, wrong);
                 eprintln!(
@@ -99,20 +105,33 @@
     if let Some(id) = &arguments.explain {
         return explain(&fleet, &solution, id);
     }
-    if let Some((kind, _)) =
-        arguments.what_if.iter().find(|(kind, _)| fleet.hosts.iter().all(|host| host.kind != *kind))
+    if let Some((kind, _)) = arguments
+        .what_if
+        .iter()
+        .find(|(kind, _)| fleet.hosts.iter().all(|host| host.kind != *kind))
     {
         return refuse(format!("no host is of kind `{kind}`"));
     }
     let what_if = (!arguments.what_if.is_empty()).then(|| {
         let part = |host: &Host| {
-            arguments.what_if.iter().find(|(kind, _)| host.kind == *kind).map_or(1.0, |(_, part)| *part)
+            arguments
+                .what_if
+                .iter()
+                .find(|(kind, _)| host.kind == *kind)
+                .map_or(1.0, |(_, part)| *part)
         };
         let told = served(&fleet, &solution, &part);
-        WhatIf { value_per_s: told.value_per_s, overrun: told.overrun }
+        WhatIf {
+            value_per_s: told.value_per_s,
+            overrun: told.overrun,
+        }
     });
     if arguments.json {
-        match serde_json::to_string(&Told { solution: &solution, solve_ms, what_if }) {
+        match serde_json::to_string(&Told {
+            solution: &solution,
+            solve_ms,
+            what_if,
+        }) {
             Ok(text) => say!("{text}"),
             Err(error) => return refuse(error.to_string()),
         }
@@ -126,7 +145,15 @@
 }
 
 fn table(solution: &Solution, solve_ms: f64, what_if: Option<&WhatIf>) {
-    say!("{:<20}{:<12}{:>8}{:>10}{:>10}{:>10}  binds", "host", "zone", "weight", "load", "capacity", "worth");
+    say!(
+        "{:<20}{:<12}{:>8}{:>10}{:>10}{:>10}  binds",
+        "host",
+        "zone",
+        "weight",
+        "load",
+        "capacity",
+        "worth"
+    );
     for host in &solution.hosts {
         say!(
             "{:<20}{:<12}{:>8.3}{:>10.3}{:>10.3}{:>10.3}  {}",
@@ -139,8 +166,17 @@
             host.binds
         );
     }
-    for told in solution.gateways.iter().filter(|told| told.admitted < 1.0 - 1e-9) {
-        say!("{} lets in {:.3} of {}", told.id, told.admitted, told.operation);
+    for told in solution
+        .gateways
+        .iter()
+        .filter(|told| told.admitted < 1.0 - 1e-9)
+    {
+        say!(
+            "{} lets in {:.3} of {}",
+            told.id,
+            told.admitted,
+            told.operation
+        );
     }
     if let Some(what_if) = what_if {
         say!("then {:.3} a second is served", what_if.value_per_s);
@@ -148,7 +184,11 @@
             say!("  {id} is given {times:.2} times what it can do");
         }
     }
-    let status = if solution.status == wheelspread_solve::Status::Optimal { "optimal" } else { "cut short" };
+    let status = if solution.status == wheelspread_solve::Status::Optimal {
+        "optimal"
+    } else {
+        "cut short"
+    };
     say!(
         "{status}: value {:.3} a second, objective {:.3}, {} steps in {solve_ms:.2} ms",
         solution.value_per_s,
@@ -173,7 +213,11 @@
     told.reasons.iter().for_each(|reason| say!("  {reason}"));
     say!(
         "  loaded alike with: {}",
-        if told.alike.is_empty() { "none".to_string() } else { told.alike.join(", ") }
+        if told.alike.is_empty() {
+            "none".to_string()
+        } else {
+            told.alike.join(", ")
+        }
     );
     for (operation, from, invocations) in &told.gets {
         say!("  its zone gets {invocations:.2} {operation} a second from {from}");
--- a/crates/cli/tests/changes.rs
+++ b/crates/cli/tests/changes.rs
@@ -61,7 +61,8 @@
         serde_json::json!({ "locality": { "zone": name }, "lbEndpoints": each.collect::<Vec<_>>() })
     };
     let endpoints = [zone("north", &PORTS[..3]), zone("south", &PORTS[3..])];
-    let listed = serde_json::json!({ "@type": url, "clusterName": "nodes", "endpoints": endpoints });
+    let listed =
+        serde_json::json!({ "@type": url, "clusterName": "nodes", "endpoints": endpoints });
     serde_json::json!({ "versionInfo": version.to_string(), "typeUrl": url, "resources": [listed] })
         .to_string()
 }
@@ -79,7 +80,13 @@
         common::write(&stage.path("nodes.json"), &list(1));
         stage.start_with(faults);
         let (files, held) = (BTreeMap::new(), BTreeMap::new());
-        World { stage, files, stream: None, reported: Instant::now(), held }
+        World {
+            stage,
+            files,
+            stream: None,
+            reported: Instant::now(),
+            held,
+        }
     }
 
     /// Gateways dial, read, tell; a conductor that was killed is started again, without faults.
@@ -91,13 +98,18 @@
         }
         for name in ["n1", "s1"] {
             let stage = &self.stage;
-            let stream = self.files.entry(name).or_insert_with(|| stage.stream(name, zone_of(name)));
+            let stream = self
+                .files
+                .entry(name)
+                .or_insert_with(|| stage.stream(name, zone_of(name)));
             stream.turn();
             if let Ok(Some(told)) = read_tables(&stage.gateway(name)) {
                 note(&mut self.held, name, told.orders);
             }
         }
-        let client = self.stream.get_or_insert_with(|| Client::dial(&self.stage, "n2", "north"));
+        let client = self
+            .stream
+            .get_or_insert_with(|| Client::dial(&self.stage, "n2", "north"));
         client.turn();
         if let Some(orders) = &client.orders {
             note(&mut self.held, "n2", orders.clone());
@@ -110,11 +122,25 @@
         }
         if self.reported.elapsed() > Duration::from_millis(100) {
             self.reported = Instant::now();
-            let node = wheelspread::ids::NodeId { address: [127, 0, 0, 1], port: PORTS[4] };
-            let node = NodeReport { node: Some(node), succeeded: 1, ..NodeReport::default() };
+            let node = wheelspread::ids::NodeId {
+                address: [127, 0, 0, 1],
+                port: PORTS[4],
+            };
+            let node = NodeReport {
+                node: Some(node),
+                succeeded: 1,
+                ..NodeReport::default()
+            };
             let operation = "quote".to_string();
-            let quote = OperationReport { operation, nodes: vec![node], ..OperationReport::default() };
-            let report = Report { over: Span::from_seconds(0.1), operations: vec![quote] };
+            let quote = OperationReport {
+                operation,
+                nodes: vec![node],
+                ..OperationReport::default()
+            };
+            let report = Report {
+                over: Span::from_seconds(0.1),
+                operations: vec![quote],
+            };
             let report = common::encode(&loads::request(&report, |_| String::new()));
             self.files.values_mut().for_each(|stream| {
                 stream.connection.send(&report);
@@ -133,7 +159,10 @@
         loop {
             self.turn();
             match self.change(arguments) {
-                (3, text) => assert!(begin.elapsed() < Duration::from_secs(15), "{arguments:?}: {text}"),
+                (3, text) => assert!(
+                    begin.elapsed() < Duration::from_secs(15),
+                    "{arguments:?}: {text}"
+                ),
                 (_, text) => return text,
             }
         }
@@ -157,10 +186,17 @@
         let begin = Instant::now();
         while self.held.len() < 3 {
             self.turn();
-            assert!(begin.elapsed() < Duration::from_secs(15), "{:?}", self.held.keys());
+            assert!(
+                begin.elapsed() < Duration::from_secs(15),
+                "{:?}",
+                self.held.keys()
+            );
         }
         let told = self.insist(&["stage", &file]);
-        assert!(told.contains("staged") || told.contains("checked"), "{told}");
+        assert!(
+            told.contains("staged") || told.contains("checked"),
+            "{told}"
+        );
     }
 
     /// No version that any gateway could have read says one thing of the old configuration and another of the
@@ -175,24 +211,36 @@
                 newest = new;
             }
             assert_eq!(newest, new_at_end, "{name}: {held:?}");
-            assert!(turns <= if new_at_end { 1 } else { 2 }, "{name} was told twice: {held:?}");
+            assert!(
+                turns <= if new_at_end { 1 } else { 2 },
+                "{name} was told twice: {held:?}"
+            );
         }
     }
 
     /// The same for every version that still lies under the root, whoever was pointed at it.
     fn judge_versions(&self) -> usize {
         let mut count = 0;
-        for entry in std::fs::read_dir(self.stage.path("tables/versions")).expect("there").flatten() {
+        for entry in std::fs::read_dir(self.stage.path("tables/versions"))
+            .expect("there")
+            .flatten()
+        {
             let link = self.stage.path("looked-at");
             std::fs::create_dir_all(&link).expect("made");
             let current = link.join("current");
             let _ = std::fs::remove_file(&current);
             std::os::unix::fs::symlink(entry.path(), &current).expect("linked");
-            let Ok(Some(told)) = read_tables(&link) else { continue };
+            let Ok(Some(told)) = read_tables(&link) else {
+                continue;
+            };
             // Of which gateways they are is told by their nodes.
-            let south = told.orders.operations[0].lines.iter().any(|line| line.node.port >= PORTS[3]);
+            let south = told.orders.operations[0]
+                .lines
+                .iter()
+                .any(|line| line.node.port >= PORTS[3]);
             let gateway = if south { "s1" } else { "n1" };
-            is_new(gateway, &told.orders).unwrap_or_else(|mix| panic!("version {:?}: {mix}", entry.path()));
+            is_new(gateway, &told.orders)
+                .unwrap_or_else(|mix| panic!("version {:?}: {mix}", entry.path()));
             count += 1;
         }
         count
@@ -214,9 +262,9 @@
     match (zone_of(gateway), seconds, moved) {
         (_, 3.0, moved) if moved == (zone_of(gateway) == "north") || !moved => Ok(false),
         ("north", 2.5, false) | ("south", 2.5, _) => Ok(true),
-        (zone, timeout, moved) => {
-            Err(format!("a mix in {zone}: timeout {timeout} s, moved node there: {moved}"))
-        }
+        (zone, timeout, moved) => Err(format!(
+            "a mix in {zone}: timeout {timeout} s, moved node there: {moved}"
+        )),
     }
 }
 
@@ -228,7 +276,10 @@
     }
     let output = command.args(arguments).output().expect("it runs");
     let text = [output.stdout, output.stderr].concat();
-    (output.status.code().unwrap_or(-1), String::from_utf8_lossy(&text).into_owned())
+    (
+        output.status.code().unwrap_or(-1),
+        String::from_utf8_lossy(&text).into_owned(),
+    )
 }
 
 /// Plays a change with a fault; returns whether the conductor was killed.
@@ -247,7 +298,9 @@
     world.judge(!undo);
     assert!(world.judge_versions() > 0);
     let log = world.stage.log();
-    let made = log.matches("\"message\":\"configuration in force\",\"configuration\":2").count();
+    let made = log
+        .matches("\"message\":\"configuration in force\",\"configuration\":2")
+        .count();
     assert!(made <= 1, "applied twice: {log}");
     world.stage.pid() != first
 }
@@ -273,11 +326,17 @@
     for point in wheelspread_faults::POINTS {
         // The first time, and later times, which fall into the change and into its undo.
         for skipped in [0, 3, 6] {
-            cases.push((format!("{point}={skipped}*off->1*return(kill)->off"), skipped == 6));
+            cases.push((
+                format!("{point}={skipped}*off->1*return(kill)->off"),
+                skipped == 6,
+            ));
         }
     }
     let killed = all(cases);
-    assert!(killed >= 30, "{killed} runs came by the place where they were to be killed");
+    assert!(
+        killed >= 30,
+        "{killed} runs came by the place where they were to be killed"
+    );
 }
 
 #[test_case("store.begin=1*off->8*return(full)->off", "a change waits for the disk"; "full for a while")]
@@ -287,15 +346,24 @@
     world.staged();
     world.insist(&["apply", "spring"]);
     // Meanwhile nodes that go are taken out as ever.
-    let drained = list(2).replacen(r#"{"endpoint""#, r#"{"healthStatus":"DRAINING","endpoint""#, 3);
+    let drained = list(2).replacen(
+        r#"{"endpoint""#,
+        r#"{"healthStatus":"DRAINING","endpoint""#,
+        3,
+    );
     common::write(&world.stage.path("nodes.json"), &drained);
     let begin = Instant::now();
     let names = |world: &World, port: u16| {
-        world.held["n1"].last().is_some_and(|o| o.operations[0].lines.iter().any(|l| l.node.port == port))
+        world.held["n1"]
+            .last()
+            .is_some_and(|o| o.operations[0].lines.iter().any(|l| l.node.port == port))
     };
     while names(&world, PORTS[1]) {
         world.turn();
-        assert!(begin.elapsed() < Duration::from_secs(2), "a drain waits for the disk of changes");
+        assert!(
+            begin.elapsed() < Duration::from_secs(2),
+            "a drain waits for the disk of changes"
+        );
     }
     world.until_state("spring", "kept");
     assert!(world.stage.log().contains(said), "{}", world.stage.log());
@@ -323,22 +391,48 @@
     world.until_state("spring", "kept");
     let (code, told) = world.change(&["apply", "summer"]);
     assert_eq!(code, 1, "{told}");
-    for name in ["summer by bob", "spring by dispatch", "operations.quote.integration_timeout"] {
+    for name in [
+        "summer by bob",
+        "spring by dispatch",
+        "operations.quote.integration_timeout",
+    ] {
         assert!(told.contains(name), "{told}");
     }
     // What can't be is refused with its path; the same name with other content too.
     for (text, said) in [
-        ("{id: x1, by: bob, sets: {operations.quote.repeat: side-effecting}}", "can't change while"),
-        ("{id: x2, by: bob, sets: {\"nodes.127.0.0.1:9101.zone\": moon}}", "zone `moon` is not one"),
-        ("{id: x3, by: bob, sets: {operations.quote.integration_timeout: 10ms}}", "latency_objective"),
-        ("{id: spring, by: bob, sets: {cross_zone_price: 0.5}}", "names another change already"),
-        ("{id: x4, by: bob, base: 77, sets: {cross_zone_price: 0.5}}", "version 77 was never in force"),
-        ("{id: x5, by: bob, sets: {cross_zone_price: [1]}}", "a text, a number"),
+        (
+            "{id: x1, by: bob, sets: {operations.quote.repeat: side-effecting}}",
+            "can't change while",
+        ),
+        (
+            "{id: x2, by: bob, sets: {\"nodes.127.0.0.1:9101.zone\": moon}}",
+            "zone `moon` is not one",
+        ),
+        (
+            "{id: x3, by: bob, sets: {operations.quote.integration_timeout: 10ms}}",
+            "latency_objective",
+        ),
+        (
+            "{id: spring, by: bob, sets: {cross_zone_price: 0.5}}",
+            "names another change already",
+        ),
+        (
+            "{id: x4, by: bob, base: 77, sets: {cross_zone_price: 0.5}}",
+            "version 77 was never in force",
+        ),
+        (
+            "{id: x5, by: bob, sets: {cross_zone_price: [1]}}",
+            "a text, a number",
+        ),
         ("{id: x6, sets: {}}", "missing field `by`"),
-        ("{id: x/7, by: bob, sets: {cross_zone_price: 0.5}}", "letters, digits"),
+        (
+            "{id: x/7, by: bob, sets: {cross_zone_price: 0.5}}",
+            "letters, digits",
+        ),
     ] {
         std::fs::write(world.stage.path("bad.yaml"), text).expect("written");
-        let (code, told) = world.change(&["stage", &world.stage.path("bad.yaml").display().to_string()]);
+        let (code, told) =
+            world.change(&["stage", &world.stage.path("bad.yaml").display().to_string()]);
         assert!(code == 1 || code == 2, "{text}: {code}");
         assert!(told.contains(said), "{text}: {told}");
     }
@@ -377,7 +471,10 @@
     }
     worlds[2].until_state("spring", "kept");
     for world in &worlds {
-        assert_eq!(world.stage.log().matches("configuration in force").count(), 1);
+        assert_eq!(
+            world.stage.log().matches("configuration in force").count(),
+            1
+        );
     }
 }
 
@@ -397,18 +494,31 @@
     world.held.clear();
     while world.held.len() < 3 || world.held.values().any(|held| held.len() < 2) {
         world.turn();
-        assert!(begin.elapsed() < Duration::from_secs(15), "{}", world.stage.log());
+        assert!(
+            begin.elapsed() < Duration::from_secs(15),
+            "{}",
+            world.stage.log()
+        );
     }
-    assert!(world.stage.log().contains("the last one that was taken stands"));
+    assert!(world
+        .stage
+        .log()
+        .contains("the last one that was taken stands"));
     for (name, held) in &world.held {
-        let lines = held.last().map_or(0, |orders| orders.operations[0].lines.len());
+        let lines = held
+            .last()
+            .map_or(0, |orders| orders.operations[0].lines.len());
         assert_eq!(lines, 3, "{name}");
     }
     // The same list, back again, is taken though its version is the one remembered.
     common::write(&world.stage.path("nodes.json"), &list(1));
     while world.stage.log().matches("list taken").count() < 3 {
         world.turn();
-        assert!(begin.elapsed() < Duration::from_secs(20), "{}", world.stage.log());
+        assert!(
+            begin.elapsed() < Duration::from_secs(20),
+            "{}",
+            world.stage.log()
+        );
     }
     assert!(!world.stage.log().contains("not newer than version"));
 }
--- a/crates/cli/tests/common/client.rs
+++ b/crates/cli/tests/common/client.rs
@@ -25,12 +25,19 @@
 impl Client {
     pub fn dial(stage: &Stage, name: &str, zone: &str) -> Client {
         let kinds = vec![
-            (Kind::Endpoints, vec![format!("{}quote", discovery::LINES_APART)]),
+            (
+                Kind::Endpoints,
+                vec![format!("{}quote", discovery::LINES_APART)],
+            ),
             (Kind::Lines, vec![format!("{}quote/*", discovery::LINE)]),
             (Kind::Routes, vec![discovery::OPERATIONS.to_string()]),
         ];
         Client {
-            who: Introduction { name: name.into(), zone: zone.into(), usual_rate: None },
+            who: Introduction {
+                name: name.into(),
+                zone: zone.into(),
+                usual_rate: None,
+            },
             connection: connect(stage),
             reader: Reader::new(kinds),
             silent: true,
@@ -62,7 +69,8 @@
             ClientEvent::Opened => {
                 for ask in self.reader.hello() {
                     let who = std::mem::take(&mut self.silent).then_some(&self.who);
-                    self.connection.send(&discovery::ask(who, self.reader.version(), &ask));
+                    self.connection
+                        .send(&discovery::ask(who, self.reader.version(), &ask));
                 }
             }
             ClientEvent::Message { bytes } => self.told(&bytes),
@@ -72,27 +80,43 @@
     fn told(&mut self, bytes: &[u8]) {
         let told = discovery::read_told(bytes).expect("of the published form");
         let (refuses, mut made) = (self.refuses, None);
-        let step = self.reader.told(told.kind, &told.nonce, told.version, &told.delta, |reader, version| {
-            let values = |kind| reader.held(kind).map(|(_, bytes)| bytes);
-            let lines = reader.held(Kind::Lines);
-            made = discovery::orders(version, lines, values(Kind::Endpoints), values(Kind::Routes)).ok();
-            if refuses {
-                Err("it does not please".to_string())
-            } else {
-                Ok(())
-            }
-        });
+        let step = self.reader.told(
+            told.kind,
+            &told.nonce,
+            told.version,
+            &told.delta,
+            |reader, version| {
+                let values = |kind| reader.held(kind).map(|(_, bytes)| bytes);
+                let lines = reader.held(Kind::Lines);
+                made = discovery::orders(
+                    version,
+                    lines,
+                    values(Kind::Endpoints),
+                    values(Kind::Routes),
+                )
+                .ok();
+                if refuses {
+                    Err("it does not please".to_string())
+                } else {
+                    Ok(())
+                }
+            },
+        );
         assert_eq!(step.restart, None, "every delta comes to what it says");
         if step.reply.error.is_some() {
             self.refused.extend(told.version);
         } else if step.complete.is_some() {
             self.orders = made;
         }
-        self.connection.send(&discovery::ask(None, None, &step.reply));
+        self.connection
+            .send(&discovery::ask(None, None, &step.reply));
     }
 
     pub fn ports(&self) -> Vec<u16> {
-        let lines = self.orders.iter().flat_map(|orders| &orders.operations[0].lines);
+        let lines = self
+            .orders
+            .iter()
+            .flat_map(|orders| &orders.operations[0].lines);
         lines.map(|line| line.node.port).collect()
     }
 
--- a/crates/cli/tests/common/keys.rs
+++ b/crates/cli/tests/common/keys.rs
@@ -15,6 +15,11 @@
     pub fn issue(&self, name: &str) -> (String, String) {
         let key = rcgen::KeyPair::generate().expect("a key");
         let told = rcgen::CertificateParams::new(vec![name.to_string()]).expect("a name");
-        (told.signed_by(&key, &self.0, &self.1).expect("signed").pem(), key.serialize_pem())
+        (
+            told.signed_by(&key, &self.0, &self.1)
+                .expect("signed")
+                .pem(),
+            key.serialize_pem(),
+        )
     }
 }
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -40,16 +40,27 @@
     pub fn new() -> Stage {
         let directory = tempfile::tempdir().expect("a directory");
         let listen = wheelspread_drill::own_port().expect("a port");
-        let stage = Stage { directory, listen, child: None, version: 0 };
+        let stage = Stage {
+            directory,
+            listen,
+            child: None,
+            version: 0,
+        };
         stage.write_file("list: nodes.json");
         stage
     }
 
     pub fn write_file(&self, list: &str) {
-        let place = format!("conductor: {{name: c0, listen: \"{}\", tables: tables, {list}}}", self.listen);
+        let place = format!(
+            "conductor: {{name: c0, listen: \"{}\", tables: tables, {list}}}",
+            self.listen
+        );
         let log = "log: {form: json, level: debug}";
-        std::fs::write(self.path("conductor.yaml"), format!("{place}\n{log}\n{DEPLOYMENT}"))
-            .expect("written");
+        std::fs::write(
+            self.path("conductor.yaml"),
+            format!("{place}\n{log}\n{DEPLOYMENT}"),
+        )
+        .expect("written");
     }
 
     pub fn path(&self, name: &str) -> PathBuf {
@@ -62,7 +73,11 @@
 
     /// `faults`: places where it is made to go wrong.
     pub fn start_with(&mut self, faults: &str) {
-        let log = File::options().create(true).append(true).open(self.path("log")).expect("a log");
+        let log = File::options()
+            .create(true)
+            .append(true)
+            .open(self.path("log"))
+            .expect("a log");
         let child = Command::new(PROGRAM)
             .arg("run")
             .arg(self.path("conductor.yaml"))
@@ -101,7 +116,9 @@
     }
 
     pub fn runs(&mut self) -> bool {
-        self.child.as_mut().is_some_and(|child| child.try_wait().is_ok_and(|status| status.is_none()))
+        self.child
+            .as_mut()
+            .is_some_and(|child| child.try_wait().is_ok_and(|status| status.is_none()))
     }
 
     pub fn log(&self) -> String {
@@ -122,23 +139,37 @@
     /// The ports that a gateway's tables name, with the version.
     pub fn held(&self, name: &str) -> Option<(u64, Vec<u16>)> {
         let held = read_tables(&self.gateway(name)).expect("whole tables at any time")?;
-        let ports = held.orders.operations[0].lines.iter().map(|line| line.node.port).collect();
+        let ports = held.orders.operations[0]
+            .lines
+            .iter()
+            .map(|line| line.node.port)
+            .collect();
         Some((held.orders.version.0, ports))
     }
 
     pub fn until(&mut self, what: &str, mut done: impl FnMut(&mut Stage) -> bool) -> Duration {
         let begin = Instant::now();
         while !done(self) {
-            assert!(begin.elapsed() < Duration::from_secs(15), "not seen: {what}\n{}", self.log());
+            assert!(
+                begin.elapsed() < Duration::from_secs(15),
+                "not seen: {what}\n{}",
+                self.log()
+            );
             std::thread::sleep(Duration::from_millis(5));
         }
         begin.elapsed()
     }
 
     pub fn stream(&self, name: &str, zone: &str) -> Stream {
-        let socket = reactor::connect(self.listen.ip().octets(), self.listen.port()).expect("dials");
-        let connection = ClientConnection::new(reactor::now(), socket, loads::METHOD, Limits::default());
-        let mut stream = Stream { connection, accepted: false, over: None };
+        let socket =
+            reactor::connect(self.listen.ip().octets(), self.listen.port()).expect("dials");
+        let connection =
+            ClientConnection::new(reactor::now(), socket, loads::METHOD, Limits::default());
+        let mut stream = Stream {
+            connection,
+            accepted: false,
+            over: None,
+        };
         let who = wheelspread_session::membership::Introduction {
             name: name.to_string(),
             zone: zone.to_string(),
@@ -175,14 +206,20 @@
 impl Stream {
     pub fn turn(&mut self) {
         let (events, over) = self.connection.turn(reactor::now());
-        self.accepted |= events.iter().any(|event| matches!(event, ClientEvent::Message { .. }));
+        self.accepted |= events
+            .iter()
+            .any(|event| matches!(event, ClientEvent::Message { .. }));
         self.over = self.over.take().or(over);
     }
 }
 
 pub fn list_text(version: u64, ports: &[u16], draining: &[u16]) -> String {
     let endpoint = |port: &u16| {
-        let health = if draining.contains(port) { "DRAINING" } else { "HEALTHY" };
+        let health = if draining.contains(port) {
+            "DRAINING"
+        } else {
+            "HEALTHY"
+        };
         format!(
             r#"{{"endpoint": {{"address": {{"socketAddress": {{"address": "127.0.0.1", "portValue": {port}}}}}}},
                 "healthStatus": "{health}"}}"#
--- a/crates/cli/tests/common/platform.rs
+++ b/crates/cli/tests/common/platform.rs
@@ -37,7 +37,11 @@
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
         listener.set_nonblocking(true).expect("a listener");
         let address = listener.local_addr().expect("bound");
-        let agent = Agent { address, objects: objects.clone(), moved: Arc::default() };
+        let agent = Agent {
+            address,
+            objects: objects.clone(),
+            moved: Arc::default(),
+        };
         let moved = agent.moved.clone();
         std::thread::spawn(move || {
             while !moved.load(Ordering::Relaxed) {
@@ -65,15 +69,26 @@
     let mut out = &stream;
     if !line.contains("watch=1") {
         let text = known().first().map(Value::to_string).unwrap_or_default();
-        let _ = write!(out, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len());
+        let _ = write!(
+            out,
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}",
+            text.len()
+        );
         return;
     }
     let _ = out.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     let (mut said, mut spoke) = (0, Instant::now());
     while !moved.load(Ordering::Relaxed) {
         let known = known();
-        let news: String = known[said..].iter().map(|object| format!("{object}\n")).collect();
-        let text = if news.is_empty() && spoke.elapsed() > Duration::from_secs(1) { "\n" } else { &news };
+        let news: String = known[said..]
+            .iter()
+            .map(|object| format!("{object}\n"))
+            .collect();
+        let text = if news.is_empty() && spoke.elapsed() > Duration::from_secs(1) {
+            "\n"
+        } else {
+            &news
+        };
         // Chunks end within lines, as they may.
         for some in text.as_bytes().chunks(70) {
             let head = format!("{:x}\r\n", some.len());
@@ -97,15 +112,25 @@
 impl Party {
     pub fn dial(to: SocketAddr) -> Party {
         let stream = TcpStream::connect(to).expect("it listens");
-        stream.set_read_timeout(Some(Duration::from_millis(20))).expect("a stream");
-        Party { stream, reader: Reader::new(Limits { message: 1 << 20, strings: 64 }) }
+        stream
+            .set_read_timeout(Some(Duration::from_millis(20)))
+            .expect("a stream");
+        Party {
+            stream,
+            reader: Reader::new(Limits {
+                message: 1 << 20,
+                strings: 64,
+            }),
+        }
     }
 
     pub fn say(&mut self, text: &str) {
         let mut bytes = Vec::new();
         write(&text.split(' ').collect::<Vec<_>>(), &mut bytes);
         // In pieces, as a network may bring them.
-        bytes.chunks(7).for_each(|some| self.stream.write_all(some).expect("it reads"));
+        bytes
+            .chunks(7)
+            .for_each(|some| self.stream.write_all(some).expect("it reads"));
     }
 
     /// The next message; `None` when the connection is over.
@@ -114,14 +139,21 @@
         let mut room = [0; 4096];
         loop {
             if let Some(strings) = self.reader.message().expect("messages") {
-                let words: Vec<_> = strings.iter().map(|string| String::from_utf8_lossy(string)).collect();
+                let words: Vec<_> = strings
+                    .iter()
+                    .map(|string| String::from_utf8_lossy(string))
+                    .collect();
                 return Some(words.join(" "));
             }
-            assert!(begin.elapsed() < PATIENCE, "nothing is said and nothing ends");
+            assert!(
+                begin.elapsed() < PATIENCE,
+                "nothing is said and nothing ends"
+            );
             match self.stream.read(&mut room) {
                 Ok(0) => return None,
                 Ok(count) => self.reader.feed(&room[..count]),
-                Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
+                Err(error)
+                    if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
                 Err(_) => return None,
             }
         }
@@ -129,7 +161,9 @@
 
     pub fn until(&mut self, words: &str) -> String {
         loop {
-            let said = self.hear().unwrap_or_else(|| panic!("it ended before it said {words}"));
+            let said = self
+                .hear()
+                .unwrap_or_else(|| panic!("it ended before it said {words}"));
             if said.contains(words) {
                 return said;
             }
@@ -138,8 +172,14 @@
 
     /// Answers the mark of a message.
     pub fn answer(&mut self, proxy: u16, said: &str) {
-        let mark = said.split("stamp ").nth(1).and_then(|rest| rest.split(' ').next()).expect("a mark");
-        self.say(&format!("applied sidecar {proxy} version {mark} lag_ms 2.5"));
+        let mark = said
+            .split("stamp ")
+            .nth(1)
+            .and_then(|rest| rest.split(' ').next())
+            .expect("a mark");
+        self.say(&format!(
+            "applied sidecar {proxy} version {mark} lag_ms 2.5"
+        ));
     }
 }
 
@@ -161,7 +201,11 @@
     pub fn prepare(discovery: SocketAddr, sockets: usize) -> Platform {
         let listen = wheelspread_drill::own_port().expect("a port").into();
         let directory = tempfile::tempdir().expect("a directory");
-        let platform = Platform { directory, listen, child: None };
+        let platform = Platform {
+            directory,
+            listen,
+            child: None,
+        };
         platform.configure(discovery, sockets, 3.0);
         platform
     }
@@ -219,7 +263,11 @@
         let stat = format!("/proc/{}/stat", self.child.as_ref().expect("it runs").id());
         let begin = Instant::now();
         let state = || std::fs::read_to_string(&stat).expect("a process");
-        while !state().rsplit(')').next().is_some_and(|rest| rest.trim_start().starts_with('T')) {
+        while !state()
+            .rsplit(')')
+            .next()
+            .is_some_and(|rest| rest.trim_start().starts_with('T'))
+        {
             assert!(begin.elapsed() < PATIENCE, "it does not halt");
             std::thread::yield_now();
         }
@@ -271,7 +319,9 @@
 
 pub fn objects(names: &[&str]) -> Objects {
     let entries: Vec<Value> = names.iter().map(|name| entry(name, "Ready")).collect();
-    Arc::new(Mutex::new(vec![json!({"index": 5, "snapshot": true, "endpoints": entries})]))
+    Arc::new(Mutex::new(vec![
+        json!({"index": 5, "snapshot": true, "endpoints": entries}),
+    ]))
 }
 
 /// Discovery whose every answer a test gives itself.
@@ -301,7 +351,10 @@
                 let mut line = String::new();
                 while line != "\r\n" {
                     line.clear();
-                    assert!(reader.read_line(&mut line).expect("a request") > 0, "a head without an end");
+                    assert!(
+                        reader.read_line(&mut line).expect("a request") > 0,
+                        "a head without an end"
+                    );
                 }
                 return Asked { stream, target };
             }
@@ -338,7 +391,10 @@
     /// A whole answer.
     pub fn full(mut self, list: &Value) {
         let text = list.to_string();
-        self.raw(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len()));
+        self.raw(&format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}",
+            text.len()
+        ));
     }
 
     pub fn begin(&mut self) {
@@ -356,11 +412,17 @@
     /// Whether the conductor has ended it.
     pub fn until_it_ends(&mut self) {
         let mut room = [0; 64];
-        assert!(matches!(self.stream.read(&mut room), Ok(0) | Err(_)), "it says more");
+        assert!(
+            matches!(self.stream.read(&mut room), Ok(0) | Err(_)),
+            "it says more"
+        );
     }
 }
 
 pub fn list(version: u64, full: bool, nodes: &[(&str, &str)]) -> Value {
-    let entries: Vec<Value> = nodes.iter().map(|(name, status)| entry(name, status)).collect();
+    let entries: Vec<Value> = nodes
+        .iter()
+        .map(|(name, status)| entry(name, status))
+        .collect();
     json!({"index": version, "snapshot": full, "endpoints": entries})
 }
--- a/crates/cli/tests/conductor.rs
+++ b/crates/cli/tests/conductor.rs
@@ -44,10 +44,16 @@
     }
     stream.turn();
     std::thread::sleep(Duration::from_millis(400));
-    assert_eq!(stage.held("g1").expect("held").1.len(), 8, "the last good list stands");
+    assert_eq!(
+        stage.held("g1").expect("held").1.len(),
+        8,
+        "the last good list stands"
+    );
     // A list that lacks most is doubted; as nobody hears of the missing ones, it is believed in time.
     write(&list, &list_text(10, &PORTS[..3], &[]));
-    stage.until("the doubt", |stage| stage.log().contains("5 of 8 ready nodes are missing"));
+    stage.until("the doubt", |stage| {
+        stage.log().contains("5 of 8 ready nodes are missing")
+    });
     assert_eq!(stage.held("g1").expect("held").1.len(), 8);
     let took = stage.until("the small list", |stage| {
         stream.turn();
@@ -59,7 +65,10 @@
 #[test]
 fn a_swapped_directory_is_seen_as_well_as_a_swapped_file() {
     let mut stage = Stage::new();
-    for (name, text) in [("a", list_text(1, &PORTS, &[])), ("b", list_text(2, &PORTS, &[9001]))] {
+    for (name, text) in [
+        ("a", list_text(1, &PORTS, &[])),
+        ("b", list_text(2, &PORTS, &[9001])),
+    ] {
         std::fs::create_dir_all(stage.path("lists").join(name)).expect("made");
         write(&stage.path("lists").join(name).join("nodes.json"), &text);
     }
@@ -77,7 +86,9 @@
     });
     std::os::unix::fs::symlink("b", stage.path("lists/.next")).expect("made");
     std::fs::rename(stage.path("lists/.next"), stage.path("lists/now")).expect("swapped");
-    stage.until("the drain", |stage| stage.held("g1").is_some_and(|held| !held.1.contains(&9001)));
+    stage.until("the drain", |stage| {
+        stage.held("g1").is_some_and(|held| !held.1.contains(&9001))
+    });
 }
 
 #[test]
@@ -92,15 +103,23 @@
         stage.kill();
         let (version, ports) = stage.held("g1").expect("whole");
         // One drains, and the one before it may not be back yet.
-        assert!(version >= last && ports.len() >= 6, "{version} after {last}: {ports:?}");
+        assert!(
+            version >= last && ports.len() >= 6,
+            "{version} after {last}: {ports:?}"
+        );
         stage.start();
         stream = stage.stream("g1", "north");
         let took = stage.until("the drain after a restart", |stage| {
             stream.turn();
-            stage.held("g1").is_some_and(|held| !held.1.contains(&drained) && !held.1.is_empty())
+            stage
+                .held("g1")
+                .is_some_and(|held| !held.1.contains(&drained) && !held.1.is_empty())
         });
         assert!(took < Duration::from_secs(2), "within the grace: {took:?}");
-        assert!(stage.held("g1").expect("held").0 >= version, "versions never fall");
+        assert!(
+            stage.held("g1").expect("held").0 >= version,
+            "versions never fall"
+        );
     }
     drop(stream);
 }
@@ -113,7 +132,9 @@
     stage.list(&PORTS, &[9003]);
     stage.start();
     let took = stage.until("the old files pruned", |stage| {
-        stage.held("g1").is_some_and(|held| held.1.len() == 7 && !held.1.contains(&9003))
+        stage
+            .held("g1")
+            .is_some_and(|held| held.1.len() == 7 && !held.1.contains(&9003))
     });
     assert!(took < Duration::from_secs(2), "within the grace: {took:?}");
     assert!(stage.log().contains("has not come back"));
@@ -123,19 +144,35 @@
 fn streams_that_misbehave_are_closed_with_a_reason_and_cost_nobody_else() {
     let (mut stage, mut good) = joined();
     let bad_report = |operations, seconds| {
-        let report = Report { over: Span::from_seconds(seconds), operations };
+        let report = Report {
+            over: Span::from_seconds(seconds),
+            operations,
+        };
         encode(&loads::request(&report, |_| "north".to_string()))
     };
-    let many = NodeReport { succeeded: u64::MAX, errored: u64::MAX, ..NodeReport::default() };
-    let absurd =
-        OperationReport { operation: "quote".into(), nodes: vec![many], ..OperationReport::default() };
+    let many = NodeReport {
+        succeeded: u64::MAX,
+        errored: u64::MAX,
+        ..NodeReport::default()
+    };
+    let absurd = OperationReport {
+        operation: "quote".into(),
+        nodes: vec![many],
+        ..OperationReport::default()
+    };
     let mut streams = Vec::new();
     for (name, raw, message) in [
         ("b1", false, bad_report(vec![absurd], 1.0)),
         (
             "b2",
             false,
-            bad_report(vec![OperationReport { operation: "quote".into(), ..Default::default() }], -3.0),
+            bad_report(
+                vec![OperationReport {
+                    operation: "quote".into(),
+                    ..Default::default()
+                }],
+                -3.0,
+            ),
         ),
         ("b3", false, vec![0xff; 100]),
         ("b4", true, vec![0, 0x06, 0x40, 0, 0]),
@@ -165,12 +202,18 @@
     }
     // Nodes that never were are left out and the stream goes on.
     let ghost = NodeReport {
-        node: Some(wheelspread::ids::NodeId { address: [127, 0, 0, 1], port: 1 }),
+        node: Some(wheelspread::ids::NodeId {
+            address: [127, 0, 0, 1],
+            port: 1,
+        }),
         succeeded: 5,
         ..NodeReport::default()
     };
-    let ghosts =
-        OperationReport { operation: "quote".into(), nodes: vec![ghost], ..OperationReport::default() };
+    let ghosts = OperationReport {
+        operation: "quote".into(),
+        nodes: vec![ghost],
+        ..OperationReport::default()
+    };
     good.connection.send(&bad_report(vec![ghosts], 1.0));
     stage.until("the notice of unknown nodes", |stage| {
         good.turn();
@@ -187,8 +230,16 @@
     let kilobytes = status
         .lines()
         .find_map(|line| line.strip_prefix("VmRSS:"))
-        .and_then(|line| line.trim().split(' ').next().and_then(|number| number.parse::<u64>().ok()));
-    assert!(kilobytes.is_some_and(|kilobytes| kilobytes < 120_000), "{kilobytes:?} kB");
+        .and_then(|line| {
+            line.trim()
+                .split(' ')
+                .next()
+                .and_then(|number| number.parse::<u64>().ok())
+        });
+    assert!(
+        kilobytes.is_some_and(|kilobytes| kilobytes < 120_000),
+        "{kilobytes:?} kB"
+    );
 }
 
 #[test]
@@ -220,7 +271,10 @@
     while stream.over.is_none() && begin.elapsed() < Duration::from_secs(5) {
         stream.turn();
     }
-    assert_eq!(stream.over.as_deref(), Some("ended with status 14: the conductor stops"));
+    assert_eq!(
+        stream.over.as_deref(),
+        Some("ended with status 14: the conductor stops")
+    );
     assert_eq!(stage.held("g1"), before);
 }
 
@@ -228,11 +282,21 @@
 fn a_second_conductor_on_the_same_root_is_refused() {
     let (stage, _stream) = joined();
     let text = std::fs::read_to_string(stage.path("conductor.yaml")).expect("there");
-    std::fs::write(stage.path("other.yaml"), text.replace(&stage.listen.port().to_string(), "0"))
-        .expect("written");
-    let output = Command::new(PROGRAM).arg("run").arg(stage.path("other.yaml")).output().expect("it runs");
+    std::fs::write(
+        stage.path("other.yaml"),
+        text.replace(&stage.listen.port().to_string(), "0"),
+    )
+    .expect("written");
+    let output = Command::new(PROGRAM)
+        .arg("run")
+        .arg(stage.path("other.yaml"))
+        .output()
+        .expect("it runs");
     let said = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(!output.status.success() && said.contains("in use by another conductor"), "{said}");
+    assert!(
+        !output.status.success() && said.contains("in use by another conductor"),
+        "{said}"
+    );
 }
 
 #[test]
@@ -240,13 +304,29 @@
     let stage = Stage::new();
     let path = stage.path("conductor.yaml");
     let text = std::fs::read_to_string(&path).expect("there");
-    std::fs::write(&path, text.replace("lines_per_second: 5000", "lines_per_second: -1")).expect("written");
+    std::fs::write(
+        &path,
+        text.replace("lines_per_second: 5000", "lines_per_second: -1"),
+    )
+    .expect("written");
     for command in ["check", "run"] {
-        let output = Command::new(PROGRAM).arg(command).arg(&path).output().expect("it runs");
+        let output = Command::new(PROGRAM)
+            .arg(command)
+            .arg(&path)
+            .output()
+            .expect("it runs");
         let said = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!(output.status.code(), Some(2), "{said}");
-        assert!(said.contains("line 11, deployment.channel.lines_per_second: -1"), "{said}");
+        assert!(
+            said.contains("line 11, deployment.channel.lines_per_second: -1"),
+            "{said}"
+        );
     }
     std::fs::write(&path, &text).expect("written");
-    assert!(Command::new(PROGRAM).arg("check").arg(&path).status().expect("it runs").success());
+    assert!(Command::new(PROGRAM)
+        .arg("check")
+        .arg(&path)
+        .status()
+        .expect("it runs")
+        .success());
 }
--- a/crates/cli/tests/drills.rs
+++ b/crates/cli/tests/drills.rs
@@ -26,19 +26,34 @@
 fn a_short_bad_day_keeps_all_rules() {
     let report = play(SHORT, None);
     assert!(report.verdict.kept(), "{}", report.table());
-    assert!(report.verdict.rules.iter().all(|rule| rule.checked > 0), "{}", report.table());
+    assert!(
+        report.verdict.rules.iter().all(|rule| rule.checked > 0),
+        "{}",
+        report.table()
+    );
     assert!(report.verdict.service > 0.9, "{}", report.table());
     assert_eq!(report.troubles.len(), 4);
 }
 
 #[test]
 fn a_short_bad_day_over_streams_keeps_all_rules() {
-    let text = SHORT.replace("\ndeployment:\n", "\ndeployment:\n  fronts: {files: false, streams: true}\n");
+    let text = SHORT.replace(
+        "\ndeployment:\n",
+        "\ndeployment:\n  fronts: {files: false, streams: true}\n",
+    );
     let report = play(&text, None);
     assert!(report.verdict.kept(), "{}", report.table());
-    assert!(report.verdict.rules.iter().all(|rule| rule.checked > 0), "{}", report.table());
+    assert!(
+        report.verdict.rules.iter().all(|rule| rule.checked > 0),
+        "{}",
+        report.table()
+    );
     assert!(report.verdict.service > 0.9, "{}", report.table());
-    assert!(report.table_swaps > 50, "they came over streams: {}", report.table());
+    assert!(
+        report.table_swaps > 50,
+        "they came over streams: {}",
+        report.table()
+    );
 }
 
 #[test]
@@ -48,14 +63,21 @@
   - {kind: balancer_crash, at: 2s, for: 700ms, part: 0.34, whom: gateway}
   - {kind: answer_lost, at: 3s, for: 3s, part: 0.2, size: 0.5}
 ";
-    let report = play(&format!("{}{troubles}", quiet().replace("length: 7s", "length: 9s")), None);
+    let report = play(
+        &format!("{}{troubles}", quiet().replace("length: 7s", "length: 9s")),
+        None,
+    );
     assert!(report.verdict.kept(), "{}", report.table());
     // Whom a dead gateway had taken in is lost; the others go on.
     assert!(report.verdict.service > 0.8, "{}", report.table());
 }
 
 fn quiet() -> String {
-    SHORT.split("troubles:").next().unwrap_or("").replace("length: 10s", "length: 7s")
+    SHORT
+        .split("troubles:")
+        .next()
+        .unwrap_or("")
+        .replace("length: 10s", "length: 7s")
 }
 
 #[test_case(Sabotage::EmptyTable, 1, 90; "an empty table")]
@@ -64,9 +86,17 @@
 #[test_case(Sabotage::FloodCold, 4, 400; "a cold node that is flooded")]
 #[test_case(Sabotage::Overfill, 5, 90; "a channel that is overfilled")]
 fn a_sabotaged_day_breaks_its_rule_and_no_other(sabotage: Sabotage, rule: u8, rate: u32) {
-    let report = play(&quiet().replace("rate: 90", &format!("rate: {rate}")), Some(sabotage));
-    let broken: Vec<u8> =
-        report.verdict.rules.iter().filter(|judged| judged.broken > 0).map(|judged| judged.rule).collect();
+    let report = play(
+        &quiet().replace("rate: 90", &format!("rate: {rate}")),
+        Some(sabotage),
+    );
+    let broken: Vec<u8> = report
+        .verdict
+        .rules
+        .iter()
+        .filter(|judged| judged.broken > 0)
+        .map(|judged| judged.rule)
+        .collect();
     assert_eq!(broken, [rule], "{}", report.table());
     assert!(!report.verdict.kept());
 }
--- a/crates/cli/tests/endings.rs
+++ b/crates/cli/tests/endings.rs
@@ -30,7 +30,9 @@
 
 fn joined(platform: &Platform, proxy: u16) -> Party {
     let mut party = Party::dial(platform.listen);
-    party.say(&format!("joined sidecar {proxy} az a share 12.5 standing 1"));
+    party.say(&format!(
+        "joined sidecar {proxy} az a share 12.5 standing 1"
+    ));
     let said = party.until("replace 1");
     party.answer(proxy, &said);
     party
@@ -54,7 +56,9 @@
     platform.halted(|| {
         new.stream.write_all(&bytes(JOINS)).expect("it reads");
         old.stream.write_all(&bytes(JOINS)).expect("it reads");
-        old.stream.write_all(&bytes("applied sidecar 3 version 1 lag_ms 2.5")).expect("it reads");
+        old.stream
+            .write_all(&bytes("applied sidecar 3 version 1 lag_ms 2.5"))
+            .expect("it reads");
     });
     let said = new.until("replace 1");
     new.answer(3, &said);
@@ -94,7 +98,9 @@
     // A joining, an answer and the end in one read; then a reset after unread orders.
     let first = Party::dial(platform.listen);
     platform.halted(|| {
-        (&first.stream).write_all(&[bytes(JOINS), bytes("ping")].concat()).expect("it reads");
+        (&first.stream)
+            .write_all(&[bytes(JOINS), bytes("ping")].concat())
+            .expect("it reads");
         first.stream.shutdown(Shutdown::Both).expect("open");
     });
     ping(&mut watcher);
@@ -135,7 +141,9 @@
         std::thread::sleep(Duration::from_millis(3300));
         watch.chunk("\n");
         proxy.answer(3, &said);
-        late.stream.write_all(&bytes("joined sidecar 4 az a share 12.5 standing 1")).expect("it reads");
+        late.stream
+            .write_all(&bytes("joined sidecar 4 az a share 12.5 standing 1"))
+            .expect("it reads");
     });
     late.until("replace 1");
     ping(&mut proxy);
@@ -206,14 +214,20 @@
             std::thread::yield_now();
         }
         let callers: Vec<Party> = (0..3).map(|_| Party::dial(platform.listen)).collect();
-        here[0].stream.write_all(&bytes("joined sidecar 0 az a share 12.5 standing 1")).expect("it reads");
+        here[0]
+            .stream
+            .write_all(&bytes("joined sidecar 0 az a share 12.5 standing 1"))
+            .expect("it reads");
         here[1].stream.write_all(&joining[30..]).expect("it reads");
         callers
     });
     here[0].until("replace 1");
     here[1].until("replace 1");
     callers.iter_mut().for_each(ping);
-    assert!((2..5).all(|at| here[at].hear().is_none()), "the next ones have given way");
+    assert!(
+        (2..5).all(|at| here[at].hear().is_none()),
+        "the next ones have given way"
+    );
 }
 
 #[test]
@@ -226,12 +240,18 @@
         for proxy in 0..8 {
             strangers.extend((0..10).map(|_| Party::dial(platform.listen)));
             let mut party = Party::dial(platform.listen);
-            party.say(&format!("joined sidecar {proxy} az a share 12.5 standing 0"));
+            party.say(&format!(
+                "joined sidecar {proxy} az a share 12.5 standing 0"
+            ));
             proxies.push(party);
         }
     });
-    proxies.iter_mut().for_each(|proxy| _ = proxy.until("replace 1"));
-    strangers.iter_mut().for_each(|party| assert_eq!(party.hear(), None));
+    proxies
+        .iter_mut()
+        .for_each(|proxy| _ = proxy.until("replace 1"));
+    strangers
+        .iter_mut()
+        .for_each(|party| assert_eq!(party.hear(), None));
 }
 
 // ---- the list ----
@@ -405,11 +425,15 @@
 fn a_conductor_that_is_told_to_stop_ends_whatever_is_half_done() {
     let (_manual, mut platform, mut proxy, mut watch) = watched(THREE);
     let mut half = stranger(&platform);
-    half.stream.write_all(&bytes(JOINS)[..20]).expect("it reads");
+    half.stream
+        .write_all(&bytes(JOINS)[..20])
+        .expect("it reads");
     ping(&mut proxy);
     // Unread input, an unread object of the watch, callers that nobody has accepted, a reload and two signals.
     let mut callers = platform.halted(|| {
-        half.stream.write_all(&bytes(JOINS)[20..]).expect("it reads");
+        half.stream
+            .write_all(&bytes(JOINS)[20..])
+            .expect("it reads");
         watch.object(&list(41, false, &[("s1", DRAINS)]));
         let callers: Vec<Party> = (0..5).map(|_| Party::dial(platform.listen)).collect();
         platform.signal(Signal::HUP);
@@ -419,7 +443,9 @@
     });
     let ended = platform.ended();
     assert!(ended.success(), "{ended}");
-    callers.iter_mut().for_each(|party| assert_eq!(party.hear(), None));
+    callers
+        .iter_mut()
+        .for_each(|party| assert_eq!(party.hear(), None));
     assert_eq!(half.hear(), None);
     while proxy.hear().is_some() {}
 }
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -25,21 +25,39 @@
 
 fn fleet(file: &Path, arguments: &[&str]) -> (i32, String, Duration) {
     let begin = Instant::now();
-    let output = Command::new(PROGRAM).arg("fleet").arg(file).args(arguments).output().expect("it runs");
+    let output = Command::new(PROGRAM)
+        .arg("fleet")
+        .arg(file)
+        .args(arguments)
+        .output()
+        .expect("it runs");
     let text = [output.stdout, output.stderr].concat();
-    (output.status.code().unwrap_or(-1), String::from_utf8_lossy(&text).into_owned(), begin.elapsed())
+    (
+        output.status.code().unwrap_or(-1),
+        String::from_utf8_lossy(&text).into_owned(),
+        begin.elapsed(),
+    )
 }
 
 fn json(file: &Path, arguments: &[&str]) -> (i32, Value, Duration) {
     let (code, text, took) = fleet(file, &[arguments, &["--json"]].concat());
-    (code, serde_json::from_str(&text).unwrap_or_else(|error| panic!("{error}: {text}")), took)
+    (
+        code,
+        serde_json::from_str(&text).unwrap_or_else(|error| panic!("{error}: {text}")),
+        took,
+    )
 }
 
 /// A fleet file over roots, by name.
 fn file(directory: &Path, roots: &[(&str, PathBuf)]) -> PathBuf {
-    let lines = roots.iter().map(|(name, root)| format!("  - {{name: {name}, root: {}}}\n", root.display()));
+    let lines = roots
+        .iter()
+        .map(|(name, root)| format!("  - {{name: {name}, root: {}}}\n", root.display()));
     let path = directory.join("fleet.yaml");
-    let text = format!("within: 2s\norder_within: 4s\nconductors:\n{}", lines.collect::<String>());
+    let text = format!(
+        "within: 2s\norder_within: 4s\nconductors:\n{}",
+        lines.collect::<String>()
+    );
     std::fs::write(&path, text).expect("written");
     path
 }
@@ -64,42 +82,94 @@
     let mut stages = started(30);
     let names: Vec<String> = (0..30).map(|n| format!("c{n:02}")).collect();
     let directory = tempfile::tempdir().expect("a directory");
-    let roots: Vec<(&str, PathBuf)> =
-        names.iter().zip(&stages).map(|(name, stage)| (name.as_str(), stage.path("tables"))).collect();
+    let roots: Vec<(&str, PathBuf)> = names
+        .iter()
+        .zip(&stages)
+        .map(|(name, stage)| (name.as_str(), stage.path("tables")))
+        .collect();
     let path = file(directory.path(), &roots);
     let (code, told, took) = json(&path, &["status"]);
-    assert_eq!((code, told["conductors"].as_object().map(serde_json::Map::len)), (0, Some(30)), "{told}");
+    assert_eq!(
+        (
+            code,
+            told["conductors"].as_object().map(serde_json::Map::len)
+        ),
+        (0, Some(30)),
+        "{told}"
+    );
     assert!(took < Duration::from_secs(2), "all sound: {took:?}");
-    stages[..5].iter().for_each(|stage| signal(stage, rustix::process::Signal::STOP));
+    stages[..5]
+        .iter()
+        .for_each(|stage| signal(stage, rustix::process::Signal::STOP));
     stages[5..8].iter_mut().for_each(Stage::kill);
     let (code, told, took) = json(&path, &["status", "--within", "1s"]);
     assert_eq!(code, 3);
     assert!(took < Duration::from_millis(1900), "{took:?}");
-    let said = |n: usize| told["conductors"][&names[n]]["failed"].as_str().map(str::to_string);
+    let said = |n: usize| {
+        told["conductors"][&names[n]]["failed"]
+            .as_str()
+            .map(str::to_string)
+    };
     for n in 0..30 {
         match n {
-            0..5 => assert!(said(n).is_some_and(|why| why.contains("no answer within")), "{told}"),
-            5..8 => assert!(said(n).is_some_and(|why| why.contains("nobody listens")), "{told}"),
+            0..5 => assert!(
+                said(n).is_some_and(|why| why.contains("no answer within")),
+                "{told}"
+            ),
+            5..8 => assert!(
+                said(n).is_some_and(|why| why.contains("nobody listens")),
+                "{told}"
+            ),
             _ => assert_eq!(said(n), None, "{told}"),
         }
     }
     // A drain reaches those that live, and is said to be a part.
-    let (code, told, took) =
-        json(&path, &["drain", "127.0.0.1:9201", "--within", "500ms", "--order-within", "2s"]);
-    assert_eq!((code, told["told"]["outcome"].as_str()), (3, Some("partly")), "{told}");
+    let (code, told, took) = json(
+        &path,
+        &[
+            "drain",
+            "127.0.0.1:9201",
+            "--within",
+            "500ms",
+            "--order-within",
+            "2s",
+        ],
+    );
+    assert_eq!(
+        (code, told["told"]["outcome"].as_str()),
+        (3, Some("partly")),
+        "{told}"
+    );
     assert!(took < Duration::from_secs(3), "{took:?}");
-    let taken = told["told"]["conductors"].as_object().expect("all").values();
-    assert_eq!(taken.filter(|reply| reply[1]["taken"].is_object()).count(), 22, "{told}");
+    let taken = told["told"]["conductors"]
+        .as_object()
+        .expect("all")
+        .values();
+    assert_eq!(
+        taken.filter(|reply| reply[1]["taken"].is_object()).count(),
+        22,
+        "{told}"
+    );
     // Those that hung had it in their sockets or not; told again, all that live have it.
-    stages[..5].iter().for_each(|stage| signal(stage, rustix::process::Signal::CONT));
+    stages[..5]
+        .iter()
+        .for_each(|stage| signal(stage, rustix::process::Signal::CONT));
     stages[5..8].iter_mut().for_each(Stage::start);
     let (code, told, _) = json(&path, &["status"]);
     assert!(code == 1 || code == 0, "{told}");
     let (code, told, _) = json(&path, &["sync"]);
     assert_eq!(code, 0, "{told}");
     let (code, told, _) = json(&path, &["status"]);
-    assert_eq!((code, told["disagreements"].as_array().map(Vec::len)), (0, Some(0)), "{told}");
-    let drains = told["conductors"].as_object().expect("all").values().map(|told| told["drains"].as_u64());
+    assert_eq!(
+        (code, told["disagreements"].as_array().map(Vec::len)),
+        (0, Some(0)),
+        "{told}"
+    );
+    let drains = told["conductors"]
+        .as_object()
+        .expect("all")
+        .values()
+        .map(|told| told["drains"].as_u64());
     assert!(drains.clone().all(|count| count == Some(1)), "{told}");
 }
 
@@ -132,7 +202,8 @@
                 None,
             );
             let socket = socket.expect("a socket");
-            let address = rustix::net::SocketAddrUnix::new(root.join("admin.sock")).expect("an address");
+            let address =
+                rustix::net::SocketAddrUnix::new(root.join("admin.sock")).expect("an address");
             match rustix::net::connect(&socket, &address) {
                 Ok(()) => open.push(socket),
                 Err(_) => break,
@@ -162,7 +233,10 @@
         Manner::SaysAGigabyte => stream.write_all(head(1 << 30).as_bytes()),
         Manner::Older => {
             let body = "{\"error\":\"GET /v1/status is not served here\"}";
-            let head = format!("HTTP/1.1 404 Not Found\r\ncontent-length: {}\r\n\r\n", body.len());
+            let head = format!(
+                "HTTP/1.1 404 Not Found\r\ncontent-length: {}\r\n\r\n",
+                body.len()
+            );
             stream.write_all(format!("{head}{body}").as_bytes())
         }
         Manner::Gigabyte => {
@@ -171,7 +245,10 @@
             Ok(())
         }
     };
-    if !matches!(manner, Manner::ClosesHalfWay | Manner::Garbage | Manner::NoJson | Manner::Older) {
+    if !matches!(
+        manner,
+        Manner::ClosesHalfWay | Manner::Garbage | Manner::NoJson | Manner::Older
+    ) {
         std::thread::sleep(Duration::from_secs(5));
     }
 }
@@ -193,14 +270,21 @@
     let directory = tempfile::tempdir().expect("a directory");
     // It listens before its first turn is over, in which it writes and syncs what it keeps.
     let alone = file(directory.path(), &[("good", sound.path("tables"))]);
-    sound.until("it answers", |_| json(&alone, &["status"]).1["conductors"]["good"]["nodes"]["ready"] == 4);
+    sound.until("it answers", |_| {
+        json(&alone, &["status"]).1["conductors"]["good"]["nodes"]["ready"] == 4
+    });
     let root = directory.path().join("bad");
     let kept = stand_in(&root, manner);
-    let path = file(directory.path(), &[("bad", root), ("good", sound.path("tables"))]);
+    let path = file(
+        directory.path(),
+        &[("bad", root), ("good", sound.path("tables"))],
+    );
     let (code, told, took) = json(&path, &["status", "--within", "600ms"]);
     assert_eq!(code, 3, "{told}");
     assert!(took < Duration::from_millis(1500), "{took:?}");
-    let why = told["conductors"]["bad"]["failed"].as_str().unwrap_or_default();
+    let why = told["conductors"]["bad"]["failed"]
+        .as_str()
+        .unwrap_or_default();
     assert!(why.contains(said), "{told}");
     assert_eq!(told["conductors"]["good"]["nodes"]["ready"], 4, "{told}");
     drop(kept);
@@ -214,7 +298,10 @@
 
 impl Gateway {
     fn new(stage: &Stage) -> Gateway {
-        Gateway { stream: stage.stream("g1", "north"), sent: Instant::now() }
+        Gateway {
+            stream: stage.stream("g1", "north"),
+            sent: Instant::now(),
+        }
     }
 
     fn turn(&mut self, stage: &Stage) {
@@ -225,13 +312,25 @@
         let over = Span::from_seconds(self.sent.elapsed().as_secs_f64());
         self.sent = Instant::now();
         let met = |port: u16| NodeReport {
-            node: Some(wheelspread::ids::NodeId { address: [127, 0, 0, 1], port }),
+            node: Some(wheelspread::ids::NodeId {
+                address: [127, 0, 0, 1],
+                port,
+            }),
             succeeded: 5,
             ..NodeReport::default()
         };
-        let nodes = stage.held("g1").map_or(Vec::new(), |held| held.1.into_iter().map(met).collect());
-        let operation = OperationReport { operation: "quote".into(), nodes, ..OperationReport::default() };
-        let report = Report { over, operations: vec![operation] };
+        let nodes = stage
+            .held("g1")
+            .map_or(Vec::new(), |held| held.1.into_iter().map(met).collect());
+        let operation = OperationReport {
+            operation: "quote".into(),
+            nodes,
+            ..OperationReport::default()
+        };
+        let report = Report {
+            over,
+            operations: vec![operation],
+        };
         let message = common::encode(&loads::request(&report, |_| "north".to_string()));
         self.stream.connection.send(&message);
     }
@@ -259,18 +358,30 @@
     let (code, told, _) = tool.join().expect("it ran");
     assert_eq!(code, 0, "{told}");
     let line = told["waited"]["lines"][0].as_str().unwrap_or_default();
-    assert!(line.contains("quiet: 0 of 1 gateways name it, 0 tries reported by 1"), "{told}");
-    assert_eq!(stage.held("g1").map(|held| held.1), Some(vec![9201, 9203, 9204]));
+    assert!(
+        line.contains("quiet: 0 of 1 gateways name it, 0 tries reported by 1"),
+        "{told}"
+    );
+    assert_eq!(
+        stage.held("g1").map(|held| held.1),
+        Some(vec![9201, 9203, 9204])
+    );
     // It stays in force over a kill, from the first table on, and is taken back by order.
     stage.kill();
     stage.start();
     let mut gateway = Gateway::new(stage);
     for _ in 0..100 {
         gateway.turn(stage);
-        assert!(!stage.held("g1").expect("held").1.contains(&9202), "it came back by itself");
+        assert!(
+            !stage.held("g1").expect("held").1.contains(&9202),
+            "it came back by itself"
+        );
         std::thread::sleep(Duration::from_millis(10));
     }
-    let (code, told, _) = json(&path, &["undrain", "127.0.0.1:9202", "--by", "bob", "--wait"]);
+    let (code, told, _) = json(
+        &path,
+        &["undrain", "127.0.0.1:9202", "--by", "bob", "--wait"],
+    );
     assert_eq!(code, 0, "{told}");
     stage.until("it is back", |stage| {
         gateway.turn(stage);
@@ -292,12 +403,24 @@
         assert_eq!(fleet(&path, &["drain", &format!("127.0.0.1:{port}")]).0, 0);
     }
     let (code, told, _) = fleet(&path, &["drain", "127.0.0.1:9204"]);
-    assert!(code == 1 && told.contains("pool: no node would be left for `quote`"), "{told}");
+    assert!(
+        code == 1 && told.contains("pool: no node would be left for `quote`"),
+        "{told}"
+    );
     let (code, told, _) = fleet(&path, &["drain", "127.0.0.1:9204", "--force", "cold"]);
-    assert!(code == 1 && told.contains("pool:"), "another check is no override: {told}");
-    assert_eq!(fleet(&path, &["drain", "127.0.0.1:9204", "--force", "pool"]).0, 0);
+    assert!(
+        code == 1 && told.contains("pool:"),
+        "another check is no override: {told}"
+    );
+    assert_eq!(
+        fleet(&path, &["drain", "127.0.0.1:9204", "--force", "pool"]).0,
+        0
+    );
     assert!(stages[0].log().contains("an order overrides checks"));
-    for (node, said) in [("nonsense", "should be an address"), ("127.0.0.1:7", "is not listed")] {
+    for (node, said) in [
+        ("nonsense", "should be an address"),
+        ("127.0.0.1:7", "is not listed"),
+    ] {
         let (code, told, _) = fleet(&path, &["drain", node]);
         assert!(code == 1 && told.contains(said), "{told}");
     }
@@ -317,17 +440,38 @@
     let one = directory.path().join("one");
     std::fs::create_dir_all(&one).expect("made");
     let alone = file(&one, &roots[..1]);
-    assert_eq!(fleet(&alone, &["drain", "127.0.0.1:9203", "--by", "ada"]).0, 0);
+    assert_eq!(
+        fleet(&alone, &["drain", "127.0.0.1:9203", "--by", "ada"]).0,
+        0
+    );
     let (code, told, _) = fleet(&path, &["status"]);
-    assert!(code == 1 && told.contains("two minds: 127.0.0.1:9203: draining by order: c0"), "{told}");
+    assert!(
+        code == 1 && told.contains("two minds: 127.0.0.1:9203: draining by order: c0"),
+        "{told}"
+    );
     // Run again it reaches all.
-    assert_eq!(fleet(&path, &["drain", "127.0.0.1:9203", "--by", "ada"]).0, 0);
+    assert_eq!(
+        fleet(&path, &["drain", "127.0.0.1:9203", "--by", "ada"]).0,
+        0
+    );
     assert_eq!(fleet(&path, &["status"]).0, 0);
     // One is away while it is taken back by another, and comes back with the older order in force.
     stages[2].kill();
-    let (code, told, _) =
-        fleet(&path, &["undrain", "127.0.0.1:9203", "--by", "bob", "--order-within", "600ms"]);
-    assert!(code == 3 && told.contains("a part of the conductors only"), "{told}");
+    let (code, told, _) = fleet(
+        &path,
+        &[
+            "undrain",
+            "127.0.0.1:9203",
+            "--by",
+            "bob",
+            "--order-within",
+            "600ms",
+        ],
+    );
+    assert!(
+        code == 3 && told.contains("a part of the conductors only"),
+        "{told}"
+    );
     stages[2].start();
     let (code, told, _) = fleet(&path, &["status"]);
     assert!(code == 1 && told.contains("c2"), "{told}");
@@ -336,14 +480,24 @@
     assert_eq!(fleet(&path, &["status"]).0, 0);
     // An order that was given before the one in force changes nothing, wherever it comes late.
     let late = r#"{"id":"late","node":"127.0.0.1:9203","word":"drain","by":"ada","given_ms":5}"#;
-    let told = raw(&stages[1].path("tables/admin.sock"), "POST", "/v1/drains", late);
-    assert!(told.starts_with("HTTP/1.1 409") && told.contains("given later, goes before it"), "{told}");
+    let told = raw(
+        &stages[1].path("tables/admin.sock"),
+        "POST",
+        "/v1/drains",
+        late,
+    );
+    assert!(
+        told.starts_with("HTTP/1.1 409") && told.contains("given later, goes before it"),
+        "{told}"
+    );
 }
 
 fn raw(socket: &Path, method: &str, target: &str, body: &str) -> String {
     let mut stream = UnixStream::connect(socket).expect("it listens");
-    let head =
-        format!("{method} {target} HTTP/1.1\r\nhost: x\r\ncontent-length: {}\r\n\r\n{body}", body.len());
+    let head = format!(
+        "{method} {target} HTTP/1.1\r\nhost: x\r\ncontent-length: {}\r\n\r\n{body}",
+        body.len()
+    );
     stream.write_all(head.as_bytes()).expect("taken");
     let mut told = String::new();
     stream.read_to_string(&mut told).expect("answered");
@@ -353,8 +507,15 @@
 #[test]
 fn who_may_only_ask_can_not_order() {
     let mut stage = Stage::new();
-    let (authority, port) = (Authority::new(), wheelspread_drill::free_port().expect("a port"));
-    for (name, file) in [("localhost", "server"), ("desk", "desk"), ("guest", "guest")] {
+    let (authority, port) = (
+        Authority::new(),
+        wheelspread_drill::free_port().expect("a port"),
+    );
+    for (name, file) in [
+        ("localhost", "server"),
+        ("desk", "desk"),
+        ("guest", "guest"),
+    ] {
         let (certificate, key) = authority.issue(name);
         std::fs::write(stage.path(&format!("{file}.pem")), certificate).expect("written");
         std::fs::write(stage.path(&format!("{file}.key")), key).expect("written");
@@ -375,14 +536,18 @@
     let desk = |who: &str, arguments: &[&str]| {
         let path = stage.path(&format!("fleet-{who}.yaml"));
         let keys = format!("tls: {{servers: roots.pem, certificate: {who}.pem, key: {who}.key}}");
-        let place = format!("conductors: [{{name: c0, address: \"{port}\", server_name: localhost}}]");
+        let place =
+            format!("conductors: [{{name: c0, address: \"{port}\", server_name: localhost}}]");
         std::fs::write(&path, format!("{keys}\n{place}\norder_within: 2s\n")).expect("written");
         fleet(&path, arguments)
     };
     let (code, told, _) = desk("guest", &["status"]);
     assert!(code == 0 && told.contains("1 of 1 answered"), "{told}");
     let (code, told, _) = desk("guest", &["drain", "127.0.0.1:9203"]);
-    assert!(code == 1 && told.contains("may ask and not order"), "{told}");
+    assert!(
+        code == 1 && told.contains("may ask and not order"),
+        "{told}"
+    );
     let (code, told, _) = desk("desk", &["drain", "127.0.0.1:9203"]);
     assert!(code == 0, "{told}");
     // A certificate of somebody else's authority is not heard at all.
@@ -416,7 +581,8 @@
     let roots = directory.path().join("roots");
     for (name, stage) in ["c0", "c1"].into_iter().zip(&stages) {
         std::fs::create_dir_all(roots.join(name)).expect("made");
-        std::os::unix::fs::symlink(stage.path("tables"), roots.join(name).join("tables")).expect("linked");
+        std::os::unix::fs::symlink(stage.path("tables"), roots.join(name).join("tables"))
+            .expect("linked");
     }
     std::fs::create_dir_all(roots.join("nothing")).expect("made");
     let path = directory.path().join("fleet.yaml");
@@ -425,10 +591,17 @@
     assert!(code == 0 && told.contains("2 of 2 answered"), "{told}");
     stages[1].kill();
     let (code, told, _) = fleet(&path, &["status"]);
-    assert!(code == 3 && told.contains("1 of 2 answered") && told.contains("c1"), "{told}");
+    assert!(
+        code == 3 && told.contains("1 of 2 answered") && told.contains("c1"),
+        "{told}"
+    );
     // The same again and again, as a watcher has it.
     let (code, told, _) = fleet(&path, &["watch", "--every", "100ms", "--times", "2"]);
-    assert_eq!((code, told.matches("1 of 2 answered").count()), (3, 2), "{told}");
+    assert_eq!(
+        (code, told.matches("1 of 2 answered").count()),
+        (3, 2),
+        "{told}"
+    );
 }
 
 /// A drain, and one that is taken back, at a conductor that is killed at a named place and a tool that is killed
@@ -441,7 +614,16 @@
     let directory = tempfile::tempdir().expect("a directory");
     let path = file(directory.path(), &[("c0", stage.path("tables"))]);
     let tool = |stage: &mut Stage, word: &str, lives: Option<u64>| {
-        let order = [word, "127.0.0.1:9202", "--by", "ada", "--within", "300ms", "--order-within", "3s"];
+        let order = [
+            word,
+            "127.0.0.1:9202",
+            "--by",
+            "ada",
+            "--within",
+            "300ms",
+            "--order-within",
+            "3s",
+        ];
         let mut child = Command::new(PROGRAM)
             .arg("fleet")
             .arg(&path)
@@ -467,11 +649,21 @@
         if tool_lives.is_some() {
             tool(&mut stage, word, tool_lives);
         }
-        assert_eq!(tool(&mut stage, word, None), Some(0), "{faults} {word}\n{}", stage.log());
+        assert_eq!(
+            tool(&mut stage, word, None),
+            Some(0),
+            "{faults} {word}\n{}",
+            stage.log()
+        );
     }
     stage.kill();
     stage.start();
-    let told = raw(&stage.path("tables/admin.sock"), "GET", "/v1/where/127.0.0.1:9202", "");
+    let told = raw(
+        &stage.path("tables/admin.sock"),
+        "GET",
+        "/v1/where/127.0.0.1:9202",
+        "",
+    );
     assert!(
         told.contains("\"listing\":\"draining\"") && told.contains("\"word\":\"drain\""),
         "{faults}: {told}"
@@ -484,14 +676,23 @@
 #[test]
 fn no_order_is_lost_or_stands_twice_wherever_conductor_and_tool_are_killed() {
     let mut cases = Vec::new();
-    for point in ["store.begin", "store.half", "store.written", "store.synced", "store.told"] {
+    for point in [
+        "store.begin",
+        "store.half",
+        "store.written",
+        "store.synced",
+        "store.told",
+    ] {
         // The list is written at the start, then each of the three orders.
         for skipped in 0..4 {
             let lives = [None, Some(8), Some(20)][skipped % 3];
             cases.push((format!("{point}={skipped}*off->1*return(kill)->off"), lives));
         }
     }
-    let (next, killed) = (std::sync::atomic::AtomicUsize::new(0), std::sync::atomic::AtomicUsize::new(0));
+    let (next, killed) = (
+        std::sync::atomic::AtomicUsize::new(0),
+        std::sync::atomic::AtomicUsize::new(0),
+    );
     let one = std::sync::atomic::Ordering::Relaxed;
     std::thread::scope(|scope| {
         for _ in 0..5 {
@@ -503,5 +704,8 @@
         }
     });
     let killed = killed.into_inner();
-    assert!(killed >= 15, "{killed} came by the place where they were to be killed");
+    assert!(
+        killed >= 15,
+        "{killed} came by the place where they were to be killed"
+    );
 }
