--- a/crates/cli/tests/import.rs
+++ b/crates/cli/tests/import.rs
@@ -7,9 +7,15 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_wheelspread");
 
 fn run(arguments: &[&str]) -> (i32, String) {
-    let output = Command::new(PROGRAM).args(arguments).output().expect("it runs");
+    let output = Command::new(PROGRAM)
+        .args(arguments)
+        .output()
+        .expect("it runs");
     let text = [output.stdout, output.stderr].concat();
-    (output.status.code().unwrap_or(-1), String::from_utf8_lossy(&text).into_owned())
+    (
+        output.status.code().unwrap_or(-1),
+        String::from_utf8_lossy(&text).into_owned(),
+    )
 }
 
 fn sample(name: &str) -> String {
@@ -23,15 +29,29 @@
 fn what_is_written_is_a_file_that_a_conductor_takes(name: &str, pools: &[&str]) {
     let directory = tempfile::tempdir().expect("a directory");
     let out = directory.path().join("out").display().to_string();
-    let (code, told) = run(&["import", "nginx", &sample(name), "--out", &out, "--zone", "halle"]);
+    let (code, told) = run(&[
+        "import",
+        "nginx",
+        &sample(name),
+        "--out",
+        &out,
+        "--zone",
+        "halle",
+    ]);
     assert_eq!(code, 0, "{told}");
-    assert!(told.contains("not carried over:") && told.contains("to be looked at:"), "{told}");
+    assert!(
+        told.contains("not carried over:") && told.contains("to be looked at:"),
+        "{told}"
+    );
     for pool in pools {
         let file = format!("{out}/{pool}/conductor.yaml");
         let (code, told) = run(&["check", &file]);
         assert!(code == 0 && told.contains("nothing is wrong"), "{told}");
     }
-    assert_eq!(std::fs::read_dir(&out).expect("written").count(), pools.len());
+    assert_eq!(
+        std::fs::read_dir(&out).expect("written").count(),
+        pools.len()
+    );
     let (code, told) = run(&["import", "nginx", &sample(name), "--out", &out]);
     assert!(code == 2 && told.contains("is there already"), "{told}");
     assert_eq!(run(&["import", "nginx", &sample(name), "--strict"]).0, 1);
@@ -55,7 +75,11 @@
         assert!(code == 2 && told.contains(said), "{told}");
     }
     std::fs::write(&path, "events { }").expect("written");
-    assert_eq!(run(&["import", "nginx", &file, "--out", &out_text]).0, 1, "there is no pool in it");
+    assert_eq!(
+        run(&["import", "nginx", &file, "--out", &out_text]).0,
+        1,
+        "there is no pool in it"
+    );
     assert!(!out.exists());
     let (code, told) = run(&["import", "nginx", &format!("{file}.none")]);
     assert!(code == 2 && told.contains("nginx.conf.none"), "{told}");
--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -33,7 +33,12 @@
     second.say(json!({"index": 7, "snapshot": false, "endpoints": [entry("s2", "Gone")]}));
     proxy.until("s2:0");
     platform.signal(rustix::process::Signal::TERM);
-    let ended = platform.child.take().expect("it runs").wait().expect("it ends");
+    let ended = platform
+        .child
+        .take()
+        .expect("it runs")
+        .wait()
+        .expect("it ends");
     assert!(ended.success(), "{ended}");
 }
 
@@ -46,14 +51,21 @@
     let mut strange: Vec<Party> = Vec::new();
     let half = "*3\r\n$6\r\njoined\r\n$7\r\nside";
     let endless = format!("*9\r\n$4000\r\n{}", "x".repeat(3000));
-    for text in ["GET / HTTP/1.1\r\n\r\n", "*-1\r\n", "*1\r\n$9999999\r\n", half, &endless] {
+    for text in [
+        "GET / HTTP/1.1\r\n\r\n",
+        "*-1\r\n",
+        "*1\r\n$9999999\r\n",
+        half,
+        &endless,
+    ] {
         let mut party = Party::dial(platform.listen);
         party.stream.write_all(text.as_bytes()).expect("it reads");
         strange.push(party);
     }
-    for text in
-        ["joined sidecar 8 az a share 1 standing 1", "usage sidecar 1 kind lookup n 1 bad 0 window 1000"]
-    {
+    for text in [
+        "joined sidecar 8 az a share 1 standing 1",
+        "usage sidecar 1 kind lookup n 1 bad 0 window 1000",
+    ] {
         let mut party = Party::dial(platform.listen);
         party.say(text);
         strange.push(party);
@@ -62,10 +74,20 @@
     for (at, proxy) in proxies.iter_mut().enumerate() {
         proxy.say(&format!("joined sidecar {at} az a share 12.5 standing 1"));
     }
-    proxies.iter_mut().for_each(|proxy| _ = proxy.until("replace 1"));
-    strange.iter_mut().for_each(|party| assert_eq!(party.hear(), None));
-    silent.iter_mut().for_each(|party| assert_eq!(party.hear(), None));
-    assert!(begin.elapsed() < Duration::from_secs(3), "after {:?}", begin.elapsed());
+    proxies
+        .iter_mut()
+        .for_each(|proxy| _ = proxy.until("replace 1"));
+    strange
+        .iter_mut()
+        .for_each(|party| assert_eq!(party.hear(), None));
+    silent
+        .iter_mut()
+        .for_each(|party| assert_eq!(party.hear(), None));
+    assert!(
+        begin.elapsed() < Duration::from_secs(3),
+        "after {:?}",
+        begin.elapsed()
+    );
     proxies[0].say("ping");
     proxies[0].until("pong");
 }
--- a/crates/cli/tests/proxy.rs
+++ b/crates/cli/tests/proxy.rs
@@ -43,7 +43,9 @@
     /// A proxy that goes by what is swapped into a directory; no conductor is there.
     fn new(more: &str, lines: &[(SocketAddrV4, f64)], retry: Retry) -> Stage {
         let directory = tempfile::tempdir().expect("a directory");
-        Root::new(directory.path().join("tables")).prepare().expect("made");
+        Root::new(directory.path().join("tables"))
+            .prepare()
+            .expect("made");
         let address = free();
         let text = format!(
             "proxy: {{name: g1, zone: north, listen: \"{address}\", seed: 11}}\n\
@@ -55,7 +57,13 @@
         );
         std::fs::write(directory.path().join("proxy.yaml"), text).expect("written");
         let plan: Deployment = serde_json::from_str(PLAN).expect("a plan");
-        let mut stage = Stage { child: start(&directory), directory, address, version: 0, plan };
+        let mut stage = Stage {
+            child: start(&directory),
+            directory,
+            address,
+            version: 0,
+            plan,
+        };
         stage.publish(lines, retry, None);
         stage.wait();
         stage
@@ -72,7 +80,10 @@
     fn publish(&mut self, lines: &[(SocketAddrV4, f64)], retry: Retry, quota: Option<f64>) {
         self.version += 1;
         let line = |(address, weight): &(SocketAddrV4, f64)| Line {
-            node: NodeId { address: address.ip().octets(), port: address.port() },
+            node: NodeId {
+                address: address.ip().octets(),
+                port: address.port(),
+            },
             zone: "north".to_string(),
             weight: *weight,
         };
@@ -90,7 +101,9 @@
             operations: vec![table(0), table(1)],
         };
         let documents = tables::write(&set, &self.plan).expect("written");
-        Swap::new(&self.root(), set.version, &documents, "g1").run().expect("swapped");
+        Swap::new(&self.root(), set.version, &documents, "g1")
+            .run()
+            .expect("swapped");
     }
 
     /// Until the proxy says that it holds what was published last.
@@ -101,7 +114,11 @@
             Some(status::read(&text).ok()?.version.0)
         };
         while holds() != Some(self.version) {
-            assert!(begin.elapsed() < Duration::from_secs(10), "it holds {:?}", holds());
+            assert!(
+                begin.elapsed() < Duration::from_secs(10),
+                "it holds {:?}",
+                holds()
+            );
             std::thread::sleep(Duration::from_millis(5));
         }
     }
@@ -109,12 +126,22 @@
     fn load(&self, operation: &str, connections: usize, invocations: u64, from: u64) -> Loaded {
         let at_most = Span::from_seconds(120.0);
         let target = self.address;
-        load(Load { target, operation, connections, invocations, at_most, from }).expect("all have an end")
+        load(Load {
+            target,
+            operation,
+            connections,
+            invocations,
+            at_most,
+            from,
+        })
+        .expect("all have an end")
     }
 
     fn client(&self) -> TcpStream {
         let stream = TcpStream::connect(self.address).expect("it listens");
-        stream.set_read_timeout(Some(Duration::from_secs(10))).expect("set");
+        stream
+            .set_read_timeout(Some(Duration::from_secs(10)))
+            .expect("set");
         stream
     }
 
@@ -122,7 +149,9 @@
     fn talk(&self, bytes: &[u8]) -> String {
         let mut stream = self.client();
         stream.write_all(bytes).expect("sent");
-        stream.set_read_timeout(Some(Duration::from_millis(900))).expect("set");
+        stream
+            .set_read_timeout(Some(Duration::from_millis(900)))
+            .expect("set");
         let mut answer = Vec::new();
         let _ = stream.read_to_end(&mut answer);
         String::from_utf8_lossy(&answer).into_owned()
@@ -146,7 +175,11 @@
 }
 
 fn even(nodes: &FastNodes) -> Vec<(SocketAddrV4, f64)> {
-    nodes.addresses.iter().map(|address| (*address, 1.0)).collect()
+    nodes
+        .addresses
+        .iter()
+        .map(|address| (*address, 1.0))
+        .collect()
 }
 
 #[test]
@@ -154,7 +187,11 @@
     let nodes = FastNodes::start(6, false, 1).expect("nodes");
     let weights = [1.0, 2.0, 3.0, 5.0, 8.0, 13.0];
     let lines: Vec<_> = nodes.addresses.iter().copied().zip(weights).collect();
-    let mut stage = Stage::new("avoid: {after_errors: 0}", &lines, Retry::AfterProofItNeverRan);
+    let mut stage = Stage::new(
+        "avoid: {after_errors: 0}",
+        &lines,
+        Retry::AfterProofItNeverRan,
+    );
     let mut last = vec![0; 6];
     let mut judge = |weights: &[f64], first_tries: f64| {
         let executed = nodes.seen().executed;
@@ -164,7 +201,10 @@
             // Two percent, or what chance does to the smallest share (three standard deviations).
             let wanted = weight / sum;
             let off = (wanted * 0.02).max(3.0 * (wanted * (1.0 - wanted) / first_tries).sqrt());
-            assert!((share - wanted).abs() <= off, "seed 11, node {node}: {share:.4} for {wanted:.4}");
+            assert!(
+                (share - wanted).abs() <= off,
+                "seed 11, node {node}: {share:.4} for {wanted:.4}"
+            );
         }
         last = executed;
     };
@@ -203,22 +243,41 @@
         std::thread::sleep(Duration::from_millis(15));
     }
     let loaded = under_load.join().expect("it ends");
-    assert_eq!(loaded.answers.get(&200), Some(&40_000), "{:?}", loaded.answers);
+    assert_eq!(
+        loaded.answers.get(&200),
+        Some(&40_000),
+        "{:?}",
+        loaded.answers
+    );
     stage.publish(&even(&nodes)[..1], Retry::AfterProofItNeverRan, None);
     stage.wait();
     let before = nodes.seen().executed;
     stage.load("quote", 8, 1000, 0);
     let after = nodes.seen().executed;
-    assert_eq!((after[0] - before[0], &after[1..]), (1000, &before[1..]), "nothing goes to a node that left");
+    assert_eq!(
+        (after[0] - before[0], &after[1..]),
+        (1000, &before[1..]),
+        "nothing goes to a node that left"
+    );
 }
 
 #[test]
 fn what_has_effects_is_never_repeated_after_it_may_have_run() {
     let nodes = FastNodes::start(4, true, 5).expect("nodes");
-    let faults = Faults { reset: 0.02, silent: 0.0005, error: 0.05, refuse: 0.05, close: 0.05 };
+    let faults = Faults {
+        reset: 0.02,
+        silent: 0.0005,
+        error: 0.05,
+        refuse: 0.05,
+        close: 0.05,
+    };
     (0..4).for_each(|node| nodes.set_faults(node, faults));
     // Tables order repeats after any failure, as for another operation: the proxy knows better.
-    let stage = Stage::new("avoid: {after_errors: 0}", &even(&nodes), Retry::TwiceAfterAnyFailure);
+    let stage = Stage::new(
+        "avoid: {after_errors: 0}",
+        &even(&nodes),
+        Retry::TwiceAfterAnyFailure,
+    );
     let loaded = stage.load("book", 64, 30_000, 0);
     let effects = nodes.seen().effects;
     assert_eq!(effects.values().filter(|count| **count > 1).count(), 0);
@@ -239,9 +298,18 @@
 #[test]
 fn a_node_whose_answers_vanish_is_shunned_and_comes_back_by_trial() {
     let nodes = FastNodes::start(3, false, 5).expect("nodes");
-    nodes.set_faults(0, Faults { silent: 1.0, ..Faults::default() });
-    let stage =
-        Stage::new("avoid: {after_errors: 3, span: 700ms}", &even(&nodes), Retry::OnceAfterAnyFailure);
+    nodes.set_faults(
+        0,
+        Faults {
+            silent: 1.0,
+            ..Faults::default()
+        },
+    );
+    let stage = Stage::new(
+        "avoid: {after_errors: 3, span: 700ms}",
+        &even(&nodes),
+        Retry::OnceAfterAnyFailure,
+    );
     stage.load("quote", 4, 2000, 0);
     let shunned = nodes.seen().executed[0];
     assert!((3..40).contains(&shunned), "{shunned} of 2000 went there");
@@ -256,19 +324,27 @@
 fn nodes_that_refuse_connections_weights_of_nothing_and_a_thousand_lines() {
     let nodes = FastNodes::start(2, false, 5).expect("nodes");
     let mut lines = even(&nodes);
-    let dead: Vec<_> =
-        (0..1000).map(|_| (SocketAddrV4::new(Ipv4Addr::new(127, 9, 9, 9), 9), 0.002)).collect();
+    let dead: Vec<_> = (0..1000)
+        .map(|_| (SocketAddrV4::new(Ipv4Addr::new(127, 9, 9, 9), 9), 0.002))
+        .collect();
     lines.extend(
-        dead.into_iter()
-            .enumerate()
-            .map(|(at, (address, weight))| (SocketAddrV4::new(*address.ip(), 1 + at as u16), weight)),
+        dead.into_iter().enumerate().map(|(at, (address, weight))| {
+            (SocketAddrV4::new(*address.ip(), 1 + at as u16), weight)
+        }),
     );
     let mut stage = Stage::new("", &lines, Retry::AfterProofItNeverRan);
     let loaded = stage.load("quote", 8, 4000, 0);
     // Half of the weight is at nodes that refuse: nearly all is made good by one more try.
     let succeeded = loaded.answers.get(&200).copied().unwrap_or(0);
     assert!(succeeded > 2600, "{:?}", loaded.answers);
-    assert!(loaded.answers.keys().all(|status| [200, 502].contains(status)), "{:?}", loaded.answers);
+    assert!(
+        loaded
+            .answers
+            .keys()
+            .all(|status| [200, 502].contains(status)),
+        "{:?}",
+        loaded.answers
+    );
     stage.publish(&[], Retry::Never, None);
     stage.wait();
     assert!(stage
@@ -278,7 +354,10 @@
     stage.publish(&even(&nodes), Retry::Never, Some(0.0));
     stage.wait();
     let answer = stage.talk(b"GET /quote HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
-    assert!(answer.starts_with("HTTP/1.1 429") && answer.contains("Retry-After: 1"), "{answer}");
+    assert!(
+        answer.starts_with("HTTP/1.1 429") && answer.contains("Retry-After: 1"),
+        "{answer}"
+    );
 }
 
 #[test]
@@ -286,25 +365,42 @@
     let nodes = FastNodes::start(2, false, 5).expect("nodes");
     let stage = Stage::new("", &even(&nodes), Retry::Never);
     let root = stage.root();
-    let held = read_tables(&root.gateway("g1")).expect("whole").expect("there");
+    let held = read_tables(&root.gateway("g1"))
+        .expect("whole")
+        .expect("there");
     let torn = root.version(Version(7));
     std::fs::create_dir_all(&torn).expect("made");
     std::fs::write(torn.join("eds.json"), "{\"versionInfo\": \"7\", \"reso").expect("torn");
     std::fs::write(torn.join("rds.json"), "{}").expect("written");
-    std::os::unix::fs::symlink("../../versions/000000000007", root.gateway("g1").join("next")).expect("made");
-    std::fs::rename(root.gateway("g1").join("next"), root.gateway("g1").join("current")).expect("swapped");
+    std::os::unix::fs::symlink(
+        "../../versions/000000000007",
+        root.gateway("g1").join("next"),
+    )
+    .expect("made");
+    std::fs::rename(
+        root.gateway("g1").join("next"),
+        root.gateway("g1").join("current"),
+    )
+    .expect("swapped");
     let begin = Instant::now();
     loop {
         let text = std::fs::read_to_string(root.status("g1")).expect("there");
         let told = status::read(&text).expect("whole");
         if let Some((version, reason)) = told.refused {
-            assert_eq!((version, told.version), (Version(7), held.orders.version), "{reason}");
+            assert_eq!(
+                (version, told.version),
+                (Version(7), held.orders.version),
+                "{reason}"
+            );
             break;
         }
         assert!(begin.elapsed() < Duration::from_secs(10));
         std::thread::sleep(Duration::from_millis(5));
     }
-    assert_eq!(stage.load("quote", 4, 500, 0).answers, BTreeMap::from([(200, 500)]));
+    assert_eq!(
+        stage.load("quote", 4, 500, 0).answers,
+        BTreeMap::from([(200, 500)])
+    );
 }
 
 #[test_case("POST /quote HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400; "both framings")]
@@ -318,23 +414,37 @@
     let stage = Stage::new("", &even(&nodes), Retry::Never);
     // A request that would be smuggled behind it must not reach the node.
     let answer = stage.talk(format!("{text}GET /quote HTTP/1.1\r\nHost: b\r\n\r\n").as_bytes());
-    assert!(answer.starts_with(&format!("HTTP/1.1 {status} ")), "{answer}");
-    assert_eq!((answer.matches("HTTP/1.1").count(), nodes.seen().executed[0]), (1, 0), "{answer}");
+    assert!(
+        answer.starts_with(&format!("HTTP/1.1 {status} ")),
+        "{answer}"
+    );
+    assert_eq!(
+        (answer.matches("HTTP/1.1").count(), nodes.seen().executed[0]),
+        (1, 0),
+        "{answer}"
+    );
     assert!(answer.contains("Connection: close"));
-    let long = format!("GET /quote HTTP/1.1\r\nHost: a\r\nX: {}\r\n\r\n", "y".repeat(20_000));
+    let long = format!(
+        "GET /quote HTTP/1.1\r\nHost: a\r\nX: {}\r\n\r\n",
+        "y".repeat(20_000)
+    );
     assert!(stage.talk(long.as_bytes()).starts_with("HTTP/1.1 431 "));
 }
 
 /// A node that the test plays by hand.
 fn by_hand(retry: Retry) -> (TcpListener, Stage) {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
-    let std::net::SocketAddr::V4(address) = listener.local_addr().expect("bound") else { panic!("IPv4") };
+    let std::net::SocketAddr::V4(address) = listener.local_addr().expect("bound") else {
+        panic!("IPv4")
+    };
     let stage = Stage::new("sizes: {connections_per_node: 4}", &[(address, 1.0)], retry);
     (listener, stage)
 }
 
 fn read_until(stream: &mut TcpStream, end: &str) -> String {
-    stream.set_read_timeout(Some(Duration::from_secs(5))).expect("set");
+    stream
+        .set_read_timeout(Some(Duration::from_secs(5)))
+        .expect("set");
     let (mut text, mut byte) = (Vec::new(), [0u8; 1]);
     while !text.ends_with(end.as_bytes()) {
         match stream.read(&mut byte) {
@@ -362,15 +472,18 @@
     let (mut node, _) = listener.accept().expect("dialled");
     let request = read_until(&mut node, "0\r\n\r\n");
     assert!(
-        request.ends_with("\r\n\r\n4\r\nwhol\r\n1\r\ne\r\n0\r\n\r\n") && !request.contains("Expect"),
+        request.ends_with("\r\n\r\n4\r\nwhol\r\n1\r\ne\r\n0\r\n\r\n")
+            && !request.contains("Expect"),
         "{request}"
     );
     // An answer much longer than what is held, taken slowly: nothing of it is lost.
     let long = vec![b'x'; 3_000_000];
     let expected = long.len();
     let sender = std::thread::spawn(move || {
-        node.write_all(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", long.len()).as_bytes())
-            .expect("sent");
+        node.write_all(
+            format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", long.len()).as_bytes(),
+        )
+        .expect("sent");
         node.write_all(&long).expect("taken in time");
         node
     });
@@ -382,10 +495,15 @@
     }
     let mut node = sender.join().expect("sent");
     // A second request on both connections, from a client that ends its side meanwhile.
-    client.write_all(b"GET /quote HTTP/1.1\r\nHost: a\r\n\r\n").expect("sent");
-    client.shutdown(std::net::Shutdown::Write).expect("half closed");
+    client
+        .write_all(b"GET /quote HTTP/1.1\r\nHost: a\r\n\r\n")
+        .expect("sent");
+    client
+        .shutdown(std::net::Shutdown::Write)
+        .expect("half closed");
     assert!(read_until(&mut node, "\r\n\r\n").starts_with("GET /quote"));
-    node.write_all(b"HTTP/1.1 200 OK\r\n\r\nuntil the end").expect("sent");
+    node.write_all(b"HTTP/1.1 200 OK\r\n\r\nuntil the end")
+        .expect("sent");
     drop(node);
     let mut rest = String::new();
     client.read_to_string(&mut rest).expect("the end");
@@ -396,13 +514,16 @@
 fn a_pooled_connection_closed_under_an_invocation_is_told_from_one_that_took_it() {
     let (listener, stage) = by_hand(Retry::AfterProofItNeverRan);
     let ask = |client: &mut TcpStream| {
-        client.write_all(b"GET /book HTTP/1.1\r\nHost: a\r\nx-request-id: 1\r\n\r\n").expect("sent");
+        client
+            .write_all(b"GET /book HTTP/1.1\r\nHost: a\r\nx-request-id: 1\r\n\r\n")
+            .expect("sent");
     };
     let mut client = stage.client();
     ask(&mut client);
     let (mut node, _) = listener.accept().expect("dialled");
     read_until(&mut node, "\r\n\r\n");
-    node.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").expect("sent");
+    node.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+        .expect("sent");
     read_until(&mut client, "\r\n\r\n");
     // Closed while idle: seen before anything is written, so the next goes by a new connection.
     drop(node);
@@ -410,7 +531,8 @@
     ask(&mut client);
     let (mut node, _) = listener.accept().expect("dialled anew");
     read_until(&mut node, "\r\n\r\n");
-    node.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").expect("sent");
+    node.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+        .expect("sent");
     read_until(&mut client, "\r\n\r\n");
     // Closed after it was written and before an answer: it may have run, and is not made again.
     ask(&mut client);
@@ -426,17 +548,27 @@
 fn a_client_that_goes_away_frees_its_node_and_a_slow_node_is_given_up_in_time() {
     let (listener, stage) = by_hand(Retry::Never);
     let mut client = stage.client();
-    client.write_all(b"GET /quote HTTP/1.1\r\nHost: a\r\n\r\n").expect("sent");
+    client
+        .write_all(b"GET /quote HTTP/1.1\r\nHost: a\r\n\r\n")
+        .expect("sent");
     let (mut node, _) = listener.accept().expect("dialled");
     read_until(&mut node, "\r\n\r\n");
     let gone = Arc::new(client);
     wheelspread_reactor::reset(Arc::try_unwrap(gone).expect("one holder"));
-    node.set_read_timeout(Some(Duration::from_secs(5))).expect("set");
-    assert!(matches!(node.read(&mut [0u8; 1]), Ok(0) | Err(_)), "the node sees that nobody waits");
+    node.set_read_timeout(Some(Duration::from_secs(5)))
+        .expect("set");
+    assert!(
+        matches!(node.read(&mut [0u8; 1]), Ok(0) | Err(_)),
+        "the node sees that nobody waits"
+    );
     let begin = Instant::now();
     let answer = stage.talk(b"GET /quote HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
     assert!(answer.starts_with("HTTP/1.1 504 "), "{answer}");
-    assert!((500..900).contains(&begin.elapsed().as_millis()), "{:?}", begin.elapsed());
+    assert!(
+        (500..900).contains(&begin.elapsed().as_millis()),
+        "{:?}",
+        begin.elapsed()
+    );
     // A request that stops half-way is let go, though not at once.
     let mut slow = stage.client();
     slow.write_all(b"GET /quote HTTP/1.1\r\nHo").expect("sent");
--- a/crates/cli/tests/streams.rs
+++ b/crates/cli/tests/streams.rs
@@ -14,10 +14,17 @@
 
 fn tables(stage: &Stage, arguments: &[&str]) -> (i32, String) {
     let mut command = Command::new(PROGRAM);
-    command.arg("tables").arg("--at").arg(stage.path("tables")).args(arguments);
+    command
+        .arg("tables")
+        .arg("--at")
+        .arg(stage.path("tables"))
+        .args(arguments);
     let output = command.output().expect("it runs");
     let text = [output.stdout, output.stderr].concat();
-    (output.status.code().unwrap_or(-1), String::from_utf8_lossy(&text).into_owned())
+    (
+        output.status.code().unwrap_or(-1),
+        String::from_utf8_lossy(&text).into_owned(),
+    )
 }
 
 fn started(ports: &[u16]) -> Stage {
@@ -43,13 +50,26 @@
         !ports.contains(&9002) && ports.contains(&9004)
     });
     assert!(took < Duration::from_secs(2), "{took:?}");
-    assert!(!stage.gateway("x1").join("current").exists(), "no files are written for it");
+    assert!(
+        !stage.gateway("x1").join("current").exists(),
+        "no files are written for it"
+    );
     let (code, text) = tables(&stage, &[]);
-    let line = text.lines().find(|line| line.starts_with("x1")).unwrap_or("").to_string();
-    assert!(code == 0 && line.contains("stream") && line.contains(&client.version().to_string()), "{text}");
+    let line = text
+        .lines()
+        .find(|line| line.starts_with("x1"))
+        .unwrap_or("")
+        .to_string();
+    assert!(
+        code == 0 && line.contains("stream") && line.contains(&client.version().to_string()),
+        "{text}"
+    );
     // Back to the first: the drained node stays out, and it is said.
     let (code, text) = tables(&stage, &["back", "0", &first.to_string()]);
-    assert!(code == 0 && text.contains("left out: 127.0.0.1:9002 (drains)"), "{code} {text}");
+    assert!(
+        code == 0 && text.contains("left out: 127.0.0.1:9002 (drains)"),
+        "{code} {text}"
+    );
     let before = client.version();
     stage.until("another version", |_| {
         client.turn();
@@ -77,7 +97,9 @@
     while client.over.is_none() && end.elapsed() < Duration::from_secs(5) {
         client.turn();
     }
-    assert!(client.over.is_some_and(|reason| reason.contains("the conductor stops")));
+    assert!(client
+        .over
+        .is_some_and(|reason| reason.contains("the conductor stops")));
 }
 
 #[test]
@@ -89,16 +111,21 @@
         client.ports().len() == 2
     });
     let sound = |stage: &Stage| {
-        let verified =
-            Command::new(PROGRAM).args(["state", "verify"]).arg(stage.path("tables/state")).output();
+        let verified = Command::new(PROGRAM)
+            .args(["state", "verify"])
+            .arg(stage.path("tables/state"))
+            .output();
         String::from_utf8_lossy(&verified.expect("it runs").stdout).contains("1 commits")
     };
     stage.until("a version that is kept", |stage| sound(stage));
     let held = client.version();
     stage.kill();
     // Half of a commit that was under way when it was killed.
-    let torn = std::fs::File::options().append(true).open(stage.path("tables/state"));
-    std::io::Write::write_all(&mut torn.expect("it is there"), &[9, 0, 0, 0, 1, 2]).expect("written");
+    let torn = std::fs::File::options()
+        .append(true)
+        .open(stage.path("tables/state"));
+    std::io::Write::write_all(&mut torn.expect("it is there"), &[9, 0, 0, 0, 1, 2])
+        .expect("written");
     stage.start();
     let mut fresh = Client::dial(&stage, "x2", "north");
     stage.until("tables of the new run", |_| {
@@ -106,20 +133,34 @@
         fresh.ports().len() == 2
     });
     assert!(fresh.version() > held, "{} after {held}", fresh.version());
-    assert!(stage.log().contains("the last commit of the state was torn"), "{}", stage.log());
+    assert!(
+        stage
+            .log()
+            .contains("the last commit of the state was torn"),
+        "{}",
+        stage.log()
+    );
     // A file of a program to come is not written over.
     stage.kill();
     std::fs::write(stage.path("tables/state"), "wheelspread-state 9\n").expect("written");
-    let refused =
-        Command::new(PROGRAM).arg("run").arg(stage.path("conductor.yaml")).output().expect("it runs");
+    let refused = Command::new(PROGRAM)
+        .arg("run")
+        .arg(stage.path("conductor.yaml"))
+        .output()
+        .expect("it runs");
     let said = String::from_utf8_lossy(&refused.stderr).into_owned();
-    assert!(!refused.status.success() && said.contains("is of format 9"), "{said}");
+    assert!(
+        !refused.status.success() && said.contains("is of format 9"),
+        "{said}"
+    );
 }
 
 #[test]
 fn what_all_refuse_is_known_held_back_and_stops_nobody_from_draining() {
     let mut stage = started(&[9001, 9002, 9003, 9004]);
-    let mut clients: Vec<Client> = (0..4).map(|n| Client::dial(&stage, &format!("x{n}"), "north")).collect();
+    let mut clients: Vec<Client> = (0..4)
+        .map(|n| Client::dial(&stage, &format!("x{n}"), "north"))
+        .collect();
     stage.until("tables", |_| {
         clients.iter_mut().for_each(Client::turn);
         clients.iter().all(|client| client.ports().len() == 4)
@@ -135,12 +176,26 @@
             std::thread::sleep(Duration::from_millis(2));
         }
     }
-    assert!(stage.log().contains("most refuse this table"), "{}", stage.log());
+    assert!(
+        stage.log().contains("most refuse this table"),
+        "{}",
+        stage.log()
+    );
     assert!(stage.log().contains("it does not please"));
-    assert!(clients.iter().all(|client| client.ports().len() == 4), "they keep what they held");
+    assert!(
+        clients.iter().all(|client| client.ports().len() == 4),
+        "they keep what they held"
+    );
     let (_, text) = tables(&stage, &["--json"]);
     let told: serde_json::Value = serde_json::from_str(&text).expect("JSON");
-    assert!(told["gateways"].as_array().expect("gateways").iter().all(|g| g["refused"].is_u64()), "{told}");
+    assert!(
+        told["gateways"]
+            .as_array()
+            .expect("gateways")
+            .iter()
+            .all(|g| g["refused"].is_u64()),
+        "{told}"
+    );
     // Held back or not, a drain goes out at once.
     clients.iter_mut().for_each(|client| client.refuses = false);
     stage.list(&ports, &[9001]);
@@ -153,8 +208,14 @@
 
 fn memory(pid: u32) -> u64 {
     let text = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
-    let line = text.lines().find(|line| line.starts_with("VmRSS:")).unwrap_or("");
-    line.split_whitespace().nth(1).and_then(|kib| kib.parse().ok()).unwrap_or(0)
+    let line = text
+        .lines()
+        .find(|line| line.starts_with("VmRSS:"))
+        .unwrap_or("");
+    line.split_whitespace()
+        .nth(1)
+        .and_then(|kib| kib.parse().ok())
+        .unwrap_or(0)
 }
 
 #[test]
@@ -163,16 +224,26 @@
     let mut stage = Stage::new();
     let file = std::fs::read_to_string(stage.path("conductor.yaml")).expect("written");
     // All 21 may have their 400 lines under way at once.
-    let file = file.replace("lines_waiting_at_most: 1000", "lines_waiting_at_most: 50000");
-    std::fs::write(stage.path("conductor.yaml"), file.replace("second: 5000", "second: 100000"))
-        .expect("written");
+    let file = file.replace(
+        "lines_waiting_at_most: 1000",
+        "lines_waiting_at_most: 50000",
+    );
+    std::fs::write(
+        stage.path("conductor.yaml"),
+        file.replace("second: 5000", "second: 100000"),
+    )
+    .expect("written");
     stage.list(&ports, &[]);
     stage.start();
-    let mut stalled: Vec<Client> = (0..20).map(|n| Client::dial(&stage, &format!("s{n}"), "north")).collect();
+    let mut stalled: Vec<Client> = (0..20)
+        .map(|n| Client::dial(&stage, &format!("s{n}"), "north"))
+        .collect();
     let mut client = Client::dial(&stage, "x1", "north");
     // They say hello and are never heard of again; their sockets fill up.
     stage.until("hello", |_| {
-        stalled.iter_mut().for_each(|stalled| drop(stalled.connection.turn(reactor::now())));
+        stalled
+            .iter_mut()
+            .for_each(|stalled| drop(stalled.connection.turn(reactor::now())));
         for stalled in stalled.iter_mut().filter(|stalled| stalled.silent) {
             for ask in stalled.reader.hello() {
                 let who = std::mem::take(&mut stalled.silent).then_some(&stalled.who);
@@ -233,7 +304,12 @@
         }
         told.iter().all(Option::is_some)
     });
-    assert!(told[3].as_ref().is_some_and(|text| text.contains("names no node")), "{told:?}");
+    assert!(
+        told[3]
+            .as_ref()
+            .is_some_and(|text| text.contains("names no node")),
+        "{told:?}"
+    );
     // Raw bytes that are no HTTP/2 at all, and a thousand connections that come and go.
     for round in 0..1000 {
         let mut socket = std::net::TcpStream::connect(stage.listen).expect("dials");
@@ -270,14 +346,16 @@
         certificate: put("client.pem", &certificate),
         key: put("client.key", &key),
     });
-    let plan = wheelspread_grpc::tls::client(&put("client-roots.pem", &roots.0.pem()), keys.as_ref());
+    let plan =
+        wheelspread_grpc::tls::client(&put("client-roots.pem", &roots.0.pem()), keys.as_ref());
     let socket = reactor::connect(stage.listen.ip().octets(), stage.listen.port()).expect("dials");
     let server = wheelspread_grpc::ServerName::try_from("conductor").expect("a name");
     let (now, path) = (reactor::now(), discovery::DELTA);
     let plan = plan.expect("keys that fit");
     let mut client = Client::dial(stage, name, "north");
     client.connection =
-        ClientConnection::secured(now, socket, path, Limits::default(), plan, server).expect("begins");
+        ClientConnection::secured(now, socket, path, Limits::default(), plan, server)
+            .expect("begins");
     client
 }
 
@@ -299,16 +377,29 @@
     });
     // Another's name, no key, a key of somebody else, a conductor that it can't believe, no TLS at all.
     let mut strangers = [
-        (secured(&stage, "x2", &authority, Some(authority.issue("x9"))), "not one for `x2`"),
+        (
+            secured(&stage, "x2", &authority, Some(authority.issue("x9"))),
+            "not one for `x2`",
+        ),
         (secured(&stage, "x3", &authority, None), ""),
-        (secured(&stage, "x4", &authority, Some(other.issue("x4"))), ""),
-        (secured(&stage, "x5", &other, Some(authority.issue("x5"))), ""),
+        (
+            secured(&stage, "x4", &authority, Some(other.issue("x4"))),
+            "",
+        ),
+        (
+            secured(&stage, "x5", &other, Some(authority.issue("x5"))),
+            "",
+        ),
         (Client::dial(&stage, "x6", "north"), ""),
     ];
     stage.until("all turned away", |_| {
         client.turn();
-        strangers.iter_mut().for_each(|(stranger, _)| stranger.turn());
-        strangers.iter().all(|(stranger, _)| stranger.over.is_some())
+        strangers
+            .iter_mut()
+            .for_each(|(stranger, _)| stranger.turn());
+        strangers
+            .iter()
+            .all(|(stranger, _)| stranger.over.is_some())
     });
     for (stranger, said) in &strangers {
         assert!(stranger.orders.is_none());
@@ -318,7 +409,9 @@
     // A certificate that was swapped in before its key is not taken; both together are.
     let (certificate, key) = other.issue("conductor");
     common::write(&stage.path("server.pem"), &certificate);
-    stage.until("a pair that does not fit", |stage| stage.log().contains("keys not renewed"));
+    stage.until("a pair that does not fit", |stage| {
+        stage.log().contains("keys not renewed")
+    });
     common::write(&stage.path("server.key"), &key);
     stage.until("new keys", |stage| stage.log().contains("keys renewed"));
     let mut newer = secured(&stage, "x7", &other, Some(authority.issue("x7")));
@@ -354,14 +447,20 @@
     );
     put(&stage, "proxy.yaml", &text);
     let log = std::fs::File::create(stage.path("proxy.log")).expect("a log");
-    let child = Command::new(PROGRAM).arg("proxy").arg(stage.path("proxy.yaml")).stderr(log).spawn();
+    let child = Command::new(PROGRAM)
+        .arg("proxy")
+        .arg(stage.path("proxy.yaml"))
+        .stderr(log)
+        .spawn();
     let mut child = child.expect("it starts");
     let begin = Instant::now();
     let holds = || {
         let (_, text) = tables(&stage, &["--json"]);
         let told: serde_json::Value = serde_json::from_str(&text).unwrap_or_default();
         let gateway = told["gateways"].get(0).cloned().unwrap_or_default();
-        gateway["front"] == "stream" && gateway["holds"].is_u64() && gateway["holds"] == gateway["newest"]
+        gateway["front"] == "stream"
+            && gateway["holds"].is_u64()
+            && gateway["holds"] == gateway["newest"]
     };
     let mut held = false;
     while !held && begin.elapsed() < Duration::from_secs(10) {
--- a/crates/conductor/src/admin.rs
+++ b/crates/conductor/src/admin.rs
@@ -135,7 +135,17 @@
             poll.add(socket, Token(listeners.0 + at as u64), Interest::Readable)?;
         }
         let callers = BTreeMap::new();
-        Ok(Admin { paths, unix, port, writers, callers, listeners, first, next: 0, orders: 0 })
+        Ok(Admin {
+            paths,
+            unix,
+            port,
+            writers,
+            callers,
+            listeners,
+            first,
+            next: 0,
+            orders: 0,
+        })
     }
 
     /// Whether a token is one of the ways in.
@@ -166,7 +176,10 @@
                 for stream in reactor::accept(listener).0 {
                     match TlsServer::new(tls.clone()) {
                         Ok(secured) => {
-                            come.push((Line::Tls(Box::new(Socket::tls(stream, secured))), Rights::ByName));
+                            come.push((
+                                Line::Tls(Box::new(Socket::tls(stream, secured))),
+                                Rights::ByName,
+                            ));
                         }
                         Err(error) => warn!(%error, "a caller is turned away"),
                     }
@@ -183,7 +196,15 @@
             };
             if self.callers.len() < MOST && poll.add(fd, token, Interest::Edges).is_ok() {
                 let (input, output) = (Vec::new(), Vec::new());
-                let caller = Caller { line, rights, input, output, since: now, order: None, answered: false };
+                let caller = Caller {
+                    line,
+                    rights,
+                    input,
+                    output,
+                    since: now,
+                    order: None,
+                    answered: false,
+                };
                 self.callers.insert(token, caller);
             }
         }
@@ -191,7 +212,9 @@
 
     /// A caller can be read or written; what it orders is observed by the session.
     pub fn turn(&mut self, now: Moment, token: Token, desk: &mut Desk) {
-        let Some(caller) = self.callers.get_mut(&token) else { return };
+        let Some(caller) = self.callers.get_mut(&token) else {
+            return;
+        };
         let open = caller.read();
         if !caller.answered && caller.order.is_none() {
             match ask(&caller.input) {
@@ -210,8 +233,19 @@
                     };
                     if orders(&asked) {
                         let who = caller.who();
-                        let body: String = String::from_utf8_lossy(&asked.body).chars().take(400).collect();
-                        info!(audit = true, order, who, target = asked.target, body, may, "order");
+                        let body: String = String::from_utf8_lossy(&asked.body)
+                            .chars()
+                            .take(400)
+                            .collect();
+                        info!(
+                            audit = true,
+                            order,
+                            who,
+                            target = asked.target,
+                            body,
+                            may,
+                            "order"
+                        );
                     }
                     let come = if may {
                         carry_out(now, &asked, order, desk)
@@ -232,7 +266,11 @@
                 Err(reason) => caller.answer(400, &json!({ "error": reason })),
             }
         }
-        if self.callers.get_mut(&token).is_some_and(|caller| caller.write() || !open && !caller.waits()) {
+        if self
+            .callers
+            .get_mut(&token)
+            .is_some_and(|caller| caller.write() || !open && !caller.waits())
+        {
             self.callers.remove(&token);
         }
     }
@@ -249,12 +287,24 @@
 
     /// What came of an order about a change.
     pub fn told(&mut self, order: u64, result: &Result<Answer, Refused>) {
-        self.end(order, result.as_ref().map(|answer| json!(answer)).map_err(Refused::to_string));
+        self.end(
+            order,
+            result
+                .as_ref()
+                .map(|answer| json!(answer))
+                .map_err(Refused::to_string),
+        );
     }
 
     /// What came of an order about a node.
     pub fn drained(&mut self, order: u64, result: &Result<Drain, String>) {
-        self.end(order, result.as_ref().map(|drain| json!(drain)).map_err(String::clone));
+        self.end(
+            order,
+            result
+                .as_ref()
+                .map(|drain| json!(drain))
+                .map_err(String::clone),
+        );
     }
 
     fn end(&mut self, order: u64, result: Result<Value, String>) {
@@ -262,7 +312,11 @@
             Ok(_) => info!(audit = true, order, "order taken"),
             Err(reason) => info!(audit = true, order, reason, "order refused"),
         }
-        let Some((token, caller)) = self.callers.iter_mut().find(|(_, c)| c.order == Some(order)) else {
+        let Some((token, caller)) = self
+            .callers
+            .iter_mut()
+            .find(|(_, c)| c.order == Some(order))
+        else {
             return;
         };
         match result {
@@ -277,7 +331,8 @@
 
     /// Lets go of callers that take too long.
     pub fn look(&mut self, now: Moment) {
-        self.callers.retain(|_, caller| now - caller.since < Span::from_seconds(PATIENCE));
+        self.callers
+            .retain(|_, caller| now - caller.since < Span::from_seconds(PATIENCE));
     }
 }
 
@@ -296,9 +351,12 @@
 
     /// Whether its certificate is one for any of these names.
     fn is_one_of(&self, names: &[String]) -> bool {
-        let Line::Tls(socket) = &self.line else { return false };
+        let Line::Tls(socket) = &self.line else {
+            return false;
+        };
         let peer = socket.peer();
-        peer.get().is_some_and(|certificate| names.iter().any(|name| speaks_for(certificate, name)))
+        peer.get()
+            .is_some_and(|certificate| names.iter().any(|name| speaks_for(certificate, name)))
     }
 
     /// Where it came in, for the audit.
@@ -373,9 +431,21 @@
     let length = match head.framing {
         Framing::None => 0,
         Framing::Length(length) if length <= LONGEST as u64 => length as usize,
-        _ => return Err(format!("a body of a stated length, {LONGEST} bytes at most, is expected")),
+        _ => {
+            return Err(format!(
+                "a body of a stated length, {LONGEST} bytes at most, is expected"
+            ))
+        }
+    };
+    let Some(body) = input.get(head.length..head.length + length) else {
+        return Ok(None);
+    };
+    let text = |range: &std::ops::Range<usize>| {
+        String::from_utf8_lossy(&input[range.clone()]).into_owned()
     };
-    let Some(body) = input.get(head.length..head.length + length) else { return Ok(None) };
-    let text = |range: &std::ops::Range<usize>| String::from_utf8_lossy(&input[range.clone()]).into_owned();
-    Ok(Some(Asked { method: text(&head.method), target: text(&head.target), body: body.to_vec() }))
+    Ok(Some(Asked {
+        method: text(&head.method),
+        target: text(&head.target),
+        body: body.to_vec(),
+    }))
 }
--- a/crates/conductor/src/drains.rs
+++ b/crates/conductor/src/drains.rs
@@ -44,7 +44,10 @@
 impl Drains {
     /// Takes up what an earlier run kept.
     pub fn start(now: Moment, kept: &Kept, value_lost_at_most: f64) -> Drains {
-        let drains = kept.facts.iter().filter(|(name, _)| name.starts_with(DRAIN));
+        let drains = kept
+            .facts
+            .iter()
+            .filter(|(name, _)| name.starts_with(DRAIN));
         let drains = drains.filter_map(|(name, text)| match serde_json::from_str::<Drain>(text) {
             Ok(drain) => Some(drain),
             Err(error) => {
@@ -87,7 +90,10 @@
         session: &Session,
     ) -> Result<(), Refused> {
         let named = node(&order.node).ok_or_else(|| {
-            Refused::Checks(vec![format!("node: `{}` should be an address as 127.0.0.1:9000", order.node)])
+            Refused::Checks(vec![format!(
+                "node: `{}` should be an address as 127.0.0.1:9000",
+                order.node
+            )])
         })?;
         let against = match order.word {
             Word::Drain => against_drain(now, named, self.value_lost_at_most, session),
@@ -96,13 +102,27 @@
         let (place, overrides) = (order.node.clone(), order.overrides.join(", "));
         if !overrides.is_empty() {
             let against = against.join("; ");
-            warn!(node = place, by = order.by, overrides, against, "an order overrides checks");
+            warn!(
+                node = place,
+                by = order.by,
+                overrides,
+                against,
+                "an order overrides checks"
+            );
         }
         let drain = self.book.order(now, order, &against)?.clone();
         self.follow(now, caller);
         // Told twice, and kept since: answered as it stands.
-        if !self.writing.values().any(|writing| writing.callers.contains(&caller)) {
-            match self.writing.values_mut().find(|writing| writing.node == place) {
+        if !self
+            .writing
+            .values()
+            .any(|writing| writing.callers.contains(&caller))
+        {
+            match self
+                .writing
+                .values_mut()
+                .find(|writing| writing.node == place)
+            {
                 Some(writing) => writing.callers.push(caller),
                 None => self.told.push((caller, Ok(drain))),
             }
@@ -118,9 +138,14 @@
                     let order = drain.as_ref().map(|drain| drain.order.id.clone());
                     let text = drain.and_then(|drain| serde_json::to_string(&drain).ok());
                     let facts = BTreeMap::from([(format!("{DRAIN}{node}"), text)]);
-                    let commit = Commit { facts, ..Commit::default() };
-                    let mut callers: Vec<u64> =
-                        Some(caller).filter(|caller| *caller > 0).into_iter().collect();
+                    let commit = Commit {
+                        facts,
+                        ..Commit::default()
+                    };
+                    let mut callers: Vec<u64> = Some(caller)
+                        .filter(|caller| *caller > 0)
+                        .into_iter()
+                        .collect();
                     // One that failed must not be written again over a newer one.
                     self.writing.retain(|_, writing| {
                         let older = writing.node == node;
@@ -130,7 +155,13 @@
                         !older
                     });
                     self.next += 1;
-                    let writing = Writing { node, order, commit, callers, again_at: Some(now) };
+                    let writing = Writing {
+                        node,
+                        order,
+                        commit,
+                        callers,
+                        again_at: Some(now),
+                    };
                     self.writing.insert(self.next, writing);
                 }
                 Effect::Turned { node, state, order } => {
@@ -143,17 +174,30 @@
 
     /// What came of a write.
     pub fn written(&mut self, now: Moment, number: u64, result: Result<(), String>) {
-        let Some(writing) = self.writing.get_mut(&number) else { return };
+        let Some(writing) = self.writing.get_mut(&number) else {
+            return;
+        };
         if result.is_err() {
             writing.again_at = Some(now + Span::from_seconds(AGAIN));
             return;
         }
-        let Some(writing) = self.writing.remove(&number) else { return };
+        let Some(writing) = self.writing.remove(&number) else {
+            return;
+        };
         if let Some(order) = &writing.order {
             self.book.written(now, &writing.node, order);
         }
-        let drain = self.book.drain(&writing.node).cloned().ok_or_else(|| "it was taken back".to_string());
-        self.told.extend(writing.callers.into_iter().map(|caller| (caller, drain.clone())));
+        let drain = self
+            .book
+            .drain(&writing.node)
+            .cloned()
+            .ok_or_else(|| "it was taken back".to_string());
+        self.told.extend(
+            writing
+                .callers
+                .into_iter()
+                .map(|caller| (caller, drain.clone())),
+        );
         self.look_at = now;
     }
 
--- a/crates/conductor/src/file.rs
+++ b/crates/conductor/src/file.rs
@@ -28,7 +28,10 @@
 
 impl Default for LogPlan {
     fn default() -> Self {
-        LogPlan { form: LogForm::Lines, level: "info".to_string() }
+        LogPlan {
+            form: LogForm::Lines,
+            level: "info".to_string(),
+        }
     }
 }
 
@@ -88,7 +91,11 @@
 impl Default for StreamPlan {
     fn default() -> Self {
         let unanswered_at_most = Span::from_seconds(15.0);
-        StreamPlan { versions_kept: 16, changes_at_most: 60, unanswered_at_most }
+        StreamPlan {
+            versions_kept: 16,
+            changes_at_most: 60,
+            unanswered_at_most,
+        }
     }
 }
 
@@ -171,7 +178,12 @@
         ];
         let short = spans.into_iter().filter(|(_, span)| span.seconds() < 0.2);
         let mut flaws: Vec<(String, String)> = short
-            .map(|(field, _)| (format!("changes.{field}"), "should be 200ms or more".to_string()))
+            .map(|(field, _)| {
+                (
+                    format!("changes.{field}"),
+                    "should be 200ms or more".to_string(),
+                )
+            })
             .collect();
         let undo = &self.undo_when;
         for (field, part) in [
@@ -181,7 +193,10 @@
             ("undo_when.value_less_at_most", undo.value_less_at_most),
         ] {
             if !(0.0..=1.0).contains(&part) {
-                flaws.push((format!("changes.{field}"), format!("{part} should lie between 0 and 1")));
+                flaws.push((
+                    format!("changes.{field}"),
+                    format!("{part} should lie between 0 and 1"),
+                ));
             }
         }
         if !(undo.slower_at_most >= 1.0 && undo.invocations_at_least >= 1.0) {
@@ -214,7 +229,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum BadFile {
     #[error("{path}: {source}", path = .path.display())]
-    Unreadable { path: PathBuf, source: std::io::Error },
+    Unreadable {
+        path: PathBuf,
+        source: std::io::Error,
+    },
     #[error("{path}: {text}", path = .path.display())]
     Form { path: PathBuf, text: String },
     #[error("{}", .0.join("\n"))]
@@ -223,8 +241,10 @@
 
 impl ConductorFile {
     pub fn read(path: &Path) -> Result<ConductorFile, BadFile> {
-        let text = std::fs::read_to_string(path)
-            .map_err(|source| BadFile::Unreadable { path: path.to_path_buf(), source })?;
+        let text = std::fs::read_to_string(path).map_err(|source| BadFile::Unreadable {
+            path: path.to_path_buf(),
+            source,
+        })?;
         let mut file = ConductorFile::parse(&text, path)?;
         let base = path.parent().unwrap_or(Path::new("."));
         let place = &mut file.conductor;
@@ -240,44 +260,74 @@
                 *path = base.join(&*path);
             }
         }
-        place.watched_directory = place.watched_directory.take().map(|directory| base.join(directory));
+        place.watched_directory = place
+            .watched_directory
+            .take()
+            .map(|directory| base.join(directory));
         Ok(file)
     }
 
     pub fn parse(text: &str, path: &Path) -> Result<ConductorFile, BadFile> {
-        let form = |text: String| BadFile::Form { path: path.to_path_buf(), text };
-        let file: ConductorFile = serde_yaml_ng::from_str(text).map_err(|error| form(error.to_string()))?;
+        let form = |text: String| BadFile::Form {
+            path: path.to_path_buf(),
+            text,
+        };
+        let file: ConductorFile =
+            serde_yaml_ng::from_str(text).map_err(|error| form(error.to_string()))?;
         let mut flaws: Vec<(String, String)> = Vec::new();
         for flaw in file.deployment.flaws() {
             flaws.push((format!("deployment.{}", flaw.field), flaw.text));
         }
         let count = file.deployment.conductors.count;
         if file.conductor.number >= count {
-            let text = format!("{} of {count} conductors: they count from 0", file.conductor.number);
+            let text = format!(
+                "{} of {count} conductors: they count from 0",
+                file.conductor.number
+            );
             flaws.push(("conductor.number".to_string(), text));
         }
         if file.conductor.connections_at_most == 0 {
-            flaws.push(("conductor.connections_at_most".to_string(), "should be above 0".to_string()));
+            flaws.push((
+                "conductor.connections_at_most".to_string(),
+                "should be above 0".to_string(),
+            ));
         }
-        if file.tls.as_ref().is_some_and(|tls| tls.node_id_in_certificate && tls.clients.is_none()) {
+        if file
+            .tls
+            .as_ref()
+            .is_some_and(|tls| tls.node_id_in_certificate && tls.clients.is_none())
+        {
             let text = "needs the roots of `clients`".to_string();
             flaws.push(("tls.node_id_in_certificate".to_string(), text));
         }
         flaws.extend(file.changes.flaws());
-        if file.administration.as_ref().is_some_and(|plan| !plan.listen.ip().is_loopback()) {
+        if file
+            .administration
+            .as_ref()
+            .is_some_and(|plan| !plan.listen.ip().is_loopback())
+        {
             let text = "should be an address on loopback".to_string();
             flaws.push(("administration.listen".to_string(), text));
         }
         let streams = &file.streams;
-        if streams.versions_kept == 0 || streams.versions_kept > 1000 || streams.changes_at_most == 0 {
+        if streams.versions_kept == 0
+            || streams.versions_kept > 1000
+            || streams.changes_at_most == 0
+        {
             let text = "versions_kept lies between 1 and 1000, changes_at_most above 0";
             flaws.push(("streams".to_string(), text.to_string()));
         }
         if streams.unanswered_at_most <= Span::ZERO {
-            flaws.push(("streams.unanswered_at_most".to_string(), "should be above 0".to_string()));
+            flaws.push((
+                "streams.unanswered_at_most".to_string(),
+                "should be above 0".to_string(),
+            ));
         }
         if tracing_subscriber::EnvFilter::try_new(&file.log.level).is_err() {
-            flaws.push(("log.level".to_string(), format!("`{}` is no level", file.log.level)));
+            flaws.push((
+                "log.level".to_string(),
+                format!("`{}` is no level", file.log.level),
+            ));
         }
         if flaws.is_empty() {
             return Ok(file);
@@ -317,7 +367,10 @@
     #[test]
     fn a_plain_file_is_read() {
         let file = ConductorFile::parse(TEXT, Path::new("c.yaml")).expect("it is fine");
-        assert_eq!(file.deployment.operations[0].latency_objective.seconds(), 1.2);
+        assert_eq!(
+            file.deployment.operations[0].latency_objective.seconds(),
+            1.2
+        );
         assert_eq!(file.deployment.sums.period.seconds(), 1.0);
     }
 
--- a/crates/conductor/src/front.rs
+++ b/crates/conductor/src/front.rs
@@ -69,9 +69,15 @@
         };
         session.observe(now, observation);
         if let Some((stream, name)) = opened {
-            let reads =
-                |id: &ProxyId| session.reads(*id).front == wheelspread_session::fronts::Front::Stream(stream);
-            if let Some(id) = session.members().member(&name).map(|member| member.id).filter(reads) {
+            let reads = |id: &ProxyId| {
+                session.reads(*id).front == wheelspread_session::fronts::Front::Stream(stream)
+            };
+            if let Some(id) = session
+                .members()
+                .member(&name)
+                .map(|member| member.id)
+                .filter(reads)
+            {
                 self.front.open(stream, id);
             }
         }
@@ -87,7 +93,11 @@
     }
 
     pub fn offer(&mut self, streams: &mut Streams, stream: StreamId, set: &TableSet) {
-        let known = self.front.history().newest(set.bundle).filter(|known| known.version == set.version);
+        let known = self
+            .front
+            .history()
+            .newest(set.bundle)
+            .filter(|known| known.version == set.version);
         let content: Arc<Content> = match known {
             Some(known) => known.clone(),
             None => Arc::new(discovery::resources(set, &self.plan)),
@@ -110,7 +120,9 @@
     }
 
     fn body(&mut self, answer: &Answer) -> Arc<Vec<u8>> {
-        let Some(shared) = answer.shared else { return Arc::new(discovery::body(answer)) };
+        let Some(shared) = answer.shared else {
+            return Arc::new(discovery::body(answer));
+        };
         let key = (shared, answer.delta);
         if let Some(body) = self.bodies.get(&key) {
             return body.clone();
@@ -127,7 +139,12 @@
         for news in news {
             match news {
                 News::Holds { proxy, version } => status(now, session, proxy, version, None),
-                News::Refused { proxy, version, reason, verdict } => {
+                News::Refused {
+                    proxy,
+                    version,
+                    reason,
+                    verdict,
+                } => {
                     status(now, session, proxy, version, Some(reason));
                     let bundle = session.reads(proxy).newest.map(|set| set.bundle);
                     match (verdict, bundle) {
@@ -136,7 +153,14 @@
                             session.observe(now, Observation::HeldBack { bundle, until });
                         }
                         (Verdict::Back(version), Some(bundle)) => {
-                            session.observe(now, Observation::Back { order: OWN, bundle, version });
+                            session.observe(
+                                now,
+                                Observation::Back {
+                                    order: OWN,
+                                    bundle,
+                                    version,
+                                },
+                            );
                         }
                         _ => {}
                     }
@@ -145,7 +169,9 @@
                     let proxy = session.members().name(proxy).unwrap_or_default();
                     warn!(proxy, text, "not believed");
                 }
-                News::End { stream, reason } => streams.close(stream, Status::InvalidArgument, &reason),
+                News::End { stream, reason } => {
+                    streams.close(stream, Status::InvalidArgument, &reason)
+                }
             }
         }
     }
@@ -157,7 +183,11 @@
         }
         self.next_look = now + Span::from_seconds(LOOK);
         for stream in self.front.silent(now) {
-            streams.close(stream, Status::DeadlineExceeded, "what was sent is not answered");
+            streams.close(
+                stream,
+                Status::DeadlineExceeded,
+                "what was sent is not answered",
+            );
             self.front.close(stream);
         }
         for stream in self.front.limited() {
@@ -170,8 +200,21 @@
     }
 }
 
-fn status(now: Moment, session: &mut Session, proxy: ProxyId, version: Version, refused: Option<String>) {
+fn status(
+    now: Moment,
+    session: &mut Session,
+    proxy: ProxyId,
+    version: Version,
+    refused: Option<String>,
+) {
     if let Some(proxy) = session.members().name(proxy).map(str::to_string) {
-        session.observe(now, Observation::Status { proxy, version, refused });
+        session.observe(
+            now,
+            Observation::Status {
+                proxy,
+                version,
+                refused,
+            },
+        );
     }
 }
--- a/crates/conductor/src/keeper.rs
+++ b/crates/conductor/src/keeper.rs
@@ -83,7 +83,9 @@
         };
         let (store, found) = match Store::open(path) {
             Ok(opened) => opened,
-            Err(error @ (StoreError::Newer { .. } | StoreError::InUse { .. })) => return Err(error),
+            Err(error @ (StoreError::Newer { .. } | StoreError::InUse { .. })) => {
+                return Err(error)
+            }
             Err(error) => {
                 warn!(%error, "nothing can be kept over a crash, and no configuration changed");
                 return Ok((keeper, Kept::default()));
@@ -92,28 +94,43 @@
         match &found {
             File::Fresh => info!("no state of an earlier run"),
             File::Sound => {}
-            File::TornTail { bytes } => warn!(bytes, "the last commit of the state was torn, it was cut off"),
+            File::TornTail { bytes } => warn!(
+                bytes,
+                "the last commit of the state was torn, it was cut off"
+            ),
             File::Damaged { aside, at, bytes } => {
                 let aside = aside.display().to_string();
-                warn!(aside, at, bytes, "the state is damaged, what comes before is gone on with");
+                warn!(
+                    aside,
+                    at, bytes, "the state is damaged, what comes before is gone on with"
+                );
             }
         }
         let kept = store.kept().clone();
         // What is kept already is not kept again, and what has gone since is let go of.
         keeper.list = kept.facts.get(LIST).cloned().unwrap_or_default();
-        keeper.listed = listed(&kept, wall).map(|record| (record.node, record)).collect();
+        keeper.listed = listed(&kept, wall)
+            .map(|record| (record.node, record))
+            .collect();
         keeper.learnt = learnt(&kept).collect();
         let (to, commits) = channel();
         let work = move || write(store, &commits, &told, &waker);
-        let thread = std::thread::Builder::new().name("keeper".to_string()).spawn(work);
-        let disk = |source| StoreError::Disk { path: path.to_path_buf(), source };
+        let thread = std::thread::Builder::new()
+            .name("keeper".to_string())
+            .spawn(work);
+        let disk = |source| StoreError::Disk {
+            path: path.to_path_buf(),
+            source,
+        };
         (keeper.to, keeper.thread) = (Some(to), Some(thread.map_err(disk)?));
         Ok((keeper, kept))
     }
 
     /// What is to be told by its number when it is on the disk; `false`: there is no disk.
     pub fn write(&mut self, number: u64, commit: Commit) -> bool {
-        self.to.as_ref().is_some_and(|to| to.send((Some(number), commit)).is_ok())
+        self.to
+            .as_ref()
+            .is_some_and(|to| to.send((Some(number), commit)).is_ok())
     }
 
     pub fn done(&self) -> Vec<Told> {
@@ -121,7 +138,13 @@
     }
 
     /// Facts that have changed since they were last given.
-    pub fn keep(&mut self, wall: f64, version: Version, nodes: &Nodes, learnt: impl Iterator<Item = Learnt>) {
+    pub fn keep(
+        &mut self,
+        wall: f64,
+        version: Version,
+        nodes: &Nodes,
+        learnt: impl Iterator<Item = Learnt>,
+    ) {
         let mut facts = BTreeMap::new();
         if version != self.version {
             self.version = version;
@@ -133,29 +156,49 @@
             self.keep_list(wall, nodes, &mut facts);
         }
         for told in learnt.filter(Learnt::sound) {
-            let fact =
-                LearntFact { capacity: told.capacity, evidence: told.evidence, quickest_s: told.quickest };
+            let fact = LearntFact {
+                capacity: told.capacity,
+                evidence: told.evidence,
+                quickest_s: told.quickest,
+            };
             let near = |old: &LearntFact| {
                 (old.capacity - fact.capacity).abs() <= SAME.0
                     && (old.evidence - fact.evidence).abs() <= SAME.1 * old.evidence.max(1.0)
             };
             if !self.learnt.get(&told.node).is_some_and(near) {
                 self.learnt.insert(told.node, fact);
-                facts.insert(format!("{LEARNT}{}", show(told.node)), serde_json::to_string(&fact).ok());
+                facts.insert(
+                    format!("{LEARNT}{}", show(told.node)),
+                    serde_json::to_string(&fact).ok(),
+                );
             }
         }
         if let Some(to) = self.to.as_ref().filter(|_| !facts.is_empty()) {
-            let _ = to.send((None, Commit { facts, ..Commit::default() }));
+            let _ = to.send((
+                None,
+                Commit {
+                    facts,
+                    ..Commit::default()
+                },
+            ));
         }
     }
 
-    fn keep_list(&mut self, wall: f64, nodes: &Nodes, facts: &mut BTreeMap<String, Option<String>>) {
+    fn keep_list(
+        &mut self,
+        wall: f64,
+        nodes: &Nodes,
+        facts: &mut BTreeMap<String, Option<String>>,
+    ) {
         let mut next = BTreeMap::new();
         for (record, _) in nodes.listed() {
             // Of the age only what it says of the start is kept: that does not change.
             let same = |old: &NodeRecord| {
                 let run = |record: &NodeRecord| record.started.as_ref().map(|(run, _)| run.clone());
-                let plain = NodeRecord { started: record.started.clone(), ..old.clone() };
+                let plain = NodeRecord {
+                    started: record.started.clone(),
+                    ..old.clone()
+                };
                 run(old) == run(record) && plain == *record
             };
             if !self.listed.get(&record.node).is_some_and(same) {
@@ -165,9 +208,15 @@
                     cell: record.cell.clone(),
                     draining: record.draining,
                     weight: record.weight,
-                    started: record.started.as_ref().map(|(run, age)| (run.clone(), wall - age.seconds())),
+                    started: record
+                        .started
+                        .as_ref()
+                        .map(|(run, age)| (run.clone(), wall - age.seconds())),
                 };
-                facts.insert(format!("{LISTED}{}", show(record.node)), serde_json::to_string(&listed).ok());
+                facts.insert(
+                    format!("{LISTED}{}", show(record.node)),
+                    serde_json::to_string(&listed).ok(),
+                );
             }
             next.insert(record.node, record.clone());
         }
@@ -186,26 +235,57 @@
     found.floor = last.map_or(Version(0), |last: u64| Version(last.saturating_add(MARGIN)));
     let records: Vec<NodeRecord> = listed(kept, wall).collect();
     if let Some(version) = kept.facts.get(LIST).filter(|_| !records.is_empty()) {
-        found.list = Some(NodeList { version: version.clone(), records });
+        found.list = Some(NodeList {
+            version: version.clone(),
+            records,
+        });
     }
     let learnt = learnt(kept).map(|(node, fact)| {
-        let LearntFact { capacity, evidence, quickest_s } = fact;
-        Learnt { node, capacity, evidence, quickest: quickest_s }
+        let LearntFact {
+            capacity,
+            evidence,
+            quickest_s,
+        } = fact;
+        Learnt {
+            node,
+            capacity,
+            evidence,
+            quickest: quickest_s,
+        }
     });
     found.learnt = learnt.collect();
 }
 
 /// Facts of nodes under a prefix.
 fn of_nodes<'a>(kept: &'a Kept, prefix: &'a str) -> impl Iterator<Item = (NodeId, &'a String)> {
-    kept.facts.iter().filter_map(move |(name, text)| Some((node(name.strip_prefix(prefix)?)?, text)))
+    kept.facts
+        .iter()
+        .filter_map(move |(name, text)| Some((node(name.strip_prefix(prefix)?)?, text)))
 }
 
 fn listed(kept: &Kept, wall: f64) -> impl Iterator<Item = NodeRecord> + '_ {
     of_nodes(kept, LISTED).filter_map(move |(node, text)| {
         let listed: Listed = serde_json::from_str(text).ok()?;
-        let started = listed.started.map(|(run, at)| (run, Span::from_seconds((wall - at).clamp(0.0, 1e9))));
-        let Listed { zone, kind, cell, draining, weight, .. } = listed;
-        Some(NodeRecord { node, zone, kind, cell, draining, weight, started })
+        let started = listed
+            .started
+            .map(|(run, at)| (run, Span::from_seconds((wall - at).clamp(0.0, 1e9))));
+        let Listed {
+            zone,
+            kind,
+            cell,
+            draining,
+            weight,
+            ..
+        } = listed;
+        Some(NodeRecord {
+            node,
+            zone,
+            kind,
+            cell,
+            draining,
+            weight,
+            started,
+        })
     })
 }
 
@@ -214,7 +294,12 @@
 }
 
 /// The thread: takes all that waits, writes it as one commit, says what came of it.
-fn write(mut store: Store, commits: &Receiver<(Option<u64>, Commit)>, told: &Sender<Told>, waker: &Waker) {
+fn write(
+    mut store: Store,
+    commits: &Receiver<(Option<u64>, Commit)>,
+    told: &Sender<Told>,
+    waker: &Waker,
+) {
     // Facts that could not be written go with the next that is.
     let mut left = Commit::default();
     loop {
@@ -288,7 +373,10 @@
 
     fn held(version: &str, ports: std::ops::Range<u16>) -> Nodes {
         let record = |port| NodeRecord {
-            node: NodeId { address: [127, 0, 0, 1], port },
+            node: NodeId {
+                address: [127, 0, 0, 1],
+                port,
+            },
             zone: "north".into(),
             kind: String::new(),
             cell: String::new(),
@@ -296,9 +384,17 @@
             weight: 1.0,
             started: Some((format!("run-{port}"), Span::from_seconds(60.0))),
         };
-        let list = NodeList { version: version.into(), records: ports.map(record).collect() };
+        let list = NodeList {
+            version: version.into(),
+            records: ports.map(record).collect(),
+        };
         let mut nodes = Nodes::default();
-        assert_eq!(nodes.take(Moment::from_seconds(1.0), Ok(list), &plan(), true).refusal, None);
+        assert_eq!(
+            nodes
+                .take(Moment::from_seconds(1.0), Ok(list), &plan(), true)
+                .refusal,
+            None
+        );
         nodes
     }
 
@@ -325,13 +421,22 @@
         let directory = tempfile::tempdir().expect("a directory");
         let path = directory.path().join("state");
         let first = run(&path, &held("1", 0..4));
-        assert_eq!((listed(&first, 1000.0).count(), learnt(&first).count()), (4, 4));
+        assert_eq!(
+            (listed(&first, 1000.0).count(), learnt(&first).count()),
+            (4, 4)
+        );
         let again = run(&path, &held("1", 0..4));
         assert_eq!(again.facts, first.facts);
         let third = run(&path, &held("2", 0..3));
-        assert_eq!((listed(&third, 1000.0).count(), learnt(&third).count()), (3, 3));
+        assert_eq!(
+            (listed(&third, 1000.0).count(), learnt(&third).count()),
+            (3, 3)
+        );
         let mut found = Found::default();
         recall(&third, 1000.0, &mut found);
-        assert_eq!(found.list.map(|list| (list.version, list.records.len())), Some(("2".into(), 3)));
+        assert_eq!(
+            found.list.map(|list| (list.version, list.records.len())),
+            Some(("2".into(), 3))
+        );
     }
 }
--- a/crates/conductor/src/locate.rs
+++ b/crates/conductor/src/locate.rs
@@ -5,22 +5,36 @@
 pub fn line_of(text: &str, field: &str) -> Option<usize> {
     let lines: Vec<&str> = text.lines().collect();
     let (mut from, mut to, mut found) = (0, lines.len(), None);
-    for part in field.split([' ', '.']).take_while(|part| !part.starts_with('(')) {
-        let block: Vec<(usize, usize, &str)> = (from..to).filter_map(|at| content(lines[at], at)).collect();
-        let Some(indent) = block.iter().map(|(_, indent, _)| *indent).min() else { break };
+    for part in field
+        .split([' ', '.'])
+        .take_while(|part| !part.starts_with('('))
+    {
+        let block: Vec<(usize, usize, &str)> =
+            (from..to).filter_map(|at| content(lines[at], at)).collect();
+        let Some(indent) = block.iter().map(|(_, indent, _)| *indent).min() else {
+            break;
+        };
         let starts = |line: &&(usize, usize, &str)| line.1 == indent;
         let place = match part.parse::<usize>() {
-            Ok(index) => block.iter().filter(starts).filter(|line| line.2.starts_with('-')).nth(index),
+            Ok(index) => block
+                .iter()
+                .filter(starts)
+                .filter(|line| line.2.starts_with('-'))
+                .nth(index),
             Err(_) => block.iter().filter(starts).find(|line| {
                 let key = line.2.trim_start_matches("- ").trim_start();
-                key.split(':').next().is_some_and(|key| key.trim().trim_matches(['"', '\'']) == part)
+                key.split(':')
+                    .next()
+                    .is_some_and(|key| key.trim().trim_matches(['"', '\'']) == part)
             }),
         };
         let Some((at, _, line)) = place else { break };
         found = Some(*at + 1);
         let item = part.parse::<usize>().is_ok();
-        let next =
-            block.iter().filter(starts).find(|other| other.0 > *at && (!item || other.2.starts_with('-')));
+        let next = block
+            .iter()
+            .filter(starts)
+            .find(|other| other.0 > *at && (!item || other.2.starts_with('-')));
         to = next.map_or(to, |next| next.0);
         // An item's first key stands on the line of its dash; its keys are two further in.
         from = if item && line.len() > 1 { *at } else { *at + 1 };
@@ -40,8 +54,13 @@
     let (_, after) = field.split_once(&format!("{index}."))?;
     let key = after.split(['.', ' ']).next()?;
     rest.iter().copied().find(|at| {
-        let line = lines[*at].trim_start().trim_start_matches("- ").trim_start();
-        line.split(':').next().is_some_and(|found| found.trim() == key)
+        let line = lines[*at]
+            .trim_start()
+            .trim_start_matches("- ")
+            .trim_start();
+        line.split(':')
+            .next()
+            .is_some_and(|found| found.trim() == key)
     })
 }
 
--- a/crates/conductor/src/log.rs
+++ b/crates/conductor/src/log.rs
@@ -10,7 +10,9 @@
 /// Once for a program; a second call changes nothing.
 pub fn start(plan: &LogPlan) {
     let filter = EnvFilter::try_new(&plan.level).unwrap_or_else(|_| EnvFilter::new("info"));
-    let lines = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
+    let lines = tracing_subscriber::fmt()
+        .with_env_filter(filter)
+        .with_writer(std::io::stderr);
     let _ = match plan.form {
         LogForm::Lines => lines.with_target(false).try_init(),
         LogForm::Json => lines.json().flatten_event(true).try_init(),
@@ -28,57 +30,127 @@
             warn!(reason, again_in_s, "a change waits for the disk");
         }
         Note::LeftOut { field, text } => {
-            warn!(field, text, "a value of an earlier change does not fit, left out")
+            warn!(
+                field,
+                text, "a value of an earlier change does not fit, left out"
+            )
         }
     }
 }
 
 pub fn notice(notice: &Notice) {
     match notice {
-        Notice::ListTaken { version, ready, changes } => info!(version, ready, changes, "list taken"),
+        Notice::ListTaken {
+            version,
+            ready,
+            changes,
+        } => info!(version, ready, changes, "list taken"),
         Notice::ListRefused { reason } => warn!(reason, "list kept out"),
         Notice::Joined { proxy, zone } => info!(proxy, zone, "proxy joined"),
         Notice::Left { proxy } => info!(proxy, "proxy left"),
-        Notice::Subscribed { proxy, stream } => info!(proxy, stream = stream.0, "proxy reads a stream"),
+        Notice::Subscribed { proxy, stream } => {
+            info!(proxy, stream = stream.0, "proxy reads a stream")
+        }
         Notice::Unsubscribed { proxy } => info!(proxy, "proxy reads no stream any more"),
         Notice::HeldBack { bundle, wait } => {
             let wait_s = wait.seconds();
-            warn!(table = bundle.0, wait_s, "most refuse this table, its ordinary changes wait");
+            warn!(
+                table = bundle.0,
+                wait_s, "most refuse this table, its ordinary changes wait"
+            );
         }
-        Notice::SteppedBack { version, lines, left_out } => {
-            let left_out = left_out.iter().map(|(node, why)| format!("{} ({why})", show(*node)));
+        Notice::SteppedBack {
+            version,
+            lines,
+            left_out,
+        } => {
+            let left_out = left_out
+                .iter()
+                .map(|(node, why)| format!("{} ({why})", show(*node)));
             let left_out = left_out.collect::<Vec<_>>().join(" ");
-            warn!(version = version.0, lines, left_out, "stepped back to an older version");
+            warn!(
+                version = version.0,
+                lines, left_out, "stepped back to an older version"
+            );
         }
         Notice::Freed { nodes } => info!(nodes, "no version is stepped back to any more"),
-        Notice::TurnedAway { stream, reason } => warn!(stream = stream.0, reason, "stream turned away"),
+        Notice::TurnedAway { stream, reason } => {
+            warn!(stream = stream.0, reason, "stream turned away")
+        }
         Notice::Forgotten { proxy } => info!(proxy, "proxy forgotten"),
-        Notice::Published { bundle, version, configuration, proxies, lines } => {
-            debug!(bundle = bundle.0, version = version.0, configuration, proxies, lines, "version made");
+        Notice::Published {
+            bundle,
+            version,
+            configuration,
+            proxies,
+            lines,
+        } => {
+            debug!(
+                bundle = bundle.0,
+                version = version.0,
+                configuration,
+                proxies,
+                lines,
+                "version made"
+            );
         }
-        Notice::Pointed { proxy, version } => debug!(proxy, version = version.0, "proxy pointed at version"),
-        Notice::WriteFailed { proxy, version, reason, again_in } => {
+        Notice::Pointed { proxy, version } => {
+            debug!(proxy, version = version.0, "proxy pointed at version")
+        }
+        Notice::WriteFailed {
+            proxy,
+            version,
+            reason,
+            again_in,
+        } => {
             let again_in_s = again_in.seconds();
-            warn!(proxy, version = version.0, reason, again_in_s, "tables not written");
+            warn!(
+                proxy,
+                version = version.0,
+                reason,
+                again_in_s,
+                "tables not written"
+            );
         }
-        Notice::Refused { proxy, version, reason } => {
+        Notice::Refused {
+            proxy,
+            version,
+            reason,
+        } => {
             warn!(proxy, version = version.0, reason, "proxy refused tables");
         }
         Notice::ReportRefused { proxy, reason } => warn!(proxy, reason, "report refused"),
-        Notice::UnknownNodes { count } => warn!(count, "reports speak of nodes that are not listed"),
+        Notice::UnknownNodes { count } => {
+            warn!(count, "reports speak of nodes that are not listed")
+        }
         Notice::ChannelFull { lines } => warn!(lines, "more lines wait than are allowed"),
         Notice::Pruned { proxy, nodes } => {
             let nodes = nodes.join(" ");
-            warn!(proxy, nodes, "taken out of the files of a proxy that has not come back");
+            warn!(
+                proxy,
+                nodes, "taken out of the files of a proxy that has not come back"
+            );
         }
         Notice::Weighed { nodes } => debug!(nodes, "solved weights listed"),
         Notice::NotSolved { reason } => warn!(reason, "weights not solved, the last ones stand"),
-        Notice::Configured { configuration, nodes } => info!(configuration, nodes, "configuration in force"),
-        Notice::NotConfigured { configuration, reason } => {
-            warn!(configuration, reason, "configuration not taken, the one before stands");
+        Notice::Configured {
+            configuration,
+            nodes,
+        } => info!(configuration, nodes, "configuration in force"),
+        Notice::NotConfigured {
+            configuration,
+            reason,
+        } => {
+            warn!(
+                configuration,
+                reason, "configuration not taken, the one before stands"
+            );
         }
         Notice::ListRemembered { version, nodes } => {
-            warn!(version, nodes, "no list can be read, the last one that was taken stands");
+            warn!(
+                version,
+                nodes, "no list can be read, the last one that was taken stands"
+            );
         }
         Notice::Remark { text } => info!(text, "remark"),
         Notice::NotUsed { reason } => debug!(reason, "event not used"),
--- a/crates/conductor/src/routes.rs
+++ b/crates/conductor/src/routes.rs
@@ -76,14 +76,23 @@
     if !text.is_empty() && text.len() <= LONGEST_NAME && text.chars().all(fine) {
         return Ok(());
     }
-    Err((400, format!("{what}: 1 to {LONGEST_NAME} letters, digits, -, _, . and @ are expected")))
+    Err((
+        400,
+        format!("{what}: 1 to {LONGEST_NAME} letters, digits, -, _, . and @ are expected"),
+    ))
 }
 
 fn change(told: ChangeTold, rollout: &Rollout) -> Result<Change, (u16, String)> {
     named("id", &told.id)?;
     named("by", &told.by)?;
     if told.sets.len() > MOST_VALUES {
-        return Err((400, format!("{} values, {MOST_VALUES} at most are taken", told.sets.len())));
+        return Err((
+            400,
+            format!(
+                "{} values, {MOST_VALUES} at most are taken",
+                told.sets.len()
+            ),
+        ));
     }
     let mut sets = BTreeMap::new();
     for (path, value) in told.sets {
@@ -91,20 +100,38 @@
             Value::Null => None,
             Value::String(text) => Some(text),
             plain @ (Value::Number(_) | Value::Bool(_)) => Some(plain.to_string()),
-            _ => return Err((400, format!("{path}: a text, a number, true, false or null is expected"))),
+            _ => {
+                return Err((
+                    400,
+                    format!("{path}: a text, a number, true, false or null is expected"),
+                ))
+            }
         };
         sets.insert(path, value);
     }
     let id = ChangeId(told.id);
     // Told again it is the same change, whatever is in force by now.
-    let known = rollout.ledger().record(&id).map(|record| record.change.base);
-    let base = told.base.or(known).unwrap_or(rollout.ledger().configuration().version);
-    Ok(Change { id, by: told.by, base, sets })
+    let known = rollout
+        .ledger()
+        .record(&id)
+        .map(|record| record.change.base);
+    let base = told
+        .base
+        .or(known)
+        .unwrap_or(rollout.ledger().configuration().version);
+    Ok(Change {
+        id,
+        by: told.by,
+        base,
+        sets,
+    })
 }
 
 fn told(rollout: &Rollout, id: &str) -> Result<Value, (u16, String)> {
     let record = rollout.ledger().record(&ChangeId(id.to_string()));
-    record.map(|record| json!(record)).ok_or_else(|| (404, format!("`{id}` is no change that is known")))
+    record
+        .map(|record| json!(record))
+        .ok_or_else(|| (404, format!("`{id}` is no change that is known")))
 }
 
 /// Everything that is asked about.
@@ -149,10 +176,30 @@
     let now_ms = (wheelspread_reactor::wall() * 1e3) as u64;
     let given_ms = told.given_ms.unwrap_or(now_ms);
     if given_ms > now_ms + AHEAD_MS {
-        return Err((400, format!("given_ms: {} s ahead of the clock here", (given_ms - now_ms) / 1000)));
+        return Err((
+            400,
+            format!(
+                "given_ms: {} s ahead of the clock here",
+                (given_ms - now_ms) / 1000
+            ),
+        ));
     }
-    let DrainTold { id, node, word, by, overrides, .. } = told;
-    Ok(Order { id: OrderId(id), node, word, by, given_ms, overrides })
+    let DrainTold {
+        id,
+        node,
+        word,
+        by,
+        overrides,
+        ..
+    } = told;
+    Ok(Order {
+        id: OrderId(id),
+        node,
+        word,
+        by,
+        given_ms,
+        overrides,
+    })
 }
 
 /// Whether a request orders something, and does not only ask.
@@ -175,7 +222,14 @@
         ("POST", "/v1/tables/back") => {
             let told: BackOrder = body(asked)?;
             let (bundle, version) = (BundleId(told.table), Version(told.version));
-            session.observe(now, Observation::Back { order, bundle, version });
+            session.observe(
+                now,
+                Observation::Back {
+                    order,
+                    bundle,
+                    version,
+                },
+            );
             return Ok(None);
         }
         ("POST", "/v1/tables/free") => {
@@ -185,7 +239,9 @@
         ("POST", "/v1/drains") => {
             let told = drain(body(asked)?)?;
             let come = desk.drains.order(now, order, told, session);
-            return come.map(|()| None).map_err(|refused| (409, refused.to_string()));
+            return come
+                .map(|()| None)
+                .map_err(|refused| (409, refused.to_string()));
         }
         ("GET", target) => return shown(now, target, desk).map(Some),
         (method, target) => return Err((404, format!("{method} {target} is not served here"))),
@@ -205,7 +261,10 @@
         "/v1/drains" => Ok(json!(desk.drains.book().drains().collect::<Vec<_>>())),
         "/v1/configuration" => Ok(configuration(session, rollout)),
         "/v1/changes" => Ok(changes(rollout)),
-        _ => match (target.strip_prefix("/v1/changes/"), target.strip_prefix("/v1/where/")) {
+        _ => match (
+            target.strip_prefix("/v1/changes/"),
+            target.strip_prefix("/v1/where/"),
+        ) {
             (Some(id), _) => told(rollout, id),
             (_, Some(node)) => whereabouts(node, desk),
             _ => Err((404, format!("GET {target} is not served here"))),
@@ -219,7 +278,9 @@
 /// Those of which something is still to come, then the latest in force.
 fn changes(rollout: &Rollout) -> Value {
     let mut records: Vec<&Record> = rollout.ledger().records().collect();
-    records.sort_by_key(|record| std::cmp::Reverse((!record.state.over(), record.made.max(record.unmade))));
+    records.sort_by_key(|record| {
+        std::cmp::Reverse((!record.state.over(), record.made.max(record.unmade)))
+    });
     records.truncate(RECENT);
     json!(records)
 }
@@ -239,10 +300,22 @@
         }
         cold += u32::from(is_cold(now, &entry, session));
     }
-    let joined = session.members().members().filter(|(_, member)| member.joined()).count();
+    let joined = session
+        .members()
+        .members()
+        .filter(|(_, member)| member.joined())
+        .count();
     let reach = session.reach();
-    let under_way = rollout.ledger().open().find(|record| record.state.under_way());
-    let drains = desk.drains.book().drains().filter(|drain| drain.goes()).count();
+    let under_way = rollout
+        .ledger()
+        .open()
+        .find(|record| record.state.under_way());
+    let drains = desk
+        .drains
+        .book()
+        .drains()
+        .filter(|drain| drain.goes())
+        .count();
     json!({
         "interface": INTERFACE,
         "program": env!("CARGO_PKG_VERSION"),
@@ -285,7 +358,9 @@
 
 fn sums(now: Moment, session: &Session) -> Value {
     let plan = session.plan();
-    let (tallies, seconds) = session.measured().between(now - plan.sums.period * SUMS, now);
+    let (tallies, seconds) = session
+        .measured()
+        .between(now - plan.sums.period * SUMS, now);
     let operation = |(at, operation): (usize, &OperationPlan)| {
         let tally = tallies.of(OperationId(at as u8));
         let mean = (tally.timed > 0.0).then(|| tally.seconds / tally.timed * 1e3);
@@ -311,7 +386,14 @@
 }
 
 fn nodes(now: Moment, session: &Session) -> Value {
-    let zone = |id: ZoneId| session.plan().zones.get(usize::from(id.0)).cloned().unwrap_or_default();
+    let zone = |id: ZoneId| {
+        session
+            .plan()
+            .zones
+            .get(usize::from(id.0))
+            .cloned()
+            .unwrap_or_default()
+    };
     let node = |entry: ListEntry| {
         let listing = match entry.listing {
             Listing::Ready => "ready",
@@ -326,7 +408,12 @@
 }
 
 fn whereabouts(text: &str, desk: &Desk) -> Result<Value, (u16, String)> {
-    let id = node(text).ok_or_else(|| (400, format!("`{text}` should be an address as 127.0.0.1:9000")))?;
+    let id = node(text).ok_or_else(|| {
+        (
+            400,
+            format!("`{text}` should be an address as 127.0.0.1:9000"),
+        )
+    })?;
     let entry = desk.session.serving().find(|entry| entry.node == id);
     let listing = entry.map_or("not listed", |entry| match entry.listing {
         Listing::Ready => "ready",
@@ -374,10 +461,15 @@
     };
     let mut versions: BTreeMap<u32, Vec<u64>> = BTreeMap::new();
     for set in session.recent() {
-        versions.entry(set.bundle.0).or_default().push(set.version.0);
+        versions
+            .entry(set.bundle.0)
+            .or_default()
+            .push(set.version.0);
     }
-    let kept: Vec<Value> =
-        versions.iter().map(|(table, kept)| json!({ "table": table, "versions": kept })).collect();
+    let kept: Vec<Value> = versions
+        .iter()
+        .map(|(table, kept)| json!({ "table": table, "versions": kept }))
+        .collect();
     json!({
         "list": session.nodes().version(),
         "stepped_back_to": session.stepped_back_to().map(|version| version.0),
--- a/crates/conductor/src/service.rs
+++ b/crates/conductor/src/service.rs
@@ -106,7 +106,10 @@
     pub fn start(file: ConductorFile, path: Option<&Path>) -> Result<Conductor, StartFailed> {
         let place = &file.conductor;
         let root = Root::new(&place.tables);
-        root.prepare().map_err(named(format!("the root of tables {}", place.tables.display())))?;
+        root.prepare().map_err(named(format!(
+            "the root of tables {}",
+            place.tables.display()
+        )))?;
         let lock = lock(&root)?;
         let poll = Poll::new().map_err(named("epoll"))?;
         let waker = Waker::new(&poll, WAKER).map_err(named("eventfd"))?;
@@ -121,7 +124,8 @@
                 lost.insert(directory);
             }
         }
-        let (keeper, kept) = Keeper::start(&place.tables.join("state"), reactor::wall(), waker.clone())?;
+        let (keeper, kept) =
+            Keeper::start(&place.tables.join("state"), reactor::wall(), waker.clone())?;
         let now = reactor::now();
         let drains = Drains::start(now, &kept, file.changes.value_lost_at_most);
         let (rollout, configured, moving) =
@@ -135,21 +139,38 @@
         (scan.found.configuration, scan.found.values) = (configured.version, configured.values);
         scan.found.moving = moving;
         scan.found.drained = drains.out();
-        let (held, versions, leftovers) = (scan.found.held.len(), scan.found.versions.len(), scan.leftovers);
+        let (held, versions, leftovers) = (
+            scan.found.held.len(),
+            scan.found.versions.len(),
+            scan.leftovers,
+        );
         let (name, configuration) = (&place.name, configured.version);
-        info!(name, configuration, held, versions, leftovers, "conductor starts");
+        info!(
+            name,
+            configuration, held, versions, leftovers, "conductor starts"
+        );
         let session = Session::start(now, place.seed, plan.clone(), place.number, scan.found)?;
-        let writer = Writer::start(root.clone(), plan.clone(), waker.clone()).map_err(named("a thread"))?;
+        let writer =
+            Writer::start(root.clone(), plan.clone(), waker.clone()).map_err(named("a thread"))?;
         let listener = reactor::listen(place.listen).map_err(named(place.listen.to_string()))?;
-        poll.add(&listener, LISTENER, Interest::Readable).map_err(named("epoll"))?;
+        poll.add(&listener, LISTENER, Interest::Readable)
+            .map_err(named("epoll"))?;
         let plan_of_administration = match &file.administration {
             None => None,
             Some(plan) => Some((plan, administration_keys(plan).map_err(StartFailed::Keys)?)),
         };
         let admin = Admin::start(&place.tables, plan_of_administration, &poll, ADMIN, CALLERS)
             .map_err(named("the ways in for operators"))?;
-        let about = About { name: place.name.clone(), number: place.number, started: now };
-        let streams = Streams::new(CONNECTIONS, place.connections_at_most, file.deployment.sums.period);
+        let about = About {
+            name: place.name.clone(),
+            number: place.number,
+            started: now,
+        };
+        let streams = Streams::new(
+            CONNECTIONS,
+            place.connections_at_most,
+            file.deployment.sums.period,
+        );
         let mut conductor = Conductor {
             path: path.map(Path::to_path_buf),
             poll,
@@ -195,7 +216,11 @@
         loop {
             let now = reactor::now();
             self.turn(now);
-            let wait = if self.streams.stirred() { Span::ZERO } else { self.wake_at(now) - reactor::now() };
+            let wait = if self.streams.stirred() {
+                Span::ZERO
+            } else {
+                self.wake_at(now) - reactor::now()
+            };
             self.poll.wait(wait, &mut ready)?;
             let now = reactor::now();
             for ready in ready.drain(..) {
@@ -217,7 +242,10 @@
             self.changes_at,
             drains,
         ];
-        others.into_iter().flatten().fold(self.session.wake_at(now), Moment::min)
+        others
+            .into_iter()
+            .flatten()
+            .fold(self.session.wake_at(now), Moment::min)
     }
 
     /// Settles and carries out until there is nothing more to do at once.
@@ -257,7 +285,12 @@
 
     fn keep(&mut self) {
         let session = &self.session;
-        self.keeper.keep(reactor::wall(), session.version(), session.nodes(), session.learnt());
+        self.keeper.keep(
+            reactor::wall(),
+            session.version(),
+            session.nodes(),
+            session.learnt(),
+        );
     }
 
     /// Carries changes of configuration on.
@@ -276,7 +309,10 @@
             }
         }
         let soon = now + self.session.plan().conductors.tick;
-        self.changes_at = self.rollout.wake_at(now, &self.session).map(|at| at.max(soon));
+        self.changes_at = self
+            .rollout
+            .wake_at(now, &self.session)
+            .map(|at| at.max(soon));
     }
 
     fn write(&mut self, now: Moment, number: u64, commit: Commit) {
@@ -291,14 +327,19 @@
         let _ = reached("change.configure");
         self.give(Job::Plan(Box::new(configured.plan.clone())));
         self.desk.configure(configured.plan.clone());
-        self.session.observe(now, Observation::Configured(Box::new(configured)));
+        self.session
+            .observe(now, Observation::Configured(Box::new(configured)));
         let _ = reached("change.configured");
     }
 
     fn carry_out(&mut self, effect: Effect) {
         match effect {
-            Effect::Accept { stream, period } => self.streams.send(stream, &loads::response(period)),
-            Effect::Close { stream, reason } => self.streams.close(stream, Status::InvalidArgument, &reason),
+            Effect::Accept { stream, period } => {
+                self.streams.send(stream, &loads::response(period))
+            }
+            Effect::Close { stream, reason } => {
+                self.streams.close(stream, Status::InvalidArgument, &reason)
+            }
             Effect::Point { proxy, set } => self.give(Job::Point { proxy, set }),
             Effect::Send { stream, set } => self.desk.offer(&mut self.streams, stream, &set),
             Effect::Answered { order, result } => self.answered(order, result),
@@ -387,14 +428,31 @@
         let done: Vec<Done> = self.writer.iter().flat_map(Writer::done).collect();
         for done in done {
             match done {
-                Done::Pointed { proxy, version, result } => {
-                    self.session.observe(now, Observation::Pointed { proxy, version, result });
+                Done::Pointed {
+                    proxy,
+                    version,
+                    result,
+                } => {
+                    self.session.observe(
+                        now,
+                        Observation::Pointed {
+                            proxy,
+                            version,
+                            result,
+                        },
+                    );
                 }
                 Done::Unsynced { version } => {
-                    warn!(version = version.0, "pointed at before the disk said that it has it: it is slow");
+                    warn!(
+                        version = version.0,
+                        "pointed at before the disk said that it has it: it is slow"
+                    );
                 }
                 Done::NotRetired { version, reason } => {
-                    warn!(version = version.0, reason, "an old version can't be removed");
+                    warn!(
+                        version = version.0,
+                        reason, "an old version can't be removed"
+                    );
                 }
             }
         }
@@ -414,7 +472,11 @@
                 Moved::Gone { directory } => drop(self.lost.insert(directory)),
                 Moved::Overflow => {
                     list = true;
-                    let names = self.session.members().members().map(|(name, _)| name.to_string());
+                    let names = self
+                        .session
+                        .members()
+                        .members()
+                        .map(|(name, _)| name.to_string());
                     statuses.extend(names.collect::<Vec<_>>());
                 }
             }
@@ -447,20 +509,29 @@
     /// Takes in keys that were swapped. Those that do not fit together are left, and looked at again.
     fn renew_keys(&mut self) -> Result<(), BadKeys> {
         if let Some(plan) = &self.file.administration {
-            let read = contents(&[Some(&plan.certificate), Some(&plan.key), Some(&plan.clients)]);
+            let read = contents(&[
+                Some(&plan.certificate),
+                Some(&plan.key),
+                Some(&plan.clients),
+            ]);
             if read != self.last_administration {
                 self.last_administration = read;
                 self.admin.secure(administration_keys(plan)?);
             }
         }
-        let Some(tls) = &self.file.tls else { return Ok(()) };
+        let Some(tls) = &self.file.tls else {
+            return Ok(());
+        };
         let read = contents(&[Some(&tls.certificate), Some(&tls.key), tls.clients.as_ref()]);
         if read == self.last_keys {
             return Ok(());
         }
         let renewed = !self.last_keys.is_empty();
         self.last_keys = read;
-        let keys = KeyFiles { certificate: tls.certificate.clone(), key: tls.key.clone() };
+        let keys = KeyFiles {
+            certificate: tls.certificate.clone(),
+            key: tls.key.clone(),
+        };
         let made = wheelspread_grpc::tls::server(&keys, tls.clients.as_deref())?;
         self.streams.secure(made, tls.node_id_in_certificate);
         if renewed {
@@ -475,9 +546,9 @@
         if self.last_list.as_ref() == Some(&text) {
             return;
         }
-        let list = text
-            .clone()
-            .and_then(|text| nodes::read(&text, reactor::wall()).map_err(|error| error.to_string()));
+        let list = text.clone().and_then(|text| {
+            nodes::read(&text, reactor::wall()).map_err(|error| error.to_string())
+        });
         self.last_list = Some(text);
         self.session.observe(now, Observation::List(list));
     }
@@ -489,28 +560,48 @@
         match told {
             Ok(told) if told.proxy == proxy => {
                 let name = || proxy.to_string();
-                let held = Observation::Status { proxy: name(), version: told.version, refused: None };
+                let held = Observation::Status {
+                    proxy: name(),
+                    version: told.version,
+                    refused: None,
+                };
                 self.session.observe(now, held);
                 if let Some((version, reason)) = told.refused {
-                    let refused = Observation::Status { proxy: name(), version, refused: Some(reason) };
+                    let refused = Observation::Status {
+                        proxy: name(),
+                        version,
+                        refused: Some(reason),
+                    };
                     self.session.observe(now, refused);
                 }
             }
-            Ok(told) => warn!(proxy, names = told.proxy, "a status that names another proxy"),
+            Ok(told) => warn!(
+                proxy,
+                names = told.proxy,
+                "a status that names another proxy"
+            ),
             Err(reason) => warn!(proxy, reason, "a status that can't be read"),
         }
     }
 
     /// Reads the file again. The channel's pace may change; anything else needs a restart.
     fn reload(&mut self, now: Moment) {
-        let Some(path) = self.path.clone() else { return };
+        let Some(path) = self.path.clone() else {
+            return;
+        };
         match ConductorFile::read(&path) {
             Ok(new) => {
                 let lines_per_second = new.deployment.channel.lines_per_second;
                 self.rollout.pace(lines_per_second);
                 // A change that set the pace says more than the file does.
                 let set = "channel.lines_per_second";
-                if self.rollout.ledger().configuration().values.contains_key(set) {
+                if self
+                    .rollout
+                    .ledger()
+                    .configuration()
+                    .values
+                    .contains_key(set)
+                {
                     return warn!("file read again: {set} stands as a change has set it");
                 }
                 let mut same = self.file.deployment.clone();
@@ -518,10 +609,13 @@
                 if same == new.deployment {
                     info!(lines_per_second, "file read again");
                 } else {
-                    warn!("file read again: only channel.lines_per_second changes without a restart");
+                    warn!(
+                        "file read again: only channel.lines_per_second changes without a restart"
+                    );
                 }
                 self.file.deployment.channel.lines_per_second = lines_per_second;
-                self.session.observe(now, Observation::Pace { lines_per_second });
+                self.session
+                    .observe(now, Observation::Pace { lines_per_second });
             }
             Err(error) => {
                 let reason = error.to_string();
@@ -536,9 +630,19 @@
         self.streams.stop(reactor::now());
         if let Some(writer) = self.writer.take() {
             for done in writer.finish() {
-                if let Done::Pointed { proxy, version, result: Err(reason) } = done {
+                if let Done::Pointed {
+                    proxy,
+                    version,
+                    result: Err(reason),
+                } = done
+                {
                     let again_in = Span::ZERO;
-                    log::notice(&Notice::WriteFailed { proxy, version, reason, again_in });
+                    log::notice(&Notice::WriteFailed {
+                        proxy,
+                        version,
+                        reason,
+                        again_in,
+                    });
                 }
             }
         }
@@ -548,16 +652,30 @@
 
 fn watched(file: &ConductorFile) -> PathBuf {
     let place = &file.conductor;
-    let parent = || place.list.parent().filter(|parent| !parent.as_os_str().is_empty());
-    place.watched_directory.clone().unwrap_or_else(|| parent().unwrap_or(Path::new(".")).to_path_buf())
+    let parent = || {
+        place
+            .list
+            .parent()
+            .filter(|parent| !parent.as_os_str().is_empty())
+    };
+    place
+        .watched_directory
+        .clone()
+        .unwrap_or_else(|| parent().unwrap_or(Path::new(".")).to_path_buf())
 }
 
 fn contents(files: &[Option<&PathBuf>]) -> Vec<Option<Vec<u8>>> {
-    files.iter().map(|path| path.and_then(|path| std::fs::read(path).ok())).collect()
+    files
+        .iter()
+        .map(|path| path.and_then(|path| std::fs::read(path).ok()))
+        .collect()
 }
 
 fn administration_keys(plan: &AdministrationPlan) -> Result<Arc<ServerConfig>, BadKeys> {
-    let keys = KeyFiles { certificate: plan.certificate.clone(), key: plan.key.clone() };
+    let keys = KeyFiles {
+        certificate: plan.certificate.clone(),
+        key: plan.key.clone(),
+    };
     wheelspread_grpc::tls::plain_server(&keys, &plan.clients)
 }
 
@@ -567,7 +685,9 @@
     let file = File::create(&path).map_err(named(path.display().to_string()))?;
     match rustix::fs::flock(&file, rustix::fs::FlockOperation::NonBlockingLockExclusive) {
         Ok(()) => Ok(file),
-        Err(rustix::io::Errno::WOULDBLOCK) => Err(StartFailed::InUse(root.path().display().to_string())),
+        Err(rustix::io::Errno::WOULDBLOCK) => {
+            Err(StartFailed::InUse(root.path().display().to_string()))
+        }
         Err(error) => Err(named(path.display().to_string())(error.into())),
     }
 }
--- a/crates/conductor/src/streams.rs
+++ b/crates/conductor/src/streams.rs
@@ -85,7 +85,10 @@
 
     /// Why a client may not call itself by this name.
     fn impostor(&self, token: Token, name: &str) -> Option<String> {
-        let peer = self.connections.get(&token).and_then(ServerConnection::peer);
+        let peer = self
+            .connections
+            .get(&token)
+            .and_then(ServerConnection::peer);
         let wrong = self.named && !peer.is_some_and(|certificate| speaks_for(certificate, name));
         let shown: String = name.chars().take(100).collect();
         wrong.then(|| format!("its certificate is not one for `{shown}`"))
@@ -120,7 +123,10 @@
     pub fn turn(&mut self, now: Moment, told: &mut Vec<Observation>) {
         if now >= self.next_look {
             self.next_look = now + Span::from_seconds(LOOK);
-            let due = self.connections.iter().filter(|(_, c)| c.wake_at().is_some_and(|at| at <= now));
+            let due = self
+                .connections
+                .iter()
+                .filter(|(_, c)| c.wake_at().is_some_and(|at| at <= now));
             let due: Vec<Token> = due.map(|(token, _)| *token).collect();
             self.stirred.extend(due);
             self.silence(now);
@@ -136,7 +142,9 @@
     }
 
     fn turn_one(&mut self, now: Moment, token: Token, told: &mut Vec<Observation>) {
-        let Some(connection) = self.connections.get_mut(&token) else { return };
+        let Some(connection) = self.connections.get_mut(&token) else {
+            return;
+        };
         let (events, over) = connection.turn(now);
         for event in events {
             match event {
@@ -147,21 +155,36 @@
                     }
                 }
                 ServerEvent::Closed { stream, reason } => {
-                    let Some(id) = self.ids.remove(&(token, stream)) else { continue };
+                    let Some(id) = self.ids.remove(&(token, stream)) else {
+                        continue;
+                    };
                     tracing::debug!(stream = id.0, reason, "stream closed");
-                    if self.reporters.remove(&id).is_some_and(|reporter| reporter.introduced) {
+                    if self
+                        .reporters
+                        .remove(&id)
+                        .is_some_and(|reporter| reporter.introduced)
+                    {
                         told.push(Observation::StreamClosed { stream: id });
                     }
                     self.open.remove(&id);
-                    if self.readers.remove(&id).is_some_and(|reader| reader.introduced) {
+                    if self
+                        .readers
+                        .remove(&id)
+                        .is_some_and(|reader| reader.introduced)
+                    {
                         told.push(Observation::Unsubscribed { stream: id });
                     }
                 }
             }
         }
         // What the socket took makes room for more.
-        let of = self.ids.range((token, StreamKey(0))..=(token, StreamKey(u32::MAX)));
-        self.open.extend(of.map(|(_, id)| *id).filter(|id| self.readers.contains_key(id)));
+        let of = self
+            .ids
+            .range((token, StreamKey(0))..=(token, StreamKey(u32::MAX)));
+        self.open.extend(
+            of.map(|(_, id)| *id)
+                .filter(|id| self.readers.contains_key(id)),
+        );
         if let Some(reason) = over {
             tracing::debug!(connection = token.0, reason, "connection over");
             self.connections.remove(&token);
@@ -174,7 +197,15 @@
             self.next_stream += 1;
             let id = StreamId(self.next_stream);
             self.ids.insert((token, key), id);
-            self.readers.insert(id, Reader { connection: token, key, delta, introduced: false });
+            self.readers.insert(
+                id,
+                Reader {
+                    connection: token,
+                    key,
+                    delta,
+                    introduced: false,
+                },
+            );
             return;
         }
         if path != loads::METHOD {
@@ -191,14 +222,24 @@
         self.next_stream += 1;
         let id = StreamId(self.next_stream);
         self.ids.insert((token, key), id);
-        self.reporters.insert(id, Reporter { connection: token, key, introduced: false, heard: now });
+        self.reporters.insert(
+            id,
+            Reporter {
+                connection: token,
+                key,
+                introduced: false,
+                heard: now,
+            },
+        );
     }
 
     fn message(&mut self, now: Moment, id: StreamId, bytes: &[u8], told: &mut Vec<Observation>) {
         if self.readers.contains_key(&id) {
             return self.asked(id, bytes, told);
         }
-        let Some(reporter) = self.reporters.get_mut(&id) else { return };
+        let Some(reporter) = self.reporters.get_mut(&id) else {
+            return;
+        };
         reporter.heard = now;
         let request = match loads::decode_request(bytes) {
             Ok(request) => request,
@@ -211,11 +252,19 @@
                     if let Some(reason) = self.impostor(token, &who.name) {
                         return self.close(id, Status::PermissionDenied, &reason);
                     }
-                    let Some(reporter) = self.reporters.get_mut(&id) else { return };
+                    let Some(reporter) = self.reporters.get_mut(&id) else {
+                        return;
+                    };
                     reporter.introduced = true;
                     told.push(Observation::StreamOpened { stream: id, who });
                 }
-                None => return self.close(id, Status::InvalidArgument, "the first report names no node"),
+                None => {
+                    return self.close(
+                        id,
+                        Status::InvalidArgument,
+                        "the first report names no node",
+                    )
+                }
             }
         }
         if let Some(report) = loads::report(&request) {
@@ -224,23 +273,39 @@
     }
 
     fn asked(&mut self, id: StreamId, bytes: &[u8], told: &mut Vec<Observation>) {
-        let Some(reader) = self.readers.get_mut(&id) else { return };
-        let request = if reader.delta { discovery::read_delta(bytes) } else { discovery::read_whole(bytes) };
+        let Some(reader) = self.readers.get_mut(&id) else {
+            return;
+        };
+        let request = if reader.delta {
+            discovery::read_delta(bytes)
+        } else {
+            discovery::read_whole(bytes)
+        };
         let request = match request {
             Ok(request) => request,
             Err(error) => return self.close(id, Status::InvalidArgument, &error.to_string()),
         };
         if !reader.introduced {
             let Some(who) = request.who else {
-                return self.close(id, Status::InvalidArgument, "the first request names no node");
+                return self.close(
+                    id,
+                    Status::InvalidArgument,
+                    "the first request names no node",
+                );
             };
             let token = reader.connection;
             if let Some(reason) = self.impostor(token, &who.name) {
                 return self.close(id, Status::PermissionDenied, &reason);
             }
-            let Some(reader) = self.readers.get_mut(&id) else { return };
+            let Some(reader) = self.readers.get_mut(&id) else {
+                return;
+            };
             reader.introduced = true;
-            told.push(Observation::Subscribed { stream: id, who, brings: request.holds });
+            told.push(Observation::Subscribed {
+                stream: id,
+                who,
+                brings: request.holds,
+            });
         }
         self.asks.push((id, request.ask));
     }
@@ -266,12 +331,22 @@
     }
 
     fn place(&self, id: StreamId) -> Option<(Token, StreamKey)> {
-        let reporter = self.reporters.get(&id).map(|reporter| (reporter.connection, reporter.key));
-        reporter.or_else(|| self.readers.get(&id).map(|reader| (reader.connection, reader.key)))
+        let reporter = self
+            .reporters
+            .get(&id)
+            .map(|reporter| (reporter.connection, reporter.key));
+        reporter.or_else(|| {
+            self.readers
+                .get(&id)
+                .map(|reader| (reader.connection, reader.key))
+        })
     }
 
     fn silence(&mut self, now: Moment) {
-        let silent = self.reporters.iter().filter(|(_, reporter)| now - reporter.heard > self.silent);
+        let silent = self
+            .reporters
+            .iter()
+            .filter(|(_, reporter)| now - reporter.heard > self.silent);
         for id in silent.map(|(id, _)| *id).collect::<Vec<_>>() {
             let reason = format!("nothing came for {} s", self.silent.seconds());
             self.close(id, Status::DeadlineExceeded, &reason);
@@ -279,7 +354,9 @@
     }
 
     pub fn send(&mut self, id: StreamId, message: &[u8]) {
-        let Some((token, key)) = self.place(id) else { return };
+        let Some((token, key)) = self.place(id) else {
+            return;
+        };
         if let Some(connection) = self.connections.get_mut(&token) {
             if !connection.send(key, message) {
                 connection.close(key, Status::ResourceExhausted, "answers are not taken");
@@ -289,7 +366,9 @@
     }
 
     pub fn close(&mut self, id: StreamId, status: Status, reason: &str) {
-        let Some((token, key)) = self.place(id) else { return };
+        let Some((token, key)) = self.place(id) else {
+            return;
+        };
         if let Some(connection) = self.connections.get_mut(&token) {
             connection.close(key, status, reason);
             self.stirred.push(token);
@@ -301,7 +380,9 @@
         for id in self.ids.values().copied().collect::<Vec<_>>() {
             self.close(id, Status::Unavailable, "the conductor stops");
         }
-        self.connections.values_mut().for_each(ServerConnection::stop);
+        self.connections
+            .values_mut()
+            .for_each(ServerConnection::stop);
         self.stirred.extend(self.connections.keys().copied());
         self.turn(now, &mut Vec::new());
     }
--- a/crates/discovery/src/content.rs
+++ b/crates/discovery/src/content.rs
@@ -20,7 +20,13 @@
 }
 
 /// What is referred to is sent before what refers to it.
-pub const ORDER: [Kind; 5] = [Kind::Clusters, Kind::Endpoints, Kind::Lines, Kind::Listeners, Kind::Routes];
+pub const ORDER: [Kind; 5] = [
+    Kind::Clusters,
+    Kind::Endpoints,
+    Kind::Lines,
+    Kind::Listeners,
+    Kind::Routes,
+];
 
 impl Kind {
     /// Whether a whole answer names everything that there is, so that what it lacks is gone.
@@ -43,7 +49,9 @@
 
     fn from_str(text: &str) -> Result<Checksum, ()> {
         let fine = text.len() == 32 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
-        fine.then(|| u128::from_str_radix(text, 16).ok().map(Checksum)).flatten().ok_or(())
+        fine.then(|| u128::from_str_radix(text, 16).ok().map(Checksum))
+            .flatten()
+            .ok_or(())
     }
 }
 
@@ -56,7 +64,10 @@
 impl Resource {
     pub fn new(bytes: impl Into<Bytes>) -> Resource {
         let bytes = bytes.into();
-        Resource { checksum: Checksum(xxh3_128(&bytes)), bytes }
+        Resource {
+            checksum: Checksum(xxh3_128(&bytes)),
+            bytes,
+        }
     }
 }
 
@@ -73,11 +84,18 @@
 
 impl Content {
     pub fn new(bundle: BundleId, version: Version) -> Content {
-        Content { bundle, version, kinds: BTreeMap::new() }
+        Content {
+            bundle,
+            version,
+            kinds: BTreeMap::new(),
+        }
     }
 
     pub fn put(&mut self, kind: Kind, name: &str, bytes: impl Into<Bytes>) {
-        self.kinds.entry(kind).or_default().insert(Arc::from(name), Resource::new(bytes));
+        self.kinds
+            .entry(kind)
+            .or_default()
+            .insert(Arc::from(name), Resource::new(bytes));
     }
 
     pub fn of(&self, kind: Kind) -> &BTreeMap<Name, Resource> {
@@ -86,7 +104,12 @@
 
     /// Of one kind, or of those resources of it that are wanted.
     pub fn checksum(&self, kind: Kind, wanted: impl Fn(&str) -> bool) -> Checksum {
-        checksum(self.of(kind).iter().filter(|(name, _)| wanted(name)).map(|(name, r)| (&**name, r.checksum)))
+        checksum(
+            self.of(kind)
+                .iter()
+                .filter(|(name, _)| wanted(name))
+                .map(|(name, r)| (&**name, r.checksum)),
+        )
     }
 }
 
@@ -125,7 +148,11 @@
     /// A name of what is asked for: the same for all who ask for the same.
     pub fn name(&self) -> Checksum {
         let all = self.all.then_some("*");
-        checksum(all.into_iter().chain(self.names.iter().map(String::as_str)).map(|name| (name, Checksum(0))))
+        checksum(
+            all.into_iter()
+                .chain(self.names.iter().map(String::as_str))
+                .map(|name| (name, Checksum(0))),
+        )
     }
 
     pub fn nothing(&self) -> bool {
--- a/crates/discovery/src/front.rs
+++ b/crates/discovery/src/front.rs
@@ -29,10 +29,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum News {
     /// The client holds this version of all that it watches.
-    Holds {
-        proxy: ProxyId,
-        version: Version,
-    },
+    Holds { proxy: ProxyId, version: Version },
     Refused {
         proxy: ProxyId,
         version: Version,
@@ -40,15 +37,9 @@
         verdict: Verdict,
     },
     /// It speaks of what it was not sent.
-    Strange {
-        proxy: ProxyId,
-        text: String,
-    },
+    Strange { proxy: ProxyId, text: String },
     /// The stream should be ended.
-    End {
-        stream: StreamId,
-        reason: String,
-    },
+    End { stream: StreamId, reason: String },
 }
 
 #[derive(Debug)]
@@ -86,7 +77,15 @@
 
     pub fn open(&mut self, stream: StreamId, proxy: ProxyId) {
         let fresh = Stream::new(self.plan.changes_at_most, self.plan.window);
-        self.streams.insert(stream, On { proxy, stream: fresh, holds: None, unanswered_since: None });
+        self.streams.insert(
+            stream,
+            On {
+                proxy,
+                stream: fresh,
+                holds: None,
+                unanswered_since: None,
+            },
+        );
     }
 
     pub fn close(&mut self, stream: StreamId) {
@@ -122,25 +121,42 @@
 
     /// Streams whose next answer had to wait for the pace that is allowed.
     pub fn limited(&self) -> Vec<StreamId> {
-        self.streams.iter().filter(|(_, on)| on.stream.limited()).map(|(id, _)| *id).collect()
+        self.streams
+            .iter()
+            .filter(|(_, on)| on.stream.limited())
+            .map(|(id, _)| *id)
+            .collect()
     }
 
     pub fn ask(&mut self, now: Moment, id: StreamId, ask: &Ask) -> Vec<News> {
         let mut news = Vec::new();
-        let Some(on) = self.streams.get_mut(&id) else { return news };
+        let Some(on) = self.streams.get_mut(&id) else {
+            return news;
+        };
         let (proxy, bundle) = (on.proxy, on.stream.newest().map(|newest| newest.bundle));
         match (on.stream.ask(now, ask), bundle) {
             (Heard::Noted | Heard::Acknowledged, _) | (Heard::Refused { .. }, None) => {}
             (Heard::Stale, _) => self.stale += 1,
             (Heard::Strange(text), _) => {
-                news.push(News::Strange { proxy, text: text.clone() });
+                news.push(News::Strange {
+                    proxy,
+                    text: text.clone(),
+                });
                 if on.stream.strange > STRANGE {
-                    news.push(News::End { stream: id, reason: text });
+                    news.push(News::End {
+                        stream: id,
+                        reason: text,
+                    });
                 }
             }
             (Heard::Refused { version, reason }, Some(bundle)) => {
                 let verdict = self.verdicts.refused(now, bundle, version, proxy);
-                news.push(News::Refused { proxy, version, reason: reason.clone(), verdict });
+                news.push(News::Refused {
+                    proxy,
+                    version,
+                    reason: reason.clone(),
+                    verdict,
+                });
                 if verdict == Verdict::Without(proxy) {
                     let reason = format!("it goes on refusing: {reason}");
                     news.push(News::End { stream: id, reason });
@@ -148,7 +164,10 @@
             }
         }
         if on.stream.names() > MOST_NAMES {
-            news.push(News::End { stream: id, reason: format!("more than {MOST_NAMES} names asked for") });
+            news.push(News::End {
+                stream: id,
+                reason: format!("more than {MOST_NAMES} names asked for"),
+            });
         }
         on.unanswered_since = on.unanswered_since.filter(|_| on.stream.waits());
         self.settled(now, id, &mut news);
@@ -167,13 +186,21 @@
     }
 
     fn settled(&mut self, now: Moment, id: StreamId, news: &mut Vec<News>) {
-        let Some(on) = self.streams.get_mut(&id) else { return };
-        let Some(version) = on.stream.holds().filter(|version| on.holds.map(|held| held.0) != Some(*version))
+        let Some(on) = self.streams.get_mut(&id) else {
+            return;
+        };
+        let Some(version) = on
+            .stream
+            .holds()
+            .filter(|version| on.holds.map(|held| held.0) != Some(*version))
         else {
             return;
         };
         on.holds = Some((version, now));
-        news.push(News::Holds { proxy: on.proxy, version });
+        news.push(News::Holds {
+            proxy: on.proxy,
+            version,
+        });
         if let Some(bundle) = on.stream.newest().map(|newest| newest.bundle) {
             self.verdicts.took(now, bundle, version, on.proxy);
         }
@@ -181,7 +208,14 @@
 
     /// Streams whose client does not speak to what it was sent.
     pub fn silent(&self, now: Moment) -> Vec<StreamId> {
-        let late = |on: &&On| on.unanswered_since.is_some_and(|since| now - since > self.plan.unanswered);
-        self.streams.iter().filter(|(_, on)| late(on)).map(|(id, _)| *id).collect()
+        let late = |on: &&On| {
+            on.unanswered_since
+                .is_some_and(|since| now - since > self.plan.unanswered)
+        };
+        self.streams
+            .iter()
+            .filter(|(_, on)| late(on))
+            .map(|(id, _)| *id)
+            .collect()
     }
 }
--- a/crates/discovery/src/history.rs
+++ b/crates/discovery/src/history.rs
@@ -31,7 +31,9 @@
         let before = from.into_iter().flat_map(|from| from.of(kind).keys());
         let gone = before.filter(|name| wants(name) && !to.of(kind).contains_key(*name));
         Difference {
-            changed: news.map(|(name, resource)| (name.clone(), resource.clone())).collect(),
+            changed: news
+                .map(|(name, resource)| (name.clone(), resource.clone()))
+                .collect(),
             removed: gone.cloned().collect(),
             comes_to: to.checksum(kind, |name| wanted.wants(name)),
         }
@@ -63,11 +65,18 @@
     /// `versions`: of so many the differences are kept.
     pub fn new(versions: usize) -> History {
         let most = versions.max(1).saturating_mul(DIFFERENCES);
-        History { newest: BTreeMap::new(), between: BTreeMap::new(), most }
+        History {
+            newest: BTreeMap::new(),
+            between: BTreeMap::new(),
+            most,
+        }
     }
 
     pub fn add(&mut self, content: Arc<Content>) {
-        let newest = self.newest.entry(content.bundle).or_insert_with(|| content.clone());
+        let newest = self
+            .newest
+            .entry(content.bundle)
+            .or_insert_with(|| content.clone());
         if newest.version < content.version {
             *newest = content;
         }
@@ -86,7 +95,12 @@
         name: Checksum,
     ) -> (Arc<Difference>, Shared) {
         let from_version = from.map_or(Version(0), |from| from.version);
-        let key = Shared { to: to.version, from: from_version, kind, wanted: name };
+        let key = Shared {
+            to: to.version,
+            from: from_version,
+            kind,
+            wanted: name,
+        };
         if let Some(known) = self.between.get(&key) {
             return (known.clone(), key);
         }
--- a/crates/discovery/src/reader.rs
+++ b/crates/discovery/src/reader.rs
@@ -29,7 +29,11 @@
 
 impl Reader {
     pub fn new(names: Vec<(Kind, Vec<String>)>) -> Reader {
-        Reader { names, held: BTreeMap::new(), version: None }
+        Reader {
+            names,
+            held: BTreeMap::new(),
+            version: None,
+        }
     }
 
     pub fn version(&self) -> Option<Version> {
@@ -43,15 +47,32 @@
 
     /// A name of all that is held: the same wherever the same is.
     pub fn name(&self) -> String {
-        self.held.values().map(|held| held.checksum().to_string()).collect::<Vec<_>>().join("-")
+        self.held
+            .values()
+            .map(|held| held.checksum().to_string())
+            .collect::<Vec<_>>()
+            .join("-")
     }
 
     /// What a stream begins with: names, and what is held of them already.
     pub fn hello(&self) -> Vec<Ask> {
         let ask = |(kind, names): &(Kind, Vec<String>)| {
-            let holds = self.held.get(kind).map(Receiver::versions).unwrap_or_default();
-            let mode = Mode::Delta { subscribe: names.clone(), unsubscribe: Vec::new(), holds };
-            Ask { kind: *kind, nonce: String::new(), error: None, mode }
+            let holds = self
+                .held
+                .get(kind)
+                .map(Receiver::versions)
+                .unwrap_or_default();
+            let mode = Mode::Delta {
+                subscribe: names.clone(),
+                unsubscribe: Vec::new(),
+                holds,
+            };
+            Ask {
+                kind: *kind,
+                nonce: String::new(),
+                error: None,
+                mode,
+            }
         };
         self.names.iter().map(ask).collect()
     }
@@ -65,31 +86,60 @@
         delta: &Delta,
         usable: impl FnOnce(&Reader, Version) -> Result<(), String>,
     ) -> Step {
-        let mode = Mode::Delta { subscribe: Vec::new(), unsubscribe: Vec::new(), holds: BTreeMap::new() };
-        let mut reply = Ask { kind, nonce: nonce.to_string(), error: None, mode };
+        let mode = Mode::Delta {
+            subscribe: Vec::new(),
+            unsubscribe: Vec::new(),
+            holds: BTreeMap::new(),
+        };
+        let mut reply = Ask {
+            kind,
+            nonce: nonce.to_string(),
+            error: None,
+            mode,
+        };
         let last = self.names.last().map(|(kind, _)| *kind);
         if !self.names.iter().any(|(asked, _)| *asked == kind) {
             reply.error = Some("this kind was not asked for".to_string());
-            return Step { reply, complete: None, restart: None };
+            return Step {
+                reply,
+                complete: None,
+                restart: None,
+            };
         }
         let before = self.held.entry(kind).or_default().clone();
         if let Taken::Refused(reason) = self.held.entry(kind).or_default().take(delta) {
             reply.error = Some(reason.clone());
             self.held.insert(kind, Receiver::default());
-            return Step { reply, complete: None, restart: Some(reason) };
+            return Step {
+                reply,
+                complete: None,
+                restart: Some(reason),
+            };
         }
         let Some(version) = version.filter(|_| last == Some(kind)) else {
-            return Step { reply, complete: None, restart: None };
+            return Step {
+                reply,
+                complete: None,
+                restart: None,
+            };
         };
         match usable(self, version) {
             Ok(()) => {
                 self.version = Some(version);
-                Step { reply, complete: Some(version), restart: None }
+                Step {
+                    reply,
+                    complete: Some(version),
+                    restart: None,
+                }
             }
             Err(reason) => {
                 self.held.insert(kind, before);
                 reply.error = Some(reason);
-                Step { reply, complete: None, restart: None }
+                Step {
+                    reply,
+                    complete: None,
+                    restart: None,
+                }
             }
         }
     }
@@ -140,13 +190,21 @@
         while let Some(answer) = front.next(now, StreamId(1), &mut Vec::new()) {
             let changed = answer.changed.iter();
             let delta = Delta {
-                changed: changed.map(|(name, r)| (name.to_string(), r.checksum, r.bytes.clone())).collect(),
+                changed: changed
+                    .map(|(name, r)| (name.to_string(), r.checksum, r.bytes.clone()))
+                    .collect(),
                 removed: answer.removed.iter().map(|name| name.to_string()).collect(),
                 comes_to: answer.comes_to,
             };
-            let result = if usable { Ok(()) } else { Err("no table".to_string()) };
+            let result = if usable {
+                Ok(())
+            } else {
+                Err("no table".to_string())
+            };
             let nonce = answer.nonce.to_string();
-            let step = reader.told(answer.kind, &nonce, Some(answer.version), &delta, |_, _| result);
+            let step = reader.told(answer.kind, &nonce, Some(answer.version), &delta, |_, _| {
+                result
+            });
             complete.extend(step.complete);
             front.ask(now, StreamId(1), &step.reply);
         }
@@ -162,12 +220,22 @@
         for version in 1..4 {
             front.offer(StreamId(1), &content(version, &version.to_string()));
             assert_eq!(pass(&mut front, &mut reader, true), [Version(version)]);
-            assert_eq!(front.holds(StreamId(1)).map(|held| held.0), Some(Version(version)));
+            assert_eq!(
+                front.holds(StreamId(1)).map(|held| held.0),
+                Some(Version(version))
+            );
         }
         front.offer(StreamId(1), &content(4, "4"));
-        assert_eq!(pass(&mut front, &mut reader, false), [], "what makes no sense is refused");
         assert_eq!(
-            (reader.version(), front.holds(StreamId(1)).map(|held| held.0)),
+            pass(&mut front, &mut reader, false),
+            [],
+            "what makes no sense is refused"
+        );
+        assert_eq!(
+            (
+                reader.version(),
+                front.holds(StreamId(1)).map(|held| held.0)
+            ),
             (Some(Version(3)), Some(Version(3)))
         );
     }
@@ -186,6 +254,9 @@
             .iter()
             .all(|ask| matches!(&ask.mode, Mode::Delta { holds, .. } if holds.is_empty())));
         let step = reader.told(Kind::Clusters, "2", None, &Delta::default(), |_, _| Ok(()));
-        assert!(step.reply.error.is_some_and(|error| error.contains("not asked for")));
+        assert!(step
+            .reply
+            .error
+            .is_some_and(|error| error.contains("not asked for")));
     }
 }
--- a/crates/discovery/src/receiver.rs
+++ b/crates/discovery/src/receiver.rs
@@ -33,11 +33,18 @@
 
     /// To be told on a new stream, so that only what differs comes.
     pub fn versions(&self) -> BTreeMap<String, String> {
-        self.held.iter().map(|(name, held)| (name.clone(), held.checksum.to_string())).collect()
+        self.held
+            .iter()
+            .map(|(name, held)| (name.clone(), held.checksum.to_string()))
+            .collect()
     }
 
     pub fn checksum(&self) -> Checksum {
-        checksum(self.held.iter().map(|(name, held)| (name.as_str(), held.checksum)))
+        checksum(
+            self.held
+                .iter()
+                .map(|(name, held)| (name.as_str(), held.checksum)),
+        )
     }
 
     pub fn take(&mut self, delta: &Delta) -> Taken {
--- a/crates/discovery/src/stream.rs
+++ b/crates/discovery/src/stream.rs
@@ -23,8 +23,15 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Mode {
-    Whole { names: Vec<String>, version: String },
-    Delta { subscribe: Vec<String>, unsubscribe: Vec<String>, holds: BTreeMap<String, String> },
+    Whole {
+        names: Vec<String>,
+        version: String,
+    },
+    Delta {
+        subscribe: Vec<String>,
+        unsubscribe: Vec<String>,
+        holds: BTreeMap<String, String>,
+    },
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -93,18 +100,68 @@
 }
 
 const WATCH: &[(State, Input, State, Effect)] = &[
-    (State::Settled, Input::FirstWord, State::Settled, Effect::Note),
+    (
+        State::Settled,
+        Input::FirstWord,
+        State::Settled,
+        Effect::Note,
+    ),
     // It asks for more before it has taken what is on its way.
-    (State::Waiting, Input::FirstWord, State::Waiting, Effect::Note),
-    (State::Waiting, Input::LastNonce, State::Settled, Effect::Acknowledge),
-    (State::Waiting, Input::LastNonceWithError, State::Settled, Effect::Refuse),
+    (
+        State::Waiting,
+        Input::FirstWord,
+        State::Waiting,
+        Effect::Note,
+    ),
+    (
+        State::Waiting,
+        Input::LastNonce,
+        State::Settled,
+        Effect::Acknowledge,
+    ),
+    (
+        State::Waiting,
+        Input::LastNonceWithError,
+        State::Settled,
+        Effect::Refuse,
+    ),
     // With the nonce of an answer that it took, a client changes what it subscribes to.
-    (State::Settled, Input::LastNonce, State::Settled, Effect::Note),
-    (State::Settled, Input::LastNonceWithError, State::Settled, Effect::Wonder),
-    (State::Settled, Input::OlderNonce, State::Settled, Effect::Ignore),
-    (State::Waiting, Input::OlderNonce, State::Waiting, Effect::Ignore),
-    (State::Settled, Input::UnknownNonce, State::Settled, Effect::Wonder),
-    (State::Waiting, Input::UnknownNonce, State::Waiting, Effect::Wonder),
+    (
+        State::Settled,
+        Input::LastNonce,
+        State::Settled,
+        Effect::Note,
+    ),
+    (
+        State::Settled,
+        Input::LastNonceWithError,
+        State::Settled,
+        Effect::Wonder,
+    ),
+    (
+        State::Settled,
+        Input::OlderNonce,
+        State::Settled,
+        Effect::Ignore,
+    ),
+    (
+        State::Waiting,
+        Input::OlderNonce,
+        State::Waiting,
+        Effect::Ignore,
+    ),
+    (
+        State::Settled,
+        Input::UnknownNonce,
+        State::Settled,
+        Effect::Wonder,
+    ),
+    (
+        State::Waiting,
+        Input::UnknownNonce,
+        State::Waiting,
+        Effect::Wonder,
+    ),
 ];
 
 #[derive(Debug)]
@@ -141,7 +198,10 @@
     }
 
     fn stands(&self, newest: &Content) -> Stands {
-        let sent = self.sent.as_ref().is_some_and(|sent| sent.version == newest.version);
+        let sent = self
+            .sent
+            .as_ref()
+            .is_some_and(|sent| sent.version == newest.version);
         let there = matches!(&self.held, Held::Version(held) if held.version == newest.version);
         match (self.state, self.fresh.is_empty()) {
             (State::Waiting, true) if sent => Stands::OnItsWay,
@@ -195,13 +255,20 @@
     }
 
     pub fn names(&self) -> usize {
-        self.watches.values().map(|watch| watch.wanted.names.len()).sum()
+        self.watches
+            .values()
+            .map(|watch| watch.wanted.names.len())
+            .sum()
     }
 
     /// The version that the client holds of every kind that it watches.
     pub fn holds(&self) -> Option<Version> {
         let mut all = None;
-        for watch in self.watches.values().filter(|watch| !watch.wanted.nothing()) {
+        for watch in self
+            .watches
+            .values()
+            .filter(|watch| !watch.wanted.nothing())
+        {
             match (&watch.held, all) {
                 (Held::Version(content), None) if watch.state == State::Settled => {
                     all = Some(content.version)
@@ -215,7 +282,9 @@
 
     /// An answer is on its way that the client has not spoken to.
     pub fn waits(&self) -> bool {
-        self.watches.values().any(|watch| watch.state == State::Waiting)
+        self.watches
+            .values()
+            .any(|watch| watch.state == State::Waiting)
     }
 
     pub fn ask(&mut self, now: Moment, ask: &Ask) -> Heard {
@@ -243,11 +312,15 @@
             (_, Some(nonce)) if nonce > 0 && nonce <= last_of_stream => Input::OlderNonce,
             _ => Input::UnknownNonce,
         };
-        let row = WATCH.iter().find(|row| (row.0, row.1) == (watch.state, input));
+        let row = WATCH
+            .iter()
+            .find(|row| (row.0, row.1) == (watch.state, input));
         let (next, mut effect) = row.map_or((watch.state, Effect::Ignore), |row| (row.2, row.3));
         let sent = watch.sent.as_ref().map(|content| content.version);
         // To acknowledge is to name the version that was sent.
-        if let (Effect::Acknowledge, Mode::Whole { version, .. }, Some(sent)) = (effect, &ask.mode, sent) {
+        if let (Effect::Acknowledge, Mode::Whole { version, .. }, Some(sent)) =
+            (effect, &ask.mode, sent)
+        {
             if *version != sent.0.to_string() {
                 effect = Effect::Refuse;
             }
@@ -266,20 +339,27 @@
             Effect::Wonder => {
                 self.strange += 1;
                 let nonce: String = ask.nonce.chars().take(40).collect();
-                Heard::Strange(format!("it speaks of answer `{nonce}`, which it was not sent"))
+                Heard::Strange(format!(
+                    "it speaks of answer `{nonce}`, which it was not sent"
+                ))
             }
             Effect::Acknowledge => {
-                let Some(content) = watch.sent.take() else { return Heard::Noted };
+                let Some(content) = watch.sent.take() else {
+                    return Heard::Noted;
+                };
                 watch.held = Held::Version(content);
                 Heard::Acknowledged
             }
             Effect::Refuse => {
                 // What it held before it holds still.
-                let version = watch.sent.take().map_or(Version(0), |content| content.version);
+                let version = watch
+                    .sent
+                    .take()
+                    .map_or(Version(0), |content| content.version);
                 watch.refused = Some(version);
                 let reason = ask.error.clone();
-                let reason =
-                    reason.unwrap_or_else(|| "it names another version than it was sent".to_string());
+                let reason = reason
+                    .unwrap_or_else(|| "it names another version than it was sent".to_string());
                 Heard::Refused { version, reason }
             }
         }
@@ -292,9 +372,14 @@
         if self.limited {
             return None;
         }
-        let last = ORDER.iter().rfind(|kind| self.watches.get(kind).is_some_and(Watch::wants)).copied()?;
+        let last = ORDER
+            .iter()
+            .rfind(|kind| self.watches.get(kind).is_some_and(Watch::wants))
+            .copied()?;
         for kind in ORDER {
-            let Some(watch) = self.watches.get_mut(&kind).filter(|watch| watch.wants()) else { continue };
+            let Some(watch) = self.watches.get_mut(&kind).filter(|watch| watch.wants()) else {
+                continue;
+            };
             match watch.stands(&newest) {
                 Stands::There | Stands::OnItsWay | Stands::Refused => continue,
                 Stands::Overtaken => return None,
@@ -309,14 +394,25 @@
                 continue;
             }
             self.last_nonce += 1;
-            return Some(answer(watch, kind, &newest, &difference, shared, self.last_nonce));
+            return Some(answer(
+                watch,
+                kind,
+                &newest,
+                &difference,
+                shared,
+                self.last_nonce,
+            ));
         }
         self.removal(&newest)
     }
 
     /// What others referred to goes when nothing does any more.
     fn removal(&mut self, newest: &Arc<Content>) -> Option<Answer> {
-        if self.watches.values().any(|watch| watch.wants() && watch.state == State::Waiting) {
+        if self
+            .watches
+            .values()
+            .any(|watch| watch.wants() && watch.state == State::Waiting)
+        {
             return None;
         }
         let leaves = |(_, watch): &(&Kind, &mut Watch)| !watch.standing.is_empty();
@@ -324,11 +420,18 @@
         let standing = std::mem::take(&mut watch.standing);
         let to = newest.of(*kind);
         let comes_to = newest.checksum(*kind, |name| watch.wanted.wants(name));
-        let nothing = Difference { changed: Vec::new(), removed: Vec::new(), comes_to };
+        let nothing = Difference {
+            changed: Vec::new(),
+            removed: Vec::new(),
+            comes_to,
+        };
         self.last_nonce += 1;
         let mut answer = answer(watch, *kind, newest, &nothing, None, self.last_nonce);
         if answer.delta {
-            answer.removed = standing.into_keys().filter(|name| !to.contains_key(name)).collect();
+            answer.removed = standing
+                .into_keys()
+                .filter(|name| !to.contains_key(name))
+                .collect();
         }
         Some(answer)
     }
@@ -346,15 +449,24 @@
             // Nothing named ever is everything, of the kinds that know it; once something was named, no more.
             let implied = ask.kind.complete() && names.is_empty() && (first || watch.wanted.all);
             let all = implied || names.iter().any(|name| name == "*");
-            let names: BTreeSet<String> = names.iter().filter(|name| *name != "*").cloned().collect();
+            let names: BTreeSet<String> =
+                names.iter().filter(|name| *name != "*").cloned().collect();
             let known = std::mem::replace(&mut watch.wanted, Wanted { all, names });
-            let fresh = watch.wanted.names.difference(&known.names).filter(|name| !known.wants(name));
+            let fresh = watch
+                .wanted
+                .names
+                .difference(&known.names)
+                .filter(|name| !known.wants(name));
             watch.fresh.extend(fresh.cloned().collect::<Vec<_>>());
             if all && !known.all && !first {
                 watch.fresh.insert("*".to_string());
             }
         }
-        Mode::Delta { subscribe, unsubscribe, holds } => {
+        Mode::Delta {
+            subscribe,
+            unsubscribe,
+            holds,
+        } => {
             if first {
                 watch.wanted.all = ask.kind.complete() && subscribe.is_empty();
                 if !holds.is_empty() {
@@ -406,15 +518,25 @@
 }
 
 /// What a client lacks of a version, or has beyond it, by its own word.
-fn from_told(watch: &Watch, kind: Kind, newest: &Content, told: &BTreeMap<String, String>) -> Difference {
+fn from_told(
+    watch: &Watch,
+    kind: Kind,
+    newest: &Content,
+    told: &BTreeMap<String, String>,
+) -> Difference {
     let to = newest.of(kind);
     let known = |name: &str, resource: &Resource| {
-        told.get(name).is_some_and(|version| *version == resource.checksum.to_string())
+        told.get(name)
+            .is_some_and(|version| *version == resource.checksum.to_string())
     };
-    let changed = to.iter().filter(|(name, resource)| watch.wanted.wants(name) && !known(name, resource));
+    let changed = to
+        .iter()
+        .filter(|(name, resource)| watch.wanted.wants(name) && !known(name, resource));
     let removed = told.keys().filter(|name| !to.contains_key(name.as_str()));
     Difference {
-        changed: changed.map(|(name, resource)| (name.clone(), resource.clone())).collect(),
+        changed: changed
+            .map(|(name, resource)| (name.clone(), resource.clone()))
+            .collect(),
         removed: removed.map(|name| Arc::from(name.as_str())).collect(),
         comes_to: newest.checksum(kind, |name| watch.wanted.wants(name)),
     }
@@ -433,12 +555,20 @@
     let fresh = std::mem::take(&mut watch.fresh);
     if !fresh.is_empty() {
         let listed: BTreeSet<Name> = changed.iter().map(|(name, _)| name.clone()).collect();
-        let asked = Wanted { all: fresh.contains("*"), names: fresh };
-        let more = to.iter().filter(|(name, _)| asked.wants(name) && !listed.contains(*name));
+        let asked = Wanted {
+            all: fresh.contains("*"),
+            names: fresh,
+        };
+        let more = to
+            .iter()
+            .filter(|(name, _)| asked.wants(name) && !listed.contains(*name));
         let before = changed.len() + removed.len();
         changed.extend(more.map(|(name, resource)| (name.clone(), resource.clone())));
         // In deltas a name that there is nothing for is told as gone, so that the client need not wait.
-        let plain = asked.names.iter().filter(|name| *name != "*" && !name.ends_with("/*"));
+        let plain = asked
+            .names
+            .iter()
+            .filter(|name| *name != "*" && !name.ends_with("/*"));
         let none = plain.filter(|name| watch.delta && !to.contains_key(name.as_str()));
         removed.extend(none.map(|name| Name::from(name.as_str())));
         shared = shared.filter(|_| changed.len() + removed.len() == before);
@@ -456,9 +586,15 @@
     if !watch.delta {
         if kind.complete() {
             let all = to.iter().filter(|(name, _)| watch.wanted.wants(name));
-            changed = all.map(|(name, resource)| (name.clone(), resource.clone())).collect();
-            let stand = watch.standing.iter().filter(|(name, _)| !to.contains_key(*name));
-            let stand = stand.filter_map(|(name, resource)| Some((name.clone(), resource.clone()?)));
+            changed = all
+                .map(|(name, resource)| (name.clone(), resource.clone()))
+                .collect();
+            let stand = watch
+                .standing
+                .iter()
+                .filter(|(name, _)| !to.contains_key(*name));
+            let stand =
+                stand.filter_map(|(name, resource)| Some((name.clone(), resource.clone()?)));
             changed.extend(stand);
         }
         removed.clear();
--- a/crates/discovery/src/verdict.rs
+++ b/crates/discovery/src/verdict.rs
@@ -48,16 +48,61 @@
     (State::Fine, Input::FewRefuse, State::Fine, Effect::Nothing),
     (State::Fine, Input::MostTake, State::Fine, Effect::Nothing),
     (State::Fine, Input::MostRefuse, State::Holding, Effect::Hold),
-    (State::Fine, Input::MostRefuseAgain, State::SteppedBack, Effect::StepBack),
-    (State::Holding, Input::FewRefuse, State::Holding, Effect::Nothing),
-    (State::Holding, Input::MostTake, State::Fine, Effect::Release),
-    (State::Holding, Input::MostRefuse, State::Holding, Effect::Hold),
-    (State::Holding, Input::MostRefuseAgain, State::SteppedBack, Effect::StepBack),
+    (
+        State::Fine,
+        Input::MostRefuseAgain,
+        State::SteppedBack,
+        Effect::StepBack,
+    ),
+    (
+        State::Holding,
+        Input::FewRefuse,
+        State::Holding,
+        Effect::Nothing,
+    ),
+    (
+        State::Holding,
+        Input::MostTake,
+        State::Fine,
+        Effect::Release,
+    ),
+    (
+        State::Holding,
+        Input::MostRefuse,
+        State::Holding,
+        Effect::Hold,
+    ),
+    (
+        State::Holding,
+        Input::MostRefuseAgain,
+        State::SteppedBack,
+        Effect::StepBack,
+    ),
     // What was gone back to is refused as well: there is nothing better.
-    (State::SteppedBack, Input::MostRefuse, State::SteppedBack, Effect::Hold),
-    (State::SteppedBack, Input::MostRefuseAgain, State::SteppedBack, Effect::Hold),
-    (State::SteppedBack, Input::FewRefuse, State::SteppedBack, Effect::Nothing),
-    (State::SteppedBack, Input::MostTake, State::Fine, Effect::Release),
+    (
+        State::SteppedBack,
+        Input::MostRefuse,
+        State::SteppedBack,
+        Effect::Hold,
+    ),
+    (
+        State::SteppedBack,
+        Input::MostRefuseAgain,
+        State::SteppedBack,
+        Effect::Hold,
+    ),
+    (
+        State::SteppedBack,
+        Input::FewRefuse,
+        State::SteppedBack,
+        Effect::Nothing,
+    ),
+    (
+        State::SteppedBack,
+        Input::MostTake,
+        State::Fine,
+        Effect::Release,
+    ),
 ];
 
 /// Of those that answered: with more of them refusing, the table is at fault.
@@ -120,7 +165,11 @@
 impl Verdicts {
     /// `hold`: how long ordinary changes wait after most refused one; twice as long after each more.
     pub fn new(hold: Span) -> Verdicts {
-        Verdicts { tables: BTreeMap::new(), alone: BTreeMap::new(), hold }
+        Verdicts {
+            tables: BTreeMap::new(),
+            alone: BTreeMap::new(),
+            hold,
+        }
     }
 
     fn votes(&mut self, bundle: BundleId, version: Version) -> &mut Of {
@@ -132,10 +181,18 @@
         of
     }
 
-    pub fn took(&mut self, now: Moment, bundle: BundleId, version: Version, proxy: ProxyId) -> Verdict {
+    pub fn took(
+        &mut self,
+        now: Moment,
+        bundle: BundleId,
+        version: Version,
+        proxy: ProxyId,
+    ) -> Verdict {
         self.alone.remove(&proxy);
         let of = self.votes(bundle, version);
-        let Some(votes) = of.votes.get_mut(&version) else { return Verdict::GoOn };
+        let Some(votes) = of.votes.get_mut(&version) else {
+            return Verdict::GoOn;
+        };
         votes.took.insert(proxy);
         votes.refused.remove(&proxy);
         if !votes.most_take() {
@@ -148,16 +205,28 @@
         self.turn(now, bundle, Input::MostTake)
     }
 
-    pub fn refused(&mut self, now: Moment, bundle: BundleId, version: Version, proxy: ProxyId) -> Verdict {
+    pub fn refused(
+        &mut self,
+        now: Moment,
+        bundle: BundleId,
+        version: Version,
+        proxy: ProxyId,
+    ) -> Verdict {
         let of = self.votes(bundle, version);
-        let Some(votes) = of.votes.get_mut(&version) else { return Verdict::GoOn };
+        let Some(votes) = of.votes.get_mut(&version) else {
+            return Verdict::GoOn;
+        };
         votes.refused.insert(proxy);
         votes.took.remove(&proxy);
         if votes.most_refuse() {
             if version > of.counted {
                 (of.in_a_row, of.counted) = (of.in_a_row + 1, version);
             }
-            let input = if of.in_a_row >= BORNE { Input::MostRefuseAgain } else { Input::MostRefuse };
+            let input = if of.in_a_row >= BORNE {
+                Input::MostRefuseAgain
+            } else {
+                Input::MostRefuse
+            };
             return self.turn(now, bundle, input);
         }
         let alone = self.alone.entry(proxy).or_insert(0);
@@ -171,9 +240,13 @@
 
     fn turn(&mut self, now: Moment, bundle: BundleId, input: Input) -> Verdict {
         let hold = self.hold;
-        let Some(of) = self.tables.get_mut(&bundle) else { return Verdict::GoOn };
+        let Some(of) = self.tables.get_mut(&bundle) else {
+            return Verdict::GoOn;
+        };
         let row = TABLE.iter().find(|row| (row.0, row.1) == (of.state, input));
-        let Some((_, _, next, effect)) = row else { return Verdict::GoOn };
+        let Some((_, _, next, effect)) = row else {
+            return Verdict::GoOn;
+        };
         of.state = *next;
         match effect {
             Effect::Nothing => Verdict::GoOn,
--- a/crates/discovery/tests/streams.rs
+++ b/crates/discovery/tests/streams.rs
@@ -15,7 +15,13 @@
 
 fn plan() -> Plan {
     let ten = Span::from_seconds(10.0);
-    Plan { versions: 8, changes_at_most: 20, window: ten, unanswered: ten, hold: Span::from_seconds(1.0) }
+    Plan {
+        versions: 8,
+        changes_at_most: 20,
+        window: ten,
+        unanswered: ten,
+        hold: Span::from_seconds(1.0),
+    }
 }
 
 fn at(seconds: f64) -> Moment {
@@ -37,13 +43,30 @@
 
 fn whole(kind: Kind, names: &[&str], nonce: &str, version: &str) -> Ask {
     let names = names.iter().map(|name| name.to_string()).collect();
-    Ask { kind, nonce: nonce.into(), error: None, mode: Mode::Whole { names, version: version.into() } }
+    Ask {
+        kind,
+        nonce: nonce.into(),
+        error: None,
+        mode: Mode::Whole {
+            names,
+            version: version.into(),
+        },
+    }
 }
 
 fn delta(kind: Kind, subscribe: &[&str], nonce: &str, holds: BTreeMap<String, String>) -> Ask {
     let subscribe = subscribe.iter().map(|name| name.to_string()).collect();
-    let mode = Mode::Delta { subscribe, unsubscribe: Vec::new(), holds };
-    Ask { kind, nonce: nonce.into(), error: None, mode }
+    let mode = Mode::Delta {
+        subscribe,
+        unsubscribe: Vec::new(),
+        holds,
+    };
+    Ask {
+        kind,
+        nonce: nonce.into(),
+        error: None,
+        mode,
+    }
 }
 
 fn refusing(mut ask: Ask, why: &str) -> Ask {
@@ -61,7 +84,11 @@
     fn new() -> Stage {
         let mut front = Front::new(plan());
         front.open(StreamId(1), ProxyId(1));
-        Stage { front, now: at(0.0), id: StreamId(1) }
+        Stage {
+            front,
+            now: at(0.0),
+            id: StreamId(1),
+        }
     }
 
     fn next(&mut self) -> Option<Answer> {
@@ -82,13 +109,30 @@
     let mut stage = Stage::new();
     stage.front.offer(StreamId(1), &content(41, &[(1, 5)]));
     for kind in [Kind::Routes, Kind::Listeners] {
-        stage.ask(whole(kind, if kind == Kind::Routes { &["operations"] } else { &[] }, "", ""));
+        stage.ask(whole(
+            kind,
+            if kind == Kind::Routes {
+                &["operations"]
+            } else {
+                &[]
+            },
+            "",
+            "",
+        ));
     }
     stage.ask(whole(Kind::Endpoints, &["quote"], "", ""));
     stage.ask(whole(Kind::Clusters, &[], "", ""));
     let answers = stage.all();
     let kinds: Vec<Kind> = answers.iter().map(|answer| answer.kind).collect();
-    assert_eq!(kinds, [Kind::Clusters, Kind::Endpoints, Kind::Listeners, Kind::Routes]);
+    assert_eq!(
+        kinds,
+        [
+            Kind::Clusters,
+            Kind::Endpoints,
+            Kind::Listeners,
+            Kind::Routes
+        ]
+    );
     for (place, answer) in answers.iter().enumerate() {
         let names: &[&str] = match answer.kind {
             Kind::Endpoints => &["quote"],
@@ -96,7 +140,10 @@
             _ => &[],
         };
         let news = stage.ask(whole(answer.kind, names, &answer.nonce.to_string(), "41"));
-        let held = News::Holds { proxy: ProxyId(1), version: Version(41) };
+        let held = News::Holds {
+            proxy: ProxyId(1),
+            version: Version(41),
+        };
         assert_eq!(news, if place == 3 { vec![held] } else { vec![] });
     }
     assert!(stage.next().is_none(), "nothing changed");
@@ -108,24 +155,40 @@
     stage.ask(delta(Kind::Lines, &["quote/*"], "", BTreeMap::new()));
     let mut sent = Vec::new();
     for version in 1..=1000u64 {
-        stage.front.offer(StreamId(1), &content(version, &[(1, version as u32), (2, 7)]));
+        stage.front.offer(
+            StreamId(1),
+            &content(version, &[(1, version as u32), (2, 7)]),
+        );
         sent.extend(stage.all());
     }
     assert_eq!(sent.len(), 1);
-    stage.ask(delta(Kind::Lines, &[], &sent[0].nonce.to_string(), BTreeMap::new()));
+    stage.ask(delta(
+        Kind::Lines,
+        &[],
+        &sent[0].nonce.to_string(),
+        BTreeMap::new(),
+    ));
     let next = stage.all();
-    assert_eq!((next.len(), next[0].version, next[0].changed.len()), (1, Version(1000), 1));
+    assert_eq!(
+        (next.len(), next[0].version, next[0].changed.len()),
+        (1, Version(1000), 1)
+    );
 }
 
 #[test]
 fn a_refusal_keeps_what_was_held_and_the_next_version_starts_from_there() {
     let mut stage = Stage::new();
     stage.ask(delta(Kind::Lines, &["quote/*"], "", BTreeMap::new()));
-    let acknowledge = |answer: &Answer| delta(Kind::Lines, &[], &answer.nonce.to_string(), BTreeMap::new());
-    stage.front.offer(StreamId(1), &content(1, &[(1, 1), (2, 1)]));
+    let acknowledge =
+        |answer: &Answer| delta(Kind::Lines, &[], &answer.nonce.to_string(), BTreeMap::new());
+    stage
+        .front
+        .offer(StreamId(1), &content(1, &[(1, 1), (2, 1)]));
     let first = stage.next().expect("the whole");
     stage.ask(acknowledge(&first));
-    stage.front.offer(StreamId(1), &content(2, &[(1, 2), (2, 1)]));
+    stage
+        .front
+        .offer(StreamId(1), &content(2, &[(1, 2), (2, 1)]));
     let second = stage.next().expect("a delta");
     let news = stage.ask(refusing(acknowledge(&second), "a weight of 2"));
     let told = News::Refused {
@@ -136,10 +199,19 @@
     };
     assert_eq!(news, [told]);
     assert!(stage.next().is_none(), "the same is not sent again");
-    assert_eq!(stage.front.holds(StreamId(1)).map(|held| held.0), Some(Version(1)));
-    stage.front.offer(StreamId(1), &content(3, &[(1, 2), (2, 3)]));
+    assert_eq!(
+        stage.front.holds(StreamId(1)).map(|held| held.0),
+        Some(Version(1))
+    );
+    stage
+        .front
+        .offer(StreamId(1), &content(3, &[(1, 2), (2, 3)]));
     let third = stage.next().expect("a delta");
-    assert_eq!(third.changed.len(), 2, "also what it refused with the version before");
+    assert_eq!(
+        third.changed.len(),
+        2,
+        "also what it refused with the version before"
+    );
 }
 
 #[test_case("7"; "a nonce that was never given")]
@@ -152,7 +224,10 @@
     for time in 0..12 {
         let news = stage.ask(whole(Kind::Clusters, &[], nonce, "1"));
         assert!(matches!(news[0], News::Strange { .. }));
-        assert_eq!(news.iter().any(|news| matches!(news, News::End { .. })), time >= 10);
+        assert_eq!(
+            news.iter().any(|news| matches!(news, News::End { .. })),
+            time >= 10
+        );
     }
     assert_eq!(stage.front.holds(StreamId(1)), None);
     // The right nonce with a version that was never published is no acknowledgement either.
@@ -167,22 +242,45 @@
     stage.front.offer(StreamId(1), &content(1, &[(1, 1)]));
     stage.ask(whole(Kind::Endpoints, &["quote"], "", ""));
     let first = stage.next().expect("endpoints");
-    stage.ask(whole(Kind::Endpoints, &["quote"], &first.nonce.to_string(), "1"));
+    stage.ask(whole(
+        Kind::Endpoints,
+        &["quote"],
+        &first.nonce.to_string(),
+        "1",
+    ));
     stage.front.offer(StreamId(1), &content(2, &[(1, 2)]));
     let second = stage.next().expect("endpoints");
     stage.ask(whole(Kind::Endpoints, &[], &first.nonce.to_string(), "1"));
     assert_eq!(stage.front.stale, 1);
-    let news = stage.ask(whole(Kind::Endpoints, &["quote"], &second.nonce.to_string(), "2"));
-    assert_eq!(news, [News::Holds { proxy: ProxyId(1), version: Version(2) }]);
+    let news = stage.ask(whole(
+        Kind::Endpoints,
+        &["quote"],
+        &second.nonce.to_string(),
+        "2",
+    ));
+    assert_eq!(
+        news,
+        [News::Holds {
+            proxy: ProxyId(1),
+            version: Version(2)
+        }]
+    );
 }
 
 #[test]
 fn a_name_subscribed_to_later_is_sent_alone_and_one_that_is_nothing_is_told_as_gone() {
     let mut stage = Stage::new();
-    stage.front.offer(StreamId(1), &content(1, &[(1, 1), (2, 1)]));
+    stage
+        .front
+        .offer(StreamId(1), &content(1, &[(1, 1), (2, 1)]));
     stage.ask(delta(Kind::Lines, &["quote/1"], "", BTreeMap::new()));
     let first = stage.next().expect("a line");
-    stage.ask(delta(Kind::Lines, &["quote/2", "quote/9"], &first.nonce.to_string(), BTreeMap::new()));
+    stage.ask(delta(
+        Kind::Lines,
+        &["quote/2", "quote/9"],
+        &first.nonce.to_string(),
+        BTreeMap::new(),
+    ));
     let second = stage.next().expect("another");
     let names: Vec<&str> = second.changed.iter().map(|(name, _)| &**name).collect();
     assert_eq!((names, &*second.removed[0]), (vec!["quote/2"], "quote/9"));
@@ -192,13 +290,25 @@
 #[test_case("*", 2; "everything")]
 fn what_is_asked_for_by_a_pattern_later_is_sent_once(pattern: &str, lines: usize) {
     let mut stage = Stage::new();
-    stage.front.offer(StreamId(1), &content(1, &[(1, 1), (2, 1)]));
+    stage
+        .front
+        .offer(StreamId(1), &content(1, &[(1, 1), (2, 1)]));
     stage.ask(delta(Kind::Lines, &["other/1"], "", BTreeMap::new()));
     let first = stage.next().expect("that there is none");
-    stage.ask(delta(Kind::Lines, &[pattern], &first.nonce.to_string(), BTreeMap::new()));
+    stage.ask(delta(
+        Kind::Lines,
+        &[pattern],
+        &first.nonce.to_string(),
+        BTreeMap::new(),
+    ));
     let second = stage.next().expect("the lines");
     assert_eq!((second.changed.len(), second.removed.len()), (lines, 0));
-    stage.ask(delta(Kind::Lines, &[], &second.nonce.to_string(), BTreeMap::new()));
+    stage.ask(delta(
+        Kind::Lines,
+        &[],
+        &second.nonce.to_string(),
+        BTreeMap::new(),
+    ));
     assert!(stage.next().is_none());
 }
 
@@ -217,7 +327,12 @@
         while let Some(answer) = stage.next() {
             nonces.insert(answer.kind, answer.nonce.to_string());
             kinds.push((answer.kind, answer.changed.len(), answer.removed.len()));
-            stage.ask(delta(answer.kind, &[], &nonces[&answer.kind], BTreeMap::new()));
+            stage.ask(delta(
+                answer.kind,
+                &[],
+                &nonces[&answer.kind],
+                BTreeMap::new(),
+            ));
         }
         if version == 2 {
             let mut next = Content::new(BundleId(0), Version(2));
@@ -240,12 +355,18 @@
 #[test]
 fn subscriptions_that_flutter_are_answered_at_the_pace_that_is_allowed() {
     let mut stage = Stage::new();
-    stage.front.offer(StreamId(1), &content(1, &[(1, 1), (2, 1)]));
+    stage
+        .front
+        .offer(StreamId(1), &content(1, &[(1, 1), (2, 1)]));
     stage.ask(delta(Kind::Lines, &["quote/1"], "", BTreeMap::new()));
     let mut answered = 0;
     for time in 0..2000 {
         stage.now = at(f64::from(time) * 0.005);
-        let (add, drop) = if time % 2 == 0 { ("quote/2", "quote/1") } else { ("quote/1", "quote/2") };
+        let (add, drop) = if time % 2 == 0 {
+            ("quote/2", "quote/1")
+        } else {
+            ("quote/1", "quote/2")
+        };
         let mut ask = delta(Kind::Lines, &[add], "", BTreeMap::new());
         if let Mode::Delta { unsubscribe, .. } = &mut ask.mode {
             unsubscribe.push(drop.to_string());
@@ -253,7 +374,12 @@
         stage.ask(ask);
         while let Some(answer) = stage.next() {
             answered += 1;
-            stage.ask(delta(Kind::Lines, &[], &answer.nonce.to_string(), BTreeMap::new()));
+            stage.ask(delta(
+                Kind::Lines,
+                &[],
+                &answer.nonce.to_string(),
+                BTreeMap::new(),
+            ));
         }
     }
     assert!(answered <= 22, "{answered} answers in ten seconds");
@@ -279,7 +405,14 @@
             verdicts.took(at(0.0), BundleId(0), Version(version), ProxyId(proxy));
         }
         let verdict = verdicts.refused(at(0.0), BundleId(0), Version(version), ProxyId(1));
-        assert_eq!(verdict, if version < 5 { Verdict::GoOn } else { Verdict::Without(ProxyId(1)) });
+        assert_eq!(
+            verdict,
+            if version < 5 {
+                Verdict::GoOn
+            } else {
+                Verdict::Without(ProxyId(1))
+            }
+        );
         assert_eq!(verdicts.held_until(BundleId(0)), None);
     }
 }
@@ -294,13 +427,21 @@
                 true => verdicts.took(at(now), BundleId(0), Version(version), ProxyId(proxy)),
                 false => verdicts.refused(at(now), BundleId(0), Version(version), ProxyId(proxy)),
             };
-            last = if matches!(last, Verdict::Back(_)) { last } else { verdict };
+            last = if matches!(last, Verdict::Back(_)) {
+                last
+            } else {
+                verdict
+            };
         }
         (last, verdicts.held_until(BundleId(0)))
     };
     assert_eq!(say(1, true, 0.0), (Verdict::GoOn, None));
     assert_eq!(say(2, false, 1.0), (Verdict::Hold, Some(at(2.0))));
-    assert_eq!(say(3, false, 2.0), (Verdict::Hold, Some(at(4.0))), "twice as long");
+    assert_eq!(
+        say(3, false, 2.0),
+        (Verdict::Hold, Some(at(4.0))),
+        "twice as long"
+    );
     assert_eq!(say(4, false, 4.0).0, Verdict::Back(Version(1)));
     // Forever: each is held back for longer, to a bound, and never is anything decided that was not before.
     for version in 5..40 {
@@ -314,7 +455,11 @@
 
 fn as_delta(answer: &Answer) -> Delta {
     Delta {
-        changed: answer.changed.iter().map(|(n, r)| (n.to_string(), r.checksum, r.bytes.clone())).collect(),
+        changed: answer
+            .changed
+            .iter()
+            .map(|(n, r)| (n.to_string(), r.checksum, r.bytes.clone()))
+            .collect(),
         removed: answer.removed.iter().map(|name| name.to_string()).collect(),
         comes_to: answer.comes_to,
     }
@@ -328,7 +473,12 @@
     for version in versions {
         stage.front.offer(StreamId(1), version);
         let answer = stage.next().expect("a delta");
-        stage.ask(delta(Kind::Lines, &[], &answer.nonce.to_string(), BTreeMap::new()));
+        stage.ask(delta(
+            Kind::Lines,
+            &[],
+            &answer.nonce.to_string(),
+            BTreeMap::new(),
+        ));
         deltas.push(as_delta(&answer));
     }
     deltas
@@ -336,28 +486,44 @@
 
 #[test]
 fn who_missed_three_deltas_or_gets_one_after_its_successor_refuses_and_asks_for_the_whole() {
-    let versions: Vec<Arc<Content>> =
-        (1..7).map(|v| content(v, &[(v as u16, 5), (10, v as u32), (11, 1)])).collect();
+    let versions: Vec<Arc<Content>> = (1..7)
+        .map(|v| content(v, &[(v as u16, 5), (10, v as u32), (11, 1)]))
+        .collect();
     let sent = deltas(&versions);
     let mut receiver = Receiver::default();
     assert_eq!(receiver.take(&sent[0]), Taken::Yes);
     let held = receiver.clone();
-    assert!(matches!(receiver.take(&sent[4]), Taken::Refused(_)), "three were missed");
+    assert!(
+        matches!(receiver.take(&sent[4]), Taken::Refused(_)),
+        "three were missed"
+    );
     assert_eq!(receiver, held, "nothing of it was taken");
     assert_eq!(receiver.take(&sent[1]), Taken::Yes);
     assert_eq!(receiver.take(&sent[2]), Taken::Yes);
-    assert!(matches!(receiver.take(&sent[1]), Taken::Refused(_)), "it came after its successor");
+    assert!(
+        matches!(receiver.take(&sent[1]), Taken::Refused(_)),
+        "it came after its successor"
+    );
     let mut spoilt = sent[3].clone();
     spoilt.changed[0].2 = bytes::Bytes::from_static(b"x");
-    assert!(matches!(receiver.take(&spoilt), Taken::Refused(_)), "a byte was flipped");
+    assert!(
+        matches!(receiver.take(&spoilt), Taken::Refused(_)),
+        "a byte was flipped"
+    );
     // On a new stream it tells what it holds, and gets what it lacks.
     let mut stage = Stage::new();
     stage.front.offer(StreamId(1), &versions[5]);
     stage.ask(delta(Kind::Lines, &["quote/*"], "", receiver.versions()));
     let rest = stage.next().expect("the rest");
-    assert!(rest.changed.len() == 2 && rest.removed.len() == 1, "{rest:?}");
+    assert!(
+        rest.changed.len() == 2 && rest.removed.len() == 1,
+        "{rest:?}"
+    );
     assert_eq!(receiver.take(&as_delta(&rest)), Taken::Yes);
-    assert_eq!(receiver.checksum(), versions[5].checksum(Kind::Lines, |_| true));
+    assert_eq!(
+        receiver.checksum(),
+        versions[5].checksum(Kind::Lines, |_| true)
+    );
 }
 
 #[derive(Clone, Debug)]
--- a/crates/drain/src/agree.rs
+++ b/crates/drain/src/agree.rs
@@ -64,7 +64,8 @@
             *known = &drain.order;
         }
     }
-    let lacks = |held: &[Drain], order: &Order| !held.iter().any(|drain| drain.order.id == order.id);
+    let lacks =
+        |held: &[Drain], order: &Order| !held.iter().any(|drain| drain.order.id == order.id);
     let mut missed = Vec::new();
     for (name, held) in conductors {
         let orders = newest.values().filter(|order| lacks(held, order));
@@ -78,19 +79,32 @@
     let mut found = Vec::new();
     let lists: BTreeSet<&str> = conductors.values().map(|held| held.list.as_str()).collect();
     let lists_differ = lists.len() > 1;
-    let by_version = sides(conductors.iter().map(|(name, held)| (name, held.configuration.to_string())));
+    let by_version = sides(
+        conductors
+            .iter()
+            .map(|(name, held)| (name, held.configuration.to_string())),
+    );
     if by_version.len() > 1 {
         let (matter, node) = (Matter::Configuration, None);
-        found.push(Disagreement { matter, node, held: by_version, lists_differ: false });
+        found.push(Disagreement {
+            matter,
+            node,
+            held: by_version,
+            lists_differ: false,
+        });
     }
-    let nodes: BTreeSet<&String> = conductors.values().flat_map(|held| held.nodes.keys()).collect();
+    let nodes: BTreeSet<&String> = conductors
+        .values()
+        .flat_map(|held| held.nodes.keys())
+        .collect();
     for node in nodes {
         let of = |word: fn(&View) -> String| {
-            sides(
-                conductors
-                    .iter()
-                    .map(|(name, held)| (name, held.nodes.get(node).map_or("not listed".to_string(), word))),
-            )
+            sides(conductors.iter().map(|(name, held)| {
+                (
+                    name,
+                    held.nodes.get(node).map_or("not listed".to_string(), word),
+                )
+            }))
         };
         let listed = of(|_| "listed".to_string());
         let listing = of(|view| match view.by_order {
@@ -98,9 +112,16 @@
             false => view.listing.clone(),
         });
         let zone = of(|view| view.zone.clone());
-        let both = |held: &BTreeMap<String, Vec<String>>| held.keys().filter(|k| *k != "not listed").count();
+        let both = |held: &BTreeMap<String, Vec<String>>| {
+            held.keys().filter(|k| *k != "not listed").count()
+        };
         let mut tell = |matter, held| {
-            found.push(Disagreement { matter, node: Some(node.clone()), held, lists_differ });
+            found.push(Disagreement {
+                matter,
+                node: Some(node.clone()),
+                held,
+                lists_differ,
+            });
         };
         if both(&listing) > 1 {
             tell(Matter::Listing, listing);
--- a/crates/drain/src/book.rs
+++ b/crates/drain/src/book.rs
@@ -173,17 +173,29 @@
 
     /// Nodes that are kept out.
     pub fn out(&self) -> impl Iterator<Item = &str> {
-        self.drains.values().filter(|drain| drain.goes()).map(|drain| drain.order.node.as_str())
+        self.drains
+            .values()
+            .filter(|drain| drain.goes())
+            .map(|drain| drain.order.node.as_str())
     }
 
     /// An order comes. One that takes back a drain which never came is kept too: the drain may be on its way,
     /// and was given before. `against`: what speaks against it; a drain goes against no more than it names.
-    pub fn order(&mut self, now: Moment, order: Order, against: &[String]) -> Result<&Drain, Refused> {
+    pub fn order(
+        &mut self,
+        now: Moment,
+        order: Order,
+        against: &[String],
+    ) -> Result<&Drain, Refused> {
         let node = order.node.clone();
         if let Some(known) = self.drains.get(&node) {
             if known.order.id == order.id {
                 let same = known.order == order;
-                return if same { Ok(&self.drains[&node]) } else { Err(Refused::OtherContent(order.id.0)) };
+                return if same {
+                    Ok(&self.drains[&node])
+                } else {
+                    Err(Refused::OtherContent(order.id.0))
+                };
             }
             if known.order.rank() > order.rank() {
                 let (newer, by) = (known.order.id.0.clone(), known.order.by.clone());
@@ -192,22 +204,40 @@
         } else if self.drains.len() >= MOST {
             return Err(Refused::Full(MOST));
         }
-        let left: Vec<String> =
-            against.iter().filter(|text| !overridden(&order.overrides, text)).cloned().collect();
+        let left: Vec<String> = against
+            .iter()
+            .filter(|text| !overridden(&order.overrides, text))
+            .cloned()
+            .collect();
         if order.word == Word::Drain && !left.is_empty() {
             return Err(Refused::Checks(left));
         }
         // A drain on a drain goes on where that is; its order is the one that is told.
-        let before = self.drains.get(&node).filter(|known| known.goes() && order.word == Word::Drain);
+        let before = self
+            .drains
+            .get(&node)
+            .filter(|known| known.goes() && order.word == Word::Drain);
         let drain = match before {
-            Some(known) => Drain { order, ..known.clone() },
+            Some(known) => Drain {
+                order,
+                ..known.clone()
+            },
             None => {
                 let evidence = Evidence::default();
-                Drain { order, state: State::Wanted, evidence, since: now, told: None }
+                Drain {
+                    order,
+                    state: State::Wanted,
+                    evidence,
+                    since: now,
+                    told: None,
+                }
             }
         };
         let keep = Box::new(drain.clone());
-        self.effects.push(Effect::Write { node: node.clone(), drain: Some(keep) });
+        self.effects.push(Effect::Write {
+            node: node.clone(),
+            drain: Some(keep),
+        });
         self.turned(&drain);
         self.drains.insert(node.clone(), drain);
         Ok(&self.drains[&node])
@@ -215,12 +245,22 @@
 
     fn turned(&mut self, drain: &Drain) {
         let (node, order) = (drain.order.node.clone(), drain.order.id.clone());
-        self.effects.push(Effect::Turned { node, state: drain.state, order });
+        self.effects.push(Effect::Turned {
+            node,
+            state: drain.state,
+            order,
+        });
     }
 
     /// The disk has the order.
     pub fn written(&mut self, now: Moment, node: &str, id: &OrderId) {
-        let Some(drain) = self.drains.get_mut(node).filter(|drain| drain.order.id == *id) else { return };
+        let Some(drain) = self
+            .drains
+            .get_mut(node)
+            .filter(|drain| drain.order.id == *id)
+        else {
+            return;
+        };
         if drain.state != State::Wanted {
             return;
         }
@@ -232,7 +272,9 @@
 
     /// What is known of a node that is kept out, after the moment from which tries there count.
     pub fn see(&mut self, now: Moment, node: &str, grace: Span, evidence: Evidence) {
-        let Some(drain) = self.drains.get_mut(node).filter(|drain| drain.goes()) else { return };
+        let Some(drain) = self.drains.get_mut(node).filter(|drain| drain.goes()) else {
+            return;
+        };
         let over = drain.told.is_some_and(|told| now - told >= grace);
         let input = match drain.state {
             State::Telling if evidence.named_by == 0 && evidence.gateways > 0 => Input::Unnamed,
@@ -256,8 +298,12 @@
     pub fn forget(&mut self, now: Moment, grace: Span) {
         let long = grace * REMEMBERED;
         let old = |drain: &Drain| drain.state == State::Withdrawn && now - drain.since >= long;
-        let gone: Vec<String> =
-            self.drains.iter().filter(|(_, drain)| old(drain)).map(|(node, _)| node.clone()).collect();
+        let gone: Vec<String> = self
+            .drains
+            .iter()
+            .filter(|(_, drain)| old(drain))
+            .map(|(node, _)| node.clone())
+            .collect();
         for node in gone {
             self.drains.remove(&node);
             self.effects.push(Effect::Write { node, drain: None });
@@ -277,7 +323,10 @@
 }
 
 fn turn(state: State, input: Input) -> Option<State> {
-    TABLE.iter().find(|row| (row.0, row.1) == (state, input)).map(|row| row.2)
+    TABLE
+        .iter()
+        .find(|row| (row.0, row.1) == (state, input))
+        .map(|row| row.2)
 }
 
 /// A check is overridden by its name, which is what comes before the colon.
--- a/crates/drain/src/campaign.rs
+++ b/crates/drain/src/campaign.rs
@@ -64,10 +64,24 @@
 }
 
 impl Campaign {
-    pub fn new(now: Moment, seed: u64, spent: Spent, conductors: impl Iterator<Item = String>) -> Campaign {
-        let fresh = Told { at: At::Due(now), tries: 0, last: None };
+    pub fn new(
+        now: Moment,
+        seed: u64,
+        spent: Spent,
+        conductors: impl Iterator<Item = String>,
+    ) -> Campaign {
+        let fresh = Told {
+            at: At::Due(now),
+            tries: 0,
+            last: None,
+        };
         let told = conductors.map(|name| (name, fresh.clone())).collect();
-        Campaign { told, until: now + spent.within, spent, chance: Pcg::new(seed) }
+        Campaign {
+            told,
+            until: now + spent.within,
+            spent,
+            chance: Pcg::new(seed),
+        }
     }
 
     /// Whom to tell now; each counts as asked until its reply comes.
@@ -87,12 +101,15 @@
     }
 
     pub fn reply(&mut self, now: Moment, name: &str, reply: Reply) {
-        let Some(told) = self.told.get_mut(name).filter(|told| told.at == At::Asked) else { return };
+        let Some(told) = self.told.get_mut(name).filter(|told| told.at == At::Asked) else {
+            return;
+        };
         told.at = match &reply {
             Reply::Taken { .. } => At::Taken,
             Reply::Refused { .. } => At::Refused,
             Reply::Failed { .. } => {
-                let doubled = self.spent.first_wait * f64::from(1u32 << told.tries.saturating_sub(1).min(16));
+                let doubled =
+                    self.spent.first_wait * f64::from(1u32 << told.tries.saturating_sub(1).min(16));
                 let wait = doubled.min(self.spent.longest_wait);
                 // Jitter keeps those that failed together from being told together again.
                 At::Due(now + wait * (0.5 + 0.5 * self.chance.unit()))
@@ -103,7 +120,11 @@
 
     /// Whether nothing more will come of it: all have answered for good, or the time is over.
     pub fn over(&self, now: Moment) -> bool {
-        now >= self.until || self.told.values().all(|told| matches!(told.at, At::Taken | At::Refused))
+        now >= self.until
+            || self
+                .told
+                .values()
+                .all(|told| matches!(told.at, At::Taken | At::Refused))
     }
 
     pub fn wake_at(&self) -> Option<Moment> {
@@ -119,7 +140,11 @@
     }
 
     pub fn outcome(&self) -> Outcome {
-        let taken = self.told.values().filter(|told| told.at == At::Taken).count();
+        let taken = self
+            .told
+            .values()
+            .filter(|told| told.at == At::Taken)
+            .count();
         match taken {
             count if count == self.told.len() => Outcome::Everywhere,
             0 => Outcome::Nowhere,
@@ -129,6 +154,8 @@
 
     /// What each conductor said last, and how often it was told; `None`: nothing within the time.
     pub fn replies(&self) -> impl Iterator<Item = (&str, u32, Option<&Reply>)> {
-        self.told.iter().map(|(name, told)| (name.as_str(), told.tries, told.last.as_ref()))
+        self.told
+            .iter()
+            .map(|(name, told)| (name.as_str(), told.tries, told.last.as_ref()))
     }
 }
