--- a/crates/drain/tests/lives.rs
+++ b/crates/drain/tests/lives.rs
@@ -22,7 +22,14 @@
 
 fn order(id: &str, word: Word, given_ms: u64) -> Order {
     let (node, by) = (NODE.to_string(), "ada".to_string());
-    Order { id: OrderId(id.into()), node, word, by, given_ms, overrides: Vec::new() }
+    Order {
+        id: OrderId(id.into()),
+        node,
+        word,
+        by,
+        given_ms,
+        overrides: Vec::new(),
+    }
 }
 
 fn state(book: &Book) -> Option<State> {
@@ -37,27 +44,52 @@
 }
 
 fn seen(named_by: usize, tries: u64, heard: usize) -> Evidence {
-    Evidence { named_by, gateways: 4, tries, heard }
+    Evidence {
+        named_by,
+        gateways: 4,
+        tries,
+        heard,
+    }
 }
 
 #[test]
 fn a_drain_is_wanted_told_in_force_and_quiet_and_says_by_what() {
     let mut book = Book::default();
-    book.order(at(0.0), order("o1", Word::Drain, 1), &[]).expect("taken");
-    assert_eq!((state(&book), book.out().count()), (Some(State::Wanted), 0), "the disk does not have it");
-    assert!(matches!(&book.effects()[..], [Effect::Write { .. }, Effect::Turned { .. }]));
+    book.order(at(0.0), order("o1", Word::Drain, 1), &[])
+        .expect("taken");
+    assert_eq!(
+        (state(&book), book.out().count()),
+        (Some(State::Wanted), 0),
+        "the disk does not have it"
+    );
+    assert!(matches!(
+        &book.effects()[..],
+        [Effect::Write { .. }, Effect::Turned { .. }]
+    ));
     book.written(at(0.1), NODE, &OrderId("o1".into()));
     assert_eq!(book.out().collect::<Vec<_>>(), [NODE]);
     book.see(at(0.2), NODE, span(2.0), seen(3, 0, 0));
-    assert_eq!(state(&book), Some(State::Telling), "three gateways name it still");
+    assert_eq!(
+        state(&book),
+        Some(State::Telling),
+        "three gateways name it still"
+    );
     book.see(at(0.4), NODE, span(2.0), seen(0, 0, 0));
     assert_eq!(state(&book), Some(State::InForce));
     book.see(at(0.5), NODE, span(2.0), seen(0, 0, 0));
-    assert_eq!(state(&book), Some(State::InForce), "nobody was heard since: no evidence of quiet");
+    assert_eq!(
+        state(&book),
+        Some(State::InForce),
+        "nobody was heard since: no evidence of quiet"
+    );
     book.see(at(1.5), NODE, span(2.0), seen(0, 0, 4));
     assert_eq!(state(&book), Some(State::Quiet));
     book.see(at(2.5), NODE, span(2.0), seen(0, 2, 4));
-    assert_eq!(state(&book), Some(State::InForce), "something was sent there after all");
+    assert_eq!(
+        state(&book),
+        Some(State::InForce),
+        "something was sent there after all"
+    );
     assert_eq!(book.drain(NODE).map(|drain| drain.evidence.tries), Some(2));
 }
 
@@ -80,9 +112,20 @@
     // The other conductor hears the two the other way round.
     let mut second = Book::default();
     take(&mut second, at(1.0), undrain);
-    let late = second.order(at(2.0), drain, &[]).expect_err("it was given before");
-    assert_eq!(late, Refused::Overtaken { newer: "b".into(), by: "ada".into() });
-    assert_eq!((state(&first), state(&second)), (Some(State::Withdrawn), Some(State::Withdrawn)));
+    let late = second
+        .order(at(2.0), drain, &[])
+        .expect_err("it was given before");
+    assert_eq!(
+        late,
+        Refused::Overtaken {
+            newer: "b".into(),
+            by: "ada".into()
+        }
+    );
+    assert_eq!(
+        (state(&first), state(&second)),
+        (Some(State::Withdrawn), Some(State::Withdrawn))
+    );
 }
 
 #[test]
@@ -90,12 +133,20 @@
     let mut book = Book::default();
     take(&mut book, at(0.0), order("a", Word::Drain, 5));
     book.see(at(1.0), NODE, span(2.0), seen(0, 0, 0));
-    let again = book.order(at(2.0), order("a", Word::Drain, 5), &[]).expect("known").state;
-    assert_eq!((again, book.effects().len()), (State::InForce, 1), "only the turn before");
+    let again = book
+        .order(at(2.0), order("a", Word::Drain, 5), &[])
+        .expect("known")
+        .state;
+    assert_eq!(
+        (again, book.effects().len()),
+        (State::InForce, 1),
+        "only the turn before"
+    );
     let other = book.order(at(3.0), order("a", Word::Undrain, 9), &[]);
     assert_eq!(other.err(), Some(Refused::OtherContent("a".into())));
     // The tool was killed and is run again: a new order of the same word goes on where the first is.
-    book.order(at(4.0), order("c", Word::Drain, 9), &[]).expect("taken");
+    book.order(at(4.0), order("c", Word::Drain, 9), &[])
+        .expect("taken");
     assert_eq!(state(&book), Some(State::InForce));
 }
 
@@ -104,14 +155,20 @@
 #[test_case(&["pool"], true; "one of two is")]
 #[test_case(&["pool", "capacity"], false; "both are named")]
 fn what_speaks_against_it_refuses_a_drain_that_does_not_name_it(overrides: &[&str], refuses: bool) {
-    let against = ["pool: no node would be left".to_string(), "capacity: 40% would be lost".to_string()];
+    let against = [
+        "pool: no node would be left".to_string(),
+        "capacity: 40% would be lost".to_string(),
+    ];
     let mut told = order("a", Word::Drain, 5);
     told.overrides = overrides.iter().map(|name| name.to_string()).collect();
     let mut book = Book::default();
     let result = book.order(at(0.0), told, &against).map(|drain| drain.state);
     assert_eq!(result.is_err(), refuses);
     if let Err(Refused::Checks(left)) = result {
-        assert_eq!(left.len(), 2 - overrides.iter().filter(|name| **name == "pool").count());
+        assert_eq!(
+            left.len(),
+            2 - overrides.iter().filter(|name| **name == "pool").count()
+        );
     }
 }
 
@@ -124,10 +181,16 @@
     let kept: Vec<Drain> = book.drains().cloned().collect();
     let book = Book::recover(at(0.0), kept.into_iter());
     assert_eq!(state(&book), Some(State::Telling));
-    assert_eq!(book.out().count(), 1, "its node is out from the first moment");
+    assert_eq!(
+        book.out().count(),
+        1,
+        "its node is out from the first moment"
+    );
     // Killed when the disk had an order and nobody was told: it goes.
     let mut wanted = Book::default();
-    wanted.order(at(0.0), order("a", Word::Drain, 5), &[]).expect("taken");
+    wanted
+        .order(at(0.0), order("a", Word::Drain, 5), &[])
+        .expect("taken");
     let kept: Vec<Drain> = wanted.drains().cloned().collect();
     assert_eq!(Book::recover(at(0.0), kept.into_iter()).out().count(), 1);
 }
@@ -167,7 +230,11 @@
 }
 
 fn spent() -> Spent {
-    Spent { within: span(5.0), first_wait: span(0.1), longest_wait: span(1.0) }
+    Spent {
+        within: span(5.0),
+        first_wait: span(0.1),
+        longest_wait: span(1.0),
+    }
 }
 
 fn names(count: usize) -> impl Iterator<Item = String> {
@@ -175,7 +242,10 @@
 }
 
 /// Plays a campaign; `answer` says what a conductor does to its n-th try, `None`: it never answers.
-fn play(count: usize, answer: impl Fn(&str, u32) -> Option<Reply>) -> (Campaign, Moment, Vec<(f64, String)>) {
+fn play(
+    count: usize,
+    answer: impl Fn(&str, u32) -> Option<Reply>,
+) -> (Campaign, Moment, Vec<(f64, String)>) {
     let (mut now, mut campaign) = (at(0.0), Campaign::new(at(0.0), 3, spent(), names(count)));
     let (mut tries, mut told): (BTreeMap<String, u32>, Vec<(f64, String)>) = Default::default();
     while !campaign.over(now) {
@@ -193,11 +263,15 @@
 }
 
 fn taken() -> Option<Reply> {
-    Some(Reply::Taken { state: "telling".into() })
+    Some(Reply::Taken {
+        state: "telling".into(),
+    })
 }
 
 fn failed() -> Option<Reply> {
-    Some(Reply::Failed { reason: "nobody listens".into() })
+    Some(Reply::Failed {
+        reason: "nobody listens".into(),
+    })
 }
 
 #[test]
@@ -216,10 +290,17 @@
     assert_eq!(campaign.outcome(), Outcome::Everywhere);
     assert!((0.2..2.0).contains(&now.seconds()), "{now:?}");
     let (campaign, now, told) = play(30, |name, _| if name == "c7" { failed() } else { taken() });
-    assert_eq!((campaign.outcome(), now.seconds()), (Outcome::Partly, 5.0), "the budget is spent, no more");
+    assert_eq!(
+        (campaign.outcome(), now.seconds()),
+        (Outcome::Partly, 5.0),
+        "the budget is spent, no more"
+    );
     let tries = told.iter().filter(|(_, name)| name == "c7").count();
     assert!((5..20).contains(&tries), "{tries} tries with back-off");
-    let last = campaign.replies().find(|(name, ..)| *name == "c7").and_then(|(_, _, reply)| reply.cloned());
+    let last = campaign
+        .replies()
+        .find(|(name, ..)| *name == "c7")
+        .and_then(|(_, _, reply)| reply.cloned());
     assert_eq!(last, failed());
 }
 
@@ -227,11 +308,16 @@
 fn one_that_never_answers_and_one_that_refuses_are_no_success() {
     let (campaign, ..) = play(3, |name, _| match name {
         "c0" => None,
-        "c1" => Some(Reply::Refused { reason: "pool: no node would be left".into() }),
+        "c1" => Some(Reply::Refused {
+            reason: "pool: no node would be left".into(),
+        }),
         _ => taken(),
     });
     assert_eq!(campaign.outcome(), Outcome::Partly);
-    let silent = campaign.replies().filter(|(_, _, reply)| reply.is_none()).count();
+    let silent = campaign
+        .replies()
+        .filter(|(_, _, reply)| reply.is_none())
+        .count();
     assert_eq!(silent, 1);
     assert_eq!(play(2, |_, _| failed()).0.outcome(), Outcome::Nowhere);
 }
@@ -239,9 +325,16 @@
 #[test]
 fn those_that_failed_together_are_not_told_again_together() {
     let (_, _, told) = play(40, |_, n| if n < 3 { failed() } else { taken() });
-    let seconds: Vec<u64> =
-        told.iter().skip(40).take(40).map(|(at, _)| (at * 100.0).round() as u64).collect();
-    let most = seconds.iter().map(|at| seconds.iter().filter(|other| *other == at).count()).max();
+    let seconds: Vec<u64> = told
+        .iter()
+        .skip(40)
+        .take(40)
+        .map(|(at, _)| (at * 100.0).round() as u64)
+        .collect();
+    let most = seconds
+        .iter()
+        .map(|at| seconds.iter().filter(|other| *other == at).count())
+        .max();
     assert!(most < Some(20), "{most:?} of 40 in the same 10 ms");
 }
 
@@ -249,7 +342,9 @@
 fn who_missed_an_order_is_told_the_newest_and_nobody_else_is() {
     let of = |orders: Vec<Order>| {
         let mut book = Book::default();
-        orders.into_iter().for_each(|order| take(&mut book, at(0.0), order));
+        orders
+            .into_iter()
+            .for_each(|order| take(&mut book, at(0.0), order));
         book.drains().cloned().collect::<Vec<Drain>>()
     };
     let (old, new) = (order("a", Word::Drain, 1), order("b", Word::Undrain, 2));
@@ -258,35 +353,92 @@
         ("c1".to_string(), of(vec![old])),
         ("c2".to_string(), of(vec![])),
     ]);
-    let told: Vec<(String, String)> =
-        missed(&fleet).into_iter().map(|(to, order)| (to, order.id.0)).collect();
-    assert_eq!(told, [("c1".to_string(), "b".to_string()), ("c2".to_string(), "b".to_string())]);
+    let told: Vec<(String, String)> = missed(&fleet)
+        .into_iter()
+        .map(|(to, order)| (to, order.id.0))
+        .collect();
+    assert_eq!(
+        told,
+        [
+            ("c1".to_string(), "b".to_string()),
+            ("c2".to_string(), "b".to_string())
+        ]
+    );
 }
 
 fn held(list: &str, configuration: u64, nodes: &[(&str, &str, &str, bool)]) -> Held {
     let view = |(name, listing, zone, by_order): &(&str, &str, &str, bool)| {
-        let view = View { listing: listing.to_string(), zone: zone.to_string(), by_order: *by_order };
+        let view = View {
+            listing: listing.to_string(),
+            zone: zone.to_string(),
+            by_order: *by_order,
+        };
         (name.to_string(), view)
     };
-    Held { list: list.into(), configuration, nodes: nodes.iter().map(view).collect() }
+    Held {
+        list: list.into(),
+        configuration,
+        nodes: nodes.iter().map(view).collect(),
+    }
 }
 
 #[test]
 fn disagreement_is_named_with_both_sides_and_only_where_it_is() {
     let fleet = |other: Held| {
-        let sound = held("7", 3, &[("n1", "ready", "north", false), ("n2", "ready", "north", false)]);
-        BTreeMap::from([("a".to_string(), sound.clone()), ("b".to_string(), sound), ("c".to_string(), other)])
+        let sound = held(
+            "7",
+            3,
+            &[
+                ("n1", "ready", "north", false),
+                ("n2", "ready", "north", false),
+            ],
+        );
+        BTreeMap::from([
+            ("a".to_string(), sound.clone()),
+            ("b".to_string(), sound),
+            ("c".to_string(), other),
+        ])
     };
-    let alike = held("7", 3, &[("n1", "ready", "north", false), ("n2", "ready", "north", false)]);
+    let alike = held(
+        "7",
+        3,
+        &[
+            ("n1", "ready", "north", false),
+            ("n2", "ready", "north", false),
+        ],
+    );
     assert_eq!(disagreements(&fleet(alike)), []);
-    let drained = held("7", 3, &[("n1", "draining", "north", true), ("n2", "ready", "north", false)]);
+    let drained = held(
+        "7",
+        3,
+        &[
+            ("n1", "draining", "north", true),
+            ("n2", "ready", "north", false),
+        ],
+    );
     let found = disagreements(&fleet(drained));
-    assert_eq!((found.len(), found[0].matter, found[0].node.as_deref()), (1, Matter::Listing, Some("n1")));
+    assert_eq!(
+        (found.len(), found[0].matter, found[0].node.as_deref()),
+        (1, Matter::Listing, Some("n1"))
+    );
     assert_eq!(found[0].held["draining by order"], ["c"]);
     assert_eq!(found[0].held["ready"], ["a", "b"]);
     let late = disagreements(&fleet(held("6", 3, &[("n1", "ready", "north", false)])));
-    assert_eq!((late.len(), late[0].matter, late[0].lists_differ), (1, Matter::Listed, true));
-    let moved = held("7", 4, &[("n1", "ready", "south", false), ("n2", "ready", "north", false)]);
-    let matters: Vec<Matter> = disagreements(&fleet(moved)).iter().map(|found| found.matter).collect();
+    assert_eq!(
+        (late.len(), late[0].matter, late[0].lists_differ),
+        (1, Matter::Listed, true)
+    );
+    let moved = held(
+        "7",
+        4,
+        &[
+            ("n1", "ready", "south", false),
+            ("n2", "ready", "north", false),
+        ],
+    );
+    let matters: Vec<Matter> = disagreements(&fleet(moved))
+        .iter()
+        .map(|found| found.matter)
+        .collect();
     assert_eq!(matters, [Matter::Configuration, Matter::Zone]);
 }
--- a/crates/drill/src/audit.rs
+++ b/crates/drill/src/audit.rs
@@ -54,16 +54,30 @@
 
 impl RuleJudged {
     fn new(rule: u8) -> RuleJudged {
-        let worst = Judged { value: f64::NEG_INFINITY, ..Judged::default() };
-        RuleJudged { rule, worst, ..RuleJudged::default() }
+        let worst = Judged {
+            value: f64::NEG_INFINITY,
+            ..Judged::default()
+        };
+        RuleJudged {
+            rule,
+            worst,
+            ..RuleJudged::default()
+        }
     }
 
     fn look(&mut self, value: f64, allowed: f64, at: f64, who: impl FnOnce() -> String) {
         self.checked += 1;
         self.broken += u64::from(value > allowed);
         // The nearest to what is allowed, or the furthest beyond it.
-        if value - allowed > self.worst.value - self.worst.allowed || self.worst.value == f64::NEG_INFINITY {
-            self.worst = Judged { value, allowed, at_s: at, who: who() };
+        if value - allowed > self.worst.value - self.worst.allowed
+            || self.worst.value == f64::NEG_INFINITY
+        {
+            self.worst = Judged {
+                value,
+                allowed,
+                at_s: at,
+                who: who(),
+            };
         }
     }
 
@@ -87,12 +101,19 @@
     let plan = &script.deployment;
     let (effects_twice, second) = second(records, plan);
     let (invocations, service, service_by_operation) = service(records, plan);
-    let half_read =
-        |record: &Record| matches!(record, Record::TablesRefused { .. } | Record::SwapUnreadable { .. });
+    let half_read = |record: &Record| {
+        matches!(
+            record,
+            Record::TablesRefused { .. } | Record::SwapUnreadable { .. }
+        )
+    };
     let sent = |first: bool| {
-        let counts =
-            |record: &Record| matches!(record, Record::Sent { number, .. } if (*number == 1) == first);
-        records.0.iter().filter(|(_, record)| counts(record)).count() as f64
+        let counts = |record: &Record| matches!(record, Record::Sent { number, .. } if (*number == 1) == first);
+        records
+            .0
+            .iter()
+            .filter(|(_, record)| counts(record))
+            .count() as f64
     };
     Verdict {
         rules: vec![
@@ -106,7 +127,11 @@
         service,
         service_by_operation,
         effects_twice,
-        half_read_tables: records.0.iter().filter(|(_, record)| half_read(record)).count() as u64
+        half_read_tables: records
+            .0
+            .iter()
+            .filter(|(_, record)| half_read(record))
+            .count() as u64
             + misnamed(records),
         repeats: sent(false) / sent(true).max(1.0),
     }
@@ -118,7 +143,14 @@
     let (mut joined, mut misnamed) = (Joined::default(), 0);
     for (t, record) in &records.0 {
         joined.follow(*t, record);
-        if let Record::Tables { gateway, conductor, version, hash, .. } = record {
+        if let Record::Tables {
+            gateway,
+            conductor,
+            version,
+            hash,
+            ..
+        } = record
+        {
             // Before it joined a gateway goes by what lies there, of whichever conductor.
             if joined.0.get(gateway).is_none_or(|(to, _)| to != conductor) {
                 continue;
@@ -157,7 +189,9 @@
     for (t, record) in &records.0 {
         joined.follow(*t, record);
         match record {
-            Record::Listed { conductor, nodes, .. } => drop(lists.insert(*conductor, nodes.clone())),
+            Record::Listed {
+                conductor, nodes, ..
+            } => drop(lists.insert(*conductor, nodes.clone())),
             Record::Tables { gateway, lines, .. } => drop(tables.insert(*gateway, lines.clone())),
             Record::Died { gateway } => drop(tables.remove(gateway)),
             Record::Came { gateway, .. } => drop(zones.entry(*gateway).or_insert(0)),
@@ -166,7 +200,9 @@
         }
         for (gateway, (conductor, _)) in &joined.0 {
             for operation in &plan.operations {
-                let has = tables.get(gateway).and_then(|lines| lines.get(&operation.name));
+                let has = tables
+                    .get(gateway)
+                    .and_then(|lines| lines.get(&operation.name));
                 let has = has.is_some_and(|lines| lines.iter().any(|(_, weight)| *weight > 0.0));
                 let zone = gateway % plan.zones.len();
                 let open = |listed: &Listed| {
@@ -174,7 +210,9 @@
                         && t - listed.started >= warm
                         && (!operation.stays_in_zone || listed.zone == zone)
                 };
-                let could = lists.get(conductor).is_some_and(|list| list.values().any(open));
+                let could = lists
+                    .get(conductor)
+                    .is_some_and(|list| list.values().any(open));
                 let key = (*gateway, operation.name.clone());
                 match lacking.get(&key) {
                     None if !has && could => drop(lacking.insert(key, *t)),
@@ -193,9 +231,13 @@
     }
     let end = records.0.last().map_or(0.0, |(t, _)| *t);
     for ((gateway, operation), since) in lacking {
-        judged.look(end - since, allowed, since, || format!("gateway {gateway}, {operation}, to the end"));
+        judged.look(end - since, allowed, since, || {
+            format!("gateway {gateway}, {operation}, to the end")
+        });
     }
-    judged.checked = judged.checked.max((zones.len() * plan.operations.len()) as u64);
+    judged.checked = judged
+        .checked
+        .max((zones.len() * plan.operations.len()) as u64);
     judged
 }
 
@@ -210,14 +252,19 @@
         .map(|operation| operation.name.as_str())
         .collect();
     for (t, record) in &records.0 {
-        let Record::Effect { id, operation, .. } = record else { continue };
+        let Record::Effect { id, operation, .. } = record else {
+            continue;
+        };
         if binding.contains(operation.as_str()) && !id.is_empty() {
             let count = effects.entry(id).or_insert(0);
             *count += 1;
             judged.look(*count as f64, 1.0, *t, || format!("{operation} {id}"));
         }
     }
-    (effects.values().filter(|count| **count > 1).count() as u64, judged)
+    (
+        effects.values().filter(|count| **count > 1).count() as u64,
+        judged,
+    )
 }
 
 /// Seconds from an order to drain until the last try of a gateway that was joined to the conductor which took
@@ -226,7 +273,15 @@
     // The answer to an order comes after the order was given: tries between the two count.
     let mut spans: BTreeMap<(usize, String), Vec<(f64, f64)>> = BTreeMap::new();
     for (t, record) in &records.0 {
-        let Record::Ordered { conductor, node, out, asked } = record else { continue };
+        let Record::Ordered {
+            conductor,
+            node,
+            out,
+            asked,
+        } = record
+        else {
+            continue;
+        };
         let spans = spans.entry((*conductor, node.clone())).or_default();
         match (out, spans.last_mut()) {
             // Ordered again while it is in force, it goes on.
@@ -240,16 +295,27 @@
     let mut last: BTreeMap<(usize, String, usize), f64> = BTreeMap::new();
     for (t, record) in &records.0 {
         joined.follow(*t, record);
-        let Record::Sent { gateway, node, .. } = record else { continue };
-        let Some((conductor, _)) = joined.0.get(gateway) else { continue };
+        let Record::Sent { gateway, node, .. } = record else {
+            continue;
+        };
+        let Some((conductor, _)) = joined.0.get(gateway) else {
+            continue;
+        };
         let key = (*conductor, node.clone());
         let within = |span: &(f64, f64)| *t >= span.0 && *t < span.1;
-        if let Some(number) = spans.get(&key).and_then(|spans| spans.iter().position(within)) {
+        if let Some(number) = spans
+            .get(&key)
+            .and_then(|spans| spans.iter().position(within))
+        {
             last.insert((key.0, key.1.clone(), number), t - spans[&key][number].0);
         }
     }
-    let each = spans.iter().flat_map(|(key, spans)| (0..spans.len()).map(|n| (key.0, key.1.clone(), n)));
-    let mut done: Vec<f64> = each.map(|key| last.get(&key).copied().unwrap_or(0.0)).collect();
+    let each = spans
+        .iter()
+        .flat_map(|(key, spans)| (0..spans.len()).map(|n| (key.0, key.1.clone(), n)));
+    let mut done: Vec<f64> = each
+        .map(|key| last.get(&key).copied().unwrap_or(0.0))
+        .collect();
     done.sort_by(f64::total_cmp);
     done
 }
@@ -266,13 +332,25 @@
         joined.follow(*t, record);
         match record {
             // An order is kept over kills.
-            Record::Ordered { conductor, node, out: true, .. } => {
+            Record::Ordered {
+                conductor,
+                node,
+                out: true,
+                ..
+            } => {
                 ordered.entry((*conductor, node.clone())).or_insert(*t);
             }
-            Record::Ordered { conductor, node, out: false, .. } => {
+            Record::Ordered {
+                conductor,
+                node,
+                out: false,
+                ..
+            } => {
                 ordered.remove(&(*conductor, node.clone()));
             }
-            Record::Listed { conductor, nodes, .. } => {
+            Record::Listed {
+                conductor, nodes, ..
+            } => {
                 let known = known.entry(*conductor).or_default();
                 known.extend(nodes.keys().cloned());
                 for node in known.iter() {
@@ -284,17 +362,26 @@
                 }
             }
             Record::Sent { gateway, node, .. } => {
-                let Some((conductor, since)) = joined.0.get(gateway) else { continue };
+                let Some((conductor, since)) = joined.0.get(gateway) else {
+                    continue;
+                };
                 let key = (*conductor, node.clone());
-                let told = [closed.get(&key), ordered.get(&key)].into_iter().flatten().copied();
+                let told = [closed.get(&key), ordered.get(&key)]
+                    .into_iter()
+                    .flatten()
+                    .copied();
                 let Some(told) = told.reduce(f64::min) else {
                     judged.checked += 1;
                     continue;
                 };
                 let from = told.max(*since);
-                let stretch = slowed.iter().filter(|slow| from <= slow.to && *t >= slow.from);
+                let stretch = slowed
+                    .iter()
+                    .filter(|slow| from <= slow.to && *t >= slow.from);
                 let factor = stretch.map(|slow| slow.factor).fold(1.0, f64::max);
-                judged.look(t - from, grace * factor, *t, || format!("gateway {gateway} to {node}"));
+                judged.look(t - from, grace * factor, *t, || {
+                    format!("gateway {gateway} to {node}")
+                });
             }
             _ => {}
         }
@@ -313,28 +400,53 @@
 fn fourth(records: &Records, plan: &Deployment) -> RuleJudged {
     let mut judged = RuleJudged::new(4);
     let rules = &plan.rules;
-    let (span, warm) = (rules.cold_overload_span.seconds(), rules.warm_after.seconds());
+    let (span, warm) = (
+        rules.cold_overload_span.seconds(),
+        rules.warm_after.seconds(),
+    );
     let mut cold: BTreeMap<&str, Cold> = BTreeMap::new();
     for (t, record) in &records.0 {
         match record {
-            Record::Started { node, capacity, cold: true, .. } => {
-                cold.insert(node, Cold { started: *t, capacity: *capacity, came: Vec::new() });
+            Record::Started {
+                node,
+                capacity,
+                cold: true,
+                ..
+            } => {
+                cold.insert(
+                    node,
+                    Cold {
+                        started: *t,
+                        capacity: *capacity,
+                        came: Vec::new(),
+                    },
+                );
             }
             Record::Came { node, work, .. } => {
-                let Some(Cold { started, capacity, came }) = cold.get_mut(node.as_str()) else { continue };
+                let Some(Cold {
+                    started,
+                    capacity,
+                    came,
+                }) = cold.get_mut(node.as_str())
+                else {
+                    continue;
+                };
                 if t - *started > warm {
                     continue;
                 }
                 came.push((*t, *work));
                 came.retain(|(at, _)| t - at <= span);
                 let risen = (t - *started) / warm;
-                let able =
-                    *capacity * (rules.cold_start_share + (1.0 - rules.cold_start_share) * risen) * span;
+                let able = *capacity
+                    * (rules.cold_start_share + (1.0 - rules.cold_start_share) * risen)
+                    * span;
                 let sum: f64 = came.iter().map(|(_, work)| work).sum();
                 let allowed = rules.cold_overload_factor * crate::node::SLACK;
                 judged.look(sum / able, allowed, *t, || node.clone());
             }
-            Record::Fell { node } => judged.look(f64::INFINITY, 0.0, *t, || format!("{node} fell over")),
+            Record::Fell { node } => {
+                judged.look(f64::INFINITY, 0.0, *t, || format!("{node} fell over"))
+            }
             _ => {}
         }
     }
@@ -346,7 +458,10 @@
 fn fifth(records: &Records, plan: &Deployment) -> RuleJudged {
     let mut judged = RuleJudged::new(5);
     let channel = &plan.channel;
-    let (cap, window) = (f64::from(channel.messages_at_most), channel.messages_window.seconds());
+    let (cap, window) = (
+        f64::from(channel.messages_at_most),
+        channel.messages_window.seconds(),
+    );
     let mut joined = Joined::default();
     let mut holds: BTreeMap<(usize, usize), (u64, Lines)> = BTreeMap::new();
     let mut waiting: BTreeMap<(usize, usize), (u64, f64)> = BTreeMap::new();
@@ -354,25 +469,47 @@
     for (t, record) in &records.0 {
         joined.follow(*t, record);
         match record {
-            Record::Tables { gateway, conductor, version, lines, .. } => {
+            Record::Tables {
+                gateway,
+                conductor,
+                version,
+                lines,
+                ..
+            } => {
                 holds.insert((*conductor, *gateway), (*version, lines.clone()));
-                if waiting.get(&(*conductor, *gateway)).is_some_and(|waits| waits.0 <= *version) {
+                if waiting
+                    .get(&(*conductor, *gateway))
+                    .is_some_and(|waits| waits.0 <= *version)
+                {
                     waiting.remove(&(*conductor, *gateway));
                 }
             }
             // A conductor that died has no channel; a gateway that died takes nothing.
-            Record::Died { gateway } | Record::Left { gateway } => waiting.retain(|key, _| key.1 != *gateway),
+            Record::Died { gateway } | Record::Left { gateway } => {
+                waiting.retain(|key, _| key.1 != *gateway)
+            }
             // Others still swap files in for it, which it does not read.
-            Record::Swapped { conductor, gateway, .. }
-                if joined.0.get(gateway).is_none_or(|(to, _)| to != conductor) => {}
-            Record::Swapped { conductor, gateway, version, lines, .. } => {
+            Record::Swapped {
+                conductor, gateway, ..
+            } if joined.0.get(gateway).is_none_or(|(to, _)| to != conductor) => {}
+            Record::Swapped {
+                conductor,
+                gateway,
+                version,
+                lines,
+                ..
+            } => {
                 let key = (*conductor, *gateway);
                 let held = holds.get(&key).filter(|held| held.0 < *version);
                 if held.is_some() || !holds.contains_key(&key) {
                     let apart = lines_apart(held.map(|held| &held.1), lines) + channel.head_lines;
                     waiting.insert(key, (*version, apart));
                 }
-                let sum: f64 = waiting.iter().filter(|(key, _)| key.0 == *conductor).map(|(_, w)| w.1).sum();
+                let sum: f64 = waiting
+                    .iter()
+                    .filter(|(key, _)| key.0 == *conductor)
+                    .map(|(_, w)| w.1)
+                    .sum();
                 judged.look(sum, channel.lines_waiting_at_most, *t, || {
                     format!("lines at conductor {conductor}")
                 });
@@ -399,10 +536,18 @@
             .flatten()
             .map(|(node, weight)| (node.as_str(), *weight))
             .collect();
-        let after: BTreeMap<&str, f64> =
-            lines.iter().map(|(node, weight)| (node.as_str(), *weight)).collect();
-        apart += after.iter().filter(|(node, weight)| before.get(*node) != Some(weight)).count();
-        apart += before.keys().filter(|node| !after.contains_key(*node)).count();
+        let after: BTreeMap<&str, f64> = lines
+            .iter()
+            .map(|(node, weight)| (node.as_str(), *weight))
+            .collect();
+        apart += after
+            .iter()
+            .filter(|(node, weight)| before.get(*node) != Some(weight))
+            .count();
+        apart += before
+            .keys()
+            .filter(|node| !after.contains_key(*node))
+            .count();
     }
     apart as f64
 }
@@ -411,8 +556,18 @@
     let mut count = Invocations::default();
     let mut sums: BTreeMap<String, (f64, f64)> = BTreeMap::new();
     for (_, record) in &records.0 {
-        let Record::Done { operation, latency, outcome, .. } = record else { continue };
-        let Some(told) = plan.operations.iter().find(|told| told.name == *operation) else { continue };
+        let Record::Done {
+            operation,
+            latency,
+            outcome,
+            ..
+        } = record
+        else {
+            continue;
+        };
+        let Some(told) = plan.operations.iter().find(|told| told.name == *operation) else {
+            continue;
+        };
         count.offered += 1;
         let sum = sums.entry(operation.clone()).or_insert((0.0, 0.0));
         sum.1 += told.billed_value;
@@ -429,7 +584,12 @@
             ClientOutcome::Errored | ClientOutcome::GivenUp => count.errored += 1,
         }
     }
-    let (won, asked) = sums.values().fold((0.0, 0.0), |all, one| (all.0 + one.0, all.1 + one.1));
-    let each = sums.iter().map(|(name, (won, asked))| (name.clone(), won / asked.max(1e-9))).collect();
+    let (won, asked) = sums
+        .values()
+        .fold((0.0, 0.0), |all, one| (all.0 + one.0, all.1 + one.1));
+    let each = sums
+        .iter()
+        .map(|(name, (won, asked))| (name.clone(), won / asked.max(1e-9)))
+        .collect();
     (count, won / f64::max(asked, 1e-9), each)
 }
--- a/crates/drill/src/clients.rs
+++ b/crates/drill/src/clients.rs
@@ -18,9 +18,15 @@
 
 pub enum ClientOrder {
     /// Times the usual rate, of all gateways or of some.
-    Rate { gateways: Option<Vec<usize>>, factor: f64 },
+    Rate {
+        gateways: Option<Vec<usize>>,
+        factor: f64,
+    },
     /// A gateway listens somewhere else, or not at all.
-    At { gateway: usize, address: Option<SocketAddr> },
+    At {
+        gateway: usize,
+        address: Option<SocketAddr>,
+    },
     /// No new invocations; ends when those under way are done.
     Finish,
 }
@@ -54,7 +60,11 @@
             gateways: rates
                 .iter()
                 .zip(addresses)
-                .map(|(rate, at)| Gateway { at, usual: *rate, factor: 1.0 })
+                .map(|(rate, at)| Gateway {
+                    at,
+                    usual: *rate,
+                    factor: 1.0,
+                })
                 .collect(),
             asked: Slab::new(),
             idle: BTreeMap::new(),
@@ -62,8 +72,14 @@
             next: 0,
             finishing: false,
         };
-        let thread = std::thread::Builder::new().name("clients".to_string()).spawn(move || crowd.run())?;
-        Ok(Clients { orders, waker, thread: Some(thread) })
+        let thread = std::thread::Builder::new()
+            .name("clients".to_string())
+            .spawn(move || crowd.run())?;
+        Ok(Clients {
+            orders,
+            waker,
+            thread: Some(thread),
+        })
     }
 
     pub fn order(&self, order: ClientOrder) {
@@ -146,7 +162,10 @@
             if self.finishing && !busy && !again {
                 return;
             }
-            let wait = self.due.first_key_value().map_or(Span::from_seconds(0.5), |(key, _)| key.0 - now);
+            let wait = self
+                .due
+                .first_key_value()
+                .map_or(Span::from_seconds(0.5), |(key, _)| key.0 - now);
             if self.poll.wait(wait, &mut ready).is_err() {
                 return;
             }
@@ -189,8 +208,15 @@
 
     fn expect(&mut self, now: Moment, gateway: usize) {
         let rate = self.gateways[gateway].usual * self.gateways[gateway].factor;
-        let wait = if rate > 0.0 { self.exponential() / rate } else { 0.1 };
-        self.later(now + Span::from_seconds(wait.min(5.0)), Due::Arrival { gateway });
+        let wait = if rate > 0.0 {
+            self.exponential() / rate
+        } else {
+            0.1
+        };
+        self.later(
+            now + Span::from_seconds(wait.min(5.0)),
+            Due::Arrival { gateway },
+        );
     }
 
     fn arrive(&mut self, now: Moment, gateway: usize) {
@@ -201,7 +227,13 @@
         if self.gateways[gateway].usual <= 0.0 {
             return;
         }
-        let shares: f64 = self.script.traffic.operations.iter().map(|operation| operation.share).sum();
+        let shares: f64 = self
+            .script
+            .traffic
+            .operations
+            .iter()
+            .map(|operation| operation.share)
+            .sum();
         let mut mark = self.chance.unit() * shares;
         let mut chosen = 0;
         for (at, operation) in self.script.traffic.operations.iter().enumerate() {
@@ -216,13 +248,26 @@
         let work = mean * (0.5 + 0.5 * self.exponential().min(6.0));
         self.next += 1;
         let id = format!("{:x}-{:x}", self.next, self.chance.draw());
-        self.ask(now, Wish { gateway, id, operation: chosen, work, arrived: now, attempt: 0 });
+        self.ask(
+            now,
+            Wish {
+                gateway,
+                id,
+                operation: chosen,
+                work,
+                arrived: now,
+                attempt: 0,
+            },
+        );
     }
 
     fn plan(&self, wish: &Wish) -> &wheelspread_session::deployment::OperationPlan {
         let name = &self.script.traffic.operations[wish.operation].name;
         let plans = &self.script.deployment.operations;
-        plans.iter().find(|plan| plan.name == *name).unwrap_or(&plans[0])
+        plans
+            .iter()
+            .find(|plan| plan.name == *name)
+            .unwrap_or(&plans[0])
     }
 
     fn ask(&mut self, now: Moment, wish: Wish) {
@@ -240,7 +285,8 @@
         self.next += 1;
         let use_number = self.next;
         let asked = &mut self.asked[slot];
-        (asked.wish, asked.output, asked.use_number) = (Some(wish), output.into_bytes(), use_number);
+        (asked.wish, asked.output, asked.use_number) =
+            (Some(wish), output.into_bytes(), use_number);
         self.later(deadline, Due::Patience { slot, use_number });
         self.turn(now, slot);
     }
@@ -248,24 +294,44 @@
     fn line(&mut self, gateway: usize) -> Option<usize> {
         let address = self.gateways[gateway].at?;
         while let Some(slot) = self.idle.get_mut(&gateway).and_then(Vec::pop) {
-            let here = self.asked.get(slot).and_then(|asked| asked.socket.peer_addr().ok()) == Some(address);
+            let here = self
+                .asked
+                .get(slot)
+                .and_then(|asked| asked.socket.peer_addr().ok())
+                == Some(address);
             if here {
                 return Some(slot);
             }
             self.asked.try_remove(slot);
         }
-        let SocketAddr::V4(v4) = address else { return None };
+        let SocketAddr::V4(v4) = address else {
+            return None;
+        };
         let source = gateway_address(200, gateway);
         let socket = reactor::connect_from(Some(source), v4.ip().octets(), v4.port()).ok()?;
-        let asked =
-            Asked { socket, gateway, wish: None, output: Vec::new(), input: Vec::new(), use_number: 0 };
+        let asked = Asked {
+            socket,
+            gateway,
+            wish: None,
+            output: Vec::new(),
+            input: Vec::new(),
+            use_number: 0,
+        };
         let slot = self.asked.insert(asked);
-        self.poll.add(&self.asked[slot].socket, Token(slot as u64), Interest::Edges).ok()?;
+        self.poll
+            .add(
+                &self.asked[slot].socket,
+                Token(slot as u64),
+                Interest::Edges,
+            )
+            .ok()?;
         Some(slot)
     }
 
     fn turn(&mut self, now: Moment, slot: usize) {
-        let Some(asked) = self.asked.get_mut(slot) else { return };
+        let Some(asked) = self.asked.get_mut(slot) else {
+            return;
+        };
         while !asked.output.is_empty() {
             match asked.socket.write(&asked.output) {
                 Ok(count) if count > 0 => drop(asked.output.drain(..count)),
@@ -286,7 +352,8 @@
             Ok(Some(head)) => {
                 let mut body = Body::new(head.framing);
                 let taken = body.take(&asked.input[head.length..]).unwrap_or(0);
-                body.done().then_some((head.status, head.length + taken, head.keep_alive))
+                body.done()
+                    .then_some((head.status, head.length + taken, head.keep_alive))
             }
             _ => None,
         };
@@ -307,22 +374,31 @@
                 };
                 // The proxy said itself that it sent nothing.
                 let unsent = matches!(status, 429 | 503);
-                wish.into_iter().for_each(|wish| self.end(now, wish, outcome, unsent));
+                wish.into_iter()
+                    .for_each(|wish| self.end(now, wish, outcome, unsent));
             }
             (None, true) => {
                 let asked = self.asked.remove(slot);
-                asked.wish.into_iter().for_each(|wish| self.end(now, wish, ClientOutcome::Errored, false));
+                asked
+                    .wish
+                    .into_iter()
+                    .for_each(|wish| self.end(now, wish, ClientOutcome::Errored, false));
             }
             (None, false) => {}
         }
     }
 
     fn give_up(&mut self, now: Moment, slot: usize, use_number: u64) {
-        let waits =
-            self.asked.get(slot).is_some_and(|asked| asked.use_number == use_number && asked.wish.is_some());
+        let waits = self
+            .asked
+            .get(slot)
+            .is_some_and(|asked| asked.use_number == use_number && asked.wish.is_some());
         if waits {
             let asked = self.asked.remove(slot);
-            asked.wish.into_iter().for_each(|wish| self.end(now, wish, ClientOutcome::GivenUp, false));
+            asked
+                .wish
+                .into_iter()
+                .for_each(|wish| self.end(now, wish, ClientOutcome::GivenUp, false));
         }
     }
 
@@ -336,11 +412,27 @@
             && may
             && now + wait < deadline
         {
-            return self.later(now + wait, Due::Again(Wish { attempt: wish.attempt + 1, ..wish }));
+            return self.later(
+                now + wait,
+                Due::Again(Wish {
+                    attempt: wish.attempt + 1,
+                    ..wish
+                }),
+            );
         }
         let operation = self.script.traffic.operations[wish.operation].name.clone();
         let (gateway, id, attempt) = (wish.gateway, wish.id, wish.attempt);
         let latency = (now - wish.arrived).seconds();
-        self.recorder.note(now, Record::Done { gateway, id, operation, attempt, latency, outcome });
+        self.recorder.note(
+            now,
+            Record::Done {
+                gateway,
+                id,
+                operation,
+                attempt,
+                latency,
+                outcome,
+            },
+        );
     }
 }
--- a/crates/drill/src/even.rs
+++ b/crates/drill/src/even.rs
@@ -45,23 +45,38 @@
 
 impl Even {
     pub fn new(root: Root, sabotage: Option<Sabotage>) -> Even {
-        Even { root, version: 0, sabotage, kept: Vec::new() }
+        Even {
+            root,
+            version: 0,
+            sabotage,
+            kept: Vec::new(),
+        }
     }
 
-    pub fn publish(&mut self, script: &Script, listed: &[ListedNode], zones: &[usize]) -> Result<(), String> {
+    pub fn publish(
+        &mut self,
+        script: &Script,
+        listed: &[ListedNode],
+        zones: &[usize],
+    ) -> Result<(), String> {
         let keep = self.sabotage == Some(Sabotage::KeepDrained);
         if keep {
-            let new = listed.iter().filter(|node| self.kept.iter().all(|kept| kept.address != node.address));
+            let new = listed
+                .iter()
+                .filter(|node| self.kept.iter().all(|kept| kept.address != node.address));
             self.kept.extend(new.cloned().collect::<Vec<_>>());
         }
         let nodes: Vec<&ListedNode> = match keep {
             true => self.kept.iter().collect(),
             false => listed.iter().filter(|node| !node.draining).collect(),
         };
-        let flood = self.sabotage == Some(Sabotage::FloodCold) && nodes.iter().any(|node| node.cold);
+        let flood =
+            self.sabotage == Some(Sabotage::FloodCold) && nodes.iter().any(|node| node.cold);
         for (gateway, zone) in zones.iter().enumerate() {
             // One gateway is enough to be written to too often.
-            if self.sabotage == Some(Sabotage::Overfill) && gateway > 0 && self.version >= zones.len() as u64
+            if self.sabotage == Some(Sabotage::Overfill)
+                && gateway > 0
+                && self.version >= zones.len() as u64
             {
                 break;
             }
@@ -69,31 +84,49 @@
             let empty = self.sabotage == Some(Sabotage::EmptyTable)
                 && gateway == 0
                 && self.version > zones.len() as u64;
-            let table = |(at, operation): (usize, &wheelspread_session::deployment::OperationPlan)| {
-                let open = nodes.iter().filter(|node| !operation.stays_in_zone || node.zone == *zone);
-                let open = open.filter(|node| (!flood || node.cold || operation.stays_in_zone) && !empty);
-                let line = |node: &&ListedNode| Line {
-                    node: NodeId { address: node.address.ip().octets(), port: node.address.port() },
-                    zone: script.deployment.zones[node.zone].clone(),
-                    weight: 1.0,
+            let table =
+                |(at, operation): (usize, &wheelspread_session::deployment::OperationPlan)| {
+                    let open = nodes
+                        .iter()
+                        .filter(|node| !operation.stays_in_zone || node.zone == *zone);
+                    let open = open
+                        .filter(|node| (!flood || node.cold || operation.stays_in_zone) && !empty);
+                    let line = |node: &&ListedNode| Line {
+                        node: NodeId {
+                            address: node.address.ip().octets(),
+                            port: node.address.port(),
+                        },
+                        zone: script.deployment.zones[node.zone].clone(),
+                        weight: 1.0,
+                    };
+                    let repeats = self.sabotage == Some(Sabotage::Repeat);
+                    OperationTable {
+                        operation: OperationId(at as u8),
+                        table: TableId(at as u16),
+                        lines: open.map(line).collect(),
+                        quota: None,
+                        retry: if repeats {
+                            Retry::OnceAfterAnyFailure
+                        } else {
+                            Retry::AfterProofItNeverRan
+                        },
+                    }
                 };
-                let repeats = self.sabotage == Some(Sabotage::Repeat);
-                OperationTable {
-                    operation: OperationId(at as u8),
-                    table: TableId(at as u16),
-                    lines: open.map(line).collect(),
-                    quota: None,
-                    retry: if repeats { Retry::OnceAfterAnyFailure } else { Retry::AfterProofItNeverRan },
-                }
-            };
-            let operations = script.deployment.operations.iter().enumerate().map(table).collect();
+            let operations = script
+                .deployment
+                .operations
+                .iter()
+                .enumerate()
+                .map(table)
+                .collect();
             let set = TableSet {
                 bundle: BundleId(gateway as u32),
                 version: Version(self.version),
                 configuration: 0,
                 operations,
             };
-            let documents = tables::write(&set, &script.deployment).map_err(|error| error.to_string())?;
+            let documents =
+                tables::write(&set, &script.deployment).map_err(|error| error.to_string())?;
             Swap::new(&self.root, set.version, &documents, &name(gateway))
                 .run()
                 .map_err(|error| error.to_string())?;
--- a/crates/drill/src/gateways.rs
+++ b/crates/drill/src/gateways.rs
@@ -47,13 +47,22 @@
         let holding = Holding::default();
         let held = holding.clone();
         let run = move || run(poll, rest, from, recorder, joined_always, held);
-        let thread = std::thread::Builder::new().name("gateways".to_string()).spawn(run)?;
-        Ok(Gateways { holding, orders, waker, thread: Some(thread) })
+        let thread = std::thread::Builder::new()
+            .name("gateways".to_string())
+            .spawn(run)?;
+        Ok(Gateways {
+            holding,
+            orders,
+            waker,
+            thread: Some(thread),
+        })
     }
 
     /// Whether a gateway ever held tables.
     pub fn held(&self, gateway: usize) -> bool {
-        self.holding.lock().is_ok_and(|holding| holding.contains(&gateway))
+        self.holding
+            .lock()
+            .is_ok_and(|holding| holding.contains(&gateway))
     }
 
     pub fn order(&self, order: GatewayOrder) {
@@ -128,7 +137,13 @@
                             streams,
                         };
                         if joined_always {
-                            recorder.note(now, Record::Joined { gateway, conductor: 0 });
+                            recorder.note(
+                                now,
+                                Record::Joined {
+                                    gateway,
+                                    conductor: 0,
+                                },
+                            );
                         }
                         let started = Proxy::start(&poll, now, gateway as u32, *plan, seen).ok();
                         let _ = tell.send(started.as_ref().and_then(|proxy| proxy.address().ok()));
@@ -159,7 +174,9 @@
             // A gateway that trusts its tables blindly, to see the audit find what comes of it.
             _ if trusting => Guard::Idempotent,
             Repeat::Idempotent => Guard::Idempotent,
-            Repeat::Fingerprinted => Guard::Fingerprinted { window: operation.repeat_window },
+            Repeat::Fingerprinted => Guard::Fingerprinted {
+                window: operation.repeat_window,
+            },
             Repeat::SideEffecting => Guard::SideEffecting,
         },
         integration_timeout: operation.integration_timeout,
@@ -172,7 +189,10 @@
         usual_rate: None,
         seed: seed.wrapping_add(gateway as u64),
         conductors: conductors
-            .map(|(reports, tables)| ConductorSide { reports: *reports, tables: tables.clone() })
+            .map(|(reports, tables)| ConductorSide {
+                reports: *reports,
+                tables: tables.clone(),
+            })
             .collect(),
         core: CorePlan {
             operations: deployment.operations.iter().map(rules).collect(),
@@ -194,7 +214,11 @@
         publishes_status: true,
         follows_unjoined: follows,
         tls: None,
-        reads: if deployment.fronts.files { Reads::Files } else { Reads::Stream },
+        reads: if deployment.fronts.files {
+            Reads::Files
+        } else {
+            Reads::Stream
+        },
     }
 }
 
@@ -214,7 +238,10 @@
 pub fn lines(held: &Held) -> Lines {
     let line = |line: &wheelspread_session::Line| (show(line.node), line.weight);
     let of = |told: &wheelspread_xds::tables::OperationOrders| {
-        (told.operation.clone(), told.lines.iter().map(line).collect())
+        (
+            told.operation.clone(),
+            told.lines.iter().map(line).collect(),
+        )
     };
     held.orders.operations.iter().map(of).collect()
 }
@@ -223,14 +250,40 @@
     fn sent(&mut self, now: Moment, id: &str, operation: &str, node: NodeId, number: u32) {
         let (gateway, id, node) = (self.gateway, id.to_string(), show(node));
         let operation = operation.to_string();
-        self.recorder.note(now, Record::Sent { gateway, id, operation, node, number });
+        self.recorder.note(
+            now,
+            Record::Sent {
+                gateway,
+                id,
+                operation,
+                node,
+                number,
+            },
+        );
     }
 
-    fn ended(&mut self, now: Moment, id: &str, node: NodeId, number: u32, failure: Option<Failure>) {
-        let outcome =
-            failure.map_or("succeeded".to_string(), |failure| format!("{failure:?}").to_lowercase());
+    fn ended(
+        &mut self,
+        now: Moment,
+        id: &str,
+        node: NodeId,
+        number: u32,
+        failure: Option<Failure>,
+    ) {
+        let outcome = failure.map_or("succeeded".to_string(), |failure| {
+            format!("{failure:?}").to_lowercase()
+        });
         let (gateway, id, node) = (self.gateway, id.to_string(), show(node));
-        self.recorder.note(now, Record::Ended { gateway, id, node, number, outcome });
+        self.recorder.note(
+            now,
+            Record::Ended {
+                gateway,
+                id,
+                node,
+                number,
+                outcome,
+            },
+        );
     }
 
     fn answered(&mut self, now: Moment, id: &str, outcome: Outcome) {
@@ -241,7 +294,14 @@
             Outcome::Failed(failure) => format!("{failure:?}").to_lowercase(),
             Outcome::Nobody => "client-gone".to_string(),
         };
-        self.recorder.note(now, Record::Answered { gateway: self.gateway, id: id.to_string(), outcome });
+        self.recorder.note(
+            now,
+            Record::Answered {
+                gateway: self.gateway,
+                id: id.to_string(),
+                outcome,
+            },
+        );
     }
 
     fn holds(&mut self, now: Moment, held: &Held) {
@@ -253,22 +313,57 @@
         if self.streams {
             // No directory shows what was sent: what came over its stream does.
             let (hash, lines) = (hash.clone(), lines(held));
-            self.recorder.note(now, Record::Swapped { conductor, gateway, version, hash, lines });
+            self.recorder.note(
+                now,
+                Record::Swapped {
+                    conductor,
+                    gateway,
+                    version,
+                    hash,
+                    lines,
+                },
+            );
         }
-        self.recorder.note(now, Record::Tables { gateway, conductor, version, hash, lines: lines(held) });
+        self.recorder.note(
+            now,
+            Record::Tables {
+                gateway,
+                conductor,
+                version,
+                hash,
+                lines: lines(held),
+            },
+        );
     }
 
     fn refused(&mut self, now: Moment, reason: &str) {
-        self.recorder.note(now, Record::TablesRefused { gateway: self.gateway, reason: reason.to_string() });
+        self.recorder.note(
+            now,
+            Record::TablesRefused {
+                gateway: self.gateway,
+                reason: reason.to_string(),
+            },
+        );
     }
 
     fn joined(&mut self, now: Moment, conductor: usize, of: usize) {
         // Told by its place among the proxy's own conductors, which begin with its usual one.
         self.conductor = (self.gateway + conductor) % of;
-        self.recorder.note(now, Record::Joined { gateway: self.gateway, conductor: self.conductor });
+        self.recorder.note(
+            now,
+            Record::Joined {
+                gateway: self.gateway,
+                conductor: self.conductor,
+            },
+        );
     }
 
     fn left(&mut self, now: Moment, _reason: &str) {
-        self.recorder.note(now, Record::Left { gateway: self.gateway });
+        self.recorder.note(
+            now,
+            Record::Left {
+                gateway: self.gateway,
+            },
+        );
     }
 }
--- a/crates/drill/src/load.rs
+++ b/crates/drill/src/load.rs
@@ -56,19 +56,32 @@
         let (mut listeners, mut addresses) = (Vec::new(), Vec::new());
         for number in 0..count {
             let listener = reactor::listen(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0))?;
-            poll.add(&listener, Token(LISTENERS + number as u64), Interest::Readable)?;
+            poll.add(
+                &listener,
+                Token(LISTENERS + number as u64),
+                Interest::Readable,
+            )?;
             if let SocketAddr::V4(address) = listener.local_addr()? {
                 addresses.push(address);
             }
             listeners.push(listener);
         }
-        let met = Arc::new(Mutex::new(Met { executed: vec![0; count], effects: HashMap::new() }));
+        let met = Arc::new(Mutex::new(Met {
+            executed: vec![0; count],
+            effects: HashMap::new(),
+        }));
         let faults = Arc::new(Mutex::new(vec![Faults::default(); count]));
         let stop = Arc::new(AtomicBool::new(false));
         let (told, book, wrong) = (stop.clone(), met.clone(), faults.clone());
         let run = move || {
-            let mut nodes =
-                Desk { listeners, calls: Slab::new(), book, wrong, keep_ids, chance: Pcg::new(seed) };
+            let mut nodes = Desk {
+                listeners,
+                calls: Slab::new(),
+                book,
+                wrong,
+                keep_ids,
+                chance: Pcg::new(seed),
+            };
             let mut ready = Vec::new();
             while !told.load(Ordering::Relaxed) {
                 if poll.wait(Span::from_seconds(0.05), &mut ready).is_err() {
@@ -82,8 +95,16 @@
                 }
             }
         };
-        let thread = std::thread::Builder::new().name("fast-nodes".to_string()).spawn(run)?;
-        Ok(FastNodes { addresses, met, faults, stop, thread: Some(thread) })
+        let thread = std::thread::Builder::new()
+            .name("fast-nodes".to_string())
+            .spawn(run)?;
+        Ok(FastNodes {
+            addresses,
+            met,
+            faults,
+            stop,
+            thread: Some(thread),
+        })
     }
 
     pub fn set_faults(&self, node: usize, faults: Faults) {
@@ -119,14 +140,19 @@
     fn accept(&mut self, poll: &Poll, number: usize) {
         for socket in reactor::accept(&self.listeners[number]).0 {
             let slot = self.calls.insert((number, socket, Vec::new()));
-            if poll.add(&self.calls[slot].1, Token(slot as u64), Interest::Edges).is_err() {
+            if poll
+                .add(&self.calls[slot].1, Token(slot as u64), Interest::Edges)
+                .is_err()
+            {
                 self.calls.remove(slot);
             }
         }
     }
 
     fn serve(&mut self, slot: usize) {
-        let Some((node, socket, input)) = self.calls.get_mut(slot) else { return };
+        let Some((node, socket, input)) = self.calls.get_mut(slot) else {
+            return;
+        };
         let mut piece = [0u8; 16384];
         let over = loop {
             match socket.read(&mut piece) {
@@ -139,7 +165,11 @@
         let node = *node;
         let mut ends = over;
         while let Some(end) = input.windows(4).position(|four| four == b"\r\n\r\n") {
-            let id = if self.keep_ids { request_id(&input[..end]) } else { None };
+            let id = if self.keep_ids {
+                request_id(&input[..end])
+            } else {
+                None
+            };
             input.drain(..end + 4);
             let faults = self.wrong.lock().map(|all| all[node]).unwrap_or_default();
             let mut draw = self.chance.unit();
@@ -147,7 +177,13 @@
                 draw -= part;
                 draw < 0.0 && draw >= -part
             };
-            let kinds = [faults.refuse, faults.reset, faults.silent, faults.error, faults.close];
+            let kinds = [
+                faults.refuse,
+                faults.reset,
+                faults.silent,
+                faults.error,
+                faults.close,
+            ];
             let struck = kinds.map(&mut strikes);
             if !struck[0] {
                 if let Ok(mut book) = self.book.lock() {
@@ -230,7 +266,12 @@
 pub fn load(load: Load) -> std::io::Result<Loaded> {
     let mut poll = Poll::new()?;
     let micros = Histogram::new(3).map_err(|error| std::io::Error::other(error.to_string()))?;
-    let mut loaded = Loaded { answers: BTreeMap::new(), broken: 0, micros, seconds: 0.0 };
+    let mut loaded = Loaded {
+        answers: BTreeMap::new(),
+        broken: 0,
+        micros,
+        seconds: 0.0,
+    };
     let begin = reactor::now();
     let mut lines: Vec<Option<Line>> = (0..load.connections).map(|_| None).collect();
     let (mut sent, mut open) = (0, 0);
@@ -249,9 +290,16 @@
             if fresh {
                 let socket = reactor::connect(load.target.ip().octets(), load.target.port())?;
                 poll.add(&socket, Token(slot as u64), Interest::Edges)?;
-                lines[slot] = Some(Line { socket, input: Vec::new(), since: now, open: false });
+                lines[slot] = Some(Line {
+                    socket,
+                    input: Vec::new(),
+                    since: now,
+                    open: false,
+                });
             }
-            let Some(line) = &mut lines[slot] else { continue };
+            let Some(line) = &mut lines[slot] else {
+                continue;
+            };
             (line.since, line.open) = (now, true);
             open += 1;
             if !fresh {
@@ -263,13 +311,17 @@
             return Ok(loaded);
         }
         if now - begin > load.at_most + Span::from_seconds(10.0) {
-            return Err(std::io::Error::other(format!("{open} invocations got no end")));
+            return Err(std::io::Error::other(format!(
+                "{open} invocations got no end"
+            )));
         }
         poll.wait(Span::from_seconds(0.1), &mut ready)?;
         let now = reactor::now();
         for ready in ready.drain(..) {
             let slot = ready.token.0 as usize;
-            let Some(line) = &mut lines[slot] else { continue };
+            let Some(line) = &mut lines[slot] else {
+                continue;
+            };
             if line.open && line.input.is_empty() && line.since == Moment::default() {
                 continue;
             }
@@ -291,7 +343,9 @@
             let answered = whole(&line.input);
             if let (Some((status, closes)), true) = (answered, line.open) {
                 *loaded.answers.entry(status).or_insert(0) += 1;
-                let _ = loaded.micros.record((now - line.since).micros().max(1) as u64);
+                let _ = loaded
+                    .micros
+                    .record((now - line.since).micros().max(1) as u64);
                 line.input.clear();
                 line.open = false;
                 open -= 1;
@@ -314,7 +368,10 @@
 fn write(line: &mut Line, load: &Load, sent: &mut u64) {
     let id = load.from + *sent;
     *sent += 1;
-    let text = format!("GET /{} HTTP/1.1\r\nHost: load\r\nx-request-id: {id}\r\n\r\n", load.operation);
+    let text = format!(
+        "GET /{} HTTP/1.1\r\nHost: load\r\nx-request-id: {id}\r\n\r\n",
+        load.operation
+    );
     // Requests are short; what can't be written shows as a connection that ends.
     let _ = line.socket.write(text.as_bytes());
 }
@@ -325,7 +382,10 @@
     let head = std::str::from_utf8(&input[..end]).ok()?;
     let status = head.get(9..12)?.parse().ok()?;
     let lower = head.to_ascii_lowercase();
-    let length =
-        lower.split("content-length: ").nth(1).and_then(|rest| rest.split("\r\n").next()?.parse().ok());
-    (input.len() >= end + 4 + length.unwrap_or(0)).then(|| (status, lower.contains("connection: close")))
+    let length = lower
+        .split("content-length: ")
+        .nth(1)
+        .and_then(|rest| rest.split("\r\n").next()?.parse().ok());
+    (input.len() >= end + 4 + length.unwrap_or(0))
+        .then(|| (status, lower.contains("connection: close")))
 }
--- a/crates/drill/src/node.rs
+++ b/crates/drill/src/node.rs
@@ -69,8 +69,14 @@
         let waker = Waker::new(&poll, WAKER)?;
         let (orders, from) = channel();
         let world = World::new(plan, recorder, seed, poll, waker.clone(), from);
-        let thread = std::thread::Builder::new().name("nodes".to_string()).spawn(move || world.run())?;
-        Ok(Nodes { orders, waker, thread: Some(thread) })
+        let thread = std::thread::Builder::new()
+            .name("nodes".to_string())
+            .spawn(move || world.run())?;
+        Ok(Nodes {
+            orders,
+            waker,
+            thread: Some(thread),
+        })
     }
 
     pub fn order(&self, order: NodeOrder) {
@@ -96,7 +102,12 @@
 
 /// Gateways call from addresses of their own, which tell zone and number.
 pub fn gateway_address(zone: usize, gateway: usize) -> Ipv4Addr {
-    Ipv4Addr::new(127, 1 + zone as u8, (gateway / 250) as u8, (1 + gateway % 250) as u8)
+    Ipv4Addr::new(
+        127,
+        1 + zone as u8,
+        (gateway / 250) as u8,
+        (1 + gateway % 250) as u8,
+    )
 }
 
 pub fn gateway_of(address: IpAddr) -> (usize, usize) {
@@ -154,8 +165,17 @@
 }
 
 enum Due {
-    Done { node: NodeKey, generation: u32, job: Job },
-    Answer { node: NodeKey, generation: u32, call: usize, bytes: Vec<u8> },
+    Done {
+        node: NodeKey,
+        generation: u32,
+        job: Job,
+    },
+    Answer {
+        node: NodeKey,
+        generation: u32,
+        call: usize,
+        bytes: Vec<u8>,
+    },
 }
 
 struct World {
@@ -211,7 +231,10 @@
                 let due = entry.remove();
                 self.happen(now, due);
             }
-            let wait = self.due.first_key_value().map_or(Span::from_seconds(1.0), |(key, _)| key.0 - now);
+            let wait = self
+                .due
+                .first_key_value()
+                .map_or(Span::from_seconds(1.0), |(key, _)| key.0 - now);
             if self.poll.wait(wait, &mut ready).is_err() {
                 return;
             }
@@ -227,7 +250,10 @@
                     }
                     continue;
                 }
-                let (key, slot) = ((ready.token.0 >> 32) as usize, (ready.token.0 & 0xffff_ffff) as usize);
+                let (key, slot) = (
+                    (ready.token.0 >> 32) as usize,
+                    (ready.token.0 & 0xffff_ffff) as usize,
+                );
                 match slot.checked_sub(1) {
                     None => self.accept(now, key),
                     Some(call) => self.call_ready(now, key, call),
@@ -244,7 +270,12 @@
                 }
             }
             NodeOrder::Stop(key) => {
-                self.recorder.note(now, Record::Ceased { node: self.nodes[key].name.clone() });
+                self.recorder.note(
+                    now,
+                    Record::Ceased {
+                        node: self.nodes[key].name.clone(),
+                    },
+                );
                 self.close(key);
             }
             NodeOrder::Silent(key, true) => self.nodes[key].silent = true,
@@ -255,18 +286,27 @@
                 let node = &mut self.nodes[key];
                 node.connections = most;
                 let over: Vec<usize> = node.calls.iter().map(|(slot, _)| slot).skip(most).collect();
-                over.into_iter().for_each(|slot| reactor::reset(node.calls.remove(slot).socket));
+                over.into_iter()
+                    .for_each(|slot| reactor::reset(node.calls.remove(slot).socket));
             }
             NodeOrder::Slow(factor) => self.slow = factor,
-            NodeOrder::OneSided { kind, gateways, slow, refuse } => {
+            NodeOrder::OneSided {
+                kind,
+                gateways,
+                slow,
+                refuse,
+            } => {
                 self.one_sided = (!gateways.is_empty()).then_some((kind, gateways, slow, refuse));
             }
             NodeOrder::Cut(zone) => {
                 self.cut = zone;
                 // What was held back on the way comes through.
                 for key in 0..self.nodes.len() {
-                    let calls: Vec<usize> = self.nodes[key].calls.iter().map(|(slot, _)| slot).collect();
-                    calls.into_iter().for_each(|call| self.call_ready(now, key, call));
+                    let calls: Vec<usize> =
+                        self.nodes[key].calls.iter().map(|(slot, _)| slot).collect();
+                    calls
+                        .into_iter()
+                        .for_each(|call| self.call_ready(now, key, call));
                 }
             }
             NodeOrder::SlowLink(seconds) => self.slow_link = seconds,
@@ -276,9 +316,13 @@
 
     fn start(&mut self, now: Moment, spec: NodeSpec) -> Option<(NodeKey, SocketAddrV4)> {
         let listener = reactor::listen(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0)).ok()?;
-        let SocketAddr::V4(address) = listener.local_addr().ok()? else { return None };
+        let SocketAddr::V4(address) = listener.local_addr().ok()? else {
+            return None;
+        };
         let key = self.nodes.len();
-        self.poll.add(&listener, Token((key as u64) << 32), Interest::Readable).ok()?;
+        self.poll
+            .add(&listener, Token((key as u64) << 32), Interest::Readable)
+            .ok()?;
         let long_ago = now - self.plan.rules.warm_after * 10.0;
         let connections = spec.connections;
         let node = Node {
@@ -330,11 +374,15 @@
 
     fn come_back(&mut self, now: Moment, key: NodeKey) {
         self.close(key);
-        let Ok(listener) = TcpListener::bind(self.nodes[key].address) else { return };
+        let Ok(listener) = TcpListener::bind(self.nodes[key].address) else {
+            return;
+        };
         if listener.set_nonblocking(true).is_err() {
             return;
         }
-        let _ = self.poll.add(&listener, Token((key as u64) << 32), Interest::Readable);
+        let _ = self
+            .poll
+            .add(&listener, Token((key as u64) << 32), Interest::Readable);
         let node = &mut self.nodes[key];
         (node.listener, node.down, node.silent, node.started) = (Some(listener), false, false, now);
         node.came.clear();
@@ -344,30 +392,48 @@
 
     fn accept(&mut self, now: Moment, key: NodeKey) {
         let node = &mut self.nodes[key];
-        let Some(listener) = node.listener.as_ref().filter(|_| !node.silent) else { return };
+        let Some(listener) = node.listener.as_ref().filter(|_| !node.silent) else {
+            return;
+        };
         for socket in reactor::accept(listener).0 {
             let peer = socket.peer_addr().map(|peer| gateway_of(peer.ip()));
             let (Ok((zone, gateway)), true) = (peer, node.calls.len() < node.connections) else {
                 reactor::reset(socket);
                 continue;
             };
-            let call = Call { socket, zone, gateway, input: Vec::new(), output: Vec::new(), busy: false };
+            let call = Call {
+                socket,
+                zone,
+                gateway,
+                input: Vec::new(),
+                output: Vec::new(),
+                busy: false,
+            };
             let slot = node.calls.insert(call);
             let token = Token((key as u64) << 32 | (slot as u64 + 1));
-            if self.poll.add(&node.calls[slot].socket, token, Interest::Edges).is_err() {
+            if self
+                .poll
+                .add(&node.calls[slot].socket, token, Interest::Edges)
+                .is_err()
+            {
                 node.calls.remove(slot);
             }
         }
         let calls: Vec<usize> = self.nodes[key].calls.iter().map(|(slot, _)| slot).collect();
-        calls.into_iter().for_each(|call| self.call_ready(now, key, call));
+        calls
+            .into_iter()
+            .for_each(|call| self.call_ready(now, key, call));
     }
 
     fn passes(&self, key: NodeKey, zone: usize) -> bool {
-        self.cut.is_none_or(|cut| (self.nodes[key].spec.zone == cut) == (zone == cut))
+        self.cut
+            .is_none_or(|cut| (self.nodes[key].spec.zone == cut) == (zone == cut))
     }
 
     fn call_ready(&mut self, now: Moment, key: NodeKey, slot: usize) {
-        let Some(call) = self.nodes[key].calls.get(slot) else { return };
+        let Some(call) = self.nodes[key].calls.get(slot) else {
+            return;
+        };
         if self.nodes[key].silent || !self.passes(key, call.zone) {
             return;
         }
@@ -399,17 +465,27 @@
 
     /// Takes the next request of a connection, if it is here as a whole.
     fn take(&mut self, now: Moment, key: NodeKey, slot: usize) {
-        let Some(call) = self.nodes[key].calls.get_mut(slot) else { return };
-        let Ok(Some(head)) = request(&call.input, Default::default()) else { return };
+        let Some(call) = self.nodes[key].calls.get_mut(slot) else {
+            return;
+        };
+        let Ok(Some(head)) = request(&call.input, Default::default()) else {
+            return;
+        };
         let mut body = Body::new(head.framing);
-        let Ok(taken) = body.take(&call.input[head.length..]) else { return };
+        let Ok(taken) = body.take(&call.input[head.length..]) else {
+            return;
+        };
         if !body.done() {
             return;
         }
-        let text =
-            |range: &std::ops::Range<usize>| String::from_utf8_lossy(&call.input[range.clone()]).into_owned();
+        let text = |range: &std::ops::Range<usize>| {
+            String::from_utf8_lossy(&call.input[range.clone()]).into_owned()
+        };
         let header = |name: &str| {
-            let found = head.headers.iter().find(|(key, _)| text(key).eq_ignore_ascii_case(name));
+            let found = head
+                .headers
+                .iter()
+                .find(|(key, _)| text(key).eq_ignore_ascii_case(name));
             found.map(|(_, value)| text(value)).unwrap_or_default()
         };
         let operation = text(&head.target).trim_start_matches('/').to_string();
@@ -424,13 +500,27 @@
         call.busy = true;
         let node = self.nodes[key].name.clone();
         let (id, operation) = (job.id.clone(), job.operation.clone());
-        self.recorder.note(now, Record::Came { node, gateway, id, operation, work: job.work });
+        self.recorder.note(
+            now,
+            Record::Came {
+                node,
+                gateway,
+                id,
+                operation,
+                work: job.work,
+            },
+        );
         self.came(now, key, gateway, job);
     }
 
     fn came(&mut self, now: Moment, key: NodeKey, gateway: usize, job: Job) {
         if self.pushed_over(now, key, job.work) {
-            self.recorder.note(now, Record::Fell { node: self.nodes[key].name.clone() });
+            self.recorder.note(
+                now,
+                Record::Fell {
+                    node: self.nodes[key].name.clone(),
+                },
+            );
             return self.close(key);
         }
         let (mut extra, mut refuse) = (1.0, false);
@@ -444,11 +534,16 @@
         if errs || refuse || full {
             let status = if errs { "500 Error" } else { "503 Full" };
             let again = if errs { "" } else { "Retry-After: 1\r\n" };
-            let bytes =
-                format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n{again}{}\r\n", self.loads(now, key));
+            let bytes = format!(
+                "HTTP/1.1 {status}\r\nContent-Length: 0\r\n{again}{}\r\n",
+                self.loads(now, key)
+            );
             return self.answer(now, key, job.call, bytes.into_bytes());
         }
-        let job = Job { work: job.work * extra, ..job };
+        let job = Job {
+            work: job.work * extra,
+            ..job
+        };
         if self.nodes[key].running < self.nodes[key].spec.cores as usize {
             self.begin(now, key, job);
         } else {
@@ -485,7 +580,14 @@
         let node = &mut self.nodes[key];
         node.running += 1;
         let generation = node.generation;
-        self.later(now + Span::from_seconds(took), Due::Done { node: key, generation, job });
+        self.later(
+            now + Span::from_seconds(took),
+            Due::Done {
+                node: key,
+                generation,
+                job,
+            },
+        );
     }
 
     fn later(&mut self, at: Moment, due: Due) {
@@ -503,16 +605,28 @@
     fn loads(&mut self, now: Moment, key: NodeKey) -> String {
         self.count_busy(now, key);
         let node = &self.nodes[key];
-        let figures = [("cpu_utilization", node.busy), ("named_metrics.queue", node.waiting.len() as f64)];
+        let figures = [
+            ("cpu_utilization", node.busy),
+            ("named_metrics.queue", node.waiting.len() as f64),
+        ];
         format!("{}: {}\r\n", orca::HEADER, orca::write(&figures))
     }
 
     fn happen(&mut self, now: Moment, due: Due) {
         match due {
-            Due::Answer { node, generation, call, bytes } if self.nodes[node].generation == generation => {
+            Due::Answer {
+                node,
+                generation,
+                call,
+                bytes,
+            } if self.nodes[node].generation == generation => {
                 self.send(now, node, call, bytes);
             }
-            Due::Done { node: key, generation, job } if self.nodes[key].generation == generation => {
+            Due::Done {
+                node: key,
+                generation,
+                job,
+            } if self.nodes[key].generation == generation => {
                 self.count_busy(now, key);
                 self.nodes[key].running -= 1;
                 if let Some(next) = self.nodes[key].waiting.pop_front() {
@@ -522,7 +636,10 @@
                 if self.nodes[key].lost > 0.0 && self.chance.unit() < self.nodes[key].lost {
                     return; // it ran, and nobody hears of it
                 }
-                let bytes = format!("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n{}\r\nok", self.loads(now, key));
+                let bytes = format!(
+                    "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n{}\r\nok",
+                    self.loads(now, key)
+                );
                 self.answer(now, key, job.call, bytes.into_bytes());
             }
             _ => {}
@@ -530,7 +647,11 @@
     }
 
     fn take_effect(&mut self, now: Moment, key: NodeKey, job: &Job) {
-        let plan = self.plan.operations.iter().find(|operation| operation.name == job.operation);
+        let plan = self
+            .plan
+            .operations
+            .iter()
+            .find(|operation| operation.name == job.operation);
         let Some(plan) = plan else { return };
         if plan.repeat == Repeat::Fingerprinted {
             let first = *self.seen.entry(job.id.clone()).or_insert(now);
@@ -538,22 +659,43 @@
                 return;
             }
         }
-        let (node, id, operation) = (self.nodes[key].name.clone(), job.id.clone(), job.operation.clone());
-        self.recorder.note(now, Record::Effect { node, id, operation });
+        let (node, id, operation) = (
+            self.nodes[key].name.clone(),
+            job.id.clone(),
+            job.operation.clone(),
+        );
+        self.recorder.note(
+            now,
+            Record::Effect {
+                node,
+                id,
+                operation,
+            },
+        );
     }
 
     fn answer(&mut self, now: Moment, key: NodeKey, call: usize, bytes: Vec<u8>) {
         let generation = self.nodes[key].generation;
         if self.slow_link > 0.0 {
             let at = now + Span::from_seconds(self.slow_link);
-            return self.later(at, Due::Answer { node: key, generation, call, bytes });
+            return self.later(
+                at,
+                Due::Answer {
+                    node: key,
+                    generation,
+                    call,
+                    bytes,
+                },
+            );
         }
         self.send(now, key, call, bytes);
     }
 
     fn send(&mut self, now: Moment, key: NodeKey, slot: usize, bytes: Vec<u8>) {
         // A slot that was given to another connection meanwhile is not busy with this.
-        let Some(call) = self.nodes[key].calls.get_mut(slot).filter(|call| call.busy) else { return };
+        let Some(call) = self.nodes[key].calls.get_mut(slot).filter(|call| call.busy) else {
+            return;
+        };
         call.output.extend_from_slice(&bytes);
         call.busy = false;
         self.call_ready(now, key, slot);
--- a/crates/drill/src/records.rs
+++ b/crates/drill/src/records.rs
@@ -157,14 +157,21 @@
     fn log(&self) -> String {
         use Record::*;
         match self {
-            Joined { gateway, .. } | Left { gateway } | Died { gateway } | Tables { gateway, .. } => {
+            Joined { gateway, .. }
+            | Left { gateway }
+            | Died { gateway }
+            | Tables { gateway, .. } => {
                 format!("gateway-{gateway:03}")
             }
             TablesRefused { gateway, .. } | Sent { gateway, .. } => format!("gateway-{gateway:03}"),
             Ended { gateway, .. } | Answered { gateway, .. } => format!("gateway-{gateway:03}"),
-            Started { node, .. } | Came { node, .. } | Effect { node, .. } => format!("node-{}", plain(node)),
+            Started { node, .. } | Came { node, .. } | Effect { node, .. } => {
+                format!("node-{}", plain(node))
+            }
             Fell { node } | Ceased { node } => format!("node-{}", plain(node)),
-            Swapped { conductor, .. } | SwapUnreadable { conductor, .. } => format!("directory-{conductor}"),
+            Swapped { conductor, .. } | SwapUnreadable { conductor, .. } => {
+                format!("directory-{conductor}")
+            }
             Listed { conductor, .. } => format!("list-{conductor}"),
             Done { .. } => "clients".to_string(),
             Trouble { .. }
@@ -197,7 +204,13 @@
                 record: &'a Record,
             }
             let log = logs.entry(record.log()).or_default();
-            serde_json::to_writer(&mut *log, &Dated { t: (t * 1e6).round() / 1e6, record })?;
+            serde_json::to_writer(
+                &mut *log,
+                &Dated {
+                    t: (t * 1e6).round() / 1e6,
+                    record,
+                },
+            )?;
             log.push(b'\n');
         }
         for (name, bytes) in logs {
--- a/crates/drill/src/run.rs
+++ b/crates/drill/src/run.rs
@@ -205,7 +205,11 @@
     let address = Ipv4Addr::new(127, 64 | (high & 63), middle, low.clamp(1, 254));
     loop {
         let port = TcpListener::bind((address, 0))?.local_addr()?.port();
-        if NAMED.lock().unwrap_or_else(std::sync::PoisonError::into_inner).insert(port) {
+        if NAMED
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
+            .insert(port)
+        {
             return Ok(SocketAddrV4::new(address, port));
         }
     }
@@ -213,7 +217,10 @@
 
 pub fn run(script: &Script, options: Options) -> Result<Report, DrillError> {
     let temporary = tempfile::tempdir().map_err(named("a temporary directory"))?;
-    let directory = options.keep.clone().unwrap_or_else(|| temporary.path().to_path_buf());
+    let directory = options
+        .keep
+        .clone()
+        .unwrap_or_else(|| temporary.path().to_path_buf());
     std::fs::create_dir_all(&directory).map_err(named(directory.display().to_string()))?;
     let (recorder, from) = Recorder::new(reactor::now());
     let mut drill = Drill::prepare(script.clone(), options, directory, recorder)?;
@@ -229,18 +236,33 @@
         recorder: Recorder,
     ) -> Result<Drill<'a>, DrillError> {
         let plan_of = &script.deployment;
-        let nodes = Nodes::start(plan_of.clone(), recorder.clone(), options.seed).map_err(named("nodes"))?;
+        let nodes = Nodes::start(plan_of.clone(), recorder.clone(), options.seed)
+            .map_err(named("nodes"))?;
         let mut sides = Vec::new();
         for number in 0..plan_of.conductors.count as usize {
             let directory = directory.join(format!("conductor-{number}"));
-            Root::new(directory.join("tables")).prepare().map_err(named(directory.display().to_string()))?;
-            sides.push(Side { directory, listen: own_port().map_err(named("a free port"))?, child: None });
+            Root::new(directory.join("tables"))
+                .prepare()
+                .map_err(named(directory.display().to_string()))?;
+            sides.push(Side {
+                directory,
+                listen: own_port().map_err(named("a free port"))?,
+                child: None,
+            });
         }
-        let wires = Wires::start(sides.iter().map(|side| side.listen).collect()).map_err(named("wires"))?;
-        let gateways = Gateways::start(recorder.clone(), options.even).map_err(named("gateways"))?;
-        let zones = (0..script.gateways).map(|gateway| gateway % plan_of.zones.len()).collect();
-        let even =
-            options.even.then(|| Even::new(Root::new(sides[0].directory.join("tables")), options.sabotage));
+        let wires =
+            Wires::start(sides.iter().map(|side| side.listen).collect()).map_err(named("wires"))?;
+        let gateways =
+            Gateways::start(recorder.clone(), options.even).map_err(named("gateways"))?;
+        let zones = (0..script.gateways)
+            .map(|gateway| gateway % plan_of.zones.len())
+            .collect();
+        let even = options.even.then(|| {
+            Even::new(
+                Root::new(sides[0].directory.join("tables")),
+                options.sabotage,
+            )
+        });
         Ok(Drill {
             chance: Pcg::new(options.seed),
             list_delay: script.list_delay,
@@ -270,10 +292,20 @@
 
     fn add_node(&mut self, spec: NodeSpec) {
         let now = reactor::now();
-        let Some((key, address)) = self.nodes.add(spec.clone()) else { return };
+        let Some((key, address)) = self.nodes.add(spec.clone()) else {
+            return;
+        };
         let long_ago = now - self.script.deployment.rules.warm_after * 10.0;
         let started = if spec.cold { now } else { long_ago };
-        let node = FleetNode { key, spec, address, draining: false, gone: false, silent: false, started };
+        let node = FleetNode {
+            key,
+            spec,
+            address,
+            draining: false,
+            gone: false,
+            silent: false,
+            started,
+        };
         self.fleet.push(node);
     }
 
@@ -305,7 +337,10 @@
         let record = |node: &&FleetNode| {
             let started = ((wall - (now - node.started).seconds()) * 1e3).round() / 1e3;
             NodeRecord {
-                node: NodeId { address: node.address.ip().octets(), port: node.address.port() },
+                node: NodeId {
+                    address: node.address.ip().octets(),
+                    port: node.address.port(),
+                },
                 zone: self.script.deployment.zones[node.spec.zone].clone(),
                 kind: node.spec.kind_name.clone(),
                 cell: String::new(),
@@ -314,8 +349,10 @@
                 started: Some((format!("{started}"), now - node.started)),
             }
         };
-        let list =
-            NodeList { version: self.list_version.to_string(), records: listed.iter().map(record).collect() };
+        let list = NodeList {
+            version: self.list_version.to_string(),
+            records: listed.iter().map(record).collect(),
+        };
         let warm = self.script.deployment.rules.warm_after;
         let plain = listed.iter().map(|node| ListedNode {
             address: node.address,
@@ -339,9 +376,16 @@
         let zones = &self.script.deployment.zones;
         let wall = reactor::wall();
         let listed = |record: &NodeRecord| {
-            let started: f64 = record.started.as_ref().and_then(|(run, _)| run.parse().ok()).unwrap_or(0.0);
+            let started: f64 = record
+                .started
+                .as_ref()
+                .and_then(|(run, _)| run.parse().ok())
+                .unwrap_or(0.0);
             let seen = Listed {
-                zone: zones.iter().position(|zone| *zone == record.zone).unwrap_or(0),
+                zone: zones
+                    .iter()
+                    .position(|zone| *zone == record.zone)
+                    .unwrap_or(0),
                 draining: record.draining,
                 started: self.recorder.at(now) - (wall - started),
             };
@@ -349,12 +393,21 @@
         };
         let nodes: BTreeMap<String, Listed> = list.records.iter().map(listed).collect();
         for (conductor, side) in self.sides.iter().enumerate() {
-            swap::replace(&side.directory.join("nodes.json"), &text).map_err(named("the list of nodes"))?;
+            swap::replace(&side.directory.join("nodes.json"), &text)
+                .map_err(named("the list of nodes"))?;
             let version = list.version.parse().unwrap_or(0);
-            self.recorder.note(reactor::now(), Record::Listed { conductor, version, nodes: nodes.clone() });
+            self.recorder.note(
+                reactor::now(),
+                Record::Listed {
+                    conductor,
+                    version,
+                    nodes: nodes.clone(),
+                },
+            );
         }
         if let Some(even) = &mut self.even {
-            even.publish(&self.script, plain, &self.zones).map_err(DrillError::NotReady)?;
+            even.publish(&self.script, plain, &self.zones)
+                .map_err(DrillError::NotReady)?;
         }
         Ok(())
     }
@@ -389,7 +442,11 @@
             list: "nodes.json",
         };
         let log = BTreeMap::from([("level", "debug"), ("form", "json")]);
-        let text = serde_yaml_ng::to_string(&File { conductor: place, log, deployment });
+        let text = serde_yaml_ng::to_string(&File {
+            conductor: place,
+            log,
+            deployment,
+        });
         let text = text.map_err(|error| DrillError::NotReady(error.to_string()))?;
         let path = side.directory.join("conductor.yaml");
         swap::replace(&path, &text).map_err(named(path.display().to_string()))?;
@@ -402,8 +459,11 @@
         }
         let path = self.write_file(number, self.script.deployment.channel.lines_per_second)?;
         let log = self.sides[number].directory.join("log.jsonl");
-        let log =
-            File::options().create(true).append(true).open(&log).map_err(named(log.display().to_string()))?;
+        let log = File::options()
+            .create(true)
+            .append(true)
+            .open(&log)
+            .map_err(named(log.display().to_string()))?;
         let child = Command::new(&self.options.program)
             .arg("run")
             .arg(&path)
@@ -413,7 +473,10 @@
             .spawn()
             .map_err(named(self.options.program.display().to_string()))?;
         self.sides[number].child = Some(child);
-        self.recorder.note(reactor::now(), Record::ConductorStarted { conductor: number });
+        self.recorder.note(
+            reactor::now(),
+            Record::ConductorStarted { conductor: number },
+        );
         Ok(())
     }
 
@@ -425,7 +488,10 @@
             if self.options.forget {
                 let _ = std::fs::remove_file(self.sides[number].directory.join("tables/state"));
             }
-            self.recorder.note(reactor::now(), Record::ConductorKilled { conductor: number });
+            self.recorder.note(
+                reactor::now(),
+                Record::ConductorKilled { conductor: number },
+            );
         }
     }
 
@@ -437,10 +503,19 @@
         let overrides = ["pool", "cold", "capacity"].map(str::to_string);
         let body = drain_order(&node, word, "drill", &overrides);
         let out = word == Word::Drain;
-        self.tell(vec![Request::post("/v1/drains", body)], within, move |conductor, taken| {
-            let node = node.clone();
-            taken.then_some(Record::Ordered { conductor, node, out, asked })
-        });
+        self.tell(
+            vec![Request::post("/v1/drains", body)],
+            within,
+            move |conductor, taken| {
+                let node = node.clone();
+                taken.then_some(Record::Ordered {
+                    conductor,
+                    node,
+                    out,
+                    asked,
+                })
+            },
+        );
     }
 
     /// Nodes move to the next zone, by a change of configuration; or that is taken back.
@@ -465,7 +540,12 @@
         };
         let change = id.to_string();
         self.tell(requests, within, move |conductor, taken| {
-            Some(Record::Changed { conductor, change: change.clone(), undo, taken })
+            Some(Record::Changed {
+                conductor,
+                change: change.clone(),
+                undo,
+                taken,
+            })
         });
     }
 
@@ -483,18 +563,25 @@
                 within: Duration::from_millis(500),
                 order_within: within,
             };
-            let (recorder, requests, record) = (self.recorder.clone(), requests.clone(), record.clone());
+            let (recorder, requests, record) =
+                (self.recorder.clone(), requests.clone(), record.clone());
             std::thread::spawn(move || {
-                let taken =
-                    |request| fleet.order(request, within, number as u64).outcome == Outcome::Everywhere;
+                let taken = |request| {
+                    fleet.order(request, within, number as u64).outcome == Outcome::Everywhere
+                };
                 let all = requests.iter().all(taken);
-                record(number, all).into_iter().for_each(|record| recorder.note(reactor::now(), record));
+                record(number, all)
+                    .into_iter()
+                    .for_each(|record| recorder.note(reactor::now(), record));
             });
         }
     }
 
     fn signal(&self, number: usize, signal: Signal) {
-        let pid = self.sides[number].child.as_ref().and_then(|child| Pid::from_raw(child.id() as i32));
+        let pid = self.sides[number]
+            .child
+            .as_ref()
+            .and_then(|child| Pid::from_raw(child.id() as i32));
         if let Some(pid) = pid {
             let _ = kill_process(pid, signal);
         }
@@ -513,14 +600,24 @@
         let (seed, even) = (self.options.seed, self.even.is_some());
         let trusting = self.options.sabotage == Some(Sabotage::Repeat);
         let sides = if even { &sides[..1] } else { &sides[..] };
-        let plan = plan(&self.script, gateway, self.zones[gateway], sides, seed, trusting, even);
+        let plan = plan(
+            &self.script,
+            gateway,
+            self.zones[gateway],
+            sides,
+            seed,
+            trusting,
+            even,
+        );
         let address = self.gateways.add(plan, gateway);
         address.ok_or_else(|| DrillError::NotReady(format!("gateway {gateway} does not start")))
     }
 
     fn start_gateway(&mut self, gateway: usize) -> Result<(), DrillError> {
         let address = Some(self.add_gateway(gateway)?);
-        self.clients.iter().for_each(|clients| clients.order(ClientOrder::At { gateway, address }));
+        self.clients
+            .iter()
+            .for_each(|clients| clients.order(ClientOrder::At { gateway, address }));
         Ok(())
     }
 
@@ -538,11 +635,13 @@
         for (conductor, side) in self.sides.iter().enumerate() {
             for gateway in 0..self.script.gateways {
                 let directory = Root::new(side.directory.join("tables")).gateway(&name(gateway));
-                std::fs::create_dir_all(&directory).map_err(named(directory.display().to_string()))?;
+                std::fs::create_dir_all(&directory)
+                    .map_err(named(directory.display().to_string()))?;
                 directories.insert(directory, (conductor, gateway));
             }
         }
-        let watch = Watch::start(directories.clone(), self.recorder.clone()).map_err(named("a watch"))?;
+        let watch =
+            Watch::start(directories.clone(), self.recorder.clone()).map_err(named("a watch"))?;
         self.publish(&list, &plain)?;
         for number in 0..self.sides.len() {
             self.start_conductor(number)?;
@@ -555,14 +654,26 @@
         self.begin = reactor::now() + Span::from_seconds(0.2);
         let rates = self.rates();
         self.usual = rates.clone();
-        let clients =
-            Clients::start(&self.script, rates, addresses, self.recorder.clone(), self.options.seed ^ 0x5eed);
+        let clients = Clients::start(
+            &self.script,
+            rates,
+            addresses,
+            self.recorder.clone(),
+            self.options.seed ^ 0x5eed,
+        );
         self.clients = Some(clients.map_err(named("clients"))?);
         for trouble in self.script.troubles.clone() {
             self.plan_trouble(&trouble);
         }
         for kind in self.options.not_injected.clone() {
-            self.recorder.note(self.begin, Record::Trouble { kind, injected: false, span: 0.0 });
+            self.recorder.note(
+                self.begin,
+                Record::Trouble {
+                    kind,
+                    injected: false,
+                    span: 0.0,
+                },
+            );
         }
         if self.options.sabotage.is_some() {
             self.plan_sabotage();
@@ -574,15 +685,27 @@
 
     fn rates(&mut self) -> Vec<f64> {
         let spread = self.script.traffic.spread;
-        let weights: Vec<f64> = (0..self.script.gateways).map(|_| spread.powf(self.chance.unit())).collect();
+        let weights: Vec<f64> = (0..self.script.gateways)
+            .map(|_| spread.powf(self.chance.unit()))
+            .collect();
         let sum: f64 = weights.iter().sum();
-        weights.iter().map(|weight| self.script.traffic.rate * weight / sum).collect()
+        weights
+            .iter()
+            .map(|weight| self.script.traffic.rate * weight / sum)
+            .collect()
     }
 
-    fn wait_for_tables(&self, directories: &BTreeMap<PathBuf, (usize, usize)>) -> Result<(), DrillError> {
+    fn wait_for_tables(
+        &self,
+        directories: &BTreeMap<PathBuf, (usize, usize)>,
+    ) -> Result<(), DrillError> {
         let deadline = reactor::now() + Span::from_seconds(8.0);
         let preferred = |(_, (conductor, gateway)): &(&PathBuf, &(usize, usize))| {
-            let usual = if self.even.is_some() { 0 } else { gateway % self.sides.len() };
+            let usual = if self.even.is_some() {
+                0
+            } else {
+                gateway % self.sides.len()
+            };
             *conductor == usual
         };
         for (directory, (_, gateway)) in directories.iter().filter(preferred) {
@@ -593,8 +716,9 @@
             };
             while waits() {
                 if reactor::now() > deadline {
-                    let text =
-                        format!("gateway {gateway} got no tables within 8 s; see the logs under --keep");
+                    let text = format!(
+                        "gateway {gateway} got no tables within 8 s; see the logs under --keep"
+                    );
                     return Err(DrillError::NotReady(text));
                 }
                 std::thread::sleep(std::time::Duration::from_millis(10));
@@ -608,7 +732,11 @@
         let mut told = -1;
         loop {
             let now = reactor::now();
-            while let Some(entry) = self.steps.first_entry().filter(|entry| entry.key().0 <= now) {
+            while let Some(entry) = self
+                .steps
+                .first_entry()
+                .filter(|entry| entry.key().0 <= now)
+            {
                 let step = entry.remove();
                 self.take(step)?;
             }
@@ -621,7 +749,11 @@
             if now >= end {
                 return Ok(());
             }
-            let next = self.steps.first_key_value().map_or(end, |(key, _)| key.0).min(end);
+            let next = self
+                .steps
+                .first_key_value()
+                .map_or(end, |(key, _)| key.0)
+                .min(end);
             let wait = (next - now).min(Span::from_seconds(0.2)).max(Span::ZERO);
             std::thread::sleep(std::time::Duration::from_micros(wait.micros() as u64));
         }
@@ -641,7 +773,17 @@
             child.wait().map_err(named("a conductor"))?;
         }
         let Drill {
-            script, options, nodes, gateways, wires, slowed, directory, recorder, begin, cpu, ..
+            script,
+            options,
+            nodes,
+            gateways,
+            wires,
+            slowed,
+            directory,
+            recorder,
+            begin,
+            cpu,
+            ..
         } = self;
         drop((nodes, gateways, wires));
         let begin = recorder.at(begin);
@@ -649,7 +791,9 @@
         let mut records = Records(from.try_iter().collect());
         records.0.sort_by(|a, b| a.0.total_cmp(&b.0));
         if options.keep.is_some() {
-            records.keep(&directory.join("records")).map_err(named("the records"))?;
+            records
+                .keep(&directory.join("records"))
+                .map_err(named("the records"))?;
         }
         let verdict = judge(&records, &script, &slowed);
         let drain_orders_s = drained(&records).into_iter().map(round).collect();
@@ -657,9 +801,15 @@
             Record::Changed { taken, .. } => Some(*taken),
             _ => None,
         });
-        let changes_told = told.fold((0, 0), |(all, took), taken| (all + 1, took + usize::from(taken)));
+        let changes_told = told.fold((0, 0), |(all, took), taken| {
+            (all + 1, took + usize::from(taken))
+        });
         let trouble = |(t, record): &(f64, Record)| match record {
-            Record::Trouble { kind, injected, span } => Some(TroubleTold {
+            Record::Trouble {
+                kind,
+                injected,
+                span,
+            } => Some(TroubleTold {
                 kind: kind.clone(),
                 at_s: round(t - begin),
                 for_s: round(*span),
@@ -667,7 +817,11 @@
             }),
             _ => None,
         };
-        let swaps = records.0.iter().filter(|(_, record)| matches!(record, Record::Swapped { .. })).count();
+        let swaps = records
+            .0
+            .iter()
+            .filter(|(_, record)| matches!(record, Record::Swapped { .. }))
+            .count();
         Ok(Report {
             drill: script.name.clone(),
             seed: options.seed,
@@ -695,8 +849,9 @@
     }
 
     fn some_nodes(&mut self, part: f64) -> Vec<usize> {
-        let open: Vec<usize> =
-            (0..self.fleet.len()).filter(|at| !self.fleet[*at].gone && !self.fleet[*at].draining).collect();
+        let open: Vec<usize> = (0..self.fleet.len())
+            .filter(|at| !self.fleet[*at].gone && !self.fleet[*at].draining)
+            .collect();
         let count = ((open.len() as f64 * part).round() as usize).max(1);
         self.some(count, open)
     }
@@ -710,7 +865,9 @@
         let at = self.begin + trouble.at;
         let end = at + trouble.span;
         let (part, size) = (trouble.part, trouble.size);
-        let kind = serde_json::to_value(trouble.kind).ok().and_then(|kind| kind.as_str().map(str::to_string));
+        let kind = serde_json::to_value(trouble.kind)
+            .ok()
+            .and_then(|kind| kind.as_str().map(str::to_string));
         self.at(at, Step::Tell(kind.unwrap_or_default()));
         let orders = |keys: &[NodeKey], order: &dyn Fn(NodeKey) -> NodeOrder| {
             Step::Orders(keys.iter().map(|key| order(*key)).collect())
@@ -729,16 +886,34 @@
             TroubleKind::DrainOrder => {
                 let nodes = self.some_nodes(part);
                 let within = trouble.span * 0.9;
-                self.at(at, Step::Order { nodes: nodes.clone(), word: Word::Drain, within });
+                self.at(
+                    at,
+                    Step::Order {
+                        nodes: nodes.clone(),
+                        word: Word::Drain,
+                        within,
+                    },
+                );
                 let within = Span::from_seconds(5.0);
-                self.at(end, Step::Order { nodes, word: Word::Undrain, within });
+                self.at(
+                    end,
+                    Step::Order {
+                        nodes,
+                        word: Word::Undrain,
+                        within,
+                    },
+                );
             }
             TroubleKind::Change => {
                 let nodes = self.some_nodes(part);
                 let id = format!("moved-at-{}", trouble.at.seconds());
                 let within = trouble.span * 0.9;
-                let change =
-                    |undo, within| Step::Change { id: id.clone(), nodes: nodes.clone(), undo, within };
+                let change = |undo, within| Step::Change {
+                    id: id.clone(),
+                    nodes: nodes.clone(),
+                    undo,
+                    within,
+                };
                 self.at(at, change(false, within));
                 self.at(end, change(true, Span::from_seconds(8.0)));
             }
@@ -781,12 +956,26 @@
             }
             TroubleKind::OneSided => {
                 let count = self.sides.len();
-                let gateways: BTreeSet<usize> =
-                    (0..self.script.gateways).filter(|at| at % count == 0).collect();
+                let gateways: BTreeSet<usize> = (0..self.script.gateways)
+                    .filter(|at| at % count == 0)
+                    .collect();
                 let kind = usize::from(self.script.nodes.kinds.len() > 1 && part < 0.5);
                 let slow = 1.0 + 3.0 * size.clamp(0.0, 2.0);
-                self.at(at, Step::Orders(vec![NodeOrder::OneSided { kind, gateways, slow, refuse: false }]));
-                let none = NodeOrder::OneSided { kind, gateways: BTreeSet::new(), slow: 1.0, refuse: false };
+                self.at(
+                    at,
+                    Step::Orders(vec![NodeOrder::OneSided {
+                        kind,
+                        gateways,
+                        slow,
+                        refuse: false,
+                    }]),
+                );
+                let none = NodeOrder::OneSided {
+                    kind,
+                    gateways: BTreeSet::new(),
+                    slow: 1.0,
+                    refuse: false,
+                };
                 self.at(end, Step::Orders(vec![none]));
             }
             TroubleKind::SharedSlow => {
@@ -794,24 +983,58 @@
                 self.at(end, Step::Orders(vec![NodeOrder::Slow(1.0)]));
             }
             TroubleKind::SlowLink => {
-                self.at(at, Step::Orders(vec![NodeOrder::SlowLink(size.clamp(0.0, 0.4))]));
+                self.at(
+                    at,
+                    Step::Orders(vec![NodeOrder::SlowLink(size.clamp(0.0, 0.4))]),
+                );
                 self.at(end, Step::Orders(vec![NodeOrder::SlowLink(0.0)]));
             }
             TroubleKind::HotCaller => {
                 let some = self.some_gateways(part);
                 let factor = 1.0 + size * self.script.gateways as f64 / some.len() as f64;
-                self.at(at, Step::Rate { gateways: Some(some.clone()), factor });
-                self.at(end, Step::Rate { gateways: Some(some), factor: 1.0 });
+                self.at(
+                    at,
+                    Step::Rate {
+                        gateways: Some(some.clone()),
+                        factor,
+                    },
+                );
+                self.at(
+                    end,
+                    Step::Rate {
+                        gateways: Some(some),
+                        factor: 1.0,
+                    },
+                );
             }
             TroubleKind::Shift => {
                 let zones = self.script.deployment.zones.len();
                 let from = ((self.chance.unit() * zones as f64) as usize).min(zones - 1);
                 // It moves for good.
-                self.at(at, Step::Shift { from, to: (from + 1) % zones, part: size.clamp(0.0, 1.0) });
+                self.at(
+                    at,
+                    Step::Shift {
+                        from,
+                        to: (from + 1) % zones,
+                        part: size.clamp(0.0, 1.0),
+                    },
+                );
             }
             TroubleKind::Overload => {
-                self.at(at, Step::Rate { gateways: None, factor: size });
-                self.at(end, Step::Rate { gateways: None, factor: 1.0 });
+                self.at(
+                    at,
+                    Step::Rate {
+                        gateways: None,
+                        factor: size,
+                    },
+                );
+                self.at(
+                    end,
+                    Step::Rate {
+                        gateways: None,
+                        factor: 1.0,
+                    },
+                );
             }
             TroubleKind::Reconnect => {
                 let some = self.some_gateways(size.clamp(0.0, 1.0));
@@ -819,7 +1042,10 @@
             }
             TroubleKind::CounterDown => {
                 let some = self.some_gateways(part);
-                self.at(at, Step::Wire(WireOrder::Refuse(some.into_iter().collect())));
+                self.at(
+                    at,
+                    Step::Wire(WireOrder::Refuse(some.into_iter().collect())),
+                );
                 self.at(end, Step::Wire(WireOrder::Refuse(BTreeSet::new())));
             }
             TroubleKind::ReportLate => {
@@ -838,7 +1064,11 @@
             TroubleKind::OriginSlow => {
                 let factor = size.max(1.0);
                 let from = self.recorder.at(at);
-                self.slowed.push(Slowed { from, to: self.recorder.at(end), factor });
+                self.slowed.push(Slowed {
+                    from,
+                    to: self.recorder.at(end),
+                    factor,
+                });
                 self.at(at, Step::Pace { factor });
                 self.at(end, Step::Pace { factor: 1.0 });
             }
@@ -852,7 +1082,10 @@
                 let some = self.some(count, (0..self.sides.len()).collect());
                 let crash = trouble.kind == TroubleKind::BalancerCrash;
                 let (on, off) = match crash {
-                    true => (Step::KillConductors(some.clone()), Step::StartConductors(some)),
+                    true => (
+                        Step::KillConductors(some.clone()),
+                        Step::StartConductors(some),
+                    ),
                     false => (Step::Stall(some.clone(), true), Step::Stall(some, false)),
                 };
                 self.at(at, on);
@@ -866,7 +1099,8 @@
                 }
             }
             TroubleKind::Grow => {
-                let count = ((self.fleet.len() as f64 * part.min(size.max(0.05))).round() as usize).max(1);
+                let count =
+                    ((self.fleet.len() as f64 * part.min(size.max(0.05))).round() as usize).max(1);
                 self.at(at, Step::Come { count });
             }
             TroubleKind::LateList => {
@@ -876,9 +1110,18 @@
                 self.at(end, Step::ListDelay(usual));
             }
         }
-        let kind = serde_json::to_value(trouble.kind).ok().and_then(|kind| kind.as_str().map(str::to_string));
+        let kind = serde_json::to_value(trouble.kind)
+            .ok()
+            .and_then(|kind| kind.as_str().map(str::to_string));
         let (kind, span) = (kind.unwrap_or_default(), trouble.span.seconds());
-        self.recorder.note(at, Record::Trouble { kind, injected: true, span });
+        self.recorder.note(
+            at,
+            Record::Trouble {
+                kind,
+                injected: true,
+                span,
+            },
+        );
     }
 
     /// What a sabotaged run needs besides its writer.
@@ -889,15 +1132,32 @@
                 let keys: Vec<NodeKey> = self.fleet.iter().map(|node| node.key).collect();
                 self.at(
                     at,
-                    Step::Orders(keys.into_iter().map(|key| NodeOrder::AnswersLost(key, 0.3)).collect()),
+                    Step::Orders(
+                        keys.into_iter()
+                            .map(|key| NodeOrder::AnswersLost(key, 0.3))
+                            .collect(),
+                    ),
                 );
             }
             Some(Sabotage::KeepDrained) => {
                 let out = self.some_nodes(0.1);
-                self.at(at, Step::Batch { out, drain: Span::from_seconds(60.0) });
+                self.at(
+                    at,
+                    Step::Batch {
+                        out,
+                        drain: Span::from_seconds(60.0),
+                    },
+                );
+            }
+            Some(Sabotage::FloodCold | Sabotage::EmptyTable) => {
+                self.at(at, Step::Come { count: 1 })
             }
-            Some(Sabotage::FloodCold | Sabotage::EmptyTable) => self.at(at, Step::Come { count: 1 }),
-            Some(Sabotage::Overfill) => self.at(at, Step::Swarm { until: at + Span::from_seconds(5.0) }),
+            Some(Sabotage::Overfill) => self.at(
+                at,
+                Step::Swarm {
+                    until: at + Span::from_seconds(5.0),
+                },
+            ),
             None => {}
         }
     }
@@ -909,24 +1169,36 @@
             Step::Wire(order) => self.wires.order(order),
             Step::Rate { gateways, factor } => {
                 self.clients.iter().for_each(|clients| {
-                    clients.order(ClientOrder::Rate { gateways: gateways.clone(), factor })
+                    clients.order(ClientOrder::Rate {
+                        gateways: gateways.clone(),
+                        factor,
+                    })
                 });
             }
             Step::Shift { from, to, part } => {
                 let zones = self.script.deployment.zones.len();
-                let of = |zone: usize| (0..self.usual.len()).filter(move |gateway| gateway % zones == zone);
+                let of = |zone: usize| {
+                    (0..self.usual.len()).filter(move |gateway| gateway % zones == zone)
+                };
                 let sum = |zone: usize| of(zone).map(|gateway| self.usual[gateway]).sum::<f64>();
                 let (lost, gained) = (1.0 - part, 1.0 + part * sum(from) / sum(to).max(1e-9));
                 for (zone, factor) in [(from, lost), (to, gained)] {
                     let gateways: Vec<usize> = of(zone).collect();
                     if let Some(clients) = &self.clients {
-                        clients.order(ClientOrder::Rate { gateways: Some(gateways), factor });
+                        clients.order(ClientOrder::Rate {
+                            gateways: Some(gateways),
+                            factor,
+                        });
                     }
                 }
             }
             Step::Batch { out, drain } => {
-                let out: Vec<usize> = out.into_iter().filter(|node| !self.fleet[*node].gone).collect();
-                out.iter().for_each(|node| self.fleet[*node].draining = true);
+                let out: Vec<usize> = out
+                    .into_iter()
+                    .filter(|node| !self.fleet[*node].gone)
+                    .collect();
+                out.iter()
+                    .for_each(|node| self.fleet[*node].draining = true);
                 self.list_changes();
                 self.at(reactor::now() + drain, Step::Swap { out });
             }
@@ -936,22 +1208,33 @@
                         continue;
                     }
                     self.nodes.order(NodeOrder::Stop(self.fleet[node].key));
-                    let spec = NodeSpec { cold: true, ..self.fleet[node].spec.clone() };
+                    let spec = NodeSpec {
+                        cold: true,
+                        ..self.fleet[node].spec.clone()
+                    };
                     self.add_node(spec);
                 }
                 self.list_changes();
             }
             Step::Come { count } => {
                 for number in 0..count {
-                    let spec = NodeSpec { cold: true, ..self.fleet[number % self.fleet.len()].spec.clone() };
+                    let spec = NodeSpec {
+                        cold: true,
+                        ..self.fleet[number % self.fleet.len()].spec.clone()
+                    };
                     self.add_node(spec);
                 }
                 self.list_changes();
             }
             Step::Vanish(struck) => {
-                for node in struck.into_iter().filter(|node| !self.fleet[*node].gone).collect::<Vec<_>>() {
+                for node in struck
+                    .into_iter()
+                    .filter(|node| !self.fleet[*node].gone)
+                    .collect::<Vec<_>>()
+                {
                     self.fleet[node].silent = true;
-                    self.nodes.order(NodeOrder::Silent(self.fleet[node].key, true));
+                    self.nodes
+                        .order(NodeOrder::Silent(self.fleet[node].key, true));
                 }
             }
             Step::Return(struck) => {
@@ -966,43 +1249,71 @@
             }
             Step::ListDelay(delay) => self.list_delay = delay,
             Step::Publish(list, plain) => self.publish(&list, &plain)?,
-            Step::KillConductors(some) => some.into_iter().for_each(|number| self.kill_conductor(number)),
-            Step::StartConductors(some) => {
-                some.into_iter().try_for_each(|number| self.start_conductor(number))?
-            }
+            Step::KillConductors(some) => some
+                .into_iter()
+                .for_each(|number| self.kill_conductor(number)),
+            Step::StartConductors(some) => some
+                .into_iter()
+                .try_for_each(|number| self.start_conductor(number))?,
             Step::Pace { factor } => {
                 for number in 0..self.sides.len() {
-                    self.write_file(number, self.script.deployment.channel.lines_per_second / factor)?;
+                    self.write_file(
+                        number,
+                        self.script.deployment.channel.lines_per_second / factor,
+                    )?;
                     self.signal(number, Signal::HUP);
                 }
             }
             Step::Stall(some, on) => {
                 let signal = if on { Signal::STOP } else { Signal::CONT };
-                some.into_iter().for_each(|number| self.signal(number, signal));
+                some.into_iter()
+                    .for_each(|number| self.signal(number, signal));
             }
-            Step::Order { nodes, word, within } => {
-                for node in nodes.into_iter().filter(|node| !self.fleet[*node].gone).collect::<Vec<_>>() {
+            Step::Order {
+                nodes,
+                word,
+                within,
+            } => {
+                for node in nodes
+                    .into_iter()
+                    .filter(|node| !self.fleet[*node].gone)
+                    .collect::<Vec<_>>()
+                {
                     self.order(self.fleet[node].address.to_string(), word, within);
                 }
             }
-            Step::Change { id, nodes, undo, within } => self.change(&id, &nodes, undo, within),
+            Step::Change {
+                id,
+                nodes,
+                undo,
+                within,
+            } => self.change(&id, &nodes, undo, within),
             Step::KillGateways(some) => {
                 for gateway in some {
                     self.gateways.order(GatewayOrder::Die(gateway));
-                    let gone = || ClientOrder::At { gateway, address: None };
-                    self.clients.iter().for_each(|clients| clients.order(gone()));
+                    let gone = || ClientOrder::At {
+                        gateway,
+                        address: None,
+                    };
+                    self.clients
+                        .iter()
+                        .for_each(|clients| clients.order(gone()));
                 }
             }
-            Step::StartGateways(some) => {
-                some.into_iter().try_for_each(|gateway| self.start_gateway(gateway))?
-            }
+            Step::StartGateways(some) => some
+                .into_iter()
+                .try_for_each(|gateway| self.start_gateway(gateway))?,
             Step::Swarm { until } => {
                 let (_, plain) = self.list();
                 if let Some(even) = &mut self.even {
-                    even.publish(&self.script, &plain, &self.zones).map_err(DrillError::NotReady)?;
+                    even.publish(&self.script, &plain, &self.zones)
+                        .map_err(DrillError::NotReady)?;
                 }
                 if reactor::now() < until {
-                    self.at(reactor::now() + Span::from_seconds(0.05), Step::Swarm { until });
+                    self.at(
+                        reactor::now() + Span::from_seconds(0.05),
+                        Step::Swarm { until },
+                    );
                 }
             }
         }
@@ -1016,10 +1327,20 @@
 
 /// CPU seconds of a process so far, by what the kernel tells of it.
 pub fn cpu_of(pid: u32) -> f64 {
-    let stat =
-        std::fs::read_to_string(Path::new("/proc").join(pid.to_string()).join("stat")).unwrap_or_default();
-    let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
-    let ticks = |at: usize| fields.get(at).and_then(|field| field.parse::<f64>().ok()).unwrap_or(0.0);
+    let stat = std::fs::read_to_string(Path::new("/proc").join(pid.to_string()).join("stat"))
+        .unwrap_or_default();
+    let fields: Vec<&str> = stat
+        .rsplit(')')
+        .next()
+        .unwrap_or("")
+        .split_whitespace()
+        .collect();
+    let ticks = |at: usize| {
+        fields
+            .get(at)
+            .and_then(|field| field.parse::<f64>().ok())
+            .unwrap_or(0.0)
+    };
     (ticks(11) + ticks(12)) / 100.0
 }
 
@@ -1035,9 +1356,16 @@
             "drill {} (seed {}){}",
             self.drill,
             self.seed,
-            if self.baseline.is_some() { ", even weights" } else { "" }
+            if self.baseline.is_some() {
+                ", even weights"
+            } else {
+                ""
+            }
+        ));
+        line(format!(
+            "{:<44}{:>10}{:>10}{:>10}{:>12}  at",
+            "rule", "checked", "broken", "worst", "allowed"
         ));
-        line(format!("{:<44}{:>10}{:>10}{:>10}{:>12}  at", "rule", "checked", "broken", "worst", "allowed"));
         let names = [
             "1 no gateway without a node (s)",
             "2 no effect twice (effects of one invocation)",
@@ -1063,7 +1391,11 @@
             .iter()
             .map(|(name, part)| format!("{name} {part:.3}"))
             .collect();
-        line(format!("service: {:.3} ({})", self.verdict.service, each.join(", ")));
+        line(format!(
+            "service: {:.3} ({})",
+            self.verdict.service,
+            each.join(", ")
+        ));
         line(format!(
             "effects twice: {}; tables half read: {}; repeats: {:.1}% of first tries; tables swapped: {}",
             self.verdict.effects_twice,
@@ -1085,9 +1417,10 @@
             .collect();
         line(format!("troubles: {}", troubles.join(", ")));
         let seconds = |span: f64| spans::write(Span::from_seconds(span));
-        if let (Some(middle), Some(last)) =
-            (self.drain_orders_s.get(self.drain_orders_s.len() / 2), self.drain_orders_s.last())
-        {
+        if let (Some(middle), Some(last)) = (
+            self.drain_orders_s.get(self.drain_orders_s.len() / 2),
+            self.drain_orders_s.last(),
+        ) {
             line(format!(
                 "drains by order: {} by conductor and node, last try after {middle:.2} s in the middle, {last:.2} s at most",
                 self.drain_orders_s.len()
@@ -1097,8 +1430,18 @@
             let (told, took) = self.changes_told;
             line(format!("changes and undoes told: {told}, taken: {took}"));
         }
-        line(format!("CPU of conductors: {}", seconds((self.conductor_cpu_s * 1000.0).round() / 1000.0)));
-        line((if self.verdict.kept() { "all rules held" } else { "A RULE WAS BROKEN" }).to_string());
+        line(format!(
+            "CPU of conductors: {}",
+            seconds((self.conductor_cpu_s * 1000.0).round() / 1000.0)
+        ));
+        line(
+            (if self.verdict.kept() {
+                "all rules held"
+            } else {
+                "A RULE WAS BROKEN"
+            })
+            .to_string(),
+        );
         out
     }
 }
--- a/crates/drill/src/script.rs
+++ b/crates/drill/src/script.rs
@@ -149,7 +149,8 @@
     }
 
     pub fn read(path: &Path) -> Result<Script, String> {
-        let text = std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
+        let text = std::fs::read_to_string(path)
+            .map_err(|error| format!("{}: {error}", path.display()))?;
         Script::parse(&text).map_err(|error| format!("{}: {error}", path.display()))
     }
 
@@ -165,33 +166,67 @@
             wrong("length: between 2s and 1h is possible".to_string());
         }
         if self.gateways == 0 || self.gateways > 200 {
-            wrong(format!("gateways: {}, between 1 and 200 are possible on one machine", self.gateways));
+            wrong(format!(
+                "gateways: {}, between 1 and 200 are possible on one machine",
+                self.gateways
+            ));
         }
         let count: usize = self.nodes.kinds.iter().map(|kind| kind.count).sum();
         if count == 0 || count > 400 {
-            wrong(format!("nodes.kinds: {count} nodes, between 1 and 400 are possible"));
+            wrong(format!(
+                "nodes.kinds: {count} nodes, between 1 and 400 are possible"
+            ));
         }
         for kind in &self.nodes.kinds {
             if !self.deployment.kinds.contains(&kind.name) {
-                wrong(format!("nodes.kinds: `{}` is not one of deployment.kinds", kind.name));
+                wrong(format!(
+                    "nodes.kinds: `{}` is not one of deployment.kinds",
+                    kind.name
+                ));
             }
             if !(0.0..1.0).contains(&kind.speed_spread) {
-                wrong(format!("nodes.kinds: the speed_spread of `{}` should lie between 0 and 1", kind.name));
+                wrong(format!(
+                    "nodes.kinds: the speed_spread of `{}` should lie between 0 and 1",
+                    kind.name
+                ));
             }
             if kind.cores == 0 || !(0.01..=100.0).contains(&kind.speed) {
-                wrong(format!("nodes.kinds: `{}` needs cores and a speed between 0.01 and 100", kind.name));
+                wrong(format!(
+                    "nodes.kinds: `{}` needs cores and a speed between 0.01 and 100",
+                    kind.name
+                ));
             }
         }
-        let named =
-            |name: &String| self.deployment.operations.iter().any(|operation| operation.name == *name);
-        for operation in self.traffic.operations.iter().filter(|operation| !named(&operation.name)) {
-            wrong(format!("traffic.operations: `{}` is not one of deployment.operations", operation.name));
+        let named = |name: &String| {
+            self.deployment
+                .operations
+                .iter()
+                .any(|operation| operation.name == *name)
+        };
+        for operation in self
+            .traffic
+            .operations
+            .iter()
+            .filter(|operation| !named(&operation.name))
+        {
+            wrong(format!(
+                "traffic.operations: `{}` is not one of deployment.operations",
+                operation.name
+            ));
         }
-        if !(0.0..=20_000.0).contains(&self.traffic.rate) || !(1.0..=1000.0).contains(&self.traffic.spread) {
-            wrong("traffic: rate should lie between 0 and 20000, spread between 1 and 1000".to_string());
+        if !(0.0..=20_000.0).contains(&self.traffic.rate)
+            || !(1.0..=1000.0).contains(&self.traffic.spread)
+        {
+            wrong(
+                "traffic: rate should lie between 0 and 20000, spread between 1 and 1000"
+                    .to_string(),
+            );
         }
         for (at, trouble) in self.troubles.iter().enumerate() {
-            if trouble.at > self.length || !(0.0..=1.0).contains(&trouble.part) || !trouble.size.is_finite() {
+            if trouble.at > self.length
+                || !(0.0..=1.0).contains(&trouble.part)
+                || !trouble.size.is_finite()
+            {
                 wrong(format!(
                     "troubles.{at}: it should begin within the drill and strike a part between 0 and 1"
                 ));
@@ -205,29 +240,51 @@
         let day: Value =
             serde_json::from_str(text).map_err(|error| format!("the day is no JSON: {error}"))?;
         let number = |value: &Value, name: &str| value.get(name).and_then(Value::as_f64);
-        let length = number(&day, "length").filter(|length| *length > 0.0).ok_or("the day has no length")?;
-        let troubles = day.get("troubles").and_then(Value::as_array).ok_or("the day has no troubles")?;
-        let many = |name: &str| day.get(name).and_then(Value::as_array).map_or(1, Vec::len).max(1) as f64;
+        let length = number(&day, "length")
+            .filter(|length| *length > 0.0)
+            .ok_or("the day has no length")?;
+        let troubles = day
+            .get("troubles")
+            .and_then(Value::as_array)
+            .ok_or("the day has no troubles")?;
+        let many = |name: &str| {
+            day.get(name)
+                .and_then(Value::as_array)
+                .map_or(1, Vec::len)
+                .max(1) as f64
+        };
         let (servers, balancers) = (many("servers"), many("balancers"));
         let scale = self.length.seconds() / length;
         let mut unknown = Vec::new();
         self.troubles.clear();
         for told in troubles {
             let kind = told.get("kind").and_then(Value::as_str).unwrap_or("");
-            let Ok(known) = serde_json::from_value::<TroubleKind>(Value::String(kind.to_string())) else {
+            let Ok(known) = serde_json::from_value::<TroubleKind>(Value::String(kind.to_string()))
+            else {
                 unknown.push(kind.to_string());
                 continue;
             };
             let count = |value: Option<&Value>| value.and_then(Value::as_array).map_or(0, Vec::len);
-            let steps = told.get("steps").and_then(Value::as_array).into_iter().flatten();
-            let stepped: usize =
-                steps.map(|step| count(step.get("stop")).max(count(step.get("start")))).sum();
+            let steps = told
+                .get("steps")
+                .and_then(Value::as_array)
+                .into_iter()
+                .flatten();
+            let stepped: usize = steps
+                .map(|step| count(step.get("stop")).max(count(step.get("start"))))
+                .sum();
             let struck = count(told.get("on")).max(stepped) as f64;
             let whole = match known {
-                TroubleKind::BalancerCrash | TroubleKind::CounterDown | TroubleKind::HotCaller => balancers,
+                TroubleKind::BalancerCrash | TroubleKind::CounterDown | TroubleKind::HotCaller => {
+                    balancers
+                }
                 _ => servers,
             };
-            let part = if struck > 0.0 { (struck / whole).clamp(0.0, 1.0) } else { 1.0 };
+            let part = if struck > 0.0 {
+                (struck / whole).clamp(0.0, 1.0)
+            } else {
+                1.0
+            };
             let size = number(told, "size").unwrap_or(1.0);
             // A share of streams is told as size there; late reports come later by seconds.
             self.troubles.push(Trouble {
@@ -257,7 +314,10 @@
             {"kind": "meteor", "at": 1, "len": 1}]}"#;
         let length = script.length.seconds();
         let (script, unknown) = script.with_day(day).expect("it is a day");
-        assert_eq!((unknown, script.troubles.len()), (vec!["meteor".to_string()], 1));
+        assert_eq!(
+            (unknown, script.troubles.len()),
+            (vec!["meteor".to_string()], 1)
+        );
         let trouble = &script.troubles[0];
         assert_eq!((trouble.kind, trouble.part), (TroubleKind::Vanish, 0.25));
         assert!((trouble.at.seconds() - length / 2.0).abs() < 1e-6);
@@ -265,7 +325,9 @@
 
     #[test]
     fn a_script_that_cannot_be_is_named() {
-        let wrong = BUILT_IN.replace("gateways: ", "gateways: 9").replace("kind: deploy", "kind: earthquake");
+        let wrong = BUILT_IN
+            .replace("gateways: ", "gateways: 9")
+            .replace("kind: deploy", "kind: earthquake");
         assert!(Script::parse(&wrong).is_err_and(|error| error.contains("earthquake")));
         let wrong = BUILT_IN.replace("rate: ", "rate: -");
         assert!(Script::parse(&wrong).is_err_and(|error| error.contains("traffic: rate")));
--- a/crates/drill/src/watch.rs
+++ b/crates/drill/src/watch.rs
@@ -37,30 +37,49 @@
                 }
                 let now = reactor::now();
                 for moved in watcher.moved().unwrap_or_default() {
-                    let Moved::Into { directory, name } = moved else { continue };
-                    let Some((conductor, gateway)) =
-                        directories.get(&directory).copied().filter(|_| name == CURRENT)
+                    let Moved::Into { directory, name } = moved else {
+                        continue;
+                    };
+                    let Some((conductor, gateway)) = directories
+                        .get(&directory)
+                        .copied()
+                        .filter(|_| name == CURRENT)
                     else {
                         continue;
                     };
                     let record = match read_tables(&directory) {
                         Ok(Some(held)) => {
                             let (version, hash) = (held.orders.version.0, held.hash.clone());
-                            Record::Swapped { conductor, gateway, version, hash, lines: lines(&held) }
-                        }
-                        Ok(None) => {
-                            Record::SwapUnreadable { conductor, gateway, reason: "nothing there".to_string() }
-                        }
-                        Err(error) => {
-                            Record::SwapUnreadable { conductor, gateway, reason: error.to_string() }
+                            Record::Swapped {
+                                conductor,
+                                gateway,
+                                version,
+                                hash,
+                                lines: lines(&held),
+                            }
                         }
+                        Ok(None) => Record::SwapUnreadable {
+                            conductor,
+                            gateway,
+                            reason: "nothing there".to_string(),
+                        },
+                        Err(error) => Record::SwapUnreadable {
+                            conductor,
+                            gateway,
+                            reason: error.to_string(),
+                        },
                     };
                     recorder.note(now, record);
                 }
             }
         };
-        let thread = std::thread::Builder::new().name("watch".to_string()).spawn(run)?;
-        Ok(Watch { stop, thread: Some(thread) })
+        let thread = std::thread::Builder::new()
+            .name("watch".to_string())
+            .spawn(run)?;
+        Ok(Watch {
+            stop,
+            thread: Some(thread),
+        })
     }
 }
 
--- a/crates/drill/src/wire.rs
+++ b/crates/drill/src/wire.rs
@@ -41,7 +41,11 @@
         let (mut listeners, mut ports) = (Vec::new(), Vec::new());
         for (number, to) in conductors.iter().enumerate() {
             let listener = reactor::listen(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0))?;
-            poll.add(&listener, Token(LISTENERS + number as u64), Interest::Readable)?;
+            poll.add(
+                &listener,
+                Token(LISTENERS + number as u64),
+                Interest::Readable,
+            )?;
             if let SocketAddr::V4(port) = listener.local_addr()? {
                 ports.push(port);
             }
@@ -58,8 +62,15 @@
             held: BTreeSet::new(),
             late: Span::ZERO,
         };
-        let thread = std::thread::Builder::new().name("wires".to_string()).spawn(move || relay.run())?;
-        Ok(Wires { ports, orders, waker, thread: Some(thread) })
+        let thread = std::thread::Builder::new()
+            .name("wires".to_string())
+            .spawn(move || relay.run())?;
+        Ok(Wires {
+            ports,
+            orders,
+            waker,
+            thread: Some(thread),
+        })
     }
 
     pub fn order(&self, order: WireOrder) {
@@ -101,9 +112,15 @@
         let mut ready = Vec::new();
         loop {
             let now = reactor::now();
-            let due =
-                self.streams.iter().filter_map(|(_, stream)| stream.up.front()).map(|(at, _)| *at).min();
-            let wait = due.map_or(Span::from_seconds(1.0), |at| (at - now).max(Span::from_seconds(0.002)));
+            let due = self
+                .streams
+                .iter()
+                .filter_map(|(_, stream)| stream.up.front())
+                .map(|(at, _)| *at)
+                .min();
+            let wait = due.map_or(Span::from_seconds(1.0), |at| {
+                (at - now).max(Span::from_seconds(0.002))
+            });
             if self.poll.wait(wait, &mut ready).is_err() {
                 return;
             }
@@ -168,16 +185,27 @@
         for below in reactor::accept(listener).0 {
             let gateway = below.peer_addr().map(|peer| gateway_of(peer.ip()).1);
             let above = reactor::connect(to.ip().octets(), to.port());
-            let (Ok(gateway), Ok(above)) = (gateway, above) else { continue };
+            let (Ok(gateway), Ok(above)) = (gateway, above) else {
+                continue;
+            };
             if self.refused.contains(&gateway) {
                 reactor::reset(below);
                 continue;
             }
-            let slot =
-                self.streams.insert(Stream { gateway, below, above, up: VecDeque::new(), down: Vec::new() });
+            let slot = self.streams.insert(Stream {
+                gateway,
+                below,
+                above,
+                up: VecDeque::new(),
+                down: Vec::new(),
+            });
             let stream = &self.streams[slot];
-            let below = self.poll.add(&stream.below, Token(slot as u64 * 2), Interest::Edges);
-            let above = self.poll.add(&stream.above, Token(slot as u64 * 2 + 1), Interest::Edges);
+            let below = self
+                .poll
+                .add(&stream.below, Token(slot as u64 * 2), Interest::Edges);
+            let above = self
+                .poll
+                .add(&stream.above, Token(slot as u64 * 2 + 1), Interest::Edges);
             if below.and(above).is_err() {
                 self.streams.remove(slot);
             }
@@ -185,7 +213,9 @@
     }
 
     fn pass(&mut self, now: Moment, slot: usize) {
-        let Some(stream) = self.streams.get_mut(slot) else { return };
+        let Some(stream) = self.streams.get_mut(slot) else {
+            return;
+        };
         if self.held.contains(&stream.gateway) {
             return;
         }
@@ -216,7 +246,12 @@
         match socket.read(&mut piece) {
             Ok(0) => return true,
             Ok(count) => into.extend_from_slice(&piece[..count]),
-            Err(error) => return !matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::NotConnected),
+            Err(error) => {
+                return !matches!(
+                    error.kind(),
+                    ErrorKind::WouldBlock | ErrorKind::NotConnected
+                )
+            }
         }
     }
 }
@@ -225,7 +260,12 @@
     while !bytes.is_empty() {
         match socket.write(bytes) {
             Ok(count) => drop(bytes.drain(..count)),
-            Err(error) => return !matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::NotConnected),
+            Err(error) => {
+                return !matches!(
+                    error.kind(),
+                    ErrorKind::WouldBlock | ErrorKind::NotConnected
+                )
+            }
         }
     }
     false
@@ -233,5 +273,9 @@
 
 /// By zone, for cuts.
 pub fn gateways_in(zones: &BTreeMap<usize, usize>, zone: usize) -> BTreeSet<usize> {
-    zones.iter().filter(|(_, at)| **at == zone).map(|(gateway, _)| *gateway).collect()
+    zones
+        .iter()
+        .filter(|(_, at)| **at == zone)
+        .map(|(gateway, _)| *gateway)
+        .collect()
 }
--- a/crates/files/src/lib.rs
+++ b/crates/files/src/lib.rs
@@ -80,5 +80,7 @@
 }
 
 pub(crate) fn version_of(name: &str) -> Option<Version> {
-    (name.len() == 12).then(|| name.parse().ok().map(Version)).flatten()
+    (name.len() == 12)
+        .then(|| name.parse().ok().map(Version))
+        .flatten()
 }
--- a/crates/files/src/read.rs
+++ b/crates/files/src/read.rs
@@ -28,7 +28,10 @@
     #[error("{path}: {text}", path = .path.display())]
     Link { path: PathBuf, text: String },
     #[error("version {}: {source}", .version.0)]
-    Content { version: Version, source: Unreadable },
+    Content {
+        version: Version,
+        source: Unreadable,
+    },
 }
 
 impl ReadError {
@@ -43,12 +46,21 @@
 
 /// A file's text, no longer than `LONGEST`.
 pub fn text(path: &Path) -> Result<String, ReadError> {
-    let named = |source| ReadError::Io { path: path.to_path_buf(), source };
+    let named = |source| ReadError::Io {
+        path: path.to_path_buf(),
+        source,
+    };
     let file = std::fs::File::open(path).map_err(named)?;
     let mut text = String::new();
-    let read = file.take(LONGEST + 1).read_to_string(&mut text).map_err(named)?;
+    let read = file
+        .take(LONGEST + 1)
+        .read_to_string(&mut text)
+        .map_err(named)?;
     if read as u64 > LONGEST {
-        let long = io::Error::new(io::ErrorKind::InvalidData, format!("longer than {LONGEST} bytes"));
+        let long = io::Error::new(
+            io::ErrorKind::InvalidData,
+            format!("longer than {LONGEST} bytes"),
+        );
         return Err(named(long));
     }
     Ok(text)
@@ -66,7 +78,10 @@
         };
         // The link is followed once, and both documents are read from where it led.
         let directory = gateway.join(&target);
-        let name = target.file_name().map(|name| name.to_string_lossy().into_owned()).unwrap_or_default();
+        let name = target
+            .file_name()
+            .map(|name| name.to_string_lossy().into_owned())
+            .unwrap_or_default();
         let version = version_of(&name);
         match (text(&directory.join(EDS)), text(&directory.join(RDS))) {
             (Ok(eds), Ok(rds)) => return whole(Documents { eds, rds }, version).map(Some),
@@ -78,16 +93,25 @@
             (Err(error), _) | (_, Err(error)) => return Err(error),
         }
     }
-    Err(last.unwrap_or(ReadError::Link { path: link, text: "it leads nowhere".to_string() }))
+    Err(last.unwrap_or(ReadError::Link {
+        path: link,
+        text: "it leads nowhere".to_string(),
+    }))
 }
 
 fn whole(documents: Documents, version: Option<Version>) -> Result<Held, ReadError> {
     let orders = tables::read(&documents);
-    let orders =
-        orders.map_err(|source| ReadError::Content { version: version.unwrap_or_default(), source })?;
+    let orders = orders.map_err(|source| ReadError::Content {
+        version: version.unwrap_or_default(),
+        source,
+    })?;
     let mut hash = Sha256::new();
     hash.update(&documents.eds);
     hash.update(&documents.rds);
-    let hash = hash.finalize().iter().map(|byte| format!("{byte:02x}")).collect();
+    let hash = hash
+        .finalize()
+        .iter()
+        .map(|byte| format!("{byte:02x}"))
+        .collect();
     Ok(Held { orders, hash })
 }
--- a/crates/files/src/scan.rs
+++ b/crates/files/src/scan.rs
@@ -45,10 +45,14 @@
         }
         match read_tables(&directory) {
             Ok(Some(held)) => {
-                scan.found.held.insert(proxy, tables::recover(held.orders, plan));
+                scan.found
+                    .held
+                    .insert(proxy, tables::recover(held.orders, plan));
             }
             Ok(None) => {}
-            Err(error) => scan.unreadable.push(format!("tables of `{proxy}`: {error}")),
+            Err(error) => scan
+                .unreadable
+                .push(format!("tables of `{proxy}`: {error}")),
         }
     }
     Ok(scan)
--- a/crates/files/src/swap.rs
+++ b/crates/files/src/swap.rs
@@ -51,12 +51,24 @@
 }
 
 impl<'a> Swap<'a> {
-    pub fn new(root: &'a Root, version: Version, documents: &'a Documents, proxy: &'a str) -> Swap<'a> {
-        Swap { root, version, documents, proxy }
+    pub fn new(
+        root: &'a Root,
+        version: Version,
+        documents: &'a Documents,
+        proxy: &'a str,
+    ) -> Swap<'a> {
+        Swap {
+            root,
+            version,
+            documents,
+            proxy,
+        }
     }
 
     fn draft(&self) -> PathBuf {
-        self.root.versions().join(format!("{DRAFT}{}", name(self.version)))
+        self.root
+            .versions()
+            .join(format!("{DRAFT}{}", name(self.version)))
     }
 
     pub fn step(&self, step: Step) -> Result<(), Failed> {
@@ -65,20 +77,36 @@
         let link = gateway.join(format!("{DRAFT}{CURRENT}"));
         let (path, result) = match step {
             Step::MakeDraft => (draft.clone(), make_draft(&draft)),
-            Step::WriteEndpoints => (draft.join(EDS), write(&draft.join(EDS), &self.documents.eds)),
-            Step::WriteRoutes => (draft.join(RDS), write(&draft.join(RDS), &self.documents.rds)),
-            Step::SyncDraft => {
-                (draft.clone(), sync(&draft.join(EDS)).and(sync(&draft.join(RDS))).and(sync(&draft)))
-            }
+            Step::WriteEndpoints => (
+                draft.join(EDS),
+                write(&draft.join(EDS), &self.documents.eds),
+            ),
+            Step::WriteRoutes => (
+                draft.join(RDS),
+                write(&draft.join(RDS), &self.documents.rds),
+            ),
+            Step::SyncDraft => (
+                draft.clone(),
+                sync(&draft.join(EDS))
+                    .and(sync(&draft.join(RDS)))
+                    .and(sync(&draft)),
+            ),
             Step::NameVersion => {
                 let named = self.root.version(self.version);
                 (named.clone(), fs::rename(&draft, &named))
             }
             Step::SyncVersions => (self.root.versions(), sync(&self.root.versions())),
             Step::MakeLink => (link.clone(), make_link(&gateway, &link, self.version)),
-            Step::SwapLink => (gateway.join(CURRENT), fs::rename(&link, gateway.join(CURRENT))),
+            Step::SwapLink => (
+                gateway.join(CURRENT),
+                fs::rename(&link, gateway.join(CURRENT)),
+            ),
         };
-        result.map_err(|error| Failed { step, path, text: plain(&error) })
+        result.map_err(|error| Failed {
+            step,
+            path,
+            text: plain(&error),
+        })
     }
 
     /// All that is still to be done: a version that lies there already is only pointed at.
@@ -87,14 +115,23 @@
     }
 
     /// The same, with `sync` to say when enough is on the disk.
-    pub fn run_with(&self, sync: &mut dyn FnMut(Vec<File>) -> io::Result<()>) -> Result<(), Failed> {
+    pub fn run_with(
+        &self,
+        sync: &mut dyn FnMut(Vec<File>) -> io::Result<()>,
+    ) -> Result<(), Failed> {
         let written = self.root.version(self.version).is_dir();
         let skip = |step: &&Step| !written || matches!(step, Step::MakeLink | Step::SwapLink);
         for step in STEPS.iter().filter(skip) {
-            let faulty = |error: io::Error| Failed { step: *step, path: self.draft(), text: plain(&error) };
+            let faulty = |error: io::Error| Failed {
+                step: *step,
+                path: self.draft(),
+                text: plain(&error),
+            };
             reached(&format!("files.{step:?}")).map_err(faulty)?;
             let paths = match step {
-                Step::SyncDraft => vec![self.draft().join(EDS), self.draft().join(RDS), self.draft()],
+                Step::SyncDraft => {
+                    vec![self.draft().join(EDS), self.draft().join(RDS), self.draft()]
+                }
                 Step::SyncVersions => vec![self.root.versions()],
                 step => {
                     self.step(*step)?;
@@ -103,10 +140,17 @@
             };
             let files: io::Result<Vec<File>> = paths.iter().map(File::open).collect();
             let path = paths[0].clone();
-            files.and_then(&mut *sync).map_err(|error| Failed { step: *step, path, text: plain(&error) })?;
+            files.and_then(&mut *sync).map_err(|error| Failed {
+                step: *step,
+                path,
+                text: plain(&error),
+            })?;
         }
-        let pointed =
-            |error: io::Error| Failed { step: Step::SwapLink, path: self.draft(), text: plain(&error) };
+        let pointed = |error: io::Error| Failed {
+            step: Step::SwapLink,
+            path: self.draft(),
+            text: plain(&error),
+        };
         reached("files.pointed").map_err(pointed)
     }
 }
@@ -154,8 +198,13 @@
 
 fn draft_of(path: &Path) -> io::Result<PathBuf> {
     match (path.parent(), path.file_name()) {
-        (Some(directory), Some(file)) => Ok(directory.join(format!("{DRAFT}{}", file.to_string_lossy()))),
-        _ => Err(io::Error::new(io::ErrorKind::InvalidInput, "a file in a directory is expected")),
+        (Some(directory), Some(file)) => {
+            Ok(directory.join(format!("{DRAFT}{}", file.to_string_lossy())))
+        }
+        _ => Err(io::Error::new(
+            io::ErrorKind::InvalidInput,
+            "a file in a directory is expected",
+        )),
     }
 }
 
--- a/crates/files/src/writer.rs
+++ b/crates/files/src/writer.rs
@@ -60,9 +60,17 @@
     pub fn start(root: Root, plan: Deployment, waker: Waker) -> io::Result<Writer> {
         let (jobs, to_do) = channel::<Job>();
         let (told, done) = channel();
-        let disk = Disk::start(plan.channel.delay_at_most.seconds() * PATIENCE, File::sync_all)?;
+        let disk = Disk::start(
+            plan.channel.delay_at_most.seconds() * PATIENCE,
+            File::sync_all,
+        )?;
         let work = move || {
-            let mut desk = Desk { root, plan, documents: BTreeMap::new(), disk };
+            let mut desk = Desk {
+                root,
+                plan,
+                documents: BTreeMap::new(),
+                disk,
+            };
             for job in to_do {
                 for done in desk.carry_out(job) {
                     // The other side is gone only when the program ends.
@@ -71,8 +79,14 @@
                 waker.wake();
             }
         };
-        let thread = std::thread::Builder::new().name("writer".to_string()).spawn(work)?;
-        Ok(Writer { jobs: Some(jobs), done, thread: Some(thread) })
+        let thread = std::thread::Builder::new()
+            .name("writer".to_string())
+            .spawn(work)?;
+        Ok(Writer {
+            jobs: Some(jobs),
+            done,
+            thread: Some(thread),
+        })
     }
 
     pub fn give(&self, job: Job) {
@@ -110,7 +124,10 @@
 }
 
 impl Disk {
-    fn start(patience: f64, sync: impl Fn(&File) -> io::Result<()> + Send + 'static) -> io::Result<Disk> {
+    fn start(
+        patience: f64,
+        sync: impl Fn(&File) -> io::Result<()> + Send + 'static,
+    ) -> io::Result<Disk> {
         let (to, asked) = channel::<Vec<File>>();
         let (told, from) = channel();
         let work = move || {
@@ -120,8 +137,16 @@
                 }
             }
         };
-        std::thread::Builder::new().name("disk".to_string()).spawn(work)?;
-        Ok(Disk { to, from, patience: Duration::from_secs_f64(patience), open: 0, left: false })
+        std::thread::Builder::new()
+            .name("disk".to_string())
+            .spawn(work)?;
+        Ok(Disk {
+            to,
+            from,
+            patience: Duration::from_secs_f64(patience),
+            open: 0,
+            left: false,
+        })
     }
 
     /// Waits until the files are on the disk, or long enough. While older answers are still out it does not
@@ -165,8 +190,16 @@
             Job::Point { proxy, set } => {
                 let version = set.version;
                 let result = self.point(&proxy, &set);
-                let unsynced = std::mem::take(&mut self.disk.left).then_some(Done::Unsynced { version });
-                unsynced.into_iter().chain([Done::Pointed { proxy, version, result }]).collect()
+                let unsynced =
+                    std::mem::take(&mut self.disk.left).then_some(Done::Unsynced { version });
+                unsynced
+                    .into_iter()
+                    .chain([Done::Pointed {
+                        proxy,
+                        version,
+                        result,
+                    }])
+                    .collect()
             }
             Job::Plan(plan) => {
                 self.plan = *plan;
@@ -177,7 +210,10 @@
                 self.documents.remove(&version);
                 match result {
                     Err(error) if error.kind() != io::ErrorKind::NotFound => {
-                        vec![Done::NotRetired { version, reason: error.to_string() }]
+                        vec![Done::NotRetired {
+                            version,
+                            reason: error.to_string(),
+                        }]
                     }
                     _ => Vec::new(),
                 }
@@ -195,7 +231,8 @@
         }
         let documents = &self.documents[&set.version];
         let swap = Swap::new(&self.root, set.version, documents, proxy);
-        swap.run_with(&mut |files| self.disk.sync(files)).map_err(|error| error.to_string())
+        swap.run_with(&mut |files| self.disk.sync(files))
+            .map_err(|error| error.to_string())
     }
 }
 
--- a/crates/files/src/writer/tests.rs
+++ b/crates/files/src/writer/tests.rs
@@ -24,7 +24,10 @@
 /// As many nodes as its version, so that a mix of two would show.
 fn set(version: u64) -> TableSet {
     let line = |at: u64| Line {
-        node: NodeId { address: [127, 0, 0, 1], port: 9000 + at as u16 },
+        node: NodeId {
+            address: [127, 0, 0, 1],
+            port: 9000 + at as u16,
+        },
         zone: "north".to_string(),
         weight: version as f64,
     };
@@ -36,7 +39,12 @@
         quota: None,
         retry: Retry::Never,
     };
-    TableSet { bundle: BundleId(0), version: Version(version), configuration: 0, operations: vec![table] }
+    TableSet {
+        bundle: BundleId(0),
+        version: Version(version),
+        configuration: 0,
+        operations: vec![table],
+    }
 }
 
 fn desk() -> (tempfile::TempDir, Desk) {
@@ -44,11 +52,21 @@
     let root = Root::new(directory.path());
     root.prepare().expect("an empty root");
     let disk = Disk::start(5.0, File::sync_all).expect("a thread");
-    (directory, Desk { root, plan: plan(), documents: BTreeMap::new(), disk })
+    (
+        directory,
+        Desk {
+            root,
+            plan: plan(),
+            documents: BTreeMap::new(),
+            disk,
+        },
+    )
 }
 
 fn held(root: &Root) -> (u64, usize) {
-    let held = read_tables(&root.gateway("g1")).expect("readable").expect("there");
+    let held = read_tables(&root.gateway("g1"))
+        .expect("readable")
+        .expect("there");
     (held.orders.version.0, held.orders.operations[0].lines.len())
 }
 
@@ -60,14 +78,20 @@
         desk.point("g1", &set(3)).expect("written");
         let documents = tables::write(&set(5), &plan()).expect("documents");
         let swap = Swap::new(&desk.root, Version(5), &documents, "g1");
-        STEPS[..done].iter().for_each(|step| swap.step(*step).expect("the step works"));
+        STEPS[..done]
+            .iter()
+            .for_each(|step| swap.step(*step).expect("the step works"));
         assert_eq!(held(&desk.root), (3, 3), "after {done} steps");
         let found = scan(&desk.root, &plan()).expect("it starts").found;
         assert_eq!(found.held["g1"].version, Version(3));
         desk.point("g1", &set(6)).expect("it goes on");
         assert_eq!(held(&desk.root), (6, 6));
         let again = scan(&desk.root, &plan()).expect("it starts");
-        assert_eq!((again.leftovers, again.unreadable.len()), (0, 0), "nothing of it is left");
+        assert_eq!(
+            (again.leftovers, again.unreadable.len()),
+            (0, 0),
+            "nothing of it is left"
+        );
     }
 }
 
@@ -81,8 +105,15 @@
     std::fs::write(&path, &text[..text.len() / 2]).expect("torn");
     let scan = scan(&desk.root, &plan()).expect("it starts");
     assert_eq!(scan.found.held.keys().collect::<Vec<_>>(), ["g1"]);
-    assert_eq!(scan.found.versions.len(), 2, "its number is not given again");
-    assert!(scan.unreadable[0].contains("`g2`") && scan.unreadable[0].contains("version 4"), "{scan:?}");
+    assert_eq!(
+        scan.found.versions.len(),
+        2,
+        "its number is not given again"
+    );
+    assert!(
+        scan.unreadable[0].contains("`g2`") && scan.unreadable[0].contains("version 4"),
+        "{scan:?}"
+    );
 }
 
 #[test_case("versions"; "a place for versions that is a file")]
@@ -112,12 +143,19 @@
     let documents = tables::write(&set(5), &plan()).expect("documents");
     let swap = Swap::new(&desk.root, Version(5), &documents, "g1");
     swap.step(Step::MakeDraft).expect("made");
-    let draft = desk.root.versions().join(format!("{}{}", crate::DRAFT, crate::name(Version(5))));
+    let draft = desk
+        .root
+        .versions()
+        .join(format!("{}{}", crate::DRAFT, crate::name(Version(5))));
     std::os::unix::fs::symlink(full, draft.join(EDS)).expect("linked");
-    let failed = swap.step(Step::WriteEndpoints).expect_err("nothing fits").to_string();
+    let failed = swap
+        .step(Step::WriteEndpoints)
+        .expect_err("nothing fits")
+        .to_string();
     assert!(failed.contains("the disk is full"), "{failed}");
     assert_eq!(held(&desk.root), (3, 3));
-    desk.point("g1", &set(5)).expect("a later attempt clears it away");
+    desk.point("g1", &set(5))
+        .expect("a later attempt clears it away");
 }
 
 // A reader that never rests beside a writer that never rests: it must never see a mix or nothing.
@@ -128,8 +166,12 @@
     let mut poll = Poll::new().expect("epoll");
     let waker = Waker::new(&poll, Token(1)).expect("eventfd");
     let writer = Writer::start(root, plan(), waker.clone()).expect("a thread");
-    writer.give(Job::Point { proxy: "g1".to_string(), set: Arc::new(set(1)) });
-    poll.wait(wheelspread::time::Span::from_seconds(10.0), &mut Vec::new()).expect("waits");
+    writer.give(Job::Point {
+        proxy: "g1".to_string(),
+        set: Arc::new(set(1)),
+    });
+    poll.wait(wheelspread::time::Span::from_seconds(10.0), &mut Vec::new())
+        .expect("waits");
     let stop = Arc::new(AtomicBool::new(false));
     let seen = {
         let stop = stop.clone();
@@ -139,7 +181,10 @@
                 let held = read_tables(&gateway).expect("whole").expect("there");
                 let (version, operation) = (held.orders.version.0, &held.orders.operations[0]);
                 assert_eq!(operation.lines.len() as u64, version);
-                assert!(operation.lines.iter().all(|line| line.weight == version as f64));
+                assert!(operation
+                    .lines
+                    .iter()
+                    .all(|line| line.weight == version as f64));
                 assert!(version >= last, "{version} after {last}");
                 (last, reads) = (version, reads + 1);
             }
@@ -147,13 +192,20 @@
         })
     };
     for version in 2..60 {
-        writer.give(Job::Point { proxy: "g1".to_string(), set: Arc::new(set(version)) });
+        writer.give(Job::Point {
+            proxy: "g1".to_string(),
+            set: Arc::new(set(version)),
+        });
         if version > 12 {
-            writer.give(Job::Retire { version: Version(version - 10) });
+            writer.give(Job::Retire {
+                version: Version(version - 10),
+            });
         }
     }
-    let failed =
-        writer.finish().into_iter().filter(|done| !matches!(done, Done::Pointed { result: Ok(()), .. }));
+    let failed = writer
+        .finish()
+        .into_iter()
+        .filter(|done| !matches!(done, Done::Pointed { result: Ok(()), .. }));
     assert_eq!(failed.count(), 0);
     stop.store(true, Ordering::Relaxed);
     assert!(seen.join().expect("it saw nothing wrong") > 0);
@@ -170,14 +222,24 @@
     desk.disk = Disk::start(0.1, slow).expect("a thread");
     let begin = std::time::Instant::now();
     for version in 1..20 {
-        let done = desk.carry_out(Job::Point { proxy: "g1".to_string(), set: Arc::new(set(version)) });
+        let done = desk.carry_out(Job::Point {
+            proxy: "g1".to_string(),
+            set: Arc::new(set(version)),
+        });
         assert!(
-            matches!(&done[..], [Done::Unsynced { .. }, Done::Pointed { result: Ok(()), .. }]),
+            matches!(
+                &done[..],
+                [Done::Unsynced { .. }, Done::Pointed { result: Ok(()), .. }]
+            ),
             "{done:?}"
         );
         assert_eq!(held(&desk.root), (version, version as usize));
     }
-    assert!(begin.elapsed() < Duration::from_secs(1), "{:?}", begin.elapsed());
+    assert!(
+        begin.elapsed() < Duration::from_secs(1),
+        "{:?}",
+        begin.elapsed()
+    );
 }
 
 #[test]
@@ -185,7 +247,10 @@
     let (_directory, mut desk) = desk();
     desk.disk = Disk::start(5.0, |_| Err(io::Error::from_raw_os_error(28))).expect("a thread");
     let reason = desk.point("g1", &set(1)).expect_err("it fails");
-    assert!(reason.contains("SyncDraft") && reason.contains("the disk is full"), "{reason}");
+    assert!(
+        reason.contains("SyncDraft") && reason.contains("the disk is full"),
+        "{reason}"
+    );
 }
 
 #[test]
@@ -195,5 +260,10 @@
     replace(&path, "one").expect("written");
     replace(&path, "two").expect("written");
     assert_eq!(std::fs::read_to_string(&path).expect("there"), "two");
-    assert_eq!(std::fs::read_dir(desk.root.statuses()).expect("there").count(), 1);
+    assert_eq!(
+        std::fs::read_dir(desk.root.statuses())
+            .expect("there")
+            .count(),
+        1
+    );
 }
--- a/crates/fleet/examples/drain.rs
+++ b/crates/fleet/examples/drain.rs
@@ -8,7 +8,9 @@
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let arguments: Vec<String> = std::env::args().collect();
-    let [_, file, node] = &arguments[..] else { return Err("a fleet file and a node are expected".into()) };
+    let [_, file, node] = &arguments[..] else {
+        return Err("a fleet file and a node are expected".into());
+    };
     let fleet = FleetFile::read(Path::new(file))?.open()?;
     for (name, answer) in fleet.ask(&Request::get(format!("/v1/where/{node}")), fleet.within) {
         println!("{name}: {answer:?}");
--- a/crates/fleet/src/file.rs
+++ b/crates/fleet/src/file.rs
@@ -85,9 +85,13 @@
 
 impl FleetFile {
     pub fn read(path: &Path) -> Result<FleetFile, BadFleet> {
-        let bad = |text: String| BadFleet::File { path: path.to_path_buf(), text };
+        let bad = |text: String| BadFleet::File {
+            path: path.to_path_buf(),
+            text,
+        };
         let text = std::fs::read_to_string(path).map_err(|error| bad(error.to_string()))?;
-        let mut file: FleetFile = serde_yaml_ng::from_str(&text).map_err(|error| bad(error.to_string()))?;
+        let mut file: FleetFile =
+            serde_yaml_ng::from_str(&text).map_err(|error| bad(error.to_string()))?;
         let base = path.parent().unwrap_or(Path::new("."));
         for place in &mut file.conductors {
             place.root = place.root.take().map(|root| base.join(root));
@@ -107,7 +111,10 @@
         let secured = match &self.tls {
             None => None,
             Some(tls) => {
-                let keys = KeyFiles { certificate: tls.certificate.clone(), key: tls.key.clone() };
+                let keys = KeyFiles {
+                    certificate: tls.certificate.clone(),
+                    key: tls.key.clone(),
+                };
                 match plain_client(&tls.servers, &keys) {
                     Ok(made) => Some(Secured(made)),
                     Err(error) => {
@@ -122,8 +129,15 @@
             let line = match (&place.root, place.address, &secured) {
                 (Some(root), None, _) => Some(Line::Unix(root.join(SOCKET))),
                 (None, Some(address), Some(secured)) => {
-                    let server_name = place.server_name.clone().unwrap_or(address.ip().to_string());
-                    Some(Line::Tls { address, server_name, secured: secured.clone() })
+                    let server_name = place
+                        .server_name
+                        .clone()
+                        .unwrap_or(address.ip().to_string());
+                    Some(Line::Tls {
+                        address,
+                        server_name,
+                        secured: secured.clone(),
+                    })
                 }
                 (None, Some(_), None) if self.tls.is_some() => None,
                 (None, Some(_), None) => {
@@ -154,7 +168,9 @@
                         // A conductor that is down left its lock: it is one that does not answer.
                         if root.join("lock").exists() || root.join(SOCKET).exists() {
                             let name = entry.file_name().to_string_lossy().into_owned();
-                            conductors.entry(name).or_insert(Line::Unix(root.join(SOCKET)));
+                            conductors
+                                .entry(name)
+                                .or_insert(Line::Unix(root.join(SOCKET)));
                         }
                     }
                 }
@@ -171,13 +187,21 @@
             return Err(BadFleet::Flaws(flaws));
         }
         let within = Duration::from_secs_f64(within);
-        Ok(Fleet { conductors, within, order_within: self.order_within })
+        Ok(Fleet {
+            conductors,
+            within,
+            order_within: self.order_within,
+        })
     }
 }
 
 impl Fleet {
     /// Asks all at once; an answer or why there is none, of every one of them, by the time asked for.
-    pub fn ask(&self, request: &Request, within: Duration) -> BTreeMap<String, Result<Value, Failed>> {
+    pub fn ask(
+        &self,
+        request: &Request,
+        within: Duration,
+    ) -> BTreeMap<String, Result<Value, Failed>> {
         let names = self.conductors.keys().cloned().collect();
         self.ask_some(&names, request, Instant::now() + within)
     }
@@ -190,22 +214,30 @@
         until: Instant,
     ) -> BTreeMap<String, Result<Value, Failed>> {
         let (told, answers) = channel();
-        let asked = self.conductors.iter().filter(|(name, _)| names.contains(*name));
+        let asked = self
+            .conductors
+            .iter()
+            .filter(|(name, _)| names.contains(*name));
         let mut waits: BTreeSet<String> = BTreeSet::new();
         let mut all = BTreeMap::new();
         for (name, line) in asked {
-            let (to, who, line, request) = (told.clone(), name.clone(), line.clone(), request.clone());
+            let (to, who, line, request) =
+                (told.clone(), name.clone(), line.clone(), request.clone());
             let ask = move || drop(to.send((who, call(&line, &request, until))));
             match std::thread::Builder::new().stack_size(STACK).spawn(ask) {
                 Ok(_) => drop(waits.insert(name.clone())),
-                Err(error) => drop(all.insert(name.clone(), Err(Failed::Unreachable(error.to_string())))),
+                Err(error) => {
+                    drop(all.insert(name.clone(), Err(Failed::Unreachable(error.to_string()))))
+                }
             }
         }
         drop(told);
         while !waits.is_empty() {
             // Whoever asks ends by itself at that time; a little more is for its thread to say so.
             let left = until.saturating_duration_since(Instant::now()) + GRACE;
-            let Ok((name, answer)) = answers.recv_timeout(left) else { break };
+            let Ok((name, answer)) = answers.recv_timeout(left) else {
+                break;
+            };
             waits.remove(&name);
             all.insert(name, answer);
         }
--- a/crates/fleet/src/order.rs
+++ b/crates/fleet/src/order.rs
@@ -24,7 +24,9 @@
 /// The body of an order about a node. Its name holds who gave it and when, so that the same words given again
 /// later are another order.
 pub fn drain_order(node: &str, word: Word, by: &str, overrides: &[String]) -> Value {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let since = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
     let given_ms = since.as_millis() as u64;
     let tool = std::process::id();
     let id = format!("{by}-{given_ms}-{tool}");
@@ -33,9 +35,15 @@
 
 fn reply(answer: Result<Value, Failed>) -> Reply {
     match answer {
-        Ok(told) => Reply::Taken { state: told["state"].as_str().unwrap_or("taken").to_string() },
-        Err(failed) if failed.passes() => Reply::Failed { reason: failed.to_string() },
-        Err(failed) => Reply::Refused { reason: failed.to_string() },
+        Ok(told) => Reply::Taken {
+            state: told["state"].as_str().unwrap_or("taken").to_string(),
+        },
+        Err(failed) if failed.passes() => Reply::Failed {
+            reason: failed.to_string(),
+        },
+        Err(failed) => Reply::Refused {
+            reason: failed.to_string(),
+        },
     }
 }
 
@@ -45,7 +53,11 @@
         let begin = Instant::now();
         let now = || Moment::from_seconds(begin.elapsed().as_secs_f64());
         let one = Span::from_seconds(self.within.as_secs_f64());
-        let spent = Spent { within, first_wait: one * FIRST_WAIT, longest_wait: one * LONGEST_WAIT };
+        let spent = Spent {
+            within,
+            first_wait: one * FIRST_WAIT,
+            longest_wait: one * LONGEST_WAIT,
+        };
         let mut campaign = Campaign::new(now(), seed, spent, self.conductors.keys().cloned());
         let (told, answers) = std::sync::mpsc::channel();
         while !campaign.over(now()) {
@@ -61,14 +73,21 @@
                 };
                 std::thread::spawn(ask);
             }
-            let next = campaign.wake_at().unwrap_or(campaign.until()).min(campaign.until());
+            let next = campaign
+                .wake_at()
+                .unwrap_or(campaign.until())
+                .min(campaign.until());
             let wait = Duration::from_secs_f64((next - now()).seconds().max(0.001));
             if let Ok((name, reply)) = answers.recv_timeout(wait) {
                 campaign.reply(now(), &name, reply);
             }
         }
-        let replies =
-            campaign.replies().map(|(name, tries, reply)| (name.to_string(), (tries, reply.cloned())));
-        Ordered { outcome: campaign.outcome(), conductors: replies.collect() }
+        let replies = campaign
+            .replies()
+            .map(|(name, tries, reply)| (name.to_string(), (tries, reply.cloned())));
+        Ordered {
+            outcome: campaign.outcome(),
+            conductors: replies.collect(),
+        }
     }
 }
--- a/crates/grpc/src/client.rs
+++ b/crates/grpc/src/client.rs
@@ -23,8 +23,12 @@
     },
 }
 
-type Shaking =
-    Pin<Box<dyn Future<Output = Result<(SendRequest<Bytes>, Connection<Socket, Bytes>), h2::Error>> + Send>>;
+type Shaking = Pin<
+    Box<
+        dyn Future<Output = Result<(SendRequest<Bytes>, Connection<Socket, Bytes>), h2::Error>>
+            + Send,
+    >,
+>;
 
 enum State {
     Shaking(Shaking),
@@ -77,7 +81,12 @@
         name: rustls::pki_types::ServerName<'static>,
     ) -> Result<ClientConnection, rustls::Error> {
         let tls = rustls::ClientConnection::new(tls, name)?;
-        Ok(ClientConnection::over(now, Socket::tls(socket, tls), path, limits))
+        Ok(ClientConnection::over(
+            now,
+            Socket::tls(socket, tls),
+            path,
+            limits,
+        ))
     }
 
     fn over(now: Moment, socket: Socket, path: &str, limits: Limits) -> ClientConnection {
@@ -118,7 +127,8 @@
             }
         }
         if matches!(self.state, State::Shaking(_)) && now - self.since > self.limits.patience {
-            self.failed.get_or_insert("no handshake in time".to_string());
+            self.failed
+                .get_or_insert("no handshake in time".to_string());
         }
         if self.failed.is_some() {
             self.state = State::Over;
@@ -138,10 +148,17 @@
                         .header("te", "trailers")
                         .body(())
                         .map_err(|error| error.to_string())?;
-                    let sent = requests.send_request(request, false).map_err(|error| error.to_string())?;
+                    let sent = requests
+                        .send_request(request, false)
+                        .map_err(|error| error.to_string())?;
                     let (response, send) = sent;
                     let deframer = Deframer::new(self.limits.longest_message);
-                    let stream = Stream { send, response: Some(response), receive: None, deframer };
+                    let stream = Stream {
+                        send,
+                        response: Some(response),
+                        receive: None,
+                        deframer,
+                    };
                     let pings = connection.ping_pong();
                     let open = Open {
                         connection,
@@ -160,7 +177,12 @@
                 Poll::Pending => Ok(false),
             },
             State::Open(open) => {
-                let Open { connection, stream, closed, .. } = open.as_mut();
+                let Open {
+                    connection,
+                    stream,
+                    closed,
+                    ..
+                } = open.as_mut();
                 if closed.is_none() {
                     if let Poll::Ready(result) = Pin::new(connection).poll(context) {
                         let plain = "the peer closed the connection".to_string();
@@ -209,7 +231,9 @@
         (every, patience): (Span, Span),
         context: &mut Context,
     ) -> Result<bool, String> {
-        let Some(pings) = &mut self.pings else { return Ok(false) };
+        let Some(pings) = &mut self.pings else {
+            return Ok(false);
+        };
         if let Some(since) = self.pinged {
             return match pings.poll_pong(context) {
                 Poll::Ready(Ok(_)) => {
@@ -226,13 +250,19 @@
         if now - self.quiet_since < every {
             return Ok(false);
         }
-        pings.send_ping(Ping::opaque()).map_err(|error| error.to_string())?;
+        pings
+            .send_ping(Ping::opaque())
+            .map_err(|error| error.to_string())?;
         self.pinged = Some(now);
         Ok(true)
     }
 }
 
-fn read(stream: &mut Stream, events: &mut Vec<ClientEvent>, context: &mut Context) -> Result<bool, String> {
+fn read(
+    stream: &mut Stream,
+    events: &mut Vec<ClientEvent>,
+    context: &mut Context,
+) -> Result<bool, String> {
     if let Some(response) = &mut stream.response {
         match Pin::new(response).poll(context) {
             Poll::Ready(Ok(response)) => {
@@ -247,12 +277,18 @@
             Poll::Pending => return Ok(false),
         }
     }
-    let Some(receive) = &mut stream.receive else { return Ok(false) };
+    let Some(receive) = &mut stream.receive else {
+        return Ok(false);
+    };
     match receive.poll_data(context) {
         Poll::Ready(Some(Ok(piece))) => {
             stream.deframer.push(&piece);
             let _ = receive.flow_control().release_capacity(piece.len());
-            while let Some(bytes) = stream.deframer.take_message().map_err(|error| error.to_string())? {
+            while let Some(bytes) = stream
+                .deframer
+                .take_message()
+                .map_err(|error| error.to_string())?
+            {
                 events.push(ClientEvent::Message { bytes });
             }
             Ok(true)
@@ -262,7 +298,10 @@
             let text = match receive.poll_trailers(context) {
                 Poll::Ready(Ok(Some(trailers))) => {
                     let part = |name: &str| {
-                        trailers.get(name).and_then(|value| value.to_str().ok()).map(str::to_string)
+                        trailers
+                            .get(name)
+                            .and_then(|value| value.to_str().ok())
+                            .map(str::to_string)
                     };
                     let (status, message) = (part("grpc-status"), part("grpc-message"));
                     format!(
@@ -297,13 +336,18 @@
             }
         }
         let room = stream.send.capacity();
-        let Some(mut bytes) = queue.pop_front() else { break };
+        let Some(mut bytes) = queue.pop_front() else {
+            break;
+        };
         let piece = bytes.split_to(room.min(bytes.len()));
         *queued -= piece.len();
         if !bytes.is_empty() {
             queue.push_front(bytes);
         }
-        stream.send.send_data(piece, false).map_err(|error| error.to_string())?;
+        stream
+            .send
+            .send_data(piece, false)
+            .map_err(|error| error.to_string())?;
         moved = true;
     }
     Ok(moved)
--- a/crates/grpc/src/frame.rs
+++ b/crates/grpc/src/frame.rs
@@ -26,7 +26,10 @@
 
 impl Deframer {
     pub fn new(most: usize) -> Deframer {
-        Deframer { buffer: BytesMut::new(), most }
+        Deframer {
+            buffer: BytesMut::new(),
+            most,
+        }
     }
 
     pub fn push(&mut self, piece: &[u8]) {
@@ -44,7 +47,9 @@
 
     /// The next whole message. A length that is too long is refused as soon as it is known.
     pub fn take_message(&mut self) -> Result<Option<Bytes>, BadFrame> {
-        let Some(head) = self.buffer.first_chunk::<HEAD>() else { return Ok(None) };
+        let Some(head) = self.buffer.first_chunk::<HEAD>() else {
+            return Ok(None);
+        };
         match head[0] {
             0 => {}
             1 => return Err(BadFrame::Compressed),
@@ -52,7 +57,10 @@
         }
         let length = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize;
         if length > self.most {
-            return Err(BadFrame::TooLong { length, most: self.most });
+            return Err(BadFrame::TooLong {
+                length,
+                most: self.most,
+            });
         }
         if self.buffer.len() < HEAD + length {
             return Ok(None);
@@ -107,6 +115,12 @@
     fn what_is_too_long_is_refused_before_it_is_held() {
         let mut deframer = Deframer::new(1000);
         deframer.push(&[0, 0x06, 0x40, 0, 0]);
-        assert_eq!(deframer.take_message(), Err(BadFrame::TooLong { length: 100 << 20, most: 1000 }));
+        assert_eq!(
+            deframer.take_message(),
+            Err(BadFrame::TooLong {
+                length: 100 << 20,
+                most: 1000
+            })
+        );
     }
 }
--- a/crates/grpc/src/io.rs
+++ b/crates/grpc/src/io.rs
@@ -37,11 +37,19 @@
 
 impl Socket {
     pub fn plain(tcp: TcpStream) -> Socket {
-        Socket { tcp, tls: None, peer: Peer::default() }
+        Socket {
+            tcp,
+            tls: None,
+            peer: Peer::default(),
+        }
     }
 
     pub fn tls(tcp: TcpStream, tls: impl Into<rustls::Connection>) -> Socket {
-        Socket { tcp, tls: Some(Box::new(tls.into())), peer: Peer::default() }
+        Socket {
+            tcp,
+            tls: Some(Box::new(tls.into())),
+            peer: Peer::default(),
+        }
     }
 
     pub fn peer(&self) -> Peer {
@@ -50,7 +58,9 @@
 
     /// Sends what is sealed; an error of kind `WouldBlock` leaves the rest for later.
     pub fn push(&mut self) -> std::io::Result<()> {
-        let Some(tls) = &mut self.tls else { return Ok(()) };
+        let Some(tls) = &mut self.tls else {
+            return Ok(());
+        };
         while tls.wants_write() {
             again(|| tls.write_tls(&mut self.tcp))?;
         }
@@ -59,7 +69,9 @@
 
     pub fn read(&mut self, into: &mut [u8]) -> std::io::Result<usize> {
         loop {
-            let Some(tls) = &mut self.tls else { return again(|| self.tcp.read(into)) };
+            let Some(tls) = &mut self.tls else {
+                return again(|| self.tcp.read(into));
+            };
             match tls.reader().read(into) {
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {}
                 // A peer that ends without saying so has ended.
@@ -81,12 +93,16 @@
                 }
                 Err(error) => {
                     let pushed = self.push();
-                    return Err(pushed.err().filter(|e| e.kind() != ErrorKind::WouldBlock).unwrap_or(error));
+                    return Err(pushed
+                        .err()
+                        .filter(|e| e.kind() != ErrorKind::WouldBlock)
+                        .unwrap_or(error));
                 }
             }
-            if let (false, Some(certificate)) =
-                (tls.is_handshaking(), tls.peer_certificates().and_then(<[_]>::first))
-            {
+            if let (false, Some(certificate)) = (
+                tls.is_handshaking(),
+                tls.peer_certificates().and_then(<[_]>::first),
+            ) {
                 self.peer.get_or_init(|| certificate.clone().into_owned());
             }
             match self.push() {
@@ -97,7 +113,9 @@
     }
 
     pub fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
-        let Some(tls) = &mut self.tls else { return again(|| self.tcp.write(bytes)) };
+        let Some(tls) = &mut self.tls else {
+            return again(|| self.tcp.write(bytes));
+        };
         // What it takes is bounded by itself; sealed bytes that do not go out now go with the next call.
         let taken = tls.writer().write(bytes)?;
         match self.push() {
@@ -116,14 +134,22 @@
 }
 
 impl AsyncRead for Socket {
-    fn poll_read(self: Pin<&mut Self>, _: &mut Context, buf: &mut ReadBuf) -> Poll<std::io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        _: &mut Context,
+        buf: &mut ReadBuf,
+    ) -> Poll<std::io::Result<()>> {
         let room = buf.initialize_unfilled();
         pending(self.get_mut().read(room)).map_ok(|count| buf.advance(count))
     }
 }
 
 impl AsyncWrite for Socket {
-    fn poll_write(self: Pin<&mut Self>, _: &mut Context, bytes: &[u8]) -> Poll<std::io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        _: &mut Context,
+        bytes: &[u8],
+    ) -> Poll<std::io::Result<usize>> {
         pending(self.get_mut().write(bytes))
     }
 
--- a/crates/grpc/src/server.rs
+++ b/crates/grpc/src/server.rs
@@ -82,7 +82,11 @@
         tls: Arc<rustls::ServerConfig>,
     ) -> Result<ServerConnection, rustls::Error> {
         let tls = rustls::ServerConnection::new(tls)?;
-        Ok(ServerConnection::over(now, Socket::tls(socket, tls), limits))
+        Ok(ServerConnection::over(
+            now,
+            Socket::tls(socket, tls),
+            limits,
+        ))
     }
 
     /// The certificate by which the peer named itself.
@@ -122,20 +126,25 @@
         let mut context = Context::from_waker(Waker::noop());
         // What one part does may let another go on, so it goes round until nothing moves.
         for _ in 0..1000 {
-            let moved =
-                self.connection(&mut context) | self.read(now, &mut context) | self.write(&mut context);
+            let moved = self.connection(&mut context)
+                | self.read(now, &mut context)
+                | self.write(&mut context);
             if !moved || self.failed.is_some() {
                 break;
             }
         }
         self.ping(now, &mut context);
         if matches!(self.state, State::Shaking(_)) && now - self.since > self.limits.patience {
-            self.failed.get_or_insert("no handshake in time".to_string());
+            self.failed
+                .get_or_insert("no handshake in time".to_string());
         }
         if let Some(reason) = &self.failed {
             self.state = State::Over;
             for stream in std::mem::take(&mut self.streams).into_keys() {
-                self.events.push(ServerEvent::Closed { stream, reason: reason.clone() });
+                self.events.push(ServerEvent::Closed {
+                    stream,
+                    reason: reason.clone(),
+                });
             }
         }
         (std::mem::take(&mut self.events), self.failed.clone())
@@ -198,8 +207,12 @@
 
     fn accept(&mut self, request: Request<RecvStream>, mut respond: SendResponse<Bytes>) {
         let grpc = |headers: &HeaderMap| {
-            let kind = headers.get("content-type").and_then(|kind| kind.to_str().ok());
-            kind.is_some_and(|kind| kind == "application/grpc" || kind.starts_with("application/grpc+"))
+            let kind = headers
+                .get("content-type")
+                .and_then(|kind| kind.to_str().ok());
+            kind.is_some_and(|kind| {
+                kind == "application/grpc" || kind.starts_with("application/grpc+")
+            })
         };
         if request.method() != Method::POST || !grpc(request.headers()) {
             let response = Response::builder().status(415).body(()).unwrap_or_default();
@@ -208,8 +221,12 @@
         }
         let path = request.uri().path().to_string();
         let mut response = Response::new(());
-        response.headers_mut().insert("content-type", HeaderValue::from_static("application/grpc"));
-        let Ok(send) = respond.send_response(response, false) else { return };
+        response
+            .headers_mut()
+            .insert("content-type", HeaderValue::from_static("application/grpc"));
+        let Ok(send) = respond.send_response(response, false) else {
+            return;
+        };
         let stream = StreamKey(self.next);
         self.next += 1;
         self.streams.insert(
@@ -241,15 +258,18 @@
                         let _ = stream.receive.flow_control().release_capacity(piece.len());
                         let result = loop {
                             match stream.deframer.take_message() {
-                                Ok(Some(bytes)) => {
-                                    self.events.push(ServerEvent::Message { stream: *key, bytes })
-                                }
+                                Ok(Some(bytes)) => self.events.push(ServerEvent::Message {
+                                    stream: *key,
+                                    bytes,
+                                }),
                                 Ok(None) => break Ok(()),
                                 Err(error) => break Err(error),
                             }
                         };
-                        stream.partial_since =
-                            stream.deframer.partial().then(|| stream.partial_since.unwrap_or(now));
+                        stream.partial_since = stream
+                            .deframer
+                            .partial()
+                            .then(|| stream.partial_since.unwrap_or(now));
                         if let Err(error) = result {
                             over.push((*key, Status::ResourceExhausted, error.to_string()));
                             break;
@@ -272,9 +292,14 @@
                     Poll::Pending => break,
                 }
             }
-            if stream.partial_since.is_some_and(|since| now - since > self.limits.patience) {
-                let reason =
-                    format!("the rest of a message did not come, {} bytes had", stream.deframer.held());
+            if stream
+                .partial_since
+                .is_some_and(|since| now - since > self.limits.patience)
+            {
+                let reason = format!(
+                    "the rest of a message did not come, {} bytes had",
+                    stream.deframer.held()
+                );
                 over.push((*key, Status::DeadlineExceeded, reason));
             }
         }
@@ -298,7 +323,9 @@
                     }
                     continue;
                 }
-                let Some(mut bytes) = stream.queue.pop_front() else { break };
+                let Some(mut bytes) = stream.queue.pop_front() else {
+                    break;
+                };
                 let piece = bytes.split_to(room.min(bytes.len()));
                 stream.queued -= piece.len();
                 if !bytes.is_empty() {
@@ -316,7 +343,9 @@
 
     /// Queues a message. `false`: the peer takes too little, or the stream is gone.
     pub fn send(&mut self, stream: StreamKey, message: &[u8]) -> bool {
-        let Some(stream) = self.streams.get_mut(&stream) else { return false };
+        let Some(stream) = self.streams.get_mut(&stream) else {
+            return false;
+        };
         if stream.queued + message.len() > self.limits.queued {
             return false;
         }
@@ -333,17 +362,25 @@
 
     /// Ends a stream with a status that the peer is told.
     pub fn close(&mut self, key: StreamKey, status: Status, reason: &str) -> bool {
-        let Some(mut stream) = self.streams.remove(&key) else { return false };
+        let Some(mut stream) = self.streams.remove(&key) else {
+            return false;
+        };
         let mut trailers = HeaderMap::new();
         trailers.insert("grpc-status", HeaderValue::from(status.code()));
-        let plain: String =
-            reason.chars().filter(|c| (' '..='~').contains(c) && *c != '%').take(200).collect();
+        let plain: String = reason
+            .chars()
+            .filter(|c| (' '..='~').contains(c) && *c != '%')
+            .take(200)
+            .collect();
         if let Ok(text) = HeaderValue::from_str(&plain) {
             trailers.insert("grpc-message", text);
         }
         // What is dropped afterwards resets what the peer still sends, once the trailers are out.
         let _ = stream.send.send_trailers(trailers);
-        self.events.push(ServerEvent::Closed { stream: key, reason: reason.to_string() });
+        self.events.push(ServerEvent::Closed {
+            stream: key,
+            reason: reason.to_string(),
+        });
         true
     }
 
@@ -358,11 +395,21 @@
     /// When `turn` should be called though the socket is quiet.
     pub fn wake_at(&self) -> Option<Moment> {
         let shaking = matches!(self.state, State::Shaking(_)).then_some(self.since);
-        let partial = self.streams.values().filter_map(|stream| stream.partial_since).min();
+        let partial = self
+            .streams
+            .values()
+            .filter_map(|stream| stream.partial_since)
+            .min();
         let least = wheelspread::time::Span::from_seconds(0.001);
-        let own = shaking.into_iter().chain(partial).min().map(|since| since + self.limits.patience + least);
+        let own = shaking
+            .into_iter()
+            .chain(partial)
+            .min()
+            .map(|since| since + self.limits.patience + least);
         let (every, patience) = self.limits.server_ping;
-        let ping = self.pinged.map_or(self.heard + every, |since| since + patience);
+        let ping = self
+            .pinged
+            .map_or(self.heard + every, |since| since + patience);
         let ping = self.pings.is_some().then_some(ping + least);
         own.into_iter().chain(ping).min()
     }
