--- a/crates/grpc/src/tls.rs
+++ b/crates/grpc/src/tls.rs
@@ -30,14 +30,22 @@
 const HTTP1: &[u8] = b"http/1.1";
 
 fn file(path: &Path) -> impl Fn(rustls::pki_types::pem::Error) -> BadKeys + '_ {
-    |error| BadKeys::File { path: path.to_path_buf(), text: error.to_string() }
+    |error| BadKeys::File {
+        path: path.to_path_buf(),
+        text: error.to_string(),
+    }
 }
 
 fn certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>, BadKeys> {
-    let found: Result<Vec<_>, _> = CertificateDer::pem_file_iter(path).map_err(file(path))?.collect();
+    let found: Result<Vec<_>, _> = CertificateDer::pem_file_iter(path)
+        .map_err(file(path))?
+        .collect();
     let found = found.map_err(file(path))?;
     if found.is_empty() {
-        return Err(BadKeys::File { path: path.to_path_buf(), text: "no certificate".to_string() });
+        return Err(BadKeys::File {
+            path: path.to_path_buf(),
+            text: "no certificate".to_string(),
+        });
     }
     Ok(found)
 }
@@ -45,7 +53,9 @@
 fn roots(path: &Path) -> Result<RootCertStore, BadKeys> {
     let mut store = RootCertStore::empty();
     for certificate in certificates(path)? {
-        store.add(certificate).map_err(|error| BadKeys::Roots(error.to_string()))?;
+        store
+            .add(certificate)
+            .map_err(|error| BadKeys::Roots(error.to_string()))?;
     }
     Ok(store)
 }
@@ -56,13 +66,19 @@
 
 /// For the side that is called. With `clients`, only those with a certificate under these roots are served.
 pub fn server(keys: &KeyFiles, clients: Option<&Path>) -> Result<Arc<ServerConfig>, BadKeys> {
-    let builder = ServerConfig::builder_with_provider(provider()).with_safe_default_protocol_versions();
+    let builder =
+        ServerConfig::builder_with_provider(provider()).with_safe_default_protocol_versions();
     let builder = builder.map_err(BadKeys::Pair)?;
     let builder = match clients {
         None => builder.with_no_client_auth(),
         Some(path) => {
-            let verifier = WebPkiClientVerifier::builder_with_provider(Arc::new(roots(path)?), provider());
-            builder.with_client_cert_verifier(verifier.build().map_err(|e| BadKeys::Roots(e.to_string()))?)
+            let verifier =
+                WebPkiClientVerifier::builder_with_provider(Arc::new(roots(path)?), provider());
+            builder.with_client_cert_verifier(
+                verifier
+                    .build()
+                    .map_err(|e| BadKeys::Roots(e.to_string()))?,
+            )
         }
     };
     let key = PrivateKeyDer::from_pem_file(&keys.key).map_err(file(&keys.key))?;
@@ -88,13 +104,18 @@
 
 /// For the side that calls: whom it believes, and by what it names itself.
 pub fn client(servers: &Path, keys: Option<&KeyFiles>) -> Result<Arc<ClientConfig>, BadKeys> {
-    let builder = ClientConfig::builder_with_provider(provider()).with_safe_default_protocol_versions();
-    let builder = builder.map_err(BadKeys::Pair)?.with_root_certificates(roots(servers)?);
+    let builder =
+        ClientConfig::builder_with_provider(provider()).with_safe_default_protocol_versions();
+    let builder = builder
+        .map_err(BadKeys::Pair)?
+        .with_root_certificates(roots(servers)?);
     let mut made = match keys {
         None => builder.with_no_client_auth(),
         Some(keys) => {
             let key = PrivateKeyDer::from_pem_file(&keys.key).map_err(file(&keys.key))?;
-            builder.with_client_auth_cert(certificates(&keys.certificate)?, key).map_err(BadKeys::Pair)?
+            builder
+                .with_client_auth_cert(certificates(&keys.certificate)?, key)
+                .map_err(BadKeys::Pair)?
         }
     };
     made.alpn_protocols = vec![HTTP2.to_vec()];
@@ -103,7 +124,9 @@
 
 /// Whether a certificate is one for this name.
 pub fn speaks_for(certificate: &CertificateDer, name: &str) -> bool {
-    let Ok(name) = ServerName::try_from(name) else { return false };
+    let Ok(name) = ServerName::try_from(name) else {
+        return false;
+    };
     let parsed = ParsedCertificate::try_from(certificate);
     parsed.is_ok_and(|parsed| rustls::client::verify_server_name(&parsed, &name).is_ok())
 }
--- a/crates/grpc/tests/streams.rs
+++ b/crates/grpc/tests/streams.rs
@@ -19,8 +19,16 @@
     fn new(limits: Limits) -> Stage {
         let poll = Poll::new().expect("epoll");
         let listener = listen(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0)).expect("listens");
-        poll.add(&listener, Token(0), Interest::Readable).expect("registers");
-        Stage { poll, listener, server: None, events: Vec::new(), over: None, limits }
+        poll.add(&listener, Token(0), Interest::Readable)
+            .expect("registers");
+        Stage {
+            poll,
+            listener,
+            server: None,
+            events: Vec::new(),
+            over: None,
+            limits,
+        }
     }
 
     fn port(&self) -> u16 {
@@ -29,9 +37,13 @@
 
     fn turn(&mut self, at: Moment) {
         let mut ready = Vec::new();
-        self.poll.wait(Span::from_seconds(0.005), &mut ready).expect("waits");
+        self.poll
+            .wait(Span::from_seconds(0.005), &mut ready)
+            .expect("waits");
         for socket in accept(&self.listener).0 {
-            self.poll.add(&socket, Token(1), Interest::Edges).expect("registers");
+            self.poll
+                .add(&socket, Token(1), Interest::Edges)
+                .expect("registers");
             self.server = Some(ServerConnection::new(at, socket, self.limits));
         }
         if let Some(server) = &mut self.server {
@@ -44,14 +56,21 @@
     fn until(&mut self, what: &str, mut done: impl FnMut(&mut Stage) -> bool) {
         let deadline = now() + Span::from_seconds(10.0);
         while !done(self) {
-            assert!(now() < deadline, "{what} did not come: {:?} {:?}", self.events, self.over);
+            assert!(
+                now() < deadline,
+                "{what} did not come: {:?} {:?}",
+                self.events,
+                self.over
+            );
             self.turn(now());
         }
     }
 
     fn client(&mut self) -> ClientConnection {
         let socket = connect([127, 0, 0, 1], self.port()).expect("begins");
-        self.poll.add(&socket, Token(2), Interest::Edges).expect("registers");
+        self.poll
+            .add(&socket, Token(2), Interest::Edges)
+            .expect("registers");
         ClientConnection::new(now(), socket, "/a.Service/Stream", Limits::default())
     }
 
@@ -77,7 +96,10 @@
 
 #[test]
 fn messages_go_both_ways_also_when_they_are_longer_than_the_window() {
-    let mut stage = Stage::new(Limits { queued: 4 << 20, ..Limits::default() });
+    let mut stage = Stage::new(Limits {
+        queued: 4 << 20,
+        ..Limits::default()
+    });
     let mut client = stage.client();
     for length in [0, 1, 100_000, 900_000] {
         assert!(client.send(&vec![7; length]));
@@ -86,16 +108,25 @@
         client.turn(now());
         messages(&stage.events) == [0, 1, 100_000, 900_000]
     });
-    let ServerEvent::Opened { stream, path } = stage.events[0].clone() else { panic!("{:?}", stage.events) };
+    let ServerEvent::Opened { stream, path } = stage.events[0].clone() else {
+        panic!("{:?}", stage.events)
+    };
     assert_eq!(path, "/a.Service/Stream");
     let answer = vec![3; 2_000_000];
-    assert!(stage.server.as_mut().is_some_and(|server| server.send(stream, &answer)));
+    assert!(stage
+        .server
+        .as_mut()
+        .is_some_and(|server| server.send(stream, &answer)));
     let mut got = Vec::new();
     stage.until("the answer", |_| {
         got.extend(client.turn(now()).0);
-        got.iter().any(|event| matches!(event, ClientEvent::Message { bytes } if bytes == &answer[..]))
+        got.iter()
+            .any(|event| matches!(event, ClientEvent::Message { bytes } if bytes == &answer[..]))
     });
-    stage.server.as_mut().map(|server| server.close(stream, Status::Unavailable, "stopping"));
+    stage
+        .server
+        .as_mut()
+        .map(|server| server.close(stream, Status::Unavailable, "stopping"));
     let mut over = None;
     stage.until("the end", |_| {
         over = over.take().or(client.turn(now()).1);
@@ -106,9 +137,14 @@
 
 #[test]
 fn a_peer_that_takes_nothing_costs_no_more_than_was_allowed() {
-    let mut stage = Stage::new(Limits { queued: 300_000, ..Limits::default() });
+    let mut stage = Stage::new(Limits {
+        queued: 300_000,
+        ..Limits::default()
+    });
     let _client = stage.opened();
-    let ServerEvent::Opened { stream, .. } = stage.events[0].clone() else { panic!("{:?}", stage.events) };
+    let ServerEvent::Opened { stream, .. } = stage.events[0].clone() else {
+        panic!("{:?}", stage.events)
+    };
     let mut refused = 0;
     for _ in 0..200 {
         stage.turn(now());
@@ -116,7 +152,10 @@
         refused += usize::from(!server.send(stream, &[1; 100_000]));
         assert!(server.queued(stream) <= 400_000);
     }
-    assert!(refused > 100, "the client reads nothing: {refused} were refused");
+    assert!(
+        refused > 100,
+        "the client reads nothing: {refused} were refused"
+    );
 }
 
 fn raw(stage: &Stage) -> TcpStream {
@@ -132,9 +171,18 @@
     assert_eq!(stage.over.as_deref(), Some("no handshake in time"));
     let mut stage = Stage::new(Limits::default());
     let mut nonsense = raw(&stage);
-    nonsense.write_all(b"GET / HTTP/1.1\r\nHost: x\r\n\r\nfill fill fill").expect("sent");
+    nonsense
+        .write_all(b"GET / HTTP/1.1\r\nHost: x\r\n\r\nfill fill fill")
+        .expect("sent");
     stage.until("the refusal", |stage| stage.over.is_some());
-    assert!(stage.over.as_ref().is_some_and(|over| over.starts_with("handshake")), "{:?}", stage.over);
+    assert!(
+        stage
+            .over
+            .as_ref()
+            .is_some_and(|over| over.starts_with("handshake")),
+        "{:?}",
+        stage.over
+    );
 }
 
 #[test]
@@ -152,7 +200,11 @@
         client.turn(now());
         stage.turn(now());
     }
-    let wake = stage.server.as_ref().and_then(ServerConnection::wake_at).expect("it waits for the rest");
+    let wake = stage
+        .server
+        .as_ref()
+        .and_then(ServerConnection::wake_at)
+        .expect("it waits for the rest");
     stage.turn(wake);
     let closed = |event: &ServerEvent| matches!(event, ServerEvent::Closed { reason, .. } if reason.contains("did not come, 8 bytes"));
     assert!(stage.events.iter().any(closed), "{:?}", stage.events);
@@ -178,7 +230,10 @@
     let client = stage.opened();
     drop(client);
     stage.until("the end", |stage| stage.over.is_some());
-    assert!(stage.events.iter().any(|event| matches!(event, ServerEvent::Closed { .. })));
+    assert!(stage
+        .events
+        .iter()
+        .any(|event| matches!(event, ServerEvent::Closed { .. })));
 }
 
 #[test]
--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -36,7 +36,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Body(State);
 
-const SIZE: State = State::Size { digits: 0, value: 0, extension: false, seen: 0 };
+const SIZE: State = State::Size {
+    digits: 0,
+    value: 0,
+    extension: false,
+    seen: 0,
+};
 
 impl Body {
     pub fn new(framing: Framing) -> Body {
@@ -67,7 +72,11 @@
         self.follow(bytes, |some| carried.extend_from_slice(some))
     }
 
-    fn follow(&mut self, bytes: &[u8], mut carries: impl FnMut(&[u8])) -> Result<usize, BadMessage> {
+    fn follow(
+        &mut self,
+        bytes: &[u8],
+        mut carries: impl FnMut(&[u8]),
+    ) -> Result<usize, BadMessage> {
         let mut at = 0;
         while at < bytes.len() && self.0 != State::Done {
             let left = (bytes.len() - at) as u64;
@@ -111,19 +120,50 @@
 /// One byte of what stands between chunks.
 fn step(state: State, byte: u8) -> Result<State, BadMessage> {
     Ok(match (state, byte) {
-        (State::Size { digits, value, extension: false, seen }, _) if byte.is_ascii_hexdigit() => {
+        (
+            State::Size {
+                digits,
+                value,
+                extension: false,
+                seen,
+            },
+            _,
+        ) if byte.is_ascii_hexdigit() => {
             if digits >= 15 {
                 return Err(BadMessage::ChunkSize);
             }
             let digit = (byte as char).to_digit(16).unwrap_or(0);
-            State::Size { digits: digits + 1, value: value * 16 + u64::from(digit), extension: false, seen }
+            State::Size {
+                digits: digits + 1,
+                value: value * 16 + u64::from(digit),
+                extension: false,
+                seen,
+            }
         }
-        (State::Size { digits: 1.., value, .. }, b'\r') => State::SizeEnd(value),
-        (State::Size { digits: digits @ 1.., value, extension, seen }, _) if extension || byte == b';' => {
+        (
+            State::Size {
+                digits: 1.., value, ..
+            },
+            b'\r',
+        ) => State::SizeEnd(value),
+        (
+            State::Size {
+                digits: digits @ 1..,
+                value,
+                extension,
+                seen,
+            },
+            _,
+        ) if extension || byte == b';' => {
             if byte == b'\n' || seen >= LONGEST_LINE {
                 return Err(BadMessage::ChunkSize);
             }
-            State::Size { digits, value, extension: true, seen: seen + 1 }
+            State::Size {
+                digits,
+                value,
+                extension: true,
+                seen: seen + 1,
+            }
         }
         (State::SizeEnd(0), b'\n') => State::Trailer { seen: 0, line: 0 },
         (State::SizeEnd(size), b'\n') => State::Chunk(size),
@@ -132,7 +172,10 @@
         (State::ChunkEnd | State::ChunkEndLine, _) => return Err(BadMessage::ChunkEnd),
         (State::Trailer { seen, line }, b'\r') => State::TrailerEnd { seen, line },
         (State::Trailer { seen, line }, _) if byte != b'\n' && seen < LONGEST_LINE => {
-            State::Trailer { seen: seen + 1, line: line + 1 }
+            State::Trailer {
+                seen: seen + 1,
+                line: line + 1,
+            }
         }
         (State::TrailerEnd { line: 0, .. }, b'\n') => State::Done,
         (State::TrailerEnd { seen, .. }, b'\n') => State::Trailer { seen, line: 0 },
@@ -162,7 +205,11 @@
                 taken += body.take(some).expect("fine");
                 reading.read(some, &mut carried).expect("fine");
             }
-            assert_eq!((taken, carried.len() as u64), (text.len(), carries), "cut by {cut}");
+            assert_eq!(
+                (taken, carried.len() as u64),
+                (text.len(), carries),
+                "cut by {cut}"
+            );
         }
     }
 
@@ -181,10 +228,20 @@
     #[test]
     fn lengths_and_ends() {
         let mut body = Body::new(Framing::Length(3));
-        assert_eq!((body.take(b"ab"), body.done(), body.ends_with_connection()), (Ok(2), false, false));
+        assert_eq!(
+            (body.take(b"ab"), body.done(), body.ends_with_connection()),
+            (Ok(2), false, false)
+        );
         assert_eq!((body.take(b"cde"), body.done()), (Ok(1), true));
         let mut body = Body::new(Framing::UntilClose);
-        assert_eq!((body.take(b"anything"), body.done(), body.ends_with_connection()), (Ok(8), false, true));
+        assert_eq!(
+            (
+                body.take(b"anything"),
+                body.done(),
+                body.ends_with_connection()
+            ),
+            (Ok(8), false, true)
+        );
         assert!(Body::new(Framing::None).done());
     }
 
--- a/crates/http1/src/head.rs
+++ b/crates/http1/src/head.rs
@@ -110,9 +110,15 @@
             if said.length.is_some() {
                 return Err(BadMessage::TwoLengths);
             }
-            let digits = !value.is_empty() && value.len() <= 18 && value.iter().all(u8::is_ascii_digit);
+            let digits =
+                !value.is_empty() && value.len() <= 18 && value.iter().all(u8::is_ascii_digit);
             let text = std::str::from_utf8(value).map_err(|_| BadMessage::BadLength)?;
-            said.length = Some(text.parse().ok().filter(|_| digits).ok_or(BadMessage::BadLength)?);
+            said.length = Some(
+                text.parse()
+                    .ok()
+                    .filter(|_| digits)
+                    .ok_or(BadMessage::BadLength)?,
+            );
         } else if name.eq_ignore_ascii_case("transfer-encoding") {
             if said.chunked || !value.eq_ignore_ascii_case(b"chunked") {
                 return Err(BadMessage::Coding);
@@ -138,7 +144,9 @@
 
 /// Reads a request's head; `None` while it is not whole.
 pub fn request(bytes: &[u8], limits: Limits) -> Result<Option<Request>, BadMessage> {
-    let Some(length) = end(bytes, limits)? else { return Ok(None) };
+    let Some(length) = end(bytes, limits)? else {
+        return Ok(None);
+    };
     let head = &bytes[..length];
     let mut room = [httparse::EMPTY_HEADER; MOST_HEADERS];
     let headers = &mut room[..limits.headers.min(MOST_HEADERS)];
@@ -148,7 +156,8 @@
         Ok(_) => return Err(BadMessage::Syntax("a line's end")),
         Err(error) => return Err(syntax(error, limits)),
     }
-    let (Some(method), Some(target), Some(version)) = (parsed.method, parsed.path, parsed.version) else {
+    let (Some(method), Some(target), Some(version)) = (parsed.method, parsed.path, parsed.version)
+    else {
         return Err(BadMessage::Syntax("the first line"));
     };
     let said = said(parsed.headers)?;
@@ -163,13 +172,20 @@
         (false, Some(0)) | (false, None) => Framing::None,
         (false, Some(length)) => Framing::Length(length),
     };
-    let lines = parsed.headers.iter().map(|h| (range(head, h.name.as_bytes()), range(head, h.value)));
+    let lines = parsed
+        .headers
+        .iter()
+        .map(|h| (range(head, h.name.as_bytes()), range(head, h.value)));
     Ok(Some(Request {
         method: range(head, method.as_bytes()),
         target: range(head, target.as_bytes()),
         headers: lines.collect(),
         framing,
-        keep_alive: if version == 1 { !said.close } else { said.keep_alive && !said.close },
+        keep_alive: if version == 1 {
+            !said.close
+        } else {
+            said.keep_alive && !said.close
+        },
         expects_continue: said.expects_continue && version == 1 && framing != Framing::None,
         is_head: method == "HEAD",
         length,
@@ -177,8 +193,14 @@
 }
 
 /// Reads a response's head; `to_head`: the request's method was HEAD.
-pub fn response(bytes: &[u8], to_head: bool, limits: Limits) -> Result<Option<Response>, BadMessage> {
-    let Some(length) = end(bytes, limits)? else { return Ok(None) };
+pub fn response(
+    bytes: &[u8],
+    to_head: bool,
+    limits: Limits,
+) -> Result<Option<Response>, BadMessage> {
+    let Some(length) = end(bytes, limits)? else {
+        return Ok(None);
+    };
     let head = &bytes[..length];
     let mut room = [httparse::EMPTY_HEADER; MOST_HEADERS];
     let headers = &mut room[..limits.headers.min(MOST_HEADERS)];
@@ -200,8 +222,15 @@
         (_, _, Some(length)) => Framing::Length(length),
         (_, _, None) => Framing::UntilClose,
     };
-    let lines = parsed.headers.iter().map(|h| (range(head, h.name.as_bytes()), range(head, h.value)));
-    let keep_alive = if version == 1 { !said.close } else { said.keep_alive && !said.close };
+    let lines = parsed
+        .headers
+        .iter()
+        .map(|h| (range(head, h.name.as_bytes()), range(head, h.value)));
+    let keep_alive = if version == 1 {
+        !said.close
+    } else {
+        said.keep_alive && !said.close
+    };
     Ok(Some(Response {
         status,
         headers: lines.collect(),
@@ -225,8 +254,14 @@
     fn a_plain_request_is_read() {
         let text = "POST /quote/7 HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nConnection: close\r\n\r\nhello";
         let request = read(text).expect("fine").expect("whole");
-        assert_eq!((&text[request.method.clone()], &text[request.target.clone()]), ("POST", "/quote/7"));
-        assert_eq!((request.framing, request.keep_alive), (Framing::Length(5), false));
+        assert_eq!(
+            (&text[request.method.clone()], &text[request.target.clone()]),
+            ("POST", "/quote/7")
+        );
+        assert_eq!(
+            (request.framing, request.keep_alive),
+            (Framing::Length(5), false)
+        );
         assert_eq!(&text[request.length..], "hello");
         let (name, value) = request.headers[0].clone();
         assert_eq!((&text[name], &text[value]), ("Host", "a"));
@@ -254,9 +289,15 @@
 
     #[test]
     fn a_head_that_never_ends_is_refused_at_its_limit() {
-        let limits = Limits { head: 100, headers: 2 };
+        let limits = Limits {
+            head: 100,
+            headers: 2,
+        };
         assert_eq!(request(&[b'a'; 99], limits), Ok(None));
-        assert_eq!(request(&[b'a'; 100], limits), Err(BadMessage::HeadTooLong(100)));
+        assert_eq!(
+            request(&[b'a'; 100], limits),
+            Err(BadMessage::HeadTooLong(100))
+        );
         let many = b"GET / HTTP/1.1\r\nHost: a\r\nB: 1\r\nC: 2\r\n\r\n";
         assert_eq!(request(many, limits), Err(BadMessage::TooManyHeaders(2)));
     }
@@ -268,7 +309,9 @@
     #[test_case("HTTP/1.0 200 OK\r\nContent-Length: 3\r\n\r\n", false, Framing::Length(3), false; "of 1.0")]
     #[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", false, Framing::Chunked, true; "chunked")]
     fn a_responses_end_is_known(text: &str, to_head: bool, framing: Framing, keep_alive: bool) {
-        let read = response(text.as_bytes(), to_head, Limits::default()).expect("fine").expect("whole");
+        let read = response(text.as_bytes(), to_head, Limits::default())
+            .expect("fine")
+            .expect("whole");
         assert_eq!((read.framing, read.keep_alive), (framing, keep_alive));
     }
 
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -16,7 +16,10 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { head: 16 << 10, headers: 64 }
+        Limits {
+            head: 16 << 10,
+            headers: 64,
+        }
     }
 }
 
--- a/crates/import/src/load.rs
+++ b/crates/import/src/load.rs
@@ -28,16 +28,26 @@
 const MOST_FILES: usize = 10_000;
 
 pub fn load(first: &Path) -> Result<Loaded, BadInclude> {
-    let base = first.parent().filter(|base| !base.as_os_str().is_empty()).unwrap_or(Path::new("."));
+    let base = first
+        .parent()
+        .filter(|base| !base.as_os_str().is_empty())
+        .unwrap_or(Path::new("."));
     let mut loaded = Loaded::default();
     let directives = read(first, base, 0, &mut loaded)?;
     loaded.directives = directives;
     Ok(loaded)
 }
 
-fn read(path: &Path, base: &Path, depth: usize, loaded: &mut Loaded) -> Result<Vec<Directive>, BadInclude> {
-    let text = std::fs::read(path)
-        .map_err(|error| BadInclude::Unreadable { path: path.to_path_buf(), text: error.to_string() })?;
+fn read(
+    path: &Path,
+    base: &Path,
+    depth: usize,
+    loaded: &mut Loaded,
+) -> Result<Vec<Directive>, BadInclude> {
+    let text = std::fs::read(path).map_err(|error| BadInclude::Unreadable {
+        path: path.to_path_buf(),
+        text: error.to_string(),
+    })?;
     // What is not UTF-8 can only stand in comments and strings that are not carried over.
     let directives = parse(&String::from_utf8_lossy(&text), path)?;
     loaded.files.push(path.to_path_buf());
@@ -72,12 +82,17 @@
     all: &mut Vec<Directive>,
 ) -> Result<(), BadInclude> {
     let [pattern] = &directive.arguments[..] else {
-        loaded.missing.push((directive, "one path is expected".to_string()));
+        loaded
+            .missing
+            .push((directive, "one path is expected".to_string()));
         return Ok(());
     };
     if depth >= DEEPEST || loaded.files.len() >= MOST_FILES {
         let text = format!("files include each other more than {DEEPEST} deep, or are too many");
-        let what = BadSyntax { place: Place::clone(&directive.place), what: text };
+        let what = BadSyntax {
+            place: Place::clone(&directive.place),
+            what: text,
+        };
         return Err(BadInclude::Syntax(what));
     }
     let full = base.join(pattern);
@@ -88,7 +103,11 @@
         Err(text) => loaded.missing.push((directive, text)),
         // A pattern may match nothing; a plain name that is not there is a fault of the configuration.
         Ok(paths) if paths.is_empty() => {
-            let text = if pattern.contains(['*', '?', '[']) { "it matches no file" } else { "no such file" };
+            let text = if pattern.contains(['*', '?', '[']) {
+                "it matches no file"
+            } else {
+                "no such file"
+            };
             loaded.missing.push((directive, text.to_string()));
         }
         Ok(paths) => {
@@ -97,7 +116,9 @@
                 match read(&path, base, depth + 1, loaded) {
                     Ok(more) => all.extend(more),
                     Err(BadInclude::Unreadable { text, .. }) => {
-                        loaded.missing.push((directive.clone(), format!("{}: {text}", path.display())));
+                        loaded
+                            .missing
+                            .push((directive.clone(), format!("{}: {text}", path.display())));
                     }
                     Err(syntax) => return Err(syntax),
                 }
--- a/crates/import/src/parse.rs
+++ b/crates/import/src/parse.rs
@@ -35,7 +35,12 @@
 
     /// Itself and all that stand in it.
     pub fn count(&self) -> usize {
-        1 + self.block.iter().flatten().map(Directive::count).sum::<usize>()
+        1 + self
+            .block
+            .iter()
+            .flatten()
+            .map(Directive::count)
+            .sum::<usize>()
     }
 }
 
@@ -67,11 +72,17 @@
 
 impl Reader<'_> {
     fn place(&self) -> Place {
-        Place { file: self.file.clone(), line: self.line }
+        Place {
+            file: self.file.clone(),
+            line: self.line,
+        }
     }
 
     fn bad(&self, what: impl Into<String>) -> BadSyntax {
-        BadSyntax { place: self.place(), what: what.into() }
+        BadSyntax {
+            place: self.place(),
+            what: what.into(),
+        }
     }
 
     fn take(&mut self) -> Option<char> {
@@ -96,7 +107,9 @@
             Some('}') => Token::Close,
             Some(quote @ ('"' | '\'')) => {
                 self.take();
-                return self.quoted(quote).map(|word| Some((Token::Word(word), place)));
+                return self
+                    .quoted(quote)
+                    .map(|word| Some((Token::Word(word), place)));
             }
             _ => return Ok(Some((Token::Word(self.word()), place))),
         };
@@ -109,7 +122,12 @@
         let mut word = String::new();
         loop {
             match self.take() {
-                None => return Err(BadSyntax { place: begun, what: format!("a {quote} is not closed") }),
+                None => {
+                    return Err(BadSyntax {
+                        place: begun,
+                        what: format!("a {quote} is not closed"),
+                    })
+                }
                 // What a backslash does not stand before for the notation's sake, as in patterns, keeps it.
                 Some('\\') => match self.take() {
                     Some(c @ ('"' | '\'' | '\\')) => word.push(c),
@@ -134,7 +152,12 @@
                 word.extend(self.take());
             }
             if variable {
-                while let Some(c) = self.text.peek().copied().filter(|c| *c != '}' && !c.is_whitespace()) {
+                while let Some(c) = self
+                    .text
+                    .peek()
+                    .copied()
+                    .filter(|c| *c != '}' && !c.is_whitespace())
+                {
                     self.take();
                     word.push(c);
                 }
@@ -150,7 +173,12 @@
         let mut open = 1;
         while open > 0 {
             match self.take() {
-                None => return Err(BadSyntax { place: begun, what: "a block is not closed".to_string() }),
+                None => {
+                    return Err(BadSyntax {
+                        place: begun,
+                        what: "a block is not closed".to_string(),
+                    })
+                }
                 Some('{') => open += 1,
                 Some('}') => open -= 1,
                 Some(_) => {}
@@ -169,12 +197,14 @@
         loop {
             let Some((token, place)) = self.token()? else {
                 return match (words.first(), opened) {
-                    (Some(word), _) => {
-                        Err(BadSyntax { place: begun, what: format!("`{word}` has no ; at its end") })
-                    }
-                    (None, Some(opened)) => {
-                        Err(BadSyntax { place: opened.clone(), what: "a block is not closed".to_string() })
-                    }
+                    (Some(word), _) => Err(BadSyntax {
+                        place: begun,
+                        what: format!("`{word}` has no ; at its end"),
+                    }),
+                    (None, Some(opened)) => Err(BadSyntax {
+                        place: opened.clone(),
+                        what: "a block is not closed".to_string(),
+                    }),
                     (None, None) => Ok(directives),
                 };
             };
@@ -187,13 +217,18 @@
                 }
                 Token::Close if words.is_empty() && opened.is_some() => return Ok(directives),
                 Token::Close => {
-                    let what = words.first().map_or("a } closes nothing".to_string(), |word| {
-                        format!("`{word}` has no ; at its end")
-                    });
+                    let what = words
+                        .first()
+                        .map_or("a } closes nothing".to_string(), |word| {
+                            format!("`{word}` has no ; at its end")
+                        });
                     return Err(BadSyntax { place, what });
                 }
                 Token::End | Token::Open if words.is_empty() => {
-                    return Err(BadSyntax { place, what: "a directive without a name".to_string() });
+                    return Err(BadSyntax {
+                        place,
+                        what: "a directive without a name".to_string(),
+                    });
                 }
                 end => {
                     let mut arguments = std::mem::take(&mut words);
@@ -206,7 +241,12 @@
                         Token::Open => Some(self.block(depth + 1, Some(&place))?),
                         _ => None,
                     };
-                    directives.push(Directive { name, arguments, block, place: begun.clone() });
+                    directives.push(Directive {
+                        name,
+                        arguments,
+                        block,
+                        place: begun.clone(),
+                    });
                 }
             }
         }
@@ -215,5 +255,10 @@
 
 pub fn parse(text: &str, file: &Path) -> Result<Vec<Directive>, BadSyntax> {
     let file = Arc::new(file.to_path_buf());
-    Reader { text: text.chars().peekable(), file, line: 1 }.block(0, None)
+    Reader {
+        text: text.chars().peekable(),
+        file,
+        line: 1,
+    }
+    .block(0, None)
 }
--- a/crates/import/src/pools.rs
+++ b/crates/import/src/pools.rs
@@ -90,23 +90,44 @@
         names: BTreeMap::new(),
     };
     let directives = &loaded.directives;
-    importer.imported.read =
-        directives.iter().map(Directive::count).sum::<usize>() + loaded.missing.len() + loaded.followed;
+    importer.imported.read = directives.iter().map(Directive::count).sum::<usize>()
+        + loaded.missing.len()
+        + loaded.followed;
     for (directive, why) in &loaded.missing {
         importer.note(directive, Fate::Left, why);
     }
     // Upstreams first, wherever they stand: a location may come before the one that it names.
     importer.upstreams(directives, true);
-    let inherited = Inherited { read_timeout: None, next_timeout: None, next: None };
+    let inherited = Inherited {
+        read_timeout: None,
+        next_timeout: None,
+        next: None,
+    };
     importer.rest(directives, &inherited, true);
-    let Importer { mut imported, mut pools, order, .. } = importer;
+    let Importer {
+        mut imported,
+        mut pools,
+        order,
+        ..
+    } = importer;
     for name in order {
-        let Some(pool) = pools.remove(&name) else { continue };
+        let Some(pool) = pools.remove(&name) else {
+            continue;
+        };
         if pool.servers.is_empty() || pool.operations.is_empty() {
-            let lacks = if pool.servers.is_empty() { "server that can be listed" } else { "location" };
+            let lacks = if pool.servers.is_empty() {
+                "server that can be listed"
+            } else {
+                "location"
+            };
             let why = format!("no {lacks}: nothing is written for it");
             let (at, text) = (String::new(), format!("upstream {name}"));
-            imported.notes.push(Note { at, text, fate: Fate::Left, why });
+            imported.notes.push(Note {
+                at,
+                text,
+                fate: Fate::Left,
+                why,
+            });
             continue;
         }
         imported.pools.push(pool);
@@ -129,9 +150,13 @@
         Some((host, port)) => (host, port.parse().map_err(|_| "its port can't be read")?),
         None => (text, DEFAULT_PORT),
     };
-    let host: std::net::Ipv4Addr =
-        host.parse().map_err(|_| "a name has to be looked up: list its addresses")?;
-    Ok(NodeId { address: host.octets(), port })
+    let host: std::net::Ipv4Addr = host
+        .parse()
+        .map_err(|_| "a name has to be looked up: list its addresses")?;
+    Ok(NodeId {
+        address: host.octets(),
+        port,
+    })
 }
 
 /// nginx's spans: `60`, `60s`, `1m30s`, `500ms`.
@@ -142,9 +167,13 @@
         return None;
     }
     while !rest.is_empty() {
-        let digits = rest.find(|c: char| !c.is_ascii_digit()).unwrap_or(rest.len());
+        let digits = rest
+            .find(|c: char| !c.is_ascii_digit())
+            .unwrap_or(rest.len());
         let number: f64 = rest[..digits].parse().ok()?;
-        let unit_end = rest[digits..].find(|c: char| c.is_ascii_digit()).map_or(rest.len(), |at| digits + at);
+        let unit_end = rest[digits..]
+            .find(|c: char| c.is_ascii_digit())
+            .map_or(rest.len(), |at| digits + at);
         let factor = match &rest[digits..unit_end] {
             "ms" => 1e-3,
             "" | "s" => 1.0,
@@ -162,7 +191,12 @@
 impl Importer {
     fn note(&mut self, directive: &Directive, fate: Fate, why: &str) {
         let (at, text) = (directive.place.to_string(), directive.text());
-        self.imported.notes.push(Note { at, text, fate, why: why.to_string() });
+        self.imported.notes.push(Note {
+            at,
+            text,
+            fate,
+            why: why.to_string(),
+        });
     }
 
     fn left(&mut self, directive: &Directive, why: &str) {
@@ -191,7 +225,10 @@
             return self.left(directive, "an upstream of this name was read before");
         }
         self.note(directive, Fate::Carried, "a pool");
-        let mut pool = Pool { name: name.clone(), ..Pool::default() };
+        let mut pool = Pool {
+            name: name.clone(),
+            ..Pool::default()
+        };
         let mut fails: BTreeSet<u32> = BTreeSet::new();
         for inner in block {
             self.in_upstream(inner, &mut pool, &mut fails);
@@ -218,9 +255,13 @@
                 }
                 None => self.left(directive, "no span of time"),
             },
-            ("least_conn" | "ip_hash" | "hash" | "random" | "least_time" | "sticky" | "ntlm", _) => {
-                self.left(directive, "how servers are picked is the conductor's to decide")
-            }
+            (
+                "least_conn" | "ip_hash" | "hash" | "random" | "least_time" | "sticky" | "ntlm",
+                _,
+            ) => self.left(
+                directive,
+                "how servers are picked is the conductor's to decide",
+            ),
             ("keepalive" | "keepalive_requests" | "keepalive_time" | "queue", _) => {
                 self.left(directive, "gateways keep their connections by themselves")
             }
@@ -248,12 +289,10 @@
             let (key, value) = parameter.split_once('=').unwrap_or((parameter, ""));
             match key {
                 "down" => return self.left(directive, "marked down: it is not listed"),
-                "backup" => {
-                    return self.left(
-                        directive,
-                        "a backup serves only when all others are down: list it when it should serve",
-                    )
-                }
+                "backup" => return self.left(
+                    directive,
+                    "a backup serves only when all others are down: list it when it should serve",
+                ),
                 "weight" => match value.parse::<u32>() {
                     Ok(number) if number > 0 => weight = f64::from(number),
                     _ => return self.left(directive, "its weight can't be read"),
@@ -267,10 +306,17 @@
             }
         }
         if pool.servers.iter().any(|server| server.node == node) {
-            return self.left(directive, "listed before in this pool: a node is listed once");
+            return self.left(
+                directive,
+                "listed before in this pool: a node is listed once",
+            );
         }
         fails.insert(max_fails);
-        pool.servers.push(Server { node, weight, place: directive.place.clone() });
+        pool.servers.push(Server {
+            node,
+            weight,
+            place: directive.place.clone(),
+        });
         match lost.is_empty() {
             true => self.note(directive, Fate::Carried, "a node"),
             false => {
@@ -289,14 +335,19 @@
         for directive in directives {
             match (directive.name.as_str(), &directive.block) {
                 ("upstream", Some(_)) if http => {}
-                ("proxy_read_timeout" | "proxy_next_upstream_timeout" | "proxy_next_upstream", None) => {}
+                (
+                    "proxy_read_timeout" | "proxy_next_upstream_timeout" | "proxy_next_upstream",
+                    None,
+                ) => {}
                 (name @ ("http" | "server"), Some(block)) => {
                     self.note(directive, Fate::Carried, "read through for its blocks");
                     self.rest(block, &inherited, name == "http");
                 }
                 ("location", Some(block)) => self.location(directive, block, &inherited),
                 ("stream", Some(_)) => self.left(directive, "only HTTP is carried over"),
-                ("events" | "mail", Some(_)) => self.left(directive, "of the workings of nginx itself"),
+                ("events" | "mail", Some(_)) => {
+                    self.left(directive, "of the workings of nginx itself")
+                }
                 ("upstream", Some(_)) => self.left(directive, "only HTTP is carried over"),
                 _ => self.left(directive, "of no pool and no operation"),
             }
@@ -317,11 +368,19 @@
                 } else {
                     inherited.next_timeout = told;
                 }
-                self.note(directive, Fate::Carried, "integration_timeout of the locations here");
+                self.note(
+                    directive,
+                    Fate::Carried,
+                    "integration_timeout of the locations here",
+                );
             }
             ("proxy_next_upstream", words) if !words.is_empty() => {
                 inherited.next = Some(words.to_vec());
-                self.note(directive, Fate::Carried, "how operations here may be repeated");
+                self.note(
+                    directive,
+                    Fate::Carried,
+                    "how operations here may be repeated",
+                );
             }
             ("proxy_read_timeout" | "proxy_next_upstream_timeout" | "proxy_next_upstream", _) => {
                 self.left(directive, "its arguments can't be read")
@@ -336,7 +395,9 @@
             self.inherit(inner, &mut inherited);
         }
         let passes = block.iter().filter(|inner| inner.name == "proxy_pass");
-        let target = passes.clone().find_map(|pass| pass.arguments.first().map(|text| (pass, text)));
+        let target = passes
+            .clone()
+            .find_map(|pass| pass.arguments.first().map(|text| (pass, text)));
         let nested = block.iter().any(|inner| inner.name == "location");
         match &target {
             None if nested => self.note(directive, Fate::Carried, "read through for its blocks"),
@@ -345,9 +406,14 @@
         }
         for inner in block {
             match (inner.name.as_str(), &inner.block) {
-                ("proxy_read_timeout" | "proxy_next_upstream_timeout" | "proxy_next_upstream", None) => {}
+                (
+                    "proxy_read_timeout" | "proxy_next_upstream_timeout" | "proxy_next_upstream",
+                    None,
+                ) => {}
                 ("proxy_pass", None)
-                    if target.as_ref().is_some_and(|(pass, _)| std::ptr::eq(*pass, inner)) => {}
+                    if target
+                        .as_ref()
+                        .is_some_and(|(pass, _)| std::ptr::eq(*pass, inner)) => {}
                 ("location", Some(block)) => self.location(inner, block, &inherited),
                 ("if" | "limit_except", Some(_)) => {
                     self.left(inner, "what depends on a request is not known to tables")
@@ -355,9 +421,10 @@
                 ("limit_req" | "limit_conn" | "limit_rate", _) => {
                     self.left(inner, "admission is the conductor's to decide")
                 }
-                ("proxy_next_upstream_tries", _) => {
-                    self.left(inner, "how often something is repeated is the conductor's to decide")
-                }
+                ("proxy_next_upstream_tries", _) => self.left(
+                    inner,
+                    "how often something is repeated is the conductor's to decide",
+                ),
                 ("proxy_connect_timeout" | "proxy_send_timeout", _) => {
                     self.left(inner, "gateways have their own")
                 }
@@ -366,8 +433,16 @@
         }
     }
 
-    fn passes(&mut self, location: &Directive, pass: &Directive, text: &str, inherited: &Inherited) {
-        let stripped = text.strip_prefix("http://").or_else(|| text.strip_prefix("https://"));
+    fn passes(
+        &mut self,
+        location: &Directive,
+        pass: &Directive,
+        text: &str,
+        inherited: &Inherited,
+    ) {
+        let stripped = text
+            .strip_prefix("http://")
+            .or_else(|| text.strip_prefix("https://"));
         let Some(stripped) = stripped else {
             self.note(location, Fate::Left, "it passes to no pool");
             return self.left(pass, "only http:// and https:// are carried over");
@@ -377,33 +452,55 @@
             None => (stripped, ""),
         };
         if host.contains('$') {
-            self.note(location, Fate::Left, "where it passes to is only known with a request");
+            self.note(
+                location,
+                Fate::Left,
+                "where it passes to is only known with a request",
+            );
             return self.left(pass, "a variable names no pool");
         }
         // A location may name a server itself: that is a pool of one.
         if !self.pools.contains_key(host) {
             match address(host) {
                 Ok(node) => {
-                    let servers = vec![Server { node, weight: 1.0, place: pass.place.clone() }];
+                    let servers = vec![Server {
+                        node,
+                        weight: 1.0,
+                        place: pass.place.clone(),
+                    }];
                     let name = host.to_string();
-                    let pool = Pool { name, servers, errors_until_avoided: MAX_FAILS, ..Pool::default() };
+                    let pool = Pool {
+                        name,
+                        servers,
+                        errors_until_avoided: MAX_FAILS,
+                        ..Pool::default()
+                    };
                     self.order.push(host.to_string());
                     self.pools.insert(host.to_string(), pool);
                 }
                 Err(_) => {
                     self.note(location, Fate::Left, "it passes to no pool");
-                    return self.left(pass, "no upstream of this name was read, and it is no address");
+                    return self.left(
+                        pass,
+                        "no upstream of this name was read, and it is no address",
+                    );
                 }
             }
         }
         let why = match (path.is_empty(), text.starts_with("https://")) {
             (true, false) => None,
-            (false, false) => Some(format!("its path `{path}` is not: gateways pass paths on as they come")),
+            (false, false) => Some(format!(
+                "its path `{path}` is not: gateways pass paths on as they come"
+            )),
             (_, true) => Some("https is not: how gateways reach nodes is theirs".to_string()),
         };
         match why {
             None => self.note(pass, Fate::Carried, "the pool of the operation"),
-            Some(why) => self.note(pass, Fate::Assumed, &format!("the pool of the operation; {why}")),
+            Some(why) => self.note(
+                pass,
+                Fate::Assumed,
+                &format!("the pool of the operation; {why}"),
+            ),
         }
         let written = location.arguments.join(" ");
         let name = self.name(host, &written);
@@ -418,7 +515,12 @@
         );
         self.note(location, Fate::Assumed, &why);
         let integration_timeout = timeout.unwrap_or(Span::from_seconds(READ_TIMEOUT));
-        let operation = Operation { name, location: written, integration_timeout, repeat };
+        let operation = Operation {
+            name,
+            location: written,
+            integration_timeout,
+            repeat,
+        };
         if let Some(pool) = self.pools.get_mut(host) {
             pool.operations.push(operation);
         }
@@ -426,9 +528,21 @@
 
     /// A name for an operation that settings can have, unlike the others of its pool.
     fn name(&mut self, pool: &str, location: &str) -> String {
-        let plain: String =
-            location.chars().map(|c| if c.is_ascii_alphanumeric() || c == '_' { c } else { '-' }).collect();
-        let mut name: String = plain.split('-').filter(|part| !part.is_empty()).collect::<Vec<_>>().join("-");
+        let plain: String = location
+            .chars()
+            .map(|c| {
+                if c.is_ascii_alphanumeric() || c == '_' {
+                    c
+                } else {
+                    '-'
+                }
+            })
+            .collect();
+        let mut name: String = plain
+            .split('-')
+            .filter(|part| !part.is_empty())
+            .collect::<Vec<_>>()
+            .join("-");
         name.truncate(80);
         if name.is_empty() {
             name = "all".to_string();
@@ -491,9 +605,9 @@
                 spans::write(timeout),
             ));
         }
-        let idle = self
-            .connection_idle
-            .map_or(String::new(), |idle| format!(", connection_idle: {}", spans::write(idle)));
+        let idle = self.connection_idle.map_or(String::new(), |idle| {
+            format!(", connection_idle: {}", spans::write(idle))
+        });
         text.push_str(&format!(
             "  proxies: {{count: 4, errors_until_avoided: {}{idle}, usual_rate: 10}}  # look\n  \
              rules: {{without_node_at_most: 2s, drain_grace: 2s, cold_start_share: 0.2, warm_after: 18s,\n          \
@@ -507,6 +621,12 @@
 
 /// A name that paths and settings can have.
 pub fn plain(name: &str) -> String {
-    let fine = |c: char| if c.is_ascii_alphanumeric() || c == '-' || c == '_' { c } else { '-' };
+    let fine = |c: char| {
+        if c.is_ascii_alphanumeric() || c == '-' || c == '_' {
+            c
+        } else {
+            '-'
+        }
+    };
     name.chars().map(fine).take(100).collect()
 }
--- a/crates/import/tests/samples.rs
+++ b/crates/import/tests/samples.rs
@@ -15,7 +15,9 @@
     let mut text = String::new();
     let base = format!("{}/", base.display());
     for pool in &imported.pools {
-        let idle = pool.connection_idle.map_or("-".to_string(), |idle| format!("{} s", idle.seconds()));
+        let idle = pool
+            .connection_idle
+            .map_or("-".to_string(), |idle| format!("{} s", idle.seconds()));
         writeln!(
             text,
             "pool {} (avoided after {} errors, idle {idle})",
@@ -24,8 +26,12 @@
         .expect("text");
         for server in &pool.servers {
             let [a, b, c, d] = server.node.address;
-            writeln!(text, "  node {a}.{b}.{c}.{d}:{} weight {}", server.node.port, server.weight)
-                .expect("text");
+            writeln!(
+                text,
+                "  node {a}.{b}.{c}.{d}:{} weight {}",
+                server.node.port, server.weight
+            )
+            .expect("text");
         }
         for operation in &pool.operations {
             let seconds = operation.integration_timeout.seconds();
@@ -39,7 +45,14 @@
     }
     for note in &imported.notes {
         let fate = format!("{:?}", note.fate).to_lowercase();
-        writeln!(text, "{fate}: {} {}: {}", note.at.replace(&base, ""), note.text, note.why).expect("text");
+        writeln!(
+            text,
+            "{fate}: {} {}: {}",
+            note.at.replace(&base, ""),
+            note.text,
+            note.why
+        )
+        .expect("text");
     }
     text
 }
@@ -55,8 +68,11 @@
 fn accounted(loaded: &Loaded, imported: &Imported) {
     let mut all = Vec::new();
     each(&loaded.directives, &mut all);
-    let noted: BTreeSet<(&str, &str)> =
-        imported.notes.iter().map(|note| (note.at.as_str(), note.text.as_str())).collect();
+    let noted: BTreeSet<(&str, &str)> = imported
+        .notes
+        .iter()
+        .map(|note| (note.at.as_str(), note.text.as_str()))
+        .collect();
     for directive in &all {
         let at = directive.place.to_string();
         assert!(
@@ -65,7 +81,10 @@
             directive.text()
         );
     }
-    assert_eq!(imported.read, all.len() + loaded.missing.len() + loaded.followed);
+    assert_eq!(
+        imported.read,
+        all.len() + loaded.missing.len() + loaded.followed
+    );
 }
 
 #[test_case("plain.conf", include_str!("samples/plain.expected"); "two locations over one upstream, down and backup")]
@@ -94,8 +113,12 @@
 
 #[test]
 fn blocks_of_another_language_are_passed_over_by_their_braces() {
-    let text = "location /x { content_by_lua_block { t = {1; 2} -- };\n } }\n proxy_pass http://a; }";
-    assert!(parse(text, Path::new("x.conf")).is_err(), "a brace in a comment of lua closes, as for nginx");
+    let text =
+        "location /x { content_by_lua_block { t = {1; 2} -- };\n } }\n proxy_pass http://a; }";
+    assert!(
+        parse(text, Path::new("x.conf")).is_err(),
+        "a brace in a comment of lua closes, as for nginx"
+    );
     let text = "content_by_lua_block { t = {1; 2}\n f(';') }\nserver_name ${host}x a\\;b;";
     let read = parse(text, Path::new("x.conf")).expect("it is read");
     assert_eq!(read.len(), 2);
--- a/crates/orders/examples/load.rs
+++ b/crates/orders/examples/load.rs
@@ -28,7 +28,11 @@
 
 fn say(desk: &mut Desk, now: f64, connection: usize, text: &str) {
     let strings: Vec<&[u8]> = text.split(' ').map(str::as_bytes).collect();
-    desk.message(Moment::from_seconds(now), ConnectionId(connection as u64), &strings);
+    desk.message(
+        Moment::from_seconds(now),
+        ConnectionId(connection as u64),
+        &strings,
+    );
 }
 
 fn cpu() -> f64 {
@@ -37,7 +41,10 @@
 }
 
 fn main() {
-    let figures: Vec<usize> = std::env::args().skip(1).filter_map(|word| word.parse().ok()).collect();
+    let figures: Vec<usize> = std::env::args()
+        .skip(1)
+        .filter_map(|word| word.parse().ok())
+        .collect();
     let [proxies, nodes, seconds] = figures[..] else {
         eprintln!("load PROXIES NODES SECONDS");
         std::process::exit(2);
@@ -53,13 +60,27 @@
     };
     let all: Vec<Value> = (0..nodes).map(|at| entry(at, "Ready")).collect();
     let list = json!({"index": 1, "snapshot": true, "endpoints": all});
-    desk.list(start, &List::read(&list, desk.names()).expect("a list"), SourceId(1));
+    desk.list(
+        start,
+        &List::read(&list, desk.names()).expect("a list"),
+        SourceId(1),
+    );
     for zone in 0..2 {
-        say(&mut desk, EPOCH, zone, &format!("collector az {}", ["a", "b"][zone]));
+        say(
+            &mut desk,
+            EPOCH,
+            zone,
+            &format!("collector az {}", ["a", "b"][zone]),
+        );
     }
     for proxy in 0..proxies {
         let az = zone(proxy);
-        say(&mut desk, EPOCH, 10 + proxy, &format!("joined sidecar {proxy} az {az} share 2.5 standing 1"));
+        say(
+            &mut desk,
+            EPOCH,
+            10 + proxy,
+            &format!("joined sidecar {proxy} az {az} share 2.5 standing 1"),
+        );
     }
     let (mut messages, mut bytes, mut settled, mut wakes) = (0usize, 0usize, 0.0, 0usize);
     let (mut marks, before) = (Vec::new(), cpu());
@@ -87,24 +108,35 @@
         }
         if step % 500 == 250 {
             let (at, version) = (step / 500, step as u64 + 2);
-            let list =
-                json!({"index": version, "snapshot": false, "endpoints": [entry(at % nodes, "Terminating")]});
+            let list = json!({"index": version, "snapshot": false, "endpoints": [entry(at % nodes, "Terminating")]});
             let list = List::read(&list, desk.names()).expect("a list");
             desk.list(Moment::from_seconds(now), &list, SourceId(1));
         }
         for (connection, mark) in std::mem::take(&mut marks) {
             let proxy: usize = connection - 10;
-            say(&mut desk, now, connection, &format!("applied sidecar {proxy} version {mark} lag_ms 150"));
+            say(
+                &mut desk,
+                now,
+                connection,
+                &format!("applied sidecar {proxy} version {mark} lag_ms 150"),
+            );
         }
         let began = cpu();
         let out = desk.settle(Moment::from_seconds(now));
         settled += cpu() - began;
         wakes += 1;
         for out in out {
-            if let Out::Write { connection, bytes: written } = out {
+            if let Out::Write {
+                connection,
+                bytes: written,
+            } = out
+            {
                 (messages, bytes) = (messages + 1, bytes + written.len());
                 let text = String::from_utf8_lossy(&written);
-                if let Some(mark) = text.split("stamp\r\n").nth(1).and_then(|rest| rest.split("\r\n").nth(1))
+                if let Some(mark) = text
+                    .split("stamp\r\n")
+                    .nth(1)
+                    .and_then(|rest| rest.split("\r\n").nth(1))
                 {
                     marks.push((connection.0 as usize, mark.to_string()));
                 }
--- a/crates/orders/src/desk.rs
+++ b/crates/orders/src/desk.rs
@@ -30,10 +30,19 @@
 /// What is to be done outside.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Out {
-    Write { connection: ConnectionId, bytes: Rc<[u8]> },
-    Close { connection: ConnectionId, why: &'static str },
+    Write {
+        connection: ConnectionId,
+        bytes: Rc<[u8]>,
+    },
+    Close {
+        connection: ConnectionId,
+        why: &'static str,
+    },
     ReadList,
-    Probe { node: NodeId, address: SocketAddrV4 },
+    Probe {
+        node: NodeId,
+        address: SocketAddrV4,
+    },
     Remark(String),
 }
 
@@ -94,12 +103,16 @@
 impl Figures {
     fn read(facts: &Facts) -> Figures {
         let span = |name| Span::from_seconds(facts.number_or(name, 0.0));
-        let timeouts = (0..16).map(|at| facts.number_or(&format!("operation.{at}.integration_timeout"), 0.0));
+        let timeouts =
+            (0..16).map(|at| facts.number_or(&format!("operation.{at}.integration_timeout"), 0.0));
         // A mean time carries noise, and a try may outlast its client.
         let longest_try = Span::from_seconds(timeouts.fold(1.0, f64::max) * 4.0);
         let proxies = facts.number_or("proxy.count", 0.0).clamp(0.0, 65535.0) as u16;
         Figures {
-            bounds: Bounds { proxies, longest_try },
+            bounds: Bounds {
+                proxies,
+                longest_try,
+            },
             tick: span("conductor.tick"),
             delay: span("channel.delay_at_most"),
             warm_after: span("rules.warm_after"),
@@ -132,7 +145,10 @@
     /// Other settings, from now on. Zones, kinds and operations stay what they are.
     pub fn refigure(&mut self, facts: Facts, names: &Names) -> Result<(), String> {
         if *names != self.names {
-            return Err("zones, kinds, operations and reports stay what they are while this runs".to_string());
+            return Err(
+                "zones, kinds, operations and reports stay what they are while this runs"
+                    .to_string(),
+            );
         }
         let figures = Figures::read(&facts);
         self.balancer.refigure(facts)?;
@@ -156,18 +172,41 @@
 
     /// Takes a list. Whether it was news.
     pub fn list(&mut self, now: Moment, list: &List, source: SourceId) -> bool {
-        let Some(event) = self.membership.take(list, source, now) else { return false };
+        let Some(event) = self.membership.take(list, source, now) else {
+            return false;
+        };
         self.hear(now, &event);
         true
     }
 
     /// The list could not be read when it was asked for.
     pub fn no_list(&mut self, now: Moment) {
-        self.hear(now, &Event::List { kind: ListKind::Unavailable, entries: Vec::new() });
+        self.hear(
+            now,
+            &Event::List {
+                kind: ListKind::Unavailable,
+                entries: Vec::new(),
+            },
+        );
     }
 
-    pub fn probed(&mut self, now: Moment, node: NodeId, answered: bool, took: Span, load: Vec<f64>) {
-        self.hear(now, &Event::Probed { node, answered, took, load });
+    pub fn probed(
+        &mut self,
+        now: Moment,
+        node: NodeId,
+        answered: bool,
+        took: Span,
+        load: Vec<f64>,
+    ) {
+        self.hear(
+            now,
+            &Event::Probed {
+                node,
+                answered,
+                took,
+                load,
+            },
+        );
     }
 
     fn hear(&mut self, now: Moment, event: &Event) {
@@ -179,9 +218,17 @@
 
     /// A message of a connection.
     pub fn message(&mut self, now: Moment, connection: ConnectionId, strings: &[&[u8]]) -> Reply {
-        let party = self.parties.get(&connection).copied().unwrap_or(Party::Stranger);
+        let party = self
+            .parties
+            .get(&connection)
+            .copied()
+            .unwrap_or(Party::Stranger);
         let read = message::read(strings, &self.names, &self.figures.bounds);
-        let why = read.as_ref().err().map(ToString::to_string).unwrap_or_default();
+        let why = read
+            .as_ref()
+            .err()
+            .map(ToString::to_string)
+            .unwrap_or_default();
         let message = read.ok();
         if let Some(stream) = self.stream_of(party) {
             stream.heard = now;
@@ -194,20 +241,45 @@
             }
             // Connections are numbered as they came: this one was given up by its proxy for a newer one.
             (Effect::Join, Some(Message::Joined { proxy, .. }))
-                if self.newest.get(&proxy).is_some_and(|newest| *newest > connection) =>
+                if self
+                    .newest
+                    .get(&proxy)
+                    .is_some_and(|newest| *newest > connection) =>
             {
                 Reply::Close("its proxy has a newer stream".to_string())
             }
-            (Effect::Join, Some(Message::Joined { proxy, zone, usual_rate, standing })) => {
+            (
+                Effect::Join,
+                Some(Message::Joined {
+                    proxy,
+                    zone,
+                    usual_rate,
+                    standing,
+                }),
+            ) => {
                 if let Some(old) = self.streams.get(&proxy).map(|stream| stream.connection) {
                     // A new stream may come before the end of the old one is seen.
                     self.end(now, old, "its proxy has a newer stream");
                 }
                 self.parties.insert(connection, Party::Proxy(proxy));
-                self.streams.insert(proxy, Stream { connection, heard: now });
+                self.streams.insert(
+                    proxy,
+                    Stream {
+                        connection,
+                        heard: now,
+                    },
+                );
                 self.newest.insert(proxy, connection);
                 self.tables.join(proxy);
-                self.hear(now, &Event::ProxyJoined { proxy, zone, usual_rate, fresh: standing });
+                self.hear(
+                    now,
+                    &Event::ProxyJoined {
+                        proxy,
+                        zone,
+                        usual_rate,
+                        fresh: standing,
+                    },
+                );
                 Reply::Known
             }
             (Effect::Hear, Some(message)) => {
@@ -231,23 +303,58 @@
 
     fn figures(&mut self, now: Moment, message: Message) {
         match message {
-            Message::Met { zone, node, tries, errored, latency, over, load } => match self
-                .membership
-                .id(&node)
-            {
+            Message::Met {
+                zone,
+                node,
+                tries,
+                errored,
+                latency,
+                over,
+                load,
+            } => match self.membership.id(&node) {
                 Some(node) => {
-                    self.hear(now, &Event::NodeSums { zone, node, tries, errored, latency, over, load });
+                    self.hear(
+                        now,
+                        &Event::NodeSums {
+                            zone,
+                            node,
+                            tries,
+                            errored,
+                            latency,
+                            over,
+                            load,
+                        },
+                    );
                 }
-                None => self.out.push(Out::Remark(format!("sums of a node that was never listed: {node}"))),
+                None => self.out.push(Out::Remark(format!(
+                    "sums of a node that was never listed: {node}"
+                ))),
             },
-            Message::Offered { proxy, operation, count, errored, over } => {
-                self.hear(now, &Event::Offered { proxy, operation, count, errored, over });
+            Message::Offered {
+                proxy,
+                operation,
+                count,
+                errored,
+                over,
+            } => {
+                self.hear(
+                    now,
+                    &Event::Offered {
+                        proxy,
+                        operation,
+                        count,
+                        errored,
+                        over,
+                    },
+                );
             }
             Message::Applied { proxy, mark, took } => {
                 self.answers.add(now, Slowest(took.seconds()));
                 let marks = self.tables.acked(proxy, mark);
                 if marks.is_empty() {
-                    self.out.push(Out::Remark(format!("{proxy:?} answers a mark it was not sent")));
+                    self.out.push(Out::Remark(format!(
+                        "{proxy:?} answers a mark it was not sent"
+                    )));
                 }
                 for mark in marks {
                     self.hear(now, &Event::Acked { proxy, mark, took });
@@ -271,8 +378,14 @@
     }
 
     fn leave(&mut self, now: Moment, connection: ConnectionId) {
-        let Some(Party::Proxy(proxy)) = self.parties.get(&connection).copied() else { return };
-        if self.streams.get(&proxy).is_some_and(|stream| stream.connection == connection) {
+        let Some(Party::Proxy(proxy)) = self.parties.get(&connection).copied() else {
+            return;
+        };
+        if self
+            .streams
+            .get(&proxy)
+            .is_some_and(|stream| stream.connection == connection)
+        {
             self.streams.remove(&proxy);
             self.tables.leave(proxy);
             self.hear(now, &Event::ProxyLeft { proxy });
@@ -283,7 +396,10 @@
     /// nothing else tells of.
     pub fn spare(&self) -> Option<ConnectionId> {
         let newer = |at: &ConnectionId, zone: ZoneId| {
-            self.parties.range(at..).skip(1).any(|(_, party)| *party == Party::Collector(zone))
+            self.parties
+                .range(at..)
+                .skip(1)
+                .any(|(_, party)| *party == Party::Collector(zone))
         };
         let spare = |(at, party): (&ConnectionId, &Party)| match party {
             Party::Collector(zone) if newer(at, *zone) => Some(*at),
@@ -301,14 +417,21 @@
             self.timers.pop_first();
             self.hear(now, &Event::Timer { timer });
         }
-        if self.pending && self.settled.is_none_or(|last| now >= last + self.figures.tick) {
+        if self.pending
+            && self
+                .settled
+                .is_none_or(|last| now >= last + self.figures.tick)
+        {
             (self.pending, self.settled) = (false, Some(now));
             let mut actions = Vec::new();
             self.balancer.settle(now, &mut actions);
             actions.iter().for_each(|action| self.act(now, action));
             for (proxy, bytes) in self.tables.messages(now, &self.membership) {
                 if let Some(Stream { connection, .. }) = self.streams.get(&proxy) {
-                    self.out.push(Out::Write { connection: *connection, bytes });
+                    self.out.push(Out::Write {
+                        connection: *connection,
+                        bytes,
+                    });
                 }
             }
         }
@@ -324,7 +447,10 @@
             Action::ReadList => self.out.push(Out::ReadList),
             Action::Probe { node } => {
                 if let Some(address) = self.membership.address(*node) {
-                    self.out.push(Out::Probe { node: *node, address });
+                    self.out.push(Out::Probe {
+                        node: *node,
+                        address,
+                    });
                 }
             }
             Action::Remark { text } => self.out.push(Out::Remark(text.clone())),
@@ -336,7 +462,11 @@
 
     /// When `settle` is to be called again if nothing comes.
     pub fn wake_at(&self) -> Moment {
-        let timer = self.timers.first().map_or(self.next_look, |first| first.0).min(self.next_look);
+        let timer = self
+            .timers
+            .first()
+            .map_or(self.next_look, |first| first.0)
+            .min(self.next_look);
         match (self.pending, self.settled) {
             (true, Some(last)) => timer.min(last + self.figures.tick),
             (true, None) => Moment::default(),
@@ -352,7 +482,8 @@
             return Vec::new();
         }
         let slowest = self.answers.whole(now).0;
-        let limit = Span::from_seconds(SILENT.0 + SILENT.2 * slowest) + self.figures.delay * SILENT.1;
+        let limit =
+            Span::from_seconds(SILENT.0 + SILENT.2 * slowest) + self.figures.delay * SILENT.1;
         let silent = |(proxy, stream): (&ProxyId, &Stream)| {
             let sent = self.tables.unacked(*proxy)?;
             (now - sent > limit && now - stream.heard > limit).then_some(stream.connection)
@@ -366,6 +497,8 @@
         }
         self.next_look = now + Span::from_seconds(LOOK);
         let (tables, membership) = (&self.tables, &mut self.membership);
-        membership.forget(now, self.figures.warm_after * NAMES_KEPT, |node| tables.names(node));
+        membership.forget(now, self.figures.warm_after * NAMES_KEPT, |node| {
+            tables.names(node)
+        });
     }
 }
--- a/crates/orders/src/handshake.rs
+++ b/crates/orders/src/handshake.rs
@@ -88,6 +88,8 @@
         Some(Message::Applied { proxy, .. }) => of(proxy, Says::Answers),
         Some(Message::Offered { proxy, .. }) => of(proxy, Says::Offered),
     };
-    let row = HANDSHAKE.iter().find(|row| (row.0, row.1) == (stands, says));
+    let row = HANDSHAKE
+        .iter()
+        .find(|row| (row.0, row.1) == (stands, says));
     row.map_or(Effect::Skip, |row| row.2)
 }
--- a/crates/orders/src/membership.rs
+++ b/crates/orders/src/membership.rs
@@ -51,7 +51,10 @@
 
 impl WatchPlace {
     pub fn from(version: Option<u64>) -> WatchPlace {
-        WatchPlace { version, spoke: false }
+        WatchPlace {
+            version,
+            spoke: false,
+        }
     }
 
     /// The full list has come another way, before the watch said anything.
@@ -63,7 +66,8 @@
 
     /// Whether this goes on from there; the first answer may be a full list of any version.
     pub fn follows(&mut self, list: &List) -> bool {
-        let fits = self.version.is_none_or(|version| list.version >= version) || (list.full && !self.spoke);
+        let fits = self.version.is_none_or(|version| list.version >= version)
+            || (list.full && !self.spoke);
         (self.version, self.spoke) = (Some(list.version), true);
         fits
     }
@@ -71,9 +75,15 @@
 
 impl List {
     pub fn read(value: &Value, names: &Names) -> Result<List, String> {
-        let version = value["index"].as_u64().ok_or("a list without its `index`")?;
-        let full = value["snapshot"].as_bool().ok_or("a list without its `snapshot`")?;
-        let told = value["endpoints"].as_array().ok_or("a list without its `endpoints`")?;
+        let version = value["index"]
+            .as_u64()
+            .ok_or("a list without its `index`")?;
+        let full = value["snapshot"]
+            .as_bool()
+            .ok_or("a list without its `snapshot`")?;
+        let told = value["endpoints"]
+            .as_array()
+            .ok_or("a list without its `endpoints`")?;
         let (mut entries, mut refused, mut spoilt) = (Vec::new(), Vec::new(), Vec::new());
         for one in told {
             match read_entry(one, names) {
@@ -84,13 +94,26 @@
                 }
             }
         }
-        Ok(List { version, full, entries, refused, spoilt })
+        Ok(List {
+            version,
+            full,
+            entries,
+            refused,
+            spoilt,
+        })
     }
 }
 
 fn read_entry(entry: &Value, names: &Names) -> Result<Entry, String> {
-    let name = entry["name"].as_str().filter(|name| !name.is_empty()).ok_or("a node without a name")?;
-    let text = |field: &str| entry[field].as_str().ok_or_else(|| format!("{name} has no `{field}`"));
+    let name = entry["name"]
+        .as_str()
+        .filter(|name| !name.is_empty())
+        .ok_or("a node without a name")?;
+    let text = |field: &str| {
+        entry[field]
+            .as_str()
+            .ok_or_else(|| format!("{name} has no `{field}`"))
+    };
     let place = |field: &str, known: &[String]| {
         let text = text(field)?;
         let place = known.iter().position(|known| known == text);
@@ -106,10 +129,17 @@
     let started = entry["since_ms"].as_f64().filter(|millis| *millis > 0.0);
     Ok(Entry {
         name: name.to_string(),
-        address: address.parse().map_err(|_| format!("{name} has no address in {address}"))?,
+        address: address
+            .parse()
+            .map_err(|_| format!("{name} has no address in {address}"))?,
         zone: ZoneId(place("zone", &names.zones)? as u16),
         kind: KindId(place("type", &names.kinds)? as u8),
-        cell: CellId(entry["group"].as_u64().unwrap_or(0).min(u64::from(u16::MAX)) as u16),
+        cell: CellId(
+            entry["group"]
+                .as_u64()
+                .unwrap_or(0)
+                .min(u64::from(u16::MAX)) as u16,
+        ),
         listing,
         weight: entry["weight"].as_f64().unwrap_or(1.0),
         started: started.map(|millis| Moment::from_seconds(millis / 1e3)),
@@ -153,14 +183,21 @@
     fn enter(&mut self, entry: &Entry, now: Moment) -> NodeId {
         let id = self.ids.get(&entry.name).copied().unwrap_or_else(|| {
             let [a, b, c, d, e, f, ..] = xxh3_64(entry.name.as_bytes()).to_le_bytes();
-            let mut id = NodeId { address: [a, b, c, d], port: u16::from_le_bytes([e, f]) };
+            let mut id = NodeId {
+                address: [a, b, c, d],
+                port: u16::from_le_bytes([e, f]),
+            };
             while self.nodes.contains_key(&id) {
                 id.port = id.port.wrapping_add(1);
             }
             id
         });
         let listed = entry.listing != Listing::Gone;
-        let known = Known { entry: entry.clone(), listed, since: now };
+        let known = Known {
+            entry: entry.clone(),
+            listed,
+            since: now,
+        };
         self.ids.insert(entry.name.clone(), id);
         self.nodes.insert(id, known);
         id
@@ -182,10 +219,19 @@
         let mut entries = list.entries.clone();
         if list.full {
             // An entry that can't be read loses only itself: its node stays what it was listed as.
-            let kept = |name: &String| self.nodes.get(self.ids.get(name)?).filter(|known| known.listed);
+            let kept = |name: &String| {
+                self.nodes
+                    .get(self.ids.get(name)?)
+                    .filter(|known| known.listed)
+            };
             let named = |name: &&String| !list.entries.iter().any(|entry| entry.name == **name);
-            entries
-                .extend(list.spoilt.iter().filter(named).filter_map(kept).map(|known| known.entry.clone()));
+            entries.extend(
+                list.spoilt
+                    .iter()
+                    .filter(named)
+                    .filter_map(kept)
+                    .map(|known| known.entry.clone()),
+            );
             for known in self.nodes.values_mut().filter(|known| known.listed) {
                 (known.listed, known.since) = (false, now);
             }
@@ -211,7 +257,8 @@
     /// Lets go of nodes that are long gone and that no table names: a fleet that is replaced again and
     /// again would fill the memory with names.
     pub fn forget(&mut self, now: Moment, after: Span, held: impl Fn(NodeId) -> bool) {
-        self.nodes.retain(|id, known| known.listed || now - known.since < after || held(*id));
+        self.nodes
+            .retain(|id, known| known.listed || now - known.since < after || held(*id));
         let nodes = &self.nodes;
         self.ids.retain(|_, id| nodes.contains_key(id));
     }
--- a/crates/orders/src/message.rs
+++ b/crates/orders/src/message.rs
@@ -81,9 +81,16 @@
         self.0.get(name).copied().ok_or(BadMessage::Missing(name))
     }
 
-    fn read<T: FromStr>(&self, name: &'static str, fits: impl Fn(&T) -> bool) -> Result<T, BadMessage> {
+    fn read<T: FromStr>(
+        &self,
+        name: &'static str,
+        fits: impl Fn(&T) -> bool,
+    ) -> Result<T, BadMessage> {
         let text = self.text(name)?;
-        let bad = || BadMessage::Value { field: name, value: text.chars().take(40).collect() };
+        let bad = || BadMessage::Value {
+            field: name,
+            value: text.chars().take(40).collect(),
+        };
         text.parse().ok().filter(fits).ok_or_else(bad)
     }
 
@@ -92,17 +99,23 @@
     }
 
     fn count(&self, name: &'static str, most: f64) -> Result<f64, BadMessage> {
-        self.read(name, |count: &u64| *count as f64 <= most).map(|count| count as f64)
+        self.read(name, |count: &u64| *count as f64 <= most)
+            .map(|count| count as f64)
     }
 
     /// On the wire in milliseconds.
     fn span(&self, name: &'static str, most: Span) -> Result<Span, BadMessage> {
-        Ok(Span::from_seconds(self.number(name, 0.0, most.seconds() * 1e3)? / 1e3))
+        Ok(Span::from_seconds(
+            self.number(name, 0.0, most.seconds() * 1e3)? / 1e3,
+        ))
     }
 
     fn place(&self, name: &'static str, known: &[String]) -> Result<usize, BadMessage> {
         let text = self.text(name)?;
-        known.iter().position(|known| known == text).ok_or_else(|| BadMessage::Unknown(text.to_string()))
+        known
+            .iter()
+            .position(|known| known == text)
+            .ok_or_else(|| BadMessage::Unknown(text.to_string()))
     }
 
     fn zone(&self, names: &Names) -> Result<ZoneId, BadMessage> {
@@ -110,7 +123,8 @@
     }
 
     fn proxy(&self, bounds: &Bounds) -> Result<ProxyId, BadMessage> {
-        self.read("sidecar", |number: &u16| *number < bounds.proxies).map(ProxyId)
+        self.read("sidecar", |number: &u16| *number < bounds.proxies)
+            .map(ProxyId)
     }
 }
 
@@ -119,7 +133,9 @@
         .iter()
         .map(|string| std::str::from_utf8(string).map_err(|_| BadMessage::Shape))
         .collect::<Result<_, _>>()?;
-    let Some((kind, rest)) = texts.split_first() else { return Err(BadMessage::Shape) };
+    let Some((kind, rest)) = texts.split_first() else {
+        return Err(BadMessage::Shape);
+    };
     if rest.len() % 2 != 0 {
         return Err(BadMessage::Shape);
     }
@@ -131,7 +147,9 @@
     }
     match *kind {
         "ping" => Ok(Message::Ping),
-        "collector" => Ok(Message::Collector { zone: fields.zone(names)? }),
+        "collector" => Ok(Message::Collector {
+            zone: fields.zone(names)?,
+        }),
         "joined" => Ok(Message::Joined {
             proxy: fields.proxy(bounds)?,
             zone: fields.zone(names)?,
@@ -178,7 +196,15 @@
         None => Vec::new(),
     };
     let (zone, node) = (fields.zone(names)?, fields.text("host")?.to_string());
-    Ok(Message::Met { zone, node, tries, errored, latency, over, load })
+    Ok(Message::Met {
+        zone,
+        node,
+        tries,
+        errored,
+        latency,
+        over,
+        load,
+    })
 }
 
 /// A load report in the order that the settings name; what it does not say is no number.
@@ -186,10 +212,21 @@
     let mut load = vec![f64::NAN; names.fields.len()];
     for part in text.trim().split(',').filter(|part| !part.is_empty()) {
         let (name, value) = part.split_once(sign).ok_or(BadMessage::Shape)?;
-        let bad = || BadMessage::Value { field: "report", value: part.chars().take(40).collect() };
+        let bad = || BadMessage::Value {
+            field: "report",
+            value: part.chars().take(40).collect(),
+        };
         let known = field(name);
-        let most = if known == "utilization" { MOST_LOAD.0 } else { MOST_LOAD.1 };
-        let value: f64 = value.parse().ok().filter(|value| (0.0..=most).contains(value)).ok_or_else(bad)?;
+        let most = if known == "utilization" {
+            MOST_LOAD.0
+        } else {
+            MOST_LOAD.1
+        };
+        let value: f64 = value
+            .parse()
+            .ok()
+            .filter(|value| (0.0..=most).contains(value))
+            .ok_or_else(bad)?;
         let place = names.fields.iter().position(|field| field == known);
         load[place.ok_or_else(|| BadMessage::Unknown(name.chars().take(40).collect()))?] = value;
     }
--- a/crates/orders/src/table_store.rs
+++ b/crates/orders/src/table_store.rs
@@ -19,7 +19,10 @@
     /// Levels for all and of a table: the lower one holds, and the table's own way of trying again.
     fn with(own: Option<Level>, all: Option<Level>) -> Option<Level> {
         match (own, all) {
-            (Some(own), Some(all)) => Some(Level { quota: own.quota.min(all.quota), retry: own.retry }),
+            (Some(own), Some(all)) => Some(Level {
+                quota: own.quota.min(all.quota),
+                retry: own.retry,
+            }),
             (own, all) => own.or(all),
         }
     }
@@ -74,7 +77,12 @@
 }
 
 /// Proxies that get the same message share it.
-type Key = (BTreeMap<OperationId, TableId>, BTreeSet<TableId>, Vec<NodeId>, Vec<NodeId>);
+type Key = (
+    BTreeMap<OperationId, TableId>,
+    BTreeSet<TableId>,
+    Vec<NodeId>,
+    Vec<NodeId>,
+);
 
 /// Tells apart what an order names from what there is.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -85,7 +93,10 @@
 
 impl TableStore {
     pub fn new(operations: &[String]) -> TableStore {
-        TableStore { operations: operations.to_vec(), ..TableStore::default() }
+        TableStore {
+            operations: operations.to_vec(),
+            ..TableStore::default()
+        }
     }
 
     pub fn join(&mut self, proxy: ProxyId) {
@@ -99,8 +110,12 @@
 
     /// All marks that an answer covers, the named one last; none where it was never sent.
     pub fn acked(&mut self, proxy: ProxyId, mark: MarkId) -> Vec<MarkId> {
-        let Some(told) = self.streams.get_mut(&proxy) else { return Vec::new() };
-        let Some(place) = told.marks.iter().position(|sent| sent.0 == mark) else { return Vec::new() };
+        let Some(told) = self.streams.get_mut(&proxy) else {
+            return Vec::new();
+        };
+        let Some(place) = told.marks.iter().position(|sent| sent.0 == mark) else {
+            return Vec::new();
+        };
         told.marks.drain(..=place).map(|sent| sent.0).collect()
     }
 
@@ -112,14 +127,19 @@
     pub fn names(&self, node: NodeId) -> bool {
         // Who was told to shut it out can only be told by its name to let it back.
         self.withdrawn.contains(&node)
-            || self.tables.values().any(|table| table.lines.contains_key(&node))
+            || self
+                .tables
+                .values()
+                .any(|table| table.lines.contains_key(&node))
             || self.streams.values().any(|told| told.out.contains(&node))
     }
 
     /// The operations that an order names; none named is all of them.
     fn named(&self, operations: &[OperationId]) -> Vec<OperationId> {
         match operations {
-            [] => (0..self.operations.len()).map(|at| OperationId(at as u8)).collect(),
+            [] => (0..self.operations.len())
+                .map(|at| OperationId(at as u8))
+                .collect(),
             named => named.to_vec(),
         }
     }
@@ -127,7 +147,11 @@
     /// Takes an order down; what is no order to proxies is not kept here.
     pub fn order(&mut self, action: &Action) -> Kept {
         match action {
-            Action::SetLine { table, node, weight } => {
+            Action::SetLine {
+                table,
+                node,
+                weight,
+            } => {
                 let lines = &mut self.tables.entry(*table).or_default().lines;
                 // As exact as it is said; what then says nothing is no line.
                 match f64::from(*weight as f32) {
@@ -140,22 +164,37 @@
                 self.tables.remove(table);
                 self.news.cleared.insert(*table);
             }
-            Action::Bind { proxy, table, operations } => {
+            Action::Bind {
+                proxy,
+                table,
+                operations,
+            } => {
                 let named = self.named(operations);
                 if let Some(told) = self.streams.get_mut(proxy) {
-                    told.bound.extend(named.into_iter().map(|operation| (operation, *table)));
+                    told.bound
+                        .extend(named.into_iter().map(|operation| (operation, *table)));
                     self.news.bound.entry(*proxy).or_default().insert(*table);
                 }
             }
-            Action::SetLevel { table, operations, quota, retry } => {
-                let level = Level { quota: *quota, retry: *retry };
+            Action::SetLevel {
+                table,
+                operations,
+                quota,
+                retry,
+            } => {
+                let level = Level {
+                    quota: *quota,
+                    retry: *retry,
+                };
                 let named = self.named(operations);
                 let levels = match table {
                     Some(table) => &mut self.tables.entry(*table).or_default().levels,
                     None => &mut self.everywhere,
                 };
                 levels.extend(named.iter().map(|operation| (*operation, level)));
-                self.news.levels.extend(named.iter().map(|operation| (*table, *operation)));
+                self.news
+                    .levels
+                    .extend(named.iter().map(|operation| (*table, *operation)));
             }
             Action::Withdraw { node, out } => {
                 let (into, from) = match out {
@@ -183,7 +222,9 @@
         for proxy in self.streams.keys().copied().collect::<Vec<_>>() {
             let fresh = news.bound.get(&proxy).cloned().unwrap_or_default();
             let (drop, undrop) = self.withdrawals(proxy, !fresh.is_empty());
-            let Some(told) = self.streams.get_mut(&proxy) else { continue };
+            let Some(told) = self.streams.get_mut(&proxy) else {
+                continue;
+            };
             told.out.extend(&drop);
             undrop.iter().for_each(|node| _ = told.out.remove(node));
             let key = (told.bound.clone(), fresh, drop, undrop);
@@ -206,11 +247,18 @@
 
     /// Nodes that a proxy is to shut out, and to let back, beside what it was told.
     fn withdrawals(&self, proxy: ProxyId, fresh: bool) -> (Vec<NodeId>, Vec<NodeId>) {
-        let Some(told) = self.streams.get(&proxy).filter(|told| !told.bound.is_empty()) else {
+        let Some(told) = self
+            .streams
+            .get(&proxy)
+            .filter(|told| !told.bound.is_empty())
+        else {
             return Default::default();
         };
         let tables = |node: &NodeId| {
-            let mut own = told.bound.values().filter_map(|table| self.tables.get(table));
+            let mut own = told
+                .bound
+                .values()
+                .filter_map(|table| self.tables.get(table));
             own.any(|table| table.lines.contains_key(node))
         };
         let out = |node: &&NodeId| !told.out.contains(node) && tables(node);
@@ -225,14 +273,21 @@
         let (bound, fresh, drop, undrop) = key;
         let mut parts: Vec<Vec<(&str, String)>> = Vec::new();
         for table in bound.values().collect::<BTreeSet<_>>() {
-            let own: Vec<OperationId> =
-                bound.iter().filter(|(_, bound)| *bound == table).map(|(operation, _)| *operation).collect();
+            let own: Vec<OperationId> = bound
+                .iter()
+                .filter(|(_, bound)| *bound == table)
+                .map(|(operation, _)| *operation)
+                .collect();
             let whole = fresh.contains(table) || news.cleared.contains(table);
             self.table_parts(news, *table, &own, whole, membership, &mut parts);
         }
         // Levels for all reach operations without a table of ours too.
         let plain = |operation: &OperationId| !bound.contains_key(operation);
-        let asked = news.levels.iter().filter(|(table, _)| table.is_none()).map(|(_, operation)| *operation);
+        let asked = news
+            .levels
+            .iter()
+            .filter(|(table, _)| table.is_none())
+            .map(|(_, operation)| *operation);
         self.level_parts(
             asked.filter(plain),
             &|operation| self.everywhere.get(&operation).copied(),
@@ -240,7 +295,10 @@
         );
         let mut last = Vec::new();
         for (word, nodes) in [("drop", drop), ("undrop", undrop)] {
-            let names: Vec<&str> = nodes.iter().filter_map(|node| membership.name(*node)).collect();
+            let names: Vec<&str> = nodes
+                .iter()
+                .filter_map(|node| membership.name(*node))
+                .collect();
             if !names.is_empty() {
                 last.push((word, names.join(",")));
             }
@@ -259,7 +317,10 @@
         let (mut bytes, count) = (Vec::new(), parts.len());
         for (at, part) in parts.into_iter().enumerate() {
             let mut strings = vec!["update".to_string()];
-            strings.extend(part.into_iter().flat_map(|(name, value)| [name.to_string(), value]));
+            strings.extend(
+                part.into_iter()
+                    .flat_map(|(name, value)| [name.to_string(), value]),
+            );
             if at + 1 < count {
                 strings.extend(["part".to_string(), "1".to_string()]);
             }
@@ -281,15 +342,24 @@
         let table = self.tables.get(&id).unwrap_or(&empty);
         let changed = news.lines.get(&id).into_iter().flatten();
         let lines: Vec<(NodeId, f64)> = match whole {
-            true => table.lines.iter().map(|(node, weight)| (*node, *weight)).collect(),
-            false => changed.map(|node| (*node, table.lines.get(node).copied().unwrap_or(0.0))).collect(),
+            true => table
+                .lines
+                .iter()
+                .map(|(node, weight)| (*node, *weight))
+                .collect(),
+            false => changed
+                .map(|node| (*node, table.lines.get(node).copied().unwrap_or(0.0)))
+                .collect(),
         };
         let level = |operation: OperationId| {
             let own = table.levels.get(&operation).copied();
             Level::with(own, self.everywhere.get(&operation).copied())
         };
         let told = |operation: &OperationId| {
-            whole || [Some(id), None].iter().any(|table| news.levels.contains(&(*table, *operation)))
+            whole
+                || [Some(id), None]
+                    .iter()
+                    .any(|table| news.levels.contains(&(*table, *operation)))
         };
         let first = parts.len();
         if whole || !lines.is_empty() {
@@ -299,7 +369,9 @@
             }
             let mut rows = String::new();
             for (node, weight) in lines {
-                let Some(name) = membership.name(node) else { continue };
+                let Some(name) = membership.name(node) else {
+                    continue;
+                };
                 let comma = if rows.is_empty() { "" } else { "," };
                 let _ = write!(rows, "{comma}{name}:{}", weight as f32);
             }
@@ -311,7 +383,9 @@
         self.level_parts(own.iter().copied().filter(told), &level, parts);
         // One level for all that the lines are meant for goes with the lines.
         if parts.len() == first + 2
-            && parts[first + 1].iter().all(|field| field.0 != "for" || parts[first].contains(field))
+            && parts[first + 1]
+                .iter()
+                .all(|field| field.0 != "for" || parts[first].contains(field))
         {
             let levels = parts.pop().unwrap_or_default();
             parts[first].extend(levels.into_iter().filter(|field| field.0 != "for"));
@@ -327,7 +401,9 @@
     ) {
         let mut groups: Vec<(Level, Vec<OperationId>)> = Vec::new();
         for operation in operations {
-            let Some(level) = level(operation) else { continue };
+            let Some(level) = level(operation) else {
+                continue;
+            };
             match groups.iter_mut().find(|group| group.0 == level) {
                 Some(group) => group.1.push(operation),
                 None => groups.push((level, vec![operation])),
@@ -346,7 +422,12 @@
         if operations.len() == self.operations.len() {
             return Vec::new();
         }
-        let names = operations.iter().filter_map(|operation| self.operations.get(usize::from(operation.0)));
-        vec![("for", names.map(String::as_str).collect::<Vec<_>>().join("+"))]
+        let names = operations
+            .iter()
+            .filter_map(|operation| self.operations.get(usize::from(operation.0)));
+        vec![(
+            "for",
+            names.map(String::as_str).collect::<Vec<_>>().join("+"),
+        )]
     }
 }
--- a/crates/orders/src/tests.rs
+++ b/crates/orders/src/tests.rs
@@ -47,16 +47,28 @@
 
 fn desk() -> Desk {
     let value = settings_of();
-    Desk::start(Moment::from_seconds(EPOCH), 7, settings(&value), Names::read(&value)).expect("fine")
+    Desk::start(
+        Moment::from_seconds(EPOCH),
+        7,
+        settings(&value),
+        Names::read(&value),
+    )
+    .expect("fine")
 }
 
 /// What was written, as words.
 fn texts(bytes: &[u8]) -> Vec<String> {
-    let mut reader = Reader::new(Limits { message: 1 << 20, strings: 64 });
+    let mut reader = Reader::new(Limits {
+        message: 1 << 20,
+        strings: 64,
+    });
     reader.feed(bytes);
     let mut texts = Vec::new();
     while let Some(strings) = reader.message().expect("messages") {
-        let words: Vec<_> = strings.iter().map(|string| String::from_utf8_lossy(string)).collect();
+        let words: Vec<_> = strings
+            .iter()
+            .map(|string| String::from_utf8_lossy(string))
+            .collect();
         texts.push(words.join(" "));
     }
     texts
@@ -72,9 +84,13 @@
         _ => said == word,
     };
     let same = |(said, word): (&&str, &&str)| {
-        *word == "*" || word.split(',').all(|word| said.split(',').any(|said| part(said, word)))
+        *word == "*"
+            || word
+                .split(',')
+                .all(|word| said.split(',').any(|said| part(said, word)))
     };
-    said.windows(words.len()).any(|some| some.iter().zip(words).all(same))
+    said.windows(words.len())
+        .any(|some| some.iter().zip(words).all(same))
 }
 
 struct Stage {
@@ -88,7 +104,8 @@
 }
 
 fn key(word: &str) -> u64 {
-    word.parse().unwrap_or_else(|_| panic!("{word} is no connection"))
+    word.parse()
+        .unwrap_or_else(|_| panic!("{word} is no connection"))
 }
 
 impl Stage {
@@ -96,8 +113,13 @@
         let now = self.now;
         let entry = |word: &&str| {
             let parts: Vec<&str> = word.split(':').collect();
-            let status = parts.get(2).filter(|status| !status.is_empty()).unwrap_or(&"Ready");
-            let since = parts.get(3).map_or(0.0, |age| (now - age.parse::<f64>().expect("an age")) * 1e3);
+            let status = parts
+                .get(2)
+                .filter(|status| !status.is_empty())
+                .unwrap_or(&"Ready");
+            let since = parts
+                .get(3)
+                .map_or(0.0, |age| (now - age.parse::<f64>().expect("an age")) * 1e3);
             json!({"name": parts[0], "address": "127.0.0.9:80", "zone": parts[1], "type": "k", "group": 1,
                 "status": status, "weight": 1.0, "since_ms": since})
         };
@@ -105,7 +127,8 @@
         let entries: Vec<Value> = words[1..].iter().map(entry).collect();
         let value = json!({"index": version, "snapshot": whole, "endpoints": entries});
         let list = List::read(&value, self.desk.names()).expect("a list");
-        self.desk.list(Moment::from_seconds(now), &list, SourceId(self.source));
+        self.desk
+            .list(Moment::from_seconds(now), &list, SourceId(self.source));
     }
 
     fn play(&mut self, time: f64, words: &[&str]) {
@@ -117,13 +140,17 @@
             "source" => self.source = key(words[1]),
             "connection" => {
                 let strings: Vec<&[u8]> = words[2..].iter().map(|word| word.as_bytes()).collect();
-                self.reply = self.desk.message(now, ConnectionId(key(words[1])), &strings);
+                self.reply = self
+                    .desk
+                    .message(now, ConnectionId(key(words[1])), &strings);
             }
             "answer" => {
                 let connection = key(words[1]);
                 let mark = self.marks.get(&connection).cloned().expect("a mark");
                 let proxy = (connection % 10).to_string();
-                let strings = ["applied", "sidecar", &proxy, "version", &mark, "lag_ms", "300.5"];
+                let strings = [
+                    "applied", "sidecar", &proxy, "version", &mark, "lag_ms", "300.5",
+                ];
                 let strings: Vec<&[u8]> = strings.iter().map(|word| word.as_bytes()).collect();
                 self.reply = self.desk.message(now, ConnectionId(connection), &strings);
             }
@@ -136,7 +163,10 @@
                 Out::Write { connection, bytes } => {
                     for text in texts(&bytes) {
                         if let Some((_, mark)) = text.split_once("stamp ") {
-                            self.marks.insert(connection.0, mark.split(' ').next().unwrap_or("").to_string());
+                            self.marks.insert(
+                                connection.0,
+                                mark.split(' ').next().unwrap_or("").to_string(),
+                            );
                         }
                         self.told.entry(connection.0).or_default().push(text);
                     }
@@ -161,15 +191,28 @@
             }
             "told" => {
                 let told = told(words[1]);
-                assert!(told.iter().any(|text| says(text, &words[2..])), "{line}\nbut {told:#?}");
+                assert!(
+                    told.iter().any(|text| says(text, &words[2..])),
+                    "{line}\nbut {told:#?}"
+                );
             }
             "untold" => {
                 let told = told(words[1]);
-                let any = told.iter().any(|text| words.len() == 2 || says(text, &words[2..]));
+                let any = told
+                    .iter()
+                    .any(|text| words.len() == 2 || says(text, &words[2..]));
                 assert!(!any, "{line}\nbut {told:#?}");
             }
-            "closed" => assert!(self.closed.contains(&key(words[1])), "{line}\nbut {:?}", self.closed),
-            "open" => assert!(!self.closed.contains(&key(words[1])), "{line}\nbut {:?}", self.closed),
+            "closed" => assert!(
+                self.closed.contains(&key(words[1])),
+                "{line}\nbut {:?}",
+                self.closed
+            ),
+            "open" => assert!(
+                !self.closed.contains(&key(words[1])),
+                "{line}\nbut {:?}",
+                self.closed
+            ),
             "proxies" => assert_eq!(self.desk.proxies().to_string(), words[1], "{line}"),
             "end" => {}
             other => panic!("no such expectation: {other}"),
@@ -187,7 +230,15 @@
 #[test_case(include_str!("../scenarios/lists.txt"); "lists that come late or twice")]
 fn plays(script: &str) {
     let (told, marks, closed) = Default::default();
-    let mut stage = Stage { desk: desk(), now: EPOCH, reply: Reply::Nothing, told, marks, closed, source: 1 };
+    let mut stage = Stage {
+        desk: desk(),
+        now: EPOCH,
+        reply: Reply::Nothing,
+        told,
+        marks,
+        closed,
+        source: 1,
+    };
     let mut lines: Vec<(f64, Vec<&str>)> = Vec::new();
     for line in script.lines().chain(["expect end"]) {
         let line = line.split('#').next().unwrap_or("").trim();
@@ -196,7 +247,9 @@
             None => {}
             Some((&"expect", rest)) => {
                 lines.sort_by(|a, b| a.0.total_cmp(&b.0));
-                lines.drain(..).for_each(|(time, words)| stage.play(time, &words));
+                lines
+                    .drain(..)
+                    .for_each(|(time, words)| stage.play(time, &words));
                 stage.expect(line, rest);
             }
             Some((time, rest)) => {
@@ -215,7 +268,10 @@
     Names::read(&settings_of())
 }
 
-const BOUNDS: Bounds = Bounds { proxies: 8, longest_try: Span::ZERO };
+const BOUNDS: Bounds = Bounds {
+    proxies: 8,
+    longest_try: Span::ZERO,
+};
 
 #[test_case("joined sidecar 8 az a share 1 standing 1", "sidecar"; "a proxy that there is not")]
 #[test_case("joined sidecar 1 az c share 1 standing 1", "names nothing"; "a zone that there is not")]
@@ -252,7 +308,10 @@
             "status": "Ready", "weight": 1.0, "since_ms": 0})
         })
         .collect();
-    let list = List::read(&json!({"index": 1, "snapshot": true, "endpoints": entries}), &names());
+    let list = List::read(
+        &json!({"index": 1, "snapshot": true, "endpoints": entries}),
+        &names(),
+    );
     membership.take(&list.expect("a list"), CONFIGURATION, Moment::default());
     let ids = ["x", "y"].map(|name| membership.id(name).expect("listed"));
     let mut tables = TableStore::new(&names().operations);
@@ -261,39 +320,96 @@
 }
 
 fn told(tables: &mut TableStore, membership: &Membership, actions: &[Action]) -> Vec<String> {
-    assert!(actions.iter().all(|action| tables.order(action) == Kept::Kept));
+    assert!(actions
+        .iter()
+        .all(|action| tables.order(action) == Kept::Kept));
     let messages = tables.messages(Moment::default(), membership);
-    messages.iter().flat_map(|(_, bytes)| texts(bytes)).collect()
+    messages
+        .iter()
+        .flat_map(|(_, bytes)| texts(bytes))
+        .collect()
 }
 
 fn bind(table: u16, operations: &[u8]) -> Action {
     let operations = operations.iter().map(|at| OperationId(*at)).collect();
-    Action::Bind { proxy: ProxyId(0), table: TableId(table), operations }
+    Action::Bind {
+        proxy: ProxyId(0),
+        table: TableId(table),
+        operations,
+    }
 }
 
 fn line(table: u16, node: NodeId, weight: f64) -> Action {
-    Action::SetLine { table: TableId(table), node, weight }
+    Action::SetLine {
+        table: TableId(table),
+        node,
+        weight,
+    }
 }
 
 fn level(table: Option<u16>, operations: &[u8], quota: f64, retry: Retry) -> Action {
     let operations = operations.iter().map(|at| OperationId(*at)).collect();
-    Action::SetLevel { table: table.map(TableId), operations, quota, retry }
+    Action::SetLevel {
+        table: table.map(TableId),
+        operations,
+        quota,
+        retry,
+    }
 }
 
 #[test]
 fn a_table_is_told_whole_once_and_then_by_its_changes() {
     let (mut tables, membership, [x, y]) = table_store();
-    let mark = |mark| Action::Mark { mark: MarkId(mark), everyone: false };
+    let mark = |mark| Action::Mark {
+        mark: MarkId(mark),
+        everyone: false,
+    };
     let first = [line(3, x, 1.5), line(3, y, 0.1), bind(3, &[]), mark(9)];
     let said = told(&mut tables, &membership, &first);
-    assert!(says(&said[0], &["update", "replace", "1", "rows", "x:1.5,y:0.1", "stamp", "9"]), "{said:?}");
-    assert_eq!(told(&mut tables, &membership, &[line(3, x, 0.0), mark(10)]), ["update rows x:0 stamp 10"]);
-    assert_eq!(told(&mut tables, &membership, &[line(4, x, 2.0), mark(11)]).len(), 0, "another table");
-    assert_eq!(tables.acked(ProxyId(0), MarkId(10)), [MarkId(9), MarkId(10)], "an answer covers all before");
-    assert_eq!(tables.acked(ProxyId(0), MarkId(11)), [], "that was never sent");
-    let all = Action::Mark { mark: MarkId(12), everyone: true };
+    assert!(
+        says(
+            &said[0],
+            &[
+                "update",
+                "replace",
+                "1",
+                "rows",
+                "x:1.5,y:0.1",
+                "stamp",
+                "9"
+            ]
+        ),
+        "{said:?}"
+    );
+    assert_eq!(
+        told(&mut tables, &membership, &[line(3, x, 0.0), mark(10)]),
+        ["update rows x:0 stamp 10"]
+    );
+    assert_eq!(
+        told(&mut tables, &membership, &[line(4, x, 2.0), mark(11)]).len(),
+        0,
+        "another table"
+    );
+    assert_eq!(
+        tables.acked(ProxyId(0), MarkId(10)),
+        [MarkId(9), MarkId(10)],
+        "an answer covers all before"
+    );
+    assert_eq!(
+        tables.acked(ProxyId(0), MarkId(11)),
+        [],
+        "that was never sent"
+    );
+    let all = Action::Mark {
+        mark: MarkId(12),
+        everyone: true,
+    };
     assert_eq!(told(&mut tables, &membership, &[all]), ["update stamp 12"]);
-    let cleared = told(&mut tables, &membership, &[Action::ClearTable { table: TableId(3) }]);
+    let cleared = told(
+        &mut tables,
+        &membership,
+        &[Action::ClearTable { table: TableId(3) }],
+    );
     assert_eq!(cleared, ["update replace 1"]);
 }
 
@@ -301,16 +417,44 @@
 fn levels_go_with_the_lines_where_one_holds_for_all_and_apart_where_not() {
     let (mut tables, membership, [x, _]) = table_store();
     let usual = Retry::AfterProofItNeverRan;
-    let same = [line(0, x, 1.0), level(Some(0), &[0, 1], 0.9, usual), bind(0, &[0, 1])];
-    assert_eq!(told(&mut tables, &membership, &same), ["update replace 1 rows x:1 gate 0.9 again 1"]);
-    let one = told(&mut tables, &membership, &[level(Some(0), &[1], 0.5, Retry::Never)]);
+    let same = [
+        line(0, x, 1.0),
+        level(Some(0), &[0, 1], 0.9, usual),
+        bind(0, &[0, 1]),
+    ];
+    assert_eq!(
+        told(&mut tables, &membership, &same),
+        ["update replace 1 rows x:1 gate 0.9 again 1"]
+    );
+    let one = told(
+        &mut tables,
+        &membership,
+        &[level(Some(0), &[1], 0.5, Retry::Never)],
+    );
     assert_eq!(one, ["update for order gate 0.5 again 0"]);
     // For all: the lower level, and the table's own way of trying again.
-    let all = told(&mut tables, &membership, &[level(None, &[], 0.7, Retry::TwiceAfterAnyFailure)]);
-    assert_eq!(all, ["update for lookup gate 0.7 again 1 part 1", "update for order gate 0.5 again 0"]);
+    let all = told(
+        &mut tables,
+        &membership,
+        &[level(None, &[], 0.7, Retry::TwiceAfterAnyFailure)],
+    );
+    assert_eq!(
+        all,
+        [
+            "update for lookup gate 0.7 again 1 part 1",
+            "update for order gate 0.5 again 0"
+        ]
+    );
     let again = told(&mut tables, &membership, &[bind(0, &[0, 1])]);
-    let parts = ["update replace 1 rows x:1 part 1", "update for lookup gate 0.7 again 1 part 1"];
-    assert_eq!(again[..2], parts, "what holds for all is in every whole table");
+    let parts = [
+        "update replace 1 rows x:1 part 1",
+        "update for lookup gate 0.7 again 1 part 1",
+    ];
+    assert_eq!(
+        again[..2],
+        parts,
+        "what holds for all is in every whole table"
+    );
 }
 
 #[test]
@@ -318,9 +462,19 @@
     let (mut tables, membership, [x, y]) = table_store();
     told(&mut tables, &membership, &[line(0, x, 1.0), bind(0, &[])]);
     let withdraw = |node, out| Action::Withdraw { node, out };
-    assert_eq!(told(&mut tables, &membership, &[withdraw(y, true)]).len(), 0, "it does not hold it");
-    assert_eq!(told(&mut tables, &membership, &[line(0, y, 1.0)]), ["update rows y:1 drop y"]);
-    assert_eq!(told(&mut tables, &membership, &[withdraw(y, false)]), ["update undrop y"]);
+    assert_eq!(
+        told(&mut tables, &membership, &[withdraw(y, true)]).len(),
+        0,
+        "it does not hold it"
+    );
+    assert_eq!(
+        told(&mut tables, &membership, &[line(0, y, 1.0)]),
+        ["update rows y:1 drop y"]
+    );
+    assert_eq!(
+        told(&mut tables, &membership, &[withdraw(y, false)]),
+        ["update undrop y"]
+    );
     // A proxy keeps withdrawals over a change of streams.
     tables.leave(ProxyId(0));
     tables.join(ProxyId(0));
@@ -341,16 +495,43 @@
     let mut membership = Membership::default();
     let now = Moment::default();
     let changes = list(4, false, vec![entry("x", "a", "Ready")]);
-    assert_eq!(membership.take(&changes, SourceId(1), now), None, "changes of nothing");
-    let first =
-        list(4, true, vec![entry("x", "a", "Ready"), entry("y", "c", "Ready"), entry("z", "b", "Lost")]);
+    assert_eq!(
+        membership.take(&changes, SourceId(1), now),
+        None,
+        "changes of nothing"
+    );
+    let first = list(
+        4,
+        true,
+        vec![
+            entry("x", "a", "Ready"),
+            entry("y", "c", "Ready"),
+            entry("z", "b", "Lost"),
+        ],
+    );
     assert_eq!((first.entries.len(), first.refused.len()), (1, 2));
     assert_eq!(first.entries[0].started, Some(Moment::from_seconds(5.0)));
     assert!(membership.take(&first, SourceId(1), now).is_some());
-    assert_eq!(membership.take(&list(3, true, vec![]), SourceId(1), now), None, "a list from before");
-    assert_eq!(membership.take(&changes, SourceId(1), now), None, "changes that were in the full list");
-    let gone = membership.take(&list(5, false, vec![entry("x", "a", "Gone")]), SourceId(1), now);
-    let Some(wheelspread::interface::Event::List { kind: ListKind::Changes, entries }) = gone else {
+    assert_eq!(
+        membership.take(&list(3, true, vec![]), SourceId(1), now),
+        None,
+        "a list from before"
+    );
+    assert_eq!(
+        membership.take(&changes, SourceId(1), now),
+        None,
+        "changes that were in the full list"
+    );
+    let gone = membership.take(
+        &list(5, false, vec![entry("x", "a", "Gone")]),
+        SourceId(1),
+        now,
+    );
+    let Some(wheelspread::interface::Event::List {
+        kind: ListKind::Changes,
+        entries,
+    }) = gone
+    else {
         panic!("changes, not {gone:?}")
     };
     assert_eq!(entries[0].listing, Listing::Gone);
@@ -373,10 +554,19 @@
     assert!(place.follows(&list(40, false)), "nothing new");
     assert!(place.follows(&list(41, false)) && !place.follows(&list(6, false)));
     let mut place = WatchPlace::from(Some(40));
-    assert!(!place.follows(&list(6, false)), "what changed after 40 can't be 6");
+    assert!(
+        !place.follows(&list(6, false)),
+        "what changed after 40 can't be 6"
+    );
     let mut place = WatchPlace::from(Some(40));
-    assert!(place.follows(&list(6, true)), "the full list, of a new count");
-    assert!(place.follows(&list(7, false)) && !place.follows(&list(5, true)), "a full list from before");
+    assert!(
+        place.follows(&list(6, true)),
+        "the full list, of a new count"
+    );
+    assert!(
+        place.follows(&list(7, false)) && !place.follows(&list(5, true)),
+        "a full list from before"
+    );
     assert!(WatchPlace::from(None).follows(&list(2, false)));
 }
 
--- a/crates/platform/src/clock.rs
+++ b/crates/platform/src/clock.rs
@@ -12,7 +12,10 @@
 
 impl Clock {
     pub fn new() -> Clock {
-        Clock { began: Moment::from_seconds(reactor::wall()), counted_from: reactor::now() }
+        Clock {
+            began: Moment::from_seconds(reactor::wall()),
+            counted_from: reactor::now(),
+        }
     }
 
     pub fn now(&self) -> Moment {
--- a/crates/platform/src/connection.rs
+++ b/crates/platform/src/connection.rs
@@ -6,8 +6,14 @@
 use wheelspread_resp::{BadMessage, Limits, Reader};
 
 /// Of who has not said who it is; of who has.
-pub const STRANGER: Limits = Limits { message: 4 << 10, strings: 32 };
-pub const KNOWN: Limits = Limits { message: 1 << 20, strings: 64 };
+pub const STRANGER: Limits = Limits {
+    message: 4 << 10,
+    strings: 32,
+};
+pub const KNOWN: Limits = Limits {
+    message: 1 << 20,
+    strings: 64,
+};
 /// What one connection may bring before the others have their turn.
 const TURN: usize = 256 << 10;
 /// What may wait for who does not read.
--- a/crates/platform/src/exchange.rs
+++ b/crates/platform/src/exchange.rs
@@ -38,7 +38,8 @@
 impl Exchange {
     pub fn get(address: SocketAddrV4, target: &str) -> io::Result<Exchange> {
         let stream = reactor::connect(address.ip().octets(), address.port())?;
-        let request = format!("GET {target} HTTP/1.1\r\nHost: {address}\r\nAccept: */*\r\n\r\n").into_bytes();
+        let request =
+            format!("GET {target} HTTP/1.1\r\nHost: {address}\r\nAccept: */*\r\n\r\n").into_bytes();
         Ok(Exchange {
             stream,
             request,
@@ -59,7 +60,12 @@
                 Ok(0) => return Err(Failed::Cut),
                 Ok(count) => self.sent += count,
                 // A connection that is not through yet takes nothing.
-                Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::NotConnected) => {
+                Err(error)
+                    if matches!(
+                        error.kind(),
+                        ErrorKind::WouldBlock | ErrorKind::NotConnected
+                    ) =>
+                {
                     break
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
@@ -68,10 +74,17 @@
         }
         loop {
             let count = match self.stream.read(scratch) {
-                Ok(0) if self.body.as_ref().is_some_and(Body::ends_with_connection) => return Ok(true),
+                Ok(0) if self.body.as_ref().is_some_and(Body::ends_with_connection) => {
+                    return Ok(true)
+                }
                 Ok(0) => return Err(Failed::Cut),
                 Ok(count) => count,
-                Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::NotConnected) => {
+                Err(error)
+                    if matches!(
+                        error.kind(),
+                        ErrorKind::WouldBlock | ErrorKind::NotConnected
+                    ) =>
+                {
                     return Ok(false)
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => continue,
@@ -89,7 +102,9 @@
             body.read(bytes, &mut self.carried)?;
         } else {
             self.head.extend_from_slice(bytes);
-            let Some(head) = response(&self.head, false, Limits::default())? else { return Ok(false) };
+            let Some(head) = response(&self.head, false, Limits::default())? else {
+                return Ok(false);
+            };
             let head_bytes = std::mem::take(&mut self.head);
             let mut body = Body::new(head.framing);
             body.read(&head_bytes[head.length..], &mut self.carried)?;
@@ -105,7 +120,10 @@
     /// come in pieces of a byte.
     pub fn lines(&mut self) -> Vec<Vec<u8>> {
         let new = self.looked.min(self.carried.len());
-        let end = self.carried[new..].iter().rposition(|byte| *byte == b'\n').map(|at| new + at);
+        let end = self.carried[new..]
+            .iter()
+            .rposition(|byte| *byte == b'\n')
+            .map(|at| new + at);
         let Some(end) = end else {
             self.looked = self.carried.len();
             return Vec::new();
@@ -113,6 +131,10 @@
         let rest = self.carried.split_off(end + 1);
         self.looked = rest.len();
         let whole = std::mem::replace(&mut self.carried, rest);
-        whole.split(|byte| *byte == b'\n').map(<[u8]>::to_vec).filter(|line| !line.is_empty()).collect()
+        whole
+            .split(|byte| *byte == b'\n')
+            .map(<[u8]>::to_vec)
+            .filter(|line| !line.is_empty())
+            .collect()
     }
 }
--- a/crates/platform/src/file.rs
+++ b/crates/platform/src/file.rs
@@ -27,11 +27,21 @@
 #[derive(Debug, thiserror::Error)]
 pub enum BadFile {
     #[error("{path}: {error}")]
-    Unreadable { path: PathBuf, error: std::io::Error },
+    Unreadable {
+        path: PathBuf,
+        error: std::io::Error,
+    },
     #[error("{path} is no JSON: {error}")]
-    Syntax { path: PathBuf, error: serde_json::Error },
+    Syntax {
+        path: PathBuf,
+        error: serde_json::Error,
+    },
     #[error("{path}: `{field}` {why}")]
-    Field { path: PathBuf, field: &'static str, why: String },
+    Field {
+        path: PathBuf,
+        field: &'static str,
+        why: String,
+    },
     #[error("{path}: in the settings, {wrong}")]
     Setting { path: PathBuf, wrong: Wrong },
 }
@@ -42,14 +52,27 @@
 
 impl PlatformFile {
     pub fn read(path: &Path) -> Result<PlatformFile, BadFile> {
-        let unreadable = |error| BadFile::Unreadable { path: path.to_path_buf(), error };
+        let unreadable = |error| BadFile::Unreadable {
+            path: path.to_path_buf(),
+            error,
+        };
         let text = std::fs::read(path).map_err(unreadable)?;
-        let syntax = |error| BadFile::Syntax { path: path.to_path_buf(), error };
+        let syntax = |error| BadFile::Syntax {
+            path: path.to_path_buf(),
+            error,
+        };
         let value: Value = serde_json::from_slice(&text).map_err(syntax)?;
-        let setting = |wrong| BadFile::Setting { path: path.to_path_buf(), wrong };
+        let setting = |wrong| BadFile::Setting {
+            path: path.to_path_buf(),
+            wrong,
+        };
         if !value["settings"].is_object() {
             let why = "are missing".to_string();
-            return Err(BadFile::Field { path: path.to_path_buf(), field: "settings", why });
+            return Err(BadFile::Field {
+                path: path.to_path_buf(),
+                field: "settings",
+                why,
+            });
         }
         check(&value["settings"]).map_err(setting)?;
         PlatformFile::of(&value).map_err(|(field, why)| BadFile::Field {
@@ -60,10 +83,15 @@
     }
 
     fn of(value: &Value) -> Result<PlatformFile, (&'static str, String)> {
-        let text = |field: &'static str| value[field].as_str().ok_or((field, "is missing".to_string()));
+        let text = |field: &'static str| {
+            value[field]
+                .as_str()
+                .ok_or((field, "is missing".to_string()))
+        };
         let address = |field| {
             let text = text(field)?;
-            text.parse().map_err(|_| (field, format!("is no address: {text}")))
+            text.parse()
+                .map_err(|_| (field, format!("is no address: {text}")))
         };
         let settings_of = &value["settings"];
         let names = Names::read(settings_of);
@@ -80,9 +108,17 @@
             name: text("name")?.to_string(),
             listen: address("listen")?,
             discovery: address("discovery")?,
-            seed: u64::from_str_radix(seed, 16).map_err(|_| ("seed", format!("is no number: {seed}")))?,
-            sockets: limits["sockets"].as_u64().unwrap_or(SOCKETS).clamp(48, 1 << 20) as usize,
-            memory: (limits["memory_mb"].as_f64().unwrap_or(MEMORY_MB).clamp(8.0, 1e6) * 1e6) as usize,
+            seed: u64::from_str_radix(seed, 16)
+                .map_err(|_| ("seed", format!("is no number: {seed}")))?,
+            sockets: limits["sockets"]
+                .as_u64()
+                .unwrap_or(SOCKETS)
+                .clamp(48, 1 << 20) as usize,
+            memory: (limits["memory_mb"]
+                .as_f64()
+                .unwrap_or(MEMORY_MB)
+                .clamp(8.0, 1e6)
+                * 1e6) as usize,
             known,
             refused,
             facts: settings(settings_of),
--- a/crates/platform/src/service.rs
+++ b/crates/platform/src/service.rs
@@ -127,15 +127,18 @@
         let file = PlatformFile::read(path)?;
         let clock = Clock::new();
         let now = clock.now();
-        let mut desk =
-            Desk::start(now, file.seed, file.facts.clone(), file.names.clone()).map_err(NoStart::Facts)?;
-        file.refused.iter().for_each(|why| warn!(why, "left out of the known list"));
+        let mut desk = Desk::start(now, file.seed, file.facts.clone(), file.names.clone())
+            .map_err(NoStart::Facts)?;
+        file.refused
+            .iter()
+            .for_each(|why| warn!(why, "left out of the known list"));
         if let Some(known) = &file.known {
             desk.list(now, known, CONFIGURATION);
         }
         let mut reload = false;
         let listener = bind(&mut poll, &signals, &mut reload, file.listen)?;
-        poll.add(&listener, LISTENER, Interest::Readable).map_err(io("epoll"))?;
+        poll.add(&listener, LISTENER, Interest::Readable)
+            .map_err(io("epoll"))?;
         info!(name = file.name, listen = %file.listen, sockets = file.sockets, memory = file.memory, "ready");
         Ok(Service {
             path: path.to_path_buf(),
@@ -167,7 +170,11 @@
     pub fn run(mut self) -> io::Result<()> {
         let mut ready = Vec::new();
         loop {
-            let wait = if self.again.is_empty() { self.wake_at() - self.clock.now() } else { Span::ZERO };
+            let wait = if self.again.is_empty() {
+                self.wake_at() - self.clock.now()
+            } else {
+                Span::ZERO
+            };
             self.poll.wait(wait, &mut ready)?;
             let now = self.clock.now();
             if ready.iter().any(|ready| ready.token == SIGNALS) && self.told(now) {
@@ -204,12 +211,17 @@
     /// that nobody has accepted are refused as the listener ends with the program.
     fn stop(mut self) {
         info!("told to stop");
-        self.connections.values_mut().for_each(|connection| _ = connection.push());
+        self.connections
+            .values_mut()
+            .for_each(|connection| _ = connection.push());
     }
 
     fn wake_at(&self) -> Moment {
         let mut at = self.desk.wake_at().min(self.report_at);
-        for other in [self.reread.map(|(again, _)| again), self.listen_at].into_iter().flatten() {
+        for other in [self.reread.map(|(again, _)| again), self.listen_at]
+            .into_iter()
+            .flatten()
+        {
             at = at.min(other);
         }
         at
@@ -232,7 +244,11 @@
         let most = self.room().saturating_sub(known).clamp(1, 64);
         for _ in 0..most {
             if self.connections.len() >= self.room() && !self.evict(now) {
-                if let Some(young) = self.strangers.first().and_then(|token| self.connections.get(token)) {
+                if let Some(young) = self
+                    .strangers
+                    .first()
+                    .and_then(|token| self.connections.get(token))
+                {
                     return self.rest_listener(young.since + Span::from_seconds(YOUNG));
                 }
                 // All descriptors are held by proxies and collectors: who comes is sent elsewhere.
@@ -252,7 +268,9 @@
                 }
                 return;
             }
-            let Some(stream) = accepted.into_iter().next() else { return };
+            let Some(stream) = accepted.into_iter().next() else {
+                return;
+            };
             let token = self.token();
             if let Err(error) = self.poll.add(&stream, Token(token), Interest::Edges) {
                 warn!(%error, "a connection can't be watched");
@@ -294,7 +312,14 @@
             }
         }
         let spare = self.desk.spare();
-        spare.is_some_and(|spare| self.end(now, spare.0, Ending::Replaced, "its zone has a newer collector"))
+        spare.is_some_and(|spare| {
+            self.end(
+                now,
+                spare.0,
+                Ending::Replaced,
+                "its zone has a newer collector",
+            )
+        })
     }
 
     /// Ends a connection, and pays what is owed in that instant. Whether it has ended.
@@ -310,7 +335,9 @@
         self.again.remove(&token);
         let stranger = self.strangers.remove(&token);
         // The last look may have ended it.
-        let Some(connection) = self.connections.remove(&token) else { return true };
+        let Some(connection) = self.connections.remove(&token) else {
+            return true;
+        };
         self.held -= connection.held();
         let (count, who) = match stranger {
             false => (&mut self.counts.lost, "stream"),
@@ -339,19 +366,29 @@
     }
 
     fn write(&mut self, now: Moment, token: u64, bytes: &[u8]) {
-        let Some(connection) = self.connections.get_mut(&token) else { return };
+        let Some(connection) = self.connections.get_mut(&token) else {
+            return;
+        };
         let before = connection.held();
-        let written = if bytes.is_empty() { connection.push() } else { connection.write(bytes) };
+        let written = if bytes.is_empty() {
+            connection.push()
+        } else {
+            connection.write(bytes)
+        };
         self.held = self.held + connection.held() - before;
         match written {
             Ok(()) => {}
-            Err(Over::Unread) => _ = self.end(now, token, Ending::Unread, &Over::Unread.to_string()),
+            Err(Over::Unread) => {
+                _ = self.end(now, token, Ending::Unread, &Over::Unread.to_string())
+            }
             Err(over) => _ = self.end(now, token, Ending::WriteFailed, &over.to_string()),
         }
     }
 
     fn read(&mut self, now: Moment, token: u64) {
-        let Some(mut connection) = self.connections.remove(&token) else { return };
+        let Some(mut connection) = self.connections.remove(&token) else {
+            return;
+        };
         let before = connection.held();
         let (desk, counts, strangers) = (&mut self.desk, &mut self.counts, &mut self.strangers);
         let read = connection.read(&mut self.scratch, |connection| loop {
@@ -397,15 +434,36 @@
 
     // ---- discovery and probes ----
 
-    fn exchange(&mut self, now: Moment, address: SocketAddrV4, target: &str, purpose: Purpose) -> bool {
-        if self.exchanges.len() >= if matches!(purpose, Purpose::Probe(_)) { PROBES } else { EXCHANGES } {
+    fn exchange(
+        &mut self,
+        now: Moment,
+        address: SocketAddrV4,
+        target: &str,
+        purpose: Purpose,
+    ) -> bool {
+        if self.exchanges.len()
+            >= if matches!(purpose, Purpose::Probe(_)) {
+                PROBES
+            } else {
+                EXCHANGES
+            }
+        {
             return false;
         }
         let (source, place) = (self.source, WatchPlace::from(self.desk.version()));
         let opened = Exchange::get(address, target).and_then(|exchange| {
             let token = self.token();
-            self.poll.add(&exchange.stream, Token(token), Interest::Edges)?;
-            let open = Open { exchange, purpose, since: now, heard: now, address, source, place };
+            self.poll
+                .add(&exchange.stream, Token(token), Interest::Edges)?;
+            let open = Open {
+                exchange,
+                purpose,
+                since: now,
+                heard: now,
+                address,
+                source,
+                place,
+            };
             self.exchanges.insert(token, open);
             Ok(())
         });
@@ -416,14 +474,20 @@
     }
 
     fn answer(&mut self, now: Moment, token: u64) {
-        let Some(open) = self.exchanges.get_mut(&token) else { return };
+        let Some(open) = self.exchanges.get_mut(&token) else {
+            return;
+        };
         let came = open.exchange.came;
         let turned = open.exchange.turn(&mut self.scratch);
         if open.exchange.came > came {
             open.heard = now;
         }
         let watches = open.purpose == Purpose::Watch && open.exchange.status == 200;
-        let mut lines = if watches { open.exchange.lines() } else { Vec::new() };
+        let mut lines = if watches {
+            open.exchange.lines()
+        } else {
+            Vec::new()
+        };
         // An answer may end with an object that no line's end follows. One that was cut is no JSON.
         if watches && !matches!(turned, Ok(false)) && !open.exchange.carried.is_empty() {
             lines.push(std::mem::take(&mut open.exchange.carried));
@@ -450,7 +514,9 @@
         let read = serde_json::from_slice(text).map_err(|error| error.to_string());
         match read.and_then(|value| List::read(&value, self.desk.names())) {
             Ok(list) => {
-                list.refused.iter().for_each(|why| warn!(why, "left out of the list"));
+                list.refused
+                    .iter()
+                    .for_each(|why| warn!(why, "left out of the list"));
                 Some(list)
             }
             Err(why) => {
@@ -468,8 +534,12 @@
 
     /// An object of a watch. Whether it goes on from what was said on it before.
     fn watched(&mut self, now: Moment, token: u64, line: &[u8]) -> bool {
-        let Some(list) = self.list(line) else { return true };
-        let Some(open) = self.exchanges.get_mut(&token) else { return true };
+        let Some(list) = self.list(line) else {
+            return true;
+        };
+        let Some(open) = self.exchanges.get_mut(&token) else {
+            return true;
+        };
         let (source, current) = (open.source, open.address == self.file.discovery);
         if !open.place.follows(&list) {
             return !current;
@@ -496,18 +566,23 @@
     }
 
     fn answered(&mut self, now: Moment, token: u64) {
-        let Some(open) = self.exchanges.get(&token) else { return };
+        let Some(open) = self.exchanges.get(&token) else {
+            return;
+        };
         if open.purpose == Purpose::Read && open.exchange.status != 200 {
             return self.failed(now, token);
         }
-        let Some(open) = self.exchanges.remove(&token) else { return };
+        let Some(open) = self.exchanges.remove(&token) else {
+            return;
+        };
         match open.purpose {
             Purpose::Read => {
                 if let Some(list) = self.list(&open.exchange.carried) {
                     self.listed(now, &list, open.source);
                     // What the watch beside it says next goes on from here.
-                    let beside =
-                        |other: &&mut Open| other.purpose == Purpose::Watch && other.source == open.source;
+                    let beside = |other: &&mut Open| {
+                        other.purpose == Purpose::Watch && other.source == open.source
+                    };
                     let watch = self.exchanges.values_mut().find(beside);
                     watch.into_iter().for_each(|watch| watch.place.told(&list));
                 }
@@ -517,20 +592,31 @@
             Purpose::Probe(node) => {
                 let text = String::from_utf8_lossy(&open.exchange.carried);
                 let load = load_of(&text, '=', self.desk.names()).unwrap_or_default();
-                self.desk.probed(now, node, open.exchange.status == 200, now - open.since, load);
+                self.desk.probed(
+                    now,
+                    node,
+                    open.exchange.status == 200,
+                    now - open.since,
+                    load,
+                );
             }
         }
     }
 
     fn failed(&mut self, now: Moment, token: u64) {
-        let Some(open) = self.exchanges.remove(&token) else { return };
+        let Some(open) = self.exchanges.remove(&token) else {
+            return;
+        };
         match open.purpose {
             Purpose::Read => {
                 self.desk.no_list(now);
                 self.read_ended(open.source);
             }
             Purpose::Watch => self.watch_ended(now, open.address),
-            Purpose::Probe(node) => self.desk.probed(now, node, false, now - open.since, Vec::new()),
+            Purpose::Probe(node) => {
+                self.desk
+                    .probed(now, node, false, now - open.since, Vec::new())
+            }
         }
     }
 
@@ -555,7 +641,11 @@
 
     fn keep(&mut self, now: Moment) {
         let late = |since: Moment, seconds: f64| now - since > Span::from_seconds(seconds);
-        let strange = |token: &u64| self.connections.get(token).is_some_and(|one| late(one.since, STRANGER));
+        let strange = |token: &u64| {
+            self.connections
+                .get(token)
+                .is_some_and(|one| late(one.since, STRANGER))
+        };
         let strangers: Vec<u64> = self.strangers.iter().copied().take_while(strange).collect();
         for token in strangers {
             self.end(now, token, Ending::Late, "it has not said who it is");
@@ -565,7 +655,11 @@
         }
         // Who reads slowly may cost memory, but not all of it.
         if self.held as f64 > self.file.memory as f64 * BUFFERS {
-            let largest = self.connections.iter().max_by_key(|(_, one)| one.held()).map(|(token, _)| *token);
+            let largest = self
+                .connections
+                .iter()
+                .max_by_key(|(_, one)| one.held())
+                .map(|(token, _)| *token);
             largest
                 .into_iter()
                 .for_each(|token| _ = self.end(now, token, Ending::Crowded, "buffers are full"));
@@ -589,7 +683,11 @@
             Purpose::Read => late(open.since, LIST),
             Purpose::Probe(_) => late(open.since, PROBE),
         };
-        let over = self.exchanges.iter().filter(|(_, open)| silent(open)).map(|(token, _)| *token);
+        let over = self
+            .exchanges
+            .iter()
+            .filter(|(_, open)| silent(open))
+            .map(|(token, _)| *token);
         for token in over.collect::<Vec<_>>() {
             // What has come and was not read yet is none too late.
             self.answer(now, token);
@@ -604,10 +702,19 @@
         let address = self.file.discovery;
         let watches = |open: &Open| open.purpose == Purpose::Watch && open.address == address;
         if now >= self.dial_at && !self.recount && !self.exchanges.values().any(watches) {
-            let from = self.desk.version().map(|version| format!("&from={version}")).unwrap_or_default();
+            let from = self
+                .desk
+                .version()
+                .map(|version| format!("&from={version}"))
+                .unwrap_or_default();
             self.redial(now);
             self.source.0 += 1;
-            self.exchange(now, address, &format!("/catalog/members?watch=1{from}"), Purpose::Watch);
+            self.exchange(
+                now,
+                address,
+                &format!("/catalog/members?watch=1{from}"),
+                Purpose::Watch,
+            );
         }
     }
 
@@ -643,7 +750,11 @@
 
     fn report(&mut self, now: Moment) {
         self.report_at = now + Span::from_seconds(REPORT);
-        let Counts { strangers, left_out, lost } = std::mem::take(&mut self.counts);
+        let Counts {
+            strangers,
+            left_out,
+            lost,
+        } = std::mem::take(&mut self.counts);
         let buffers = self.held;
         info!(
             proxies = self.desk.proxies(),
@@ -663,10 +774,16 @@
     fn carry_out(&mut self, now: Moment, out: Out) {
         match out {
             Out::Write { connection, bytes } => self.write(now, connection.0, &bytes),
-            Out::Close { connection, why } => _ = self.end(now, connection.0, Ending::Replaced, why),
+            Out::Close { connection, why } => {
+                _ = self.end(now, connection.0, Ending::Replaced, why)
+            }
             Out::ReadList => _ = self.ask_list(now),
             Out::Probe { node, address } => {
-                let target = if self.file.names.fields.is_empty() { "/ping" } else { "/_load" };
+                let target = if self.file.names.fields.is_empty() {
+                    "/ping"
+                } else {
+                    "/_load"
+                };
                 if !self.exchange(now, address, target, Purpose::Probe(node)) {
                     self.desk.probed(now, node, false, Span::ZERO, Vec::new());
                 }
@@ -693,14 +810,20 @@
             Err(error) => error,
         };
         if error.kind() != io::ErrorKind::AddrInUse || tries >= REBIND.1 {
-            return Err(NoStart::Io { what: address.to_string(), error });
+            return Err(NoStart::Io {
+                what: address.to_string(),
+                error,
+            });
         }
         if tries == 0 {
             warn!(%address, "the address is still held");
         }
         tries += 1;
         let waited = poll.wait(Span::from_seconds(REBIND.0), &mut Vec::new());
-        waited.map_err(|error| NoStart::Io { what: "epoll".to_string(), error })?;
+        waited.map_err(|error| NoStart::Io {
+            what: "epoll".to_string(),
+            error,
+        })?;
         let came = signals.came();
         *reload |= came.contains(&reactor::RELOAD);
         if came.iter().any(|signal| *signal != reactor::RELOAD) {
--- a/crates/proxy-core/src/admission.rs
+++ b/crates/proxy-core/src/admission.rs
@@ -47,15 +47,27 @@
             Some(mut bucket) => {
                 let passed = (now - bucket.since).seconds().max(0.0);
                 bucket.held = (bucket.held + passed * bucket.rate).min(rate.max(1.0));
-                Bucket { rate, held: bucket.held, since: now }
+                Bucket {
+                    rate,
+                    held: bucket.held,
+                    since: now,
+                }
             }
-            None => Bucket { rate, held: rate.max(1.0), since: now },
+            None => Bucket {
+                rate,
+                held: rate.max(1.0),
+                since: now,
+            },
         });
     }
 
     /// Nothing is let in: what a proxy still holds is given up too.
     pub fn shut(&self) -> bool {
-        self.dropped_of_million == MILLION || self.bucket.as_ref().is_some_and(|bucket| bucket.rate <= 0.0)
+        self.dropped_of_million == MILLION
+            || self
+                .bucket
+                .as_ref()
+                .is_some_and(|bucket| bucket.rate <= 0.0)
     }
 
     /// `Err`: turned away, with how long to wait.
@@ -64,7 +76,9 @@
         if drawn < u64::from(self.dropped_of_million) {
             return Err(Span::from_seconds(AFTER_SHARE));
         }
-        let Some(bucket) = &mut self.bucket else { return Ok(()) };
+        let Some(bucket) = &mut self.bucket else {
+            return Ok(());
+        };
         if bucket.take(now) {
             return Ok(());
         }
@@ -106,8 +120,13 @@
         let share = let_in(&mut admission, 100.0, 100.0);
         assert!((share / wanted - 1.0).abs() < 0.05, "{share}");
         let (now, mut chance) = (Moment::from_seconds(100.0), Pcg::new(1));
-        let wait = (0..100).find_map(|_| admission.ask(now, &mut chance).err()).expect("it is used up");
-        assert!(wait > Span::ZERO && wait <= Span::from_seconds(1.0 / rate), "{wait:?}");
+        let wait = (0..100)
+            .find_map(|_| admission.ask(now, &mut chance).err())
+            .expect("it is used up");
+        assert!(
+            wait > Span::ZERO && wait <= Span::from_seconds(1.0 / rate),
+            "{wait:?}"
+        );
     }
 
     #[test]
--- a/crates/proxy-core/src/core.rs
+++ b/crates/proxy-core/src/core.rs
@@ -143,14 +143,44 @@
 
 const COURSE: &[(State, Input, State, Effect)] = &[
     (State::Arrived, Input::LetIn, State::Trying, Effect::Send),
-    (State::Arrived, Input::TurnedAway, State::Over, Effect::TurnAway),
+    (
+        State::Arrived,
+        Input::TurnedAway,
+        State::Over,
+        Effect::TurnAway,
+    ),
     (State::Arrived, Input::NoLine, State::Over, Effect::NoNode),
-    (State::Trying, Input::Succeeded, State::Over, Effect::Forward),
-    (State::Trying, Input::FailedRepeat, State::Trying, Effect::Send),
+    (
+        State::Trying,
+        Input::Succeeded,
+        State::Over,
+        Effect::Forward,
+    ),
+    (
+        State::Trying,
+        Input::FailedRepeat,
+        State::Trying,
+        Effect::Send,
+    ),
     (State::Trying, Input::Failed, State::Over, Effect::GiveUp),
-    (State::Trying, Input::LateRepeat, State::Trying, Effect::SendInstead),
-    (State::Trying, Input::Late, State::Over, Effect::GiveUpInstead),
-    (State::Trying, Input::Shut, State::Over, Effect::TurnAwayInstead),
+    (
+        State::Trying,
+        Input::LateRepeat,
+        State::Trying,
+        Effect::SendInstead,
+    ),
+    (
+        State::Trying,
+        Input::Late,
+        State::Over,
+        Effect::GiveUpInstead,
+    ),
+    (
+        State::Trying,
+        Input::Shut,
+        State::Over,
+        Effect::TurnAwayInstead,
+    ),
     (State::Trying, Input::ClientGone, State::Over, Effect::LetGo),
 ];
 
@@ -210,7 +240,11 @@
             per_try_timeout: None,
             timeout: None,
         };
-        let names = plan.operations.iter().map(|rules| rules.name.clone()).collect();
+        let names = plan
+            .operations
+            .iter()
+            .map(|rules| rules.name.clone())
+            .collect();
         Core {
             chance: Pcg::new(seed),
             operations: plan.operations.iter().map(operation).collect(),
@@ -235,15 +269,22 @@
 
     /// Nodes that some table names now.
     pub fn published(&self) -> BTreeSet<NodeId> {
-        self.operations.iter().flat_map(|operation| operation.lines.nodes()).collect()
+        self.operations
+            .iter()
+            .flat_map(|operation| operation.lines.nodes())
+            .collect()
     }
 
     pub fn lines(&self, operation: OperationId) -> usize {
-        self.operations.get(usize::from(operation.0)).map_or(0, |operation| operation.lines.len())
+        self.operations
+            .get(usize::from(operation.0))
+            .map_or(0, |operation| operation.lines.len())
     }
 
     pub fn standing(&self, node: NodeId) -> Standing {
-        self.nodes.get(&node).map_or(Standing::Open, |node| node.shunning.standing())
+        self.nodes
+            .get(&node)
+            .map_or(Standing::Open, |node| node.shunning.standing())
     }
 
     pub fn under_way(&self) -> usize {
@@ -259,15 +300,20 @@
             }
         }
         for (id, order) in orders {
-            let Some(operation) = self.operations.get_mut(usize::from(id.0)) else { continue };
+            let Some(operation) = self.operations.get_mut(usize::from(id.0)) else {
+                continue;
+            };
             operation.lines = Lines::new(order.lines.iter().copied());
-            operation.admission.order(now, order.dropped_of_million, order.rate);
+            operation
+                .admission
+                .order(now, order.dropped_of_million, order.rate);
             operation.retry = order.retry;
             (operation.per_try_timeout, operation.timeout) = (order.per_try_timeout, order.timeout);
         }
         let published = self.published();
         // A node that is published no more and has nothing outstanding is forgotten, its run too.
-        self.nodes.retain(|node, known| published.contains(node) || known.outstanding > 0);
+        self.nodes
+            .retain(|node, known| published.contains(node) || known.outstanding > 0);
         self.shunned.retain(|(_, node)| published.contains(node));
         for node in published {
             self.nodes.entry(node).or_default();
@@ -277,10 +323,14 @@
             .filter(|at| {
                 let invocation = &self.invocations[*at as usize];
                 let operation = &self.operations[usize::from(invocation.operation.0)];
-                invocation.state == State::Trying && !invocation.answering && operation.admission.shut()
+                invocation.state == State::Trying
+                    && !invocation.answering
+                    && operation.admission.shut()
             })
             .collect();
-        shut.into_iter().map(|at| self.turn(now, at, Input::Shut, None, Failure::Refused)).collect()
+        shut.into_iter()
+            .map(|at| self.turn(now, at, Input::Shut, None, Failure::Refused))
+            .collect()
     }
 
     /// Opens or closes a node's lines in all operations, by what is known of it.
@@ -316,7 +366,10 @@
         let at = match self.free.pop() {
             Some(at) => {
                 let use_number = self.invocations[at as usize].use_number.wrapping_add(1);
-                self.invocations[at as usize] = Invocation { use_number, ..fresh };
+                self.invocations[at as usize] = Invocation {
+                    use_number,
+                    ..fresh
+                };
                 at
             }
             None => {
@@ -337,7 +390,8 @@
     }
 
     fn turn_away(&mut self, now: Moment, at: u32, again_in: Span) -> Decision {
-        self.tally.rate_limited(self.invocations[at as usize].operation);
+        self.tally
+            .rate_limited(self.invocations[at as usize].operation);
         let mut decision = self.turn(now, at, Input::TurnedAway, None, Failure::Refused);
         decision.step = Move::Answer(Answer::RateLimited { again_in });
         decision
@@ -351,10 +405,17 @@
 
     /// A try ended, or its bytes can't be forwarded; `number` tells which.
     pub fn ended(&mut self, now: Moment, id: InvocationId, number: u32, end: TryEnd) -> Decision {
-        let nothing = Decision { invocation: id, step: Move::Nothing };
-        let Some(at) = self.place(id) else { return nothing };
+        let nothing = Decision {
+            invocation: id,
+            step: Move::Nothing,
+        };
+        let Some(at) = self.place(id) else {
+            return nothing;
+        };
         let invocation = &self.invocations[at as usize];
-        let (Some(node), operation) = (invocation.node, invocation.operation) else { return nothing };
+        let (Some(node), operation) = (invocation.node, invocation.operation) else {
+            return nothing;
+        };
         if invocation.tries != number {
             return nothing;
         }
@@ -386,7 +447,12 @@
     }
 
     pub fn client_gone(&mut self, now: Moment, id: InvocationId) -> Decision {
-        let Some(at) = self.place(id) else { return Decision { invocation: id, step: Move::Nothing } };
+        let Some(at) = self.place(id) else {
+            return Decision {
+                invocation: id,
+                step: Move::Nothing,
+            };
+        };
         self.close_try(now, at, None);
         self.turn(now, at, Input::ClientGone, None, Failure::Unsent)
     }
@@ -396,7 +462,8 @@
         let (proof, operation) = (failure.proof(), invocation.operation);
         if proof == Proof::MayHaveRun {
             invocation.proof = Proof::MayHaveRun;
-            invocation.first_may_have_run = invocation.first_may_have_run.or(Some(invocation.sent_at));
+            invocation.first_may_have_run =
+                invocation.first_may_have_run.or(Some(invocation.sent_at));
         }
         if let Some(node) = invocation.node {
             invocation.tried.push(node);
@@ -406,14 +473,22 @@
         let invocation = &self.invocations[at as usize];
         let of = &self.operations[usize::from(operation.0)];
         let (tries, first_may_have_run) = (invocation.tries, invocation.first_may_have_run);
-        let past = Past { tries, proof: invocation.proof, first_may_have_run };
+        let past = Past {
+            tries,
+            proof: invocation.proof,
+            first_may_have_run,
+        };
         let allowed = now < invocation.deadline
             && !invocation.answering
             && !of.admission.shut()
             && may_repeat(of.retry, of.rules.guard, past, proof, invocation.deadline);
         let tried = invocation.tried.clone();
         // Another node, or none: the one that just failed is not asked again.
-        let node = if allowed { self.pick(operation, &tried) } else { None };
+        let node = if allowed {
+            self.pick(operation, &tried)
+        } else {
+            None
+        };
         let node = node.filter(|_| self.budget.take());
         let input = match (node.is_some(), late) {
             (true, false) => Input::FailedRepeat,
@@ -438,7 +513,12 @@
             }
         }
         let mut decisions = Vec::new();
-        while let Some((until, at)) = self.timers.first().copied().filter(|(until, _)| *until <= now) {
+        while let Some((until, at)) = self
+            .timers
+            .first()
+            .copied()
+            .filter(|(until, _)| *until <= now)
+        {
             self.timers.remove(&(until, at));
             if self.invocations[at as usize].state == State::Trying {
                 decisions.push(self.failed(now, at, Failure::TimedOut, true));
@@ -449,7 +529,10 @@
 
     pub fn wake_at(&self) -> Option<Moment> {
         let timers = self.timers.first().map(|(at, _)| *at);
-        timers.into_iter().chain(self.shunned.first().map(|(at, _)| *at)).min()
+        timers
+            .into_iter()
+            .chain(self.shunned.first().map(|(at, _)| *at))
+            .min()
     }
 
     pub fn report(&mut self, now: Moment) -> Option<Report> {
@@ -459,9 +542,19 @@
     // ---- how it goes on ----
 
     fn pick(&mut self, operation: OperationId, tried: &[NodeId]) -> Option<NodeId> {
-        let Core { operations, nodes, chance, plan, .. } = self;
+        let Core {
+            operations,
+            nodes,
+            chance,
+            plan,
+            ..
+        } = self;
         let lines = &mut operations[usize::from(operation.0)].lines;
-        let closed: Vec<NodeId> = tried.iter().copied().filter(|node| lines.set_open(*node, false)).collect();
+        let closed: Vec<NodeId> = tried
+            .iter()
+            .copied()
+            .filter(|node| lines.set_open(*node, false))
+            .collect();
         let outstanding = |node: NodeId| nodes.get(&node).map_or(0, |node| node.outstanding);
         let mut picked = lines.pick(plan.picking, chance, outstanding);
         if picked.is_none() && tried.is_empty() {
@@ -470,10 +563,14 @@
             let shunned: Vec<NodeId> = lines
                 .nodes()
                 .filter(|node| nodes.get(node).is_some_and(|node| !node.shunning.open()))
-                .filter(|node| plan.outstanding_at_most == 0 || outstanding(*node) < plan.outstanding_at_most)
+                .filter(|node| {
+                    plan.outstanding_at_most == 0 || outstanding(*node) < plan.outstanding_at_most
+                })
+                .collect();
+            let opened: Vec<NodeId> = shunned
+                .into_iter()
+                .filter(|node| lines.set_open(*node, true))
                 .collect();
-            let opened: Vec<NodeId> =
-                shunned.into_iter().filter(|node| lines.set_open(*node, true)).collect();
             picked = lines.pick(plan.picking, chance, outstanding);
             for node in opened {
                 lines.set_open(node, false);
@@ -489,7 +586,9 @@
     fn close_try(&mut self, now: Moment, at: u32, success: Option<bool>) {
         let invocation = &mut self.invocations[at as usize];
         self.timers.remove(&(invocation.until, at));
-        let Some(node) = invocation.node.take() else { return };
+        let Some(node) = invocation.node.take() else {
+            return;
+        };
         let key = (invocation.operation, node);
         if let Some(count) = self.open.get_mut(&key) {
             *count -= 1;
@@ -497,7 +596,9 @@
                 self.open.remove(&key);
             }
         }
-        let Some(known) = self.nodes.get_mut(&node) else { return };
+        let Some(known) = self.nodes.get_mut(&node) else {
+            return;
+        };
         known.outstanding = known.outstanding.saturating_sub(1);
         let (after, span) = (self.plan.errors_until_avoided, self.plan.avoided_for);
         match success {
@@ -520,8 +621,14 @@
     ) -> Decision {
         let invocation = &self.invocations[at as usize];
         let id = InvocationId(at, invocation.use_number);
-        let Some(row) = COURSE.iter().find(|row| (row.0, row.1) == (invocation.state, input)) else {
-            return Decision { invocation: id, step: Move::Nothing };
+        let Some(row) = COURSE
+            .iter()
+            .find(|row| (row.0, row.1) == (invocation.state, input))
+        else {
+            return Decision {
+                invocation: id,
+                step: Move::Nothing,
+            };
         };
         let (next, effect) = (row.2, row.3);
         if matches!(effect, Effect::TurnAwayInstead) {
@@ -544,7 +651,10 @@
             (Effect::LetGo, _) => Move::AnswerInstead(Answer::Nobody),
             (Effect::Send | Effect::SendInstead, None) => Move::Nothing,
         };
-        Decision { invocation: id, step }
+        Decision {
+            invocation: id,
+            step,
+        }
     }
 
     fn send(&mut self, now: Moment, at: u32, node: NodeId) -> Send {
@@ -553,9 +663,17 @@
         (invocation.node, invocation.sent_at) = (Some(node), now);
         let of = &self.operations[usize::from(invocation.operation.0)];
         // One that may be followed is given up early; the last one is waited for as long as the client is.
-        let early = of.per_try_timeout.filter(|_| may_follow(of.retry, of.rules.guard, invocation.tries));
-        invocation.until = early.map_or(invocation.deadline, |early| (now + early).min(invocation.deadline));
-        let send = Send { node, number: invocation.tries, until: invocation.until };
+        let early = of
+            .per_try_timeout
+            .filter(|_| may_follow(of.retry, of.rules.guard, invocation.tries));
+        invocation.until = early.map_or(invocation.deadline, |early| {
+            (now + early).min(invocation.deadline)
+        });
+        let send = Send {
+            node,
+            number: invocation.tries,
+            until: invocation.until,
+        };
         self.timers.insert((invocation.until, at));
         *self.open.entry((invocation.operation, node)).or_insert(0) += 1;
         let known = self.nodes.entry(node).or_default();
--- a/crates/proxy-core/src/dial.rs
+++ b/crates/proxy-core/src/dial.rs
@@ -30,9 +30,24 @@
 
 const DIAL: &[(State, Input, State, Effect)] = &[
     (State::Waiting, Input::Due, State::Dialling, Effect::Dial),
-    (State::Dialling, Input::Accepted, State::Joined, Effect::Join),
-    (State::Dialling, Input::Lost, State::Waiting, Effect::CountAndWait),
-    (State::Joined, Input::Lost, State::Waiting, Effect::LeaveAndWait),
+    (
+        State::Dialling,
+        Input::Accepted,
+        State::Joined,
+        Effect::Join,
+    ),
+    (
+        State::Dialling,
+        Input::Lost,
+        State::Waiting,
+        Effect::CountAndWait,
+    ),
+    (
+        State::Joined,
+        Input::Lost,
+        State::Waiting,
+        Effect::LeaveAndWait,
+    ),
 ];
 
 /// Attempts that came to nothing, a lost stream included, before the next conductor is tried.
@@ -94,7 +109,9 @@
     }
 
     fn turn(&mut self, now: Moment, input: Input) -> Option<Effect> {
-        let row = DIAL.iter().find(|row| (row.0, row.1) == (self.state, input))?;
+        let row = DIAL
+            .iter()
+            .find(|row| (row.0, row.1) == (self.state, input))?;
         self.state = row.2;
         match row.3 {
             Effect::Dial => {}
@@ -122,12 +139,20 @@
     #[test]
     fn a_stream_that_broke_is_dialled_again_and_a_conductor_that_does_not_answer_gives_way() {
         let mut dial = Dial::new(at(0.0), 2, Span::from_seconds(1.0), 3);
-        assert_eq!((dial.due(at(0.0)), dial.due(at(0.0))), (Some(0), None), "once");
+        assert_eq!(
+            (dial.due(at(0.0)), dial.due(at(0.0))),
+            (Some(0), None),
+            "once"
+        );
         assert!(dial.accepted(at(0.1)) && dial.joined());
         assert!(dial.lost(at(5.0)), "it was joined");
         let until = dial.until().expect("it waits");
         assert!(until >= at(5.5) && until <= at(6.5));
-        assert_eq!((dial.due(at(5.4)), dial.due(until)), (None, Some(0)), "the usual one first");
+        assert_eq!(
+            (dial.due(at(5.4)), dial.due(until)),
+            (None, Some(0)),
+            "the usual one first"
+        );
         assert!(!dial.lost(until), "it did not answer");
         let until = dial.until().expect("it waits");
         assert_eq!(dial.due(until), Some(1));
--- a/crates/proxy-core/src/lib.rs
+++ b/crates/proxy-core/src/lib.rs
@@ -10,6 +10,8 @@
 pub mod shun;
 pub mod tally;
 
-pub use crate::core::{Answer, Core, CorePlan, Decision, InvocationId, Move, OperationRules, Send, TryEnd};
+pub use crate::core::{
+    Answer, Core, CorePlan, Decision, InvocationId, Move, OperationRules, Send, TryEnd,
+};
 pub use pick::Picking;
 pub use retry::{Failure, Guard, Proof};
--- a/crates/proxy-core/src/pick.rs
+++ b/crates/proxy-core/src/pick.rs
@@ -43,7 +43,12 @@
         for (node, weight) in weights {
             *merged.entry(node).or_insert(0u64) += u64::from(weight);
         }
-        let line = |(node, weight)| Line { node, weight, open: weight > 0, turn: 0 };
+        let line = |(node, weight)| Line {
+            node,
+            weight,
+            open: weight > 0,
+            turn: 0,
+        };
         let mut lines = Lines {
             lines: merged.into_iter().map(line).collect(),
             sums: Vec::new(),
@@ -76,7 +81,9 @@
     }
 
     fn place(&self, node: NodeId) -> Option<usize> {
-        self.lines.binary_search_by(|line| line.node.cmp(&node)).ok()
+        self.lines
+            .binary_search_by(|line| line.node.cmp(&node))
+            .ok()
     }
 
     fn add(&mut self, at: usize, change: i64) {
@@ -90,7 +97,9 @@
 
     /// Opens or closes a node's line; `true` if that changed it.
     pub fn set_open(&mut self, node: NodeId, open: bool) -> bool {
-        let Some(at) = self.place(node) else { return false };
+        let Some(at) = self.place(node) else {
+            return false;
+        };
         let line = &self.lines[at];
         if line.open == open || line.weight == 0 {
             return false;
@@ -177,13 +186,18 @@
     use test_case::test_case;
 
     fn node(port: u16) -> NodeId {
-        NodeId { address: [10, 0, 0, 1], port }
+        NodeId {
+            address: [10, 0, 0, 1],
+            port,
+        }
     }
 
     fn counts(lines: &mut Lines, how: Picking, picks: u32) -> BTreeMap<u16, u32> {
         let (mut chance, mut counts) = (Pcg::new(5), BTreeMap::new());
         for _ in 0..picks {
-            let picked = lines.pick(how, &mut chance, |_| 0).expect("there is a line");
+            let picked = lines
+                .pick(how, &mut chance, |_| 0)
+                .expect("there is a line");
             *counts.entry(picked.port).or_insert(0) += 1;
         }
         counts
@@ -202,7 +216,10 @@
         let counts = counts(&mut lines, how, 200_000);
         for (port, count) in &counts {
             let (share, wanted) = (f64::from(*count) / 200_000.0, f64::from(*port) / 10.0);
-            assert!((share / wanted - 1.0).abs() <= off.max(0.002), "{port}: {share} for {wanted}");
+            assert!(
+                (share / wanted - 1.0).abs() <= off.max(0.002),
+                "{port}: {share} for {wanted}"
+            );
         }
         assert_eq!(counts.keys().copied().collect::<Vec<_>>(), [1, 2, 3, 4]);
     }
@@ -211,22 +228,34 @@
     fn of_two_the_less_busy_is_taken() {
         let mut lines = Lines::new([(node(1), 1), (node(2), 1)]);
         let mut chance = Pcg::new(1);
-        let mut picks =
-            (0..100).map(|_| lines.pick(Picking::Pair, &mut chance, |node| u32::from(node.port == 1)));
-        let second = picks.by_ref().filter(|picked| *picked == Some(node(2))).count();
-        assert!(second > 60, "{second} of a hundred; a quarter draws the busy one twice");
+        let mut picks = (0..100)
+            .map(|_| lines.pick(Picking::Pair, &mut chance, |node| u32::from(node.port == 1)));
+        let second = picks
+            .by_ref()
+            .filter(|picked| *picked == Some(node(2)))
+            .count();
+        assert!(
+            second > 60,
+            "{second} of a hundred; a quarter draws the busy one twice"
+        );
     }
 
     #[test]
     fn without_an_open_line_there_is_no_pick() {
         let mut chance = Pcg::new(1);
-        assert_eq!(Lines::new([]).pick(Picking::Lottery, &mut chance, |_| 0), None);
+        assert_eq!(
+            Lines::new([]).pick(Picking::Lottery, &mut chance, |_| 0),
+            None
+        );
         let mut lines = Lines::new([(node(1), 0), (node(2), 3)]);
         lines.set_open(node(2), false);
         for how in [Picking::Lottery, Picking::Wheel, Picking::Pair] {
             assert_eq!(lines.pick(how, &mut chance, |_| 0), None);
         }
-        assert!(!lines.set_open(node(1), true), "a line of weight 0 is not opened");
+        assert!(
+            !lines.set_open(node(1), true),
+            "a line of weight 0 is not opened"
+        );
     }
 
     proptest! {
--- a/crates/proxy-core/src/retry.rs
+++ b/crates/proxy-core/src/retry.rs
@@ -40,7 +40,9 @@
     pub fn proof(self) -> Proof {
         match self {
             Failure::Connect | Failure::Unsent | Failure::Refused => Proof::NeverRan,
-            Failure::Reset | Failure::Errored | Failure::Garbled | Failure::TimedOut => Proof::MayHaveRun,
+            Failure::Reset | Failure::Errored | Failure::Garbled | Failure::TimedOut => {
+                Proof::MayHaveRun
+            }
         }
     }
 }
@@ -98,10 +100,13 @@
 /// Whether one more try is allowed, by `order` and by what the operation bears until `done_by`, the latest
 /// moment at which that try could still take effect.
 pub fn may_repeat(order: Retry, guard: Guard, past: Past, last: Proof, done_by: Moment) -> bool {
-    let allowed = ORDERS.iter().find(|row| row.0 == order).map_or(0, |row| match last {
-        Proof::NeverRan => row.1,
-        Proof::MayHaveRun => row.2,
-    });
+    let allowed = ORDERS
+        .iter()
+        .find(|row| row.0 == order)
+        .map_or(0, |row| match last {
+            Proof::NeverRan => row.1,
+            Proof::MayHaveRun => row.2,
+        });
     if past.tries > allowed {
         return false;
     }
@@ -109,15 +114,22 @@
         (Guard::Idempotent, _) => Bears::AnyRepeat,
         (Guard::SideEffecting, _) => Bears::OnlyProven,
         (Guard::Fingerprinted { .. }, None) => Bears::InWindow,
-        (Guard::Fingerprinted { window }, Some(first)) if done_by - first < window => Bears::InWindow,
+        (Guard::Fingerprinted { window }, Some(first)) if done_by - first < window => {
+            Bears::InWindow
+        }
         (Guard::Fingerprinted { .. }, Some(_)) => Bears::PastWindow,
     };
-    BEARS.iter().any(|row| (row.0, row.1, row.2) == (bears, past.proof, true))
+    BEARS
+        .iter()
+        .any(|row| (row.0, row.1, row.2) == (bears, past.proof, true))
 }
 
 /// Whether a try may be followed by another after any failure, and so is given up early.
 pub fn may_follow(order: Retry, guard: Guard, tries: u32) -> bool {
-    let allowed = ORDERS.iter().find(|row| row.0 == order).map_or(0, |row| row.2);
+    let allowed = ORDERS
+        .iter()
+        .find(|row| row.0 == order)
+        .map_or(0, |row| row.2);
     tries <= allowed && guard != Guard::SideEffecting
 }
 
@@ -133,7 +145,11 @@
 impl Budget {
     /// `part` of 1; a proxy that just started may repeat `most` at once.
     pub fn new(part: f64, most: f64) -> Budget {
-        Budget { part, most, held: most }
+        Budget {
+            part,
+            most,
+            held: most,
+        }
     }
 
     pub fn first_try(&mut self) {
@@ -156,11 +172,17 @@
 
     fn past(tries: u32, proof: Proof) -> Past {
         let first = (proof == Proof::MayHaveRun).then_some(Moment::from_seconds(1.0));
-        Past { tries, proof, first_may_have_run: first }
+        Past {
+            tries,
+            proof,
+            first_may_have_run: first,
+        }
     }
 
     fn window(seconds: f64) -> Guard {
-        Guard::Fingerprinted { window: Span::from_seconds(seconds) }
+        Guard::Fingerprinted {
+            window: Span::from_seconds(seconds),
+        }
     }
 
     // The latest the next try could take effect is 4 s after the start, 3 s after the first try.
@@ -181,16 +203,28 @@
     fn repeats(order: Retry, guard: Guard, tries: u32, failure: Failure, wanted: bool) {
         let proof = failure.proof();
         let done_by = Moment::from_seconds(4.0);
-        assert_eq!(may_repeat(order, guard, past(tries, proof), proof, done_by), wanted);
+        assert_eq!(
+            may_repeat(order, guard, past(tries, proof), proof, done_by),
+            wanted
+        );
     }
 
     #[test]
     fn a_try_that_may_have_run_is_not_forgotten_over_a_later_one_that_did_not() {
         // The second try was refused, but the first may have run: a side-effecting one stays ended.
-        let past = Past { tries: 2, ..past(2, Proof::MayHaveRun) };
+        let past = Past {
+            tries: 2,
+            ..past(2, Proof::MayHaveRun)
+        };
         let order = Retry::TwiceAfterAnyFailure;
         let done_by = Moment::from_seconds(4.0);
-        assert!(!may_repeat(order, Guard::SideEffecting, past, Proof::NeverRan, done_by));
+        assert!(!may_repeat(
+            order,
+            Guard::SideEffecting,
+            past,
+            Proof::NeverRan,
+            done_by
+        ));
     }
 
     #[test]
@@ -202,6 +236,10 @@
             budget.first_try();
             later += usize::from(budget.take());
         }
-        assert_eq!((at_once, (198..=201).contains(&later)), (3, true), "{later}");
+        assert_eq!(
+            (at_once, (198..=201).contains(&later)),
+            (3, true),
+            "{later}"
+        );
     }
 }
--- a/crates/proxy-core/src/shun.rs
+++ b/crates/proxy-core/src/shun.rs
@@ -32,14 +32,49 @@
 
 // A failure that comes back while the node is shunned already, of a try from before, changes nothing.
 const STANDING: &[(Standing, Met, Standing, Effect)] = &[
-    (Standing::Open, Met::Success, Standing::Open, Effect::ClearRun),
-    (Standing::Open, Met::Failure, Standing::Open, Effect::CountRun),
-    (Standing::Open, Met::LastFailure, Standing::Shunned, Effect::Shun),
-    (Standing::Shunned, Met::TimeOver, Standing::Trial, Effect::Nothing),
-    (Standing::Shunned, Met::Success, Standing::Trial, Effect::Nothing),
+    (
+        Standing::Open,
+        Met::Success,
+        Standing::Open,
+        Effect::ClearRun,
+    ),
+    (
+        Standing::Open,
+        Met::Failure,
+        Standing::Open,
+        Effect::CountRun,
+    ),
+    (
+        Standing::Open,
+        Met::LastFailure,
+        Standing::Shunned,
+        Effect::Shun,
+    ),
+    (
+        Standing::Shunned,
+        Met::TimeOver,
+        Standing::Trial,
+        Effect::Nothing,
+    ),
+    (
+        Standing::Shunned,
+        Met::Success,
+        Standing::Trial,
+        Effect::Nothing,
+    ),
     (Standing::Trial, Met::Success, Standing::Open, Effect::Admit),
-    (Standing::Trial, Met::Failure, Standing::Shunned, Effect::ShunLonger),
-    (Standing::Trial, Met::LastFailure, Standing::Shunned, Effect::ShunLonger),
+    (
+        Standing::Trial,
+        Met::Failure,
+        Standing::Shunned,
+        Effect::ShunLonger,
+    ),
+    (
+        Standing::Trial,
+        Met::LastFailure,
+        Standing::Shunned,
+        Effect::ShunLonger,
+    ),
 ];
 
 /// How many times the first span a node is shunned at most, when its trials fail one after the other.
@@ -58,7 +93,13 @@
 impl Default for Shunning {
     fn default() -> Self {
         let until = Moment::from_seconds(0.0);
-        Shunning { standing: Standing::Open, run: 0, until, times: 0, trying: false }
+        Shunning {
+            standing: Standing::Open,
+            run: 0,
+            until,
+            times: 0,
+            trying: false,
+        }
     }
 }
 
@@ -111,7 +152,12 @@
     }
 
     fn turn(&mut self, now: Moment, met: Met, span: Span) {
-        let Some(row) = STANDING.iter().find(|row| (row.0, row.1) == (self.standing, met)) else { return };
+        let Some(row) = STANDING
+            .iter()
+            .find(|row| (row.0, row.1) == (self.standing, met))
+        else {
+            return;
+        };
         self.standing = row.2;
         match row.3 {
             Effect::Nothing => {}
@@ -144,7 +190,13 @@
     #[test]
     fn a_run_of_failures_shuns_and_a_trial_brings_back() {
         let mut node = Shunning::default();
-        for (seconds, success) in [(0.0, false), (0.1, false), (0.2, true), (0.3, false), (0.4, false)] {
+        for (seconds, success) in [
+            (0.0, false),
+            (0.1, false),
+            (0.2, true),
+            (0.3, false),
+            (0.4, false),
+        ] {
             met(&mut node, seconds, success);
         }
         assert!(node.open(), "a success in between ends the run");
--- a/crates/proxy-core/src/tally.rs
+++ b/crates/proxy-core/src/tally.rs
@@ -34,7 +34,11 @@
 impl Tally {
     pub fn new(now: Moment, names: Vec<String>) -> Tally {
         let operations = vec![Operation::default(); names.len()];
-        Tally { names, operations, since: now }
+        Tally {
+            names,
+            operations,
+            since: now,
+        }
     }
 
     fn of(&mut self, operation: OperationId) -> Option<&mut Operation> {
@@ -42,11 +46,15 @@
     }
 
     pub fn rate_limited(&mut self, operation: OperationId) {
-        self.of(operation).into_iter().for_each(|of| of.rate_limited += 1);
+        self.of(operation)
+            .into_iter()
+            .for_each(|of| of.rate_limited += 1);
     }
 
     pub fn repeated(&mut self, operation: OperationId) {
-        self.of(operation).into_iter().for_each(|of| of.repeats += 1);
+        self.of(operation)
+            .into_iter()
+            .for_each(|of| of.repeats += 1);
     }
 
     pub fn succeeded(
@@ -63,8 +71,16 @@
         met.latency.total += latency.seconds() * 1e3;
         for (name, value) in loads {
             match met.loads.get_mut(name) {
-                Some(metric) => (metric.count, metric.total) = (metric.count + 1, metric.total + value),
-                None => drop(met.loads.insert(name.clone(), Metric { count: 1, total: *value })),
+                Some(metric) => {
+                    (metric.count, metric.total) = (metric.count + 1, metric.total + value)
+                }
+                None => drop(met.loads.insert(
+                    name.clone(),
+                    Metric {
+                        count: 1,
+                        total: *value,
+                    },
+                )),
             }
         }
     }
@@ -93,7 +109,15 @@
         let mut reports = Vec::new();
         for (place, (name, mut of)) in self.names.iter().zip(taken.drain(..)).enumerate() {
             let operation = OperationId(place as u8);
-            let range = in_progress.range((operation, NodeId { address: [0; 4], port: 0 })..);
+            let range = in_progress.range(
+                (
+                    operation,
+                    NodeId {
+                        address: [0; 4],
+                        port: 0,
+                    },
+                )..,
+            );
             for (key, _) in range.take_while(|(key, _)| key.0 == operation) {
                 of.nodes.entry(key.1).or_default();
             }
@@ -117,7 +141,10 @@
                 nodes: of.nodes.into_iter().map(node).collect(),
             });
         }
-        Some(Report { over, operations: reports })
+        Some(Report {
+            over,
+            operations: reports,
+        })
     }
 }
 
@@ -128,7 +155,10 @@
     const QUOTE: OperationId = OperationId(0);
 
     fn node(port: u16) -> NodeId {
-        NodeId { address: [10, 0, 0, 1], port }
+        NodeId {
+            address: [10, 0, 0, 1],
+            port,
+        }
     }
 
     #[test]
@@ -150,11 +180,30 @@
             "one that only has tries open is told too"
         );
         let first = &quote.nodes[0];
-        assert_eq!((first.succeeded, first.metrics["latency_ms"].mean().map(f64::round)), (2, Some(300.0)));
+        assert_eq!(
+            (
+                first.succeeded,
+                first.metrics["latency_ms"].mean().map(f64::round)
+            ),
+            (2, Some(300.0))
+        );
         assert_eq!(first.metrics["cpu_utilization"].mean(), Some(0.5));
-        let again = tally.report(at(18.0), &BTreeMap::new()).expect("time has passed");
-        assert!(again.operations.iter().all(|of| of.nodes.is_empty() && of.rate_limited == 0));
-        assert_eq!(tally.report(at(18.0), &BTreeMap::new()), None, "no time, no report");
-        assert_eq!(tally.report(at(999.0), &BTreeMap::new()), None, "too old to tell anything");
+        let again = tally
+            .report(at(18.0), &BTreeMap::new())
+            .expect("time has passed");
+        assert!(again
+            .operations
+            .iter()
+            .all(|of| of.nodes.is_empty() && of.rate_limited == 0));
+        assert_eq!(
+            tally.report(at(18.0), &BTreeMap::new()),
+            None,
+            "no time, no report"
+        );
+        assert_eq!(
+            tally.report(at(999.0), &BTreeMap::new()),
+            None,
+            "too old to tell anything"
+        );
     }
 }
--- a/crates/proxy-core/src/tests.rs
+++ b/crates/proxy-core/src/tests.rs
@@ -7,7 +7,10 @@
 const BOOK: OperationId = OperationId(1);
 
 fn node(port: u16) -> NodeId {
-    NodeId { address: [10, 0, 0, 1], port }
+    NodeId {
+        address: [10, 0, 0, 1],
+        port,
+    }
 }
 
 fn at(seconds: f64) -> Moment {
@@ -21,7 +24,10 @@
         integration_timeout: Span::from_seconds(4.0),
     };
     CorePlan {
-        operations: vec![rules("quote", Guard::Idempotent), rules("book", Guard::SideEffecting)],
+        operations: vec![
+            rules("quote", Guard::Idempotent),
+            rules("book", Guard::SideEffecting),
+        ],
         picking: Picking::Lottery,
         errors_until_avoided: 3,
         avoided_for: Span::from_seconds(3.0),
@@ -43,7 +49,10 @@
 
 fn core(ports: &[u16], retry: Retry) -> Core {
     let mut core = Core::new(at(0.0), 3, plan());
-    core.tables(at(0.0), &[(QUOTE, orders(ports, retry)), (BOOK, orders(ports, retry))]);
+    core.tables(
+        at(0.0),
+        &[(QUOTE, orders(ports, retry)), (BOOK, orders(ports, retry))],
+    );
     core
 }
 
@@ -68,7 +77,10 @@
     let (_, second) = sent(core.ended(at(0.2), id, 1, failed(Failure::Errored)));
     assert_eq!((second.node, second.number), (node(3), 2));
     // The table changes again: that makes it no fresh invocation, a third try is not made.
-    core.tables(at(0.3), &[(QUOTE, orders(&[4, 5], Retry::OnceAfterAnyFailure))]);
+    core.tables(
+        at(0.3),
+        &[(QUOTE, orders(&[4, 5], Retry::OnceAfterAnyFailure))],
+    );
     let end = core.ended(at(0.4), id, 2, failed(Failure::Errored));
     assert_eq!(end.step, Move::Answer(Answer::Failed(Failure::Errored)));
 }
@@ -85,11 +97,18 @@
             core.ended(at(now), id, 1, TryEnd::Succeeded { loads: Vec::new() });
             continue;
         }
-        assert_eq!(send.until, at(now) + Span::from_seconds(4.0), "what is not repeated is waited for");
+        assert_eq!(
+            send.until,
+            at(now) + Span::from_seconds(4.0),
+            "what is not repeated is waited for"
+        );
         now += 4.0;
         let due = core.due(at(now));
         assert_eq!(due.len(), 1);
-        assert_eq!(due[0].step, Move::AnswerInstead(Answer::Failed(Failure::TimedOut)));
+        assert_eq!(
+            due[0].step,
+            Move::AnswerInstead(Answer::Failed(Failure::TimedOut))
+        );
         lost += 1;
     }
     assert_eq!(lost, 3);
@@ -102,9 +121,17 @@
     now += 3.1;
     core.due(at(now));
     let sends: Vec<_> = (0..60).map(|_| sent(core.arrive(at(now), BOOK))).collect();
-    let trials: Vec<_> = sends.iter().filter(|(_, send)| send.node == node(1)).collect();
+    let trials: Vec<_> = sends
+        .iter()
+        .filter(|(_, send)| send.node == node(1))
+        .collect();
     assert_eq!(trials.len(), 1);
-    core.ended(at(now), trials[0].0, 1, TryEnd::Succeeded { loads: Vec::new() });
+    core.ended(
+        at(now),
+        trials[0].0,
+        1,
+        TryEnd::Succeeded { loads: Vec::new() },
+    );
     assert_eq!(core.standing(node(1)), Standing::Open);
 }
 
@@ -118,8 +145,15 @@
     assert_ne!(second.node, first.node);
     let (_, third) = sent(core.due(at(2.0))[0]);
     assert_eq!(third.until, at(4.0), "the last one is waited for");
-    assert_eq!(core.due(at(4.0))[0].step, Move::AnswerInstead(Answer::Failed(Failure::TimedOut)));
-    assert_eq!(core.ended(at(4.1), id, 3, failed(Failure::Reset)).step, Move::Nothing, "it is over");
+    assert_eq!(
+        core.due(at(4.0))[0].step,
+        Move::AnswerInstead(Answer::Failed(Failure::TimedOut))
+    );
+    assert_eq!(
+        core.ended(at(4.1), id, 3, failed(Failure::Reset)).step,
+        Move::Nothing,
+        "it is over"
+    );
     assert_eq!(core.under_way(), 0);
 }
 
@@ -130,40 +164,76 @@
         let (id, _) = sent(core.arrive(at(0.0), QUOTE));
         core.ended(at(0.0), id, 1, failed(Failure::Connect));
     }
-    assert!([1, 2].iter().all(|port| core.standing(node(*port)) == Standing::Shunned));
+    assert!([1, 2]
+        .iter()
+        .all(|port| core.standing(node(*port)) == Standing::Shunned));
     // None is better than another: they are asked all the same.
     let (id, _) = sent(core.arrive(at(0.1), QUOTE));
     core.ended(at(0.1), id, 1, failed(Failure::Connect));
-    core.tables(at(0.2), &[(QUOTE, orders(&[2], Retry::AfterProofItNeverRan))]);
+    core.tables(
+        at(0.2),
+        &[(QUOTE, orders(&[2], Retry::AfterProofItNeverRan))],
+    );
     let (id, send) = sent(core.arrive(at(0.2), QUOTE));
     assert_eq!(send.node, node(2));
     // There is no other node for the repeat that its order would allow.
     let end = core.ended(at(0.2), id, 1, failed(Failure::Connect));
     assert_eq!(end.step, Move::Answer(Answer::Failed(Failure::Connect)));
     core.tables(at(0.3), &[]);
-    assert_eq!(core.arrive(at(0.3), QUOTE).step, Move::Answer(Answer::NoNode));
+    assert_eq!(
+        core.arrive(at(0.3), QUOTE).step,
+        Move::Answer(Answer::NoNode)
+    );
 }
 
 #[test]
 fn a_level_of_nothing_answers_what_is_under_way_at_once() {
     let mut core = core(&[1, 2], Retry::Never);
     let (id, _) = sent(core.arrive(at(0.0), QUOTE));
-    let shut = Orders { dropped_of_million: 1_000_000, ..orders(&[1, 2], Retry::Never) };
-    let decisions = core.tables(at(0.1), &[(QUOTE, shut), (BOOK, orders(&[1, 2], Retry::Never))]);
+    let shut = Orders {
+        dropped_of_million: 1_000_000,
+        ..orders(&[1, 2], Retry::Never)
+    };
+    let decisions = core.tables(
+        at(0.1),
+        &[(QUOTE, shut), (BOOK, orders(&[1, 2], Retry::Never))],
+    );
     assert_eq!(decisions.len(), 1);
     assert_eq!(decisions[0].invocation, id);
-    assert!(matches!(decisions[0].step, Move::AnswerInstead(Answer::RateLimited { .. })));
-    assert!(matches!(core.arrive(at(0.1), QUOTE).step, Move::Answer(Answer::RateLimited { .. })));
+    assert!(matches!(
+        decisions[0].step,
+        Move::AnswerInstead(Answer::RateLimited { .. })
+    ));
+    assert!(matches!(
+        core.arrive(at(0.1), QUOTE).step,
+        Move::Answer(Answer::RateLimited { .. })
+    ));
     assert!(matches!(core.arrive(at(0.1), BOOK).step, Move::Send(_)));
 }
 
 #[test]
 fn a_node_takes_no_more_than_it_may_at_once() {
-    let mut core = Core::new(at(0.0), 3, CorePlan { outstanding_at_most: 2, ..plan() });
+    let mut core = Core::new(
+        at(0.0),
+        3,
+        CorePlan {
+            outstanding_at_most: 2,
+            ..plan()
+        },
+    );
     core.tables(at(0.0), &[(QUOTE, orders(&[1, 2], Retry::Never))]);
     let sends: Vec<_> = (0..4).map(|_| sent(core.arrive(at(0.0), QUOTE))).collect();
-    assert_eq!(sends.iter().filter(|(_, send)| send.node == node(1)).count(), 2);
-    assert_eq!(core.arrive(at(0.0), QUOTE).step, Move::Answer(Answer::NoNode));
+    assert_eq!(
+        sends
+            .iter()
+            .filter(|(_, send)| send.node == node(1))
+            .count(),
+        2
+    );
+    assert_eq!(
+        core.arrive(at(0.0), QUOTE).step,
+        Move::Answer(Answer::NoNode)
+    );
     core.client_gone(at(0.1), sends[0].0);
     assert_eq!(sent(core.arrive(at(0.1), QUOTE)).1.node, sends[0].1.node);
 }
@@ -180,7 +250,10 @@
     let (id, _) = sent(core.arrive(at(3.0), QUOTE));
     core.answer_began(id, 1);
     let late = core.due(at(7.0));
-    assert_eq!(late[0].step, Move::AnswerInstead(Answer::Failed(Failure::TimedOut)));
+    assert_eq!(
+        late[0].step,
+        Move::AnswerInstead(Answer::Failed(Failure::TimedOut))
+    );
 }
 
 #[test]
@@ -193,14 +266,22 @@
     let report = core.report(at(1.0)).expect("time has passed");
     let quote = &report.operations[0];
     assert_eq!((quote.repeats, quote.nodes.len()), (1, 2));
-    let good = quote.nodes.iter().find(|met| met.node == Some(second.node)).expect("met");
+    let good = quote
+        .nodes
+        .iter()
+        .find(|met| met.node == Some(second.node))
+        .expect("met");
     assert_eq!((good.succeeded, good.errored), (1, 0));
     assert_eq!(
         good.metrics["latency_ms"].mean().map(f64::round),
         Some(200.0),
         "of the try, not of the whole"
     );
-    let open: u64 = report.operations[1].nodes.iter().map(|met| met.in_progress).sum();
+    let open: u64 = report.operations[1]
+        .nodes
+        .iter()
+        .map(|met| met.in_progress)
+        .sum();
     assert_eq!(open, 1);
 }
 
@@ -208,7 +289,9 @@
 fn the_same_seed_gives_the_same_picks() {
     let picks = || {
         let mut core = core(&[1, 2, 3, 4], Retry::Never);
-        (0..200).map(|_| sent(core.arrive(at(0.0), QUOTE)).1.node.port).collect::<Vec<_>>()
+        (0..200)
+            .map(|_| sent(core.arrive(at(0.0), QUOTE)).1.node.port)
+            .collect::<Vec<_>>()
     };
     assert_eq!(picks(), picks());
 }
--- a/crates/proxy/src/client.rs
+++ b/crates/proxy/src/client.rs
@@ -77,7 +77,12 @@
                 *more = count == piece.len();
             }
             // A connection that does not stand yet has nothing to read.
-            Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::NotConnected) => {
+            Err(error)
+                if matches!(
+                    error.kind(),
+                    ErrorKind::WouldBlock | ErrorKind::NotConnected
+                ) =>
+            {
                 *more = false
             }
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
@@ -144,7 +149,9 @@
             self.output.clear();
             self.sent = 0;
             // A connection that idles holds no buffer.
-            if self.output.capacity() > AHEAD || matches!(self.stage, Stage::Head) && self.input.is_empty() {
+            if self.output.capacity() > AHEAD
+                || matches!(self.stage, Stage::Head) && self.input.is_empty()
+            {
                 self.output = Vec::new();
             }
         } else if self.sent > BEHIND {
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -32,11 +32,18 @@
 impl Stream {
     pub fn new(plan: &ProxyPlan, token: Token) -> Stream {
         let operations = &plan.core.operations;
-        let names =
-            |make: &dyn Fn(&str) -> String| operations.iter().map(|rules| make(&rules.name)).collect();
+        let names = |make: &dyn Fn(&str) -> String| {
+            operations.iter().map(|rules| make(&rules.name)).collect()
+        };
         let reader = Reader::new(vec![
-            (Kind::Endpoints, names(&|name| format!("{}{name}", discovery::LINES_APART))),
-            (Kind::Lines, names(&|name| format!("{}{name}/*", discovery::LINE))),
+            (
+                Kind::Endpoints,
+                names(&|name| format!("{}{name}", discovery::LINES_APART)),
+            ),
+            (
+                Kind::Lines,
+                names(&|name| format!("{}{name}/*", discovery::LINE)),
+            ),
             (Kind::Routes, vec![discovery::OPERATIONS.to_string()]),
         ]);
         Stream {
@@ -110,26 +117,44 @@
     fn told(&mut self, bytes: &[u8], looked: &mut Vec<Looked>) -> Result<(), String> {
         let told = discovery::read_told(bytes).map_err(|error| error.to_string())?;
         let mut made = None;
-        let step = self.reader.told(told.kind, &told.nonce, told.version, &told.delta, |reader, version| {
-            let values = |kind| reader.held(kind).map(|(_, bytes)| bytes);
-            let assignments = values(Kind::Endpoints);
-            let orders =
-                discovery::orders(version, reader.held(Kind::Lines), assignments, values(Kind::Routes));
-            made = Some(orders.map_err(|error| error.to_string())?);
-            Ok(())
-        });
+        let step = self.reader.told(
+            told.kind,
+            &told.nonce,
+            told.version,
+            &told.delta,
+            |reader, version| {
+                let values = |kind| reader.held(kind).map(|(_, bytes)| bytes);
+                let assignments = values(Kind::Endpoints);
+                let orders = discovery::orders(
+                    version,
+                    reader.held(Kind::Lines),
+                    assignments,
+                    values(Kind::Routes),
+                );
+                made = Some(orders.map_err(|error| error.to_string())?);
+                Ok(())
+            },
+        );
         if let Some(reason) = step.reply.error.clone().filter(|_| step.restart.is_none()) {
             looked.push(Looked::Refused(reason));
         }
         if let (Some(orders), Some(_)) = (made, step.complete) {
-            looked.push(Looked::New(Box::new(Held { orders, hash: self.reader.name() })));
+            looked.push(Looked::New(Box::new(Held {
+                orders,
+                hash: self.reader.name(),
+            })));
         }
         self.say(&step.reply);
         step.restart.map_or(Ok(()), Err)
     }
 
     fn dial(&mut self, poll: &Poll, now: Moment) {
-        let Some(side) = self.conductor.and_then(|conductor| self.sides.get(conductor)) else { return };
+        let Some(side) = self
+            .conductor
+            .and_then(|conductor| self.sides.get(conductor))
+        else {
+            return;
+        };
         let socket = reactor::connect_from(self.source, side.ip().octets(), side.port());
         let dialled = socket.and_then(|socket| {
             poll.add(&socket, self.token, Interest::Edges)?;
--- a/crates/proxy/src/file.rs
+++ b/crates/proxy/src/file.rs
@@ -79,7 +79,10 @@
 
 impl Default for Avoid {
     fn default() -> Self {
-        Avoid { after_errors: 3, span: Span::from_seconds(5.0) }
+        Avoid {
+            after_errors: 3,
+            span: Span::from_seconds(5.0),
+        }
     }
 }
 
@@ -93,7 +96,10 @@
 
 impl Default for Repeats {
     fn default() -> Self {
-        Repeats { part: 0.2, at_once: 10.0 }
+        Repeats {
+            part: 0.2,
+            at_once: 10.0,
+        }
     }
 }
 
@@ -195,7 +201,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum BadFile {
     #[error("{path}: {source}", path = .path.display())]
-    Unreadable { path: PathBuf, source: std::io::Error },
+    Unreadable {
+        path: PathBuf,
+        source: std::io::Error,
+    },
     #[error("{path}: {text}", path = .path.display())]
     Content { path: PathBuf, text: String },
 }
@@ -225,7 +234,11 @@
 impl ProxyPlan {
     /// How the proxy introduces itself to conductors.
     pub(crate) fn introduction(&self) -> Introduction {
-        Introduction { name: self.name.clone(), zone: self.zone.clone(), usual_rate: self.usual_rate }
+        Introduction {
+            name: self.name.clone(),
+            zone: self.zone.clone(),
+            usual_rate: self.usual_rate,
+        }
     }
 
     /// Where conductors listen.
@@ -236,14 +249,20 @@
 
 impl ProxyFile {
     pub fn read(path: &Path) -> Result<ProxyPlan, BadFile> {
-        let text = std::fs::read_to_string(path)
-            .map_err(|source| BadFile::Unreadable { path: path.to_path_buf(), source })?;
+        let text = std::fs::read_to_string(path).map_err(|source| BadFile::Unreadable {
+            path: path.to_path_buf(),
+            source,
+        })?;
         ProxyFile::parse(&text, path)
     }
 
     pub fn parse(text: &str, path: &Path) -> Result<ProxyPlan, BadFile> {
-        let content = |text: String| BadFile::Content { path: path.to_path_buf(), text };
-        let file: ProxyFile = serde_yaml_ng::from_str(text).map_err(|error| content(error.to_string()))?;
+        let content = |text: String| BadFile::Content {
+            path: path.to_path_buf(),
+            text,
+        };
+        let file: ProxyFile =
+            serde_yaml_ng::from_str(text).map_err(|error| content(error.to_string()))?;
         let base = path.parent().unwrap_or(Path::new("."));
         file.plan(base).map_err(content)
     }
@@ -252,32 +271,53 @@
         let fine = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
         let name = &self.proxy.name;
         if name.is_empty() || name.len() > 100 || !name.chars().all(fine) {
-            return Err(format!("proxy.name: `{name}` should be 1 to 100 letters, digits, - and _"));
+            return Err(format!(
+                "proxy.name: `{name}` should be 1 to 100 letters, digits, - and _"
+            ));
         }
         if self.conductors.is_empty() {
             return Err("conductors: one at least is needed".to_string());
         }
         if self.operations.is_empty() || self.operations.len() > 16 {
-            return Err(format!("operations: {}, between 1 and 16 are possible", self.operations.len()));
+            return Err(format!(
+                "operations: {}, between 1 and 16 are possible",
+                self.operations.len()
+            ));
         }
-        if !(0.0..=10.0).contains(&self.repeats.part) || !(0.0..=1e6).contains(&self.repeats.at_once) {
-            return Err("repeats: part should lie between 0 and 10, at_once between 0 and 1e6".to_string());
+        if !(0.0..=10.0).contains(&self.repeats.part)
+            || !(0.0..=1e6).contains(&self.repeats.at_once)
+        {
+            return Err(
+                "repeats: part should lie between 0 and 10, at_once between 0 and 1e6".to_string(),
+            );
         }
         let sizes = &self.sizes;
         if sizes.head < 256 || sizes.connections == 0 || sizes.connections_per_node == 0 {
-            return Err("sizes: head should be 256 at least, numbers of connections above 0".to_string());
+            return Err(
+                "sizes: head should be 256 at least, numbers of connections above 0".to_string(),
+            );
         }
         let mut operations = Vec::new();
         for (at, operation) in self.operations.iter().enumerate() {
             if operation.integration_timeout <= Span::ZERO {
-                return Err(format!("operations.{at}.integration_timeout: should be above 0"));
+                return Err(format!(
+                    "operations.{at}.integration_timeout: should be above 0"
+                ));
             }
-            if self.operations[..at].iter().any(|other| other.name == operation.name) {
-                return Err(format!("operations.{at}.name: `{}` is named twice", operation.name));
+            if self.operations[..at]
+                .iter()
+                .any(|other| other.name == operation.name)
+            {
+                return Err(format!(
+                    "operations.{at}.name: `{}` is named twice",
+                    operation.name
+                ));
             }
             let guard = match operation.repeat {
                 Repeat::Idempotent => Guard::Idempotent,
-                Repeat::Fingerprinted => Guard::Fingerprinted { window: operation.repeat_window },
+                Repeat::Fingerprinted => Guard::Fingerprinted {
+                    window: operation.repeat_window,
+                },
                 Repeat::SideEffecting => Guard::SideEffecting,
             };
             operations.push(OperationRules {
@@ -290,7 +330,10 @@
         if let Some(flaw) = tls.as_ref().and_then(TlsSide::flaw) {
             return Err(format!("tls: {flaw}"));
         }
-        let side = |side: ConductorSide| ConductorSide { tables: base.join(side.tables), ..side };
+        let side = |side: ConductorSide| ConductorSide {
+            tables: base.join(side.tables),
+            ..side
+        };
         Ok(ProxyPlan {
             name: self.proxy.name,
             zone: self.proxy.zone,
--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -84,7 +84,13 @@
     /// Takes what has come, while not more than `most` is held.
     pub fn read(&mut self, most: usize, readable: bool, piece: &mut [u8]) -> Line {
         self.more |= readable;
-        take_in(&self.socket, &mut self.input, most, piece, (&mut self.more, &mut self.ended))
+        take_in(
+            &self.socket,
+            &mut self.input,
+            most,
+            piece,
+            (&mut self.more, &mut self.ended),
+        )
     }
 
     /// There is more of an answer than was taken.
@@ -103,7 +109,10 @@
 
     /// The whole request went out and the whole answer came: another may follow on it.
     pub fn reusable(&self) -> bool {
-        let whole = self.reply.as_ref().is_some_and(|reply| reply.head.keep_alive && reply.body.done());
+        let whole = self
+            .reply
+            .as_ref()
+            .is_some_and(|reply| reply.head.keep_alive && reply.body.done());
         whole && self.sent == self.request.len() && self.input.is_empty() && !self.ended
     }
 
