--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -76,9 +76,20 @@
         let base = u64::from(instance) << 32;
         let listener = reactor::listen(plan.listen)?;
         poll.add(&listener, Token(base + LISTENER), Interest::Readable)?;
-        let roots = plan.conductors.iter().map(|side| side.tables.clone()).collect();
-        let tables = Tables::new(poll, Token(base + TABLES), &plan.name, roots, plan.publishes_status)?;
-        let stream = (plan.reads == Reads::Stream).then(|| Stream::new(&plan, Token(base + STREAM)));
+        let roots = plan
+            .conductors
+            .iter()
+            .map(|side| side.tables.clone())
+            .collect();
+        let tables = Tables::new(
+            poll,
+            Token(base + TABLES),
+            &plan.name,
+            roots,
+            plan.publishes_status,
+        )?;
+        let stream =
+            (plan.reads == Reads::Stream).then(|| Stream::new(&plan, Token(base + STREAM)));
         let reports = Reports::new(now, &plan, Token(base + REPORTS));
         let mut proxy = Proxy {
             core: Core::new(now, plan.seed, plan.core.clone()),
@@ -93,14 +104,19 @@
             stream,
             reports,
             next_sweep: now,
-            limits: Limits { head: plan.head, ..Limits::default() },
+            limits: Limits {
+                head: plan.head,
+                ..Limits::default()
+            },
             stirred: Vec::new(),
             scratch: vec![0; SCRATCH],
             witness,
             plan,
         };
         if proxy.plan.follows_unjoined {
-            proxy.tables.follow(poll, Token(base + TABLES), 0, SystemTime::now())?;
+            proxy
+                .tables
+                .follow(poll, Token(base + TABLES), 0, SystemTime::now())?;
         }
         if proxy.stream.is_none() {
             let looked = proxy.tables.start();
@@ -126,7 +142,13 @@
     }
 
     /// `token`: the lower half of the token that became ready.
-    pub fn ready(&mut self, poll: &Poll, now: Moment, token: u64, ready: Readiness) -> io::Result<()> {
+    pub fn ready(
+        &mut self,
+        poll: &Poll,
+        now: Moment,
+        token: u64,
+        ready: Readiness,
+    ) -> io::Result<()> {
         match token {
             LISTENER => self.accept(poll, now),
             REPORTS => self.turn_reports(poll, now),
@@ -152,7 +174,11 @@
         if now >= self.reports.wake_at(now) {
             self.turn_reports(poll, now);
         }
-        if self.stream.as_ref().is_some_and(|stream| now >= stream.wake_at(now)) {
+        if self
+            .stream
+            .as_ref()
+            .is_some_and(|stream| now >= stream.wake_at(now))
+        {
             self.turn_stream(poll, now);
         }
         if now >= self.next_sweep {
@@ -172,7 +198,10 @@
 
     pub fn wake_at(&self, now: Moment) -> Moment {
         let at = self.next_sweep.min(self.reports.wake_at(now));
-        let at = self.stream.as_ref().map_or(at, |stream| at.min(stream.wake_at(now)));
+        let at = self
+            .stream
+            .as_ref()
+            .map_or(at, |stream| at.min(stream.wake_at(now)));
         self.core.wake_at().map_or(at, |due| at.min(due))
     }
 
@@ -183,7 +212,8 @@
         for told in reports.turn(poll, now, || core.report(now)) {
             match told {
                 Told::Joined { conductor } => {
-                    self.witness.joined(now, conductor, self.plan.conductors.len());
+                    self.witness
+                        .joined(now, conductor, self.plan.conductors.len());
                     if let Some(stream) = &mut self.stream {
                         stream.follow(now, conductor);
                         continue;
@@ -192,7 +222,8 @@
                     match self.tables.follow(poll, token, conductor, dialled) {
                         Ok(looked) => self.looked(poll, now, looked),
                         Err(error) => {
-                            self.witness.refused(now, &format!("its directory can't be watched: {error}"));
+                            self.witness
+                                .refused(now, &format!("its directory can't be watched: {error}"));
                         }
                     }
                 }
@@ -203,7 +234,10 @@
 
     fn turn_stream(&mut self, poll: &Poll, now: Moment) {
         let looked = self.stream.as_mut().map(|stream| stream.turn(poll, now));
-        looked.into_iter().flatten().for_each(|looked| self.looked(poll, now, looked));
+        looked
+            .into_iter()
+            .flatten()
+            .for_each(|looked| self.looked(poll, now, looked));
     }
 
     fn looked(&mut self, poll: &Poll, now: Moment, looked: Looked) {
@@ -220,9 +254,12 @@
     fn take(&mut self, poll: &Poll, now: Moment, held: &Held) {
         let mut orders = Vec::new();
         for told in &held.orders.operations {
-            let Some(operation) = self.core.operation(&told.operation) else { continue };
-            let line =
-                |line: &wheelspread_session::Line| (line.node, (line.weight * THOUSANDTHS).round() as u32);
+            let Some(operation) = self.core.operation(&told.operation) else {
+                continue;
+            };
+            let line = |line: &wheelspread_session::Line| {
+                (line.node, (line.weight * THOUSANDTHS).round() as u32)
+            };
             let order = Orders {
                 lines: told.lines.iter().map(line).collect(),
                 dropped_of_million: told.dropped_of_million,
@@ -268,7 +305,9 @@
     fn client_ready(&mut self, poll: &Poll, now: Moment, slot: usize, readable: bool) {
         let most = self.plan.head + self.plan.body + AHEAD;
         loop {
-            let Some(client) = self.clients.get_mut(slot) else { return };
+            let Some(client) = self.clients.get_mut(slot) else {
+                return;
+            };
             let limit = if client.under.is_some() { AHEAD } else { most };
             if client.read(now, limit, readable, &mut self.scratch) == Line::Lost
                 || client.write(now) == Line::Lost
@@ -279,16 +318,23 @@
                 break;
             }
         }
-        let Some(client) = self.clients.get_mut(slot) else { return };
+        let Some(client) = self.clients.get_mut(slot) else {
+            return;
+        };
         if client.write(now) == Line::Lost {
             return self.client_lost(poll, now, slot);
         }
-        let idle_end = client.ended && matches!(client.stage, Stage::Head) && client.under.is_none();
+        let idle_end =
+            client.ended && matches!(client.stage, Stage::Head) && client.under.is_none();
         if client.behind() == 0 && (matches!(client.stage, Stage::Ending) || idle_end) {
             return self.client_lost(poll, now, slot);
         }
         // A node that was held back while this client took nothing goes on.
-        let node = client.under.as_ref().and_then(|under| under.node).filter(|_| client.behind() < BEHIND);
+        let node = client
+            .under
+            .as_ref()
+            .and_then(|under| under.node)
+            .filter(|_| client.behind() < BEHIND);
         if let Some(node) = node {
             if self.nodes.get(node).is_some_and(|line| line.held_back()) {
                 self.node_ready(poll, now, node, false);
@@ -299,7 +345,9 @@
     /// One step through what a client sent; `false` if there is nothing to do for now.
     fn advance(&mut self, poll: &Poll, now: Moment, slot: usize) -> bool {
         let limits = self.limits;
-        let Some(client) = self.clients.get_mut(slot) else { return false };
+        let Some(client) = self.clients.get_mut(slot) else {
+            return false;
+        };
         match &mut client.stage {
             Stage::Head => {
                 if client.input.is_empty() {
@@ -349,8 +397,11 @@
     }
 
     fn begin_body(&mut self, now: Moment, slot: usize, head: Request) -> bool {
-        let long = matches!(head.framing, Framing::Length(length) if length > self.plan.body as u64);
-        let Some(client) = self.clients.get_mut(slot) else { return false };
+        let long =
+            matches!(head.framing, Framing::Length(length) if length > self.plan.body as u64);
+        let Some(client) = self.clients.get_mut(slot) else {
+            return false;
+        };
         let target = std::str::from_utf8(&client.input[head.target.clone()]).unwrap_or("");
         if self.core.operation(http::operation(target)).is_none() {
             return self.refuse(now, slot, Own::NoOperation, "no operation of that name");
@@ -362,19 +413,33 @@
             client.queue(b"HTTP/1.1 100 Continue\r\n\r\n");
         }
         let body = Body::new(head.framing);
-        client.stage = Stage::Body { head, body, taken: 0 };
+        client.stage = Stage::Body {
+            head,
+            body,
+            taken: 0,
+        };
         true
     }
 
     /// The request is here as a whole.
     fn begin(&mut self, poll: &Poll, now: Moment, slot: usize, head: &Request, taken: usize) {
-        let Some(client) = self.clients.get_mut(slot) else { return };
+        let Some(client) = self.clients.get_mut(slot) else {
+            return;
+        };
         let target = std::str::from_utf8(&client.input[head.target.clone()]).unwrap_or("");
         let name = http::operation(target).to_string();
-        let Some(operation) = self.core.operation(&name) else { return };
-        let id = http::header(&client.input, &head.headers, "x-request-id").unwrap_or("").to_string();
+        let Some(operation) = self.core.operation(&name) else {
+            return;
+        };
+        let id = http::header(&client.input, &head.headers, "x-request-id")
+            .unwrap_or("")
+            .to_string();
         let end = head.length + taken;
-        let request = Rc::new(http::forward_request(&client.input, head, &client.input[head.length..end]));
+        let request = Rc::new(http::forward_request(
+            &client.input,
+            head,
+            &client.input[head.length..end],
+        ));
         client.consume(end);
         client.stage = Stage::Waiting;
         self.witness.arrived(now, &id, &name);
@@ -412,7 +477,9 @@
     }
 
     fn client_lost(&mut self, poll: &Poll, now: Moment, slot: usize) {
-        let Some(client) = self.clients.try_remove(slot) else { return };
+        let Some(client) = self.clients.try_remove(slot) else {
+            return;
+        };
         let _ = poll.remove(&client.socket);
         if let Some(under) = client.under {
             self.witness.answered(now, &under.id, Outcome::Nobody);
@@ -426,7 +493,9 @@
     fn act(&mut self, poll: &Poll, now: Moment, decision: Decision) {
         let mut next = Some(decision);
         while let Some(decision) = next.take() {
-            let Some(slot) = self.owner(decision.invocation) else { return };
+            let Some(slot) = self.owner(decision.invocation) else {
+                return;
+            };
             next = match decision.step {
                 Move::Nothing => None,
                 Move::Send(send) => self.send(poll, now, slot, send),
@@ -439,7 +508,11 @@
                     None
                 }
                 Move::AnswerInstead(answer) => {
-                    let failure = if let Answer::Failed(failure) = answer { Some(failure) } else { None };
+                    let failure = if let Answer::Failed(failure) = answer {
+                        Some(failure)
+                    } else {
+                        None
+                    };
                     self.abandon(now, slot, failure);
                     self.answer(now, slot, answer);
                     None
@@ -461,13 +534,22 @@
     ) -> Option<Decision> {
         let under = self.clients.get(slot)?.under.as_ref()?;
         let (invocation, request) = (under.invocation, under.request.clone());
-        self.witness.sent(now, &under.id, &under.operation, send.node, send.number);
+        self.witness
+            .sent(now, &under.id, &under.operation, send.node, send.number);
         let Some(line) = self.line_to(poll, now, send.node) else {
             return Some(self.tried(now, slot, send.node, send.number, Failure::Connect));
         };
-        let trial = Trial { client: slot, invocation, number: send.number };
+        let trial = Trial {
+            client: slot,
+            invocation,
+            number: send.number,
+        };
         self.nodes[line].carry(now, trial, request);
-        if let Some(under) = self.clients.get_mut(slot).and_then(|client| client.under.as_mut()) {
+        if let Some(under) = self
+            .clients
+            .get_mut(slot)
+            .and_then(|client| client.under.as_mut())
+        {
             under.node = Some(line);
         }
         match self.nodes[line].write() {
@@ -481,13 +563,32 @@
     }
 
     /// A try failed: told to the core.
-    fn tried(&mut self, now: Moment, slot: usize, node: NodeId, number: u32, failure: Failure) -> Decision {
-        let Some(under) = self.clients.get_mut(slot).and_then(|client| client.under.as_mut()) else {
-            return Decision { invocation: InvocationId(u32::MAX, 0), step: Move::Nothing };
+    fn tried(
+        &mut self,
+        now: Moment,
+        slot: usize,
+        node: NodeId,
+        number: u32,
+        failure: Failure,
+    ) -> Decision {
+        let Some(under) = self
+            .clients
+            .get_mut(slot)
+            .and_then(|client| client.under.as_mut())
+        else {
+            return Decision {
+                invocation: InvocationId(u32::MAX, 0),
+                step: Move::Nothing,
+            };
         };
         under.node = None;
-        self.witness.ended(now, &under.id, node, number, Some(failure));
-        let end = if under.began { TryEnd::Cut(failure) } else { TryEnd::Failed(failure) };
+        self.witness
+            .ended(now, &under.id, node, number, Some(failure));
+        let end = if under.began {
+            TryEnd::Cut(failure)
+        } else {
+            TryEnd::Failed(failure)
+        };
         self.core.ended(now, under.invocation, number, end)
     }
 
@@ -497,18 +598,31 @@
             // One that the node closed meanwhile is seen here, before anything is written on it: a look costs
             // less than a try that may have run.
             let line = &mut self.nodes[slot];
-            if line.read(1, true, &mut self.scratch) == Line::Up && !line.ended && line.input.is_empty() {
+            if line.read(1, true, &mut self.scratch) == Line::Up
+                && !line.ended
+                && line.input.is_empty()
+            {
                 return Some(slot);
             }
             self.drop_node(slot);
         }
-        if self.open.get(&node).is_some_and(|open| *open >= self.plan.connections_per_node) {
+        if self
+            .open
+            .get(&node)
+            .is_some_and(|open| *open >= self.plan.connections_per_node)
+        {
             return None;
         }
-        let socket: TcpStream = reactor::connect_from(self.plan.source, node.address, node.port).ok()?;
+        let socket: TcpStream =
+            reactor::connect_from(self.plan.source, node.address, node.port).ok()?;
         let entry = self.nodes.vacant_entry();
         let slot = entry.key();
-        poll.add(&socket, Token(self.base + NODE + slot as u64), Interest::Edges).ok()?;
+        poll.add(
+            &socket,
+            Token(self.base + NODE + slot as u64),
+            Interest::Edges,
+        )
+        .ok()?;
         entry.insert(NodeLine::new(now, socket, node));
         *self.open.entry(node).or_insert(0) += 1;
         Some(slot)
@@ -516,24 +630,46 @@
 
     /// Gives up the try that is under way: its connection is closed, whatever may still come on it.
     fn abandon(&mut self, now: Moment, slot: usize, failure: Option<Failure>) {
-        let Some(under) = self.clients.get_mut(slot).and_then(|client| client.under.as_mut()) else { return };
-        let Some(line) = under.node.take() else { return };
+        let Some(under) = self
+            .clients
+            .get_mut(slot)
+            .and_then(|client| client.under.as_mut())
+        else {
+            return;
+        };
+        let Some(line) = under.node.take() else {
+            return;
+        };
         if let (Some(failure), Some(trial)) = (failure, &self.nodes[line].trial) {
-            self.witness.ended(now, &under.id, self.nodes[line].node, trial.number, Some(failure));
+            self.witness.ended(
+                now,
+                &under.id,
+                self.nodes[line].node,
+                trial.number,
+                Some(failure),
+            );
         }
         self.drop_node(line);
     }
 
     /// The invocation is over for the core; the client is told.
     fn answer(&mut self, now: Moment, slot: usize, answer: Answer) {
-        let Some(client) = self.clients.get_mut(slot) else { return };
-        let Some(under) = client.under.take() else { return };
+        let Some(client) = self.clients.get_mut(slot) else {
+            return;
+        };
+        let Some(under) = client.under.take() else {
+            return;
+        };
         let close = !under.keep_alive || client.ended;
         let (own, said, again_in) = match answer {
             Answer::Node | Answer::Nobody => (None, "", None),
-            Answer::RateLimited { again_in } => (Some(Own::RateLimited), "turned away", Some(again_in)),
+            Answer::RateLimited { again_in } => {
+                (Some(Own::RateLimited), "turned away", Some(again_in))
+            }
             Answer::NoNode => (Some(Own::NoNode), "no node to send to", None),
-            Answer::Failed(Failure::TimedOut) => (Some(Own::NodeTimeout), "no answer in time", None),
+            Answer::Failed(Failure::TimedOut) => {
+                (Some(Own::NodeTimeout), "no answer in time", None)
+            }
             Answer::Failed(_) => (Some(Own::BadNode), "the node failed", None),
         };
         let outcome = match answer {
@@ -559,7 +695,9 @@
     // ---- nodes ----
 
     fn drop_node(&mut self, slot: usize) {
-        let Some(line) = self.nodes.try_remove(slot) else { return };
+        let Some(line) = self.nodes.try_remove(slot) else {
+            return;
+        };
         if let Some(open) = self.open.get_mut(&line.node) {
             *open -= 1;
             if *open == 0 {
@@ -579,12 +717,22 @@
     }
 
     fn node_ready(&mut self, poll: &Poll, now: Moment, slot: usize, readable: bool) {
-        let Some(line) = self.nodes.get_mut(slot) else { return };
+        let Some(line) = self.nodes.get_mut(slot) else {
+            return;
+        };
         let client = line.trial.as_ref().map(|trial| trial.client);
         let lost = line.write() == Line::Lost;
-        let behind = client.and_then(|client| self.clients.get(client)).map_or(0, Client::behind);
-        let Some(line) = self.nodes.get_mut(slot) else { return };
-        let most = if behind >= BEHIND { 0 } else { HELD + self.limits.head };
+        let behind = client
+            .and_then(|client| self.clients.get(client))
+            .map_or(0, Client::behind);
+        let Some(line) = self.nodes.get_mut(slot) else {
+            return;
+        };
+        let most = if behind >= BEHIND {
+            0
+        } else {
+            HELD + self.limits.head
+        };
         // What was answered before the connection broke still counts.
         let lost = line.read(most, readable, &mut self.scratch) == Line::Lost || lost;
         let Some(client) = client else {
@@ -642,13 +790,21 @@
                 Ok(Some(head)) if head.status / 100 == 1 && head.status != 101 => {
                     line.input.drain(..head.length);
                 }
-                Ok(Some(head)) if head.status >= 200 => return Some(self.take_head(now, slot, client, head)),
+                Ok(Some(head)) if head.status >= 200 => {
+                    return Some(self.take_head(now, slot, client, head))
+                }
                 Ok(None) if !lost && !line.ended => return None,
                 Ok(None) => {
-                    let failure = if line.input.is_empty() { line.failure() } else { Failure::Reset };
+                    let failure = if line.input.is_empty() {
+                        line.failure()
+                    } else {
+                        Failure::Reset
+                    };
                     return Some(self.reply_fails(now, slot, client, failure));
                 }
-                Ok(Some(_)) | Err(_) => return Some(self.reply_fails(now, slot, client, Failure::Garbled)),
+                Ok(Some(_)) | Err(_) => {
+                    return Some(self.reply_fails(now, slot, client, Failure::Garbled))
+                }
             }
         }
     }
@@ -661,8 +817,9 @@
         head: wheelspread_http1::Response,
     ) -> Option<Decision> {
         let line = self.nodes.get_mut(slot)?;
-        let loads =
-            http::header(&line.input, &head.headers, orca::HEADER).map(orca::read).unwrap_or_default();
+        let loads = http::header(&line.input, &head.headers, orca::HEADER)
+            .map(orca::read)
+            .unwrap_or_default();
         let failure = match head.status {
             // The form in which a node says that it takes no more and has begun nothing.
             429 | 503 => Some(Failure::Refused),
@@ -682,8 +839,11 @@
             Some(failure) => {
                 let holder = self.clients.get_mut(client)?;
                 let under = holder.under.as_mut()?;
-                self.witness.ended(now, &under.id, node, number, Some(failure));
-                let decision = self.core.ended(now, invocation, number, TryEnd::Failed(failure));
+                self.witness
+                    .ended(now, &under.id, node, number, Some(failure));
+                let decision = self
+                    .core
+                    .ended(now, invocation, number, TryEnd::Failed(failure));
                 if matches!(decision.step, Move::Send(_) | Move::SendInstead(_)) {
                     // Another node is asked; this one's answer is let go, its connection with it.
                     under.node = None;
@@ -696,8 +856,9 @@
         let line = self.nodes.get_mut(slot)?;
         let reply = line.reply.as_ref()?;
         let holder = self.clients.get_mut(client)?;
-        let close =
-            !holder.under.as_ref()?.keep_alive || holder.ended || reply.head.framing == Framing::UntilClose;
+        let close = !holder.under.as_ref()?.keep_alive
+            || holder.ended
+            || reply.head.framing == Framing::UntilClose;
         let length = reply.head.length;
         http::forward_response(&line.input, &reply.head, close, holder.output());
         line.input.drain(..length);
@@ -707,7 +868,13 @@
         None
     }
 
-    fn reply_fails(&mut self, now: Moment, slot: usize, client: usize, failure: Failure) -> Option<Decision> {
+    fn reply_fails(
+        &mut self,
+        now: Moment,
+        slot: usize,
+        client: usize,
+        failure: Failure,
+    ) -> Option<Decision> {
         let line = self.nodes.get(slot)?;
         let (node, number) = (line.node, line.trial.as_ref()?.number);
         let told = line.reply.as_ref().is_some_and(|reply| reply.told);
@@ -717,7 +884,8 @@
             let holder = self.clients.get_mut(client)?;
             let under = holder.under.take()?;
             holder.stage = Stage::Ending;
-            self.witness.answered(now, &under.id, Outcome::Failed(failure));
+            self.witness
+                .answered(now, &under.id, Outcome::Failed(failure));
             return None;
         }
         Some(self.tried(now, client, node, number, failure))
@@ -737,10 +905,20 @@
         let under = holder.under.take()?;
         if !reply.told {
             self.witness.ended(now, &under.id, node, trial.number, None);
-            self.core.ended(now, trial.invocation, trial.number, TryEnd::Succeeded { loads: reply.loads });
-        }
-        self.witness.answered(now, &under.id, Outcome::Node(reply.head.status));
-        holder.stage = if under.keep_alive { Stage::Head } else { Stage::Ending };
+            self.core.ended(
+                now,
+                trial.invocation,
+                trial.number,
+                TryEnd::Succeeded { loads: reply.loads },
+            );
+        }
+        self.witness
+            .answered(now, &under.id, Outcome::Node(reply.head.status));
+        holder.stage = if under.keep_alive {
+            Stage::Head
+        } else {
+            Stage::Ending
+        };
         holder.since = now;
         None
     }
@@ -749,8 +927,12 @@
 
     fn sweep(&mut self, poll: &Poll, now: Moment) {
         let waits = &self.plan.waits;
-        let (connect, node_idle, request, idle) =
-            (waits.connect, waits.node_idle, waits.request, waits.client_idle);
+        let (connect, node_idle, request, idle) = (
+            waits.connect,
+            waits.node_idle,
+            waits.request,
+            waits.client_idle,
+        );
         let nodes: Vec<(usize, bool)> = self
             .nodes
             .iter()
@@ -761,11 +943,17 @@
             .map(|(slot, line)| (slot, line.trial.is_some()))
             .collect();
         for (slot, carries) in nodes {
-            let client = self.nodes.get(slot).and_then(|line| line.trial.as_ref()).map(|trial| trial.client);
+            let client = self
+                .nodes
+                .get(slot)
+                .and_then(|line| line.trial.as_ref())
+                .map(|trial| trial.client);
             match client.filter(|_| carries) {
                 Some(client) => {
                     let decision = self.reply_fails(now, slot, client, Failure::Connect);
-                    decision.into_iter().for_each(|decision| self.act(poll, now, decision));
+                    decision
+                        .into_iter()
+                        .for_each(|decision| self.act(poll, now, decision));
                 }
                 None => self.drop_node(slot),
             }
@@ -778,17 +966,28 @@
                 Stage::Waiting => client.behind() > 0 && quiet > request,
             }
         };
-        let late: Vec<usize> =
-            self.clients.iter().filter(|(_, client)| late(client)).map(|(slot, _)| slot).collect();
+        let late: Vec<usize> = self
+            .clients
+            .iter()
+            .filter(|(_, client)| late(client))
+            .map(|(slot, _)| slot)
+            .collect();
         for slot in late {
-            let Some(client) = self.clients.get_mut(slot) else { continue };
+            let Some(client) = self.clients.get_mut(slot) else {
+                continue;
+            };
             let begun = matches!(client.stage, Stage::Body { .. }) || !client.input.is_empty();
             if begun
                 && client.behind() == 0
                 && client.under.is_none()
                 && !matches!(client.stage, Stage::Ending)
             {
-                self.refuse(now, slot, Own::RequestTimeout, "the rest of the request did not come");
+                self.refuse(
+                    now,
+                    slot,
+                    Own::RequestTimeout,
+                    "the rest of the request did not come",
+                );
                 self.stirred.push(slot);
             } else {
                 self.client_lost(poll, now, slot);
--- a/crates/proxy/src/reports.rs
+++ b/crates/proxy/src/reports.rs
@@ -16,7 +16,11 @@
 enum State {
     Waiting,
     Dialling(Box<ClientConnection>),
-    Joined { connection: Box<ClientConnection>, period: Span, next: Moment },
+    Joined {
+        connection: Box<ClientConnection>,
+        period: Span,
+        next: Moment,
+    },
 }
 
 pub struct Reports {
@@ -61,7 +65,12 @@
     }
 
     /// Reads, writes, dials. `report` is asked for sums when they are due.
-    pub fn turn(&mut self, poll: &Poll, now: Moment, report: impl FnOnce() -> Option<Report>) -> Vec<Told> {
+    pub fn turn(
+        &mut self,
+        poll: &Poll,
+        now: Moment,
+        report: impl FnOnce() -> Option<Report>,
+    ) -> Vec<Told> {
         if let Some(side) = self.dial.due(now) {
             self.dial(poll, now, side);
         }
@@ -86,11 +95,16 @@
                 },
             }
         }
-        if let State::Joined { connection, period, next } = &mut self.state {
+        if let State::Joined {
+            connection,
+            period,
+            next,
+        } = &mut self.state
+        {
             if now >= *next && over.is_none() {
                 *next = (*next + *period).max(now + *period * 0.5);
-                let request =
-                    report().map(|report| loads::request(&report, |_: &NodeReport| self.who.zone.clone()));
+                let request = report()
+                    .map(|report| loads::request(&report, |_: &NodeReport| self.who.zone.clone()));
                 if let Some(request) = request {
                     if !connection.send(&request.encode_to_vec()) {
                         over = Some("sums are not taken".to_string());
@@ -109,11 +123,23 @@
         self.state = match std::mem::replace(&mut self.state, State::Waiting) {
             State::Dialling(connection) => {
                 if self.dial.accepted(now) {
-                    told.push(Told::Joined { conductor: self.dial.conductor() });
+                    told.push(Told::Joined {
+                        conductor: self.dial.conductor(),
+                    });
+                }
+                State::Joined {
+                    connection,
+                    period,
+                    next: now + period,
                 }
-                State::Joined { connection, period, next: now + period }
             }
-            State::Joined { connection, next, .. } => State::Joined { connection, period, next },
+            State::Joined {
+                connection, next, ..
+            } => State::Joined {
+                connection,
+                period,
+                next,
+            },
             waiting => waiting,
         };
     }
--- a/crates/proxy/src/secure.rs
+++ b/crates/proxy/src/secure.rs
@@ -42,7 +42,10 @@
     }
 
     fn keys(&self) -> Option<KeyFiles> {
-        Some(KeyFiles { certificate: self.certificate.clone()?, key: self.key.clone()? })
+        Some(KeyFiles {
+            certificate: self.certificate.clone()?,
+            key: self.key.clone()?,
+        })
     }
 }
 
@@ -52,8 +55,11 @@
     path: &str,
     tls: Option<&TlsSide>,
 ) -> io::Result<ClientConnection> {
-    let Some(side) = tls else { return Ok(ClientConnection::new(now, socket, path, Limits::default())) };
+    let Some(side) = tls else {
+        return Ok(ClientConnection::new(now, socket, path, Limits::default()));
+    };
     let plan = client(&side.roots, side.keys().as_ref()).map_err(io::Error::other)?;
     let name = ServerName::try_from(side.name.clone()).map_err(io::Error::other)?;
-    ClientConnection::secured(now, socket, path, Limits::default(), plan, name).map_err(io::Error::other)
+    ClientConnection::secured(now, socket, path, Limits::default(), plan, name)
+        .map_err(io::Error::other)
 }
--- a/crates/proxy/src/tables.rs
+++ b/crates/proxy/src/tables.rs
@@ -38,7 +38,14 @@
     ) -> io::Result<Tables> {
         let watcher = Watcher::new(poll, token)?;
         let roots = roots.into_iter().map(Root::new).collect();
-        Ok(Tables { name: name.to_string(), roots, watcher, watched: None, version: Version(0), publishes })
+        Ok(Tables {
+            name: name.to_string(),
+            roots,
+            watcher,
+            watched: None,
+            version: Version(0),
+            publishes,
+        })
     }
 
     fn gateway(&self, conductor: usize) -> PathBuf {
@@ -70,7 +77,8 @@
             let mut watcher = Watcher::new(poll, token)?;
             watcher.add(&directory)?;
             (self.watcher, self.watched) = (watcher, Some(conductor));
-            let swapped = std::fs::symlink_metadata(directory.join(CURRENT)).and_then(|link| link.modified());
+            let swapped =
+                std::fs::symlink_metadata(directory.join(CURRENT)).and_then(|link| link.modified());
             if swapped.is_ok_and(|at| at + COARSE >= dialled) {
                 return Ok(self.look(conductor));
             }
@@ -85,7 +93,10 @@
             Moved::Overflow | Moved::Gone { .. } => true,
         };
         let moved = self.watcher.moved()?;
-        if moved.iter().any(|moved| matches!(moved, Moved::Gone { .. })) {
+        if moved
+            .iter()
+            .any(|moved| matches!(moved, Moved::Gone { .. }))
+        {
             self.watched = None;
         }
         match self.watched {
@@ -115,10 +126,15 @@
         if !self.publishes {
             return;
         }
-        let told = Status { proxy: self.name.clone(), version: self.version, refused };
+        let told = Status {
+            proxy: self.name.clone(),
+            version: self.version,
+            refused,
+        };
         let path = self.roots[conductor].status(&self.name);
         let written = status::write(&told).map_err(|error| error.to_string());
-        let written = written.and_then(|text| swap::place(&path, &text).map_err(|error| error.to_string()));
+        let written =
+            written.and_then(|text| swap::place(&path, &text).map_err(|error| error.to_string()));
         if let Err(reason) = written {
             tracing::debug!(proxy = self.name, reason, "status not published");
         }
@@ -135,20 +151,31 @@
         let directory = tempfile::tempdir().expect("a directory");
         let root = Root::new(directory.path());
         root.prepare().expect("prepared");
-        let response =
-            |kind: &str| format!(r#"{{"versionInfo": "7", "typeUrl": "type.googleapis.com/{kind}"}}"#);
+        let response = |kind: &str| {
+            format!(r#"{{"versionInfo": "7", "typeUrl": "type.googleapis.com/{kind}"}}"#)
+        };
         let documents = Documents {
             eds: response("envoy.config.endpoint.v3.ClusterLoadAssignment"),
             rds: response("envoy.config.route.v3.RouteConfiguration"),
         };
-        swap::Swap::new(&root, Version(7), &documents, "g1").run().expect("swapped");
+        swap::Swap::new(&root, Version(7), &documents, "g1")
+            .run()
+            .expect("swapped");
         let poll = Poll::new().expect("epoll");
         let hour = Duration::from_secs(3600);
-        for (dialled, taken) in [(SystemTime::now() - hour, true), (SystemTime::now() + hour, false)] {
+        for (dialled, taken) in [
+            (SystemTime::now() - hour, true),
+            (SystemTime::now() + hour, false),
+        ] {
             let roots = vec![directory.path().to_path_buf()];
             let mut tables = Tables::new(&poll, Token(1), "g1", roots, false).expect("inotify");
             let looked = tables.follow(&poll, Token(1), 0, dialled).expect("watched");
-            assert_eq!(matches!(looked, Looked::New(_)), taken, "of long ago: {}", !taken);
+            assert_eq!(
+                matches!(looked, Looked::New(_)),
+                taken,
+                "of long ago: {}",
+                !taken
+            );
         }
     }
 }
--- a/crates/proxy/src/witness.rs
+++ b/crates/proxy/src/witness.rs
@@ -22,7 +22,15 @@
     fn arrived(&mut self, _now: Moment, _id: &str, _operation: &str) {}
     fn sent(&mut self, _now: Moment, _id: &str, _operation: &str, _node: NodeId, _number: u32) {}
     /// `None`: the try succeeded.
-    fn ended(&mut self, _now: Moment, _id: &str, _node: NodeId, _number: u32, _failure: Option<Failure>) {}
+    fn ended(
+        &mut self,
+        _now: Moment,
+        _id: &str,
+        _node: NodeId,
+        _number: u32,
+        _failure: Option<Failure>,
+    ) {
+    }
     fn answered(&mut self, _now: Moment, _id: &str, _outcome: Outcome) {}
     /// Tables came into force.
     fn holds(&mut self, _now: Moment, _held: &Held) {}
--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -61,7 +61,12 @@
                     | epoll::EventFlags::ET
             }
         };
-        Ok(epoll::add(&self.epoll, what, epoll::EventData::new_u64(token.0), flags)?)
+        Ok(epoll::add(
+            &self.epoll,
+            what,
+            epoll::EventData::new_u64(token.0),
+            flags,
+        )?)
     }
 
     pub fn remove(&self, what: impl AsFd) -> io::Result<()> {
@@ -72,7 +77,10 @@
     pub fn wait(&mut self, at_most: Span, ready: &mut Vec<Readiness>) -> io::Result<()> {
         ready.clear();
         let micros = at_most.micros().max(0);
-        let timeout = Timespec { tv_sec: micros / 1_000_000, tv_nsec: (micros % 1_000_000) * 1000 };
+        let timeout = Timespec {
+            tv_sec: micros / 1_000_000,
+            tv_nsec: (micros % 1_000_000) * 1000,
+        };
         let mut room = [MaybeUninit::<epoll::Event>::uninit(); EVENTS];
         let events = match epoll::wait(&self.epoll, &mut room, Some(&timeout)) {
             Ok((events, _)) => events,
@@ -84,7 +92,8 @@
             let (flags, data) = (event.flags, event.data);
             Readiness {
                 token: Token(data.u64()),
-                readable: flags.intersects(epoll::EventFlags::IN | epoll::EventFlags::RDHUP | broken),
+                readable: flags
+                    .intersects(epoll::EventFlags::IN | epoll::EventFlags::RDHUP | broken),
                 writable: flags.intersects(epoll::EventFlags::OUT | broken),
                 closed: flags.intersects(broken),
             }
@@ -152,9 +161,12 @@
 
     /// Those that came since the last call.
     pub fn came(&self) -> Vec<i32> {
-        let read =
-            |pipe: &UnixStream| matches!(io::Read::read(&mut &*pipe, &mut [0u8; 64]), Ok(count) if count > 0);
-        self.pipes.iter().filter(|(_, pipe)| read(pipe)).map(|(signal, _)| *signal).collect()
+        let read = |pipe: &UnixStream| matches!(io::Read::read(&mut &*pipe, &mut [0u8; 64]), Ok(count) if count > 0);
+        self.pipes
+            .iter()
+            .filter(|(_, pipe)| read(pipe))
+            .map(|(signal, _)| *signal)
+            .collect()
     }
 }
 
@@ -202,7 +214,11 @@
 }
 
 /// The same from an address of one's own.
-pub fn connect_from(source: Option<Ipv4Addr>, address: [u8; 4], port: u16) -> io::Result<TcpStream> {
+pub fn connect_from(
+    source: Option<Ipv4Addr>,
+    address: [u8; 4],
+    port: u16,
+) -> io::Result<TcpStream> {
     use rustix::net::{AddressFamily, SocketFlags, SocketType};
     let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
     let socket = rustix::net::socket_with(AddressFamily::INET, SocketType::STREAM, flags, None)?;
@@ -232,11 +248,13 @@
         let mut poll = Poll::new().expect("epoll");
         let waker = Waker::new(&poll, Token(7)).expect("eventfd");
         let (before, mut ready) = (now(), Vec::new());
-        poll.wait(Span::from_seconds(0.02), &mut ready).expect("waits");
+        poll.wait(Span::from_seconds(0.02), &mut ready)
+            .expect("waits");
         assert!(ready.is_empty() && now() - before >= Span::from_seconds(0.015));
         let other = waker.clone();
         let thread = std::thread::spawn(move || other.wake());
-        poll.wait(Span::from_seconds(10.0), &mut ready).expect("waits");
+        poll.wait(Span::from_seconds(10.0), &mut ready)
+            .expect("waits");
         assert_eq!(ready.first().map(|ready| ready.token), Some(Token(7)));
         waker.rest();
         poll.wait(Span::ZERO, &mut ready).expect("waits");
@@ -251,15 +269,21 @@
         let mut poll = Poll::new().expect("epoll");
         let mut ready = Vec::new();
         let stream = connect([127, 0, 0, 1], port).expect("begins");
-        poll.add(&stream, Token(1), Interest::Edges).expect("registers");
-        poll.wait(Span::from_seconds(5.0), &mut ready).expect("waits");
+        poll.add(&stream, Token(1), Interest::Edges)
+            .expect("registers");
+        poll.wait(Span::from_seconds(5.0), &mut ready)
+            .expect("waits");
         assert!(ready[0].writable && !ready[0].closed);
         assert_eq!(accept(&listener).0.len(), 1);
         drop(listener);
         let failing = connect([127, 0, 0, 1], port).expect("begins");
         poll.remove(&stream).expect("was registered");
-        poll.add(&failing, Token(2), Interest::Edges).expect("registers");
-        poll.wait(Span::from_seconds(5.0), &mut ready).expect("waits");
-        assert!(ready.iter().any(|ready| ready.token == Token(2) && ready.closed));
+        poll.add(&failing, Token(2), Interest::Edges)
+            .expect("registers");
+        poll.wait(Span::from_seconds(5.0), &mut ready)
+            .expect("waits");
+        assert!(ready
+            .iter()
+            .any(|ready| ready.token == Token(2) && ready.closed));
     }
 }
--- a/crates/reactor/src/watch.rs
+++ b/crates/reactor/src/watch.rs
@@ -33,7 +33,10 @@
     pub fn new(poll: &Poll, token: Token) -> io::Result<Watcher> {
         let fd = inotify::init(inotify::CreateFlags::CLOEXEC | inotify::CreateFlags::NONBLOCK)?;
         poll.add(&fd, token, Interest::Readable)?;
-        Ok(Watcher { fd, directories: BTreeMap::new() })
+        Ok(Watcher {
+            fd,
+            directories: BTreeMap::new(),
+        })
     }
 
     /// Names written in place are told too, when their writer closes them: not everyone swaps.
@@ -64,12 +67,17 @@
                 moved.push(Moved::Overflow);
                 continue;
             }
-            let Some(directory) = self.directories.get(&event.wd()).cloned() else { continue };
+            let Some(directory) = self.directories.get(&event.wd()).cloned() else {
+                continue;
+            };
             let lost = inotify::ReadFlags::DELETE_SELF | inotify::ReadFlags::MOVE_SELF;
             if event.events().intersects(lost) {
                 moved.push(Moved::Gone { directory });
             } else if let Some(name) = event.file_name().and_then(|name| name.to_str().ok()) {
-                moved.push(Moved::Into { directory, name: name.to_string() });
+                moved.push(Moved::Into {
+                    directory,
+                    name: name.to_string(),
+                });
             }
         }
     }
@@ -87,14 +95,26 @@
         let mut watcher = Watcher::new(&poll, Token(3)).expect("inotify");
         watcher.add(directory.path()).expect("it is a directory");
         std::os::unix::fs::symlink("somewhere", directory.path().join(".new")).expect("made");
-        std::fs::rename(directory.path().join(".new"), directory.path().join("current")).expect("moved");
+        std::fs::rename(
+            directory.path().join(".new"),
+            directory.path().join("current"),
+        )
+        .expect("moved");
         let mut ready = Vec::new();
-        poll.wait(Span::from_seconds(5.0), &mut ready).expect("waits");
+        poll.wait(Span::from_seconds(5.0), &mut ready)
+            .expect("waits");
         let name = "current".to_string();
-        let wanted = Moved::Into { directory: directory.path().to_path_buf(), name };
+        let wanted = Moved::Into {
+            directory: directory.path().to_path_buf(),
+            name,
+        };
         assert_eq!(watcher.moved().expect("reads"), [wanted]);
         std::fs::remove_file(directory.path().join("current")).expect("removed");
         std::fs::remove_dir(directory.path()).expect("removed");
-        assert!(watcher.moved().expect("reads").iter().any(|moved| matches!(moved, Moved::Gone { .. })));
+        assert!(watcher
+            .moved()
+            .expect("reads")
+            .iter()
+            .any(|moved| matches!(moved, Moved::Gone { .. })));
     }
 }
--- a/crates/resp/src/lib.rs
+++ b/crates/resp/src/lib.rs
@@ -85,7 +85,9 @@
         }
         let start = std::mem::take(&mut self.start);
         (self.at, self.looked) = (self.at - start, self.looked.saturating_sub(start));
-        self.strings.iter_mut().for_each(|range| *range = range.start - start..range.end - start);
+        self.strings
+            .iter_mut()
+            .for_each(|range| *range = range.start - start..range.end - start);
         if let Expects::Body(end) = &mut self.expects {
             *end -= start;
         }
@@ -121,7 +123,12 @@
             Ok(true) => {
                 let strings = std::mem::take(&mut self.strings);
                 (self.start, self.looked, self.expects) = (self.at, self.at, Expects::Array);
-                Ok(Some(strings.into_iter().map(|range| &self.bytes[range]).collect()))
+                Ok(Some(
+                    strings
+                        .into_iter()
+                        .map(|range| &self.bytes[range])
+                        .collect(),
+                ))
             }
             Ok(false) => Ok(None),
             Err(error) => {
@@ -137,7 +144,9 @@
         loop {
             match self.expects {
                 Expects::Array => {
-                    let Some(count) = self.line(b'*', BadMessage::NoArray)? else { return Ok(false) };
+                    let Some(count) = self.line(b'*', BadMessage::NoArray)? else {
+                        return Ok(false);
+                    };
                     if count > self.limits.strings {
                         return Err(BadMessage::TooMany(count, self.limits.strings));
                     }
@@ -146,7 +155,9 @@
                 }
                 Expects::Head if self.missing == 0 => return Ok(true),
                 Expects::Head => {
-                    let Some(length) = self.line(b'$', BadMessage::NoString)? else { return Ok(false) };
+                    let Some(length) = self.line(b'$', BadMessage::NoString)? else {
+                        return Ok(false);
+                    };
                     // Strings that are still to come take six bytes each at least.
                     let least = self.at - self.start + length + 2 + (self.missing - 1) * 6;
                     if least > self.limits.message {
@@ -170,14 +181,21 @@
     }
 
     /// A line of a mark and a length, if it is all there.
-    fn line(&mut self, mark: u8, other: impl Fn(u8) -> BadMessage) -> Result<Option<usize>, BadMessage> {
+    fn line(
+        &mut self,
+        mark: u8,
+        other: impl Fn(u8) -> BadMessage,
+    ) -> Result<Option<usize>, BadMessage> {
         match self.bytes.get(self.at) {
             None => return Ok(None),
             Some(byte) if *byte != mark => return Err(other(*byte)),
             Some(_) => {}
         }
         let from = self.looked.max(self.at + 1);
-        let Some(end) = self.bytes[from..].iter().position(|byte| *byte == b'\r').map(|place| from + place)
+        let Some(end) = self.bytes[from..]
+            .iter()
+            .position(|byte| *byte == b'\r')
+            .map(|place| from + place)
         else {
             self.looked = self.bytes.len();
             return if self.bytes.len() - self.at > DIGITS + 1 {
@@ -190,7 +208,9 @@
         if digits.is_empty() || digits.len() > DIGITS || !digits.iter().all(u8::is_ascii_digit) {
             return Err(BadMessage::NoNumber);
         }
-        let length = digits.iter().fold(0, |sum, digit| sum * 10 + usize::from(digit - b'0'));
+        let length = digits
+            .iter()
+            .fold(0, |sum, digit| sum * 10 + usize::from(digit - b'0'));
         match self.bytes.get(end + 1) {
             None => {
                 self.looked = end;
@@ -226,7 +246,10 @@
     use proptest::prelude::*;
     use test_case::test_case;
 
-    const LIMITS: Limits = Limits { message: 200, strings: 8 };
+    const LIMITS: Limits = Limits {
+        message: 200,
+        strings: 8,
+    };
 
     fn all(reader: &mut Reader) -> Result<Vec<Vec<Vec<u8>>>, BadMessage> {
         let mut messages = Vec::new();
@@ -253,13 +276,20 @@
                 reader.feed(some);
                 all(&mut reader)
             });
-            assert_eq!(results.last().expect("some bytes"), Err(why), "cut by {cut}");
+            assert_eq!(
+                results.last().expect("some bytes"),
+                Err(why),
+                "cut by {cut}"
+            );
         }
     }
 
     #[test]
     fn memory_is_given_back_between_messages_and_never_taken_for_a_named_length() {
-        let mut reader = Reader::new(Limits { message: 1 << 20, strings: 8 });
+        let mut reader = Reader::new(Limits {
+            message: 1 << 20,
+            strings: 8,
+        });
         reader.feed(b"*1\r\n$900000\r\nabc");
         assert_eq!(reader.message(), Ok(None));
         assert!(reader.pending() == 16 && reader.held() < 1000);
--- a/crates/rollout/src/fleet.rs
+++ b/crates/rollout/src/fleet.rs
@@ -23,11 +23,18 @@
 
 impl Known {
     pub fn of(now: Moment, session: &Session) -> Known {
-        let capacity = session.learnt().map(|learnt| (learnt.node, learnt.capacity.exp())).collect();
+        let capacity = session
+            .learnt()
+            .map(|learnt| (learnt.node, learnt.capacity.exp()))
+            .collect();
         let from = now - Span::from_seconds(session.plan().sums.period.seconds() * LOOKS_BACK);
         let (tallies, seconds) = session.measured().between(from, now);
         let rate = |asked: f64| if seconds > 0.0 { asked / seconds } else { 0.0 };
-        let demand = tallies.0.iter().map(|(key, tally)| (*key, rate(tally.asked))).collect();
+        let demand = tallies
+            .0
+            .iter()
+            .map(|(key, tally)| (*key, rate(tally.asked)))
+            .collect();
         Known { capacity, demand }
     }
 
@@ -41,7 +48,10 @@
         let mean = |of: &[f64]| of.iter().sum::<f64>() / of.len().max(1) as f64;
         let mut kinds: BTreeMap<u8, Vec<f64>> = BTreeMap::new();
         for entry in nodes {
-            kinds.entry(entry.kind.0).or_default().extend(self.capacity.get(&entry.node));
+            kinds
+                .entry(entry.kind.0)
+                .or_default()
+                .extend(self.capacity.get(&entry.node));
         }
         let all = mean(&self.capacity.values().copied().collect::<Vec<_>>());
         let capacity = |entry: &ListEntry| {
@@ -49,29 +59,47 @@
             let known = self.capacity.get(&entry.node).copied();
             known.unwrap_or_else(|| alike.map_or(all, |alike| mean(alike)))
         };
-        let zone = |id: ZoneId| plan.zones.get(usize::from(id.0)).cloned().unwrap_or_default();
-        let hosts = nodes.iter().filter(|entry| entry.listing != Listing::Gone).map(|entry| {
-            let cold = plan.rules.is_cold(now, entry.started);
-            Host {
-                id: show(entry.node),
-                zone: zone(entry.zone),
-                kind: String::new(),
-                capacity: capacity(entry),
-                state: match entry.listing {
-                    Listing::Ready if cold => HostState::Cold,
-                    Listing::Ready => HostState::Ready,
-                    _ => HostState::Draining,
-                },
-                price: 0.0,
-                load_at_most: None,
-            }
-        });
+        let zone = |id: ZoneId| {
+            plan.zones
+                .get(usize::from(id.0))
+                .cloned()
+                .unwrap_or_default()
+        };
+        let hosts = nodes
+            .iter()
+            .filter(|entry| entry.listing != Listing::Gone)
+            .map(|entry| {
+                let cold = plan.rules.is_cold(now, entry.started);
+                Host {
+                    id: show(entry.node),
+                    zone: zone(entry.zone),
+                    kind: String::new(),
+                    capacity: capacity(entry),
+                    state: match entry.listing {
+                        Listing::Ready if cold => HostState::Cold,
+                        Listing::Ready => HostState::Ready,
+                        _ => HostState::Draining,
+                    },
+                    price: 0.0,
+                    load_at_most: None,
+                }
+            });
         let gateways = plan.zones.iter().enumerate().map(|(at, name)| {
-            let own = self.demand.iter().filter(|((zone, _), _)| usize::from(zone.0) == at);
+            let own = self
+                .demand
+                .iter()
+                .filter(|((zone, _), _)| usize::from(zone.0) == at);
             let named = |((_, operation), rate): (&(ZoneId, OperationId), &f64)| {
-                Some((plan.operations.get(usize::from(operation.0))?.name.clone(), *rate))
+                Some((
+                    plan.operations.get(usize::from(operation.0))?.name.clone(),
+                    *rate,
+                ))
             };
-            Gateway { id: name.clone(), zone: name.clone(), demand: own.filter_map(named).collect() }
+            Gateway {
+                id: name.clone(),
+                zone: name.clone(),
+                demand: own.filter_map(named).collect(),
+            }
         });
         let operations = plan.operations.iter().map(|operation| Operation {
             name: operation.name.clone(),
@@ -113,13 +141,20 @@
         let open = nodes.iter().filter(|entry| entry.listing == Listing::Ready);
         let open = open.filter(|entry| !stays || usize::from(entry.zone.0) == zone);
         open.fold((0, 0), |(all, warms), entry| {
-            (all + 1, warms + usize::from(!plan.rules.is_cold(now, entry.started)))
+            (
+                all + 1,
+                warms + usize::from(!plan.rules.is_cold(now, entry.started)),
+            )
         })
     };
     let mut found = Vec::new();
     for operation in &then.operations {
         // What may go anywhere has one pool.
-        let zones = if operation.stays_in_zone { plan.zones.len() } else { 1 };
+        let zones = if operation.stays_in_zone {
+            plan.zones.len()
+        } else {
+            1
+        };
         for zone in 0..zones {
             let (had, had_warm) = open(before, zone, operation.stays_in_zone);
             let (has, has_warm) = open(after, zone, operation.stays_in_zone);
@@ -131,7 +166,9 @@
             if had > 0 && has == 0 {
                 found.push(format!("pool: no node would be left for `{name}`{place}"));
             } else if had_warm > 0 && has_warm == 0 {
-                found.push(format!("cold: only {has} cold nodes would be left for `{name}`{place}"));
+                found.push(format!(
+                    "cold: only {has} cold nodes would be left for `{name}`{place}"
+                ));
             }
         }
     }
@@ -139,7 +176,12 @@
 }
 
 /// What speaks against draining a node, each with its check's name before a colon; empty: nothing.
-pub fn against_drain(now: Moment, node: NodeId, value_lost_at_most: f64, session: &Session) -> Vec<String> {
+pub fn against_drain(
+    now: Moment,
+    node: NodeId,
+    value_lost_at_most: f64,
+    session: &Session,
+) -> Vec<String> {
     let plan = session.plan();
     let before: Vec<ListEntry> = session.serving().collect();
     let Some(known) = before.iter().find(|entry| entry.node == node) else {
@@ -150,14 +192,18 @@
         return Vec::new();
     }
     let gone = |entry: &ListEntry| match entry.node == node {
-        true => ListEntry { listing: Listing::Draining, ..entry.clone() },
+        true => ListEntry {
+            listing: Listing::Draining,
+            ..entry.clone()
+        },
         false => entry.clone(),
     };
     let after: Vec<ListEntry> = before.iter().map(gone).collect();
     let mut against = emptied(now, &before, &after, plan, plan);
     let measured = Known::of(now, session);
     if against.is_empty() && measured.enough() {
-        let fleets = [&before, &after].map(|nodes| solve(&measured.fleet(now, nodes, plan), &mut || false));
+        let fleets =
+            [&before, &after].map(|nodes| solve(&measured.fleet(now, nodes, plan), &mut || false));
         if let [Ok(before), Ok(after)] = fleets {
             let lost = 1.0 - after.value_per_s / before.value_per_s.max(f64::MIN_POSITIVE);
             if lost > value_lost_at_most {
--- a/crates/rollout/src/rollout.rs
+++ b/crates/rollout/src/rollout.rs
@@ -12,7 +12,8 @@
 use wheelspread_change::checks::{self, Bounds, Way};
 use wheelspread_change::ledger::{Deadlines, Order, Record};
 use wheelspread_change::{
-    Change, ChangeId, Commit, Configuration, Effect, Finding, Input, Kept, Ledger, Refused, State, Verdict,
+    Change, ChangeId, Commit, Configuration, Effect, Finding, Input, Kept, Ledger, Refused, State,
+    Verdict,
 };
 use wheelspread_session::session::Configured;
 use wheelspread_session::{Deployment, Session};
@@ -150,7 +151,10 @@
         let (configured, flaws) = what_fits(&base, &configuration);
         let records = kept.changes.values().cloned().collect();
         let (ledger, orders) = Ledger::recover(now, configuration, records, plans.deadlines);
-        let baseline = kept.facts.get(BASELINE).and_then(|text| serde_json::from_str(text).ok());
+        let baseline = kept
+            .facts
+            .get(BASELINE)
+            .and_then(|text| serde_json::from_str(text).ok());
         let mut rollout = Rollout {
             base,
             plans,
@@ -166,7 +170,10 @@
             out: Vec::new(),
         };
         for flaw in flaws {
-            rollout.out.push(Step::Log(Note::LeftOut { field: flaw.field, text: flaw.text }));
+            rollout.out.push(Step::Log(Note::LeftOut {
+                field: flaw.field,
+                text: flaw.text,
+            }));
         }
         for Order { id, effect } in orders {
             match effect {
@@ -176,7 +183,10 @@
                 Effect::Nothing | Effect::Write | Effect::Keep | Effect::Close => {}
             }
         }
-        let under_way = rollout.forced.as_ref().and_then(|(id, _)| rollout.ledger.record(id));
+        let under_way = rollout
+            .forced
+            .as_ref()
+            .and_then(|(id, _)| rollout.ledger.record(id));
         let moving = under_way.map_or_else(Vec::new, |record| moved(&record.change));
         (rollout, configured, moving)
     }
@@ -212,25 +222,41 @@
             }),
         };
         // What waits for the disk is answered when the disk has it.
-        if !self.writing.iter().any(|writing| writing.orders.contains(&order)) {
+        if !self
+            .writing
+            .iter()
+            .any(|writing| writing.orders.contains(&order))
+        {
             self.out.push(Step::Answer { order, result });
         }
     }
 
     fn answer(&self, id: &ChangeId) -> Result<Answer, Refused> {
-        let record = self.ledger.record(id).cloned().ok_or_else(|| Refused::Unknown(id.0.clone()))?;
+        let record = self
+            .ledger
+            .record(id)
+            .cloned()
+            .ok_or_else(|| Refused::Unknown(id.0.clone()))?;
         Ok(Answer::Change(Box::new(record)))
     }
 
     fn plan(&self, now: Moment, change: Change, session: &Session) -> Result<Answer, Refused> {
-        let lines = self.ledger.plan(&change).into_iter().map(|(path, from, to)| {
-            // Where no change sets a path, the file has its word.
-            let file = in_file(&self.base, &path);
-            let (from, to) = (from.or_else(|| file.clone()), to.or(file));
-            PlanLine { path, from, to }
-        });
+        let lines = self
+            .ledger
+            .plan(&change)
+            .into_iter()
+            .map(|(path, from, to)| {
+                // Where no change sets a path, the file has its word.
+                let file = in_file(&self.base, &path);
+                let (from, to) = (from.or_else(|| file.clone()), to.or(file));
+                PlanLine { path, from, to }
+            });
         let (lines, findings) = (lines.collect(), self.check(now, &change, session).0);
-        Ok(Answer::Planned { version: self.ledger.configuration().version, lines, findings })
+        Ok(Answer::Planned {
+            version: self.ledger.configuration().version,
+            lines,
+            findings,
+        })
     }
 
     fn stage(
@@ -258,31 +284,50 @@
                 None => drop(after.values.remove(path)),
             }
         }
-        let told = |check: &str, forbids, text| Finding { check: check.to_string(), text, forbids };
+        let told = |check: &str, forbids, text| Finding {
+            check: check.to_string(),
+            text,
+            forbids,
+        };
         let then = match configured(&self.base, &after) {
             Ok(then) => then,
             Err(flaws) => {
-                let each = flaws.into_iter().map(|flaw| format!("{}: {}", flaw.field, flaw.text));
+                let each = flaws
+                    .into_iter()
+                    .map(|flaw| format!("{}: {}", flaw.field, flaw.text));
                 return Verdict(each.map(|text| told("values", true, text)).collect());
             }
         };
         let mut findings = Vec::new();
-        let listed: Vec<_> = session.nodes().listed().map(|(_, entry)| entry.node).collect();
+        let listed: Vec<_> = session
+            .nodes()
+            .listed()
+            .map(|(_, entry)| entry.node)
+            .collect();
         for node in then.values.keys().filter(|node| !listed.contains(node)) {
-            let text = format!("{} is not listed now", wheelspread_session::nodes::show(*node));
+            let text = format!(
+                "{} is not listed now",
+                wheelspread_session::nodes::show(*node)
+            );
             findings.push(told("nodes", false, text));
         }
-        let (before, after) = (session.serving().collect::<Vec<_>>(), session.serving_with(&then));
+        let (before, after) = (
+            session.serving().collect::<Vec<_>>(),
+            session.serving_with(&then),
+        );
         for text in emptied(now, &before, &after, session.plan(), &then.plan) {
             findings.push(told("pools", true, text));
         }
         let known = Known::of(now, session);
         if !known.enough() {
-            let text = "nothing was measured yet: what it does to capacity is not known".to_string();
+            let text =
+                "nothing was measured yet: what it does to capacity is not known".to_string();
             findings.push(told("measured", false, text));
         } else {
-            let (before, after) =
-                (known.fleet(now, &before, session.plan()), known.fleet(now, &after, &then.plan));
+            let (before, after) = (
+                known.fleet(now, &before, session.plan()),
+                known.fleet(now, &after, &then.plan),
+            );
             let channel = &then.plan.channel;
             let way = Way {
                 gateways: session.members().members().count() as u32,
@@ -299,7 +344,9 @@
 
     /// What the service was like before a change.
     fn measure(&mut self, now: Moment, session: &Session) {
-        let (tallies, _) = session.measured().between(now - self.plans.deadlines.watch, now);
+        let (tallies, _) = session
+            .measured()
+            .between(now - self.plans.deadlines.watch, now);
         self.baseline = Baseline::of(&tallies, session.plan());
     }
 
@@ -342,21 +389,34 @@
             return;
         }
         self.next_number += 1;
-        self.writing.push_back(Writing { number: self.next_number, commit, then, orders });
+        self.writing.push_back(Writing {
+            number: self.next_number,
+            commit,
+            then,
+            orders,
+        });
     }
 
     /// What came of a write.
     pub fn written(&mut self, now: Moment, number: u64, result: Result<(), String>) {
-        if self.writing.front().is_none_or(|writing| writing.number != number) {
+        if self
+            .writing
+            .front()
+            .is_none_or(|writing| writing.number != number)
+        {
             return;
         }
         self.at_disk = false;
         if let Err(reason) = result {
             let again_in = self.plans.deadlines.write * AGAIN;
             self.again_at = Some(now + again_in);
-            return self.out.push(Step::Log(Note::NotWritten { reason, again_in }));
+            return self
+                .out
+                .push(Step::Log(Note::NotWritten { reason, again_in }));
         }
-        let Some(writing) = self.writing.pop_front() else { return };
+        let Some(writing) = self.writing.pop_front() else {
+            return;
+        };
         let id = match &writing.then {
             Then::Nothing => return,
             Then::Staged(id) => {
@@ -366,11 +426,18 @@
             }
             Then::Force(id) => {
                 // Overtaken by its own undo: that is what goes to the gateways, when the disk has it.
-                let version = writing.commit.configuration.as_ref().map(|written| written.version);
+                let version = writing
+                    .commit
+                    .configuration
+                    .as_ref()
+                    .map(|written| written.version);
                 if version == Some(self.ledger.configuration().version) {
                     let (configured, flaws) = what_fits(&self.base, self.ledger.configuration());
                     for flaw in flaws {
-                        self.out.push(Step::Log(Note::LeftOut { field: flaw.field, text: flaw.text }));
+                        self.out.push(Step::Log(Note::LeftOut {
+                            field: flaw.field,
+                            text: flaw.text,
+                        }));
                     }
                     self.out.push(Step::Configure(Box::new(configured)));
                     self.forced = Some((id.clone(), now));
@@ -380,7 +447,10 @@
         };
         let result = self.answer(id);
         for order in writing.orders {
-            self.out.push(Step::Answer { order, result: result.clone() });
+            self.out.push(Step::Answer {
+                order,
+                result: result.clone(),
+            });
         }
     }
 
@@ -388,7 +458,10 @@
     pub fn settle(&mut self, now: Moment, session: &Session, out: &mut Vec<Step>) {
         self.reached(now, session);
         self.judge(now, session);
-        let nobody = !session.members().members().any(|(_, member)| member.joined());
+        let nobody = !session
+            .members()
+            .members()
+            .any(|(_, member)| member.joined());
         let known = session.known_until().or(nobody.then_some(now));
         let evidence = known.unwrap_or_default();
         let orders = self.ledger.due(now, evidence);
@@ -404,41 +477,60 @@
         self.again_at = None;
         if let Some(Writing { number, commit, .. }) = self.writing.front() {
             self.at_disk = true;
-            self.out.push(Step::Write { number: *number, commit: commit.clone() });
+            self.out.push(Step::Write {
+                number: *number,
+                commit: commit.clone(),
+            });
         }
     }
 
     /// Whether the gateways have taken what the session was told.
     fn reached(&mut self, now: Moment, session: &Session) {
-        let Some((id, since)) = self.forced.clone() else { return };
+        let Some((id, since)) = self.forced.clone() else {
+            return;
+        };
         let reach = session.reach();
         // Who is away takes the newest when it comes back; until the grace is over it is waited for.
         let here = reach.away == 0 || now - since >= session.plan().rules.drain_grace;
         let there = reach.configuration == self.ledger.configuration().version;
         if there && here && reach.lacking.is_empty() && reach.between == 0 {
             self.forced = None;
-            let orders = self.ledger.tell(now, &id, Input::InForce, None).unwrap_or_default();
+            let orders = self
+                .ledger
+                .tell(now, &id, Input::InForce, None)
+                .unwrap_or_default();
             self.follow(now, orders, 0);
         }
     }
 
     fn judge(&mut self, now: Moment, session: &Session) {
-        let watched = self.ledger.open().find(|record| record.state == State::Watched);
+        let watched = self
+            .ledger
+            .open()
+            .find(|record| record.state == State::Watched);
         let Some(id) = watched.map(|record| record.change.id.clone()) else {
             (self.watched_since, self.bare_since) = (None, None);
             return;
         };
-        let Some(since) = self.watched_since else { return };
+        let Some(since) = self.watched_since else {
+            return;
+        };
         let plan = session.plan();
         let bare = session.without_line();
-        self.bare_since = if bare.is_empty() { None } else { self.bare_since.or(Some(now)) };
+        self.bare_since = if bare.is_empty() {
+            None
+        } else {
+            self.bare_since.or(Some(now))
+        };
         let most = plan.rules.without_node_at_most * BARE;
         let why = match self.bare_since {
             Some(bare_since) if now - bare_since >= most => {
                 Some(format!("no line for an operation at {}", bare.join(", ")))
             }
             _ => {
-                let (tallies, _) = session.measured().between(since + plan.sums.period * SETTLES, now);
+                let (tallies, _) = session
+                    .measured()
+                    .between(since + plan.sums.period * SETTLES, now);
                 broken(&self.plans.conditions, &self.baseline, &tallies, plan)
             }
         };
@@ -456,7 +548,8 @@
             true => Some(now + session.plan().sums.period * LOOK),
             false => self.ledger.wake_at(),
         };
-        let hands = (!self.at_disk && !self.writing.is_empty()).then(|| self.again_at.unwrap_or(now));
+        let hands =
+            (!self.at_disk && !self.writing.is_empty()).then(|| self.again_at.unwrap_or(now));
         [due, hands].into_iter().flatten().min()
     }
 }
--- a/crates/rollout/src/values.rs
+++ b/crates/rollout/src/values.rs
@@ -40,21 +40,31 @@
 ];
 
 fn flaw(field: &str, text: impl Into<String>) -> Flaw {
-    Flaw { field: field.to_string(), text: text.into() }
+    Flaw {
+        field: field.to_string(),
+        text: text.into(),
+    }
 }
 
 fn is_live(path: &str) -> bool {
     let parts: Vec<&str> = path.split('.').collect();
     LIVE.iter().any(|live| {
         let wanted: Vec<&str> = live.split('.').collect();
-        wanted.len() == parts.len() && wanted.iter().zip(&parts).all(|(w, part)| w == part || *w == "*")
+        wanted.len() == parts.len()
+            && wanted
+                .iter()
+                .zip(&parts)
+                .all(|(w, part)| w == part || *w == "*")
     })
 }
 
 /// An address as `127.0.0.1:9000`.
 pub fn node(text: &str) -> Option<NodeId> {
     let address: std::net::SocketAddrV4 = text.parse().ok()?;
-    Some(NodeId { address: address.ip().octets(), port: address.port() })
+    Some(NodeId {
+        address: address.ip().octets(),
+        port: address.port(),
+    })
 }
 
 /// The place of a path in a file's value: names of operations become their positions.
@@ -86,15 +96,25 @@
     base: &Deployment,
 ) -> Result<(), Flaw> {
     match field {
-        "zone" if base.zones.iter().any(|zone| zone == text) => values.zone = Some(text.to_string()),
+        "zone" if base.zones.iter().any(|zone| zone == text) => {
+            values.zone = Some(text.to_string())
+        }
         "zone" => {
             let zones = base.zones.join(", ");
-            return Err(flaw(path, format!("zone `{text}` is not one of this deployment: {zones} are")));
+            return Err(flaw(
+                path,
+                format!("zone `{text}` is not one of this deployment: {zones} are"),
+            ));
         }
         "cell" => values.cell = Some(text.to_string()),
         "weight" => match text.parse::<f64>() {
             Ok(weight) if (1e-3..=1e6).contains(&weight) => values.weight = Some(weight),
-            _ => return Err(flaw(path, format!("`{text}` should be a number between 0.001 and 1e6"))),
+            _ => {
+                return Err(flaw(
+                    path,
+                    format!("`{text}` should be a number between 0.001 and 1e6"),
+                ))
+            }
         },
         "service" => {
             values.service = Some(match text {
@@ -118,7 +138,9 @@
     let mut plan = base.clone();
     for (path, text) in &configuration.values {
         if let Some(rest) = path.strip_prefix("nodes.") {
-            let named = rest.rsplit_once('.').and_then(|(name, field)| Some((node(name)?, field)));
+            let named = rest
+                .rsplit_once('.')
+                .and_then(|(name, field)| Some((node(name)?, field)));
             let Some((id, field)) = named else {
                 flaws.push(flaw(path, "should be nodes.ADDRESS:PORT.FIELD"));
                 continue;
@@ -130,10 +152,12 @@
             flaws.push(flaw(path, "can't change while the conductor runs"));
             continue;
         }
-        let with = serde_json::to_value(&plan).map_err(|error| error.to_string()).and_then(|mut file| {
-            *place(&mut file, path).ok_or("there is no such value")? = value(text);
-            serde_json::from_value::<Deployment>(file).map_err(|error| error.to_string())
-        });
+        let with = serde_json::to_value(&plan)
+            .map_err(|error| error.to_string())
+            .and_then(|mut file| {
+                *place(&mut file, path).ok_or("there is no such value")? = value(text);
+                serde_json::from_value::<Deployment>(file).map_err(|error| error.to_string())
+            });
         match with {
             Ok(next) => plan = next,
             Err(text) => flaws.push(flaw(path, text)),
@@ -143,11 +167,18 @@
 }
 
 /// What a configuration comes to, or every reason why it can't be.
-pub fn configured(base: &Deployment, configuration: &Configuration) -> Result<Configured, Vec<Flaw>> {
+pub fn configured(
+    base: &Deployment,
+    configuration: &Configuration,
+) -> Result<Configured, Vec<Flaw>> {
     let (plan, values, mut flaws) = merged(base, configuration);
     flaws.extend(plan.flaws());
     if flaws.is_empty() {
-        Ok(Configured { version: configuration.version, plan, values })
+        Ok(Configured {
+            version: configuration.version,
+            plan,
+            values,
+        })
     } else {
         Err(flaws)
     }
@@ -157,9 +188,20 @@
 pub fn what_fits(base: &Deployment, configuration: &Configuration) -> (Configured, Vec<Flaw>) {
     let (plan, values, mut flaws) = merged(base, configuration);
     let together = plan.flaws();
-    let plan = if together.is_empty() { plan } else { base.clone() };
+    let plan = if together.is_empty() {
+        plan
+    } else {
+        base.clone()
+    };
     flaws.extend(together);
-    (Configured { version: configuration.version, plan, values }, flaws)
+    (
+        Configured {
+            version: configuration.version,
+            plan,
+            values,
+        },
+        flaws,
+    )
 }
 
 /// Nodes that a change puts into another pool.
--- a/crates/rollout/src/watch.rs
+++ b/crates/rollout/src/watch.rs
@@ -91,11 +91,20 @@
     }
     // Of all operations together, each by its billed value: a cheap one may suffer for a dear one.
     let served = |of: &Baseline| {
-        let sums = plan.operations.iter().zip(&of.0).fold((0.0, 0.0, 0.0), |sums, (operation, usual)| {
-            let value = operation.billed_value;
-            (sums.0 + value * usual.succeeded, sums.1 + value * usual.asked, sums.2 + usual.asked)
-        });
-        (sums.1 > 0.0 && sums.2 >= conditions.invocations_at_least).then(|| (sums.0 / sums.1).min(1.0))
+        let sums =
+            plan.operations
+                .iter()
+                .zip(&of.0)
+                .fold((0.0, 0.0, 0.0), |sums, (operation, usual)| {
+                    let value = operation.billed_value;
+                    (
+                        sums.0 + value * usual.succeeded,
+                        sums.1 + value * usual.asked,
+                        sums.2 + usual.asked,
+                    )
+                });
+        (sums.1 > 0.0 && sums.2 >= conditions.invocations_at_least)
+            .then(|| (sums.0 / sums.1).min(1.0))
     };
     match (served(before), served(&now)) {
         (Some(was), Some(is)) if is < was - conditions.value_less_at_most => Some(format!(
--- a/crates/rollout/tests/kills.rs
+++ b/crates/rollout/tests/kills.rs
@@ -24,7 +24,10 @@
 }
 
 fn node(port: u16) -> NodeId {
-    NodeId { address: [127, 0, 0, 1], port }
+    NodeId {
+        address: [127, 0, 0, 1],
+        port,
+    }
 }
 
 fn plan() -> Deployment {
@@ -55,17 +58,35 @@
             apply: span(4.0),
             watch: span(1.2),
         },
-        bounds: Bounds { loses_at_most: 0.5, cold_at_most: 0.9, takes_at_most: span(4.0) },
-        conditions: Conditions { invocations_at_least: 5.0, ..Conditions::default() },
+        bounds: Bounds {
+            loses_at_most: 0.5,
+            cold_at_most: 0.9,
+            takes_at_most: span(4.0),
+        },
+        conditions: Conditions {
+            invocations_at_least: 5.0,
+            ..Conditions::default()
+        },
     }
 }
 
 fn change() -> Change {
     let sets = [
-        (format!("nodes.127.0.0.1:{MOVED}.zone"), Some("south".to_string())),
-        ("operations.quote.latency_objective".to_string(), Some("800ms".to_string())),
+        (
+            format!("nodes.127.0.0.1:{MOVED}.zone"),
+            Some("south".to_string()),
+        ),
+        (
+            "operations.quote.latency_objective".to_string(),
+            Some("800ms".to_string()),
+        ),
     ];
-    Change { id: ChangeId("move".into()), by: "dispatch".into(), base: 1, sets: sets.into() }
+    Change {
+        id: ChangeId("move".into()),
+        by: "dispatch".into(),
+        base: 1,
+        sets: sets.into(),
+    }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -112,7 +133,10 @@
 }
 
 fn gateways() -> Vec<(String, &'static str)> {
-    ["north", "south"].into_iter().flat_map(|z| (0..2).map(move |n| (format!("{z}-{n}"), z))).collect()
+    ["north", "south"]
+        .into_iter()
+        .flat_map(|z| (0..2).map(move |n| (format!("{z}-{n}"), z)))
+        .collect()
 }
 
 impl World {
@@ -154,7 +178,11 @@
     fn start(&mut self) {
         let (rollout, configured, moving) = Rollout::start(self.now, plan(), plans(), &self.kept);
         let versions = self.links.values().map(|set| set.version).collect();
-        let held = self.links.iter().map(|(proxy, set)| (proxy.clone(), TableSet::clone(set))).collect();
+        let held = self
+            .links
+            .iter()
+            .map(|(proxy, set)| (proxy.clone(), TableSet::clone(set)))
+            .collect();
         let floor = Version(self.seen.keys().last().map_or(0, |last| last.0) + 100);
         let found = Found {
             held,
@@ -166,7 +194,11 @@
             ..Found::default()
         };
         let session = Session::start(self.now, 7, configured.plan, 0, found).expect("it starts");
-        let mut running = Running { session, rollout, at_disk: Vec::new() };
+        let mut running = Running {
+            session,
+            rollout,
+            at_disk: Vec::new(),
+        };
         let record = |port: u16| NodeRecord {
             node: node(port),
             zone: if port <= 3 { "north" } else { "south" }.to_string(),
@@ -176,39 +208,75 @@
             weight: 1.0,
             started: Some((format!("{port}"), span(100.0))),
         };
-        let list = NodeList { version: "1".into(), records: (1..=6).map(record).collect() };
-        running.session.observe(self.now, Observation::List(Ok(list)));
+        let list = NodeList {
+            version: "1".into(),
+            records: (1..=6).map(record).collect(),
+        };
+        running
+            .session
+            .observe(self.now, Observation::List(Ok(list)));
         self.conductor = Some(running);
         let after = |n: usize| self.now + span(0.05 + 0.04 * n as f64);
-        self.joins = gateways().into_iter().enumerate().map(|(n, (name, _))| (after(n), name)).collect();
+        self.joins = gateways()
+            .into_iter()
+            .enumerate()
+            .map(|(n, (name, _))| (after(n), name))
+            .collect();
     }
 
     fn join(&mut self) {
-        let Some(running) = &mut self.conductor else { return };
-        let (due, later) = std::mem::take(&mut self.joins).into_iter().partition(|(at, _)| *at <= self.now);
+        let Some(running) = &mut self.conductor else {
+            return;
+        };
+        let (due, later) = std::mem::take(&mut self.joins)
+            .into_iter()
+            .partition(|(at, _)| *at <= self.now);
         self.joins = later;
         let due: Vec<(Moment, String)> = due;
         for (_, name) in due {
             self.streams += 1;
             let zone = name.split('-').next().unwrap_or_default().to_string();
-            let who = Introduction { name: name.clone(), zone, usual_rate: None };
-            let opened = Observation::StreamOpened { stream: StreamId(self.streams), who };
+            let who = Introduction {
+                name: name.clone(),
+                zone,
+                usual_rate: None,
+            };
+            let opened = Observation::StreamOpened {
+                stream: StreamId(self.streams),
+                who,
+            };
             running.session.observe(self.now, opened);
             if let Some(set) = self.links.get(&name) {
                 let (proxy, version) = (name, set.version);
-                running.session.observe(self.now, Observation::Status { proxy, version, refused: None });
+                running.session.observe(
+                    self.now,
+                    Observation::Status {
+                        proxy,
+                        version,
+                        refused: None,
+                    },
+                );
             }
         }
     }
 
     /// Every joined gateway tells what it met in the last period.
     fn report(&mut self) {
-        let Some(running) = &mut self.conductor else { return };
-        let joined = running.session.members().members().filter(|(_, member)| member.joined());
-        let joined: Vec<(String, StreamId)> =
-            joined.filter_map(|(name, member)| Some((name.to_string(), member.stream()?))).collect();
+        let Some(running) = &mut self.conductor else {
+            return;
+        };
+        let joined = running
+            .session
+            .members()
+            .members()
+            .filter(|(_, member)| member.joined());
+        let joined: Vec<(String, StreamId)> = joined
+            .filter_map(|(name, member)| Some((name.to_string(), member.stream()?)))
+            .collect();
         for (name, stream) in joined {
-            let Some(set) = self.links.get(&name) else { continue };
+            let Some(set) = self.links.get(&name) else {
+                continue;
+            };
             let errs = self.end == End::Broken && set.configuration == 2;
             let operations = set.operations.iter().map(|table| {
                 let count = 6 / table.lines.len().max(1) as u64;
@@ -224,8 +292,13 @@
                     ..OperationReport::default()
                 }
             });
-            let report = Report { over: span(0.2), operations: operations.collect() };
-            running.session.observe(self.now, Observation::Report { stream, report });
+            let report = Report {
+                over: span(0.2),
+                operations: operations.collect(),
+            };
+            running
+                .session
+                .observe(self.now, Observation::Report { stream, report });
         }
     }
 
@@ -234,17 +307,30 @@
         let known = self.seen.entry(set.version).or_insert_with(|| set.clone());
         assert_eq!(known, set, "one version, two contents");
         if let Some(before) = self.links.insert(proxy.to_string(), set.clone()) {
-            assert!(before.version <= set.version, "{proxy}: versions never fall");
+            assert!(
+                before.version <= set.version,
+                "{proxy}: versions never fall"
+            );
             let (was, is) = (before.configuration, set.configuration);
-            assert!(was <= is, "{proxy} went from configuration {was} back to {is}");
+            assert!(
+                was <= is,
+                "{proxy} went from configuration {was} back to {is}"
+            );
         }
         self.configurations.insert(set.configuration);
         for table in &set.operations {
-            assert!(!table.lines.is_empty(), "{proxy} has no line for {:?}", table.operation);
+            assert!(
+                !table.lines.is_empty(),
+                "{proxy} has no line for {:?}",
+                table.operation
+            );
         }
         // The moved node serves in one pool or in none: two gateways never find it in both.
-        let names =
-            |set: &TableSet| set.operations.iter().any(|t| t.lines.iter().any(|l| l.node == node(MOVED)));
+        let names = |set: &TableSet| {
+            set.operations
+                .iter()
+                .any(|t| t.lines.iter().any(|l| l.node == node(MOVED)))
+        };
         let pools: BTreeSet<&str> = self
             .links
             .iter()
@@ -269,27 +355,47 @@
                     return None;
                 }
                 let version = set.version;
-                let pointed = Observation::Pointed { proxy: proxy.clone(), version, result: Ok(()) };
+                let pointed = Observation::Pointed {
+                    proxy: proxy.clone(),
+                    version,
+                    result: Ok(()),
+                };
                 running.session.observe(self.now, pointed);
-                running.session.observe(self.now, Observation::Status { proxy, version, refused: None });
+                running.session.observe(
+                    self.now,
+                    Observation::Status {
+                        proxy,
+                        version,
+                        refused: None,
+                    },
+                );
             }
         }
-        running.rollout.settle(self.now, &running.session, &mut steps);
+        running
+            .rollout
+            .settle(self.now, &running.session, &mut steps);
         for step in steps {
             match step {
                 Step::Write { number, commit } => {
                     if self.point() {
                         return None;
                     }
-                    running.at_disk.push((self.now + self.disk_takes, number, commit));
+                    running
+                        .at_disk
+                        .push((self.now + self.disk_takes, number, commit));
                 }
                 Step::Configure(configured) => {
                     if self.point() {
                         return None;
                     }
                     let version = configured.version;
-                    assert_eq!(self.kept.configuration.version, version, "seen before the disk has it");
-                    running.session.observe(self.now, Observation::Configured(configured));
+                    assert_eq!(
+                        self.kept.configuration.version, version,
+                        "seen before the disk has it"
+                    );
+                    running
+                        .session
+                        .observe(self.now, Observation::Configured(configured));
                     if self.point() {
                         return None;
                     }
@@ -304,7 +410,9 @@
                 continue;
             }
             if self.now < self.disk_full_until {
-                running.rollout.written(self.now, number, Err("the disk is full".into()));
+                running
+                    .rollout
+                    .written(self.now, number, Err("the disk is full".into()));
                 continue;
             }
             self.kept.take(commit);
@@ -329,9 +437,13 @@
             }
             _ => return,
         };
-        let Some(running) = &mut self.conductor else { return };
+        let Some(running) = &mut self.conductor else {
+            return;
+        };
         self.orders += 1;
-        running.rollout.ask(self.now, self.orders, ask, &running.session);
+        running
+            .rollout
+            .ask(self.now, self.orders, ask, &running.session);
     }
 
     fn answered(&mut self, _: u64, result: Result<Answer, Refused>) {
@@ -343,20 +455,35 @@
         match record.state {
             State::Proposed | State::Checked => {}
             State::Staged => self.staged = true,
-            State::Applying | State::Watched | State::Kept => (self.staged, self.applied) = (true, true),
-            State::Undoing | State::Undone => (self.staged, self.applied, self.undone) = (true, true, true),
+            State::Applying | State::Watched | State::Kept => {
+                (self.staged, self.applied) = (true, true)
+            }
+            State::Undoing | State::Undone => {
+                (self.staged, self.applied, self.undone) = (true, true, true)
+            }
             State::Refused => panic!("{:?}", record.why),
         }
     }
 
     fn record(&self) -> Option<&Record> {
-        self.conductor.as_ref()?.rollout.ledger().record(&change().id)
+        self.conductor
+            .as_ref()?
+            .rollout
+            .ledger()
+            .record(&change().id)
     }
 
     fn over(&self) -> bool {
-        let wanted = if self.end == End::Kept { State::Kept } else { State::Undone };
+        let wanted = if self.end == End::Kept {
+            State::Kept
+        } else {
+            State::Undone
+        };
         let there = self.record().is_some_and(|record| record.state == wanted);
-        let told = self.conductor.as_ref().is_some_and(|running| running.rollout.unwritten() == 0);
+        let told = self
+            .conductor
+            .as_ref()
+            .is_some_and(|running| running.rollout.unwritten() == 0);
         there && told && self.joins.is_empty()
     }
 
@@ -388,13 +515,32 @@
     fn check(&self) {
         let record = self.record().expect("known");
         let version = if self.end == End::Kept { 2 } else { 3 };
-        assert_eq!((record.made, self.kept.configuration.version), (Some(2), version), "applied once");
-        assert_eq!(self.kept.changes[&change().id.0].state, record.state, "the disk knows how it ended");
-        assert!(self.configurations.iter().all(|seen| *seen <= version), "{:?}", self.configurations);
+        assert_eq!(
+            (record.made, self.kept.configuration.version),
+            (Some(2), version),
+            "applied once"
+        );
+        assert_eq!(
+            self.kept.changes[&change().id.0].state,
+            record.state,
+            "the disk knows how it ended"
+        );
+        assert!(
+            self.configurations.iter().all(|seen| *seen <= version),
+            "{:?}",
+            self.configurations
+        );
         for (name, set) in &self.links {
             assert_eq!(set.configuration, version, "{name}");
-            let there = set.operations.iter().all(|t| t.lines.iter().any(|line| line.node == node(MOVED)));
-            let pool = if self.end == End::Kept { "south" } else { "north" };
+            let there = set
+                .operations
+                .iter()
+                .all(|t| t.lines.iter().any(|line| line.node == node(MOVED)));
+            let pool = if self.end == End::Kept {
+                "south"
+            } else {
+                "north"
+            };
             assert_eq!(there, name.starts_with(pool), "{name} {set:?}");
         }
     }
@@ -434,8 +580,14 @@
     // A disk that stays full longer than a change may take to apply: it never was in force, and says so.
     let mut stuck = World::new(End::Undone, vec![]);
     stuck.staged_then_full(9.0);
-    assert_eq!(stuck.record().map(|record| record.state), Some(State::Undone));
-    assert!(stuck.links.values().all(|set| set.configuration != 2), "no gateway ever saw it");
+    assert_eq!(
+        stuck.record().map(|record| record.state),
+        Some(State::Undone)
+    );
+    assert!(
+        stuck.links.values().all(|set| set.configuration != 2),
+        "no gateway ever saw it"
+    );
 }
 
 impl World {
--- a/crates/session/src/back.rs
+++ b/crates/session/src/back.rs
@@ -59,7 +59,11 @@
 fn shares(tables: &[OperationTable], counts: impl Fn(NodeId) -> bool) -> BTreeMap<NodeId, f64> {
     let mut sums: BTreeMap<NodeId, f64> = BTreeMap::new();
     for table in tables {
-        let lines: Vec<_> = table.lines.iter().filter(|line| counts(line.node)).collect();
+        let lines: Vec<_> = table
+            .lines
+            .iter()
+            .filter(|line| counts(line.node))
+            .collect();
         let all: f64 = lines.iter().map(|line| line.weight).sum();
         for line in lines {
             *sums.entry(line.node).or_insert(0.0) += line.weight / all.max(f64::MIN_POSITIVE);
@@ -77,7 +81,11 @@
     pub fn put(&self, mut event: Event) -> Event {
         if let Event::List { entries, .. } = &mut event {
             for entry in entries {
-                entry.weight = self.weights.get(&entry.node).copied().unwrap_or(entry.weight);
+                entry.weight = self
+                    .weights
+                    .get(&entry.node)
+                    .copied()
+                    .unwrap_or(entry.weight);
             }
         }
         event
@@ -102,31 +110,53 @@
             Some(_) if !present.contains_key(node) => Some(LeftOut::KeptOut),
             Some(_) => None,
         };
-        let left_out: BTreeMap<NodeId, LeftOut> =
-            named.keys().filter_map(|node| Some((*node, judge(node)?))).collect();
+        let left_out: BTreeMap<NodeId, LeftOut> = named
+            .keys()
+            .filter_map(|node| Some((*node, judge(node)?)))
+            .collect();
         let counts = |node: NodeId| named.contains_key(&node) && !left_out.contains_key(&node);
-        let (from, to) = (shares(&now_held.operations, counts), shares(&old.operations, counts));
+        let (from, to) = (
+            shares(&now_held.operations, counts),
+            shares(&old.operations, counts),
+        );
         for (node, wanted) in &to {
-            let (Some(held), Some(entry)) = (from.get(node), listed.get(node)) else { continue };
+            let (Some(held), Some(entry)) = (from.get(node), listed.get(node)) else {
+                continue;
+            };
             let weight = self.weights.get(node).copied().unwrap_or(entry.weight);
-            self.weights.insert(*node, (weight * wanted / held.max(1e-9)).clamp(LEAST, MOST));
+            self.weights
+                .insert(*node, (weight * wanted / held.max(1e-9)).clamp(LEAST, MOST));
         }
         // What the old version did not name gets next to nothing; a cold node's weight is the module's.
         let fresh = present.keys().filter(|node| !named.contains_key(*node));
-        for node in fresh.filter(|node| judge(node).is_none()).copied().collect::<Vec<_>>() {
+        for node in fresh
+            .filter(|node| judge(node).is_none())
+            .copied()
+            .collect::<Vec<_>>()
+        {
             self.weights.insert(node, LEAST);
         }
-        let count =
-            self.correcting.as_ref().filter(|(set, ..)| set.version == old.version).map_or(0, |c| c.1 + 1);
+        let count = self
+            .correcting
+            .as_ref()
+            .filter(|(set, ..)| set.version == old.version)
+            .map_or(0, |c| c.1 + 1);
         self.correcting =
             (count < CORRECTIONS).then(|| (old.clone(), count, now + Span::from_seconds(APART)));
         self.version = Some(old.version);
-        Stepped { version: old.version, lines: to.len(), left_out: left_out.into_iter().collect() }
+        Stepped {
+            version: old.version,
+            lines: to.len(),
+            left_out: left_out.into_iter().collect(),
+        }
     }
 
     /// The version to be corrected towards now.
     pub fn due(&self, now: Moment) -> Option<Arc<TableSet>> {
-        self.correcting.as_ref().filter(|(.., at)| *at <= now).map(|(set, ..)| set.clone())
+        self.correcting
+            .as_ref()
+            .filter(|(.., at)| *at <= now)
+            .map(|(set, ..)| set.clone())
     }
 
     /// Lets go of all pins; returns whose weight is again its listed one.
--- a/crates/session/src/book.rs
+++ b/crates/session/src/book.rs
@@ -73,16 +73,34 @@
     let mut counted = BTreeSet::new();
     let mut apart = 0;
     for new in &to.operations {
-        let old = from.and_then(|set| set.operations.iter().find(|old| old.operation == new.operation));
-        apart += usize::from(old.is_none_or(|old| (old.quota, old.retry) != (new.quota, new.retry)));
+        let old = from.and_then(|set| {
+            set.operations
+                .iter()
+                .find(|old| old.operation == new.operation)
+        });
+        apart +=
+            usize::from(old.is_none_or(|old| (old.quota, old.retry) != (new.quota, new.retry)));
         if !counted.insert(new.table) {
             continue;
         }
-        let before: BTreeMap<NodeId, f64> =
-            old.iter().flat_map(|old| &old.lines).map(|line| (line.node, line.weight)).collect();
-        let after: BTreeMap<NodeId, f64> = new.lines.iter().map(|line| (line.node, line.weight)).collect();
-        apart += after.iter().filter(|(node, weight)| before.get(node) != Some(weight)).count();
-        apart += before.keys().filter(|node| !after.contains_key(node)).count();
+        let before: BTreeMap<NodeId, f64> = old
+            .iter()
+            .flat_map(|old| &old.lines)
+            .map(|line| (line.node, line.weight))
+            .collect();
+        let after: BTreeMap<NodeId, f64> = new
+            .lines
+            .iter()
+            .map(|line| (line.node, line.weight))
+            .collect();
+        apart += after
+            .iter()
+            .filter(|(node, weight)| before.get(node) != Some(weight))
+            .count();
+        apart += before
+            .keys()
+            .filter(|node| !after.contains_key(node))
+            .count();
     }
     apart
 }
@@ -90,7 +108,10 @@
 /// Whether `to` takes a node away that `from` names.
 pub fn removes_lines(from: &TableSet, to: &TableSet) -> bool {
     from.operations.iter().any(|old| {
-        let new = to.operations.iter().find(|new| new.operation == old.operation);
+        let new = to
+            .operations
+            .iter()
+            .find(|new| new.operation == old.operation);
         let still = |node| new.is_some_and(|new| new.lines.iter().any(|line| line.node == node));
         old.lines.iter().any(|line| !still(line.node))
     })
@@ -99,7 +120,11 @@
 impl Book {
     /// `last`: the highest version that is known to have been published before.
     pub fn new(operations: usize, last: Version) -> Book {
-        Book { operations, last, ..Book::default() }
+        Book {
+            operations,
+            last,
+            ..Book::default()
+        }
     }
 
     /// From now on tables are made under another configuration: all of them say so.
@@ -131,7 +156,11 @@
         retry: Retry,
     ) {
         let all: Vec<OperationId> = (0..self.operations as u8).map(OperationId).collect();
-        let operations = if operations.is_empty() { &all } else { operations };
+        let operations = if operations.is_empty() {
+            &all
+        } else {
+            operations
+        };
         let levels = match table {
             Some(table) => {
                 self.changed.insert(table);
@@ -142,7 +171,11 @@
                 &mut self.for_all
             }
         };
-        levels.extend(operations.iter().map(|operation| (*operation, (quota, retry))));
+        levels.extend(
+            operations
+                .iter()
+                .map(|operation| (*operation, (quota, retry))),
+        );
     }
 
     pub fn withdraw(&mut self, node: NodeId, out: bool) {
@@ -157,7 +190,11 @@
     /// Binds a proxy's operations to a table; its other operations keep theirs.
     pub fn bind(&mut self, proxy: ProxyId, table: TableId, operations: &[OperationId]) {
         let all: Vec<OperationId> = (0..self.operations as u8).map(OperationId).collect();
-        let operations = if operations.is_empty() { &all } else { operations };
+        let operations = if operations.is_empty() {
+            &all
+        } else {
+            operations
+        };
         let bundle = self.bound.entry(proxy).or_default();
         bundle.extend(operations.iter().map(|operation| (*operation, table)));
         let next = BundleId(self.numbers.len() as u32);
@@ -203,8 +240,14 @@
 
     /// The newest versions of the bundles that some proxy is bound to.
     pub fn in_force(&self) -> impl Iterator<Item = &Arc<TableSet>> {
-        let in_use: BTreeSet<BundleId> = self.bound.values().map(|bundle| self.numbers[bundle]).collect();
-        in_use.into_iter().filter_map(|bundle| self.newest.get(&bundle))
+        let in_use: BTreeSet<BundleId> = self
+            .bound
+            .values()
+            .map(|bundle| self.numbers[bundle])
+            .collect();
+        in_use
+            .into_iter()
+            .filter_map(|bundle| self.newest.get(&bundle))
     }
 
     /// Makes new versions of the bundles whose tables changed. `zone` tells where a node stands.
@@ -231,7 +274,12 @@
             }
             self.last = Version(self.last.0 + 1);
             let configuration = self.configuration;
-            let set = TableSet { bundle: id, version: self.last, configuration, operations };
+            let set = TableSet {
+                bundle: id,
+                version: self.last,
+                configuration,
+                operations,
+            };
             self.newest.insert(id, Arc::new(set));
             published.push(id);
         }
@@ -250,10 +298,26 @@
         let own = known.and_then(|table| table.levels.get(&operation));
         let all = self.for_all.get(&operation);
         // Where both are set the lower level prevails, and the table's own way to try again.
-        let quota = own.into_iter().chain(all).map(|level| level.0).reduce(f64::min);
-        let retry = own.or(all).map_or(Retry::AfterProofItNeverRan, |level| level.1);
-        let lines = lines.map(|(node, weight)| Line { node: *node, zone: zone(*node), weight: *weight });
-        OperationTable { operation, table, lines: lines.collect(), quota, retry }
+        let quota = own
+            .into_iter()
+            .chain(all)
+            .map(|level| level.0)
+            .reduce(f64::min);
+        let retry = own
+            .or(all)
+            .map_or(Retry::AfterProofItNeverRan, |level| level.1);
+        let lines = lines.map(|(node, weight)| Line {
+            node: *node,
+            zone: zone(*node),
+            weight: *weight,
+        });
+        OperationTable {
+            operation,
+            table,
+            lines: lines.collect(),
+            quota,
+            retry,
+        }
     }
 }
 
@@ -265,7 +329,10 @@
     const BOOK: OperationId = OperationId(1);
 
     fn node(port: u16) -> NodeId {
-        NodeId { address: [127, 0, 0, 1], port }
+        NodeId {
+            address: [127, 0, 0, 1],
+            port,
+        }
     }
 
     fn book() -> Book {
@@ -284,9 +351,17 @@
         let mut book = book();
         assert_eq!(book.publish(|_| String::new()).len(), 1);
         assert_eq!(book.bundle_of(ProxyId(0)), book.bundle_of(ProxyId(1)));
-        assert_eq!(book.last(), Version(41), "it goes on after what was published before");
+        assert_eq!(
+            book.last(),
+            Version(41),
+            "it goes on after what was published before"
+        );
         book.set_line(TableId(0), node(1), 25.0);
-        assert_eq!(book.publish(|_| String::new()), [], "the same content is no new version");
+        assert_eq!(
+            book.publish(|_| String::new()),
+            [],
+            "the same content is no new version"
+        );
     }
 
     #[test]
@@ -298,8 +373,15 @@
         book.set_line(TableId(0), node(1), 0.0);
         book.set_line(TableId(1), node(8), 1.0);
         let published = book.publish(|_| String::new());
-        assert_eq!(published.len(), 2, "the bundle with both tables and the one with the first only");
-        let both = book.bundle_of(ProxyId(0)).and_then(|id| book.newest(id)).expect("bound");
+        assert_eq!(
+            published.len(),
+            2,
+            "the bundle with both tables and the one with the first only"
+        );
+        let both = book
+            .bundle_of(ProxyId(0))
+            .and_then(|id| book.newest(id))
+            .expect("bound");
         let lines = |operation: OperationId| both.operations[usize::from(operation.0)].lines.len();
         assert_eq!((lines(QUOTE), lines(BOOK)), (3, 2));
     }
@@ -328,9 +410,17 @@
         book.set_level(Some(TableId(0)), &[QUOTE], 0.8, Retry::Never);
         book.withdraw(node(3), true);
         book.publish(|_| String::new());
-        let set = book.newest(book.bundle_of(ProxyId(0)).expect("bound")).expect("published");
+        let set = book
+            .newest(book.bundle_of(ProxyId(0)).expect("bound"))
+            .expect("published");
         let (quote, booking) = (&set.operations[0], &set.operations[1]);
-        assert_eq!((quote.quota, quote.retry, quote.lines.len()), (Some(0.5), Retry::Never, 3));
-        assert_eq!((booking.quota, booking.retry), (Some(0.5), Retry::OnceAfterAnyFailure));
+        assert_eq!(
+            (quote.quota, quote.retry, quote.lines.len()),
+            (Some(0.5), Retry::Never, 3)
+        );
+        assert_eq!(
+            (booking.quota, booking.retry),
+            (Some(0.5), Retry::OnceAfterAnyFailure)
+        );
     }
 }
--- a/crates/session/src/channel.rs
+++ b/crates/session/src/channel.rs
@@ -82,8 +82,11 @@
     /// Other limits, from now on; what was written counts on.
     pub fn set_plan(&mut self, plan: &ChannelPlan) {
         self.set_pace(plan.lines_per_second);
-        (self.head, self.delay, self.most_waiting) =
-            (plan.head_lines, plan.delay_at_most, plan.lines_waiting_at_most);
+        (self.head, self.delay, self.most_waiting) = (
+            plan.head_lines,
+            plan.delay_at_most,
+            plan.lines_waiting_at_most,
+        );
         self.most_messages = f64::from(plan.messages_at_most);
     }
 
@@ -96,7 +99,12 @@
     pub fn lines_waiting(&self) -> f64 {
         let flying: f64 = self.in_flight.values().map(|flight| flight.lines).sum();
         // Adding to 0 keeps the sum of nothing from being -0.
-        0.0 + self.waiting.values().map(|waiting| waiting.lines + self.head).sum::<f64>() + flying
+        0.0 + self
+            .waiting
+            .values()
+            .map(|waiting| waiting.lines + self.head)
+            .sum::<f64>()
+            + flying
     }
 
     pub fn full(&self) -> bool {
@@ -150,16 +158,22 @@
         }
         let may = |(_, _, proxy): &&(Urgency, Moment, ProxyId)| {
             let waiting = &self.waiting[proxy];
-            waiting.not_before <= now && !self.in_flight.contains_key(proxy) && self.may_write(now, *proxy)
+            waiting.not_before <= now
+                && !self.in_flight.contains_key(proxy)
+                && self.may_write(now, *proxy)
         };
         let proxy = self.turns.iter().find(may)?.2;
         let waiting = self.withhold(proxy)?;
         let lines = waiting.lines + self.head;
         // Idle time is not saved up beyond a tenth of a second.
-        self.free_at = self.free_at.max(now - ahead) + Span::from_seconds(lines / self.lines_per_second);
+        self.free_at =
+            self.free_at.max(now - ahead) + Span::from_seconds(lines / self.lines_per_second);
         self.in_flight.insert(proxy, Flight { lines });
         let bucket = Span::from_seconds(self.window.seconds() / BUCKETS as f64);
-        self.written.entry(proxy).or_insert_with(|| Ring::new(bucket, BUCKETS + 2)).add(now, 1.0);
+        self.written
+            .entry(proxy)
+            .or_insert_with(|| Ring::new(bucket, BUCKETS + 2))
+            .add(now, 1.0);
         self.messages += 1;
         Some(proxy)
     }
@@ -177,7 +191,10 @@
     /// The write failed: it is tried again after a wait that doubles. A newer message, if one has come
     /// meanwhile, waits as long and goes in its place.
     pub fn failed(&mut self, now: Moment, proxy: ProxyId, urgency: Urgency) -> Span {
-        let lines = self.in_flight.remove(&proxy).map_or(0.0, |flight| flight.lines - self.head);
+        let lines = self
+            .in_flight
+            .remove(&proxy)
+            .map_or(0.0, |flight| flight.lines - self.head);
         let failures = self.failures.entry(proxy).or_insert(0);
         let wait = self.delay * AFTER_FAILURE * f64::from(2u32.pow((*failures).min(DOUBLINGS)));
         *failures += 1;
@@ -196,10 +213,18 @@
     pub fn wake_at(&self, now: Moment) -> Option<Moment> {
         let due = |(proxy, waiting): (&ProxyId, &Waiting)| {
             let capped = !self.may_write(now, *proxy);
-            let free = if capped { now + self.window * (1.0 / BUCKETS as f64) } else { now };
+            let free = if capped {
+                now + self.window * (1.0 / BUCKETS as f64)
+            } else {
+                now
+            };
             (!self.in_flight.contains_key(proxy)).then_some(free.max(waiting.not_before))
         };
-        self.waiting.iter().filter_map(due).min().map(|at| at.max(self.free_at))
+        self.waiting
+            .iter()
+            .filter_map(due)
+            .min()
+            .map(|at| at.max(self.free_at))
     }
 }
 
@@ -214,22 +239,34 @@
     }
 
     fn channel(lines_per_second: f64, messages_at_most: u32) -> Channel {
-        let plan = ChannelPlan { lines_per_second, messages_at_most, ..plan().channel };
+        let plan = ChannelPlan {
+            lines_per_second,
+            messages_at_most,
+            ..plan().channel
+        };
         Channel::new(at(0.0), &plan)
     }
 
     #[test]
     fn removals_go_before_joins_and_changes_and_the_newest_in_the_place_of_the_old() {
         let mut channel = channel(1e6, 0);
-        for (proxy, urgency) in
-            [(1, Urgency::Away), (2, Urgency::Change), (3, Urgency::Empty), (4, Urgency::Change)]
-        {
+        for (proxy, urgency) in [
+            (1, Urgency::Away),
+            (2, Urgency::Change),
+            (3, Urgency::Empty),
+            (4, Urgency::Change),
+        ] {
             channel.offer(at(1.0), ProxyId(proxy), 5.0, urgency);
         }
         channel.offer(at(2.0), ProxyId(4), 3.0, Urgency::Removal);
         channel.offer(at(2.5), ProxyId(4), 4.0, Urgency::Change);
-        assert_eq!((channel.lines_waiting(), channel.overtaken), (4.0 * 6.0 + 15.0 + 4.0, 2));
-        let order: Vec<u16> = std::iter::from_fn(|| channel.next(at(3.0))).map(|proxy| proxy.0).collect();
+        assert_eq!(
+            (channel.lines_waiting(), channel.overtaken),
+            (4.0 * 6.0 + 15.0 + 4.0, 2)
+        );
+        let order: Vec<u16> = std::iter::from_fn(|| channel.next(at(3.0)))
+            .map(|proxy| proxy.0)
+            .collect();
         assert_eq!(order, [4, 3, 2, 1]);
     }
 
@@ -258,13 +295,20 @@
         channel.offer(at(1.0), ProxyId(1), 5.0, Urgency::Change);
         assert_eq!(channel.next(at(1.0)), Some(ProxyId(1)));
         channel.offer(at(1.1), ProxyId(1), 2.0, Urgency::Change);
-        assert_eq!(channel.next(at(1.2)), None, "one write of a proxy at a time");
+        assert_eq!(
+            channel.next(at(1.2)),
+            None,
+            "one write of a proxy at a time"
+        );
         let first = channel.failed(at(1.2), ProxyId(1), Urgency::Change);
         assert_eq!(channel.next(at(1.2)), None);
         let later = at(1.2) + first;
         assert_eq!(channel.wake_at(at(1.2)), Some(later));
         assert_eq!(channel.next(later), Some(ProxyId(1)));
-        assert_eq!(channel.failed(later, ProxyId(1), Urgency::Change), first * 2.0);
+        assert_eq!(
+            channel.failed(later, ProxyId(1), Urgency::Change),
+            first * 2.0
+        );
         assert_eq!(channel.next(at(100.0)), Some(ProxyId(1)));
         channel.done(ProxyId(1));
         assert_eq!(channel.lines_waiting(), 0.0);
--- a/crates/session/src/deployment.rs
+++ b/crates/session/src/deployment.rs
@@ -87,7 +87,11 @@
 
 impl Default for ConductorPlan {
     fn default() -> Self {
-        ConductorPlan { count: 1, joined_by_zone: false, tick: Span::from_seconds(0.01) }
+        ConductorPlan {
+            count: 1,
+            joined_by_zone: false,
+            tick: Span::from_seconds(0.01),
+        }
     }
 }
 
@@ -107,7 +111,12 @@
 impl Default for ProxyPlan {
     fn default() -> Self {
         let idle = Span::from_seconds(15.0);
-        ProxyPlan { count: 1, errors_until_avoided: 0, connection_idle: idle, usual_rate: 0.0 }
+        ProxyPlan {
+            count: 1,
+            errors_until_avoided: 0,
+            connection_idle: idle,
+            usual_rate: 0.0,
+        }
     }
 }
 
@@ -173,7 +182,10 @@
 
 impl Default for FrontPlan {
     fn default() -> Self {
-        FrontPlan { files: true, streams: true }
+        FrontPlan {
+            files: true,
+            streams: true,
+        }
     }
 }
 
@@ -188,7 +200,10 @@
 
 impl Default for SumsPlan {
     fn default() -> Self {
-        SumsPlan { period: Span::from_seconds(1.0), loads: Vec::new() }
+        SumsPlan {
+            period: Span::from_seconds(1.0),
+            loads: Vec::new(),
+        }
     }
 }
 
@@ -201,7 +216,9 @@
 
 impl Default for ListPlan {
     fn default() -> Self {
-        ListPlan { shrinks_at_most: 0.5 }
+        ListPlan {
+            shrinks_at_most: 0.5,
+        }
     }
 }
 
@@ -289,10 +306,17 @@
 impl Deployment {
     pub fn flaws(&self) -> Vec<Flaw> {
         let mut flaws = Vec::new();
-        let mut wrong = |field: &str, text: String| flaws.push(Flaw { field: field.to_string(), text });
-        for (field, names) in
-            [("zones", &self.zones), ("kinds", &self.kinds), ("sums.loads", &self.sums.loads)]
-        {
+        let mut wrong = |field: &str, text: String| {
+            flaws.push(Flaw {
+                field: field.to_string(),
+                text,
+            })
+        };
+        for (field, names) in [
+            ("zones", &self.zones),
+            ("kinds", &self.kinds),
+            ("sums.loads", &self.sums.loads),
+        ] {
             for (at, name) in names.iter().enumerate() {
                 if !plain(name) {
                     wrong(
@@ -306,31 +330,63 @@
             }
         }
         if self.zones.is_empty() || self.zones.len() > 250 {
-            wrong("zones", format!("{} zones: between 1 and 250 are possible", self.zones.len()));
+            wrong(
+                "zones",
+                format!("{} zones: between 1 and 250 are possible", self.zones.len()),
+            );
         }
         if self.kinds.len() > 250 {
-            wrong("kinds", format!("{} kinds: 250 at most are possible", self.kinds.len()));
+            wrong(
+                "kinds",
+                format!("{} kinds: 250 at most are possible", self.kinds.len()),
+            );
         }
-        for load in self.sums.loads.iter().filter(|load| !LOADS.contains(&load.as_str())) {
-            wrong("sums.loads", format!("`{load}` is no load that nodes tell of: {} are", LOADS.join(", ")));
+        for load in self
+            .sums
+            .loads
+            .iter()
+            .filter(|load| !LOADS.contains(&load.as_str()))
+        {
+            wrong(
+                "sums.loads",
+                format!(
+                    "`{load}` is no load that nodes tell of: {} are",
+                    LOADS.join(", ")
+                ),
+            );
         }
         if self.operations.is_empty() || self.operations.len() > MOST_OPERATIONS {
             let count = self.operations.len();
-            wrong("operations", format!("{count} operations: between 1 and {MOST_OPERATIONS} are possible"));
+            wrong(
+                "operations",
+                format!("{count} operations: between 1 and {MOST_OPERATIONS} are possible"),
+            );
         }
         for (at, operation) in self.operations.iter().enumerate() {
             let field = |name: &str| format!("operations.{at}.{name}");
             if !plain(&operation.name) {
-                wrong(&field("name"), format!("`{}` should be of letters, digits, - and _", operation.name));
+                wrong(
+                    &field("name"),
+                    format!("`{}` should be of letters, digits, - and _", operation.name),
+                );
             }
-            if self.operations[..at].iter().any(|other| other.name == operation.name) {
-                wrong(&field("name"), format!("`{}` is named twice", operation.name));
+            if self.operations[..at]
+                .iter()
+                .any(|other| other.name == operation.name)
+            {
+                wrong(
+                    &field("name"),
+                    format!("`{}` is named twice", operation.name),
+                );
             }
             if operation.latency_objective <= Span::ZERO {
                 wrong(&field("latency_objective"), "should be above 0".to_string());
             }
             if operation.integration_timeout < operation.latency_objective {
-                wrong(&field("integration_timeout"), "should not lie below latency_objective".to_string());
+                wrong(
+                    &field("integration_timeout"),
+                    "should not lie below latency_objective".to_string(),
+                );
             }
             if !(operation.billed_value > 0.0 && operation.billed_value <= 1e9) {
                 wrong(
@@ -339,54 +395,180 @@
                 );
             }
             if operation.repeat == Repeat::Fingerprinted && operation.repeat_window <= Span::ZERO {
-                wrong(&field("repeat_window"), "a fingerprinted operation needs one above 0".to_string());
+                wrong(
+                    &field("repeat_window"),
+                    "a fingerprinted operation needs one above 0".to_string(),
+                );
             }
-            within(&mut wrong, &field("late_share"), operation.late_share, 0.0, 1.0);
+            within(
+                &mut wrong,
+                &field("late_share"),
+                operation.late_share,
+                0.0,
+                1.0,
+            );
         }
-        within(&mut wrong, "conductors.count", f64::from(self.conductors.count), 1.0, 1000.0);
+        within(
+            &mut wrong,
+            "conductors.count",
+            f64::from(self.conductors.count),
+            1.0,
+            1000.0,
+        );
         let tick = self.conductors.tick.seconds();
         within(&mut wrong, "conductors.tick (seconds)", tick, 0.001, 1.0);
-        within(&mut wrong, "proxies.count", f64::from(self.proxies.count), 1.0, 60000.0);
-        within(&mut wrong, "proxies.usual_rate", self.proxies.usual_rate, 0.0, 1e7);
-        within(&mut wrong, "rules.cold_start_share", self.rules.cold_start_share, 0.01, 1.0);
-        within(&mut wrong, "rules.cold_overload_factor", self.rules.cold_overload_factor, 1.0, 100.0);
+        within(
+            &mut wrong,
+            "proxies.count",
+            f64::from(self.proxies.count),
+            1.0,
+            60000.0,
+        );
+        within(
+            &mut wrong,
+            "proxies.usual_rate",
+            self.proxies.usual_rate,
+            0.0,
+            1e7,
+        );
+        within(
+            &mut wrong,
+            "rules.cold_start_share",
+            self.rules.cold_start_share,
+            0.01,
+            1.0,
+        );
+        within(
+            &mut wrong,
+            "rules.cold_overload_factor",
+            self.rules.cold_overload_factor,
+            1.0,
+            100.0,
+        );
         for (field, span) in [
-            ("rules.without_node_at_most", self.rules.without_node_at_most),
+            (
+                "rules.without_node_at_most",
+                self.rules.without_node_at_most,
+            ),
             ("rules.drain_grace", self.rules.drain_grace),
             ("rules.cold_overload_span", self.rules.cold_overload_span),
             ("channel.messages_window", self.channel.messages_window),
         ] {
-            within(&mut wrong, &format!("{field} (seconds)"), span.seconds(), 0.05, 3600.0);
+            within(
+                &mut wrong,
+                &format!("{field} (seconds)"),
+                span.seconds(),
+                0.05,
+                3600.0,
+            );
         }
         if !self.fronts.files && !self.fronts.streams {
-            wrong("fronts", "with neither files nor streams nobody gets a table".to_string());
+            wrong(
+                "fronts",
+                "with neither files nor streams nobody gets a table".to_string(),
+            );
         }
-        within(&mut wrong, "sums.period (seconds)", self.sums.period.seconds(), 0.05, 60.0);
-        within(&mut wrong, "channel.lines_waiting_at_most", self.channel.lines_waiting_at_most, 10.0, 1e9);
-        within(&mut wrong, "channel.head_lines", self.channel.head_lines, 0.0, 1e4);
-        within(&mut wrong, "channel.lines_per_second", self.channel.lines_per_second, 10.0, 1e9);
-        within(&mut wrong, "list.shrinks_at_most", self.list.shrinks_at_most, 0.05, 1.0);
+        within(
+            &mut wrong,
+            "sums.period (seconds)",
+            self.sums.period.seconds(),
+            0.05,
+            60.0,
+        );
+        within(
+            &mut wrong,
+            "channel.lines_waiting_at_most",
+            self.channel.lines_waiting_at_most,
+            10.0,
+            1e9,
+        );
+        within(
+            &mut wrong,
+            "channel.head_lines",
+            self.channel.head_lines,
+            0.0,
+            1e4,
+        );
+        within(
+            &mut wrong,
+            "channel.lines_per_second",
+            self.channel.lines_per_second,
+            10.0,
+            1e9,
+        );
+        within(
+            &mut wrong,
+            "list.shrinks_at_most",
+            self.list.shrinks_at_most,
+            0.05,
+            1.0,
+        );
         within(&mut wrong, "first_wait", self.first_wait, 0.1, 100.0);
         if let Some(solver) = &self.solver {
-            for kind in self.kinds.iter().filter(|kind| !solver.capacities.contains_key(*kind)) {
+            for kind in self
+                .kinds
+                .iter()
+                .filter(|kind| !solver.capacities.contains_key(*kind))
+            {
                 wrong("solver.capacities", format!("kind `{kind}` has none"));
             }
-            for operation in
-                self.operations.iter().filter(|operation| !solver.work.contains_key(&operation.name))
+            for operation in self
+                .operations
+                .iter()
+                .filter(|operation| !solver.work.contains_key(&operation.name))
             {
-                wrong("solver.work", format!("operation `{}` has none", operation.name));
+                wrong(
+                    "solver.work",
+                    format!("operation `{}` has none", operation.name),
+                );
             }
             for (name, capacity) in &solver.capacities {
-                within(&mut wrong, &format!("solver.capacities.{name}"), *capacity, 1e-3, 1e6);
+                within(
+                    &mut wrong,
+                    &format!("solver.capacities.{name}"),
+                    *capacity,
+                    1e-3,
+                    1e6,
+                );
             }
             for (name, work) in &solver.work {
-                within(&mut wrong, &format!("solver.work.{name} (seconds)"), work.0.seconds(), 1e-6, 3600.0);
+                within(
+                    &mut wrong,
+                    &format!("solver.work.{name} (seconds)"),
+                    work.0.seconds(),
+                    1e-6,
+                    3600.0,
+                );
             }
-            within(&mut wrong, "solver.every (seconds)", solver.every.seconds(), 0.1, 600.0);
-            within(&mut wrong, "solver.least_share", solver.least_share, 0.0, 1.0);
-            within(&mut wrong, "solver.fill_at_most", solver.fill_at_most, 0.05, 1.0);
+            within(
+                &mut wrong,
+                "solver.every (seconds)",
+                solver.every.seconds(),
+                0.1,
+                600.0,
+            );
+            within(
+                &mut wrong,
+                "solver.least_share",
+                solver.least_share,
+                0.0,
+                1.0,
+            );
+            within(
+                &mut wrong,
+                "solver.fill_at_most",
+                solver.fill_at_most,
+                0.05,
+                1.0,
+            );
         }
-        within(&mut wrong, "cross_zone_price", self.cross_zone_price, 0.0, 1.0);
+        within(
+            &mut wrong,
+            "cross_zone_price",
+            self.cross_zone_price,
+            0.0,
+            1.0,
+        );
         flaws
     }
 
@@ -396,9 +578,15 @@
         let mut put = |name: &str, fact: Fact| drop(facts.0.insert(name.to_string(), fact));
         let number_of = Fact::Number;
         let span_of = |span: Span| Fact::Number(span.seconds());
-        put("conductor.count", number_of(f64::from(self.conductors.count)));
+        put(
+            "conductor.count",
+            number_of(f64::from(self.conductors.count)),
+        );
         put("conductor.number", number_of(f64::from(number)));
-        put("conductor.joined_by_zone", Fact::Flag(self.conductors.joined_by_zone));
+        put(
+            "conductor.joined_by_zone",
+            Fact::Flag(self.conductors.joined_by_zone),
+        );
         put("conductor.tick", span_of(self.conductors.tick));
         if let Some(zone) = zone {
             put("conductor.zone", number_of(f64::from(zone)));
@@ -407,21 +595,51 @@
         put("zone.count", number_of(self.zones.len() as f64));
         put("operation.count", number_of(self.operations.len() as f64));
         put("proxy.count", number_of(f64::from(self.proxies.count)));
-        put("proxy.errors_until_avoided", number_of(f64::from(self.proxies.errors_until_avoided)));
-        put("proxy.connection_idle", span_of(self.proxies.connection_idle));
+        put(
+            "proxy.errors_until_avoided",
+            number_of(f64::from(self.proxies.errors_until_avoided)),
+        );
+        put(
+            "proxy.connection_idle",
+            span_of(self.proxies.connection_idle),
+        );
         put("sums.period", span_of(self.sums.period));
-        put("channel.lines_waiting_at_most", number_of(self.channel.lines_waiting_at_most));
+        put(
+            "channel.lines_waiting_at_most",
+            number_of(self.channel.lines_waiting_at_most),
+        );
         put("channel.head_lines", number_of(self.channel.head_lines));
-        put("channel.lines_per_second", number_of(self.channel.lines_per_second));
+        put(
+            "channel.lines_per_second",
+            number_of(self.channel.lines_per_second),
+        );
         put("channel.delay_at_most", span_of(self.channel.delay_at_most));
-        put("channel.messages_at_most", number_of(f64::from(self.channel.messages_at_most)));
-        put("channel.messages_window", span_of(self.channel.messages_window));
-        put("rules.without_node_at_most", span_of(self.rules.without_node_at_most));
+        put(
+            "channel.messages_at_most",
+            number_of(f64::from(self.channel.messages_at_most)),
+        );
+        put(
+            "channel.messages_window",
+            span_of(self.channel.messages_window),
+        );
+        put(
+            "rules.without_node_at_most",
+            span_of(self.rules.without_node_at_most),
+        );
         put("rules.drain_grace", span_of(self.rules.drain_grace));
-        put("rules.cold_start_share", number_of(self.rules.cold_start_share));
+        put(
+            "rules.cold_start_share",
+            number_of(self.rules.cold_start_share),
+        );
         put("rules.warm_after", span_of(self.rules.warm_after));
-        put("rules.cold_overload_factor", number_of(self.rules.cold_overload_factor));
-        put("rules.cold_overload_span", span_of(self.rules.cold_overload_span));
+        put(
+            "rules.cold_overload_factor",
+            number_of(self.rules.cold_overload_factor),
+        );
+        put(
+            "rules.cold_overload_span",
+            span_of(self.rules.cold_overload_span),
+        );
         put("price.cross_zone", number_of(self.cross_zone_price));
         let form = match self.admission {
             LevelForm::Share => "share",
@@ -429,14 +647,20 @@
             LevelForm::None => "none",
         };
         put("level.form", Fact::Text(form.to_string()));
-        put("report.field.count", number_of(self.sums.loads.len() as f64));
+        put(
+            "report.field.count",
+            number_of(self.sums.loads.len() as f64),
+        );
         for (at, load) in self.sums.loads.iter().enumerate() {
             put(&format!("report.field.{at}"), Fact::Text(load.clone()));
         }
         for (at, operation) in self.operations.iter().enumerate() {
             let mut put = |name: &str, fact: Fact| put(&format!("operation.{at}.{name}"), fact);
             put("latency_objective", span_of(operation.latency_objective));
-            put("integration_timeout", span_of(operation.integration_timeout));
+            put(
+                "integration_timeout",
+                span_of(operation.integration_timeout),
+            );
             put("billed_value", number_of(operation.billed_value));
             put("late_share", number_of(operation.late_share));
             put("repeat", Fact::Text(operation.repeat.word().to_string()));
@@ -461,7 +685,10 @@
 
 fn within(wrong: &mut impl FnMut(&str, String), field: &str, value: f64, least: f64, most: f64) {
     if !(value >= least && value <= most) {
-        wrong(field, format!("{value} should lie between {least} and {most}"));
+        wrong(
+            field,
+            format!("{value} should lie between {least} and {most}"),
+        );
     }
 }
 
@@ -492,7 +719,11 @@
                 operation("book", Repeat::SideEffecting),
             ],
             conductors: ConductorPlan::default(),
-            proxies: ProxyPlan { count: 4, usual_rate: 10.0, ..ProxyPlan::default() },
+            proxies: ProxyPlan {
+                count: 4,
+                usual_rate: 10.0,
+                ..ProxyPlan::default()
+            },
             rules: RulePlan {
                 without_node_at_most: seconds(2.0),
                 drain_grace: seconds(2.0),
@@ -510,7 +741,10 @@
                 messages_window: seconds(10.0),
             },
             fronts: FrontPlan::default(),
-            sums: SumsPlan { period: seconds(1.0), loads: vec!["utilization".to_string()] },
+            sums: SumsPlan {
+                period: seconds(1.0),
+                loads: vec!["utilization".to_string()],
+            },
             list: ListPlan::default(),
             admission: LevelForm::Share,
             cross_zone_price: 0.02,
@@ -532,6 +766,12 @@
         let mut plan = plan();
         assert_eq!(plan.flaws(), []);
         spoil(&mut plan);
-        assert_eq!(plan.flaws().iter().map(|flaw| flaw.field.as_str()).collect::<Vec<_>>(), [field]);
+        assert_eq!(
+            plan.flaws()
+                .iter()
+                .map(|flaw| flaw.field.as_str())
+                .collect::<Vec<_>>(),
+            [field]
+        );
     }
 }
--- a/crates/session/src/fronts.rs
+++ b/crates/session/src/fronts.rs
@@ -30,7 +30,10 @@
 
 impl Fronts {
     pub fn new(files: bool) -> Fronts {
-        Fronts { streams_only: !files, ..Fronts::default() }
+        Fronts {
+            streams_only: !files,
+            ..Fronts::default()
+        }
     }
 
     pub fn front(&self, proxy: ProxyId) -> Front {
@@ -43,7 +46,12 @@
     }
 
     /// A proxy opened a stream; returns the one that it takes the place of.
-    pub fn open(&mut self, proxy: ProxyId, stream: StreamId, brings: Option<Version>) -> Option<StreamId> {
+    pub fn open(
+        &mut self,
+        proxy: ProxyId,
+        stream: StreamId,
+        brings: Option<Version>,
+    ) -> Option<StreamId> {
         let old = self.readers.insert(proxy, Some(stream)).flatten();
         old.map(|old| self.of.remove(&old));
         self.of.insert(stream, proxy);
@@ -85,7 +93,10 @@
 
     /// Whether a change waits; if it does, `resumed` names the proxy when it may go.
     pub fn postpone(&mut self, now: Moment, bundle: BundleId, proxy: ProxyId) -> bool {
-        let held = self.held_back.get(&bundle).is_some_and(|until| *until > now);
+        let held = self
+            .held_back
+            .get(&bundle)
+            .is_some_and(|until| *until > now);
         if held {
             self.postponed.insert((bundle, proxy));
         }
--- a/crates/session/src/marks.rs
+++ b/crates/session/src/marks.rs
@@ -44,7 +44,11 @@
         if answers.asked.len() >= MOST {
             answers.asked.pop_front();
         }
-        answers.asked.push_back(Asked { mark, version, at: now });
+        answers.asked.push_back(Asked {
+            mark,
+            version,
+            at: now,
+        });
     }
 
     pub fn pointed(&mut self, now: Moment, proxy: ProxyId, version: Version) {
@@ -97,8 +101,16 @@
                 (passed && (answers.streams || !speaks)).then_some(version)
             };
             let holds = answers.told.max(answers.pointed.and_then(assumed));
-            while let Some(asked) = answers.asked.front().filter(|asked| Some(asked.version) <= holds) {
-                events.push(Event::Acked { proxy: *proxy, mark: asked.mark, took: now - asked.at });
+            while let Some(asked) = answers
+                .asked
+                .front()
+                .filter(|asked| Some(asked.version) <= holds)
+            {
+                events.push(Event::Acked {
+                    proxy: *proxy,
+                    mark: asked.mark,
+                    took: now - asked.at,
+                });
                 answers.asked.pop_front();
             }
         }
@@ -109,7 +121,10 @@
     pub fn wake_at(&self) -> Option<Moment> {
         let due = |answers: &Answers| {
             let waits = (answers.told.is_none() || answers.streams) && !answers.asked.is_empty();
-            answers.pointed.filter(|_| waits).map(|(_, at)| at + Span::from_seconds(ASSUMED))
+            answers
+                .pointed
+                .filter(|_| waits)
+                .map(|(_, at)| at + Span::from_seconds(ASSUMED))
         };
         self.proxies.values().filter_map(due).min()
     }
@@ -135,7 +150,11 @@
     fn a_proxy_without_status_is_taken_to_hold_it_after_a_second() {
         let mut asked = Marks::default();
         asked.ask(at(0.0), ProxyId(1), MarkId(1), Version(5));
-        assert_eq!(marks(asked.answered(at(9.0))), [] as [u32; 0], "it was not even pointed at it");
+        assert_eq!(
+            marks(asked.answered(at(9.0))),
+            [] as [u32; 0],
+            "it was not even pointed at it"
+        );
         asked.pointed(at(9.0), ProxyId(1), Version(5));
         assert_eq!(marks(asked.answered(at(9.9))), [] as [u32; 0]);
         assert_eq!(asked.wake_at(), Some(at(10.0)));
@@ -160,16 +179,25 @@
     }
 
     #[test]
-    fn a_stream_that_is_silent_or_refuses_counts_for_nothing_and_is_waited_for_no_longer_than_a_second() {
+    fn a_stream_that_is_silent_or_refuses_counts_for_nothing_and_is_waited_for_no_longer_than_a_second(
+    ) {
         let mut asked = Marks::default();
         asked.streams(ProxyId(1));
         asked.ask(at(0.0), ProxyId(1), MarkId(1), Version(5));
         asked.pointed(at(0.0), ProxyId(1), Version(5));
         asked.refused(ProxyId(1), Version(5));
-        assert_eq!(marks(asked.answered(at(0.9))), [] as [u32; 0], "a refusal is no answer");
+        assert_eq!(
+            marks(asked.answered(at(0.9))),
+            [] as [u32; 0],
+            "a refusal is no answer"
+        );
         assert_eq!(asked.wake_at(), Some(at(1.0)));
         assert_eq!(marks(asked.answered(at(1.0))), [1]);
-        assert_eq!(asked.holds(ProxyId(1)), None, "and it is not said to hold it");
+        assert_eq!(
+            asked.holds(ProxyId(1)),
+            None,
+            "and it is not said to hold it"
+        );
     }
 
     #[test]
@@ -180,6 +208,10 @@
         asked.refused(ProxyId(1), Version(5));
         assert_eq!(marks(asked.answered(at(5.0))), [] as [u32; 0]);
         asked.pointed(at(6.0), ProxyId(1), Version(6));
-        assert_eq!(marks(asked.answered(at(7.0))), [1], "a later one that it did not refuse holds it too");
+        assert_eq!(
+            marks(asked.answered(at(7.0))),
+            [1],
+            "a later one that it did not refuse holds it too"
+        );
     }
 }
--- a/crates/session/src/measured.rs
+++ b/crates/session/src/measured.rs
@@ -67,7 +67,11 @@
 
 impl Measured {
     pub fn new(period: Span) -> Measured {
-        Measured { width: period, ring: Ring::new(period, KEPT), heard: BTreeMap::new() }
+        Measured {
+            width: period,
+            ring: Ring::new(period, KEPT),
+            heard: BTreeMap::new(),
+        }
     }
 
     /// A report that was found sound; `operation` looks up a name.
@@ -82,13 +86,17 @@
         self.heard.insert(proxy, now);
         let mut all = Tallies::default();
         for told in &report.operations {
-            let Some(id) = operation(&told.operation) else { continue };
+            let Some(id) = operation(&told.operation) else {
+                continue;
+            };
             let tally = all.0.entry((zone, id)).or_default();
             for node in &told.nodes {
                 tally.succeeded += node.succeeded as f64;
                 tally.errored += node.errored as f64;
                 tally.tries += node.succeeded as f64 + node.errored as f64;
-                if let Some((metric, mean)) = node.metrics.get(LATENCY).and_then(|m| Some((m, m.mean()?))) {
+                if let Some((metric, mean)) =
+                    node.metrics.get(LATENCY).and_then(|m| Some((m, m.mean()?)))
+                {
                     tally.timed += metric.count as f64;
                     tally.seconds += metric.count as f64 * mean / 1e3;
                 }
@@ -114,14 +122,20 @@
 
     /// What was told from `from` up to `to`, and over how many seconds; what is older than the ring is left out.
     pub fn between(&self, from: Moment, to: Moment) -> (Tallies, f64) {
-        let count = ((to - from).micros() / self.width.micros().max(1)).clamp(0, KEPT as i64) as usize;
-        (self.ring.last(to, count), self.width.seconds() * count as f64)
+        let count =
+            ((to - from).micros() / self.width.micros().max(1)).clamp(0, KEPT as i64) as usize;
+        (
+            self.ring.last(to, count),
+            self.width.seconds() * count as f64,
+        )
     }
 
     /// Up to when all of these proxies that report have told what they met. Some never do, as clients that
     /// only read streams of tables; `None` if that is all of them.
     pub fn known_until(&self, proxies: impl Iterator<Item = ProxyId>) -> Option<Moment> {
-        proxies.filter_map(|proxy| self.heard.get(&proxy).copied()).min()
+        proxies
+            .filter_map(|proxy| self.heard.get(&proxy).copied())
+            .min()
     }
 }
 
@@ -135,10 +149,21 @@
     }
 
     fn report(succeeded: u64, errored: u64, repeats: u64, rate_limited: u64) -> Report {
-        let node = NodeReport { succeeded, errored, ..NodeReport::default() };
-        let operation =
-            OperationReport { operation: "quote".into(), rate_limited, repeats, nodes: vec![node] };
-        Report { over: Span::from_seconds(1.0), operations: vec![operation] }
+        let node = NodeReport {
+            succeeded,
+            errored,
+            ..NodeReport::default()
+        };
+        let operation = OperationReport {
+            operation: "quote".into(),
+            rate_limited,
+            repeats,
+            nodes: vec![node],
+        };
+        Report {
+            over: Span::from_seconds(1.0),
+            operations: vec![operation],
+        }
     }
 
     #[test]
@@ -146,23 +171,55 @@
         let mut measured = Measured::new(Span::from_seconds(1.0));
         let quote = |name: &str| (name == "quote").then_some(OperationId(0));
         for second in 0..20 {
-            let told = if second < 10 { report(9, 1, 1, 2) } else { report(0, 10, 0, 0) };
-            measured.hear(at(f64::from(second) + 0.5), ProxyId(1), ZoneId(0), &told, quote);
+            let told = if second < 10 {
+                report(9, 1, 1, 2)
+            } else {
+                report(0, 10, 0, 0)
+            };
+            measured.hear(
+                at(f64::from(second) + 0.5),
+                ProxyId(1),
+                ZoneId(0),
+                &told,
+                quote,
+            );
         }
         let (before, seconds) = measured.between(at(4.9), at(9.9));
         let tally = before.of(OperationId(0));
-        assert_eq!((seconds, tally.asked, tally.succeeded, tally.errored), (5.0, 55.0, 45.0, 5.0));
-        assert_eq!(measured.between(at(9.9), at(19.9)).0.of(OperationId(0)).succeeded, 0.0);
+        assert_eq!(
+            (seconds, tally.asked, tally.succeeded, tally.errored),
+            (5.0, 55.0, 45.0, 5.0)
+        );
+        assert_eq!(
+            measured
+                .between(at(9.9), at(19.9))
+                .0
+                .of(OperationId(0))
+                .succeeded,
+            0.0
+        );
     }
 
     #[test]
     fn what_is_known_ends_where_the_last_proxy_was_heard() {
         let mut measured = Measured::new(Span::from_seconds(1.0));
         let both = || [ProxyId(1), ProxyId(2)].into_iter();
-        assert_eq!(measured.known_until(both()), None, "nobody has said anything");
-        measured.hear(at(1.0), ProxyId(1), ZoneId(0), &report(1, 0, 0, 0), |_| None);
-        assert_eq!(measured.known_until(both()), Some(at(1.0)), "the other may never");
-        measured.hear(at(3.0), ProxyId(2), ZoneId(0), &report(1, 0, 0, 0), |_| None);
+        assert_eq!(
+            measured.known_until(both()),
+            None,
+            "nobody has said anything"
+        );
+        measured.hear(at(1.0), ProxyId(1), ZoneId(0), &report(1, 0, 0, 0), |_| {
+            None
+        });
+        assert_eq!(
+            measured.known_until(both()),
+            Some(at(1.0)),
+            "the other may never"
+        );
+        measured.hear(at(3.0), ProxyId(2), ZoneId(0), &report(1, 0, 0, 0), |_| {
+            None
+        });
         assert_eq!(measured.known_until(both()), Some(at(1.0)));
     }
 }
--- a/crates/session/src/membership.rs
+++ b/crates/session/src/membership.rs
@@ -61,9 +61,19 @@
 const PROXY: &[(State, Input, State, Effect)] = &[
     (State::Unknown, Input::Opened, State::Joined, Effect::Join),
     (State::Away, Input::Opened, State::Joined, Effect::Join),
-    (State::Joined, Input::Opened, State::Joined, Effect::LeaveAndJoin),
+    (
+        State::Joined,
+        Input::Opened,
+        State::Joined,
+        Effect::LeaveAndJoin,
+    ),
     (State::Joined, Input::Closed, State::Away, Effect::Leave),
-    (State::Joined, Input::ClosedOther, State::Joined, Effect::Nothing),
+    (
+        State::Joined,
+        Input::ClosedOther,
+        State::Joined,
+        Effect::Nothing,
+    ),
     (State::Away, Input::LongAway, State::Unknown, Effect::Forget),
 ];
 
@@ -125,11 +135,16 @@
     }
 
     pub fn members(&self) -> impl Iterator<Item = (&str, &Member)> {
-        self.members.iter().map(|(name, member)| (name.as_str(), member))
+        self.members
+            .iter()
+            .map(|(name, member)| (name.as_str(), member))
     }
 
     pub fn joined_in(&self, zone: ZoneId) -> usize {
-        self.members.values().filter(|member| member.joined() && member.zone == zone).count()
+        self.members
+            .values()
+            .filter(|member| member.joined() && member.zone == zone)
+            .count()
     }
 
     pub fn open(
@@ -144,8 +159,9 @@
             return Err(Turned::Unnamed(who.name.chars().take(100).collect()));
         }
         let zone = plan.zones.iter().position(|zone| *zone == who.zone);
-        let zone =
-            ZoneId(zone.ok_or_else(|| Turned::UnknownZone(who.zone.chars().take(100).collect()))? as u16);
+        let zone = ZoneId(
+            zone.ok_or_else(|| Turned::UnknownZone(who.zone.chars().take(100).collect()))? as u16,
+        );
         if !self.members.contains_key(&who.name) && self.members.len() >= MOST_PROXIES {
             return Err(Turned::Full(MOST_PROXIES));
         }
@@ -167,9 +183,16 @@
         if let Some(old) = superseded {
             self.streams.remove(&old);
         }
-        let usual_rate = who.usual_rate.filter(|rate| rate.is_finite() && *rate >= 0.0);
+        let usual_rate = who
+            .usual_rate
+            .filter(|rate| rate.is_finite() && *rate >= 0.0);
         let usual_rate = usual_rate.unwrap_or(plan.proxies.usual_rate);
-        let joined = Event::ProxyJoined { proxy: id, zone, usual_rate, fresh };
+        let joined = Event::ProxyJoined {
+            proxy: id,
+            zone,
+            usual_rate,
+            fresh,
+        };
         let events = match effect {
             Effect::LeaveAndJoin => vec![Event::ProxyLeft { proxy: id }, joined],
             _ => vec![joined],
@@ -180,7 +203,11 @@
     pub fn close(&mut self, now: Moment, stream: StreamId) -> Option<Event> {
         let name = self.streams.remove(&stream)?;
         let member = self.members.get_mut(&name)?;
-        let input = if member.stream == Some(stream) { Input::Closed } else { Input::ClosedOther };
+        let input = if member.stream == Some(stream) {
+            Input::Closed
+        } else {
+            Input::ClosedOther
+        };
         if turn(&mut member.state, input) != Effect::Leave {
             return None;
         }
@@ -193,7 +220,9 @@
         let long = plan.rules.warm_after * FORGOTTEN;
         let mut forgotten = Vec::new();
         for (name, member) in &mut self.members {
-            if now - member.since >= long && turn(&mut member.state, Input::LongAway) == Effect::Forget {
+            if now - member.since >= long
+                && turn(&mut member.state, Input::LongAway) == Effect::Forget
+            {
                 self.names.remove(&member.id);
                 forgotten.push(name.clone());
             }
@@ -232,7 +261,11 @@
     use crate::deployment::tests::plan;
 
     fn who(name: &str) -> Introduction {
-        Introduction { name: name.to_string(), zone: "north".to_string(), usual_rate: None }
+        Introduction {
+            name: name.to_string(),
+            zone: "north".to_string(),
+            usual_rate: None,
+        }
     }
 
     fn at(seconds: f64) -> Moment {
@@ -242,12 +275,28 @@
     #[test]
     fn a_proxy_that_dials_again_before_its_break_is_seen_stays_joined() {
         let mut known = Membership::default();
-        known.open(at(0.0), StreamId(1), &who("a"), &plan()).expect("fine");
-        let second = known.open(at(1.0), StreamId(2), &who("a"), &plan()).expect("fine");
+        known
+            .open(at(0.0), StreamId(1), &who("a"), &plan())
+            .expect("fine");
+        let second = known
+            .open(at(1.0), StreamId(2), &who("a"), &plan())
+            .expect("fine");
         assert_eq!(second.superseded, Some(StreamId(1)));
-        let kinds: Vec<bool> = second.events.iter().map(|e| matches!(e, Event::ProxyLeft { .. })).collect();
-        assert_eq!(kinds, [true, false], "the module hears of the break, then of the join");
-        assert_eq!(known.close(at(1.1), StreamId(1)), None, "the old stream's end is no break");
+        let kinds: Vec<bool> = second
+            .events
+            .iter()
+            .map(|e| matches!(e, Event::ProxyLeft { .. }))
+            .collect();
+        assert_eq!(
+            kinds,
+            [true, false],
+            "the module hears of the break, then of the join"
+        );
+        assert_eq!(
+            known.close(at(1.1), StreamId(1)),
+            None,
+            "the old stream's end is no break"
+        );
         assert!(known.member("a").is_some_and(Member::joined));
         assert!(known.close(at(2.0), StreamId(2)).is_some());
     }
@@ -255,16 +304,26 @@
     #[test]
     fn a_proxy_that_returns_keeps_its_number_and_one_long_away_loses_it() {
         let mut known = Membership::default();
-        known.open(at(0.0), StreamId(1), &who("a"), &plan()).expect("fine");
+        known
+            .open(at(0.0), StreamId(1), &who("a"), &plan())
+            .expect("fine");
         let id = known.member("a").map(|member| member.id);
         known.close(at(1.0), StreamId(1));
         assert_eq!(known.forget(at(50.0), &plan()), Vec::<String>::new());
-        known.open(at(51.0), StreamId(2), &who("a"), &plan()).expect("fine");
+        known
+            .open(at(51.0), StreamId(2), &who("a"), &plan())
+            .expect("fine");
         assert_eq!(known.member("a").map(|member| member.id), id);
         known.close(at(52.0), StreamId(2));
         assert_eq!(known.forget(at(160.0), &plan()), ["a"]);
-        known.open(at(161.0), StreamId(3), &who("b"), &plan()).expect("fine");
-        assert_ne!(known.member("b").map(|member| member.id), id, "a number is not used again soon");
+        known
+            .open(at(161.0), StreamId(3), &who("b"), &plan())
+            .expect("fine");
+        assert_ne!(
+            known.member("b").map(|member| member.id),
+            id,
+            "a number is not used again soon"
+        );
     }
 
     #[test]
@@ -274,7 +333,13 @@
             let turned = known.open(at(0.0), StreamId(1), &who(name), &plan());
             assert!(matches!(turned, Err(Turned::Unnamed(_))), "{name:?}");
         }
-        let moon = Introduction { zone: "moon".into(), ..who("a") };
-        assert_eq!(known.open(at(0.0), StreamId(1), &moon, &plan()), Err(Turned::UnknownZone("moon".into())));
+        let moon = Introduction {
+            zone: "moon".into(),
+            ..who("a")
+        };
+        assert_eq!(
+            known.open(at(0.0), StreamId(1), &moon, &plan()),
+            Err(Turned::UnknownZone("moon".into()))
+        );
     }
 }
--- a/crates/session/src/nodes.rs
+++ b/crates/session/src/nodes.rs
@@ -37,7 +37,9 @@
     Late { version: String, held: String },
     #[error("the list names no node while {held} are held")]
     Empty { held: usize },
-    #[error("{missing} of {ready} ready nodes are missing at once; they are kept while that is doubted")]
+    #[error(
+        "{missing} of {ready} ready nodes are missing at once; they are kept while that is doubted"
+    )]
     Shrunk { missing: usize, ready: usize },
     #[error("all {count} ready nodes of {what} are missing at once; they are kept while that is doubted")]
     Emptied { what: String, count: usize },
@@ -92,9 +94,19 @@
     (Trust::Held, Came::Sound, Trust::Held, Taken::Take),
     (Trust::Held, Came::Shrunk, Trust::Doubting, Taken::TakePart),
     (Trust::Doubting, Came::Sound, Trust::Held, Taken::Take),
-    (Trust::Doubting, Came::Shrunk, Trust::Doubting, Taken::TakePart),
+    (
+        Trust::Doubting,
+        Came::Shrunk,
+        Trust::Doubting,
+        Taken::TakePart,
+    ),
     (Trust::Doubting, Came::ShrunkAlike, Trust::Held, Taken::Take),
-    (Trust::Doubting, Came::Silent, Trust::Held, Taken::TakeDoubted),
+    (
+        Trust::Doubting,
+        Came::Silent,
+        Trust::Held,
+        Taken::TakeDoubted,
+    ),
     (Trust::Doubting, Came::Answered, Trust::Held, Taken::Drop),
 ];
 
@@ -191,31 +203,59 @@
         let taken = self.turn(came);
         let list = match list {
             Ok(list) => list,
-            Err(text) => return Outcome { event: None, refusal: Some(Refusal::Unreadable(text)) },
+            Err(text) => {
+                return Outcome {
+                    event: None,
+                    refusal: Some(Refusal::Unreadable(text)),
+                }
+            }
         };
         match taken {
             Taken::Take => {
                 self.doubt = None;
-                Outcome { event: Some(self.adopt(now, list, plan, first)), refusal: None }
+                Outcome {
+                    event: Some(self.adopt(now, list, plan, first)),
+                    refusal: None,
+                }
             }
             Taken::TakePart => {
                 let missing = self.missing(&list);
-                let kept = missing.iter().filter_map(|node| self.record(*node).cloned());
+                let kept = missing
+                    .iter()
+                    .filter_map(|node| self.record(*node).cloned());
                 let records = list.records.iter().cloned().chain(kept).collect();
-                let part = NodeList { version: list.version.clone(), records };
+                let part = NodeList {
+                    version: list.version.clone(),
+                    records,
+                };
                 let event = self.adopt(now, part, plan, first);
-                self.doubt = Some(Doubt { list, since: now, missing, answered: BTreeSet::new() });
-                Outcome { event: Some(event), refusal }
+                self.doubt = Some(Doubt {
+                    list,
+                    since: now,
+                    missing,
+                    answered: BTreeSet::new(),
+                });
+                Outcome {
+                    event: Some(event),
+                    refusal,
+                }
             }
             Taken::KeepOut | Taken::TakeDoubted | Taken::Drop => {
-                let empty = Refusal::Empty { held: self.held.len() };
-                Outcome { event: None, refusal: refusal.or(Some(empty)) }
+                let empty = Refusal::Empty {
+                    held: self.held.len(),
+                };
+                Outcome {
+                    event: None,
+                    refusal: refusal.or(Some(empty)),
+                }
             }
         }
     }
 
     fn turn(&mut self, came: Came) -> Taken {
-        let row = TRUST.iter().find(|row| (row.0, row.1) == (self.trust, came));
+        let row = TRUST
+            .iter()
+            .find(|row| (row.0, row.1) == (self.trust, came));
         let (next, taken) = row.map_or((self.trust, Taken::KeepOut), |row| (row.2, row.3));
         self.trust = next;
         taken
@@ -224,7 +264,10 @@
     /// A node answered in a time that began at `since`: if the list that lacks it came before, that speaks
     /// against the list.
     pub fn answered(&mut self, node: NodeId, since: Moment) {
-        let doubt = self.doubt.as_mut().filter(|doubt| since >= doubt.since && doubt.missing.contains(&node));
+        let doubt = self
+            .doubt
+            .as_mut()
+            .filter(|doubt| since >= doubt.since && doubt.missing.contains(&node));
         if let Some(doubt) = doubt {
             doubt.answered.insert(node);
         }
@@ -232,7 +275,9 @@
 
     /// When a doubted list is judged.
     pub fn doubted_until(&self, plan: &Deployment) -> Option<Moment> {
-        self.doubt.as_ref().map(|doubt| doubt.since + plan.rules.drain_grace * DOUBT)
+        self.doubt
+            .as_ref()
+            .map(|doubt| doubt.since + plan.rules.drain_grace * DOUBT)
     }
 
     /// Judges a doubted list when its time is over: nodes that nobody had an answer from are gone.
@@ -247,7 +292,10 @@
     }
 
     fn ready(&self) -> impl Iterator<Item = NodeId> + '_ {
-        self.held.iter().filter(|(_, held)| !held.record.draining).map(|(node, _)| *node)
+        self.held
+            .iter()
+            .filter(|(_, held)| !held.record.draining)
+            .map(|(node, _)| *node)
     }
 
     fn missing(&self, list: &NodeList) -> BTreeSet<NodeId> {
@@ -259,7 +307,10 @@
         let mut seen = BTreeSet::new();
         let broken = |refusal| (Came::Broken, Some(refusal));
         if list.records.len() > MOST_NODES {
-            return broken(Refusal::TooMany { count: list.records.len(), most: MOST_NODES });
+            return broken(Refusal::TooMany {
+                count: list.records.len(),
+                most: MOST_NODES,
+            });
         }
         for record in &list.records {
             let node = show(record.node);
@@ -267,10 +318,16 @@
                 return broken(Refusal::Twice(node));
             }
             if !plan.zones.contains(&record.zone) {
-                return broken(Refusal::UnknownZone { node, zone: record.zone.clone() });
+                return broken(Refusal::UnknownZone {
+                    node,
+                    zone: record.zone.clone(),
+                });
             }
             if !record.kind.is_empty() && !plan.kinds.contains(&record.kind) {
-                return broken(Refusal::UnknownKind { node, kind: record.kind.clone() });
+                return broken(Refusal::UnknownKind {
+                    node,
+                    kind: record.kind.clone(),
+                });
             }
         }
         let same = self.remembered && list.version == self.version;
@@ -279,31 +336,54 @@
             return (Came::Late, Some(Refusal::Late { version, held }));
         }
         if list.records.is_empty() {
-            return (Came::Empty, Some(Refusal::Empty { held: self.held.len() }));
+            return (
+                Came::Empty,
+                Some(Refusal::Empty {
+                    held: self.held.len(),
+                }),
+            );
         }
         let (missing, ready) = (self.missing(list), self.ready().count());
-        let few = missing.len() as f64 <= ready as f64 * plan.list.shrinks_at_most || missing.len() <= 1;
+        let few =
+            missing.len() as f64 <= ready as f64 * plan.list.shrinks_at_most || missing.len() <= 1;
         let refusal = match (few, self.emptied(list, &missing)) {
             (true, None) => return (Came::Sound, None),
-            (false, _) => Refusal::Shrunk { missing: missing.len(), ready },
+            (false, _) => Refusal::Shrunk {
+                missing: missing.len(),
+                ready,
+            },
             (true, Some((what, count))) => Refusal::Emptied { what, count },
         };
-        let alike = self.doubt.as_ref().is_some_and(|doubt| missing.is_superset(&doubt.missing));
-        (if alike { Came::ShrunkAlike } else { Came::Shrunk }, Some(refusal))
+        let alike = self
+            .doubt
+            .as_ref()
+            .is_some_and(|doubt| missing.is_superset(&doubt.missing));
+        (
+            if alike {
+                Came::ShrunkAlike
+            } else {
+                Came::Shrunk
+            },
+            Some(refusal),
+        )
     }
 
     /// A zone or a kind of which a list leaves nothing, though it has no more than usual to say otherwise: what
     /// stays in that zone would have no node. One that had a single node may well lose it.
     fn emptied(&self, list: &NodeList, missing: &BTreeSet<NodeId>) -> Option<(String, usize)> {
         type Group = fn(&NodeRecord) -> &str;
-        let groups: [(&str, Group); 2] =
-            [("zone", |record| record.zone.as_str()), ("kind", |record| record.kind.as_str())];
+        let groups: [(&str, Group); 2] = [
+            ("zone", |record| record.zone.as_str()),
+            ("kind", |record| record.kind.as_str()),
+        ];
         groups.into_iter().find_map(|(word, group)| {
             let left: BTreeSet<&str> = list.records.iter().map(group).collect();
             let mut gone: BTreeMap<&str, usize> = BTreeMap::new();
             let records = missing.iter().filter_map(|node| self.record(*node));
             records.for_each(|record| *gone.entry(group(record)).or_default() += 1);
-            let emptied = gone.into_iter().find(|(name, count)| *count > 1 && !left.contains(name));
+            let emptied = gone
+                .into_iter()
+                .find(|(name, count)| *count > 1 && !left.contains(name));
             emptied.map(|(name, count)| (format!("{word} `{name}`"), count))
         })
     }
@@ -325,12 +405,22 @@
         }
         for (node, held) in std::mem::take(&mut self.held) {
             self.gone.insert(node, now);
-            entries.push(ListEntry { listing: Listing::Gone, ..held.entry });
+            entries.push(ListEntry {
+                listing: Listing::Gone,
+                ..held.entry
+            });
         }
         let long = plan.rules.warm_after * 10.0;
         self.gone.retain(|_, since| now - *since < long);
         (self.held, self.version, self.remembered) = (next, list.version, false);
-        Event::List { kind: if whole { ListKind::Complete } else { ListKind::Changes }, entries }
+        Event::List {
+            kind: if whole {
+                ListKind::Complete
+            } else {
+                ListKind::Changes
+            },
+            entries,
+        }
     }
 
     fn entry(
@@ -343,7 +433,9 @@
     ) -> ListEntry {
         // The start of a process is fixed when it is first heard of: a clock that jumps moves none.
         let started = match (&record.started, before) {
-            (Some((run, _)), Some(held)) if held.record.started.as_ref().is_some_and(|(r, _)| r == run) => {
+            (Some((run, _)), Some(held))
+                if held.record.started.as_ref().is_some_and(|(r, _)| r == run) =>
+            {
                 held.entry.started
             }
             (Some((_, age)), _) => Some(now - *age),
@@ -357,7 +449,11 @@
             zone: ZoneId(position(&plan.zones, &record.zone) as u16),
             kind: KindId(position(&plan.kinds, &record.kind) as u8),
             cell: self.cell(&record.cell),
-            listing: if record.draining { Listing::Draining } else { Listing::Ready },
+            listing: if record.draining {
+                Listing::Draining
+            } else {
+                Listing::Ready
+            },
             weight: record.weight,
             started,
         }
@@ -375,14 +471,18 @@
     /// The whole list as it is held, for a module that asks.
     pub fn complete(&self) -> Event {
         let entries = self.held.values().map(|held| held.entry.clone()).collect();
-        Event::List { kind: ListKind::Complete, entries }
+        Event::List {
+            kind: ListKind::Complete,
+            entries,
+        }
     }
 }
 
 impl Held {
     fn entry_equals(&self, other: &ListEntry) -> bool {
         let (a, b) = (&self.entry, other);
-        (a.zone, a.kind, a.cell, a.listing, a.started) == (b.zone, b.kind, b.cell, b.listing, b.started)
+        (a.zone, a.kind, a.cell, a.listing, a.started)
+            == (b.zone, b.kind, b.cell, b.listing, b.started)
             && a.weight == b.weight
     }
 }
@@ -407,7 +507,10 @@
 
     fn record(port: u16) -> NodeRecord {
         NodeRecord {
-            node: NodeId { address: [127, 0, 0, 1], port },
+            node: NodeId {
+                address: [127, 0, 0, 1],
+                port,
+            },
             zone: "north".to_string(),
             kind: String::new(),
             cell: String::new(),
@@ -418,7 +521,10 @@
     }
 
     fn list(version: &str, ports: std::ops::Range<u16>) -> Result<NodeList, String> {
-        Ok(NodeList { version: version.to_string(), records: ports.map(record).collect() })
+        Ok(NodeList {
+            version: version.to_string(),
+            records: ports.map(record).collect(),
+        })
     }
 
     fn at(seconds: f64) -> Moment {
@@ -427,7 +533,12 @@
 
     fn held(version: &str, ports: std::ops::Range<u16>) -> Nodes {
         let mut nodes = Nodes::default();
-        assert_eq!(nodes.take(at(1.0), list(version, ports), &plan(), true).refusal, None);
+        assert_eq!(
+            nodes
+                .take(at(1.0), list(version, ports), &plan(), true)
+                .refusal,
+            None
+        );
         nodes
     }
 
@@ -441,29 +552,59 @@
         "zone `moon`"; "an unknown zone")]
     fn a_list_that_cannot_be_right_is_kept_out(came: Result<NodeList, String>, reason: &str) {
         let mut nodes = held("5", 0..8);
-        let refusal = nodes.take(at(2.0), came, &plan(), false).refusal.expect("it is refused");
+        let refusal = nodes
+            .take(at(2.0), came, &plan(), false)
+            .refusal
+            .expect("it is refused");
         assert!(refusal.to_string().contains(reason), "{refusal}");
         assert_eq!(nodes.listed().count(), 8, "the last good list stands");
     }
 
     fn gone(event: Option<Event>) -> usize {
-        let Some(Event::List { entries, .. }) = event else { return 0 };
-        entries.iter().filter(|entry| entry.listing == Listing::Gone).count()
+        let Some(Event::List { entries, .. }) = event else {
+            return 0;
+        };
+        entries
+            .iter()
+            .filter(|entry| entry.listing == Listing::Gone)
+            .count()
     }
 
     #[test]
     fn a_second_list_that_lacks_the_same_nodes_is_believed() {
         let mut nodes = held("5", 0..8);
-        assert!(nodes.take(at(2.0), list("6", 0..3), &plan(), false).refusal.is_some());
+        assert!(nodes
+            .take(at(2.0), list("6", 0..3), &plan(), false)
+            .refusal
+            .is_some());
         // A broken one in between neither confirms nor clears the doubt.
-        assert!(nodes.take(at(2.1), Err("half".into()), &plan(), false).refusal.is_some());
-        assert_eq!(gone(nodes.take(at(3.0), list("7", 0..3), &plan(), false).event), 5);
+        assert!(nodes
+            .take(at(2.1), Err("half".into()), &plan(), false)
+            .refusal
+            .is_some());
+        assert_eq!(
+            gone(nodes.take(at(3.0), list("7", 0..3), &plan(), false).event),
+            5
+        );
         // A whole list in between clears it.
         let mut nodes = held("5", 0..8);
-        assert!(nodes.take(at(2.0), list("6", 0..3), &plan(), false).refusal.is_some());
-        assert!(nodes.take(at(2.5), list("7", 0..8), &plan(), false).refusal.is_none());
-        assert!(nodes.take(at(2.6), list("8", 0..3), &plan(), false).refusal.is_some());
-        assert_eq!(nodes.resolve(at(3.5), &plan()), None, "the doubt is that of the newer one");
+        assert!(nodes
+            .take(at(2.0), list("6", 0..3), &plan(), false)
+            .refusal
+            .is_some());
+        assert!(nodes
+            .take(at(2.5), list("7", 0..8), &plan(), false)
+            .refusal
+            .is_none());
+        assert!(nodes
+            .take(at(2.6), list("8", 0..3), &plan(), false)
+            .refusal
+            .is_some());
+        assert_eq!(
+            nodes.resolve(at(3.5), &plan()),
+            None,
+            "the doubt is that of the newer one"
+        );
     }
 
     #[test]
@@ -495,18 +636,32 @@
         assert_eq!(nodes.resolve(at(3.5), &plan()), None);
         assert_eq!(nodes.listed().count(), 8);
         // One more list that says so is doubted anew.
-        assert!(nodes.take(at(4.0), list("7", 0..3), &plan(), false).refusal.is_some());
+        assert!(nodes
+            .take(at(4.0), list("7", 0..3), &plan(), false)
+            .refusal
+            .is_some());
     }
 
     /// Twelve nodes, two of them in the south, three of kind `large`; `without` says which a list lacks.
     fn mixed(version: &str, without: impl Fn(&NodeRecord) -> bool) -> Result<NodeList, String> {
         let record = |port: u16| NodeRecord {
             zone: if port < 2 { "south" } else { "north" }.into(),
-            kind: if (4..7).contains(&port) { "large" } else { "small" }.into(),
+            kind: if (4..7).contains(&port) {
+                "large"
+            } else {
+                "small"
+            }
+            .into(),
             ..record(port)
         };
-        let records = (0..12).map(record).filter(|record| !without(record)).collect();
-        Ok(NodeList { version: version.into(), records })
+        let records = (0..12)
+            .map(record)
+            .filter(|record| !without(record))
+            .collect();
+        Ok(NodeList {
+            version: version.into(),
+            records,
+        })
     }
 
     #[test_case(|record| record.zone == "south", "all 2 ready nodes of zone `south`"; "a zone")]
@@ -515,11 +670,21 @@
         without: fn(&NodeRecord) -> bool,
         said: &str,
     ) {
-        let plan = Deployment { kinds: vec!["large".into(), "small".into()], ..plan() };
+        let plan = Deployment {
+            kinds: vec!["large".into(), "small".into()],
+            ..plan()
+        };
         let mut nodes = Nodes::default();
-        assert_eq!(nodes.take(at(1.0), mixed("1", |_| false), &plan, true).refusal, None);
+        assert_eq!(
+            nodes
+                .take(at(1.0), mixed("1", |_| false), &plan, true)
+                .refusal,
+            None
+        );
         let outcome = nodes.take(at(2.0), mixed("2", without), &plan, false);
-        assert!(outcome.refusal.is_some_and(|refusal| refusal.to_string().starts_with(said)));
+        assert!(outcome
+            .refusal
+            .is_some_and(|refusal| refusal.to_string().starts_with(said)));
         assert_eq!(nodes.listed().count(), 12, "they are kept meanwhile");
         // Nobody had an answer from them: it was right.
         let until = nodes.doubted_until(&plan).expect("doubted");
@@ -529,32 +694,55 @@
         // One node of several may go without a word.
         let mut nodes = Nodes::default();
         nodes.take(at(1.0), mixed("1", |_| false), &plan, true);
-        let one = nodes.take(at(2.0), mixed("2", |record| record.node.port == 0), &plan, false);
+        let one = nodes.take(
+            at(2.0),
+            mixed("2", |record| record.node.port == 0),
+            &plan,
+            false,
+        );
         assert_eq!(one.refusal, None);
     }
 
     #[test]
     fn a_clock_that_jumps_restarts_no_node() {
-        let run =
-            |age: f64| NodeRecord { started: Some(("r1".into(), Span::from_seconds(age))), ..record(1) };
-        let told = |version: &str, age| Ok(NodeList { version: version.into(), records: vec![run(age)] });
+        let run = |age: f64| NodeRecord {
+            started: Some(("r1".into(), Span::from_seconds(age))),
+            ..record(1)
+        };
+        let told = |version: &str, age| {
+            Ok(NodeList {
+                version: version.into(),
+                records: vec![run(age)],
+            })
+        };
         let mut nodes = Nodes::default();
         nodes.take(at(100.0), told("1", 60.0), &plan(), true);
-        let Some(Event::List { entries, .. }) = nodes.take(at(101.0), told("2", 0.0), &plan(), false).event
+        let Some(Event::List { entries, .. }) =
+            nodes.take(at(101.0), told("2", 0.0), &plan(), false).event
         else {
             panic!("sound")
         };
-        assert!(entries.is_empty(), "the same run tells nothing new: {entries:?}");
+        assert!(
+            entries.is_empty(),
+            "the same run tells nothing new: {entries:?}"
+        );
     }
 
     #[test]
     fn a_node_that_returns_without_an_age_may_be_cold() {
         let mut nodes = held("1", 0..8);
         nodes.take(at(2.0), list("2", 0..7), &plan(), false);
-        let Some(Event::List { entries, .. }) = nodes.take(at(9.0), list("3", 0..8), &plan(), false).event
+        let Some(Event::List { entries, .. }) =
+            nodes.take(at(9.0), list("3", 0..8), &plan(), false).event
         else {
             panic!("sound")
         };
-        assert_eq!(entries.iter().map(|entry| entry.started).collect::<Vec<_>>(), [Some(at(9.0))]);
+        assert_eq!(
+            entries
+                .iter()
+                .map(|entry| entry.started)
+                .collect::<Vec<_>>(),
+            [Some(at(9.0))]
+        );
     }
 }
--- a/crates/session/src/overlay.rs
+++ b/crates/session/src/overlay.rs
@@ -94,7 +94,9 @@
         if entry.listing == Listing::Ready && self.drained.contains(&entry.node) {
             entry.listing = Listing::Draining;
         }
-        let Some((values, place)) = self.values.get(&entry.node) else { return entry };
+        let Some((values, place)) = self.values.get(&entry.node) else {
+            return entry;
+        };
         entry.zone = place.zone.unwrap_or(entry.zone);
         entry.cell = place.cell.unwrap_or(entry.cell);
         entry.weight = values.weight.unwrap_or(entry.weight);
@@ -130,7 +132,8 @@
 
     /// A conductor that starts in the middle of a move does not know who still holds what.
     pub fn leave(&mut self, now: Moment, nodes: &[NodeId]) {
-        self.at.extend(nodes.iter().map(|node| (*node, At::Between(now))));
+        self.at
+            .extend(nodes.iter().map(|node| (*node, At::Between(now))));
     }
 
     pub fn is_between(&self, node: NodeId) -> bool {
@@ -139,11 +142,19 @@
 
     /// Nodes on their way from one pool to another.
     pub fn between(&self) -> usize {
-        self.at.values().filter(|at| matches!(at, At::Between(_))).count()
+        self.at
+            .values()
+            .filter(|at| matches!(at, At::Between(_)))
+            .count()
     }
 
     /// Nodes that may be listed in their new pool: no gateway names them any more, or none may after `grace`.
-    pub fn arrived(&mut self, now: Moment, grace: Span, named: impl Fn(NodeId) -> bool) -> Vec<NodeId> {
+    pub fn arrived(
+        &mut self,
+        now: Moment,
+        grace: Span,
+        named: impl Fn(NodeId) -> bool,
+    ) -> Vec<NodeId> {
         let over = |node: NodeId, since: Moment| now - since >= grace || !named(node);
         let there = self.at.iter().filter_map(|(node, at)| match at {
             At::Between(since) if now > *since && over(*node, *since) => Some(*node),
@@ -161,7 +172,10 @@
     use wheelspread::ids::KindId;
     use wheelspread::interface::ListKind;
 
-    const NODE: NodeId = NodeId { address: [127, 0, 0, 1], port: 9 };
+    const NODE: NodeId = NodeId {
+        address: [127, 0, 0, 1],
+        port: 9,
+    };
 
     fn at(seconds: f64) -> Moment {
         Moment::from_seconds(seconds)
@@ -169,17 +183,36 @@
 
     fn listed(zone: u16, listing: Listing) -> Event {
         let (zone, kind, cell) = (ZoneId(zone), KindId(0), CellId(0));
-        let entry = ListEntry { node: NODE, zone, kind, cell, listing, weight: 1.0, started: None };
-        Event::List { kind: ListKind::Changes, entries: vec![entry] }
+        let entry = ListEntry {
+            node: NODE,
+            zone,
+            kind,
+            cell,
+            listing,
+            weight: 1.0,
+            started: None,
+        };
+        Event::List {
+            kind: ListKind::Changes,
+            entries: vec![entry],
+        }
     }
 
     fn told(event: &Event) -> (u16, Listing) {
-        let Event::List { entries, .. } = event else { panic!("{event:?}") };
+        let Event::List { entries, .. } = event else {
+            panic!("{event:?}")
+        };
         (entries[0].zone.0, entries[0].listing)
     }
 
     fn south() -> BTreeMap<NodeId, NodeValues> {
-        BTreeMap::from([(NODE, NodeValues { zone: Some("1".into()), ..NodeValues::default() })])
+        BTreeMap::from([(
+            NODE,
+            NodeValues {
+                zone: Some("1".into()),
+                ..NodeValues::default()
+            },
+        )])
     }
 
     fn set(overlay: &mut Overlay, values: BTreeMap<NodeId, NodeValues>) -> Vec<NodeId> {
@@ -189,17 +222,38 @@
     #[test]
     fn a_node_is_in_no_pool_between_two_and_comes_back_whatever_happens_on_the_way() {
         let mut overlay = Overlay::default();
-        assert_eq!(told(&overlay.put(at(0.0), listed(0, Listing::Ready))), (0, Listing::Ready));
+        assert_eq!(
+            told(&overlay.put(at(0.0), listed(0, Listing::Ready))),
+            (0, Listing::Ready)
+        );
         assert_eq!(set(&mut overlay, south()), [NODE]);
-        assert_eq!(told(&overlay.put(at(1.0), listed(0, Listing::Ready))), (0, Listing::Gone));
+        assert_eq!(
+            told(&overlay.put(at(1.0), listed(0, Listing::Ready))),
+            (0, Listing::Gone)
+        );
         // A list that comes meanwhile does not bring it in early.
-        assert_eq!(told(&overlay.put(at(1.1), listed(0, Listing::Ready))), (1, Listing::Gone));
-        assert_eq!(overlay.arrived(at(1.2), Span::from_seconds(2.0), |_| true), []);
+        assert_eq!(
+            told(&overlay.put(at(1.1), listed(0, Listing::Ready))),
+            (1, Listing::Gone)
+        );
+        assert_eq!(
+            overlay.arrived(at(1.2), Span::from_seconds(2.0), |_| true),
+            []
+        );
         // Undone on the way: it goes back where it was, and not before its time either.
         set(&mut overlay, BTreeMap::new());
-        assert_eq!(told(&overlay.put(at(1.3), listed(0, Listing::Ready))), (0, Listing::Gone));
-        assert_eq!(overlay.arrived(at(1.4), Span::from_seconds(2.0), |_| false), [NODE]);
-        assert_eq!(told(&overlay.put(at(1.4), listed(0, Listing::Ready))), (0, Listing::Ready));
+        assert_eq!(
+            told(&overlay.put(at(1.3), listed(0, Listing::Ready))),
+            (0, Listing::Gone)
+        );
+        assert_eq!(
+            overlay.arrived(at(1.4), Span::from_seconds(2.0), |_| false),
+            [NODE]
+        );
+        assert_eq!(
+            told(&overlay.put(at(1.4), listed(0, Listing::Ready))),
+            (0, Listing::Ready)
+        );
         assert_eq!(overlay.between(), 0);
     }
 
@@ -209,9 +263,18 @@
         overlay.put(at(0.0), listed(0, Listing::Ready));
         set(&mut overlay, south());
         overlay.put(at(1.0), listed(0, Listing::Ready));
-        assert_eq!(overlay.arrived(at(2.9), Span::from_seconds(2.0), |_| true), []);
-        assert_eq!(overlay.arrived(at(3.0), Span::from_seconds(2.0), |_| true), [NODE]);
-        assert_eq!(told(&overlay.put(at(3.0), listed(0, Listing::Ready))), (1, Listing::Ready));
+        assert_eq!(
+            overlay.arrived(at(2.9), Span::from_seconds(2.0), |_| true),
+            []
+        );
+        assert_eq!(
+            overlay.arrived(at(3.0), Span::from_seconds(2.0), |_| true),
+            [NODE]
+        );
+        assert_eq!(
+            told(&overlay.put(at(3.0), listed(0, Listing::Ready))),
+            (1, Listing::Ready)
+        );
     }
 
     #[test]
@@ -219,15 +282,34 @@
         let mut overlay = Overlay::default();
         set(&mut overlay, south());
         for listing in [Listing::Draining, Listing::Gone] {
-            assert_eq!(told(&overlay.put(at(0.0), listed(1, listing))), (1, listing));
+            assert_eq!(
+                told(&overlay.put(at(0.0), listed(1, listing))),
+                (1, listing)
+            );
         }
-        let service = |service| BTreeMap::from([(NODE, NodeValues { service, ..NodeValues::default() })]);
-        for (word, listing) in
-            [(Some(Service::Draining), Listing::Draining), (Some(Service::Out), Listing::Gone)]
-        {
+        let service = |service| {
+            BTreeMap::from([(
+                NODE,
+                NodeValues {
+                    service,
+                    ..NodeValues::default()
+                },
+            )])
+        };
+        for (word, listing) in [
+            (Some(Service::Draining), Listing::Draining),
+            (Some(Service::Out), Listing::Gone),
+        ] {
             set(&mut overlay, service(word));
-            assert_eq!(told(&overlay.put(at(1.0), listed(1, Listing::Ready))), (1, listing));
+            assert_eq!(
+                told(&overlay.put(at(1.0), listed(1, Listing::Ready))),
+                (1, listing)
+            );
         }
-        assert_eq!(set(&mut overlay, service(Some(Service::Out))), [], "what stays as it is is no news");
+        assert_eq!(
+            set(&mut overlay, service(Some(Service::Out))),
+            [],
+            "what stays as it is is no news"
+        );
     }
 }
--- a/crates/session/src/quiet.rs
+++ b/crates/session/src/quiet.rs
@@ -31,7 +31,13 @@
 impl Quiet {
     /// From now on tries at the node count.
     pub fn watch(&mut self, now: Moment, node: NodeId) {
-        self.nodes.insert(node, Watched { since: now, ..Watched::default() });
+        self.nodes.insert(
+            node,
+            Watched {
+                since: now,
+                ..Watched::default()
+            },
+        );
     }
 
     pub fn leave(&mut self, node: NodeId) {
@@ -40,17 +46,28 @@
 
     pub fn hear(&mut self, now: Moment, proxy: ProxyId, report: &Report) {
         let began = now - report.over;
-        for (node, watched) in self.nodes.iter_mut().filter(|(_, watched)| began >= watched.since) {
+        for (node, watched) in self
+            .nodes
+            .iter_mut()
+            .filter(|(_, watched)| began >= watched.since)
+        {
             watched.heard.insert(proxy);
-            let met = report.operations.iter().flat_map(|operation| &operation.nodes);
+            let met = report
+                .operations
+                .iter()
+                .flat_map(|operation| &operation.nodes);
             let met = met.filter(|met| met.node == Some(*node));
-            watched.tries += met.map(|met| met.succeeded.saturating_add(met.errored)).sum::<u64>();
+            watched.tries += met
+                .map(|met| met.succeeded.saturating_add(met.errored))
+                .sum::<u64>();
         }
     }
 
     /// Tries there since, and how many gateways were heard.
     pub fn of(&self, node: NodeId) -> (u64, usize) {
-        self.nodes.get(&node).map_or((0, 0), |watched| (watched.tries, watched.heard.len()))
+        self.nodes
+            .get(&node)
+            .map_or((0, 0), |watched| (watched.tries, watched.heard.len()))
     }
 }
 
@@ -62,16 +79,40 @@
 
     #[test]
     fn only_spans_that_began_after_the_moment_count() {
-        let (at, node) = (Moment::from_seconds, NodeId { address: [127, 0, 0, 1], port: 9 });
-        let met = NodeReport { node: Some(node), succeeded: 3, errored: 1, ..NodeReport::default() };
-        let operation = OperationReport { nodes: vec![met], ..OperationReport::default() };
-        let report = Report { over: Span::from_seconds(1.0), operations: vec![operation] };
+        let (at, node) = (
+            Moment::from_seconds,
+            NodeId {
+                address: [127, 0, 0, 1],
+                port: 9,
+            },
+        );
+        let met = NodeReport {
+            node: Some(node),
+            succeeded: 3,
+            errored: 1,
+            ..NodeReport::default()
+        };
+        let operation = OperationReport {
+            nodes: vec![met],
+            ..OperationReport::default()
+        };
+        let report = Report {
+            over: Span::from_seconds(1.0),
+            operations: vec![operation],
+        };
         let mut quiet = Quiet::default();
         quiet.watch(at(10.0), node);
         quiet.hear(at(10.5), ProxyId(1), &report);
         assert_eq!(quiet.of(node), (0, 0), "half of it was before");
         quiet.hear(at(11.0), ProxyId(1), &report);
-        quiet.hear(at(12.0), ProxyId(1), &Report { operations: Vec::new(), ..report.clone() });
+        quiet.hear(
+            at(12.0),
+            ProxyId(1),
+            &Report {
+                operations: Vec::new(),
+                ..report.clone()
+            },
+        );
         quiet.hear(at(12.0), ProxyId(2), &report);
         assert_eq!(quiet.of(node), (8, 2));
         quiet.watch(at(13.0), node);
