--- a/crates/session/src/session.rs
+++ b/crates/session/src/session.rs
@@ -355,11 +355,20 @@
         if !flaws.is_empty() {
             return Err(StartError::Flaws(flaws));
         }
-        let balancer = Balancer::start(now, seed, plan.facts(number, None)).map_err(StartError::Module)?;
+        let balancer =
+            Balancer::start(now, seed, plan.facts(number, None)).map_err(StartError::Module)?;
         let held = found.held.values().map(|set| set.version);
-        let last = held.chain(found.versions.iter().copied()).chain([found.floor]).max().unwrap_or_default();
+        let last = held
+            .chain(found.versions.iter().copied())
+            .chain([found.floor])
+            .max()
+            .unwrap_or_default();
         let (mut nodes, mut overlay) = (Nodes::default(), Overlay::default());
-        overlay.set(found.values, |zone| zone_of(&plan, zone), |cell| nodes.cell(cell));
+        overlay.set(
+            found.values,
+            |zone| zone_of(&plan, zone),
+            |cell| nodes.cell(cell),
+        );
         overlay.drain(found.drained);
         overlay.leave(now, &found.moving);
         let mut book = Book::new(plan.operations.len(), last);
@@ -389,7 +398,11 @@
             next_settle: now,
             pointed: BTreeMap::new(),
             sent: BTreeMap::new(),
-            lying: found.versions.into_iter().map(|version| (version, now)).collect(),
+            lying: found
+                .versions
+                .into_iter()
+                .map(|version| (version, now))
+                .collect(),
             strangers: found.held,
             stranger_writes: BTreeSet::new(),
             prune_at: Some(now + plan.rules.drain_grace * PRUNE_AFTER),
@@ -433,16 +446,35 @@
             Observation::StreamOpened { stream, who } => self.opened(now, stream, &who),
             Observation::StreamClosed { stream } => self.closed(now, stream),
             Observation::Report { stream, report } => self.report(now, stream, &report),
-            Observation::Status { proxy, version, refused } => self.status(now, proxy, version, refused),
-            Observation::Pointed { proxy, version, result } => self.was_pointed(now, proxy, version, result),
+            Observation::Status {
+                proxy,
+                version,
+                refused,
+            } => self.status(now, proxy, version, refused),
+            Observation::Pointed {
+                proxy,
+                version,
+                result,
+            } => self.was_pointed(now, proxy, version, result),
             Observation::Pace { lines_per_second } => self.channel.set_pace(lines_per_second),
-            Observation::Subscribed { stream, who, brings } => self.subscribed(now, stream, &who, brings),
+            Observation::Subscribed {
+                stream,
+                who,
+                brings,
+            } => self.subscribed(now, stream, &who, brings),
             Observation::Unsubscribed { stream } => self.unsubscribed(now, stream),
             Observation::HeldBack { bundle, until } => {
                 self.fronts.hold(bundle, until);
-                self.log(Notice::HeldBack { bundle, wait: until - now });
+                self.log(Notice::HeldBack {
+                    bundle,
+                    wait: until - now,
+                });
             }
-            Observation::Back { order, bundle, version } => {
+            Observation::Back {
+                order,
+                bundle,
+                version,
+            } => {
                 let result = self.back(now, bundle, version);
                 self.effects.push(Effect::Answered { order, result });
             }
@@ -483,7 +515,9 @@
         }
         let outcome = self.nodes.take(now, list, &self.plan, first);
         if let Some(refusal) = outcome.refusal {
-            self.log(Notice::ListRefused { reason: refusal.to_string() });
+            self.log(Notice::ListRefused {
+                reason: refusal.to_string(),
+            });
         }
         if let Some(event) = outcome.event {
             self.listed(now, &event);
@@ -491,15 +525,27 @@
     }
 
     fn listed(&mut self, now: Moment, event: &Event) {
-        let Event::List { entries, .. } = event else { return };
+        let Event::List { entries, .. } = event else {
+            return;
+        };
         self.tell_list(now, event.clone());
         if !self.learnt.is_empty() {
             self.balancer.recall(&std::mem::take(&mut self.learnt));
         }
-        let ready = self.nodes.listed().filter(|(record, _)| !record.draining).count();
+        let ready = self
+            .nodes
+            .listed()
+            .filter(|(record, _)| !record.draining)
+            .count();
         let version = self.nodes.version().to_string();
-        self.log(Notice::ListTaken { version, ready, changes: entries.len() });
-        self.prune_at = self.prune_at.or(Some(now + self.plan.rules.drain_grace * PRUNE_AFTER));
+        self.log(Notice::ListTaken {
+            version,
+            ready,
+            changes: entries.len(),
+        });
+        self.prune_at = self
+            .prune_at
+            .or(Some(now + self.plan.rules.drain_grace * PRUNE_AFTER));
     }
 
     fn opened(&mut self, now: Moment, stream: StreamId, who: &Introduction) {
@@ -508,63 +554,105 @@
                 // A stream of tables goes on beside one of sums.
                 if let Some(old) = opened.superseded.filter(|old| !self.fronts.reads(*old)) {
                     let reason = format!("`{}` opened another stream", who.name);
-                    self.effects.push(Effect::Close { stream: old, reason });
+                    self.effects.push(Effect::Close {
+                        stream: old,
+                        reason,
+                    });
                 }
-                self.effects.push(Effect::Accept { stream, period: self.plan.sums.period });
+                self.effects.push(Effect::Accept {
+                    stream,
+                    period: self.plan.sums.period,
+                });
                 opened.events.iter().for_each(|event| self.hear(now, event));
-                self.log(Notice::Joined { proxy: who.name.clone(), zone: who.zone.clone() });
-                if let (Some(set), Some(member)) =
-                    (self.strangers.remove(&who.name), self.members.member(&who.name))
-                {
+                self.log(Notice::Joined {
+                    proxy: who.name.clone(),
+                    zone: who.zone.clone(),
+                });
+                if let (Some(set), Some(member)) = (
+                    self.strangers.remove(&who.name),
+                    self.members.member(&who.name),
+                ) {
                     self.pointed.insert(member.id, Arc::new(set));
                 }
             }
             Err(turned) => {
                 let reason = turned.to_string();
-                self.log(Notice::TurnedAway { stream, reason: reason.clone() });
+                self.log(Notice::TurnedAway {
+                    stream,
+                    reason: reason.clone(),
+                });
                 self.effects.push(Effect::Close { stream, reason });
             }
         }
     }
 
     fn closed(&mut self, now: Moment, stream: StreamId) {
-        let who = self.members.of_stream(stream).map(|(name, member)| (name.to_string(), member.id));
-        let (Some((proxy, id)), Some(event)) = (who, self.members.close(now, stream)) else { return };
+        let who = self
+            .members
+            .of_stream(stream)
+            .map(|(name, member)| (name.to_string(), member.id));
+        let (Some((proxy, id)), Some(event)) = (who, self.members.close(now, stream)) else {
+            return;
+        };
         self.marks.forget(id);
         self.hear(now, &event);
         self.log(Notice::Left { proxy });
     }
 
     fn report(&mut self, now: Moment, stream: StreamId, report: &Report) {
-        let Some((name, member)) = self.members.of_stream(stream) else { return };
+        let Some((name, member)) = self.members.of_stream(stream) else {
+            return;
+        };
         let (name, id, zone) = (name.to_string(), member.id, member.zone);
         let before = self.sums.unknown_nodes;
         let nodes = &self.nodes;
-        let result = self.sums.report(id, zone, report, &self.plan, |node| nodes.record(node).is_some());
+        let result = self.sums.report(id, zone, report, &self.plan, |node| {
+            nodes.record(node).is_some()
+        });
         if let Err(absurd) = result {
             let reason = absurd.to_string();
-            self.effects.push(Effect::Close { stream, reason: reason.clone() });
-            self.log(Notice::ReportRefused { proxy: name, reason });
+            self.effects.push(Effect::Close {
+                stream,
+                reason: reason.clone(),
+            });
+            self.log(Notice::ReportRefused {
+                proxy: name,
+                reason,
+            });
         } else {
             let plan = &self.plan;
-            let operation = |name: &str| plan.operations.iter().position(|operation| operation.name == name);
+            let operation = |name: &str| {
+                plan.operations
+                    .iter()
+                    .position(|operation| operation.name == name)
+            };
             let operation = |name: &str| operation(name).map(|at| OperationId(at as u8));
             self.measured.hear(now, id, zone, report, operation);
             self.quiet.hear(now, id, report);
         }
         if self.sums.unknown_nodes > before && before == 0 {
-            self.log(Notice::UnknownNodes { count: self.sums.unknown_nodes });
+            self.log(Notice::UnknownNodes {
+                count: self.sums.unknown_nodes,
+            });
         }
         if self.nodes.doubted_until(&self.plan).is_some() {
-            let met = report.operations.iter().flat_map(|operation| &operation.nodes);
-            for node in met.filter(|met| met.succeeded > 0).filter_map(|met| met.node) {
+            let met = report
+                .operations
+                .iter()
+                .flat_map(|operation| &operation.nodes);
+            for node in met
+                .filter(|met| met.succeeded > 0)
+                .filter_map(|met| met.node)
+            {
                 self.nodes.answered(node, now - report.over);
             }
         }
     }
 
     fn status(&mut self, now: Moment, proxy: String, version: Version, refused: Option<String>) {
-        let Some(id) = self.members.member(&proxy).map(|member| member.id) else { return };
+        let Some(id) = self.members.member(&proxy).map(|member| member.id) else {
+            return;
+        };
         if refused.is_none() && version > self.book.last() {
             return; // what was never published can't be held
         }
@@ -572,17 +660,29 @@
             None => self.marks.told(now, id, version),
             Some(reason) => {
                 self.marks.refused(id, version);
-                self.log(Notice::Refused { proxy, version, reason });
+                self.log(Notice::Refused {
+                    proxy,
+                    version,
+                    reason,
+                });
             }
         }
     }
 
-    fn was_pointed(&mut self, now: Moment, proxy: String, version: Version, result: Result<(), String>) {
+    fn was_pointed(
+        &mut self,
+        now: Moment,
+        proxy: String,
+        version: Version,
+        result: Result<(), String>,
+    ) {
         let Some(id) = self.members.member(&proxy).map(|member| member.id) else {
             self.stranger_writes.remove(&proxy);
             return;
         };
-        let Some(set) = self.sent.remove(&id) else { return };
+        let Some(set) = self.sent.remove(&id) else {
+            return;
+        };
         match result {
             Ok(()) => {
                 self.channel.done(id);
@@ -592,34 +692,57 @@
             }
             Err(reason) => {
                 let again_in = self.channel.failed(now, id, Urgency::Change);
-                self.log(Notice::WriteFailed { proxy, version, reason, again_in });
+                self.log(Notice::WriteFailed {
+                    proxy,
+                    version,
+                    reason,
+                    again_in,
+                });
             }
         }
     }
 
-    fn subscribed(&mut self, now: Moment, stream: StreamId, who: &Introduction, brings: Option<Version>) {
+    fn subscribed(
+        &mut self,
+        now: Moment,
+        stream: StreamId,
+        who: &Introduction,
+        brings: Option<Version>,
+    ) {
         if !self.plan.fronts.streams {
             let reason = "tables are not given out by streams here".to_string();
             return self.effects.push(Effect::Close { stream, reason });
         }
         let known = self.members.member(&who.name);
-        let by_sums = known.is_some_and(|member| member.stream().is_some_and(|s| !self.fronts.reads(s)));
+        let by_sums =
+            known.is_some_and(|member| member.stream().is_some_and(|s| !self.fronts.reads(s)));
         if !by_sums {
             match self.members.open(now, stream, who, &self.plan) {
                 Ok(opened) => opened.events.iter().for_each(|event| self.hear(now, event)),
                 Err(turned) => {
                     let reason = turned.to_string();
-                    self.log(Notice::TurnedAway { stream, reason: reason.clone() });
+                    self.log(Notice::TurnedAway {
+                        stream,
+                        reason: reason.clone(),
+                    });
                     return self.effects.push(Effect::Close { stream, reason });
                 }
             }
-            self.log(Notice::Joined { proxy: who.name.clone(), zone: who.zone.clone() });
+            self.log(Notice::Joined {
+                proxy: who.name.clone(),
+                zone: who.zone.clone(),
+            });
         }
-        let Some(id) = self.members.member(&who.name).map(|member| member.id) else { return };
+        let Some(id) = self.members.member(&who.name).map(|member| member.id) else {
+            return;
+        };
         let brings = brings.filter(|version| self.book.at_least(*version));
         if let Some(old) = self.fronts.open(id, stream, brings) {
             let reason = format!("`{}` opened another stream", who.name);
-            self.effects.push(Effect::Close { stream: old, reason });
+            self.effects.push(Effect::Close {
+                stream: old,
+                reason,
+            });
         }
         self.strangers.remove(&who.name);
         self.sent.remove(&id);
@@ -627,7 +750,10 @@
         self.pointed.remove(&id);
         // It speaks for itself: nothing is assumed of it.
         self.marks.streams(id);
-        self.log(Notice::Subscribed { proxy: who.name.clone(), stream });
+        self.log(Notice::Subscribed {
+            proxy: who.name.clone(),
+            stream,
+        });
         self.offer(now, id, true);
     }
 
@@ -660,9 +786,17 @@
     }
 
     pub fn reads(&self, proxy: ProxyId) -> Reading<'_> {
-        let newest = self.book.bundle_of(proxy).and_then(|bundle| self.book.newest(bundle));
+        let newest = self
+            .book
+            .bundle_of(proxy)
+            .and_then(|bundle| self.book.newest(bundle));
         let refused = self.marks.refused_version(proxy);
-        Reading { newest, front: self.fronts.front(proxy), holds: self.marks.holds(proxy), refused }
+        Reading {
+            newest,
+            front: self.fronts.front(proxy),
+            holds: self.marks.holds(proxy),
+            refused,
+        }
     }
 
     pub fn stepped_back_to(&self) -> Option<Version> {
@@ -670,16 +804,33 @@
     }
 
     fn back(&mut self, now: Moment, bundle: BundleId, version: Version) -> Result<Stepped, String> {
-        let known = self.recent.get(&version).filter(|set| set.bundle == bundle).cloned();
-        let old = known.ok_or_else(|| format!("version {} of this table is not kept", version.0))?;
+        let known = self
+            .recent
+            .get(&version)
+            .filter(|set| set.bundle == bundle)
+            .cloned();
+        let old =
+            known.ok_or_else(|| format!("version {} of this table is not kept", version.0))?;
         let stepped = self.step(now, &old)?;
-        let left_out = stepped.left_out.iter().map(|(node, why)| (*node, why.word())).collect();
-        self.log(Notice::SteppedBack { version, lines: stepped.lines, left_out });
+        let left_out = stepped
+            .left_out
+            .iter()
+            .map(|(node, why)| (*node, why.word()))
+            .collect();
+        self.log(Notice::SteppedBack {
+            version,
+            lines: stepped.lines,
+            left_out,
+        });
         Ok(stepped)
     }
 
     fn step(&mut self, now: Moment, old: &Arc<TableSet>) -> Result<Stepped, String> {
-        let newest = self.book.newest(old.bundle).cloned().ok_or("this table was never published")?;
+        let newest = self
+            .book
+            .newest(old.bundle)
+            .cloned()
+            .ok_or("this table was never published")?;
         let listed = self.serving().map(|entry| (entry.node, entry)).collect();
         let stepped = self.pins.step(now, old, &newest, &listed, &self.plan.rules);
         self.relist(now, |entry| entry.listing == Listing::Ready);
@@ -691,14 +842,28 @@
         let nodes: BTreeSet<NodeId> = self.pins.free().into_iter().collect();
         self.relist(now, |entry| nodes.contains(&entry.node));
         self.log(Notice::Freed { nodes: nodes.len() });
-        Ok(Stepped { version, lines: nodes.len(), left_out: Vec::new() })
+        Ok(Stepped {
+            version,
+            lines: nodes.len(),
+            left_out: Vec::new(),
+        })
     }
 
     /// Tells the module the weights that go for some nodes now.
     fn relist(&mut self, now: Moment, which: impl Fn(&wheelspread::interface::ListEntry) -> bool) {
-        let entries = self.nodes.listed().map(|(_, entry)| entry).filter(|entry| which(entry));
+        let entries = self
+            .nodes
+            .listed()
+            .map(|(_, entry)| entry)
+            .filter(|entry| which(entry));
         let entries = entries.cloned().collect();
-        self.tell_list(now, Event::List { kind: ListKind::Changes, entries });
+        self.tell_list(
+            now,
+            Event::List {
+                kind: ListKind::Changes,
+                entries,
+            },
+        );
     }
 
     /// What the list says goes to the module as the configuration, the solver and steps back have it.
@@ -711,20 +876,32 @@
     /// Another configuration is in force from now on: the module hears its figures and where nodes serve, all
     /// at once, and every table that is made says that it was made under it.
     fn configure(&mut self, now: Moment, configured: Configured) {
-        let Configured { version, plan, values } = configured;
+        let Configured {
+            version,
+            plan,
+            values,
+        } = configured;
         if let Err(reason) = self.balancer.refigure(plan.facts(self.number, None)) {
-            return self.log(Notice::NotConfigured { configuration: version, reason });
+            return self.log(Notice::NotConfigured {
+                configuration: version,
+                reason,
+            });
         }
         self.channel.set_plan(&plan.channel);
         self.plan = plan;
         let (plan, nodes) = (&self.plan, &mut self.nodes);
-        let spoken = self.overlay.set(values, |zone| zone_of(plan, zone), |cell| nodes.cell(cell));
+        let spoken = self
+            .overlay
+            .set(values, |zone| zone_of(plan, zone), |cell| nodes.cell(cell));
         self.configuration = version;
         self.configured_at = self.book.last();
         self.book.configure(version);
         let spoken: BTreeSet<NodeId> = spoken.into_iter().collect();
         self.relist(now, |entry| spoken.contains(&entry.node));
-        self.log(Notice::Configured { configuration: version, nodes: spoken.len() });
+        self.log(Notice::Configured {
+            configuration: version,
+            nodes: spoken.len(),
+        });
     }
 
     /// Nodes that have left one pool are listed in the other.
@@ -735,21 +912,31 @@
         let joined = self.members.members().filter(|(_, member)| member.joined());
         let readers: Vec<(Option<Version>, &Arc<TableSet>)> = joined
             .filter_map(|(_, member)| {
-                let newest = self.book.bundle_of(member.id).and_then(|bundle| self.book.newest(bundle))?;
+                let newest = self
+                    .book
+                    .bundle_of(member.id)
+                    .and_then(|bundle| self.book.newest(bundle))?;
                 Some((self.marks.holds(member.id).map(|held| held.0), newest))
             })
             .collect();
         let names = |set: &TableSet, node: NodeId| {
-            set.operations.iter().any(|operation| operation.lines.iter().any(|line| line.node == node))
+            set.operations
+                .iter()
+                .any(|operation| operation.lines.iter().any(|line| line.node == node))
         };
         // Soon after a start any proxy may still come and hold what an earlier run gave it.
         let unheard = now - self.since < self.plan.rules.drain_grace;
         let named = |node: NodeId| {
             unheard
-                || readers.iter().any(|(holds, newest)| *holds < Some(newest.version) || names(newest, node))
+                || readers
+                    .iter()
+                    .any(|(holds, newest)| *holds < Some(newest.version) || names(newest, node))
         };
-        let arrived: BTreeSet<NodeId> =
-            self.overlay.arrived(now, self.plan.rules.drain_grace, named).into_iter().collect();
+        let arrived: BTreeSet<NodeId> = self
+            .overlay
+            .arrived(now, self.plan.rules.drain_grace, named)
+            .into_iter()
+            .collect();
         if !arrived.is_empty() {
             self.relist(now, |entry| arrived.contains(&entry.node));
         }
@@ -761,19 +948,28 @@
             let bound = self.book.bundle_of(member.id).is_some();
             bound && self.marks.holds(member.id).map(|held| held.0) <= Some(self.configured_at)
         };
-        let members = self.members.members().filter(|(_, member)| member.joined() && lacks(member));
+        let members = self
+            .members
+            .members()
+            .filter(|(_, member)| member.joined() && lacks(member));
         Reach {
             configuration: self.configuration,
             lacking: members.map(|(name, _)| name.to_string()).collect(),
             away: self.strangers.len()
-                + self.members.members().filter(|(_, member)| !member.joined()).count(),
+                + self
+                    .members
+                    .members()
+                    .filter(|(_, member)| !member.joined())
+                    .count(),
             between: self.overlay.between(),
         }
     }
 
     /// Listed nodes as the configuration has them.
     pub fn serving(&self) -> impl Iterator<Item = ListEntry> + '_ {
-        self.nodes.listed().map(|(_, entry)| self.overlay.over(entry))
+        self.nodes
+            .listed()
+            .map(|(_, entry)| self.overlay.over(entry))
     }
 
     /// Listed nodes as another configuration would have them.
@@ -781,7 +977,10 @@
         let (mut overlay, mut nodes) = (Overlay::default(), self.nodes.clone());
         let zone = |name: &str| zone_of(&configured.plan, name);
         overlay.set(configured.values.clone(), zone, |cell| nodes.cell(cell));
-        self.nodes.listed().map(|(_, entry)| overlay.over(entry)).collect()
+        self.nodes
+            .listed()
+            .map(|(_, entry)| overlay.over(entry))
+            .collect()
     }
 
     pub fn measured(&self) -> &Measured {
@@ -791,16 +990,27 @@
     /// Up to when all joined proxies that report have told what they met.
     pub fn known_until(&self) -> Option<Moment> {
         let joined = self.members.members().filter(|(_, member)| member.joined());
-        self.measured.known_until(joined.map(|(_, member)| member.id))
+        self.measured
+            .known_until(joined.map(|(_, member)| member.id))
     }
 
     /// Joined proxies whose newest tables lack a line for some operation.
     pub fn without_line(&self) -> Vec<String> {
         let lacks = |id: ProxyId| {
-            let newest = self.book.bundle_of(id).and_then(|bundle| self.book.newest(bundle));
-            newest.is_some_and(|set| set.operations.iter().any(|operation| operation.lines.is_empty()))
+            let newest = self
+                .book
+                .bundle_of(id)
+                .and_then(|bundle| self.book.newest(bundle));
+            newest.is_some_and(|set| {
+                set.operations
+                    .iter()
+                    .any(|operation| operation.lines.is_empty())
+            })
         };
-        let members = self.members.members().filter(|(_, member)| member.joined() && lacks(member.id));
+        let members = self
+            .members
+            .members()
+            .filter(|(_, member)| member.joined() && lacks(member.id));
         members.map(|(name, _)| name.to_string()).collect()
     }
 
@@ -812,10 +1022,21 @@
     /// Joined gateways that hold a table which names a node, or of which it is not known what they hold.
     pub fn named_by(&self, node: NodeId) -> Vec<String> {
         let holds = |id: ProxyId| {
-            let newest = self.book.bundle_of(id).and_then(|bundle| self.book.newest(bundle))?;
+            let newest = self
+                .book
+                .bundle_of(id)
+                .and_then(|bundle| self.book.newest(bundle))?;
             let held = self.marks.holds(id).map(|held| held.0)?;
-            let set = if held == newest.version { Some(newest) } else { self.recent.get(&held) };
-            set.map(|set| set.operations.iter().any(|o| o.lines.iter().any(|line| line.node == node)))
+            let set = if held == newest.version {
+                Some(newest)
+            } else {
+                self.recent.get(&held)
+            };
+            set.map(|set| {
+                set.operations
+                    .iter()
+                    .any(|o| o.lines.iter().any(|line| line.node == node))
+            })
         };
         let named = self.members.members().filter(|(_, member)| member.joined());
         let named = named.filter(|(_, member)| holds(member.id).unwrap_or(true));
@@ -824,8 +1045,17 @@
 
     pub fn traces(&self, node: NodeId) -> Traces {
         let (tries, heard) = self.quiet.of(node);
-        let gateways = self.members.members().filter(|(_, member)| member.joined()).count();
-        Traces { named_by: self.named_by(node).len(), gateways, tries, heard }
+        let gateways = self
+            .members
+            .members()
+            .filter(|(_, member)| member.joined())
+            .count();
+        Traces {
+            named_by: self.named_by(node).len(),
+            gateways,
+            tries,
+            heard,
+        }
     }
 
     pub fn drained(&self) -> &BTreeSet<NodeId> {
@@ -904,13 +1134,26 @@
         let mut bound = BTreeSet::new();
         for action in actions {
             match action {
-                Action::SetLine { table, node, weight } => self.book.set_line(table, node, weight),
+                Action::SetLine {
+                    table,
+                    node,
+                    weight,
+                } => self.book.set_line(table, node, weight),
                 Action::ClearTable { table } => self.book.clear(table),
-                Action::Bind { proxy, table, operations } => {
+                Action::Bind {
+                    proxy,
+                    table,
+                    operations,
+                } => {
                     self.book.bind(proxy, table, &operations);
                     bound.insert(proxy);
                 }
-                Action::SetLevel { table, operations, quota, retry } => {
+                Action::SetLevel {
+                    table,
+                    operations,
+                    quota,
+                    retry,
+                } => {
                     self.book.set_level(table, &operations, quota, retry);
                 }
                 Action::Withdraw { node, out } => self.book.withdraw(node, out),
@@ -938,20 +1181,42 @@
         let anew = touched.clone();
         let (nodes, overlay) = (&self.nodes, &self.overlay);
         let listed = |node: NodeId| nodes.record(node).map_or("", |record| record.zone.as_str());
-        let zone = |node: NodeId| overlay.zone(node).unwrap_or_else(|| listed(node)).to_string();
+        let zone = |node: NodeId| {
+            overlay
+                .zone(node)
+                .unwrap_or_else(|| listed(node))
+                .to_string()
+        };
         let published: BTreeSet<BundleId> = self.book.publish(zone).into_iter().collect();
         let bound: Vec<ProxyId> = self.book.bound().collect();
-        let users =
-            bound.iter().filter(|proxy| self.book.bundle_of(**proxy).is_some_and(|b| published.contains(&b)));
+        let users = bound.iter().filter(|proxy| {
+            self.book
+                .bundle_of(**proxy)
+                .is_some_and(|b| published.contains(&b))
+        });
         touched.extend(users);
         for bundle in &published {
-            let proxies = bound.iter().filter(|proxy| self.book.bundle_of(**proxy) == Some(*bundle)).count();
+            let proxies = bound
+                .iter()
+                .filter(|proxy| self.book.bundle_of(**proxy) == Some(*bundle))
+                .count();
             if let Some(set) = self.book.newest(*bundle) {
-                let lines = set.operations.iter().map(|operation| operation.lines.len()).max().unwrap_or(0);
+                let lines = set
+                    .operations
+                    .iter()
+                    .map(|operation| operation.lines.len())
+                    .max()
+                    .unwrap_or(0);
                 let version = set.version;
                 self.recent.insert(version, set.clone());
                 let configuration = set.configuration;
-                self.log(Notice::Published { bundle: *bundle, version, configuration, proxies, lines });
+                self.log(Notice::Published {
+                    bundle: *bundle,
+                    version,
+                    configuration,
+                    proxies,
+                    lines,
+                });
                 self.lying.insert(version, now);
             }
         }
@@ -962,23 +1227,41 @@
             // Whoever was bound anew waits for a swap, though it should be of what lies there already.
             self.offer(now, *proxy, anew.contains(proxy));
         }
-        let joined = |id: &ProxyId| self.members.numbered(*id).is_some_and(|member| member.joined());
+        let joined = |id: &ProxyId| {
+            self.members
+                .numbered(*id)
+                .is_some_and(|member| member.joined())
+        };
         let everyone: Vec<ProxyId> = bound.iter().copied().filter(joined).collect();
         for (mark, all) in marks {
-            let asked: Vec<ProxyId> =
-                everyone.iter().copied().filter(|proxy| all || touched.contains(proxy)).collect();
+            let asked: Vec<ProxyId> = everyone
+                .iter()
+                .copied()
+                .filter(|proxy| all || touched.contains(proxy))
+                .collect();
             for proxy in asked {
-                let newest = self.book.bundle_of(proxy).and_then(|bundle| self.book.newest(bundle));
-                let Some(version) = newest.map(|set| set.version) else { continue };
+                let newest = self
+                    .book
+                    .bundle_of(proxy)
+                    .and_then(|bundle| self.book.newest(bundle));
+                let Some(version) = newest.map(|set| set.version) else {
+                    continue;
+                };
                 self.marks.ask(now, proxy, mark, version);
-                if self.pointed.get(&proxy).is_some_and(|set| set.version >= version) {
+                if self
+                    .pointed
+                    .get(&proxy)
+                    .is_some_and(|set| set.version >= version)
+                {
                     self.marks.pointed(now, proxy, version);
                 }
             }
         }
         let full = self.channel.full();
         if full && !self.full {
-            self.log(Notice::ChannelFull { lines: self.channel.lines_waiting() });
+            self.log(Notice::ChannelFull {
+                lines: self.channel.lines_waiting(),
+            });
         }
         self.full = full;
     }
@@ -986,7 +1269,11 @@
     /// Puts the newest tables of a proxy into its channel, unless it was pointed at them already and does
     /// not start `anew`.
     fn offer(&mut self, now: Moment, proxy: ProxyId, anew: bool) {
-        let Some(newest) = self.book.bundle_of(proxy).and_then(|bundle| self.book.newest(bundle)) else {
+        let Some(newest) = self
+            .book
+            .bundle_of(proxy)
+            .and_then(|bundle| self.book.newest(bundle))
+        else {
             return;
         };
         let held = self.sent.get(&proxy).or(self.pointed.get(&proxy));
@@ -998,7 +1285,10 @@
         if front == Front::Away {
             return; // it comes back to the newest
         }
-        let joined = self.members.numbered(proxy).is_some_and(|member| member.joined());
+        let joined = self
+            .members
+            .numbered(proxy)
+            .is_some_and(|member| member.joined());
         let urgency = match (joined || front != Front::Files, &held) {
             (false, _) => Urgency::Away,
             (true, Some(held)) if removes_lines(held, &newest) => Urgency::Removal,
@@ -1015,7 +1305,11 @@
 
     fn send(&mut self, now: Moment) {
         while let Some(id) = self.channel.next(now) {
-            let newest = self.book.bundle_of(id).and_then(|bundle| self.book.newest(bundle)).cloned();
+            let newest = self
+                .book
+                .bundle_of(id)
+                .and_then(|bundle| self.book.newest(bundle))
+                .cloned();
             let (Some(set), Some(name)) = (newest, self.members.name(id)) else {
                 self.channel.done(id);
                 continue;
@@ -1041,7 +1335,10 @@
     /// Proxies that were forgotten are written to no more.
     fn let_go(&mut self) {
         let bound: Vec<ProxyId> = self.book.bound().collect();
-        for id in bound.into_iter().filter(|id| self.members.name(*id).is_none()) {
+        for id in bound
+            .into_iter()
+            .filter(|id| self.members.name(*id).is_none())
+        {
             self.book.unbind(id);
             self.channel.drop_proxy(id);
             self.marks.forget(id);
@@ -1055,12 +1352,23 @@
 
     /// Where the deployment has weights solved: hears the sums, and now and then lists other weights.
     fn weigh(&mut self, now: Moment, events: &[Event]) {
-        let Some(solver) = &self.plan.solver else { return };
-        self.weigher.hear(events, &self.plan, solver, &self.members, &self.nodes);
+        let Some(solver) = &self.plan.solver else {
+            return;
+        };
+        self.weigher
+            .hear(events, &self.plan, solver, &self.members, &self.nodes);
         match self.weigher.round(now, &self.plan, solver, &self.nodes) {
             Some(Weighed::Changed(entries)) => {
-                self.log(Notice::Weighed { nodes: entries.len() });
-                self.tell_list(now, Event::List { kind: ListKind::Changes, entries });
+                self.log(Notice::Weighed {
+                    nodes: entries.len(),
+                });
+                self.tell_list(
+                    now,
+                    Event::List {
+                        kind: ListKind::Changes,
+                        entries,
+                    },
+                );
             }
             Some(Weighed::Failed(reason)) => self.log(Notice::NotSolved { reason }),
             None => {}
@@ -1068,7 +1376,11 @@
     }
 
     fn retire(&mut self, now: Moment) {
-        let pointed = self.pointed.values().chain(self.sent.values()).map(|set| set.version);
+        let pointed = self
+            .pointed
+            .values()
+            .chain(self.sent.values())
+            .map(|set| set.version);
         let strangers = self.strangers.values().map(|set| set.version);
         let newest = self.book.in_force().map(|set| set.version);
         for version in pointed.chain(strangers).chain(newest) {
@@ -1077,8 +1389,12 @@
         let long = Span::from_seconds(
             (self.plan.channel.delay_at_most.seconds() * RETIRE_AFTER.0).max(RETIRE_AFTER.1),
         );
-        let old: Vec<Version> =
-            self.lying.iter().filter(|(_, used)| now - **used >= long).map(|(version, _)| *version).collect();
+        let old: Vec<Version> = self
+            .lying
+            .iter()
+            .filter(|(_, used)| now - **used >= long)
+            .map(|(version, _)| *version)
+            .collect();
         for version in old {
             self.lying.remove(&version);
             self.effects.push(Effect::Retire { version });
@@ -1104,13 +1420,26 @@
             .map(|entry| entry.node)
             .collect();
         let names: Vec<String> = self.strangers.keys().cloned().collect();
-        for proxy in names.into_iter().filter(|name| !self.stranger_writes.contains(name)).collect::<Vec<_>>()
+        for proxy in names
+            .into_iter()
+            .filter(|name| !self.stranger_writes.contains(name))
+            .collect::<Vec<_>>()
         {
             let mut set = self.strangers[&proxy].clone();
             let mut out = BTreeSet::new();
             for operation in &mut set.operations {
-                if operation.lines.iter().any(|line| ready.contains(&line.node)) {
-                    out.extend(operation.lines.iter().map(|l| l.node).filter(|node| !ready.contains(node)));
+                if operation
+                    .lines
+                    .iter()
+                    .any(|line| ready.contains(&line.node))
+                {
+                    out.extend(
+                        operation
+                            .lines
+                            .iter()
+                            .map(|l| l.node)
+                            .filter(|node| !ready.contains(node)),
+                    );
                     operation.lines.retain(|line| ready.contains(&line.node));
                 }
             }
@@ -1124,21 +1453,38 @@
             self.strangers.insert(proxy.clone(), set.clone());
             self.stranger_writes.insert(proxy.clone());
             let nodes = out.into_iter().map(show).collect();
-            self.log(Notice::Pruned { proxy: proxy.clone(), nodes });
-            self.effects.push(Effect::Point { proxy, set: Arc::new(set) });
+            self.log(Notice::Pruned {
+                proxy: proxy.clone(),
+                nodes,
+            });
+            self.effects.push(Effect::Point {
+                proxy,
+                set: Arc::new(set),
+            });
         }
     }
 
     /// When `settle` should be called again though nothing was observed.
     pub fn wake_at(&self, now: Moment) -> Moment {
-        let mut at = if self.started { self.next_period } else { now + self.plan.sums.period };
+        let mut at = if self.started {
+            self.next_period
+        } else {
+            now + self.plan.sums.period
+        };
         if self.stirred && self.started {
             at = at.min(self.next_settle);
         }
         let doubted = self.nodes.doubted_until(&self.plan);
         let timer = self.timers.first().map(|(at, _)| *at);
         let held = self.fronts.wake_at();
-        let times = [timer, self.marks.wake_at(), self.prune_at, self.echo_at, doubted, held];
+        let times = [
+            timer,
+            self.marks.wake_at(),
+            self.prune_at,
+            self.echo_at,
+            doubted,
+            held,
+        ];
         for due in times.into_iter().flatten() {
             at = at.min(due.max(self.next_settle));
         }
@@ -1147,7 +1493,10 @@
 }
 
 fn zone_of(plan: &Deployment, name: &str) -> Option<ZoneId> {
-    plan.zones.iter().position(|zone| zone == name).map(|at| ZoneId(at as u16))
+    plan.zones
+        .iter()
+        .position(|zone| zone == name)
+        .map(|at| ZoneId(at as u16))
 }
 
 #[cfg(test)]
--- a/crates/session/src/sums.rs
+++ b/crates/session/src/sums.rs
@@ -54,7 +54,11 @@
     #[error("a report over {0} s")]
     Over(f64),
     #[error("{count} invocations of `{operation}` over {over} s")]
-    Count { operation: String, count: f64, over: f64 },
+    Count {
+        operation: String,
+        count: f64,
+        over: f64,
+    },
     #[error("{0} operations in one report")]
     Operations(usize),
     #[error("{0} nodes in one report")]
@@ -102,11 +106,17 @@
         if named.nodes.len() > MOST_NODES {
             return Err(Absurd::Nodes(named.nodes.len()));
         }
-        let each = |node: &NodeReport| node.succeeded as f64 + node.errored as f64 + node.in_progress as f64;
+        let each = |node: &NodeReport| {
+            node.succeeded as f64 + node.errored as f64 + node.in_progress as f64
+        };
         let count = named.nodes.iter().map(each).sum::<f64>() + named.rate_limited as f64;
         if count > MOST_PER_SECOND * over.max(1.0) || named.repeats as f64 > count {
             let operation = named.operation.chars().take(40).collect();
-            return Err(Absurd::Count { operation, count: count.max(named.repeats as f64), over });
+            return Err(Absurd::Count {
+                operation,
+                count: count.max(named.repeats as f64),
+                over,
+            });
         }
     }
     Ok(())
@@ -125,9 +135,13 @@
         *self.covered.entry(zone).or_insert(Span::ZERO) =
             self.covered.get(&zone).copied().unwrap_or(Span::ZERO) + report.over;
         self.reporting.entry(zone).or_default().insert(proxy);
-        let mut silent: BTreeSet<OperationId> = (0..plan.operations.len() as u8).map(OperationId).collect();
+        let mut silent: BTreeSet<OperationId> =
+            (0..plan.operations.len() as u8).map(OperationId).collect();
         for named in &report.operations {
-            let place = plan.operations.iter().position(|operation| operation.name == named.operation);
+            let place = plan
+                .operations
+                .iter()
+                .position(|operation| operation.name == named.operation);
             let Some(place) = place else {
                 self.unknown_operations += 1;
                 continue;
@@ -144,12 +158,22 @@
                 }
             }
             let count = (tries - named.repeats as f64).max(0.0) + named.rate_limited as f64;
-            let sum = self.offered.entry((proxy, operation)).or_insert((0.0, 0.0, Span::ZERO));
-            *sum = (sum.0 + count, sum.1 + errored.min(count), sum.2 + report.over);
+            let sum = self
+                .offered
+                .entry((proxy, operation))
+                .or_insert((0.0, 0.0, Span::ZERO));
+            *sum = (
+                sum.0 + count,
+                sum.1 + errored.min(count),
+                sum.2 + report.over,
+            );
         }
         // What a report does not speak of did not come.
         for operation in silent {
-            let sum = self.offered.entry((proxy, operation)).or_insert((0.0, 0.0, Span::ZERO));
+            let sum = self
+                .offered
+                .entry((proxy, operation))
+                .or_insert((0.0, 0.0, Span::ZERO));
             sum.2 = sum.2 + report.over;
         }
         Ok(())
@@ -167,19 +191,31 @@
         let sums = self.paths.entry((zone, node)).or_default();
         sums.tries += tries;
         sums.errored += met.errored as f64;
-        let latency = met.metrics.get(LATENCY).and_then(|metric| Some((metric.count as f64, metric.mean()?)));
+        let latency = met
+            .metrics
+            .get(LATENCY)
+            .and_then(|metric| Some((metric.count as f64, metric.mean()?)));
         // Proxies that time nothing still tell how many tries were in progress: by Little's law that is
         // the rate times the latency.
-        let by_progress =
-            || (tries > 0.0).then(|| (tries, met.in_progress as f64 * over.seconds() / tries * 1e3));
+        let by_progress = || {
+            (tries > 0.0).then(|| (tries, met.in_progress as f64 * over.seconds() / tries * 1e3))
+        };
         if let Some((count, mean)) = latency.or_else(by_progress) {
             sums.latency = (sums.latency.0 + count, sums.latency.1 + count * mean);
         }
         sums.loads.resize(plan.sums.loads.len(), None);
         for (load, name) in sums.loads.iter_mut().zip(&plan.sums.loads) {
-            let metric = if name == "utilization" { UTILIZATION } else { QUEUE };
+            let metric = if name == "utilization" {
+                UTILIZATION
+            } else {
+                QUEUE
+            };
             // The newest of what came in this period stands.
-            *load = met.metrics.get(metric).and_then(|metric| metric.mean()).or(*load);
+            *load = met
+                .metrics
+                .get(metric)
+                .and_then(|metric| metric.mean())
+                .or(*load);
         }
     }
 
@@ -191,12 +227,19 @@
         for ((zone, node), sums) in std::mem::take(&mut self.paths) {
             // Each proxy of the zone covers its own span; those joined that were not heard count as
             // silent for now, and as heard when their report comes.
-            let proxies = members.joined_in(zone).max(reporting.get(&zone).map_or(0, BTreeSet::len)).max(1);
+            let proxies = members
+                .joined_in(zone)
+                .max(reporting.get(&zone).map_or(0, BTreeSet::len))
+                .max(1);
             let over = covered.get(&zone).copied().unwrap_or(Span::ZERO) * (1.0 / proxies as f64);
             if sums.tries <= 0.0 || over <= Span::ZERO {
                 continue;
             }
-            let latency = if sums.latency.0 > 0.0 { sums.latency.1 / sums.latency.0 / 1e3 } else { 0.0 };
+            let latency = if sums.latency.0 > 0.0 {
+                sums.latency.1 / sums.latency.0 / 1e3
+            } else {
+                0.0
+            };
             // A load that was not told is none: the module leaves out what is below 0.
             let load: Vec<f64> = sums.loads.iter().map(|load| load.unwrap_or(-1.0)).collect();
             let (tries, errored) = (sums.tries, sums.errored);
@@ -211,7 +254,13 @@
             });
         }
         for ((proxy, operation), (count, errored, over)) in std::mem::take(&mut self.offered) {
-            events.push(Event::Offered { proxy, operation, count, errored, over });
+            events.push(Event::Offered {
+                proxy,
+                operation,
+                count,
+                errored,
+                over,
+            });
         }
         events
     }
@@ -230,22 +279,43 @@
     use test_case::test_case;
     use wheelspread::time::Moment;
 
-    const NODE: NodeId = NodeId { address: [127, 0, 0, 1], port: 9 };
+    const NODE: NodeId = NodeId {
+        address: [127, 0, 0, 1],
+        port: 9,
+    };
 
     fn members(count: u64) -> Membership {
         let mut members = Membership::default();
         for number in 0..count {
-            let who = Introduction { name: format!("p{number}"), zone: "north".into(), usual_rate: None };
-            members.open(Moment::from_seconds(0.0), StreamId(number), &who, &plan()).expect("fine");
+            let who = Introduction {
+                name: format!("p{number}"),
+                zone: "north".into(),
+                usual_rate: None,
+            };
+            members
+                .open(Moment::from_seconds(0.0), StreamId(number), &who, &plan())
+                .expect("fine");
         }
         members
     }
 
     fn report(seconds: f64, succeeded: u64, errored: u64, in_progress: u64) -> Report {
-        let node = NodeReport { node: Some(NODE), succeeded, errored, in_progress, ..NodeReport::default() };
-        let quote =
-            OperationReport { operation: "quote".into(), nodes: vec![node], ..OperationReport::default() };
-        Report { over: Span::from_seconds(seconds), operations: vec![quote] }
+        let node = NodeReport {
+            node: Some(NODE),
+            succeeded,
+            errored,
+            in_progress,
+            ..NodeReport::default()
+        };
+        let quote = OperationReport {
+            operation: "quote".into(),
+            nodes: vec![node],
+            ..OperationReport::default()
+        };
+        Report {
+            over: Span::from_seconds(seconds),
+            operations: vec![quote],
+        }
     }
 
     #[test]
@@ -254,23 +324,44 @@
         let (mut sums, members) = (Sums::default(), members(2));
         for (proxy, seconds, count) in [(0, 1.0, 10), (0, 1.0, 10), (1, 1.0, 10)] {
             let told = report(seconds, count, 0, 2);
-            sums.report(ProxyId(proxy), ZoneId(0), &told, &plan(), |_| true).expect("fine");
+            sums.report(ProxyId(proxy), ZoneId(0), &told, &plan(), |_| true)
+                .expect("fine");
         }
         let events = sums.drain(&members);
-        let Event::NodeSums { tries, over, latency, .. } = &events[0] else { panic!("{events:?}") };
+        let Event::NodeSums {
+            tries,
+            over,
+            latency,
+            ..
+        } = &events[0]
+        else {
+            panic!("{events:?}")
+        };
         assert_eq!(
             (tries / over.seconds(), latency.seconds()),
             (20.0, 0.2),
             "two in progress at ten a second"
         );
         let offered = |event: &Event| match event {
-            Event::Offered { proxy, operation, count, over, .. } => {
-                Some((proxy.0, operation.0, *count, over.seconds()))
-            }
+            Event::Offered {
+                proxy,
+                operation,
+                count,
+                over,
+                ..
+            } => Some((proxy.0, operation.0, *count, over.seconds())),
             _ => None,
         };
         let offered: Vec<_> = events.iter().filter_map(offered).collect();
-        assert_eq!(offered, [(0, 0, 20.0, 2.0), (0, 1, 0.0, 2.0), (1, 0, 10.0, 1.0), (1, 1, 0.0, 1.0)]);
+        assert_eq!(
+            offered,
+            [
+                (0, 0, 20.0, 2.0),
+                (0, 1, 0.0, 2.0),
+                (1, 0, 10.0, 1.0),
+                (1, 1, 0.0, 1.0)
+            ]
+        );
         assert_eq!(sums.drain(&members), [], "what was told is not told again");
     }
 
@@ -279,9 +370,12 @@
         let (mut sums, members) = (Sums::default(), members(1));
         let mut told = report(1.0, 8, 4, 0);
         (told.operations[0].repeats, told.operations[0].rate_limited) = (2, 5);
-        sums.report(ProxyId(0), ZoneId(0), &told, &plan(), |_| true).expect("fine");
+        sums.report(ProxyId(0), ZoneId(0), &told, &plan(), |_| true)
+            .expect("fine");
         let events = sums.drain(&members);
-        assert!(events.iter().any(|event| matches!(event, Event::Offered { count, .. } if *count == 15.0)));
+        assert!(events
+            .iter()
+            .any(|event| matches!(event, Event::Offered { count, .. } if *count == 15.0)));
     }
 
     #[test_case(report(0.0, 1, 0, 0); "no span")]
@@ -291,15 +385,27 @@
         "more repeats than tries")]
     fn absurd_reports_change_nothing(told: Report) {
         let mut sums = Sums::default();
-        assert!(sums.report(ProxyId(0), ZoneId(0), &told, &plan(), |_| true).is_err());
+        assert!(sums
+            .report(ProxyId(0), ZoneId(0), &told, &plan(), |_| true)
+            .is_err());
         assert_eq!(sums.drain(&members(1)), []);
     }
 
     #[test]
     fn nodes_that_never_were_are_counted_apart() {
         let mut sums = Sums::default();
-        sums.report(ProxyId(0), ZoneId(0), &report(1.0, 5, 0, 0), &plan(), |_| false).expect("fine");
+        sums.report(
+            ProxyId(0),
+            ZoneId(0),
+            &report(1.0, 5, 0, 0),
+            &plan(),
+            |_| false,
+        )
+        .expect("fine");
         assert_eq!(sums.unknown_nodes, 1);
-        assert!(!sums.drain(&members(1)).iter().any(|event| matches!(event, Event::NodeSums { .. })));
+        assert!(!sums
+            .drain(&members(1))
+            .iter()
+            .any(|event| matches!(event, Event::NodeSums { .. })));
     }
 }
--- a/crates/session/src/tests.rs
+++ b/crates/session/src/tests.rs
@@ -20,11 +20,18 @@
 }
 
 fn node(port: u16) -> NodeId {
-    NodeId { address: [127, 0, 0, 1], port }
+    NodeId {
+        address: [127, 0, 0, 1],
+        port,
+    }
 }
 
 fn record(port: u16, draining: bool, age: f64) -> NodeRecord {
-    let zone = if port.is_multiple_of(2) { "north" } else { "south" };
+    let zone = if port.is_multiple_of(2) {
+        "north"
+    } else {
+        "south"
+    };
     NodeRecord {
         node: node(port),
         zone: zone.to_string(),
@@ -59,26 +66,54 @@
 
     fn list(&mut self, records: Vec<NodeRecord>) {
         self.list_version += 1;
-        let list = NodeList { version: self.list_version.to_string(), records };
+        let list = NodeList {
+            version: self.list_version.to_string(),
+            records,
+        };
         self.session.observe(self.now, Observation::List(Ok(list)));
         self.turn();
     }
 
     fn join(&mut self, stream: u64, name: &str, zone: &str) {
-        let who = Introduction { name: name.into(), zone: zone.into(), usual_rate: None };
-        self.session.observe(self.now, Observation::StreamOpened { stream: StreamId(stream), who });
+        let who = Introduction {
+            name: name.into(),
+            zone: zone.into(),
+            usual_rate: None,
+        };
+        self.session.observe(
+            self.now,
+            Observation::StreamOpened {
+                stream: StreamId(stream),
+                who,
+            },
+        );
         self.turn();
     }
 
     fn subscribe(&mut self, stream: u64, name: &str, zone: &str, brings: Option<u64>) {
-        let who = Introduction { name: name.into(), zone: zone.into(), usual_rate: None };
+        let who = Introduction {
+            name: name.into(),
+            zone: zone.into(),
+            usual_rate: None,
+        };
         let brings = brings.map(Version);
-        self.session.observe(self.now, Observation::Subscribed { stream: StreamId(stream), who, brings });
+        self.session.observe(
+            self.now,
+            Observation::Subscribed {
+                stream: StreamId(stream),
+                who,
+                brings,
+            },
+        );
         self.turn();
     }
 
     fn last_sent(&self, stream: u64) -> Option<&Arc<TableSet>> {
-        self.sends.iter().rev().find(|(to, _)| *to == StreamId(stream)).map(|(_, set)| set)
+        self.sends
+            .iter()
+            .rev()
+            .find(|(to, _)| *to == StreamId(stream))
+            .map(|(_, set)| set)
     }
 
     fn turn(&mut self) {
@@ -88,16 +123,31 @@
             match effect {
                 Effect::Point { proxy, set } => {
                     let version = set.version;
-                    let result = if self.failing { Err("the disk is full".to_string()) } else { Ok(()) };
+                    let result = if self.failing {
+                        Err("the disk is full".to_string())
+                    } else {
+                        Ok(())
+                    };
                     if result.is_ok() {
                         let before = self.files.insert(proxy.clone(), set);
-                        assert!(before.is_none_or(|before| before.version <= version), "versions never fall");
+                        assert!(
+                            before.is_none_or(|before| before.version <= version),
+                            "versions never fall"
+                        );
                     }
-                    self.session.observe(self.now, Observation::Pointed { proxy, version, result });
+                    self.session.observe(
+                        self.now,
+                        Observation::Pointed {
+                            proxy,
+                            version,
+                            result,
+                        },
+                    );
                 }
                 Effect::Close { stream, reason } => {
                     self.closed.push((stream, reason));
-                    self.session.observe(self.now, Observation::StreamClosed { stream });
+                    self.session
+                        .observe(self.now, Observation::StreamClosed { stream });
                 }
                 Effect::Log(notice) => self.notices.push(notice),
                 Effect::Retire { version } => self.retired.push(version),
@@ -113,7 +163,10 @@
         let end = self.now + Span::from_seconds(seconds);
         let mut next_report = self.now + Span::from_seconds(1.0);
         while self.now < end {
-            let wake = self.session.wake_at(self.now).max(self.now + Span::from_seconds(0.001));
+            let wake = self
+                .session
+                .wake_at(self.now)
+                .max(self.now + Span::from_seconds(0.001));
             self.now = wake.min(next_report).min(end);
             if self.now >= next_report {
                 next_report = next_report + Span::from_seconds(1.0);
@@ -125,7 +178,9 @@
 
     /// What a proxy would have met with the files it reads: ten quotes a second, all well.
     fn report(&mut self, stream: u64) {
-        let Some((name, _)) = self.session.members.of_stream(StreamId(stream)) else { return };
+        let Some((name, _)) = self.session.members.of_stream(StreamId(stream)) else {
+            return;
+        };
         let lines = self.nodes_of(name);
         let each = |port: &u16| NodeReport {
             node: Some(node(*port)),
@@ -134,9 +189,22 @@
             ..NodeReport::default()
         };
         let nodes = lines.iter().map(each).collect();
-        let quote = OperationReport { operation: "quote".into(), nodes, ..OperationReport::default() };
-        let report = Report { over: Span::from_seconds(1.0), operations: vec![quote] };
-        self.session.observe(self.now, Observation::Report { stream: StreamId(stream), report });
+        let quote = OperationReport {
+            operation: "quote".into(),
+            nodes,
+            ..OperationReport::default()
+        };
+        let report = Report {
+            over: Span::from_seconds(1.0),
+            operations: vec![quote],
+        };
+        self.session.observe(
+            self.now,
+            Observation::Report {
+                stream: StreamId(stream),
+                report,
+            },
+        );
     }
 
     fn nodes_of(&self, proxy: &str) -> Vec<u16> {
@@ -175,17 +243,28 @@
     stage.list((1..=8).map(|port| record(port, port == 2, 500.0)).collect());
     stage.pass(0.5, &[1, 2]);
     for proxy in ["n1", "s1"] {
-        assert!(!stage.nodes_of(proxy).contains(&2) && !stage.nodes_of(proxy).is_empty(), "{proxy}");
+        assert!(
+            !stage.nodes_of(proxy).contains(&2) && !stage.nodes_of(proxy).is_empty(),
+            "{proxy}"
+        );
     }
 }
 
 #[test]
 fn a_swap_lands_though_the_stream_of_sums_breaks_with_it() {
     let mut stage = started();
-    stage.session.observe(stage.now, Observation::StreamClosed { stream: StreamId(1) });
+    stage.session.observe(
+        stage.now,
+        Observation::StreamClosed {
+            stream: StreamId(1),
+        },
+    );
     stage.list((1..=8).map(|port| record(port, port == 2, 500.0)).collect());
     stage.pass(1.0, &[2]);
-    assert!(!stage.nodes_of("n1").contains(&2), "files reach a proxy whose stream is down");
+    assert!(
+        !stage.nodes_of("n1").contains(&2),
+        "files reach a proxy whose stream is down"
+    );
     stage.join(3, "n1", "north");
     stage.pass(1.0, &[2, 3]);
     assert!(!stage.nodes_of("n1").contains(&2) && !stage.nodes_of("n1").is_empty());
@@ -197,9 +276,12 @@
     stage.failing = true;
     stage.list((1..=8).map(|port| record(port, port == 2, 500.0)).collect());
     stage.pass(0.8, &[1, 2]);
-    let failed =
-        |notice: &&Notice| matches!(notice, Notice::WriteFailed { reason, .. } if reason.contains("full"));
-    assert!(stage.notices.iter().filter(failed).count() >= 2, "named, and tried again: {:?}", stage.notices);
+    let failed = |notice: &&Notice| matches!(notice, Notice::WriteFailed { reason, .. } if reason.contains("full"));
+    assert!(
+        stage.notices.iter().filter(failed).count() >= 2,
+        "named, and tried again: {:?}",
+        stage.notices
+    );
     assert!(stage.nodes_of("n1").contains(&2));
     stage.failing = false;
     stage.pass(5.0, &[1, 2]);
@@ -212,51 +294,97 @@
     before.join(3, "n2", "north");
     before.pass(1.0, &[1, 2, 3]);
     assert!(before.nodes_of("n2").contains(&2) && before.nodes_of("n2").contains(&4));
-    let held =
-        BTreeMap::from_iter(before.files.iter().map(|(name, set)| (name.clone(), set.as_ref().clone())));
-    let last = held.values().map(|set| set.version).max().expect("published");
+    let held = BTreeMap::from_iter(
+        before
+            .files
+            .iter()
+            .map(|(name, set)| (name.clone(), set.as_ref().clone())),
+    );
+    let last = held
+        .values()
+        .map(|set| set.version)
+        .max()
+        .expect("published");
     let versions = held.values().map(|set| set.version).collect();
-    let mut stage = Stage::new(Found { held, versions, ..Found::default() });
+    let mut stage = Stage::new(Found {
+        held,
+        versions,
+        ..Found::default()
+    });
     stage.files = before.files;
     // While it was down node 2 drained, node 4 left and node 6 started anew.
-    let records =
-        [1, 2, 3, 5, 6, 7, 8].map(|port| record(port, port == 2, if port == 6 { 0.5 } else { 500.0 }));
+    let records = [1, 2, 3, 5, 6, 7, 8]
+        .map(|port| record(port, port == 2, if port == 6 { 0.5 } else { 500.0 }));
     stage.list(records.to_vec());
     stage.join(1, "n1", "north");
     // n2 stays away: its old files are pruned of nodes 2 and 4 before the grace of 2 s is over.
     stage.pass(1.0, &[1]);
     for proxy in ["n1", "n2"] {
         let nodes = stage.nodes_of(proxy);
-        assert!(!nodes.is_empty() && !nodes.contains(&2) && !nodes.contains(&4), "{proxy} holds {nodes:?}");
+        assert!(
+            !nodes.is_empty() && !nodes.contains(&2) && !nodes.contains(&4),
+            "{proxy} holds {nodes:?}"
+        );
         assert!(stage.files[proxy].version > last);
     }
     let weight = |port: u16| {
         let lines = &stage.files["n1"].operations[0].lines;
-        lines.iter().find(|line| line.node.port == port).map_or(0.0, |line| line.weight)
+        lines
+            .iter()
+            .find(|line| line.node.port == port)
+            .map_or(0.0, |line| line.weight)
     };
-    assert!(weight(6) < weight(8) * 0.5, "a node that just started: {} beside {}", weight(6), weight(8));
+    assert!(
+        weight(6) < weight(8) * 0.5,
+        "a node that just started: {} beside {}",
+        weight(6),
+        weight(8)
+    );
 }
 
 #[test]
 fn a_proxy_that_sends_what_cannot_be_is_closed_with_a_reason() {
     let mut stage = started();
-    let report = Report { over: Span::from_seconds(-1.0), operations: Vec::new() };
-    stage.session.observe(stage.now, Observation::Report { stream: StreamId(1), report });
+    let report = Report {
+        over: Span::from_seconds(-1.0),
+        operations: Vec::new(),
+    };
+    stage.session.observe(
+        stage.now,
+        Observation::Report {
+            stream: StreamId(1),
+            report,
+        },
+    );
     stage.turn();
-    assert!(stage.closed.iter().any(|(stream, reason)| *stream == StreamId(1) && reason.contains("-1 s")));
-    assert!(stage.session.members.member("n1").is_some_and(|member| !member.joined()));
+    assert!(stage
+        .closed
+        .iter()
+        .any(|(stream, reason)| *stream == StreamId(1) && reason.contains("-1 s")));
+    assert!(stage
+        .session
+        .members
+        .member("n1")
+        .is_some_and(|member| !member.joined()));
 }
 
 #[test]
 fn versions_that_nobody_reads_are_let_go_and_those_in_use_are_not() {
     let mut stage = started();
     for drained in [2, 3, 4] {
-        stage.list((1..=8).map(|port| record(port, port == drained, 500.0)).collect());
+        stage.list(
+            (1..=8)
+                .map(|port| record(port, port == drained, 500.0))
+                .collect(),
+        );
         stage.pass(3.0, &[1, 2]);
     }
     stage.pass(60.0, &[1, 2]);
     assert!(!stage.retired.is_empty());
-    assert!(stage.files.values().all(|set| !stage.retired.contains(&set.version)));
+    assert!(stage
+        .files
+        .values()
+        .all(|set| !stage.retired.contains(&set.version)));
 }
 
 #[test]
@@ -267,7 +395,10 @@
     let until = stage.now + Span::from_seconds(1.0);
     while stage.now < until {
         stage.turn();
-        stage.now = stage.session.wake_at(stage.now).max(stage.now + Span::from_seconds(0.0001));
+        stage.now = stage
+            .session
+            .wake_at(stage.now)
+            .max(stage.now + Span::from_seconds(0.0001));
         turns += 1;
     }
     assert!(turns < 200, "{turns} turns in a second");
@@ -275,8 +406,13 @@
 
 #[test]
 fn the_same_observations_give_the_same_files() {
-    let files =
-        || started().files.into_iter().map(|(name, set)| (name, set.as_ref().clone())).collect::<Vec<_>>();
+    let files = || {
+        started()
+            .files
+            .into_iter()
+            .map(|(name, set)| (name, set.as_ref().clone()))
+            .collect::<Vec<_>>()
+    };
     assert_eq!(files(), files());
 }
 
@@ -287,7 +423,12 @@
     plan.solver = Some(crate::deployment::SolverPlan {
         capacities: BTreeMap::from([("large".to_string(), 4.0), ("small".to_string(), 1.0)]),
         work: ["quote", "book"]
-            .map(|name| (name.to_string(), crate::deployment::Work(Span::from_seconds(0.1))))
+            .map(|name| {
+                (
+                    name.to_string(),
+                    crate::deployment::Work(Span::from_seconds(0.1)),
+                )
+            })
             .into(),
         every: Span::from_seconds(1.0),
         least_share: 0.05,
@@ -302,8 +443,10 @@
 
 fn kinds(drains: bool) -> Vec<NodeRecord> {
     let kind = |port: u16| if port <= 4 { "large" } else { "small" };
-    let of =
-        |port: u16| NodeRecord { kind: kind(port).to_string(), ..record(port, drains && port == 2, 500.0) };
+    let of = |port: u16| NodeRecord {
+        kind: kind(port).to_string(),
+        ..record(port, drains && port == 2, 500.0)
+    };
     (1..=8).map(of).collect()
 }
 
@@ -317,8 +460,14 @@
     };
     // One quote every period or so at each of them: little is known, so what was told stands.
     let (large, small) = weights(&stage);
-    assert!((2.0..6.0).contains(&(large / small)), "{large} beside {small}");
-    assert!(stage.notices.iter().any(|notice| matches!(notice, Notice::Weighed { .. })));
+    assert!(
+        (2.0..6.0).contains(&(large / small)),
+        "{large} beside {small}"
+    );
+    assert!(stage
+        .notices
+        .iter()
+        .any(|notice| matches!(notice, Notice::Weighed { .. })));
     assert!(!stage.nodes_of("n1").is_empty());
 }
 
@@ -328,11 +477,16 @@
     stage.pass(6.0, &[1, 2]);
     let before = stage.session.weigher.weight(node(6));
     // A demand for what no host is left to do can't be solved: every node drains.
-    let records = kinds(false).into_iter().map(|record| NodeRecord { draining: true, ..record }).collect();
+    let records = kinds(false)
+        .into_iter()
+        .map(|record| NodeRecord {
+            draining: true,
+            ..record
+        })
+        .collect();
     stage.list(records);
     stage.pass(4.0, &[1, 2]);
-    let failed =
-        |notice: &Notice| matches!(notice, Notice::NotSolved { reason } if reason.contains("no capacity"));
+    let failed = |notice: &Notice| matches!(notice, Notice::NotSolved { reason } if reason.contains("no capacity"));
     assert!(stage.notices.iter().any(failed));
     assert_eq!(stage.session.weigher.weight(node(6)), before);
 }
@@ -349,7 +503,11 @@
 // ---- streams ----
 
 fn ports(set: &TableSet) -> Vec<u16> {
-    set.operations[0].lines.iter().map(|line| line.node.port).collect()
+    set.operations[0]
+        .lines
+        .iter()
+        .map(|line| line.node.port)
+        .collect()
 }
 
 #[test]
@@ -360,9 +518,18 @@
     assert!(!stage.files.contains_key("x1"));
     assert!(stage.last_sent(9).is_some_and(|set| !ports(set).is_empty()));
     let sent = stage.sends.len();
-    stage.session.observe(stage.now, Observation::Unsubscribed { stream: StreamId(9) });
+    stage.session.observe(
+        stage.now,
+        Observation::Unsubscribed {
+            stream: StreamId(9),
+        },
+    );
     for drains in 1..=3 {
-        stage.list((1..=8).map(|port| record(port, port <= drains, 500.0)).collect());
+        stage.list(
+            (1..=8)
+                .map(|port| record(port, port <= drains, 500.0))
+                .collect(),
+        );
         stage.pass(1.0, &[1, 2]);
     }
     assert_eq!(stage.sends.len(), sent, "nothing is sent to nobody");
@@ -372,7 +539,10 @@
     let (to, set) = stage.sends.last().expect("it came back");
     assert_eq!(*to, StreamId(10));
     assert!(ports(set).iter().all(|port| *port > 3), "{:?}", ports(set));
-    let versions: BTreeSet<Version> = stage.sends[sent..].iter().map(|(_, set)| set.version).collect();
+    let versions: BTreeSet<Version> = stage.sends[sent..]
+        .iter()
+        .map(|(_, set)| set.version)
+        .collect();
     assert_eq!(versions.len(), 1);
 }
 
@@ -384,7 +554,10 @@
     stage.list((1..=7).map(|port| record(port, false, 500.0)).collect());
     stage.pass(1.0, &[1, 2]);
     let version = stage.last_sent(9).expect("sent").version;
-    assert!(version > Version(70_000) && version < Version(71_000), "{version:?}");
+    assert!(
+        version > Version(70_000) && version < Version(71_000),
+        "{version:?}"
+    );
 }
 
 #[test]
@@ -396,8 +569,16 @@
     stage.pass(1.0, &[1, 2, 11]);
     assert_eq!(stage.closed, [], "neither is in the other's way");
     stage.subscribe(12, "x1", "south", None);
-    assert_eq!(stage.closed[0].0, StreamId(10), "a second stream of tables takes the place of the first");
-    assert!(stage.session.members().member("x1").is_some_and(|member| member.joined()));
+    assert_eq!(
+        stage.closed[0].0,
+        StreamId(10),
+        "a second stream of tables takes the place of the first"
+    );
+    assert!(stage
+        .session
+        .members()
+        .member("x1")
+        .is_some_and(|member| member.joined()));
 }
 
 #[test]
@@ -407,7 +588,9 @@
     stage.pass(1.0, &[1, 2]);
     let bundle = stage.last_sent(9).expect("sent").bundle;
     let until = stage.now + Span::from_seconds(5.0);
-    stage.session.observe(stage.now, Observation::HeldBack { bundle, until });
+    stage
+        .session
+        .observe(stage.now, Observation::HeldBack { bundle, until });
     let sent = stage.sends.len();
     let mut records: Vec<NodeRecord> = (1..=8).map(|port| record(port, false, 500.0)).collect();
     records.push(record(9, false, 500.0));
@@ -417,7 +600,10 @@
     records[1].draining = true;
     stage.list(records);
     stage.pass(1.0, &[1, 2]);
-    assert!(!ports(stage.last_sent(9).expect("sent")).contains(&2), "a drain can't");
+    assert!(
+        !ports(stage.last_sent(9).expect("sent")).contains(&2),
+        "a drain can't"
+    );
     stage.pass(4.0, &[1, 2]);
     assert!(ports(stage.last_sent(9).expect("sent")).contains(&9));
 }
@@ -431,7 +617,10 @@
     let weight = |set: &TableSet, port: u16| {
         let lines = &set.operations[0].lines;
         let all: f64 = lines.iter().map(|line| line.weight).sum();
-        lines.iter().find(|line| line.node.port == port).map_or(0.0, |line| line.weight / all)
+        lines
+            .iter()
+            .find(|line| line.node.port == port)
+            .map_or(0.0, |line| line.weight / all)
     };
     // An operator's list gives two nodes other weights; one drains, one starts anew and is cold.
     let mut records: Vec<NodeRecord> = (1..=8).map(|port| record(port, false, 500.0)).collect();
@@ -442,23 +631,46 @@
     stage.pass(3.0, &[1, 2]);
     let newer = stage.last_sent(9).expect("sent").clone();
     assert!(weight(&newer, 2) > 3.0 * weight(&newer, 4));
-    let order = Observation::Back { order: 1, bundle: old.bundle, version: old.version };
+    let order = Observation::Back {
+        order: 1,
+        bundle: old.bundle,
+        version: old.version,
+    };
     stage.session.observe(stage.now, order);
     stage.pass(20.0, &[1, 2]);
     let stepped = stage.answers[0].clone().expect("the version is kept");
-    let out: Vec<(u16, &str)> = stepped.left_out.iter().map(|(node, why)| (node.port, why.word())).collect();
+    let out: Vec<(u16, &str)> = stepped
+        .left_out
+        .iter()
+        .map(|(node, why)| (node.port, why.word()))
+        .collect();
     assert_eq!(out, [(6, "drains"), (8, "cold")]);
     let now = stage.last_sent(9).expect("sent");
     assert!(now.version > newer.version, "versions never fall");
     let ratio = weight(now, 2) / weight(now, 4);
-    assert!((ratio / (weight(&old, 2) / weight(&old, 4)) - 1.0).abs() < 0.3, "{ratio}");
+    assert!(
+        (ratio / (weight(&old, 2) / weight(&old, 4)) - 1.0).abs() < 0.3,
+        "{ratio}"
+    );
     assert!(!ports(now).contains(&6));
+    stage.session.observe(
+        stage.now,
+        Observation::Back {
+            order: 2,
+            bundle: old.bundle,
+            version: Version(1 << 40),
+        },
+    );
     stage
         .session
-        .observe(stage.now, Observation::Back { order: 2, bundle: old.bundle, version: Version(1 << 40) });
-    stage.session.observe(stage.now, Observation::Free { order: 3 });
+        .observe(stage.now, Observation::Free { order: 3 });
     stage.pass(4.0, &[1, 2]);
-    assert!(stage.answers[1].as_ref().is_err_and(|error| error.contains("is not kept")));
+    assert!(stage.answers[1]
+        .as_ref()
+        .is_err_and(|error| error.contains("is not kept")));
     let freed = stage.last_sent(9).expect("sent");
-    assert!(weight(freed, 2) > 3.0 * weight(freed, 4), "the list's weights are back");
+    assert!(
+        weight(freed, 2) > 3.0 * weight(freed, 4),
+        "the list's weights are back"
+    );
 }
--- a/crates/session/src/weigh.rs
+++ b/crates/session/src/weigh.rs
@@ -41,7 +41,9 @@
 impl Weigher {
     /// The weight that a node is listed with, where one was solved.
     pub fn weight(&self, node: NodeId) -> Option<f64> {
-        self.standing.get(&show(node)).map(|weight| weight.max(LEAST))
+        self.standing
+            .get(&show(node))
+            .map(|weight| weight.max(LEAST))
     }
 
     /// Puts solved weights in the place of listed ones.
@@ -67,17 +69,42 @@
         let mut met: BTreeMap<NodeId, (f64, f64, f64, Option<f64>)> = BTreeMap::new();
         for event in events {
             match event {
-                Event::Offered { proxy, operation, count, over, .. } if over.seconds() > 0.0 => {
+                Event::Offered {
+                    proxy,
+                    operation,
+                    count,
+                    over,
+                    ..
+                } if over.seconds() > 0.0 => {
                     let zone = members.numbered(*proxy).map(|member| member.zone);
                     if let Some(zone) = zone {
                         *asked.entry((zone, *operation)).or_insert(0.0) += count / over.seconds();
                     }
                 }
-                Event::NodeSums { node, tries, errored, over, load, .. } if over.seconds() > 0.0 => {
+                Event::NodeSums {
+                    node,
+                    tries,
+                    errored,
+                    over,
+                    load,
+                    ..
+                } if over.seconds() > 0.0 => {
                     let sum = met.entry(*node).or_insert((0.0, 0.0, 0.0, None));
-                    let place = plan.sums.loads.iter().position(|name| name == "utilization");
-                    let busy = place.and_then(|place| load.get(place)).copied().filter(|busy| *busy >= 0.0);
-                    *sum = (sum.0 + tries / over.seconds(), sum.1 + errored, sum.2 + tries, busy.or(sum.3));
+                    let place = plan
+                        .sums
+                        .loads
+                        .iter()
+                        .position(|name| name == "utilization");
+                    let busy = place
+                        .and_then(|place| load.get(place))
+                        .copied()
+                        .filter(|busy| *busy >= 0.0);
+                    *sum = (
+                        sum.0 + tries / over.seconds(),
+                        sum.1 + errored,
+                        sum.2 + tries,
+                        busy.or(sum.3),
+                    );
                 }
                 _ => {}
             }
@@ -88,7 +115,9 @@
         }
         let mean_work = self.mean_work(plan, solver);
         for (node, (rate, errored, tries, utilization)) in met {
-            let Some(record) = nodes.record(node) else { continue };
+            let Some(record) = nodes.record(node) else {
+                continue;
+            };
             let told = solver.capacities.get(&record.kind).copied().unwrap_or(0.0);
             let seen = Seen {
                 load: rate * mean_work,
@@ -96,21 +125,36 @@
                 late_or_errored: errored / tries.max(1.0),
                 tries,
             };
-            self.estimates.entry(node).or_insert_with(|| Estimate::new(told)).see(seen);
+            self.estimates
+                .entry(node)
+                .or_insert_with(|| Estimate::new(told))
+                .see(seen);
         }
     }
 
     fn mean_work(&self, plan: &Deployment, solver: &SolverPlan) -> f64 {
         let work = |operation: &OperationId| {
-            let name = plan.operations.get(usize::from(operation.0)).map(|operation| operation.name.as_str());
-            name.and_then(|name| solver.work.get(name)).map_or(0.0, |work| work.0.seconds())
+            let name = plan
+                .operations
+                .get(usize::from(operation.0))
+                .map(|operation| operation.name.as_str());
+            name.and_then(|name| solver.work.get(name))
+                .map_or(0.0, |work| work.0.seconds())
         };
         let all: f64 = self.demand.values().sum();
-        let sum: f64 = self.demand.iter().map(|((_, operation), rate)| rate * work(operation)).sum();
+        let sum: f64 = self
+            .demand
+            .iter()
+            .map(|((_, operation), rate)| rate * work(operation))
+            .sum();
         if all > 0.0 {
             sum / all
         } else {
-            solver.work.values().map(|work| work.0.seconds()).fold(0.0, f64::max)
+            solver
+                .work
+                .values()
+                .map(|work| work.0.seconds())
+                .fold(0.0, f64::max)
         }
     }
 
@@ -120,7 +164,10 @@
             Host {
                 id: show(record.node),
                 zone: record.zone.clone(),
-                capacity: self.estimates.get(&record.node).map_or(told, Estimate::capacity),
+                capacity: self
+                    .estimates
+                    .get(&record.node)
+                    .map_or(told, Estimate::capacity),
                 // The module raises a cold node as it warms; its weight here is that of a warm one.
                 state: match entry.listing {
                     Listing::Ready => HostState::Ready,
@@ -131,18 +178,36 @@
                 kind: String::new(),
             }
         };
-        let zone_of = |zone: &ZoneId| plan.zones.get(usize::from(zone.0)).cloned().unwrap_or_default();
+        let zone_of = |zone: &ZoneId| {
+            plan.zones
+                .get(usize::from(zone.0))
+                .cloned()
+                .unwrap_or_default()
+        };
         let mut gateways: BTreeMap<String, Gateway> = BTreeMap::new();
         for ((zone, operation), rate) in &self.demand {
             let name = zone_of(zone);
-            let Some(told) = plan.operations.get(usize::from(operation.0)) else { continue };
-            let empty = Gateway { id: name.clone(), zone: name.clone(), demand: BTreeMap::new() };
-            gateways.entry(name).or_insert(empty).demand.insert(told.name.clone(), *rate);
+            let Some(told) = plan.operations.get(usize::from(operation.0)) else {
+                continue;
+            };
+            let empty = Gateway {
+                id: name.clone(),
+                zone: name.clone(),
+                demand: BTreeMap::new(),
+            };
+            gateways
+                .entry(name)
+                .or_insert(empty)
+                .demand
+                .insert(told.name.clone(), *rate);
         }
         let operation = |told: &crate::deployment::OperationPlan| Operation {
             name: told.name.clone(),
             billed_value: told.billed_value,
-            work: solver.work.get(&told.name).map_or(1.0, |work| work.0.seconds()),
+            work: solver
+                .work
+                .get(&told.name)
+                .map_or(1.0, |work| work.0.seconds()),
             holds: None,
             stays_in_zone: told.stays_in_zone,
             least_share: solver.least_share,
@@ -174,7 +239,8 @@
             return None;
         }
         self.next_at = now + solver.every;
-        self.estimates.retain(|node, _| nodes.record(*node).is_some());
+        self.estimates
+            .retain(|node, _| nodes.record(*node).is_some());
         let fleet = self.fleet(plan, solver, nodes);
         let mut left = STEPS;
         let mut over = || {
@@ -186,17 +252,38 @@
             Ok(_) => return Some(Weighed::Failed("it took too many steps".to_string())),
             Err(refused) => return Some(Weighed::Failed(refused.to_string())),
         };
-        let solved = solution.hosts.iter().map(|host| (host.id.clone(), host.weight.max(LEAST))).collect();
+        let solved = solution
+            .hosts
+            .iter()
+            .map(|host| (host.id.clone(), host.weight.max(LEAST)))
+            .collect();
         // A node without a weight so far stands at an even one.
-        let even = |host: &Host| (host.id.clone(), self.standing.get(&host.id).copied().unwrap_or(1.0));
+        let even = |host: &Host| {
+            (
+                host.id.clone(),
+                self.standing.get(&host.id).copied().unwrap_or(1.0),
+            )
+        };
         let standing: BTreeMap<String, f64> = fleet.hosts.iter().map(even).collect();
-        let before = std::mem::replace(&mut self.standing, next(&standing, &solved, Steadiness::default()));
+        let before = std::mem::replace(
+            &mut self.standing,
+            next(&standing, &solved, Steadiness::default()),
+        );
         let moved = |entry: &ListEntry| {
             let weight = self.weight(entry.node)?;
-            let changed = before.get(&show(entry.node)).map(|weight| weight.max(LEAST)) != Some(weight);
-            (changed && entry.listing == Listing::Ready).then(|| ListEntry { weight, ..entry.clone() })
+            let changed = before
+                .get(&show(entry.node))
+                .map(|weight| weight.max(LEAST))
+                != Some(weight);
+            (changed && entry.listing == Listing::Ready).then(|| ListEntry {
+                weight,
+                ..entry.clone()
+            })
         };
-        let entries: Vec<ListEntry> = nodes.listed().filter_map(|(_, entry)| moved(entry)).collect();
+        let entries: Vec<ListEntry> = nodes
+            .listed()
+            .filter_map(|(_, entry)| moved(entry))
+            .collect();
         (!entries.is_empty()).then_some(Weighed::Changed(entries))
     }
 }
--- a/crates/solve/src/estimate.rs
+++ b/crates/solve/src/estimate.rs
@@ -33,7 +33,10 @@
 
 impl Estimate {
     pub fn new(told: f64) -> Estimate {
-        Estimate { told: told.max(0.0), correction: 0.0 }
+        Estimate {
+            told: told.max(0.0),
+            correction: 0.0,
+        }
     }
 
     pub fn capacity(&self) -> f64 {
@@ -50,9 +53,14 @@
             .map(|busy| (seen.load / busy / self.told).ln());
         let overrun = seen.late_or_errored > OVERRUN;
         // A host that is full, or errs, shows no more than what came through.
-        let by_errors =
-            overrun.then(|| (seen.load * (1.0 - seen.late_or_errored) / self.told).ln().min(self.correction));
-        let Some(says) = by_utilization.filter(|_| !overrun).or(by_errors) else { return };
+        let by_errors = overrun.then(|| {
+            (seen.load * (1.0 - seen.late_or_errored) / self.told)
+                .ln()
+                .min(self.correction)
+        });
+        let Some(says) = by_utilization.filter(|_| !overrun).or(by_errors) else {
+            return;
+        };
         let share = BELIEVED * seen.tries / (seen.tries + TRIES);
         self.correction += share * (says - self.correction);
         self.correction = self.correction.clamp(-FURTHEST, FURTHEST);
@@ -72,28 +80,56 @@
         let real = 4.0 * truth;
         for _ in 0..10 {
             let load = 0.6 * estimate.capacity().min(real / 0.7);
-            let seen = Seen { load, utilization: Some(load / real), late_or_errored: 0.0, tries: 60.0 };
+            let seen = Seen {
+                load,
+                utilization: Some(load / real),
+                late_or_errored: 0.0,
+                tries: 60.0,
+            };
             estimate.see(seen);
         }
-        assert!((estimate.capacity() / real - 1.0).abs() < 0.1, "{} for {real}", estimate.capacity());
+        assert!(
+            (estimate.capacity() / real - 1.0).abs() < 0.1,
+            "{} for {real}",
+            estimate.capacity()
+        );
     }
 
     #[test]
     fn what_is_overrun_and_tells_nothing_is_believed_to_do_less() {
         let mut estimate = Estimate::new(4.0);
         for _ in 0..10 {
-            estimate.see(Seen { load: 3.4, utilization: None, late_or_errored: 0.4, tries: 60.0 });
+            estimate.see(Seen {
+                load: 3.4,
+                utilization: None,
+                late_or_errored: 0.4,
+                tries: 60.0,
+            });
         }
-        assert!(estimate.capacity() < 2.6 && estimate.capacity() > 1.8, "{}", estimate.capacity());
+        assert!(
+            estimate.capacity() < 2.6 && estimate.capacity() > 1.8,
+            "{}",
+            estimate.capacity()
+        );
     }
 
     #[test]
     fn little_seen_moves_little_and_nothing_moves_it_beyond_its_bounds() {
         let mut estimate = Estimate::new(4.0);
-        estimate.see(Seen { load: 0.001, utilization: Some(0.9), late_or_errored: 0.0, tries: 1.0 });
+        estimate.see(Seen {
+            load: 0.001,
+            utilization: Some(0.9),
+            late_or_errored: 0.0,
+            tries: 1.0,
+        });
         assert!((estimate.capacity() / 4.0 - 1.0).abs() < 0.1);
         for _ in 0..1000 {
-            estimate.see(Seen { load: 0.001, utilization: Some(0.9), late_or_errored: 0.0, tries: 1e6 });
+            estimate.see(Seen {
+                load: 0.001,
+                utilization: Some(0.9),
+                late_or_errored: 0.0,
+                tries: 1e6,
+            });
         }
         assert!(estimate.capacity() > 4.0 * 0.45);
     }
--- a/crates/solve/src/explain.rs
+++ b/crates/solve/src/explain.rs
@@ -35,11 +35,16 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Reason::Draining => write!(f, "it drains: it is given nothing"),
-            Reason::Cold { part } => write!(f, "it is cold: it may be given {part} of its capacity"),
+            Reason::Cold { part } => {
+                write!(f, "it is cold: it may be given {part} of its capacity")
+            }
             Reason::NoCapacity => write!(f, "its capacity is 0"),
             Reason::Limited { load } => write!(f, "its own limit of {load} binds"),
             Reason::Full { worth } => {
-                write!(f, "it is full; one more second of work a second there is worth {worth:.3}")
+                write!(
+                    f,
+                    "it is full; one more second of work a second there is worth {worth:.3}"
+                )
             }
             Reason::RoomToSpare { filled } => {
                 write!(
@@ -49,7 +54,10 @@
                 )
             }
             Reason::TooDear { price } => {
-                write!(f, "a second of work costs {price} there, and cheaper hosts have room")
+                write!(
+                    f,
+                    "a second of work costs {price} there, and cheaper hosts have room"
+                )
             }
         }
     }
@@ -77,7 +85,9 @@
     let mut reasons = Vec::new();
     match host.state {
         HostState::Draining => reasons.push(Reason::Draining),
-        HostState::Cold => reasons.push(Reason::Cold { part: fleet.cold_share }),
+        HostState::Cold => reasons.push(Reason::Cold {
+            part: fleet.cold_share,
+        }),
         HostState::Ready => {}
     }
     if host.capacity <= 0.0 {
@@ -85,17 +95,27 @@
     }
     let filled = if room > 0.0 { told.load / room } else { 0.0 };
     if room > 0.0 {
-        if let Some(load) = host.load_at_most.filter(|most| *most <= room * (1.0 + 1e-12)) {
+        if let Some(load) = host
+            .load_at_most
+            .filter(|most| *most <= room * (1.0 + 1e-12))
+        {
             reasons.push(Reason::Limited { load });
         }
-        reasons.push(match (filled >= 1.0 - 1e-9, told.load > 0.0, host.price > 0.0) {
-            (true, ..) => Reason::Full { worth: told.shadow_price },
-            (false, false, true) => Reason::TooDear { price: host.price },
-            _ => Reason::RoomToSpare { filled },
-        });
+        reasons.push(
+            match (filled >= 1.0 - 1e-9, told.load > 0.0, host.price > 0.0) {
+                (true, ..) => Reason::Full {
+                    worth: told.shadow_price,
+                },
+                (false, false, true) => Reason::TooDear { price: host.price },
+                _ => Reason::RoomToSpare { filled },
+            },
+        );
     }
     let alike = fleet.hosts.iter().filter(|other| {
-        other.id != host.id && other.zone == host.zone && other.price == host.price && fleet.room(other) > 0.0
+        other.id != host.id
+            && other.zone == host.zone
+            && other.price == host.price
+            && fleet.room(other) > 0.0
     });
     let gets = solution.flows.iter().filter(|flow| flow.to == host.zone);
     Some(Explained {
@@ -106,6 +126,8 @@
         room,
         reasons,
         alike: alike.map(|other| other.id.clone()).collect(),
-        gets: gets.map(|flow| (flow.operation.clone(), flow.from.clone(), flow.invocations)).collect(),
+        gets: gets
+            .map(|flow| (flow.operation.clone(), flow.from.clone(), flow.invocations))
+            .collect(),
     })
 }
--- a/crates/solve/src/fleet.rs
+++ b/crates/solve/src/fleet.rs
@@ -117,11 +117,23 @@
     #[error("{what} `{name}` is named twice")]
     Twice { what: &'static str, name: String },
     #[error("host `{id}`: {field} {value} should be between 0 and 1e9")]
-    Host { id: String, field: &'static str, value: f64 },
+    Host {
+        id: String,
+        field: &'static str,
+        value: f64,
+    },
     #[error("operation `{name}`: {field} {value} can't be")]
-    Operation { name: String, field: &'static str, value: f64 },
+    Operation {
+        name: String,
+        field: &'static str,
+        value: f64,
+    },
     #[error("gateway `{id}`: {value} invocations a second of `{operation}`")]
-    Demand { id: String, operation: String, value: f64 },
+    Demand {
+        id: String,
+        operation: String,
+        value: f64,
+    },
     #[error("gateway `{id}` asks for `{operation}`, which is no operation")]
     UnknownOperation { id: String, operation: String },
     #[error("standing: `{id}` is no host")]
@@ -151,13 +163,23 @@
         let mut seen = BTreeSet::new();
         for host in &self.hosts {
             if !seen.insert(&host.id) {
-                return Err(Refused::Twice { what: "host", name: host.id.clone() });
+                return Err(Refused::Twice {
+                    what: "host",
+                    name: host.id.clone(),
+                });
             }
             let most = host.load_at_most.unwrap_or(0.0);
-            for (field, value) in [("capacity", host.capacity), ("price", host.price), ("load_at_most", most)]
-            {
+            for (field, value) in [
+                ("capacity", host.capacity),
+                ("price", host.price),
+                ("load_at_most", most),
+            ] {
                 if !figure(value) {
-                    return Err(Refused::Host { id: host.id.clone(), field, value });
+                    return Err(Refused::Host {
+                        id: host.id.clone(),
+                        field,
+                        value,
+                    });
                 }
             }
         }
@@ -166,35 +188,67 @@
         for operation in &self.operations {
             let name = || operation.name.clone();
             if !names.insert(operation.name.as_str()) {
-                return Err(Refused::Twice { what: "operation", name: name() });
+                return Err(Refused::Twice {
+                    what: "operation",
+                    name: name(),
+                });
             }
             if !figure(operation.billed_value) {
                 let value = operation.billed_value;
-                return Err(Refused::Operation { name: name(), field: "billed_value", value });
+                return Err(Refused::Operation {
+                    name: name(),
+                    field: "billed_value",
+                    value,
+                });
             }
             if !(operation.work > 0.0 && operation.work <= 1e6) {
-                return Err(Refused::Operation { name: name(), field: "work", value: operation.work });
+                return Err(Refused::Operation {
+                    name: name(),
+                    field: "work",
+                    value: operation.work,
+                });
             }
-            if let Some(value) = operation.holds.filter(|holds| !(*holds >= 0.0 && *holds <= 1e6)) {
-                return Err(Refused::Operation { name: name(), field: "holds", value });
+            if let Some(value) = operation
+                .holds
+                .filter(|holds| !(*holds >= 0.0 && *holds <= 1e6))
+            {
+                return Err(Refused::Operation {
+                    name: name(),
+                    field: "holds",
+                    value,
+                });
             }
             if !(0.0..=1.0).contains(&operation.least_share) {
                 let value = operation.least_share;
-                return Err(Refused::Operation { name: name(), field: "least_share", value });
+                return Err(Refused::Operation {
+                    name: name(),
+                    field: "least_share",
+                    value,
+                });
             }
         }
         let mut seen = BTreeSet::new();
         for gateway in &self.gateways {
             let id = || gateway.id.clone();
             if !seen.insert(&gateway.id) {
-                return Err(Refused::Twice { what: "gateway", name: id() });
+                return Err(Refused::Twice {
+                    what: "gateway",
+                    name: id(),
+                });
             }
             for (operation, value) in &gateway.demand {
                 if !names.contains(operation.as_str()) {
-                    return Err(Refused::UnknownOperation { id: id(), operation: operation.clone() });
+                    return Err(Refused::UnknownOperation {
+                        id: id(),
+                        operation: operation.clone(),
+                    });
                 }
                 if !figure(*value) {
-                    return Err(Refused::Demand { id: id(), operation: operation.clone(), value: *value });
+                    return Err(Refused::Demand {
+                        id: id(),
+                        operation: operation.clone(),
+                        value: *value,
+                    });
                 }
             }
         }
@@ -215,12 +269,25 @@
                 return Err(Refused::UnknownHost { id: id.clone() });
             }
             if !figure(*value) {
-                return Err(Refused::Host { id: id.clone(), field: "standing", value: *value });
+                return Err(Refused::Host {
+                    id: id.clone(),
+                    field: "standing",
+                    value: *value,
+                });
             }
         }
-        let rise = self.steps.windows(2).all(|two| two[0].0 < two[1].0 && two[0].1 <= two[1].1);
-        let ends = self.steps.first().is_some_and(|step| step.0 > 0.0 && step.1 >= 0.0)
-            && self.steps.last().is_some_and(|step| step.0 == 1.0 && step.1.is_finite());
+        let rise = self
+            .steps
+            .windows(2)
+            .all(|two| two[0].0 < two[1].0 && two[0].1 <= two[1].1);
+        let ends = self
+            .steps
+            .first()
+            .is_some_and(|step| step.0 > 0.0 && step.1 >= 0.0)
+            && self
+                .steps
+                .last()
+                .is_some_and(|step| step.0 == 1.0 && step.1.is_finite());
         if !(rise && ends) {
             return Err(Refused::Steps);
         }
@@ -228,13 +295,21 @@
     }
 
     fn reachable(&self) -> Result<(), Refused> {
-        let open: BTreeSet<&str> =
-            self.hosts.iter().filter(|host| self.room(host) > 0.0).map(|host| host.zone.as_str()).collect();
+        let open: BTreeSet<&str> = self
+            .hosts
+            .iter()
+            .filter(|host| self.room(host) > 0.0)
+            .map(|host| host.zone.as_str())
+            .collect();
         if open.is_empty() {
             return Err(Refused::NoCapacity);
         }
         for gateway in &self.gateways {
-            for operation in self.operations.iter().filter(|operation| operation.stays_in_zone) {
+            for operation in self
+                .operations
+                .iter()
+                .filter(|operation| operation.stays_in_zone)
+            {
                 let asked = gateway.demand.get(&operation.name).copied().unwrap_or(0.0);
                 if asked > 0.0 && !open.contains(gateway.zone.as_str()) {
                     let (zone, operation) = (gateway.zone.clone(), operation.name.clone());
@@ -247,14 +322,28 @@
 
     /// What the hosts of one zone and price carry now, all together, as far as they may.
     pub fn carried_now(&self, zone: &str, price: f64) -> f64 {
-        let alike = self.hosts.iter().filter(|host| host.zone == zone && host.price == price);
-        alike.map(|host| self.standing.get(&host.id).copied().unwrap_or(0.0).min(self.room(host))).sum()
+        let alike = self
+            .hosts
+            .iter()
+            .filter(|host| host.zone == zone && host.price == price);
+        alike
+            .map(|host| {
+                self.standing
+                    .get(&host.id)
+                    .copied()
+                    .unwrap_or(0.0)
+                    .min(self.room(host))
+            })
+            .sum()
     }
 
     /// What an invocation costs on its way: crossing zones, and its connection while it is kept.
     pub fn way(&self, operation: &Operation, away: bool) -> f64 {
-        let (crossing, longer) =
-            if away { (self.cross_zone_price, self.crossing_seconds) } else { (0.0, 0.0) };
+        let (crossing, longer) = if away {
+            (self.cross_zone_price, self.crossing_seconds)
+        } else {
+            (0.0, 0.0)
+        };
         crossing + self.connection_price * (operation.holds.unwrap_or(operation.work) + longer)
     }
 
--- a/crates/solve/src/flow.rs
+++ b/crates/solve/src/flow.rs
@@ -88,7 +88,10 @@
         let of = &mut self.classes[class];
         while of.free <= self.nothing && of.full < of.rooms.len() {
             of.full += 1;
-            of.free = of.rooms.get(of.full).map_or(0.0, |room| self.rooms[*room].amount);
+            of.free = of
+                .rooms
+                .get(of.full)
+                .map_or(0.0, |room| self.rooms[*room].amount);
         }
     }
 
@@ -96,10 +99,24 @@
     fn path(&self) -> Option<(Path, usize)> {
         let (count, places) = (self.sources.len(), self.classes.len());
         let starts = |source: usize| self.left[source] > self.nothing;
-        let mut to_source: Vec<f64> =
-            (0..count).map(|source| if starts(source) { 0.0 } else { f64::NEG_INFINITY }).collect();
-        let mut from_source: Vec<From> =
-            (0..count).map(|source| if starts(source) { From::Start } else { From::Nowhere }).collect();
+        let mut to_source: Vec<f64> = (0..count)
+            .map(|source| {
+                if starts(source) {
+                    0.0
+                } else {
+                    f64::NEG_INFINITY
+                }
+            })
+            .collect();
+        let mut from_source: Vec<From> = (0..count)
+            .map(|source| {
+                if starts(source) {
+                    From::Start
+                } else {
+                    From::Nowhere
+                }
+            })
+            .collect();
         let mut to_class = vec![f64::NEG_INFINITY; places];
         let mut from_class = vec![From::Nowhere; places];
         // Forward along gains, back along what flows already; a path visits no class twice.
@@ -107,7 +124,9 @@
             let mut moved = false;
             for source in 0..count {
                 for class in 0..places {
-                    let Some(gain) = self.gain(source, class) else { continue };
+                    let Some(gain) = self.gain(source, class) else {
+                        continue;
+                    };
                     if to_source[source] + gain > to_class[class] + self.equal {
                         (to_class[class], from_class[class]) =
                             (to_source[source] + gain, From::Source(source));
@@ -117,7 +136,9 @@
             }
             for class in 0..places {
                 for source in 0..count {
-                    if self.work[source][class] <= self.nothing || from_source[source] == From::Start {
+                    if self.work[source][class] <= self.nothing
+                        || from_source[source] == From::Start
+                    {
                         continue;
                     }
                     let back = to_class[class] - self.gain(source, class).unwrap_or(0.0);
@@ -134,7 +155,9 @@
         // The best that ends where there is room; the first of equals, so that ties always fall alike.
         let mut end: Option<(usize, f64)> = None;
         for class in 0..places {
-            let Some(cost) = self.next_cost(class) else { continue };
+            let Some(cost) = self.next_cost(class) else {
+                continue;
+            };
             let gain = to_class[class] - cost;
             if gain > self.equal && end.is_none_or(|(_, best)| gain > best + self.equal) {
                 end = Some((class, gain));
@@ -143,7 +166,9 @@
         let (end, _) = end?;
         let (mut path, mut class) = (Vec::new(), end);
         loop {
-            let From::Source(source) = from_class[class] else { return None };
+            let From::Source(source) = from_class[class] else {
+                return None;
+            };
             path.push((source, class, 1.0));
             match from_source[source] {
                 From::Class(back) if path.len() <= 2 * (count + places) => {
@@ -157,8 +182,13 @@
 
     /// Moves as much along a path as it takes.
     fn push(&mut self, path: &[(usize, usize, f64)], end: usize) {
-        let Some((start, ..)) = path.last() else { return };
-        let taken = path.iter().filter(|step| step.2 < 0.0).map(|step| self.work[step.0][step.1]);
+        let Some((start, ..)) = path.last() else {
+            return;
+        };
+        let taken = path
+            .iter()
+            .filter(|step| step.2 < 0.0)
+            .map(|step| self.work[step.0][step.1]);
         let amount = taken.fold(self.classes[end].free.min(self.left[*start]), f64::min);
         for (source, class, sign) in path {
             let work = &mut self.work[*source][*class];
@@ -174,17 +204,31 @@
 pub fn best(sources: &[Source], rooms: &[Room], over: &mut dyn FnMut() -> bool) -> Flows {
     let count = sources.len();
     let places = rooms.iter().map(|room| room.class + 1).max().unwrap_or(0);
-    let all: f64 = sources.iter().map(|source| source.amount).sum::<f64>().max(1e-300);
+    let all: f64 = sources
+        .iter()
+        .map(|source| source.amount)
+        .sum::<f64>()
+        .max(1e-300);
     let costs = rooms.iter().map(|room| room.cost.abs());
-    let gains = sources.iter().flat_map(|source| source.gains.iter().flatten()).map(|gain| gain.abs());
+    let gains = sources
+        .iter()
+        .flat_map(|source| source.gains.iter().flatten())
+        .map(|gain| gain.abs());
     let largest = costs.chain(gains).fold(0.0, f64::max);
-    let mut classes: Vec<Class> =
-        (0..places).map(|_| Class { rooms: Vec::new(), full: 0, free: 0.0 }).collect();
+    let mut classes: Vec<Class> = (0..places)
+        .map(|_| Class {
+            rooms: Vec::new(),
+            full: 0,
+            free: 0.0,
+        })
+        .collect();
     for (at, room) in rooms.iter().enumerate() {
         classes[room.class].rooms.push(at);
     }
     for class in &mut classes {
-        class.rooms.sort_by(|a, b| rooms[*a].cost.total_cmp(&rooms[*b].cost));
+        class
+            .rooms
+            .sort_by(|a, b| rooms[*a].cost.total_cmp(&rooms[*b].cost));
         class.free = class.rooms.first().map_or(0.0, |room| rooms[*room].amount);
     }
     let mut desk = Desk {
@@ -203,7 +247,9 @@
             flows.cut_short = true;
             break;
         }
-        let Some((path, end)) = desk.path() else { break };
+        let Some((path, end)) = desk.path() else {
+            break;
+        };
         desk.push(&path, end);
         flows.paths += 1;
     }
@@ -244,9 +290,14 @@
     // least.
     let last_cost = |class: usize| {
         let of = &desk.classes[class];
-        let begun = of.rooms.get(of.full).filter(|room| of.free < desk.rooms[**room].amount - desk.nothing);
+        let begun = of
+            .rooms
+            .get(of.full)
+            .filter(|room| of.free < desk.rooms[**room].amount - desk.nothing);
         let full = of.full.checked_sub(1).and_then(|last| of.rooms.get(last));
-        begun.or(full).map_or(f64::NEG_INFINITY, |room| desk.rooms[*room].cost)
+        begun
+            .or(full)
+            .map_or(f64::NEG_INFINITY, |room| desk.rooms[*room].cost)
     };
     let mut worth: Vec<f64> = (0..places).map(last_cost).collect();
     // From below: a class is worth what the best that could move into it would gain over what it has now.
@@ -256,12 +307,16 @@
             let used = (0..places).filter(|class| desk.work[source][*class] > desk.nothing);
             let least = used.filter_map(|class| Some(desk.gain(source, class)? - worth[class]));
             let price = least.fold(f64::INFINITY, f64::min);
-            source_price[source] = if desk.left[source] > desk.nothing { 0.0 } else { price };
+            source_price[source] = if desk.left[source] > desk.nothing {
+                0.0
+            } else {
+                price
+            };
         }
         let mut moved = false;
         for (class, worth) in worth.iter_mut().enumerate() {
-            let wanted =
-                (0..count).filter_map(|source| Some(desk.gain(source, class)? - source_price[source]));
+            let wanted = (0..count)
+                .filter_map(|source| Some(desk.gain(source, class)? - source_price[source]));
             let most = wanted.fold(f64::NEG_INFINITY, f64::max);
             if most > *worth + desk.equal {
                 *worth = most;
@@ -273,16 +328,28 @@
         }
     }
     // Who asks for nothing is worth what a little of it would gain.
-    for (source, price) in source_price.iter_mut().enumerate().filter(|(_, price)| **price == f64::INFINITY) {
-        let best = (0..places)
-            .filter_map(|class| Some(desk.gain(source, class)? - worth[class].max(least_cost(desk, class))));
+    for (source, price) in source_price
+        .iter_mut()
+        .enumerate()
+        .filter(|(_, price)| **price == f64::INFINITY)
+    {
+        let best = (0..places).filter_map(|class| {
+            Some(desk.gain(source, class)? - worth[class].max(least_cost(desk, class)))
+        });
         *price = best.fold(0.0, f64::max);
     }
-    flows.room_price = desk.rooms.iter().map(|room| (worth[room.class] - room.cost).max(0.0)).collect();
+    flows.room_price = desk
+        .rooms
+        .iter()
+        .map(|room| (worth[room.class] - room.cost).max(0.0))
+        .collect();
     flows.source_price = source_price;
 }
 
 /// What the cheapest room of a class costs; without rooms nothing goes there.
 fn least_cost(desk: &Desk, class: usize) -> f64 {
-    desk.classes[class].rooms.first().map_or(f64::INFINITY, |room| desk.rooms[*room].cost)
+    desk.classes[class]
+        .rooms
+        .first()
+        .map_or(f64::INFINITY, |room| desk.rooms[*room].cost)
 }
--- a/crates/solve/src/robust.rs
+++ b/crates/solve/src/robust.rs
@@ -26,10 +26,15 @@
 fn mix(fleet: &Fleet, solution: &Solution) -> BTreeMap<String, Vec<(f64, f64)>> {
     let mut mix: BTreeMap<String, Vec<(f64, f64)>> = BTreeMap::new();
     for flow in &solution.flows {
-        let told = fleet.operations.iter().find(|operation| operation.name == flow.operation);
+        let told = fleet
+            .operations
+            .iter()
+            .find(|operation| operation.name == flow.operation);
         let Some(told) = told else { continue };
         let worth = told.billed_value / told.work;
-        mix.entry(flow.to.clone()).or_default().push((worth, flow.invocations * told.work));
+        mix.entry(flow.to.clone())
+            .or_default()
+            .push((worth, flow.invocations * told.work));
     }
     mix
 }
@@ -39,7 +44,9 @@
     let mix = mix(fleet, solution);
     let (mut value, mut overrun) = (0.0, Vec::new());
     for (host, told) in fleet.hosts.iter().zip(&solution.hosts) {
-        let Some(parts) = mix.get(&host.zone).filter(|_| told.load > 0.0) else { continue };
+        let Some(parts) = mix.get(&host.zone).filter(|_| told.load > 0.0) else {
+            continue;
+        };
         // Hosts of a zone get the zone's mix; a node that is overrun is late with all of it alike.
         let work: f64 = parts.iter().map(|part| part.1).sum();
         let worth = parts.iter().map(|part| part.0 * part.1).sum::<f64>() / work.max(1e-300);
@@ -50,7 +57,10 @@
         }
     }
     overrun.sort_by(|a, b| b.1.total_cmp(&a.1).then_with(|| a.0.cmp(&b.0)));
-    Served { value_per_s: value, overrun }
+    Served {
+        value_per_s: value,
+        overrun,
+    }
 }
 
 /// The least that is served, whatever the capacities are within their bounds: each host may do its worst.
@@ -79,11 +89,15 @@
         let right = served(fleet, &solution, &|_| 1.0).value_per_s;
         let score = (worst + right) / 2.0;
         // The first of equals goes by more of what was told.
-        if best.as_ref().is_none_or(|(known, ..)| score > known * (1.0 + 1e-9)) {
+        if best
+            .as_ref()
+            .is_none_or(|(known, ..)| score > known * (1.0 + 1e-9))
+        {
             best = Some((score, solution, part));
         }
     }
-    best.map(|(_, solution, part)| (solution, part)).ok_or(Refused::NoCapacity)
+    best.map(|(_, solution, part)| (solution, part))
+        .ok_or(Refused::NoCapacity)
 }
 
 #[cfg(test)]
@@ -127,7 +141,10 @@
         }
     }
 
-    const HALF: Wrong = Wrong { least: 0.5, most: 2.0 };
+    const HALF: Wrong = Wrong {
+        least: 0.5,
+        most: 2.0,
+    };
 
     #[test]
     fn with_little_to_do_nothing_is_lost_though_all_capacities_are_half() {
@@ -141,10 +158,20 @@
     fn a_kind_that_does_half_loses_half_of_what_it_was_given_and_is_named() {
         let fleet = fleet(80.0);
         let solution = solve(&fleet, &mut || false).expect("solved");
-        let told = served(&fleet, &solution, &|host| if host.id == "fast" { 0.5 } else { 1.0 });
+        let told = served(&fleet, &solution, &|host| {
+            if host.id == "fast" {
+                0.5
+            } else {
+                1.0
+            }
+        });
         assert_eq!(told.overrun.len(), 1);
         assert!((told.overrun[0].1 - 2.0).abs() < 1e-6 && told.overrun[0].0 == "fast");
-        assert!((told.value_per_s - (160.0 - 48.0)).abs() < 1e-6, "{}", told.value_per_s);
+        assert!(
+            (told.value_per_s - (160.0 - 48.0)).abs() < 1e-6,
+            "{}",
+            told.value_per_s
+        );
     }
 
     #[test]
--- a/crates/solve/src/solution.rs
+++ b/crates/solve/src/solution.rs
@@ -87,7 +87,9 @@
     let mut classes: Vec<(&str, f64, f64)> = Vec::new();
     let mut class_of = Vec::new();
     for host in &fleet.hosts {
-        let found = classes.iter().position(|class| class.0 == host.zone && class.1 == host.price);
+        let found = classes
+            .iter()
+            .position(|class| class.0 == host.zone && class.1 == host.price);
         let class = found.unwrap_or_else(|| {
             classes.push((&host.zone, host.price, 0.0));
             classes.len() - 1
@@ -98,7 +100,11 @@
         classes[class].2 += fleet.room(host);
         class_of.push(class);
     }
-    let dearest = fleet.operations.iter().map(|o| o.billed_value / o.work).fold(0.0, f64::max);
+    let dearest = fleet
+        .operations
+        .iter()
+        .map(|o| o.billed_value / o.work)
+        .fold(0.0, f64::max);
     let mut rooms = Vec::new();
     let mut places = Vec::new();
     for (place, (zone, price, room)) in classes.iter().enumerate() {
@@ -122,23 +128,54 @@
         zones.iter().map(to).collect()
     };
     let highest = |price: f64| {
-        dearest + price + fleet.change_price + fleet.steps.last().map_or(0.0, |step| step.1 * dearest)
+        dearest
+            + price
+            + fleet.change_price
+            + fleet.steps.last().map_or(0.0, |step| step.1 * dearest)
     };
-    let dear = fleet.hosts.iter().map(|host| host.price).fold(0.0, f64::max);
-    let way = fleet.operations.iter().map(|o| fleet.way(o, true) / o.work).fold(0.0, f64::max);
+    let dear = fleet
+        .hosts
+        .iter()
+        .map(|host| host.price)
+        .fold(0.0, f64::max);
+    let way = fleet
+        .operations
+        .iter()
+        .map(|o| fleet.way(o, true) / o.work)
+        .fold(0.0, f64::max);
     let bonus = FIRST * (highest(dear) + way);
     let (mut wishes, mut sources) = (Vec::new(), Vec::new());
     for ((zone, place), work) in &asked {
         let least = fleet.operations[*place].least_share;
-        for (is_least, amount, bonus) in [(true, work * least, bonus), (false, work * (1.0 - least), 0.0)] {
+        for (is_least, amount, bonus) in [
+            (true, work * least, bonus),
+            (false, work * (1.0 - least), 0.0),
+        ] {
             if amount > 0.0 {
-                wishes.push(Wish { zone: zone.to_string(), operation: *place, least: is_least });
-                sources.push(Source { amount, gains: gains(zone, *place, bonus) });
+                wishes.push(Wish {
+                    zone: zone.to_string(),
+                    operation: *place,
+                    least: is_least,
+                });
+                sources.push(Source {
+                    amount,
+                    gains: gains(zone, *place, bonus),
+                });
             }
         }
     }
     let flows = best(&sources, &rooms, over);
-    Ok(told(fleet, &asked, &classes, &class_of, (&rooms, &places), &wishes, &sources, &flows, bonus))
+    Ok(told(
+        fleet,
+        &asked,
+        &classes,
+        &class_of,
+        (&rooms, &places),
+        &wishes,
+        &sources,
+        &flows,
+        bonus,
+    ))
 }
 
 /// A part of what a place may be given, all of which costs the same.
@@ -159,11 +196,23 @@
         let until = room * until;
         let stands = carried.clamp(before, until);
         if stands > before {
-            parts.push(Part { amount: stands - before, filling: *filling, change: 0.0 });
+            parts.push(Part {
+                amount: stands - before,
+                filling: *filling,
+                change: 0.0,
+            });
         }
         if until > stands || until <= before {
-            let change = if fleet.standing.is_empty() { 0.0 } else { fleet.change_price };
-            parts.push(Part { amount: (until - stands).max(0.0), filling: *filling, change });
+            let change = if fleet.standing.is_empty() {
+                0.0
+            } else {
+                fleet.change_price
+            };
+            parts.push(Part {
+                amount: (until - stands).max(0.0),
+                filling: *filling,
+                change,
+            });
         }
         before = until;
     }
@@ -198,8 +247,9 @@
             value += work / operation.work * operation.billed_value;
             carried[places[place]] += work;
             *let_in.entry((&wish.zone, wish.operation)).or_insert(0.0) += work;
-            *ways.entry((wish.operation, &wish.zone, classes[places[place]].0)).or_insert(0.0) +=
-                work / operation.work;
+            *ways
+                .entry((wish.operation, &wish.zone, classes[places[place]].0))
+                .or_insert(0.0) += work / operation.work;
         }
     }
     let all: f64 = carried.iter().sum();
@@ -212,7 +262,10 @@
     let price = |class: usize| {
         // The last room of a place is the one that its capacity ends in.
         let last = places.iter().rposition(|place| *place == class);
-        let price = last.and_then(|last| flows.room_price.get(last)).copied().unwrap_or(0.0);
+        let price = last
+            .and_then(|last| flows.room_price.get(last))
+            .copied()
+            .unwrap_or(0.0);
         // What comes first is told apart from value.
         if price > bonus {
             price - bonus
@@ -222,7 +275,11 @@
     };
     let host = |(host, class): (&crate::Host, &usize)| {
         let (room, whole) = (fleet.room(host), classes[*class].2);
-        let load = if whole > 0.0 { carried[*class] * room / whole } else { 0.0 };
+        let load = if whole > 0.0 {
+            carried[*class] * room / whole
+        } else {
+            0.0
+        };
         let shadow = if room > 0.0 { price(*class) } else { 0.0 };
         HostTold {
             id: host.id.clone(),
@@ -260,7 +317,11 @@
         invocations: *invocations,
     };
     Solution {
-        status: if flows.cut_short { Status::CutShort } else { Status::Optimal },
+        status: if flows.cut_short {
+            Status::CutShort
+        } else {
+            Status::Optimal
+        },
         objective,
         value_per_s: value,
         hosts: fleet.hosts.iter().zip(class_of).map(host).collect(),
--- a/crates/solve/src/steady.rs
+++ b/crates/solve/src/steady.rs
@@ -13,7 +13,10 @@
 
 impl Default for Steadiness {
     fn default() -> Self {
-        Steadiness { dead: 0.05, step: 0.5 }
+        Steadiness {
+            dead: 0.05,
+            step: 0.5,
+        }
     }
 }
 
@@ -57,7 +60,11 @@
     let mut next = BTreeMap::new();
     for (id, wanted) in solved {
         let before = standing.get(id).copied().filter(|weight| *weight > 0.0);
-        let stands = if before.is_some() { Stands::Present } else { Stands::Absent };
+        let stands = if before.is_some() {
+            Stands::Present
+        } else {
+            Stands::Absent
+        };
         let held = before.unwrap_or(0.0);
         let near = (wanted - held).abs() <= how.dead * held.max(*wanted);
         let input = match (*wanted > 0.0, near) {
@@ -65,8 +72,10 @@
             (true, true) => Wanted::Near,
             (true, false) => Wanted::Far,
         };
-        let effect =
-            MOVES.iter().find(|row| (row.0, row.1) == (stands, input)).map_or(Effect::Keep, |row| row.2);
+        let effect = MOVES
+            .iter()
+            .find(|row| (row.0, row.1) == (stands, input))
+            .map_or(Effect::Keep, |row| row.2);
         match effect {
             Effect::LeaveOut => {}
             Effect::Keep => {
@@ -90,7 +99,10 @@
     use test_case::test_case;
 
     fn one(weight: Option<f64>) -> BTreeMap<String, f64> {
-        weight.map(|weight| ("a".to_string(), weight)).into_iter().collect()
+        weight
+            .map(|weight| ("a".to_string(), weight))
+            .into_iter()
+            .collect()
     }
 
     #[test_case(Some(1.0), 1.04, Some(1.0); "a flutter moves nothing")]
@@ -100,7 +112,10 @@
     #[test_case(Some(1.0), 0.0, None; "what drains leaves at once")]
     #[test_case(None, 1.0, Some(0.5); "who comes begins with a part")]
     fn weights_hold_still(held: Option<f64>, solved: f64, wanted: Option<f64>) {
-        assert_eq!(next(&one(held), &one(Some(solved)), Steadiness::default()), one(wanted));
+        assert_eq!(
+            next(&one(held), &one(Some(solved)), Steadiness::default()),
+            one(wanted)
+        );
     }
 
     #[test]
--- a/crates/solve/tests/reference.rs
+++ b/crates/solve/tests/reference.rs
@@ -22,7 +22,11 @@
         problem.add_constraint(&sum[..], ComparisonOp::Le, source.amount);
     }
     for (r, room) in rooms.iter().enumerate() {
-        let sum: Vec<_> = vars.iter().filter_map(|of| of[r]).map(|var| (var, 1.0)).collect();
+        let sum: Vec<_> = vars
+            .iter()
+            .filter_map(|of| of[r])
+            .map(|var| (var, 1.0))
+            .collect();
         problem.add_constraint(&sum[..], ComparisonOp::Le, room.amount);
     }
     problem.solve().expect("it has an answer").objective()
@@ -38,7 +42,10 @@
             amount,
             cost,
         });
-        (prop::collection::vec(source, sources), prop::collection::vec(room, rooms))
+        (
+            prop::collection::vec(source, sources),
+            prop::collection::vec(room, rooms),
+        )
     })
 }
 
@@ -94,7 +101,11 @@
 
 fn gateway(id: &str, zone: &str, quote: f64, plan: f64) -> Gateway {
     let demand = BTreeMap::from([("quote".to_string(), quote), ("plan".to_string(), plan)]);
-    Gateway { id: id.into(), zone: zone.into(), demand }
+    Gateway {
+        id: id.into(),
+        zone: zone.into(),
+        demand,
+    }
 }
 
 /// Two zones of two hosts each; a quote is worth twice a plan, and both take 0.1 s of work.
@@ -108,8 +119,16 @@
         least_share: 0.1,
     };
     Fleet {
-        hosts: vec![host("a1", "a", 4.0), host("a2", "a", 2.0), host("b1", "b", 4.0), host("b2", "b", 2.0)],
-        gateways: vec![gateway("g1", "a", quote, plan), gateway("g2", "b", quote, plan)],
+        hosts: vec![
+            host("a1", "a", 4.0),
+            host("a2", "a", 2.0),
+            host("b1", "b", 4.0),
+            host("b2", "b", 2.0),
+        ],
+        gateways: vec![
+            gateway("g1", "a", quote, plan),
+            gateway("g2", "b", quote, plan),
+        ],
         operations: vec![operation("quote", 2.0, false), operation("plan", 1.0, true)],
         cross_zone_price: 0.05,
         connection_price: 0.0,
@@ -125,7 +144,10 @@
 fn admitted(fleet: &Fleet, gateway: &str, operation: &str) -> f64 {
     let solution = solve(fleet, &mut || false).expect("it can be solved");
     assert_eq!(solution.status, Status::Optimal);
-    let found = solution.gateways.iter().find(|told| told.id == gateway && told.operation == operation);
+    let found = solution
+        .gateways
+        .iter()
+        .find(|told| told.id == gateway && told.operation == operation);
     found.expect("it asks for it").admitted
 }
 
@@ -136,7 +158,10 @@
     assert!(solution.gateways.iter().all(|told| told.admitted == 1.0));
     assert!(solution.flows.iter().all(|flow| flow.from == flow.to));
     for host in &solution.hosts {
-        assert!((host.load / host.capacity - 1.0 / 3.0).abs() < 1e-9 && host.shadow_price == 0.0, "{host:?}");
+        assert!(
+            (host.load / host.capacity - 1.0 / 3.0).abs() < 1e-9 && host.shadow_price == 0.0,
+            "{host:?}"
+        );
     }
     let a1 = solution.hosts[0].weight / solution.hosts[1].weight;
     assert!((a1 - 2.0).abs() < 1e-9, "weights as capacities");
@@ -165,7 +190,13 @@
     let mut stranded = fleet(20.0, 5.0);
     stranded.hosts.truncate(2);
     let refused = solve(&stranded, &mut || false).expect_err("plans of zone b have no host");
-    assert_eq!(refused, Refused::Stranded { zone: "b".into(), operation: "plan".into() });
+    assert_eq!(
+        refused,
+        Refused::Stranded {
+            zone: "b".into(),
+            operation: "plan".into()
+        }
+    );
 }
 
 /// A quote keeps its connection ten times as long as a plan.
@@ -180,7 +211,12 @@
 #[test_case(1.5, false; "a quote that keeps a connection of 1.5 for a second is worth less than a plan")]
 fn what_keeps_connections_is_worth_less(price: f64, quotes_first: bool) {
     let fleet = holding(price, 0.0);
-    assert_eq!(admitted(&fleet, "g1", "plan") < 0.5, quotes_first, "{}", admitted(&fleet, "g1", "plan"));
+    assert_eq!(
+        admitted(&fleet, "g1", "plan") < 0.5,
+        quotes_first,
+        "{}",
+        admitted(&fleet, "g1", "plan")
+    );
 }
 
 #[test]
@@ -189,14 +225,23 @@
         let mut fleet = fleet;
         fleet.hosts.retain(|host| host.zone == "a");
         fleet.gateways = vec![gateway("g1", "a", 1.0, 1.0), gateway("g2", "b", 20.0, 0.0)];
-        fleet.operations.iter_mut().for_each(|operation| operation.stays_in_zone = false);
+        fleet
+            .operations
+            .iter_mut()
+            .for_each(|operation| operation.stays_in_zone = false);
         admitted(&fleet, "g2", "quote")
     };
     assert!(only_a(holding(0.1, 1.0)) > 0.99);
-    assert!((only_a(holding(0.1, 100.0)) - 0.1).abs() < 1e-9, "its least share alone");
+    assert!(
+        (only_a(holding(0.1, 100.0)) - 0.1).abs() < 1e-9,
+        "its least share alone"
+    );
     let mut dear = holding(0.1, 100.0);
     dear.operations[0].holds = Some(-1.0);
-    assert!(matches!(solve(&dear, &mut || false), Err(Refused::Operation { field: "holds", .. })));
+    assert!(matches!(
+        solve(&dear, &mut || false),
+        Err(Refused::Operation { field: "holds", .. })
+    ));
 }
 
 #[test]
@@ -206,7 +251,10 @@
     cold.hosts[3].state = HostState::Draining;
     let solution = solve(&cold, &mut || false).expect("it can be solved");
     assert!(solution.hosts[0].load <= 4.0 * 0.2 * 0.8 + 1e-9);
-    assert_eq!((solution.hosts[3].load, solution.hosts[3].weight), (0.0, 0.0));
+    assert_eq!(
+        (solution.hosts[3].load, solution.hosts[3].weight),
+        (0.0, 0.0)
+    );
 }
 
 #[test]
@@ -239,7 +287,10 @@
     assert_eq!(cut.status, Status::CutShort);
     assert!(
         cut.objective <= whole.objective
-            && cut.hosts.iter().all(|host| host.load <= host.capacity * 0.8 + 1e-9)
+            && cut
+                .hosts
+                .iter()
+                .all(|host| host.load <= host.capacity * 0.8 + 1e-9)
     );
 }
 
@@ -254,19 +305,31 @@
 fn what_cannot_be_solved_is_named(spoil: fn(&mut Fleet), said: &str) {
     let mut fleet = fleet(10.0, 10.0);
     spoil(&mut fleet);
-    let refused = solve(&fleet, &mut || false).expect_err("it can't be").to_string();
+    let refused = solve(&fleet, &mut || false)
+        .expect_err("it can't be")
+        .to_string();
     assert!(refused.contains(said), "{refused}");
 }
 
 #[test]
 fn demand_that_doubles_half_the_hosts_cold_and_all_slow_together_are_answered_by_value() {
-    let served = |fleet: &Fleet| solve(fleet, &mut || false).expect("it can be solved").value_per_s;
+    let served = |fleet: &Fleet| {
+        solve(fleet, &mut || false)
+            .expect("it can be solved")
+            .value_per_s
+    };
     let usual = fleet(25.0, 20.0);
-    assert!((served(&usual) - 2.0 * (25.0 * 2.0 + 20.0)).abs() < 1e-6, "all of it");
+    assert!(
+        (served(&usual) - 2.0 * (25.0 * 2.0 + 20.0)).abs() < 1e-6,
+        "all of it"
+    );
     // Twice as much is asked for: all quotes first, then what is left for plans.
     let doubled = fleet(50.0, 40.0);
     let quotes = admitted(&doubled, "g1", "quote");
-    assert!(quotes > 0.85 && admitted(&doubled, "g1", "plan") < 0.15, "{quotes}");
+    assert!(
+        quotes > 0.85 && admitted(&doubled, "g1", "plan") < 0.15,
+        "{quotes}"
+    );
     assert!(served(&doubled) >= served(&usual));
     let mut cold = fleet(25.0, 20.0);
     (0..2).for_each(|at| cold.hosts[2 * at].state = HostState::Cold);
@@ -288,7 +351,10 @@
     let why = |id: &str| explain(&short, &solution, id).expect("a host").reasons;
     assert!(matches!(why("a1")[..], [Reason::Full { worth }] if worth > 5.0));
     assert_eq!(why("a2"), [Reason::Draining]);
-    assert!(matches!(why("b2")[..], [Reason::Limited { load: 0.5 }, Reason::Full { .. }]));
+    assert!(matches!(
+        why("b2")[..],
+        [Reason::Limited { load: 0.5 }, Reason::Full { .. }]
+    ));
     assert_eq!(explain(&short, &solution, "nobody"), None);
 }
 
@@ -299,14 +365,33 @@
         let mut fleet = fleet(20.0, 0.0);
         fleet.gateways.truncate(1);
         fleet.steps = vec![(1.0, 0.0)];
-        fleet.hosts.iter_mut().filter(|host| host.zone == "a").for_each(|host| host.price = gain);
+        fleet
+            .hosts
+            .iter_mut()
+            .filter(|host| host.zone == "a")
+            .for_each(|host| host.price = gain);
         fleet.standing = BTreeMap::from([("a1".to_string(), 1.4), ("a2".to_string(), 0.6)]);
         fleet.change_price = change_price;
         let solution = solve(&fleet, &mut || false).expect("it can be solved");
-        solution.hosts.iter().filter(|host| host.zone == "b").map(|host| host.load).sum::<f64>()
+        solution
+            .hosts
+            .iter()
+            .filter(|host| host.zone == "b")
+            .map(|host| host.load)
+            .sum::<f64>()
     };
     assert_eq!(with(0.4, 0.0), 0.0, "crossing costs more than is gained");
-    assert!((with(0.6, 0.0) - 2.0).abs() < 1e-9, "it all moves for a little");
-    assert_eq!(with(0.6, 0.2), 0.0, "but not if moving costs more than that");
-    assert!((with(0.9, 0.2) - 2.0).abs() < 1e-9, "and for much it moves all the same");
+    assert!(
+        (with(0.6, 0.0) - 2.0).abs() < 1e-9,
+        "it all moves for a little"
+    );
+    assert_eq!(
+        with(0.6, 0.2),
+        0.0,
+        "but not if moving costs more than that"
+    );
+    assert!(
+        (with(0.9, 0.2) - 2.0).abs() < 1e-9,
+        "and for much it moves all the same"
+    );
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -69,7 +69,11 @@
 }
 
 fn read(bytes: &[u8], from: usize) -> Reading {
-    let mut reading = Reading { kept: Kept::default(), sound: from, torn: false };
+    let mut reading = Reading {
+        kept: Kept::default(),
+        sound: from,
+        torn: false,
+    };
     loop {
         let rest = &bytes[reading.sound..];
         if rest.is_empty() {
@@ -81,14 +85,17 @@
             return reading;
         };
         let length = u32::from_le_bytes([head[0], head[1], head[2], head[3]]) as usize;
-        let said =
-            u64::from_le_bytes([head[4], head[5], head[6], head[7], head[8], head[9], head[10], head[11]]);
+        let said = u64::from_le_bytes([
+            head[4], head[5], head[6], head[7], head[8], head[9], head[10], head[11],
+        ]);
         let Some(text) = after.get(..length) else {
             // A length that was flipped looks the same, but for what comes after it.
             reading.torn = length <= LONGEST && !holds_a_frame(&rest[1..]);
             return reading;
         };
-        let commit = (xxh3_64(text) == said).then(|| serde_json::from_slice::<Commit>(text).ok()).flatten();
+        let commit = (xxh3_64(text) == said)
+            .then(|| serde_json::from_slice::<Commit>(text).ok())
+            .flatten();
         let Some(commit) = commit else { return reading };
         reading.kept.take(commit);
         reading.sound += FRAME + length;
@@ -100,7 +107,9 @@
     (0..bytes.len().saturating_sub(FRAME)).any(|at| {
         let rest = &bytes[at..];
         let length = u32::from_le_bytes([rest[0], rest[1], rest[2], rest[3]]) as usize;
-        let text = rest.get(FRAME..FRAME.saturating_add(length)).filter(|text| !text.is_empty());
+        let text = rest
+            .get(FRAME..FRAME.saturating_add(length))
+            .filter(|text| !text.is_empty());
         text.is_some_and(|text| xxh3_64(text).to_le_bytes() == rest[4..FRAME])
     })
 }
@@ -108,7 +117,10 @@
 fn frame(commit: &Commit) -> io::Result<Vec<u8>> {
     let text = serde_json::to_vec(commit).map_err(io::Error::other)?;
     if text.len() > LONGEST {
-        return Err(io::Error::new(io::ErrorKind::InvalidInput, "a commit that is too long"));
+        return Err(io::Error::new(
+            io::ErrorKind::InvalidInput,
+            "a commit that is too long",
+        ));
     }
     let length = (text.len() as u32).to_le_bytes();
     Ok([&length[..], &xxh3_64(&text).to_le_bytes(), &text].concat())
@@ -121,14 +133,25 @@
 impl Store {
     /// Opens the file, makes it if it is missing, mends what can be, and says how it was found.
     pub fn open(path: &Path) -> Result<(Store, Found), StoreError> {
-        let disk = |source| StoreError::Disk { path: path.to_path_buf(), source };
+        let disk = |source| StoreError::Disk {
+            path: path.to_path_buf(),
+            source,
+        };
         let fresh = !path.exists();
-        let open = || OpenOptions::new().read(true).append(true).create(true).open(path);
+        let open = || {
+            OpenOptions::new()
+                .read(true)
+                .append(true)
+                .create(true)
+                .open(path)
+        };
         let mut file = open().map_err(disk)?;
         match file.try_lock() {
             Ok(()) => {}
             Err(std::fs::TryLockError::WouldBlock) => {
-                return Err(StoreError::InUse { path: path.to_path_buf() });
+                return Err(StoreError::InUse {
+                    path: path.to_path_buf(),
+                });
             }
             Err(std::fs::TryLockError::Error(error)) => return Err(disk(error)),
         }
@@ -138,7 +161,9 @@
         if fresh || (bytes.len() < begun.len() && begun.as_bytes().starts_with(&bytes)) {
             // Killed before its first line was there: nothing had been kept yet.
             file.set_len(0).map_err(disk)?;
-            file.write_all(begun.as_bytes()).and_then(|()| file.sync_all()).map_err(disk)?;
+            file.write_all(begun.as_bytes())
+                .and_then(|()| file.sync_all())
+                .map_err(disk)?;
             sync_parent(path).map_err(disk)?;
             let store = Store {
                 path: path.to_path_buf(),
@@ -149,12 +174,19 @@
             };
             return Ok((store, Found::Fresh));
         }
-        let line = bytes.iter().position(|byte| *byte == b'\n').map(|end| &bytes[..end]);
-        let told =
-            line.and_then(|line| std::str::from_utf8(line).ok()).and_then(|line| line.strip_prefix(HEAD));
+        let line = bytes
+            .iter()
+            .position(|byte| *byte == b'\n')
+            .map(|end| &bytes[..end]);
+        let told = line
+            .and_then(|line| std::str::from_utf8(line).ok())
+            .and_then(|line| line.strip_prefix(HEAD));
         let from = match told.and_then(|told| told.parse::<u32>().ok()) {
             Some(found) if found > FORMAT => {
-                return Err(StoreError::Newer { path: path.to_path_buf(), found });
+                return Err(StoreError::Newer {
+                    path: path.to_path_buf(),
+                    found,
+                });
             }
             // A flipped bit in the first line costs none of the commits.
             _ => begun.len().min(bytes.len()),
@@ -164,23 +196,50 @@
         let rest = (bytes.len() - sound) as u64;
         if sound_head && (rest == 0 || torn) {
             if torn {
-                file.set_len(sound as u64).and_then(|()| file.sync_all()).map_err(disk)?;
+                file.set_len(sound as u64)
+                    .and_then(|()| file.sync_all())
+                    .map_err(disk)?;
             }
-            let found = if torn { Found::TornTail { bytes: rest } } else { Found::Sound };
-            let store = Store { path: path.to_path_buf(), file, kept, length: sound as u64, compacted: 0 };
+            let found = if torn {
+                Found::TornTail { bytes: rest }
+            } else {
+                Found::Sound
+            };
+            let store = Store {
+                path: path.to_path_buf(),
+                file,
+                kept,
+                length: sound as u64,
+                compacted: 0,
+            };
             return Ok((store, found));
         }
         let aside = free_name(path);
         std::fs::write(&aside, &bytes).map_err(disk)?;
-        let mut store = Store { path: path.to_path_buf(), file, kept, length: sound as u64, compacted: 0 };
+        let mut store = Store {
+            path: path.to_path_buf(),
+            file,
+            kept,
+            length: sound as u64,
+            compacted: 0,
+        };
         store.compact()?;
-        Ok((store, Found::Damaged { aside, at: sound as u64, bytes: rest }))
+        Ok((
+            store,
+            Found::Damaged {
+                aside,
+                at: sound as u64,
+                bytes: rest,
+            },
+        ))
     }
 
     /// Reads a file and mends nothing: what it keeps, up to which byte it is sound, and how many it has.
     pub fn look(path: &Path) -> Result<(Kept, u64, u64), StoreError> {
-        let bytes =
-            std::fs::read(path).map_err(|source| StoreError::Disk { path: path.to_path_buf(), source })?;
+        let bytes = std::fs::read(path).map_err(|source| StoreError::Disk {
+            path: path.to_path_buf(),
+            source,
+        })?;
         let begun = head();
         let sound_head = bytes.starts_with(begun.as_bytes());
         let reading = read(&bytes, begun.len().min(bytes.len()));
@@ -202,12 +261,18 @@
 
     /// All of the commit is on the disk when this returns; after an error none of it counts.
     pub fn commit(&mut self, commit: Commit) -> Result<(), StoreError> {
-        let bytes = frame(&commit).map_err(|source| StoreError::Disk { path: self.path.clone(), source })?;
+        let bytes = frame(&commit).map_err(|source| StoreError::Disk {
+            path: self.path.clone(),
+            source,
+        })?;
         let written = self.append(&bytes);
         if let Err(source) = written {
             // What is there of it would stand before the next one.
             let _ = self.file.set_len(self.length);
-            return Err(StoreError::Disk { path: self.path.clone(), source });
+            return Err(StoreError::Disk {
+                path: self.path.clone(),
+                source,
+            });
         }
         self.length += bytes.len() as u64;
         self.kept.take(commit);
@@ -228,17 +293,25 @@
     /// Writes a file of one commit and moves it into place.
     pub fn compact(&mut self) -> Result<(), StoreError> {
         let path = self.path.clone();
-        let disk = |source| StoreError::Disk { path: path.clone(), source };
+        let disk = |source| StoreError::Disk {
+            path: path.clone(),
+            source,
+        };
         let mut draft = self.path.as_os_str().to_os_string();
         draft.push(".draft");
         let draft = PathBuf::from(draft);
         let bytes = [head().as_bytes(), &frame(&self.kept.whole()).map_err(disk)?].concat();
         reached("store.compact").map_err(disk)?;
         let mut file = File::create(&draft).map_err(disk)?;
-        file.write_all(&bytes).and_then(|()| file.sync_all()).map_err(disk)?;
+        file.write_all(&bytes)
+            .and_then(|()| file.sync_all())
+            .map_err(disk)?;
         reached("store.compacted").map_err(disk)?;
-        file.try_lock().map_err(|error| disk(io::Error::other(error.to_string())))?;
-        std::fs::rename(&draft, &self.path).and_then(|()| sync_parent(&self.path)).map_err(disk)?;
+        file.try_lock()
+            .map_err(|error| disk(io::Error::other(error.to_string())))?;
+        std::fs::rename(&draft, &self.path)
+            .and_then(|()| sync_parent(&self.path))
+            .map_err(disk)?;
         (self.file, self.length) = (file, bytes.len() as u64);
         self.compacted = self.length;
         reached("store.renamed").map_err(disk)?;
@@ -247,7 +320,10 @@
 }
 
 fn sync_parent(path: &Path) -> io::Result<()> {
-    let parent = path.parent().filter(|parent| !parent.as_os_str().is_empty()).unwrap_or(Path::new("."));
+    let parent = path
+        .parent()
+        .filter(|parent| !parent.as_os_str().is_empty())
+        .unwrap_or(Path::new("."));
     File::open(parent)?.sync_all()
 }
 
@@ -257,5 +333,8 @@
         name.push(format!(".damaged-{at}"));
         PathBuf::from(name)
     };
-    (1..).map(named).find(|path| !path.exists()).unwrap_or_else(|| named(0))
+    (1..)
+        .map(named)
+        .find(|path| !path.exists())
+        .unwrap_or_else(|| named(0))
 }
--- a/crates/store/tests/damage.rs
+++ b/crates/store/tests/damage.rs
@@ -8,7 +8,12 @@
 
 fn record(n: u64) -> Record {
     let sets = BTreeMap::from([(format!("key.{n}"), Some(n.to_string()))]);
-    let change = Change { id: ChangeId(format!("c{n:04}")), by: "ada".into(), base: n, sets };
+    let change = Change {
+        id: ChangeId(format!("c{n:04}")),
+        by: "ada".into(),
+        base: n,
+        sets,
+    };
     Record {
         change,
         state: State::Kept,
@@ -45,7 +50,10 @@
     let (mut store, found) = Store::open(&path).expect("opened");
     assert_eq!(found, Found::Sound);
     let kept = store.kept().clone();
-    assert_eq!((kept.configuration.version, kept.changes.len(), kept.commits), (59, 59, 59));
+    assert_eq!(
+        (kept.configuration.version, kept.changes.len(), kept.commits),
+        (59, 59, 59)
+    );
     assert_eq!(kept.facts["capacity.large"], "59.5");
     let long = store.bytes();
     store.compact().expect("compacted");
@@ -56,7 +64,10 @@
     assert_eq!((found, store.kept().changes.len()), (Found::Sound, 60));
     drop(store);
     std::fs::write(&path, "wheelspread-state 9\n").expect("written");
-    assert!(matches!(Store::open(&path), Err(StoreError::Newer { found: 9, .. })));
+    assert!(matches!(
+        Store::open(&path),
+        Err(StoreError::Newer { found: 9, .. })
+    ));
 }
 
 #[test]
@@ -65,7 +76,10 @@
     let path = directory.path().join("state");
     std::fs::write(&path, "not a store at all").expect("written");
     let (store, found) = Store::open(&path).expect("gone on with");
-    assert!(matches!(&found, Found::Damaged { aside, .. } if aside.exists()), "{found:?}");
+    assert!(
+        matches!(&found, Found::Damaged { aside, .. } if aside.exists()),
+        "{found:?}"
+    );
     assert_eq!(store.kept().commits, 0);
 }
 
@@ -89,7 +103,11 @@
     for cut in 1..bytes.len() {
         std::fs::write(&path, &bytes[..cut]).expect("written");
         let (store, found) = Store::open(&path).expect("opened");
-        let whole = ends.iter().filter(|end| **end <= cut as u64).count().saturating_sub(1) as u64;
+        let whole = ends
+            .iter()
+            .filter(|end| **end <= cut as u64)
+            .count()
+            .saturating_sub(1) as u64;
         assert_eq!(store.kept().configuration.version, whole, "cut at {cut}");
         let at_an_end = ends.contains(&(cut as u64));
         let fine = match found {
--- a/crates/vocabulary/src/check.rs
+++ b/crates/vocabulary/src/check.rs
@@ -84,14 +84,23 @@
                     (false, true) => format!("a number above {least}"),
                     _ => format!("a number above {least}, {most} at most"),
                 };
-                (number.is_some_and(|number| fits(number) && number <= most), what)
+                (
+                    number.is_some_and(|number| fits(number) && number <= most),
+                    what,
+                )
             }
             Flag => (value.is_boolean(), "true or false".to_string()),
-            Text => (value.as_str().is_some_and(|text| !text.is_empty()), "a text".to_string()),
+            Text => (
+                value.as_str().is_some_and(|text| !text.is_empty()),
+                "a text".to_string(),
+            ),
             List(least, most) => {
                 let count = value.as_array().map(Vec::len);
                 let what = format!("a list of {least} to {most}");
-                (count.is_some_and(|count| (least..=most).contains(&count)), what)
+                (
+                    count.is_some_and(|count| (least..=most).contains(&count)),
+                    what,
+                )
             }
         };
         let shown: String = value.to_string().chars().take(40).collect();
@@ -104,11 +113,19 @@
     let mut places = vec![(String::new(), value)];
     for word in path.split('.') {
         let inner = |(at, value): (String, &'a Value)| -> Vec<(String, &'a Value)> {
-            let name = |key: &str| if at.is_empty() { key.to_string() } else { format!("{at}.{key}") };
+            let name = |key: &str| {
+                if at.is_empty() {
+                    key.to_string()
+                } else {
+                    format!("{at}.{key}")
+                }
+            };
             match word {
                 "*" => {
                     let items = value.as_array().into_iter().flatten().enumerate();
-                    items.map(|(key, item)| (name(&key.to_string()), item)).collect()
+                    items
+                        .map(|(key, item)| (name(&key.to_string()), item))
+                        .collect()
                 }
                 word => vec![(name(word), &value[word])],
             }
@@ -139,7 +156,10 @@
         let named = places(settings, path);
         for (at, (field, value)) in named.iter().enumerate() {
             if let Some((first, _)) = named[..at].iter().find(|(_, other)| other == value) {
-                return Err(Wrong { field: field.clone(), why: format!("is {value}, as `{first}` is") });
+                return Err(Wrong {
+                    field: field.clone(),
+                    why: format!("is {value}, as `{first}` is"),
+                });
             }
         }
     }
--- a/crates/vocabulary/src/lib.rs
+++ b/crates/vocabulary/src/lib.rs
@@ -99,8 +99,11 @@
     ("field", "inflight", "in-flight"),
 ];
 
-const COUNTS: &[(&str, &str)] =
-    &[("classes", "operation.count"), ("feedback.fields", "report.field.count"), ("zones", "zone.count")];
+const COUNTS: &[(&str, &str)] = &[
+    ("classes", "operation.count"),
+    ("feedback.fields", "report.field.count"),
+    ("zones", "zone.count"),
+];
 
 /// Settings as text.
 pub fn read(text: &str) -> Result<Facts, String> {
@@ -115,16 +118,33 @@
 }
 
 fn flatten(path: &str, value: &Value, facts: &mut Facts) {
-    let inner = |key: &str| if path.is_empty() { key.to_string() } else { format!("{path}.{key}") };
+    let inner = |key: &str| {
+        if path.is_empty() {
+            key.to_string()
+        } else {
+            format!("{path}.{key}")
+        }
+    };
     match value {
-        Value::Object(fields) => fields.iter().for_each(|(key, value)| flatten(&inner(key), value, facts)),
+        Value::Object(fields) => fields
+            .iter()
+            .for_each(|(key, value)| flatten(&inner(key), value, facts)),
         Value::Array(items) => {
             if let Some((_, ours)) = COUNTS.iter().find(|(wire, _)| *wire == path) {
-                facts.0.insert(ours.to_string(), Fact::Number(items.len() as f64));
+                facts
+                    .0
+                    .insert(ours.to_string(), Fact::Number(items.len() as f64));
             }
-            items.iter().enumerate().for_each(|(at, value)| flatten(&inner(&at.to_string()), value, facts));
+            items
+                .iter()
+                .enumerate()
+                .for_each(|(at, value)| flatten(&inner(&at.to_string()), value, facts));
         }
-        Value::Number(number) => put(path, Fact::Number(number.as_f64().unwrap_or(f64::NAN)), facts),
+        Value::Number(number) => put(
+            path,
+            Fact::Number(number.as_f64().unwrap_or(f64::NAN)),
+            facts,
+        ),
         Value::Bool(flag) => put(path, Fact::Flag(*flag), facts),
         Value::String(text) => put(path, Fact::Text(text.clone()), facts),
         Value::Null => {}
@@ -132,7 +152,10 @@
 }
 
 fn put(path: &str, fact: Fact, facts: &mut Facts) {
-    let plain = NAMES.iter().find(|(wire, _)| *wire == path).map(|(_, ours)| ours.to_string());
+    let plain = NAMES
+        .iter()
+        .find(|(wire, _)| *wire == path)
+        .map(|(_, ours)| ours.to_string());
     let starred = || {
         OPERATION_NAMES.iter().find_map(|(wire, ours)| {
             let (head, tail) = wire.split_once('*')?;
@@ -140,7 +163,9 @@
             at.parse::<usize>().ok().map(|_| ours.replace('*', at))
         })
     };
-    let Some(name) = plain.or_else(starred) else { return };
+    let Some(name) = plain.or_else(starred) else {
+        return;
+    };
     let fact = match fact {
         Fact::Text(text) => Fact::Text(word(&name, &text).to_string()),
         other => other,
@@ -169,14 +194,20 @@
 impl Names {
     pub fn read(settings: &Value) -> Names {
         let texts = |list: &Value, of: &dyn Fn(&Value) -> Option<String>| {
-            list.as_array().into_iter().flatten().map(|item| of(item).unwrap_or_default()).collect()
+            list.as_array()
+                .into_iter()
+                .flatten()
+                .map(|item| of(item).unwrap_or_default())
+                .collect()
         };
         let plain = |item: &Value| item.as_str().map(str::to_string);
         Names {
             zones: texts(&settings["zones"], &plain),
             kinds: texts(&settings["kinds"], &plain),
             operations: texts(&settings["classes"], &|item| plain(&item["name"])),
-            fields: texts(&settings["feedback"]["fields"], &|item| Some(field(item.as_str()?).to_string())),
+            fields: texts(&settings["feedback"]["fields"], &|item| {
+                Some(field(item.as_str()?).to_string())
+            }),
         }
     }
 }
--- a/crates/vocabulary/tests/names.rs
+++ b/crates/vocabulary/tests/names.rs
@@ -11,14 +11,26 @@
     let facts = read(text).expect("JSON");
     assert_eq!(facts.number("operation.0.latency_objective"), Ok(1.5));
     assert_eq!(facts.text("operation.0.repeat"), Ok("fingerprinted"));
-    assert_eq!((facts.number("zone.count"), facts.number("conductor.zone")), (Ok(2.0), Ok(1.0)));
+    assert_eq!(
+        (facts.number("zone.count"), facts.number("conductor.zone")),
+        (Ok(2.0), Ok(1.0))
+    );
     assert_eq!(facts.text("report.field.0"), Ok("utilization"));
-    assert!(!facts.0.keys().any(|name| name.contains("new")), "what is not known is skipped");
+    assert!(
+        !facts.0.keys().any(|name| name.contains("new")),
+        "what is not known is skipped"
+    );
     assert!(read("{").is_err());
     let names = Names::read(&serde_json::from_str(text).expect("JSON"));
-    assert_eq!((names.zones, names.operations), (vec!["a".into(), "b".into()], vec!["read".into()]));
+    assert_eq!(
+        (names.zones, names.operations),
+        (vec!["a".into(), "b".into()], vec!["read".into()])
+    );
     assert_eq!(names.fields, ["utilization", "queue"]);
-    assert_eq!((field("util"), field("queue"), field("inflight")), ("utilization", "queue", "in-flight"));
+    assert_eq!(
+        (field("util"), field("queue"), field("inflight")),
+        ("utilization", "queue", "in-flight")
+    );
 }
 
 fn usable() -> Value {
@@ -61,8 +73,7 @@
 #[test]
 fn more_classes_than_ids_are_refused() {
     let mut settings = usable();
-    let class =
-        |at: usize| json!({"name": format!("c{at}"), "aim": 1, "deadline": 2, "idempotency": "read_like"});
+    let class = |at: usize| json!({"name": format!("c{at}"), "aim": 1, "deadline": 2, "idempotency": "read_like"});
     settings["classes"] = (0..17).map(class).collect();
     let wrong = check(&settings).expect_err("too many");
     assert_eq!(wrong.field, "classes");
--- a/crates/wheelspread-adapter/src/main.rs
+++ b/crates/wheelspread-adapter/src/main.rs
@@ -43,7 +43,10 @@
     /// Plays one batch. What can't be read is named on standard error with its record and offset;
     /// the rest of such a batch can't be told apart any more and is left out.
     fn batch(&mut self, now: Moment, count: u32, body: &[u8]) -> Reply {
-        let mut reply = Reply { count: 0, bytes: Vec::new() };
+        let mut reply = Reply {
+            count: 0,
+            bytes: Vec::new(),
+        };
         let mut reader = wire::Reader::new(body);
         let mut touched = BTreeSet::new();
         for number in 0..count {
@@ -56,13 +59,19 @@
                     touched.insert(conductor);
                 }
                 Err(text) => {
-                    eprintln!("record {number} at offset {offset}: {text}; rest of the batch left out");
+                    eprintln!(
+                        "record {number} at offset {offset}: {text}; rest of the batch left out"
+                    );
                     break;
                 }
             }
         }
         if reader.left() > 0 {
-            eprintln!("{} bytes left after {count} records at offset {}", reader.left(), reader.at);
+            eprintln!(
+                "{} bytes left after {count} records at offset {}",
+                reader.left(),
+                reader.at
+            );
         }
         for conductor in touched {
             self.call(conductor, &mut reply, |balancer, actions| {
@@ -100,9 +109,9 @@
                 None => Err(format!("conductor {conductor} is stopped but never booted")),
             },
             Record::Event(_) if self.failed.contains(&conductor) => Ok(()),
-            Record::Event(_) if !self.instances.contains_key(&conductor) => {
-                Err(format!("event for conductor {conductor}, which never booted"))
-            }
+            Record::Event(_) if !self.instances.contains_key(&conductor) => Err(format!(
+                "event for conductor {conductor}, which never booted"
+            )),
             Record::Event(event) => {
                 let mut said = Ok(());
                 self.call(conductor, reply, |balancer, _| {
@@ -119,7 +128,9 @@
     where
         F: FnOnce(&mut Balancer, &mut Vec<Action>) -> Result<(), String>,
     {
-        let Some(balancer) = self.instances.get_mut(&conductor) else { return };
+        let Some(balancer) = self.instances.get_mut(&conductor) else {
+            return;
+        };
         let mut actions = Vec::new();
         match catch_unwind(AssertUnwindSafe(|| run(balancer, &mut actions))) {
             Ok(Ok(())) => reply.actions(conductor, &actions),
@@ -141,17 +152,26 @@
     let mut host = Host::default();
     loop {
         let mut header = Vec::with_capacity(HEADER);
-        input.by_ref().take(HEADER as u64).read_to_end(&mut header)?;
+        input
+            .by_ref()
+            .take(HEADER as u64)
+            .read_to_end(&mut header)?;
         if header.is_empty() {
             return Ok(());
         }
         let mut fields = wire::Reader::new(&header);
         let (Ok(size), Ok(clock), Ok(count)) = (fields.u32(), fields.f64(), fields.u32()) else {
-            eprintln!("input ends inside a batch header, {} of {HEADER} bytes", header.len());
+            eprintln!(
+                "input ends inside a batch header, {} of {HEADER} bytes",
+                header.len()
+            );
             std::process::exit(1);
         };
         let mut body = Vec::new();
-        input.by_ref().take(u64::from(size)).read_to_end(&mut body)?;
+        input
+            .by_ref()
+            .take(u64::from(size))
+            .read_to_end(&mut body)?;
         if body.len() < size as usize {
             eprintln!("input ends inside a batch, {} of {size} bytes", body.len());
             std::process::exit(1);
--- a/crates/wheelspread-adapter/src/wire.rs
+++ b/crates/wheelspread-adapter/src/wire.rs
@@ -57,7 +57,10 @@
     }
 
     fn node(&mut self) -> Read<NodeId> {
-        Ok(NodeId { address: self.array()?, port: self.u16()? })
+        Ok(NodeId {
+            address: self.array()?,
+            port: self.u16()?,
+        })
     }
 
     fn span(&mut self) -> Read<Span> {
@@ -84,11 +87,16 @@
     }
     let conductor = reader.u16()?;
     let event = match code {
-        16 => Event::Timer { timer: TimerId(reader.u64()?) },
+        16 => Event::Timer {
+            timer: TimerId(reader.u64()?),
+        },
         17 => {
             let from = PeerId(reader.u32()?);
             let count = reader.u16()?;
-            Event::PeerNote { from, bytes: reader.take(count.into())?.to_vec() }
+            Event::PeerNote {
+                from,
+                bytes: reader.take(count.into())?.to_vec(),
+            }
         }
         18 => Event::NodeSums {
             zone: ZoneId(reader.u16()?),
@@ -99,13 +107,19 @@
             over: reader.span()?,
             load: reader.load()?,
         },
-        19 => Event::SliceCharge { slice: SliceId(reader.u16()?), ours: reader.u8()? != 0 },
-        20 => Event::ProxyLeft { proxy: ProxyId(reader.u16()?) },
+        19 => Event::SliceCharge {
+            slice: SliceId(reader.u16()?),
+            ours: reader.u8()? != 0,
+        },
+        20 => Event::ProxyLeft {
+            proxy: ProxyId(reader.u16()?),
+        },
         21 => {
             let seed = reader.u64()?;
             let count = reader.u32()?;
             let text = reader.take(count as usize)?;
-            let settings = String::from_utf8(text.to_vec()).map_err(|e| format!("settings: {e}"))?;
+            let settings =
+                String::from_utf8(text.to_vec()).map_err(|e| format!("settings: {e}"))?;
             return Ok((conductor, Record::Boot { seed, settings }));
         }
         22 => Event::Offered {
@@ -120,7 +134,13 @@
             let errored = f64::from(reader.u32()?);
             let count = f64::from(reader.u32()?);
             let slice = SliceId(reader.u16()?);
-            Event::SliceOffered { slice, operation, count, errored, over: reader.span()? }
+            Event::SliceOffered {
+                slice,
+                operation,
+                count,
+                errored,
+                over: reader.span()?,
+            }
         }
         24 => Event::ProxyJoined {
             proxy: ProxyId(reader.u16()?),
@@ -134,9 +154,11 @@
             took: reader.span()?,
             load: reader.load()?,
         },
-        26 => {
-            Event::Acked { proxy: ProxyId(reader.u16()?), mark: MarkId(reader.u32()?), took: reader.span()? }
-        }
+        26 => Event::Acked {
+            proxy: ProxyId(reader.u16()?),
+            mark: MarkId(reader.u32()?),
+            took: reader.span()?,
+        },
         27 => return Ok((conductor, Record::Stop)),
         28 => {
             let kind = match reader.u8()? {
@@ -157,7 +179,11 @@
         _ => {
             let node = reader.node()?;
             let slice = SliceId(reader.u16()?);
-            Event::SliceLine { slice, node, weight: reader.f32()? }
+            Event::SliceLine {
+                slice,
+                node,
+                weight: reader.f32()?,
+            }
         }
     };
     Ok((conductor, Record::Event(event)))
@@ -176,12 +202,16 @@
             other => return Err(format!("unknown mode {other} in a list entry")),
         },
         weight: reader.f32()?,
-        started: Some(reader.f64()?).filter(|at| *at > 0.0).map(Moment::from_seconds),
+        started: Some(reader.f64()?)
+            .filter(|at| *at > 0.0)
+            .map(Moment::from_seconds),
     })
 }
 
 fn mask(operations: &[OperationId]) -> u16 {
-    operations.iter().fold(0, |sum, operation| sum | 1u16.checked_shl(operation.0.into()).unwrap_or(0))
+    operations.iter().fold(0, |sum, operation| {
+        sum | 1u16.checked_shl(operation.0.into()).unwrap_or(0)
+    })
 }
 
 pub fn write(conductor: u16, action: &Action, out: &mut Vec<u8>) {
@@ -207,18 +237,29 @@
         }
         Action::ReadList => start(18, out),
         Action::Remark { text } => write_text(19, conductor, text, out),
-        Action::Withdraw { node: id, out: is_out } => {
+        Action::Withdraw {
+            node: id,
+            out: is_out,
+        } => {
             start(20, out);
             node(id, out);
             out.push(u8::from(*is_out));
         }
-        Action::Bind { proxy, table, operations } => {
+        Action::Bind {
+            proxy,
+            table,
+            operations,
+        } => {
             start(21, out);
             out.extend(proxy.0.to_le_bytes());
             out.extend(table.0.to_le_bytes());
             out.extend(mask(operations).to_le_bytes());
         }
-        Action::SetLine { table, node: id, weight } => {
+        Action::SetLine {
+            table,
+            node: id,
+            weight,
+        } => {
             start(22, out);
             out.extend(table.0.to_le_bytes());
             node(id, out);
@@ -233,7 +274,12 @@
             out.extend(after.seconds().to_le_bytes());
             out.extend(timer.0.to_le_bytes());
         }
-        Action::SetLevel { table, operations, quota, retry } => {
+        Action::SetLevel {
+            table,
+            operations,
+            quota,
+            retry,
+        } => {
             start(25, out);
             out.extend(table.map_or(u16::MAX, |table| table.0).to_le_bytes());
             out.extend(mask(operations).to_le_bytes());
@@ -257,7 +303,10 @@
 }
 
 fn write_text(code: u8, conductor: u16, text: &str, out: &mut Vec<u8>) {
-    let end = (0..=text.len().min(1000)).rev().find(|at| text.is_char_boundary(*at)).unwrap_or(0);
+    let end = (0..=text.len().min(1000))
+        .rev()
+        .find(|at| text.is_char_boundary(*at))
+        .unwrap_or(0);
     out.push(code);
     out.extend(conductor.to_le_bytes());
     out.extend((end as u16).to_le_bytes());
--- a/crates/wheelspread-adapter/tests/framing.rs
+++ b/crates/wheelspread-adapter/tests/framing.rs
@@ -10,8 +10,14 @@
   "rules": {"overload_factor": 4.0, "start_capacity": 0.16, "warm_after": 18.0, "stop_sending_within": 2.0}}"#;
 
 fn hex(text: &str) -> Vec<u8> {
-    let digits: Vec<u8> = text.bytes().filter(|byte| !byte.is_ascii_whitespace()).collect();
-    digits.chunks(2).map(|two| u8::from_str_radix(std::str::from_utf8(two).unwrap(), 16).unwrap()).collect()
+    let digits: Vec<u8> = text
+        .bytes()
+        .filter(|byte| !byte.is_ascii_whitespace())
+        .collect();
+    digits
+        .chunks(2)
+        .map(|two| u8::from_str_radix(std::str::from_utf8(two).unwrap(), 16).unwrap())
+        .collect()
 }
 
 fn batch(count: u32, body: &[u8]) -> Vec<u8> {
@@ -27,7 +33,9 @@
     body.extend((settings.len() as u32).to_le_bytes());
     body.extend(settings.as_bytes());
     // One ready node in zone 0, listed as conductor 3 last held it.
-    body.extend(hex("1c 0300 00 29000000 01000000  0a124a07 931f 0000 00 0000 01 0000803f 0000000000000000"));
+    body.extend(hex(
+        "1c 0300 00 29000000 01000000  0a124a07 931f 0000 00 0000 01 0000803f 0000000000000000",
+    ));
     body
 }
 
@@ -61,8 +69,17 @@
     let line = hex("16 0300 0000 0a124a07 931f 0000c842"); // WEIGH, table 0, the node, 100
     let bind = hex("15 0300 2900 0000 0100"); // INSTALL, proxy 41, table 0, the first class
     let mark = hex("11 0300 01000000 00");
-    let place = |part: &[u8]| output.stdout.windows(part.len()).position(|window| window == part);
-    assert!(place(&line) < place(&bind) && place(&bind) < place(&mark), "{:02x?}", output.stdout);
+    let place = |part: &[u8]| {
+        output
+            .stdout
+            .windows(part.len())
+            .position(|window| window == part)
+    };
+    assert!(
+        place(&line) < place(&bind) && place(&bind) < place(&mark),
+        "{:02x?}",
+        output.stdout
+    );
     assert!(place(&line).is_some(), "{}", said(&output));
     let size = u32::from_le_bytes(output.stdout[4..8].try_into().unwrap());
     assert_eq!(output.stdout.len(), 8 + size as usize);
@@ -74,22 +91,38 @@
     let mut body = hex("10 0300 4d00000000000000");
     body.extend(hex("63 0300 1111"));
     let output = run(&batch(2, &body));
-    assert!(said(&output).contains("record 0 at offset 0: event for conductor 3, which never booted"));
-    assert!(said(&output).contains("record 1 at offset 11: unknown event code 99"), "{}", said(&output));
+    assert!(
+        said(&output).contains("record 0 at offset 0: event for conductor 3, which never booted")
+    );
+    assert!(
+        said(&output).contains("record 1 at offset 11: unknown event code 99"),
+        "{}",
+        said(&output)
+    );
     assert_eq!(output.stdout, hex("00000000 00000000"));
 
     let output = run(&batch(1, &hex("12 0300 0000 0a124a07 931f 0e000000")));
-    assert!(said(&output).contains("record 0 at offset 0: 4 bytes wanted, 0 left"), "{}", said(&output));
+    assert!(
+        said(&output).contains("record 0 at offset 0: 4 bytes wanted, 0 left"),
+        "{}",
+        said(&output)
+    );
 
     let output = run(&batch(1, &hex("1b 0300 ffff")));
-    assert!(said(&output).contains("2 bytes left after 1 records at offset 3"), "{}", said(&output));
+    assert!(
+        said(&output).contains("2 bytes left after 1 records at offset 3"),
+        "{}",
+        said(&output)
+    );
 }
 
 #[test]
 fn events_of_strangers_are_named_and_change_nothing() {
     let mut body = boot(SETTINGS);
     body.extend(hex("14 0300 2900")); // proxy 41 never joined
-    body.extend(hex("12 0300 0000 0a9011f2 bc1f 0e000000 01000000 4e62105839b4a83f 000000000000f03f 00"));
+    body.extend(hex(
+        "12 0300 0000 0a9011f2 bc1f 0e000000 01000000 4e62105839b4a83f 000000000000f03f 00",
+    ));
     let output = run(&batch(4, &body));
     assert!(said(&output).contains("record 2"), "{}", said(&output));
     assert!(said(&output).contains("left but never joined"));
@@ -104,8 +137,15 @@
     assert_eq!(&output.stdout[..4], hex("01000000"));
     assert_eq!(output.stdout[8..13], hex("1b 0300 1e00"));
     assert_eq!(&output.stdout[13..], text);
-    let output = run(&batch(2, &boot(&SETTINGS.replace("\"head\": 6.0", "\"head\": \"six\""))));
-    assert!(said(&output).contains("setting channel.head_lines should be a number"), "{}", said(&output));
+    let output = run(&batch(
+        2,
+        &boot(&SETTINGS.replace("\"head\": 6.0", "\"head\": \"six\"")),
+    ));
+    assert!(
+        said(&output).contains("setting channel.head_lines should be a number"),
+        "{}",
+        said(&output)
+    );
 }
 
 #[test]
@@ -114,5 +154,9 @@
     let output = run(&whole[..whole.len() - 5]);
     assert!(!output.status.success() && said(&output).contains("input ends inside a batch"));
     let output = run(&whole[..7]);
-    assert!(!output.status.success() && said(&output).contains("7 of 16 bytes"), "{}", said(&output));
+    assert!(
+        !output.status.success() && said(&output).contains("7 of 16 bytes"),
+        "{}",
+        said(&output)
+    );
 }
