--- a/crates/wheelspread/src/balance.rs
+++ b/crates/wheelspread/src/balance.rs
@@ -51,7 +51,12 @@
     (Life::Warm, Told::Dropped, Life::Unlisted, Measures::Paths),
     (Life::Draining, Told::Steady, Life::Warm, Measures::Paths),
     (Life::Draining, Told::Fresh, Life::Cold, Measures::Forget),
-    (Life::Draining, Told::Dropped, Life::Unlisted, Measures::Paths),
+    (
+        Life::Draining,
+        Told::Dropped,
+        Life::Unlisted,
+        Measures::Paths,
+    ),
 ];
 
 /// What a zone's proxies met at a node, and how long it then stays out of that zone's tables.
@@ -140,20 +145,36 @@
 
 impl Balancer {
     pub fn start(now: Moment, seed: u64, facts: Facts) -> Result<Balancer, String> {
-        NEEDED.split_whitespace().try_for_each(|name| facts.number(name).map(drop))?;
+        NEEDED
+            .split_whitespace()
+            .try_for_each(|name| facts.number(name).map(drop))?;
         let count = facts.number("operation.count")?.clamp(0.0, 16.0) as u8;
-        let operations = (0..count).map(|at| Operation::read(&facts, at)).collect::<Result<Vec<_>, _>>()?;
-        let tables = Table::all(&operations, facts.number("zone.count")?.clamp(0.0, 250.0) as u16);
+        let operations = (0..count)
+            .map(|at| Operation::read(&facts, at))
+            .collect::<Result<Vec<_>, _>>()?;
+        let tables = Table::all(
+            &operations,
+            facts.number("zone.count")?.clamp(0.0, 250.0) as u16,
+        );
         Ok(Balancer::new(now, seed, facts, operations, tables))
     }
 
     /// Other figures for the same zones and operations, from now on.
     pub fn refigure(&mut self, facts: Facts) -> Result<(), String> {
         let same = |name| Ok::<_, String>(facts.number(name)? == self.facts.number(name)?);
-        NEEDED.split_whitespace().try_for_each(|name| facts.number(name).map(drop))?;
+        NEEDED
+            .split_whitespace()
+            .try_for_each(|name| facts.number(name).map(drop))?;
         let read = |known: &Operation| Operation::read(&facts, known.id.0);
-        let operations = self.operations.iter().map(read).collect::<Result<Vec<_>, _>>()?;
-        let stay = operations.iter().zip(&self.operations).all(|(new, old)| new.stays == old.stays);
+        let operations = self
+            .operations
+            .iter()
+            .map(read)
+            .collect::<Result<Vec<_>, _>>()?;
+        let stay = operations
+            .iter()
+            .zip(&self.operations)
+            .all(|(new, old)| new.stays == old.stays);
         if !same("zone.count")? || !same("operation.count")? || !stay {
             return Err("zones and operations stay what they are while this runs".to_string());
         }
@@ -165,7 +186,9 @@
     pub fn recall(&mut self, learnt: &[Learnt]) {
         for told in learnt.iter().filter(|told| told.sound()) {
             let heard = |node: &&mut Node| node.life == Life::Warm && node.evidence <= 0.0;
-            let Some(node) = self.nodes.get_mut(&told.node).filter(heard) else { continue };
+            let Some(node) = self.nodes.get_mut(&told.node).filter(heard) else {
+                continue;
+            };
             (node.capacity, node.evidence) = (Smooth::at(told.capacity), told.evidence * RECALLED);
             self.quickest.entry(node.kind).or_insert(told.quickest);
         }
@@ -181,28 +204,60 @@
                 entries.iter().for_each(|entry| self.listed(entry));
                 if matches!(kind, ListKind::Cached | ListKind::Complete) {
                     let named: BTreeSet<NodeId> = entries.iter().map(|entry| entry.node).collect();
-                    let dropped: Vec<_> = self.nodes.keys().filter(|n| !named.contains(n)).copied().collect();
-                    dropped.into_iter().for_each(|id| self.tell(id, Told::Dropped));
+                    let dropped: Vec<_> = self
+                        .nodes
+                        .keys()
+                        .filter(|n| !named.contains(n))
+                        .copied()
+                        .collect();
+                    dropped
+                        .into_iter()
+                        .for_each(|id| self.tell(id, Told::Dropped));
                 }
             }
-            Event::ProxyJoined { proxy, zone, usual_rate, fresh } => {
+            Event::ProxyJoined {
+                proxy,
+                zone,
+                usual_rate,
+                fresh,
+            } => {
                 self.joined(*proxy, *zone, *usual_rate, *fresh);
             }
             Event::ProxyLeft { proxy } => self.left(*proxy)?,
             Event::NodeSums { zone, node, .. } => {
-                self.nodes.get(node).ok_or(format!("sums of unknown {node:?}"))?;
+                self.nodes
+                    .get(node)
+                    .ok_or(format!("sums of unknown {node:?}"))?;
                 self.node_sums(*zone, *node, event);
             }
-            Event::Offered { proxy, operation, count, over, .. } => {
+            Event::Offered {
+                proxy,
+                operation,
+                count,
+                over,
+                ..
+            } => {
                 self.heard_sums(*over);
-                let (memory, now, before) = (self.cycle() * (MEMORY.0 / 3.0), self.now, self.heard_before);
-                let known = self.proxies.get_mut(proxy).ok_or(format!("load of unknown {proxy:?}"))?;
-                known.demand.entry(*operation).or_default().feed(*count, *over, memory, now, before);
+                let (memory, now, before) =
+                    (self.cycle() * (MEMORY.0 / 3.0), self.now, self.heard_before);
+                let known = self
+                    .proxies
+                    .get_mut(proxy)
+                    .ok_or(format!("load of unknown {proxy:?}"))?;
+                known
+                    .demand
+                    .entry(*operation)
+                    .or_default()
+                    .feed(*count, *over, memory, now, before);
             }
             Event::Acked { proxy, mark, .. } => self.acked(*proxy, *mark),
             Event::PeerNote { from, bytes } => {
                 let sorts: Vec<_> = self.sorts().into_keys().collect();
-                let read = self.peers.entry(*from).or_default().read(bytes, &sorts, now);
+                let read = self
+                    .peers
+                    .entry(*from)
+                    .or_default()
+                    .read(bytes, &sorts, now);
                 read.ok_or(format!("note of {} bytes", bytes.len()))?;
             }
             _ => {} // timers only wake the module; sites with slices are not decided yet
@@ -212,10 +267,13 @@
 
     fn listed(&mut self, entry: &ListEntry) {
         let known = self.nodes.get(&entry.node);
-        let young = entry.started.is_some_and(|at| self.now - at < self.span("rules.warm_after"));
+        let young = entry
+            .started
+            .is_some_and(|at| self.now - at < self.span("rules.warm_after"));
         let restarted = young
             && known.is_none_or(|node| {
-                node.started != entry.started || matches!(node.life, Life::Unlisted | Life::Draining)
+                node.started != entry.started
+                    || matches!(node.life, Life::Unlisted | Life::Draining)
             });
         let told = match entry.listing {
             Listing::Gone => Told::Dropped,
@@ -223,10 +281,18 @@
             Listing::Ready if restarted => Told::Fresh,
             Listing::Ready => Told::Steady,
         };
-        let weight = if entry.weight.is_finite() && entry.weight > 0.0 { entry.weight } else { 1.0 };
+        let weight = if entry.weight.is_finite() && entry.weight > 0.0 {
+            entry.weight
+        } else {
+            1.0
+        };
         let now = self.now;
-        let node = self.nodes.entry(entry.node).or_insert_with(|| Node::new(entry, now));
-        (node.zone, node.kind, node.cell, node.weight) = (entry.zone, entry.kind, entry.cell, weight);
+        let node = self
+            .nodes
+            .entry(entry.node)
+            .or_insert_with(|| Node::new(entry, now));
+        (node.zone, node.kind, node.cell, node.weight) =
+            (entry.zone, entry.kind, entry.cell, weight);
         if entry.listing == Listing::Ready {
             node.started = entry.started;
         }
@@ -234,8 +300,12 @@
     }
 
     fn tell(&mut self, id: NodeId, told: Told) {
-        let Some(node) = self.nodes.get_mut(&id) else { return };
-        let Some(row) = LIFE.iter().find(|row| (row.0, row.1) == (node.life, told)) else { return };
+        let Some(node) = self.nodes.get_mut(&id) else {
+            return;
+        };
+        let Some(row) = LIFE.iter().find(|row| (row.0, row.1) == (node.life, told)) else {
+            return;
+        };
         (node.life, node.told, self.moved, self.rush) = (row.2, self.now, true, true);
         if row.3 == Measures::Forget {
             // A process that started anew is another one: nothing measured before speaks of it.
@@ -248,31 +318,73 @@
     }
 
     fn node_sums(&mut self, zone: ZoneId, id: NodeId, event: &Event) {
-        let Event::NodeSums { tries, errored, latency, over, load, .. } = event else { return };
+        let Event::NodeSums {
+            tries,
+            errored,
+            latency,
+            over,
+            load,
+            ..
+        } = event
+        else {
+            return;
+        };
         self.heard_sums(*over);
-        let (now, period, before, memory) =
-            (self.now, self.period(), self.heard_before, self.cycle() * MEMORY.0);
+        let (now, period, before, memory) = (
+            self.now,
+            self.period(),
+            self.heard_before,
+            self.cycle() * MEMORY.0,
+        );
         let (succeeded, seconds) = (tries - errored, latency.seconds().clamp(0.0, 60.0));
         let named = |at: usize, name| self.facts.text(&format!("report.field.{at}")) == Ok(name);
-        let told =
-            |name| (0..load.len()).find(|at| named(*at, name)).map(|at| load[at]).filter(|v| *v >= 0.0);
+        let told = |name| {
+            (0..load.len())
+                .find(|at| named(*at, name))
+                .map(|at| load[at])
+                .filter(|v| *v >= 0.0)
+        };
         let (busy, queue) = (told("utilization"), told("queue"));
-        let Some(node) = self.nodes.get_mut(&id) else { return };
+        let Some(node) = self.nodes.get_mut(&id) else {
+            return;
+        };
         if succeeded > 0.0 && seconds > 0.0 {
-            node.sojourn.feed(seconds, *over * (succeeded / (succeeded + 2.0)), memory * 0.3);
+            node.sojourn.feed(
+                seconds,
+                *over * (succeeded / (succeeded + 2.0)),
+                memory * 0.3,
+            );
         }
-        for (told, most, known) in [(busy, 1.0, &mut node.utilization), (queue, 1e3, &mut node.queue)] {
-            told.iter().for_each(|told| known.feed(told.min(most), *over, memory * 0.5));
+        for (told, most, known) in [
+            (busy, 1.0, &mut node.utilization),
+            (queue, 1e3, &mut node.queue),
+        ] {
+            told.iter()
+                .for_each(|told| known.feed(told.min(most), *over, memory * 0.5));
         }
         node.news = node.news.max(*over);
-        node.fresh += Work { tries: *tries, errored: *errored, seconds: succeeded * seconds };
-        let path = self.paths.entry((id, zone)).or_insert_with(|| Path::new(now, Ring::new(period, 24)));
+        node.fresh += Work {
+            tries: *tries,
+            errored: *errored,
+            seconds: succeeded * seconds,
+        };
+        let path = self
+            .paths
+            .entry((id, zone))
+            .or_insert_with(|| Path::new(now, Ring::new(period, 24)));
         path.rate.feed(*tries, *over, memory, now, before);
         path.succeeded.feed(succeeded, *over, memory, now, before);
         path.heard = now;
         // Evidence is as old as its period: sums from before a trial began say nothing of it.
         if path.standing != Standing::Trial || now - *over - period * 0.5 > path.since {
-            path.sums.add(now, Work { tries: *tries, errored: *errored, seconds: 0.0 });
+            path.sums.add(
+                now,
+                Work {
+                    tries: *tries,
+                    errored: *errored,
+                    seconds: 0.0,
+                },
+            );
         }
         self.news = true;
         self.sums_since.get_or_insert(now);
@@ -285,7 +397,8 @@
     }
 
     fn rate_at(&self, id: NodeId) -> f64 {
-        self.own_rate(id, self.heard - self.cycle() * MEMORY.1) + self.peers_rate(id, self.peers_since())
+        self.own_rate(id, self.heard - self.cycle() * MEMORY.1)
+            + self.peers_rate(id, self.peers_since())
     }
 
     /// How busy a node is, of 1. Where reports don't say, from how much longer its invocations take
@@ -294,17 +407,31 @@
     /// ends. Queues alone don't serve: they stay at nothing until it is too late.
     fn pressure(&self, node: &Node) -> Option<f64> {
         node.utilization.get().or_else(|| {
-            let wait = (node.sojourn.get()? / self.quickest.get(&node.kind)? - 1.0).max(0.0) + QUEUE.0;
+            let wait =
+                (node.sojourn.get()? / self.quickest.get(&node.kind)? - 1.0).max(0.0) + QUEUE.0;
             let y = QUEUE.1 * wait.powf(QUEUE.2);
-            Some((y / (1.0 + y)).min(node.queue.get().map_or(1.0, |queue| QUEUED.0 + QUEUED.1 * queue)))
+            Some(
+                (y / (1.0 + y)).min(
+                    node.queue
+                        .get()
+                        .map_or(1.0, |queue| QUEUED.0 + QUEUED.1 * queue),
+                ),
+            )
         })
     }
 
     /// The shortest mean time each kind has shown; forgotten slowly, as what all depend on may change.
     fn note_quickest(&mut self) {
         let mut times: BTreeMap<KindId, Vec<f64>> = BTreeMap::new();
-        for node in self.nodes.values().filter(|n| n.life == Life::Warm && n.evidence >= PRIOR) {
-            times.entry(node.kind).or_default().extend(node.sojourn.get());
+        for node in self
+            .nodes
+            .values()
+            .filter(|n| n.life == Life::Warm && n.evidence >= PRIOR)
+        {
+            times
+                .entry(node.kind)
+                .or_default()
+                .extend(node.sojourn.get());
         }
         for (kind, mut known) in times {
             known.sort_by(f64::total_cmp);
@@ -325,31 +452,67 @@
             return;
         }
         self.note_quickest();
-        let (memory, objective, fade) = (self.cycle() * MEMORY.0, self.objective(), (-0.5 / MEMORY.0).exp());
-        let by_kind = if self.admission.busy == Busy::Strained { 0.0 } else { LEARN.0 };
+        let (memory, objective, fade) = (
+            self.cycle() * MEMORY.0,
+            self.objective(),
+            (-0.5 / MEMORY.0).exp(),
+        );
+        let by_kind = if self.admission.busy == Busy::Strained {
+            0.0
+        } else {
+            LEARN.0
+        };
         let time = |node: &Node| {
-            let base = self.quickest.get(&node.kind).copied().unwrap_or(objective).sqrt();
+            let base = self
+                .quickest
+                .get(&node.kind)
+                .copied()
+                .unwrap_or(objective)
+                .sqrt();
             let all = node.fresh.seconds + node.fresh.errored * objective * ERRS.1;
             (all / node.fresh.tries.max(1.0) / base).max(1e-6).ln()
         };
-        let times: BTreeMap<NodeId, f64> = self.nodes.iter().map(|(id, node)| (*id, time(node))).collect();
+        let times: BTreeMap<NodeId, f64> = self
+            .nodes
+            .iter()
+            .map(|(id, node)| (*id, time(node)))
+            .collect();
         let (mut kinds, mut all) = (BTreeMap::<KindId, (f64, f64)>::new(), (0.0, 0.0));
-        let errs = self.nodes.values().map(|node| node.fresh.errored).sum::<f64>()
-            / self.nodes.values().map(|node| node.fresh.tries).sum::<f64>().max(1.0);
+        let errs = self
+            .nodes
+            .values()
+            .map(|node| node.fresh.errored)
+            .sum::<f64>()
+            / self
+                .nodes
+                .values()
+                .map(|node| node.fresh.tries)
+                .sum::<f64>()
+                .max(1.0);
         for (id, node) in &self.nodes {
             for sum in [kinds.entry(node.kind).or_default(), &mut all] {
-                *sum = (sum.0 + node.fresh.tries * times[id], sum.1 + node.fresh.tries);
+                *sum = (
+                    sum.0 + node.fresh.tries * times[id],
+                    sum.1 + node.fresh.tries,
+                );
             }
         }
         for id in self.open_nodes() {
             let (rate, pressure) = (self.rate_at(id), self.pressure(&self.nodes[&id]));
-            let prior = (self.full(&self.nodes[&id]) * self.warmth(&self.nodes[&id])).max(1e-3).ln();
-            let Some(node) = self.nodes.get_mut(&id) else { continue };
+            let prior = (self.full(&self.nodes[&id]) * self.warmth(&self.nodes[&id]))
+                .max(1e-3)
+                .ln();
+            let Some(node) = self.nodes.get_mut(&id) else {
+                continue;
+            };
             // Little evidence weighs little, and old evidence fades, so a node that gets next to nothing
             // because it was slow once is tried again.
             node.evidence *= fade;
             node.peak = (node.peak * fade.sqrt()).max(rate);
-            let (news, fresh) = (std::mem::take(&mut node.news), std::mem::take(&mut node.fresh));
+            let (news, fresh) = (
+                std::mem::take(&mut node.news),
+                std::mem::take(&mut node.fresh),
+            );
             if fresh.tries <= 0.0 {
                 continue;
             }
@@ -362,20 +525,26 @@
             match node.utilization.get().and(pressure) {
                 // The first reports speak of the time before; a node that errs much shows its queue.
                 Some(busy) if busy > 0.1 && rate > 0.0 && node.evidence > FIRST_SUMS && !erring => {
-                    node.capacity.feed((rate / busy).ln(), news * (2.0 * weight).min(1.0), memory);
+                    node.capacity
+                        .feed((rate / busy).ln(), news * (2.0 * weight).min(1.0), memory);
                 }
                 Some(_) => {}
                 None => {
                     let old = node.capacity.get().unwrap_or(prior);
                     // A kind is told from others before a node is from its kind; under strain by queues only.
                     let (kind, tries) = kinds[&node.kind];
-                    let apart = (all.0 / all.1 - kind / tries).clamp(-1.0, 1.0) * tries / (tries + EVIDENCE);
+                    let apart = (all.0 / all.1 - kind / tries).clamp(-1.0, 1.0) * tries
+                        / (tries + EVIDENCE);
                     let own = weight * (kind / tries - times[&id]).clamp(-1.0, 1.0);
                     let step = by_kind * apart + LEARN.1 * own - FORGET.1 * (old - prior);
                     node.capacity = Smooth::at(old + step);
                 }
             }
-            if node.sojourn.get().is_some_and(|sojourn| sojourn < objective * HELD) {
+            if node
+                .sojourn
+                .get()
+                .is_some_and(|sojourn| sojourn < objective * HELD)
+            {
                 node.carried = node.carried.max(rate);
             }
         }
@@ -388,9 +557,11 @@
         let (mut rates, mut busy, mut sum, mut plain) = (0.0, 0.0, 0.0, Vec::new());
         for id in self.open_nodes() {
             let node = &self.nodes[&id];
-            if let (None, Some(p), Some(c)) =
-                (node.utilization.get(), self.pressure(node), node.capacity.get())
-            {
+            if let (None, Some(p), Some(c)) = (
+                node.utilization.get(),
+                self.pressure(node),
+                node.capacity.get(),
+            ) {
                 (rates, busy) = (rates + self.rate_at(id), busy + self.rate_at(id) * p);
                 sum += c.exp();
                 plain.push((id, c));
@@ -398,19 +569,32 @@
         }
         let shift = 0.2 * (rates * rates / busy / sum).max(1e-9).ln().clamp(-1.0, 1.0);
         for (id, capacity) in plain.into_iter().filter(|_| rates > 0.0 && busy > 0.0) {
-            self.nodes.entry(id).and_modify(|node| node.capacity = Smooth::at(capacity + shift));
+            self.nodes
+                .entry(id)
+                .and_modify(|node| node.capacity = Smooth::at(capacity + shift));
         }
     }
 
     /// Once a moment: by kind, what a warm node does and was seen to serve for each unit of listed weight.
     fn note_means(&mut self) {
-        let weights: f64 = self.open_nodes().iter().map(|id| self.nodes[id].weight).sum();
+        let weights: f64 = self
+            .open_nodes()
+            .iter()
+            .map(|id| self.nodes[id].weight)
+            .sum();
         let blind = self.demand_by(|_| true).max(1.0) / USUAL_LOAD / weights.max(1e-6);
-        let known = |n: &Node| n.capacity.get().filter(|_| n.evidence > PRIOR).map(f64::exp);
+        let known = |n: &Node| {
+            n.capacity
+                .get()
+                .filter(|_| n.evidence > PRIOR)
+                .map(f64::exp)
+        };
         let seen = |n: &Node| Some(n.peak).filter(|peak| *peak > 0.0);
         let kinds: BTreeSet<KindId> = self.nodes.values().map(|node| node.kind).collect();
         let means = |k: KindId| {
-            let own = self.by_weight(k, known).unwrap_or_else(|| blind * self.quickness(k));
+            let own = self
+                .by_weight(k, known)
+                .unwrap_or_else(|| blind * self.quickness(k));
             (k, (own, self.by_weight(k, seen)))
         };
         self.each = kinds.into_iter().map(means).collect();
@@ -421,7 +605,9 @@
     /// better is known of it. Listed weights may tell of size and not of speed.
     pub(crate) fn quickness(&self, kind: KindId) -> f64 {
         let own = self.mean_time(|node| node.kind == kind && node.life == Life::Warm);
-        own.map_or(1.0, |own| (self.usual_time / own).clamp(QUICKNESS.0, QUICKNESS.1))
+        own.map_or(1.0, |own| {
+            (self.usual_time / own).clamp(QUICKNESS.0, QUICKNESS.1)
+        })
     }
 
     /// What a warm node of this kind and listed weight does.
@@ -431,7 +617,9 @@
 
     /// Invocations a second that a node can do now.
     fn able(&self, id: NodeId) -> f64 {
-        let Some(node) = self.nodes.get(&id) else { return 0.0 };
+        let Some(node) = self.nodes.get(&id) else {
+            return 0.0;
+        };
         let prior = (self.full(node) * self.warmth(node)).max(1e-3);
         let own = node.capacity.get().unwrap_or(prior.ln());
         let mixed = (own * node.evidence + prior.ln() * PRIOR) / (node.evidence + PRIOR);
@@ -464,7 +652,11 @@
             let (recent, (zone, out)) = (self.lately(path, JUDGED_OVER), zones[&key.1]);
             let others = (zone.errored - recent.errored) / (zone.tries - recent.tries).max(1.0);
             let succeeded = recent.tries - recent.errored;
-            let time = self.nodes.get(&key.0).and_then(|node| node.sojourn.get()).unwrap_or(0.0);
+            let time = self
+                .nodes
+                .get(&key.0)
+                .and_then(|node| node.sojourn.get())
+                .unwrap_or(0.0);
             let overrun = succeeded >= FAILING.2 && time > self.objective() * OVERRUN;
             let mostly = others < FAILING.1 && recent.errored > recent.tries * FAILING.0;
             let met = match path.standing {
@@ -475,16 +667,27 @@
                 Standing::Trial if succeeded >= FAILING.2 => Met::Working,
                 _ => continue,
             };
-            let row = STANDING.iter().find(|row| (row.0, row.1) == (path.standing, met));
+            let row = STANDING
+                .iter()
+                .find(|row| (row.0, row.1) == (path.standing, met));
             let Some(row) = row else { continue };
             let hold = match row.3 {
                 Hold::First => first * (0.9 + 0.2 * self.random.unit()),
                 Hold::Same => path.hold,
                 Hold::Longer => (path.hold * HOLD.1).min(first * HOLD.2),
             };
-            zones.entry(key.1).and_modify(|zone| zone.1 += usize::from(row.2 == Standing::Out));
+            zones
+                .entry(key.1)
+                .and_modify(|zone| zone.1 += usize::from(row.2 == Standing::Out));
             let fresh = Path::new(now, Ring::new(self.period(), 24));
-            self.paths.insert(key, Path { standing: row.2, hold, ..fresh });
+            self.paths.insert(
+                key,
+                Path {
+                    standing: row.2,
+                    hold,
+                    ..fresh
+                },
+            );
             self.moved = true;
         }
     }
@@ -492,7 +695,9 @@
     /// The part of a node's capacity that a zone should use. What errs in part gets less, by the root of
     /// what works: a try that fails is made again, but a node that is shunned drowns the others.
     fn usable(&self, zone: ZoneId, id: NodeId) -> f64 {
-        let Some(path) = self.paths.get(&(id, zone)) else { return 1.0 };
+        let Some(path) = self.paths.get(&(id, zone)) else {
+            return 1.0;
+        };
         let recent = self.lately(path, JUDGED_OVER);
         let erring = (recent.errored - 1.0).max(0.0) / (recent.tries + 2.0);
         match path.standing {
@@ -509,8 +714,13 @@
     /// repeat, and within a second it gets five times its part. Goes by what warm nodes of its kind are
     /// seen to serve, never by an estimate of what they could. Also covers a fleet that is mostly cold.
     fn cold_limit(&self, node: &Node) -> f64 {
-        let (full, seen) = (self.full(node), self.each.get(&node.kind).and_then(|each| each.1));
-        let full = seen.map_or(full * USUAL_LOAD, |each| each * node.weight).min(full);
+        let (full, seen) = (
+            self.full(node),
+            self.each.get(&node.kind).and_then(|each| each.1),
+        );
+        let full = seen
+            .map_or(full * USUAL_LOAD, |each| each * node.weight)
+            .min(full);
         GUARD.0 * self.fact("rules.cold_overload_factor").max(0.0).sqrt() * self.warmth(node) * full
     }
 
@@ -525,35 +735,67 @@
         // Proxies that avoid what errs leave the whole load to the lines that don't, however small their
         // weight. While runs of errors that long are common, a cold node gets no line beside warm ones; nor
         // while none can be known of: some cycles after a start, or in a zone not heard of, as after a cut.
-        let (met, run) = (self.met(2.0, |_| true), self.fact("proxy.errors_until_avoided"));
+        let (met, run) = (
+            self.met(2.0, |_| true),
+            self.fact("proxy.errors_until_avoided"),
+        );
         let since = self.now - self.cycle() * BLIND;
         let blind = self.sums_since.is_none_or(|first| first > since);
         let erring = blind || (met.errored / met.tries.max(1.0)).powf(run) > AVOIDED;
-        let heard = |zone| self.paths.iter().any(|(key, path)| key.1 == zone && path.heard >= since);
+        let heard = |zone| {
+            self.paths
+                .iter()
+                .any(|(key, path)| key.1 == zone && path.heard >= since)
+        };
         let cold = |id: &NodeId| self.cold(id);
-        for (id, lines) in draft.iter_mut().filter(|(_, lines)| run > 0.0 && !lines.keys().all(cold)) {
+        for (id, lines) in draft
+            .iter_mut()
+            .filter(|(_, lines)| run > 0.0 && !lines.keys().all(cold))
+        {
             lines.retain(|node, _| !cold(node) || (!erring && heard(self.tables[id].zone)));
         }
-        for lines in draft.values_mut().filter(|lines| !lines.is_empty() && lines.keys().all(cold)) {
+        for lines in draft
+            .values_mut()
+            .filter(|lines| !lines.is_empty() && lines.keys().all(cold))
+        {
             // With nothing else to go to, each gets its part and `admit` lets in no more than they take.
-            lines.iter_mut().for_each(|(id, weight)| *weight = self.cold_limit(&self.nodes[id]).max(1e-3));
+            lines
+                .iter_mut()
+                .for_each(|(id, weight)| *weight = self.cold_limit(&self.nodes[id]).max(1e-3));
         }
-        for (id, node) in self.nodes.iter().filter(|(_, node)| node.life == Life::Cold) {
+        for (id, node) in self
+            .nodes
+            .iter()
+            .filter(|(_, node)| node.life == Life::Cold)
+        {
             let limit = self.cold_limit(node);
             let limit = (limit - self.peers_rate(*id, self.peers_since())).max(limit * 0.3);
             // Where proxies avoid what errs, others' part comes to the lines that work: they count by that.
             let part = |(t, lines): (&TableId, &Shares)| {
                 let (zone, own) = (self.tables[t].zone, totals[t] * lines.get(id)?);
-                let works =
-                    |n: &NodeId| if n == id || run <= 0.0 { 1.0 } else { self.usable(zone, *n).powi(4) };
-                Some(own / lines.iter().map(|(n, w)| w * works(n)).sum::<f64>().max(1e-9))
+                let works = |n: &NodeId| {
+                    if n == id || run <= 0.0 {
+                        1.0
+                    } else {
+                        self.usable(zone, *n).powi(4)
+                    }
+                };
+                Some(
+                    own / lines
+                        .iter()
+                        .map(|(n, w)| w * works(n))
+                        .sum::<f64>()
+                        .max(1e-9),
+                )
             };
             let load = |draft: &Orders| draft.iter().filter_map(part).sum::<f64>() * repeated;
             // A line near its limit stays: each lowering costs every proxy a message.
             for _ in 0..if load(draft) > limit * GUARD.1 { 5 } else { 0 } {
                 let lower = (limit / load(draft).max(1e-9)).min(1.0);
                 for lines in draft.values_mut().filter(|lines| !lines.keys().all(cold)) {
-                    lines.entry(*id).and_modify(|weight| *weight = (*weight * lower).max(1e-3));
+                    lines
+                        .entry(*id)
+                        .and_modify(|weight| *weight = (*weight * lower).max(1e-3));
                 }
             }
         }
@@ -569,24 +811,41 @@
         for zone in &zones {
             let here = |proxy: &Proxy| proxy.joined && proxy.zone == *zone;
             let known = self.proxies.values().filter(|proxy| here(proxy)).count() as f64;
-            let nodes = self.open_nodes().iter().filter(|id| self.nodes[id].zone == *zone).count() as f64;
-            let new =
-                self.tables.iter().filter(|(_, t)| t.zone == *zone && t.parts == 0 && nodes * known > 0.0);
+            let nodes = self
+                .open_nodes()
+                .iter()
+                .filter(|id| self.nodes[id].zone == *zone)
+                .count() as f64;
+            let new = self
+                .tables
+                .iter()
+                .filter(|(_, t)| t.zone == *zone && t.parts == 0 && nodes * known > 0.0);
             let own: Vec<TableId> = new.map(|(id, _)| *id).collect();
             let uses = self.demand_by(here) / known.max(1.0) * self.fact("proxy.connection_idle");
             let most = expected * PARTS.2 / own.len().max(1) as f64;
-            let parts = (nodes / (uses / PARTS.0).max(PARTS.1)).min(most).clamp(1.0, 3e4 / count) as u16;
-            for (id, part) in own.iter().flat_map(|id| (0..parts).map(move |part| (*id, part))) {
-                let mut table = Table { part, parts, ..self.tables[&id].clone() };
+            let parts = (nodes / (uses / PARTS.0).max(PARTS.1))
+                .min(most)
+                .clamp(1.0, 3e4 / count) as u16;
+            for (id, part) in own
+                .iter()
+                .flat_map(|id| (0..parts).map(move |part| (*id, part)))
+            {
+                let mut table = Table {
+                    part,
+                    parts,
+                    ..self.tables[&id].clone()
+                };
                 if part > 0 {
                     (table.lines, table.levels) = Default::default();
                 }
-                self.tables.insert(TableId(id.0 + part * 2 * zones.len() as u16), table);
+                self.tables
+                    .insert(TableId(id.0 + part * 2 * zones.len() as u16), table);
             }
             // Those bound while there was no part yet are bound anew, each to its own.
             let whole = |(_, proxy): &(&ProxyId, &Proxy)| here(proxy) && proxy.bound && parts > 1;
             if !own.is_empty() {
-                self.joins.extend(self.proxies.iter().filter(whole).map(|(id, _)| *id));
+                self.joins
+                    .extend(self.proxies.iter().filter(whole).map(|(id, _)| *id));
             }
         }
     }
@@ -596,32 +855,46 @@
     /// A zone's nodes stand in a row, by chance that stays, so that neighbours differ in kind and cell;
     /// each part of its proxies uses the stretch of the row that its part of what is asked for fills.
     fn targets(&self) -> Orders {
-        let mut open: Vec<(NodeId, ZoneId, f64)> =
-            self.open_nodes().iter().map(|id| (*id, self.nodes[id].zone, self.worth(*id))).collect();
+        let mut open: Vec<(NodeId, ZoneId, f64)> = self
+            .open_nodes()
+            .iter()
+            .map(|id| (*id, self.nodes[id].zone, self.worth(*id)))
+            .collect();
         open.sort_by_key(|o| (o.1, scatter(o.0)));
         let demand = self.zone_demand(self.peers_since());
         let asked = |zone: ZoneId, stays: bool| demand.get(&(zone, stays)).copied().unwrap_or(0.0);
-        let zones: BTreeSet<ZoneId> =
-            open.iter().map(|o| o.1).chain(self.tables.values().map(|t| t.zone)).collect();
+        let zones: BTreeSet<ZoneId> = open
+            .iter()
+            .map(|o| o.1)
+            .chain(self.tables.values().map(|t| t.zone))
+            .collect();
         let able = |from: ZoneId| open.iter().map(|o| o.2 * self.usable(from, o.0)).collect();
-        let able: BTreeMap<ZoneId, Vec<f64>> = zones.iter().map(|zone| (*zone, able(*zone))).collect();
+        let able: BTreeMap<ZoneId, Vec<f64>> =
+            zones.iter().map(|zone| (*zone, able(*zone))).collect();
         let mut capacity: BTreeMap<(ZoneId, ZoneId), f64> = BTreeMap::new();
         for (from, able) in &able {
             capacity.extend(zones.iter().map(|at| ((*from, *at), 0.0)));
-            open.iter().zip(able).for_each(|(o, able)| *capacity.entry((*from, o.1)).or_default() += able);
+            open.iter()
+                .zip(able)
+                .for_each(|(o, able)| *capacity.entry((*from, o.1)).or_default() += able);
         }
         let home: f64 = zones.iter().map(|zone| capacity[&(*zone, *zone)]).sum();
         let part = demand.values().sum::<f64>() / home.max(1e-6);
         let comfort = (COMFORT.0 + COMFORT.1 * self.fact("price.cross_zone")).max(part + COMFORT.2);
-        let over = |zone: ZoneId| asked(zone, false) + asked(zone, true) - comfort * capacity[&(zone, zone)];
+        let over = |zone: ZoneId| {
+            asked(zone, false) + asked(zone, true) - comfort * capacity[&(zone, zone)]
+        };
         let stretches = self.stretches();
         let mut targets = Orders::new();
         for (id, table) in &self.tables {
             let (at, own) = (table.zone, capacity[&(table.zone, table.zone)]);
             let others = zones.iter().filter(|zone| **zone != at);
-            let reach: BTreeMap<ZoneId, (f64, f64)> =
-                others.map(|zone| (*zone, ((-over(*zone)).max(0.0), capacity[&(at, *zone)]))).collect();
-            let (spares, elsewhere) = reach.values().fold((0.0, 0.0), |sum, r| (sum.0 + r.0, sum.1 + r.1));
+            let reach: BTreeMap<ZoneId, (f64, f64)> = others
+                .map(|zone| (*zone, ((-over(*zone)).max(0.0), capacity[&(at, *zone)])))
+                .collect();
+            let (spares, elsewhere) = reach
+                .values()
+                .fold((0.0, 0.0), |sum, r| (sum.0 + r.0, sum.1 + r.1));
             let away = match (table.stays || elsewhere <= 0.0, own > 0.0) {
                 (true, _) => 0.0,
                 (false, false) => 1.0,
@@ -630,7 +903,10 @@
             let (before, until) = stretches[&(at, table.part)];
             let (mut row, mut lines) = (BTreeMap::<ZoneId, f64>::new(), Shares::new());
             for ((node, zone, _), able) in open.iter().zip(&able[&at]) {
-                let (whole, place) = (capacity[&(at, *zone)].max(1e-6), row.entry(*zone).or_default());
+                let (whole, place) = (
+                    capacity[&(at, *zone)].max(1e-6),
+                    row.entry(*zone).or_default(),
+                );
                 let (from, to) = (*place / whole, (*place + able) / whole);
                 *place += able;
                 let within = (to.min(until) - from.max(before)).max(0.0) / (until - before);
@@ -665,15 +941,23 @@
     /// `draft`. Waits between tables follow from the loads: a table that adds to a node at risk waits
     /// for those that lift load off it.
     pub(crate) fn plan(&mut self, targets: &Orders, draft: &mut Orders) {
-        let scaled =
-            |lines: &Shares, traffic: f64| lines.iter().map(|(n, share)| (*n, share * traffic)).collect();
+        let scaled = |lines: &Shares, traffic: f64| {
+            lines
+                .iter()
+                .map(|(n, share)| (*n, share * traffic))
+                .collect()
+        };
         let (mut old, mut new) = (Orders::new(), Orders::new());
         for (id, table) in &self.tables {
             let traffic = self.traffic(table).max(1e-3);
             old.insert(*id, scaled(&shares(&draft[id]), traffic));
             new.insert(*id, scaled(&targets[id], traffic));
         }
-        let weights: f64 = self.open_nodes().iter().map(|id| self.nodes[id].weight).sum();
+        let weights: f64 = self
+            .open_nodes()
+            .iter()
+            .map(|id| self.nodes[id].weight)
+            .sum();
         let each = self.zone_demand(self.peers_since()).values().sum::<f64>() / weights.max(1e-6);
         let (mut risk, mut spare, mut step) = (BTreeSet::new(), Shares::new(), new.clone());
         for (id, node) in &self.nodes {
@@ -681,7 +965,9 @@
             let staying = staying + self.peers_rate(*id, self.peers_since());
             let room = self.room(node, each);
             spare.insert(*id, room - leaving - staying);
-            if leaving + staying <= room && arriving + staying <= room && leaving + arriving + staying > room
+            if leaving + staying <= room
+                && arriving + staying <= room
+                && leaving + arriving + staying > room
             {
                 risk.insert(*id);
             } else if arriving > 0.0 && arriving + staying > room {
@@ -689,43 +975,79 @@
                 let part = ((room - leaving - staying).max(0.0) / arriving).min(1.0);
                 for (table, lines) in &mut step {
                     let before = load(&old, *table, *id);
-                    lines
-                        .entry(*id)
-                        .and_modify(|after| *after = after.min(before + (*after - before).max(0.0) * part));
+                    lines.entry(*id).and_modify(|after| {
+                        *after = after.min(before + (*after - before).max(0.0) * part)
+                    });
                 }
             }
         }
-        let moving: Vec<TableId> =
-            self.tables.keys().copied().filter(|t| worth_a_step(&draft[t], &targets[t])).collect();
+        let moving: Vec<TableId> = self
+            .tables
+            .keys()
+            .copied()
+            .filter(|t| worth_a_step(&draft[t], &targets[t]))
+            .collect();
         let added = |t: &TableId| {
-            let more = risk.iter().map(|n| (*n, load(&step, *t, *n) - load(&old, *t, *n)));
+            let more = risk
+                .iter()
+                .map(|n| (*n, load(&step, *t, *n) - load(&old, *t, *n)));
             (*t, more.filter(|(_, more)| *more > 1e-9).collect())
         };
         let adds: BTreeMap<TableId, Vec<(NodeId, f64)>> = moving.iter().map(added).collect();
-        let lifts = |table: TableId, node: NodeId| load(&old, table, node) > load(&new, table, node) + 1e-9;
+        let lifts =
+            |table: TableId, node: NodeId| load(&old, table, node) > load(&new, table, node) + 1e-9;
         let on = |t: TableId| moving.iter().copied().filter(move |u| *u != t);
         let waits: BTreeMap<TableId, BTreeSet<TableId>> = moving
             .iter()
-            .map(|t| (*t, on(*t).filter(|u| adds[t].iter().any(|(n, _)| lifts(*u, *n))).collect()))
+            .map(|t| {
+                (
+                    *t,
+                    on(*t)
+                        .filter(|u| adds[t].iter().any(|(n, _)| lifts(*u, *n)))
+                        .collect(),
+                )
+            })
             .collect();
-        let free = waits.iter().filter(|(_, on)| on.is_empty()).map(|(table, _)| (*table, 1.0));
+        let free = waits
+            .iter()
+            .filter(|(_, on)| on.is_empty())
+            .map(|(table, _)| (*table, 1.0));
         let mut publish: BTreeMap<TableId, f64> = free.collect();
-        let mutual: Vec<TableId> = moving.iter().copied().filter(|t| reaches(&waits, *t, *t)).collect();
+        let mutual: Vec<TableId> = moving
+            .iter()
+            .copied()
+            .filter(|t| reaches(&waits, *t, *t))
+            .collect();
         let mut whole = false;
         for table in &mutual {
             if adds[table].iter().all(|(n, more)| *more <= spare[n]) {
-                adds[table].iter().for_each(|(n, more)| *spare.entry(*n).or_default() -= more);
+                adds[table]
+                    .iter()
+                    .for_each(|(n, more)| *spare.entry(*n).or_default() -= more);
                 publish.insert(*table, 1.0);
                 whole = true;
             }
         }
         let shift = |table: TableId| {
-            let left: f64 = old[&table].iter().map(|(n, l)| (l - load(&step, table, *n)).max(0.0)).sum();
-            let room = adds[&table].iter().map(|(n, _)| (spare[n], *n)).min_by(|a, b| a.0.total_cmp(&b.0));
+            let left: f64 = old[&table]
+                .iter()
+                .map(|(n, l)| (l - load(&step, table, *n)).max(0.0))
+                .sum();
+            let room = adds[&table]
+                .iter()
+                .map(|(n, _)| (spare[n], *n))
+                .min_by(|a, b| a.0.total_cmp(&b.0));
             (left, room)
         };
-        let possible = |table: &TableId| shift(*table).1.map_or(0.0, |room| shift(*table).0.min(room.0));
-        let largest = mutual.iter().copied().max_by(|a, b| possible(a).total_cmp(&possible(b)));
+        let possible = |table: &TableId| {
+            shift(*table)
+                .1
+                .map_or(0.0, |room| shift(*table).0.min(room.0))
+        };
+        let largest = mutual
+            .iter()
+            .copied()
+            .max_by(|a, b| possible(a).total_cmp(&possible(b)));
         self.admission.cut = None;
         if let (false, Some(table)) = (whole, largest) {
             let (left, room) = shift(table);
@@ -734,10 +1056,16 @@
             } else if let Some((least, node)) = room {
                 // No room at all: the largest on that node's new path gives way, by the shortfall.
                 let path = |t: &&TableId| load(&new, **t, node);
-                if let Some(largest) = self.tables.keys().max_by(|a, b| path(a).total_cmp(&path(b))) {
+                if let Some(largest) = self
+                    .tables
+                    .keys()
+                    .max_by(|a, b| path(a).total_cmp(&path(b)))
+                {
                     let traffic = self.traffic(&self.tables[largest]).max(1e-6);
-                    self.admission.cut =
-                        Some((*largest, (1.0 - (0.1 * left - least) / traffic).clamp(0.5, 1.0)));
+                    self.admission.cut = Some((
+                        *largest,
+                        (1.0 - (0.1 * left - least) / traffic).clamp(0.5, 1.0),
+                    ));
                 }
             }
         }
@@ -746,10 +1074,21 @@
                 let before = load(&old, table, *n);
                 (*n, before + part * (load(&step, table, *n) - before))
             };
-            let goal: Shares = step[&table].keys().chain(old[&table].keys()).map(toward).collect();
+            let goal: Shares = step[&table]
+                .keys()
+                .chain(old[&table].keys())
+                .map(toward)
+                .collect();
             let sum = draft[&table].values().sum::<f64>();
-            let sum = if sum > 0.0 { sum.clamp(1.0, 1e6) } else { WEIGHT_SUM };
-            let mut lines: Shares = shares(&goal).into_iter().map(|(n, share)| (n, share * sum)).collect();
+            let sum = if sum > 0.0 {
+                sum.clamp(1.0, 1e6)
+            } else {
+                WEIGHT_SUM
+            };
+            let mut lines: Shares = shares(&goal)
+                .into_iter()
+                .map(|(n, share)| (n, share * sum))
+                .collect();
             lines.retain(|_, weight| *weight > sum * DUST * 0.05);
             draft.insert(table, lines);
         }
@@ -766,7 +1105,10 @@
             let part = |node: &NodeId| targets[id].get(node).copied().unwrap_or(0.0);
             let meant: f64 = targets[id].keys().filter(warm).map(part).sum();
             if lines.is_empty() || lines.keys().filter(warm).map(part).sum::<f64>() < meant * KEPT {
-                *lines = targets[id].iter().map(|(node, share)| (*node, share * WEIGHT_SUM)).collect();
+                *lines = targets[id]
+                    .iter()
+                    .map(|(node, share)| (*node, share * WEIGHT_SUM))
+                    .collect();
             }
         }
     }
@@ -781,7 +1123,11 @@
             let (node, lately) = (&self.nodes[id], self.lately(path, 2.0));
             let pressure = self.pressure(node);
             met += lately.tries;
-            overrun += if pressure.is_none_or(|p| p >= BUSY.1) { lately.errored } else { 0.0 };
+            overrun += if pressure.is_none_or(|p| p >= BUSY.1) {
+                lately.errored
+            } else {
+                0.0
+            };
             if let Some(pressure) = pressure.filter(|_| zone.is_none_or(|z| z == node.zone)) {
                 let rate = path.rate.get().unwrap_or(0.0);
                 (sum, rates) = (sum + rate * pressure, rates + rate);
@@ -809,7 +1155,9 @@
         }
         self.admission.busy = match strain {
             _ if strain >= BUSY.0 => Busy::Strained,
-            _ if strain < BUSY.1 && self.now - self.admission.excited > self.cycle() * BUSY.2 => Busy::Calm,
+            _ if strain < BUSY.1 && self.now - self.admission.excited > self.cycle() * BUSY.2 => {
+                Busy::Calm
+            }
             _ => Busy::Usual,
         };
         if strain >= BUSY.1 {
@@ -817,17 +1165,32 @@
         }
         let (nodes, demand) = (self.open_nodes(), self.zone_demand(self.peers_since()));
         let all: f64 = demand.values().sum();
-        let capacity: f64 = nodes.iter().map(|id| self.able(*id).max(self.nodes[id].peak * PROVEN)).sum();
+        let capacity: f64 = nodes
+            .iter()
+            .map(|id| self.able(*id).max(self.nodes[id].peak * PROVEN))
+            .sum();
         let mut excess = (all - FULL * self.admission.ease * capacity).max(0.0);
         let scale = all / self.demand_by(|_| true).max(1e-6);
-        let mut cheap: Vec<(f64, OperationId)> = self.operations.iter().map(|o| (o.value, o.id)).collect();
+        let mut cheap: Vec<(f64, OperationId)> =
+            self.operations.iter().map(|o| (o.value, o.id)).collect();
         cheap.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let mut shares: BTreeMap<OperationId, f64> = cheap.iter().map(|(_, id)| (*id, 1.0)).collect();
-        for (least, (_, id)) in LEAST_LEVEL.iter().flat_map(|least| cheap.iter().map(move |c| (least, c))) {
-            let asked: f64 = self.proxies.values().map(|p| self.demand(p, &[*id])).sum::<f64>() * scale;
+        let mut shares: BTreeMap<OperationId, f64> =
+            cheap.iter().map(|(_, id)| (*id, 1.0)).collect();
+        for (least, (_, id)) in LEAST_LEVEL
+            .iter()
+            .flat_map(|least| cheap.iter().map(move |c| (least, c)))
+        {
+            let asked: f64 = self
+                .proxies
+                .values()
+                .map(|p| self.demand(p, &[*id]))
+                .sum::<f64>()
+                * scale;
             let cut = excess.min(asked * (shares[id] - least).max(0.0));
             excess -= cut;
-            shares.entry(*id).and_modify(|share| *share -= cut / asked.max(1e-6));
+            shares
+                .entry(*id)
+                .and_modify(|share| *share -= cut / asked.max(1e-6));
         }
         for (id, table) in &self.tables {
             let local = table.stays && self.strain(Some(table.zone)) >= BUSY.0;
@@ -839,32 +1202,68 @@
             let asked = self.asked(table).max(1e-6);
             let cold_only = limits.map_or(1.0, |limits| limits.iter().sum::<f64>() / asked);
             for operation in &table.operations {
-                let before = self.admission.let_in.get(&(*id, *operation)).copied().unwrap_or(1.0);
-                let share = if local && able > 0.0 { shares[operation].min(most) } else { shares[operation] };
+                let before = self
+                    .admission
+                    .let_in
+                    .get(&(*id, *operation))
+                    .copied()
+                    .unwrap_or(1.0);
+                let share = if local && able > 0.0 {
+                    shares[operation].min(most)
+                } else {
+                    shares[operation]
+                };
                 let rise = before + LEVELS.0 * (before + 0.2).min(1.0);
                 let tight = local || self.admission.busy == Busy::Strained;
-                let share = if tight { share.min(rise) } else { share.max(rise) };
-                let share = if table.lines.is_empty() { share } else { share.min(cold_only) };
-                self.admission.let_in.insert((*id, *operation), share.clamp(LEAST_LEVEL[1], 1.0));
+                let share = if tight {
+                    share.min(rise)
+                } else {
+                    share.max(rise)
+                };
+                let share = if table.lines.is_empty() {
+                    share
+                } else {
+                    share.min(cold_only)
+                };
+                self.admission
+                    .let_in
+                    .insert((*id, *operation), share.clamp(LEAST_LEVEL[1], 1.0));
             }
         }
     }
 
     fn level(&self, id: TableId, operation: OperationId) -> (f64, Retry) {
-        let share = self.admission.let_in.get(&(id, operation)).copied().unwrap_or(1.0);
-        let share = share * self.admission.cut.filter(|cut| cut.0 == id).map_or(1.0, |cut| cut.1);
+        let share = self
+            .admission
+            .let_in
+            .get(&(id, operation))
+            .copied()
+            .unwrap_or(1.0);
+        let share = share
+            * self
+                .admission
+                .cut
+                .filter(|cut| cut.0 == id)
+                .map_or(1.0, |cut| cut.1);
         let known = &self.operations[usize::from(operation.0)];
-        (self.quota(&self.tables[&id], operation, share), self.retry(known))
+        (
+            self.quota(&self.tables[&id], operation, share),
+            self.retry(known),
+        )
     }
 
     /// Rule 2: a repeat after any failure only where it can't take effect twice.
     fn retry(&self, operation: &Operation) -> Retry {
         let guarded = match operation.effect {
             Repeat::Idempotent => true,
-            Repeat::Fingerprinted => operation.group == "all" && operation.window > operation.timeout,
+            Repeat::Fingerprinted => {
+                operation.group == "all" && operation.window > operation.timeout
+            }
             Repeat::SideEffecting => false,
         };
-        let row = RETRY.iter().find(|row| (row.0, row.1) == (guarded, self.admission.busy));
+        let row = RETRY
+            .iter()
+            .find(|row| (row.0, row.1) == (guarded, self.admission.busy));
         row.map_or(Retry::Never, |row| row.2)
     }
 
@@ -874,8 +1273,14 @@
     /// the messages allowed under strain and no step went out for 20 s.
     fn may_order(&self) -> bool {
         let early = self.moved && self.may_write(WRITES.1);
-        let pace = if early { self.period() * 0.2 } else { self.pace(WRITES.0) };
-        self.channel.last_orders.is_none_or(|at| self.now - at >= pace)
+        let pace = if early {
+            self.period() * 0.2
+        } else {
+            self.pace(WRITES.0)
+        };
+        self.channel
+            .last_orders
+            .is_none_or(|at| self.now - at >= pace)
             && self.outstanding() <= WAITING.1 * self.fact("channel.lines_waiting_at_most")
             && self.may_write(WRITES.0 + 0.1)
     }
@@ -884,7 +1289,8 @@
     fn may_step(&self) -> bool {
         let last = self.channel.sent.iter().rev().find(|sent| sent.step);
         let waited = |sent: &Sent| self.now - sent.at >= Span::from_seconds(ACKS.1);
-        let answered = |sent: &Sent| sent.waiting.len() as f64 <= sent.asked as f64 * (1.0 - ACKS.0);
+        let answered =
+            |sent: &Sent| sent.waiting.len() as f64 <= sent.asked as f64 * (1.0 - ACKS.0);
         last.is_none_or(|sent| answered(sent) || waited(sent))
             && self.outstanding() <= WAITING.0 * self.fact("channel.lines_waiting_at_most")
     }
@@ -893,21 +1299,30 @@
     /// each by itself took more messages than a proxy may get.
     fn may_change(&self) -> bool {
         let spacing = self.spacing(URGENT);
-        self.may_write(1.0) && self.channel.last_lines.is_none_or(|at| self.now - at >= spacing)
+        self.may_write(1.0)
+            && self
+                .channel
+                .last_lines
+                .is_none_or(|at| self.now - at >= spacing)
     }
 
     // ---- what goes out ----
 
     pub fn settle(&mut self, now: Moment, out: &mut Vec<Action>) {
         self.now = now;
-        self.grown_warm().into_iter().for_each(|id| self.tell(id, Told::Warmed));
+        self.grown_warm()
+            .into_iter()
+            .for_each(|id| self.tell(id, Told::Warmed));
         if self.ticks == 0 {
             out.push(Action::ReadList); // after a restart the first list is a stale one
         }
         if now >= self.next_tick {
             let wait = (self.period() * 0.25).max(self.span("conductor.tick"));
             (self.next_tick, self.ticks) = (now + wait, self.ticks + 1);
-            out.push(Action::SetTimer { after: wait, timer: TimerId(self.ticks) });
+            out.push(Action::SetTimer {
+                after: wait,
+                timer: TimerId(self.ticks),
+            });
         } else if now - self.settled < self.period() * RUSH
             || (self.joins.is_empty() && !(self.rush && self.may_change()))
         {
@@ -921,7 +1336,11 @@
         self.judge();
         self.divide();
         let targets = self.targets();
-        let mut draft: Orders = self.tables.iter().map(|(id, table)| (*id, table.lines.clone())).collect();
+        let mut draft: Orders = self
+            .tables
+            .iter()
+            .map(|(id, table)| (*id, table.lines.clone()))
+            .collect();
         self.urgent(&targets, &mut draft);
         let change = self.may_change();
         let orders = change && self.may_order();
@@ -951,18 +1370,36 @@
 
     fn forget(&mut self) {
         let (now, long) = (self.now, self.span("rules.warm_after") * 10.0);
-        self.channel.sent.retain(|sent| now - sent.at < Span::from_seconds(20.0));
-        let held: BTreeSet<NodeId> = self.tables.values().flat_map(|t| t.lines.keys().copied()).collect();
-        self.nodes.retain(|id, n| n.life != Life::Unlisted || held.contains(id) || now - n.told < long);
+        self.channel
+            .sent
+            .retain(|sent| now - sent.at < Span::from_seconds(20.0));
+        let held: BTreeSet<NodeId> = self
+            .tables
+            .values()
+            .flat_map(|t| t.lines.keys().copied())
+            .collect();
+        self.nodes
+            .retain(|id, n| n.life != Life::Unlisted || held.contains(id) || now - n.told < long);
         // Sums that come late leave a path at a node that is long gone.
-        self.paths.retain(|(node, _), _| self.nodes.contains_key(node));
-        self.proxies.retain(|_, proxy| proxy.joined || now - proxy.since < long);
+        self.paths
+            .retain(|(node, _), _| self.nodes.contains_key(node));
+        self.proxies
+            .retain(|_, proxy| proxy.joined || now - proxy.since < long);
     }
 
     /// Sends the lines by which `draft` differs from what stands, a weight only when it moved enough. Where
     /// the channel lacks room, lines that lose weight wait, lest a table run empty, but for the rules'.
-    fn publish(&mut self, draft: &Orders, lower: bool, out: &mut Vec<Action>) -> BTreeMap<TableId, usize> {
-        let most = if self.joins.is_empty() { WAITING.1 } else { WAITING.0 };
+    fn publish(
+        &mut self,
+        draft: &Orders,
+        lower: bool,
+        out: &mut Vec<Action>,
+    ) -> BTreeMap<TableId, usize> {
+        let most = if self.joins.is_empty() {
+            WAITING.1
+        } else {
+            WAITING.0
+        };
         let most = self.fact("channel.lines_waiting_at_most") * most;
         let (mut left, mut lines) = (most - self.outstanding(), BTreeMap::new());
         for id in self.tables.keys().copied().collect::<Vec<_>>() {
@@ -971,15 +1408,28 @@
             let nodes: BTreeSet<NodeId> = table.lines.keys().chain(goal.keys()).copied().collect();
             let change = |node: NodeId| {
                 let old = table.lines.get(&node).copied().unwrap_or(0.0);
-                let new = goal.get(&node).map_or(0.0, |weight| f64::from(*weight as f32));
+                let new = goal
+                    .get(&node)
+                    .map_or(0.0, |weight| f64::from(*weight as f32));
                 let moves = (new - old).abs() > MOVES.0 * new.max(old).max(0.3 * typical);
                 let goes = new != old && (new == 0.0 || (moves && (lower || old == 0.0)));
                 goes.then_some((node, new, old))
             };
             let mut changes: Vec<_> = nodes.into_iter().filter_map(change).collect();
-            let users = self.proxies.iter().filter(|(id, p)| p.bound && table.serves(**id, p)).count() as f64;
-            let bare = !table.lines.keys().any(|node| self.open(*node) && !self.cold(node));
-            left -= if changes.is_empty() { 0.0 } else { users * self.message_lines(0) };
+            let users = self
+                .proxies
+                .iter()
+                .filter(|(id, p)| p.bound && table.serves(**id, p))
+                .count() as f64;
+            let bare = !table
+                .lines
+                .keys()
+                .any(|node| self.open(*node) && !self.cold(node));
+            left -= if changes.is_empty() {
+                0.0
+            } else {
+                users * self.message_lines(0)
+            };
             let tight = left < users * changes.len() as f64 && !bare;
             changes.retain(|(node, new, old)| {
                 let goes = !tight
@@ -989,10 +1439,16 @@
                 left -= if goes { users } else { 0.0 };
                 goes
             });
-            let Some(table) = self.tables.get_mut(&id) else { continue };
+            let Some(table) = self.tables.get_mut(&id) else {
+                continue;
+            };
             for (node, new, _) in changes {
                 table.lines.insert(node, new);
-                out.push(Action::SetLine { table: id, node, weight: new });
+                out.push(Action::SetLine {
+                    table: id,
+                    node,
+                    weight: new,
+                });
                 *lines.entry(id).or_insert(0) += 1;
             }
             table.lines.retain(|_, weight| *weight > 0.0);
@@ -1001,19 +1457,37 @@
     }
 
     fn publish_levels(&mut self, lines: &mut BTreeMap<TableId, usize>, out: &mut Vec<Action>) {
-        if self.channel.last_levels.is_some_and(|at| self.now - at < self.period()) {
+        if self
+            .channel
+            .last_levels
+            .is_some_and(|at| self.now - at < self.period())
+        {
             return;
         }
         self.channel.last_levels = Some(self.now);
         self.admit();
-        let all = self.tables.iter().flat_map(|(id, t)| t.operations.iter().map(|o| (*id, *o)));
+        let all = self
+            .tables
+            .iter()
+            .flat_map(|(id, t)| t.operations.iter().map(|o| (*id, *o)));
         for (id, operation) in all.collect::<Vec<_>>() {
             let (quota, retry) = self.level(id, operation);
-            let Some(table) = self.tables.get_mut(&id) else { continue };
+            let Some(table) = self.tables.get_mut(&id) else {
+                continue;
+            };
             let near = |old: f64| (old - quota).abs() <= LEVELS.1 * old.max(quota);
-            if !table.levels.get(&operation).is_some_and(|old| near(old.0) && old.1 == retry) {
+            if !table
+                .levels
+                .get(&operation)
+                .is_some_and(|old| near(old.0) && old.1 == retry)
+            {
                 table.levels.insert(operation, (quota, retry));
-                out.push(Action::SetLevel { table: Some(id), operations: vec![operation], quota, retry });
+                out.push(Action::SetLevel {
+                    table: Some(id),
+                    operations: vec![operation],
+                    quota,
+                    retry,
+                });
                 *lines.entry(id).or_default() += 1;
             }
         }
@@ -1022,21 +1496,39 @@
     // ---- mechanism 6: joining and restart recovery ----
 
     /// Binds who joined, at once; only a channel near its limit makes some wait.
-    fn join(&mut self, lines: &BTreeMap<TableId, usize>, out: &mut Vec<Action>) -> (BTreeSet<ProxyId>, f64) {
+    fn join(
+        &mut self,
+        lines: &BTreeMap<TableId, usize>,
+        out: &mut Vec<Action>,
+    ) -> (BTreeSet<ProxyId>, f64) {
         let limit = self.fact("channel.lines_waiting_at_most") * WAITING.2 - self.to_send(lines).1;
         let (mut sum, mut done) = (self.outstanding_for_joins(), BTreeSet::new());
         let before = sum;
         for id in self.joins.clone() {
-            let Some(proxy) = self.proxies.get(&id) else { continue };
-            let own: Vec<_> = self.tables.iter().filter(|(_, table)| table.serves(id, proxy)).collect();
+            let Some(proxy) = self.proxies.get(&id) else {
+                continue;
+            };
+            let own: Vec<_> = self
+                .tables
+                .iter()
+                .filter(|(_, table)| table.serves(id, proxy))
+                .collect();
             // One without lines is bound beside others: to hear of nodes that come, and hold none that went.
             let bare = own.iter().all(|(_, table)| table.lines.is_empty());
-            let lines = self.message_lines(own.iter().map(|(_, t)| 1 + t.lines.len() + t.levels.len()).sum());
+            let lines = self.message_lines(
+                own.iter()
+                    .map(|(_, t)| 1 + t.lines.len() + t.levels.len())
+                    .sum(),
+            );
             if bare || sum + lines > limit {
                 continue;
             }
             for (table, Table { operations, .. }) in own {
-                out.push(Action::Bind { proxy: id, table: *table, operations: operations.clone() });
+                out.push(Action::Bind {
+                    proxy: id,
+                    table: *table,
+                    operations: operations.clone(),
+                });
             }
             sum += lines;
             done.insert(id);
@@ -1051,7 +1543,11 @@
         if may && self.now - self.told_peers >= self.period() * PEERS.1 {
             self.told_peers = self.now;
             let notes = self.notes(self.heard - self.cycle() * MEMORY.1, 256);
-            out.extend(notes.into_iter().map(|bytes| Action::Tell { peer: None, bytes }));
+            out.extend(
+                notes
+                    .into_iter()
+                    .map(|bytes| Action::Tell { peer: None, bytes }),
+            );
         }
     }
 }
@@ -1060,7 +1556,10 @@
 fn worth_a_step(lines: &Shares, target: &Shares) -> bool {
     let (now, typical) = (shares(lines), 1.0 / target.len().max(1) as f64);
     target.keys().chain(now.keys()).any(|node| {
-        let (a, b) = (now.get(node).copied().unwrap_or(0.0), target.get(node).copied().unwrap_or(0.0));
+        let (a, b) = (
+            now.get(node).copied().unwrap_or(0.0),
+            target.get(node).copied().unwrap_or(0.0),
+        );
         (a - b).abs() > MOVES.1 * a.max(b).max(0.3 * typical) || (a > 0.0) != (b > 0.0)
     })
 }
--- a/crates/wheelspread/src/facts.rs
+++ b/crates/wheelspread/src/facts.rs
@@ -17,7 +17,9 @@
     pub fn number(&self, name: &str) -> Result<f64, String> {
         match self.0.get(name) {
             Some(Fact::Number(value)) if value.is_finite() => Ok(*value),
-            Some(other) => Err(format!("setting {name} should be a number, it is {other:?}")),
+            Some(other) => Err(format!(
+                "setting {name} should be a number, it is {other:?}"
+            )),
             None => Err(format!("setting {name} is missing")),
         }
     }
--- a/crates/wheelspread/src/interface.rs
+++ b/crates/wheelspread/src/interface.rs
@@ -104,9 +104,15 @@
     pub fn check(&self) -> Result<(), String> {
         let fine = |over: &Span| *over > Span::ZERO && over.seconds() < 3600.0;
         match self {
-            Event::NodeSums { tries, errored, over, .. } if !fine(over) || errored > tries => {
-                Err(format!("sums of {tries} tries, {errored} errored, over {} s", over.seconds()))
-            }
+            Event::NodeSums {
+                tries,
+                errored,
+                over,
+                ..
+            } if !fine(over) || errored > tries => Err(format!(
+                "sums of {tries} tries, {errored} errored, over {} s",
+                over.seconds()
+            )),
             Event::Offered { count, over, .. } if !fine(over) || count.is_nan() || *count < 0.0 => {
                 Err(format!("{count} invocations over {} s", over.seconds()))
             }
--- a/crates/wheelspread/src/ring.rs
+++ b/crates/wheelspread/src/ring.rs
@@ -11,7 +11,10 @@
 
 impl<T: Default + Clone + AddAssign> Ring<T> {
     pub fn new(width: Span, buckets: usize) -> Ring<T> {
-        Ring { width: width.micros().max(1), buckets: vec![(i64::MIN, T::default()); buckets.max(1)] }
+        Ring {
+            width: width.micros().max(1),
+            buckets: vec![(i64::MIN, T::default()); buckets.max(1)],
+        }
     }
 
     fn number(&self, at: Moment) -> i64 {
--- a/crates/wheelspread/src/scenarios.rs
+++ b/crates/wheelspread/src/scenarios.rs
@@ -49,11 +49,16 @@
 }
 
 fn node(name: &str) -> NodeId {
-    NodeId { address: [10, 0, 0, name.as_bytes()[0]], port: 80 }
+    NodeId {
+        address: [10, 0, 0, name.as_bytes()[0]],
+        port: 80,
+    }
 }
 
 fn pair<'a>(words: &[&'a str], key: &str) -> Option<&'a str> {
-    words.iter().find_map(|word| word.strip_prefix(key)?.strip_prefix('='))
+    words
+        .iter()
+        .find_map(|word| word.strip_prefix(key)?.strip_prefix('='))
 }
 
 fn within(value: f64, range: &str) -> bool {
@@ -91,7 +96,10 @@
             ("repeat_window", "5"),
             ("stays_in_zone", "false"),
         ] {
-            self.set(&format!("operation.{at}.{key}"), pair(words, key).unwrap_or(usual));
+            self.set(
+                &format!("operation.{at}.{key}"),
+                pair(words, key).unwrap_or(usual),
+            );
         }
         self.set("operation.count", &self.operations.to_string());
     }
@@ -109,8 +117,12 @@
 
     fn entry(&self, text: &str) -> ListEntry {
         let words: Vec<&str> = text.split(':').collect();
-        let find =
-            |first: char| words[1..].iter().find(|w| w.starts_with(first) && w.len() < 5).map(|w| number(w));
+        let find = |first: char| {
+            words[1..]
+                .iter()
+                .find(|w| w.starts_with(first) && w.len() < 5)
+                .map(|w| number(w))
+        };
         let has = |word: &str| words.contains(&word);
         ListEntry {
             node: node(words[0]),
@@ -123,7 +135,8 @@
                 _ => Listing::Ready,
             },
             weight: find('w').unwrap_or(1.0),
-            started: pair(&words, "young").map(|age| Moment::from_seconds(EPOCH + self.now - number(age))),
+            started: pair(&words, "young")
+                .map(|age| Moment::from_seconds(EPOCH + self.now - number(age))),
         }
     }
 
@@ -144,23 +157,44 @@
             // Node, invocations a second, evidence.
             ["recall", name, rate, evidence] => {
                 let (capacity, evidence) = (number(rate).ln(), number(evidence));
-                let learnt = Learnt { node: node(name), capacity, evidence, quickest: 0.1 };
+                let learnt = Learnt {
+                    node: node(name),
+                    capacity,
+                    evidence,
+                    quickest: 0.1,
+                };
                 self.balancer().recall(&[learnt]);
             }
             ["list", entries @ ..] => {
                 let entries = entries.iter().map(|text| self.entry(text)).collect();
-                self.hear(Event::List { kind: ListKind::Complete, entries });
+                self.hear(Event::List {
+                    kind: ListKind::Complete,
+                    entries,
+                });
             }
             ["change", entries @ ..] => {
                 let entries = entries.iter().map(|text| self.entry(text)).collect();
-                self.hear(Event::List { kind: ListKind::Changes, entries });
+                self.hear(Event::List {
+                    kind: ListKind::Changes,
+                    entries,
+                });
             }
-            ["join" | "sums" | "leave", first, second @ ..] if words[1..].iter().any(|w| w.contains(',')) => {
-                let (zone, names) =
-                    if words[0] == "sums" { (Some(first), second[0]) } else { (None, *first) };
+            ["join" | "sums" | "leave", first, second @ ..]
+                if words[1..].iter().any(|w| w.contains(',')) =>
+            {
+                let (zone, names) = if words[0] == "sums" {
+                    (Some(first), second[0])
+                } else {
+                    (None, *first)
+                };
                 let rest = if zone.is_some() { &second[1..] } else { second };
                 for name in names.split(',') {
-                    let one = [&words[..1], zone.map_or(&[][..], std::slice::from_ref), &[name], rest];
+                    let one = [
+                        &words[..1],
+                        zone.map_or(&[][..], std::slice::from_ref),
+                        &[name],
+                        rest,
+                    ];
                     self.command(&one.concat());
                 }
             }
@@ -170,7 +204,12 @@
                 self.joined.insert(proxy);
                 self.bound.retain(|(bound, _)| *bound != proxy);
                 let fresh = !holds.contains(&"holds");
-                self.hear(Event::ProxyJoined { proxy, zone, usual_rate: number(rate), fresh });
+                self.hear(Event::ProxyJoined {
+                    proxy,
+                    zone,
+                    usual_rate: number(rate),
+                    fresh,
+                });
             }
             ["leave", proxy] => {
                 let proxy = ProxyId(number(proxy) as u16);
@@ -178,8 +217,12 @@
                 self.hear(Event::ProxyLeft { proxy });
             }
             ["sums", zone, name, rest @ ..] => {
-                let get = |key: &str, usual: f64| pair(rest, key).map_or(usual, |v| v.parse().expect(v));
-                let load = pair(rest, "busy").map(|v| v.parse().expect(v)).into_iter().collect();
+                let get =
+                    |key: &str, usual: f64| pair(rest, key).map_or(usual, |v| v.parse().expect(v));
+                let load = pair(rest, "busy")
+                    .map(|v| v.parse().expect(v))
+                    .into_iter()
+                    .collect();
                 self.hear(Event::NodeSums {
                     zone: ZoneId(number(zone) as u16),
                     node: node(name),
@@ -200,13 +243,18 @@
             ["ack"] => {
                 if let Some(mark) = self.mark {
                     for proxy in self.joined.clone() {
-                        self.hear(Event::Acked { proxy, mark, took: Span::from_seconds(0.1) });
+                        self.hear(Event::Acked {
+                            proxy,
+                            mark,
+                            took: Span::from_seconds(0.1),
+                        });
                     }
                 }
             }
-            ["note", bytes] => {
-                self.hear(Event::PeerNote { from: PeerId(1), bytes: vec![255; number(bytes) as usize] })
-            }
+            ["note", bytes] => self.hear(Event::PeerNote {
+                from: PeerId(1),
+                bytes: vec![255; number(bytes) as usize],
+            }),
             ["restart"] => {
                 self.balancer = None;
                 (self.bound, self.joined) = Default::default();
@@ -215,15 +263,22 @@
             ["tick"] => {}
             ["carried", name, rate] => {
                 let rate = number(rate);
-                self.balancer().nodes.entry(node(name)).and_modify(|node| node.carried = rate);
+                self.balancer()
+                    .nodes
+                    .entry(node(name))
+                    .and_modify(|node| node.carried = rate);
             }
             ["lines", table, lines @ ..] => {
                 let lines = Self::lines(lines);
                 let table = TableId(number(table) as u16);
-                self.balancer().tables.entry(table).and_modify(|known| known.lines = lines);
+                self.balancer()
+                    .tables
+                    .entry(table)
+                    .and_modify(|known| known.lines = lines);
             }
             ["target", table, lines @ ..] => {
-                self.target.insert(TableId(number(table) as u16), shares(&Self::lines(lines)));
+                self.target
+                    .insert(TableId(number(table) as u16), shares(&Self::lines(lines)));
             }
             ["plan"] => self.plan(),
             other => panic!("unknown command {other:?}"),
@@ -231,21 +286,31 @@
     }
 
     fn lines(words: &[&str]) -> Shares {
-        let pairs = words.iter().map(|word| word.split_once('=').expect("NODE=WEIGHT"));
-        pairs.map(|(name, weight)| (node(name), number(weight))).collect()
+        let pairs = words
+            .iter()
+            .map(|word| word.split_once('=').expect("NODE=WEIGHT"));
+        pairs
+            .map(|(name, weight)| (node(name), number(weight)))
+            .collect()
     }
 
     fn plan(&mut self) {
         let mut target = self.target.clone();
         let balancer = self.balancer();
-        let mut draft: Orders =
-            balancer.tables.iter().map(|(id, table)| (*id, table.lines.clone())).collect();
+        let mut draft: Orders = balancer
+            .tables
+            .iter()
+            .map(|(id, table)| (*id, table.lines.clone()))
+            .collect();
         for (id, lines) in &draft {
             target.entry(*id).or_insert_with(|| shares(lines));
         }
         balancer.plan(&target, &mut draft);
         for (id, lines) in &draft {
-            balancer.tables.entry(*id).and_modify(|table| table.lines = lines.clone());
+            balancer
+                .tables
+                .entry(*id)
+                .and_modify(|table| table.lines = lines.clone());
         }
         self.tables = draft;
     }
@@ -253,34 +318,56 @@
     fn settle(&mut self) {
         let mut actions = Vec::new();
         let now = self.now;
-        self.balancer().settle(Moment::from_seconds(EPOCH + now), &mut actions);
+        self.balancer()
+            .settle(Moment::from_seconds(EPOCH + now), &mut actions);
         let mut touched = BTreeSet::new();
         for action in &actions {
             match action {
-                Action::SetLine { table, node, weight } => {
+                Action::SetLine {
+                    table,
+                    node,
+                    weight,
+                } => {
                     let lines = self.tables.entry(*table).or_default();
                     lines.insert(*node, *weight);
                     lines.retain(|_, weight| *weight > 0.0);
                     self.changed.push((now, *table, *node));
                     touched.insert(*table);
                 }
-                Action::SetLevel { table: Some(table), operations, quota, retry } => {
-                    self.levels.extend(operations.iter().map(|o| ((table.0, o.0), (*quota, *retry))));
+                Action::SetLevel {
+                    table: Some(table),
+                    operations,
+                    quota,
+                    retry,
+                } => {
+                    self.levels.extend(
+                        operations
+                            .iter()
+                            .map(|o| ((table.0, o.0), (*quota, *retry))),
+                    );
                     touched.insert(*table);
                 }
                 Action::Mark { mark, .. } => self.mark = Some(*mark),
                 _ => {}
             }
         }
-        let mut told: BTreeSet<ProxyId> =
-            self.bound.iter().filter(|(_, table)| touched.contains(table)).map(|(proxy, _)| *proxy).collect();
+        let mut told: BTreeSet<ProxyId> = self
+            .bound
+            .iter()
+            .filter(|(_, table)| touched.contains(table))
+            .map(|(proxy, _)| *proxy)
+            .collect();
         for action in &actions {
             if let Action::Bind { proxy, table, .. } = action {
                 self.bound.insert((*proxy, *table));
                 told.insert(*proxy);
             }
         }
-        self.messages.extend(told.into_iter().filter(|p| self.joined.contains(p)).map(|proxy| (now, proxy)));
+        self.messages.extend(
+            told.into_iter()
+                .filter(|p| self.joined.contains(p))
+                .map(|proxy| (now, proxy)),
+        );
     }
 
     fn expect(&self, words: &[&str]) -> bool {
@@ -292,34 +379,57 @@
         match words {
             [t, name, "absent"] => share(t, name).is_none(),
             [t, name, "present"] => share(t, name).is_some(),
-            ["bound", proxy, t] => self.bound.contains(&(ProxyId(number(proxy) as u16), table(t))),
+            ["bound", proxy, t] => self
+                .bound
+                .contains(&(ProxyId(number(proxy) as u16), table(t))),
             ["unbound", proxy] => !self.bound.iter().any(|(p, _)| p.0 == number(proxy) as u16),
-            ["level", t, o, range] => {
-                within(self.levels.get(&(table(t).0, number(o) as u8)).map_or(1.0, |level| level.0), range)
-            }
+            ["level", t, o, range] => within(
+                self.levels
+                    .get(&(table(t).0, number(o) as u8))
+                    .map_or(1.0, |level| level.0),
+                range,
+            ),
             ["retry", t, o, how] => {
-                let retry = self.levels.get(&(table(t).0, number(o) as u8)).map(|level| level.1);
+                let retry = self
+                    .levels
+                    .get(&(table(t).0, number(o) as u8))
+                    .map(|level| level.1);
                 format!("{retry:?}") == format!("Some({how})")
             }
             ["cut", t, range] => {
                 let cut = self.balancer.as_ref().and_then(|b| b.admission.cut);
                 cut.is_some_and(|cut| cut.0 == table(t) && within(cut.1, range))
             }
-            ["no", "cut"] => self.balancer.as_ref().is_some_and(|b| b.admission.cut.is_none()),
+            ["no", "cut"] => self
+                .balancer
+                .as_ref()
+                .is_some_and(|b| b.admission.cut.is_none()),
             ["messages", proxy, "within", span, range] => {
                 let own = |m: &&(f64, ProxyId)| m.1 .0 == number(proxy) as u16;
                 let times: Vec<f64> = self.messages.iter().filter(own).map(|m| m.0).collect();
-                let most =
-                    times.iter().map(|t| times.iter().filter(|u| *u >= t && **u - t < number(span)).count());
+                let most = times.iter().map(|t| {
+                    times
+                        .iter()
+                        .filter(|u| *u >= t && **u - t < number(span))
+                        .count()
+                });
                 within(most.max().unwrap_or(0) as f64, range)
             }
             ["changes", "since", time, range] => {
-                let count = self.changed.iter().filter(|change| change.0 >= number(time)).count();
+                let count = self
+                    .changed
+                    .iter()
+                    .filter(|change| change.0 >= number(time))
+                    .count();
                 within(count as f64, range)
             }
             ["parts", zone, count] => {
                 let zone = ZoneId(number(zone) as u16);
-                let own = self.balancer.iter().flat_map(|b| b.tables.values()).filter(|t| t.zone == zone);
+                let own = self
+                    .balancer
+                    .iter()
+                    .flat_map(|b| b.tables.values())
+                    .filter(|t| t.zone == zone);
                 own.filter(|table| !table.lines.is_empty()).count() as f64 == number(count)
             }
             ["disjoint", t, u] => {
@@ -327,7 +437,8 @@
                 self.tables[&table(t)].keys().filter(shared).count() <= 1 // one at the border
             }
             ["forgotten", name] => self.balancer.as_ref().is_some_and(|b| {
-                !b.nodes.contains_key(&node(name)) && !b.paths.keys().any(|path| path.0 == node(name))
+                !b.nodes.contains_key(&node(name))
+                    && !b.paths.keys().any(|path| path.0 == node(name))
             }),
             ["error", rest @ ..] => self.error.contains(&rest.join(" ")),
             ["no", "error"] => self.error.is_empty(),
@@ -353,30 +464,43 @@
         }
         due.clear();
     };
-    for line in text.lines().map(|line| line.split('#').next().unwrap_or("")) {
+    for line in text
+        .lines()
+        .map(|line| line.split('#').next().unwrap_or(""))
+    {
         let words: Vec<&str> = line.split_whitespace().collect();
         match words.as_slice() {
             [] => {}
             ["set", name, value] => stage.set(name, value),
             ["unset", name] => drop(stage.facts.0.remove(*name)),
             ["operation", rest @ ..] => stage.operation(rest),
-            ["start"] => drop(std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
-                stage.balancer();
-            }))),
+            ["start"] => drop(std::panic::catch_unwind(std::panic::AssertUnwindSafe(
+                || {
+                    stage.balancer();
+                },
+            ))),
             ["alone", rest @ ..] => {
                 flush(&mut stage, &mut due);
                 stage.command(rest);
             }
             ["expect", rest @ ..] => {
                 flush(&mut stage, &mut due);
-                assert!(stage.expect(rest), "{line}\ntables {:?}\nlevels {:?}", stage.tables, stage.levels);
+                assert!(
+                    stage.expect(rest),
+                    "{line}\ntables {:?}\nlevels {:?}",
+                    stage.tables,
+                    stage.levels
+                );
             }
             [time, rest @ ..] => match time.split_once("..") {
                 None => due.push((number(time), rest.to_vec())),
                 Some((from, until)) => {
                     let (to, every) = until.split_once('/').expect("FROM..TO/EVERY");
                     let count = ((number(to) - number(from)) / number(every) + 1e-9) as usize;
-                    due.extend((0..=count).map(|n| (number(from) + n as f64 * number(every), rest.to_vec())));
+                    due.extend(
+                        (0..=count)
+                            .map(|n| (number(from) + n as f64 * number(every), rest.to_vec())),
+                    );
                 }
             },
         }
--- a/crates/wheelspread/src/state.rs
+++ b/crates/wheelspread/src/state.rs
@@ -62,7 +62,14 @@
         let (nodes, paths, proxies, peers) = Default::default();
         let (channel, joins, quickest) = Default::default();
         let (let_in, cut) = Default::default();
-        let admission = Admission { let_in, cut, ease: 1.0, eased: now, busy: Busy::Usual, excited: now };
+        let admission = Admission {
+            let_in,
+            cut,
+            ease: 1.0,
+            eased: now,
+            busy: Busy::Usual,
+            excited: now,
+        };
         Balancer {
             random: Pcg::new(seed),
             heard: now,
@@ -108,17 +115,28 @@
 
 impl Learnt {
     pub fn sound(&self) -> bool {
-        self.capacity.is_finite() && self.evidence.is_finite() && self.evidence >= 0.0 && self.quickest > 0.0
+        self.capacity.is_finite()
+            && self.evidence.is_finite()
+            && self.evidence >= 0.0
+            && self.quickest > 0.0
     }
 }
 
 impl Balancer {
     /// Of warm nodes of which something is known.
     pub fn learnt(&self) -> impl Iterator<Item = Learnt> + '_ {
-        let warm = self.nodes.iter().filter(|(_, node)| node.life == Life::Warm && node.evidence > 0.0);
+        let warm = self
+            .nodes
+            .iter()
+            .filter(|(_, node)| node.life == Life::Warm && node.evidence > 0.0);
         warm.filter_map(|(id, node)| {
             let (capacity, quickest) = (node.capacity.get()?, *self.quickest.get(&node.kind)?);
-            Some(Learnt { node: *id, capacity, evidence: node.evidence, quickest })
+            Some(Learnt {
+                node: *id,
+                capacity,
+                evidence: node.evidence,
+                quickest,
+            })
         })
     }
 }
@@ -183,7 +201,10 @@
 impl Smooth {
     pub fn feed(&mut self, sample: f64, covers: Span, memory: Span) {
         let keep = (-covers.seconds().max(0.0) / memory.seconds().max(1e-6)).exp();
-        self.0 = Some(self.0.map_or(sample, |old| old * keep + sample * (1.0 - keep)));
+        self.0 = Some(
+            self.0
+                .map_or(sample, |old| old * keep + sample * (1.0 - keep)),
+        );
     }
 
     pub fn get(&self) -> Option<f64> {
@@ -205,12 +226,16 @@
 
 impl Flow {
     pub fn at(rate: f64) -> Flow {
-        Flow { rate: Smooth::at(rate), until: None }
+        Flow {
+            rate: Smooth::at(rate),
+            until: None,
+        }
     }
 
     pub fn feed(&mut self, count: f64, over: Span, memory: Span, now: Moment, heard: Moment) {
         if let Some(until) = self.until {
-            self.rate.feed(0.0, (now - until - over).min(heard - until), memory);
+            self.rate
+                .feed(0.0, (now - until - over).min(heard - until), memory);
         }
         self.rate.feed(count / over.seconds(), over, memory);
         self.until = Some(now);
@@ -283,7 +308,15 @@
 impl Path {
     pub fn new(now: Moment, sums: Ring<Work>) -> Path {
         let (rate, succeeded) = Default::default();
-        Path { standing: Standing::Clear, since: now, hold: Span::ZERO, rate, succeeded, heard: now, sums }
+        Path {
+            standing: Standing::Clear,
+            since: now,
+            hold: Span::ZERO,
+            rate,
+            succeeded,
+            heard: now,
+            sums,
+        }
     }
 }
 
@@ -315,10 +348,18 @@
     pub fn all(operations: &[Operation], zones: u16) -> BTreeMap<TableId, Table> {
         let mut tables = BTreeMap::new();
         for (zone, stays) in (0..zones).flat_map(|zone| [(zone, false), (zone, true)]) {
-            let own: Vec<OperationId> =
-                operations.iter().filter(|operation| operation.stays == stays).map(|o| o.id).collect();
+            let own: Vec<OperationId> = operations
+                .iter()
+                .filter(|operation| operation.stays == stays)
+                .map(|o| o.id)
+                .collect();
             if !own.is_empty() {
-                let table = Table { zone: ZoneId(zone), stays, operations: own, ..Table::default() };
+                let table = Table {
+                    zone: ZoneId(zone),
+                    stays,
+                    operations: own,
+                    ..Table::default()
+                };
                 tables.insert(TableId(2 * zone + u16::from(stays)), table);
             }
         }
@@ -365,7 +406,10 @@
             }
         }
         for line in bytes[head..].chunks_exact(8) {
-            let (address, port) = (line[..4].try_into().ok()?, u16::from_le_bytes([line[4], line[5]]));
+            let (address, port) = (
+                line[..4].try_into().ok()?,
+                u16::from_le_bytes([line[4], line[5]]),
+            );
             let rate = f64::from(u16::from_le_bytes([line[6], line[7]])) / 64.0;
             self.rates.insert(NodeId { address, port }, (rate, now));
         }
--- a/crates/wheelspread/tests/action_snapshot.rs
+++ b/crates/wheelspread/tests/action_snapshot.rs
@@ -51,7 +51,10 @@
 }
 
 fn node_id(number: u8) -> NodeId {
-    NodeId { address: [10, 1, number / 16, number], port: 9000 }
+    NodeId {
+        address: [10, 1, number / 16, number],
+        port: 9000,
+    }
 }
 
 fn settings(fleet: &Fleet) -> Facts {
@@ -92,11 +95,23 @@
         ("operation.2.billed_value", "2"),
         ("operation.2.repeat", "side-effecting"),
     ];
-    let counts = [("zone.count", fleet.zones.to_string()), ("proxy.count", fleet.proxies.to_string())];
-    let reports =
-        fleet.reports.iter().enumerate().map(|(at, name)| (format!("report.field.{at}"), name.to_string()));
-    let all = common.iter().chain(&fleet.settings).map(|(name, value)| (name.to_string(), value.to_string()));
-    for (name, value) in all.chain(counts.map(|(name, value)| (name.to_string(), value))).chain(reports) {
+    let counts = [
+        ("zone.count", fleet.zones.to_string()),
+        ("proxy.count", fleet.proxies.to_string()),
+    ];
+    let reports = fleet
+        .reports
+        .iter()
+        .enumerate()
+        .map(|(at, name)| (format!("report.field.{at}"), name.to_string()));
+    let all = common
+        .iter()
+        .chain(&fleet.settings)
+        .map(|(name, value)| (name.to_string(), value.to_string()));
+    for (name, value) in all
+        .chain(counts.map(|(name, value)| (name.to_string(), value)))
+        .chain(reports)
+    {
         let fact = match (value.parse::<f64>(), value.as_str()) {
             (Ok(number), _) => Fact::Number(number),
             (_, "true") => Fact::Flag(true),
@@ -111,8 +126,18 @@
 impl World {
     fn new(fleet: Fleet, seed: u64) -> World {
         let now = Moment::from_seconds(START_SECONDS);
-        let balancer = Balancer::start(now, seed, settings(&fleet)).expect("the settings are complete");
-        let warm = |number| (number, Member { listing: Listing::Ready, started: None, failing: false });
+        let balancer =
+            Balancer::start(now, seed, settings(&fleet)).expect("the settings are complete");
+        let warm = |number| {
+            (
+                number,
+                Member {
+                    listing: Listing::Ready,
+                    started: None,
+                    failing: false,
+                },
+            )
+        };
         World {
             random: Pcg::new(seed),
             balancer,
@@ -141,8 +166,13 @@
         let now = self.now();
         if let Err(error) = self.balancer.hear(now, event) {
             let error = error.to_string();
-            writeln!(self.log, "{} refused, {} bytes", self.step, error.len().min(1))
-                .expect("a string takes all");
+            writeln!(
+                self.log,
+                "{} refused, {} bytes",
+                self.step,
+                error.len().min(1)
+            )
+            .expect("a string takes all");
         }
     }
 
@@ -168,7 +198,12 @@
         self.joined.insert(proxy);
         let zone = ZoneId(proxy % self.fleet.zones);
         let usual_rate = self.fleet.proxy_rate * (0.8 + 0.4 * self.random.unit());
-        self.handle(&Event::ProxyJoined { proxy: ProxyId(proxy), zone, usual_rate, fresh });
+        self.handle(&Event::ProxyJoined {
+            proxy: ProxyId(proxy),
+            zone,
+            usual_rate,
+            fresh,
+        });
     }
 
     fn membership(&mut self) {
@@ -186,7 +221,9 @@
         if self.step > 100 && self.chance(0.02) {
             let proxy = self.random.draw() as u16 % self.fleet.proxies;
             if self.joined.remove(&proxy) {
-                self.handle(&Event::ProxyLeft { proxy: ProxyId(proxy) });
+                self.handle(&Event::ProxyLeft {
+                    proxy: ProxyId(proxy),
+                });
             } else {
                 self.join(proxy, false);
             }
@@ -196,8 +233,8 @@
     fn restart(&mut self) {
         let seed = u64::from(self.random.draw());
         let learnt: Vec<_> = self.balancer.learnt().collect();
-        self.balancer =
-            Balancer::start(self.now(), seed, settings(&self.fleet)).expect("the settings are complete");
+        self.balancer = Balancer::start(self.now(), seed, settings(&self.fleet))
+            .expect("the settings are complete");
         self.unanswered.clear();
         let all: Vec<u8> = self.nodes.keys().copied().collect();
         self.publish_list(ListKind::Cached, &all);
@@ -214,12 +251,15 @@
         }
         let number = self.random.draw() as u8 % self.fleet.nodes;
         let (choice, now) = (self.random.draw() % 4, self.now());
-        let Some(member) = self.nodes.get_mut(&number) else { return };
+        let Some(member) = self.nodes.get_mut(&number) else {
+            return;
+        };
         match (choice, member.listing) {
             (0, Listing::Ready) => member.listing = Listing::Draining,
             (1, Listing::Draining) => member.listing = Listing::Gone,
             (_, Listing::Draining | Listing::Gone) => {
-                (member.listing, member.started, member.failing) = (Listing::Ready, Some(now), false);
+                (member.listing, member.started, member.failing) =
+                    (Listing::Ready, Some(now), false);
             }
             (2, Listing::Ready) => member.failing = !member.failing,
             _ => return,
@@ -232,34 +272,66 @@
             return;
         }
         // More is asked for in the middle of the stream than all nodes together can serve.
-        let surge = if (200..300).contains(&self.step) { 2.5 } else { 1.0 };
+        let surge = if (200..300).contains(&self.step) {
+            2.5
+        } else {
+            1.0
+        };
         for proxy in self.joined.clone() {
             for operation in 0..3 {
                 let count = self.fleet.proxy_rate * surge * (0.2 + 0.2 * self.random.unit());
                 let (proxy, operation) = (ProxyId(proxy), OperationId(operation));
                 let over = Span::from_seconds(1.0);
-                self.handle(&Event::Offered { proxy, operation, count, errored: 0.0, over });
+                self.handle(&Event::Offered {
+                    proxy,
+                    operation,
+                    count,
+                    errored: 0.0,
+                    over,
+                });
             }
         }
-        let ready = self.nodes.iter().filter(|(_, member)| member.listing == Listing::Ready);
-        let ready: Vec<(u8, bool)> = ready.map(|(number, member)| (*number, member.failing)).collect();
-        let asked = self.joined.len() as f64 * self.fleet.proxy_rate * surge / ready.len().max(1) as f64;
+        let ready = self
+            .nodes
+            .iter()
+            .filter(|(_, member)| member.listing == Listing::Ready);
+        let ready: Vec<(u8, bool)> = ready
+            .map(|(number, member)| (*number, member.failing))
+            .collect();
+        let asked =
+            self.joined.len() as f64 * self.fleet.proxy_rate * surge / ready.len().max(1) as f64;
         for (number, failing) in ready {
             let busy = asked / self.fleet.node_rate * (0.8 + 0.4 * self.random.unit());
             for zone in 0..self.fleet.zones {
                 if self.chance(0.1) {
                     continue;
                 }
-                self.node_report(number, ZoneId(zone), asked / f64::from(self.fleet.zones), busy, failing);
+                self.node_report(
+                    number,
+                    ZoneId(zone),
+                    asked / f64::from(self.fleet.zones),
+                    busy,
+                    failing,
+                );
             }
         }
     }
 
     fn node_report(&mut self, number: u8, zone: ZoneId, asked: f64, busy: f64, failing: bool) {
         let tries = (asked * (0.8 + 0.4 * self.random.unit())).round();
-        let part = if failing { 0.95 } else { (busy - 1.0).clamp(0.0, 0.6) };
+        let part = if failing {
+            0.95
+        } else {
+            (busy - 1.0).clamp(0.0, 0.6)
+        };
         let time = 0.02 + 0.08 * busy.min(3.0) * self.random.unit();
-        let value = |name: &&str| if *name == "queue" { (busy - 0.6).max(0.0) * 10.0 } else { busy.min(1.0) };
+        let value = |name: &&str| {
+            if *name == "queue" {
+                (busy - 0.6).max(0.0) * 10.0
+            } else {
+                busy.min(1.0)
+            }
+        };
         self.handle(&Event::NodeSums {
             zone,
             node: node_id(number),
@@ -285,7 +357,10 @@
             bytes.extend(node_id(number).port.to_le_bytes());
             bytes.extend((64 * u16::from(number + 1)).to_le_bytes());
         }
-        self.handle(&Event::PeerNote { from: PeerId(2), bytes });
+        self.handle(&Event::PeerNote {
+            from: PeerId(2),
+            bytes,
+        });
     }
 
     fn acknowledge(&mut self) {
@@ -296,7 +371,11 @@
         for (_, mark) in due {
             for proxy in self.joined.clone() {
                 if !self.chance(0.05) {
-                    self.handle(&Event::Acked { proxy: ProxyId(proxy), mark, took: Span::from_seconds(0.2) });
+                    self.handle(&Event::Acked {
+                        proxy: ProxyId(proxy),
+                        mark,
+                        took: Span::from_seconds(0.2),
+                    });
                 }
             }
         }
@@ -334,20 +413,42 @@
 }
 
 fn describe_operations(operations: &[OperationId]) -> String {
-    operations.iter().map(|operation| format!("o{}", operation.0)).collect::<Vec<_>>().join("+")
+    operations
+        .iter()
+        .map(|operation| format!("o{}", operation.0))
+        .collect::<Vec<_>>()
+        .join("+")
 }
 
 /// All digits of a figure: two that differ in the last bit give different text.
 fn describe(action: &Action) -> String {
     match action {
-        Action::SetLine { table, node, weight } => {
+        Action::SetLine {
+            table,
+            node,
+            weight,
+        } => {
             format!("weight t{} {} {weight:?}", table.0, describe_node(node))
         }
         Action::ClearTable { table } => format!("clear t{}", table.0),
-        Action::Bind { proxy, table, operations } => {
-            format!("bind p{} t{} {}", proxy.0, table.0, describe_operations(operations))
+        Action::Bind {
+            proxy,
+            table,
+            operations,
+        } => {
+            format!(
+                "bind p{} t{} {}",
+                proxy.0,
+                table.0,
+                describe_operations(operations)
+            )
         }
-        Action::SetLevel { table, operations, quota, retry } => {
+        Action::SetLevel {
+            table,
+            operations,
+            quota,
+            retry,
+        } => {
             let table = table.map_or("all".to_string(), |table| format!("t{}", table.0));
             let retry = match retry {
                 Retry::Never => "never",
@@ -355,7 +456,10 @@
                 Retry::OnceAfterAnyFailure => "once",
                 Retry::TwiceAfterAnyFailure => "twice",
             };
-            format!("admit {table} {} {quota:?} {retry}", describe_operations(operations))
+            format!(
+                "admit {table} {} {quota:?} {retry}",
+                describe_operations(operations)
+            )
         }
         Action::Withdraw { node, out } => format!("withdraw {} {out}", describe_node(node)),
         Action::Mark { mark, everyone } => format!("marker {} {everyone}", mark.0),
@@ -389,7 +493,11 @@
 #[test]
 fn actions_of_a_controller_with_peers_stay_the_same() {
     let fleet = Fleet {
-        settings: vec![("conductor.count", "2"), ("peers.may_tell", "true"), ("level.form", "rate")],
+        settings: vec![
+            ("conductor.count", "2"),
+            ("peers.may_tell", "true"),
+            ("level.form", "rate"),
+        ],
         zones: 3,
         nodes: 9,
         proxies: 16,
--- a/crates/xds/src/discovery.rs
+++ b/crates/xds/src/discovery.rs
@@ -23,8 +23,10 @@
 use xds_api::pb::google::rpc;
 
 /// The paths of the two streams.
-pub const WHOLE: &str = "/envoy.service.discovery.v3.AggregatedDiscoveryService/StreamAggregatedResources";
-pub const DELTA: &str = "/envoy.service.discovery.v3.AggregatedDiscoveryService/DeltaAggregatedResources";
+pub const WHOLE: &str =
+    "/envoy.service.discovery.v3.AggregatedDiscoveryService/StreamAggregatedResources";
+pub const DELTA: &str =
+    "/envoy.service.discovery.v3.AggregatedDiscoveryService/DeltaAggregatedResources";
 /// Before the name of a cluster: its assignment without lines, which are resources of their own.
 pub const LINES_APART: &str = "xdstp:///envoy.config.endpoint.v3.ClusterLoadAssignment/";
 /// Before `CLUSTER/ZONE/ADDRESS`: one line.
@@ -45,11 +47,17 @@
 ];
 
 pub fn type_url(kind: Kind) -> String {
-    KINDS.iter().find(|row| row.0 == kind).map_or(String::new(), |row| row.1())
+    KINDS
+        .iter()
+        .find(|row| row.0 == kind)
+        .map_or(String::new(), |row| row.1())
 }
 
 fn kind(type_url: &str) -> Result<Kind, Unreadable> {
-    let found = KINDS.iter().find(|row| row.1() == type_url).map(|row| row.0);
+    let found = KINDS
+        .iter()
+        .find(|row| row.1() == type_url)
+        .map(|row| row.0);
     let shown: String = type_url.chars().take(100).collect();
     found.ok_or_else(|| content("type_url", format!("`{shown}` is not served here")))
 }
@@ -57,13 +65,18 @@
 // ---- what a version holds ----
 
 fn pack<T: Message + Name>(message: &T) -> Any {
-    Any { type_url: T::type_url(), value: message.encode_to_vec() }
+    Any {
+        type_url: T::type_url(),
+        value: message.encode_to_vec(),
+    }
 }
 
 fn by_streams() -> core::ConfigSource {
     core::ConfigSource {
         resource_api_version: core::ApiVersion::V3.into(),
-        config_source_specifier: Some(core::config_source::ConfigSourceSpecifier::Ads(Default::default())),
+        config_source_specifier: Some(core::config_source::ConfigSourceSpecifier::Ads(
+            Default::default(),
+        )),
         ..core::ConfigSource::default()
     }
 }
@@ -74,7 +87,10 @@
     let mut made = Content::new(set.bundle, set.version);
     for assignment in assignments {
         let name = assignment.cluster_name.clone();
-        let route = operations.virtual_hosts.iter().flat_map(|host| &host.routes);
+        let route = operations
+            .virtual_hosts
+            .iter()
+            .flat_map(|host| &host.routes);
         let route = route.into_iter().find(|route| route.name == name);
         made.put(Kind::Clusters, &name, cluster_of(&name).encode_to_vec());
         made.put(Kind::Listeners, &name, listener_of(&name).encode_to_vec());
@@ -83,19 +99,35 @@
         }
         let mut apart = assignment.clone();
         for locality in &mut apart.endpoints {
-            let zone = locality.locality.as_ref().map_or("", |locality| locality.zone.as_str()).to_string();
+            let zone = locality
+                .locality
+                .as_ref()
+                .map_or("", |locality| locality.zone.as_str())
+                .to_string();
             for line in std::mem::take(&mut locality.lb_endpoints) {
-                if let Some(endpoint::lb_endpoint::HostIdentifier::Endpoint(host)) = &line.host_identifier {
+                if let Some(endpoint::lb_endpoint::HostIdentifier::Endpoint(host)) =
+                    &line.host_identifier
+                {
                     if let Ok(node) = crate::node_id(host.address.as_ref()) {
                         let node = wheelspread_session::nodes::show(node);
-                        made.put(Kind::Lines, &format!("{LINE}{name}/{zone}/{node}"), line.encode_to_vec());
+                        made.put(
+                            Kind::Lines,
+                            &format!("{LINE}{name}/{zone}/{node}"),
+                            line.encode_to_vec(),
+                        );
                     }
                 }
             }
         }
         apart.endpoints.clear();
-        apart.endpoints.extend(plan.zones.iter().map(|zone| lines_apart(&name, zone)));
-        made.put(Kind::Endpoints, &format!("{LINES_APART}{name}"), apart.encode_to_vec());
+        apart
+            .endpoints
+            .extend(plan.zones.iter().map(|zone| lines_apart(&name, zone)));
+        made.put(
+            Kind::Endpoints,
+            &format!("{LINES_APART}{name}"),
+            apart.encode_to_vec(),
+        );
         made.put(Kind::Endpoints, &name, weighed(assignment).encode_to_vec());
     }
     made.put(Kind::Routes, OPERATIONS, operations.encode_to_vec());
@@ -104,13 +136,18 @@
 
 fn lines_apart(name: &str, zone: &str) -> endpoint::LocalityLbEndpoints {
     endpoint::LocalityLbEndpoints {
-        locality: Some(core::Locality { zone: zone.to_string(), ..core::Locality::default() }),
-        lb_config: Some(endpoint::locality_lb_endpoints::LbConfig::LedsClusterLocalityConfig(
-            endpoint::LedsClusterLocalityConfig {
-                leds_config: Some(by_streams()),
-                leds_collection_name: format!("{LINE}{name}/{zone}/*"),
-            },
-        )),
+        locality: Some(core::Locality {
+            zone: zone.to_string(),
+            ..core::Locality::default()
+        }),
+        lb_config: Some(
+            endpoint::locality_lb_endpoints::LbConfig::LedsClusterLocalityConfig(
+                endpoint::LedsClusterLocalityConfig {
+                    leds_config: Some(by_streams()),
+                    leds_collection_name: format!("{LINE}{name}/{zone}/*"),
+                },
+            ),
+        ),
         ..endpoint::LocalityLbEndpoints::default()
     }
 }
@@ -128,7 +165,9 @@
                 _ => None,
             };
             let place = core::Locality {
-                sub_zone: address.map(wheelspread_session::nodes::show).unwrap_or_default(),
+                sub_zone: address
+                    .map(wheelspread_session::nodes::show)
+                    .unwrap_or_default(),
                 ..locality.locality.clone().unwrap_or_default()
             };
             endpoints.push(endpoint::LocalityLbEndpoints {
@@ -170,20 +209,26 @@
 fn listener_of(name: &str) -> listener::Listener {
     let manager = http::HttpConnectionManager {
         stat_prefix: name.to_string(),
-        route_specifier: Some(http::http_connection_manager::RouteSpecifier::Rds(http::Rds {
-            config_source: Some(by_streams()),
-            route_config_name: name.to_string(),
-        })),
+        route_specifier: Some(http::http_connection_manager::RouteSpecifier::Rds(
+            http::Rds {
+                config_source: Some(by_streams()),
+                route_config_name: name.to_string(),
+            },
+        )),
         http_filters: vec![http::HttpFilter {
             name: ROUTER.to_string(),
-            config_type: Some(http::http_filter::ConfigType::TypedConfig(pack(&Router::default()))),
+            config_type: Some(http::http_filter::ConfigType::TypedConfig(pack(
+                &Router::default(),
+            ))),
             ..http::HttpFilter::default()
         }],
         ..http::HttpConnectionManager::default()
     };
     listener::Listener {
         name: name.to_string(),
-        api_listener: Some(listener::ApiListener { api_listener: Some(pack(&manager)) }),
+        api_listener: Some(listener::ApiListener {
+            api_listener: Some(pack(&manager)),
+        }),
         ..listener::Listener::default()
     }
 }
@@ -192,7 +237,10 @@
 fn routes_of(name: &str, route: &route::Route) -> route::RouteConfiguration {
     let mut route = route.clone();
     let path = route::route_match::PathSpecifier::Prefix(String::new());
-    route.r#match = Some(route::RouteMatch { path_specifier: Some(path), ..route::RouteMatch::default() });
+    route.r#match = Some(route::RouteMatch {
+        path_specifier: Some(path),
+        ..route::RouteMatch::default()
+    });
     route::RouteConfiguration {
         name: name.to_string(),
         virtual_hosts: vec![route::VirtualHost {
@@ -217,7 +265,8 @@
 }
 
 fn introduction(node: Option<&core::Node>) -> Option<Introduction> {
-    node.filter(|node| !node.id.is_empty()).map(crate::loads::introduced)
+    node.filter(|node| !node.id.is_empty())
+        .map(crate::loads::introduced)
 }
 
 fn refusal(error: Option<rpc::Status>) -> Option<String> {
@@ -225,30 +274,46 @@
 }
 
 pub fn read_whole(bytes: &[u8]) -> Result<Request, Unreadable> {
-    let request =
-        discovery::DiscoveryRequest::decode(bytes).map_err(|e| content("a request", e.to_string()))?;
-    let holds = request.version_info.parse().ok().map(Version).filter(|_| request.response_nonce.is_empty());
+    let request = discovery::DiscoveryRequest::decode(bytes)
+        .map_err(|e| content("a request", e.to_string()))?;
+    let holds = request
+        .version_info
+        .parse()
+        .ok()
+        .map(Version)
+        .filter(|_| request.response_nonce.is_empty());
     Ok(Request {
         who: introduction(request.node.as_ref()),
         ask: Ask {
             kind: kind(&request.type_url)?,
             nonce: request.response_nonce,
             error: refusal(request.error_detail),
-            mode: Mode::Whole { names: request.resource_names, version: request.version_info },
+            mode: Mode::Whole {
+                names: request.resource_names,
+                version: request.version_info,
+            },
         },
         holds,
     })
 }
 
 pub fn read_delta(bytes: &[u8]) -> Result<Request, Unreadable> {
-    let request =
-        discovery::DeltaDiscoveryRequest::decode(bytes).map_err(|e| content("a request", e.to_string()))?;
+    let request = discovery::DeltaDiscoveryRequest::decode(bytes)
+        .map_err(|e| content("a request", e.to_string()))?;
     // Names of a collection are told as locators by some.
     let names = |plain: Vec<String>, locators: Vec<discovery::ResourceLocator>| {
-        plain.into_iter().chain(locators.into_iter().map(|locator| locator.name)).collect()
+        plain
+            .into_iter()
+            .chain(locators.into_iter().map(|locator| locator.name))
+            .collect()
     };
-    let told = request.node.as_ref().and_then(|node| node.metadata.as_ref());
-    let told = told.and_then(|told| told.fields.get(HOLDS)).and_then(|told| told.kind.as_ref());
+    let told = request
+        .node
+        .as_ref()
+        .and_then(|node| node.metadata.as_ref());
+    let told = told
+        .and_then(|told| told.fields.get(HOLDS))
+        .and_then(|told| told.kind.as_ref());
     let version = match told {
         Some(value::Kind::StringValue(version)) => version.parse().ok().map(Version),
         _ => None,
@@ -260,8 +325,14 @@
             nonce: request.response_nonce,
             error: refusal(request.error_detail),
             mode: Mode::Delta {
-                subscribe: names(request.resource_names_subscribe, request.resource_locators_subscribe),
-                unsubscribe: names(request.resource_names_unsubscribe, request.resource_locators_unsubscribe),
+                subscribe: names(
+                    request.resource_names_subscribe,
+                    request.resource_locators_subscribe,
+                ),
+                unsubscribe: names(
+                    request.resource_names_unsubscribe,
+                    request.resource_locators_unsubscribe,
+                ),
                 holds: request.initial_resource_versions.into_iter().collect(),
             },
         },
@@ -272,11 +343,18 @@
 /// Everything of an answer but its nonce, which is its own and goes at the end.
 pub fn body(answer: &Answer) -> Vec<u8> {
     let url = type_url(answer.kind);
-    let packed = |bytes: &bytes::Bytes| Any { type_url: url.clone(), value: bytes.to_vec() };
+    let packed = |bytes: &bytes::Bytes| Any {
+        type_url: url.clone(),
+        value: bytes.to_vec(),
+    };
     if !answer.delta {
         return discovery::DiscoveryResponse {
             version_info: answer.version.0.to_string(),
-            resources: answer.changed.iter().map(|(_, resource)| packed(&resource.bytes)).collect(),
+            resources: answer
+                .changed
+                .iter()
+                .map(|(_, resource)| packed(&resource.bytes))
+                .collect(),
             type_url: url.clone(),
             ..discovery::DiscoveryResponse::default()
         }
@@ -291,7 +369,9 @@
             ..discovery::Resource::default()
         }
     };
-    let comes_to = answer.comes_to.map_or(String::new(), |sum| format!(" {sum}"));
+    let comes_to = answer
+        .comes_to
+        .map_or(String::new(), |sum| format!(" {sum}"));
     discovery::DeltaDiscoveryResponse {
         system_version_info: format!("{}{comes_to}", answer.version.0),
         resources: answer.changed.iter().map(resource).collect(),
@@ -306,8 +386,16 @@
 pub fn with_nonce(body: &[u8], answer: &Answer) -> Vec<u8> {
     let nonce = answer.nonce.to_string();
     let tail = match answer.delta {
-        true => discovery::DeltaDiscoveryResponse { nonce, ..Default::default() }.encode_to_vec(),
-        false => discovery::DiscoveryResponse { nonce, ..Default::default() }.encode_to_vec(),
+        true => discovery::DeltaDiscoveryResponse {
+            nonce,
+            ..Default::default()
+        }
+        .encode_to_vec(),
+        false => discovery::DiscoveryResponse {
+            nonce,
+            ..Default::default()
+        }
+        .encode_to_vec(),
     };
     [body, &tail].concat()
 }
@@ -324,37 +412,52 @@
 }
 
 pub fn read_told(bytes: &[u8]) -> Result<Told, Unreadable> {
-    let told =
-        discovery::DeltaDiscoveryResponse::decode(bytes).map_err(|e| content("a response", e.to_string()))?;
+    let told = discovery::DeltaDiscoveryResponse::decode(bytes)
+        .map_err(|e| content("a response", e.to_string()))?;
     let mut said = told.system_version_info.split(' ');
     let version = said.next().and_then(|text| text.parse().ok()).map(Version);
     let comes_to = said.next().and_then(|text| text.parse::<Checksum>().ok());
     let mut changed = Vec::new();
     for (at, resource) in told.resources.into_iter().enumerate() {
         let checksum = resource.version.parse::<Checksum>();
-        let checksum =
-            checksum.map_err(|()| content(format!("resource {at}"), "its version is no checksum"))?;
-        let any = resource.resource.ok_or_else(|| content(format!("resource {at}"), "it is empty"))?;
+        let checksum = checksum
+            .map_err(|()| content(format!("resource {at}"), "its version is no checksum"))?;
+        let any = resource
+            .resource
+            .ok_or_else(|| content(format!("resource {at}"), "it is empty"))?;
         changed.push((resource.name, checksum, bytes::Bytes::from(any.value)));
     }
-    let delta = Delta { changed, removed: told.removed_resources, comes_to };
-    Ok(Told { kind: kind(&told.type_url)?, nonce: told.nonce, version, delta })
+    let delta = Delta {
+        changed,
+        removed: told.removed_resources,
+        comes_to,
+    };
+    Ok(Told {
+        kind: kind(&told.type_url)?,
+        nonce: told.nonce,
+        version,
+        delta,
+    })
 }
 
 /// A request of the incremental form. `who`: told in the first of a stream, with the version held.
 pub fn ask(who: Option<&Introduction>, holds: Option<Version>, ask: &Ask) -> Vec<u8> {
-    let node = who.and_then(|who| crate::loads::introduce(who).node).map(|mut node| {
-        if let Some(version) = holds {
-            let told = value::Kind::StringValue(version.0.to_string());
-            let told = (HOLDS.to_string(), Value { kind: Some(told) });
-            node.metadata.get_or_insert_default().fields.extend([told]);
-        }
-        node
-    });
+    let node = who
+        .and_then(|who| crate::loads::introduce(who).node)
+        .map(|mut node| {
+            if let Some(version) = holds {
+                let told = value::Kind::StringValue(version.0.to_string());
+                let told = (HOLDS.to_string(), Value { kind: Some(told) });
+                node.metadata.get_or_insert_default().fields.extend([told]);
+            }
+            node
+        });
     let (subscribe, unsubscribe, holds) = match &ask.mode {
-        Mode::Delta { subscribe, unsubscribe, holds } => {
-            (subscribe.clone(), unsubscribe.clone(), holds.clone())
-        }
+        Mode::Delta {
+            subscribe,
+            unsubscribe,
+            holds,
+        } => (subscribe.clone(), unsubscribe.clone(), holds.clone()),
         Mode::Whole { names, .. } => (names.clone(), Vec::new(), Default::default()),
     };
     let error_detail = ask.error.as_ref().map(|message| rpc::Status {
@@ -388,16 +491,26 @@
     for (name, bytes) in lines {
         let mut parts = name.strip_prefix(LINE).unwrap_or(name).splitn(3, '/');
         let (Some(cluster), Some(zone)) = (parts.next(), parts.next()) else {
-            return Err(content(name, "a line is named by its cluster, zone and address"));
+            return Err(content(
+                name,
+                "a line is named by its cluster, zone and address",
+            ));
         };
         let line = endpoint::LbEndpoint::decode(bytes).map_err(decode)?;
-        by_cluster.entry((cluster.to_string(), zone.to_string())).or_default().push(line);
+        by_cluster
+            .entry((cluster.to_string(), zone.to_string()))
+            .or_default()
+            .push(line);
     }
     let mut made = Vec::new();
     for bytes in assignments {
         let mut assignment = endpoint::ClusterLoadAssignment::decode(bytes).map_err(decode)?;
         for locality in &mut assignment.endpoints {
-            let zone = locality.locality.as_ref().map_or("", |locality| locality.zone.as_str()).to_string();
+            let zone = locality
+                .locality
+                .as_ref()
+                .map_or("", |locality| locality.zone.as_str())
+                .to_string();
             let lines = by_cluster.remove(&(assignment.cluster_name.clone(), zone));
             locality.lb_endpoints = lines.unwrap_or_default();
         }
--- a/crates/xds/src/json.rs
+++ b/crates/xds/src/json.rs
@@ -44,14 +44,21 @@
         ..FieldDescriptorProto::default()
     };
     FileDescriptorProto {
-        name: Some("envoy/extensions/filters/http/local_ratelimit/v3/local_rate_limit.proto".to_string()),
+        name: Some(
+            "envoy/extensions/filters/http/local_ratelimit/v3/local_rate_limit.proto".to_string(),
+        ),
         package: Some(LocalRateLimit::PACKAGE.to_string()),
         dependency: vec!["envoy/type/v3/token_bucket.proto".to_string()],
         message_type: vec![DescriptorProto {
             name: Some(LocalRateLimit::NAME.to_string()),
             field: vec![
                 field("stat_prefix", 1, Type::String, None),
-                field("token_bucket", 3, Type::Message, Some(".envoy.type.v3.TokenBucket")),
+                field(
+                    "token_bucket",
+                    3,
+                    Type::Message,
+                    Some(".envoy.type.v3.TokenBucket"),
+                ),
             ],
             ..DescriptorProto::default()
         }],
@@ -64,33 +71,47 @@
     static POOL: OnceLock<DescriptorPool> = OnceLock::new();
     POOL.get_or_init(|| {
         // Built into the program: whether they fit together is settled by the first test, not by input.
-        let mut pool = DescriptorPool::decode(xds_api::FILE_DESCRIPTOR_SET).expect("the definitions decode");
-        pool.add_file_descriptor_proto(local_rate_limit()).expect("the added definition fits them");
+        let mut pool =
+            DescriptorPool::decode(xds_api::FILE_DESCRIPTOR_SET).expect("the definitions decode");
+        pool.add_file_descriptor_proto(local_rate_limit())
+            .expect("the added definition fits them");
         pool
     })
 }
 
 fn descriptor<T: Name>() -> MessageDescriptor {
-    pool().get_message_by_name(&T::full_name()).expect("a message of the definitions")
+    pool()
+        .get_message_by_name(&T::full_name())
+        .expect("a message of the definitions")
 }
 
 /// Canonical JSON: field names in lowerCamelCase, numbers as numbers where they are, 64 bits as text.
 pub fn write<T: Message + Name>(message: &T) -> Result<String, Unreadable> {
-    let named = |text: String| Unreadable::Json { message: T::full_name(), text };
+    let named = |text: String| Unreadable::Json {
+        message: T::full_name(),
+        text,
+    };
     let bytes = message.encode_to_vec();
-    let dynamic =
-        DynamicMessage::decode(descriptor::<T>(), bytes.as_slice()).map_err(|e| named(e.to_string()))?;
+    let dynamic = DynamicMessage::decode(descriptor::<T>(), bytes.as_slice())
+        .map_err(|e| named(e.to_string()))?;
     let mut out = Vec::new();
     let mut to = serde_json::Serializer::pretty(&mut out);
-    let options = SerializeOptions::new().stringify_64_bit_integers(true).skip_default_fields(true);
-    dynamic.serialize_with_options(&mut to, &options).map_err(|e| named(e.to_string()))?;
+    let options = SerializeOptions::new()
+        .stringify_64_bit_integers(true)
+        .skip_default_fields(true);
+    dynamic
+        .serialize_with_options(&mut to, &options)
+        .map_err(|e| named(e.to_string()))?;
     out.push(b'\n');
     String::from_utf8(out).map_err(|e| named(e.to_string()))
 }
 
 /// Unknown fields are refused: a list with a misspelt health status must not pass for a healthy one.
 pub fn read<T: Message + Name + Default>(text: &str) -> Result<T, Unreadable> {
-    let named = |text: String| Unreadable::Json { message: T::full_name(), text };
+    let named = |text: String| Unreadable::Json {
+        message: T::full_name(),
+        text,
+    };
     let mut from = serde_json::Deserializer::from_str(text);
     let options = DeserializeOptions::new().deny_unknown_fields(true);
     let dynamic = DynamicMessage::deserialize_with_options(descriptor::<T>(), &mut from, &options)
@@ -101,7 +122,10 @@
 
 /// A response that holds resources of one kind.
 pub fn response<T: Message + Name>(version: &str, resources: &[T]) -> DiscoveryResponse {
-    let any = |resource: &T| Any { type_url: T::type_url(), value: resource.encode_to_vec() };
+    let any = |resource: &T| Any {
+        type_url: T::type_url(),
+        value: resource.encode_to_vec(),
+    };
     DiscoveryResponse {
         version_info: version.to_string(),
         type_url: T::type_url(),
@@ -110,14 +134,23 @@
     }
 }
 
-pub fn resources<T: Message + Name + Default>(response: &DiscoveryResponse) -> Result<Vec<T>, Unreadable> {
+pub fn resources<T: Message + Name + Default>(
+    response: &DiscoveryResponse,
+) -> Result<Vec<T>, Unreadable> {
     let mut found = Vec::new();
     for (at, any) in response.resources.iter().enumerate() {
         if any.type_url != T::type_url() {
-            return Err(Unreadable::Kind { at, found: any.type_url.clone(), wanted: T::type_url() });
+            return Err(Unreadable::Kind {
+                at,
+                found: any.type_url.clone(),
+                wanted: T::type_url(),
+            });
         }
         let resource = T::decode(any.value.as_slice());
-        found.push(resource.map_err(|e| Unreadable::Decode { at, text: e.to_string() })?);
+        found.push(resource.map_err(|e| Unreadable::Decode {
+            at,
+            text: e.to_string(),
+        })?);
     }
     Ok(found)
 }
--- a/crates/xds/src/lib.rs
+++ b/crates/xds/src/lib.rs
@@ -19,7 +19,11 @@
     #[error("no proto3 JSON of {message}: {text}")]
     Json { message: String, text: String },
     #[error("resource {at} is a `{found}`, `{wanted}` is expected")]
-    Kind { at: usize, found: String, wanted: String },
+    Kind {
+        at: usize,
+        found: String,
+        wanted: String,
+    },
     #[error("resource {at} can't be decoded: {text}")]
     Decode { at: usize, text: String },
     #[error("{place}: {text}")]
@@ -27,7 +31,10 @@
 }
 
 pub(crate) fn content(place: impl Into<String>, text: impl Into<String>) -> Unreadable {
-    Unreadable::Content { place: place.into(), text: text.into() }
+    Unreadable::Content {
+        place: place.into(),
+        text: text.into(),
+    }
 }
 
 pub(crate) fn address(node: NodeId) -> core::Address {
@@ -35,22 +42,34 @@
     core::Address {
         address: Some(core::address::Address::SocketAddress(core::SocketAddress {
             address: format!("{a}.{b}.{c}.{d}"),
-            port_specifier: Some(core::socket_address::PortSpecifier::PortValue(u32::from(node.port))),
+            port_specifier: Some(core::socket_address::PortSpecifier::PortValue(u32::from(
+                node.port,
+            ))),
             ..core::SocketAddress::default()
         })),
     }
 }
 
 pub(crate) fn node_id(address: Option<&core::Address>) -> Result<NodeId, String> {
-    let Some(core::address::Address::SocketAddress(socket)) = address.and_then(|a| a.address.as_ref()) else {
+    let Some(core::address::Address::SocketAddress(socket)) =
+        address.and_then(|a| a.address.as_ref())
+    else {
         return Err("a socket address is expected".to_string());
     };
     let text = &socket.address;
-    let ip: std::net::Ipv4Addr = text.parse().map_err(|_| format!("`{text}` is no IPv4 address"))?;
+    let ip: std::net::Ipv4Addr = text
+        .parse()
+        .map_err(|_| format!("`{text}` is no IPv4 address"))?;
     let port = match socket.port_specifier {
         Some(core::socket_address::PortSpecifier::PortValue(port)) => port,
         _ => return Err("a port number is expected".to_string()),
     };
-    let port = u16::try_from(port).ok().filter(|port| *port > 0).ok_or(format!("{port} is no port"))?;
-    Ok(NodeId { address: ip.octets(), port })
+    let port = u16::try_from(port)
+        .ok()
+        .filter(|port| *port > 0)
+        .ok_or(format!("{port} is no port"))?;
+    Ok(NodeId {
+        address: ip.octets(),
+        port,
+    })
 }
--- a/crates/xds/src/loads.rs
+++ b/crates/xds/src/loads.rs
@@ -22,15 +22,24 @@
 }
 
 pub fn decode_response(bytes: &[u8]) -> Result<Span, Unreadable> {
-    let response = LoadStatsResponse::decode(bytes).map_err(|e| content("an answer", e.to_string()))?;
-    let interval = response.load_reporting_interval.unwrap_or(Duration { seconds: 1, nanos: 0 });
-    Ok(Span::from_seconds(interval.seconds as f64 + f64::from(interval.nanos) / 1e9))
+    let response =
+        LoadStatsResponse::decode(bytes).map_err(|e| content("an answer", e.to_string()))?;
+    let interval = response.load_reporting_interval.unwrap_or(Duration {
+        seconds: 1,
+        nanos: 0,
+    });
+    Ok(Span::from_seconds(
+        interval.seconds as f64 + f64::from(interval.nanos) / 1e9,
+    ))
 }
 
 /// Asks for reports of all clusters, by endpoint, at each period.
 pub fn response(period: Span) -> Vec<u8> {
     let us = period.micros();
-    let interval = Duration { seconds: us / 1_000_000, nanos: (us % 1_000_000) as i32 * 1000 };
+    let interval = Duration {
+        seconds: us / 1_000_000,
+        nanos: (us % 1_000_000) as i32 * 1000,
+    };
     LoadStatsResponse {
         send_all_clusters: true,
         load_reporting_interval: Some(interval),
@@ -46,24 +55,45 @@
 
 /// How a node introduces itself, on whichever stream.
 pub(crate) fn introduced(node: &core::Node) -> Introduction {
-    let told = node.metadata.as_ref().and_then(|told| told.fields.get("usual_rate"));
+    let told = node
+        .metadata
+        .as_ref()
+        .and_then(|told| told.fields.get("usual_rate"));
     let usual_rate = match told.and_then(|value| value.kind.as_ref()) {
         Some(Kind::NumberValue(rate)) => Some(*rate),
         _ => None,
     };
-    let zone = node.locality.as_ref().map_or(String::new(), |locality| locality.zone.clone());
-    Introduction { name: node.id.clone(), zone, usual_rate }
+    let zone = node
+        .locality
+        .as_ref()
+        .map_or(String::new(), |locality| locality.zone.clone());
+    Introduction {
+        name: node.id.clone(),
+        zone,
+        usual_rate,
+    }
 }
 
 /// The first request of a stream, from a proxy that introduces itself.
 pub fn introduce(who: &Introduction) -> LoadStatsRequest {
-    let rate =
-        who.usual_rate.map(|rate| ("usual_rate".to_string(), Value { kind: Some(Kind::NumberValue(rate)) }));
+    let rate = who.usual_rate.map(|rate| {
+        (
+            "usual_rate".to_string(),
+            Value {
+                kind: Some(Kind::NumberValue(rate)),
+            },
+        )
+    });
     LoadStatsRequest {
         node: Some(core::Node {
             id: who.name.clone(),
-            metadata: rate.map(|rate| Struct { fields: [rate].into() }),
-            locality: Some(core::Locality { zone: who.zone.clone(), ..core::Locality::default() }),
+            metadata: rate.map(|rate| Struct {
+                fields: [rate].into(),
+            }),
+            locality: Some(core::Locality {
+                zone: who.zone.clone(),
+                ..core::Locality::default()
+            }),
             ..core::Node::default()
         }),
         cluster_stats: Vec::new(),
@@ -74,7 +104,9 @@
 pub fn report(request: &LoadStatsRequest) -> Option<Report> {
     let first = request.cluster_stats.first()?;
     let over = first.load_report_interval.as_ref();
-    let over = over.map_or(0.0, |over| over.seconds as f64 + f64::from(over.nanos) / 1e9);
+    let over = over.map_or(0.0, |over| {
+        over.seconds as f64 + f64::from(over.nanos) / 1e9
+    });
     Some(Report {
         over: Span::from_seconds(over),
         operations: request.cluster_stats.iter().map(operation).collect(),
@@ -100,8 +132,10 @@
 
 fn node(stats: &endpoint::UpstreamEndpointStats) -> NodeReport {
     let metric = |metric: &endpoint::EndpointLoadMetricStats| {
-        let read =
-            Metric { count: metric.num_requests_finished_with_metric, total: metric.total_metric_value };
+        let read = Metric {
+            count: metric.num_requests_finished_with_metric,
+            total: metric.total_metric_value,
+        };
         (metric.metric_name.clone(), read)
     };
     NodeReport {
@@ -116,7 +150,10 @@
 /// The request that brings a report.
 pub fn request(report: &Report, zone_of: impl Fn(&NodeReport) -> String) -> LoadStatsRequest {
     let us = report.over.micros();
-    let over = Duration { seconds: us / 1_000_000, nanos: (us % 1_000_000) as i32 * 1000 };
+    let over = Duration {
+        seconds: us / 1_000_000,
+        nanos: (us % 1_000_000) as i32 * 1000,
+    };
     let stats = |told: &OperationReport| {
         let mut zones: BTreeMap<String, Vec<&NodeReport>> = BTreeMap::new();
         for node in &told.nodes {
@@ -125,15 +162,28 @@
         let mut repeats = told.repeats;
         let locality = |(zone, nodes): (String, Vec<&NodeReport>)| {
             let mine = std::mem::take(&mut repeats);
-            let metric =
-                (mine > 0).then(|| metric_stats(REPEATS, Metric { count: mine, total: mine as f64 }));
+            let metric = (mine > 0).then(|| {
+                metric_stats(
+                    REPEATS,
+                    Metric {
+                        count: mine,
+                        total: mine as f64,
+                    },
+                )
+            });
             endpoint::UpstreamLocalityStats {
-                locality: Some(core::Locality { zone, ..core::Locality::default() }),
+                locality: Some(core::Locality {
+                    zone,
+                    ..core::Locality::default()
+                }),
                 total_successful_requests: nodes
                     .iter()
                     .map(|node| node.succeeded)
                     .fold(0, u64::saturating_add),
-                total_error_requests: nodes.iter().map(|node| node.errored).fold(0, u64::saturating_add),
+                total_error_requests: nodes
+                    .iter()
+                    .map(|node| node.errored)
+                    .fold(0, u64::saturating_add),
                 total_requests_in_progress: nodes
                     .iter()
                     .map(|node| node.in_progress)
@@ -151,7 +201,10 @@
             ..endpoint::ClusterStats::default()
         }
     };
-    LoadStatsRequest { node: None, cluster_stats: report.operations.iter().map(stats).collect() }
+    LoadStatsRequest {
+        node: None,
+        cluster_stats: report.operations.iter().map(stats).collect(),
+    }
 }
 
 fn metric_stats(name: &str, metric: Metric) -> endpoint::EndpointLoadMetricStats {
@@ -169,7 +222,11 @@
         total_requests_in_progress: node.in_progress,
         total_error_requests: node.errored,
         total_issued_requests: node.succeeded.saturating_add(node.errored),
-        load_metric_stats: node.metrics.iter().map(|(name, metric)| metric_stats(name, *metric)).collect(),
+        load_metric_stats: node
+            .metrics
+            .iter()
+            .map(|(name, metric)| metric_stats(name, *metric))
+            .collect(),
         ..endpoint::UpstreamEndpointStats::default()
     }
 }
@@ -182,11 +239,21 @@
 
     fn node_report(port: u16, succeeded: u64, errored: u64, latency: f64) -> NodeReport {
         NodeReport {
-            node: Some(NodeId { address: [127, 0, 0, 1], port }),
+            node: Some(NodeId {
+                address: [127, 0, 0, 1],
+                port,
+            }),
             succeeded,
             errored,
             in_progress: 1,
-            metrics: [("latency_ms".to_string(), Metric { count: succeeded, total: latency })].into(),
+            metrics: [(
+                "latency_ms".to_string(),
+                Metric {
+                    count: succeeded,
+                    total: latency,
+                },
+            )]
+            .into(),
         }
     }
 
@@ -215,9 +282,19 @@
 
     #[test]
     fn who_introduces_itself_is_known() {
-        let who = Introduction { name: "g1".into(), zone: "north".into(), usual_rate: Some(12.5) };
+        let who = Introduction {
+            name: "g1".into(),
+            zone: "north".into(),
+            usual_rate: Some(12.5),
+        };
         let request = introduce(&who);
-        assert_eq!((introduction(&request), report(&request)), (Some(who), None));
-        assert_eq!(decode_response(&response(Span::from_seconds(0.5))), Ok(Span::from_seconds(0.5)));
+        assert_eq!(
+            (introduction(&request), report(&request)),
+            (Some(who), None)
+        );
+        assert_eq!(
+            decode_response(&response(Span::from_seconds(0.5))),
+            Ok(Span::from_seconds(0.5))
+        );
     }
 }
--- a/crates/xds/src/nodes.rs
+++ b/crates/xds/src/nodes.rs
@@ -20,14 +20,22 @@
     let mut records = BTreeMap::new();
     for assignment in &assignments {
         for locality in &assignment.endpoints {
-            let zone = locality.locality.as_ref().map_or("", |locality| locality.zone.as_str());
+            let zone = locality
+                .locality
+                .as_ref()
+                .map_or("", |locality| locality.zone.as_str());
             for (at, lb) in locality.lb_endpoints.iter().enumerate() {
                 let place = format!("{}, zone `{zone}`, endpoint {at}", assignment.cluster_name);
-                if let Some(record) = record(zone, lb, wall).map_err(|text| content(place.clone(), text))? {
+                if let Some(record) =
+                    record(zone, lb, wall).map_err(|text| content(place.clone(), text))?
+                {
                     // One node may serve several clusters; it must be told alike in all of them.
                     match records.insert(record.node, record.clone()) {
                         Some(before) if before != record => {
-                            return Err(content(place, "the node is listed before with other figures"));
+                            return Err(content(
+                                place,
+                                "the node is listed before with other figures",
+                            ));
                         }
                         _ => {}
                     }
@@ -35,7 +43,10 @@
             }
         }
     }
-    Ok(NodeList { version: response.version_info, records: records.into_values().collect() })
+    Ok(NodeList {
+        version: response.version_info,
+        records: records.into_values().collect(),
+    })
 }
 
 fn record(zone: &str, lb: &endpoint::LbEndpoint, wall: f64) -> Result<Option<NodeRecord>, String> {
@@ -44,27 +55,44 @@
     };
     let node = node_id(host.address.as_ref())?;
     let draining = match core::HealthStatus::try_from(lb.health_status) {
-        Ok(core::HealthStatus::Unknown | core::HealthStatus::Healthy | core::HealthStatus::Degraded) => false,
+        Ok(
+            core::HealthStatus::Unknown
+            | core::HealthStatus::Healthy
+            | core::HealthStatus::Degraded,
+        ) => false,
         Ok(core::HealthStatus::Draining) => true,
         // Listed as unfit: for those who send it is as if it were not listed.
         Ok(core::HealthStatus::Unhealthy | core::HealthStatus::Timeout) => return Ok(None),
         Err(_) => return Err(format!("{} is no health status", lb.health_status)),
     };
-    let weight = lb.load_balancing_weight.as_ref().map_or(1, |weight| weight.value);
+    let weight = lb
+        .load_balancing_weight
+        .as_ref()
+        .map_or(1, |weight| weight.value);
     if weight == 0 {
         return Err("a weight of 0: leave the node out, or let it drain".to_string());
     }
-    let told = lb.metadata.as_ref().and_then(|metadata| metadata.filter_metadata.get(METADATA));
-    let text = |name: &str| match told.and_then(|told| told.fields.get(name)).and_then(|v| v.kind.as_ref()) {
+    let told = lb
+        .metadata
+        .as_ref()
+        .and_then(|metadata| metadata.filter_metadata.get(METADATA));
+    let text = |name: &str| match told
+        .and_then(|told| told.fields.get(name))
+        .and_then(|v| v.kind.as_ref())
+    {
         Some(Kind::StringValue(text)) => Ok(text.clone()),
         None => Ok(String::new()),
         Some(_) => Err(format!("`{name}` in its metadata should be a text")),
     };
-    let started = match told.and_then(|told| told.fields.get("started")).and_then(|v| v.kind.as_ref()) {
+    let started = match told
+        .and_then(|told| told.fields.get("started"))
+        .and_then(|v| v.kind.as_ref())
+    {
         None => None,
-        Some(Kind::NumberValue(at)) if at.is_finite() => {
-            Some((format!("{at}"), Span::from_seconds((wall - at).clamp(0.0, 1e8))))
-        }
+        Some(Kind::NumberValue(at)) if at.is_finite() => Some((
+            format!("{at}"),
+            Span::from_seconds((wall - at).clamp(0.0, 1e8)),
+        )),
         Some(_) => return Err("`started` in its metadata should be a number".to_string()),
     };
     Ok(Some(NodeRecord {
@@ -88,30 +116,50 @@
                 fields.insert(name, Kind::StringValue(text.clone()));
             }
         }
-        if let Some(at) = record.started.as_ref().and_then(|(run, _)| run.parse::<f64>().ok()) {
+        if let Some(at) = record
+            .started
+            .as_ref()
+            .and_then(|(run, _)| run.parse::<f64>().ok())
+        {
             fields.insert("started", Kind::NumberValue(at));
         }
         let value = |(name, kind): (&str, Kind)| (name.to_string(), Value { kind: Some(kind) });
-        let told = Struct { fields: fields.into_iter().map(value).collect() };
-        let health = if record.draining { core::HealthStatus::Draining } else { core::HealthStatus::Healthy };
-        zones.entry(&record.zone).or_default().push(endpoint::LbEndpoint {
-            health_status: health.into(),
-            metadata: Some(core::Metadata {
-                filter_metadata: [(METADATA.to_string(), told)].into(),
-                ..core::Metadata::default()
+        let told = Struct {
+            fields: fields.into_iter().map(value).collect(),
+        };
+        let health = if record.draining {
+            core::HealthStatus::Draining
+        } else {
+            core::HealthStatus::Healthy
+        };
+        zones
+            .entry(&record.zone)
+            .or_default()
+            .push(endpoint::LbEndpoint {
+                health_status: health.into(),
+                metadata: Some(core::Metadata {
+                    filter_metadata: [(METADATA.to_string(), told)].into(),
+                    ..core::Metadata::default()
+                }),
+                load_balancing_weight: Some((record.weight as u32).max(1).into()),
+                host_identifier: Some(endpoint::lb_endpoint::HostIdentifier::Endpoint(
+                    endpoint::Endpoint {
+                        address: Some(address(record.node)),
+                        ..endpoint::Endpoint::default()
+                    },
+                )),
+            });
+    }
+    let endpoints = zones
+        .into_iter()
+        .map(|(zone, lb_endpoints)| endpoint::LocalityLbEndpoints {
+            locality: Some(core::Locality {
+                zone: zone.to_string(),
+                ..core::Locality::default()
             }),
-            load_balancing_weight: Some((record.weight as u32).max(1).into()),
-            host_identifier: Some(endpoint::lb_endpoint::HostIdentifier::Endpoint(endpoint::Endpoint {
-                address: Some(address(record.node)),
-                ..endpoint::Endpoint::default()
-            })),
+            lb_endpoints,
+            ..endpoint::LocalityLbEndpoints::default()
         });
-    }
-    let endpoints = zones.into_iter().map(|(zone, lb_endpoints)| endpoint::LocalityLbEndpoints {
-        locality: Some(core::Locality { zone: zone.to_string(), ..core::Locality::default() }),
-        lb_endpoints,
-        ..endpoint::LocalityLbEndpoints::default()
-    });
     let assignment = endpoint::ClusterLoadAssignment {
         cluster_name: "nodes".to_string(),
         endpoints: endpoints.collect(),
@@ -149,10 +197,22 @@
         let list = read(LIST, 1060.0).expect("it is of the published form");
         assert_eq!((list.version.as_str(), list.records.len()), ("17", 2));
         let (first, second) = (&list.records[0], &list.records[1]);
-        assert_eq!((first.weight, first.kind.as_str(), first.draining), (3.0, "large", false));
-        assert_eq!(first.started, Some(("1000".to_string(), Span::from_seconds(60.0))));
-        assert_eq!((second.draining, second.weight, second.started.is_none()), (true, 1.0, true));
-        assert_eq!(read(&write(&list).expect("it can be written"), 1060.0), Ok(list));
+        assert_eq!(
+            (first.weight, first.kind.as_str(), first.draining),
+            (3.0, "large", false)
+        );
+        assert_eq!(
+            first.started,
+            Some(("1000".to_string(), Span::from_seconds(60.0)))
+        );
+        assert_eq!(
+            (second.draining, second.weight, second.started.is_none()),
+            (true, 1.0, true)
+        );
+        assert_eq!(
+            read(&write(&list).expect("it can be written"), 1060.0),
+            Ok(list)
+        );
     }
 
     #[test_case("", "EOF"; "empty")]
--- a/crates/xds/src/orca.rs
+++ b/crates/xds/src/orca.rs
@@ -8,7 +8,10 @@
 
 /// Writes figures as a `TEXT` report.
 pub fn write(figures: &[(&str, f64)]) -> String {
-    let pairs: Vec<String> = figures.iter().map(|(name, value)| format!("{name}={value}")).collect();
+    let pairs: Vec<String> = figures
+        .iter()
+        .map(|(name, value)| format!("{name}={value}"))
+        .collect();
     format!("TEXT {}", pairs.join(","))
 }
 
@@ -21,7 +24,12 @@
                 let (name, value) = pair.split_once(['=', ':'])?;
                 Some((name.trim().to_string(), value.trim().parse().ok()?))
             };
-            pairs.split(',').take(MOST).filter_map(pair).filter(fine).collect()
+            pairs
+                .split(',')
+                .take(MOST)
+                .filter_map(pair)
+                .filter(fine)
+                .collect()
         }
         Some(("JSON", text)) => {
             let Ok(serde_json::Value::Object(fields)) = serde_json::from_str(text) else {
@@ -30,10 +38,16 @@
             let mut figures = BTreeMap::new();
             for (name, value) in fields.iter().take(MOST) {
                 let inner = value.as_object().into_iter().flatten().take(MOST);
-                let inner = inner
-                    .filter_map(|(key, value)| Some((format!("{}.{key}", snake(name)), value.as_f64()?)));
+                let inner = inner.filter_map(|(key, value)| {
+                    Some((format!("{}.{key}", snake(name)), value.as_f64()?))
+                });
                 figures.extend(inner.filter(fine));
-                figures.extend(value.as_f64().map(|value| (snake(name), value)).filter(fine));
+                figures.extend(
+                    value
+                        .as_f64()
+                        .map(|value| (snake(name), value))
+                        .filter(fine),
+                );
             }
             figures
         }
--- a/crates/xds/src/status.rs
+++ b/crates/xds/src/status.rs
@@ -29,7 +29,10 @@
         ..UpdateFailureState::default()
     };
     json::write(&ClientConfig {
-        node: Some(core::Node { id: status.proxy.clone(), ..core::Node::default() }),
+        node: Some(core::Node {
+            id: status.proxy.clone(),
+            ..core::Node::default()
+        }),
         generic_xds_configs: vec![GenericXdsConfig {
             type_url: ClusterLoadAssignment::type_url(),
             version_info: status.version.0.to_string(),
@@ -43,19 +46,33 @@
 
 pub fn read(text: &str) -> Result<Status, Unreadable> {
     let config: ClientConfig = json::read(text)?;
-    let proxy = config.node.as_ref().map(|node| node.id.clone()).unwrap_or_default();
+    let proxy = config
+        .node
+        .as_ref()
+        .map(|node| node.id.clone())
+        .unwrap_or_default();
     let wanted = ClusterLoadAssignment::type_url();
-    let endpoints = config.generic_xds_configs.iter().find(|config| config.type_url == wanted);
+    let endpoints = config
+        .generic_xds_configs
+        .iter()
+        .find(|config| config.type_url == wanted);
     let endpoints = endpoints.ok_or_else(|| content("status", "it says nothing of endpoints"))?;
     let version = |text: &str| match text {
         "" => Ok(Version(0)),
-        text => text.parse().map(Version).map_err(|_| content("status", format!("`{text}` is no version"))),
+        text => text
+            .parse()
+            .map(Version)
+            .map_err(|_| content("status", format!("`{text}` is no version"))),
     };
     let refused = match &endpoints.error_state {
         Some(failure) => Some((version(&failure.version_info)?, failure.details.clone())),
         None => None,
     };
-    Ok(Status { proxy, version: version(&endpoints.version_info)?, refused })
+    Ok(Status {
+        proxy,
+        version: version(&endpoints.version_info)?,
+        refused,
+    })
 }
 
 #[cfg(test)]
--- a/crates/xds/src/tables.rs
+++ b/crates/xds/src/tables.rs
@@ -13,9 +13,13 @@
 use wheelspread_session::deployment::{Deployment, LevelForm};
 use xds_api::pb::envoy::config::core::v3 as core;
 use xds_api::pb::envoy::config::endpoint::v3 as endpoint;
-use xds_api::pb::envoy::config::endpoint::v3::cluster_load_assignment::{policy::DropOverload, Policy};
+use xds_api::pb::envoy::config::endpoint::v3::cluster_load_assignment::{
+    policy::DropOverload, Policy,
+};
 use xds_api::pb::envoy::config::route::v3 as route;
-use xds_api::pb::envoy::r#type::v3::{fractional_percent::DenominatorType, FractionalPercent, TokenBucket};
+use xds_api::pb::envoy::r#type::v3::{
+    fractional_percent::DenominatorType, FractionalPercent, TokenBucket,
+};
 use xds_api::pb::envoy::service::discovery::v3::DiscoveryResponse;
 use xds_api::pb::google::protobuf::{Any, Duration};
 
@@ -28,9 +32,24 @@
 
 /// How each retry order is said: conditions, number of tries more, whether a try is given up early.
 const RETRIES: &[(Retry, &str, u32, bool)] = &[
-    (Retry::AfterProofItNeverRan, "connect-failure,refused-stream,reset-before-request", 1, false),
-    (Retry::OnceAfterAnyFailure, "5xx,reset,connect-failure,refused-stream,retriable-4xx", 1, true),
-    (Retry::TwiceAfterAnyFailure, "5xx,reset,connect-failure,refused-stream,retriable-4xx", 2, true),
+    (
+        Retry::AfterProofItNeverRan,
+        "connect-failure,refused-stream,reset-before-request",
+        1,
+        false,
+    ),
+    (
+        Retry::OnceAfterAnyFailure,
+        "5xx,reset,connect-failure,refused-stream,retriable-4xx",
+        1,
+        true,
+    ),
+    (
+        Retry::TwiceAfterAnyFailure,
+        "5xx,reset,connect-failure,refused-stream,retriable-4xx",
+        2,
+        true,
+    ),
 ];
 
 /// The two documents of a version.
@@ -62,7 +81,10 @@
 
 fn duration(span: Span) -> Duration {
     let us = span.micros();
-    Duration { seconds: us.div_euclid(1_000_000), nanos: us.rem_euclid(1_000_000) as i32 * 1000 }
+    Duration {
+        seconds: us.div_euclid(1_000_000),
+        nanos: us.rem_euclid(1_000_000) as i32 * 1000,
+    }
 }
 
 fn span(duration: &Duration) -> Span {
@@ -73,13 +95,28 @@
 pub fn resources(
     set: &TableSet,
     plan: &Deployment,
-) -> (Vec<endpoint::ClusterLoadAssignment>, route::RouteConfiguration) {
-    let name =
-        |id: OperationId| plan.operations.get(usize::from(id.0)).map(|operation| operation.name.clone());
-    let named: Vec<(String, &OperationTable)> =
-        set.operations.iter().filter_map(|table| Some((name(table.operation)?, table))).collect();
-    let assignments = named.iter().map(|(name, table)| assignment(name, table, plan)).collect();
-    let routes = named.iter().map(|(name, table)| route_of(name, table, plan)).collect();
+) -> (
+    Vec<endpoint::ClusterLoadAssignment>,
+    route::RouteConfiguration,
+) {
+    let name = |id: OperationId| {
+        plan.operations
+            .get(usize::from(id.0))
+            .map(|operation| operation.name.clone())
+    };
+    let named: Vec<(String, &OperationTable)> = set
+        .operations
+        .iter()
+        .filter_map(|table| Some((name(table.operation)?, table)))
+        .collect();
+    let assignments = named
+        .iter()
+        .map(|(name, table)| assignment(name, table, plan))
+        .collect();
+    let routes = named
+        .iter()
+        .map(|(name, table)| route_of(name, table, plan))
+        .collect();
     let configuration = route::RouteConfiguration {
         name: "operations".to_string(),
         virtual_hosts: vec![route::VirtualHost {
@@ -102,26 +139,42 @@
     })
 }
 
-fn assignment(name: &str, table: &OperationTable, plan: &Deployment) -> endpoint::ClusterLoadAssignment {
+fn assignment(
+    name: &str,
+    table: &OperationTable,
+    plan: &Deployment,
+) -> endpoint::ClusterLoadAssignment {
     let mut zones: BTreeMap<&str, Vec<endpoint::LbEndpoint>> = BTreeMap::new();
     for line in &table.lines {
         let weight = (line.weight * WEIGHT_UNIT).round().clamp(1.0, 1e9) as u32;
-        zones.entry(&line.zone).or_default().push(endpoint::LbEndpoint {
-            health_status: core::HealthStatus::Healthy.into(),
-            load_balancing_weight: Some(weight.into()),
-            host_identifier: Some(endpoint::lb_endpoint::HostIdentifier::Endpoint(endpoint::Endpoint {
-                address: Some(address(line.node)),
-                ..endpoint::Endpoint::default()
-            })),
-            ..endpoint::LbEndpoint::default()
-        });
+        zones
+            .entry(&line.zone)
+            .or_default()
+            .push(endpoint::LbEndpoint {
+                health_status: core::HealthStatus::Healthy.into(),
+                load_balancing_weight: Some(weight.into()),
+                host_identifier: Some(endpoint::lb_endpoint::HostIdentifier::Endpoint(
+                    endpoint::Endpoint {
+                        address: Some(address(line.node)),
+                        ..endpoint::Endpoint::default()
+                    },
+                )),
+                ..endpoint::LbEndpoint::default()
+            });
     }
-    let endpoints = zones.into_iter().map(|(zone, lb_endpoints)| endpoint::LocalityLbEndpoints {
-        locality: Some(core::Locality { zone: zone.to_string(), ..core::Locality::default() }),
-        lb_endpoints,
-        ..endpoint::LocalityLbEndpoints::default()
-    });
-    let share = table.quota.filter(|quota| plan.admission == LevelForm::Share && *quota < 1.0);
+    let endpoints = zones
+        .into_iter()
+        .map(|(zone, lb_endpoints)| endpoint::LocalityLbEndpoints {
+            locality: Some(core::Locality {
+                zone: zone.to_string(),
+                ..core::Locality::default()
+            }),
+            lb_endpoints,
+            ..endpoint::LocalityLbEndpoints::default()
+        });
+    let share = table
+        .quota
+        .filter(|quota| plan.admission == LevelForm::Share && *quota < 1.0);
     let drop_overloads = share.map(|share| DropOverload {
         category: DROPPED.to_string(),
         drop_percentage: Some(FractionalPercent {
@@ -129,8 +182,10 @@
             denominator: DenominatorType::Million.into(),
         }),
     });
-    let policy =
-        drop_overloads.map(|overload| Policy { drop_overloads: vec![overload], ..Policy::default() });
+    let policy = drop_overloads.map(|overload| Policy {
+        drop_overloads: vec![overload],
+        ..Policy::default()
+    });
     endpoint::ClusterLoadAssignment {
         cluster_name: name.to_string(),
         endpoints: endpoints.collect(),
@@ -153,7 +208,9 @@
         retriable_status_codes: Vec::new(),
         ..route::RetryPolicy::default()
     });
-    let rate = table.quota.filter(|quota| plan.admission == LevelForm::Rate && quota.is_finite());
+    let rate = table
+        .quota
+        .filter(|quota| plan.admission == LevelForm::Rate && quota.is_finite());
     let limit = rate.map(|rate| {
         // A bucket filled once a second holds whole tokens; low rates are filled more rarely.
         let seconds = if rate >= 10.0 { 1.0 } else { 10.0 };
@@ -166,19 +223,27 @@
                 fill_interval: Some(duration(Span::from_seconds(seconds))),
             }),
         };
-        let any = Any { type_url: LocalRateLimit::type_url(), value: limit.encode_to_vec() };
+        let any = Any {
+            type_url: LocalRateLimit::type_url(),
+            value: limit.encode_to_vec(),
+        };
         (LOCAL_RATE_LIMIT.to_string(), any)
     });
     let action = route::RouteAction {
         timeout: Some(duration(operation.integration_timeout)),
         retry_policy,
-        cluster_specifier: Some(route::route_action::ClusterSpecifier::Cluster(name.to_string())),
+        cluster_specifier: Some(route::route_action::ClusterSpecifier::Cluster(
+            name.to_string(),
+        )),
         ..route::RouteAction::default()
     };
     let path = route::route_match::PathSpecifier::PathSeparatedPrefix(format!("/{name}"));
     route::Route {
         name: name.to_string(),
-        r#match: Some(route::RouteMatch { path_specifier: Some(path), ..route::RouteMatch::default() }),
+        r#match: Some(route::RouteMatch {
+            path_specifier: Some(path),
+            ..route::RouteMatch::default()
+        }),
         typed_per_filter_config: limit.into_iter().collect(),
         action: Some(route::route::Action::Route(action)),
         ..route::Route::default()
@@ -192,12 +257,21 @@
     let eds: DiscoveryResponse = json::read(&documents.eds)?;
     let rds: DiscoveryResponse = json::read(&documents.rds)?;
     if eds.version_info != rds.version_info {
-        let text = format!("version {} beside {} of the routes", eds.version_info, rds.version_info);
+        let text = format!(
+            "version {} beside {} of the routes",
+            eds.version_info, rds.version_info
+        );
         return Err(content("endpoints", text));
     }
-    let version =
-        eds.version_info.parse().map_err(|_| content("version", format!("`{}`", eds.version_info)))?;
-    orders_of(Version(version), json::resources(&eds)?, &json::resources(&rds)?)
+    let version = eds
+        .version_info
+        .parse()
+        .map_err(|_| content("version", format!("`{}`", eds.version_info)))?;
+    orders_of(
+        Version(version),
+        json::resources(&eds)?,
+        &json::resources(&rds)?,
+    )
 }
 
 /// What a proxy makes of the resources of one version.
@@ -210,12 +284,17 @@
     for assignment in assignments {
         let name = assignment.cluster_name.clone();
         let hosts = routes.iter().flat_map(|routes| &routes.virtual_hosts);
-        let route = hosts.flat_map(|host| &host.routes).find(|route| route.name == name);
+        let route = hosts
+            .flat_map(|host| &host.routes)
+            .find(|route| route.name == name);
         let route = route.ok_or_else(|| content(format!("cluster `{name}`"), "it has no route"))?;
         let place = |text: String| content(format!("operation `{name}`"), text);
         operations.push(orders(name.clone(), &assignment, route).map_err(place)?);
     }
-    Ok(Orders { version, operations })
+    Ok(Orders {
+        version,
+        operations,
+    })
 }
 
 fn orders(
@@ -225,20 +304,37 @@
 ) -> Result<OperationOrders, String> {
     let mut lines = Vec::new();
     for locality in &assignment.endpoints {
-        let zone = locality.locality.as_ref().map_or("", |locality| locality.zone.as_str());
+        let zone = locality
+            .locality
+            .as_ref()
+            .map_or("", |locality| locality.zone.as_str());
         for lb in &locality.lb_endpoints {
-            let Some(endpoint::lb_endpoint::HostIdentifier::Endpoint(host)) = &lb.host_identifier else {
+            let Some(endpoint::lb_endpoint::HostIdentifier::Endpoint(host)) = &lb.host_identifier
+            else {
                 return Err("an endpoint with an address is expected".to_string());
             };
             let node = node_id(host.address.as_ref())?;
-            let weight = lb.load_balancing_weight.as_ref().map_or(1, |weight| weight.value);
-            lines.push(Line { node, zone: zone.to_string(), weight: f64::from(weight) / WEIGHT_UNIT });
+            let weight = lb
+                .load_balancing_weight
+                .as_ref()
+                .map_or(1, |weight| weight.value);
+            lines.push(Line {
+                node,
+                zone: zone.to_string(),
+                weight: f64::from(weight) / WEIGHT_UNIT,
+            });
         }
     }
-    let overloads = assignment.policy.iter().flat_map(|policy| &policy.drop_overloads);
+    let overloads = assignment
+        .policy
+        .iter()
+        .flat_map(|policy| &policy.drop_overloads);
     let mut kept = 1.0;
     for overload in overloads {
-        let percent = overload.drop_percentage.as_ref().ok_or("a drop without its part")?;
+        let percent = overload
+            .drop_percentage
+            .as_ref()
+            .ok_or("a drop without its part")?;
         let whole = match DenominatorType::try_from(percent.denominator) {
             Ok(DenominatorType::Hundred) => 100.0,
             Ok(DenominatorType::TenThousand) => 10_000.0,
@@ -251,12 +347,16 @@
         return Err("its route leads nowhere".to_string());
     };
     let policy = action.retry_policy.as_ref();
-    let tries = policy.map_or(0, |policy| policy.num_retries.as_ref().map_or(1, |tries| tries.value));
-    let on: Vec<&str> =
-        policy.map_or(Vec::new(), |policy| policy.retry_on.split(',').map(str::trim).collect());
+    let tries = policy.map_or(0, |policy| {
+        policy.num_retries.as_ref().map_or(1, |tries| tries.value)
+    });
+    let on: Vec<&str> = policy.map_or(Vec::new(), |policy| {
+        policy.retry_on.split(',').map(str::trim).collect()
+    });
     // Any of these repeats a try that may have run.
-    let any_failure =
-        ["5xx", "gateway-error", "reset", "retriable-status-codes"].iter().any(|any| on.contains(any));
+    let any_failure = ["5xx", "gateway-error", "reset", "retriable-status-codes"]
+        .iter()
+        .any(|any| on.contains(any));
     let retry = match (tries, any_failure) {
         (0, _) => Retry::Never,
         _ if on.iter().all(|condition| condition.is_empty()) => Retry::Never,
@@ -268,8 +368,13 @@
         None => None,
         Some(any) => {
             let limit = LocalRateLimit::decode(any.value.as_slice()).map_err(|e| e.to_string())?;
-            let bucket = limit.token_bucket.ok_or("a rate limit without its bucket")?;
-            let every = bucket.fill_interval.as_ref().map_or(0.0, |interval| span(interval).seconds());
+            let bucket = limit
+                .token_bucket
+                .ok_or("a rate limit without its bucket")?;
+            let every = bucket
+                .fill_interval
+                .as_ref()
+                .map_or(0.0, |interval| span(interval).seconds());
             if every <= 0.0 {
                 return Err("a bucket that is never filled".to_string());
             }
@@ -282,7 +387,9 @@
         dropped_of_million: ((1.0 - kept) * MILLION).round() as u32,
         rate,
         retry,
-        per_try_timeout: policy.and_then(|policy| policy.per_try_timeout.as_ref()).map(span),
+        per_try_timeout: policy
+            .and_then(|policy| policy.per_try_timeout.as_ref())
+            .map(span),
         timeout: action.timeout.as_ref().map(span),
     })
 }
@@ -290,7 +397,10 @@
 /// What a conductor that starts anew makes of documents it finds: a set that can be written again.
 pub fn recover(orders: Orders, plan: &Deployment) -> TableSet {
     let known = |told: OperationOrders| {
-        let place = plan.operations.iter().position(|operation| operation.name == told.operation)?;
+        let place = plan
+            .operations
+            .iter()
+            .position(|operation| operation.name == told.operation)?;
         let share = 1.0 - f64::from(told.dropped_of_million) / MILLION;
         let quota = match plan.admission {
             LevelForm::Share => Some(share).filter(|share| *share < 1.0),
@@ -298,10 +408,21 @@
             LevelForm::None => None,
         };
         let (operation, table) = (OperationId(place as u8), TableId(u16::MAX - place as u16));
-        Some(OperationTable { operation, table, lines: told.lines, quota, retry: told.retry })
+        Some(OperationTable {
+            operation,
+            table,
+            lines: told.lines,
+            quota,
+            retry: told.retry,
+        })
     };
     let operations = orders.operations.into_iter().filter_map(known).collect();
-    TableSet { bundle: BundleId(u32::MAX), version: orders.version, configuration: 0, operations }
+    TableSet {
+        bundle: BundleId(u32::MAX),
+        version: orders.version,
+        configuration: 0,
+        operations,
+    }
 }
 
 #[cfg(test)]
@@ -321,12 +442,19 @@
       "channel": {"lines_waiting_at_most": 1000, "lines_per_second": 1000, "delay_at_most": "500ms"}}"#;
 
     fn plan(admission: LevelForm) -> Deployment {
-        Deployment { admission, first_wait: 0.5, ..serde_json::from_str(PLAN).expect("a plan") }
+        Deployment {
+            admission,
+            first_wait: 0.5,
+            ..serde_json::from_str(PLAN).expect("a plan")
+        }
     }
 
     fn set(quota: Option<f64>, retry: Retry, weights: &[f64]) -> TableSet {
         let line = |(at, weight): (usize, &f64)| Line {
-            node: NodeId { address: [127, 0, 0, 1], port: 9000 + at as u16 },
+            node: NodeId {
+                address: [127, 0, 0, 1],
+                port: 9000 + at as u16,
+            },
             zone: "north".to_string(),
             weight: *weight,
         };
@@ -338,9 +466,16 @@
             quota,
             retry,
         };
-        let operations =
-            vec![table(0, lines.clone(), quota, retry), table(1, lines, None, Retry::AfterProofItNeverRan)];
-        TableSet { bundle: BundleId(0), version: Version(42), configuration: 0, operations }
+        let operations = vec![
+            table(0, lines.clone(), quota, retry),
+            table(1, lines, None, Retry::AfterProofItNeverRan),
+        ];
+        TableSet {
+            bundle: BundleId(0),
+            version: Version(42),
+            configuration: 0,
+            operations,
+        }
     }
 
     #[test]
@@ -391,7 +526,11 @@
 
     #[test]
     fn a_rate_is_a_local_rate_limit_of_the_route() {
-        let written = write(&set(Some(2.5), Retry::Never, &[1.0]), &plan(LevelForm::Rate)).expect("written");
+        let written = write(
+            &set(Some(2.5), Retry::Never, &[1.0]),
+            &plan(LevelForm::Rate),
+        )
+        .expect("written");
         let rds: serde_json::Value = serde_json::from_str(&written.rds).expect("JSON");
         let route = &rds["resources"][0]["virtualHosts"][0]["routes"][0];
         let wanted = serde_json::json!({"envoy.filters.http.local_ratelimit": {
@@ -401,16 +540,22 @@
         assert_eq!(route["typedPerFilterConfig"], wanted);
         assert!(route["route"].get("retryPolicy").is_none());
         let orders = read(&written).expect("it can be read");
-        assert_eq!((orders.operations[0].rate, orders.operations[0].retry), (Some(2.5), Retry::Never));
+        assert_eq!(
+            (orders.operations[0].rate, orders.operations[0].retry),
+            (Some(2.5), Retry::Never)
+        );
     }
 
     #[test]
     fn documents_of_two_versions_are_no_table() {
-        let mut written = write(&set(None, Retry::Never, &[1.0]), &plan(LevelForm::Share)).expect("written");
+        let mut written =
+            write(&set(None, Retry::Never, &[1.0]), &plan(LevelForm::Share)).expect("written");
         let mut other = set(None, Retry::Never, &[1.0]);
         other.version = Version(43);
         written.rds = write(&other, &plan(LevelForm::Share)).expect("written").rds;
-        assert!(read(&written).is_err_and(|error| error.to_string().contains("version 42 beside 43")));
+        assert!(
+            read(&written).is_err_and(|error| error.to_string().contains("version 42 beside 43"))
+        );
     }
 
     proptest! {
