--- a/crates/cli/src/drill.rs
+++ b/crates/cli/src/drill.rs
@@ -3,8 +3,8 @@
 use clap::{Args, ValueEnum};
 use std::path::PathBuf;
 use std::process::ExitCode;
+use wheelspread_controller_core::deployment::FrontPlan;
 use wheelspread_drill::{run, Options, Sabotage, Script, BUILT_IN};
-use wheelspread_session::deployment::FrontPlan;
 
 #[derive(Args)]
 pub struct DrillArguments {
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -11,10 +11,10 @@
 use std::time::{Duration, Instant};
 use view::Snapshot;
 use wheelspread::time::Span;
+use wheelspread_controller_core::spans;
 use wheelspread_drain::agree::missed;
 use wheelspread_drain::{Drain, Outcome, Reply, Word};
 use wheelspread_fleet::{drain_order, Failed, Fleet, FleetFile, Request};
-use wheelspread_session::spans;
 
 use crate::operator::{NOT_CARRIED_OUT, NO_CONDUCTOR};
 use crate::BAD_INPUT;
--- a/crates/cli/src/import.rs
+++ b/crates/cli/src/import.rs
@@ -4,10 +4,10 @@
 use serde_json::json;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use wheelspread_conductor::ConductorFile;
+use wheelspread_controller::ConductorFile;
+use wheelspread_controller_core::nodes::{NodeList, NodeRecord};
 use wheelspread_import::pools::plain;
 use wheelspread_import::{load, pools, Fate, Imported, Pool};
-use wheelspread_session::nodes::{NodeList, NodeRecord};
 
 use crate::BAD_INPUT;
 
@@ -125,7 +125,7 @@
         json!({
             "name": pool.name,
             "nodes": pool.servers.iter().map(|server| {
-                json!({ "node": wheelspread_session::nodes::show(server.node), "weight": server.weight,
+                json!({ "node": wheelspread_controller_core::nodes::show(server.node), "weight": server.weight,
                         "at": server.place.to_string() })
             }).collect::<Vec<_>>(),
             "operations": pool.operations.iter().map(|operation| {
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -21,7 +21,7 @@
 use clap::{CommandFactory, Parser, Subcommand};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use wheelspread_conductor::{log, Conductor, ConductorFile, LogPlan};
+use wheelspread_controller::{log, Conductor, ConductorFile, LogPlan};
 use wheelspread_proxy::{serve, ProxyFile, Silent};
 
 /// Directs the traffic of a fleet of plain proxies.
--- a/crates/cli/src/measure/conductor.rs
+++ b/crates/cli/src/measure/conductor.rs
@@ -9,15 +9,15 @@
 use std::path::{Path, PathBuf};
 use wheelspread::ids::NodeId;
 use wheelspread::time::{Moment, Span};
+use wheelspread_controller_core::membership::Introduction;
+use wheelspread_controller_core::nodes::{NodeList, NodeRecord};
+use wheelspread_controller_core::sums::{
+    Metric, NodeReport, OperationReport, Report, LATENCY, UTILIZATION,
+};
 use wheelspread_drill::{cpu_of, gateways::name, DrillError};
 use wheelspread_files::{read_tables, CURRENT};
 use wheelspread_grpc::{ClientConnection, ClientEvent, Limits};
 use wheelspread_reactor::{self as reactor, Interest, Moved, Poll, Token, Watcher};
-use wheelspread_session::membership::Introduction;
-use wheelspread_session::nodes::{NodeList, NodeRecord};
-use wheelspread_session::sums::{
-    Metric, NodeReport, OperationReport, Report, LATENCY, UTILIZATION,
-};
 use wheelspread_xds::loads;
 
 #[derive(Clone, Debug, Serialize)]
--- a/crates/cli/src/measure/proxy.rs
+++ b/crates/cli/src/measure/proxy.rs
@@ -8,11 +8,11 @@
 use wheelspread::ids::{NodeId, OperationId, TableId};
 use wheelspread::interface::Retry;
 use wheelspread::time::Span;
+use wheelspread_controller_core::book::{BundleId, Line, OperationTable, TableSet, Version};
+use wheelspread_controller_core::Deployment;
 use wheelspread_drill::load::{load, FastNodes, Faults, Load, Loaded};
 use wheelspread_drill::{cpu_of, free_port, DrillError};
 use wheelspread_files::{swap::Swap, Root};
-use wheelspread_session::book::{BundleId, Line, OperationTable, TableSet, Version};
-use wheelspread_session::Deployment;
 use wheelspread_xds::tables;
 
 /// One way from client to node.
--- a/crates/cli/src/measure/state.rs
+++ b/crates/cli/src/measure/state.rs
@@ -8,8 +8,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 use std::time::{Duration, Instant};
-use wheelspread_change::ledger::Record;
-use wheelspread_change::{Change, ChangeId, Commit, Configuration, State};
+use wheelspread_config_transaction::ledger::Record;
+use wheelspread_config_transaction::{Change, ChangeId, Commit, Configuration, State};
 use wheelspread_drill::DrillError;
 use wheelspread_store::{Store, StoreError};
 
--- a/crates/cli/src/measure/streams.rs
+++ b/crates/cli/src/measure/streams.rs
@@ -8,11 +8,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 use wheelspread::time::{Moment, Span};
+use wheelspread_controller_core::membership::Introduction;
 use wheelspread_discovery::{Ask, Kind, Mode};
 use wheelspread_drill::{cpu_of, gateways::name, DrillError};
 use wheelspread_grpc::{ClientConnection, ClientEvent, Limits};
 use wheelspread_reactor::{self as reactor, Interest, Poll, Token};
-use wheelspread_session::membership::Introduction;
 use wheelspread_xds::discovery;
 
 #[derive(Clone, Debug, Serialize)]
--- a/crates/cli/tests/changes.rs
+++ b/crates/cli/tests/changes.rs
@@ -11,8 +11,8 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 use wheelspread::time::Span;
+use wheelspread_controller_core::sums::{NodeReport, OperationReport, Report};
 use wheelspread_files::read_tables;
-use wheelspread_session::sums::{NodeReport, OperationReport, Report};
 use wheelspread_xds::{loads, tables::Orders};
 
 const PORTS: [u16; 6] = [9101, 9102, 9103, 9104, 9105, 9106];
--- a/crates/cli/tests/common/client.rs
+++ b/crates/cli/tests/common/client.rs
@@ -2,12 +2,12 @@
 
 use super::Stage;
 use std::collections::BTreeSet;
+use wheelspread_controller_core::book::Version;
+use wheelspread_controller_core::membership::Introduction;
 use wheelspread_discovery::reader::Reader;
 use wheelspread_discovery::Kind;
 use wheelspread_grpc::{ClientConnection, ClientEvent, Limits};
 use wheelspread_reactor as reactor;
-use wheelspread_session::book::Version;
-use wheelspread_session::membership::Introduction;
 use wheelspread_xds::{discovery, tables::Orders};
 
 /// A client of lines that can be told to refuse what it gets.
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -170,7 +170,7 @@
             accepted: false,
             over: None,
         };
-        let who = wheelspread_session::membership::Introduction {
+        let who = wheelspread_controller_core::membership::Introduction {
             name: name.to_string(),
             zone: zone.to_string(),
             usual_rate: None,
--- a/crates/cli/tests/conductor.rs
+++ b/crates/cli/tests/conductor.rs
@@ -8,7 +8,7 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 use wheelspread::time::Span;
-use wheelspread_session::sums::{NodeReport, OperationReport, Report};
+use wheelspread_controller_core::sums::{NodeReport, OperationReport, Report};
 use wheelspread_xds::loads;
 
 const PORTS: [u16; 8] = [9001, 9002, 9003, 9004, 9005, 9006, 9007, 9008];
--- a/crates/cli/tests/proxy.rs
+++ b/crates/cli/tests/proxy.rs
@@ -11,10 +11,10 @@
 use wheelspread::ids::{NodeId, OperationId, TableId};
 use wheelspread::interface::Retry;
 use wheelspread::time::Span;
+use wheelspread_controller_core::book::{BundleId, Line, OperationTable, TableSet, Version};
+use wheelspread_controller_core::Deployment;
 use wheelspread_drill::load::{load, FastNodes, Faults, Load, Loaded};
 use wheelspread_files::{read_tables, swap::Swap, Root};
-use wheelspread_session::book::{BundleId, Line, OperationTable, TableSet, Version};
-use wheelspread_session::Deployment;
 use wheelspread_xds::{status, tables};
 
 const PLAN: &str = r#"{
--- a/crates/rollout/src/fleet.rs
+++ b/crates/config-rollout/src/fleet.rs
@@ -6,8 +6,8 @@
 use wheelspread::ids::{NodeId, OperationId, ZoneId};
 use wheelspread::interface::{ListEntry, Listing};
 use wheelspread::time::{Moment, Span};
-use wheelspread_session::nodes::show;
-use wheelspread_session::{Deployment, Session};
+use wheelspread_controller_core::nodes::show;
+use wheelspread_controller_core::{Deployment, Session};
 use wheelspread_solve::{solve, Fleet, Gateway, Host, HostState, Operation};
 
 /// Of what was told: so far back it counts as what is asked for now.
--- a/crates/rollout/src/rollout.rs
+++ b/crates/config-rollout/src/rollout.rs
@@ -9,14 +9,14 @@
 use std::collections::VecDeque;
 use wheelspread::ids::NodeId;
 use wheelspread::time::{Moment, Span};
-use wheelspread_change::checks::{self, Bounds, Way};
-use wheelspread_change::ledger::{Deadlines, Order, Record};
-use wheelspread_change::{
+use wheelspread_config_transaction::checks::{self, Bounds, Way};
+use wheelspread_config_transaction::ledger::{Deadlines, Order, Record};
+use wheelspread_config_transaction::{
     Change, ChangeId, Commit, Configuration, Effect, Finding, Input, Kept, Ledger, Refused, State,
     Verdict,
 };
-use wheelspread_session::session::Configured;
-use wheelspread_session::{Deployment, Session};
+use wheelspread_controller_core::session::Configured;
+use wheelspread_controller_core::{Deployment, Session};
 
 /// All that is told of how changes are handled.
 #[derive(Clone, Copy, Debug)]
@@ -307,7 +307,7 @@
         for node in then.values.keys().filter(|node| !listed.contains(node)) {
             let text = format!(
                 "{} is not listed now",
-                wheelspread_session::nodes::show(*node)
+                wheelspread_controller_core::nodes::show(*node)
             );
             findings.push(told("nodes", false, text));
         }
--- a/crates/rollout/src/values.rs
+++ b/crates/config-rollout/src/values.rs
@@ -9,10 +9,10 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 use wheelspread::ids::NodeId;
-use wheelspread_change::{Change, Configuration};
-use wheelspread_session::deployment::Flaw;
-use wheelspread_session::session::Configured;
-use wheelspread_session::{Deployment, NodeValues, Service};
+use wheelspread_config_transaction::{Change, Configuration};
+use wheelspread_controller_core::deployment::Flaw;
+use wheelspread_controller_core::session::Configured;
+use wheelspread_controller_core::{Deployment, NodeValues, Service};
 
 /// Fields that may change, `*` for the name of an operation. What decides whether a repeat can take effect
 /// twice is not among them: tables of two minds about it would be at gateways at the same time.
--- a/crates/rollout/src/watch.rs
+++ b/crates/config-rollout/src/watch.rs
@@ -3,8 +3,8 @@
 
 use serde::{Deserialize, Serialize};
 use wheelspread::ids::OperationId;
-use wheelspread_session::measured::{Tallies, Tally};
-use wheelspread_session::Deployment;
+use wheelspread_controller_core::measured::{Tallies, Tally};
+use wheelspread_controller_core::Deployment;
 
 /// A change is undone when one of these is broken.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/rollout/tests/kills.rs
+++ b/crates/config-rollout/tests/kills.rs
@@ -7,15 +7,15 @@
 use test_case::test_case;
 use wheelspread::ids::NodeId;
 use wheelspread::time::{Moment, Span};
-use wheelspread_change::checks::Bounds;
-use wheelspread_change::ledger::{Deadlines, Record};
-use wheelspread_change::{Change, ChangeId, Commit, Kept, Refused, State};
-use wheelspread_rollout::{Answer, Ask, Conditions, Plans, Rollout, Step};
-use wheelspread_session::membership::{Introduction, StreamId};
-use wheelspread_session::nodes::{NodeList, NodeRecord};
-use wheelspread_session::session::Found;
-use wheelspread_session::sums::{NodeReport, OperationReport, Report};
-use wheelspread_session::{Deployment, Effect, Observation, Session, TableSet, Version};
+use wheelspread_config_rollout::{Answer, Ask, Conditions, Plans, Rollout, Step};
+use wheelspread_config_transaction::checks::Bounds;
+use wheelspread_config_transaction::ledger::{Deadlines, Record};
+use wheelspread_config_transaction::{Change, ChangeId, Commit, Kept, Refused, State};
+use wheelspread_controller_core::membership::{Introduction, StreamId};
+use wheelspread_controller_core::nodes::{NodeList, NodeRecord};
+use wheelspread_controller_core::session::Found;
+use wheelspread_controller_core::sums::{NodeReport, OperationReport, Report};
+use wheelspread_controller_core::{Deployment, Effect, Observation, Session, TableSet, Version};
 
 const MOVED: u16 = 1;
 
@@ -280,7 +280,7 @@
             let errs = self.end == End::Broken && set.configuration == 2;
             let operations = set.operations.iter().map(|table| {
                 let count = 6 / table.lines.len().max(1) as u64;
-                let met = |line: &wheelspread_session::Line| NodeReport {
+                let met = |line: &wheelspread_controller_core::Line| NodeReport {
                     node: Some(line.node),
                     succeeded: if errs { 0 } else { count },
                     errored: if errs { count } else { 0 },
--- a/crates/change/tests/checks.rs
+++ b/crates/config-transaction/tests/checks.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use test_case::test_case;
 use wheelspread::time::Span;
-use wheelspread_change::checks::{check, Bounds, Way};
+use wheelspread_config_transaction::checks::{check, Bounds, Way};
 use wheelspread_solve::{Fleet, Gateway, Host, HostState, Operation};
 
 fn fleet() -> Fleet {
--- a/crates/change/tests/life.rs
+++ b/crates/config-transaction/tests/life.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 use test_case::test_case;
 use wheelspread::time::{Moment, Span};
-use wheelspread_change::ledger::{Deadlines, Record};
-use wheelspread_change::{
+use wheelspread_config_transaction::ledger::{Deadlines, Record};
+use wheelspread_config_transaction::{
     Change, ChangeId, Configuration, Effect, Finding, Input, Ledger, Refused, State, Verdict,
 };
 
--- a/crates/change/tests/model.rs
+++ b/crates/config-transaction/tests/model.rs
@@ -9,8 +9,8 @@
 use std::hash::{Hash, Hasher};
 use test_case::test_case;
 use wheelspread::time::{Moment, Span};
-use wheelspread_change::ledger::{Deadlines, Order, Record};
-use wheelspread_change::{
+use wheelspread_config_transaction::ledger::{Deadlines, Order, Record};
+use wheelspread_config_transaction::{
     Change, ChangeId, Configuration, Effect, Input, Ledger, Refused, State, Verdict,
 };
 
--- a/crates/conductor/src/admin.rs
+++ b/crates/controller/src/admin.rs
@@ -15,15 +15,15 @@
 use std::sync::Arc;
 use tracing::{info, warn};
 use wheelspread::time::{Moment, Span};
-use wheelspread_change::Refused;
+use wheelspread_config_rollout::Answer;
+use wheelspread_config_transaction::Refused;
+use wheelspread_controller_core::back::{LeftOut, Stepped};
+use wheelspread_controller_core::nodes::show;
 use wheelspread_drain::Drain;
 use wheelspread_grpc::tls::speaks_for;
 use wheelspread_grpc::{ServerConfig, Socket, TlsServer};
 use wheelspread_http1::{request, Framing, Limits};
 use wheelspread_reactor::{self as reactor, Interest, Poll, Token};
-use wheelspread_rollout::Answer;
-use wheelspread_session::back::{LeftOut, Stepped};
-use wheelspread_session::nodes::show;
 
 /// Open at once; more are closed.
 const MOST: usize = 64;
--- a/crates/conductor/src/drains.rs
+++ b/crates/controller/src/drains.rs
@@ -4,12 +4,12 @@
 use std::collections::BTreeMap;
 use tracing::{info, warn};
 use wheelspread::time::{Moment, Span};
-use wheelspread_change::{Commit, Kept};
+use wheelspread_config_rollout::fleet::against_drain;
+use wheelspread_config_rollout::values::node;
+use wheelspread_config_transaction::{Commit, Kept};
+use wheelspread_controller_core::{Observation, Session};
 use wheelspread_drain::book::Effect;
 use wheelspread_drain::{Book, Drain, Evidence, Order, OrderId, Refused, State, Word};
-use wheelspread_rollout::fleet::against_drain;
-use wheelspread_rollout::values::node;
-use wheelspread_session::{Observation, Session};
 
 /// A fact: what is kept of a node's order.
 const DRAIN: &str = "drain.";
--- a/crates/conductor/src/file.rs
+++ b/crates/controller/src/file.rs
@@ -6,10 +6,10 @@
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
 use wheelspread::time::Span;
-use wheelspread_change::checks::Bounds;
-use wheelspread_change::ledger::Deadlines;
-use wheelspread_rollout::{Conditions, Plans};
-use wheelspread_session::{spans, Deployment};
+use wheelspread_config_rollout::{Conditions, Plans};
+use wheelspread_config_transaction::checks::Bounds;
+use wheelspread_config_transaction::ledger::Deadlines;
+use wheelspread_controller_core::{spans, Deployment};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
@@ -22,7 +22,7 @@
 #[serde(deny_unknown_fields, default)]
 pub struct LogPlan {
     pub form: LogForm,
-    /// `error`, `warn`, `info`, `debug` or `trace`; or directives as `info,wheelspread_conductor=debug`.
+    /// `error`, `warn`, `info`, `debug` or `trace`; or directives as `info,wheelspread_controller=debug`.
     pub level: String,
 }
 
--- a/crates/conductor/src/front.rs
+++ b/crates/controller/src/front.rs
@@ -8,12 +8,12 @@
 use tracing::warn;
 use wheelspread::ids::ProxyId;
 use wheelspread::time::{Moment, Span};
+use wheelspread_controller_core::book::{TableSet, Version};
+use wheelspread_controller_core::membership::StreamId;
+use wheelspread_controller_core::{Deployment, Observation, Session};
 use wheelspread_discovery::history::Shared;
 use wheelspread_discovery::{Answer, Content, Front, News, Plan, Verdict};
 use wheelspread_grpc::Status;
-use wheelspread_session::book::{TableSet, Version};
-use wheelspread_session::membership::StreamId;
-use wheelspread_session::{Deployment, Observation, Session};
 use wheelspread_xds::discovery;
 
 /// Of the longest delay of a message: how long ordinary changes wait that most refuse.
@@ -70,7 +70,8 @@
         session.observe(now, observation);
         if let Some((stream, name)) = opened {
             let reads = |id: &ProxyId| {
-                session.reads(*id).front == wheelspread_session::fronts::Front::Stream(stream)
+                session.reads(*id).front
+                    == wheelspread_controller_core::fronts::Front::Stream(stream)
             };
             if let Some(id) = session
                 .members()
--- a/crates/conductor/src/keeper.rs
+++ b/crates/controller/src/keeper.rs
@@ -11,13 +11,13 @@
 use wheelspread::ids::NodeId;
 use wheelspread::state::Learnt;
 use wheelspread::time::Span;
-use wheelspread_change::{Commit, Kept};
+use wheelspread_config_rollout::values::node;
+use wheelspread_config_transaction::{Commit, Kept};
+use wheelspread_controller_core::nodes::{show, NodeList, NodeRecord, Nodes};
+use wheelspread_controller_core::session::Found;
+use wheelspread_controller_core::Version;
 use wheelspread_faults::reached;
 use wheelspread_reactor::Waker;
-use wheelspread_rollout::values::node;
-use wheelspread_session::nodes::{show, NodeList, NodeRecord, Nodes};
-use wheelspread_session::session::Found;
-use wheelspread_session::Version;
 use wheelspread_store::{Found as File, Store, StoreError};
 
 /// Facts: the last version that was published, the list, its nodes, what was learnt of them.
@@ -359,8 +359,8 @@
 mod tests {
     use super::*;
     use wheelspread::time::Moment;
+    use wheelspread_controller_core::Deployment;
     use wheelspread_reactor::{Poll, Token};
-    use wheelspread_session::Deployment;
 
     fn plan() -> Deployment {
         let text =
--- a/crates/conductor/src/log.rs
+++ b/crates/controller/src/log.rs
@@ -3,9 +3,9 @@
 use crate::file::{LogForm, LogPlan};
 use tracing::{debug, info, warn};
 use tracing_subscriber::EnvFilter;
-use wheelspread_rollout::Note;
-use wheelspread_session::nodes::show;
-use wheelspread_session::Notice;
+use wheelspread_config_rollout::Note;
+use wheelspread_controller_core::nodes::show;
+use wheelspread_controller_core::Notice;
 
 /// Once for a program; a second call changes nothing.
 pub fn start(plan: &LogPlan) {
--- a/crates/conductor/src/routes.rs
+++ b/crates/controller/src/routes.rs
@@ -8,17 +8,17 @@
 use wheelspread::ids::{OperationId, ZoneId};
 use wheelspread::interface::{ListEntry, Listing};
 use wheelspread::time::Moment;
-use wheelspread_change::ledger::Record;
-use wheelspread_change::{Change, ChangeId};
+use wheelspread_config_rollout::values::node;
+use wheelspread_config_rollout::{Ask, Rollout};
+use wheelspread_config_transaction::ledger::Record;
+use wheelspread_config_transaction::{Change, ChangeId};
+use wheelspread_controller_core::book::{BundleId, Version};
+use wheelspread_controller_core::deployment::OperationPlan;
+use wheelspread_controller_core::fronts::Front;
+use wheelspread_controller_core::membership::Member;
+use wheelspread_controller_core::nodes::show;
+use wheelspread_controller_core::{Observation, Session};
 use wheelspread_drain::{Order, OrderId, Word};
-use wheelspread_rollout::values::node;
-use wheelspread_rollout::{Ask, Rollout};
-use wheelspread_session::book::{BundleId, Version};
-use wheelspread_session::deployment::OperationPlan;
-use wheelspread_session::fronts::Front;
-use wheelspread_session::membership::Member;
-use wheelspread_session::nodes::show;
-use wheelspread_session::{Observation, Session};
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -441,7 +441,7 @@
 }
 
 fn tables(now: Moment, session: &Session) -> Value {
-    let gateway = |(name, member): (&str, &wheelspread_session::membership::Member)| {
+    let gateway = |(name, member): (&str, &wheelspread_controller_core::membership::Member)| {
         let reads = session.reads(member.id);
         let told = GatewayTold {
             gateway: name,
--- a/crates/conductor/src/service.rs
+++ b/crates/controller/src/service.rs
@@ -17,7 +17,11 @@
 use std::sync::Arc;
 use tracing::{error, info, warn};
 use wheelspread::time::{Moment, Span};
-use wheelspread_change::Commit;
+use wheelspread_config_rollout::{Rollout, Step};
+use wheelspread_config_transaction::Commit;
+use wheelspread_controller_core::back::Stepped;
+use wheelspread_controller_core::session::Configured;
+use wheelspread_controller_core::{Effect, Notice, Observation, Session, StartError};
 use wheelspread_faults::reached;
 use wheelspread_files::{read, scan, Done, Job, Root, Writer};
 use wheelspread_grpc::tls::{BadKeys, KeyFiles};
@@ -25,10 +29,6 @@
 use wheelspread_reactor::{
     self as reactor, Interest, Moved, Poll, Readiness, Signals, Token, Waker, Watcher,
 };
-use wheelspread_rollout::{Rollout, Step};
-use wheelspread_session::back::Stepped;
-use wheelspread_session::session::Configured;
-use wheelspread_session::{Effect, Notice, Observation, Session, StartError};
 use wheelspread_xds::{loads, nodes, status};
 
 const LISTENER: Token = Token(0);
--- a/crates/conductor/src/streams.rs
+++ b/crates/controller/src/streams.rs
@@ -4,12 +4,12 @@
 use std::net::TcpStream;
 use std::sync::Arc;
 use wheelspread::time::{Moment, Span};
+use wheelspread_controller_core::membership::StreamId;
+use wheelspread_controller_core::Observation;
 use wheelspread_discovery::Ask;
 use wheelspread_grpc::tls::speaks_for;
 use wheelspread_grpc::{Limits, ServerConfig, ServerConnection, ServerEvent, Status, StreamKey};
 use wheelspread_reactor::Token;
-use wheelspread_session::membership::StreamId;
-use wheelspread_session::Observation;
 use wheelspread_xds::{discovery, loads};
 
 /// Periods without a report after which a stream counts as dead; at least so many seconds.
--- a/crates/discovery/tests/streams.rs
+++ b/crates/discovery/tests/streams.rs
@@ -6,12 +6,12 @@
 use test_case::test_case;
 use wheelspread::ids::ProxyId;
 use wheelspread::time::{Moment, Span};
+use wheelspread_controller_core::book::{BundleId, Version};
+use wheelspread_controller_core::membership::StreamId;
 use wheelspread_discovery::receiver::Delta;
 use wheelspread_discovery::{
     Answer, Ask, Content, Front, Kind, Mode, News, Plan, Receiver, Taken, Verdict, Verdicts,
 };
-use wheelspread_session::book::{BundleId, Version};
-use wheelspread_session::membership::StreamId;
 
 fn plan() -> Plan {
     let ten = Span::from_seconds(10.0);
--- a/crates/drill/src/audit.rs
+++ b/crates/drill/src/audit.rs
@@ -4,7 +4,7 @@
 use crate::script::Script;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
-use wheelspread_session::deployment::{Deployment, Repeat};
+use wheelspread_controller_core::deployment::{Deployment, Repeat};
 
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct RuleJudged {
--- a/crates/drill/src/clients.rs
+++ b/crates/drill/src/clients.rs
@@ -12,9 +12,9 @@
 use std::thread::JoinHandle;
 use wheelspread::pcg::Pcg;
 use wheelspread::time::{Moment, Span};
+use wheelspread_controller_core::deployment::Repeat;
 use wheelspread_http1::{response, Body};
 use wheelspread_reactor::{self as reactor, Interest, Poll, Token, Waker};
-use wheelspread_session::deployment::Repeat;
 
 pub enum ClientOrder {
     /// Times the usual rate, of all gateways or of some.
@@ -261,7 +261,7 @@
         );
     }
 
-    fn plan(&self, wish: &Wish) -> &wheelspread_session::deployment::OperationPlan {
+    fn plan(&self, wish: &Wish) -> &wheelspread_controller_core::deployment::OperationPlan {
         let name = &self.script.traffic.operations[wish.operation].name;
         let plans = &self.script.deployment.operations;
         plans
--- a/crates/drill/src/even.rs
+++ b/crates/drill/src/even.rs
@@ -6,9 +6,9 @@
 use std::net::SocketAddrV4;
 use wheelspread::ids::{NodeId, OperationId, TableId};
 use wheelspread::interface::Retry;
+use wheelspread_controller_core::book::{BundleId, Line, OperationTable, TableSet, Version};
 use wheelspread_files::swap::Swap;
 use wheelspread_files::Root;
-use wheelspread_session::book::{BundleId, Line, OperationTable, TableSet, Version};
 use wheelspread_xds::tables;
 
 /// Which rule is broken on purpose.
@@ -84,34 +84,36 @@
             let empty = self.sabotage == Some(Sabotage::EmptyTable)
                 && gateway == 0
                 && self.version > zones.len() as u64;
-            let table =
-                |(at, operation): (usize, &wheelspread_session::deployment::OperationPlan)| {
-                    let open = nodes
-                        .iter()
-                        .filter(|node| !operation.stays_in_zone || node.zone == *zone);
-                    let open = open
-                        .filter(|node| (!flood || node.cold || operation.stays_in_zone) && !empty);
-                    let line = |node: &&ListedNode| Line {
-                        node: NodeId {
-                            address: node.address.ip().octets(),
-                            port: node.address.port(),
-                        },
-                        zone: script.deployment.zones[node.zone].clone(),
-                        weight: 1.0,
-                    };
-                    let repeats = self.sabotage == Some(Sabotage::Repeat);
-                    OperationTable {
-                        operation: OperationId(at as u8),
-                        table: TableId(at as u16),
-                        lines: open.map(line).collect(),
-                        quota: None,
-                        retry: if repeats {
-                            Retry::OnceAfterAnyFailure
-                        } else {
-                            Retry::AfterProofItNeverRan
-                        },
-                    }
+            let table = |(at, operation): (
+                usize,
+                &wheelspread_controller_core::deployment::OperationPlan,
+            )| {
+                let open = nodes
+                    .iter()
+                    .filter(|node| !operation.stays_in_zone || node.zone == *zone);
+                let open =
+                    open.filter(|node| (!flood || node.cold || operation.stays_in_zone) && !empty);
+                let line = |node: &&ListedNode| Line {
+                    node: NodeId {
+                        address: node.address.ip().octets(),
+                        port: node.address.port(),
+                    },
+                    zone: script.deployment.zones[node.zone].clone(),
+                    weight: 1.0,
                 };
+                let repeats = self.sabotage == Some(Sabotage::Repeat);
+                OperationTable {
+                    operation: OperationId(at as u8),
+                    table: TableId(at as u16),
+                    lines: open.map(line).collect(),
+                    quota: None,
+                    retry: if repeats {
+                        Retry::OnceAfterAnyFailure
+                    } else {
+                        Retry::AfterProofItNeverRan
+                    },
+                }
+            };
             let operations = script
                 .deployment
                 .operations
--- a/crates/drill/src/gateways.rs
+++ b/crates/drill/src/gateways.rs
@@ -11,13 +11,13 @@
 use std::thread::JoinHandle;
 use wheelspread::ids::NodeId;
 use wheelspread::time::{Moment, Span};
+use wheelspread_controller_core::deployment::Repeat;
+use wheelspread_controller_core::nodes::show;
 use wheelspread_files::Held;
 use wheelspread_proxy::witness::Outcome;
 use wheelspread_proxy::{ConductorSide, Proxy, ProxyPlan, Reads, Waits, Witness};
 use wheelspread_proxy_core::{CorePlan, Failure, Guard, OperationRules, Picking};
 use wheelspread_reactor::{self as reactor, Poll, Token, Waker};
-use wheelspread_session::deployment::Repeat;
-use wheelspread_session::nodes::show;
 
 pub enum GatewayOrder {
     Die(usize),
@@ -168,19 +168,20 @@
     let deployment = &script.deployment;
     let count = sides.len();
     let conductors = (0..count).map(|at| &sides[(gateway + at) % count]);
-    let rules = |operation: &wheelspread_session::deployment::OperationPlan| OperationRules {
-        name: operation.name.clone(),
-        guard: match operation.repeat {
-            // A gateway that trusts its tables blindly, to see the audit find what comes of it.
-            _ if trusting => Guard::Idempotent,
-            Repeat::Idempotent => Guard::Idempotent,
-            Repeat::Fingerprinted => Guard::Fingerprinted {
-                window: operation.repeat_window,
+    let rules =
+        |operation: &wheelspread_controller_core::deployment::OperationPlan| OperationRules {
+            name: operation.name.clone(),
+            guard: match operation.repeat {
+                // A gateway that trusts its tables blindly, to see the audit find what comes of it.
+                _ if trusting => Guard::Idempotent,
+                Repeat::Idempotent => Guard::Idempotent,
+                Repeat::Fingerprinted => Guard::Fingerprinted {
+                    window: operation.repeat_window,
+                },
+                Repeat::SideEffecting => Guard::SideEffecting,
             },
-            Repeat::SideEffecting => Guard::SideEffecting,
-        },
-        integration_timeout: operation.integration_timeout,
-    };
+            integration_timeout: operation.integration_timeout,
+        };
     ProxyPlan {
         name: name(gateway),
         zone: deployment.zones[zone].clone(),
@@ -236,7 +237,7 @@
 }
 
 pub fn lines(held: &Held) -> Lines {
-    let line = |line: &wheelspread_session::Line| (show(line.node), line.weight);
+    let line = |line: &wheelspread_controller_core::Line| (show(line.node), line.weight);
     let of = |told: &wheelspread_xds::tables::OperationOrders| {
         (
             told.operation.clone(),
--- a/crates/drill/src/node.rs
+++ b/crates/drill/src/node.rs
@@ -10,9 +10,9 @@
 use std::thread::JoinHandle;
 use wheelspread::pcg::Pcg;
 use wheelspread::time::{Moment, Span};
+use wheelspread_controller_core::deployment::{Deployment, Repeat};
 use wheelspread_http1::{request, Body};
 use wheelspread_reactor::{self as reactor, Interest, Poll, Readiness, Token, Waker};
-use wheelspread_session::deployment::{Deployment, Repeat};
 use wheelspread_xds::orca;
 
 #[derive(Clone, Debug)]
--- a/crates/drill/src/run.rs
+++ b/crates/drill/src/run.rs
@@ -23,12 +23,12 @@
 use wheelspread::ids::NodeId;
 use wheelspread::pcg::Pcg;
 use wheelspread::time::{Moment, Span};
+use wheelspread_controller_core::nodes::{NodeList, NodeRecord};
+use wheelspread_controller_core::spans;
 use wheelspread_drain::{Outcome, Word};
 use wheelspread_files::{swap, Root};
 use wheelspread_fleet::{drain_order, Fleet, Line, Request};
 use wheelspread_reactor as reactor;
-use wheelspread_session::nodes::{NodeList, NodeRecord};
-use wheelspread_session::spans;
 
 #[derive(Debug, thiserror::Error)]
 pub enum DrillError {
@@ -389,7 +389,7 @@
                 draining: record.draining,
                 started: self.recorder.at(now) - (wall - started),
             };
-            (wheelspread_session::nodes::show(record.node), seen)
+            (wheelspread_controller_core::nodes::show(record.node), seen)
         };
         let nodes: BTreeMap<String, Listed> = list.records.iter().map(listed).collect();
         for (conductor, side) in self.sides.iter().enumerate() {
@@ -431,7 +431,7 @@
         struct File<'a> {
             conductor: Place<'a>,
             log: BTreeMap<&'a str, &'a str>,
-            deployment: wheelspread_session::Deployment,
+            deployment: wheelspread_controller_core::Deployment,
         }
         let place = Place {
             name: format!("conductor-{number}"),
--- a/crates/drill/src/script.rs
+++ b/crates/drill/src/script.rs
@@ -5,7 +5,7 @@
 use serde_json::Value;
 use std::path::Path;
 use wheelspread::time::Span;
-use wheelspread_session::{spans, Deployment};
+use wheelspread_controller_core::{spans, Deployment};
 
 pub const BUILT_IN: &str = include_str!("../days/bad-day.yaml");
 
--- a/crates/files/src/scan.rs
+++ b/crates/files/src/scan.rs
@@ -5,8 +5,8 @@
 use std::fs;
 use std::io;
 use std::path::Path;
-use wheelspread_session::session::Found;
-use wheelspread_session::Deployment;
+use wheelspread_controller_core::session::Found;
+use wheelspread_controller_core::Deployment;
 use wheelspread_xds::tables;
 
 #[derive(Debug, Default)]
--- a/crates/files/src/swap.rs
+++ b/crates/files/src/swap.rs
@@ -5,8 +5,8 @@
 use std::fs::{self, File};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
+use wheelspread_controller_core::book::Version;
 use wheelspread_faults::reached;
-use wheelspread_session::book::Version;
 use wheelspread_xds::tables::Documents;
 
 /// What is done, in this order. The order is what makes it safe: data before names, names before links.
--- a/crates/files/src/writer.rs
+++ b/crates/files/src/writer.rs
@@ -12,9 +12,9 @@
 use std::sync::Arc;
 use std::thread::JoinHandle;
 use std::time::Duration;
+use wheelspread_controller_core::book::{TableSet, Version};
+use wheelspread_controller_core::Deployment;
 use wheelspread_reactor::Waker;
-use wheelspread_session::book::{TableSet, Version};
-use wheelspread_session::Deployment;
 use wheelspread_xds::tables::{self, Documents};
 
 #[derive(Debug)]
--- a/crates/files/src/writer/tests.rs
+++ b/crates/files/src/writer/tests.rs
@@ -7,8 +7,8 @@
 use test_case::test_case;
 use wheelspread::ids::{NodeId, OperationId, TableId};
 use wheelspread::interface::Retry;
+use wheelspread_controller_core::book::{BundleId, Line, OperationTable};
 use wheelspread_reactor::{Poll, Token};
-use wheelspread_session::book::{BundleId, Line, OperationTable};
 
 const PLAN: &str = r#"{
   "zones": ["north"], "operations": [{"name": "quote", "latency_objective": "1s",
--- a/crates/fleet/src/file.rs
+++ b/crates/fleet/src/file.rs
@@ -9,8 +9,8 @@
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
 use wheelspread::time::Span;
+use wheelspread_controller_core::spans;
 use wheelspread_grpc::tls::{plain_client, KeyFiles};
-use wheelspread_session::spans;
 
 /// One conductor: its root of tables on this machine, or its port.
 #[derive(Clone, Debug, Deserialize)]
--- a/crates/import/src/pools.rs
+++ b/crates/import/src/pools.rs
@@ -7,8 +7,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use wheelspread::ids::NodeId;
 use wheelspread::time::Span;
-use wheelspread_session::deployment::Repeat;
-use wheelspread_session::spans;
+use wheelspread_controller_core::deployment::Repeat;
+use wheelspread_controller_core::spans;
 
 /// What became of a directive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
--- a/crates/orders/examples/load.rs
+++ b/crates/platform-core/examples/load.rs
@@ -1,12 +1,12 @@
 //! What the heart of a conductor on a platform costs: CPU seconds for each second that passes, by how many proxies
 //! are joined. Proxies, nodes and sums are made up here; no sockets, no clock but the CPU's.
 //!
-//!     cargo run --release -p wheelspread-orders --example load -- PROXIES NODES SECONDS
+//!     cargo run --release -p wheelspread-platform-core --example load -- PROXIES NODES SECONDS
 
 use serde_json::{json, Value};
 use wheelspread::time::Moment;
-use wheelspread_orders::{ConnectionId, Desk, List, Out, SourceId};
-use wheelspread_vocabulary::{settings, Names};
+use wheelspread_platform_core::{ConnectionId, Desk, List, Out, SourceId};
+use wheelspread_settings::{settings, Names};
 
 const EPOCH: f64 = 1.0e9;
 /// Seconds between two wake-ups, as messages come.
--- a/crates/orders/src/desk.rs
+++ b/crates/platform-core/src/desk.rs
@@ -15,7 +15,7 @@
 use wheelspread::interface::{Action, Event, ListKind};
 use wheelspread::ring::Ring;
 use wheelspread::time::{Moment, Span};
-use wheelspread_vocabulary::Names;
+use wheelspread_settings::Names;
 
 /// What becomes of a message at once.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/orders/src/membership.rs
+++ b/crates/platform-core/src/membership.rs
@@ -7,7 +7,7 @@
 use wheelspread::ids::{CellId, KindId, NodeId, ZoneId};
 use wheelspread::interface::{Event, ListEntry, ListKind, Listing};
 use wheelspread::time::{Moment, Span};
-use wheelspread_vocabulary::Names;
+use wheelspread_settings::Names;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// One node as discovery entries it.
--- a/crates/orders/src/message.rs
+++ b/crates/platform-core/src/message.rs
@@ -5,7 +5,7 @@
 use std::str::FromStr;
 use wheelspread::ids::{MarkId, OperationId, ProxyId, ZoneId};
 use wheelspread::time::Span;
-use wheelspread_vocabulary::{field, Names};
+use wheelspread_settings::{field, Names};
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
--- a/crates/orders/src/tests.rs
+++ b/crates/platform-core/src/tests.rs
@@ -26,7 +26,7 @@
 use wheelspread::interface::{Action, ListKind, Listing, Retry};
 use wheelspread::time::{Moment, Span};
 use wheelspread_resp::{Limits, Reader};
-use wheelspread_vocabulary::{settings, Names};
+use wheelspread_settings::{settings, Names};
 
 const EPOCH: f64 = 1000.0;
 
--- a/crates/platform/src/file.rs
+++ b/crates/platform/src/file.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
 use wheelspread::facts::Facts;
-use wheelspread_orders::List;
-use wheelspread_vocabulary::{check, settings, Names, Wrong};
+use wheelspread_platform_core::List;
+use wheelspread_settings::{check, settings, Names, Wrong};
 
 #[derive(Clone, Debug)]
 pub struct PlatformFile {
--- a/crates/platform/src/service.rs
+++ b/crates/platform/src/service.rs
@@ -12,7 +12,7 @@
 use tracing::{debug, info, warn};
 use wheelspread::ids::NodeId;
 use wheelspread::time::{Moment, Span};
-use wheelspread_orders::{
+use wheelspread_platform_core::{
     load_of, ConnectionId, Desk, List, Out, Reply, SourceId, WatchPlace, CONFIGURATION,
 };
 use wheelspread_reactor::{self as reactor, Interest, Poll, Readiness, Signals, Token};
--- a/crates/proxy-core/src/core.rs
+++ b/crates/proxy-core/src/core.rs
@@ -11,7 +11,7 @@
 use wheelspread::interface::Retry;
 use wheelspread::pcg::Pcg;
 use wheelspread::time::{Moment, Span};
-use wheelspread_session::sums::Report;
+use wheelspread_controller_core::sums::Report;
 
 /// An invocation under way. Numbers are used again, the second part tells uses apart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/proxy-core/src/tally.rs
+++ b/crates/proxy-core/src/tally.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use wheelspread::ids::{NodeId, OperationId};
 use wheelspread::time::{Moment, Span};
-use wheelspread_session::sums::{Metric, NodeReport, OperationReport, Report, LATENCY};
+use wheelspread_controller_core::sums::{Metric, NodeReport, OperationReport, Report, LATENCY};
 
 #[derive(Clone, Debug, Default)]
 struct Met {
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -6,12 +6,12 @@
 use crate::tables::Looked;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use wheelspread::time::{Moment, Span};
+use wheelspread_controller_core::membership::Introduction;
 use wheelspread_discovery::reader::Reader;
 use wheelspread_discovery::{Ask, Kind};
 use wheelspread_files::Held;
 use wheelspread_grpc::{ClientConnection, ClientEvent};
 use wheelspread_reactor::{self as reactor, Interest, Poll, Token};
-use wheelspread_session::membership::Introduction;
 use wheelspread_xds::discovery;
 
 pub struct Stream {
--- a/crates/proxy/src/file.rs
+++ b/crates/proxy/src/file.rs
@@ -5,10 +5,10 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::{Path, PathBuf};
 use wheelspread::time::Span;
+use wheelspread_controller_core::deployment::Repeat;
+use wheelspread_controller_core::membership::Introduction;
+use wheelspread_controller_core::spans;
 use wheelspread_proxy_core::{CorePlan, Guard, OperationRules, Picking};
-use wheelspread_session::deployment::Repeat;
-use wheelspread_session::membership::Introduction;
-use wheelspread_session::spans;
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
--- a/crates/proxy/src/reports.rs
+++ b/crates/proxy/src/reports.rs
@@ -6,11 +6,11 @@
 use std::net::{Ipv4Addr, SocketAddrV4, TcpStream};
 use std::time::SystemTime;
 use wheelspread::time::{Moment, Span};
+use wheelspread_controller_core::membership::Introduction;
+use wheelspread_controller_core::sums::{NodeReport, Report};
 use wheelspread_grpc::{ClientConnection, ClientEvent};
 use wheelspread_proxy_core::dial::Dial;
 use wheelspread_reactor::{self as reactor, Interest, Poll, Token};
-use wheelspread_session::membership::Introduction;
-use wheelspread_session::sums::{NodeReport, Report};
 use wheelspread_xds::loads;
 
 enum State {
--- a/crates/vocabulary/tests/names.rs
+++ b/crates/settings/tests/names.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{json, Value};
 use test_case::test_case;
-use wheelspread_vocabulary::{check, field, read, Names};
+use wheelspread_settings::{check, field, read, Names};
 
 #[test]
 fn settings_are_told_in_our_words_and_lists_by_position() {
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -9,7 +9,7 @@
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
-pub use wheelspread_change::{Commit, Kept};
+pub use wheelspread_config_transaction::{Commit, Kept};
 use wheelspread_faults::reached;
 use xxhash_rust::xxh3::xxh3_64;
 
--- a/crates/store/tests/damage.rs
+++ b/crates/store/tests/damage.rs
@@ -2,8 +2,8 @@
 
 use proptest::prelude::*;
 use std::collections::BTreeMap;
-use wheelspread_change::ledger::Record;
-use wheelspread_change::{Change, ChangeId, Configuration, State};
+use wheelspread_config_transaction::ledger::Record;
+use wheelspread_config_transaction::{Change, ChangeId, Configuration, State};
 use wheelspread_store::{Commit, Found, Store, StoreError};
 
 fn record(n: u64) -> Record {
--- a/crates/wheelspread-adapter/src/main.rs
+++ b/crates/wheelspread-adapter/src/main.rs
@@ -93,7 +93,7 @@
             Record::Boot { seed, settings } => {
                 self.failed.remove(&conductor);
                 self.instances.remove(&conductor);
-                match wheelspread_vocabulary::read(&settings)
+                match wheelspread_settings::read(&settings)
                     .and_then(|facts| Balancer::start(now, seed, facts))
                 {
                     Ok(balancer) => drop(self.instances.insert(conductor, balancer)),
--- a/crates/xds/src/discovery.rs
+++ b/crates/xds/src/discovery.rs
@@ -6,11 +6,11 @@
 use crate::tables;
 use crate::{content, Unreadable};
 use prost::{Message, Name};
+use wheelspread_controller_core::book::{TableSet, Version};
+use wheelspread_controller_core::membership::Introduction;
+use wheelspread_controller_core::Deployment;
 use wheelspread_discovery::receiver::Delta;
 use wheelspread_discovery::{Answer, Ask, Checksum, Content, Kind, Mode};
-use wheelspread_session::book::{TableSet, Version};
-use wheelspread_session::membership::Introduction;
-use wheelspread_session::Deployment;
 use xds_api::pb::envoy::config::cluster::v3 as cluster;
 use xds_api::pb::envoy::config::core::v3 as core;
 use xds_api::pb::envoy::config::endpoint::v3 as endpoint;
@@ -109,7 +109,7 @@
                     &line.host_identifier
                 {
                     if let Ok(node) = crate::node_id(host.address.as_ref()) {
-                        let node = wheelspread_session::nodes::show(node);
+                        let node = wheelspread_controller_core::nodes::show(node);
                         made.put(
                             Kind::Lines,
                             &format!("{LINE}{name}/{zone}/{node}"),
@@ -166,7 +166,7 @@
             };
             let place = core::Locality {
                 sub_zone: address
-                    .map(wheelspread_session::nodes::show)
+                    .map(wheelspread_controller_core::nodes::show)
                     .unwrap_or_default(),
                 ..locality.locality.clone().unwrap_or_default()
             };
--- a/crates/xds/src/nodes.rs
+++ b/crates/xds/src/nodes.rs
@@ -6,7 +6,7 @@
 use crate::{address, content, node_id, Unreadable};
 use std::collections::BTreeMap;
 use wheelspread::time::Span;
-use wheelspread_session::nodes::{NodeList, NodeRecord};
+use wheelspread_controller_core::nodes::{NodeList, NodeRecord};
 use xds_api::pb::envoy::config::core::v3 as core;
 use xds_api::pb::envoy::config::endpoint::v3 as endpoint;
 use xds_api::pb::google::protobuf::{value::Kind, Struct, Value};
--- a/crates/xds/src/tables.rs
+++ b/crates/xds/src/tables.rs
@@ -9,8 +9,8 @@
 use wheelspread::ids::{OperationId, TableId};
 use wheelspread::interface::Retry;
 use wheelspread::time::Span;
-use wheelspread_session::book::{BundleId, Line, OperationTable, TableSet, Version};
-use wheelspread_session::deployment::{Deployment, LevelForm};
+use wheelspread_controller_core::book::{BundleId, Line, OperationTable, TableSet, Version};
+use wheelspread_controller_core::deployment::{Deployment, LevelForm};
 use xds_api::pb::envoy::config::core::v3 as core;
 use xds_api::pb::envoy::config::endpoint::v3 as endpoint;
 use xds_api::pb::envoy::config::endpoint::v3::cluster_load_assignment::{
