--- a/crates/cli/src/fleet/top.rs
+++ b/crates/cli/src/fleet/top.rs
@@ -215,7 +215,7 @@
         ]);
         let node = Some("127.0.0.1:9001".to_string());
         let found = Disagreement {
-            matter: Matter::Listing,
+            matter: Matter::EndpointStatus,
             node,
             held,
             lists_differ: false,
--- a/crates/cli/src/measure/proxy.rs
+++ b/crates/cli/src/measure/proxy.rs
@@ -6,8 +6,8 @@
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
 use wheelspread::ids::{NodeId, OperationId, TableId};
-use wheelspread::interface::Retry;
 use wheelspread::time::Span;
+use wheelspread::RetryPolicy;
 use wheelspread_controller_core::book::{BundleId, Line, OperationTable, TableSet, Version};
 use wheelspread_controller_core::Deployment;
 use wheelspread_drill::load::{load, FastNodes, Faults, Load, Loaded};
@@ -70,7 +70,7 @@
             table: TableId(0),
             lines: nodes.iter().map(line).collect(),
             quota: None,
-            retry: Retry::TwiceAfterAnyFailure,
+            retry: RetryPolicy::TwiceOnAnyFailure,
         };
         let set = TableSet {
             bundle: BundleId(0),
--- a/crates/cli/tests/proxy.rs
+++ b/crates/cli/tests/proxy.rs
@@ -9,8 +9,8 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 use wheelspread::ids::{NodeId, OperationId, TableId};
-use wheelspread::interface::Retry;
 use wheelspread::time::Span;
+use wheelspread::RetryPolicy;
 use wheelspread_controller_core::book::{BundleId, Line, OperationTable, TableSet, Version};
 use wheelspread_controller_core::Deployment;
 use wheelspread_drill::load::{load, FastNodes, Faults, Load, Loaded};
@@ -41,7 +41,7 @@
 
 impl Stage {
     /// A proxy that goes by what is swapped into a directory; no conductor is there.
-    fn new(more: &str, lines: &[(SocketAddrV4, f64)], retry: Retry) -> Stage {
+    fn new(more: &str, lines: &[(SocketAddrV4, f64)], retry: RetryPolicy) -> Stage {
         let directory = tempfile::tempdir().expect("a directory");
         Root::new(directory.path().join("tables"))
             .prepare()
@@ -77,7 +77,7 @@
         self.directory.path().join(name)
     }
 
-    fn publish(&mut self, lines: &[(SocketAddrV4, f64)], retry: Retry, quota: Option<f64>) {
+    fn publish(&mut self, lines: &[(SocketAddrV4, f64)], retry: RetryPolicy, quota: Option<f64>) {
         self.version += 1;
         let line = |(address, weight): &(SocketAddrV4, f64)| Line {
             node: NodeId {
@@ -190,7 +190,7 @@
     let mut stage = Stage::new(
         "avoid: {after_errors: 0}",
         &lines,
-        Retry::AfterProofItNeverRan,
+        RetryPolicy::IfUnprocessed,
     );
     let mut last = vec![0; 6];
     let mut judge = |weights: &[f64], first_tries: f64| {
@@ -214,7 +214,7 @@
     // Other weights from here on, judged by what is executed under them.
     let turned = [13.0, 8.0, 5.0, 3.0, 2.0, 1.0];
     let lines: Vec<_> = nodes.addresses.iter().copied().zip(turned).collect();
-    stage.publish(&lines, Retry::AfterProofItNeverRan, None);
+    stage.publish(&lines, RetryPolicy::IfUnprocessed, None);
     stage.wait();
     stage.load("quote", 32, 60_000, 100_000);
     judge(&turned, 60_000.0);
@@ -223,7 +223,7 @@
 #[test]
 fn a_table_that_changes_under_load_fails_no_invocation_and_is_left_at_once() {
     let nodes = FastNodes::start(4, false, 1).expect("nodes");
-    let mut stage = Stage::new("", &even(&nodes), Retry::AfterProofItNeverRan);
+    let mut stage = Stage::new("", &even(&nodes), RetryPolicy::IfUnprocessed);
     let address = stage.address;
     let under_load = std::thread::spawn(move || {
         let at_most = Span::from_seconds(60.0);
@@ -239,7 +239,7 @@
     });
     for round in 0..20 {
         let lines: Vec<_> = even(&nodes).into_iter().skip(round % 3).take(2).collect();
-        stage.publish(&lines, Retry::AfterProofItNeverRan, None);
+        stage.publish(&lines, RetryPolicy::IfUnprocessed, None);
         std::thread::sleep(Duration::from_millis(15));
     }
     let loaded = under_load.join().expect("it ends");
@@ -249,7 +249,7 @@
         "{:?}",
         loaded.answers
     );
-    stage.publish(&even(&nodes)[..1], Retry::AfterProofItNeverRan, None);
+    stage.publish(&even(&nodes)[..1], RetryPolicy::IfUnprocessed, None);
     stage.wait();
     let before = nodes.seen().executed;
     stage.load("quote", 8, 1000, 0);
@@ -276,7 +276,7 @@
     let stage = Stage::new(
         "avoid: {after_errors: 0}",
         &even(&nodes),
-        Retry::TwiceAfterAnyFailure,
+        RetryPolicy::TwiceOnAnyFailure,
     );
     let loaded = stage.load("book", 64, 30_000, 0);
     let effects = nodes.seen().effects;
@@ -308,7 +308,7 @@
     let stage = Stage::new(
         "avoid: {after_errors: 3, span: 700ms}",
         &even(&nodes),
-        Retry::OnceAfterAnyFailure,
+        RetryPolicy::OnceOnAnyFailure,
     );
     stage.load("quote", 4, 2000, 0);
     let shunned = nodes.seen().executed[0];
@@ -332,7 +332,7 @@
             (SocketAddrV4::new(*address.ip(), 1 + at as u16), weight)
         }),
     );
-    let mut stage = Stage::new("", &lines, Retry::AfterProofItNeverRan);
+    let mut stage = Stage::new("", &lines, RetryPolicy::IfUnprocessed);
     let loaded = stage.load("quote", 8, 4000, 0);
     // Half of the weight is at nodes that refuse: nearly all is made good by one more try.
     let succeeded = loaded.answers.get(&200).copied().unwrap_or(0);
@@ -345,17 +345,17 @@
         "{:?}",
         loaded.answers
     );
-    stage.publish(&[], Retry::Never, None);
+    stage.publish(&[], RetryPolicy::Never, None);
     stage.wait();
     assert!(stage
         .talk(b"GET /quote HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
         .starts_with("HTTP/1.1 503"));
     // A level of nothing turns away at once and says when to come again.
-    stage.publish(&even(&nodes), Retry::Never, Some(0.0));
+    stage.publish(&even(&nodes), RetryPolicy::Never, Some(0.0));
     stage.wait();
     let answer = stage.talk(b"GET /quote HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
     assert!(
-        answer.starts_with("HTTP/1.1 429") && answer.contains("Retry-After: 1"),
+        answer.starts_with("HTTP/1.1 429") && answer.contains("RetryPolicy-After: 1"),
         "{answer}"
     );
 }
@@ -363,7 +363,7 @@
 #[test]
 fn half_a_table_is_never_gone_by_and_is_told() {
     let nodes = FastNodes::start(2, false, 5).expect("nodes");
-    let stage = Stage::new("", &even(&nodes), Retry::Never);
+    let stage = Stage::new("", &even(&nodes), RetryPolicy::Never);
     let root = stage.root();
     let held = read_tables(&root.gateway("g1"))
         .expect("whole")
@@ -411,7 +411,7 @@
 #[test_case("POST /quote HTTP/1.1\r\nHost: a\r\nContent-Length: 99999999\r\n\r\n", 413; "a body too long")]
 fn what_is_not_taken_is_answered_and_closed(text: &str, status: u16) {
     let nodes = FastNodes::start(1, false, 5).expect("nodes");
-    let stage = Stage::new("", &even(&nodes), Retry::Never);
+    let stage = Stage::new("", &even(&nodes), RetryPolicy::Never);
     // A request that would be smuggled behind it must not reach the node.
     let answer = stage.talk(format!("{text}GET /quote HTTP/1.1\r\nHost: b\r\n\r\n").as_bytes());
     assert!(
@@ -432,7 +432,7 @@
 }
 
 /// A node that the test plays by hand.
-fn by_hand(retry: Retry) -> (TcpListener, Stage) {
+fn by_hand(retry: RetryPolicy) -> (TcpListener, Stage) {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
     let std::net::SocketAddr::V4(address) = listener.local_addr().expect("bound") else {
         panic!("IPv4")
@@ -457,7 +457,7 @@
 
 #[test]
 fn bodies_go_through_whole_in_both_directions_and_connections_are_used_again() {
-    let (listener, stage) = by_hand(Retry::Never);
+    let (listener, stage) = by_hand(RetryPolicy::Never);
     let mut client = stage.client();
     client
         .write_all(
@@ -512,7 +512,7 @@
 
 #[test]
 fn a_pooled_connection_closed_under_an_invocation_is_told_from_one_that_took_it() {
-    let (listener, stage) = by_hand(Retry::AfterProofItNeverRan);
+    let (listener, stage) = by_hand(RetryPolicy::IfUnprocessed);
     let ask = |client: &mut TcpStream| {
         client
             .write_all(b"GET /book HTTP/1.1\r\nHost: a\r\nx-request-id: 1\r\n\r\n")
@@ -546,7 +546,7 @@
 
 #[test]
 fn a_client_that_goes_away_frees_its_node_and_a_slow_node_is_given_up_in_time() {
-    let (listener, stage) = by_hand(Retry::Never);
+    let (listener, stage) = by_hand(RetryPolicy::Never);
     let mut client = stage.client();
     client
         .write_all(b"GET /quote HTTP/1.1\r\nHost: a\r\n\r\n")
--- a/crates/config-rollout/src/fleet.rs
+++ b/crates/config-rollout/src/fleet.rs
@@ -4,8 +4,8 @@
 
 use std::collections::BTreeMap;
 use wheelspread::ids::{NodeId, OperationId, ZoneId};
-use wheelspread::interface::{ListEntry, Listing};
 use wheelspread::time::{Moment, Span};
+use wheelspread::{EndpointEntry, EndpointStatus};
 use wheelspread_controller_core::nodes::show;
 use wheelspread_controller_core::{Deployment, Session};
 use wheelspread_solve::{solve, Fleet, Gateway, Host, HostState, Operation};
@@ -44,7 +44,7 @@
     }
 
     /// `nodes`: as a configuration has them.
-    pub fn fleet(&self, now: Moment, nodes: &[ListEntry], plan: &Deployment) -> Fleet {
+    pub fn fleet(&self, now: Moment, nodes: &[EndpointEntry], plan: &Deployment) -> Fleet {
         let mean = |of: &[f64]| of.iter().sum::<f64>() / of.len().max(1) as f64;
         let mut kinds: BTreeMap<u8, Vec<f64>> = BTreeMap::new();
         for entry in nodes {
@@ -54,7 +54,7 @@
                 .extend(self.capacity.get(&entry.node));
         }
         let all = mean(&self.capacity.values().copied().collect::<Vec<_>>());
-        let capacity = |entry: &ListEntry| {
+        let capacity = |entry: &EndpointEntry| {
             let alike = kinds.get(&entry.kind.0).filter(|alike| !alike.is_empty());
             let known = self.capacity.get(&entry.node).copied();
             known.unwrap_or_else(|| alike.map_or(all, |alike| mean(alike)))
@@ -67,7 +67,7 @@
         };
         let hosts = nodes
             .iter()
-            .filter(|entry| entry.listing != Listing::Gone)
+            .filter(|entry| entry.status != EndpointStatus::Gone)
             .map(|entry| {
                 let cold = plan.rules.is_cold(now, entry.started);
                 Host {
@@ -75,9 +75,9 @@
                     zone: zone(entry.zone),
                     kind: String::new(),
                     capacity: capacity(entry),
-                    state: match entry.listing {
-                        Listing::Ready if cold => HostState::Cold,
-                        Listing::Ready => HostState::Ready,
+                    state: match entry.status {
+                        EndpointStatus::Ready if cold => HostState::Cold,
+                        EndpointStatus::Ready => HostState::Ready,
                         _ => HostState::Draining,
                     },
                     price: 0.0,
@@ -132,13 +132,15 @@
 /// Pools that a change would leave with no node, or with cold ones only, whether anything was measured or not.
 pub fn emptied(
     now: Moment,
-    before: &[ListEntry],
-    after: &[ListEntry],
+    before: &[EndpointEntry],
+    after: &[EndpointEntry],
     plan: &Deployment,
     then: &Deployment,
 ) -> Vec<String> {
-    let open = |nodes: &[ListEntry], zone: usize, stays: bool| -> (usize, usize) {
-        let open = nodes.iter().filter(|entry| entry.listing == Listing::Ready);
+    let open = |nodes: &[EndpointEntry], zone: usize, stays: bool| -> (usize, usize) {
+        let open = nodes
+            .iter()
+            .filter(|entry| entry.status == EndpointStatus::Ready);
         let open = open.filter(|entry| !stays || usize::from(entry.zone.0) == zone);
         open.fold((0, 0), |(all, warms), entry| {
             (
@@ -183,22 +185,22 @@
     session: &Session,
 ) -> Vec<String> {
     let plan = session.plan();
-    let before: Vec<ListEntry> = session.serving().collect();
+    let before: Vec<EndpointEntry> = session.serving().collect();
     let Some(known) = before.iter().find(|entry| entry.node == node) else {
         return vec![format!("listed: {} is not listed", show(node))];
     };
     // What is on its way out already is not lost once more.
-    if known.listing != Listing::Ready {
+    if known.status != EndpointStatus::Ready {
         return Vec::new();
     }
-    let gone = |entry: &ListEntry| match entry.node == node {
-        true => ListEntry {
-            listing: Listing::Draining,
+    let gone = |entry: &EndpointEntry| match entry.node == node {
+        true => EndpointEntry {
+            status: EndpointStatus::Draining,
             ..entry.clone()
         },
         false => entry.clone(),
     };
-    let after: Vec<ListEntry> = before.iter().map(gone).collect();
+    let after: Vec<EndpointEntry> = before.iter().map(gone).collect();
     let mut against = emptied(now, &before, &after, plan, plan);
     let measured = Known::of(now, session);
     if against.is_empty() && measured.enough() {
--- a/crates/controller-core/src/back.rs
+++ b/crates/controller-core/src/back.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use wheelspread::ids::NodeId;
-use wheelspread::interface::{Event, ListEntry, Listing};
 use wheelspread::time::{Moment, Span};
+use wheelspread::{EndpointEntry, EndpointStatus, Event};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeftOut {
@@ -79,7 +79,7 @@
 
     /// Puts pinned weights in the place of those of a list.
     pub fn put(&self, mut event: Event) -> Event {
-        if let Event::List { entries, .. } = &mut event {
+        if let Event::EndpointList { entries, .. } = &mut event {
             for entry in entries {
                 entry.weight = self
                     .weights
@@ -98,14 +98,14 @@
         now: Moment,
         old: &Arc<TableSet>,
         now_held: &TableSet,
-        listed: &BTreeMap<NodeId, ListEntry>,
+        listed: &BTreeMap<NodeId, EndpointEntry>,
         rules: &RulePlan,
     ) -> Stepped {
         let named: BTreeMap<NodeId, f64> = shares(&old.operations, |_| true);
         let present = shares(&now_held.operations, |_| true);
         let judge = |node: &NodeId| match listed.get(node) {
             None => Some(LeftOut::Gone),
-            Some(entry) if entry.listing != Listing::Ready => Some(LeftOut::Draining),
+            Some(entry) if entry.status != EndpointStatus::Ready => Some(LeftOut::Draining),
             Some(entry) if rules.is_cold(now, entry.started) => Some(LeftOut::Cold),
             Some(_) if !present.contains_key(node) => Some(LeftOut::KeptOut),
             Some(_) => None,
--- a/crates/controller-core/src/book.rs
+++ b/crates/controller-core/src/book.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use wheelspread::ids::{NodeId, OperationId, ProxyId, TableId};
-use wheelspread::interface::Retry;
+use wheelspread::RetryPolicy;
 
 /// Rises with everything that is published by one conductor, over restarts too.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -30,7 +30,7 @@
     pub lines: Vec<Line>,
     /// A share of 1, or invocations a second at each proxy, as the deployment's form says.
     pub quota: Option<f64>,
-    pub retry: Retry,
+    pub retry: RetryPolicy,
 }
 
 /// Everything that a proxy holds, at one version.
@@ -49,13 +49,13 @@
 #[derive(Clone, Debug, Default)]
 struct Table {
     lines: BTreeMap<NodeId, f64>,
-    levels: BTreeMap<OperationId, (f64, Retry)>,
+    levels: BTreeMap<OperationId, (f64, RetryPolicy)>,
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct Book {
     tables: BTreeMap<TableId, Table>,
-    for_all: BTreeMap<OperationId, (f64, Retry)>,
+    for_all: BTreeMap<OperationId, (f64, RetryPolicy)>,
     withdrawn: BTreeSet<NodeId>,
     bound: BTreeMap<ProxyId, Bundle>,
     numbers: BTreeMap<Bundle, BundleId>,
@@ -153,7 +153,7 @@
         table: Option<TableId>,
         operations: &[OperationId],
         quota: f64,
-        retry: Retry,
+        retry: RetryPolicy,
     ) {
         let all: Vec<OperationId> = (0..self.operations as u8).map(OperationId).collect();
         let operations = if operations.is_empty() {
@@ -305,7 +305,7 @@
             .reduce(f64::min);
         let retry = own
             .or(all)
-            .map_or(Retry::AfterProofItNeverRan, |level| level.1);
+            .map_or(RetryPolicy::IfUnprocessed, |level| level.1);
         let lines = lines.map(|(node, weight)| Line {
             node: *node,
             zone: zone(*node),
@@ -396,7 +396,7 @@
         assert_eq!(lines_apart(None, &first), 6);
         book.set_line(TableId(0), node(1), 0.0);
         book.set_line(TableId(0), node(2), 30.0);
-        book.set_level(Some(TableId(0)), &[BOOK], 0.5, Retry::Never);
+        book.set_level(Some(TableId(0)), &[BOOK], 0.5, RetryPolicy::Never);
         book.publish(|_| String::new());
         let second = book.newest(bundle).expect("published").clone();
         assert_eq!(lines_apart(Some(&first), &second), 3);
@@ -406,8 +406,8 @@
     #[test]
     fn the_lower_level_prevails_and_withdrawn_nodes_are_left_out() {
         let mut book = book();
-        book.set_level(None, &[], 0.5, Retry::OnceAfterAnyFailure);
-        book.set_level(Some(TableId(0)), &[QUOTE], 0.8, Retry::Never);
+        book.set_level(None, &[], 0.5, RetryPolicy::OnceOnAnyFailure);
+        book.set_level(Some(TableId(0)), &[QUOTE], 0.8, RetryPolicy::Never);
         book.withdraw(node(3), true);
         book.publish(|_| String::new());
         let set = book
@@ -416,11 +416,11 @@
         let (quote, booking) = (&set.operations[0], &set.operations[1]);
         assert_eq!(
             (quote.quota, quote.retry, quote.lines.len()),
-            (Some(0.5), Retry::Never, 3)
+            (Some(0.5), RetryPolicy::Never, 3)
         );
         assert_eq!(
             (booking.quota, booking.retry),
-            (Some(0.5), Retry::OnceAfterAnyFailure)
+            (Some(0.5), RetryPolicy::OnceOnAnyFailure)
         );
     }
 }
--- a/crates/controller-core/src/deployment.rs
+++ b/crates/controller-core/src/deployment.rs
@@ -5,7 +5,7 @@
 use crate::spans;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
-use wheelspread::facts::{Fact, Facts};
+use wheelspread::settings::{SettingValue, Settings};
 use wheelspread::time::{Moment, Span};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -573,11 +573,11 @@
     }
 
     /// The settings by the names that the module reads.
-    pub fn facts(&self, number: u32, zone: Option<u16>) -> Facts {
-        let mut facts = Facts::default();
-        let mut put = |name: &str, fact: Fact| drop(facts.0.insert(name.to_string(), fact));
-        let number_of = Fact::Number;
-        let span_of = |span: Span| Fact::Number(span.seconds());
+    pub fn facts(&self, number: u32, zone: Option<u16>) -> Settings {
+        let mut facts = Settings::default();
+        let mut put = |name: &str, fact: SettingValue| drop(facts.0.insert(name.to_string(), fact));
+        let number_of = SettingValue::Number;
+        let span_of = |span: Span| SettingValue::Number(span.seconds());
         put(
             "conductor.count",
             number_of(f64::from(self.conductors.count)),
@@ -585,13 +585,13 @@
         put("conductor.number", number_of(f64::from(number)));
         put(
             "conductor.joined_by_zone",
-            Fact::Flag(self.conductors.joined_by_zone),
+            SettingValue::Flag(self.conductors.joined_by_zone),
         );
         put("conductor.tick", span_of(self.conductors.tick));
         if let Some(zone) = zone {
             put("conductor.zone", number_of(f64::from(zone)));
         }
-        put("peers.may_tell", Fact::Flag(false));
+        put("peers.may_tell", SettingValue::Flag(false));
         put("zone.count", number_of(self.zones.len() as f64));
         put("operation.count", number_of(self.operations.len() as f64));
         put("proxy.count", number_of(f64::from(self.proxies.count)));
@@ -646,16 +646,20 @@
             LevelForm::Rate => "rate",
             LevelForm::None => "none",
         };
-        put("level.form", Fact::Text(form.to_string()));
+        put("level.form", SettingValue::Text(form.to_string()));
         put(
             "report.field.count",
             number_of(self.sums.loads.len() as f64),
         );
         for (at, load) in self.sums.loads.iter().enumerate() {
-            put(&format!("report.field.{at}"), Fact::Text(load.clone()));
+            put(
+                &format!("report.field.{at}"),
+                SettingValue::Text(load.clone()),
+            );
         }
         for (at, operation) in self.operations.iter().enumerate() {
-            let mut put = |name: &str, fact: Fact| put(&format!("operation.{at}.{name}"), fact);
+            let mut put =
+                |name: &str, fact: SettingValue| put(&format!("operation.{at}.{name}"), fact);
             put("latency_objective", span_of(operation.latency_objective));
             put(
                 "integration_timeout",
@@ -663,15 +667,18 @@
             );
             put("billed_value", number_of(operation.billed_value));
             put("late_share", number_of(operation.late_share));
-            put("repeat", Fact::Text(operation.repeat.word().to_string()));
+            put(
+                "repeat",
+                SettingValue::Text(operation.repeat.word().to_string()),
+            );
             let group = match operation.repeat_group {
                 RepeatGroup::All => "all",
                 RepeatGroup::Zone => "zone",
                 RepeatGroup::Cell => "cell",
             };
-            put("repeat_group", Fact::Text(group.to_string()));
+            put("repeat_group", SettingValue::Text(group.to_string()));
             put("repeat_window", span_of(operation.repeat_window));
-            put("stays_in_zone", Fact::Flag(operation.stays_in_zone));
+            put("stays_in_zone", SettingValue::Flag(operation.stays_in_zone));
         }
         facts
     }
--- a/crates/controller-core/src/marks.rs
+++ b/crates/controller-core/src/marks.rs
@@ -4,9 +4,9 @@
 
 use crate::book::Version;
 use std::collections::{BTreeMap, VecDeque};
-use wheelspread::ids::{MarkId, ProxyId};
-use wheelspread::interface::Event;
+use wheelspread::ids::{MarkerId, ProxyId};
 use wheelspread::time::{Moment, Span};
+use wheelspread::Event;
 
 /// The design's wait for answers, in seconds.
 const ASSUMED: f64 = 1.0;
@@ -15,7 +15,7 @@
 
 #[derive(Clone, Debug)]
 struct Asked {
-    mark: MarkId,
+    mark: MarkerId,
     version: Version,
     at: Moment,
 }
@@ -39,7 +39,7 @@
 
 impl Marks {
     /// The module wants to know when the proxy holds `version`.
-    pub fn ask(&mut self, now: Moment, proxy: ProxyId, mark: MarkId, version: Version) {
+    pub fn ask(&mut self, now: Moment, proxy: ProxyId, mark: MarkerId, version: Version) {
         let answers = self.proxies.entry(proxy).or_default();
         if answers.asked.len() >= MOST {
             answers.asked.pop_front();
@@ -106,10 +106,10 @@
                 .front()
                 .filter(|asked| Some(asked.version) <= holds)
             {
-                events.push(Event::Acked {
+                events.push(Event::MarkerAcknowledged {
                     proxy: *proxy,
-                    mark: asked.mark,
-                    took: now - asked.at,
+                    marker: asked.mark,
+                    latency: now - asked.at,
                 });
                 answers.asked.pop_front();
             }
@@ -140,7 +140,7 @@
 
     fn marks(events: Vec<Event>) -> Vec<u32> {
         let mark = |event: &Event| match event {
-            Event::Acked { mark, .. } => mark.0,
+            Event::MarkerAcknowledged { marker: mark, .. } => mark.0,
             other => panic!("{other:?}"),
         };
         events.iter().map(mark).collect()
@@ -149,7 +149,7 @@
     #[test]
     fn a_proxy_without_status_is_taken_to_hold_it_after_a_second() {
         let mut asked = Marks::default();
-        asked.ask(at(0.0), ProxyId(1), MarkId(1), Version(5));
+        asked.ask(at(0.0), ProxyId(1), MarkerId(1), Version(5));
         assert_eq!(
             marks(asked.answered(at(9.0))),
             [] as [u32; 0],
@@ -165,9 +165,9 @@
     fn a_proxy_with_status_answers_when_it_says_so_and_a_newer_version_answers_older_marks() {
         let mut asked = Marks::default();
         asked.told(at(0.0), ProxyId(1), Version(4));
-        asked.ask(at(0.0), ProxyId(1), MarkId(1), Version(5));
-        asked.ask(at(0.1), ProxyId(1), MarkId(2), Version(6));
-        asked.ask(at(0.2), ProxyId(1), MarkId(3), Version(8));
+        asked.ask(at(0.0), ProxyId(1), MarkerId(1), Version(5));
+        asked.ask(at(0.1), ProxyId(1), MarkerId(2), Version(6));
+        asked.ask(at(0.2), ProxyId(1), MarkerId(3), Version(8));
         asked.pointed(at(0.2), ProxyId(1), Version(7));
         assert_eq!(
             marks(asked.answered(at(60.0))),
@@ -183,7 +183,7 @@
     ) {
         let mut asked = Marks::default();
         asked.streams(ProxyId(1));
-        asked.ask(at(0.0), ProxyId(1), MarkId(1), Version(5));
+        asked.ask(at(0.0), ProxyId(1), MarkerId(1), Version(5));
         asked.pointed(at(0.0), ProxyId(1), Version(5));
         asked.refused(ProxyId(1), Version(5));
         assert_eq!(
@@ -203,7 +203,7 @@
     #[test]
     fn a_refused_version_is_not_assumed() {
         let mut asked = Marks::default();
-        asked.ask(at(0.0), ProxyId(1), MarkId(1), Version(5));
+        asked.ask(at(0.0), ProxyId(1), MarkerId(1), Version(5));
         asked.pointed(at(0.0), ProxyId(1), Version(5));
         asked.refused(ProxyId(1), Version(5));
         assert_eq!(marks(asked.answered(at(5.0))), [] as [u32; 0]);
--- a/crates/controller-core/src/membership.rs
+++ b/crates/controller-core/src/membership.rs
@@ -4,8 +4,8 @@
 use crate::deployment::Deployment;
 use std::collections::BTreeMap;
 use wheelspread::ids::{ProxyId, ZoneId};
-use wheelspread::interface::Event;
 use wheelspread::time::Moment;
+use wheelspread::Event;
 
 /// A stream, by the number that the side with the sockets gave it. Never used again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/controller-core/src/nodes.rs
+++ b/crates/controller-core/src/nodes.rs
@@ -5,8 +5,8 @@
 use crate::deployment::Deployment;
 use std::collections::{BTreeMap, BTreeSet};
 use wheelspread::ids::{CellId, KindId, NodeId, ZoneId};
-use wheelspread::interface::{Event, ListEntry, ListKind, Listing};
 use wheelspread::time::{Moment, Span};
+use wheelspread::{EndpointEntry, EndpointListKind, EndpointStatus, Event};
 
 /// One node as a list names it.
 #[derive(Clone, Debug, PartialEq)]
@@ -136,7 +136,7 @@
 #[derive(Clone, Debug)]
 struct Held {
     record: NodeRecord,
-    entry: ListEntry,
+    entry: EndpointEntry,
 }
 
 #[derive(Clone, Debug)]
@@ -180,7 +180,7 @@
         &self.version
     }
 
-    pub fn listed(&self) -> impl Iterator<Item = (&NodeRecord, &ListEntry)> {
+    pub fn listed(&self) -> impl Iterator<Item = (&NodeRecord, &EndpointEntry)> {
         self.held.values().map(|held| (&held.record, &held.entry))
     }
 
@@ -405,19 +405,19 @@
         }
         for (node, held) in std::mem::take(&mut self.held) {
             self.gone.insert(node, now);
-            entries.push(ListEntry {
-                listing: Listing::Gone,
+            entries.push(EndpointEntry {
+                status: EndpointStatus::Gone,
                 ..held.entry
             });
         }
         let long = plan.rules.warm_after * 10.0;
         self.gone.retain(|_, since| now - *since < long);
         (self.held, self.version, self.remembered) = (next, list.version, false);
-        Event::List {
+        Event::EndpointList {
             kind: if whole {
-                ListKind::Complete
+                EndpointListKind::Complete
             } else {
-                ListKind::Changes
+                EndpointListKind::Changes
             },
             entries,
         }
@@ -430,7 +430,7 @@
         before: Option<&Held>,
         plan: &Deployment,
         whole: bool,
-    ) -> ListEntry {
+    ) -> EndpointEntry {
         // The start of a process is fixed when it is first heard of: a clock that jumps moves none.
         let started = match (&record.started, before) {
             (Some((run, _)), Some(held))
@@ -444,15 +444,15 @@
             (None, _) if !whole => Some(now),
             (None, _) => None,
         };
-        ListEntry {
+        EndpointEntry {
             node: record.node,
             zone: ZoneId(position(&plan.zones, &record.zone) as u16),
             kind: KindId(position(&plan.kinds, &record.kind) as u8),
             cell: self.cell(&record.cell),
-            listing: if record.draining {
-                Listing::Draining
+            status: if record.draining {
+                EndpointStatus::Draining
             } else {
-                Listing::Ready
+                EndpointStatus::Ready
             },
             weight: record.weight,
             started,
@@ -471,18 +471,18 @@
     /// The whole list as it is held, for a module that asks.
     pub fn complete(&self) -> Event {
         let entries = self.held.values().map(|held| held.entry.clone()).collect();
-        Event::List {
-            kind: ListKind::Complete,
+        Event::EndpointList {
+            kind: EndpointListKind::Complete,
             entries,
         }
     }
 }
 
 impl Held {
-    fn entry_equals(&self, other: &ListEntry) -> bool {
+    fn entry_equals(&self, other: &EndpointEntry) -> bool {
         let (a, b) = (&self.entry, other);
-        (a.zone, a.kind, a.cell, a.listing, a.started)
-            == (b.zone, b.kind, b.cell, b.listing, b.started)
+        (a.zone, a.kind, a.cell, a.status, a.started)
+            == (b.zone, b.kind, b.cell, b.status, b.started)
             && a.weight == b.weight
     }
 }
@@ -561,12 +561,12 @@
     }
 
     fn gone(event: Option<Event>) -> usize {
-        let Some(Event::List { entries, .. }) = event else {
+        let Some(Event::EndpointList { entries, .. }) = event else {
             return 0;
         };
         entries
             .iter()
-            .filter(|entry| entry.listing == Listing::Gone)
+            .filter(|entry| entry.status == EndpointStatus::Gone)
             .count()
     }
 
@@ -717,7 +717,7 @@
         };
         let mut nodes = Nodes::default();
         nodes.take(at(100.0), told("1", 60.0), &plan(), true);
-        let Some(Event::List { entries, .. }) =
+        let Some(Event::EndpointList { entries, .. }) =
             nodes.take(at(101.0), told("2", 0.0), &plan(), false).event
         else {
             panic!("sound")
@@ -732,7 +732,7 @@
     fn a_node_that_returns_without_an_age_may_be_cold() {
         let mut nodes = held("1", 0..8);
         nodes.take(at(2.0), list("2", 0..7), &plan(), false);
-        let Some(Event::List { entries, .. }) =
+        let Some(Event::EndpointList { entries, .. }) =
             nodes.take(at(9.0), list("3", 0..8), &plan(), false).event
         else {
             panic!("sound")
--- a/crates/controller-core/src/overlay.rs
+++ b/crates/controller-core/src/overlay.rs
@@ -7,8 +7,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 use wheelspread::ids::{CellId, NodeId, ZoneId};
-use wheelspread::interface::{Event, ListEntry, Listing};
 use wheelspread::time::{Moment, Span};
+use wheelspread::{EndpointEntry, EndpointStatus, Event};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Service {
@@ -89,10 +89,10 @@
     }
 
     /// An entry of the list as it goes by the configuration, wherever the node is on its way.
-    pub fn over(&self, entry: &ListEntry) -> ListEntry {
+    pub fn over(&self, entry: &EndpointEntry) -> EndpointEntry {
         let mut entry = entry.clone();
-        if entry.listing == Listing::Ready && self.drained.contains(&entry.node) {
-            entry.listing = Listing::Draining;
+        if entry.status == EndpointStatus::Ready && self.drained.contains(&entry.node) {
+            entry.status = EndpointStatus::Draining;
         }
         let Some((values, place)) = self.values.get(&entry.node) else {
             return entry;
@@ -100,29 +100,29 @@
         entry.zone = place.zone.unwrap_or(entry.zone);
         entry.cell = place.cell.unwrap_or(entry.cell);
         entry.weight = values.weight.unwrap_or(entry.weight);
-        entry.listing = match (values.service, entry.listing) {
-            (Some(Service::Out), _) => Listing::Gone,
-            (Some(Service::Draining), Listing::Ready) => Listing::Draining,
-            (_, listing) => listing,
+        entry.status = match (values.service, entry.status) {
+            (Some(Service::Out), _) => EndpointStatus::Gone,
+            (Some(Service::Draining), EndpointStatus::Ready) => EndpointStatus::Draining,
+            (_, status) => status,
         };
         entry
     }
 
     /// What the module is told in the place of the list.
     pub fn put(&mut self, now: Moment, mut event: Event) -> Event {
-        if let Event::List { entries, .. } = &mut event {
+        if let Event::EndpointList { entries, .. } = &mut event {
             for entry in entries {
                 *entry = self.over(entry);
-                if entry.listing == Listing::Gone {
+                if entry.status == EndpointStatus::Gone {
                     self.at.remove(&entry.node);
                     continue;
                 }
                 match self.at.get(&entry.node).copied() {
                     Some(At::Pool(zone)) if zone != entry.zone => {
                         self.at.insert(entry.node, At::Between(now));
-                        (entry.listing, entry.zone) = (Listing::Gone, zone);
+                        (entry.status, entry.zone) = (EndpointStatus::Gone, zone);
                     }
-                    Some(At::Between(_)) => entry.listing = Listing::Gone,
+                    Some(At::Between(_)) => entry.status = EndpointStatus::Gone,
                     _ => drop(self.at.insert(entry.node, At::Pool(entry.zone))),
                 }
             }
@@ -170,7 +170,7 @@
 mod tests {
     use super::*;
     use wheelspread::ids::KindId;
-    use wheelspread::interface::ListKind;
+    use wheelspread::EndpointListKind;
 
     const NODE: NodeId = NodeId {
         address: [127, 0, 0, 1],
@@ -181,28 +181,28 @@
         Moment::from_seconds(seconds)
     }
 
-    fn listed(zone: u16, listing: Listing) -> Event {
+    fn listed(zone: u16, status: EndpointStatus) -> Event {
         let (zone, kind, cell) = (ZoneId(zone), KindId(0), CellId(0));
-        let entry = ListEntry {
+        let entry = EndpointEntry {
             node: NODE,
             zone,
             kind,
             cell,
-            listing,
+            status,
             weight: 1.0,
             started: None,
         };
-        Event::List {
-            kind: ListKind::Changes,
+        Event::EndpointList {
+            kind: EndpointListKind::Changes,
             entries: vec![entry],
         }
     }
 
-    fn told(event: &Event) -> (u16, Listing) {
-        let Event::List { entries, .. } = event else {
+    fn told(event: &Event) -> (u16, EndpointStatus) {
+        let Event::EndpointList { entries, .. } = event else {
             panic!("{event:?}")
         };
-        (entries[0].zone.0, entries[0].listing)
+        (entries[0].zone.0, entries[0].status)
     }
 
     fn south() -> BTreeMap<NodeId, NodeValues> {
@@ -223,18 +223,18 @@
     fn a_node_is_in_no_pool_between_two_and_comes_back_whatever_happens_on_the_way() {
         let mut overlay = Overlay::default();
         assert_eq!(
-            told(&overlay.put(at(0.0), listed(0, Listing::Ready))),
-            (0, Listing::Ready)
+            told(&overlay.put(at(0.0), listed(0, EndpointStatus::Ready))),
+            (0, EndpointStatus::Ready)
         );
         assert_eq!(set(&mut overlay, south()), [NODE]);
         assert_eq!(
-            told(&overlay.put(at(1.0), listed(0, Listing::Ready))),
-            (0, Listing::Gone)
+            told(&overlay.put(at(1.0), listed(0, EndpointStatus::Ready))),
+            (0, EndpointStatus::Gone)
         );
         // A list that comes meanwhile does not bring it in early.
         assert_eq!(
-            told(&overlay.put(at(1.1), listed(0, Listing::Ready))),
-            (1, Listing::Gone)
+            told(&overlay.put(at(1.1), listed(0, EndpointStatus::Ready))),
+            (1, EndpointStatus::Gone)
         );
         assert_eq!(
             overlay.arrived(at(1.2), Span::from_seconds(2.0), |_| true),
@@ -243,16 +243,16 @@
         // Undone on the way: it goes back where it was, and not before its time either.
         set(&mut overlay, BTreeMap::new());
         assert_eq!(
-            told(&overlay.put(at(1.3), listed(0, Listing::Ready))),
-            (0, Listing::Gone)
+            told(&overlay.put(at(1.3), listed(0, EndpointStatus::Ready))),
+            (0, EndpointStatus::Gone)
         );
         assert_eq!(
             overlay.arrived(at(1.4), Span::from_seconds(2.0), |_| false),
             [NODE]
         );
         assert_eq!(
-            told(&overlay.put(at(1.4), listed(0, Listing::Ready))),
-            (0, Listing::Ready)
+            told(&overlay.put(at(1.4), listed(0, EndpointStatus::Ready))),
+            (0, EndpointStatus::Ready)
         );
         assert_eq!(overlay.between(), 0);
     }
@@ -260,9 +260,9 @@
     #[test]
     fn after_the_grace_nobody_is_waited_for() {
         let mut overlay = Overlay::default();
-        overlay.put(at(0.0), listed(0, Listing::Ready));
+        overlay.put(at(0.0), listed(0, EndpointStatus::Ready));
         set(&mut overlay, south());
-        overlay.put(at(1.0), listed(0, Listing::Ready));
+        overlay.put(at(1.0), listed(0, EndpointStatus::Ready));
         assert_eq!(
             overlay.arrived(at(2.9), Span::from_seconds(2.0), |_| true),
             []
@@ -272,8 +272,8 @@
             [NODE]
         );
         assert_eq!(
-            told(&overlay.put(at(3.0), listed(0, Listing::Ready))),
-            (1, Listing::Ready)
+            told(&overlay.put(at(3.0), listed(0, EndpointStatus::Ready))),
+            (1, EndpointStatus::Ready)
         );
     }
 
@@ -281,11 +281,8 @@
     fn the_list_is_not_overruled_on_who_drains_or_is_gone() {
         let mut overlay = Overlay::default();
         set(&mut overlay, south());
-        for listing in [Listing::Draining, Listing::Gone] {
-            assert_eq!(
-                told(&overlay.put(at(0.0), listed(1, listing))),
-                (1, listing)
-            );
+        for status in [EndpointStatus::Draining, EndpointStatus::Gone] {
+            assert_eq!(told(&overlay.put(at(0.0), listed(1, status))), (1, status));
         }
         let service = |service| {
             BTreeMap::from([(
@@ -296,14 +293,14 @@
                 },
             )])
         };
-        for (word, listing) in [
-            (Some(Service::Draining), Listing::Draining),
-            (Some(Service::Out), Listing::Gone),
+        for (word, status) in [
+            (Some(Service::Draining), EndpointStatus::Draining),
+            (Some(Service::Out), EndpointStatus::Gone),
         ] {
             set(&mut overlay, service(word));
             assert_eq!(
-                told(&overlay.put(at(1.0), listed(1, Listing::Ready))),
-                (1, listing)
+                told(&overlay.put(at(1.0), listed(1, EndpointStatus::Ready))),
+                (1, status)
             );
         }
         assert_eq!(
--- a/crates/controller-core/src/session.rs
+++ b/crates/controller-core/src/session.rs
@@ -17,11 +17,11 @@
 use crate::weigh::{Weighed, Weigher};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
-use wheelspread::balance::Balancer;
 use wheelspread::ids::{NodeId, OperationId, ProxyId, TimerId, ZoneId};
-use wheelspread::interface::{Action, Event, ListEntry, ListKind, Listing};
-use wheelspread::state::Learnt;
 use wheelspread::time::{Moment, Span};
+use wheelspread::Balancer;
+use wheelspread::CapacitySnapshot;
+use wheelspread::{Action, EndpointEntry, EndpointListKind, EndpointStatus, Event};
 
 /// What a proxy's directory held when the conductor started.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -42,7 +42,7 @@
     /// The last list that was taken: it stands where none can be read.
     pub list: Option<NodeList>,
     /// What the module knew of nodes.
-    pub learnt: Vec<Learnt>,
+    pub learnt: Vec<CapacitySnapshot>,
 }
 
 /// A configuration that is to be in force from now on.
@@ -319,7 +319,7 @@
     configured_at: Version,
     /// Of the time before a restart.
     remembered: Option<NodeList>,
-    learnt: Vec<Learnt>,
+    learnt: Vec<CapacitySnapshot>,
     /// Versions that can be stepped back to.
     recent: BTreeMap<Version, Arc<TableSet>>,
     timers: BTreeSet<(Moment, TimerId)>,
@@ -495,7 +495,7 @@
     }
 
     fn hear(&mut self, now: Moment, event: &Event) {
-        if let Err(reason) = self.balancer.hear(now, event) {
+        if let Err(reason) = self.balancer.handle_event(now, event) {
             self.log(Notice::NotUsed { reason });
         }
     }
@@ -525,12 +525,13 @@
     }
 
     fn listed(&mut self, now: Moment, event: &Event) {
-        let Event::List { entries, .. } = event else {
+        let Event::EndpointList { entries, .. } = event else {
             return;
         };
         self.tell_list(now, event.clone());
         if !self.learnt.is_empty() {
-            self.balancer.recall(&std::mem::take(&mut self.learnt));
+            self.balancer
+                .restore_capacities(&std::mem::take(&mut self.learnt));
         }
         let ready = self
             .nodes
@@ -833,7 +834,7 @@
             .ok_or("this table was never published")?;
         let listed = self.serving().map(|entry| (entry.node, entry)).collect();
         let stepped = self.pins.step(now, old, &newest, &listed, &self.plan.rules);
-        self.relist(now, |entry| entry.listing == Listing::Ready);
+        self.relist(now, |entry| entry.status == EndpointStatus::Ready);
         Ok(stepped)
     }
 
@@ -850,7 +851,7 @@
     }
 
     /// Tells the module the weights that go for some nodes now.
-    fn relist(&mut self, now: Moment, which: impl Fn(&wheelspread::interface::ListEntry) -> bool) {
+    fn relist(&mut self, now: Moment, which: impl Fn(&wheelspread::EndpointEntry) -> bool) {
         let entries = self
             .nodes
             .listed()
@@ -859,8 +860,8 @@
         let entries = entries.cloned().collect();
         self.tell_list(
             now,
-            Event::List {
-                kind: ListKind::Changes,
+            Event::EndpointList {
+                kind: EndpointListKind::Changes,
                 entries,
             },
         );
@@ -881,7 +882,7 @@
             plan,
             values,
         } = configured;
-        if let Err(reason) = self.balancer.refigure(plan.facts(self.number, None)) {
+        if let Err(reason) = self.balancer.reconfigure(plan.facts(self.number, None)) {
             return self.log(Notice::NotConfigured {
                 configuration: version,
                 reason,
@@ -966,14 +967,14 @@
     }
 
     /// Listed nodes as the configuration has them.
-    pub fn serving(&self) -> impl Iterator<Item = ListEntry> + '_ {
+    pub fn serving(&self) -> impl Iterator<Item = EndpointEntry> + '_ {
         self.nodes
             .listed()
             .map(|(_, entry)| self.overlay.over(entry))
     }
 
     /// Listed nodes as another configuration would have them.
-    pub fn serving_with(&self, configured: &Configured) -> Vec<ListEntry> {
+    pub fn serving_with(&self, configured: &Configured) -> Vec<EndpointEntry> {
         let (mut overlay, mut nodes) = (Overlay::default(), self.nodes.clone());
         let zone = |name: &str| zone_of(&configured.plan, name);
         overlay.set(configured.values.clone(), zone, |cell| nodes.cell(cell));
@@ -1067,8 +1068,8 @@
         (self.channel.messages, self.channel.overtaken)
     }
 
-    pub fn learnt(&self) -> impl Iterator<Item = Learnt> + '_ {
-        self.balancer.learnt()
+    pub fn learnt(&self) -> impl Iterator<Item = CapacitySnapshot> + '_ {
+        self.balancer.capacity_snapshots()
     }
 
     // ---- what follows ----
@@ -1105,7 +1106,7 @@
     fn decide(&mut self, now: Moment) {
         while let Some((_, timer)) = self.timers.first().copied().filter(|(at, _)| *at <= now) {
             self.timers.pop_first();
-            self.hear(now, &Event::Timer { timer });
+            self.hear(now, &Event::TimerFired { timer });
         }
         if now >= self.next_period {
             // A loop that stood still for periods makes up for none of them.
@@ -1129,18 +1130,18 @@
         }
         self.arrive(now);
         let mut actions = Vec::new();
-        self.balancer.settle(now, &mut actions);
+        self.balancer.decide(now, &mut actions);
         let mut marks = Vec::new();
         let mut bound = BTreeSet::new();
         for action in actions {
             match action {
-                Action::SetLine {
+                Action::SetWeight {
                     table,
                     node,
                     weight,
                 } => self.book.set_line(table, node, weight),
                 Action::ClearTable { table } => self.book.clear(table),
-                Action::Bind {
+                Action::BindTable {
                     proxy,
                     table,
                     operations,
@@ -1148,25 +1149,30 @@
                     self.book.bind(proxy, table, &operations);
                     bound.insert(proxy);
                 }
-                Action::SetLevel {
+                Action::SetAdmission {
                     table,
                     operations,
-                    quota,
+                    limit: quota,
                     retry,
                 } => {
                     self.book.set_level(table, &operations, quota, retry);
                 }
-                Action::Withdraw { node, out } => self.book.withdraw(node, out),
-                Action::Mark { mark, everyone } => marks.push((mark, everyone)),
+                Action::EjectNode { node, ejected: out } => self.book.withdraw(node, out),
+                Action::SendMarker {
+                    marker: mark,
+                    to_all: everyone,
+                } => marks.push((mark, everyone)),
                 Action::SetTimer { after, timer } => drop(self.timers.insert((now + after, timer))),
                 // The list is watched: what is held is what there is.
-                Action::ReadList => {
+                Action::RequestEndpointList => {
                     let whole = self.nodes.complete();
                     self.tell_list(now, whole);
                 }
-                Action::Remark { text } => self.log(Notice::Remark { text }),
+                Action::Log { message: text } => self.log(Notice::Remark { text }),
                 // Not allowed by the facts that this program gives.
-                Action::Watch { .. } | Action::Probe { .. } | Action::Tell { .. } => {}
+                Action::WatchEndpoints { .. }
+                | Action::ProbeNode { .. }
+                | Action::SendGossip { .. } => {}
             }
         }
         self.publish(now, bound, marks);
@@ -1176,7 +1182,7 @@
         &mut self,
         now: Moment,
         mut touched: BTreeSet<ProxyId>,
-        marks: Vec<(wheelspread::ids::MarkId, bool)>,
+        marks: Vec<(wheelspread::ids::MarkerId, bool)>,
     ) {
         let anew = touched.clone();
         let (nodes, overlay) = (&self.nodes, &self.overlay);
@@ -1364,8 +1370,8 @@
                 });
                 self.tell_list(
                     now,
-                    Event::List {
-                        kind: ListKind::Changes,
+                    Event::EndpointList {
+                        kind: EndpointListKind::Changes,
                         entries,
                     },
                 );
@@ -1416,7 +1422,9 @@
             .nodes
             .listed()
             .map(|(_, entry)| self.overlay.over(entry))
-            .filter(|entry| entry.listing == Listing::Ready && !self.overlay.is_between(entry.node))
+            .filter(|entry| {
+                entry.status == EndpointStatus::Ready && !self.overlay.is_between(entry.node)
+            })
             .map(|entry| entry.node)
             .collect();
         let names: Vec<String> = self.strangers.keys().cloned().collect();
--- a/crates/controller-core/src/sums.rs
+++ b/crates/controller-core/src/sums.rs
@@ -6,8 +6,8 @@
 use crate::membership::Membership;
 use std::collections::{BTreeMap, BTreeSet};
 use wheelspread::ids::{NodeId, OperationId, ProxyId, ZoneId};
-use wheelspread::interface::Event;
 use wheelspread::time::Span;
+use wheelspread::Event;
 
 /// A figure that came with some of the answers: how many, and their total.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -243,23 +243,23 @@
             // A load that was not told is none: the module leaves out what is below 0.
             let load: Vec<f64> = sums.loads.iter().map(|load| load.unwrap_or(-1.0)).collect();
             let (tries, errored) = (sums.tries, sums.errored);
-            events.push(Event::NodeSums {
+            events.push(Event::NodeLoadReport {
                 zone,
                 node,
-                tries,
-                errored,
-                latency: Span::from_seconds(latency),
-                over,
-                load,
+                attempts: tries,
+                failures: errored,
+                mean_latency: Span::from_seconds(latency),
+                window: over,
+                metrics: load,
             });
         }
         for ((proxy, operation), (count, errored, over)) in std::mem::take(&mut self.offered) {
-            events.push(Event::Offered {
+            events.push(Event::DemandReport {
                 proxy,
                 operation,
-                count,
-                errored,
-                over,
+                requests: count,
+                failures: errored,
+                window: over,
             });
         }
         events
@@ -328,10 +328,10 @@
                 .expect("fine");
         }
         let events = sums.drain(&members);
-        let Event::NodeSums {
-            tries,
-            over,
-            latency,
+        let Event::NodeLoadReport {
+            attempts: tries,
+            window: over,
+            mean_latency: latency,
             ..
         } = &events[0]
         else {
@@ -343,11 +343,11 @@
             "two in progress at ten a second"
         );
         let offered = |event: &Event| match event {
-            Event::Offered {
+            Event::DemandReport {
                 proxy,
                 operation,
-                count,
-                over,
+                requests: count,
+                window: over,
                 ..
             } => Some((proxy.0, operation.0, *count, over.seconds())),
             _ => None,
@@ -373,9 +373,9 @@
         sums.report(ProxyId(0), ZoneId(0), &told, &plan(), |_| true)
             .expect("fine");
         let events = sums.drain(&members);
-        assert!(events
-            .iter()
-            .any(|event| matches!(event, Event::Offered { count, .. } if *count == 15.0)));
+        assert!(events.iter().any(
+            |event| matches!(event, Event::DemandReport { requests: count, .. } if *count == 15.0)
+        ));
     }
 
     #[test_case(report(0.0, 1, 0, 0); "no span")]
@@ -406,6 +406,6 @@
         assert!(!sums
             .drain(&members(1))
             .iter()
-            .any(|event| matches!(event, Event::NodeSums { .. })));
+            .any(|event| matches!(event, Event::NodeLoadReport { .. })));
     }
 }
--- a/crates/controller-core/src/weigh.rs
+++ b/crates/controller-core/src/weigh.rs
@@ -8,8 +8,8 @@
 use crate::nodes::{show, Nodes};
 use std::collections::BTreeMap;
 use wheelspread::ids::{NodeId, OperationId, ZoneId};
-use wheelspread::interface::{Event, ListEntry, Listing};
 use wheelspread::time::Moment;
+use wheelspread::{EndpointEntry, EndpointStatus, Event};
 use wheelspread_solve::estimate::{Estimate, Seen};
 use wheelspread_solve::steady::{next, Steadiness};
 use wheelspread_solve::{solve, Fleet, Gateway, Host, HostState, Operation, Status};
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Weighed {
     /// Nodes whose listed weight changes.
-    Changed(Vec<ListEntry>),
+    Changed(Vec<EndpointEntry>),
     Failed(String),
 }
 
@@ -48,7 +48,7 @@
 
     /// Puts solved weights in the place of listed ones.
     pub fn put(&self, mut event: Event) -> Event {
-        if let Event::List { entries, .. } = &mut event {
+        if let Event::EndpointList { entries, .. } = &mut event {
             for entry in entries {
                 entry.weight = self.weight(entry.node).unwrap_or(entry.weight);
             }
@@ -69,11 +69,11 @@
         let mut met: BTreeMap<NodeId, (f64, f64, f64, Option<f64>)> = BTreeMap::new();
         for event in events {
             match event {
-                Event::Offered {
+                Event::DemandReport {
                     proxy,
                     operation,
-                    count,
-                    over,
+                    requests: count,
+                    window: over,
                     ..
                 } if over.seconds() > 0.0 => {
                     let zone = members.numbered(*proxy).map(|member| member.zone);
@@ -81,12 +81,12 @@
                         *asked.entry((zone, *operation)).or_insert(0.0) += count / over.seconds();
                     }
                 }
-                Event::NodeSums {
+                Event::NodeLoadReport {
                     node,
-                    tries,
-                    errored,
-                    over,
-                    load,
+                    attempts: tries,
+                    failures: errored,
+                    window: over,
+                    metrics: load,
                     ..
                 } if over.seconds() > 0.0 => {
                     let sum = met.entry(*node).or_insert((0.0, 0.0, 0.0, None));
@@ -159,7 +159,7 @@
     }
 
     fn fleet(&self, plan: &Deployment, solver: &SolverPlan, nodes: &Nodes) -> Fleet {
-        let host = |(record, entry): (&crate::nodes::NodeRecord, &ListEntry)| {
+        let host = |(record, entry): (&crate::nodes::NodeRecord, &EndpointEntry)| {
             let told = solver.capacities.get(&record.kind).copied().unwrap_or(0.0);
             Host {
                 id: show(record.node),
@@ -169,8 +169,8 @@
                     .get(&record.node)
                     .map_or(told, Estimate::capacity),
                 // The module raises a cold node as it warms; its weight here is that of a warm one.
-                state: match entry.listing {
-                    Listing::Ready => HostState::Ready,
+                state: match entry.status {
+                    EndpointStatus::Ready => HostState::Ready,
                     _ => HostState::Draining,
                 },
                 price: 0.0,
@@ -269,18 +269,18 @@
             &mut self.standing,
             next(&standing, &solved, Steadiness::default()),
         );
-        let moved = |entry: &ListEntry| {
+        let moved = |entry: &EndpointEntry| {
             let weight = self.weight(entry.node)?;
             let changed = before
                 .get(&show(entry.node))
                 .map(|weight| weight.max(LEAST))
                 != Some(weight);
-            (changed && entry.listing == Listing::Ready).then(|| ListEntry {
+            (changed && entry.status == EndpointStatus::Ready).then(|| EndpointEntry {
                 weight,
                 ..entry.clone()
             })
         };
-        let entries: Vec<ListEntry> = nodes
+        let entries: Vec<EndpointEntry> = nodes
             .listed()
             .filter_map(|(_, entry)| moved(entry))
             .collect();
--- a/crates/controller/src/keeper.rs
+++ b/crates/controller/src/keeper.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 use tracing::{info, warn};
 use wheelspread::ids::NodeId;
-use wheelspread::state::Learnt;
 use wheelspread::time::Span;
+use wheelspread::CapacitySnapshot;
 use wheelspread_config_rollout::values::node;
 use wheelspread_config_transaction::{Commit, Kept};
 use wheelspread_controller_core::nodes::{show, NodeList, NodeRecord, Nodes};
@@ -20,7 +20,7 @@
 use wheelspread_reactor::Waker;
 use wheelspread_store::{Found as File, Store, StoreError};
 
-/// Facts: the last version that was published, the list, its nodes, what was learnt of them.
+/// Settings: the last version that was published, the list, its nodes, what was learnt of them.
 const VERSION: &str = "version";
 const LIST: &str = "list";
 const LISTED: &str = "listed.";
@@ -137,13 +137,13 @@
         self.done.try_iter().collect()
     }
 
-    /// Facts that have changed since they were last given.
+    /// Settings that have changed since they were last given.
     pub fn keep(
         &mut self,
         wall: f64,
         version: Version,
         nodes: &Nodes,
-        learnt: impl Iterator<Item = Learnt>,
+        learnt: impl Iterator<Item = CapacitySnapshot>,
     ) {
         let mut facts = BTreeMap::new();
         if version != self.version {
@@ -155,7 +155,7 @@
             facts.insert(LIST.to_string(), Some(self.list.clone()));
             self.keep_list(wall, nodes, &mut facts);
         }
-        for told in learnt.filter(Learnt::sound) {
+        for told in learnt.filter(CapacitySnapshot::sound) {
             let fact = LearntFact {
                 capacity: told.capacity,
                 evidence: told.evidence,
@@ -246,7 +246,7 @@
             evidence,
             quickest_s,
         } = fact;
-        Learnt {
+        CapacitySnapshot {
             node,
             capacity,
             evidence,
@@ -256,7 +256,7 @@
     found.learnt = learnt.collect();
 }
 
-/// Facts of nodes under a prefix.
+/// Settings of nodes under a prefix.
 fn of_nodes<'a>(kept: &'a Kept, prefix: &'a str) -> impl Iterator<Item = (NodeId, &'a String)> {
     kept.facts
         .iter()
@@ -300,7 +300,7 @@
     told: &Sender<Told>,
     waker: &Waker,
 ) {
-    // Facts that could not be written go with the next that is.
+    // Settings that could not be written go with the next that is.
     let mut left = Commit::default();
     loop {
         let first = match left.facts.is_empty() {
@@ -403,7 +403,7 @@
         let poll = Poll::new().expect("epoll");
         let waker = Waker::new(&poll, Token(1)).expect("eventfd");
         let (mut keeper, _) = Keeper::start(path, 1000.0, waker).expect("opened");
-        let learnt = nodes.listed().map(|(record, _)| Learnt {
+        let learnt = nodes.listed().map(|(record, _)| CapacitySnapshot {
             node: record.node,
             capacity: 3.0,
             evidence: 5.0,
--- a/crates/controller/src/routes.rs
+++ b/crates/controller/src/routes.rs
@@ -6,8 +6,8 @@
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use wheelspread::ids::{OperationId, ZoneId};
-use wheelspread::interface::{ListEntry, Listing};
 use wheelspread::time::Moment;
+use wheelspread::{EndpointEntry, EndpointStatus};
 use wheelspread_config_rollout::values::node;
 use wheelspread_config_rollout::{Ask, Rollout};
 use wheelspread_config_transaction::ledger::Record;
@@ -293,10 +293,10 @@
     let (session, rollout) = (&*desk.session, &*desk.rollout);
     let (mut ready, mut draining, mut cold) = (0, 0, 0);
     for entry in session.serving() {
-        match entry.listing {
-            Listing::Ready => ready += 1,
-            Listing::Draining => draining += 1,
-            Listing::Gone => {}
+        match entry.status {
+            EndpointStatus::Ready => ready += 1,
+            EndpointStatus::Draining => draining += 1,
+            EndpointStatus::Gone => {}
         }
         cold += u32::from(is_cold(now, &entry, session));
     }
@@ -337,8 +337,8 @@
     })
 }
 
-fn is_cold(now: Moment, entry: &ListEntry, session: &Session) -> bool {
-    entry.listing == Listing::Ready && session.plan().rules.is_cold(now, entry.started)
+fn is_cold(now: Moment, entry: &EndpointEntry, session: &Session) -> bool {
+    entry.status == EndpointStatus::Ready && session.plan().rules.is_cold(now, entry.started)
 }
 
 fn channel(session: &Session) -> Value {
@@ -394,11 +394,11 @@
             .cloned()
             .unwrap_or_default()
     };
-    let node = |entry: ListEntry| {
-        let listing = match entry.listing {
-            Listing::Ready => "ready",
-            Listing::Draining => "draining",
-            Listing::Gone => "out",
+    let node = |entry: EndpointEntry| {
+        let listing = match entry.status {
+            EndpointStatus::Ready => "ready",
+            EndpointStatus::Draining => "draining",
+            EndpointStatus::Gone => "out",
         };
         let cold = is_cold(now, &entry, session);
         json!({ "node": show(entry.node), "zone": zone(entry.zone), "listing": listing, "cold": cold,
@@ -415,10 +415,10 @@
         )
     })?;
     let entry = desk.session.serving().find(|entry| entry.node == id);
-    let listing = entry.map_or("not listed", |entry| match entry.listing {
-        Listing::Ready => "ready",
-        Listing::Draining => "draining",
-        Listing::Gone => "out",
+    let listing = entry.map_or("not listed", |entry| match entry.status {
+        EndpointStatus::Ready => "ready",
+        EndpointStatus::Draining => "draining",
+        EndpointStatus::Gone => "out",
     });
     let named_by = desk.session.named_by(id);
     Ok(
--- a/crates/drain/src/agree.rs
+++ b/crates/drain/src/agree.rs
@@ -26,7 +26,7 @@
 #[serde(rename_all = "kebab-case")]
 pub enum Matter {
     /// Some hold it ready that others hold draining or out.
-    Listing,
+    EndpointStatus,
     /// Some list it and others do not.
     Listed,
     /// It serves in different pools.
@@ -124,7 +124,7 @@
             });
         };
         if both(&listing) > 1 {
-            tell(Matter::Listing, listing);
+            tell(Matter::EndpointStatus, listing);
         } else if listed.len() > 1 {
             tell(Matter::Listed, listed);
         }
--- a/crates/drain/tests/lives.rs
+++ b/crates/drain/tests/lives.rs
@@ -419,7 +419,7 @@
     let found = disagreements(&fleet(drained));
     assert_eq!(
         (found.len(), found[0].matter, found[0].node.as_deref()),
-        (1, Matter::Listing, Some("n1"))
+        (1, Matter::EndpointStatus, Some("n1"))
     );
     assert_eq!(found[0].held["draining by order"], ["c"]);
     assert_eq!(found[0].held["ready"], ["a", "b"]);
--- a/crates/drill/src/even.rs
+++ b/crates/drill/src/even.rs
@@ -5,7 +5,7 @@
 use crate::script::Script;
 use std::net::SocketAddrV4;
 use wheelspread::ids::{NodeId, OperationId, TableId};
-use wheelspread::interface::Retry;
+use wheelspread::RetryPolicy;
 use wheelspread_controller_core::book::{BundleId, Line, OperationTable, TableSet, Version};
 use wheelspread_files::swap::Swap;
 use wheelspread_files::Root;
@@ -108,9 +108,9 @@
                     lines: open.map(line).collect(),
                     quota: None,
                     retry: if repeats {
-                        Retry::OnceAfterAnyFailure
+                        RetryPolicy::OnceOnAnyFailure
                     } else {
-                        Retry::AfterProofItNeverRan
+                        RetryPolicy::IfUnprocessed
                     },
                 }
             };
--- a/crates/files/src/writer/tests.rs
+++ b/crates/files/src/writer/tests.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use test_case::test_case;
 use wheelspread::ids::{NodeId, OperationId, TableId};
-use wheelspread::interface::Retry;
+use wheelspread::RetryPolicy;
 use wheelspread_controller_core::book::{BundleId, Line, OperationTable};
 use wheelspread_reactor::{Poll, Token};
 
@@ -37,7 +37,7 @@
         table: TableId(0),
         lines,
         quota: None,
-        retry: Retry::Never,
+        retry: RetryPolicy::Never,
     };
     TableSet {
         bundle: BundleId(0),
--- a/crates/platform-core/src/desk.rs
+++ b/crates/platform-core/src/desk.rs
@@ -9,12 +9,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 use std::rc::Rc;
-use wheelspread::balance::Balancer;
-use wheelspread::facts::Facts;
 use wheelspread::ids::{NodeId, ProxyId, TimerId, ZoneId};
-use wheelspread::interface::{Action, Event, ListKind};
 use wheelspread::ring::Ring;
+use wheelspread::settings::Settings;
 use wheelspread::time::{Moment, Span};
+use wheelspread::Balancer;
+use wheelspread::{Action, EndpointListKind, Event};
 use wheelspread_settings::Names;
 
 /// What becomes of a message at once.
@@ -101,7 +101,7 @@
 }
 
 impl Figures {
-    fn read(facts: &Facts) -> Figures {
+    fn read(facts: &Settings) -> Figures {
         let span = |name| Span::from_seconds(facts.number_or(name, 0.0));
         let timeouts =
             (0..16).map(|at| facts.number_or(&format!("operation.{at}.integration_timeout"), 0.0));
@@ -121,7 +121,7 @@
 }
 
 impl Desk {
-    pub fn start(now: Moment, seed: u64, facts: Facts, names: Names) -> Result<Desk, String> {
+    pub fn start(now: Moment, seed: u64, facts: Settings, names: Names) -> Result<Desk, String> {
         let second = Span::from_seconds(1.0);
         let figures = Figures::read(&facts);
         Ok(Desk {
@@ -143,7 +143,7 @@
     }
 
     /// Other settings, from now on. Zones, kinds and operations stay what they are.
-    pub fn refigure(&mut self, facts: Facts, names: &Names) -> Result<(), String> {
+    pub fn refigure(&mut self, facts: Settings, names: &Names) -> Result<(), String> {
         if *names != self.names {
             return Err(
                 "zones, kinds, operations and reports stay what they are while this runs"
@@ -151,7 +151,7 @@
             );
         }
         let figures = Figures::read(&facts);
-        self.balancer.refigure(facts)?;
+        self.balancer.reconfigure(facts)?;
         self.figures = figures;
         self.pending = true;
         Ok(())
@@ -183,8 +183,8 @@
     pub fn no_list(&mut self, now: Moment) {
         self.hear(
             now,
-            &Event::List {
-                kind: ListKind::Unavailable,
+            &Event::EndpointList {
+                kind: EndpointListKind::Unavailable,
                 entries: Vec::new(),
             },
         );
@@ -200,18 +200,18 @@
     ) {
         self.hear(
             now,
-            &Event::Probed {
+            &Event::ProbeCompleted {
                 node,
-                answered,
-                took,
-                load,
+                succeeded: answered,
+                latency: took,
+                metrics: load,
             },
         );
     }
 
     fn hear(&mut self, now: Moment, event: &Event) {
         self.pending = true;
-        if let Err(text) = self.balancer.hear(now, event) {
+        if let Err(text) = self.balancer.handle_event(now, event) {
             self.out.push(Out::Remark(text));
         }
     }
@@ -315,14 +315,14 @@
                 Some(node) => {
                     self.hear(
                         now,
-                        &Event::NodeSums {
+                        &Event::NodeLoadReport {
                             zone,
                             node,
-                            tries,
-                            errored,
-                            latency,
-                            over,
-                            load,
+                            attempts: tries,
+                            failures: errored,
+                            mean_latency: latency,
+                            window: over,
+                            metrics: load,
                         },
                     );
                 }
@@ -339,12 +339,12 @@
             } => {
                 self.hear(
                     now,
-                    &Event::Offered {
+                    &Event::DemandReport {
                         proxy,
                         operation,
-                        count,
-                        errored,
-                        over,
+                        requests: count,
+                        failures: errored,
+                        window: over,
                     },
                 );
             }
@@ -357,7 +357,14 @@
                     )));
                 }
                 for mark in marks {
-                    self.hear(now, &Event::Acked { proxy, mark, took });
+                    self.hear(
+                        now,
+                        &Event::MarkerAcknowledged {
+                            proxy,
+                            marker: mark,
+                            latency: took,
+                        },
+                    );
                 }
             }
             _ => {}
@@ -415,7 +422,7 @@
         }
         while let Some((_, timer)) = self.timers.first().copied().filter(|first| first.0 <= now) {
             self.timers.pop_first();
-            self.hear(now, &Event::Timer { timer });
+            self.hear(now, &Event::TimerFired { timer });
         }
         if self.pending
             && self
@@ -424,7 +431,7 @@
         {
             (self.pending, self.settled) = (false, Some(now));
             let mut actions = Vec::new();
-            self.balancer.settle(now, &mut actions);
+            self.balancer.decide(now, &mut actions);
             actions.iter().for_each(|action| self.act(now, action));
             for (proxy, bytes) in self.tables.messages(now, &self.membership) {
                 if let Some(Stream { connection, .. }) = self.streams.get(&proxy) {
@@ -444,8 +451,8 @@
         }
         match action {
             Action::SetTimer { after, timer } => _ = self.timers.insert((now + *after, *timer)),
-            Action::ReadList => self.out.push(Out::ReadList),
-            Action::Probe { node } => {
+            Action::RequestEndpointList => self.out.push(Out::ReadList),
+            Action::ProbeNode { node } => {
                 if let Some(address) = self.membership.address(*node) {
                     self.out.push(Out::Probe {
                         node: *node,
@@ -453,9 +460,9 @@
                     });
                 }
             }
-            Action::Remark { text } => self.out.push(Out::Remark(text.clone())),
+            Action::Log { message: text } => self.out.push(Out::Remark(text.clone())),
             // Changes of the list come unasked, and conductors have no way to each other here.
-            Action::Watch { .. } | Action::Tell { .. } => {}
+            Action::WatchEndpoints { .. } | Action::SendGossip { .. } => {}
             _ => {}
         }
     }
--- a/crates/platform-core/src/membership.rs
+++ b/crates/platform-core/src/membership.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 use wheelspread::ids::{CellId, KindId, NodeId, ZoneId};
-use wheelspread::interface::{Event, ListEntry, ListKind, Listing};
 use wheelspread::time::{Moment, Span};
+use wheelspread::{EndpointEntry, EndpointListKind, EndpointStatus, Event};
 use wheelspread_settings::Names;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -18,7 +18,7 @@
     pub zone: ZoneId,
     pub kind: KindId,
     pub cell: CellId,
-    pub listing: Listing,
+    pub status: EndpointStatus,
     pub weight: f64,
     pub started: Option<Moment>,
 }
@@ -119,10 +119,10 @@
         let place = known.iter().position(|known| known == text);
         place.ok_or_else(|| format!("{name} has a `{field}` that the settings don't name: {text}"))
     };
-    let listing = match text("status")? {
-        "Ready" => Listing::Ready,
-        "Terminating" => Listing::Draining,
-        "Gone" => Listing::Gone,
+    let status = match text("status")? {
+        "Ready" => EndpointStatus::Ready,
+        "Terminating" => EndpointStatus::Draining,
+        "Gone" => EndpointStatus::Gone,
         other => return Err(format!("{name} is said to be {other}")),
     };
     let address = text("address")?;
@@ -140,7 +140,7 @@
                 .unwrap_or(0)
                 .min(u64::from(u16::MAX)) as u16,
         ),
-        listing,
+        status,
         weight: entry["weight"].as_f64().unwrap_or(1.0),
         started: started.map(|millis| Moment::from_seconds(millis / 1e3)),
     })
@@ -192,7 +192,7 @@
             }
             id
         });
-        let listed = entry.listing != Listing::Gone;
+        let listed = entry.status != EndpointStatus::Gone;
         let known = Known {
             entry: entry.clone(),
             listed,
@@ -236,22 +236,22 @@
                 (known.listed, known.since) = (false, now);
             }
         }
-        let entry = |entry: &Entry| ListEntry {
+        let entry = |entry: &Entry| EndpointEntry {
             node: self.enter(entry, now),
             zone: entry.zone,
             kind: entry.kind,
             cell: entry.cell,
-            listing: entry.listing,
+            status: entry.status,
             weight: entry.weight,
             started: entry.started,
         };
         let entries = entries.iter().map(entry).collect();
         let kind = match (source, list.full) {
-            (CONFIGURATION, _) => ListKind::Cached,
-            (_, true) => ListKind::Complete,
-            _ => ListKind::Changes,
+            (CONFIGURATION, _) => EndpointListKind::Cached,
+            (_, true) => EndpointListKind::Complete,
+            _ => EndpointListKind::Changes,
         };
-        Some(Event::List { kind, entries })
+        Some(Event::EndpointList { kind, entries })
     }
 
     /// Lets go of nodes that are long gone and that no table names: a fleet that is replaced again and
--- a/crates/platform-core/src/message.rs
+++ b/crates/platform-core/src/message.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 use std::str::FromStr;
-use wheelspread::ids::{MarkId, OperationId, ProxyId, ZoneId};
+use wheelspread::ids::{MarkerId, OperationId, ProxyId, ZoneId};
 use wheelspread::time::Span;
 use wheelspread_settings::{field, Names};
 
@@ -21,7 +21,7 @@
     },
     Applied {
         proxy: ProxyId,
-        mark: MarkId,
+        mark: MarkerId,
         took: Span,
     },
     /// What the proxies of a zone met at a node.
@@ -158,7 +158,7 @@
         }),
         "applied" => Ok(Message::Applied {
             proxy: fields.proxy(bounds)?,
-            mark: MarkId(fields.read("version", |mark: &u32| *mark < 65536)?),
+            mark: MarkerId(fields.read("version", |mark: &u32| *mark < 65536)?),
             took: fields.span("lag_ms", Span::from_seconds(LONGEST_SUMS))?,
         }),
         "heard" => met(&fields, names, bounds),
--- a/crates/platform-core/src/table_store.rs
+++ b/crates/platform-core/src/table_store.rs
@@ -5,14 +5,14 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt::Write;
 use std::rc::Rc;
-use wheelspread::ids::{MarkId, NodeId, OperationId, ProxyId, TableId};
-use wheelspread::interface::{Action, Retry};
+use wheelspread::ids::{MarkerId, NodeId, OperationId, ProxyId, TableId};
 use wheelspread::time::Moment;
+use wheelspread::{Action, RetryPolicy};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Level {
     quota: f64,
-    retry: Retry,
+    retry: RetryPolicy,
 }
 
 impl Level {
@@ -29,10 +29,10 @@
 
     fn again(&self) -> u8 {
         match self.retry {
-            Retry::Never => 0,
-            Retry::AfterProofItNeverRan => 1,
-            Retry::OnceAfterAnyFailure => 2,
-            Retry::TwiceAfterAnyFailure => 3,
+            RetryPolicy::Never => 0,
+            RetryPolicy::IfUnprocessed => 1,
+            RetryPolicy::OnceOnAnyFailure => 2,
+            RetryPolicy::TwiceOnAnyFailure => 3,
         }
     }
 }
@@ -49,7 +49,7 @@
     bound: BTreeMap<OperationId, TableId>,
     out: BTreeSet<NodeId>,
     /// Marks that it has not answered, in the order they were sent.
-    marks: VecDeque<(MarkId, Moment)>,
+    marks: VecDeque<(MarkerId, Moment)>,
 }
 
 /// What was ordered since the last messages.
@@ -59,7 +59,7 @@
     levels: BTreeSet<(Option<TableId>, OperationId)>,
     cleared: BTreeSet<TableId>,
     bound: BTreeMap<ProxyId, BTreeSet<TableId>>,
-    mark: Option<(MarkId, bool)>,
+    mark: Option<(MarkerId, bool)>,
     /// Whether anything was ordered at all: if not, no stream is looked at.
     any: bool,
 }
@@ -109,7 +109,7 @@
     }
 
     /// All marks that an answer covers, the named one last; none where it was never sent.
-    pub fn acked(&mut self, proxy: ProxyId, mark: MarkId) -> Vec<MarkId> {
+    pub fn acked(&mut self, proxy: ProxyId, mark: MarkerId) -> Vec<MarkerId> {
         let Some(told) = self.streams.get_mut(&proxy) else {
             return Vec::new();
         };
@@ -147,7 +147,7 @@
     /// Takes an order down; what is no order to proxies is not kept here.
     pub fn order(&mut self, action: &Action) -> Kept {
         match action {
-            Action::SetLine {
+            Action::SetWeight {
                 table,
                 node,
                 weight,
@@ -164,7 +164,7 @@
                 self.tables.remove(table);
                 self.news.cleared.insert(*table);
             }
-            Action::Bind {
+            Action::BindTable {
                 proxy,
                 table,
                 operations,
@@ -176,10 +176,10 @@
                     self.news.bound.entry(*proxy).or_default().insert(*table);
                 }
             }
-            Action::SetLevel {
+            Action::SetAdmission {
                 table,
                 operations,
-                quota,
+                limit: quota,
                 retry,
             } => {
                 let level = Level {
@@ -196,7 +196,7 @@
                     .levels
                     .extend(named.iter().map(|operation| (*table, *operation)));
             }
-            Action::Withdraw { node, out } => {
+            Action::EjectNode { node, ejected: out } => {
                 let (into, from) = match out {
                     true => (&mut self.withdrawn, &mut self.let_back),
                     false => (&mut self.let_back, &mut self.withdrawn),
@@ -204,7 +204,10 @@
                 from.remove(node);
                 into.insert(*node);
             }
-            Action::Mark { mark, everyone } => self.news.mark = Some((*mark, *everyone)),
+            Action::SendMarker {
+                marker: mark,
+                to_all: everyone,
+            } => self.news.mark = Some((*mark, *everyone)),
             _ => return Kept::NotMine,
         }
         self.news.any = true;
--- a/crates/platform-core/src/tests.rs
+++ b/crates/platform-core/src/tests.rs
@@ -23,8 +23,8 @@
 use std::collections::BTreeMap;
 use test_case::test_case;
 use wheelspread::ids::*;
-use wheelspread::interface::{Action, ListKind, Listing, Retry};
 use wheelspread::time::{Moment, Span};
+use wheelspread::{Action, EndpointListKind, EndpointStatus, RetryPolicy};
 use wheelspread_resp::{Limits, Reader};
 use wheelspread_settings::{settings, Names};
 
@@ -332,7 +332,7 @@
 
 fn bind(table: u16, operations: &[u8]) -> Action {
     let operations = operations.iter().map(|at| OperationId(*at)).collect();
-    Action::Bind {
+    Action::BindTable {
         proxy: ProxyId(0),
         table: TableId(table),
         operations,
@@ -340,19 +340,19 @@
 }
 
 fn line(table: u16, node: NodeId, weight: f64) -> Action {
-    Action::SetLine {
+    Action::SetWeight {
         table: TableId(table),
         node,
         weight,
     }
 }
 
-fn level(table: Option<u16>, operations: &[u8], quota: f64, retry: Retry) -> Action {
+fn level(table: Option<u16>, operations: &[u8], quota: f64, retry: RetryPolicy) -> Action {
     let operations = operations.iter().map(|at| OperationId(*at)).collect();
-    Action::SetLevel {
+    Action::SetAdmission {
         table: table.map(TableId),
         operations,
-        quota,
+        limit: quota,
         retry,
     }
 }
@@ -360,9 +360,9 @@
 #[test]
 fn a_table_is_told_whole_once_and_then_by_its_changes() {
     let (mut tables, membership, [x, y]) = table_store();
-    let mark = |mark| Action::Mark {
-        mark: MarkId(mark),
-        everyone: false,
+    let mark = |mark| Action::SendMarker {
+        marker: MarkerId(mark),
+        to_all: false,
     };
     let first = [line(3, x, 1.5), line(3, y, 0.1), bind(3, &[]), mark(9)];
     let said = told(&mut tables, &membership, &first);
@@ -391,18 +391,18 @@
         "another table"
     );
     assert_eq!(
-        tables.acked(ProxyId(0), MarkId(10)),
-        [MarkId(9), MarkId(10)],
+        tables.acked(ProxyId(0), MarkerId(10)),
+        [MarkerId(9), MarkerId(10)],
         "an answer covers all before"
     );
     assert_eq!(
-        tables.acked(ProxyId(0), MarkId(11)),
+        tables.acked(ProxyId(0), MarkerId(11)),
         [],
         "that was never sent"
     );
-    let all = Action::Mark {
-        mark: MarkId(12),
-        everyone: true,
+    let all = Action::SendMarker {
+        marker: MarkerId(12),
+        to_all: true,
     };
     assert_eq!(told(&mut tables, &membership, &[all]), ["update stamp 12"]);
     let cleared = told(
@@ -416,7 +416,7 @@
 #[test]
 fn levels_go_with_the_lines_where_one_holds_for_all_and_apart_where_not() {
     let (mut tables, membership, [x, _]) = table_store();
-    let usual = Retry::AfterProofItNeverRan;
+    let usual = RetryPolicy::IfUnprocessed;
     let same = [
         line(0, x, 1.0),
         level(Some(0), &[0, 1], 0.9, usual),
@@ -429,14 +429,14 @@
     let one = told(
         &mut tables,
         &membership,
-        &[level(Some(0), &[1], 0.5, Retry::Never)],
+        &[level(Some(0), &[1], 0.5, RetryPolicy::Never)],
     );
     assert_eq!(one, ["update for order gate 0.5 again 0"]);
     // For all: the lower level, and the table's own way of trying again.
     let all = told(
         &mut tables,
         &membership,
-        &[level(None, &[], 0.7, Retry::TwiceAfterAnyFailure)],
+        &[level(None, &[], 0.7, RetryPolicy::TwiceOnAnyFailure)],
     );
     assert_eq!(
         all,
@@ -461,7 +461,7 @@
 fn withdrawals_reach_who_holds_the_node_and_are_taken_back() {
     let (mut tables, membership, [x, y]) = table_store();
     told(&mut tables, &membership, &[line(0, x, 1.0), bind(0, &[])]);
-    let withdraw = |node, out| Action::Withdraw { node, out };
+    let withdraw = |node, out| Action::EjectNode { node, ejected: out };
     assert_eq!(
         told(&mut tables, &membership, &[withdraw(y, true)]).len(),
         0,
@@ -527,14 +527,14 @@
         SourceId(1),
         now,
     );
-    let Some(wheelspread::interface::Event::List {
-        kind: ListKind::Changes,
+    let Some(wheelspread::Event::EndpointList {
+        kind: EndpointListKind::Changes,
         entries,
     }) = gone
     else {
         panic!("changes, not {gone:?}")
     };
-    assert_eq!(entries[0].listing, Listing::Gone);
+    assert_eq!(entries[0].status, EndpointStatus::Gone);
     let later = now + Span::from_seconds(100.0);
     membership.forget(later, Span::from_seconds(160.0), |_| false);
     assert!(membership.id("x").is_some(), "late sums may still name it");
--- a/crates/platform/src/file.rs
+++ b/crates/platform/src/file.rs
@@ -3,7 +3,7 @@
 use serde_json::Value;
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
-use wheelspread::facts::Facts;
+use wheelspread::settings::Settings;
 use wheelspread_platform_core::List;
 use wheelspread_settings::{check, settings, Names, Wrong};
 
@@ -20,7 +20,7 @@
     pub known: Option<List>,
     /// What of that list can't be used, and why: the start goes on without it.
     pub refused: Vec<String>,
-    pub facts: Facts,
+    pub facts: Settings,
     pub names: Names,
 }
 
--- a/crates/platform/src/service.rs
+++ b/crates/platform/src/service.rs
@@ -106,7 +106,7 @@
     #[error(transparent)]
     File(#[from] BadFile),
     #[error("the settings can't be used: {0}")]
-    Facts(String),
+    Settings(String),
     #[error("{what}: {error}")]
     Io { what: String, error: io::Error },
     /// Which is no failure.
@@ -128,7 +128,7 @@
         let clock = Clock::new();
         let now = clock.now();
         let mut desk = Desk::start(now, file.seed, file.facts.clone(), file.names.clone())
-            .map_err(NoStart::Facts)?;
+            .map_err(NoStart::Settings)?;
         file.refused
             .iter()
             .for_each(|why| warn!(why, "left out of the known list"));
--- a/crates/proxy-core/src/core.rs
+++ b/crates/proxy-core/src/core.rs
@@ -8,9 +8,9 @@
 use crate::tally::Tally;
 use std::collections::{BTreeMap, BTreeSet};
 use wheelspread::ids::{NodeId, OperationId};
-use wheelspread::interface::Retry;
 use wheelspread::pcg::Pcg;
 use wheelspread::time::{Moment, Span};
+use wheelspread::RetryPolicy;
 use wheelspread_controller_core::sums::Report;
 
 /// An invocation under way. Numbers are used again, the second part tells uses apart.
@@ -45,7 +45,7 @@
     pub lines: Vec<(NodeId, u32)>,
     pub dropped_of_million: u32,
     pub rate: Option<f64>,
-    pub retry: Retry,
+    pub retry: RetryPolicy,
     pub per_try_timeout: Option<Span>,
     pub timeout: Option<Span>,
 }
@@ -205,7 +205,7 @@
     rules: OperationRules,
     lines: Lines,
     admission: Admission,
-    retry: Retry,
+    retry: RetryPolicy,
     per_try_timeout: Option<Span>,
     timeout: Option<Span>,
 }
@@ -236,7 +236,7 @@
             rules: rules.clone(),
             lines: Lines::new([]),
             admission: Admission::default(),
-            retry: Retry::AfterProofItNeverRan,
+            retry: RetryPolicy::IfUnprocessed,
             per_try_timeout: None,
             timeout: None,
         };
--- a/crates/proxy-core/src/retry.rs
+++ b/crates/proxy-core/src/retry.rs
@@ -1,8 +1,8 @@
 //! Whether a try that failed is made again. Three things must agree: what the tables order, what the
 //! operation can bear, and what is known of the try.
 
-use wheelspread::interface::Retry;
 use wheelspread::time::{Moment, Span};
+use wheelspread::RetryPolicy;
 
 /// What is known of a try that failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -21,7 +21,7 @@
     Unsent,
     /// The connection ended after some of it was written and before an answer.
     Reset,
-    /// The node said that it takes no more and has begun nothing (503 with `Retry-After`, or 429).
+    /// The node said that it takes no more and has begun nothing (503 with `RetryPolicy-After`, or 429).
     Refused,
     /// The node answered with an error.
     Errored,
@@ -68,11 +68,11 @@
 }
 
 /// Tries more than the first that an order allows, by what is known of the last: proven, unproven.
-const ORDERS: &[(Retry, u32, u32)] = &[
-    (Retry::Never, 0, 0),
-    (Retry::AfterProofItNeverRan, 1, 0),
-    (Retry::OnceAfterAnyFailure, 1, 1),
-    (Retry::TwiceAfterAnyFailure, 2, 2),
+const ORDERS: &[(RetryPolicy, u32, u32)] = &[
+    (RetryPolicy::Never, 0, 0),
+    (RetryPolicy::IfUnprocessed, 1, 0),
+    (RetryPolicy::OnceOnAnyFailure, 1, 1),
+    (RetryPolicy::TwiceOnAnyFailure, 2, 2),
 ];
 
 const BEARS: &[(Bears, Proof, bool)] = &[
@@ -99,7 +99,13 @@
 
 /// Whether one more try is allowed, by `order` and by what the operation bears until `done_by`, the latest
 /// moment at which that try could still take effect.
-pub fn may_repeat(order: Retry, guard: Guard, past: Past, last: Proof, done_by: Moment) -> bool {
+pub fn may_repeat(
+    order: RetryPolicy,
+    guard: Guard,
+    past: Past,
+    last: Proof,
+    done_by: Moment,
+) -> bool {
     let allowed = ORDERS
         .iter()
         .find(|row| row.0 == order)
@@ -125,7 +131,7 @@
 }
 
 /// Whether a try may be followed by another after any failure, and so is given up early.
-pub fn may_follow(order: Retry, guard: Guard, tries: u32) -> bool {
+pub fn may_follow(order: RetryPolicy, guard: Guard, tries: u32) -> bool {
     let allowed = ORDERS
         .iter()
         .find(|row| row.0 == order)
@@ -186,21 +192,21 @@
     }
 
     // The latest the next try could take effect is 4 s after the start, 3 s after the first try.
-    #[test_case(Retry::Never, Guard::Idempotent, 1, Failure::Connect, false; "no order, no repeat")]
-    #[test_case(Retry::AfterProofItNeverRan, Guard::SideEffecting, 1, Failure::Connect, true; "proven by the connect")]
-    #[test_case(Retry::AfterProofItNeverRan, Guard::SideEffecting, 1, Failure::Refused, true; "proven by a refusal")]
-    #[test_case(Retry::AfterProofItNeverRan, Guard::SideEffecting, 1, Failure::Unsent, true; "proven: nothing went out")]
-    #[test_case(Retry::AfterProofItNeverRan, Guard::SideEffecting, 1, Failure::Reset, false; "a reset proves nothing")]
-    #[test_case(Retry::AfterProofItNeverRan, Guard::Idempotent, 1, Failure::TimedOut, false; "ordered after proof only")]
-    #[test_case(Retry::AfterProofItNeverRan, Guard::Idempotent, 2, Failure::Connect, false; "once, not twice")]
-    #[test_case(Retry::OnceAfterAnyFailure, Guard::Idempotent, 1, Failure::TimedOut, true; "an idempotent one")]
-    #[test_case(Retry::OnceAfterAnyFailure, Guard::SideEffecting, 1, Failure::TimedOut, false; "whatever is ordered")]
-    #[test_case(Retry::OnceAfterAnyFailure, window(5.0), 1, Failure::Errored, true; "within the window")]
-    #[test_case(Retry::OnceAfterAnyFailure, window(2.9), 1, Failure::Errored, false; "could end after the window")]
-    #[test_case(Retry::OnceAfterAnyFailure, KEYED, 1, Failure::Connect, true; "nothing has begun the window")]
-    #[test_case(Retry::TwiceAfterAnyFailure, Guard::Idempotent, 2, Failure::Garbled, true; "a third try")]
-    #[test_case(Retry::TwiceAfterAnyFailure, Guard::Idempotent, 3, Failure::Connect, false; "no fourth")]
-    fn repeats(order: Retry, guard: Guard, tries: u32, failure: Failure, wanted: bool) {
+    #[test_case(RetryPolicy::Never, Guard::Idempotent, 1, Failure::Connect, false; "no order, no repeat")]
+    #[test_case(RetryPolicy::IfUnprocessed, Guard::SideEffecting, 1, Failure::Connect, true; "proven by the connect")]
+    #[test_case(RetryPolicy::IfUnprocessed, Guard::SideEffecting, 1, Failure::Refused, true; "proven by a refusal")]
+    #[test_case(RetryPolicy::IfUnprocessed, Guard::SideEffecting, 1, Failure::Unsent, true; "proven: nothing went out")]
+    #[test_case(RetryPolicy::IfUnprocessed, Guard::SideEffecting, 1, Failure::Reset, false; "a reset proves nothing")]
+    #[test_case(RetryPolicy::IfUnprocessed, Guard::Idempotent, 1, Failure::TimedOut, false; "ordered after proof only")]
+    #[test_case(RetryPolicy::IfUnprocessed, Guard::Idempotent, 2, Failure::Connect, false; "once, not twice")]
+    #[test_case(RetryPolicy::OnceOnAnyFailure, Guard::Idempotent, 1, Failure::TimedOut, true; "an idempotent one")]
+    #[test_case(RetryPolicy::OnceOnAnyFailure, Guard::SideEffecting, 1, Failure::TimedOut, false; "whatever is ordered")]
+    #[test_case(RetryPolicy::OnceOnAnyFailure, window(5.0), 1, Failure::Errored, true; "within the window")]
+    #[test_case(RetryPolicy::OnceOnAnyFailure, window(2.9), 1, Failure::Errored, false; "could end after the window")]
+    #[test_case(RetryPolicy::OnceOnAnyFailure, KEYED, 1, Failure::Connect, true; "nothing has begun the window")]
+    #[test_case(RetryPolicy::TwiceOnAnyFailure, Guard::Idempotent, 2, Failure::Garbled, true; "a third try")]
+    #[test_case(RetryPolicy::TwiceOnAnyFailure, Guard::Idempotent, 3, Failure::Connect, false; "no fourth")]
+    fn repeats(order: RetryPolicy, guard: Guard, tries: u32, failure: Failure, wanted: bool) {
         let proof = failure.proof();
         let done_by = Moment::from_seconds(4.0);
         assert_eq!(
@@ -216,7 +222,7 @@
             tries: 2,
             ..past(2, Proof::MayHaveRun)
         };
-        let order = Retry::TwiceAfterAnyFailure;
+        let order = RetryPolicy::TwiceOnAnyFailure;
         let done_by = Moment::from_seconds(4.0);
         assert!(!may_repeat(
             order,
--- a/crates/proxy-core/src/tests.rs
+++ b/crates/proxy-core/src/tests.rs
@@ -36,7 +36,7 @@
     }
 }
 
-fn orders(ports: &[u16], retry: Retry) -> Orders {
+fn orders(ports: &[u16], retry: RetryPolicy) -> Orders {
     Orders {
         lines: ports.iter().map(|port| (node(*port), 1000)).collect(),
         dropped_of_million: 0,
@@ -47,7 +47,7 @@
     }
 }
 
-fn core(ports: &[u16], retry: Retry) -> Core {
+fn core(ports: &[u16], retry: RetryPolicy) -> Core {
     let mut core = Core::new(at(0.0), 3, plan());
     core.tables(
         at(0.0),
@@ -69,17 +69,17 @@
 
 #[test]
 fn a_table_that_changes_within_a_retry_rules_the_next_try() {
-    let mut core = core(&[1, 2], Retry::OnceAfterAnyFailure);
+    let mut core = core(&[1, 2], RetryPolicy::OnceOnAnyFailure);
     let (id, first) = sent(core.arrive(at(0.0), QUOTE));
     // The other node drains, a third takes its place, and now two repeats would be allowed.
-    let new = orders(&[first.node.port, 3], Retry::OnceAfterAnyFailure);
+    let new = orders(&[first.node.port, 3], RetryPolicy::OnceOnAnyFailure);
     assert_eq!(core.tables(at(0.1), &[(QUOTE, new)]), []);
     let (_, second) = sent(core.ended(at(0.2), id, 1, failed(Failure::Errored)));
     assert_eq!((second.node, second.number), (node(3), 2));
     // The table changes again: that makes it no fresh invocation, a third try is not made.
     core.tables(
         at(0.3),
-        &[(QUOTE, orders(&[4, 5], Retry::OnceAfterAnyFailure))],
+        &[(QUOTE, orders(&[4, 5], RetryPolicy::OnceOnAnyFailure))],
     );
     let end = core.ended(at(0.4), id, 2, failed(Failure::Errored));
     assert_eq!(end.step, Move::Answer(Answer::Failed(Failure::Errored)));
@@ -87,7 +87,7 @@
 
 #[test]
 fn a_host_whose_answers_vanish_is_shunned_and_what_has_effects_is_not_repeated() {
-    let mut core = core(&[1, 2], Retry::OnceAfterAnyFailure);
+    let mut core = core(&[1, 2], RetryPolicy::OnceOnAnyFailure);
     let mut lost = 0;
     let mut now = 0.0;
     while core.standing(node(1)) == Standing::Open {
@@ -137,7 +137,7 @@
 
 #[test]
 fn an_early_end_makes_room_for_one_more_try_and_never_past_the_timeout() {
-    let mut core = core(&[1, 2, 3], Retry::TwiceAfterAnyFailure);
+    let mut core = core(&[1, 2, 3], RetryPolicy::TwiceOnAnyFailure);
     let (_, first) = sent(core.arrive(at(0.0), QUOTE));
     assert_eq!(first.until, at(1.0));
     let (id, second) = sent(core.due(at(1.0))[0]);
@@ -159,7 +159,7 @@
 
 #[test]
 fn all_nodes_shunned_one_left_and_none_at_all() {
-    let mut core = core(&[1, 2], Retry::Never);
+    let mut core = core(&[1, 2], RetryPolicy::Never);
     for _ in 0..40 {
         let (id, _) = sent(core.arrive(at(0.0), QUOTE));
         core.ended(at(0.0), id, 1, failed(Failure::Connect));
@@ -172,7 +172,7 @@
     core.ended(at(0.1), id, 1, failed(Failure::Connect));
     core.tables(
         at(0.2),
-        &[(QUOTE, orders(&[2], Retry::AfterProofItNeverRan))],
+        &[(QUOTE, orders(&[2], RetryPolicy::IfUnprocessed))],
     );
     let (id, send) = sent(core.arrive(at(0.2), QUOTE));
     assert_eq!(send.node, node(2));
@@ -188,15 +188,15 @@
 
 #[test]
 fn a_level_of_nothing_answers_what_is_under_way_at_once() {
-    let mut core = core(&[1, 2], Retry::Never);
+    let mut core = core(&[1, 2], RetryPolicy::Never);
     let (id, _) = sent(core.arrive(at(0.0), QUOTE));
     let shut = Orders {
         dropped_of_million: 1_000_000,
-        ..orders(&[1, 2], Retry::Never)
+        ..orders(&[1, 2], RetryPolicy::Never)
     };
     let decisions = core.tables(
         at(0.1),
-        &[(QUOTE, shut), (BOOK, orders(&[1, 2], Retry::Never))],
+        &[(QUOTE, shut), (BOOK, orders(&[1, 2], RetryPolicy::Never))],
     );
     assert_eq!(decisions.len(), 1);
     assert_eq!(decisions[0].invocation, id);
@@ -221,7 +221,7 @@
             ..plan()
         },
     );
-    core.tables(at(0.0), &[(QUOTE, orders(&[1, 2], Retry::Never))]);
+    core.tables(at(0.0), &[(QUOTE, orders(&[1, 2], RetryPolicy::Never))]);
     let sends: Vec<_> = (0..4).map(|_| sent(core.arrive(at(0.0), QUOTE))).collect();
     assert_eq!(
         sends
@@ -240,7 +240,7 @@
 
 #[test]
 fn an_answer_that_has_begun_is_followed_by_no_other_try() {
-    let mut core = core(&[1, 2], Retry::TwiceAfterAnyFailure);
+    let mut core = core(&[1, 2], RetryPolicy::TwiceOnAnyFailure);
     let (id, send) = sent(core.arrive(at(0.0), QUOTE));
     assert_eq!(send.until, at(1.0));
     core.answer_began(id, 1);
@@ -258,7 +258,7 @@
 
 #[test]
 fn repeats_and_what_was_turned_away_are_told() {
-    let mut core = core(&[1, 2], Retry::OnceAfterAnyFailure);
+    let mut core = core(&[1, 2], RetryPolicy::OnceOnAnyFailure);
     let (id, _) = sent(core.arrive(at(0.0), QUOTE));
     let (_, second) = sent(core.ended(at(0.3), id, 1, failed(Failure::Reset)));
     core.arrive(at(0.4), BOOK);
@@ -288,7 +288,7 @@
 #[test]
 fn the_same_seed_gives_the_same_picks() {
     let picks = || {
-        let mut core = core(&[1, 2, 3, 4], Retry::Never);
+        let mut core = core(&[1, 2, 3, 4], RetryPolicy::Never);
         (0..200)
             .map(|_| sent(core.arrive(at(0.0), QUOTE)).1.node.port)
             .collect::<Vec<_>>()
@@ -302,12 +302,12 @@
     #[test]
     fn books_stay_balanced(steps in prop::collection::vec((0u8..7, 0usize..8, 0u64..900), 1..300), seed in any::<u64>()) {
         let mut core = Core::new(at(0.0), seed, plan());
-        let retries = [Retry::Never, Retry::AfterProofItNeverRan, Retry::OnceAfterAnyFailure, Retry::TwiceAfterAnyFailure];
+        let retries = [RetryPolicy::Never, RetryPolicy::IfUnprocessed, RetryPolicy::OnceOnAnyFailure, RetryPolicy::TwiceOnAnyFailure];
         let failures = [Failure::Connect, Failure::Unsent, Failure::Reset, Failure::Refused, Failure::Errored,
             Failure::Garbled, Failure::TimedOut];
         let mut now = at(0.0);
         let mut open: BTreeMap<InvocationId, (u32, OperationId, Moment, bool)> = BTreeMap::new();
-        let mut all = vec![(QUOTE, orders(&[1, 2, 3], Retry::OnceAfterAnyFailure)), (BOOK, orders(&[1, 2, 3], Retry::OnceAfterAnyFailure))];
+        let mut all = vec![(QUOTE, orders(&[1, 2, 3], RetryPolicy::OnceOnAnyFailure)), (BOOK, orders(&[1, 2, 3], RetryPolicy::OnceOnAnyFailure))];
         core.tables(now, &all);
         for (what, which, wait) in steps {
             now = now + Span::from_seconds(wait as f64 / 1000.0);
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -6,7 +6,7 @@
 pub use check::{check, Wrong};
 
 use serde_json::Value;
-use wheelspread::facts::{Fact, Facts};
+use wheelspread::settings::{SettingValue, Settings};
 
 /// Names on the wire (after the lists are spelt out by position) and ours.
 const NAMES: &[(&str, &str)] = &[
@@ -106,18 +106,18 @@
 ];
 
 /// Settings as text.
-pub fn read(text: &str) -> Result<Facts, String> {
+pub fn read(text: &str) -> Result<Settings, String> {
     let value = serde_json::from_str(text).map_err(|e| format!("settings are no JSON: {e}"))?;
     Ok(settings(&value))
 }
 
-pub fn settings(value: &Value) -> Facts {
-    let mut facts = Facts::default();
+pub fn settings(value: &Value) -> Settings {
+    let mut facts = Settings::default();
     flatten("", value, &mut facts);
     facts
 }
 
-fn flatten(path: &str, value: &Value, facts: &mut Facts) {
+fn flatten(path: &str, value: &Value, facts: &mut Settings) {
     let inner = |key: &str| {
         if path.is_empty() {
             key.to_string()
@@ -133,7 +133,7 @@
             if let Some((_, ours)) = COUNTS.iter().find(|(wire, _)| *wire == path) {
                 facts
                     .0
-                    .insert(ours.to_string(), Fact::Number(items.len() as f64));
+                    .insert(ours.to_string(), SettingValue::Number(items.len() as f64));
             }
             items
                 .iter()
@@ -142,16 +142,16 @@
         }
         Value::Number(number) => put(
             path,
-            Fact::Number(number.as_f64().unwrap_or(f64::NAN)),
+            SettingValue::Number(number.as_f64().unwrap_or(f64::NAN)),
             facts,
         ),
-        Value::Bool(flag) => put(path, Fact::Flag(*flag), facts),
-        Value::String(text) => put(path, Fact::Text(text.clone()), facts),
+        Value::Bool(flag) => put(path, SettingValue::Flag(*flag), facts),
+        Value::String(text) => put(path, SettingValue::Text(text.clone()), facts),
         Value::Null => {}
     }
 }
 
-fn put(path: &str, fact: Fact, facts: &mut Facts) {
+fn put(path: &str, fact: SettingValue, facts: &mut Settings) {
     let plain = NAMES
         .iter()
         .find(|(wire, _)| *wire == path)
@@ -167,7 +167,7 @@
         return;
     };
     let fact = match fact {
-        Fact::Text(text) => Fact::Text(word(&name, &text).to_string()),
+        SettingValue::Text(text) => SettingValue::Text(word(&name, &text).to_string()),
         other => other,
     };
     facts.0.insert(name, fact);
--- a/crates/wheelspread-adapter/src/main.rs
+++ b/crates/wheelspread-adapter/src/main.rs
@@ -6,9 +6,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, Read, Write};
 use std::panic::{catch_unwind, AssertUnwindSafe};
-use wheelspread::balance::Balancer;
-use wheelspread::interface::Action;
 use wheelspread::time::Moment;
+use wheelspread::Action;
+use wheelspread::Balancer;
 use wire::Record;
 
 const HEADER: usize = 16;
@@ -75,7 +75,7 @@
         }
         for conductor in touched {
             self.call(conductor, &mut reply, |balancer, actions| {
-                balancer.settle(now, actions);
+                balancer.decide(now, actions);
                 Ok(())
             });
         }
@@ -115,7 +115,7 @@
             Record::Event(event) => {
                 let mut said = Ok(());
                 self.call(conductor, reply, |balancer, _| {
-                    said = balancer.hear(now, &event);
+                    said = balancer.handle_event(now, &event);
                     Ok(())
                 });
                 said
--- a/crates/wheelspread-adapter/src/wire.rs
+++ b/crates/wheelspread-adapter/src/wire.rs
@@ -1,8 +1,8 @@
 //! Framing: bytes into events and actions into bytes.
 
 use wheelspread::ids::*;
-use wheelspread::interface::*;
 use wheelspread::time::{Moment, Span};
+use wheelspread::*;
 
 pub struct Reader<'a> {
     bytes: &'a [u8],
@@ -87,29 +87,29 @@
     }
     let conductor = reader.u16()?;
     let event = match code {
-        16 => Event::Timer {
+        16 => Event::TimerFired {
             timer: TimerId(reader.u64()?),
         },
         17 => {
             let from = PeerId(reader.u32()?);
             let count = reader.u16()?;
-            Event::PeerNote {
+            Event::PeerGossip {
                 from,
-                bytes: reader.take(count.into())?.to_vec(),
+                payload: reader.take(count.into())?.to_vec(),
             }
         }
-        18 => Event::NodeSums {
+        18 => Event::NodeLoadReport {
             zone: ZoneId(reader.u16()?),
             node: reader.node()?,
-            tries: f64::from(reader.u32()?),
-            errored: f64::from(reader.u32()?),
-            latency: reader.span()?,
-            over: reader.span()?,
-            load: reader.load()?,
+            attempts: f64::from(reader.u32()?),
+            failures: f64::from(reader.u32()?),
+            mean_latency: reader.span()?,
+            window: reader.span()?,
+            metrics: reader.load()?,
         },
-        19 => Event::SliceCharge {
+        19 => Event::SliceOwnership {
             slice: SliceId(reader.u16()?),
-            ours: reader.u8()? != 0,
+            owned: reader.u8()? != 0,
         },
         20 => Event::ProxyLeft {
             proxy: ProxyId(reader.u16()?),
@@ -122,24 +122,24 @@
                 String::from_utf8(text.to_vec()).map_err(|e| format!("settings: {e}"))?;
             return Ok((conductor, Record::Boot { seed, settings }));
         }
-        22 => Event::Offered {
+        22 => Event::DemandReport {
             proxy: ProxyId(reader.u16()?),
             operation: OperationId(reader.u8()?),
-            count: f64::from(reader.u32()?),
-            errored: f64::from(reader.u32()?),
-            over: reader.span()?,
+            requests: f64::from(reader.u32()?),
+            failures: f64::from(reader.u32()?),
+            window: reader.span()?,
         },
         23 => {
             let operation = OperationId(reader.u8()?);
             let errored = f64::from(reader.u32()?);
             let count = f64::from(reader.u32()?);
             let slice = SliceId(reader.u16()?);
-            Event::SliceOffered {
+            Event::SliceDemandReport {
                 slice,
                 operation,
-                count,
-                errored,
-                over: reader.span()?,
+                requests: count,
+                failures: errored,
+                window: reader.span()?,
             }
         }
         24 => Event::ProxyJoined {
@@ -148,24 +148,24 @@
             usual_rate: reader.f32()?,
             fresh: reader.u8()? != 0,
         },
-        25 => Event::Probed {
+        25 => Event::ProbeCompleted {
             node: reader.node()?,
-            answered: reader.u16()? == 200,
-            took: reader.span()?,
-            load: reader.load()?,
+            succeeded: reader.u16()? == 200,
+            latency: reader.span()?,
+            metrics: reader.load()?,
         },
-        26 => Event::Acked {
+        26 => Event::MarkerAcknowledged {
             proxy: ProxyId(reader.u16()?),
-            mark: MarkId(reader.u32()?),
-            took: reader.span()?,
+            marker: MarkerId(reader.u32()?),
+            latency: reader.span()?,
         },
         27 => return Ok((conductor, Record::Stop)),
         28 => {
             let kind = match reader.u8()? {
-                0 => ListKind::Cached,
-                1 => ListKind::Changes,
-                2 => ListKind::Complete,
-                3 => ListKind::Unavailable,
+                0 => EndpointListKind::Cached,
+                1 => EndpointListKind::Changes,
+                2 => EndpointListKind::Complete,
+                3 => EndpointListKind::Unavailable,
                 other => return Err(format!("unknown kind of list {other}")),
             };
             reader.u32()?;
@@ -174,12 +174,12 @@
             for _ in 0..count {
                 entries.push(entry(reader)?);
             }
-            Event::List { kind, entries }
+            Event::EndpointList { kind, entries }
         }
         _ => {
             let node = reader.node()?;
             let slice = SliceId(reader.u16()?);
-            Event::SliceLine {
+            Event::SliceAssignment {
                 slice,
                 node,
                 weight: reader.f32()?,
@@ -189,16 +189,16 @@
     Ok((conductor, Record::Event(event)))
 }
 
-fn entry(reader: &mut Reader) -> Read<ListEntry> {
-    Ok(ListEntry {
+fn entry(reader: &mut Reader) -> Read<EndpointEntry> {
+    Ok(EndpointEntry {
         node: reader.node()?,
         zone: ZoneId(reader.u16()?),
         kind: KindId(reader.u8()?),
         cell: CellId(reader.u16()?),
-        listing: match reader.u8()? {
-            0 => Listing::Gone,
-            1 => Listing::Ready,
-            2 => Listing::Draining,
+        status: match reader.u8()? {
+            0 => EndpointStatus::Gone,
+            1 => EndpointStatus::Ready,
+            2 => EndpointStatus::Draining,
             other => return Err(format!("unknown mode {other} in a list entry")),
         },
         weight: reader.f32()?,
@@ -224,28 +224,34 @@
         out.extend(node.port.to_le_bytes());
     };
     match action {
-        Action::Tell { peer, bytes } => {
+        Action::SendGossip {
+            peer,
+            payload: bytes,
+        } => {
             start(16, out);
             out.extend(peer.map_or(u32::MAX, |peer| peer.0).to_le_bytes());
             out.extend((bytes.len() as u16).to_le_bytes());
             out.extend(bytes);
         }
-        Action::Mark { mark, everyone } => {
+        Action::SendMarker {
+            marker: mark,
+            to_all: everyone,
+        } => {
             start(17, out);
             out.extend(mark.0.to_le_bytes());
             out.push(u8::from(*everyone));
         }
-        Action::ReadList => start(18, out),
-        Action::Remark { text } => write_text(19, conductor, text, out),
-        Action::Withdraw {
+        Action::RequestEndpointList => start(18, out),
+        Action::Log { message: text } => write_text(19, conductor, text, out),
+        Action::EjectNode {
             node: id,
-            out: is_out,
+            ejected: is_out,
         } => {
             start(20, out);
             node(id, out);
             out.push(u8::from(*is_out));
         }
-        Action::Bind {
+        Action::BindTable {
             proxy,
             table,
             operations,
@@ -255,7 +261,7 @@
             out.extend(table.0.to_le_bytes());
             out.extend(mask(operations).to_le_bytes());
         }
-        Action::SetLine {
+        Action::SetWeight {
             table,
             node: id,
             weight,
@@ -274,10 +280,10 @@
             out.extend(after.seconds().to_le_bytes());
             out.extend(timer.0.to_le_bytes());
         }
-        Action::SetLevel {
+        Action::SetAdmission {
             table,
             operations,
-            quota,
+            limit: quota,
             retry,
         } => {
             start(25, out);
@@ -285,17 +291,17 @@
             out.extend(mask(operations).to_le_bytes());
             out.extend((*quota as f32).to_le_bytes());
             out.push(match retry {
-                Retry::Never => 0,
-                Retry::AfterProofItNeverRan => 1,
-                Retry::OnceAfterAnyFailure => 2,
-                Retry::TwiceAfterAnyFailure => 3,
+                RetryPolicy::Never => 0,
+                RetryPolicy::IfUnprocessed => 1,
+                RetryPolicy::OnceOnAnyFailure => 2,
+                RetryPolicy::TwiceOnAnyFailure => 3,
             });
         }
-        Action::Watch { on } => {
+        Action::WatchEndpoints { enabled: on } => {
             start(26, out);
             out.push(u8::from(*on));
         }
-        Action::Probe { node: id } => {
+        Action::ProbeNode { node: id } => {
             start(28, out);
             node(id, out);
         }
--- a/crates/wheelspread/src/balance.rs
+++ b/crates/wheelspread/src/balance.rs
@@ -9,12 +9,12 @@
 //! 2. node health: `judge`, STANDING       5. channel ledger: `may_order`, `may_step`
 //! 3. cold guard: `cold_limit`, `guard`    6. joining and restart recovery: `join`, `urgent`, LIFE
 
-use crate::facts::Facts;
 use crate::ids::*;
-use crate::interface::*;
 use crate::measure::{flows, load, reaches, scatter, shares};
 use crate::ring::Ring;
-pub use crate::state::Balancer;
+use crate::settings::Settings;
+use crate::{Action, EndpointEntry, EndpointListKind, EndpointStatus, Event, RetryPolicy};
+
 use crate::state::*;
 use crate::time::{Moment, Span};
 use std::collections::{BTreeMap, BTreeSet};
@@ -81,13 +81,13 @@
     (Standing::Trial, Met::Working, Standing::Clear, Hold::Same),
 ];
 
-/// Retry orders: whether a repeat can't take effect twice, how busy nodes are; the order. What may be
+/// RetryPolicy orders: whether a repeat can't take effect twice, how busy nodes are; the order. What may be
 /// followed is given up early, work done twice unless nodes are calm; under strain any repeat is load.
-const RETRY: &[(bool, Busy, Retry)] = &[
-    (true, Busy::Calm, Retry::OnceAfterAnyFailure),
-    (true, Busy::Usual, Retry::AfterProofItNeverRan),
-    (false, Busy::Calm, Retry::AfterProofItNeverRan),
-    (false, Busy::Usual, Retry::AfterProofItNeverRan),
+const RETRY: &[(bool, Busy, RetryPolicy)] = &[
+    (true, Busy::Calm, RetryPolicy::OnceOnAnyFailure),
+    (true, Busy::Usual, RetryPolicy::IfUnprocessed),
+    (false, Busy::Calm, RetryPolicy::IfUnprocessed),
+    (false, Busy::Usual, RetryPolicy::IfUnprocessed),
 ];
 
 /// Settings without which nothing can be decided.
@@ -144,7 +144,7 @@
 const PARTS: (f64, f64, f64) = (10.0, 6.0, 0.2); // uses of a line while idle; least lines; tables a proxy
 
 impl Balancer {
-    pub fn start(now: Moment, seed: u64, facts: Facts) -> Result<Balancer, String> {
+    pub fn start(now: Moment, seed: u64, facts: Settings) -> Result<Balancer, String> {
         NEEDED
             .split_whitespace()
             .try_for_each(|name| facts.number(name).map(drop))?;
@@ -160,7 +160,7 @@
     }
 
     /// Other figures for the same zones and operations, from now on.
-    pub fn refigure(&mut self, facts: Facts) -> Result<(), String> {
+    pub fn reconfigure(&mut self, facts: Settings) -> Result<(), String> {
         let same = |name| Ok::<_, String>(facts.number(name)? == self.facts.number(name)?);
         NEEDED
             .split_whitespace()
@@ -183,7 +183,7 @@
     }
 
     /// What was learnt before a restart, of nodes that the list names: less evidence than it was then.
-    pub fn recall(&mut self, learnt: &[Learnt]) {
+    pub fn restore_capacities(&mut self, learnt: &[CapacitySnapshot]) {
         for told in learnt.iter().filter(|told| told.sound()) {
             let heard = |node: &&mut Node| node.life == Life::Warm && node.evidence <= 0.0;
             let Some(node) = self.nodes.get_mut(&told.node).filter(heard) else {
@@ -196,13 +196,13 @@
 
     // ---- what is heard ----
 
-    pub fn hear(&mut self, now: Moment, event: &Event) -> Result<(), String> {
+    pub fn handle_event(&mut self, now: Moment, event: &Event) -> Result<(), String> {
         self.now = now;
         event.check()?;
         match event {
-            Event::List { kind, entries } => {
+            Event::EndpointList { kind, entries } => {
                 entries.iter().for_each(|entry| self.listed(entry));
-                if matches!(kind, ListKind::Cached | ListKind::Complete) {
+                if matches!(kind, EndpointListKind::Cached | EndpointListKind::Complete) {
                     let named: BTreeSet<NodeId> = entries.iter().map(|entry| entry.node).collect();
                     let dropped: Vec<_> = self
                         .nodes
@@ -224,17 +224,17 @@
                 self.joined(*proxy, *zone, *usual_rate, *fresh);
             }
             Event::ProxyLeft { proxy } => self.left(*proxy)?,
-            Event::NodeSums { zone, node, .. } => {
+            Event::NodeLoadReport { zone, node, .. } => {
                 self.nodes
                     .get(node)
                     .ok_or(format!("sums of unknown {node:?}"))?;
                 self.node_sums(*zone, *node, event);
             }
-            Event::Offered {
+            Event::DemandReport {
                 proxy,
                 operation,
-                count,
-                over,
+                requests: count,
+                window: over,
                 ..
             } => {
                 self.heard_sums(*over);
@@ -250,8 +250,15 @@
                     .or_default()
                     .feed(*count, *over, memory, now, before);
             }
-            Event::Acked { proxy, mark, .. } => self.acked(*proxy, *mark),
-            Event::PeerNote { from, bytes } => {
+            Event::MarkerAcknowledged {
+                proxy,
+                marker: mark,
+                ..
+            } => self.acked(*proxy, *mark),
+            Event::PeerGossip {
+                from,
+                payload: bytes,
+            } => {
                 let sorts: Vec<_> = self.sorts().into_keys().collect();
                 let read = self
                     .peers
@@ -265,7 +272,7 @@
         Ok(())
     }
 
-    fn listed(&mut self, entry: &ListEntry) {
+    fn listed(&mut self, entry: &EndpointEntry) {
         let known = self.nodes.get(&entry.node);
         let young = entry
             .started
@@ -275,11 +282,11 @@
                 node.started != entry.started
                     || matches!(node.life, Life::Unlisted | Life::Draining)
             });
-        let told = match entry.listing {
-            Listing::Gone => Told::Dropped,
-            Listing::Draining => Told::Drains,
-            Listing::Ready if restarted => Told::Fresh,
-            Listing::Ready => Told::Steady,
+        let told = match entry.status {
+            EndpointStatus::Gone => Told::Dropped,
+            EndpointStatus::Draining => Told::Drains,
+            EndpointStatus::Ready if restarted => Told::Fresh,
+            EndpointStatus::Ready => Told::Steady,
         };
         let weight = if entry.weight.is_finite() && entry.weight > 0.0 {
             entry.weight
@@ -293,7 +300,7 @@
             .or_insert_with(|| Node::new(entry, now));
         (node.zone, node.kind, node.cell, node.weight) =
             (entry.zone, entry.kind, entry.cell, weight);
-        if entry.listing == Listing::Ready {
+        if entry.status == EndpointStatus::Ready {
             node.started = entry.started;
         }
         self.tell(entry.node, told);
@@ -318,12 +325,12 @@
     }
 
     fn node_sums(&mut self, zone: ZoneId, id: NodeId, event: &Event) {
-        let Event::NodeSums {
-            tries,
-            errored,
-            latency,
-            over,
-            load,
+        let Event::NodeLoadReport {
+            attempts: tries,
+            failures: errored,
+            mean_latency: latency,
+            window: over,
+            metrics: load,
             ..
         } = event
         else {
@@ -1232,7 +1239,7 @@
         }
     }
 
-    fn level(&self, id: TableId, operation: OperationId) -> (f64, Retry) {
+    fn level(&self, id: TableId, operation: OperationId) -> (f64, RetryPolicy) {
         let share = self
             .admission
             .let_in
@@ -1253,7 +1260,7 @@
     }
 
     /// Rule 2: a repeat after any failure only where it can't take effect twice.
-    fn retry(&self, operation: &Operation) -> Retry {
+    fn retry(&self, operation: &Operation) -> RetryPolicy {
         let guarded = match operation.effect {
             Repeat::Idempotent => true,
             Repeat::Fingerprinted => {
@@ -1264,7 +1271,7 @@
         let row = RETRY
             .iter()
             .find(|row| (row.0, row.1) == (guarded, self.admission.busy));
-        row.map_or(Retry::Never, |row| row.2)
+        row.map_or(RetryPolicy::Never, |row| row.2)
     }
 
     // ---- mechanism 5: channel ledger ----
@@ -1308,13 +1315,13 @@
 
     // ---- what goes out ----
 
-    pub fn settle(&mut self, now: Moment, out: &mut Vec<Action>) {
+    pub fn decide(&mut self, now: Moment, out: &mut Vec<Action>) {
         self.now = now;
         self.grown_warm()
             .into_iter()
             .for_each(|id| self.tell(id, Told::Warmed));
         if self.ticks == 0 {
-            out.push(Action::ReadList); // after a restart the first list is a stale one
+            out.push(Action::RequestEndpointList); // after a restart the first list is a stale one
         }
         if now >= self.next_tick {
             let wait = (self.period() * 0.25).max(self.span("conductor.tick"));
@@ -1444,7 +1451,7 @@
             };
             for (node, new, _) in changes {
                 table.lines.insert(node, new);
-                out.push(Action::SetLine {
+                out.push(Action::SetWeight {
                     table: id,
                     node,
                     weight: new,
@@ -1482,10 +1489,10 @@
                 .is_some_and(|old| near(old.0) && old.1 == retry)
             {
                 table.levels.insert(operation, (quota, retry));
-                out.push(Action::SetLevel {
+                out.push(Action::SetAdmission {
                     table: Some(id),
                     operations: vec![operation],
-                    quota,
+                    limit: quota,
                     retry,
                 });
                 *lines.entry(id).or_default() += 1;
@@ -1524,7 +1531,7 @@
                 continue;
             }
             for (table, Table { operations, .. }) in own {
-                out.push(Action::Bind {
+                out.push(Action::BindTable {
                     proxy: id,
                     table: *table,
                     operations: operations.clone(),
@@ -1543,11 +1550,10 @@
         if may && self.now - self.told_peers >= self.period() * PEERS.1 {
             self.told_peers = self.now;
             let notes = self.notes(self.heard - self.cycle() * MEMORY.1, 256);
-            out.extend(
-                notes
-                    .into_iter()
-                    .map(|bytes| Action::Tell { peer: None, bytes }),
-            );
+            out.extend(notes.into_iter().map(|bytes| Action::SendGossip {
+                peer: None,
+                payload: bytes,
+            }));
         }
     }
 }
--- a/crates/wheelspread/src/ids.rs
+++ b/crates/wheelspread/src/ids.rs
@@ -22,6 +22,6 @@
     KindId(u8),
     OperationId(u8),
     PeerId(u32),
-    MarkId(u32),
+    MarkerId(u32),
     TimerId(u64)
 );
--- a/crates/wheelspread/src/lib.rs
+++ b/crates/wheelspread/src/lib.rs
@@ -1,15 +1,23 @@
-//! A traffic director for fleets of sidecar proxies. `balance` holds every decision; the other
-//! modules hold what it speaks with (`interface`) and the plain types it is written in.
+//! A traffic director for fleets of plain proxies: decides the weighted tables, admission limits and retry policies
+//! that a controller publishes, without I/O.
+//!
+//! A host calls [`Balancer::start`], [`Balancer::handle_event`] for each [`Event`] of a moment and
+//! [`Balancer::decide`] once at its end, and carries out the [`Action`]s it gets.
 
-pub mod balance;
-pub mod facts;
+mod action;
+mod balance;
+mod event;
 pub mod ids;
-pub mod interface;
 mod measure;
 pub mod pcg;
 pub mod ring;
-pub mod state;
+pub mod settings;
+mod state;
 pub mod time;
 
+pub use action::{Action, RetryPolicy};
+pub use event::{EndpointEntry, EndpointListKind, EndpointStatus, Event};
+pub use state::{Balancer, CapacitySnapshot};
+
 #[cfg(test)]
 mod scenarios;
--- a/crates/wheelspread/src/measure.rs
+++ b/crates/wheelspread/src/measure.rs
@@ -2,11 +2,11 @@
 
 use crate::balance::{ALL_IN, BEFORE};
 use crate::ids::*;
-use crate::interface::Action;
 use crate::pcg::Pcg;
 use crate::ring::Ring;
 use crate::state::*;
 use crate::time::{Moment, Span};
+use crate::Action;
 use std::collections::{BTreeMap, BTreeSet};
 
 pub fn shares(lines: &Shares) -> Shares {
@@ -498,7 +498,7 @@
         Ok(())
     }
 
-    pub(crate) fn acked(&mut self, proxy: ProxyId, mark: MarkId) {
+    pub(crate) fn acked(&mut self, proxy: ProxyId, mark: MarkerId) {
         if let Some(place) = self.channel.sent.iter().position(|sent| sent.mark == mark) {
             // The channel is in order: what was sent before this message has left it.
             self.channel.sent[place].waiting.remove(&proxy);
@@ -549,10 +549,11 @@
         }
         if !waiting.is_empty() {
             self.channel.next = (self.channel.next + 1) % 65536;
-            let (mark, asked, lines) = (MarkId(self.channel.next), waiting.len(), sum + join_lines);
-            out.push(Action::Mark {
-                mark,
-                everyone: false,
+            let (mark, asked, lines) =
+                (MarkerId(self.channel.next), waiting.len(), sum + join_lines);
+            out.push(Action::SendMarker {
+                marker: mark,
+                to_all: false,
             });
             self.channel.sent.push_back(Sent {
                 mark,
--- a/crates/wheelspread/src/scenarios.rs
+++ b/crates/wheelspread/src/scenarios.rs
@@ -12,13 +12,14 @@
 //! `alone` before `carried a 30`, `lines t0 a=1 b=2`, `target t0 b=1` and `plan` drives single steps of
 //! the design, with nothing settled in between.
 
-use crate::balance::Balancer;
-use crate::facts::{Fact, Facts};
 use crate::ids::*;
-use crate::interface::*;
 use crate::measure::shares;
-use crate::state::{Learnt, Orders, Shares};
+use crate::settings::{SettingValue, Settings};
+use crate::state::{Orders, Shares};
 use crate::time::{Moment, Span};
+use crate::Balancer;
+use crate::CapacitySnapshot;
+use crate::{Action, EndpointEntry, EndpointListKind, EndpointStatus, Event, RetryPolicy};
 use std::collections::{BTreeMap, BTreeSet};
 use test_case::test_case;
 
@@ -26,18 +27,18 @@
 
 #[derive(Default)]
 struct Stage {
-    facts: Facts,
+    facts: Settings,
     operations: usize,
     balancer: Option<Balancer>,
     now: f64,
     tables: Orders,
-    levels: BTreeMap<(u16, u8), (f64, Retry)>,
+    levels: BTreeMap<(u16, u8), (f64, RetryPolicy)>,
     bound: BTreeSet<(ProxyId, TableId)>,
     joined: BTreeSet<ProxyId>,
     messages: Vec<(f64, ProxyId)>,
     /// Lines changed, by moment, in order.
     changed: Vec<(f64, TableId, NodeId)>,
-    mark: Option<MarkId>,
+    mark: Option<MarkerId>,
     error: String,
     target: Orders,
 }
@@ -69,10 +70,10 @@
 impl Stage {
     fn set(&mut self, name: &str, value: &str) {
         let fact = match (value.parse::<f64>(), value) {
-            (Ok(value), _) => Fact::Number(value),
-            (_, "true") => Fact::Flag(true),
-            (_, "false") => Fact::Flag(false),
-            _ => Fact::Text(value.to_string()),
+            (Ok(value), _) => SettingValue::Number(value),
+            (_, "true") => SettingValue::Flag(true),
+            (_, "false") => SettingValue::Flag(false),
+            _ => SettingValue::Text(value.to_string()),
         };
         self.facts.0.insert(name.to_string(), fact);
     }
@@ -115,7 +116,7 @@
         self.balancer.as_mut().expect("the module starts")
     }
 
-    fn entry(&self, text: &str) -> ListEntry {
+    fn entry(&self, text: &str) -> EndpointEntry {
         let words: Vec<&str> = text.split(':').collect();
         let find = |first: char| {
             words[1..]
@@ -124,15 +125,15 @@
                 .map(|w| number(w))
         };
         let has = |word: &str| words.contains(&word);
-        ListEntry {
+        EndpointEntry {
             node: node(words[0]),
             zone: ZoneId(find('z').unwrap_or(0.0) as u16),
             kind: KindId(find('k').unwrap_or(0.0) as u8),
             cell: CellId(0),
-            listing: match (has("draining"), has("gone")) {
-                (true, _) => Listing::Draining,
-                (_, true) => Listing::Gone,
-                _ => Listing::Ready,
+            status: match (has("draining"), has("gone")) {
+                (true, _) => EndpointStatus::Draining,
+                (_, true) => EndpointStatus::Gone,
+                _ => EndpointStatus::Ready,
             },
             weight: find('w').unwrap_or(1.0),
             started: pair(&words, "young")
@@ -142,7 +143,7 @@
 
     fn hear(&mut self, event: Event) {
         let now = Moment::from_seconds(EPOCH + self.now);
-        if let Err(text) = self.balancer().hear(now, &event) {
+        if let Err(text) = self.balancer().handle_event(now, &event) {
             self.error = text;
         }
     }
@@ -152,30 +153,30 @@
             ["refigure", name, value] => {
                 self.set(name, value);
                 let facts = self.facts.clone();
-                self.error = self.balancer().refigure(facts).err().unwrap_or_default();
+                self.error = self.balancer().reconfigure(facts).err().unwrap_or_default();
             }
             // Node, invocations a second, evidence.
             ["recall", name, rate, evidence] => {
                 let (capacity, evidence) = (number(rate).ln(), number(evidence));
-                let learnt = Learnt {
+                let learnt = CapacitySnapshot {
                     node: node(name),
                     capacity,
                     evidence,
                     quickest: 0.1,
                 };
-                self.balancer().recall(&[learnt]);
+                self.balancer().restore_capacities(&[learnt]);
             }
             ["list", entries @ ..] => {
                 let entries = entries.iter().map(|text| self.entry(text)).collect();
-                self.hear(Event::List {
-                    kind: ListKind::Complete,
+                self.hear(Event::EndpointList {
+                    kind: EndpointListKind::Complete,
                     entries,
                 });
             }
             ["change", entries @ ..] => {
                 let entries = entries.iter().map(|text| self.entry(text)).collect();
-                self.hear(Event::List {
-                    kind: ListKind::Changes,
+                self.hear(Event::EndpointList {
+                    kind: EndpointListKind::Changes,
                     entries,
                 });
             }
@@ -223,37 +224,37 @@
                     .map(|v| v.parse().expect(v))
                     .into_iter()
                     .collect();
-                self.hear(Event::NodeSums {
+                self.hear(Event::NodeLoadReport {
                     zone: ZoneId(number(zone) as u16),
                     node: node(name),
-                    tries: get("tries", 10.0),
-                    errored: get("errored", 0.0),
-                    latency: Span::from_seconds(get("ms", 100.0) / 1e3),
-                    over: Span::from_seconds(get("over", 1.0)),
-                    load,
+                    attempts: get("tries", 10.0),
+                    failures: get("errored", 0.0),
+                    mean_latency: Span::from_seconds(get("ms", 100.0) / 1e3),
+                    window: Span::from_seconds(get("over", 1.0)),
+                    metrics: load,
                 });
             }
-            ["offered", proxy, operation, rate] => self.hear(Event::Offered {
+            ["offered", proxy, operation, rate] => self.hear(Event::DemandReport {
                 proxy: ProxyId(number(proxy) as u16),
                 operation: OperationId(number(operation) as u8),
-                count: rate.parse().expect("a rate"),
-                errored: 0.0,
-                over: Span::from_seconds(1.0),
+                requests: rate.parse().expect("a rate"),
+                failures: 0.0,
+                window: Span::from_seconds(1.0),
             }),
             ["ack"] => {
                 if let Some(mark) = self.mark {
                     for proxy in self.joined.clone() {
-                        self.hear(Event::Acked {
+                        self.hear(Event::MarkerAcknowledged {
                             proxy,
-                            mark,
-                            took: Span::from_seconds(0.1),
+                            marker: mark,
+                            latency: Span::from_seconds(0.1),
                         });
                     }
                 }
             }
-            ["note", bytes] => self.hear(Event::PeerNote {
+            ["note", bytes] => self.hear(Event::PeerGossip {
                 from: PeerId(1),
-                bytes: vec![255; number(bytes) as usize],
+                payload: vec![255; number(bytes) as usize],
             }),
             ["restart"] => {
                 self.balancer = None;
@@ -319,11 +320,11 @@
         let mut actions = Vec::new();
         let now = self.now;
         self.balancer()
-            .settle(Moment::from_seconds(EPOCH + now), &mut actions);
+            .decide(Moment::from_seconds(EPOCH + now), &mut actions);
         let mut touched = BTreeSet::new();
         for action in &actions {
             match action {
-                Action::SetLine {
+                Action::SetWeight {
                     table,
                     node,
                     weight,
@@ -334,10 +335,10 @@
                     self.changed.push((now, *table, *node));
                     touched.insert(*table);
                 }
-                Action::SetLevel {
+                Action::SetAdmission {
                     table: Some(table),
                     operations,
-                    quota,
+                    limit: quota,
                     retry,
                 } => {
                     self.levels.extend(
@@ -347,7 +348,7 @@
                     );
                     touched.insert(*table);
                 }
-                Action::Mark { mark, .. } => self.mark = Some(*mark),
+                Action::SendMarker { marker: mark, .. } => self.mark = Some(*mark),
                 _ => {}
             }
         }
@@ -358,7 +359,7 @@
             .map(|(proxy, _)| *proxy)
             .collect();
         for action in &actions {
-            if let Action::Bind { proxy, table, .. } = action {
+            if let Action::BindTable { proxy, table, .. } = action {
                 self.bound.insert((*proxy, *table));
                 told.insert(*proxy);
             }
--- a/crates/wheelspread/src/facts.rs
+++ b/crates/wheelspread/src/settings.rs
@@ -4,19 +4,19 @@
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Fact {
+pub enum SettingValue {
     Number(f64),
     Text(String),
     Flag(bool),
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Facts(pub BTreeMap<String, Fact>);
+pub struct Settings(pub BTreeMap<String, SettingValue>);
 
-impl Facts {
+impl Settings {
     pub fn number(&self, name: &str) -> Result<f64, String> {
         match self.0.get(name) {
-            Some(Fact::Number(value)) if value.is_finite() => Ok(*value),
+            Some(SettingValue::Number(value)) if value.is_finite() => Ok(*value),
             Some(other) => Err(format!(
                 "setting {name} should be a number, it is {other:?}"
             )),
@@ -30,7 +30,7 @@
 
     pub fn text(&self, name: &str) -> Result<&str, String> {
         match self.0.get(name) {
-            Some(Fact::Text(value)) => Ok(value),
+            Some(SettingValue::Text(value)) => Ok(value),
             Some(other) => Err(format!("setting {name} should be a text, it is {other:?}")),
             None => Err(format!("setting {name} is missing")),
         }
@@ -38,7 +38,7 @@
 
     pub fn flag_or(&self, name: &str, otherwise: bool) -> bool {
         match self.0.get(name) {
-            Some(Fact::Flag(value)) => *value,
+            Some(SettingValue::Flag(value)) => *value,
             _ => otherwise,
         }
     }
--- a/crates/wheelspread/src/state.rs
+++ b/crates/wheelspread/src/state.rs
@@ -1,11 +1,11 @@
 //! What the module remembers. Plain shapes: nothing here decides anything.
 
-use crate::facts::Facts;
 use crate::ids::*;
-use crate::interface::{ListEntry, Retry};
 use crate::pcg::Pcg;
 use crate::ring::Ring;
+use crate::settings::Settings;
 use crate::time::{Moment, Span};
+use crate::{EndpointEntry, RetryPolicy};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::ops::AddAssign;
 
@@ -15,7 +15,7 @@
 
 /// All that one conductor's module remembers; `balance` decides with it, `measure` adds it up.
 pub struct Balancer {
-    pub(crate) facts: Facts,
+    pub(crate) facts: Settings,
     pub(crate) random: Pcg,
     pub(crate) began: Moment,
     pub(crate) now: Moment,
@@ -55,7 +55,7 @@
     pub(crate) fn new(
         now: Moment,
         seed: u64,
-        facts: Facts,
+        facts: Settings,
         operations: Vec<Operation>,
         tables: BTreeMap<TableId, Table>,
     ) -> Balancer {
@@ -104,7 +104,7 @@
 
 /// What is worth keeping of a node over a restart.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Learnt {
+pub struct CapacitySnapshot {
     pub node: NodeId,
     /// Logarithm of the invocations a second that it can do.
     pub capacity: f64,
@@ -113,7 +113,7 @@
     pub quickest: f64,
 }
 
-impl Learnt {
+impl CapacitySnapshot {
     pub fn sound(&self) -> bool {
         self.capacity.is_finite()
             && self.evidence.is_finite()
@@ -124,14 +124,14 @@
 
 impl Balancer {
     /// Of warm nodes of which something is known.
-    pub fn learnt(&self) -> impl Iterator<Item = Learnt> + '_ {
+    pub fn capacity_snapshots(&self) -> impl Iterator<Item = CapacitySnapshot> + '_ {
         let warm = self
             .nodes
             .iter()
             .filter(|(_, node)| node.life == Life::Warm && node.evidence > 0.0);
         warm.filter_map(|(id, node)| {
             let (capacity, quickest) = (node.capacity.get()?, *self.quickest.get(&node.kind)?);
-            Some(Learnt {
+            Some(CapacitySnapshot {
                 node: *id,
                 capacity,
                 evidence: node.evidence,
@@ -272,7 +272,7 @@
 }
 
 impl Node {
-    pub fn new(entry: &ListEntry, now: Moment) -> Node {
+    pub fn new(entry: &EndpointEntry, now: Moment) -> Node {
         Node {
             zone: entry.zone,
             kind: entry.kind,
@@ -340,7 +340,7 @@
     pub parts: u16,
     pub operations: Vec<OperationId>,
     pub lines: BTreeMap<NodeId, f64>,
-    pub levels: BTreeMap<OperationId, (f64, Retry)>,
+    pub levels: BTreeMap<OperationId, (f64, RetryPolicy)>,
 }
 
 impl Table {
@@ -420,7 +420,7 @@
 /// One reply's orders on their way: how many lines, and who has not answered.
 #[derive(Clone, Debug)]
 pub struct Sent {
-    pub mark: MarkId,
+    pub mark: MarkerId,
     pub at: Moment,
     pub lines: f64,
     pub asked: usize,
@@ -459,7 +459,7 @@
 }
 
 impl Operation {
-    pub fn read(facts: &Facts, at: u8) -> Result<Operation, String> {
+    pub fn read(facts: &Settings, at: u8) -> Result<Operation, String> {
         let name = |part: &str| format!("operation.{at}.{part}");
         Ok(Operation {
             id: OperationId(at),
--- a/crates/wheelspread/tests/action_snapshot.rs
+++ b/crates/wheelspread/tests/action_snapshot.rs
@@ -7,12 +7,12 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
-use wheelspread::facts::{Fact, Facts};
 use wheelspread::ids::*;
-use wheelspread::interface::*;
 use wheelspread::pcg::Pcg;
-use wheelspread::state::Balancer;
+use wheelspread::settings::{SettingValue, Settings};
 use wheelspread::time::{Moment, Span};
+use wheelspread::Balancer;
+use wheelspread::*;
 
 const START_SECONDS: f64 = 5000.0;
 const STEP_SECONDS: f64 = 0.1;
@@ -40,12 +40,12 @@
     nodes: BTreeMap<u8, Member>,
     joined: BTreeSet<u16>,
     /// Markers that wait for an answer, by the step in which it comes.
-    unanswered: Vec<(usize, MarkId)>,
+    unanswered: Vec<(usize, MarkerId)>,
     log: String,
 }
 
 struct Member {
-    listing: Listing,
+    status: EndpointStatus,
     started: Option<Moment>,
     failing: bool,
 }
@@ -57,8 +57,8 @@
     }
 }
 
-fn settings(fleet: &Fleet) -> Facts {
-    let mut facts = Facts::default();
+fn settings(fleet: &Fleet) -> Settings {
+    let mut facts = Settings::default();
     let common = [
         ("conductor.count", "1"),
         ("conductor.tick", "0.05"),
@@ -113,10 +113,10 @@
         .chain(reports)
     {
         let fact = match (value.parse::<f64>(), value.as_str()) {
-            (Ok(number), _) => Fact::Number(number),
-            (_, "true") => Fact::Flag(true),
-            (_, "false") => Fact::Flag(false),
-            _ => Fact::Text(value),
+            (Ok(number), _) => SettingValue::Number(number),
+            (_, "true") => SettingValue::Flag(true),
+            (_, "false") => SettingValue::Flag(false),
+            _ => SettingValue::Text(value),
         };
         facts.0.insert(name, fact);
     }
@@ -132,7 +132,7 @@
             (
                 number,
                 Member {
-                    listing: Listing::Ready,
+                    status: EndpointStatus::Ready,
                     started: None,
                     failing: false,
                 },
@@ -164,7 +164,7 @@
 
     fn handle(&mut self, event: &Event) {
         let now = self.now();
-        if let Err(error) = self.balancer.hear(now, event) {
+        if let Err(error) = self.balancer.handle_event(now, event) {
             let error = error.to_string();
             writeln!(
                 self.log,
@@ -176,22 +176,22 @@
         }
     }
 
-    fn entry(&self, number: u8) -> ListEntry {
+    fn entry(&self, number: u8) -> EndpointEntry {
         let member = &self.nodes[&number];
-        ListEntry {
+        EndpointEntry {
             node: node_id(number),
             zone: self.zone_of_node(number),
             kind: KindId(number % 2),
             cell: CellId(u16::from(number % 4)),
-            listing: member.listing,
+            status: member.status,
             weight: 1.0 + f64::from(number % 2),
             started: member.started,
         }
     }
 
-    fn publish_list(&mut self, kind: ListKind, numbers: &[u8]) {
+    fn publish_list(&mut self, kind: EndpointListKind, numbers: &[u8]) {
         let entries = numbers.iter().map(|number| self.entry(*number)).collect();
-        self.handle(&Event::List { kind, entries });
+        self.handle(&Event::EndpointList { kind, entries });
     }
 
     fn join(&mut self, proxy: u16, fresh: bool) {
@@ -210,7 +210,7 @@
         match self.step {
             0 => {
                 let all: Vec<u8> = self.nodes.keys().copied().collect();
-                self.publish_list(ListKind::Complete, &all);
+                self.publish_list(EndpointListKind::Complete, &all);
             }
             RESTART_AT_STEP => self.restart(),
             _ => {}
@@ -232,13 +232,13 @@
 
     fn restart(&mut self) {
         let seed = u64::from(self.random.draw());
-        let learnt: Vec<_> = self.balancer.learnt().collect();
+        let learnt: Vec<_> = self.balancer.capacity_snapshots().collect();
         self.balancer = Balancer::start(self.now(), seed, settings(&self.fleet))
             .expect("the settings are complete");
         self.unanswered.clear();
         let all: Vec<u8> = self.nodes.keys().copied().collect();
-        self.publish_list(ListKind::Cached, &all);
-        self.balancer.recall(&learnt);
+        self.publish_list(EndpointListKind::Cached, &all);
+        self.balancer.restore_capacities(&learnt);
         for proxy in std::mem::take(&mut self.joined) {
             self.join(proxy, false);
         }
@@ -254,17 +254,17 @@
         let Some(member) = self.nodes.get_mut(&number) else {
             return;
         };
-        match (choice, member.listing) {
-            (0, Listing::Ready) => member.listing = Listing::Draining,
-            (1, Listing::Draining) => member.listing = Listing::Gone,
-            (_, Listing::Draining | Listing::Gone) => {
-                (member.listing, member.started, member.failing) =
-                    (Listing::Ready, Some(now), false);
+        match (choice, member.status) {
+            (0, EndpointStatus::Ready) => member.status = EndpointStatus::Draining,
+            (1, EndpointStatus::Draining) => member.status = EndpointStatus::Gone,
+            (_, EndpointStatus::Draining | EndpointStatus::Gone) => {
+                (member.status, member.started, member.failing) =
+                    (EndpointStatus::Ready, Some(now), false);
             }
-            (2, Listing::Ready) => member.failing = !member.failing,
+            (2, EndpointStatus::Ready) => member.failing = !member.failing,
             _ => return,
         }
-        self.publish_list(ListKind::Changes, &[number]);
+        self.publish_list(EndpointListKind::Changes, &[number]);
     }
 
     fn reports(&mut self) {
@@ -282,19 +282,19 @@
                 let count = self.fleet.proxy_rate * surge * (0.2 + 0.2 * self.random.unit());
                 let (proxy, operation) = (ProxyId(proxy), OperationId(operation));
                 let over = Span::from_seconds(1.0);
-                self.handle(&Event::Offered {
+                self.handle(&Event::DemandReport {
                     proxy,
                     operation,
-                    count,
-                    errored: 0.0,
-                    over,
+                    requests: count,
+                    failures: 0.0,
+                    window: over,
                 });
             }
         }
         let ready = self
             .nodes
             .iter()
-            .filter(|(_, member)| member.listing == Listing::Ready);
+            .filter(|(_, member)| member.status == EndpointStatus::Ready);
         let ready: Vec<(u8, bool)> = ready
             .map(|(number, member)| (*number, member.failing))
             .collect();
@@ -332,14 +332,14 @@
                 busy.min(1.0)
             }
         };
-        self.handle(&Event::NodeSums {
+        self.handle(&Event::NodeLoadReport {
             zone,
             node: node_id(number),
-            tries,
-            errored: (tries * part).floor(),
-            latency: Span::from_seconds(time),
-            over: Span::from_seconds(1.0),
-            load: self.fleet.reports.iter().map(value).collect(),
+            attempts: tries,
+            failures: (tries * part).floor(),
+            mean_latency: Span::from_seconds(time),
+            window: Span::from_seconds(1.0),
+            metrics: self.fleet.reports.iter().map(value).collect(),
         });
     }
 
@@ -357,9 +357,9 @@
             bytes.extend(node_id(number).port.to_le_bytes());
             bytes.extend((64 * u16::from(number + 1)).to_le_bytes());
         }
-        self.handle(&Event::PeerNote {
+        self.handle(&Event::PeerGossip {
             from: PeerId(2),
-            bytes,
+            payload: bytes,
         });
     }
 
@@ -367,14 +367,14 @@
         let step = self.step;
         let (due, later) = self.unanswered.drain(..).partition(|(at, _)| *at <= step);
         self.unanswered = later;
-        let due: Vec<(usize, MarkId)> = due;
+        let due: Vec<(usize, MarkerId)> = due;
         for (_, mark) in due {
             for proxy in self.joined.clone() {
                 if !self.chance(0.05) {
-                    self.handle(&Event::Acked {
+                    self.handle(&Event::MarkerAcknowledged {
                         proxy: ProxyId(proxy),
-                        mark,
-                        took: Span::from_seconds(0.2),
+                        marker: mark,
+                        latency: Span::from_seconds(0.2),
                     });
                 }
             }
@@ -384,9 +384,9 @@
     fn decide(&mut self) {
         let mut actions = Vec::new();
         let now = self.now();
-        self.balancer.settle(now, &mut actions);
+        self.balancer.decide(now, &mut actions);
         for action in &actions {
-            if let Action::Mark { mark, .. } = action {
+            if let Action::SendMarker { marker: mark, .. } = action {
                 let wait = 1 + self.random.draw() as usize % 6;
                 self.unanswered.push((self.step + wait, *mark));
             }
@@ -423,7 +423,7 @@
 /// All digits of a figure: two that differ in the last bit give different text.
 fn describe(action: &Action) -> String {
     match action {
-        Action::SetLine {
+        Action::SetWeight {
             table,
             node,
             weight,
@@ -431,7 +431,7 @@
             format!("weight t{} {} {weight:?}", table.0, describe_node(node))
         }
         Action::ClearTable { table } => format!("clear t{}", table.0),
-        Action::Bind {
+        Action::BindTable {
             proxy,
             table,
             operations,
@@ -443,35 +443,43 @@
                 describe_operations(operations)
             )
         }
-        Action::SetLevel {
+        Action::SetAdmission {
             table,
             operations,
-            quota,
+            limit: quota,
             retry,
         } => {
             let table = table.map_or("all".to_string(), |table| format!("t{}", table.0));
             let retry = match retry {
-                Retry::Never => "never",
-                Retry::AfterProofItNeverRan => "unprocessed",
-                Retry::OnceAfterAnyFailure => "once",
-                Retry::TwiceAfterAnyFailure => "twice",
+                RetryPolicy::Never => "never",
+                RetryPolicy::IfUnprocessed => "unprocessed",
+                RetryPolicy::OnceOnAnyFailure => "once",
+                RetryPolicy::TwiceOnAnyFailure => "twice",
             };
             format!(
                 "admit {table} {} {quota:?} {retry}",
                 describe_operations(operations)
             )
         }
-        Action::Withdraw { node, out } => format!("withdraw {} {out}", describe_node(node)),
-        Action::Mark { mark, everyone } => format!("marker {} {everyone}", mark.0),
-        Action::Probe { node } => format!("probe {}", describe_node(node)),
-        Action::Tell { peer, bytes } => {
+        Action::EjectNode { node, ejected: out } => {
+            format!("withdraw {} {out}", describe_node(node))
+        }
+        Action::SendMarker {
+            marker: mark,
+            to_all: everyone,
+        } => format!("marker {} {everyone}", mark.0),
+        Action::ProbeNode { node } => format!("probe {}", describe_node(node)),
+        Action::SendGossip {
+            peer,
+            payload: bytes,
+        } => {
             let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
             format!("gossip {:?} {hex}", peer.as_ref().map(|peer| peer.0))
         }
         Action::SetTimer { after, timer } => format!("timer {} {}", after.micros(), timer.0),
-        Action::ReadList => "read list".to_string(),
-        Action::Watch { on } => format!("watch {on}"),
-        Action::Remark { text } => format!("log {text}"),
+        Action::RequestEndpointList => "read list".to_string(),
+        Action::WatchEndpoints { enabled: on } => format!("watch {on}"),
+        Action::Log { message: text } => format!("log {text}"),
     }
 }
 
--- a/crates/xds/src/tables.rs
+++ b/crates/xds/src/tables.rs
@@ -7,8 +7,8 @@
 use prost::{Message, Name};
 use std::collections::BTreeMap;
 use wheelspread::ids::{OperationId, TableId};
-use wheelspread::interface::Retry;
 use wheelspread::time::Span;
+use wheelspread::RetryPolicy;
 use wheelspread_controller_core::book::{BundleId, Line, OperationTable, TableSet, Version};
 use wheelspread_controller_core::deployment::{Deployment, LevelForm};
 use xds_api::pb::envoy::config::core::v3 as core;
@@ -31,21 +31,21 @@
 const OTHER_HOST: &str = "envoy.retry_host_predicates.previous_hosts";
 
 /// How each retry order is said: conditions, number of tries more, whether a try is given up early.
-const RETRIES: &[(Retry, &str, u32, bool)] = &[
+const RETRIES: &[(RetryPolicy, &str, u32, bool)] = &[
     (
-        Retry::AfterProofItNeverRan,
+        RetryPolicy::IfUnprocessed,
         "connect-failure,refused-stream,reset-before-request",
         1,
         false,
     ),
     (
-        Retry::OnceAfterAnyFailure,
+        RetryPolicy::OnceOnAnyFailure,
         "5xx,reset,connect-failure,refused-stream,retriable-4xx",
         1,
         true,
     ),
     (
-        Retry::TwiceAfterAnyFailure,
+        RetryPolicy::TwiceOnAnyFailure,
         "5xx,reset,connect-failure,refused-stream,retriable-4xx",
         2,
         true,
@@ -68,7 +68,7 @@
     pub dropped_of_million: u32,
     /// Invocations a second.
     pub rate: Option<f64>,
-    pub retry: Retry,
+    pub retry: RetryPolicy,
     pub per_try_timeout: Option<Span>,
     pub timeout: Option<Span>,
 }
@@ -358,11 +358,11 @@
         .iter()
         .any(|any| on.contains(any));
     let retry = match (tries, any_failure) {
-        (0, _) => Retry::Never,
-        _ if on.iter().all(|condition| condition.is_empty()) => Retry::Never,
-        (_, false) => Retry::AfterProofItNeverRan,
-        (1, true) => Retry::OnceAfterAnyFailure,
-        (_, true) => Retry::TwiceAfterAnyFailure,
+        (0, _) => RetryPolicy::Never,
+        _ if on.iter().all(|condition| condition.is_empty()) => RetryPolicy::Never,
+        (_, false) => RetryPolicy::IfUnprocessed,
+        (1, true) => RetryPolicy::OnceOnAnyFailure,
+        (_, true) => RetryPolicy::TwiceOnAnyFailure,
     };
     let rate = match route.typed_per_filter_config.get(LOCAL_RATE_LIMIT) {
         None => None,
@@ -449,7 +449,7 @@
         }
     }
 
-    fn set(quota: Option<f64>, retry: Retry, weights: &[f64]) -> TableSet {
+    fn set(quota: Option<f64>, retry: RetryPolicy, weights: &[f64]) -> TableSet {
         let line = |(at, weight): (usize, &f64)| Line {
             node: NodeId {
                 address: [127, 0, 0, 1],
@@ -468,7 +468,7 @@
         };
         let operations = vec![
             table(0, lines.clone(), quota, retry),
-            table(1, lines, None, Retry::AfterProofItNeverRan),
+            table(1, lines, None, RetryPolicy::IfUnprocessed),
         ];
         TableSet {
             bundle: BundleId(0),
@@ -480,7 +480,7 @@
 
     #[test]
     fn the_documents_are_of_the_published_form() {
-        let set = set(Some(0.75), Retry::OnceAfterAnyFailure, &[25.0]);
+        let set = set(Some(0.75), RetryPolicy::OnceOnAnyFailure, &[25.0]);
         let written = write(&set, &plan(LevelForm::Share)).expect("it can be written");
         let eds: serde_json::Value = serde_json::from_str(&written.eds).expect("JSON");
         let wanted = serde_json::json!({
@@ -527,7 +527,7 @@
     #[test]
     fn a_rate_is_a_local_rate_limit_of_the_route() {
         let written = write(
-            &set(Some(2.5), Retry::Never, &[1.0]),
+            &set(Some(2.5), RetryPolicy::Never, &[1.0]),
             &plan(LevelForm::Rate),
         )
         .expect("written");
@@ -542,15 +542,18 @@
         let orders = read(&written).expect("it can be read");
         assert_eq!(
             (orders.operations[0].rate, orders.operations[0].retry),
-            (Some(2.5), Retry::Never)
+            (Some(2.5), RetryPolicy::Never)
         );
     }
 
     #[test]
     fn documents_of_two_versions_are_no_table() {
-        let mut written =
-            write(&set(None, Retry::Never, &[1.0]), &plan(LevelForm::Share)).expect("written");
-        let mut other = set(None, Retry::Never, &[1.0]);
+        let mut written = write(
+            &set(None, RetryPolicy::Never, &[1.0]),
+            &plan(LevelForm::Share),
+        )
+        .expect("written");
+        let mut other = set(None, RetryPolicy::Never, &[1.0]);
         other.version = Version(43);
         written.rds = write(&other, &plan(LevelForm::Share)).expect("written").rds;
         assert!(
@@ -563,8 +566,8 @@
         fn what_was_written_is_recovered(
             weights in prop::collection::vec(0.01f64..1e4, 0..20), share in 0.0f64..1.0, which in 0usize..4,
         ) {
-            let retries = [Retry::Never, Retry::AfterProofItNeverRan, Retry::OnceAfterAnyFailure,
-                Retry::TwiceAfterAnyFailure];
+            let retries = [RetryPolicy::Never, RetryPolicy::IfUnprocessed, RetryPolicy::OnceOnAnyFailure,
+                RetryPolicy::TwiceOnAnyFailure];
             let plan = plan(LevelForm::Share);
             let set = set(Some(share), retries[which], &weights);
             let orders = read(&write(&set, &plan).expect("written")).expect("read");
