--- a/crates/controller-core/src/channel.rs
+++ b/crates/controller-core/src/channel.rs
@@ -5,7 +5,7 @@
 use crate::deployment::ChannelPlan;
 use std::collections::{BTreeMap, BTreeSet};
 use wheelspread::ids::ProxyId;
-use wheelspread::ring::Ring;
+use wheelspread::rolling_window::RollingWindow;
 use wheelspread::time::{Moment, Span};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -53,7 +53,7 @@
     turns: BTreeSet<(Urgency, Moment, ProxyId)>,
     in_flight: BTreeMap<ProxyId, Flight>,
     failures: BTreeMap<ProxyId, u32>,
-    written: BTreeMap<ProxyId, Ring<f64>>,
+    written: BTreeMap<ProxyId, RollingWindow<f64>>,
     free_at: Moment,
     pub messages: u64,
     pub overtaken: u64,
@@ -172,14 +172,14 @@
         let bucket = Span::from_seconds(self.window.seconds() / BUCKETS as f64);
         self.written
             .entry(proxy)
-            .or_insert_with(|| Ring::new(bucket, BUCKETS + 2))
+            .or_insert_with(|| RollingWindow::new(bucket, BUCKETS + 2))
             .add(now, 1.0);
         self.messages += 1;
         Some(proxy)
     }
 
     fn may_write(&self, now: Moment, proxy: ProxyId) -> bool {
-        let written = self.written.get(&proxy).map_or(0.0, |ring| ring.whole(now));
+        let written = self.written.get(&proxy).map_or(0.0, |ring| ring.total(now));
         self.most_messages <= 0.0 || written + 1.0 <= self.most_messages
     }
 
--- a/crates/controller-core/src/measured.rs
+++ b/crates/controller-core/src/measured.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::ops::AddAssign;
 use wheelspread::ids::{OperationId, ProxyId, ZoneId};
-use wheelspread::ring::Ring;
+use wheelspread::rolling_window::RollingWindow;
 use wheelspread::time::{Moment, Span};
 
 /// Invocations, but for `tries` and `errored`, which count every try.
@@ -60,7 +60,7 @@
 #[derive(Clone, Debug)]
 pub struct Measured {
     width: Span,
-    ring: Ring<Tallies>,
+    ring: RollingWindow<Tallies>,
     /// When each proxy last reported.
     heard: BTreeMap<ProxyId, Moment>,
 }
@@ -69,7 +69,7 @@
     pub fn new(period: Span) -> Measured {
         Measured {
             width: period,
-            ring: Ring::new(period, KEPT),
+            ring: RollingWindow::new(period, KEPT),
             heard: BTreeMap::new(),
         }
     }
--- a/crates/controller-core/src/session.rs
+++ b/crates/controller-core/src/session.rs
@@ -355,8 +355,8 @@
         if !flaws.is_empty() {
             return Err(StartError::Flaws(flaws));
         }
-        let balancer =
-            Balancer::start(now, seed, plan.facts(number, None)).map_err(StartError::Module)?;
+        let balancer = Balancer::start(now, seed, plan.facts(number, None))
+            .map_err(|error| StartError::Module(error.to_string()))?;
         let held = found.held.values().map(|set| set.version);
         let last = held
             .chain(found.versions.iter().copied())
@@ -495,8 +495,10 @@
     }
 
     fn hear(&mut self, now: Moment, event: &Event) {
-        if let Err(reason) = self.balancer.handle_event(now, event) {
-            self.log(Notice::NotUsed { reason });
+        if let Err(error) = self.balancer.handle_event(now, event) {
+            self.log(Notice::NotUsed {
+                reason: error.to_string(),
+            });
         }
     }
 
@@ -882,10 +884,10 @@
             plan,
             values,
         } = configured;
-        if let Err(reason) = self.balancer.reconfigure(plan.facts(self.number, None)) {
+        if let Err(error) = self.balancer.reconfigure(plan.facts(self.number, None)) {
             return self.log(Notice::NotConfigured {
                 configuration: version,
-                reason,
+                reason: error.to_string(),
             });
         }
         self.channel.set_plan(&plan.channel);
--- a/crates/discovery/src/stream.rs
+++ b/crates/discovery/src/stream.rs
@@ -6,7 +6,7 @@
 use crate::history::{Difference, History, Shared};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
-use wheelspread::ring::Ring;
+use wheelspread::rolling_window::RollingWindow;
 use wheelspread::time::{Moment, Span};
 use wheelspread_controller_core::book::Version;
 
@@ -219,7 +219,7 @@
     newest: Option<Arc<Content>>,
     last_nonce: u64,
     /// Answers to changed subscriptions, which no version of a table limits.
-    asked: Ring<f64>,
+    asked: RollingWindow<f64>,
     asked_most: f64,
     pub strange: u32,
     /// An answer waits for the pace that is allowed.
@@ -238,7 +238,7 @@
             watches: BTreeMap::new(),
             newest: None,
             last_nonce: 0,
-            asked: Ring::new(bucket, BUCKETS + 2),
+            asked: RollingWindow::new(bucket, BUCKETS + 2),
             asked_most: f64::from(changes_at_most.max(1)),
             strange: 0,
             limited: false,
@@ -368,7 +368,7 @@
     /// The next answer, if one is due. It counts as sent.
     pub fn next(&mut self, now: Moment, history: &mut History) -> Option<Answer> {
         let newest = self.newest.clone()?;
-        self.limited = self.asked.whole(now) > self.asked_most;
+        self.limited = self.asked.total(now) > self.asked_most;
         if self.limited {
             return None;
         }
--- a/crates/platform-core/src/desk.rs
+++ b/crates/platform-core/src/desk.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 use wheelspread::ids::{NodeId, ProxyId, TimerId, ZoneId};
-use wheelspread::ring::Ring;
+use wheelspread::rolling_window::RollingWindow;
 use wheelspread::settings::Settings;
 use wheelspread::time::{Moment, Span};
 use wheelspread::Balancer;
@@ -83,7 +83,7 @@
     /// The newest connection that each proxy has joined on.
     newest: BTreeMap<ProxyId, ConnectionId>,
     timers: BTreeSet<(Moment, TimerId)>,
-    answers: Ring<Slowest>,
+    answers: RollingWindow<Slowest>,
     /// Something was heard since the last moment settled.
     pending: bool,
     settled: Option<Moment>,
@@ -125,7 +125,7 @@
         let second = Span::from_seconds(1.0);
         let figures = Figures::read(&facts);
         Ok(Desk {
-            balancer: Balancer::start(now, seed, facts)?,
+            balancer: Balancer::start(now, seed, facts).map_err(|error| error.to_string())?,
             figures,
             membership: Membership::default(),
             tables: TableStore::new(&names.operations),
@@ -134,7 +134,7 @@
             streams: BTreeMap::new(),
             newest: BTreeMap::new(),
             timers: BTreeSet::new(),
-            answers: Ring::new(second, ANSWERS),
+            answers: RollingWindow::new(second, ANSWERS),
             pending: true,
             settled: None,
             next_look: now,
@@ -151,7 +151,9 @@
             );
         }
         let figures = Figures::read(&facts);
-        self.balancer.reconfigure(facts)?;
+        self.balancer
+            .reconfigure(facts)
+            .map_err(|error| error.to_string())?;
         self.figures = figures;
         self.pending = true;
         Ok(())
@@ -211,8 +213,8 @@
 
     fn hear(&mut self, now: Moment, event: &Event) {
         self.pending = true;
-        if let Err(text) = self.balancer.handle_event(now, event) {
-            self.out.push(Out::Remark(text));
+        if let Err(error) = self.balancer.handle_event(now, event) {
+            self.out.push(Out::Remark(error.to_string()));
         }
     }
 
@@ -488,7 +490,7 @@
         if now < self.next_look {
             return Vec::new();
         }
-        let slowest = self.answers.whole(now).0;
+        let slowest = self.answers.total(now).0;
         let limit =
             Span::from_seconds(SILENT.0 + SILENT.2 * slowest) + self.figures.delay * SILENT.1;
         let silent = |(proxy, stream): (&ProxyId, &Stream)| {
--- a/crates/wheelspread-adapter/src/main.rs
+++ b/crates/wheelspread-adapter/src/main.rs
@@ -93,9 +93,9 @@
             Record::Boot { seed, settings } => {
                 self.failed.remove(&conductor);
                 self.instances.remove(&conductor);
-                match wheelspread_settings::read(&settings)
-                    .and_then(|facts| Balancer::start(now, seed, facts))
-                {
+                match wheelspread_settings::read(&settings).and_then(|facts| {
+                    Balancer::start(now, seed, facts).map_err(|error| error.to_string())
+                }) {
                     Ok(balancer) => drop(self.instances.insert(conductor, balancer)),
                     Err(text) => {
                         self.failed.insert(conductor);
@@ -115,7 +115,9 @@
             Record::Event(event) => {
                 let mut said = Ok(());
                 self.call(conductor, reply, |balancer, _| {
-                    said = balancer.handle_event(now, &event);
+                    said = balancer
+                        .handle_event(now, &event)
+                        .map_err(|error| error.to_string());
                     Ok(())
                 });
                 said
--- a/crates/wheelspread-adapter/tests/framing.rs
+++ b/crates/wheelspread-adapter/tests/framing.rs
@@ -126,7 +126,7 @@
     let output = run(&batch(4, &body));
     assert!(said(&output).contains("record 2"), "{}", said(&output));
     assert!(said(&output).contains("left but never joined"));
-    assert!(said(&output).contains("sums of unknown"));
+    assert!(said(&output).contains("load report for unknown node"));
     assert!(output.status.success());
 }
 
--- a/crates/wheelspread/src/scenarios.rs
+++ b/crates/wheelspread/src/balancer/tests.rs
@@ -12,12 +12,13 @@
 //! `alone` before `carried a 30`, `lines t0 a=1 b=2`, `target t0 b=1` and `plan` drives single steps of
 //! the design, with nothing settled in between.
 
+use super::Balancer;
 use crate::ids::*;
-use crate::measure::shares;
+use crate::publication::published_weights;
 use crate::settings::{SettingValue, Settings};
-use crate::state::{Orders, Shares};
+use crate::shares::{shares, NodeWeights, TableWeights};
 use crate::time::{Moment, Span};
-use crate::Balancer;
+use crate::update_plan::plan_step;
 use crate::CapacitySnapshot;
 use crate::{Action, EndpointEntry, EndpointListKind, EndpointStatus, Event, RetryPolicy};
 use std::collections::{BTreeMap, BTreeSet};
@@ -31,7 +32,7 @@
     operations: usize,
     balancer: Option<Balancer>,
     now: f64,
-    tables: Orders,
+    tables: TableWeights,
     levels: BTreeMap<(u16, u8), (f64, RetryPolicy)>,
     bound: BTreeSet<(ProxyId, TableId)>,
     joined: BTreeSet<ProxyId>,
@@ -40,7 +41,7 @@
     changed: Vec<(f64, TableId, NodeId)>,
     mark: Option<MarkerId>,
     error: String,
-    target: Orders,
+    target: TableWeights,
 }
 
 fn number(text: &str) -> f64 {
@@ -79,7 +80,7 @@
     }
 
     fn ordinary(&mut self) {
-        for line in include_str!("../scenarios/ordinary.txt").lines() {
+        for line in include_str!("../../scenarios/ordinary.txt").lines() {
             let words: Vec<&str> = line.split_whitespace().collect();
             self.set(words[0], words[1]);
         }
@@ -111,7 +112,7 @@
                 self.operation(&[]);
             }
             let start = Balancer::start(Moment::from_seconds(EPOCH), 7, self.facts.clone());
-            self.balancer = start.map_err(|text| self.error = text).ok();
+            self.balancer = start.map_err(|error| self.error = error.to_string()).ok();
         }
         self.balancer.as_mut().expect("the module starts")
     }
@@ -143,8 +144,8 @@
 
     fn hear(&mut self, event: Event) {
         let now = Moment::from_seconds(EPOCH + self.now);
-        if let Err(text) = self.balancer().handle_event(now, &event) {
-            self.error = text;
+        if let Err(error) = self.balancer().handle_event(now, &event) {
+            self.error = error.to_string();
         }
     }
 
@@ -153,7 +154,10 @@
             ["refigure", name, value] => {
                 self.set(name, value);
                 let facts = self.facts.clone();
-                self.error = self.balancer().reconfigure(facts).err().unwrap_or_default();
+                let result = self.balancer().reconfigure(facts);
+                self.error = result
+                    .err()
+                    .map_or(String::new(), |error| error.to_string());
             }
             // Node, invocations a second, evidence.
             ["recall", name, rate, evidence] => {
@@ -264,18 +268,18 @@
             ["tick"] => {}
             ["carried", name, rate] => {
                 let rate = number(rate);
-                self.balancer()
-                    .nodes
-                    .entry(node(name))
-                    .and_modify(|node| node.carried = rate);
+                if let Some(node) = self.balancer().fleet.nodes.get_mut(&node(name)) {
+                    node.load.raise_peak_within_objective(rate);
+                }
             }
             ["lines", table, lines @ ..] => {
                 let lines = Self::lines(lines);
                 let table = TableId(number(table) as u16);
                 self.balancer()
+                    .fleet
                     .tables
                     .entry(table)
-                    .and_modify(|known| known.lines = lines);
+                    .and_modify(|known| known.entries = lines);
             }
             ["target", table, lines @ ..] => {
                 self.target
@@ -286,7 +290,7 @@
         }
     }
 
-    fn lines(words: &[&str]) -> Shares {
+    fn lines(words: &[&str]) -> NodeWeights {
         let pairs = words
             .iter()
             .map(|word| word.split_once('=').expect("NODE=WEIGHT"));
@@ -298,20 +302,17 @@
     fn plan(&mut self) {
         let mut target = self.target.clone();
         let balancer = self.balancer();
-        let mut draft: Orders = balancer
-            .tables
-            .iter()
-            .map(|(id, table)| (*id, table.lines.clone()))
-            .collect();
-        for (id, lines) in &draft {
-            target.entry(*id).or_insert_with(|| shares(lines));
+        let mut draft = published_weights(&balancer.fleet);
+        for (id, entries) in &draft {
+            target.entry(*id).or_insert_with(|| shares(entries));
         }
-        balancer.plan(&target, &mut draft);
-        for (id, lines) in &draft {
-            balancer
-                .tables
+        let cut = plan_step(&balancer.fleet, &target, &mut draft);
+        balancer.admission.set_cut(cut);
+        for (id, entries) in &draft {
+            let tables = &mut balancer.fleet.tables;
+            tables
                 .entry(*id)
-                .and_modify(|table| table.lines = lines.clone());
+                .and_modify(|table| table.entries = entries.clone());
         }
         self.tables = draft;
     }
@@ -398,13 +399,13 @@
                 format!("{retry:?}") == format!("Some({how})")
             }
             ["cut", t, range] => {
-                let cut = self.balancer.as_ref().and_then(|b| b.admission.cut);
-                cut.is_some_and(|cut| cut.0 == table(t) && within(cut.1, range))
+                let cut = self.balancer.as_ref().and_then(|b| b.admission.cut());
+                cut.is_some_and(|cut| cut.table == table(t) && within(cut.admitted, range))
             }
             ["no", "cut"] => self
                 .balancer
                 .as_ref()
-                .is_some_and(|b| b.admission.cut.is_none()),
+                .is_some_and(|b| b.admission.cut().is_none()),
             ["messages", proxy, "within", span, range] => {
                 let own = |m: &&(f64, ProxyId)| m.1 .0 == number(proxy) as u16;
                 let times: Vec<f64> = self.messages.iter().filter(own).map(|m| m.0).collect();
@@ -429,17 +430,17 @@
                 let own = self
                     .balancer
                     .iter()
-                    .flat_map(|b| b.tables.values())
-                    .filter(|t| t.zone == zone);
-                own.filter(|table| !table.lines.is_empty()).count() as f64 == number(count)
+                    .flat_map(|b| b.fleet.tables.values())
+                    .filter(|t| t.zone() == zone);
+                own.filter(|table| !table.entries.is_empty()).count() as f64 == number(count)
             }
             ["disjoint", t, u] => {
                 let shared = |name: &&NodeId| self.tables[&table(u)].contains_key(name);
                 self.tables[&table(t)].keys().filter(shared).count() <= 1 // one at the border
             }
             ["forgotten", name] => self.balancer.as_ref().is_some_and(|b| {
-                !b.nodes.contains_key(&node(name))
-                    && !b.paths.keys().any(|path| path.0 == node(name))
+                !b.fleet.nodes.contains(&node(name))
+                    && !b.fleet.outliers.paths().any(|(key, _)| key.0 == node(name))
             }),
             ["error", rest @ ..] => self.error.contains(&rest.join(" ")),
             ["no", "error"] => self.error.is_empty(),
@@ -509,48 +510,48 @@
     flush(&mut stage, &mut due);
 }
 
-#[test_case(include_str!("../scenarios/at_risk.txt"); "a table that adds waits for the one that lifts")]
-#[test_case(include_str!("../scenarios/whole_move.txt"); "a mutual wait ends by a whole move")]
-#[test_case(include_str!("../scenarios/greedy.txt"); "a mutual wait ends by the greedy step")]
-#[test_case(include_str!("../scenarios/cut.txt"); "admission is cut last and restored")]
-#[test_case(include_str!("../scenarios/overfill.txt"); "a weight that alone overfills rises in steps")]
-#[test_case(include_str!("../scenarios/deltas.txt"); "only lines that change are sent")]
-#[test_case(include_str!("../scenarios/drain.txt"); "drained and gone nodes leave at once")]
-#[test_case(include_str!("../scenarios/drain_under_cap.txt"); "repeated cuts leave messages for a drain")]
-#[test_case(include_str!("../scenarios/restart_cold.txt"); "a newcomer waits for the first sums after a start")]
-#[test_case(include_str!("../scenarios/restart_overload.txt"); "a start in the middle of an overload cuts")]
-#[test_case(include_str!("../scenarios/cold.txt"); "cold nodes stay under their limit")]
-#[test_case(include_str!("../scenarios/cold_avoided.txt"); "cold nodes stay out while proxies avoid the rest")]
-#[test_case(include_str!("../scenarios/parts.txt"); "a large zone falls into parts")]
-#[test_case(include_str!("../scenarios/slow_sums.txt"); "sums that take several periods still teach")]
-#[test_case(include_str!("../scenarios/few_left.txt"); "what is left of a table does not drown")]
-#[test_case(include_str!("../scenarios/cold_under_cap.txt"); "cold limits leave steps their messages")]
-#[test_case(include_str!("../scenarios/lost_on_the_way.txt"); "what is lost on the way is no overload")]
-#[test_case(include_str!("../scenarios/cold_two_conductors.txt"); "a cold node beside an unheard conductor")]
-#[test_case(include_str!("../scenarios/first_times.txt"); "kinds begin by the times of their first invocations")]
-#[test_case(include_str!("../scenarios/own_fault.txt"); "a node that errs alone is slow by itself")]
-#[test_case(include_str!("../scenarios/cold_unheard.txt"); "no cold lines in a zone that is not heard of")]
-#[test_case(include_str!("../scenarios/many_zones.txt"); "more parts than table numbers")]
-#[test_case(include_str!("../scenarios/starved_steps.txt"); "levels leave steps their messages")]
-#[test_case(include_str!("../scenarios/storm.txt"); "a storm of joins stays within the channel")]
-#[test_case(include_str!("../scenarios/restart.txt"); "a restart with a stale list")]
-#[test_case(include_str!("../scenarios/health.txt"); "silent nodes leave and are tried again, busy ones stay")]
-#[test_case(include_str!("../scenarios/retry.txt"); "retry orders by kind, group and window")]
-#[test_case(include_str!("../scenarios/recall.txt"); "what was learnt before a restart stands until sums say otherwise")]
-#[test_case(include_str!("../scenarios/refigure.txt"); "other figures hold at once, other operations never")]
-#[test_case(include_str!("../scenarios/overload.txt"); "overload cuts the cheapest first and not below what was served")]
-#[test_case(include_str!("../scenarios/rates.txt"); "levels as rates")]
-#[test_case(include_str!("../scenarios/absurd.txt"); "absurd figures change nothing")]
-#[test_case(include_str!("../scenarios/settings.txt"); "a missing setting is named")]
-#[test_case(include_str!("../scenarios/local.txt"); "operations that stay get their zone's nodes only")]
-#[test_case(include_str!("../scenarios/local_lost.txt"); "a zone without nodes gets its lines when they come")]
-#[test_case(include_str!("../scenarios/parts_late.txt"); "a zone that falls into parts late")]
-#[test_case(include_str!("../scenarios/late_sums.txt"); "late sums of a node that is gone leave nothing behind")]
-#[test_case(include_str!("../scenarios/drains_in_a_row.txt"); "drains one after another keep to the cap")]
-#[test_case(include_str!("../scenarios/rejoin_under_cap.txt"); "messages count over streams")]
-#[test_case(include_str!("../scenarios/restart_under_cap.txt"); "messages from before a restart count")]
-#[test_case(include_str!("../scenarios/joins_in_a_row.txt"); "joins one after another move no part's table")]
-#[test_case(include_str!("../scenarios/never_answered.txt"); "marks that are never answered hold up no join")]
+#[test_case(include_str!("../../scenarios/at_risk.txt"); "a table that adds waits for the one that lifts")]
+#[test_case(include_str!("../../scenarios/whole_move.txt"); "a mutual wait ends by a whole move")]
+#[test_case(include_str!("../../scenarios/greedy.txt"); "a mutual wait ends by the greedy step")]
+#[test_case(include_str!("../../scenarios/cut.txt"); "admission is cut last and restored")]
+#[test_case(include_str!("../../scenarios/overfill.txt"); "a weight that alone overfills rises in steps")]
+#[test_case(include_str!("../../scenarios/deltas.txt"); "only lines that change are sent")]
+#[test_case(include_str!("../../scenarios/drain.txt"); "drained and gone nodes leave at once")]
+#[test_case(include_str!("../../scenarios/drain_under_cap.txt"); "repeated cuts leave messages for a drain")]
+#[test_case(include_str!("../../scenarios/restart_cold.txt"); "a newcomer waits for the first sums after a start")]
+#[test_case(include_str!("../../scenarios/restart_overload.txt"); "a start in the middle of an overload cuts")]
+#[test_case(include_str!("../../scenarios/cold.txt"); "cold nodes stay under their limit")]
+#[test_case(include_str!("../../scenarios/cold_avoided.txt"); "cold nodes stay out while proxies avoid the rest")]
+#[test_case(include_str!("../../scenarios/parts.txt"); "a large zone falls into parts")]
+#[test_case(include_str!("../../scenarios/slow_sums.txt"); "sums that take several periods still teach")]
+#[test_case(include_str!("../../scenarios/few_left.txt"); "what is left of a table does not drown")]
+#[test_case(include_str!("../../scenarios/cold_under_cap.txt"); "cold limits leave steps their messages")]
+#[test_case(include_str!("../../scenarios/lost_on_the_way.txt"); "what is lost on the way is no overload")]
+#[test_case(include_str!("../../scenarios/cold_two_conductors.txt"); "a cold node beside an unheard conductor")]
+#[test_case(include_str!("../../scenarios/first_times.txt"); "kinds begin by the times of their first invocations")]
+#[test_case(include_str!("../../scenarios/own_fault.txt"); "a node that errs alone is slow by itself")]
+#[test_case(include_str!("../../scenarios/cold_unheard.txt"); "no cold lines in a zone that is not heard of")]
+#[test_case(include_str!("../../scenarios/many_zones.txt"); "more parts than table numbers")]
+#[test_case(include_str!("../../scenarios/starved_steps.txt"); "levels leave steps their messages")]
+#[test_case(include_str!("../../scenarios/storm.txt"); "a storm of joins stays within the channel")]
+#[test_case(include_str!("../../scenarios/restart.txt"); "a restart with a stale list")]
+#[test_case(include_str!("../../scenarios/health.txt"); "silent nodes leave and are tried again, busy ones stay")]
+#[test_case(include_str!("../../scenarios/retry.txt"); "retry orders by kind, group and window")]
+#[test_case(include_str!("../../scenarios/recall.txt"); "what was learnt before a restart stands until sums say otherwise")]
+#[test_case(include_str!("../../scenarios/refigure.txt"); "other figures hold at once, other operations never")]
+#[test_case(include_str!("../../scenarios/overload.txt"); "overload cuts the cheapest first and not below what was served")]
+#[test_case(include_str!("../../scenarios/rates.txt"); "levels as rates")]
+#[test_case(include_str!("../../scenarios/absurd.txt"); "absurd figures change nothing")]
+#[test_case(include_str!("../../scenarios/settings.txt"); "a missing setting is named")]
+#[test_case(include_str!("../../scenarios/local.txt"); "operations that stay get their zone's nodes only")]
+#[test_case(include_str!("../../scenarios/local_lost.txt"); "a zone without nodes gets its lines when they come")]
+#[test_case(include_str!("../../scenarios/parts_late.txt"); "a zone that falls into parts late")]
+#[test_case(include_str!("../../scenarios/late_sums.txt"); "late sums of a node that is gone leave nothing behind")]
+#[test_case(include_str!("../../scenarios/drains_in_a_row.txt"); "drains one after another keep to the cap")]
+#[test_case(include_str!("../../scenarios/rejoin_under_cap.txt"); "messages count over streams")]
+#[test_case(include_str!("../../scenarios/restart_under_cap.txt"); "messages from before a restart count")]
+#[test_case(include_str!("../../scenarios/joins_in_a_row.txt"); "joins one after another move no part's table")]
+#[test_case(include_str!("../../scenarios/never_answered.txt"); "marks that are never answered hold up no join")]
 fn scenario(text: &str) {
     play(text);
 }
--- a/crates/wheelspread/src/event.rs
+++ b/crates/wheelspread/src/event.rs
@@ -1,5 +1,6 @@
 //! Input of the balancer: events about endpoints, proxies, load and peers.
 
+use crate::error::EventError;
 use crate::ids::*;
 use crate::time::{Moment, Span};
 
@@ -167,7 +168,7 @@
 
 impl Event {
     /// Checks the figures of an event; one that fails must change nothing.
-    pub fn check(&self) -> Result<(), String> {
+    pub fn check(&self) -> Result<(), EventError> {
         let is_valid = |window: &Span| *window > Span::ZERO && window.seconds() < 3600.0;
         match self {
             Event::NodeLoadReport {
@@ -175,16 +176,19 @@
                 failures,
                 window,
                 ..
-            } if !is_valid(window) || failures > attempts => Err(format!(
-                "sums of {attempts} tries, {failures} errored, over {} s",
-                window.seconds()
-            )),
+            } if !is_valid(window) || failures > attempts => Err(EventError::InvalidLoadReport {
+                attempts: *attempts,
+                failures: *failures,
+                window_seconds: window.seconds(),
+            }),
             Event::DemandReport {
                 requests, window, ..
-            } if !is_valid(window) || requests.is_nan() || *requests < 0.0 => Err(format!(
-                "{requests} invocations over {} s",
-                window.seconds()
-            )),
+            } if !is_valid(window) || requests.is_nan() || *requests < 0.0 => {
+                Err(EventError::InvalidDemandReport {
+                    requests: *requests,
+                    window_seconds: window.seconds(),
+                })
+            }
             _ => Ok(()),
         }
     }
--- /dev/null
+++ b/crates/wheelspread/src/fleet.rs
@@ -0,0 +1,202 @@
+//! What is known of the fleet, for the modules that decide: each part is owned by the module that keeps it.
+
+use crate::capacity::{CapacityModel, LearningInput};
+use crate::config::Config;
+use crate::gossip::{Gossip, LocalView};
+use crate::ids::{NodeId, ProxyId, ZoneId};
+use crate::lifecycle::{Node, Nodes};
+use crate::membership::{Membership, Proxy};
+use crate::outlier::{DetectionInput, Outliers};
+use crate::pcg::Pcg;
+use crate::report_timing::ReportTiming;
+use crate::tables::{empty_demand, undivided_tables, DemandClass, Table, Tables};
+use crate::time::Moment;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Share of all demand at proxies that are not heard: with more of it, load reports teach no capacity.
+const UNREPORTED_DEMAND: f64 = 0.15;
+
+/// Everything that is known at one moment.
+pub(crate) struct Fleet {
+    pub now: Moment,
+    pub config: Config,
+    pub nodes: Nodes,
+    pub capacity: CapacityModel,
+    pub outliers: Outliers,
+    pub members: Membership,
+    pub tables: Tables,
+    pub gossip: Gossip,
+    pub timing: ReportTiming,
+}
+
+impl Fleet {
+    /// Nothing is known yet.
+    pub fn new(now: Moment, config: Config) -> Fleet {
+        Fleet {
+            now,
+            nodes: Nodes::default(),
+            capacity: CapacityModel::default(),
+            outliers: Outliers::default(),
+            members: Membership::new(now),
+            tables: undivided_tables(&config.operations, config.zones()),
+            gossip: Gossip::new(now),
+            timing: ReportTiming::new(now, config.report_period),
+            config,
+        }
+    }
+
+    /// Gossip from before that moment no longer stands.
+    pub fn gossip_since(&self) -> Moment {
+        Gossip::valid_since(self.timing.period(), self.now)
+    }
+
+    /// Requests per second that a node can serve now.
+    pub fn capacity_of(&self, node: &Node) -> f64 {
+        self.capacity.capacity(node, &self.config, self.now)
+    }
+
+    /// The same, less where its latency is longer than the fleet's.
+    pub fn effective_capacity_of(&self, node: &Node) -> f64 {
+        self.capacity
+            .effective_capacity(node, &self.config, self.now)
+    }
+
+    /// The part of a node's capacity that a zone should use.
+    pub fn usable_share(&self, zone: ZoneId, id: NodeId) -> f64 {
+        self.outliers.usable_share(id, zone, &self.timing, self.now)
+    }
+
+    /// Requests per second that a node serves for peers' proxies.
+    pub fn peers_rate(&self, id: NodeId) -> f64 {
+        self.gossip.rate(id, self.gossip_since())
+    }
+
+    /// The proxies that use a table, joined or not.
+    pub fn proxies_of<'a>(
+        &'a self,
+        table: &'a Table,
+    ) -> impl Iterator<Item = (&'a ProxyId, &'a Proxy)> {
+        let proxies = self.members.proxies().iter();
+        proxies.filter(|(id, proxy)| table.serves(**id, proxy.zone()))
+    }
+
+    /// Requests per second that come to the proxies of a table, admitted or not.
+    pub fn demand_of(&self, table: &Table) -> f64 {
+        self.proxies_of(table)
+            .map(|(_, proxy)| proxy.demand(&table.operations))
+            .sum()
+    }
+
+    /// Requests per second that the joined proxies of a table admit.
+    pub fn admitted_rate(&self, table: &Table) -> f64 {
+        let mut sum = 0.0;
+        for (_, proxy) in self
+            .proxies_of(table)
+            .filter(|(_, proxy)| proxy.has_joined())
+        {
+            for operation in &table.operations {
+                let demand = proxy.demand_for(*operation).unwrap_or(0.0);
+                let order = table.admission.get(operation);
+                let limit = order.map_or(f64::INFINITY, |order| order.limit);
+                sum += if self.config.admission_as_share {
+                    demand * limit.min(1.0)
+                } else {
+                    demand.min(limit)
+                };
+            }
+        }
+        sum
+    }
+
+    /// Demand by zone and by whether it stays there: of own proxies, of those out of a single controller's
+    /// reach, and of those that peers have told of.
+    pub fn demand_by_class(&self) -> BTreeMap<DemandClass, f64> {
+        let is_alone = self.config.controllers <= 1.0;
+        let mut sums = self.own_demand(|proxy| proxy.has_joined() || is_alone);
+        self.gossip.add_demand(&mut sums, self.gossip_since());
+        sums
+    }
+
+    fn own_demand(&self, counts: impl Fn(&Proxy) -> bool) -> BTreeMap<DemandClass, f64> {
+        let mut sums = empty_demand(&self.tables);
+        for proxy in self
+            .members
+            .proxies()
+            .values()
+            .filter(|proxy| counts(proxy))
+        {
+            for operation in &self.config.operations {
+                let class = DemandClass {
+                    zone: proxy.zone(),
+                    stays_in_zone: operation.stays_in_zone,
+                };
+                let demand = proxy.demand(&[operation.id]);
+                sums.entry(class).and_modify(|sum| *sum += demand);
+            }
+        }
+        sums
+    }
+
+    /// What peers are to know.
+    pub fn local_view(&self) -> LocalView {
+        let since = self.timing.rates_valid_since();
+        let rate = |id: NodeId| (id, self.outliers.success_rate(id, since));
+        LocalView {
+            proxies: self.members.joined().count(),
+            demand: self.own_demand(Proxy::has_joined).into_values().collect(),
+            rates: self.nodes.open().map(|(id, _)| rate(*id)).collect(),
+        }
+    }
+
+    /// Reads new load reports into the capacity estimates. Reports that show only a part of what nodes get, as
+    /// while many proxies are not heard, teach nothing.
+    pub fn learn_capacity(&mut self, is_strained: bool) {
+        let unreported = self.members.demand_of(|proxy| !proxy.has_joined())
+            / self.members.total_demand().max(1e-6);
+        let is_partial = self.config.controllers <= 1.0 && unreported > UNREPORTED_DEMAND;
+        if !self.capacity.take_new_reports() || is_partial {
+            return;
+        }
+        let input = LearningInput {
+            memory: self.timing.memory(),
+            objective: self.config.shortest_objective(),
+            is_strained,
+            now: self.now,
+        };
+        let (own_since, gossip_since) = (self.timing.rates_valid_since(), self.gossip_since());
+        let (outliers, gossip) = (&self.outliers, &self.gossip);
+        let rate_at = |id| outliers.success_rate(id, own_since) + gossip.rate(id, gossip_since);
+        self.capacity
+            .learn(&mut self.nodes, &self.config, &input, rate_at);
+    }
+
+    /// Updates what kinds of node are seen to serve.
+    pub fn update_kind_means(&mut self) {
+        let demand = self.members.total_demand();
+        self.capacity.update_kind_means(&self.nodes, demand);
+    }
+
+    /// Ejects outliers and puts them on probation; whether any node's health changed.
+    pub fn detect_outliers(&mut self, random: &mut Pcg) -> bool {
+        let input = DetectionInput {
+            nodes: &self.nodes,
+            timing: &self.timing,
+            max_queue_delay: self.config.max_queue_delay,
+            objective: self.config.shortest_objective(),
+            now: self.now,
+        };
+        self.outliers.detect_outliers(&input, random)
+    }
+
+    /// Drops nodes, paths and proxies that have been away for long.
+    pub fn forget_departed(&mut self) {
+        const WARM_UPS_REMEMBERED: f64 = 10.0;
+        let (now, long) = (self.now, self.config.warm_up * WARM_UPS_REMEMBERED);
+        let is_recent = |at: Moment| now - at < long;
+        let entries = self.tables.values().flat_map(|table| table.entries.keys());
+        let held: BTreeSet<NodeId> = entries.copied().collect();
+        self.nodes.forget_unlisted(&held, is_recent);
+        self.outliers.forget_unknown(&self.nodes);
+        self.members.forget_departed(is_recent);
+    }
+}
--- a/crates/wheelspread/src/lib.rs
+++ b/crates/wheelspread/src/lib.rs
@@ -5,19 +5,38 @@
 //! [`Balancer::decide`] once at its end, and carries out the [`Action`]s it gets.
 
 mod action;
-mod balance;
+mod admission;
+mod balancer;
+mod capacity;
+mod config;
+mod error;
 mod event;
+mod fleet;
+mod flows;
+mod gossip;
 pub mod ids;
-mod measure;
+mod lifecycle;
+mod locality;
+mod membership;
+mod node_load;
+mod outlier;
+mod pacing;
 pub mod pcg;
-pub mod ring;
+mod publication;
+mod rates;
+mod report_timing;
+mod retry_policy;
+pub mod rolling_window;
 pub mod settings;
-mod state;
+mod shares;
+mod slow_start;
+mod subset;
+mod tables;
 pub mod time;
+mod update_plan;
 
 pub use action::{Action, RetryPolicy};
+pub use balancer::Balancer;
+pub use capacity::CapacitySnapshot;
+pub use error::{ConfigError, EventError};
 pub use event::{EndpointEntry, EndpointListKind, EndpointStatus, Event};
-pub use state::{Balancer, CapacitySnapshot};
-
-#[cfg(test)]
-mod scenarios;
--- /dev/null
+++ b/crates/wheelspread/src/lifecycle.rs
@@ -0,0 +1,275 @@
+//! The lifecycle of nodes, by the endpoint list and the clock.
+//!
+//! Tables drop nodes that take no new requests at once; all other changes follow in steps.
+
+use crate::config::Config;
+use crate::ids::{KindId, NodeId, ZoneId};
+use crate::node_load::NodeLoad;
+use crate::time::{Moment, Span};
+use crate::{EndpointEntry, EndpointStatus};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Where a node stands in its life.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Lifecycle {
+    /// Not in the endpoint list, or no longer.
+    Unlisted,
+    /// Started a short while ago: it has only a part of its capacity.
+    WarmingUp,
+    /// Takes new requests at full capacity.
+    Ready,
+    /// Finishes what it has.
+    Draining,
+}
+
+/// What the endpoint list or the clock says of a node.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum LifecycleInput {
+    /// Listed as ready, and not restarted.
+    ListedReady,
+    /// Listed as ready, by a process that started a short while ago.
+    Restarted,
+    /// Listed as draining.
+    ListedDraining,
+    /// Gone, or missing from a complete list.
+    Removed,
+    /// The time to warm up is over.
+    WarmedUp,
+}
+
+/// Which measurements of a node a transition keeps.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Measurements {
+    /// All of them.
+    Keep,
+    /// The node's own; what zones observed there is forgotten.
+    ForgetPaths,
+    /// None: a process that started anew is another one.
+    ForgetAll,
+}
+
+/// The next state; `None` where the input changes nothing.
+fn transition(state: Lifecycle, input: LifecycleInput) -> Option<(Lifecycle, Measurements)> {
+    use Lifecycle::{Draining, Ready, Unlisted, WarmingUp};
+    use Measurements::{ForgetAll, ForgetPaths, Keep};
+    match (input, state) {
+        (LifecycleInput::ListedReady, Unlisted | Draining) => Some((Ready, ForgetPaths)),
+        (LifecycleInput::ListedReady, WarmingUp | Ready) => None,
+        (LifecycleInput::Restarted, _) => Some((WarmingUp, ForgetAll)),
+        (LifecycleInput::ListedDraining, Unlisted | WarmingUp | Ready) => Some((Draining, Keep)),
+        (LifecycleInput::ListedDraining, Draining) => None,
+        (LifecycleInput::Removed, WarmingUp | Ready | Draining) => Some((Unlisted, ForgetPaths)),
+        (LifecycleInput::Removed, Unlisted) => None,
+        (LifecycleInput::WarmedUp, WarmingUp) => Some((Ready, Keep)),
+        (LifecycleInput::WarmedUp, Unlisted | Ready | Draining) => None,
+    }
+}
+
+/// A node that was in an endpoint list.
+#[derive(Clone, Debug)]
+pub(crate) struct Node {
+    zone: ZoneId,
+    kind: KindId,
+    weight: f64,
+    started: Option<Moment>,
+    state: Lifecycle,
+    changed_at: Moment,
+    /// What load reports say of it.
+    pub load: NodeLoad,
+}
+
+impl Node {
+    fn new(entry: &EndpointEntry, now: Moment) -> Node {
+        Node {
+            zone: entry.zone,
+            kind: entry.kind,
+            weight: 1.0,
+            started: entry.started,
+            state: Lifecycle::Unlisted,
+            changed_at: now,
+            load: NodeLoad::default(),
+        }
+    }
+
+    /// Its zone.
+    pub fn zone(&self) -> ZoneId {
+        self.zone
+    }
+
+    /// Its machine type.
+    pub fn kind(&self) -> KindId {
+        self.kind
+    }
+
+    /// The weight it is listed with.
+    pub fn weight(&self) -> f64 {
+        self.weight
+    }
+
+    /// Whether it takes new requests at full capacity.
+    pub fn is_ready(&self) -> bool {
+        self.state == Lifecycle::Ready
+    }
+
+    /// Whether it warms up.
+    pub fn is_warming(&self) -> bool {
+        self.state == Lifecycle::WarmingUp
+    }
+
+    /// Whether it takes new requests.
+    pub fn is_open(&self) -> bool {
+        matches!(self.state, Lifecycle::WarmingUp | Lifecycle::Ready)
+    }
+
+    /// Age, as a part of the time to warm up; 1 at most.
+    fn warm_up_progress(&self, warm_up: Span, now: Moment) -> f64 {
+        let whole = warm_up.seconds().max(1e-3);
+        self.started
+            .map_or(1.0, |at| ((now - at).seconds().max(0.0) / whole).min(1.0))
+    }
+
+    /// The least share of its capacity that it has by now.
+    pub fn capacity_share(&self, config: &Config, now: Moment) -> f64 {
+        let start = config.warm_up_start_share;
+        if self.is_warming() {
+            start + (1.0 - start) * self.warm_up_progress(config.warm_up, now)
+        } else {
+            1.0
+        }
+    }
+}
+
+/// The nodes that were listed, by address.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct Nodes {
+    by_id: BTreeMap<NodeId, Node>,
+}
+
+impl Nodes {
+    /// Takes in one entry of an endpoint list; says what that means for the node's lifecycle.
+    pub fn on_entry(
+        &mut self,
+        entry: &EndpointEntry,
+        warm_up: Span,
+        now: Moment,
+    ) -> LifecycleInput {
+        let known = self.by_id.get(&entry.node);
+        let is_young = entry.started.is_some_and(|at| now - at < warm_up);
+        let is_restart =
+            is_young && known.is_none_or(|node| node.started != entry.started || !node.is_open());
+        let node = self
+            .by_id
+            .entry(entry.node)
+            .or_insert_with(|| Node::new(entry, now));
+        (node.zone, node.kind) = (entry.zone, entry.kind);
+        let has_weight = entry.weight.is_finite() && entry.weight > 0.0;
+        node.weight = if has_weight { entry.weight } else { 1.0 };
+        if entry.status == EndpointStatus::Ready {
+            node.started = entry.started;
+        }
+        match entry.status {
+            EndpointStatus::Gone => LifecycleInput::Removed,
+            EndpointStatus::Draining => LifecycleInput::ListedDraining,
+            EndpointStatus::Ready if is_restart => LifecycleInput::Restarted,
+            EndpointStatus::Ready => LifecycleInput::ListedReady,
+        }
+    }
+
+    /// Moves a node to its next state; says which measurements count on, or `None` if nothing changed.
+    pub fn apply(
+        &mut self,
+        id: NodeId,
+        input: LifecycleInput,
+        now: Moment,
+    ) -> Option<Measurements> {
+        let node = self.by_id.get_mut(&id)?;
+        let (state, measurements) = transition(node.state, input)?;
+        (node.state, node.changed_at) = (state, now);
+        if measurements == Measurements::ForgetAll {
+            node.load.forget();
+        }
+        Some(measurements)
+    }
+
+    /// Nodes that a complete list no longer names.
+    pub fn missing_from(&self, entries: &[EndpointEntry]) -> Vec<NodeId> {
+        let listed: BTreeSet<NodeId> = entries.iter().map(|entry| entry.node).collect();
+        self.by_id
+            .keys()
+            .filter(|id| !listed.contains(id))
+            .copied()
+            .collect()
+    }
+
+    /// Nodes that have had the time to warm up.
+    pub fn warmed_up(&self, warm_up: Span, now: Moment) -> Vec<NodeId> {
+        self.iter()
+            .filter(|(_, node)| node.is_warming() && node.warm_up_progress(warm_up, now) >= 1.0)
+            .map(|(id, _)| *id)
+            .collect()
+    }
+
+    /// Drops nodes that left the list before `changed_before` and that no table holds.
+    pub fn forget_unlisted(&mut self, held: &BTreeSet<NodeId>, is_recent: impl Fn(Moment) -> bool) {
+        self.by_id.retain(|id, node| {
+            node.state != Lifecycle::Unlisted || held.contains(id) || is_recent(node.changed_at)
+        });
+    }
+
+    /// The node of that address.
+    pub fn get(&self, id: &NodeId) -> Option<&Node> {
+        self.by_id.get(id)
+    }
+
+    /// The same, to change its load.
+    pub fn get_mut(&mut self, id: &NodeId) -> Option<&mut Node> {
+        self.by_id.get_mut(id)
+    }
+
+    /// Whether the node was ever listed.
+    pub fn contains(&self, id: &NodeId) -> bool {
+        self.by_id.contains_key(id)
+    }
+
+    /// All nodes, in the order of their addresses.
+    pub fn iter(&self) -> impl Iterator<Item = (&NodeId, &Node)> {
+        self.by_id.iter()
+    }
+
+    /// All nodes without their addresses.
+    pub fn values(&self) -> impl Iterator<Item = &Node> {
+        self.by_id.values()
+    }
+
+    /// The nodes that take new requests.
+    pub fn open(&self) -> impl Iterator<Item = (&NodeId, &Node)> {
+        self.by_id.iter().filter(|(_, node)| node.is_open())
+    }
+
+    /// Addresses of the nodes that take new requests.
+    pub fn open_ids(&self) -> Vec<NodeId> {
+        self.open().map(|(id, _)| *id).collect()
+    }
+
+    /// Listed weights of the nodes that take new requests, summed.
+    pub fn open_weight(&self) -> f64 {
+        self.open().map(|(_, node)| node.weight).sum()
+    }
+
+    /// Whether a node takes new requests.
+    pub fn is_open(&self, id: &NodeId) -> bool {
+        self.by_id.get(id).is_some_and(Node::is_open)
+    }
+
+    /// Whether a node warms up.
+    pub fn is_warming(&self, id: &NodeId) -> bool {
+        self.by_id.get(id).is_some_and(Node::is_warming)
+    }
+}
+
+impl std::ops::Index<&NodeId> for Nodes {
+    type Output = Node;
+    fn index(&self, id: &NodeId) -> &Node {
+        &self.by_id[id]
+    }
+}
--- /dev/null
+++ b/crates/wheelspread/src/publication.rs
@@ -0,0 +1,256 @@
+//! Publishes decisions: the entries and admission ratios by which they differ from what stands, bindings of proxies
+//! that join, and the marker after each message round.
+
+use crate::admission::Admission;
+use crate::fleet::Fleet;
+use crate::ids::{NodeId, OperationId, ProxyId, TableId};
+use crate::pacing::Pacing;
+use crate::shares::{NodeWeights, TableWeights};
+use crate::tables::Table;
+use crate::update_plan::{FIRST_WEIGHT_SUM, SMALL_ENTRY};
+use crate::Action;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// To an entry's weight: smaller changes are not sent.
+const LEAST_WEIGHT_CHANGE: f64 = 0.06;
+/// To an admission limit: smaller changes are not sent.
+const LEAST_LIMIT_CHANGE: f64 = 0.04;
+/// Of what a table's target gives ready nodes: with less it is taken whole.
+const LEAST_KEPT: f64 = 0.35;
+
+/// How many entries of each table go out in this round, admission limits included.
+pub(crate) type ChangedEntries = BTreeMap<TableId, usize>;
+
+/// Entries as they stand at the proxies.
+pub(crate) fn published_weights(fleet: &Fleet) -> TableWeights {
+    let tables = fleet.tables.iter();
+    tables
+        .map(|(id, table)| (*id, table.entries.clone()))
+        .collect()
+}
+
+/// Draining and gone nodes leave at once. A table whose ready entries are then meant to carry only a small part of
+/// its traffic takes its whole target at once: the few entries left would drown, and warming nodes fall.
+pub(crate) fn apply_urgent_changes(
+    fleet: &Fleet,
+    targets: &TableWeights,
+    draft: &mut TableWeights,
+) {
+    for (id, entries) in draft {
+        let target = &targets[id];
+        entries.retain(|node, _| fleet.nodes.is_open(node));
+        let is_ready = |node: &&NodeId| fleet.nodes.get(node).is_some_and(|node| node.is_ready());
+        let share = |node: &NodeId| target.get(node).copied().unwrap_or(0.0);
+        let meant: f64 = target.keys().filter(is_ready).map(share).sum();
+        let kept =
+            |entries: &NodeWeights| -> f64 { entries.keys().filter(is_ready).map(share).sum() };
+        if entries.is_empty() || kept(entries) < meant * LEAST_KEPT {
+            let weights = target
+                .iter()
+                .map(|(node, share)| (*node, share * FIRST_WEIGHT_SUM));
+            *entries = weights.collect();
+        }
+    }
+}
+
+/// A change of one entry.
+struct EntryChange {
+    node: NodeId,
+    old: f64,
+    new: f64,
+}
+
+/// Sends the entries by which `draft` differs from what stands, a weight only when it moved enough. Where the queue
+/// lacks room, entries that lose weight wait, lest a table run empty, but for what the rules demand.
+pub(crate) fn publish_weights(
+    fleet: &mut Fleet,
+    pacing: &Pacing,
+    draft: &TableWeights,
+    may_lower: bool,
+    out: &mut Vec<Action>,
+) -> ChangedEntries {
+    let mut room = pacing.publication_room(fleet);
+    let mut changed = ChangedEntries::new();
+    for (id, goal) in draft {
+        let Some(table) = fleet.tables.get(id) else {
+            continue;
+        };
+        let mut changes = entry_changes(table, goal, may_lower);
+        if changes.is_empty() {
+            continue;
+        }
+        keep_what_fits(fleet, table, &mut changes, &mut room);
+        let Some(table) = fleet.tables.get_mut(id) else {
+            continue;
+        };
+        for change in changes {
+            table.entries.insert(change.node, change.new);
+            out.push(Action::SetWeight {
+                table: *id,
+                node: change.node,
+                weight: change.new,
+            });
+            *changed.entry(*id).or_default() += 1;
+        }
+        table.entries.retain(|_, weight| *weight > 0.0);
+    }
+    changed
+}
+
+fn entry_changes(table: &Table, goal: &NodeWeights, may_lower: bool) -> Vec<EntryChange> {
+    let mean = goal.values().sum::<f64>() / goal.len().max(1) as f64;
+    let nodes: BTreeSet<NodeId> = table.entries.keys().chain(goal.keys()).copied().collect();
+    let change = |node: NodeId| {
+        let old = table.entries.get(&node).copied().unwrap_or(0.0);
+        let new = goal
+            .get(&node)
+            .map_or(0.0, |weight| f64::from(*weight as f32));
+        let least = LEAST_WEIGHT_CHANGE * new.max(old).max(SMALL_ENTRY * mean);
+        let moves = (new - old).abs() > least;
+        let is_due = new != old && (new == 0.0 || (moves && (may_lower || old == 0.0)));
+        is_due.then_some(EntryChange { node, old, new })
+    };
+    nodes.into_iter().filter_map(change).collect()
+}
+
+/// Drops changes that the queue has no room for; takes the others off the room.
+fn keep_what_fits(fleet: &Fleet, table: &Table, changes: &mut Vec<EntryChange>, room: &mut f64) {
+    let users = fleet
+        .proxies_of(table)
+        .filter(|(_, proxy)| proxy.is_bound())
+        .count() as f64;
+    let has_ready = table
+        .entries
+        .keys()
+        .any(|node| fleet.nodes.get(node).is_some_and(|node| node.is_ready()));
+    *room -= users * fleet.config.message_entries(0);
+    let is_tight = *room < users * changes.len() as f64 && has_ready;
+    changes.retain(|change| {
+        let gains = change.new > change.old;
+        let lowers_warming = fleet.nodes.is_warming(&change.node) && change.new < change.old;
+        let goes = !is_tight
+            || !fleet.nodes.is_open(&change.node)
+            || lowers_warming
+            || (gains && *room >= users);
+        *room -= if goes { users } else { 0.0 };
+        goes
+    });
+}
+
+/// Sends the admission limits and retry policies that changed enough.
+pub(crate) fn publish_admission(
+    fleet: &mut Fleet,
+    admission: &Admission,
+    changed: &mut ChangedEntries,
+    out: &mut Vec<Action>,
+) {
+    let tables = fleet.tables.iter();
+    let all: Vec<(TableId, OperationId)> = tables
+        .flat_map(|(id, table)| table.operations.iter().map(|operation| (*id, *operation)))
+        .collect();
+    for (id, operation) in all {
+        let order = admission.order(fleet, id, operation);
+        let Some(table) = fleet.tables.get_mut(&id) else {
+            continue;
+        };
+        let is_near =
+            |old: f64| (old - order.limit).abs() <= LEAST_LIMIT_CHANGE * old.max(order.limit);
+        let published = table.admission.get(&operation);
+        if published.is_some_and(|old| is_near(old.limit) && old.retry == order.retry) {
+            continue;
+        }
+        table.admission.insert(operation, order);
+        out.push(Action::SetAdmission {
+            table: Some(id),
+            operations: vec![operation],
+            limit: order.limit,
+            retry: order.retry,
+        });
+        *changed.entry(id).or_default() += 1;
+    }
+}
+
+/// Proxies that are bound in this round, and the entries that they are sent.
+pub(crate) struct Bindings {
+    pub proxies: BTreeSet<ProxyId>,
+    pub entries: f64,
+}
+
+/// Binds proxies that have joined, at once; only a queue near its limit makes some wait.
+pub(crate) fn bind_joined(
+    fleet: &mut Fleet,
+    pacing: &Pacing,
+    changed: &ChangedEntries,
+    out: &mut Vec<Action>,
+) -> Bindings {
+    let limit = Pacing::join_limit(&fleet.config) - receivers(fleet, changed).1;
+    let queued = pacing.queued_entries_for_joins(&fleet.config, fleet.now);
+    let (mut sum, mut proxies) = (queued, BTreeSet::new());
+    for id in fleet.members.unbound() {
+        let Some(proxy) = fleet.members.proxies().get(id) else {
+            continue;
+        };
+        let serves = |table: &&Table| table.serves(*id, proxy.zone());
+        let own = || fleet.tables.values().filter(serves);
+        // A table without entries is bound beside others: to hear of nodes that come, and hold none that went.
+        let is_empty = own().all(|table| table.entries.is_empty());
+        let count = own()
+            .map(|table| 1 + table.entries.len() + table.admission.len())
+            .sum();
+        let entries = fleet.config.message_entries(count);
+        if is_empty || sum + entries > limit {
+            continue;
+        }
+        for (table_id, table) in fleet.tables.iter().filter(|(_, table)| serves(table)) {
+            out.push(Action::BindTable {
+                proxy: *id,
+                table: *table_id,
+                operations: table.operations.clone(),
+            });
+        }
+        sum += entries;
+        proxies.insert(*id);
+    }
+    fleet.members.on_bound(&proxies);
+    Bindings {
+        proxies,
+        entries: sum - queued,
+    }
+}
+
+/// Who gets a message by the entries changed in tables, and how many entries that makes, heads included.
+fn receivers(fleet: &Fleet, changed: &ChangedEntries) -> (BTreeSet<ProxyId>, f64) {
+    let (mut to, mut sum) = (BTreeSet::new(), 0.0);
+    let proxies = fleet.members.proxies().iter();
+    for (id, proxy) in proxies.filter(|(_, proxy)| proxy.is_bound()) {
+        let tables = fleet.tables.iter();
+        let own = tables.filter(|(_, table)| table.serves(*id, proxy.zone()));
+        let count: usize = own.filter_map(|(id, _)| changed.get(id)).sum();
+        if count > 0 {
+            sum += fleet.config.message_entries(count);
+            to.insert(*id);
+        }
+    }
+    (to, sum)
+}
+
+/// Notes this round's messages and asks for their acknowledgement.
+pub(crate) fn send_marker(
+    fleet: &mut Fleet,
+    pacing: &mut Pacing,
+    changed: &ChangedEntries,
+    bindings: &Bindings,
+    is_step: bool,
+    out: &mut Vec<Action>,
+) {
+    let (mut to, entries) = receivers(fleet, changed);
+    to.extend(&bindings.proxies);
+    fleet.members.on_message_sent(&to, fleet.now);
+    if !to.is_empty() {
+        let marker = pacing.on_sent(fleet.now, to, entries + bindings.entries, is_step);
+        out.push(Action::SendMarker {
+            marker,
+            to_all: false,
+        });
+    }
+}
--- /dev/null
+++ b/crates/wheelspread/src/retry_policy.rs
@@ -0,0 +1,27 @@
+//! When proxies may retry: after any failure only where a retry cannot take effect twice (rule 2).
+
+use crate::action::RetryPolicy;
+use crate::admission::FleetLoad;
+use crate::config::{Operation, RetrySafety};
+
+/// The retry policy of an operation. Requests that may be retried are given up early, work is done twice only
+/// while nodes are calm; under strain any retry is load.
+pub(crate) fn retry_policy(operation: &Operation, load: FleetLoad) -> RetryPolicy {
+    match (can_retry_safely(operation), load) {
+        (true, FleetLoad::Calm) => RetryPolicy::OnceOnAnyFailure,
+        (true, FleetLoad::Usual) => RetryPolicy::IfUnprocessed,
+        (false, FleetLoad::Calm | FleetLoad::Usual) => RetryPolicy::IfUnprocessed,
+        (_, FleetLoad::Strained) => RetryPolicy::Never,
+    }
+}
+
+/// Whether a retry cannot take effect twice.
+fn can_retry_safely(operation: &Operation) -> bool {
+    match operation.retry_safety {
+        RetrySafety::Idempotent => true,
+        RetrySafety::Fingerprinted => {
+            operation.recognized_by_all_nodes && operation.recognized_for > operation.timeout
+        }
+        RetrySafety::SideEffecting => false,
+    }
+}
--- /dev/null
+++ b/crates/wheelspread/src/rolling_window.rs
@@ -0,0 +1,56 @@
+//! Sums over the most recent time, in a ring of buckets of fixed width.
+
+use crate::time::{Moment, Span};
+use std::ops::AddAssign;
+
+/// Values added up by the bucket of time in which they came.
+#[derive(Clone, Debug)]
+pub struct RollingWindow<T> {
+    bucket_micros: i64,
+    /// The number of the bucket that a place holds, counted from time 0, and its sum.
+    buckets: Vec<(i64, T)>,
+}
+
+impl<T: Default + Clone + AddAssign> RollingWindow<T> {
+    /// A window of `buckets` buckets, each of the given width.
+    pub fn new(bucket_width: Span, buckets: usize) -> RollingWindow<T> {
+        RollingWindow {
+            bucket_micros: bucket_width.micros().max(1),
+            buckets: vec![(i64::MIN, T::default()); buckets.max(1)],
+        }
+    }
+
+    fn bucket_number(&self, at: Moment) -> i64 {
+        at.micros().div_euclid(self.bucket_micros)
+    }
+
+    /// Adds a value to the bucket of `at`; a value older than the window is dropped.
+    pub fn add(&mut self, at: Moment, value: T) {
+        let number = self.bucket_number(at);
+        let place = number.rem_euclid(self.buckets.len() as i64) as usize;
+        let bucket = &mut self.buckets[place];
+        if bucket.0 < number {
+            *bucket = (number, T::default());
+        }
+        if bucket.0 == number {
+            bucket.1 += value;
+        }
+    }
+
+    /// The sum of the bucket of `now` and the `count - 1` before it.
+    pub fn last(&self, now: Moment, count: usize) -> T {
+        let current = self.bucket_number(now);
+        let mut sum = T::default();
+        for (number, value) in &self.buckets {
+            if *number <= current && *number > current - count as i64 {
+                sum += value.clone();
+            }
+        }
+        sum
+    }
+
+    /// The sum of every bucket still held at `now`.
+    pub fn total(&self, now: Moment) -> T {
+        self.last(now, self.buckets.len())
+    }
+}
--- a/crates/wheelspread/src/settings.rs
+++ b/crates/wheelspread/src/settings.rs
@@ -1,45 +1,66 @@
 //! Settings as they arrive: a plain map of names to values. Lists are spelt with their position,
 //! as in `operation.0.latency_objective`, and with their length under the list's own name.
 
+use crate::error::ConfigError;
 use std::collections::BTreeMap;
 
+/// The value of one setting.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SettingValue {
+    /// A number.
     Number(f64),
+    /// A text.
     Text(String),
+    /// Yes or no.
     Flag(bool),
 }
 
+/// All settings, by name.
 #[derive(Clone, Debug, Default)]
 pub struct Settings(pub BTreeMap<String, SettingValue>);
 
 impl Settings {
-    pub fn number(&self, name: &str) -> Result<f64, String> {
+    /// The number of that name; it must be finite.
+    pub fn number(&self, name: &str) -> Result<f64, ConfigError> {
         match self.0.get(name) {
             Some(SettingValue::Number(value)) if value.is_finite() => Ok(*value),
-            Some(other) => Err(format!(
-                "setting {name} should be a number, it is {other:?}"
-            )),
-            None => Err(format!("setting {name} is missing")),
+            other => Err(unexpected(name, "number", other)),
         }
     }
 
-    pub fn number_or(&self, name: &str, otherwise: f64) -> f64 {
-        self.number(name).unwrap_or(otherwise)
+    /// The number of that name, or a default where there is none.
+    pub fn number_or(&self, name: &str, default: f64) -> f64 {
+        match self.0.get(name) {
+            Some(SettingValue::Number(value)) if value.is_finite() => *value,
+            _ => default,
+        }
     }
 
-    pub fn text(&self, name: &str) -> Result<&str, String> {
+    /// The text of that name.
+    pub fn text(&self, name: &str) -> Result<&str, ConfigError> {
         match self.0.get(name) {
             Some(SettingValue::Text(value)) => Ok(value),
-            Some(other) => Err(format!("setting {name} should be a text, it is {other:?}")),
-            None => Err(format!("setting {name} is missing")),
+            other => Err(unexpected(name, "text", other)),
         }
     }
 
-    pub fn flag_or(&self, name: &str, otherwise: bool) -> bool {
+    /// The flag of that name, or a default where there is none.
+    pub fn flag_or(&self, name: &str, default: bool) -> bool {
         match self.0.get(name) {
             Some(SettingValue::Flag(value)) => *value,
-            _ => otherwise,
+            _ => default,
         }
     }
 }
+
+fn unexpected(name: &str, expected: &'static str, found: Option<&SettingValue>) -> ConfigError {
+    let name = name.to_string();
+    match found {
+        Some(found) => ConfigError::WrongType {
+            name,
+            expected,
+            found: found.clone(),
+        },
+        None => ConfigError::Missing { name },
+    }
+}
--- /dev/null
+++ b/crates/wheelspread/src/shares.rs
@@ -0,0 +1,33 @@
+//! Weights of nodes, and shares made of them. Pure functions.
+
+use crate::ids::{NodeId, TableId};
+use crate::pcg::Pcg;
+use std::collections::BTreeMap;
+
+/// Weights, shares or rates by node.
+pub(crate) type NodeWeights = BTreeMap<NodeId, f64>;
+/// The same of each table.
+pub(crate) type TableWeights = BTreeMap<TableId, NodeWeights>;
+
+/// The weights divided by their sum.
+pub(crate) fn shares(weights: &NodeWeights) -> NodeWeights {
+    let sum: f64 = weights.values().sum();
+    weights
+        .iter()
+        .map(|(id, weight)| (*id, weight / sum.max(1e-9)))
+        .collect()
+}
+
+/// What a table gives a node; 0 without an entry.
+pub(crate) fn weight_of(weights: &TableWeights, table: TableId, node: NodeId) -> f64 {
+    weights
+        .get(&table)
+        .and_then(|entries| entries.get(&node))
+        .copied()
+        .unwrap_or(0.0)
+}
+
+/// A random number that is always the same for a node; it orders the nodes of a zone.
+pub(crate) fn hash_position(id: NodeId) -> u32 {
+    Pcg::new(u64::from(u32::from_le_bytes(id.address)) << 16 | u64::from(id.port)).draw()
+}
--- /dev/null
+++ b/crates/wheelspread/src/tables.rs
@@ -0,0 +1,88 @@
+//! The weighted tables as they stand at the proxies.
+
+use crate::action::RetryPolicy;
+use crate::config::Operation;
+use crate::ids::{OperationId, ProxyId, TableId, ZoneId};
+use crate::shares::NodeWeights;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// What a table's requests have in common: where they come from, and whether they may leave that zone.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct DemandClass {
+    pub zone: ZoneId,
+    pub stays_in_zone: bool,
+}
+
+/// An admission limit and a retry policy as they were published.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) struct AdmissionOrder {
+    /// A share of the requests, or a rate at each proxy, as the settings say.
+    pub limit: f64,
+    pub retry: RetryPolicy,
+}
+
+/// One table, which the proxies of a zone or of a subset of it share.
+#[derive(Clone, Debug)]
+pub(crate) struct Table {
+    pub class: DemandClass,
+    /// Which subset of the zone's proxies uses it.
+    pub subset: u16,
+    /// Of how many; 0 while the zone is undivided.
+    pub subsets: u16,
+    pub operations: Vec<OperationId>,
+    /// Weights as published; no entry has weight 0.
+    pub entries: NodeWeights,
+    pub admission: BTreeMap<OperationId, AdmissionOrder>,
+}
+
+impl Table {
+    /// The zone of its proxies.
+    pub fn zone(&self) -> ZoneId {
+        self.class.zone
+    }
+
+    /// Whether a proxy of that zone uses it.
+    pub fn serves(&self, proxy: ProxyId, zone: ZoneId) -> bool {
+        zone == self.class.zone && proxy.0 % self.subsets.max(1) == self.subset
+    }
+}
+
+/// All tables.
+pub(crate) type Tables = BTreeMap<TableId, Table>;
+
+/// One table for each zone, or two where some operations stay in their zone and some don't.
+pub(crate) fn undivided_tables(operations: &[Operation], zones: u16) -> Tables {
+    let mut tables = BTreeMap::new();
+    for (zone, stays_in_zone) in (0..zones).flat_map(|zone| [(zone, false), (zone, true)]) {
+        let own: Vec<OperationId> = operations
+            .iter()
+            .filter(|operation| operation.stays_in_zone == stays_in_zone)
+            .map(|operation| operation.id)
+            .collect();
+        if !own.is_empty() {
+            let table = Table {
+                class: DemandClass {
+                    zone: ZoneId(zone),
+                    stays_in_zone,
+                },
+                subset: 0,
+                subsets: 0,
+                operations: own,
+                entries: NodeWeights::new(),
+                admission: BTreeMap::new(),
+            };
+            tables.insert(TableId(2 * zone + u16::from(stays_in_zone)), table);
+        }
+    }
+    tables
+}
+
+/// The zones that have tables.
+pub(crate) fn zones_of(tables: &Tables) -> BTreeSet<ZoneId> {
+    tables.values().map(Table::zone).collect()
+}
+
+/// The classes of demand that have tables, each with a sum of 0.
+pub(crate) fn empty_demand(tables: &Tables) -> BTreeMap<DemandClass, f64> {
+    tables.values().map(|table| (table.class, 0.0)).collect()
+}
--- a/crates/wheelspread/src/time.rs
+++ b/crates/wheelspread/src/time.rs
@@ -1,10 +1,12 @@
-//! Points in time and spans, kept apart so that they can't be mixed up. Both count microseconds.
+//! Points in time and durations as separate types. Both count microseconds and saturate.
 
 use std::ops::{Add, Mul, Sub};
 
+/// A point in time, counted from an epoch of the host's choice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Moment(i64);
 
+/// A duration; it may be negative.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(i64);
 
@@ -14,30 +16,37 @@
 }
 
 impl Moment {
+    /// The point that many seconds after the epoch.
     pub fn from_seconds(seconds: f64) -> Moment {
         Moment(micros(seconds))
     }
 
+    /// Seconds since the epoch.
     pub fn seconds(self) -> f64 {
         self.0 as f64 / 1e6
     }
 
+    /// Microseconds since the epoch.
     pub fn micros(self) -> i64 {
         self.0
     }
 }
 
 impl Span {
+    /// No time at all.
     pub const ZERO: Span = Span(0);
 
+    /// A duration in seconds.
     pub fn from_seconds(seconds: f64) -> Span {
         Span(micros(seconds))
     }
 
+    /// The duration in seconds.
     pub fn seconds(self) -> f64 {
         self.0 as f64 / 1e6
     }
 
+    /// The duration in microseconds.
     pub fn micros(self) -> i64 {
         self.0
     }
