--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 use view::Snapshot;
 use wheelspread::time::Span;
-use wheelspread_controller_core::spans;
+use wheelspread_controller_core::span_format;
 use wheelspread_drain::agree::missed;
 use wheelspread_drain::{Drain, Outcome, Reply, Word};
 use wheelspread_fleet::{drain_order, Failed, Fleet, FleetFile, Request};
@@ -30,7 +30,7 @@
     /// YAML: conductors (name, root or address), roots, tls, within; see docs/fleet.md
     fleet: PathBuf,
     /// How long a complete answer may take; left out: as the fleet file says.
-    #[arg(long, value_parser = spans::read, global = true)]
+    #[arg(long, value_parser = span_format::read, global = true)]
     within: Option<Span>,
     /// One JSON object instead of tables; lines of them with `watch`.
     #[arg(long, global = true)]
@@ -59,7 +59,7 @@
     Where { node: String },
     /// Prints the status again and again.
     Watch {
-        #[arg(long, value_parser = spans::read, default_value = "2s")]
+        #[arg(long, value_parser = span_format::read, default_value = "2s")]
         every: Span,
         /// Ends after so many.
         #[arg(long)]
@@ -67,7 +67,7 @@
     },
     /// The fleet in a terminal, kept up to date; q ends it.
     Top {
-        #[arg(long, value_parser = spans::read, default_value = "1s")]
+        #[arg(long, value_parser = span_format::read, default_value = "1s")]
         every: Span,
     },
 }
@@ -86,7 +86,7 @@
     #[arg(long)]
     wait: bool,
     /// How long the order is told again where it failed, and waited for; left out: as the fleet file says.
-    #[arg(long, value_parser = spans::read)]
+    #[arg(long, value_parser = span_format::read)]
     order_within: Option<Span>,
 }
 
--- a/crates/cli/src/import.rs
+++ b/crates/cli/src/import.rs
@@ -4,8 +4,8 @@
 use serde_json::json;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use wheelspread_controller::ConductorFile;
-use wheelspread_controller_core::nodes::{NodeList, NodeRecord};
+use wheelspread_controller::ControllerFile;
+use wheelspread_controller_core::endpoint_list::{EndpointRecord, EndpointSnapshot};
 use wheelspread_import::pools::plain;
 use wheelspread_import::{load, pools, Fate, Imported, Pool};
 
@@ -87,8 +87,8 @@
 /// What is written is read again first: nothing leaves here that a conductor would not take.
 fn write(pool: &Pool, zone: &str, listen: &str, out: Option<&Path>) -> Result<(), String> {
     let file = pool.file(zone, listen);
-    ConductorFile::parse(&file, Path::new("conductor.yaml")).map_err(|error| error.to_string())?;
-    let record = |server: &wheelspread_import::Server| NodeRecord {
+    ControllerFile::parse(&file, Path::new("conductor.yaml")).map_err(|error| error.to_string())?;
+    let record = |server: &wheelspread_import::Server| EndpointRecord {
         node: server.node,
         zone: zone.to_string(),
         kind: String::new(),
@@ -97,7 +97,7 @@
         weight: server.weight,
         started: None,
     };
-    let list = NodeList {
+    let list = EndpointSnapshot {
         version: "1".to_string(),
         records: pool.servers.iter().map(record).collect(),
     };
@@ -125,7 +125,7 @@
         json!({
             "name": pool.name,
             "nodes": pool.servers.iter().map(|server| {
-                json!({ "node": wheelspread_controller_core::nodes::show(server.node), "weight": server.weight,
+                json!({ "node": wheelspread_controller_core::endpoint_list::show(server.node), "weight": server.weight,
                         "at": server.place.to_string() })
             }).collect::<Vec<_>>(),
             "operations": pool.operations.iter().map(|operation| {
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -21,7 +21,7 @@
 use clap::{CommandFactory, Parser, Subcommand};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use wheelspread_controller::{log, Conductor, ConductorFile, LogPlan};
+use wheelspread_controller::{log, Controller, ControllerFile, LogPlan};
 use wheelspread_proxy::{serve, ProxyFile, Silent};
 
 /// Directs the traffic of a fleet of plain proxies.
@@ -111,8 +111,8 @@
     }
 }
 
-fn read(path: &Path) -> Result<ConductorFile, ExitCode> {
-    ConductorFile::read(path).map_err(|error| {
+fn read(path: &Path) -> Result<ControllerFile, ExitCode> {
+    ControllerFile::read(path).map_err(|error| {
         eprintln!("{error}");
         ExitCode::from(BAD_INPUT)
     })
@@ -145,7 +145,7 @@
     if wheelspread_faults::start() {
         tracing::warn!("FAILPOINTS is set: this conductor is made to go wrong");
     }
-    let conductor = match Conductor::start(file, Some(path)) {
+    let conductor = match Controller::start(file, Some(path)) {
         Ok(conductor) => conductor,
         Err(error) => {
             eprintln!("{}: {error}", path.display());
--- a/crates/cli/src/measure/conductor.rs
+++ b/crates/cli/src/measure/conductor.rs
@@ -9,11 +9,11 @@
 use std::path::{Path, PathBuf};
 use wheelspread::ids::NodeId;
 use wheelspread::time::{Moment, Span};
-use wheelspread_controller_core::membership::Introduction;
-use wheelspread_controller_core::nodes::{NodeList, NodeRecord};
-use wheelspread_controller_core::sums::{
-    Metric, NodeReport, OperationReport, Report, LATENCY, UTILIZATION,
+use wheelspread_controller_core::endpoint_list::{EndpointRecord, EndpointSnapshot};
+use wheelspread_controller_core::load_report::{
+    LoadReport, Metric, NodeReport, OperationReport, LATENCY, UTILIZATION,
 };
+use wheelspread_controller_core::membership::Introduction;
 use wheelspread_drill::{cpu_of, gateways::name, DrillError};
 use wheelspread_files::{read_tables, CURRENT};
 use wheelspread_grpc::{ClientConnection, ClientEvent, Limits};
@@ -62,8 +62,8 @@
     )
 }
 
-pub fn list(version: u64, nodes: usize, draining: &BTreeSet<usize>) -> NodeList {
-    let record = |at: usize| NodeRecord {
+pub fn list(version: u64, nodes: usize, draining: &BTreeSet<usize>) -> EndpointSnapshot {
+    let record = |at: usize| EndpointRecord {
         node: NodeId {
             address: [127, 0, 1 + (at / 200) as u8, 1 + (at % 200) as u8],
             port: 9000,
@@ -75,7 +75,7 @@
         weight: 1.0,
         started: None,
     };
-    NodeList {
+    EndpointSnapshot {
         version: version.to_string(),
         records: (0..nodes).map(record).collect(),
     }
@@ -111,7 +111,7 @@
             .collect(),
         ..OperationReport::default()
     };
-    let report = Report {
+    let report = LoadReport {
         over: Span::from_seconds(1.0),
         operations: vec![met("quote"), met("plan")],
     };
--- a/crates/cli/src/measure/proxy.rs
+++ b/crates/cli/src/measure/proxy.rs
@@ -8,7 +8,9 @@
 use wheelspread::ids::{NodeId, OperationId, TableId};
 use wheelspread::time::Span;
 use wheelspread::RetryPolicy;
-use wheelspread_controller_core::book::{BundleId, Line, OperationTable, TableSet, Version};
+use wheelspread_controller_core::publication::{
+    BundleId, OperationTable, TableEntry, TableSet, Version,
+};
 use wheelspread_controller_core::Deployment;
 use wheelspread_drill::load::{load, FastNodes, Faults, Load, Loaded};
 use wheelspread_drill::{cpu_of, free_port, DrillError};
@@ -57,7 +59,7 @@
         let root = Root::new(directory.path().join("tables"));
         root.prepare().map_err(named("the root"))?;
         let plan: Deployment = serde_yaml_ng::from_str(PLAN).map_err(not_ready)?;
-        let line = |address: &SocketAddrV4| Line {
+        let line = |address: &SocketAddrV4| TableEntry {
             node: NodeId {
                 address: address.ip().octets(),
                 port: address.port(),
--- a/crates/cli/tests/changes.rs
+++ b/crates/cli/tests/changes.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 use wheelspread::time::Span;
-use wheelspread_controller_core::sums::{NodeReport, OperationReport, Report};
+use wheelspread_controller_core::load_report::{LoadReport, NodeReport, OperationReport};
 use wheelspread_files::read_tables;
 use wheelspread_xds::{loads, tables::Orders};
 
@@ -137,7 +137,7 @@
                 nodes: vec![node],
                 ..OperationReport::default()
             };
-            let report = Report {
+            let report = LoadReport {
                 over: Span::from_seconds(0.1),
                 operations: vec![quote],
             };
--- a/crates/cli/tests/conductor.rs
+++ b/crates/cli/tests/conductor.rs
@@ -8,7 +8,7 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 use wheelspread::time::Span;
-use wheelspread_controller_core::sums::{NodeReport, OperationReport, Report};
+use wheelspread_controller_core::load_report::{LoadReport, NodeReport, OperationReport};
 use wheelspread_xds::loads;
 
 const PORTS: [u16; 8] = [9001, 9002, 9003, 9004, 9005, 9006, 9007, 9008];
@@ -144,7 +144,7 @@
 fn streams_that_misbehave_are_closed_with_a_reason_and_cost_nobody_else() {
     let (mut stage, mut good) = joined();
     let bad_report = |operations, seconds| {
-        let report = Report {
+        let report = LoadReport {
             over: Span::from_seconds(seconds),
             operations,
         };
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 use wheelspread::time::Span;
-use wheelspread_controller_core::sums::{NodeReport, OperationReport, Report};
+use wheelspread_controller_core::load_report::{LoadReport, NodeReport, OperationReport};
 use wheelspread_xds::loads;
 
 /// Tests with bounds on time share the machine with each other, but not with the one that starts thirty conductors:
@@ -327,7 +327,7 @@
             nodes,
             ..OperationReport::default()
         };
-        let report = Report {
+        let report = LoadReport {
             over,
             operations: vec![operation],
         };
--- a/crates/cli/tests/proxy.rs
+++ b/crates/cli/tests/proxy.rs
@@ -11,7 +11,9 @@
 use wheelspread::ids::{NodeId, OperationId, TableId};
 use wheelspread::time::Span;
 use wheelspread::RetryPolicy;
-use wheelspread_controller_core::book::{BundleId, Line, OperationTable, TableSet, Version};
+use wheelspread_controller_core::publication::{
+    BundleId, OperationTable, TableEntry, TableSet, Version,
+};
 use wheelspread_controller_core::Deployment;
 use wheelspread_drill::load::{load, FastNodes, Faults, Load, Loaded};
 use wheelspread_files::{read_tables, swap::Swap, Root};
@@ -79,7 +81,7 @@
 
     fn publish(&mut self, lines: &[(SocketAddrV4, f64)], retry: RetryPolicy, quota: Option<f64>) {
         self.version += 1;
-        let line = |(address, weight): &(SocketAddrV4, f64)| Line {
+        let line = |(address, weight): &(SocketAddrV4, f64)| TableEntry {
             node: NodeId {
                 address: address.ip().octets(),
                 port: address.port(),
--- a/crates/config-rollout/src/fleet.rs
+++ b/crates/config-rollout/src/fleet.rs
@@ -6,8 +6,8 @@
 use wheelspread::ids::{NodeId, OperationId, ZoneId};
 use wheelspread::time::{Moment, Span};
 use wheelspread::{EndpointEntry, EndpointStatus};
-use wheelspread_controller_core::nodes::show;
-use wheelspread_controller_core::{Deployment, Session};
+use wheelspread_controller_core::endpoint_list::show;
+use wheelspread_controller_core::{ControllerCore, Deployment};
 use wheelspread_solve::{solve, Fleet, Gateway, Host, HostState, Operation};
 
 /// Of what was told: so far back it counts as what is asked for now.
@@ -22,7 +22,7 @@
 }
 
 impl Known {
-    pub fn of(now: Moment, session: &Session) -> Known {
+    pub fn of(now: Moment, session: &ControllerCore) -> Known {
         let capacity = session
             .learnt()
             .map(|learnt| (learnt.node, learnt.capacity.exp()))
@@ -182,7 +182,7 @@
     now: Moment,
     node: NodeId,
     value_lost_at_most: f64,
-    session: &Session,
+    session: &ControllerCore,
 ) -> Vec<String> {
     let plan = session.plan();
     let before: Vec<EndpointEntry> = session.serving().collect();
--- a/crates/config-rollout/src/lib.rs
+++ b/crates/config-rollout/src/lib.rs
@@ -8,5 +8,5 @@
 pub mod values;
 pub mod watch;
 
-pub use rollout::{Answer, Ask, Note, Plans, Rollout, Step};
+pub use rollout::{Answer, Plans, Rollout, RolloutCommand, RolloutEvent, Step};
 pub use watch::Conditions;
--- a/crates/config-rollout/src/rollout.rs
+++ b/crates/config-rollout/src/rollout.rs
@@ -12,11 +12,11 @@
 use wheelspread_config_transaction::checks::{self, Bounds, Way};
 use wheelspread_config_transaction::ledger::{Deadlines, Order, Record};
 use wheelspread_config_transaction::{
-    Change, ChangeId, Commit, Configuration, Effect, Finding, Input, Kept, Ledger, Refused, State,
-    Verdict,
+    Change, ChangeId, Commit, Configuration, Effect, Finding, Input, Ledger, PersistedState,
+    Refused, State, Verdict,
 };
-use wheelspread_controller_core::session::Configured;
-use wheelspread_controller_core::{Deployment, Session};
+use wheelspread_controller_core::controller_core::ConfigUpdate;
+use wheelspread_controller_core::{ControllerCore, Deployment};
 
 /// All that is told of how changes are handled.
 #[derive(Clone, Copy, Debug)]
@@ -28,7 +28,7 @@
 
 /// What an operator asks.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Ask {
+pub enum RolloutCommand {
     /// What a change would do, and what speaks against it.
     Plan(Change),
     Stage(Change),
@@ -64,16 +64,16 @@
         number: u64,
         commit: Commit,
     },
-    Configure(Box<Configured>),
+    Configure(Box<ConfigUpdate>),
     Answer {
         order: u64,
         result: Result<Answer, Refused>,
     },
-    Log(Note),
+    Log(RolloutEvent),
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Note {
+pub enum RolloutEvent {
     Turned {
         id: ChangeId,
         state: State,
@@ -142,8 +142,8 @@
         now: Moment,
         base: Deployment,
         plans: Plans,
-        kept: &Kept,
-    ) -> (Rollout, Configured, Vec<NodeId>) {
+        kept: &PersistedState,
+    ) -> (Rollout, ConfigUpdate, Vec<NodeId>) {
         let configuration = Configuration {
             version: kept.configuration.version.max(1),
             values: kept.configuration.values.clone(),
@@ -170,7 +170,7 @@
             out: Vec::new(),
         };
         for flaw in flaws {
-            rollout.out.push(Step::Log(Note::LeftOut {
+            rollout.out.push(Step::Log(RolloutEvent::LeftOut {
                 field: flaw.field,
                 text: flaw.text,
             }));
@@ -205,18 +205,18 @@
         self.writing.len()
     }
 
-    pub fn ask(&mut self, now: Moment, order: u64, ask: Ask, session: &Session) {
+    pub fn ask(&mut self, now: Moment, order: u64, ask: RolloutCommand, session: &ControllerCore) {
         let result = match ask {
-            Ask::Plan(change) => self.plan(now, change, session),
-            Ask::Stage(change) => self.stage(now, order, change, session),
-            Ask::Apply(id) => self.ledger.apply(now, &id).and_then(|orders| {
+            RolloutCommand::Plan(change) => self.plan(now, change, session),
+            RolloutCommand::Stage(change) => self.stage(now, order, change, session),
+            RolloutCommand::Apply(id) => self.ledger.apply(now, &id).and_then(|orders| {
                 if !orders.is_empty() {
                     self.measure(now, session);
                 }
                 self.follow(now, orders, order);
                 self.answer(&id)
             }),
-            Ask::Undo(id, why) => self.ledger.undo(now, &id, &why).and_then(|orders| {
+            RolloutCommand::Undo(id, why) => self.ledger.undo(now, &id, &why).and_then(|orders| {
                 self.follow(now, orders, order);
                 self.answer(&id)
             }),
@@ -240,7 +240,12 @@
         Ok(Answer::Change(Box::new(record)))
     }
 
-    fn plan(&self, now: Moment, change: Change, session: &Session) -> Result<Answer, Refused> {
+    fn plan(
+        &self,
+        now: Moment,
+        change: Change,
+        session: &ControllerCore,
+    ) -> Result<Answer, Refused> {
         let lines = self
             .ledger
             .plan(&change)
@@ -264,7 +269,7 @@
         now: Moment,
         order: u64,
         change: Change,
-        session: &Session,
+        session: &ControllerCore,
     ) -> Result<Answer, Refused> {
         let id = change.id.clone();
         if self.ledger.propose(now, change.clone())? == State::Proposed {
@@ -276,7 +281,7 @@
     }
 
     /// Everything that speaks for or against a change, by what was measured.
-    fn check(&self, now: Moment, change: &Change, session: &Session) -> Verdict {
+    fn check(&self, now: Moment, change: &Change, session: &ControllerCore) -> Verdict {
         let mut after = self.ledger.configuration().clone();
         for (path, to) in &change.sets {
             match to {
@@ -307,7 +312,7 @@
         for node in then.values.keys().filter(|node| !listed.contains(node)) {
             let text = format!(
                 "{} is not listed now",
-                wheelspread_controller_core::nodes::show(*node)
+                wheelspread_controller_core::endpoint_list::show(*node)
             );
             findings.push(told("nodes", false, text));
         }
@@ -343,7 +348,7 @@
     }
 
     /// What the service was like before a change.
-    fn measure(&mut self, now: Moment, session: &Session) {
+    fn measure(&mut self, now: Moment, session: &ControllerCore) {
         let (tallies, _) = session
             .measured()
             .between(now - self.plans.deadlines.watch, now);
@@ -370,7 +375,8 @@
     fn turned(&mut self, id: &ChangeId) {
         if let Some(record) = self.ledger.record(id) {
             let (id, state, why) = (id.clone(), record.state, record.why.clone());
-            self.out.push(Step::Log(Note::Turned { id, state, why }));
+            self.out
+                .push(Step::Log(RolloutEvent::Turned { id, state, why }));
         }
     }
 
@@ -412,7 +418,7 @@
             self.again_at = Some(now + again_in);
             return self
                 .out
-                .push(Step::Log(Note::NotWritten { reason, again_in }));
+                .push(Step::Log(RolloutEvent::NotWritten { reason, again_in }));
         }
         let Some(writing) = self.writing.pop_front() else {
             return;
@@ -434,7 +440,7 @@
                 if version == Some(self.ledger.configuration().version) {
                     let (configured, flaws) = what_fits(&self.base, self.ledger.configuration());
                     for flaw in flaws {
-                        self.out.push(Step::Log(Note::LeftOut {
+                        self.out.push(Step::Log(RolloutEvent::LeftOut {
                             field: flaw.field,
                             text: flaw.text,
                         }));
@@ -455,7 +461,7 @@
     }
 
     /// What is due: states that lasted too long, gateways that have taken a change, harm that it did.
-    pub fn settle(&mut self, now: Moment, session: &Session, out: &mut Vec<Step>) {
+    pub fn settle(&mut self, now: Moment, session: &ControllerCore, out: &mut Vec<Step>) {
         self.reached(now, session);
         self.judge(now, session);
         let nobody = !session
@@ -485,7 +491,7 @@
     }
 
     /// Whether the gateways have taken what the session was told.
-    fn reached(&mut self, now: Moment, session: &Session) {
+    fn reached(&mut self, now: Moment, session: &ControllerCore) {
         let Some((id, since)) = self.forced.clone() else {
             return;
         };
@@ -503,7 +509,7 @@
         }
     }
 
-    fn judge(&mut self, now: Moment, session: &Session) {
+    fn judge(&mut self, now: Moment, session: &ControllerCore) {
         let watched = self
             .ledger
             .open()
@@ -541,7 +547,7 @@
     }
 
     /// When `settle` is due though nothing was asked or written.
-    pub fn wake_at(&self, now: Moment, session: &Session) -> Option<Moment> {
+    pub fn wake_at(&self, now: Moment, session: &ControllerCore) -> Option<Moment> {
         // Whoever looks at gateways and sums again and again sees what is due by the way.
         let under_way = self.forced.is_some() || self.watched_since.is_some();
         let due = match under_way {
--- a/crates/config-rollout/src/values.rs
+++ b/crates/config-rollout/src/values.rs
@@ -10,8 +10,8 @@
 use std::collections::BTreeMap;
 use wheelspread::ids::NodeId;
 use wheelspread_config_transaction::{Change, Configuration};
-use wheelspread_controller_core::deployment::Flaw;
-use wheelspread_controller_core::session::Configured;
+use wheelspread_controller_core::controller_core::ConfigUpdate;
+use wheelspread_controller_core::deployment::ConfigError;
 use wheelspread_controller_core::{Deployment, NodeValues, Service};
 
 /// Fields that may change, `*` for the name of an operation. What decides whether a repeat can take effect
@@ -39,8 +39,8 @@
     "solver.fill_at_most",
 ];
 
-fn flaw(field: &str, text: impl Into<String>) -> Flaw {
-    Flaw {
+fn flaw(field: &str, text: impl Into<String>) -> ConfigError {
+    ConfigError {
         field: field.to_string(),
         text: text.into(),
     }
@@ -94,7 +94,7 @@
     field: &str,
     text: &str,
     base: &Deployment,
-) -> Result<(), Flaw> {
+) -> Result<(), ConfigError> {
     match field {
         "zone" if base.zones.iter().any(|zone| zone == text) => {
             values.zone = Some(text.to_string())
@@ -132,7 +132,7 @@
 fn merged(
     base: &Deployment,
     configuration: &Configuration,
-) -> (Deployment, BTreeMap<NodeId, NodeValues>, Vec<Flaw>) {
+) -> (Deployment, BTreeMap<NodeId, NodeValues>, Vec<ConfigError>) {
     let mut flaws = Vec::new();
     let mut nodes: BTreeMap<NodeId, NodeValues> = BTreeMap::new();
     let mut plan = base.clone();
@@ -170,11 +170,11 @@
 pub fn configured(
     base: &Deployment,
     configuration: &Configuration,
-) -> Result<Configured, Vec<Flaw>> {
+) -> Result<ConfigUpdate, Vec<ConfigError>> {
     let (plan, values, mut flaws) = merged(base, configuration);
     flaws.extend(plan.flaws());
     if flaws.is_empty() {
-        Ok(Configured {
+        Ok(ConfigUpdate {
             version: configuration.version,
             plan,
             values,
@@ -185,7 +185,10 @@
 }
 
 /// The same for a conductor that starts: what does not fit to its file any more is left out and told.
-pub fn what_fits(base: &Deployment, configuration: &Configuration) -> (Configured, Vec<Flaw>) {
+pub fn what_fits(
+    base: &Deployment,
+    configuration: &Configuration,
+) -> (ConfigUpdate, Vec<ConfigError>) {
     let (plan, values, mut flaws) = merged(base, configuration);
     let together = plan.flaws();
     let plan = if together.is_empty() {
@@ -195,7 +198,7 @@
     };
     flaws.extend(together);
     (
-        Configured {
+        ConfigUpdate {
             version: configuration.version,
             plan,
             values,
--- a/crates/config-rollout/src/watch.rs
+++ b/crates/config-rollout/src/watch.rs
@@ -3,7 +3,7 @@
 
 use serde::{Deserialize, Serialize};
 use wheelspread::ids::OperationId;
-use wheelspread_controller_core::measured::{Tallies, Tally};
+use wheelspread_controller_core::service_history::{Tallies, Tally};
 use wheelspread_controller_core::Deployment;
 
 /// A change is undone when one of these is broken.
--- a/crates/config-rollout/tests/kills.rs
+++ b/crates/config-rollout/tests/kills.rs
@@ -7,15 +7,17 @@
 use test_case::test_case;
 use wheelspread::ids::NodeId;
 use wheelspread::time::{Moment, Span};
-use wheelspread_config_rollout::{Answer, Ask, Conditions, Plans, Rollout, Step};
+use wheelspread_config_rollout::{Answer, Conditions, Plans, Rollout, RolloutCommand, Step};
 use wheelspread_config_transaction::checks::Bounds;
 use wheelspread_config_transaction::ledger::{Deadlines, Record};
-use wheelspread_config_transaction::{Change, ChangeId, Commit, Kept, Refused, State};
+use wheelspread_config_transaction::{Change, ChangeId, Commit, PersistedState, Refused, State};
+use wheelspread_controller_core::controller_core::RecoveredState;
+use wheelspread_controller_core::endpoint_list::{EndpointRecord, EndpointSnapshot};
+use wheelspread_controller_core::load_report::{LoadReport, NodeReport, OperationReport};
 use wheelspread_controller_core::membership::{Introduction, StreamId};
-use wheelspread_controller_core::nodes::{NodeList, NodeRecord};
-use wheelspread_controller_core::session::Found;
-use wheelspread_controller_core::sums::{NodeReport, OperationReport, Report};
-use wheelspread_controller_core::{Deployment, Effect, Observation, Session, TableSet, Version};
+use wheelspread_controller_core::{
+    ControllerCore, Deployment, Effect, Observation, TableSet, Version,
+};
 
 const MOVED: u16 = 1;
 
@@ -99,7 +101,7 @@
 }
 
 struct Running {
-    session: Session,
+    session: ControllerCore,
     rollout: Rollout,
     /// Writes at the disk, and when it is through with them.
     at_disk: Vec<(Moment, u64, Commit)>,
@@ -111,7 +113,7 @@
     conductor: Option<Running>,
     starts_at: Moment,
     // What outlives a kill.
-    kept: Kept,
+    kept: PersistedState,
     /// What each gateway's link points at.
     links: BTreeMap<String, Arc<TableSet>>,
     /// Every version that was ever seen, to see that none is made twice.
@@ -146,7 +148,7 @@
             end,
             conductor: None,
             starts_at: Moment::from_seconds(1000.0),
-            kept: Kept::default(),
+            kept: PersistedState::default(),
             links: BTreeMap::new(),
             seen: BTreeMap::new(),
             configurations: BTreeSet::new(),
@@ -184,22 +186,23 @@
             .map(|(proxy, set)| (proxy.clone(), TableSet::clone(set)))
             .collect();
         let floor = Version(self.seen.keys().last().map_or(0, |last| last.0) + 100);
-        let found = Found {
+        let found = RecoveredState {
             held,
             versions,
             floor,
             configuration: configured.version,
             values: configured.values,
             moving,
-            ..Found::default()
+            ..RecoveredState::default()
         };
-        let session = Session::start(self.now, 7, configured.plan, 0, found).expect("it starts");
+        let session =
+            ControllerCore::start(self.now, 7, configured.plan, 0, found).expect("it starts");
         let mut running = Running {
             session,
             rollout,
             at_disk: Vec::new(),
         };
-        let record = |port: u16| NodeRecord {
+        let record = |port: u16| EndpointRecord {
             node: node(port),
             zone: if port <= 3 { "north" } else { "south" }.to_string(),
             kind: String::new(),
@@ -208,7 +211,7 @@
             weight: 1.0,
             started: Some((format!("{port}"), span(100.0))),
         };
-        let list = NodeList {
+        let list = EndpointSnapshot {
             version: "1".into(),
             records: (1..=6).map(record).collect(),
         };
@@ -280,7 +283,7 @@
             let errs = self.end == End::Broken && set.configuration == 2;
             let operations = set.operations.iter().map(|table| {
                 let count = 6 / table.lines.len().max(1) as u64;
-                let met = |line: &wheelspread_controller_core::Line| NodeReport {
+                let met = |line: &wheelspread_controller_core::TableEntry| NodeReport {
                     node: Some(line.node),
                     succeeded: if errs { 0 } else { count },
                     errored: if errs { count } else { 0 },
@@ -292,13 +295,13 @@
                     ..OperationReport::default()
                 }
             });
-            let report = Report {
+            let report = LoadReport {
                 over: span(0.2),
                 operations: operations.collect(),
             };
             running
                 .session
-                .observe(self.now, Observation::Report { stream, report });
+                .observe(self.now, Observation::LoadReport { stream, report });
         }
     }
 
@@ -395,7 +398,7 @@
                     );
                     running
                         .session
-                        .observe(self.now, Observation::Configured(configured));
+                        .observe(self.now, Observation::ConfigUpdated(configured));
                     if self.point() {
                         return None;
                     }
@@ -430,10 +433,10 @@
     fn operate(&mut self) {
         let state = self.record().map(|record| record.state);
         let ask = match (self.staged, self.applied, self.undone) {
-            (false, ..) => Ask::Stage(change()),
-            (true, false, _) => Ask::Apply(change().id),
+            (false, ..) => RolloutCommand::Stage(change()),
+            (true, false, _) => RolloutCommand::Apply(change().id),
             (true, true, false) if self.end == End::Undone && state == Some(State::Watched) => {
-                Ask::Undo(change().id, "not liked".into())
+                RolloutCommand::Undo(change().id, "not liked".into())
             }
             _ => return,
         };
--- a/crates/config-transaction/src/lib.rs
+++ b/crates/config-transaction/src/lib.rs
@@ -4,10 +4,10 @@
 //! second time changes nothing.
 
 pub mod checks;
-pub mod kept;
 pub mod ledger;
+pub mod persisted;
 pub mod state;
 
-pub use kept::{Commit, Kept};
 pub use ledger::{Change, ChangeId, Configuration, Finding, Ledger, Refused, Verdict};
+pub use persisted::{Commit, PersistedState};
 pub use state::{Effect, Input, State};
--- a/crates/config-transaction/src/kept.rs
+++ b/crates/config-transaction/src/persisted.rs
@@ -27,14 +27,14 @@
 
 /// All that is kept.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Kept {
+pub struct PersistedState {
     pub configuration: Configuration,
     pub changes: BTreeMap<String, Record>,
     pub facts: BTreeMap<String, String>,
     pub commits: u64,
 }
 
-impl Kept {
+impl PersistedState {
     pub fn take(&mut self, commit: Commit) {
         self.commits += 1;
         self.configuration = commit
--- a/crates/controller-core/src/marks.rs
+++ b/crates/controller-core/src/acknowledgement.rs
@@ -2,7 +2,7 @@
 //! which version it holds; one that never does is taken to hold what it was pointed at after the wait
 //! that the design gives an answer. What a status refuses is no answer.
 
-use crate::book::Version;
+use crate::publication::Version;
 use std::collections::{BTreeMap, VecDeque};
 use wheelspread::ids::{MarkerId, ProxyId};
 use wheelspread::time::{Moment, Span};
@@ -10,7 +10,7 @@
 
 /// The design's wait for answers, in seconds.
 const ASSUMED: f64 = 1.0;
-/// Marks that wait for one proxy; the module lets go of older ones by itself.
+/// Markers that wait for one proxy; the balancer lets go of older ones by itself.
 const MOST: usize = 64;
 
 #[derive(Clone, Debug)]
@@ -33,11 +33,11 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Marks {
+pub struct Acknowledgements {
     proxies: BTreeMap<ProxyId, Answers>,
 }
 
-impl Marks {
+impl Acknowledgements {
     /// The module wants to know when the proxy holds `version`.
     pub fn ask(&mut self, now: Moment, proxy: ProxyId, mark: MarkerId, version: Version) {
         let answers = self.proxies.entry(proxy).or_default();
@@ -90,7 +90,7 @@
         self.proxies.remove(&proxy);
     }
 
-    /// Marks answered by now, in the order asked.
+    /// Markers acknowledged by now, in the order asked.
     pub fn answered(&mut self, now: Moment) -> Vec<Event> {
         let mut events = Vec::new();
         for (proxy, answers) in &mut self.proxies {
@@ -148,7 +148,7 @@
 
     #[test]
     fn a_proxy_without_status_is_taken_to_hold_it_after_a_second() {
-        let mut asked = Marks::default();
+        let mut asked = Acknowledgements::default();
         asked.ask(at(0.0), ProxyId(1), MarkerId(1), Version(5));
         assert_eq!(
             marks(asked.answered(at(9.0))),
@@ -163,7 +163,7 @@
 
     #[test]
     fn a_proxy_with_status_answers_when_it_says_so_and_a_newer_version_answers_older_marks() {
-        let mut asked = Marks::default();
+        let mut asked = Acknowledgements::default();
         asked.told(at(0.0), ProxyId(1), Version(4));
         asked.ask(at(0.0), ProxyId(1), MarkerId(1), Version(5));
         asked.ask(at(0.1), ProxyId(1), MarkerId(2), Version(6));
@@ -181,7 +181,7 @@
     #[test]
     fn a_stream_that_is_silent_or_refuses_counts_for_nothing_and_is_waited_for_no_longer_than_a_second(
     ) {
-        let mut asked = Marks::default();
+        let mut asked = Acknowledgements::default();
         asked.streams(ProxyId(1));
         asked.ask(at(0.0), ProxyId(1), MarkerId(1), Version(5));
         asked.pointed(at(0.0), ProxyId(1), Version(5));
@@ -202,7 +202,7 @@
 
     #[test]
     fn a_refused_version_is_not_assumed() {
-        let mut asked = Marks::default();
+        let mut asked = Acknowledgements::default();
         asked.ask(at(0.0), ProxyId(1), MarkerId(1), Version(5));
         asked.pointed(at(0.0), ProxyId(1), Version(5));
         asked.refused(ProxyId(1), Version(5));
--- a/crates/controller-core/src/session.rs
+++ b/crates/controller-core/src/controller_core.rs
@@ -2,19 +2,19 @@
 //! down what is to be done. One loop drives it: observe what came, settle, carry out the effects, sleep
 //! until `wake_at`. It holds no socket and reads no clock.
 
-use crate::back::{Pins, Stepped};
-use crate::book::{lines_apart, removes_lines, Book, BundleId, TableSet, Version};
-use crate::channel::{Channel, Urgency};
-use crate::deployment::{Deployment, Flaw};
-use crate::fronts::{Front, Fronts};
-use crate::marks::Marks;
-use crate::measured::Measured;
+use crate::acknowledgement::Acknowledgements;
+use crate::deployment::{ConfigError, Deployment};
+use crate::drain_evidence::{DrainEvidence, EvidenceSummary};
+use crate::endpoint_list::{show, EndpointList, EndpointSnapshot};
+use crate::load_report::{LoadAggregator, LoadReport};
 use crate::membership::{Introduction, Membership, StreamId};
-use crate::nodes::{show, NodeList, Nodes};
-use crate::overlay::{NodeValues, Overlay};
-use crate::quiet::{Quiet, Traces};
-use crate::sums::{Report, Sums};
-use crate::weigh::{Weighed, Weigher};
+use crate::node_overrides::{NodeOverrides, NodeValues};
+use crate::publication::{lines_apart, removes_lines, BundleId, Publication, TableSet, Version};
+use crate::rollback::{RollbackResult, RollbackWeights};
+use crate::service_history::ServiceHistory;
+use crate::transport::{Transport, Transports};
+use crate::update_queue::{UpdateQueue, Urgency};
+use crate::weight_solver::{SolverOutcome, WeightSolver};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use wheelspread::ids::{NodeId, OperationId, ProxyId, TimerId, ZoneId};
@@ -25,7 +25,7 @@
 
 /// What a proxy's directory held when the conductor started.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Found {
+pub struct RecoveredState {
     /// By proxy, what it was pointed at.
     pub held: BTreeMap<String, TableSet>,
     /// Every version that lies there.
@@ -40,14 +40,14 @@
     /// Nodes that were on their way from one pool to another.
     pub moving: Vec<NodeId>,
     /// The last list that was taken: it stands where none can be read.
-    pub list: Option<NodeList>,
+    pub list: Option<EndpointSnapshot>,
     /// What the module knew of nodes.
     pub learnt: Vec<CapacitySnapshot>,
 }
 
 /// A configuration that is to be in force from now on.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Configured {
+pub struct ConfigUpdate {
     pub version: u64,
     pub plan: Deployment,
     pub values: BTreeMap<NodeId, NodeValues>,
@@ -55,7 +55,7 @@
 
 /// How far a configuration has come.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Reach {
+pub struct RolloutProgress {
     pub configuration: u64,
     /// Joined proxies that hold tables of an older one still.
     pub lacking: Vec<String>,
@@ -68,7 +68,7 @@
 #[derive(Clone, Debug)]
 pub enum Observation {
     /// The list of nodes was swapped in, or could not be read.
-    List(Result<NodeList, String>),
+    List(Result<EndpointSnapshot, String>),
     StreamOpened {
         stream: StreamId,
         who: Introduction,
@@ -76,9 +76,9 @@
     StreamClosed {
         stream: StreamId,
     },
-    Report {
+    LoadReport {
         stream: StreamId,
-        report: Report,
+        report: LoadReport,
     },
     /// A proxy published that it holds a version, or why it refused one.
     Status {
@@ -123,7 +123,7 @@
     /// Nodes that are drained by order, whatever the list says of them; all others are not any more.
     Drained(BTreeSet<NodeId>),
     /// A change of configuration comes into force.
-    Configured(Box<Configured>),
+    ConfigUpdated(Box<ConfigUpdate>),
 }
 
 #[derive(Clone, Debug)]
@@ -150,17 +150,17 @@
     /// What came of an order.
     Answered {
         order: u64,
-        result: Result<Stepped, String>,
+        result: Result<RollbackResult, String>,
     },
     /// No proxy has been pointed at the version for a while: it can go.
     Retire {
         version: Version,
     },
-    Log(Notice),
+    Log(LogEvent),
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Notice {
+pub enum LogEvent {
     ListTaken {
         version: String,
         ready: usize,
@@ -195,7 +195,7 @@
     Freed {
         nodes: usize,
     },
-    Configured {
+    ConfigApplied {
         configuration: u64,
         nodes: usize,
     },
@@ -253,7 +253,7 @@
         nodes: Vec<String>,
     },
     /// Solved weights of so many nodes are listed anew.
-    Weighed {
+    WeightsSolved {
         nodes: usize,
     },
     /// The last good weights stand.
@@ -272,7 +272,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     #[error("settings that can't be: {}", .0.iter().map(|f| format!("{}: {}", f.field, f.text)).collect::<Vec<_>>().join("; "))]
-    Flaws(Vec<Flaw>),
+    Flaws(Vec<ConfigError>),
     #[error("the decisions can't start: {0}")]
     Module(String),
 }
@@ -289,36 +289,36 @@
 const RECENT: usize = 16;
 
 /// What a proxy reads.
-pub struct Reading<'a> {
+pub struct ProxyTableStatus<'a> {
     pub newest: Option<&'a Arc<TableSet>>,
-    pub front: Front,
+    pub front: Transport,
     /// The version that it holds, and since when.
     pub holds: Option<(Version, Moment)>,
     /// The last that it refused.
     pub refused: Option<Version>,
 }
 
-pub struct Session {
+pub struct ControllerCore {
     plan: Deployment,
     number: u32,
     balancer: Balancer,
-    nodes: Nodes,
+    nodes: EndpointList,
     members: Membership,
-    book: Book,
-    channel: Channel,
-    marks: Marks,
-    sums: Sums,
-    weigher: Weigher,
-    fronts: Fronts,
-    pins: Pins,
-    overlay: Overlay,
-    measured: Measured,
-    quiet: Quiet,
+    book: Publication,
+    channel: UpdateQueue,
+    marks: Acknowledgements,
+    sums: LoadAggregator,
+    weigher: WeightSolver,
+    fronts: Transports,
+    pins: RollbackWeights,
+    overlay: NodeOverrides,
+    measured: ServiceHistory,
+    quiet: DrainEvidence,
     configuration: u64,
     /// Versions above it were made under this configuration.
     configured_at: Version,
     /// Of the time before a restart.
-    remembered: Option<NodeList>,
+    remembered: Option<EndpointSnapshot>,
     learnt: Vec<CapacitySnapshot>,
     /// Versions that can be stepped back to.
     recent: BTreeMap<Version, Arc<TableSet>>,
@@ -343,14 +343,14 @@
     effects: Vec<Effect>,
 }
 
-impl Session {
+impl ControllerCore {
     pub fn start(
         now: Moment,
         seed: u64,
         plan: Deployment,
         number: u32,
-        found: Found,
-    ) -> Result<Session, StartError> {
+        found: RecoveredState,
+    ) -> Result<ControllerCore, StartError> {
         let flaws = plan.flaws();
         if !flaws.is_empty() {
             return Err(StartError::Flaws(flaws));
@@ -363,7 +363,7 @@
             .chain([found.floor])
             .max()
             .unwrap_or_default();
-        let (mut nodes, mut overlay) = (Nodes::default(), Overlay::default());
+        let (mut nodes, mut overlay) = (EndpointList::default(), NodeOverrides::default());
         overlay.set(
             found.values,
             |zone| zone_of(&plan, zone),
@@ -371,23 +371,23 @@
         );
         overlay.drain(found.drained);
         overlay.leave(now, &found.moving);
-        let mut book = Book::new(plan.operations.len(), last);
+        let mut book = Publication::new(plan.operations.len(), last);
         book.configure(found.configuration);
-        Ok(Session {
+        Ok(ControllerCore {
             balancer,
             number,
             nodes,
             members: Membership::default(),
             book,
-            channel: Channel::new(now, &plan.channel),
-            marks: Marks::default(),
-            sums: Sums::default(),
-            weigher: Weigher::default(),
-            fronts: Fronts::new(plan.fronts.files),
-            pins: Pins::default(),
+            channel: UpdateQueue::new(now, &plan.channel),
+            marks: Acknowledgements::default(),
+            sums: LoadAggregator::default(),
+            weigher: WeightSolver::default(),
+            fronts: Transports::new(plan.fronts.files),
+            pins: RollbackWeights::default(),
             overlay,
-            measured: Measured::new(plan.sums.period),
-            quiet: Quiet::default(),
+            measured: ServiceHistory::new(plan.sums.period),
+            quiet: DrainEvidence::default(),
             configuration: found.configuration,
             configured_at: last,
             remembered: found.list,
@@ -429,7 +429,7 @@
         self.channel.lines_waiting()
     }
 
-    pub fn nodes(&self) -> &Nodes {
+    pub fn nodes(&self) -> &EndpointList {
         &self.nodes
     }
 
@@ -445,7 +445,7 @@
             Observation::List(list) => self.list(now, list),
             Observation::StreamOpened { stream, who } => self.opened(now, stream, &who),
             Observation::StreamClosed { stream } => self.closed(now, stream),
-            Observation::Report { stream, report } => self.report(now, stream, &report),
+            Observation::LoadReport { stream, report } => self.report(now, stream, &report),
             Observation::Status {
                 proxy,
                 version,
@@ -465,7 +465,7 @@
             Observation::Unsubscribed { stream } => self.unsubscribed(now, stream),
             Observation::HeldBack { bundle, until } => {
                 self.fronts.hold(bundle, until);
-                self.log(Notice::HeldBack {
+                self.log(LogEvent::HeldBack {
                     bundle,
                     wait: until - now,
                 });
@@ -482,7 +482,7 @@
                 let changed: BTreeSet<NodeId> = self.overlay.drain(nodes).into_iter().collect();
                 self.relist(now, |entry| changed.contains(&entry.node));
             }
-            Observation::Configured(configured) => self.configure(now, *configured),
+            Observation::ConfigUpdated(configured) => self.configure(now, *configured),
             Observation::Free { order } => {
                 let result = self.free(now);
                 self.effects.push(Effect::Answered { order, result });
@@ -490,23 +490,23 @@
         }
     }
 
-    fn log(&mut self, notice: Notice) {
+    fn log(&mut self, notice: LogEvent) {
         self.effects.push(Effect::Log(notice));
     }
 
     fn hear(&mut self, now: Moment, event: &Event) {
         if let Err(reason) = self.balancer.handle_event(now, event) {
-            self.log(Notice::NotUsed { reason });
+            self.log(LogEvent::NotUsed { reason });
         }
     }
 
-    fn list(&mut self, now: Moment, list: Result<NodeList, String>) {
+    fn list(&mut self, now: Moment, list: Result<EndpointSnapshot, String>) {
         let first = !std::mem::replace(&mut self.started, true);
         // Where none can be read, the last that was taken before a restart stands.
         let remembered = self.remembered.take().filter(|_| first && list.is_err());
         if let Some(remembered) = remembered {
             let (version, nodes) = (remembered.version.clone(), remembered.records.len());
-            self.log(Notice::ListRemembered { version, nodes });
+            self.log(LogEvent::ListRemembered { version, nodes });
             let outcome = self.nodes.take(now, Ok(remembered), &self.plan, true);
             self.nodes.remember();
             if let Some(event) = outcome.event {
@@ -515,7 +515,7 @@
         }
         let outcome = self.nodes.take(now, list, &self.plan, first);
         if let Some(refusal) = outcome.refusal {
-            self.log(Notice::ListRefused {
+            self.log(LogEvent::ListRefused {
                 reason: refusal.to_string(),
             });
         }
@@ -539,7 +539,7 @@
             .filter(|(record, _)| !record.draining)
             .count();
         let version = self.nodes.version().to_string();
-        self.log(Notice::ListTaken {
+        self.log(LogEvent::ListTaken {
             version,
             ready,
             changes: entries.len(),
@@ -565,7 +565,7 @@
                     period: self.plan.sums.period,
                 });
                 opened.events.iter().for_each(|event| self.hear(now, event));
-                self.log(Notice::Joined {
+                self.log(LogEvent::Joined {
                     proxy: who.name.clone(),
                     zone: who.zone.clone(),
                 });
@@ -578,7 +578,7 @@
             }
             Err(turned) => {
                 let reason = turned.to_string();
-                self.log(Notice::TurnedAway {
+                self.log(LogEvent::TurnedAway {
                     stream,
                     reason: reason.clone(),
                 });
@@ -597,10 +597,10 @@
         };
         self.marks.forget(id);
         self.hear(now, &event);
-        self.log(Notice::Left { proxy });
+        self.log(LogEvent::Left { proxy });
     }
 
-    fn report(&mut self, now: Moment, stream: StreamId, report: &Report) {
+    fn report(&mut self, now: Moment, stream: StreamId, report: &LoadReport) {
         let Some((name, member)) = self.members.of_stream(stream) else {
             return;
         };
@@ -616,7 +616,7 @@
                 stream,
                 reason: reason.clone(),
             });
-            self.log(Notice::ReportRefused {
+            self.log(LogEvent::ReportRefused {
                 proxy: name,
                 reason,
             });
@@ -632,7 +632,7 @@
             self.quiet.hear(now, id, report);
         }
         if self.sums.unknown_nodes > before && before == 0 {
-            self.log(Notice::UnknownNodes {
+            self.log(LogEvent::UnknownNodes {
                 count: self.sums.unknown_nodes,
             });
         }
@@ -661,7 +661,7 @@
             None => self.marks.told(now, id, version),
             Some(reason) => {
                 self.marks.refused(id, version);
-                self.log(Notice::Refused {
+                self.log(LogEvent::Refused {
                     proxy,
                     version,
                     reason,
@@ -689,11 +689,11 @@
                 self.channel.done(id);
                 self.marks.pointed(now, id, version);
                 self.pointed.insert(id, set);
-                self.log(Notice::Pointed { proxy, version });
+                self.log(LogEvent::Pointed { proxy, version });
             }
             Err(reason) => {
                 let again_in = self.channel.failed(now, id, Urgency::Change);
-                self.log(Notice::WriteFailed {
+                self.log(LogEvent::WriteFailed {
                     proxy,
                     version,
                     reason,
@@ -722,14 +722,14 @@
                 Ok(opened) => opened.events.iter().for_each(|event| self.hear(now, event)),
                 Err(turned) => {
                     let reason = turned.to_string();
-                    self.log(Notice::TurnedAway {
+                    self.log(LogEvent::TurnedAway {
                         stream,
                         reason: reason.clone(),
                     });
                     return self.effects.push(Effect::Close { stream, reason });
                 }
             }
-            self.log(Notice::Joined {
+            self.log(LogEvent::Joined {
                 proxy: who.name.clone(),
                 zone: who.zone.clone(),
             });
@@ -751,7 +751,7 @@
         self.pointed.remove(&id);
         // It speaks for itself: nothing is assumed of it.
         self.marks.streams(id);
-        self.log(Notice::Subscribed {
+        self.log(LogEvent::Subscribed {
             proxy: who.name.clone(),
             stream,
         });
@@ -763,7 +763,7 @@
             self.pointed.remove(&id);
             self.channel.drop_message(id);
             let proxy = self.members.name(id).unwrap_or_default().to_string();
-            self.log(Notice::Unsubscribed { proxy });
+            self.log(LogEvent::Unsubscribed { proxy });
         }
         self.closed(now, stream);
     }
@@ -786,13 +786,13 @@
         self.recent.values()
     }
 
-    pub fn reads(&self, proxy: ProxyId) -> Reading<'_> {
+    pub fn reads(&self, proxy: ProxyId) -> ProxyTableStatus<'_> {
         let newest = self
             .book
             .bundle_of(proxy)
             .and_then(|bundle| self.book.newest(bundle));
         let refused = self.marks.refused_version(proxy);
-        Reading {
+        ProxyTableStatus {
             newest,
             front: self.fronts.front(proxy),
             holds: self.marks.holds(proxy),
@@ -804,7 +804,12 @@
         self.pins.version()
     }
 
-    fn back(&mut self, now: Moment, bundle: BundleId, version: Version) -> Result<Stepped, String> {
+    fn back(
+        &mut self,
+        now: Moment,
+        bundle: BundleId,
+        version: Version,
+    ) -> Result<RollbackResult, String> {
         let known = self
             .recent
             .get(&version)
@@ -818,7 +823,7 @@
             .iter()
             .map(|(node, why)| (*node, why.word()))
             .collect();
-        self.log(Notice::SteppedBack {
+        self.log(LogEvent::SteppedBack {
             version,
             lines: stepped.lines,
             left_out,
@@ -826,7 +831,7 @@
         Ok(stepped)
     }
 
-    fn step(&mut self, now: Moment, old: &Arc<TableSet>) -> Result<Stepped, String> {
+    fn step(&mut self, now: Moment, old: &Arc<TableSet>) -> Result<RollbackResult, String> {
         let newest = self
             .book
             .newest(old.bundle)
@@ -838,12 +843,12 @@
         Ok(stepped)
     }
 
-    fn free(&mut self, now: Moment) -> Result<Stepped, String> {
+    fn free(&mut self, now: Moment) -> Result<RollbackResult, String> {
         let version = self.pins.version().ok_or("no version is stepped back to")?;
         let nodes: BTreeSet<NodeId> = self.pins.free().into_iter().collect();
         self.relist(now, |entry| nodes.contains(&entry.node));
-        self.log(Notice::Freed { nodes: nodes.len() });
-        Ok(Stepped {
+        self.log(LogEvent::Freed { nodes: nodes.len() });
+        Ok(RollbackResult {
             version,
             lines: nodes.len(),
             left_out: Vec::new(),
@@ -876,14 +881,14 @@
 
     /// Another configuration is in force from now on: the module hears its figures and where nodes serve, all
     /// at once, and every table that is made says that it was made under it.
-    fn configure(&mut self, now: Moment, configured: Configured) {
-        let Configured {
+    fn configure(&mut self, now: Moment, configured: ConfigUpdate) {
+        let ConfigUpdate {
             version,
             plan,
             values,
         } = configured;
         if let Err(reason) = self.balancer.reconfigure(plan.facts(self.number, None)) {
-            return self.log(Notice::NotConfigured {
+            return self.log(LogEvent::NotConfigured {
                 configuration: version,
                 reason,
             });
@@ -899,7 +904,7 @@
         self.book.configure(version);
         let spoken: BTreeSet<NodeId> = spoken.into_iter().collect();
         self.relist(now, |entry| spoken.contains(&entry.node));
-        self.log(Notice::Configured {
+        self.log(LogEvent::ConfigApplied {
             configuration: version,
             nodes: spoken.len(),
         });
@@ -944,7 +949,7 @@
     }
 
     /// How far the configuration has come.
-    pub fn reach(&self) -> Reach {
+    pub fn reach(&self) -> RolloutProgress {
         let lacks = |member: &crate::membership::Member| {
             let bound = self.book.bundle_of(member.id).is_some();
             bound && self.marks.holds(member.id).map(|held| held.0) <= Some(self.configured_at)
@@ -953,7 +958,7 @@
             .members
             .members()
             .filter(|(_, member)| member.joined() && lacks(member));
-        Reach {
+        RolloutProgress {
             configuration: self.configuration,
             lacking: members.map(|(name, _)| name.to_string()).collect(),
             away: self.strangers.len()
@@ -974,8 +979,8 @@
     }
 
     /// Listed nodes as another configuration would have them.
-    pub fn serving_with(&self, configured: &Configured) -> Vec<EndpointEntry> {
-        let (mut overlay, mut nodes) = (Overlay::default(), self.nodes.clone());
+    pub fn serving_with(&self, configured: &ConfigUpdate) -> Vec<EndpointEntry> {
+        let (mut overlay, mut nodes) = (NodeOverrides::default(), self.nodes.clone());
         let zone = |name: &str| zone_of(&configured.plan, name);
         overlay.set(configured.values.clone(), zone, |cell| nodes.cell(cell));
         self.nodes
@@ -984,7 +989,7 @@
             .collect()
     }
 
-    pub fn measured(&self) -> &Measured {
+    pub fn measured(&self) -> &ServiceHistory {
         &self.measured
     }
 
@@ -1044,14 +1049,14 @@
         named.map(|(name, _)| name.to_string()).collect()
     }
 
-    pub fn traces(&self, node: NodeId) -> Traces {
+    pub fn traces(&self, node: NodeId) -> EvidenceSummary {
         let (tries, heard) = self.quiet.of(node);
         let gateways = self
             .members
             .members()
             .filter(|(_, member)| member.joined())
             .count();
-        Traces {
+        EvidenceSummary {
             named_by: self.named_by(node).len(),
             gateways,
             tries,
@@ -1120,7 +1125,7 @@
                 let _ = self.step(now, &old);
             }
             for proxy in self.members.forget(now, &self.plan) {
-                self.log(Notice::Forgotten { proxy });
+                self.log(LogEvent::Forgotten { proxy });
             }
             self.let_go();
             self.retire(now);
@@ -1168,7 +1173,7 @@
                     let whole = self.nodes.complete();
                     self.tell_list(now, whole);
                 }
-                Action::Log { message: text } => self.log(Notice::Remark { text }),
+                Action::Log { message: text } => self.log(LogEvent::Remark { text }),
                 // Not allowed by the facts that this program gives.
                 Action::WatchEndpoints { .. }
                 | Action::ProbeNode { .. }
@@ -1216,7 +1221,7 @@
                 let version = set.version;
                 self.recent.insert(version, set.clone());
                 let configuration = set.configuration;
-                self.log(Notice::Published {
+                self.log(LogEvent::Published {
                     bundle: *bundle,
                     version,
                     configuration,
@@ -1265,7 +1270,7 @@
         }
         let full = self.channel.full();
         if full && !self.full {
-            self.log(Notice::ChannelFull {
+            self.log(LogEvent::ChannelFull {
                 lines: self.channel.lines_waiting(),
             });
         }
@@ -1288,14 +1293,14 @@
         }
         let (newest, held) = (newest.clone(), held.cloned());
         let front = self.fronts.front(proxy);
-        if front == Front::Away {
+        if front == Transport::Away {
             return; // it comes back to the newest
         }
         let joined = self
             .members
             .numbered(proxy)
             .is_some_and(|member| member.joined());
-        let urgency = match (joined || front != Front::Files, &held) {
+        let urgency = match (joined || front != Transport::Files, &held) {
             (false, _) => Urgency::Away,
             (true, Some(held)) if removes_lines(held, &newest) => Urgency::Removal,
             // After a stream broke it is not known what the proxy has taken; what it says of itself counts.
@@ -1321,19 +1326,19 @@
                 continue;
             };
             match self.fronts.front(id) {
-                Front::Files => {
+                Transport::Files => {
                     let proxy = name.to_string();
                     self.sent.insert(id, set.clone());
                     self.effects.push(Effect::Point { proxy, set });
                 }
                 // A stream keeps no queue: what it was offered last is what it will send.
-                Front::Stream(stream) => {
+                Transport::Stream(stream) => {
                     self.channel.done(id);
                     self.marks.pointed(now, id, set.version);
                     self.pointed.insert(id, set.clone());
                     self.effects.push(Effect::Send { stream, set });
                 }
-                Front::Away => self.channel.done(id),
+                Transport::Away => self.channel.done(id),
             }
         }
     }
@@ -1364,8 +1369,8 @@
         self.weigher
             .hear(events, &self.plan, solver, &self.members, &self.nodes);
         match self.weigher.round(now, &self.plan, solver, &self.nodes) {
-            Some(Weighed::Changed(entries)) => {
-                self.log(Notice::Weighed {
+            Some(SolverOutcome::Changed(entries)) => {
+                self.log(LogEvent::WeightsSolved {
                     nodes: entries.len(),
                 });
                 self.tell_list(
@@ -1376,7 +1381,7 @@
                     },
                 );
             }
-            Some(Weighed::Failed(reason)) => self.log(Notice::NotSolved { reason }),
+            Some(SolverOutcome::Failed(reason)) => self.log(LogEvent::NotSolved { reason }),
             None => {}
         }
     }
@@ -1461,7 +1466,7 @@
             self.strangers.insert(proxy.clone(), set.clone());
             self.stranger_writes.insert(proxy.clone());
             let nodes = out.into_iter().map(show).collect();
-            self.log(Notice::Pruned {
+            self.log(LogEvent::Pruned {
                 proxy: proxy.clone(),
                 nodes,
             });
--- a/crates/controller-core/src/deployment.rs
+++ b/crates/controller-core/src/deployment.rs
@@ -2,7 +2,7 @@
 //! rules and of the channel. `flaws` names what can't be, field by field; `facts` is the plain map of
 //! names to values that the module reads.
 
-use crate::spans;
+use crate::span_format;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use wheelspread::settings::{SettingValue, Settings};
@@ -48,10 +48,10 @@
 pub struct OperationPlan {
     pub name: String,
     /// Answers within it count in full.
-    #[serde(with = "spans")]
+    #[serde(with = "span_format")]
     pub latency_objective: Span,
     /// What a client waits at most, over all tries.
-    #[serde(with = "spans")]
+    #[serde(with = "span_format")]
     pub integration_timeout: Span,
     pub billed_value: f64,
     #[serde(default)]
@@ -59,7 +59,7 @@
     pub repeat: Repeat,
     #[serde(default = "all_nodes")]
     pub repeat_group: RepeatGroup,
-    #[serde(default = "no_span", with = "spans")]
+    #[serde(default = "no_span", with = "span_format")]
     pub repeat_window: Span,
     #[serde(default)]
     pub stays_in_zone: bool,
@@ -75,19 +75,19 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct ConductorPlan {
+pub struct ControllerPlan {
     /// How many conductors share the proxies; each decides alone.
     pub count: u32,
     /// Whether a proxy joins a conductor of its own zone.
     pub joined_by_zone: bool,
     /// The least time between two rounds of decisions.
-    #[serde(with = "spans")]
+    #[serde(with = "span_format")]
     pub tick: Span,
 }
 
-impl Default for ConductorPlan {
+impl Default for ControllerPlan {
     fn default() -> Self {
-        ConductorPlan {
+        ControllerPlan {
             count: 1,
             joined_by_zone: false,
             tick: Span::from_seconds(0.01),
@@ -102,7 +102,7 @@
     pub count: u32,
     /// Errors in a row after which a proxy avoids a node by itself; 0: never.
     pub errors_until_avoided: u32,
-    #[serde(with = "spans")]
+    #[serde(with = "span_format")]
     pub connection_idle: Span,
     /// Invocations a second that a proxy brings, where it does not say so itself.
     pub usual_rate: f64,
@@ -124,20 +124,20 @@
 #[serde(deny_unknown_fields)]
 pub struct RulePlan {
     /// Rule 1: how long a joined proxy may lack a line.
-    #[serde(with = "spans")]
+    #[serde(with = "span_format")]
     pub without_node_at_most: Span,
     /// Rule 3: how long proxies may go on sending to a node that drains or is gone.
-    #[serde(with = "spans")]
+    #[serde(with = "span_format")]
     pub drain_grace: Span,
     /// Rule 4: a node starts at this part of its capacity,
     pub cold_start_share: f64,
     /// is warm after this long,
-    #[serde(with = "spans")]
+    #[serde(with = "span_format")]
     pub warm_after: Span,
     /// and falls over at this multiple of what it can do
     pub cold_overload_factor: f64,
     /// over this long.
-    #[serde(with = "spans")]
+    #[serde(with = "span_format")]
     pub cold_overload_span: Span,
 }
 
@@ -159,12 +159,12 @@
     /// Lines a second that this conductor writes.
     pub lines_per_second: f64,
     /// How long a message takes to be in force at a proxy, at most.
-    #[serde(with = "spans")]
+    #[serde(with = "span_format")]
     pub delay_at_most: Span,
     /// Messages to one proxy within `messages_window`; 0: no limit.
     #[serde(default)]
     pub messages_at_most: u32,
-    #[serde(default = "ten_seconds", with = "spans")]
+    #[serde(default = "ten_seconds", with = "span_format")]
     pub messages_window: Span,
 }
 
@@ -191,16 +191,16 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct SumsPlan {
-    #[serde(with = "spans")]
+pub struct LoadReportPlan {
+    #[serde(with = "span_format")]
     pub period: Span,
     /// Loads that nodes tell of in their answers: `utilization`, `queue`.
     pub loads: Vec<String>,
 }
 
-impl Default for SumsPlan {
+impl Default for LoadReportPlan {
     fn default() -> Self {
-        SumsPlan {
+        LoadReportPlan {
             period: Span::from_seconds(1.0),
             loads: Vec::new(),
         }
@@ -224,7 +224,7 @@
 
 /// Work of one invocation.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Work(#[serde(with = "spans")] pub Span);
+pub struct Work(#[serde(with = "span_format")] pub Span);
 
 /// Solved weights, see docs/solver.md.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -234,7 +234,7 @@
     pub capacities: BTreeMap<String, f64>,
     /// By operation.
     pub work: BTreeMap<String, Work>,
-    #[serde(default = "two_seconds", with = "spans")]
+    #[serde(default = "two_seconds", with = "span_format")]
     pub every: Span,
     #[serde(default = "least_share")]
     pub least_share: f64,
@@ -262,7 +262,7 @@
     pub kinds: Vec<String>,
     pub operations: Vec<OperationPlan>,
     #[serde(default)]
-    pub conductors: ConductorPlan,
+    pub conductors: ControllerPlan,
     #[serde(default)]
     pub proxies: ProxyPlan,
     pub rules: RulePlan,
@@ -270,7 +270,7 @@
     #[serde(default)]
     pub fronts: FrontPlan,
     #[serde(default)]
-    pub sums: SumsPlan,
+    pub sums: LoadReportPlan,
     #[serde(default)]
     pub list: ListPlan,
     #[serde(default = "by_share")]
@@ -295,7 +295,7 @@
 
 /// A field whose value can't be, and why.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Flaw {
+pub struct ConfigError {
     pub field: String,
     pub text: String,
 }
@@ -304,10 +304,10 @@
 const MOST_OPERATIONS: usize = 16;
 
 impl Deployment {
-    pub fn flaws(&self) -> Vec<Flaw> {
+    pub fn flaws(&self) -> Vec<ConfigError> {
         let mut flaws = Vec::new();
         let mut wrong = |field: &str, text: String| {
-            flaws.push(Flaw {
+            flaws.push(ConfigError {
                 field: field.to_string(),
                 text,
             })
@@ -725,7 +725,7 @@
                 operation("quote", Repeat::Idempotent),
                 operation("book", Repeat::SideEffecting),
             ],
-            conductors: ConductorPlan::default(),
+            conductors: ControllerPlan::default(),
             proxies: ProxyPlan {
                 count: 4,
                 usual_rate: 10.0,
@@ -748,7 +748,7 @@
                 messages_window: seconds(10.0),
             },
             fronts: FrontPlan::default(),
-            sums: SumsPlan {
+            sums: LoadReportPlan {
                 period: seconds(1.0),
                 loads: vec!["utilization".to_string()],
             },
--- a/crates/controller-core/src/quiet.rs
+++ b/crates/controller-core/src/drain_evidence.rs
@@ -1,7 +1,7 @@
 //! What gateways tell of nodes that should get nothing any more: who has reported since a moment, and how often
 //! they tried such a node in spans that began after it.
 
-use crate::sums::Report;
+use crate::load_report::LoadReport;
 use std::collections::{BTreeMap, BTreeSet};
 use wheelspread::ids::{NodeId, ProxyId};
 use wheelspread::time::Moment;
@@ -14,13 +14,13 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Quiet {
+pub struct DrainEvidence {
     nodes: BTreeMap<NodeId, Watched>,
 }
 
 /// What is known of a node that should get nothing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Traces {
+pub struct EvidenceSummary {
     /// Joined gateways that hold a table which names it, or of which it is not known what they hold.
     pub named_by: usize,
     pub gateways: usize,
@@ -28,7 +28,7 @@
     pub heard: usize,
 }
 
-impl Quiet {
+impl DrainEvidence {
     /// From now on tries at the node count.
     pub fn watch(&mut self, now: Moment, node: NodeId) {
         self.nodes.insert(
@@ -44,7 +44,7 @@
         self.nodes.remove(&node);
     }
 
-    pub fn hear(&mut self, now: Moment, proxy: ProxyId, report: &Report) {
+    pub fn hear(&mut self, now: Moment, proxy: ProxyId, report: &LoadReport) {
         let began = now - report.over;
         for (node, watched) in self
             .nodes
@@ -74,7 +74,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::sums::{NodeReport, OperationReport};
+    use crate::load_report::{NodeReport, OperationReport};
     use wheelspread::time::Span;
 
     #[test]
@@ -96,11 +96,11 @@
             nodes: vec![met],
             ..OperationReport::default()
         };
-        let report = Report {
+        let report = LoadReport {
             over: Span::from_seconds(1.0),
             operations: vec![operation],
         };
-        let mut quiet = Quiet::default();
+        let mut quiet = DrainEvidence::default();
         quiet.watch(at(10.0), node);
         quiet.hear(at(10.5), ProxyId(1), &report);
         assert_eq!(quiet.of(node), (0, 0), "half of it was before");
@@ -108,7 +108,7 @@
         quiet.hear(
             at(12.0),
             ProxyId(1),
-            &Report {
+            &LoadReport {
                 operations: Vec::new(),
                 ..report.clone()
             },
--- a/crates/controller-core/src/nodes.rs
+++ b/crates/controller-core/src/endpoint_list.rs
@@ -10,7 +10,7 @@
 
 /// One node as a list names it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct NodeRecord {
+pub struct EndpointRecord {
     pub node: NodeId,
     pub zone: String,
     pub kind: String,
@@ -22,10 +22,10 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct NodeList {
+pub struct EndpointSnapshot {
     /// `version_info` of the document.
     pub version: String,
-    pub records: Vec<NodeRecord>,
+    pub records: Vec<EndpointRecord>,
 }
 
 /// Why a list was not taken.
@@ -118,7 +118,7 @@
 
 #[derive(Clone, Debug)]
 struct Doubt {
-    list: NodeList,
+    list: EndpointSnapshot,
     since: Moment,
     missing: BTreeSet<NodeId>,
     answered: BTreeSet<NodeId>,
@@ -135,12 +135,12 @@
 
 #[derive(Clone, Debug)]
 struct Held {
-    record: NodeRecord,
+    record: EndpointRecord,
     entry: EndpointEntry,
 }
 
 #[derive(Clone, Debug)]
-pub struct Nodes {
+pub struct EndpointList {
     trust: Trust,
     version: String,
     held: BTreeMap<NodeId, Held>,
@@ -151,9 +151,9 @@
     remembered: bool,
 }
 
-impl Default for Nodes {
+impl Default for EndpointList {
     fn default() -> Self {
-        Nodes {
+        EndpointList {
             trust: Trust::Blank,
             version: String::new(),
             held: BTreeMap::new(),
@@ -170,7 +170,7 @@
     format!("{a}.{b}.{c}.{d}:{}", node.port)
 }
 
-impl Nodes {
+impl EndpointList {
     /// What was just taken is what an earlier run had read.
     pub fn remember(&mut self) {
         self.remembered = true;
@@ -180,11 +180,11 @@
         &self.version
     }
 
-    pub fn listed(&self) -> impl Iterator<Item = (&NodeRecord, &EndpointEntry)> {
+    pub fn listed(&self) -> impl Iterator<Item = (&EndpointRecord, &EndpointEntry)> {
         self.held.values().map(|held| (&held.record, &held.entry))
     }
 
-    pub fn record(&self, node: NodeId) -> Option<&NodeRecord> {
+    pub fn record(&self, node: NodeId) -> Option<&EndpointRecord> {
         self.held.get(&node).map(|held| &held.record)
     }
 
@@ -192,7 +192,7 @@
     pub fn take(
         &mut self,
         now: Moment,
-        list: Result<NodeList, String>,
+        list: Result<EndpointSnapshot, String>,
         plan: &Deployment,
         first: bool,
     ) -> Outcome {
@@ -224,7 +224,7 @@
                     .iter()
                     .filter_map(|node| self.record(*node).cloned());
                 let records = list.records.iter().cloned().chain(kept).collect();
-                let part = NodeList {
+                let part = EndpointSnapshot {
                     version: list.version.clone(),
                     records,
                 };
@@ -298,12 +298,12 @@
             .map(|(node, _)| *node)
     }
 
-    fn missing(&self, list: &NodeList) -> BTreeSet<NodeId> {
+    fn missing(&self, list: &EndpointSnapshot) -> BTreeSet<NodeId> {
         let named: BTreeSet<NodeId> = list.records.iter().map(|record| record.node).collect();
         self.ready().filter(|node| !named.contains(node)).collect()
     }
 
-    fn judge(&self, list: &NodeList, plan: &Deployment) -> (Came, Option<Refusal>) {
+    fn judge(&self, list: &EndpointSnapshot, plan: &Deployment) -> (Came, Option<Refusal>) {
         let mut seen = BTreeSet::new();
         let broken = |refusal| (Came::Broken, Some(refusal));
         if list.records.len() > MOST_NODES {
@@ -370,8 +370,12 @@
 
     /// A zone or a kind of which a list leaves nothing, though it has no more than usual to say otherwise: what
     /// stays in that zone would have no node. One that had a single node may well lose it.
-    fn emptied(&self, list: &NodeList, missing: &BTreeSet<NodeId>) -> Option<(String, usize)> {
-        type Group = fn(&NodeRecord) -> &str;
+    fn emptied(
+        &self,
+        list: &EndpointSnapshot,
+        missing: &BTreeSet<NodeId>,
+    ) -> Option<(String, usize)> {
+        type Group = fn(&EndpointRecord) -> &str;
         let groups: [(&str, Group); 2] = [
             ("zone", |record| record.zone.as_str()),
             ("kind", |record| record.kind.as_str()),
@@ -389,7 +393,13 @@
     }
 
     /// Only what changed is told, but for the first list, which the module takes as a whole.
-    fn adopt(&mut self, now: Moment, list: NodeList, plan: &Deployment, first: bool) -> Event {
+    fn adopt(
+        &mut self,
+        now: Moment,
+        list: EndpointSnapshot,
+        plan: &Deployment,
+        first: bool,
+    ) -> Event {
         let whole = first || self.held.is_empty();
         let mut entries = Vec::new();
         let mut next = BTreeMap::new();
@@ -426,7 +436,7 @@
     fn entry(
         &mut self,
         now: Moment,
-        record: &NodeRecord,
+        record: &EndpointRecord,
         before: Option<&Held>,
         plan: &Deployment,
         whole: bool,
@@ -505,8 +515,8 @@
     use crate::deployment::tests::plan;
     use test_case::test_case;
 
-    fn record(port: u16) -> NodeRecord {
-        NodeRecord {
+    fn record(port: u16) -> EndpointRecord {
+        EndpointRecord {
             node: NodeId {
                 address: [127, 0, 0, 1],
                 port,
@@ -520,8 +530,8 @@
         }
     }
 
-    fn list(version: &str, ports: std::ops::Range<u16>) -> Result<NodeList, String> {
-        Ok(NodeList {
+    fn list(version: &str, ports: std::ops::Range<u16>) -> Result<EndpointSnapshot, String> {
+        Ok(EndpointSnapshot {
             version: version.to_string(),
             records: ports.map(record).collect(),
         })
@@ -531,8 +541,8 @@
         Moment::from_seconds(seconds)
     }
 
-    fn held(version: &str, ports: std::ops::Range<u16>) -> Nodes {
-        let mut nodes = Nodes::default();
+    fn held(version: &str, ports: std::ops::Range<u16>) -> EndpointList {
+        let mut nodes = EndpointList::default();
         assert_eq!(
             nodes
                 .take(at(1.0), list(version, ports), &plan(), true)
@@ -547,10 +557,13 @@
     #[test_case(list("5", 0..4), "not newer"; "the same version with other content")]
     #[test_case(list("6", 0..0), "names no node while 8"; "empty")]
     #[test_case(list("6", 0..3), "5 of 8 ready nodes are missing"; "more than half missing")]
-    #[test_case(Ok(NodeList { version: "6".into(), records: vec![record(1), record(1)] }), "twice"; "a node twice")]
-    #[test_case(Ok(NodeList { version: "6".into(), records: vec![NodeRecord { zone: "moon".into(), ..record(1) }] }),
+    #[test_case(Ok(EndpointSnapshot { version: "6".into(), records: vec![record(1), record(1)] }), "twice"; "a node twice")]
+    #[test_case(Ok(EndpointSnapshot { version: "6".into(), records: vec![EndpointRecord { zone: "moon".into(), ..record(1) }] }),
         "zone `moon`"; "an unknown zone")]
-    fn a_list_that_cannot_be_right_is_kept_out(came: Result<NodeList, String>, reason: &str) {
+    fn a_list_that_cannot_be_right_is_kept_out(
+        came: Result<EndpointSnapshot, String>,
+        reason: &str,
+    ) {
         let mut nodes = held("5", 0..8);
         let refusal = nodes
             .take(at(2.0), came, &plan(), false)
@@ -643,8 +656,11 @@
     }
 
     /// Twelve nodes, two of them in the south, three of kind `large`; `without` says which a list lacks.
-    fn mixed(version: &str, without: impl Fn(&NodeRecord) -> bool) -> Result<NodeList, String> {
-        let record = |port: u16| NodeRecord {
+    fn mixed(
+        version: &str,
+        without: impl Fn(&EndpointRecord) -> bool,
+    ) -> Result<EndpointSnapshot, String> {
+        let record = |port: u16| EndpointRecord {
             zone: if port < 2 { "south" } else { "north" }.into(),
             kind: if (4..7).contains(&port) {
                 "large"
@@ -658,7 +674,7 @@
             .map(record)
             .filter(|record| !without(record))
             .collect();
-        Ok(NodeList {
+        Ok(EndpointSnapshot {
             version: version.into(),
             records,
         })
@@ -667,14 +683,14 @@
     #[test_case(|record| record.zone == "south", "all 2 ready nodes of zone `south`"; "a zone")]
     #[test_case(|record| record.kind == "large", "all 3 ready nodes of kind `large`"; "a kind")]
     fn a_list_that_empties_a_pool_is_doubted_though_it_lacks_few(
-        without: fn(&NodeRecord) -> bool,
+        without: fn(&EndpointRecord) -> bool,
         said: &str,
     ) {
         let plan = Deployment {
             kinds: vec!["large".into(), "small".into()],
             ..plan()
         };
-        let mut nodes = Nodes::default();
+        let mut nodes = EndpointList::default();
         assert_eq!(
             nodes
                 .take(at(1.0), mixed("1", |_| false), &plan, true)
@@ -692,7 +708,7 @@
         assert!(nodes.resolve(until, &plan).is_some());
         assert!(nodes.listed().count() < 12);
         // One node of several may go without a word.
-        let mut nodes = Nodes::default();
+        let mut nodes = EndpointList::default();
         nodes.take(at(1.0), mixed("1", |_| false), &plan, true);
         let one = nodes.take(
             at(2.0),
@@ -705,17 +721,17 @@
 
     #[test]
     fn a_clock_that_jumps_restarts_no_node() {
-        let run = |age: f64| NodeRecord {
+        let run = |age: f64| EndpointRecord {
             started: Some(("r1".into(), Span::from_seconds(age))),
             ..record(1)
         };
         let told = |version: &str, age| {
-            Ok(NodeList {
+            Ok(EndpointSnapshot {
                 version: version.into(),
                 records: vec![run(age)],
             })
         };
-        let mut nodes = Nodes::default();
+        let mut nodes = EndpointList::default();
         nodes.take(at(100.0), told("1", 60.0), &plan(), true);
         let Some(Event::EndpointList { entries, .. }) =
             nodes.take(at(101.0), told("2", 0.0), &plan(), false).event
--- a/crates/controller-core/src/sums.rs
+++ b/crates/controller-core/src/load_report.rs
@@ -1,4 +1,4 @@
-//! Sums of what proxies met, from the reports on their streams to the module's events. Reports come at
+//! Sums of what proxies observed, from the reports on their streams to the module's events. Reports come at
 //! their own times and of their own spans; once a period they are put together by zone and node, dated by
 //! the spans they cover. What can't be is refused before anything is counted.
 
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OperationReport {
     pub operation: String,
-    /// Turned away at the proxy.
+    /// Rejected at the proxy.
     pub rate_limited: u64,
     /// Tries of `nodes` that repeated an earlier one, where the proxy says so.
     pub repeats: u64,
@@ -44,13 +44,13 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     pub over: Span,
     pub operations: Vec<OperationReport>,
 }
 
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum Absurd {
+pub enum LoadReportError {
     #[error("a report over {0} s")]
     Over(f64),
     #[error("{count} invocations of `{operation}` over {over} s")]
@@ -62,7 +62,7 @@
     #[error("{0} operations in one report")]
     Operations(usize),
     #[error("{0} nodes in one report")]
-    Nodes(usize),
+    TooManyNodes(usize),
 }
 
 /// Names of the figures that a proxy may send beside its counts.
@@ -84,7 +84,7 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Sums {
+pub struct LoadAggregator {
     paths: BTreeMap<(ZoneId, NodeId), PathSums>,
     /// Over how long each zone's proxies reported, together.
     covered: BTreeMap<ZoneId, Span>,
@@ -94,17 +94,17 @@
     pub unknown_operations: u64,
 }
 
-fn check(report: &Report) -> Result<(), Absurd> {
+fn check(report: &LoadReport) -> Result<(), LoadReportError> {
     let over = report.over.seconds();
     if !(over > 0.0 && over <= LONGEST) {
-        return Err(Absurd::Over(over));
+        return Err(LoadReportError::Over(over));
     }
     if report.operations.len() > MOST_OPERATIONS {
-        return Err(Absurd::Operations(report.operations.len()));
+        return Err(LoadReportError::Operations(report.operations.len()));
     }
     for named in &report.operations {
         if named.nodes.len() > MOST_NODES {
-            return Err(Absurd::Nodes(named.nodes.len()));
+            return Err(LoadReportError::TooManyNodes(named.nodes.len()));
         }
         let each = |node: &NodeReport| {
             node.succeeded as f64 + node.errored as f64 + node.in_progress as f64
@@ -112,7 +112,7 @@
         let count = named.nodes.iter().map(each).sum::<f64>() + named.rate_limited as f64;
         if count > MOST_PER_SECOND * over.max(1.0) || named.repeats as f64 > count {
             let operation = named.operation.chars().take(40).collect();
-            return Err(Absurd::Count {
+            return Err(LoadReportError::Count {
                 operation,
                 count: count.max(named.repeats as f64),
                 over,
@@ -122,15 +122,15 @@
     Ok(())
 }
 
-impl Sums {
+impl LoadAggregator {
     pub fn report(
         &mut self,
         proxy: ProxyId,
         zone: ZoneId,
-        report: &Report,
+        report: &LoadReport,
         plan: &Deployment,
         known: impl Fn(NodeId) -> bool,
-    ) -> Result<(), Absurd> {
+    ) -> Result<(), LoadReportError> {
         check(report)?;
         *self.covered.entry(zone).or_insert(Span::ZERO) =
             self.covered.get(&zone).copied().unwrap_or(Span::ZERO) + report.over;
@@ -299,7 +299,7 @@
         members
     }
 
-    fn report(seconds: f64, succeeded: u64, errored: u64, in_progress: u64) -> Report {
+    fn report(seconds: f64, succeeded: u64, errored: u64, in_progress: u64) -> LoadReport {
         let node = NodeReport {
             node: Some(NODE),
             succeeded,
@@ -312,7 +312,7 @@
             nodes: vec![node],
             ..OperationReport::default()
         };
-        Report {
+        LoadReport {
             over: Span::from_seconds(seconds),
             operations: vec![quote],
         }
@@ -321,7 +321,7 @@
     #[test]
     fn reports_of_unequal_spans_give_the_rate_they_were_met_at() {
         // Two proxies at 10 a second: one reported twice within the period, the other once.
-        let (mut sums, members) = (Sums::default(), members(2));
+        let (mut sums, members) = (LoadAggregator::default(), members(2));
         for (proxy, seconds, count) in [(0, 1.0, 10), (0, 1.0, 10), (1, 1.0, 10)] {
             let told = report(seconds, count, 0, 2);
             sums.report(ProxyId(proxy), ZoneId(0), &told, &plan(), |_| true)
@@ -367,7 +367,7 @@
 
     #[test]
     fn repeats_are_not_asked_twice_and_who_was_turned_away_was_asked() {
-        let (mut sums, members) = (Sums::default(), members(1));
+        let (mut sums, members) = (LoadAggregator::default(), members(1));
         let mut told = report(1.0, 8, 4, 0);
         (told.operations[0].repeats, told.operations[0].rate_limited) = (2, 5);
         sums.report(ProxyId(0), ZoneId(0), &told, &plan(), |_| true)
@@ -381,10 +381,10 @@
     #[test_case(report(0.0, 1, 0, 0); "no span")]
     #[test_case(report(1e6, 1, 0, 0); "days")]
     #[test_case(report(1.0, u64::MAX, u64::MAX, 0); "more than can be counted")]
-    #[test_case(Report { operations: vec![OperationReport { repeats: 9, ..Default::default() }], ..report(1.0, 0, 0, 0) };
+    #[test_case(LoadReport { operations: vec![OperationReport { repeats: 9, ..Default::default() }], ..report(1.0, 0, 0, 0) };
         "more repeats than tries")]
-    fn absurd_reports_change_nothing(told: Report) {
-        let mut sums = Sums::default();
+    fn absurd_reports_change_nothing(told: LoadReport) {
+        let mut sums = LoadAggregator::default();
         assert!(sums
             .report(ProxyId(0), ZoneId(0), &told, &plan(), |_| true)
             .is_err());
@@ -393,7 +393,7 @@
 
     #[test]
     fn nodes_that_never_were_are_counted_apart() {
-        let mut sums = Sums::default();
+        let mut sums = LoadAggregator::default();
         sums.report(
             ProxyId(0),
             ZoneId(0),
--- a/crates/controller-core/src/membership.rs
+++ b/crates/controller-core/src/membership.rs
@@ -21,7 +21,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum Turned {
+pub enum IdentificationError {
     #[error("the node id `{0}` should be 1 to 100 letters, digits, - and _")]
     Unnamed(String),
     #[error("zone `{0}` is not one of this deployment")]
@@ -153,17 +153,20 @@
         stream: StreamId,
         who: &Introduction,
         plan: &Deployment,
-    ) -> Result<Opened, Turned> {
+    ) -> Result<Opened, IdentificationError> {
         let fine = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
         if who.name.is_empty() || who.name.len() > 100 || !who.name.chars().all(fine) {
-            return Err(Turned::Unnamed(who.name.chars().take(100).collect()));
+            return Err(IdentificationError::Unnamed(
+                who.name.chars().take(100).collect(),
+            ));
         }
         let zone = plan.zones.iter().position(|zone| *zone == who.zone);
-        let zone = ZoneId(
-            zone.ok_or_else(|| Turned::UnknownZone(who.zone.chars().take(100).collect()))? as u16,
-        );
+        let zone =
+            ZoneId(zone.ok_or_else(|| {
+                IdentificationError::UnknownZone(who.zone.chars().take(100).collect())
+            })? as u16);
         if !self.members.contains_key(&who.name) && self.members.len() >= MOST_PROXIES {
-            return Err(Turned::Full(MOST_PROXIES));
+            return Err(IdentificationError::Full(MOST_PROXIES));
         }
         let fresh = !self.members.contains_key(&who.name);
         let known = self.members.get(&who.name).map(|member| member.id);
@@ -331,7 +334,10 @@
         let mut known = Membership::default();
         for name in ["", "../../etc", "a b", &"x".repeat(101)] {
             let turned = known.open(at(0.0), StreamId(1), &who(name), &plan());
-            assert!(matches!(turned, Err(Turned::Unnamed(_))), "{name:?}");
+            assert!(
+                matches!(turned, Err(IdentificationError::Unnamed(_))),
+                "{name:?}"
+            );
         }
         let moon = Introduction {
             zone: "moon".into(),
@@ -339,7 +345,7 @@
         };
         assert_eq!(
             known.open(at(0.0), StreamId(1), &moon, &plan()),
-            Err(Turned::UnknownZone("moon".into()))
+            Err(IdentificationError::UnknownZone("moon".into()))
         );
     }
 }
--- a/crates/controller-core/src/overlay.rs
+++ b/crates/controller-core/src/node_overrides.rs
@@ -42,14 +42,14 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Overlay {
+pub struct NodeOverrides {
     values: BTreeMap<NodeId, (NodeValues, Place)>,
     /// Drained by order.
     drained: BTreeSet<NodeId>,
     at: BTreeMap<NodeId, At>,
 }
 
-impl Overlay {
+impl NodeOverrides {
     /// Takes over other values; returns the nodes that either speaks of.
     pub fn set(
         &mut self,
@@ -215,13 +215,13 @@
         )])
     }
 
-    fn set(overlay: &mut Overlay, values: BTreeMap<NodeId, NodeValues>) -> Vec<NodeId> {
+    fn set(overlay: &mut NodeOverrides, values: BTreeMap<NodeId, NodeValues>) -> Vec<NodeId> {
         overlay.set(values, |zone| zone.parse().ok().map(ZoneId), |_| CellId(7))
     }
 
     #[test]
     fn a_node_is_in_no_pool_between_two_and_comes_back_whatever_happens_on_the_way() {
-        let mut overlay = Overlay::default();
+        let mut overlay = NodeOverrides::default();
         assert_eq!(
             told(&overlay.put(at(0.0), listed(0, EndpointStatus::Ready))),
             (0, EndpointStatus::Ready)
@@ -259,7 +259,7 @@
 
     #[test]
     fn after_the_grace_nobody_is_waited_for() {
-        let mut overlay = Overlay::default();
+        let mut overlay = NodeOverrides::default();
         overlay.put(at(0.0), listed(0, EndpointStatus::Ready));
         set(&mut overlay, south());
         overlay.put(at(1.0), listed(0, EndpointStatus::Ready));
@@ -279,7 +279,7 @@
 
     #[test]
     fn the_list_is_not_overruled_on_who_drains_or_is_gone() {
-        let mut overlay = Overlay::default();
+        let mut overlay = NodeOverrides::default();
         set(&mut overlay, south());
         for status in [EndpointStatus::Draining, EndpointStatus::Gone] {
             assert_eq!(told(&overlay.put(at(0.0), listed(1, status))), (1, status));
--- a/crates/controller-core/src/book.rs
+++ b/crates/controller-core/src/publication.rs
@@ -16,7 +16,7 @@
 pub struct BundleId(pub u32);
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Line {
+pub struct TableEntry {
     pub node: NodeId,
     pub zone: String,
     pub weight: f64,
@@ -27,7 +27,7 @@
 pub struct OperationTable {
     pub operation: OperationId,
     pub table: TableId,
-    pub lines: Vec<Line>,
+    pub lines: Vec<TableEntry>,
     /// A share of 1, or invocations a second at each proxy, as the deployment's form says.
     pub quota: Option<f64>,
     pub retry: RetryPolicy,
@@ -53,7 +53,7 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Book {
+pub struct Publication {
     tables: BTreeMap<TableId, Table>,
     for_all: BTreeMap<OperationId, (f64, RetryPolicy)>,
     withdrawn: BTreeSet<NodeId>,
@@ -117,13 +117,13 @@
     })
 }
 
-impl Book {
+impl Publication {
     /// `last`: the highest version that is known to have been published before.
-    pub fn new(operations: usize, last: Version) -> Book {
-        Book {
+    pub fn new(operations: usize, last: Version) -> Publication {
+        Publication {
             operations,
             last,
-            ..Book::default()
+            ..Publication::default()
         }
     }
 
@@ -306,7 +306,7 @@
         let retry = own
             .or(all)
             .map_or(RetryPolicy::IfUnprocessed, |level| level.1);
-        let lines = lines.map(|(node, weight)| Line {
+        let lines = lines.map(|(node, weight)| TableEntry {
             node: *node,
             zone: zone(*node),
             weight: *weight,
@@ -335,8 +335,8 @@
         }
     }
 
-    fn book() -> Book {
-        let mut book = Book::new(2, Version(40));
+    fn book() -> Publication {
+        let mut book = Publication::new(2, Version(40));
         for port in 1..=4 {
             book.set_line(TableId(0), node(port), 25.0);
         }
--- a/crates/controller-core/src/back.rs
+++ b/crates/controller-core/src/rollback.rs
@@ -2,8 +2,8 @@
 //! drain by now, be gone, or be cold. The weights of the version are listed instead, for those nodes that may
 //! have them, and the module orders the way there as for any list: removals before additions, within room.
 
-use crate::book::{OperationTable, TableSet, Version};
 use crate::deployment::RulePlan;
+use crate::publication::{OperationTable, TableSet, Version};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use wheelspread::ids::NodeId;
@@ -11,7 +11,7 @@
 use wheelspread::{EndpointEntry, EndpointStatus, Event};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LeftOut {
+pub enum ExclusionReason {
     Gone,
     Draining,
     Cold,
@@ -19,23 +19,23 @@
     KeptOut,
 }
 
-impl LeftOut {
+impl ExclusionReason {
     pub fn word(self) -> &'static str {
         match self {
-            LeftOut::Gone => "not listed any more",
-            LeftOut::Draining => "drains",
-            LeftOut::Cold => "cold",
-            LeftOut::KeptOut => "kept out for what is known of it",
+            ExclusionReason::Gone => "not listed any more",
+            ExclusionReason::Draining => "drains",
+            ExclusionReason::Cold => "cold",
+            ExclusionReason::KeptOut => "kept out for what is known of it",
         }
     }
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Stepped {
+pub struct RollbackResult {
     pub version: Version,
     /// Lines of the old version that are in force again, or will be.
     pub lines: usize,
-    pub left_out: Vec<(NodeId, LeftOut)>,
+    pub left_out: Vec<(NodeId, ExclusionReason)>,
 }
 
 /// Listed weights stay between these multiples of an even one.
@@ -49,7 +49,7 @@
 
 /// Listed weights that an order to step back has put in the place of others.
 #[derive(Clone, Debug, Default)]
-pub struct Pins {
+pub struct RollbackWeights {
     weights: BTreeMap<NodeId, f64>,
     version: Option<Version>,
     /// What is gone back to, how often it was corrected, and when it next is.
@@ -72,7 +72,7 @@
     sums
 }
 
-impl Pins {
+impl RollbackWeights {
     pub fn version(&self) -> Option<Version> {
         self.version
     }
@@ -100,17 +100,17 @@
         now_held: &TableSet,
         listed: &BTreeMap<NodeId, EndpointEntry>,
         rules: &RulePlan,
-    ) -> Stepped {
+    ) -> RollbackResult {
         let named: BTreeMap<NodeId, f64> = shares(&old.operations, |_| true);
         let present = shares(&now_held.operations, |_| true);
         let judge = |node: &NodeId| match listed.get(node) {
-            None => Some(LeftOut::Gone),
-            Some(entry) if entry.status != EndpointStatus::Ready => Some(LeftOut::Draining),
-            Some(entry) if rules.is_cold(now, entry.started) => Some(LeftOut::Cold),
-            Some(_) if !present.contains_key(node) => Some(LeftOut::KeptOut),
+            None => Some(ExclusionReason::Gone),
+            Some(entry) if entry.status != EndpointStatus::Ready => Some(ExclusionReason::Draining),
+            Some(entry) if rules.is_cold(now, entry.started) => Some(ExclusionReason::Cold),
+            Some(_) if !present.contains_key(node) => Some(ExclusionReason::KeptOut),
             Some(_) => None,
         };
-        let left_out: BTreeMap<NodeId, LeftOut> = named
+        let left_out: BTreeMap<NodeId, ExclusionReason> = named
             .keys()
             .filter_map(|node| Some((*node, judge(node)?)))
             .collect();
@@ -144,7 +144,7 @@
         self.correcting =
             (count < CORRECTIONS).then(|| (old.clone(), count, now + Span::from_seconds(APART)));
         self.version = Some(old.version);
-        Stepped {
+        RollbackResult {
             version: old.version,
             lines: to.len(),
             left_out: left_out.into_iter().collect(),
--- a/crates/controller-core/src/measured.rs
+++ b/crates/controller-core/src/service_history.rs
@@ -1,7 +1,7 @@
 //! What proxies told of the service they gave, over the last minutes: by zone and operation, in buckets of
 //! the period of sums that are used again in a ring. Changes are judged by it.
 
-use crate::sums::{Report, LATENCY};
+use crate::load_report::{LoadReport, LATENCY};
 use std::collections::BTreeMap;
 use std::ops::AddAssign;
 use wheelspread::ids::{OperationId, ProxyId, ZoneId};
@@ -58,16 +58,16 @@
 const KEPT: usize = 300;
 
 #[derive(Clone, Debug)]
-pub struct Measured {
+pub struct ServiceHistory {
     width: Span,
     ring: Ring<Tallies>,
     /// When each proxy last reported.
     heard: BTreeMap<ProxyId, Moment>,
 }
 
-impl Measured {
-    pub fn new(period: Span) -> Measured {
-        Measured {
+impl ServiceHistory {
+    pub fn new(period: Span) -> ServiceHistory {
+        ServiceHistory {
             width: period,
             ring: Ring::new(period, KEPT),
             heard: BTreeMap::new(),
@@ -80,7 +80,7 @@
         now: Moment,
         proxy: ProxyId,
         zone: ZoneId,
-        report: &Report,
+        report: &LoadReport,
         operation: impl Fn(&str) -> Option<OperationId>,
     ) {
         self.heard.insert(proxy, now);
@@ -142,13 +142,13 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::sums::{NodeReport, OperationReport};
+    use crate::load_report::{NodeReport, OperationReport};
 
     fn at(seconds: f64) -> Moment {
         Moment::from_seconds(seconds)
     }
 
-    fn report(succeeded: u64, errored: u64, repeats: u64, rate_limited: u64) -> Report {
+    fn report(succeeded: u64, errored: u64, repeats: u64, rate_limited: u64) -> LoadReport {
         let node = NodeReport {
             succeeded,
             errored,
@@ -160,7 +160,7 @@
             repeats,
             nodes: vec![node],
         };
-        Report {
+        LoadReport {
             over: Span::from_seconds(1.0),
             operations: vec![operation],
         }
@@ -168,7 +168,7 @@
 
     #[test]
     fn a_span_is_counted_apart_from_what_came_before_and_after() {
-        let mut measured = Measured::new(Span::from_seconds(1.0));
+        let mut measured = ServiceHistory::new(Span::from_seconds(1.0));
         let quote = |name: &str| (name == "quote").then_some(OperationId(0));
         for second in 0..20 {
             let told = if second < 10 {
@@ -202,7 +202,7 @@
 
     #[test]
     fn what_is_known_ends_where_the_last_proxy_was_heard() {
-        let mut measured = Measured::new(Span::from_seconds(1.0));
+        let mut measured = ServiceHistory::new(Span::from_seconds(1.0));
         let both = || [ProxyId(1), ProxyId(2)].into_iter();
         assert_eq!(
             measured.known_until(both()),
--- a/crates/controller-core/src/tests.rs
+++ b/crates/controller-core/src/tests.rs
@@ -2,21 +2,21 @@
 
 use super::*;
 use crate::deployment::tests::plan;
-use crate::nodes::NodeRecord;
-use crate::sums::{NodeReport, OperationReport};
+use crate::endpoint_list::EndpointRecord;
+use crate::load_report::{NodeReport, OperationReport};
 
 struct Stage {
-    session: Session,
+    session: ControllerCore,
     now: Moment,
     list_version: u64,
     /// What each proxy is pointed at, by the effects carried out.
     files: BTreeMap<String, Arc<TableSet>>,
     failing: bool,
-    notices: Vec<Notice>,
+    notices: Vec<LogEvent>,
     closed: Vec<(StreamId, String)>,
     retired: Vec<Version>,
     sends: Vec<(StreamId, Arc<TableSet>)>,
-    answers: Vec<Result<Stepped, String>>,
+    answers: Vec<Result<RollbackResult, String>>,
 }
 
 fn node(port: u16) -> NodeId {
@@ -26,13 +26,13 @@
     }
 }
 
-fn record(port: u16, draining: bool, age: f64) -> NodeRecord {
+fn record(port: u16, draining: bool, age: f64) -> EndpointRecord {
     let zone = if port.is_multiple_of(2) {
         "north"
     } else {
         "south"
     };
-    NodeRecord {
+    EndpointRecord {
         node: node(port),
         zone: zone.to_string(),
         kind: String::new(),
@@ -44,14 +44,14 @@
 }
 
 impl Stage {
-    fn new(found: Found) -> Stage {
+    fn new(found: RecoveredState) -> Stage {
         Stage::with(plan(), found)
     }
 
-    fn with(plan: Deployment, found: Found) -> Stage {
+    fn with(plan: Deployment, found: RecoveredState) -> Stage {
         let now = Moment::from_seconds(1000.0);
         Stage {
-            session: Session::start(now, 7, plan, 0, found).expect("the plan is fine"),
+            session: ControllerCore::start(now, 7, plan, 0, found).expect("the plan is fine"),
             now,
             list_version: 0,
             files: BTreeMap::new(),
@@ -64,9 +64,9 @@
         }
     }
 
-    fn list(&mut self, records: Vec<NodeRecord>) {
+    fn list(&mut self, records: Vec<EndpointRecord>) {
         self.list_version += 1;
-        let list = NodeList {
+        let list = EndpointSnapshot {
             version: self.list_version.to_string(),
             records,
         };
@@ -194,13 +194,13 @@
             nodes,
             ..OperationReport::default()
         };
-        let report = Report {
+        let report = LoadReport {
             over: Span::from_seconds(1.0),
             operations: vec![quote],
         };
         self.session.observe(
             self.now,
-            Observation::Report {
+            Observation::LoadReport {
                 stream: StreamId(stream),
                 report,
             },
@@ -215,7 +215,7 @@
 }
 
 fn started() -> Stage {
-    let mut stage = Stage::new(Found::default());
+    let mut stage = Stage::new(RecoveredState::default());
     stage.list((1..=8).map(|port| record(port, false, 500.0)).collect());
     stage.join(1, "n1", "north");
     stage.join(2, "s1", "south");
@@ -225,7 +225,7 @@
 
 #[test]
 fn joined_proxies_are_pointed_at_tables_of_ready_nodes_at_once() {
-    let mut stage = Stage::new(Found::default());
+    let mut stage = Stage::new(RecoveredState::default());
     stage.list((1..=8).map(|port| record(port, false, 500.0)).collect());
     stage.join(1, "n1", "north");
     stage.pass(0.2, &[]);
@@ -276,7 +276,7 @@
     stage.failing = true;
     stage.list((1..=8).map(|port| record(port, port == 2, 500.0)).collect());
     stage.pass(0.8, &[1, 2]);
-    let failed = |notice: &&Notice| matches!(notice, Notice::WriteFailed { reason, .. } if reason.contains("full"));
+    let failed = |notice: &&LogEvent| matches!(notice, LogEvent::WriteFailed { reason, .. } if reason.contains("full"));
     assert!(
         stage.notices.iter().filter(failed).count() >= 2,
         "named, and tried again: {:?}",
@@ -306,10 +306,10 @@
         .max()
         .expect("published");
     let versions = held.values().map(|set| set.version).collect();
-    let mut stage = Stage::new(Found {
+    let mut stage = Stage::new(RecoveredState {
         held,
         versions,
-        ..Found::default()
+        ..RecoveredState::default()
     });
     stage.files = before.files;
     // While it was down node 2 drained, node 4 left and node 6 started anew.
@@ -345,13 +345,13 @@
 #[test]
 fn a_proxy_that_sends_what_cannot_be_is_closed_with_a_reason() {
     let mut stage = started();
-    let report = Report {
+    let report = LoadReport {
         over: Span::from_seconds(-1.0),
         operations: Vec::new(),
     };
     stage.session.observe(
         stage.now,
-        Observation::Report {
+        Observation::LoadReport {
             stream: StreamId(1),
             report,
         },
@@ -434,16 +434,16 @@
         least_share: 0.05,
         fill_at_most: 0.85,
     });
-    let mut stage = Stage::with(plan, Found::default());
+    let mut stage = Stage::with(plan, RecoveredState::default());
     stage.list(kinds(false));
     stage.join(1, "n1", "north");
     stage.join(2, "s1", "south");
     stage
 }
 
-fn kinds(drains: bool) -> Vec<NodeRecord> {
+fn kinds(drains: bool) -> Vec<EndpointRecord> {
     let kind = |port: u16| if port <= 4 { "large" } else { "small" };
-    let of = |port: u16| NodeRecord {
+    let of = |port: u16| EndpointRecord {
         kind: kind(port).to_string(),
         ..record(port, drains && port == 2, 500.0)
     };
@@ -467,7 +467,7 @@
     assert!(stage
         .notices
         .iter()
-        .any(|notice| matches!(notice, Notice::Weighed { .. })));
+        .any(|notice| matches!(notice, LogEvent::WeightsSolved { .. })));
     assert!(!stage.nodes_of("n1").is_empty());
 }
 
@@ -479,14 +479,14 @@
     // A demand for what no host is left to do can't be solved: every node drains.
     let records = kinds(false)
         .into_iter()
-        .map(|record| NodeRecord {
+        .map(|record| EndpointRecord {
             draining: true,
             ..record
         })
         .collect();
     stage.list(records);
     stage.pass(4.0, &[1, 2]);
-    let failed = |notice: &Notice| matches!(notice, Notice::NotSolved { reason } if reason.contains("no capacity"));
+    let failed = |notice: &LogEvent| matches!(notice, LogEvent::NotSolved { reason } if reason.contains("no capacity"));
     assert!(stage.notices.iter().any(failed));
     assert_eq!(stage.session.weigher.weight(node(6)), before);
 }
@@ -592,7 +592,7 @@
         .session
         .observe(stage.now, Observation::HeldBack { bundle, until });
     let sent = stage.sends.len();
-    let mut records: Vec<NodeRecord> = (1..=8).map(|port| record(port, false, 500.0)).collect();
+    let mut records: Vec<EndpointRecord> = (1..=8).map(|port| record(port, false, 500.0)).collect();
     records.push(record(9, false, 500.0));
     stage.list(records.clone());
     stage.pass(2.0, &[1, 2]);
@@ -623,7 +623,7 @@
             .map_or(0.0, |line| line.weight / all)
     };
     // An operator's list gives two nodes other weights; one drains, one starts anew and is cold.
-    let mut records: Vec<NodeRecord> = (1..=8).map(|port| record(port, false, 500.0)).collect();
+    let mut records: Vec<EndpointRecord> = (1..=8).map(|port| record(port, false, 500.0)).collect();
     (records[1].weight, records[3].weight) = (5.0, 0.2);
     records[5].draining = true;
     records[7] = record(8, false, 0.0);
--- a/crates/controller-core/src/fronts.rs
+++ b/crates/controller-core/src/transport.rs
@@ -2,14 +2,14 @@
 //! came by a stream once is not written files for; while it is away nothing is sent to it, and when it comes
 //! back it gets the newest alone. Where most refuse a table, its ordinary changes wait here.
 
-use crate::book::{BundleId, Version};
 use crate::membership::StreamId;
+use crate::publication::{BundleId, Version};
 use std::collections::{BTreeMap, BTreeSet};
 use wheelspread::ids::ProxyId;
 use wheelspread::time::Moment;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Front {
+pub enum Transport {
     Files,
     Stream(StreamId),
     /// It reads a stream and has none now.
@@ -17,7 +17,7 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Fronts {
+pub struct Transports {
     /// No files are written: who has no stream waits for one.
     streams_only: bool,
     readers: BTreeMap<ProxyId, Option<StreamId>>,
@@ -28,20 +28,20 @@
     brought: BTreeMap<ProxyId, Version>,
 }
 
-impl Fronts {
-    pub fn new(files: bool) -> Fronts {
-        Fronts {
+impl Transports {
+    pub fn new(files: bool) -> Transports {
+        Transports {
             streams_only: !files,
-            ..Fronts::default()
+            ..Transports::default()
         }
     }
 
-    pub fn front(&self, proxy: ProxyId) -> Front {
+    pub fn front(&self, proxy: ProxyId) -> Transport {
         match self.readers.get(&proxy) {
-            None if self.streams_only => Front::Away,
-            None => Front::Files,
-            Some(Some(stream)) => Front::Stream(*stream),
-            Some(None) => Front::Away,
+            None if self.streams_only => Transport::Away,
+            None => Transport::Files,
+            Some(Some(stream)) => Transport::Stream(*stream),
+            Some(None) => Transport::Away,
         }
     }
 
--- a/crates/controller-core/src/channel.rs
+++ b/crates/controller-core/src/update_queue.rs
@@ -42,7 +42,7 @@
 const DOUBLINGS: u32 = 5;
 
 #[derive(Clone, Debug)]
-pub struct Channel {
+pub struct UpdateQueue {
     lines_per_second: f64,
     head: f64,
     most_messages: f64,
@@ -59,9 +59,9 @@
     pub overtaken: u64,
 }
 
-impl Channel {
-    pub fn new(now: Moment, plan: &ChannelPlan) -> Channel {
-        Channel {
+impl UpdateQueue {
+    pub fn new(now: Moment, plan: &ChannelPlan) -> UpdateQueue {
+        UpdateQueue {
             lines_per_second: plan.lines_per_second.max(1.0),
             head: plan.head_lines,
             most_messages: f64::from(plan.messages_at_most),
@@ -238,13 +238,13 @@
         Moment::from_seconds(seconds)
     }
 
-    fn channel(lines_per_second: f64, messages_at_most: u32) -> Channel {
+    fn channel(lines_per_second: f64, messages_at_most: u32) -> UpdateQueue {
         let plan = ChannelPlan {
             lines_per_second,
             messages_at_most,
             ..plan().channel
         };
-        Channel::new(at(0.0), &plan)
+        UpdateQueue::new(at(0.0), &plan)
     }
 
     #[test]
--- a/crates/controller-core/src/weigh.rs
+++ b/crates/controller-core/src/weight_solver.rs
@@ -4,8 +4,8 @@
 //! good weights.
 
 use crate::deployment::{Deployment, SolverPlan};
+use crate::endpoint_list::{show, EndpointList};
 use crate::membership::Membership;
-use crate::nodes::{show, Nodes};
 use std::collections::BTreeMap;
 use wheelspread::ids::{NodeId, OperationId, ZoneId};
 use wheelspread::time::Moment;
@@ -22,7 +22,7 @@
 const FORGET: f64 = 0.3;
 
 #[derive(Clone, Debug, Default)]
-pub struct Weigher {
+pub struct WeightSolver {
     estimates: BTreeMap<NodeId, Estimate>,
     /// Invocations a second, by zone and operation.
     demand: BTreeMap<(ZoneId, OperationId), f64>,
@@ -32,13 +32,13 @@
 
 /// What a round came to.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Weighed {
+pub enum SolverOutcome {
     /// Nodes whose listed weight changes.
     Changed(Vec<EndpointEntry>),
     Failed(String),
 }
 
-impl Weigher {
+impl WeightSolver {
     /// The weight that a node is listed with, where one was solved.
     pub fn weight(&self, node: NodeId) -> Option<f64> {
         self.standing
@@ -63,7 +63,7 @@
         plan: &Deployment,
         solver: &SolverPlan,
         members: &Membership,
-        nodes: &Nodes,
+        nodes: &EndpointList,
     ) {
         let mut asked: BTreeMap<(ZoneId, OperationId), f64> = BTreeMap::new();
         let mut met: BTreeMap<NodeId, (f64, f64, f64, Option<f64>)> = BTreeMap::new();
@@ -158,8 +158,8 @@
         }
     }
 
-    fn fleet(&self, plan: &Deployment, solver: &SolverPlan, nodes: &Nodes) -> Fleet {
-        let host = |(record, entry): (&crate::nodes::NodeRecord, &EndpointEntry)| {
+    fn fleet(&self, plan: &Deployment, solver: &SolverPlan, nodes: &EndpointList) -> Fleet {
+        let host = |(record, entry): (&crate::endpoint_list::EndpointRecord, &EndpointEntry)| {
             let told = solver.capacities.get(&record.kind).copied().unwrap_or(0.0);
             Host {
                 id: show(record.node),
@@ -233,8 +233,8 @@
         now: Moment,
         plan: &Deployment,
         solver: &SolverPlan,
-        nodes: &Nodes,
-    ) -> Option<Weighed> {
+        nodes: &EndpointList,
+    ) -> Option<SolverOutcome> {
         if now < self.next_at || nodes.version().is_empty() || self.demand.is_empty() {
             return None;
         }
@@ -249,8 +249,8 @@
         };
         let solution = match solve(&fleet, &mut over) {
             Ok(solution) if solution.status == Status::Optimal => solution,
-            Ok(_) => return Some(Weighed::Failed("it took too many steps".to_string())),
-            Err(refused) => return Some(Weighed::Failed(refused.to_string())),
+            Ok(_) => return Some(SolverOutcome::Failed("it took too many steps".to_string())),
+            Err(refused) => return Some(SolverOutcome::Failed(refused.to_string())),
         };
         let solved = solution
             .hosts
@@ -284,6 +284,6 @@
             .listed()
             .filter_map(|(_, entry)| moved(entry))
             .collect();
-        (!entries.is_empty()).then_some(Weighed::Changed(entries))
+        (!entries.is_empty()).then_some(SolverOutcome::Changed(entries))
     }
 }
--- a/crates/controller/src/admin.rs
+++ b/crates/controller/src/admin.rs
@@ -17,8 +17,8 @@
 use wheelspread::time::{Moment, Span};
 use wheelspread_config_rollout::Answer;
 use wheelspread_config_transaction::Refused;
-use wheelspread_controller_core::back::{LeftOut, Stepped};
-use wheelspread_controller_core::nodes::show;
+use wheelspread_controller_core::endpoint_list::show;
+use wheelspread_controller_core::rollback::{ExclusionReason, RollbackResult};
 use wheelspread_drain::Drain;
 use wheelspread_grpc::tls::speaks_for;
 use wheelspread_grpc::{ServerConfig, Socket, TlsServer};
@@ -276,8 +276,9 @@
     }
 
     /// What came of an order to step back.
-    pub fn answered(&mut self, order: u64, result: &Result<Stepped, String>) {
-        let out = |(node, why): &(_, LeftOut)| json!({ "node": show(*node), "why": why.word() });
+    pub fn answered(&mut self, order: u64, result: &Result<RollbackResult, String>) {
+        let out =
+            |(node, why): &(_, ExclusionReason)| json!({ "node": show(*node), "why": why.word() });
         let body = result.as_ref().map(|stepped| {
             let left_out: Vec<Value> = stepped.left_out.iter().map(out).collect();
             json!({ "version": stepped.version.0, "lines": stepped.lines, "left_out": left_out })
--- a/crates/controller/src/drains.rs
+++ b/crates/controller/src/drains.rs
@@ -1,13 +1,13 @@
 //! Orders to drain nodes, between the book that decides which goes and the session, the disk and whoever asked.
 
-use crate::keeper::Keeper;
+use crate::state_writer::StateWriter;
 use std::collections::BTreeMap;
 use tracing::{info, warn};
 use wheelspread::time::{Moment, Span};
 use wheelspread_config_rollout::fleet::against_drain;
 use wheelspread_config_rollout::values::node;
-use wheelspread_config_transaction::{Commit, Kept};
-use wheelspread_controller_core::{Observation, Session};
+use wheelspread_config_transaction::{Commit, PersistedState};
+use wheelspread_controller_core::{ControllerCore, Observation};
 use wheelspread_drain::book::Effect;
 use wheelspread_drain::{Book, Drain, Evidence, Order, OrderId, Refused, State, Word};
 
@@ -43,7 +43,7 @@
 
 impl Drains {
     /// Takes up what an earlier run kept.
-    pub fn start(now: Moment, kept: &Kept, value_lost_at_most: f64) -> Drains {
+    pub fn start(now: Moment, kept: &PersistedState, value_lost_at_most: f64) -> Drains {
         let drains = kept
             .facts
             .iter()
@@ -87,7 +87,7 @@
         now: Moment,
         caller: u64,
         order: Order,
-        session: &Session,
+        session: &ControllerCore,
     ) -> Result<(), Refused> {
         let named = node(&order.node).ok_or_else(|| {
             Refused::Checks(vec![format!(
@@ -202,7 +202,12 @@
     }
 
     /// Hands over to the disk, tells the session, looks how far drains have come; returns answers.
-    pub fn settle(&mut self, now: Moment, session: &mut Session, keeper: &mut Keeper) -> Vec<Told> {
+    pub fn settle(
+        &mut self,
+        now: Moment,
+        session: &mut ControllerCore,
+        keeper: &mut StateWriter,
+    ) -> Vec<Told> {
         if now < self.look_at {
             return std::mem::take(&mut self.told);
         }
--- a/crates/controller/src/file.rs
+++ b/crates/controller/src/file.rs
@@ -9,7 +9,7 @@
 use wheelspread_config_rollout::{Conditions, Plans};
 use wheelspread_config_transaction::checks::Bounds;
 use wheelspread_config_transaction::ledger::Deadlines;
-use wheelspread_controller_core::{spans, Deployment};
+use wheelspread_controller_core::{span_format, Deployment};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
@@ -84,7 +84,7 @@
     /// Changes of what one stream subscribes to, within `channel.messages_window`.
     pub changes_at_most: u32,
     /// A client that does not speak to what it was sent for so long loses its stream.
-    #[serde(with = "spans")]
+    #[serde(with = "span_format")]
     pub unanswered_at_most: Span,
 }
 
@@ -118,13 +118,13 @@
 #[serde(deny_unknown_fields, default)]
 pub struct ChangePlan {
     /// What is measured is looked at for so long before a change is kept.
-    #[serde(with = "spans")]
+    #[serde(with = "span_format")]
     pub watch: Span,
     /// A change that was staged and not applied is let go of after so long.
-    #[serde(with = "spans")]
+    #[serde(with = "span_format")]
     pub staged_at_most: Span,
     /// A change that has not reached every gateway by then is undone.
-    #[serde(with = "spans")]
+    #[serde(with = "span_format")]
     pub apply_at_most: Span,
     /// Of the value served, a change may lose so much by what was measured; with more it is refused.
     pub value_lost_at_most: f64,
@@ -209,7 +209,7 @@
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ConductorFile {
+pub struct ControllerFile {
     pub conductor: Place,
     #[serde(default)]
     pub log: LogPlan,
@@ -227,7 +227,7 @@
 
 /// Everything that is wrong with a file, a line each.
 #[derive(Debug, thiserror::Error)]
-pub enum BadFile {
+pub enum ControllerFileError {
     #[error("{path}: {source}", path = .path.display())]
     Unreadable {
         path: PathBuf,
@@ -239,13 +239,14 @@
     Flaws(Vec<String>),
 }
 
-impl ConductorFile {
-    pub fn read(path: &Path) -> Result<ConductorFile, BadFile> {
-        let text = std::fs::read_to_string(path).map_err(|source| BadFile::Unreadable {
-            path: path.to_path_buf(),
-            source,
-        })?;
-        let mut file = ConductorFile::parse(&text, path)?;
+impl ControllerFile {
+    pub fn read(path: &Path) -> Result<ControllerFile, ControllerFileError> {
+        let text =
+            std::fs::read_to_string(path).map_err(|source| ControllerFileError::Unreadable {
+                path: path.to_path_buf(),
+                source,
+            })?;
+        let mut file = ControllerFile::parse(&text, path)?;
         let base = path.parent().unwrap_or(Path::new("."));
         let place = &mut file.conductor;
         place.tables = base.join(&place.tables);
@@ -267,12 +268,12 @@
         Ok(file)
     }
 
-    pub fn parse(text: &str, path: &Path) -> Result<ConductorFile, BadFile> {
-        let form = |text: String| BadFile::Form {
+    pub fn parse(text: &str, path: &Path) -> Result<ControllerFile, ControllerFileError> {
+        let form = |text: String| ControllerFileError::Form {
             path: path.to_path_buf(),
             text,
         };
-        let file: ConductorFile =
+        let file: ControllerFile =
             serde_yaml_ng::from_str(text).map_err(|error| form(error.to_string()))?;
         let mut flaws: Vec<(String, String)> = Vec::new();
         for flaw in file.deployment.flaws() {
@@ -336,7 +337,9 @@
             let line = line_of(text, &field).map_or(String::new(), |line| format!(" line {line},"));
             format!("{}:{line} {field}: {said}", path.display())
         };
-        Err(BadFile::Flaws(flaws.into_iter().map(named).collect()))
+        Err(ControllerFileError::Flaws(
+            flaws.into_iter().map(named).collect(),
+        ))
     }
 }
 
@@ -366,7 +369,7 @@
 
     #[test]
     fn a_plain_file_is_read() {
-        let file = ConductorFile::parse(TEXT, Path::new("c.yaml")).expect("it is fine");
+        let file = ControllerFile::parse(TEXT, Path::new("c.yaml")).expect("it is fine");
         assert_eq!(
             file.deployment.operations[0].latency_objective.seconds(),
             1.2
@@ -381,7 +384,7 @@
     #[test_case("listen: 127.0.0.1:0", "listen: here", "conductor.listen"; "no address")]
     #[test_case("name: c0", "name: [c0", "at line"; "no YAML")]
     fn what_is_wrong_is_named_with_its_place(right: &str, wrong: &str, said: &str) {
-        let error = ConductorFile::parse(&TEXT.replace(right, wrong), Path::new("c.yaml"));
+        let error = ControllerFile::parse(&TEXT.replace(right, wrong), Path::new("c.yaml"));
         let error = error.expect_err("it is wrong").to_string();
         assert!(error.contains(said), "{error}");
     }
--- a/crates/controller/src/front.rs
+++ b/crates/controller/src/front.rs
@@ -1,16 +1,16 @@
 //! The front of streams, between the core that decides what goes to whom and the sockets: resources of a
 //! version are made once, bodies of answers that many get are encoded once.
 
-use crate::file::ConductorFile;
+use crate::file::ControllerFile;
 use crate::streams::Streams;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use tracing::warn;
 use wheelspread::ids::ProxyId;
 use wheelspread::time::{Moment, Span};
-use wheelspread_controller_core::book::{TableSet, Version};
 use wheelspread_controller_core::membership::StreamId;
-use wheelspread_controller_core::{Deployment, Observation, Session};
+use wheelspread_controller_core::publication::{TableSet, Version};
+use wheelspread_controller_core::{ControllerCore, Deployment, Observation};
 use wheelspread_discovery::history::Shared;
 use wheelspread_discovery::{Answer, Content, Front, News, Plan, Verdict};
 use wheelspread_grpc::Status;
@@ -35,7 +35,7 @@
 
 impl Desk {
     /// `deployment`: as it is in force, which may not be the file's.
-    pub fn new(file: &ConductorFile, deployment: Deployment) -> Desk {
+    pub fn new(file: &ControllerFile, deployment: Deployment) -> Desk {
         let streams = &file.streams;
         let plan = Plan {
             versions: streams.versions_kept,
@@ -58,7 +58,7 @@
     }
 
     /// What happened on streams goes to the session; streams of tables are opened and closed here too.
-    pub fn observe(&mut self, now: Moment, session: &mut Session, observation: Observation) {
+    pub fn observe(&mut self, now: Moment, session: &mut ControllerCore, observation: Observation) {
         let opened = match &observation {
             Observation::Subscribed { stream, who, .. } => Some((*stream, who.name.clone())),
             Observation::Unsubscribed { stream } => {
@@ -71,7 +71,7 @@
         if let Some((stream, name)) = opened {
             let reads = |id: &ProxyId| {
                 session.reads(*id).front
-                    == wheelspread_controller_core::fronts::Front::Stream(stream)
+                    == wheelspread_controller_core::transport::Transport::Stream(stream)
             };
             if let Some(id) = session
                 .members()
@@ -85,7 +85,7 @@
     }
 
     /// The requests that came.
-    pub fn asked(&mut self, now: Moment, session: &mut Session, streams: &mut Streams) {
+    pub fn asked(&mut self, now: Moment, session: &mut ControllerCore, streams: &mut Streams) {
         for (stream, ask) in streams.asks() {
             let news = self.front.ask(now, stream, &ask);
             self.told(now, session, streams, news);
@@ -108,7 +108,7 @@
     }
 
     /// Sends to whoever can take something.
-    pub fn send(&mut self, now: Moment, session: &mut Session, streams: &mut Streams) {
+    pub fn send(&mut self, now: Moment, session: &mut ControllerCore, streams: &mut Streams) {
         for stream in streams.open() {
             let mut news = Vec::new();
             while let Some(answer) = self.front.next(now, stream, &mut news) {
@@ -136,7 +136,13 @@
         body
     }
 
-    fn told(&mut self, now: Moment, session: &mut Session, streams: &mut Streams, news: Vec<News>) {
+    fn told(
+        &mut self,
+        now: Moment,
+        session: &mut ControllerCore,
+        streams: &mut Streams,
+        news: Vec<News>,
+    ) {
         for news in news {
             match news {
                 News::Holds { proxy, version } => status(now, session, proxy, version, None),
@@ -203,7 +209,7 @@
 
 fn status(
     now: Moment,
-    session: &mut Session,
+    session: &mut ControllerCore,
     proxy: ProxyId,
     version: Version,
     refused: Option<String>,
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,17 +1,17 @@
-//! The conductor as it runs: what it is told by file (`ConductorFile`), and the loop that feeds the
-//! session from sockets and directories and carries out what it says (`Conductor`).
+//! The conductor as it runs: what it is told by file (`ControllerFile`), and the loop that feeds the
+//! session from sockets and directories and carries out what it says (`Controller`).
 
 mod admin;
 mod drains;
 mod file;
 mod front;
-mod keeper;
 mod locate;
 pub mod log;
 mod routes;
 mod service;
+mod state_writer;
 mod streams;
 
-pub use file::{BadFile, ConductorFile, LogForm, LogPlan};
+pub use file::{ControllerFile, ControllerFileError, LogForm, LogPlan};
 pub use locate::line_of;
-pub use service::{Conductor, Ended, StartFailed};
+pub use service::{Controller, Ended, StartError};
--- a/crates/controller/src/log.rs
+++ b/crates/controller/src/log.rs
@@ -3,9 +3,9 @@
 use crate::file::{LogForm, LogPlan};
 use tracing::{debug, info, warn};
 use tracing_subscriber::EnvFilter;
-use wheelspread_config_rollout::Note;
-use wheelspread_controller_core::nodes::show;
-use wheelspread_controller_core::Notice;
+use wheelspread_config_rollout::RolloutEvent;
+use wheelspread_controller_core::endpoint_list::show;
+use wheelspread_controller_core::LogEvent;
 
 /// Once for a program; a second call changes nothing.
 pub fn start(plan: &LogPlan) {
@@ -19,17 +19,17 @@
     };
 }
 
-pub fn note(note: &Note) {
+pub fn note(note: &RolloutEvent) {
     match note {
-        Note::Turned { id, state, why } => {
+        RolloutEvent::Turned { id, state, why } => {
             let (change, state) = (&id.0, format!("{state:?}").to_lowercase());
             info!(change, state, why, "change");
         }
-        Note::NotWritten { reason, again_in } => {
+        RolloutEvent::NotWritten { reason, again_in } => {
             let again_in_s = again_in.seconds();
             warn!(reason, again_in_s, "a change waits for the disk");
         }
-        Note::LeftOut { field, text } => {
+        RolloutEvent::LeftOut { field, text } => {
             warn!(
                 field,
                 text, "a value of an earlier change does not fit, left out"
@@ -38,28 +38,28 @@
     }
 }
 
-pub fn notice(notice: &Notice) {
+pub fn notice(notice: &LogEvent) {
     match notice {
-        Notice::ListTaken {
+        LogEvent::ListTaken {
             version,
             ready,
             changes,
         } => info!(version, ready, changes, "list taken"),
-        Notice::ListRefused { reason } => warn!(reason, "list kept out"),
-        Notice::Joined { proxy, zone } => info!(proxy, zone, "proxy joined"),
-        Notice::Left { proxy } => info!(proxy, "proxy left"),
-        Notice::Subscribed { proxy, stream } => {
+        LogEvent::ListRefused { reason } => warn!(reason, "list kept out"),
+        LogEvent::Joined { proxy, zone } => info!(proxy, zone, "proxy joined"),
+        LogEvent::Left { proxy } => info!(proxy, "proxy left"),
+        LogEvent::Subscribed { proxy, stream } => {
             info!(proxy, stream = stream.0, "proxy reads a stream")
         }
-        Notice::Unsubscribed { proxy } => info!(proxy, "proxy reads no stream any more"),
-        Notice::HeldBack { bundle, wait } => {
+        LogEvent::Unsubscribed { proxy } => info!(proxy, "proxy reads no stream any more"),
+        LogEvent::HeldBack { bundle, wait } => {
             let wait_s = wait.seconds();
             warn!(
                 table = bundle.0,
                 wait_s, "most refuse this table, its ordinary changes wait"
             );
         }
-        Notice::SteppedBack {
+        LogEvent::SteppedBack {
             version,
             lines,
             left_out,
@@ -73,12 +73,12 @@
                 lines, left_out, "stepped back to an older version"
             );
         }
-        Notice::Freed { nodes } => info!(nodes, "no version is stepped back to any more"),
-        Notice::TurnedAway { stream, reason } => {
+        LogEvent::Freed { nodes } => info!(nodes, "no version is stepped back to any more"),
+        LogEvent::TurnedAway { stream, reason } => {
             warn!(stream = stream.0, reason, "stream turned away")
         }
-        Notice::Forgotten { proxy } => info!(proxy, "proxy forgotten"),
-        Notice::Published {
+        LogEvent::Forgotten { proxy } => info!(proxy, "proxy forgotten"),
+        LogEvent::Published {
             bundle,
             version,
             configuration,
@@ -94,10 +94,10 @@
                 "version made"
             );
         }
-        Notice::Pointed { proxy, version } => {
+        LogEvent::Pointed { proxy, version } => {
             debug!(proxy, version = version.0, "proxy pointed at version")
         }
-        Notice::WriteFailed {
+        LogEvent::WriteFailed {
             proxy,
             version,
             reason,
@@ -112,32 +112,32 @@
                 "tables not written"
             );
         }
-        Notice::Refused {
+        LogEvent::Refused {
             proxy,
             version,
             reason,
         } => {
             warn!(proxy, version = version.0, reason, "proxy refused tables");
         }
-        Notice::ReportRefused { proxy, reason } => warn!(proxy, reason, "report refused"),
-        Notice::UnknownNodes { count } => {
+        LogEvent::ReportRefused { proxy, reason } => warn!(proxy, reason, "report refused"),
+        LogEvent::UnknownNodes { count } => {
             warn!(count, "reports speak of nodes that are not listed")
         }
-        Notice::ChannelFull { lines } => warn!(lines, "more lines wait than are allowed"),
-        Notice::Pruned { proxy, nodes } => {
+        LogEvent::ChannelFull { lines } => warn!(lines, "more lines wait than are allowed"),
+        LogEvent::Pruned { proxy, nodes } => {
             let nodes = nodes.join(" ");
             warn!(
                 proxy,
                 nodes, "taken out of the files of a proxy that has not come back"
             );
         }
-        Notice::Weighed { nodes } => debug!(nodes, "solved weights listed"),
-        Notice::NotSolved { reason } => warn!(reason, "weights not solved, the last ones stand"),
-        Notice::Configured {
+        LogEvent::WeightsSolved { nodes } => debug!(nodes, "solved weights listed"),
+        LogEvent::NotSolved { reason } => warn!(reason, "weights not solved, the last ones stand"),
+        LogEvent::ConfigApplied {
             configuration,
             nodes,
         } => info!(configuration, nodes, "configuration in force"),
-        Notice::NotConfigured {
+        LogEvent::NotConfigured {
             configuration,
             reason,
         } => {
@@ -146,13 +146,13 @@
                 reason, "configuration not taken, the one before stands"
             );
         }
-        Notice::ListRemembered { version, nodes } => {
+        LogEvent::ListRemembered { version, nodes } => {
             warn!(
                 version,
                 nodes, "no list can be read, the last one that was taken stands"
             );
         }
-        Notice::Remark { text } => info!(text, "remark"),
-        Notice::NotUsed { reason } => debug!(reason, "event not used"),
+        LogEvent::Remark { text } => info!(text, "remark"),
+        LogEvent::NotUsed { reason } => debug!(reason, "event not used"),
     }
 }
--- a/crates/controller/src/routes.rs
+++ b/crates/controller/src/routes.rs
@@ -9,15 +9,15 @@
 use wheelspread::time::Moment;
 use wheelspread::{EndpointEntry, EndpointStatus};
 use wheelspread_config_rollout::values::node;
-use wheelspread_config_rollout::{Ask, Rollout};
+use wheelspread_config_rollout::{Rollout, RolloutCommand};
 use wheelspread_config_transaction::ledger::Record;
 use wheelspread_config_transaction::{Change, ChangeId};
-use wheelspread_controller_core::book::{BundleId, Version};
 use wheelspread_controller_core::deployment::OperationPlan;
-use wheelspread_controller_core::fronts::Front;
+use wheelspread_controller_core::endpoint_list::show;
 use wheelspread_controller_core::membership::Member;
-use wheelspread_controller_core::nodes::show;
-use wheelspread_controller_core::{Observation, Session};
+use wheelspread_controller_core::publication::{BundleId, Version};
+use wheelspread_controller_core::transport::Transport;
+use wheelspread_controller_core::{ControllerCore, Observation};
 use wheelspread_drain::{Order, OrderId, Word};
 
 #[derive(Debug, Deserialize)]
@@ -136,7 +136,7 @@
 
 /// Everything that is asked about.
 pub struct Desk<'a> {
-    pub session: &'a mut Session,
+    pub session: &'a mut ControllerCore,
     pub rollout: &'a mut Rollout,
     pub drains: &'a mut Drains,
     pub about: &'a About,
@@ -212,12 +212,12 @@
     let rollout = &mut *desk.rollout;
     let id = |asked: &Asked| body::<ChangeOrder>(asked).map(|told| (ChangeId(told.id), told.why));
     let ask = match (asked.method.as_str(), asked.target.as_str()) {
-        ("POST", "/v1/changes/plan") => Ask::Plan(change(body(asked)?, rollout)?),
-        ("POST", "/v1/changes/stage") => Ask::Stage(change(body(asked)?, rollout)?),
-        ("POST", "/v1/changes/apply") => Ask::Apply(id(asked)?.0),
+        ("POST", "/v1/changes/plan") => RolloutCommand::Plan(change(body(asked)?, rollout)?),
+        ("POST", "/v1/changes/stage") => RolloutCommand::Stage(change(body(asked)?, rollout)?),
+        ("POST", "/v1/changes/apply") => RolloutCommand::Apply(id(asked)?.0),
         ("POST", "/v1/changes/undo") => {
             let (id, why) = id(asked)?;
-            Ask::Undo(id, why.unwrap_or_else(|| "by order".to_string()))
+            RolloutCommand::Undo(id, why.unwrap_or_else(|| "by order".to_string()))
         }
         ("POST", "/v1/tables/back") => {
             let told: BackOrder = body(asked)?;
@@ -337,11 +337,11 @@
     })
 }
 
-fn is_cold(now: Moment, entry: &EndpointEntry, session: &Session) -> bool {
+fn is_cold(now: Moment, entry: &EndpointEntry, session: &ControllerCore) -> bool {
     entry.status == EndpointStatus::Ready && session.plan().rules.is_cold(now, entry.started)
 }
 
-fn channel(session: &Session) -> Value {
+fn channel(session: &ControllerCore) -> Value {
     let (messages, overtaken) = session.messages();
     let plan = &session.plan().channel;
     json!({
@@ -356,7 +356,7 @@
 /// Of so many periods the sums are told.
 const SUMS: f64 = 10.0;
 
-fn sums(now: Moment, session: &Session) -> Value {
+fn sums(now: Moment, session: &ControllerCore) -> Value {
     let plan = session.plan();
     let (tallies, seconds) = session
         .measured()
@@ -385,7 +385,7 @@
     })
 }
 
-fn nodes(now: Moment, session: &Session) -> Value {
+fn nodes(now: Moment, session: &ControllerCore) -> Value {
     let zone = |id: ZoneId| {
         session
             .plan()
@@ -427,7 +427,7 @@
 }
 
 /// The configuration in force, and how far the gateways have come with it.
-fn configuration(session: &Session, rollout: &Rollout) -> Value {
+fn configuration(session: &ControllerCore, rollout: &Rollout) -> Value {
     let (in_force, reach) = (rollout.ledger().configuration(), session.reach());
     json!({
         "version": in_force.version,
@@ -440,16 +440,16 @@
     })
 }
 
-fn tables(now: Moment, session: &Session) -> Value {
+fn tables(now: Moment, session: &ControllerCore) -> Value {
     let gateway = |(name, member): (&str, &wheelspread_controller_core::membership::Member)| {
         let reads = session.reads(member.id);
         let told = GatewayTold {
             gateway: name,
             joined: member.joined(),
             front: match reads.front {
-                Front::Files => "files",
-                Front::Stream(_) => "stream",
-                Front::Away => "away",
+                Transport::Files => "files",
+                Transport::Stream(_) => "stream",
+                Transport::Away => "away",
             },
             table: reads.newest.map(|set| set.bundle.0),
             newest: reads.newest.map(|set| set.version.0),
--- a/crates/controller/src/service.rs
+++ b/crates/controller/src/service.rs
@@ -3,11 +3,11 @@
 
 use crate::admin::Admin;
 use crate::drains::{Drains, NUMBERS};
-use crate::file::{AdministrationPlan, ConductorFile};
+use crate::file::{AdministrationPlan, ControllerFile};
 use crate::front::Desk;
-use crate::keeper::{self, Keeper};
 use crate::log;
 use crate::routes::{self, About};
+use crate::state_writer::{self, StateWriter};
 use crate::streams::Streams;
 use std::collections::BTreeSet;
 use std::fs::File;
@@ -19,9 +19,9 @@
 use wheelspread::time::{Moment, Span};
 use wheelspread_config_rollout::{Rollout, Step};
 use wheelspread_config_transaction::Commit;
-use wheelspread_controller_core::back::Stepped;
-use wheelspread_controller_core::session::Configured;
-use wheelspread_controller_core::{Effect, Notice, Observation, Session, StartError};
+use wheelspread_controller_core::controller_core::ConfigUpdate;
+use wheelspread_controller_core::rollback::RollbackResult;
+use wheelspread_controller_core::{ControllerCore, Effect, LogEvent, Observation};
 use wheelspread_faults::reached;
 use wheelspread_files::{read, scan, Done, Job, Root, Writer};
 use wheelspread_grpc::tls::{BadKeys, KeyFiles};
@@ -47,7 +47,7 @@
 const LOOK_AGAIN: f64 = 1.0;
 
 #[derive(Debug, thiserror::Error)]
-pub enum StartFailed {
+pub enum StartError {
     #[error("{what}: {source}")]
     Io { what: String, source: io::Error },
     #[error("{0} is in use by another conductor")]
@@ -57,7 +57,7 @@
     #[error("tls: {0}")]
     Keys(BadKeys),
     #[error(transparent)]
-    Session(#[from] StartError),
+    Core(#[from] wheelspread_controller_core::StartError),
 }
 
 /// Why `run` came to an end.
@@ -66,14 +66,14 @@
     Told,
 }
 
-fn named(what: impl Into<String>) -> impl FnOnce(io::Error) -> StartFailed {
+fn named(what: impl Into<String>) -> impl FnOnce(io::Error) -> StartError {
     let what = what.into();
-    move |source| StartFailed::Io { what, source }
+    move |source| StartError::Io { what, source }
 }
 
-pub struct Conductor {
+pub struct Controller {
     path: Option<PathBuf>,
-    file: ConductorFile,
+    file: ControllerFile,
     poll: Poll,
     listener: TcpListener,
     paused_until: Option<Moment>,
@@ -84,7 +84,7 @@
     look_at: Moment,
     streams: Streams,
     desk: Desk,
-    keeper: Keeper,
+    keeper: StateWriter,
     rollout: Rollout,
     drains: Drains,
     about: About,
@@ -93,7 +93,7 @@
     admin: Admin,
     writer: Option<Writer>,
     root: Root,
-    session: Session,
+    session: ControllerCore,
     last_list: Option<Result<String, String>>,
     /// Of the key files, as last read.
     last_keys: Vec<Option<Vec<u8>>>,
@@ -101,9 +101,9 @@
     _lock: File,
 }
 
-impl Conductor {
+impl Controller {
     /// `path`: where the file came from, to be read again on a signal.
-    pub fn start(file: ConductorFile, path: Option<&Path>) -> Result<Conductor, StartFailed> {
+    pub fn start(file: ControllerFile, path: Option<&Path>) -> Result<Controller, StartError> {
         let place = &file.conductor;
         let root = Root::new(&place.tables);
         root.prepare().map_err(named(format!(
@@ -125,7 +125,7 @@
             }
         }
         let (keeper, kept) =
-            Keeper::start(&place.tables.join("state"), reactor::wall(), waker.clone())?;
+            StateWriter::start(&place.tables.join("state"), reactor::wall(), waker.clone())?;
         let now = reactor::now();
         let drains = Drains::start(now, &kept, file.changes.value_lost_at_most);
         let (rollout, configured, moving) =
@@ -135,7 +135,7 @@
         for text in &scan.unreadable {
             warn!(text, "found unreadable");
         }
-        keeper::recall(&kept, reactor::wall(), &mut scan.found);
+        state_writer::recall(&kept, reactor::wall(), &mut scan.found);
         (scan.found.configuration, scan.found.values) = (configured.version, configured.values);
         scan.found.moving = moving;
         scan.found.drained = drains.out();
@@ -149,7 +149,8 @@
             name,
             configuration, held, versions, leftovers, "conductor starts"
         );
-        let session = Session::start(now, place.seed, plan.clone(), place.number, scan.found)?;
+        let session =
+            ControllerCore::start(now, place.seed, plan.clone(), place.number, scan.found)?;
         let writer =
             Writer::start(root.clone(), plan.clone(), waker.clone()).map_err(named("a thread"))?;
         let listener = reactor::listen(place.listen).map_err(named(place.listen.to_string()))?;
@@ -157,7 +158,7 @@
             .map_err(named("epoll"))?;
         let plan_of_administration = match &file.administration {
             None => None,
-            Some(plan) => Some((plan, administration_keys(plan).map_err(StartFailed::Keys)?)),
+            Some(plan) => Some((plan, administration_keys(plan).map_err(StartError::Keys)?)),
         };
         let admin = Admin::start(&place.tables, plan_of_administration, &poll, ADMIN, CALLERS)
             .map_err(named("the ways in for operators"))?;
@@ -171,7 +172,7 @@
             place.connections_at_most,
             file.deployment.sums.period,
         );
-        let mut conductor = Conductor {
+        let mut conductor = Controller {
             path: path.map(Path::to_path_buf),
             poll,
             listener,
@@ -198,7 +199,7 @@
             _lock: lock,
             file,
         };
-        conductor.renew_keys().map_err(StartFailed::Keys)?;
+        conductor.renew_keys().map_err(StartError::Keys)?;
         conductor.read_list(now);
         Ok(conductor)
     }
@@ -323,12 +324,12 @@
     }
 
     /// A configuration comes into force: for the decisions, for what is written and for what is streamed.
-    fn configure(&mut self, now: Moment, configured: Configured) {
+    fn configure(&mut self, now: Moment, configured: ConfigUpdate) {
         let _ = reached("change.configure");
         self.give(Job::Plan(Box::new(configured.plan.clone())));
         self.desk.configure(configured.plan.clone());
         self.session
-            .observe(now, Observation::Configured(Box::new(configured)));
+            .observe(now, Observation::ConfigUpdated(Box::new(configured)));
         let _ = reached("change.configured");
     }
 
@@ -348,7 +349,7 @@
         }
     }
 
-    fn answered(&mut self, order: u64, result: Result<Stepped, String>) {
+    fn answered(&mut self, order: u64, result: Result<RollbackResult, String>) {
         self.admin.answered(order, &result);
         if let Err(reason) = result {
             warn!(order, reason, "order not carried out");
@@ -589,7 +590,7 @@
         let Some(path) = self.path.clone() else {
             return;
         };
-        match ConductorFile::read(&path) {
+        match ControllerFile::read(&path) {
             Ok(new) => {
                 let lines_per_second = new.deployment.channel.lines_per_second;
                 self.rollout.pace(lines_per_second);
@@ -637,7 +638,7 @@
                 } = done
                 {
                     let again_in = Span::ZERO;
-                    log::notice(&Notice::WriteFailed {
+                    log::notice(&LogEvent::WriteFailed {
                         proxy,
                         version,
                         reason,
@@ -650,7 +651,7 @@
     }
 }
 
-fn watched(file: &ConductorFile) -> PathBuf {
+fn watched(file: &ControllerFile) -> PathBuf {
     let place = &file.conductor;
     let parent = || {
         place
@@ -680,13 +681,13 @@
 }
 
 /// Two conductors under one root would each undo what the other does.
-fn lock(root: &Root) -> Result<File, StartFailed> {
+fn lock(root: &Root) -> Result<File, StartError> {
     let path = root.path().join("lock");
     let file = File::create(&path).map_err(named(path.display().to_string()))?;
     match rustix::fs::flock(&file, rustix::fs::FlockOperation::NonBlockingLockExclusive) {
         Ok(()) => Ok(file),
         Err(rustix::io::Errno::WOULDBLOCK) => {
-            Err(StartFailed::InUse(root.path().display().to_string()))
+            Err(StartError::InUse(root.path().display().to_string()))
         }
         Err(error) => Err(named(path.display().to_string())(error.into())),
     }
--- a/crates/controller/src/keeper.rs
+++ b/crates/controller/src/state_writer.rs
@@ -12,9 +12,11 @@
 use wheelspread::time::Span;
 use wheelspread::CapacitySnapshot;
 use wheelspread_config_rollout::values::node;
-use wheelspread_config_transaction::{Commit, Kept};
-use wheelspread_controller_core::nodes::{show, NodeList, NodeRecord, Nodes};
-use wheelspread_controller_core::session::Found;
+use wheelspread_config_transaction::{Commit, PersistedState};
+use wheelspread_controller_core::controller_core::RecoveredState;
+use wheelspread_controller_core::endpoint_list::{
+    show, EndpointList, EndpointRecord, EndpointSnapshot,
+};
 use wheelspread_controller_core::Version;
 use wheelspread_faults::reached;
 use wheelspread_reactor::Waker;
@@ -57,22 +59,26 @@
 
 type Told = (u64, Result<(), String>);
 
-pub struct Keeper {
+pub struct StateWriter {
     to: Option<Sender<(Option<u64>, Commit)>>,
     done: Receiver<Told>,
     thread: Option<JoinHandle<()>>,
     version: Version,
     list: String,
-    listed: BTreeMap<NodeId, NodeRecord>,
+    listed: BTreeMap<NodeId, EndpointRecord>,
     learnt: BTreeMap<NodeId, LearntFact>,
 }
 
-impl Keeper {
+impl StateWriter {
     /// Opens the file; returns what an earlier run kept. A disk that fails is told and gone on without; a file
     /// of a newer program is not.
-    pub fn start(path: &Path, wall: f64, waker: Waker) -> Result<(Keeper, Kept), StoreError> {
+    pub fn start(
+        path: &Path,
+        wall: f64,
+        waker: Waker,
+    ) -> Result<(StateWriter, PersistedState), StoreError> {
         let (told, done) = channel();
-        let mut keeper = Keeper {
+        let mut keeper = StateWriter {
             to: None,
             done,
             thread: None,
@@ -88,7 +94,7 @@
             }
             Err(error) => {
                 warn!(%error, "nothing can be kept over a crash, and no configuration changed");
-                return Ok((keeper, Kept::default()));
+                return Ok((keeper, PersistedState::default()));
             }
         };
         match &found {
@@ -142,7 +148,7 @@
         &mut self,
         wall: f64,
         version: Version,
-        nodes: &Nodes,
+        nodes: &EndpointList,
         learnt: impl Iterator<Item = CapacitySnapshot>,
     ) {
         let mut facts = BTreeMap::new();
@@ -187,15 +193,16 @@
     fn keep_list(
         &mut self,
         wall: f64,
-        nodes: &Nodes,
+        nodes: &EndpointList,
         facts: &mut BTreeMap<String, Option<String>>,
     ) {
         let mut next = BTreeMap::new();
         for (record, _) in nodes.listed() {
             // Of the age only what it says of the start is kept: that does not change.
-            let same = |old: &NodeRecord| {
-                let run = |record: &NodeRecord| record.started.as_ref().map(|(run, _)| run.clone());
-                let plain = NodeRecord {
+            let same = |old: &EndpointRecord| {
+                let run =
+                    |record: &EndpointRecord| record.started.as_ref().map(|(run, _)| run.clone());
+                let plain = EndpointRecord {
                     started: record.started.clone(),
                     ..old.clone()
                 };
@@ -230,12 +237,12 @@
 }
 
 /// What a session that starts is told of the time before; `wall` as now.
-pub fn recall(kept: &Kept, wall: f64, found: &mut Found) {
+pub fn recall(kept: &PersistedState, wall: f64, found: &mut RecoveredState) {
     let last = kept.facts.get(VERSION).and_then(|last| last.parse().ok());
     found.floor = last.map_or(Version(0), |last: u64| Version(last.saturating_add(MARGIN)));
-    let records: Vec<NodeRecord> = listed(kept, wall).collect();
+    let records: Vec<EndpointRecord> = listed(kept, wall).collect();
     if let Some(version) = kept.facts.get(LIST).filter(|_| !records.is_empty()) {
-        found.list = Some(NodeList {
+        found.list = Some(EndpointSnapshot {
             version: version.clone(),
             records,
         });
@@ -257,13 +264,16 @@
 }
 
 /// Settings of nodes under a prefix.
-fn of_nodes<'a>(kept: &'a Kept, prefix: &'a str) -> impl Iterator<Item = (NodeId, &'a String)> {
+fn of_nodes<'a>(
+    kept: &'a PersistedState,
+    prefix: &'a str,
+) -> impl Iterator<Item = (NodeId, &'a String)> {
     kept.facts
         .iter()
         .filter_map(move |(name, text)| Some((node(name.strip_prefix(prefix)?)?, text)))
 }
 
-fn listed(kept: &Kept, wall: f64) -> impl Iterator<Item = NodeRecord> + '_ {
+fn listed(kept: &PersistedState, wall: f64) -> impl Iterator<Item = EndpointRecord> + '_ {
     of_nodes(kept, LISTED).filter_map(move |(node, text)| {
         let listed: Listed = serde_json::from_str(text).ok()?;
         let started = listed
@@ -277,7 +287,7 @@
             weight,
             ..
         } = listed;
-        Some(NodeRecord {
+        Some(EndpointRecord {
             node,
             zone,
             kind,
@@ -289,7 +299,7 @@
     })
 }
 
-fn learnt(kept: &Kept) -> impl Iterator<Item = (NodeId, LearntFact)> + '_ {
+fn learnt(kept: &PersistedState) -> impl Iterator<Item = (NodeId, LearntFact)> + '_ {
     of_nodes(kept, LEARNT).filter_map(|(node, text)| Some((node, serde_json::from_str(text).ok()?)))
 }
 
@@ -345,7 +355,7 @@
     }
 }
 
-impl Drop for Keeper {
+impl Drop for StateWriter {
     /// What was given to be kept is kept.
     fn drop(&mut self) {
         self.to = None;
@@ -371,8 +381,8 @@
         serde_yaml_ng::from_str(text).expect("a sound plan")
     }
 
-    fn held(version: &str, ports: std::ops::Range<u16>) -> Nodes {
-        let record = |port| NodeRecord {
+    fn held(version: &str, ports: std::ops::Range<u16>) -> EndpointList {
+        let record = |port| EndpointRecord {
             node: NodeId {
                 address: [127, 0, 0, 1],
                 port,
@@ -384,11 +394,11 @@
             weight: 1.0,
             started: Some((format!("run-{port}"), Span::from_seconds(60.0))),
         };
-        let list = NodeList {
+        let list = EndpointSnapshot {
             version: version.into(),
             records: ports.map(record).collect(),
         };
-        let mut nodes = Nodes::default();
+        let mut nodes = EndpointList::default();
         assert_eq!(
             nodes
                 .take(Moment::from_seconds(1.0), Ok(list), &plan(), true)
@@ -399,10 +409,10 @@
     }
 
     /// One run of a conductor that holds these nodes; what the file keeps at its end, and in how many commits.
-    fn run(path: &Path, nodes: &Nodes) -> Kept {
+    fn run(path: &Path, nodes: &EndpointList) -> PersistedState {
         let poll = Poll::new().expect("epoll");
         let waker = Waker::new(&poll, Token(1)).expect("eventfd");
-        let (mut keeper, _) = Keeper::start(path, 1000.0, waker).expect("opened");
+        let (mut keeper, _) = StateWriter::start(path, 1000.0, waker).expect("opened");
         let learnt = nodes.listed().map(|(record, _)| CapacitySnapshot {
             node: record.node,
             capacity: 3.0,
@@ -410,7 +420,12 @@
             quickest: 0.1,
         });
         // Before it has read a list it lets go of nothing.
-        keeper.keep(1000.0, Version(7), &Nodes::default(), std::iter::empty());
+        keeper.keep(
+            1000.0,
+            Version(7),
+            &EndpointList::default(),
+            std::iter::empty(),
+        );
         keeper.keep(1000.0, Version(7), nodes, learnt);
         drop(keeper);
         Store::look(path).expect("there").0
@@ -432,7 +447,7 @@
             (listed(&third, 1000.0).count(), learnt(&third).count()),
             (3, 3)
         );
-        let mut found = Found::default();
+        let mut found = RecoveredState::default();
         recall(&third, 1000.0, &mut found);
         assert_eq!(
             found.list.map(|list| (list.version, list.records.len())),
--- a/crates/controller/src/streams.rs
+++ b/crates/controller/src/streams.rs
@@ -268,7 +268,7 @@
             }
         }
         if let Some(report) = loads::report(&request) {
-            told.push(Observation::Report { stream: id, report });
+            told.push(Observation::LoadReport { stream: id, report });
         }
     }
 
--- a/crates/discovery/src/content.rs
+++ b/crates/discovery/src/content.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 use std::sync::Arc;
-use wheelspread_controller_core::book::{BundleId, Version};
+use wheelspread_controller_core::publication::{BundleId, Version};
 use xxhash_rust::xxh3::{xxh3_128, Xxh3};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/discovery/src/front.rs
+++ b/crates/discovery/src/front.rs
@@ -9,8 +9,8 @@
 use std::sync::Arc;
 use wheelspread::ids::ProxyId;
 use wheelspread::time::{Moment, Span};
-use wheelspread_controller_core::book::{BundleId, Version};
 use wheelspread_controller_core::membership::StreamId;
+use wheelspread_controller_core::publication::{BundleId, Version};
 
 /// What the front costs at most.
 #[derive(Clone, Copy, Debug)]
--- a/crates/discovery/src/history.rs
+++ b/crates/discovery/src/history.rs
@@ -5,7 +5,7 @@
 use crate::content::{Checksum, Content, Kind, Name, Resource, Wanted};
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use wheelspread_controller_core::book::{BundleId, Version};
+use wheelspread_controller_core::publication::{BundleId, Version};
 
 /// What turns one version into another, for who asked for certain names.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/discovery/src/reader.rs
+++ b/crates/discovery/src/reader.rs
@@ -6,7 +6,7 @@
 use crate::receiver::{Delta, Receiver, Taken};
 use crate::stream::{Ask, Mode};
 use std::collections::BTreeMap;
-use wheelspread_controller_core::book::Version;
+use wheelspread_controller_core::publication::Version;
 
 #[derive(Clone, Debug)]
 pub struct Reader {
@@ -153,8 +153,8 @@
     use std::sync::Arc;
     use wheelspread::ids::ProxyId;
     use wheelspread::time::{Moment, Span};
-    use wheelspread_controller_core::book::BundleId;
     use wheelspread_controller_core::membership::StreamId;
+    use wheelspread_controller_core::publication::BundleId;
 
     fn content(version: u64, line: &str) -> Arc<Content> {
         let mut content = Content::new(BundleId(0), Version(version));
--- a/crates/discovery/src/stream.rs
+++ b/crates/discovery/src/stream.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use wheelspread::ring::Ring;
 use wheelspread::time::{Moment, Span};
-use wheelspread_controller_core::book::Version;
+use wheelspread_controller_core::publication::Version;
 
 /// A request, as far as it matters here.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/discovery/src/verdict.rs
+++ b/crates/discovery/src/verdict.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use wheelspread::ids::ProxyId;
 use wheelspread::time::{Moment, Span};
-use wheelspread_controller_core::book::{BundleId, Version};
+use wheelspread_controller_core::publication::{BundleId, Version};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
--- a/crates/discovery/tests/streams.rs
+++ b/crates/discovery/tests/streams.rs
@@ -6,8 +6,8 @@
 use test_case::test_case;
 use wheelspread::ids::ProxyId;
 use wheelspread::time::{Moment, Span};
-use wheelspread_controller_core::book::{BundleId, Version};
 use wheelspread_controller_core::membership::StreamId;
+use wheelspread_controller_core::publication::{BundleId, Version};
 use wheelspread_discovery::receiver::Delta;
 use wheelspread_discovery::{
     Answer, Ask, Content, Front, Kind, Mode, News, Plan, Receiver, Taken, Verdict, Verdicts,
--- a/crates/drill/src/even.rs
+++ b/crates/drill/src/even.rs
@@ -6,7 +6,9 @@
 use std::net::SocketAddrV4;
 use wheelspread::ids::{NodeId, OperationId, TableId};
 use wheelspread::RetryPolicy;
-use wheelspread_controller_core::book::{BundleId, Line, OperationTable, TableSet, Version};
+use wheelspread_controller_core::publication::{
+    BundleId, OperationTable, TableEntry, TableSet, Version,
+};
 use wheelspread_files::swap::Swap;
 use wheelspread_files::Root;
 use wheelspread_xds::tables;
@@ -93,7 +95,7 @@
                     .filter(|node| !operation.stays_in_zone || node.zone == *zone);
                 let open =
                     open.filter(|node| (!flood || node.cold || operation.stays_in_zone) && !empty);
-                let line = |node: &&ListedNode| Line {
+                let line = |node: &&ListedNode| TableEntry {
                     node: NodeId {
                         address: node.address.ip().octets(),
                         port: node.address.port(),
--- a/crates/drill/src/gateways.rs
+++ b/crates/drill/src/gateways.rs
@@ -12,7 +12,7 @@
 use wheelspread::ids::NodeId;
 use wheelspread::time::{Moment, Span};
 use wheelspread_controller_core::deployment::Repeat;
-use wheelspread_controller_core::nodes::show;
+use wheelspread_controller_core::endpoint_list::show;
 use wheelspread_files::Held;
 use wheelspread_proxy::witness::Outcome;
 use wheelspread_proxy::{ConductorSide, Proxy, ProxyPlan, Reads, Waits, Witness};
@@ -237,7 +237,7 @@
 }
 
 pub fn lines(held: &Held) -> Lines {
-    let line = |line: &wheelspread_controller_core::Line| (show(line.node), line.weight);
+    let line = |line: &wheelspread_controller_core::TableEntry| (show(line.node), line.weight);
     let of = |told: &wheelspread_xds::tables::OperationOrders| {
         (
             told.operation.clone(),
--- a/crates/drill/src/run.rs
+++ b/crates/drill/src/run.rs
@@ -23,8 +23,8 @@
 use wheelspread::ids::NodeId;
 use wheelspread::pcg::Pcg;
 use wheelspread::time::{Moment, Span};
-use wheelspread_controller_core::nodes::{NodeList, NodeRecord};
-use wheelspread_controller_core::spans;
+use wheelspread_controller_core::endpoint_list::{EndpointRecord, EndpointSnapshot};
+use wheelspread_controller_core::span_format;
 use wheelspread_drain::{Outcome, Word};
 use wheelspread_files::{swap, Root};
 use wheelspread_fleet::{drain_order, Fleet, Line, Request};
@@ -109,7 +109,7 @@
     Vanish(Vec<usize>),
     Return(Vec<usize>),
     ListDelay(Span),
-    Publish(NodeList, Vec<ListedNode>),
+    Publish(EndpointSnapshot, Vec<ListedNode>),
     KillConductors(Vec<usize>),
     StartConductors(Vec<usize>),
     Pace {
@@ -330,13 +330,13 @@
         }
     }
 
-    fn list(&mut self) -> (NodeList, Vec<ListedNode>) {
+    fn list(&mut self) -> (EndpointSnapshot, Vec<ListedNode>) {
         self.list_version += 1;
         let (now, wall) = (reactor::now(), reactor::wall());
         let listed: Vec<&FleetNode> = self.fleet.iter().filter(|node| !node.gone).collect();
         let record = |node: &&FleetNode| {
             let started = ((wall - (now - node.started).seconds()) * 1e3).round() / 1e3;
-            NodeRecord {
+            EndpointRecord {
                 node: NodeId {
                     address: node.address.ip().octets(),
                     port: node.address.port(),
@@ -349,7 +349,7 @@
                 started: Some((format!("{started}"), now - node.started)),
             }
         };
-        let list = NodeList {
+        let list = EndpointSnapshot {
             version: self.list_version.to_string(),
             records: listed.iter().map(record).collect(),
         };
@@ -369,13 +369,13 @@
         self.at(reactor::now() + self.list_delay, Step::Publish(list, plain));
     }
 
-    fn publish(&mut self, list: &NodeList, plain: &[ListedNode]) -> Result<(), DrillError> {
+    fn publish(&mut self, list: &EndpointSnapshot, plain: &[ListedNode]) -> Result<(), DrillError> {
         let text = wheelspread_xds::nodes::write(list)
             .map_err(|error| DrillError::NotReady(format!("the list of nodes: {error}")))?;
         let now = reactor::now();
         let zones = &self.script.deployment.zones;
         let wall = reactor::wall();
-        let listed = |record: &NodeRecord| {
+        let listed = |record: &EndpointRecord| {
             let started: f64 = record
                 .started
                 .as_ref()
@@ -389,7 +389,10 @@
                 draining: record.draining,
                 started: self.recorder.at(now) - (wall - started),
             };
-            (wheelspread_controller_core::nodes::show(record.node), seen)
+            (
+                wheelspread_controller_core::endpoint_list::show(record.node),
+                seen,
+            )
         };
         let nodes: BTreeMap<String, Listed> = list.records.iter().map(listed).collect();
         for (conductor, side) in self.sides.iter().enumerate() {
@@ -1416,7 +1419,7 @@
             })
             .collect();
         line(format!("troubles: {}", troubles.join(", ")));
-        let seconds = |span: f64| spans::write(Span::from_seconds(span));
+        let seconds = |span: f64| span_format::write(Span::from_seconds(span));
         if let (Some(middle), Some(last)) = (
             self.drain_orders_s.get(self.drain_orders_s.len() / 2),
             self.drain_orders_s.last(),
--- a/crates/drill/src/script.rs
+++ b/crates/drill/src/script.rs
@@ -5,7 +5,7 @@
 use serde_json::Value;
 use std::path::Path;
 use wheelspread::time::Span;
-use wheelspread_controller_core::{spans, Deployment};
+use wheelspread_controller_core::{span_format, Deployment};
 
 pub const BUILT_IN: &str = include_str!("../days/bad-day.yaml");
 
@@ -42,9 +42,9 @@
 #[serde(deny_unknown_fields)]
 pub struct Trouble {
     pub kind: TroubleKind,
-    #[serde(with = "spans")]
+    #[serde(with = "span_format")]
     pub at: Span,
-    #[serde(default = "moment", rename = "for", with = "spans")]
+    #[serde(default = "moment", rename = "for", with = "span_format")]
     pub span: Span,
     /// Of those that it can strike.
     #[serde(default = "one")]
@@ -98,7 +98,7 @@
     pub name: String,
     pub share: f64,
     /// Mean work, at a core of speed 1.
-    #[serde(with = "spans")]
+    #[serde(with = "span_format")]
     pub work: Span,
 }
 
@@ -120,14 +120,14 @@
 #[serde(deny_unknown_fields)]
 pub struct Script {
     pub name: String,
-    #[serde(with = "spans")]
+    #[serde(with = "span_format")]
     pub length: Span,
     pub gateways: usize,
     pub nodes: NodePlan,
     pub traffic: TrafficPlan,
     pub deployment: Deployment,
     /// How late the list of nodes is.
-    #[serde(default = "list_delay", with = "spans")]
+    #[serde(default = "list_delay", with = "span_format")]
     pub list_delay: Span,
     #[serde(default)]
     pub troubles: Vec<Trouble>,
--- a/crates/files/src/lib.rs
+++ b/crates/files/src/lib.rs
@@ -19,7 +19,7 @@
 pub use writer::{Done, Job, Writer};
 
 use std::path::{Path, PathBuf};
-use wheelspread_controller_core::book::Version;
+use wheelspread_controller_core::publication::Version;
 
 pub const EDS: &str = "eds.json";
 pub const RDS: &str = "rds.json";
--- a/crates/files/src/read.rs
+++ b/crates/files/src/read.rs
@@ -4,7 +4,7 @@
 use sha2::{Digest, Sha256};
 use std::io::{self, Read};
 use std::path::{Path, PathBuf};
-use wheelspread_controller_core::book::Version;
+use wheelspread_controller_core::publication::Version;
 use wheelspread_xds::tables::{self, Documents, Orders};
 use wheelspread_xds::Unreadable;
 
--- a/crates/files/src/scan.rs
+++ b/crates/files/src/scan.rs
@@ -5,13 +5,13 @@
 use std::fs;
 use std::io;
 use std::path::Path;
-use wheelspread_controller_core::session::Found;
+use wheelspread_controller_core::controller_core::RecoveredState;
 use wheelspread_controller_core::Deployment;
 use wheelspread_xds::tables;
 
 #[derive(Debug, Default)]
 pub struct Scan {
-    pub found: Found,
+    pub found: RecoveredState,
     /// What could not be read, named; it is left where it is.
     pub unreadable: Vec<String>,
     pub leftovers: usize,
--- a/crates/files/src/swap.rs
+++ b/crates/files/src/swap.rs
@@ -5,7 +5,7 @@
 use std::fs::{self, File};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
-use wheelspread_controller_core::book::Version;
+use wheelspread_controller_core::publication::Version;
 use wheelspread_faults::reached;
 use wheelspread_xds::tables::Documents;
 
--- a/crates/files/src/writer.rs
+++ b/crates/files/src/writer.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::thread::JoinHandle;
 use std::time::Duration;
-use wheelspread_controller_core::book::{TableSet, Version};
+use wheelspread_controller_core::publication::{TableSet, Version};
 use wheelspread_controller_core::Deployment;
 use wheelspread_reactor::Waker;
 use wheelspread_xds::tables::{self, Documents};
--- a/crates/files/src/writer/tests.rs
+++ b/crates/files/src/writer/tests.rs
@@ -7,7 +7,7 @@
 use test_case::test_case;
 use wheelspread::ids::{NodeId, OperationId, TableId};
 use wheelspread::RetryPolicy;
-use wheelspread_controller_core::book::{BundleId, Line, OperationTable};
+use wheelspread_controller_core::publication::{BundleId, OperationTable, TableEntry};
 use wheelspread_reactor::{Poll, Token};
 
 const PLAN: &str = r#"{
@@ -23,7 +23,7 @@
 
 /// As many nodes as its version, so that a mix of two would show.
 fn set(version: u64) -> TableSet {
-    let line = |at: u64| Line {
+    let line = |at: u64| TableEntry {
         node: NodeId {
             address: [127, 0, 0, 1],
             port: 9000 + at as u16,
--- a/crates/fleet/src/file.rs
+++ b/crates/fleet/src/file.rs
@@ -9,7 +9,7 @@
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
 use wheelspread::time::Span;
-use wheelspread_controller_core::spans;
+use wheelspread_controller_core::span_format;
 use wheelspread_grpc::tls::{plain_client, KeyFiles};
 
 /// One conductor: its root of tables on this machine, or its port.
@@ -48,10 +48,10 @@
     #[serde(default)]
     pub tls: Option<FleetKeys>,
     /// For a complete answer.
-    #[serde(default = "two_seconds", with = "spans")]
+    #[serde(default = "two_seconds", with = "span_format")]
     pub within: Span,
     /// For an order to be told everywhere, again and again.
-    #[serde(default = "ten_seconds", with = "spans")]
+    #[serde(default = "ten_seconds", with = "span_format")]
     pub order_within: Span,
 }
 
--- a/crates/import/src/pools.rs
+++ b/crates/import/src/pools.rs
@@ -8,7 +8,7 @@
 use wheelspread::ids::NodeId;
 use wheelspread::time::Span;
 use wheelspread_controller_core::deployment::Repeat;
-use wheelspread_controller_core::spans;
+use wheelspread_controller_core::span_format;
 
 /// What became of a directive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
@@ -601,12 +601,12 @@
                  billed_value: 1  # look\n      repeat: {repeat}  # look\n",
                 operation.name,
                 operation.location.replace(['\n', '\r'], " "),
-                spans::write(objective),
-                spans::write(timeout),
+                span_format::write(objective),
+                span_format::write(timeout),
             ));
         }
         let idle = self.connection_idle.map_or(String::new(), |idle| {
-            format!(", connection_idle: {}", spans::write(idle))
+            format!(", connection_idle: {}", span_format::write(idle))
         });
         text.push_str(&format!(
             "  proxies: {{count: 4, errors_until_avoided: {}{idle}, usual_rate: 10}}  # look\n  \
--- a/crates/proxy-core/src/core.rs
+++ b/crates/proxy-core/src/core.rs
@@ -11,7 +11,7 @@
 use wheelspread::pcg::Pcg;
 use wheelspread::time::{Moment, Span};
 use wheelspread::RetryPolicy;
-use wheelspread_controller_core::sums::Report;
+use wheelspread_controller_core::load_report::LoadReport;
 
 /// An invocation under way. Numbers are used again, the second part tells uses apart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -535,7 +535,7 @@
             .min()
     }
 
-    pub fn report(&mut self, now: Moment) -> Option<Report> {
+    pub fn report(&mut self, now: Moment) -> Option<LoadReport> {
         self.tally.report(now, &self.open)
     }
 
--- a/crates/proxy-core/src/tally.rs
+++ b/crates/proxy-core/src/tally.rs
@@ -4,7 +4,9 @@
 use std::collections::BTreeMap;
 use wheelspread::ids::{NodeId, OperationId};
 use wheelspread::time::{Moment, Span};
-use wheelspread_controller_core::sums::{Metric, NodeReport, OperationReport, Report, LATENCY};
+use wheelspread_controller_core::load_report::{
+    LoadReport, Metric, NodeReport, OperationReport, LATENCY,
+};
 
 #[derive(Clone, Debug, Default)]
 struct Met {
@@ -95,7 +97,7 @@
         &mut self,
         now: Moment,
         in_progress: &BTreeMap<(OperationId, NodeId), u64>,
-    ) -> Option<Report> {
+    ) -> Option<LoadReport> {
         let over = now - self.since;
         if over <= Span::ZERO {
             return None;
@@ -141,7 +143,7 @@
                 nodes: of.nodes.into_iter().map(node).collect(),
             });
         }
-        Some(Report {
+        Some(LoadReport {
             over,
             operations: reports,
         })
--- a/crates/proxy/src/file.rs
+++ b/crates/proxy/src/file.rs
@@ -7,7 +7,7 @@
 use wheelspread::time::Span;
 use wheelspread_controller_core::deployment::Repeat;
 use wheelspread_controller_core::membership::Introduction;
-use wheelspread_controller_core::spans;
+use wheelspread_controller_core::span_format;
 use wheelspread_proxy_core::{CorePlan, Guard, OperationRules, Picking};
 
 #[derive(Clone, Debug, Deserialize)]
@@ -49,10 +49,10 @@
 #[serde(deny_unknown_fields)]
 struct Operation {
     name: String,
-    #[serde(with = "spans")]
+    #[serde(with = "span_format")]
     integration_timeout: Span,
     repeat: Repeat,
-    #[serde(default = "none", with = "spans")]
+    #[serde(default = "none", with = "span_format")]
     repeat_window: Span,
 }
 
@@ -73,7 +73,7 @@
 struct Avoid {
     /// Failures in a row of its own tries at a node; 0: it avoids none.
     after_errors: u32,
-    #[serde(with = "spans")]
+    #[serde(with = "span_format")]
     span: Span,
 }
 
@@ -131,19 +131,19 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Waits {
     /// For a connection to a node.
-    #[serde(with = "spans")]
+    #[serde(with = "span_format")]
     pub connect: Span,
     /// For the rest of a request that has begun.
-    #[serde(with = "spans")]
+    #[serde(with = "span_format")]
     pub request: Span,
     /// For a client's next request.
-    #[serde(with = "spans")]
+    #[serde(with = "span_format")]
     pub client_idle: Span,
     /// Before a connection to a node that nobody uses is closed.
-    #[serde(with = "spans")]
+    #[serde(with = "span_format")]
     pub node_idle: Span,
     /// Between two attempts to reach a conductor.
-    #[serde(with = "spans")]
+    #[serde(with = "span_format")]
     pub redial: Span,
 }
 
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -257,7 +257,7 @@
             let Some(operation) = self.core.operation(&told.operation) else {
                 continue;
             };
-            let line = |line: &wheelspread_controller_core::Line| {
+            let line = |line: &wheelspread_controller_core::TableEntry| {
                 (line.node, (line.weight * THOUSANDTHS).round() as u32)
             };
             let order = Orders {
--- a/crates/proxy/src/reports.rs
+++ b/crates/proxy/src/reports.rs
@@ -6,8 +6,8 @@
 use std::net::{Ipv4Addr, SocketAddrV4, TcpStream};
 use std::time::SystemTime;
 use wheelspread::time::{Moment, Span};
+use wheelspread_controller_core::load_report::{LoadReport, NodeReport};
 use wheelspread_controller_core::membership::Introduction;
-use wheelspread_controller_core::sums::{NodeReport, Report};
 use wheelspread_grpc::{ClientConnection, ClientEvent};
 use wheelspread_proxy_core::dial::Dial;
 use wheelspread_reactor::{self as reactor, Interest, Poll, Token};
@@ -69,7 +69,7 @@
         &mut self,
         poll: &Poll,
         now: Moment,
-        report: impl FnOnce() -> Option<Report>,
+        report: impl FnOnce() -> Option<LoadReport>,
     ) -> Vec<Told> {
         if let Some(side) = self.dial.due(now) {
             self.dial(poll, now, side);
--- a/crates/proxy/src/tables.rs
+++ b/crates/proxy/src/tables.rs
@@ -4,7 +4,7 @@
 use std::io;
 use std::path::PathBuf;
 use std::time::{Duration, SystemTime};
-use wheelspread_controller_core::book::Version;
+use wheelspread_controller_core::publication::Version;
 use wheelspread_files::{read_tables, swap, Held, Root, CURRENT};
 use wheelspread_reactor::{Moved, Poll, Token, Watcher};
 use wheelspread_xds::status::{self, Status};
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -9,7 +9,7 @@
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
-pub use wheelspread_config_transaction::{Commit, Kept};
+pub use wheelspread_config_transaction::{Commit, PersistedState};
 use wheelspread_faults::reached;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -54,7 +54,7 @@
 pub struct Store {
     path: PathBuf,
     file: File,
-    kept: Kept,
+    kept: PersistedState,
     /// Up to where it is sound.
     length: u64,
     /// How long it was when it was last one commit.
@@ -63,14 +63,14 @@
 
 /// What was read of a file: commits, up to where they are sound, and whether the rest is a torn tail.
 struct Reading {
-    kept: Kept,
+    kept: PersistedState,
     sound: usize,
     torn: bool,
 }
 
 fn read(bytes: &[u8], from: usize) -> Reading {
     let mut reading = Reading {
-        kept: Kept::default(),
+        kept: PersistedState::default(),
         sound: from,
         torn: false,
     };
@@ -168,7 +168,7 @@
             let store = Store {
                 path: path.to_path_buf(),
                 file,
-                kept: Kept::default(),
+                kept: PersistedState::default(),
                 length: begun.len() as u64,
                 compacted: 0,
             };
@@ -235,7 +235,7 @@
     }
 
     /// Reads a file and mends nothing: what it keeps, up to which byte it is sound, and how many it has.
-    pub fn look(path: &Path) -> Result<(Kept, u64, u64), StoreError> {
+    pub fn look(path: &Path) -> Result<(PersistedState, u64, u64), StoreError> {
         let bytes = std::fs::read(path).map_err(|source| StoreError::Disk {
             path: path.to_path_buf(),
             source,
@@ -247,7 +247,7 @@
         Ok((reading.kept, sound, bytes.len() as u64))
     }
 
-    pub fn kept(&self) -> &Kept {
+    pub fn kept(&self) -> &PersistedState {
         &self.kept
     }
 
--- a/crates/xds/src/discovery.rs
+++ b/crates/xds/src/discovery.rs
@@ -6,8 +6,8 @@
 use crate::tables;
 use crate::{content, Unreadable};
 use prost::{Message, Name};
-use wheelspread_controller_core::book::{TableSet, Version};
 use wheelspread_controller_core::membership::Introduction;
+use wheelspread_controller_core::publication::{TableSet, Version};
 use wheelspread_controller_core::Deployment;
 use wheelspread_discovery::receiver::Delta;
 use wheelspread_discovery::{Answer, Ask, Checksum, Content, Kind, Mode};
@@ -109,7 +109,7 @@
                     &line.host_identifier
                 {
                     if let Ok(node) = crate::node_id(host.address.as_ref()) {
-                        let node = wheelspread_controller_core::nodes::show(node);
+                        let node = wheelspread_controller_core::endpoint_list::show(node);
                         made.put(
                             Kind::Lines,
                             &format!("{LINE}{name}/{zone}/{node}"),
@@ -166,7 +166,7 @@
             };
             let place = core::Locality {
                 sub_zone: address
-                    .map(wheelspread_controller_core::nodes::show)
+                    .map(wheelspread_controller_core::endpoint_list::show)
                     .unwrap_or_default(),
                 ..locality.locality.clone().unwrap_or_default()
             };
--- a/crates/xds/src/loads.rs
+++ b/crates/xds/src/loads.rs
@@ -5,8 +5,8 @@
 use prost::Message;
 use std::collections::BTreeMap;
 use wheelspread::time::Span;
+use wheelspread_controller_core::load_report::{LoadReport, Metric, NodeReport, OperationReport};
 use wheelspread_controller_core::membership::Introduction;
-use wheelspread_controller_core::sums::{Metric, NodeReport, OperationReport, Report};
 use xds_api::pb::envoy::config::core::v3 as core;
 use xds_api::pb::envoy::config::endpoint::v3 as endpoint;
 use xds_api::pb::envoy::service::load_stats::v3::{LoadStatsRequest, LoadStatsResponse};
@@ -101,13 +101,13 @@
 }
 
 /// What a request tells of; `None` if it only introduces.
-pub fn report(request: &LoadStatsRequest) -> Option<Report> {
+pub fn report(request: &LoadStatsRequest) -> Option<LoadReport> {
     let first = request.cluster_stats.first()?;
     let over = first.load_report_interval.as_ref();
     let over = over.map_or(0.0, |over| {
         over.seconds as f64 + f64::from(over.nanos) / 1e9
     });
-    Some(Report {
+    Some(LoadReport {
         over: Span::from_seconds(over),
         operations: request.cluster_stats.iter().map(operation).collect(),
     })
@@ -148,7 +148,7 @@
 }
 
 /// The request that brings a report.
-pub fn request(report: &Report, zone_of: impl Fn(&NodeReport) -> String) -> LoadStatsRequest {
+pub fn request(report: &LoadReport, zone_of: impl Fn(&NodeReport) -> String) -> LoadStatsRequest {
     let us = report.over.micros();
     let over = Duration {
         seconds: us / 1_000_000,
@@ -266,7 +266,7 @@
             let nodes: Vec<NodeReport> = nodes.iter().map(|n| node_report(n.0, n.1, n.2, n.3)).collect();
             let repeats = if nodes.is_empty() { 0 } else { repeats };
             let quote = OperationReport { operation: "quote".into(), rate_limited: 3, repeats, nodes };
-            let sent = Report { over: Span::from_seconds(us as f64 / 1e6), operations: vec![quote] };
+            let sent = LoadReport { over: Span::from_seconds(us as f64 / 1e6), operations: vec![quote] };
             let bytes = request(&sent, |_| "north".to_string()).encode_to_vec();
             prop_assert_eq!(report(&decode_request(&bytes).expect("decodes")), Some(sent));
         }
--- a/crates/xds/src/nodes.rs
+++ b/crates/xds/src/nodes.rs
@@ -6,7 +6,7 @@
 use crate::{address, content, node_id, Unreadable};
 use std::collections::BTreeMap;
 use wheelspread::time::Span;
-use wheelspread_controller_core::nodes::{NodeList, NodeRecord};
+use wheelspread_controller_core::endpoint_list::{EndpointRecord, EndpointSnapshot};
 use xds_api::pb::envoy::config::core::v3 as core;
 use xds_api::pb::envoy::config::endpoint::v3 as endpoint;
 use xds_api::pb::google::protobuf::{value::Kind, Struct, Value};
@@ -14,7 +14,7 @@
 pub const METADATA: &str = "envoy.lb";
 
 /// `wall` is the present time in seconds since 1970, to tell the ages of processes by.
-pub fn read(text: &str, wall: f64) -> Result<NodeList, Unreadable> {
+pub fn read(text: &str, wall: f64) -> Result<EndpointSnapshot, Unreadable> {
     let response: xds_api::pb::envoy::service::discovery::v3::DiscoveryResponse = json::read(text)?;
     let assignments: Vec<endpoint::ClusterLoadAssignment> = json::resources(&response)?;
     let mut records = BTreeMap::new();
@@ -43,13 +43,17 @@
             }
         }
     }
-    Ok(NodeList {
+    Ok(EndpointSnapshot {
         version: response.version_info,
         records: records.into_values().collect(),
     })
 }
 
-fn record(zone: &str, lb: &endpoint::LbEndpoint, wall: f64) -> Result<Option<NodeRecord>, String> {
+fn record(
+    zone: &str,
+    lb: &endpoint::LbEndpoint,
+    wall: f64,
+) -> Result<Option<EndpointRecord>, String> {
     let Some(endpoint::lb_endpoint::HostIdentifier::Endpoint(host)) = &lb.host_identifier else {
         return Err("an endpoint with an address is expected".to_string());
     };
@@ -95,7 +99,7 @@
         )),
         Some(_) => return Err("`started` in its metadata should be a number".to_string()),
     };
-    Ok(Some(NodeRecord {
+    Ok(Some(EndpointRecord {
         node,
         zone: zone.to_string(),
         kind: text("kind")?,
@@ -107,7 +111,7 @@
 }
 
 /// The document that `read` reads; `started` is told as it stands in the records.
-pub fn write(list: &NodeList) -> Result<String, Unreadable> {
+pub fn write(list: &EndpointSnapshot) -> Result<String, Unreadable> {
     let mut zones: BTreeMap<&str, Vec<endpoint::LbEndpoint>> = BTreeMap::new();
     for record in &list.records {
         let mut fields = BTreeMap::new();
--- a/crates/xds/src/status.rs
+++ b/crates/xds/src/status.rs
@@ -3,7 +3,7 @@
 
 use crate::{content, json, Unreadable};
 use prost::Name;
-use wheelspread_controller_core::book::Version;
+use wheelspread_controller_core::publication::Version;
 use xds_api::pb::envoy::admin::v3::{ClientResourceStatus, UpdateFailureState};
 use xds_api::pb::envoy::config::core::v3 as core;
 use xds_api::pb::envoy::config::endpoint::v3::ClusterLoadAssignment;
--- a/crates/xds/src/tables.rs
+++ b/crates/xds/src/tables.rs
@@ -9,8 +9,10 @@
 use wheelspread::ids::{OperationId, TableId};
 use wheelspread::time::Span;
 use wheelspread::RetryPolicy;
-use wheelspread_controller_core::book::{BundleId, Line, OperationTable, TableSet, Version};
 use wheelspread_controller_core::deployment::{Deployment, LevelForm};
+use wheelspread_controller_core::publication::{
+    BundleId, OperationTable, TableEntry, TableSet, Version,
+};
 use xds_api::pb::envoy::config::core::v3 as core;
 use xds_api::pb::envoy::config::endpoint::v3 as endpoint;
 use xds_api::pb::envoy::config::endpoint::v3::cluster_load_assignment::{
@@ -63,7 +65,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct OperationOrders {
     pub operation: String,
-    pub lines: Vec<Line>,
+    pub lines: Vec<TableEntry>,
     /// Of a million invocations, so many are turned away.
     pub dropped_of_million: u32,
     /// Invocations a second.
@@ -318,7 +320,7 @@
                 .load_balancing_weight
                 .as_ref()
                 .map_or(1, |weight| weight.value);
-            lines.push(Line {
+            lines.push(TableEntry {
                 node,
                 zone: zone.to_string(),
                 weight: f64::from(weight) / WEIGHT_UNIT,
@@ -450,7 +452,7 @@
     }
 
     fn set(quota: Option<f64>, retry: RetryPolicy, weights: &[f64]) -> TableSet {
-        let line = |(at, weight): (usize, &f64)| Line {
+        let line = |(at, weight): (usize, &f64)| TableEntry {
             node: NodeId {
                 address: [127, 0, 0, 1],
                 port: 9000 + at as u16,
@@ -458,7 +460,7 @@
             zone: "north".to_string(),
             weight: *weight,
         };
-        let lines: Vec<Line> = weights.iter().enumerate().map(line).collect();
+        let lines: Vec<TableEntry> = weights.iter().enumerate().map(line).collect();
         let table = |operation, lines, quota, retry| OperationTable {
             operation: OperationId(operation),
             table: TableId(3),
