--- a/crates/wheelspread/src/admission.rs
+++ b/crates/wheelspread/src/admission.rs
@@ -6,9 +6,9 @@
 //! serve; the easing factor follows the failures rather than the estimate.
 
 use crate::fleet::Fleet;
+use crate::fleet_load::{mean_utilization, measured_load, FleetLoad, LOAD_THRESHOLDS};
 use crate::ids::{OperationId, TableId, ZoneId};
 use crate::lifecycle::Node;
-use crate::outlier::Path;
 use crate::retry_policy::retry_policy;
 use crate::slow_start::warming_limit;
 use crate::tables::{AdmissionOrder, DemandClass, Table};
@@ -29,27 +29,6 @@
     of_recent_peak: 0.95,
 };
 
-/// Measured load, of 1, and what follows from it.
-struct LoadThresholds {
-    /// Cuts from there on.
-    strained: f64,
-    /// Calm below, after some report cycles.
-    calm: f64,
-    calm_cycles: f64,
-    /// Failures by attempts at busy nodes: with more, the fleet is overrun whatever else is measured.
-    failure_share: f64,
-    /// Report cycles over which those are counted.
-    failure_cycles: f64,
-}
-
-const LOAD_THRESHOLDS: LoadThresholds = LoadThresholds {
-    strained: 0.72,
-    calm: 0.6,
-    calm_cycles: 8.0,
-    failure_share: 0.06,
-    failure_cycles: 2.0,
-};
-
 /// How admission follows failures.
 struct Easing {
     /// Each cut, to what was aimed at before.
@@ -79,14 +58,6 @@
 const UNLIMITED_RATE: f64 = 1e6;
 const LEAST_RATE: f64 = 0.1;
 
-/// How busy the fleet is as a whole.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum FleetLoad {
-    Calm,
-    Usual,
-    Strained,
-}
-
 /// The admission ratios that were decided.
 #[derive(Clone, Debug)]
 pub(crate) struct Admission {
@@ -166,7 +137,7 @@
     }
 
     fn update_load(&mut self, fleet: &Fleet) {
-        let (now, cycle, load) = (fleet.now, fleet.timing.cycle(), fleet_load(fleet));
+        let (now, cycle, load) = (fleet.now, fleet.timing.cycle(), measured_load(fleet));
         if load < 1.0 {
             self.easing = (self.easing + EASING.recovery).min(1.0);
         } else if now - self.last_eased_at > cycle * EASING.cut_cycles {
@@ -230,44 +201,6 @@
     }
 }
 
-/// Mean utilization of all open nodes, by the attempts they get, of 1; full when many attempts fail at nodes that
-/// are busy or report nothing. Failures elsewhere are not the load's: to admit less mends none.
-fn fleet_load(fleet: &Fleet) -> f64 {
-    let buckets = fleet.timing.buckets(LOAD_THRESHOLDS.failure_cycles);
-    let (mut attempts, mut overrun) = (0.0, 0.0);
-    for (node, path) in open_paths(fleet) {
-        let recent = path.recent(fleet.now, buckets);
-        attempts += recent.attempts;
-        let utilization = fleet.capacity.utilization(node);
-        if utilization.is_none_or(|utilization| utilization >= LOAD_THRESHOLDS.calm) {
-            overrun += recent.failures;
-        }
-    }
-    if overrun > attempts * LOAD_THRESHOLDS.failure_share {
-        1.0
-    } else {
-        mean_utilization(fleet, |_| true)
-    }
-}
-
-fn mean_utilization(fleet: &Fleet, counts: impl Fn(&Node) -> bool) -> f64 {
-    let (mut sum, mut rates) = (0.0, 0.0);
-    for (node, path) in open_paths(fleet).filter(|(node, _)| counts(node)) {
-        if let Some(utilization) = fleet.capacity.utilization(node) {
-            let rate = path.attempt_rate().unwrap_or(0.0);
-            (sum, rates) = (sum + rate * utilization, rates + rate);
-        }
-    }
-    sum / rates.max(1e-6)
-}
-
-fn open_paths(fleet: &Fleet) -> impl Iterator<Item = (&Node, &Path)> {
-    fleet.outliers.paths().filter_map(|((id, _), path)| {
-        let node = fleet.nodes.get(id).filter(|node| node.is_open())?;
-        Some((node, path))
-    })
-}
-
 /// Where requests may not leave a zone whose nodes are strained: the ratio that these can serve.
 fn local_limit(fleet: &Fleet, table: &Table, demand: &BTreeMap<DemandClass, f64>) -> Option<f64> {
     let zone = table.zone();
--- a/crates/wheelspread/src/balancer.rs
+++ b/crates/wheelspread/src/balancer.rs
@@ -22,6 +22,7 @@
 };
 use crate::report_timing::REPORT_MEMORY;
 use crate::settings::Settings;
+use crate::shares::TableWeights;
 use crate::slow_start::limit_warming_entries;
 use crate::subset::divide_large_zones;
 use crate::tables::empty_demand;
@@ -121,23 +122,7 @@
                 self.fleet.members.on_left(*proxy, now)?;
                 self.pacing.on_left(*proxy);
             }
-            Event::NodeLoadReport {
-                zone,
-                node,
-                attempts,
-                failures,
-                mean_latency,
-                window,
-                metrics,
-            } => self.on_load_report(&LoadReport {
-                zone: *zone,
-                node: *node,
-                attempts: *attempts,
-                failures: *failures,
-                mean_latency: *mean_latency,
-                window: *window,
-                metrics,
-            })?,
+            Event::NodeLoadReport { .. } => self.on_load_report(event)?,
             Event::DemandReport {
                 proxy,
                 operation,
@@ -194,7 +179,10 @@
         self.is_publication_wanted = true;
     }
 
-    fn on_load_report(&mut self, report: &LoadReport) -> Result<(), EventError> {
+    fn on_load_report(&mut self, event: &Event) -> Result<(), EventError> {
+        let Some(report) = LoadReport::from_event(event) else {
+            return Ok(());
+        };
         let fleet = &mut self.fleet;
         let node = fleet
             .nodes
@@ -203,10 +191,10 @@
         fleet.timing.on_report(fleet.now, report.window);
         fleet.timing.on_load_report(fleet.now);
         node.load
-            .on_report(report, &fleet.config, fleet.timing.memory());
+            .on_report(&report, &fleet.config, fleet.timing.memory());
         fleet
             .outliers
-            .on_load_report(report, &fleet.timing, fleet.now);
+            .on_load_report(&report, &fleet.timing, fleet.now);
         fleet.capacity.on_load_report();
         Ok(())
     }
@@ -244,14 +232,21 @@
         self.update_estimates();
         divide_large_zones(&mut self.fleet);
         let targets = target_shares(&self.fleet);
+        self.publish(&targets, out);
+        self.send_gossip(out);
+    }
+
+    /// Publishes what cannot wait, and a step towards the targets where the pace allows one.
+    fn publish(&mut self, targets: &TableWeights, out: &mut Vec<Action>) {
+        let now = self.fleet.now;
         let mut draft = published_weights(&self.fleet);
-        apply_urgent_changes(&self.fleet, &targets, &mut draft);
+        apply_urgent_changes(&self.fleet, targets, &mut draft);
 
         let may_update = self.pacing.may_update(&self.fleet);
         let may_order = may_update && self.pacing.may_order(&self.fleet, self.is_step_wanted);
         let is_step = may_order && self.pacing.may_step(&self.fleet);
         if is_step {
-            let cut = plan_step(&self.fleet, &targets, &mut draft);
+            let cut = plan_step(&self.fleet, targets, &mut draft);
             self.admission.set_cut(cut);
             self.is_step_wanted = false;
         }
@@ -286,7 +281,6 @@
             is_step,
             out,
         );
-        self.send_gossip(out);
     }
 
     /// Whether a round is due, by its timer or because something cannot wait; sets the next timer.
--- a/crates/wheelspread/src/capacity.rs
+++ b/crates/wheelspread/src/capacity.rs
@@ -3,58 +3,18 @@
 //! Where nodes report utilization, capacity is what succeeds at full utilization. Where they don't, kinds of
 //! node and single nodes are compared by their latency, in small steps.
 
+mod learning;
+
+pub(crate) use learning::LearningInput;
+
 use crate::config::Config;
 use crate::ids::{KindId, NodeId};
 use crate::lifecycle::{Node, Nodes};
-use crate::report_timing::REPORT_MEMORY;
-use crate::time::{Moment, Span};
+use crate::time::Moment;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How capacity follows from load reports.
-struct Learning {
-    /// Report periods that the mean of the node's kind counts beside the node's own reports.
-    prior_periods: f64,
-    /// Attempts in a report that weigh as half a full period.
-    half_weight_attempts: f64,
-    /// Report periods that teach no capacity yet: the first reports speak of the time before.
-    first_periods_ignored: f64,
-    /// Least reported utilization that says something of capacity.
-    least_utilization: f64,
-    /// Each period, of a kind's distance in latency to the fleet.
-    kind_step: f64,
-    /// Each period, of a node's distance in latency to its kind.
-    node_step: f64,
-    /// Each period, of an estimate's distance to that of its kind.
-    return_step: f64,
-    /// Each period, of the fleet's distance to the rate that its latency suggests.
-    scale_step: f64,
-    /// Failures by attempts: with more, a node shows its queue and not its capacity.
-    failing_share: f64,
-    /// Failures by attempts, to those of the fleet: with more, the node itself is too slow.
-    failing_ratio: f64,
-    /// Latency objectives that a failure counts.
-    failure_objectives: f64,
-    /// Of the latency objective: while latency is below it, the rate counts as served well.
-    held_objective: f64,
-}
-
-const LEARNING: Learning = Learning {
-    prior_periods: 3.0,
-    half_weight_attempts: 3.0,
-    first_periods_ignored: 1.5,
-    least_utilization: 0.1,
-    kind_step: 0.22,
-    node_step: 0.12,
-    return_step: 0.02,
-    scale_step: 0.2,
-    failing_share: 0.25,
-    failing_ratio: 2.0,
-    failure_objectives: 1.0,
-    held_objective: 0.5,
-};
-
-/// Each period, the factor by which the quickest latency of a kind is forgotten.
-const QUICKEST_GROWTH: f64 = 1.003;
+/// Report periods that the mean of a node's kind counts beside the node's own reports.
+const PRIOR_PERIODS: f64 = 3.0;
 /// Of the evidence from before a restart.
 const RESTORED_EVIDENCE: f64 = 0.5;
 /// Utilization that is assumed before anything was reported.
@@ -143,40 +103,6 @@
     observed_peak: Option<f64>,
 }
 
-/// What a learning step goes by, beside the nodes.
-pub(crate) struct LearningInput {
-    /// Time constant of averages.
-    pub memory: Span,
-    /// The shortest latency objective, in seconds.
-    pub objective: f64,
-    /// Whether the fleet is overloaded: latency then tells of queues, not of speed.
-    pub is_strained: bool,
-    pub now: Moment,
-}
-
-/// Attempts and the latency that they add up to, over some nodes.
-#[derive(Clone, Copy, Default)]
-struct LatencySum {
-    /// Sum of attempts times the logarithm of the node's relative latency.
-    weighted: f64,
-    attempts: f64,
-}
-
-impl LatencySum {
-    fn mean(self) -> f64 {
-        self.weighted / self.attempts
-    }
-}
-
-/// The relative latencies of one learning step.
-struct LatencyComparison {
-    by_node: BTreeMap<NodeId, f64>,
-    by_kind: BTreeMap<KindId, LatencySum>,
-    fleet: LatencySum,
-    /// Failures by attempts, of the fleet.
-    failure_share: f64,
-}
-
 /// What is known of kinds of node, and of the fleet's latency.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CapacityModel {
@@ -271,8 +197,7 @@
         let prior = self.prior(node, config, now);
         let own = node.load.log_capacity().unwrap_or(prior.ln());
         let evidence = node.load.evidence();
-        let mixed = (own * evidence + prior.ln() * LEARNING.prior_periods)
-            / (evidence + LEARNING.prior_periods);
+        let mixed = (own * evidence + prior.ln() * PRIOR_PERIODS) / (evidence + PRIOR_PERIODS);
         mixed
             .exp()
             .clamp(prior * ESTIMATE_RANGE.least, prior * ESTIMATE_RANGE.most)
@@ -295,168 +220,11 @@
         (self.nominal_capacity(node) * node.capacity_share(config, now)).max(1e-3)
     }
 
-    /// Reads new load reports into the estimates. `rate_at` is what a node is seen to serve.
-    pub fn learn(
-        &mut self,
-        nodes: &mut Nodes,
-        config: &Config,
-        input: &LearningInput,
-        rate_at: impl Fn(NodeId) -> f64,
-    ) {
-        self.update_quickest(nodes);
-        let comparison = self.compare_latencies(nodes, input.objective);
-        for id in nodes.open_ids() {
-            let rate = rate_at(id);
-            self.learn_node(nodes, id, rate, config, input, &comparison);
-        }
-        self.scale_unreported(nodes, rate_at);
-    }
-
-    /// The shortest mean latency of each kind; forgotten slowly, as what all nodes depend on may change.
-    fn update_quickest(&mut self, nodes: &Nodes) {
-        let mut latencies: BTreeMap<KindId, Vec<f64>> = BTreeMap::new();
-        let known =
-            |node: &&Node| node.is_ready() && node.load.evidence() >= LEARNING.prior_periods;
-        for node in nodes.values().filter(known) {
-            let of_kind = latencies.entry(node.kind()).or_default();
-            of_kind.extend(node.load.latency());
-        }
-        for (kind, mut known) in latencies {
-            known.sort_by(f64::total_cmp);
-            if let Some(median) = known.get(known.len() / 2) {
-                let quickest = self.quickest.entry(kind).or_insert(*median);
-                *quickest = (*quickest * QUICKEST_GROWTH).min(*median);
-            }
-        }
-    }
-
-    fn compare_latencies(&self, nodes: &Nodes, objective: f64) -> LatencyComparison {
-        let relative = |node: &Node| {
-            let quickest = self.quickest.get(&node.kind()).copied();
-            let base = quickest.unwrap_or(objective).sqrt();
-            let new = node.load.unlearned();
-            let all = new.seconds + new.failures * objective * LEARNING.failure_objectives;
-            (all / new.attempts.max(1.0) / base).max(1e-6).ln()
-        };
-        let by_node: BTreeMap<NodeId, f64> = nodes
-            .iter()
-            .map(|(id, node)| (*id, relative(node)))
-            .collect();
-        let failures = nodes
-            .values()
-            .map(|node| node.load.unlearned().failures)
-            .sum::<f64>();
-        let attempts = nodes
-            .values()
-            .map(|node| node.load.unlearned().attempts)
-            .sum::<f64>();
-        let mut by_kind = BTreeMap::<KindId, LatencySum>::new();
-        let mut fleet = LatencySum::default();
-        for (id, node) in nodes.iter() {
-            let attempts = node.load.unlearned().attempts;
-            for sum in [by_kind.entry(node.kind()).or_default(), &mut fleet] {
-                sum.weighted += attempts * by_node[id];
-                sum.attempts += attempts;
-            }
-        }
-        LatencyComparison {
-            by_node,
-            by_kind,
-            fleet,
-            failure_share: failures / attempts.max(1.0),
-        }
-    }
-
-    /// Little evidence weighs little, and old evidence fades, so a node that gets next to nothing because it
-    /// was slow once is tried again.
-    fn learn_node(
-        &self,
-        nodes: &mut Nodes,
-        id: NodeId,
-        rate: f64,
-        config: &Config,
-        input: &LearningInput,
-        comparison: &LatencyComparison,
-    ) {
-        let utilization = self.utilization(&nodes[&id]);
-        let log_prior = self.prior(&nodes[&id], config, input.now).ln();
-        let Some(node) = nodes.get_mut(&id) else {
-            return;
-        };
-        let kind = node.kind();
-        let load = &mut node.load;
-        load.fade((-0.5 / REPORT_MEMORY.average_cycles).exp(), rate);
-        let (new, window) = load.take_unlearned();
-        if new.attempts <= 0.0 {
-            return;
-        }
-        let weight = new.attempts / (new.attempts + LEARNING.half_weight_attempts);
-        load.add_evidence(2.0 * weight);
-        // With no figure at all, as after a start in the middle of an overload, its queue must do. A node that
-        // fails far more than the fleet is itself too slow for what it gets, and must show that.
-        let failure_share = new.failures / new.attempts;
-        let shows_queue = failure_share > LEARNING.failing_share
-            && failure_share < comparison.failure_share * LEARNING.failing_ratio
-            && load.log_capacity().is_some();
-        match load.utilization().and(utilization) {
-            Some(busy)
-                if busy > LEARNING.least_utilization
-                    && rate > 0.0
-                    && load.evidence() > LEARNING.first_periods_ignored
-                    && !shows_queue =>
-            {
-                let covers = window * (2.0 * weight).min(1.0);
-                load.add_capacity((rate / busy).ln(), covers, input.memory);
-            }
-            Some(_) => {}
-            None => {
-                let old = load.log_capacity().unwrap_or(log_prior);
-                let latency = comparison.by_node[&id];
-                let step = comparison.step(kind, latency, weight, input.is_strained);
-                load.set_capacity(old + (step - LEARNING.return_step * (old - log_prior)));
-            }
-        }
-        let held = input.objective * LEARNING.held_objective;
-        if load.latency().is_some_and(|latency| latency < held) {
-            load.raise_peak_within_objective(rate);
-        }
-    }
-
-    /// Without utilization a node's estimate only compares it with the others; all of them together are held
-    /// against what the fleet serves and how much longer that takes than at its quickest.
-    fn scale_unreported(&self, nodes: &mut Nodes, rate_at: impl Fn(NodeId) -> f64) {
-        let (mut rates, mut busy, mut capacities) = (0.0, 0.0, 0.0);
-        let mut unreported = Vec::new();
-        for (id, node) in nodes.open() {
-            let figures = (
-                node.load.utilization(),
-                self.utilization(node),
-                node.load.log_capacity(),
-            );
-            if let (None, Some(utilization), Some(log_capacity)) = figures {
-                let rate = rate_at(*id);
-                (rates, busy) = (rates + rate, busy + rate * utilization);
-                capacities += log_capacity.exp();
-                unreported.push((*id, log_capacity));
-            }
-        }
-        if rates <= 0.0 || busy <= 0.0 {
-            return;
-        }
-        let ratio = (rates * rates / busy / capacities).max(1e-9);
-        let shift = LEARNING.scale_step * ratio.ln().clamp(-1.0, 1.0);
-        for (id, log_capacity) in unreported {
-            if let Some(node) = nodes.get_mut(&id) {
-                node.load.set_capacity(log_capacity + shift);
-            }
-        }
-    }
-
     /// Once a round: by kind, what a ready node serves and was seen to serve for each unit of listed weight.
     pub fn update_kind_means(&mut self, nodes: &Nodes, demand: f64) {
         let blind = demand.max(1.0) / ASSUMED_UTILIZATION / nodes.open_weight().max(1e-6);
         let estimate = |node: &Node| {
-            let known = node.load.evidence() > LEARNING.prior_periods;
+            let known = node.load.evidence() > PRIOR_PERIODS;
             node.load.log_capacity().filter(|_| known).map(f64::exp)
         };
         let peak = |node: &Node| Some(node.load.recent_peak()).filter(|peak| *peak > 0.0);
@@ -507,19 +275,6 @@
     }
 }
 
-impl LatencyComparison {
-    /// How far latency moves an estimate: a kind is told from others before a node is from its kind; under
-    /// strain by queues only.
-    fn step(&self, kind: KindId, latency: f64, weight: f64, is_strained: bool) -> f64 {
-        let kind_step = if is_strained { 0.0 } else { LEARNING.kind_step };
-        let own_kind = self.by_kind[&kind];
-        let apart = (self.fleet.mean() - own_kind.mean()).clamp(-1.0, 1.0) * own_kind.attempts
-            / (own_kind.attempts + LEARNING.half_weight_attempts);
-        let own = weight * (own_kind.mean() - latency).clamp(-1.0, 1.0);
-        kind_step * apart + LEARNING.node_step * own
-    }
-}
-
 /// The mean latency at some nodes (geometric, by what they serve).
 fn mean_latency(nodes: &Nodes, counts: impl Fn(&Node) -> bool) -> Option<f64> {
     let own = nodes.values().filter(|node| counts(node));
--- a/crates/wheelspread/src/error.rs
+++ b/crates/wheelspread/src/error.rs
@@ -1,7 +1,7 @@
 //! What can be wrong with the balancer's settings and events.
 
 use crate::ids::{NodeId, ProxyId};
-use crate::settings::SettingValue;
+use crate::setting_value::SettingValue;
 use thiserror::Error;
 
 /// The settings do not allow the balancer to start or to be reconfigured.
--- a/crates/wheelspread/src/membership.rs
+++ b/crates/wheelspread/src/membership.rs
@@ -16,7 +16,7 @@
 /// Buckets in which the message window is counted, and how many are kept: two more than the window has, so that
 /// a message counts until it is surely outside.
 const MESSAGE_BUCKETS: f64 = 20.0;
-const MESSAGE_BUCKETS_KEPT: usize = 22;
+const RETAINED_MESSAGE_BUCKETS: usize = 22;
 
 /// A proxy that has joined at some time.
 #[derive(Clone, Debug)]
@@ -114,7 +114,7 @@
     fn first_messages(&self, fresh: bool, config: &Config, now: Moment) -> RollingWindow<f64> {
         let window = config.message_window.max(Span::from_seconds(1.0));
         let bucket = window * (1.0 / MESSAGE_BUCKETS);
-        let mut messages = RollingWindow::new(bucket, MESSAGE_BUCKETS_KEPT);
+        let mut messages = RollingWindow::new(bucket, RETAINED_MESSAGE_BUCKETS);
         if !fresh && now - self.started_at < window {
             messages.add(
                 self.started_at,
--- a/crates/wheelspread/src/node_load.rs
+++ b/crates/wheelspread/src/node_load.rs
@@ -1,6 +1,7 @@
 //! What load reports say of one node.
 
 use crate::config::Config;
+use crate::event::Event;
 use crate::ids::{NodeId, ZoneId};
 use crate::rates::DecayingAverage;
 use crate::time::Span;
@@ -19,6 +20,31 @@
 }
 
 impl LoadReport<'_> {
+    /// The report in an event, if it is one.
+    pub fn from_event(event: &Event) -> Option<LoadReport<'_>> {
+        let Event::NodeLoadReport {
+            zone,
+            node,
+            attempts,
+            failures,
+            mean_latency,
+            window,
+            metrics,
+        } = event
+        else {
+            return None;
+        };
+        Some(LoadReport {
+            zone: *zone,
+            node: *node,
+            attempts: *attempts,
+            failures: *failures,
+            mean_latency: *mean_latency,
+            window: *window,
+            metrics,
+        })
+    }
+
     /// Attempts that succeeded.
     pub fn successes(&self) -> f64 {
         self.attempts - self.failures
--- a/crates/wheelspread/src/pacing.rs
+++ b/crates/wheelspread/src/pacing.rs
@@ -192,7 +192,7 @@
     }
 
     /// Entries that may be published now.
-    pub fn publication_room(&self, fleet: &Fleet) -> f64 {
+    pub fn publication_headroom(&self, fleet: &Fleet) -> f64 {
         let share = if fleet.members.unbound().is_empty() {
             QUEUE_SHARES.publication
         } else {
--- a/crates/wheelspread/src/publication.rs
+++ b/crates/wheelspread/src/publication.rs
@@ -4,6 +4,7 @@
 use crate::admission::Admission;
 use crate::fleet::Fleet;
 use crate::ids::{NodeId, OperationId, ProxyId, TableId};
+use crate::lifecycle::Node;
 use crate::pacing::Pacing;
 use crate::shares::{NodeWeights, TableWeights};
 use crate::tables::Table;
@@ -16,7 +17,7 @@
 /// To an admission limit: smaller changes are not sent.
 const LEAST_LIMIT_CHANGE: f64 = 0.04;
 /// Of what a table's target gives ready nodes: with less it is taken whole.
-const LEAST_KEPT: f64 = 0.35;
+const LEAST_REMAINING_SHARE: f64 = 0.35;
 
 /// How many entries of each table go out in this round, admission limits included.
 pub(crate) type ChangedEntries = BTreeMap<TableId, usize>;
@@ -39,12 +40,12 @@
     for (id, entries) in draft {
         let target = &targets[id];
         entries.retain(|node, _| fleet.nodes.is_open(node));
-        let is_ready = |node: &&NodeId| fleet.nodes.get(node).is_some_and(|node| node.is_ready());
+        let is_ready = |node: &&NodeId| fleet.nodes.get(node).is_some_and(Node::is_ready);
         let share = |node: &NodeId| target.get(node).copied().unwrap_or(0.0);
         let meant: f64 = target.keys().filter(is_ready).map(share).sum();
         let kept =
             |entries: &NodeWeights| -> f64 { entries.keys().filter(is_ready).map(share).sum() };
-        if entries.is_empty() || kept(entries) < meant * LEAST_KEPT {
+        if entries.is_empty() || kept(entries) < meant * LEAST_REMAINING_SHARE {
             let weights = target
                 .iter()
                 .map(|(node, share)| (*node, share * FIRST_WEIGHT_SUM));
@@ -61,7 +62,7 @@
 }
 
 /// Sends the entries by which `draft` differs from what stands, a weight only when it moved enough. Where the queue
-/// lacks room, entries that lose weight wait, lest a table run empty, but for what the rules demand.
+/// lacks headroom, entries that lose weight wait, lest a table run empty, but for what the rules demand.
 pub(crate) fn publish_weights(
     fleet: &mut Fleet,
     pacing: &Pacing,
@@ -69,7 +70,7 @@
     may_lower: bool,
     out: &mut Vec<Action>,
 ) -> ChangedEntries {
-    let mut room = pacing.publication_room(fleet);
+    let mut headroom = pacing.publication_headroom(fleet);
     let mut changed = ChangedEntries::new();
     for (id, goal) in draft {
         let Some(table) = fleet.tables.get(id) else {
@@ -79,7 +80,7 @@
         if changes.is_empty() {
             continue;
         }
-        keep_what_fits(fleet, table, &mut changes, &mut room);
+        keep_what_fits(fleet, table, &mut changes, &mut headroom);
         let Some(table) = fleet.tables.get_mut(id) else {
             continue;
         };
@@ -113,8 +114,13 @@
     nodes.into_iter().filter_map(change).collect()
 }
 
-/// Drops changes that the queue has no room for; takes the others off the room.
-fn keep_what_fits(fleet: &Fleet, table: &Table, changes: &mut Vec<EntryChange>, room: &mut f64) {
+/// Drops changes that the queue has no headroom for; takes the others off the headroom.
+fn keep_what_fits(
+    fleet: &Fleet,
+    table: &Table,
+    changes: &mut Vec<EntryChange>,
+    headroom: &mut f64,
+) {
     let users = fleet
         .proxies_of(table)
         .filter(|(_, proxy)| proxy.is_bound())
@@ -122,17 +128,17 @@
     let has_ready = table
         .entries
         .keys()
-        .any(|node| fleet.nodes.get(node).is_some_and(|node| node.is_ready()));
-    *room -= users * fleet.config.message_entries(0);
-    let is_tight = *room < users * changes.len() as f64 && has_ready;
+        .any(|node| fleet.nodes.get(node).is_some_and(Node::is_ready));
+    *headroom -= users * fleet.config.message_entries(0);
+    let is_tight = *headroom < users * changes.len() as f64 && has_ready;
     changes.retain(|change| {
         let gains = change.new > change.old;
         let lowers_warming = fleet.nodes.is_warming(&change.node) && change.new < change.old;
         let goes = !is_tight
             || !fleet.nodes.is_open(&change.node)
             || lowers_warming
-            || (gains && *room >= users);
-        *room -= if goes { users } else { 0.0 };
+            || (gains && *headroom >= users);
+        *headroom -= if goes { users } else { 0.0 };
         goes
     });
 }
--- a/crates/wheelspread/src/retry_policy.rs
+++ b/crates/wheelspread/src/retry_policy.rs
@@ -1,8 +1,8 @@
 //! When proxies may retry: after any failure only where a retry cannot take effect twice (rule 2).
 
 use crate::action::RetryPolicy;
-use crate::admission::FleetLoad;
 use crate::config::{Operation, RetrySafety};
+use crate::fleet_load::FleetLoad;
 
 /// The retry policy of an operation. Requests that may be retried are given up early, work is done twice only
 /// while nodes are calm; under strain any retry is load.
--- a/crates/wheelspread/src/settings.rs
+++ b/crates/wheelspread/src/settings.rs
@@ -2,19 +2,9 @@
 //! as in `operation.0.latency_objective`, and with their length under the list's own name.
 
 use crate::error::ConfigError;
+pub use crate::setting_value::SettingValue;
 use std::collections::BTreeMap;
 
-/// The value of one setting.
-#[derive(Clone, Debug, PartialEq)]
-pub enum SettingValue {
-    /// A number.
-    Number(f64),
-    /// A text.
-    Text(String),
-    /// Yes or no.
-    Flag(bool),
-}
-
 /// All settings, by name.
 #[derive(Clone, Debug, Default)]
 pub struct Settings(pub BTreeMap<String, SettingValue>);
--- a/crates/wheelspread/src/slow_start.rs
+++ b/crates/wheelspread/src/slow_start.rs
@@ -150,14 +150,14 @@
     }
 
     fn at(&self, node: NodeId, draft: &TableWeights) -> f64 {
-        let from_tables = draft
+        let loads = draft
             .iter()
-            .filter_map(|(table, entries)| self.from_table(node, *table, entries));
-        from_tables.sum::<f64>() * self.amplification
+            .filter_map(|(table, entries)| self.table_share(node, *table, entries));
+        loads.sum::<f64>() * self.amplification
     }
 
     /// Where proxies avoid what fails, the others' part comes to the entries that work: they count by that.
-    fn from_table(&self, node: NodeId, table: TableId, entries: &NodeWeights) -> Option<f64> {
+    fn table_share(&self, node: NodeId, table: TableId, entries: &NodeWeights) -> Option<f64> {
         let zone = self.fleet.tables[&table].zone();
         let own = self.traffic[&table] * entries.get(&node)?;
         let avoids = self.fleet.config.errors_until_avoided > 0.0;
--- a/crates/wheelspread/src/update_plan.rs
+++ b/crates/wheelspread/src/update_plan.rs
@@ -44,19 +44,19 @@
 struct LastResort {
     /// Of the load that a table moves: smaller greedy steps are not worth a message.
     least_shift: f64,
-    /// Of the load that a table moves: what an admission cut is to make room for.
-    wanted_room: f64,
+    /// Of the load that a table moves: what an admission cut is to make headroom for.
+    wanted_headroom: f64,
     /// Of a table's traffic: what is left after a cut, at least.
     least_admitted: f64,
 }
 
 const LAST_RESORT: LastResort = LastResort {
     least_shift: 0.01,
-    wanted_room: 0.1,
+    wanted_headroom: 0.1,
     least_admitted: 0.5,
 };
 
-/// What the last resort leaves of a table's traffic while a step has no room.
+/// What the last resort leaves of a table's traffic while a step has no headroom.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct AdmissionCut {
     pub table: TableId,
@@ -65,14 +65,14 @@
 }
 
 /// One step of the way from what `draft` says to `targets`, written into `draft`. Returns the admission cut that
-/// is needed while the step has no room.
+/// is needed while the step has no headroom.
 pub(crate) fn plan_step(
     fleet: &Fleet,
     targets: &TableWeights,
     draft: &mut TableWeights,
 ) -> Option<AdmissionCut> {
     let mut plan = Plan::new(fleet, targets, draft);
-    let moving = tables_worth_a_step(fleet, targets, draft);
+    let moving = tables_needing_a_step(fleet, targets, draft);
     plan.find_additions(&moving);
     let waits = plan.waits(&moving);
     let mut publish: BTreeMap<TableId, f64> = unblocked_tables(&waits);
@@ -230,7 +230,7 @@
         Shift { moved, tightest }
     }
 
-    /// Moves a part of the table that can shift most. With no room at all, the table that brings most to the
+    /// Moves a part of the table that can shift most. With no headroom at all, the table that brings most to the
     /// blocked node has its admission cut by the shortfall.
     fn greedy_step(
         &self,
@@ -252,7 +252,7 @@
             .keys()
             .max_by(|a, b| arriving(a).total_cmp(&arriving(b)))?;
         let traffic = fleet.admitted_rate(&fleet.tables[&largest]).max(1e-6);
-        let shortfall = LAST_RESORT.wanted_room * shift.moved - headroom;
+        let shortfall = LAST_RESORT.wanted_headroom * shift.moved - headroom;
         let admitted = (1.0 - shortfall / traffic).clamp(LAST_RESORT.least_admitted, 1.0);
         Some(AdmissionCut {
             table: largest,
@@ -303,19 +303,19 @@
         .collect()
 }
 
-fn tables_worth_a_step(
+fn tables_needing_a_step(
     fleet: &Fleet,
     targets: &TableWeights,
     draft: &TableWeights,
 ) -> Vec<TableId> {
     let tables = fleet.tables.keys().copied();
     tables
-        .filter(|id| is_worth_a_step(&draft[id], &targets[id]))
+        .filter(|id| needs_a_step(&draft[id], &targets[id]))
         .collect()
 }
 
-/// Whether an entry's move, or an entry more or less, is worth a step.
-fn is_worth_a_step(entries: &NodeWeights, target: &NodeWeights) -> bool {
+/// Whether an entry's move, or an entry more or less, is large enough for a step.
+fn needs_a_step(entries: &NodeWeights, target: &NodeWeights) -> bool {
     let published = shares(entries);
     let mean = 1.0 / target.len().max(1) as f64;
     target.keys().chain(published.keys()).any(|node| {
