--- /dev/null
+++ b/crates/wheelspread/src/balancer/tests/expectation.rs
@@ -0,0 +1,90 @@
+//! The expectations of scenarios.
+
+use super::stage::{node, number, proxy, table, zone, Stage};
+use crate::ids::{NodeId, ProxyId};
+use crate::shares::shares;
+
+fn is_within(value: f64, range: &str) -> bool {
+    let (low, high) = range.split_once("..").unwrap_or((range, range));
+    value >= number(low) - 1e-6 && value <= number(high) + 1e-6
+}
+
+impl Stage {
+    /// Whether an expectation holds.
+    pub fn meets(&self, words: &[&str]) -> bool {
+        match words {
+            [t, name, "absent"] => self.share(t, name).is_none(),
+            [t, name, "present"] => self.share(t, name).is_some(),
+            ["bound", p, t] => self.bound.contains(&(proxy(p), table(t))),
+            ["unbound", p] => !self.bound.iter().any(|(bound, _)| *bound == proxy(p)),
+            ["admission", t, o, range] => {
+                let order = self.admission.get(&(table(t).0, number(o) as u8));
+                is_within(order.map_or(1.0, |order| order.0), range)
+            }
+            ["retry", t, o, how] => {
+                let order = self.admission.get(&(table(t).0, number(o) as u8));
+                format!("{:?}", order.map(|order| order.1)) == format!("Some({how})")
+            }
+            ["cut", t, range] => self.balancer.as_ref().is_some_and(|balancer| {
+                let cut = balancer.admission.cut();
+                cut.is_some_and(|cut| cut.table == table(t) && is_within(cut.admitted, range))
+            }),
+            ["no", "cut"] => self
+                .balancer
+                .as_ref()
+                .is_some_and(|balancer| balancer.admission.cut().is_none()),
+            ["messages", p, "within", span, range] => {
+                let most = self.most_messages(proxy(p), number(span));
+                is_within(most as f64, range)
+            }
+            ["changes", "since", time, range] => {
+                let changed = self.changed.iter();
+                let count = changed.filter(|change| change.0 >= number(time)).count();
+                is_within(count as f64, range)
+            }
+            ["subsets", z, count] => self.used_tables(z) as f64 == number(count),
+            ["disjoint", t, u] => {
+                let shared = |name: &&NodeId| self.tables[&table(u)].contains_key(name);
+                self.tables[&table(t)].keys().filter(shared).count() <= 1 // one at the border
+            }
+            ["forgotten", name] => self.has_forgotten(node(name)),
+            ["error", rest @ ..] => self.error.contains(&rest.join(" ")),
+            ["no", "error"] => self.error.is_empty(),
+            [t, name, range] => is_within(self.share(t, name).unwrap_or(0.0), range),
+            other => panic!("unknown expectation {other:?}"),
+        }
+    }
+
+    fn share(&self, id: &str, name: &str) -> Option<f64> {
+        let entries = self.tables.get(&table(id)).cloned().unwrap_or_default();
+        shares(&entries).get(&node(name)).copied()
+    }
+
+    /// The most messages to a proxy within a time, in seconds.
+    fn most_messages(&self, id: ProxyId, span: f64) -> usize {
+        let own = self.messages.iter().filter(|message| message.1 == id);
+        let times: Vec<f64> = own.map(|message| message.0).collect();
+        let within = |from: &f64| {
+            let later = times.iter().filter(|time| *time >= from);
+            later.filter(|time| **time - from < span).count()
+        };
+        times.iter().map(within).max().unwrap_or(0)
+    }
+
+    fn used_tables(&self, in_zone: &str) -> usize {
+        let tables = self
+            .balancer
+            .iter()
+            .flat_map(|balancer| balancer.fleet.tables.values());
+        tables
+            .filter(|table| table.zone() == zone(in_zone) && !table.entries.is_empty())
+            .count()
+    }
+
+    fn has_forgotten(&self, id: NodeId) -> bool {
+        self.balancer.as_ref().is_some_and(|balancer| {
+            let fleet = &balancer.fleet;
+            !fleet.nodes.contains(&id) && !fleet.outliers.paths().any(|(key, _)| key.0 == id)
+        })
+    }
+}
