--- a/crates/wheelspread/tests/action_snapshot.rs
+++ b/crates/wheelspread/tests/action_snapshot.rs
@@ -58,7 +58,7 @@
 }
 
 fn settings(fleet: &Fleet) -> Settings {
-    let mut facts = Settings::default();
+    let mut settings = Settings::default();
     let common = [
         ("conductor.count", "1"),
         ("conductor.tick", "0.05"),
@@ -112,15 +112,15 @@
         .chain(counts.map(|(name, value)| (name.to_string(), value)))
         .chain(reports)
     {
-        let fact = match (value.parse::<f64>(), value.as_str()) {
+        let value = match (value.parse::<f64>(), value.as_str()) {
             (Ok(number), _) => SettingValue::Number(number),
             (_, "true") => SettingValue::Flag(true),
             (_, "false") => SettingValue::Flag(false),
             _ => SettingValue::Text(value),
         };
-        facts.0.insert(name, fact);
+        settings.0.insert(name, value);
     }
-    facts
+    settings
 }
 
 impl World {
@@ -446,7 +446,7 @@
         Action::SetAdmission {
             table,
             operations,
-            limit: quota,
+            limit,
             retry,
         } => {
             let table = table.map_or("all".to_string(), |table| format!("t{}", table.0));
@@ -457,29 +457,23 @@
                 RetryPolicy::TwiceOnAnyFailure => "twice",
             };
             format!(
-                "admit {table} {} {quota:?} {retry}",
+                "admit {table} {} {limit:?} {retry}",
                 describe_operations(operations)
             )
         }
-        Action::EjectNode { node, ejected: out } => {
-            format!("withdraw {} {out}", describe_node(node))
+        Action::EjectNode { node, ejected } => {
+            format!("withdraw {} {ejected}", describe_node(node))
         }
-        Action::SendMarker {
-            marker: mark,
-            to_all: everyone,
-        } => format!("marker {} {everyone}", mark.0),
+        Action::SendMarker { marker, to_all } => format!("marker {} {to_all}", marker.0),
         Action::ProbeNode { node } => format!("probe {}", describe_node(node)),
-        Action::SendGossip {
-            peer,
-            payload: bytes,
-        } => {
-            let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
+        Action::SendGossip { peer, payload } => {
+            let hex: String = payload.iter().map(|byte| format!("{byte:02x}")).collect();
             format!("gossip {:?} {hex}", peer.as_ref().map(|peer| peer.0))
         }
         Action::SetTimer { after, timer } => format!("timer {} {}", after.micros(), timer.0),
         Action::RequestEndpointList => "read list".to_string(),
-        Action::WatchEndpoints { enabled: on } => format!("watch {on}"),
-        Action::Log { message: text } => format!("log {text}"),
+        Action::WatchEndpoints { enabled } => format!("watch {enabled}"),
+        Action::Log { message } => format!("log {message}"),
     }
 }
 
