--- a/crates/platform-core/src/desk.rs
+++ b/crates/platform-core/src/controller_core.rs
@@ -4,7 +4,7 @@
 use crate::handshake::{effect, Effect, Party};
 use crate::membership::{List, Membership, SourceId};
 use crate::message::{self, Bounds, Message};
-use crate::table_store::{Kept, TableStore};
+use crate::publication::{Kept, TableStore};
 use crate::ConnectionId;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
--- a/crates/platform-core/src/lib.rs
+++ b/crates/platform-core/src/lib.rs
@@ -1,17 +1,17 @@
 //! One conductor between a platform's messages and the module, without I/O. `message` reads what comes,
-//! `handshake` says what a connection may say, `membership` knows nodes by name, `table_store` holds the module's tables
-//! and what each stream was told of them, and `desk` drives the module with all of it. Weights, levels,
+//! `handshake` says what a connection may say, `membership` knows nodes by name, `publication` holds the module's tables
+//! and what each stream was told of them, and `controller_core` drives the module with all of it. Weights, levels,
 //! health, repeats and pace are the module's; here its events and actions only change their form.
 
-mod desk;
+mod controller_core;
 mod handshake;
 mod membership;
 mod message;
-mod table_store;
+mod publication;
 #[cfg(test)]
 mod tests;
 
-pub use desk::{Desk, Out, Reply};
+pub use controller_core::{Desk, Out, Reply};
 pub use membership::{Entry, List, SourceId, WatchPlace, CONFIGURATION};
 pub use message::{load_of, BadMessage};
 
--- a/crates/platform-core/src/tests.rs
+++ b/crates/platform-core/src/tests.rs
@@ -17,7 +17,7 @@
 
 use crate::membership::Membership;
 use crate::message::{read, BadMessage, Bounds};
-use crate::table_store::{Kept, TableStore};
+use crate::publication::{Kept, TableStore};
 use crate::{ConnectionId, Desk, List, Out, Reply, SourceId, WatchPlace, CONFIGURATION};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
--- a/crates/platform/src/service.rs
+++ b/crates/platform/src/service.rs
@@ -1,10 +1,10 @@
 //! The loop: hears everything that is ready, settles once, and writes what follows.
 
 use crate::clock::Clock;
+use crate::close_reason::{Ending, LastLook};
+use crate::config::{BadFile, PlatformFile};
 use crate::connection::{Connection, Over};
-use crate::ending::{Ending, LastLook};
 use crate::exchange::Exchange;
-use crate::file::{BadFile, PlatformFile};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
 use std::net::{SocketAddrV4, TcpListener};
--- a/crates/wheelspread-adapter/src/main.rs
+++ b/crates/wheelspread-adapter/src/main.rs
@@ -1,15 +1,15 @@
 //! Hosts one module instance for each conductor and speaks the simulator's wire on standard input
 //! and output. Nothing is decided here.
 
-mod wire;
+mod decode;
 
+use decode::Record;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, Read, Write};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use wheelspread::time::Moment;
 use wheelspread::Action;
 use wheelspread::Balancer;
-use wire::Record;
 
 const HEADER: usize = 16;
 
@@ -27,14 +27,14 @@
 impl Reply {
     fn actions(&mut self, conductor: u16, actions: &[Action]) {
         for action in actions {
-            wire::write(conductor, action, &mut self.bytes);
+            decode::write(conductor, action, &mut self.bytes);
             self.count += 1;
         }
     }
 
     fn failure(&mut self, conductor: u16, text: &str) {
         eprintln!("conductor {conductor}: {text}");
-        wire::write_failure(conductor, text, &mut self.bytes);
+        decode::write_failure(conductor, text, &mut self.bytes);
         self.count += 1;
     }
 }
@@ -47,11 +47,11 @@
             count: 0,
             bytes: Vec::new(),
         };
-        let mut reader = wire::Reader::new(body);
+        let mut reader = decode::Reader::new(body);
         let mut touched = BTreeSet::new();
         for number in 0..count {
             let offset = reader.at;
-            match wire::record(&mut reader) {
+            match decode::record(&mut reader) {
                 Ok((conductor, record)) => {
                     if let Err(text) = self.record(now, conductor, record, &mut reply) {
                         eprintln!("record {number} at offset {offset}: {text}");
@@ -159,7 +159,7 @@
         if header.is_empty() {
             return Ok(());
         }
-        let mut fields = wire::Reader::new(&header);
+        let mut fields = decode::Reader::new(&header);
         let (Ok(size), Ok(clock), Ok(count)) = (fields.u32(), fields.f64(), fields.u32()) else {
             eprintln!(
                 "input ends inside a batch header, {} of {HEADER} bytes",
