--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -165,7 +165,7 @@
     log::start(&LogPlan::default());
     let service = match wheelspread_platform::Service::start(path) {
         Ok(service) => service,
-        Err(wheelspread_platform::NoStart::Told) => return ExitCode::SUCCESS,
+        Err(wheelspread_platform::StartError::Stopped) => return ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("{error}");
             return ExitCode::from(BAD_INPUT);
--- a/crates/cli/tests/common/platform.rs
+++ b/crates/cli/tests/common/platform.rs
@@ -12,7 +12,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread::sleep;
 use std::time::{Duration, Instant};
-use wheelspread_resp::{write, Limits, Reader};
+use wheelspread_resp::{encode, Decoder, Limits};
 
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_wheelspread");
 pub const PATIENCE: Duration = Duration::from_secs(10);
@@ -106,7 +106,7 @@
 /// A connection to the conductor.
 pub struct Party {
     pub stream: TcpStream,
-    pub reader: Reader,
+    pub decoder: Decoder,
 }
 
 impl Party {
@@ -117,8 +117,8 @@
             .expect("a stream");
         Party {
             stream,
-            reader: Reader::new(Limits {
-                message: 1 << 20,
+            decoder: Decoder::new(Limits {
+                message_bytes: 1 << 20,
                 strings: 64,
             }),
         }
@@ -126,7 +126,7 @@
 
     pub fn say(&mut self, text: &str) {
         let mut bytes = Vec::new();
-        write(&text.split(' ').collect::<Vec<_>>(), &mut bytes);
+        encode(&text.split(' ').collect::<Vec<_>>(), &mut bytes);
         // In pieces, as a network may bring them.
         bytes
             .chunks(7)
@@ -138,7 +138,7 @@
         let begin = Instant::now();
         let mut room = [0; 4096];
         loop {
-            if let Some(strings) = self.reader.message().expect("messages") {
+            if let Some(strings) = self.decoder.next_message().expect("messages") {
                 let words: Vec<_> = strings
                     .iter()
                     .map(|string| String::from_utf8_lossy(string))
@@ -151,7 +151,7 @@
             );
             match self.stream.read(&mut room) {
                 Ok(0) => return None,
-                Ok(count) => self.reader.feed(&room[..count]),
+                Ok(count) => self.decoder.feed(&room[..count]),
                 Err(error)
                     if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
                 Err(_) => return None,
--- a/crates/cli/tests/endings.rs
+++ b/crates/cli/tests/endings.rs
@@ -40,7 +40,7 @@
 
 fn bytes(text: &str) -> Vec<u8> {
     let mut bytes = Vec::new();
-    wheelspread_resp::write(&text.split(' ').collect::<Vec<_>>(), &mut bytes);
+    wheelspread_resp::encode(&text.split(' ').collect::<Vec<_>>(), &mut bytes);
     bytes
 }
 
--- a/crates/platform-core/src/controller_core.rs
+++ b/crates/platform-core/src/controller_core.rs
@@ -1,511 +1,364 @@
-//! Drives the module: messages and lists become events, what it orders becomes messages. It is settled
-//! once for all that was heard, not more often than each tick.
+//! Feeds the balancer: messages and endpoint lists become events, its actions become messages and outputs.
+//! One decision round serves everything received since the last one, at most one round in each tick.
 
-use crate::handshake::{effect, Effect, Party};
-use crate::membership::{List, Membership, SourceId};
-use crate::message::{self, Bounds, Message};
-use crate::publication::{Kept, TableStore};
+mod messages;
+mod silence;
+
+use crate::endpoint_list::{EndpointList, SourceId};
+use crate::handshake::Peer;
+use crate::membership::Membership;
+use crate::message::MessageLimits;
+use crate::output::{CloseCause, Diagnostic, Output};
+use crate::publication::{ActionTarget, Publication};
 use crate::ConnectionId;
+use silence::LatencyHistory;
 use std::collections::{BTreeMap, BTreeSet};
-use std::net::SocketAddrV4;
-use std::rc::Rc;
+use std::time::Duration;
 use wheelspread::ids::{NodeId, ProxyId, TimerId, ZoneId};
-use wheelspread::ring::Ring;
 use wheelspread::settings::Settings;
 use wheelspread::time::{Moment, Span};
-use wheelspread::Balancer;
-use wheelspread::{Action, EndpointListKind, Event};
+use wheelspread::{Action, Balancer, EndpointListKind, Event};
 use wheelspread_settings::Names;
 
-/// What becomes of a message at once.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Reply {
-    Nothing,
-    /// It has said who it is.
-    Known,
-    Pong,
-    Close(String),
+/// Time between two searches for silent streams and for names that are no longer used.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(250);
+/// How long a name that is not in use is remembered, as a multiple of the time in which nodes warm up.
+const NAME_RETENTION_FACTOR: f64 = 10.0;
+/// The longest attempt that a report may tell of, as a multiple of the longest deadline: the mean latency
+/// carries noise, and an attempt may outlast its client.
+const ATTEMPT_DURATION_FACTOR: f64 = 4.0;
+/// Deadlines shorter than this don't lower that bound.
+const DEADLINE_MIN_SECONDS: f64 = 1.0;
+const OPERATIONS_MAX: usize = 16;
+
+/// Why the core can't start.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum StartError {
+    /// The balancer does not accept the settings.
+    #[error("{0}")]
+    Settings(String),
 }
 
-/// What is to be done outside.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Out {
-    Write {
-        connection: ConnectionId,
-        bytes: Rc<[u8]>,
-    },
-    Close {
-        connection: ConnectionId,
-        why: &'static str,
-    },
-    ReadList,
-    Probe {
-        node: NodeId,
-        address: SocketAddrV4,
-    },
-    Remark(String),
+/// Why new settings are not taken.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ReconfigureError {
+    /// They name other zones, kinds, operations or metrics.
+    #[error("zones, kinds, operations and reports stay what they are while this runs")]
+    NamesChanged,
+    /// The balancer does not accept the settings.
+    #[error("{0}")]
+    Settings(String),
 }
 
-/// A stream is taken for silent when a mark is unacked, and nothing else came, for so long: seconds, and
-/// times the longest delay of a message and the slowest answer of late. A stream that is only slow must
-/// not be ended: its proxy would go on by what it holds, and the time limits with it.
-const SILENT: (f64, f64, f64) = (1.5, 3.0, 2.0);
-/// Answers count for so long, in buckets of a second.
-const ANSWERS: usize = 10;
-/// Between two looks for silent streams and names long gone, in seconds.
-const LOOK: f64 = 0.25;
-/// Times the age at which nodes are warm: how long a name that nothing holds is remembered.
-const NAMES_KEPT: f64 = 10.0;
+/// What a health check brought.
+#[derive(Clone, Debug, PartialEq)]
+pub struct HealthCheckResult {
+    /// The node that was checked.
+    pub node: NodeId,
+    /// Whether it answered that it serves.
+    pub succeeded: bool,
+    /// How long the answer took.
+    pub latency: Span,
+    /// Its load metrics in the order of the settings; empty where there are none.
+    pub metrics: Vec<f64>,
+}
 
+/// The stream of a proxy that has joined.
 struct Stream {
     connection: ConnectionId,
-    heard: Moment,
+    last_message_at: Moment,
 }
 
-/// The slowest of the answers that came in a bucket of time.
-#[derive(Clone, Copy, Debug, Default)]
-struct Slowest(f64);
+/// What the settings give for this crate.
+struct CoreSettings {
+    message_limits: MessageLimits,
+    tick: Span,
+    /// The longest delay of a message to a proxy.
+    message_delay: Span,
+    warm_up: Span,
+}
 
-impl std::ops::AddAssign for Slowest {
-    fn add_assign(&mut self, more: Slowest) {
-        self.0 = self.0.max(more.0);
+impl CoreSettings {
+    fn from_settings(settings: &Settings) -> CoreSettings {
+        let span = |name| Span::from_seconds(settings.number_or(name, 0.0));
+        let longest_deadline = (0..OPERATIONS_MAX)
+            .map(|operation| format!("operation.{operation}.integration_timeout"))
+            .map(|name| settings.number_or(&name, 0.0))
+            .fold(DEADLINE_MIN_SECONDS, f64::max);
+        let proxy_count = settings.number_or("proxy.count", 0.0);
+        CoreSettings {
+            message_limits: MessageLimits {
+                proxy_count: proxy_count.clamp(0.0, f64::from(u16::MAX)) as u16,
+                attempt_duration: Span::from_seconds(longest_deadline * ATTEMPT_DURATION_FACTOR),
+            },
+            tick: span("conductor.tick"),
+            message_delay: span("channel.delay_at_most"),
+            warm_up: span("rules.warm_after"),
+        }
     }
 }
 
-pub struct Desk {
+/// The protocol state of one controller. The owner of the sockets passes in what it receives, and calls
+/// [`ControllerCore::decide`] afterwards and at [`ControllerCore::wake_at`].
+pub struct ControllerCore {
     balancer: Balancer,
     names: Names,
-    figures: Figures,
+    settings: CoreSettings,
     membership: Membership,
-    tables: TableStore,
-    parties: BTreeMap<ConnectionId, Party>,
+    publication: Publication,
+    peers: BTreeMap<ConnectionId, Peer>,
     streams: BTreeMap<ProxyId, Stream>,
-    /// The newest connection that each proxy has joined on.
-    newest: BTreeMap<ProxyId, ConnectionId>,
+    /// The newest connection on which each proxy has joined.
+    newest_connections: BTreeMap<ProxyId, ConnectionId>,
     timers: BTreeSet<(Moment, TimerId)>,
-    answers: Ring<Slowest>,
-    /// Something was heard since the last moment settled.
-    pending: bool,
-    settled: Option<Moment>,
-    next_look: Moment,
-    out: Vec<Out>,
-}
-
-/// What the settings say to this part.
-struct Figures {
-    bounds: Bounds,
-    tick: Span,
-    /// The longest delay of a message.
-    delay: Span,
-    warm_after: Span,
-}
-
-impl Figures {
-    fn read(facts: &Settings) -> Figures {
-        let span = |name| Span::from_seconds(facts.number_or(name, 0.0));
-        let timeouts =
-            (0..16).map(|at| facts.number_or(&format!("operation.{at}.integration_timeout"), 0.0));
-        // A mean time carries noise, and a try may outlast its client.
-        let longest_try = Span::from_seconds(timeouts.fold(1.0, f64::max) * 4.0);
-        let proxies = facts.number_or("proxy.count", 0.0).clamp(0.0, 65535.0) as u16;
-        Figures {
-            bounds: Bounds {
-                proxies,
-                longest_try,
-            },
-            tick: span("conductor.tick"),
-            delay: span("channel.delay_at_most"),
-            warm_after: span("rules.warm_after"),
-        }
-    }
+    acknowledgement_latency: LatencyHistory,
+    /// Events have come since the last decision round.
+    has_new_events: bool,
+    last_round_at: Option<Moment>,
+    next_maintenance_at: Moment,
+    outputs: Vec<Output>,
 }
 
-impl Desk {
-    pub fn start(now: Moment, seed: u64, facts: Settings, names: Names) -> Result<Desk, String> {
-        let second = Span::from_seconds(1.0);
-        let figures = Figures::read(&facts);
-        Ok(Desk {
-            balancer: Balancer::start(now, seed, facts)?,
-            figures,
+impl ControllerCore {
+    /// Starts with the balancer's settings and the names that messages use.
+    pub fn start(
+        now: Moment,
+        seed: u64,
+        settings: Settings,
+        names: Names,
+    ) -> Result<ControllerCore, StartError> {
+        let core_settings = CoreSettings::from_settings(&settings);
+        let balancer = Balancer::start(now, seed, settings)
+            .map_err(|error| StartError::Settings(error.to_string()))?;
+        Ok(ControllerCore {
+            balancer,
+            settings: core_settings,
             membership: Membership::default(),
-            tables: TableStore::new(&names.operations),
+            publication: Publication::new(&names.operations),
             names,
-            parties: BTreeMap::new(),
+            peers: BTreeMap::new(),
             streams: BTreeMap::new(),
-            newest: BTreeMap::new(),
+            newest_connections: BTreeMap::new(),
             timers: BTreeSet::new(),
-            answers: Ring::new(second, ANSWERS),
-            pending: true,
-            settled: None,
-            next_look: now,
-            out: Vec::new(),
+            acknowledgement_latency: LatencyHistory::new(),
+            has_new_events: true,
+            last_round_at: None,
+            next_maintenance_at: now,
+            outputs: Vec::new(),
         })
     }
 
-    /// Other settings, from now on. Zones, kinds and operations stay what they are.
-    pub fn refigure(&mut self, facts: Settings, names: &Names) -> Result<(), String> {
+    /// Takes other settings. Zones, kinds, operations and metrics stay what they are.
+    pub fn reconfigure(
+        &mut self,
+        settings: Settings,
+        names: &Names,
+    ) -> Result<(), ReconfigureError> {
         if *names != self.names {
-            return Err(
-                "zones, kinds, operations and reports stay what they are while this runs"
-                    .to_string(),
-            );
+            return Err(ReconfigureError::NamesChanged);
         }
-        let figures = Figures::read(&facts);
-        self.balancer.reconfigure(facts)?;
-        self.figures = figures;
-        self.pending = true;
+        let core_settings = CoreSettings::from_settings(&settings);
+        self.balancer
+            .reconfigure(settings)
+            .map_err(|error| ReconfigureError::Settings(error.to_string()))?;
+        self.settings = core_settings;
+        self.has_new_events = true;
         Ok(())
     }
 
+    /// The names that messages use.
     pub fn names(&self) -> &Names {
         &self.names
     }
 
-    pub fn proxies(&self) -> usize {
+    /// How many proxies have joined.
+    pub fn proxy_count(&self) -> usize {
         self.streams.len()
     }
 
-    /// The version of the list that stands.
-    pub fn version(&self) -> Option<u64> {
+    /// The version of the endpoint list in force.
+    pub fn endpoint_list_version(&self) -> Option<u64> {
         self.membership.version()
     }
 
-    /// Takes a list. Whether it was news.
-    pub fn list(&mut self, now: Moment, list: &List, source: SourceId) -> bool {
-        let Some(event) = self.membership.take(list, source, now) else {
+    /// Takes an endpoint list. Whether it is newer than the one in force.
+    pub fn handle_endpoint_list(
+        &mut self,
+        now: Moment,
+        list: &EndpointList,
+        source: SourceId,
+    ) -> bool {
+        let Some(event) = self.membership.apply(list, source, now) else {
             return false;
         };
-        self.hear(now, &event);
+        self.handle_event(now, &event);
         true
     }
 
-    /// The list could not be read when it was asked for.
-    pub fn no_list(&mut self, now: Moment) {
-        self.hear(
-            now,
-            &Event::EndpointList {
-                kind: EndpointListKind::Unavailable,
-                entries: Vec::new(),
-            },
-        );
-    }
-
-    pub fn probed(
-        &mut self,
-        now: Moment,
-        node: NodeId,
-        answered: bool,
-        took: Span,
-        load: Vec<f64>,
-    ) {
-        self.hear(
-            now,
-            &Event::ProbeCompleted {
-                node,
-                succeeded: answered,
-                latency: took,
-                metrics: load,
-            },
-        );
-    }
-
-    fn hear(&mut self, now: Moment, event: &Event) {
-        self.pending = true;
-        if let Err(text) = self.balancer.handle_event(now, event) {
-            self.out.push(Out::Remark(text));
-        }
+    /// The full endpoint list was asked for and could not be read.
+    pub fn handle_endpoint_list_unavailable(&mut self, now: Moment) {
+        let event = Event::EndpointList {
+            kind: EndpointListKind::Unavailable,
+            entries: Vec::new(),
+        };
+        self.handle_event(now, &event);
     }
 
-    /// A message of a connection.
-    pub fn message(&mut self, now: Moment, connection: ConnectionId, strings: &[&[u8]]) -> Reply {
-        let party = self
-            .parties
-            .get(&connection)
-            .copied()
-            .unwrap_or(Party::Stranger);
-        let read = message::read(strings, &self.names, &self.figures.bounds);
-        let why = read
-            .as_ref()
-            .err()
-            .map(ToString::to_string)
-            .unwrap_or_default();
-        let message = read.ok();
-        if let Some(stream) = self.stream_of(party) {
-            stream.heard = now;
-        }
-        match (effect(party, message.as_ref()), message) {
-            (Effect::Pong, _) => Reply::Pong,
-            (Effect::Collect, Some(Message::Collector { zone })) => {
-                self.parties.insert(connection, Party::Collector(zone));
-                Reply::Known
-            }
-            // Connections are numbered as they came: this one was given up by its proxy for a newer one.
-            (Effect::Join, Some(Message::Joined { proxy, .. }))
-                if self
-                    .newest
-                    .get(&proxy)
-                    .is_some_and(|newest| *newest > connection) =>
-            {
-                Reply::Close("its proxy has a newer stream".to_string())
-            }
-            (
-                Effect::Join,
-                Some(Message::Joined {
-                    proxy,
-                    zone,
-                    usual_rate,
-                    standing,
-                }),
-            ) => {
-                if let Some(old) = self.streams.get(&proxy).map(|stream| stream.connection) {
-                    // A new stream may come before the end of the old one is seen.
-                    self.end(now, old, "its proxy has a newer stream");
-                }
-                self.parties.insert(connection, Party::Proxy(proxy));
-                self.streams.insert(
-                    proxy,
-                    Stream {
-                        connection,
-                        heard: now,
-                    },
-                );
-                self.newest.insert(proxy, connection);
-                self.tables.join(proxy);
-                self.hear(
-                    now,
-                    &Event::ProxyJoined {
-                        proxy,
-                        zone,
-                        usual_rate,
-                        fresh: standing,
-                    },
-                );
-                Reply::Known
-            }
-            (Effect::Hear, Some(message)) => {
-                self.figures(now, message);
-                Reply::Nothing
-            }
-            (Effect::Close, _) => Reply::Close(why),
-            _ => {
-                self.out.push(Out::Remark(format!("left out: {why}")));
-                Reply::Nothing
-            }
-        }
+    /// A health check has ended.
+    pub fn handle_health_check(&mut self, now: Moment, result: HealthCheckResult) {
+        let event = Event::ProbeCompleted {
+            node: result.node,
+            succeeded: result.succeeded,
+            latency: result.latency,
+            metrics: result.metrics,
+        };
+        self.handle_event(now, &event);
     }
 
-    fn stream_of(&mut self, party: Party) -> Option<&mut Stream> {
-        match party {
-            Party::Proxy(proxy) => self.streams.get_mut(&proxy),
-            _ => None,
+    fn handle_event(&mut self, now: Moment, event: &Event) {
+        self.has_new_events = true;
+        if let Err(error) = self.balancer.handle_event(now, event) {
+            self.report(Diagnostic::EventRejected(error.to_string()));
         }
     }
 
-    fn figures(&mut self, now: Moment, message: Message) {
-        match message {
-            Message::Met {
-                zone,
-                node,
-                tries,
-                errored,
-                latency,
-                over,
-                load,
-            } => match self.membership.id(&node) {
-                Some(node) => {
-                    self.hear(
-                        now,
-                        &Event::NodeLoadReport {
-                            zone,
-                            node,
-                            attempts: tries,
-                            failures: errored,
-                            mean_latency: latency,
-                            window: over,
-                            metrics: load,
-                        },
-                    );
-                }
-                None => self.out.push(Out::Remark(format!(
-                    "sums of a node that was never listed: {node}"
-                ))),
-            },
-            Message::Offered {
-                proxy,
-                operation,
-                count,
-                errored,
-                over,
-            } => {
-                self.hear(
-                    now,
-                    &Event::DemandReport {
-                        proxy,
-                        operation,
-                        requests: count,
-                        failures: errored,
-                        window: over,
-                    },
-                );
-            }
-            Message::Applied { proxy, mark, took } => {
-                self.answers.add(now, Slowest(took.seconds()));
-                let marks = self.tables.acked(proxy, mark);
-                if marks.is_empty() {
-                    self.out.push(Out::Remark(format!(
-                        "{proxy:?} answers a mark it was not sent"
-                    )));
-                }
-                for mark in marks {
-                    self.hear(
-                        now,
-                        &Event::MarkerAcknowledged {
-                            proxy,
-                            marker: mark,
-                            latency: took,
-                        },
-                    );
-                }
-            }
-            _ => {}
-        }
+    fn report(&mut self, diagnostic: Diagnostic) {
+        self.outputs.push(Output::Diagnostic(diagnostic));
     }
 
-    /// Ends a connection from this side. Until its owner has closed it, it is nobody.
-    fn end(&mut self, now: Moment, connection: ConnectionId, why: &'static str) {
-        self.out.push(Out::Close { connection, why });
-        self.leave(now, connection);
-        self.parties.insert(connection, Party::Ended);
+    /// Closes a connection from this side. Until its owner has closed it, it is ignored.
+    fn close(&mut self, now: Moment, connection: ConnectionId, cause: CloseCause) {
+        self.outputs.push(Output::Close { connection, cause });
+        self.end_stream(now, connection);
+        self.peers.insert(connection, Peer::Closing);
     }
 
-    /// A connection has ended.
-    pub fn closed(&mut self, now: Moment, connection: ConnectionId) {
-        self.leave(now, connection);
-        self.parties.remove(&connection);
+    /// A connection has been closed, by whichever side.
+    pub fn handle_connection_closed(&mut self, now: Moment, connection: ConnectionId) {
+        self.end_stream(now, connection);
+        self.peers.remove(&connection);
     }
 
-    fn leave(&mut self, now: Moment, connection: ConnectionId) {
-        let Some(Party::Proxy(proxy)) = self.parties.get(&connection).copied() else {
+    /// The proxy leaves, where this connection is its stream.
+    fn end_stream(&mut self, now: Moment, connection: ConnectionId) {
+        let Some(Peer::Proxy(proxy)) = self.peers.get(&connection).copied() else {
             return;
         };
-        if self
-            .streams
-            .get(&proxy)
-            .is_some_and(|stream| stream.connection == connection)
-        {
+        let is_current = |stream: &Stream| stream.connection == connection;
+        if self.streams.get(&proxy).is_some_and(is_current) {
             self.streams.remove(&proxy);
-            self.tables.leave(proxy);
-            self.hear(now, &Event::ProxyLeft { proxy });
+            self.publication.remove_stream(proxy);
+            self.handle_event(now, &Event::ProxyLeft { proxy });
         }
     }
 
-    /// The collector that is missed least: a newer one has come for its zone, as after a silent break, which
-    /// nothing else tells of.
-    pub fn spare(&self) -> Option<ConnectionId> {
-        let newer = |at: &ConnectionId, zone: ZoneId| {
-            self.parties
-                .range(at..)
+    /// A collector that a newer one of its zone has replaced, if there is one. This happens after a silent
+    /// break of its connection, which nothing else shows.
+    pub fn redundant_collector(&self) -> Option<ConnectionId> {
+        let has_newer = |connection: &ConnectionId, zone: ZoneId| {
+            self.peers
+                .range(connection..)
                 .skip(1)
-                .any(|(_, party)| *party == Party::Collector(zone))
+                .any(|(_, peer)| *peer == Peer::Collector(zone))
         };
-        let spare = |(at, party): (&ConnectionId, &Party)| match party {
-            Party::Collector(zone) if newer(at, *zone) => Some(*at),
+        let redundant = |(connection, peer): (&ConnectionId, &Peer)| match peer {
+            Peer::Collector(zone) if has_newer(connection, *zone) => Some(*connection),
             _ => None,
         };
-        self.parties.iter().find_map(spare)
+        self.peers.iter().find_map(redundant)
     }
 
-    /// Settles the moment if it is time, and tells what is to be done.
-    pub fn settle(&mut self, now: Moment) -> Vec<Out> {
-        if now >= self.next_look {
-            self.look(now);
+    /// Runs what is due - maintenance, timers, a decision round - and returns what is to be done.
+    pub fn decide(&mut self, now: Moment) -> Vec<Output> {
+        if now >= self.next_maintenance_at {
+            self.run_maintenance(now);
         }
+        self.fire_timers(now);
+        if self.is_round_due(now) {
+            self.run_round(now);
+        }
+        std::mem::take(&mut self.outputs)
+    }
+
+    fn run_maintenance(&mut self, now: Moment) {
+        self.close_silent_streams(now);
+        self.next_maintenance_at = now + span(MAINTENANCE_INTERVAL);
+        let retention = self.settings.warm_up * NAME_RETENTION_FACTOR;
+        let publication = &self.publication;
+        self.membership
+            .forget_unlisted(now, retention, |node| publication.uses_node(node));
+    }
+
+    fn fire_timers(&mut self, now: Moment) {
         while let Some((_, timer)) = self.timers.first().copied().filter(|first| first.0 <= now) {
             self.timers.pop_first();
-            self.hear(now, &Event::TimerFired { timer });
+            self.handle_event(now, &Event::TimerFired { timer });
         }
-        if self.pending
-            && self
-                .settled
-                .is_none_or(|last| now >= last + self.figures.tick)
-        {
-            (self.pending, self.settled) = (false, Some(now));
-            let mut actions = Vec::new();
-            self.balancer.decide(now, &mut actions);
-            actions.iter().for_each(|action| self.act(now, action));
-            for (proxy, bytes) in self.tables.messages(now, &self.membership) {
-                if let Some(Stream { connection, .. }) = self.streams.get(&proxy) {
-                    self.out.push(Out::Write {
-                        connection: *connection,
-                        bytes,
-                    });
-                }
+    }
+
+    fn is_round_due(&self, now: Moment) -> bool {
+        let tick_is_over = |last: Moment| now >= last + self.settings.tick;
+        self.has_new_events && self.last_round_at.is_none_or(tick_is_over)
+    }
+
+    fn run_round(&mut self, now: Moment) {
+        (self.has_new_events, self.last_round_at) = (false, Some(now));
+        let mut actions = Vec::new();
+        self.balancer.decide(now, &mut actions);
+        for action in &actions {
+            self.execute(now, action);
+        }
+        for (proxy, bytes) in self.publication.take_messages(now, &self.membership) {
+            if let Some(Stream { connection, .. }) = self.streams.get(&proxy) {
+                self.outputs.push(Output::Write {
+                    connection: *connection,
+                    bytes,
+                });
             }
         }
-        std::mem::take(&mut self.out)
     }
 
-    fn act(&mut self, now: Moment, action: &Action) {
-        if self.tables.order(action) == Kept::Kept {
+    fn execute(&mut self, now: Moment, action: &Action) {
+        if self.publication.record(action) == ActionTarget::Proxies {
             return;
         }
         match action {
-            Action::SetTimer { after, timer } => _ = self.timers.insert((now + *after, *timer)),
-            Action::RequestEndpointList => self.out.push(Out::ReadList),
+            Action::SetTimer { after, timer } => {
+                self.timers.insert((now + *after, *timer));
+            }
+            Action::RequestEndpointList => self.outputs.push(Output::RequestEndpointList),
             Action::ProbeNode { node } => {
                 if let Some(address) = self.membership.address(*node) {
-                    self.out.push(Out::Probe {
+                    self.outputs.push(Output::HealthCheck {
                         node: *node,
                         address,
                     });
                 }
             }
-            Action::Log { message: text } => self.out.push(Out::Remark(text.clone())),
-            // Changes of the list come unasked, and conductors have no way to each other here.
+            Action::Log { message } => self.report(Diagnostic::Balancer(message.clone())),
+            // Changes of the endpoint list come without being asked for, and controllers have no way to reach
+            // each other on a platform.
             Action::WatchEndpoints { .. } | Action::SendGossip { .. } => {}
             _ => {}
         }
     }
 
-    /// When `settle` is to be called again if nothing comes.
+    /// When [`ControllerCore::decide`] is to be called again if nothing is received.
     pub fn wake_at(&self) -> Moment {
-        let timer = self
+        let next_timer = self
             .timers
             .first()
-            .map_or(self.next_look, |first| first.0)
-            .min(self.next_look);
-        match (self.pending, self.settled) {
-            (true, Some(last)) => timer.min(last + self.figures.tick),
+            .map_or(self.next_maintenance_at, |first| first.0)
+            .min(self.next_maintenance_at);
+        match (self.has_new_events, self.last_round_at) {
+            (true, Some(last)) => next_timer.min(last + self.settings.tick),
             (true, None) => Moment::default(),
-            _ => timer,
+            _ => next_timer,
         }
     }
+}
 
-    /// Streams that have fallen silent, which nothing else tells of: a machine that vanished sends no end,
-    /// and what waits for its answers would hold up the orders to all others. Their owner reads them once
-    /// more before the moment settles: an answer that has come and was not read yet is none too late.
-    pub fn silent(&self, now: Moment) -> Vec<ConnectionId> {
-        if now < self.next_look {
-            return Vec::new();
-        }
-        let slowest = self.answers.whole(now).0;
-        let limit =
-            Span::from_seconds(SILENT.0 + SILENT.2 * slowest) + self.figures.delay * SILENT.1;
-        let silent = |(proxy, stream): (&ProxyId, &Stream)| {
-            let sent = self.tables.unacked(*proxy)?;
-            (now - sent > limit && now - stream.heard > limit).then_some(stream.connection)
-        };
-        self.streams.iter().filter_map(silent).collect()
-    }
-
-    fn look(&mut self, now: Moment) {
-        for connection in self.silent(now) {
-            self.end(now, connection, "it has fallen silent");
-        }
-        self.next_look = now + Span::from_seconds(LOOK);
-        let (tables, membership) = (&self.tables, &mut self.membership);
-        membership.forget(now, self.figures.warm_after * NAMES_KEPT, |node| {
-            tables.names(node)
-        });
-    }
+/// A duration on the balancer's clock.
+fn span(duration: Duration) -> Span {
+    Span::from_seconds(duration.as_secs_f64())
 }
--- a/crates/platform-core/src/handshake.rs
+++ b/crates/platform-core/src/handshake.rs
@@ -1,95 +1,89 @@
-//! What a connection may say by what it has said before.
+//! What a connection may send, by who is at its other end.
 
 use crate::message::Message;
 use wheelspread::ids::{ProxyId, ZoneId};
 
 /// Who is at the other end of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Party {
-    Stranger,
+pub enum Peer {
+    /// It has not identified itself yet.
+    Unidentified,
+    /// The collector of a zone, which passes on reports.
     Collector(ZoneId),
+    /// A proxy that has joined: this connection is its stream.
     Proxy(ProxyId),
-    /// It is to be ended from this side. What it still says counts for nothing: taken for a stranger, it
-    /// could join again by bytes that were on their way.
-    Ended,
+    /// It is being closed from this side. Whatever it still sends is ignored: as an unidentified connection
+    /// it could join again by bytes that were in flight.
+    Closing,
 }
 
+/// How a message is treated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Stands {
-    Stranger,
-    Collector,
-    Proxy,
-    Ended,
+pub enum HandshakeAction {
+    AnswerPing,
+    RegisterCollector,
+    JoinProxy,
+    /// A report or an acknowledgement goes to the balancer.
+    Process,
+    /// The message is dropped; those after it count.
+    Ignore,
+    Close,
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Says {
-    Ping,
-    Collects,
-    Joins,
-    /// Of itself, where it is a proxy.
-    Answers,
-    Met,
-    Offered,
-    /// Of somebody else.
-    Foreign,
-    Unreadable,
+/// How a message of this peer is treated; `None` is a message that can't be read.
+pub fn action_for(peer: Peer, message: Option<&Message>) -> HandshakeAction {
+    match peer {
+        Peer::Unidentified => unidentified_action(message),
+        Peer::Collector(_) => collector_action(message),
+        Peer::Proxy(proxy) => proxy_action(proxy, message),
+        Peer::Closing => HandshakeAction::Ignore,
+    }
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
-    Pong,
-    Collect,
-    Join,
-    Hear,
-    /// Left out; what comes after it is good.
-    Skip,
-    Close,
+/// Anything but a ping, a collector's greeting or a join shows that no proxy and no collector is there.
+fn unidentified_action(message: Option<&Message>) -> HandshakeAction {
+    match message {
+        Some(Message::Ping) => HandshakeAction::AnswerPing,
+        Some(Message::CollectorHello { .. }) => HandshakeAction::RegisterCollector,
+        Some(Message::ProxyJoin(_)) => HandshakeAction::JoinProxy,
+        Some(
+            Message::Acknowledgement { .. }
+            | Message::NodeLoadReport { .. }
+            | Message::DemandReport { .. },
+        )
+        | None => HandshakeAction::Close,
+    }
 }
 
-/// What is not named here is left out.
-const HANDSHAKE: &[(Stands, Says, Effect)] = &[
-    (Stands::Stranger, Says::Ping, Effect::Pong),
-    (Stands::Stranger, Says::Collects, Effect::Collect),
-    (Stands::Stranger, Says::Joins, Effect::Join),
-    // Who begins with anything else is nobody's proxy and nobody's collector.
-    (Stands::Stranger, Says::Answers, Effect::Close),
-    (Stands::Stranger, Says::Met, Effect::Close),
-    (Stands::Stranger, Says::Offered, Effect::Close),
-    (Stands::Stranger, Says::Foreign, Effect::Close),
-    (Stands::Stranger, Says::Unreadable, Effect::Close),
-    (Stands::Collector, Says::Ping, Effect::Pong),
-    (Stands::Collector, Says::Met, Effect::Hear),
-    (Stands::Collector, Says::Offered, Effect::Hear),
-    (Stands::Collector, Says::Joins, Effect::Close),
-    (Stands::Proxy, Says::Ping, Effect::Pong),
-    (Stands::Proxy, Says::Answers, Effect::Hear),
-    (Stands::Proxy, Says::Offered, Effect::Hear),
-    (Stands::Proxy, Says::Collects, Effect::Close),
-];
+fn collector_action(message: Option<&Message>) -> HandshakeAction {
+    match message {
+        Some(Message::Ping) => HandshakeAction::AnswerPing,
+        Some(Message::NodeLoadReport { .. } | Message::DemandReport { .. }) => {
+            HandshakeAction::Process
+        }
+        Some(Message::ProxyJoin(_)) => HandshakeAction::Close,
+        Some(Message::CollectorHello { .. } | Message::Acknowledgement { .. }) | None => {
+            HandshakeAction::Ignore
+        }
+    }
+}
 
-pub fn effect(party: Party, said: Option<&Message>) -> Effect {
-    let stands = match party {
-        Party::Stranger => Stands::Stranger,
-        Party::Collector(_) => Stands::Collector,
-        Party::Proxy(_) => Stands::Proxy,
-        Party::Ended => Stands::Ended,
-    };
-    let of = |proxy: &ProxyId, says| match party {
-        Party::Proxy(own) if own != *proxy => Says::Foreign,
-        _ => says,
-    };
-    let says = match said {
-        None => Says::Unreadable,
-        Some(Message::Ping) => Says::Ping,
-        Some(Message::Collector { .. }) => Says::Collects,
-        Some(Message::Joined { .. }) => Says::Joins,
-        Some(Message::Met { .. }) => Says::Met,
-        Some(Message::Applied { proxy, .. }) => of(proxy, Says::Answers),
-        Some(Message::Offered { proxy, .. }) => of(proxy, Says::Offered),
-    };
-    let row = HANDSHAKE
-        .iter()
-        .find(|row| (row.0, row.1) == (stands, says));
-    row.map_or(Effect::Skip, |row| row.2)
+/// A proxy speaks for itself alone.
+fn proxy_action(own: ProxyId, message: Option<&Message>) -> HandshakeAction {
+    match message {
+        Some(Message::Ping) => HandshakeAction::AnswerPing,
+        Some(Message::Acknowledgement { proxy, .. } | Message::DemandReport { proxy, .. })
+            if *proxy == own =>
+        {
+            HandshakeAction::Process
+        }
+        Some(Message::CollectorHello { .. }) => HandshakeAction::Close,
+        Some(
+            Message::Acknowledgement { .. }
+            | Message::DemandReport { .. }
+            | Message::ProxyJoin(_)
+            | Message::NodeLoadReport { .. },
+        )
+        | None => HandshakeAction::Ignore,
+    }
 }
--- a/crates/platform-core/src/message.rs
+++ b/crates/platform-core/src/message.rs
@@ -1,234 +1,312 @@
-//! Messages of proxies and collectors, from strings to figures. A message that lacks something, or says
-//! what can't be, is refused whole: half of a report would be believed like all of one.
+//! Parsing of messages from proxies and collectors.
+//!
+//! A message that lacks a field, or holds a value that can't be, is rejected whole: half of a report would
+//! be taken for a complete one.
 
 use std::collections::BTreeMap;
 use std::str::FromStr;
 use wheelspread::ids::{MarkerId, OperationId, ProxyId, ZoneId};
 use wheelspread::time::Span;
-use wheelspread_settings::{field, Names};
+use wheelspread_settings::{metric_name, Names};
 
+/// A parsed message. The words on the wire are in docs/platform.md.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
     Ping,
-    Collector {
+    CollectorHello {
         zone: ZoneId,
     },
-    Joined {
+    ProxyJoin(ProxyJoin),
+    /// A proxy has applied everything up to a version marker.
+    Acknowledgement {
         proxy: ProxyId,
-        zone: ZoneId,
-        usual_rate: f64,
-        standing: bool,
-    },
-    Applied {
-        proxy: ProxyId,
-        mark: MarkerId,
-        took: Span,
+        marker: MarkerId,
+        latency: Span,
     },
-    /// What the proxies of a zone met at a node.
-    Met {
+    /// What the proxies of a zone observed at a node.
+    NodeLoadReport {
         zone: ZoneId,
         node: String,
-        tries: f64,
-        errored: f64,
-        latency: Span,
-        over: Span,
-        load: Vec<f64>,
+        attempts: f64,
+        failures: f64,
+        mean_latency: Span,
+        window: Span,
+        metrics: Vec<f64>,
     },
-    Offered {
+    /// What came to a proxy.
+    DemandReport {
         proxy: ProxyId,
         operation: OperationId,
-        count: f64,
-        errored: f64,
-        over: Span,
+        requests: f64,
+        failures: f64,
+        window: Span,
     },
 }
 
+/// The first message on a proxy's stream.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ProxyJoin {
+    pub proxy: ProxyId,
+    pub zone: ZoneId,
+    /// Requests a second, roughly.
+    pub usual_rate: f64,
+    /// It holds no table that a controller has published.
+    pub fresh: bool,
+}
+
+/// Why a message is rejected.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum BadMessage {
+pub enum MessageError {
+    /// The strings are no kind followed by pairs of name and value, or no UTF-8.
     #[error("a message without a kind, or a name without a value")]
     Shape,
-    #[error("`{0}` is no message to a conductor")]
-    Kind(String),
+    /// The kind of message is unknown.
+    #[error("`{0}` is no message to a controller")]
+    UnknownKind(String),
+    /// A field appears more than once.
     #[error("`{0}` is named twice")]
-    Twice(String),
+    DuplicateField(String),
+    /// A field is missing.
     #[error("`{0}` is missing")]
-    Missing(&'static str),
+    MissingField(&'static str),
+    /// A value can't be read, or is out of range.
     #[error("`{value}` can't be the `{field}`")]
-    Value { field: &'static str, value: String },
+    InvalidValue {
+        /// The field on the wire.
+        field: &'static str,
+        /// The beginning of its value.
+        value: String,
+    },
+    /// A zone, an operation or a metric that the settings don't name.
     #[error("`{0}` names nothing that there is")]
-    Unknown(String),
+    UnknownName(String),
 }
 
-/// What the settings bound figures by.
+/// Limits of values, as the settings give them.
 #[derive(Clone, Debug)]
-pub struct Bounds {
-    pub proxies: u16,
-    /// No try takes longer.
-    pub longest_try: Span,
+pub struct MessageLimits {
+    /// Proxies are numbered from 0 to one less than this.
+    pub proxy_count: u16,
+    /// No attempt takes longer.
+    pub attempt_duration: Span,
 }
 
-/// The longest time that sums may cover, in seconds: they are held back while a zone is cut off.
-const LONGEST_SUMS: f64 = 600.0;
-/// Invocations or tries a second that one line may tell of.
-const MOST_RATE: f64 = 1e6;
-/// A report's figures: cores that are all busy, with the noise of its measurement; anything else.
-const MOST_LOAD: (f64, f64) = (2.0, 1e6);
+/// The longest window of a report, and the longest latency of an acknowledgement: both are held back while
+/// a zone is cut off.
+const REPORT_WINDOW_MAX_SECONDS: f64 = 600.0;
+const REPORT_WINDOW_MIN_MILLIS: f64 = 1.0;
+/// Requests or attempts a second that one report may tell of.
+const RATE_MAX: f64 = 1e6;
+/// The utilization of cores that are all busy, with the noise of its measurement.
+const UTILIZATION_MAX: f64 = 2.0;
+/// Any other metric of a load report.
+const METRIC_MAX: f64 = 1e6;
+/// Marker ids on the wire are below this.
+const MARKER_LIMIT: u32 = 65536;
+/// Characters of a bad value that go into an error.
+const QUOTED_CHARS: usize = 40;
 
+fn quoted(text: &str) -> String {
+    text.chars().take(QUOTED_CHARS).collect()
+}
+
+/// The fields of a message by name.
 struct Fields<'a>(BTreeMap<&'a str, &'a str>);
 
 impl<'a> Fields<'a> {
-    fn text(&self, name: &'static str) -> Result<&'a str, BadMessage> {
-        self.0.get(name).copied().ok_or(BadMessage::Missing(name))
+    fn from_pairs(strings: &[&'a str]) -> Result<Fields<'a>, MessageError> {
+        if !strings.len().is_multiple_of(2) {
+            return Err(MessageError::Shape);
+        }
+        let mut fields = BTreeMap::new();
+        for pair in strings.chunks_exact(2) {
+            if fields.insert(pair[0], pair[1]).is_some() {
+                return Err(MessageError::DuplicateField(quoted(pair[0])));
+            }
+        }
+        Ok(Fields(fields))
     }
 
-    fn read<T: FromStr>(
+    fn text(&self, name: &'static str) -> Result<&'a str, MessageError> {
+        self.0
+            .get(name)
+            .copied()
+            .ok_or(MessageError::MissingField(name))
+    }
+
+    fn parse<T: FromStr>(
         &self,
         name: &'static str,
-        fits: impl Fn(&T) -> bool,
-    ) -> Result<T, BadMessage> {
+        is_valid: impl Fn(&T) -> bool,
+    ) -> Result<T, MessageError> {
         let text = self.text(name)?;
-        let bad = || BadMessage::Value {
+        let invalid = || MessageError::InvalidValue {
             field: name,
-            value: text.chars().take(40).collect(),
+            value: quoted(text),
         };
-        text.parse().ok().filter(fits).ok_or_else(bad)
+        text.parse().ok().filter(is_valid).ok_or_else(invalid)
     }
 
-    fn number(&self, name: &'static str, least: f64, most: f64) -> Result<f64, BadMessage> {
-        self.read(name, |number: &f64| (least..=most).contains(number))
+    fn number(&self, name: &'static str, min: f64, max: f64) -> Result<f64, MessageError> {
+        self.parse(name, |number: &f64| (min..=max).contains(number))
     }
 
-    fn count(&self, name: &'static str, most: f64) -> Result<f64, BadMessage> {
-        self.read(name, |count: &u64| *count as f64 <= most)
+    fn count(&self, name: &'static str, max: f64) -> Result<f64, MessageError> {
+        self.parse(name, |count: &u64| *count as f64 <= max)
             .map(|count| count as f64)
     }
 
-    /// On the wire in milliseconds.
-    fn span(&self, name: &'static str, most: Span) -> Result<Span, BadMessage> {
-        Ok(Span::from_seconds(
-            self.number(name, 0.0, most.seconds() * 1e3)? / 1e3,
-        ))
+    /// Durations are in milliseconds on the wire.
+    fn span(&self, name: &'static str, max: Span) -> Result<Span, MessageError> {
+        let millis = self.number(name, 0.0, max.seconds() * 1e3)?;
+        Ok(Span::from_seconds(millis / 1e3))
     }
 
-    fn place(&self, name: &'static str, known: &[String]) -> Result<usize, BadMessage> {
+    /// The position of a named thing in the settings' list of such names.
+    fn position(&self, name: &'static str, known: &[String]) -> Result<usize, MessageError> {
         let text = self.text(name)?;
         known
             .iter()
             .position(|known| known == text)
-            .ok_or_else(|| BadMessage::Unknown(text.to_string()))
+            .ok_or_else(|| MessageError::UnknownName(text.to_string()))
     }
 
-    fn zone(&self, names: &Names) -> Result<ZoneId, BadMessage> {
-        Ok(ZoneId(self.place("az", &names.zones)? as u16))
+    fn zone(&self, names: &Names) -> Result<ZoneId, MessageError> {
+        Ok(ZoneId(self.position("az", &names.zones)? as u16))
     }
 
-    fn proxy(&self, bounds: &Bounds) -> Result<ProxyId, BadMessage> {
-        self.read("sidecar", |number: &u16| *number < bounds.proxies)
+    fn proxy(&self, limits: &MessageLimits) -> Result<ProxyId, MessageError> {
+        self.parse("sidecar", |number: &u16| *number < limits.proxy_count)
             .map(ProxyId)
     }
+
+    fn window(&self) -> Result<Span, MessageError> {
+        let max = REPORT_WINDOW_MAX_SECONDS * 1e3;
+        let millis = self.number("window", REPORT_WINDOW_MIN_MILLIS, max)?;
+        Ok(Span::from_seconds(millis / 1e3))
+    }
 }
 
-pub fn read(strings: &[&[u8]], names: &Names, bounds: &Bounds) -> Result<Message, BadMessage> {
+/// Parses the strings of one message.
+pub fn parse(
+    strings: &[&[u8]],
+    names: &Names,
+    limits: &MessageLimits,
+) -> Result<Message, MessageError> {
     let texts: Vec<&str> = strings
         .iter()
-        .map(|string| std::str::from_utf8(string).map_err(|_| BadMessage::Shape))
+        .map(|string| std::str::from_utf8(string).map_err(|_| MessageError::Shape))
         .collect::<Result<_, _>>()?;
-    let Some((kind, rest)) = texts.split_first() else {
-        return Err(BadMessage::Shape);
+    let Some((kind, pairs)) = texts.split_first() else {
+        return Err(MessageError::Shape);
     };
-    if rest.len() % 2 != 0 {
-        return Err(BadMessage::Shape);
-    }
-    let mut fields = Fields(BTreeMap::new());
-    for pair in rest.chunks_exact(2) {
-        if fields.0.insert(pair[0], pair[1]).is_some() {
-            return Err(BadMessage::Twice(pair[0].chars().take(40).collect()));
-        }
-    }
+    let fields = Fields::from_pairs(pairs)?;
     match *kind {
         "ping" => Ok(Message::Ping),
-        "collector" => Ok(Message::Collector {
+        "collector" => Ok(Message::CollectorHello {
             zone: fields.zone(names)?,
         }),
-        "joined" => Ok(Message::Joined {
-            proxy: fields.proxy(bounds)?,
-            zone: fields.zone(names)?,
-            usual_rate: fields.number("share", 0.0, MOST_RATE)?,
-            standing: fields.read("standing", |yes: &u8| *yes <= 1)? == 1,
-        }),
-        "applied" => Ok(Message::Applied {
-            proxy: fields.proxy(bounds)?,
-            mark: MarkerId(fields.read("version", |mark: &u32| *mark < 65536)?),
-            took: fields.span("lag_ms", Span::from_seconds(LONGEST_SUMS))?,
-        }),
-        "heard" => met(&fields, names, bounds),
-        "usage" => {
-            let over = window(&fields)?;
-            let count = fields.count("n", MOST_RATE * over.seconds())?;
-            Ok(Message::Offered {
-                proxy: fields.proxy(bounds)?,
-                operation: OperationId(fields.place("kind", &names.operations)? as u8),
-                count,
-                errored: fields.count("bad", count)?,
-                over,
-            })
-        }
-        other => Err(BadMessage::Kind(other.chars().take(40).collect())),
+        "joined" => parse_join(&fields, names, limits),
+        "applied" => parse_acknowledgement(&fields, limits),
+        "heard" => parse_node_load_report(&fields, names, limits),
+        "usage" => parse_demand_report(&fields, names, limits),
+        other => Err(MessageError::UnknownKind(quoted(other))),
     }
 }
 
-fn window(fields: &Fields) -> Result<Span, BadMessage> {
-    let millis = fields.number("window", 1.0, LONGEST_SUMS * 1e3)?;
-    Ok(Span::from_seconds(millis / 1e3))
+fn parse_join(
+    fields: &Fields,
+    names: &Names,
+    limits: &MessageLimits,
+) -> Result<Message, MessageError> {
+    Ok(Message::ProxyJoin(ProxyJoin {
+        proxy: fields.proxy(limits)?,
+        zone: fields.zone(names)?,
+        usual_rate: fields.number("share", 0.0, RATE_MAX)?,
+        fresh: fields.parse("standing", |flag: &u8| *flag <= 1)? == 1,
+    }))
+}
+
+fn parse_acknowledgement(fields: &Fields, limits: &MessageLimits) -> Result<Message, MessageError> {
+    Ok(Message::Acknowledgement {
+        proxy: fields.proxy(limits)?,
+        marker: MarkerId(fields.parse("version", |marker: &u32| *marker < MARKER_LIMIT)?),
+        latency: fields.span("lag_ms", Span::from_seconds(REPORT_WINDOW_MAX_SECONDS))?,
+    })
 }
 
-fn met(fields: &Fields, names: &Names, bounds: &Bounds) -> Result<Message, BadMessage> {
-    let over = window(fields)?;
-    let tries = fields.count("n", MOST_RATE * over.seconds())?;
-    let errored = fields.count("bad", tries)?;
-    // Where none succeeded there is no mean to tell.
-    let latency = match fields.0.contains_key("avg") || errored < tries {
-        true => fields.span("avg", bounds.longest_try)?,
-        false => Span::ZERO,
+fn parse_node_load_report(
+    fields: &Fields,
+    names: &Names,
+    limits: &MessageLimits,
+) -> Result<Message, MessageError> {
+    let window = fields.window()?;
+    let attempts = fields.count("n", RATE_MAX * window.seconds())?;
+    let failures = fields.count("bad", attempts)?;
+    // Where no attempt succeeded there is no mean latency to report.
+    let mean_latency = if fields.0.contains_key("avg") || failures < attempts {
+        fields.span("avg", limits.attempt_duration)?
+    } else {
+        Span::ZERO
     };
-    let load = match fields.0.get("report") {
-        Some(text) => load_of(text, ':', names)?,
+    let metrics = match fields.0.get("report") {
+        Some(text) => parse_load_metrics(text, ':', names)?,
         None => Vec::new(),
     };
-    let (zone, node) = (fields.zone(names)?, fields.text("host")?.to_string());
-    Ok(Message::Met {
-        zone,
-        node,
-        tries,
-        errored,
-        latency,
-        over,
-        load,
+    Ok(Message::NodeLoadReport {
+        zone: fields.zone(names)?,
+        node: fields.text("host")?.to_string(),
+        attempts,
+        failures,
+        mean_latency,
+        window,
+        metrics,
+    })
+}
+
+fn parse_demand_report(
+    fields: &Fields,
+    names: &Names,
+    limits: &MessageLimits,
+) -> Result<Message, MessageError> {
+    let window = fields.window()?;
+    let requests = fields.count("n", RATE_MAX * window.seconds())?;
+    Ok(Message::DemandReport {
+        proxy: fields.proxy(limits)?,
+        operation: OperationId(fields.position("kind", &names.operations)? as u8),
+        requests,
+        failures: fields.count("bad", requests)?,
+        window,
     })
 }
 
-/// A load report in the order that the settings name; what it does not say is no number.
-pub fn load_of(text: &str, sign: char, names: &Names) -> Result<Vec<f64>, BadMessage> {
-    let mut load = vec![f64::NAN; names.fields.len()];
-    for part in text.trim().split(',').filter(|part| !part.is_empty()) {
-        let (name, value) = part.split_once(sign).ok_or(BadMessage::Shape)?;
-        let bad = || BadMessage::Value {
+/// Parses a node's load metrics (`NAME:VALUE,..`, with `separator` in place of the colon) into the order in
+/// which the settings list them. A metric that the text does not name is `NaN`.
+pub fn parse_load_metrics(
+    text: &str,
+    separator: char,
+    names: &Names,
+) -> Result<Vec<f64>, MessageError> {
+    let mut metrics = vec![f64::NAN; names.metrics.len()];
+    for pair in text.trim().split(',').filter(|pair| !pair.is_empty()) {
+        let (name, value) = pair.split_once(separator).ok_or(MessageError::Shape)?;
+        let invalid = || MessageError::InvalidValue {
             field: "report",
-            value: part.chars().take(40).collect(),
+            value: quoted(pair),
         };
-        let known = field(name);
-        let most = if known == "utilization" {
-            MOST_LOAD.0
+        let metric = metric_name(name);
+        let max = if metric == "utilization" {
+            UTILIZATION_MAX
         } else {
-            MOST_LOAD.1
+            METRIC_MAX
         };
         let value: f64 = value
             .parse()
             .ok()
-            .filter(|value| (0.0..=most).contains(value))
-            .ok_or_else(bad)?;
-        let place = names.fields.iter().position(|field| field == known);
-        load[place.ok_or_else(|| BadMessage::Unknown(name.chars().take(40).collect()))?] = value;
+            .filter(|value| (0.0..=max).contains(value))
+            .ok_or_else(invalid)?;
+        let position = names.metrics.iter().position(|known| known == metric);
+        metrics[position.ok_or_else(|| MessageError::UnknownName(quoted(name)))?] = value;
     }
-    Ok(load)
+    Ok(metrics)
 }
--- a/crates/platform-core/src/publication.rs
+++ b/crates/platform-core/src/publication.rs
@@ -1,436 +1,346 @@
-//! The module's tables, and what each stream was told of them. What is ordered at one moment becomes one
-//! message for each proxy that it concerns: whole tables where it was bound, changes otherwise.
+//! The balancer's tables, and what each proxy's stream was sent of them.
+//!
+//! All changes of one decision round become one message for each proxy that they concern: whole tables where
+//! the proxy was bound anew, the changed entries otherwise. `update_message` composes the messages.
+
+mod admission;
+mod update_message;
 
 use crate::membership::Membership;
+use admission::AdmissionSetting;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use std::fmt::Write;
 use std::rc::Rc;
 use wheelspread::ids::{MarkerId, NodeId, OperationId, ProxyId, TableId};
 use wheelspread::time::Moment;
-use wheelspread::{Action, RetryPolicy};
+use wheelspread::Action;
 
-#[derive(Clone, Copy, Debug, PartialEq)]
-struct Level {
-    quota: f64,
-    retry: RetryPolicy,
+/// A table as the balancer has ordered it so far.
+#[derive(Clone, Debug, Default)]
+struct WeightTable {
+    weights: BTreeMap<NodeId, f64>,
+    admission: BTreeMap<OperationId, AdmissionSetting>,
 }
 
-impl Level {
-    /// Levels for all and of a table: the lower one holds, and the table's own way of trying again.
-    fn with(own: Option<Level>, all: Option<Level>) -> Option<Level> {
-        match (own, all) {
-            (Some(own), Some(all)) => Some(Level {
-                quota: own.quota.min(all.quota),
-                retry: own.retry,
-            }),
-            (own, all) => own.or(all),
-        }
-    }
-
-    fn again(&self) -> u8 {
-        match self.retry {
-            RetryPolicy::Never => 0,
-            RetryPolicy::IfUnprocessed => 1,
-            RetryPolicy::OnceOnAnyFailure => 2,
-            RetryPolicy::TwiceOnAnyFailure => 3,
-        }
-    }
+/// A version marker that a proxy has not acknowledged.
+#[derive(Clone, Copy, Debug)]
+struct OutstandingMarker {
+    marker: MarkerId,
+    sent_at: Moment,
 }
 
+/// What one stream was sent.
 #[derive(Clone, Debug, Default)]
-struct Table {
-    lines: BTreeMap<NodeId, f64>,
-    levels: BTreeMap<OperationId, Level>,
+struct StreamState {
+    bindings: BTreeMap<OperationId, TableId>,
+    ejected: BTreeSet<NodeId>,
+    /// In the order in which they were sent.
+    outstanding: VecDeque<OutstandingMarker>,
 }
 
-/// What one stream was told.
-#[derive(Clone, Debug, Default)]
-struct Told {
-    bound: BTreeMap<OperationId, TableId>,
-    out: BTreeSet<NodeId>,
-    /// Marks that it has not answered, in the order they were sent.
-    marks: VecDeque<(MarkerId, Moment)>,
+/// The marker of the next messages.
+#[derive(Clone, Copy, Debug)]
+struct PendingMarker {
+    marker: MarkerId,
+    /// Also to proxies that the changes do not concern.
+    to_all: bool,
 }
 
 /// What was ordered since the last messages.
 #[derive(Clone, Debug, Default)]
-struct News {
-    lines: BTreeMap<TableId, BTreeSet<NodeId>>,
-    levels: BTreeSet<(Option<TableId>, OperationId)>,
+struct PendingChanges {
+    weights: BTreeMap<TableId, BTreeSet<NodeId>>,
+    /// `None` for a table is the setting for all proxies.
+    admission: BTreeSet<(Option<TableId>, OperationId)>,
     cleared: BTreeSet<TableId>,
     bound: BTreeMap<ProxyId, BTreeSet<TableId>>,
-    mark: Option<(MarkerId, bool)>,
-    /// Whether anything was ordered at all: if not, no stream is looked at.
-    any: bool,
+    marker: Option<PendingMarker>,
+    /// Whether anything was ordered at all: if not, no stream needs to be visited.
+    is_any: bool,
+}
+
+/// What a message depends on beside the pending changes: proxies with the same key share one message.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct MessageKey {
+    bindings: BTreeMap<OperationId, TableId>,
+    /// Tables that are to be sent whole.
+    newly_bound: BTreeSet<TableId>,
+    eject: Vec<NodeId>,
+    readmit: Vec<NodeId>,
 }
 
+/// Nodes whose ejection a proxy is to be told of.
+#[derive(Debug, Default)]
+struct EjectionChanges {
+    eject: Vec<NodeId>,
+    readmit: Vec<NodeId>,
+}
+
+/// The published state.
 #[derive(Clone, Debug, Default)]
-pub struct TableStore {
+pub struct Publication {
     operations: Vec<String>,
-    tables: BTreeMap<TableId, Table>,
-    everywhere: BTreeMap<OperationId, Level>,
-    withdrawn: BTreeSet<NodeId>,
-    /// Withdrawn once and let back: proxies keep withdrawals over a change of streams.
-    let_back: BTreeSet<NodeId>,
-    streams: BTreeMap<ProxyId, Told>,
-    news: News,
+    tables: BTreeMap<TableId, WeightTable>,
+    admission_for_all: BTreeMap<OperationId, AdmissionSetting>,
+    ejected: BTreeSet<NodeId>,
+    /// Ejected once and readmitted: proxies keep ejections over a change of streams.
+    readmitted: BTreeSet<NodeId>,
+    streams: BTreeMap<ProxyId, StreamState>,
+    changes: PendingChanges,
 }
 
-/// Proxies that get the same message share it.
-type Key = (
-    BTreeMap<OperationId, TableId>,
-    BTreeSet<TableId>,
-    Vec<NodeId>,
-    Vec<NodeId>,
-);
-
-/// Tells apart what an order names from what there is.
+/// Whether an action of the balancer is part of what proxies are sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Kept {
-    Kept,
-    NotMine,
+pub enum ActionTarget {
+    /// The action was recorded for the next messages.
+    Proxies,
+    /// It is for somebody else, and nothing was recorded.
+    Other,
 }
 
-impl TableStore {
-    pub fn new(operations: &[String]) -> TableStore {
-        TableStore {
+impl Publication {
+    /// An empty publication for these operations.
+    pub fn new(operations: &[String]) -> Publication {
+        Publication {
             operations: operations.to_vec(),
-            ..TableStore::default()
+            ..Publication::default()
         }
     }
 
-    pub fn join(&mut self, proxy: ProxyId) {
-        self.streams.insert(proxy, Told::default());
+    /// A proxy has a new stream, on which nothing was sent.
+    pub fn add_stream(&mut self, proxy: ProxyId) {
+        self.streams.insert(proxy, StreamState::default());
     }
 
-    pub fn leave(&mut self, proxy: ProxyId) {
+    /// A proxy's stream has ended.
+    pub fn remove_stream(&mut self, proxy: ProxyId) {
         self.streams.remove(&proxy);
-        self.news.bound.remove(&proxy);
+        self.changes.bound.remove(&proxy);
     }
 
-    /// All marks that an answer covers, the named one last; none where it was never sent.
-    pub fn acked(&mut self, proxy: ProxyId, mark: MarkerId) -> Vec<MarkerId> {
-        let Some(told) = self.streams.get_mut(&proxy) else {
+    /// Takes an acknowledgement. It covers all markers before it: they are returned in order, the named one
+    /// last; none, where the named one is not outstanding.
+    pub fn acknowledge(&mut self, proxy: ProxyId, marker: MarkerId) -> Vec<MarkerId> {
+        let Some(stream) = self.streams.get_mut(&proxy) else {
             return Vec::new();
         };
-        let Some(place) = told.marks.iter().position(|sent| sent.0 == mark) else {
+        let is_named = |sent: &OutstandingMarker| sent.marker == marker;
+        let Some(position) = stream.outstanding.iter().position(is_named) else {
             return Vec::new();
         };
-        told.marks.drain(..=place).map(|sent| sent.0).collect()
+        let covered = stream.outstanding.drain(..=position);
+        covered.map(|sent| sent.marker).collect()
     }
 
-    /// When the oldest mark went out that a proxy has not answered.
-    pub fn unacked(&self, proxy: ProxyId) -> Option<Moment> {
-        self.streams.get(&proxy)?.marks.front().map(|sent| sent.1)
+    /// When the oldest marker was sent that a proxy has not acknowledged.
+    pub fn oldest_unacknowledged(&self, proxy: ProxyId) -> Option<Moment> {
+        let stream = self.streams.get(&proxy)?;
+        stream.outstanding.front().map(|sent| sent.sent_at)
     }
 
-    pub fn names(&self, node: NodeId) -> bool {
-        // Who was told to shut it out can only be told by its name to let it back.
-        self.withdrawn.contains(&node)
+    /// Whether a message may still have to name the node.
+    pub fn uses_node(&self, node: NodeId) -> bool {
+        // A proxy that has ejected a node can only be told by its name to readmit it.
+        self.ejected.contains(&node)
             || self
                 .tables
                 .values()
-                .any(|table| table.lines.contains_key(&node))
-            || self.streams.values().any(|told| told.out.contains(&node))
+                .any(|table| table.weights.contains_key(&node))
+            || self
+                .streams
+                .values()
+                .any(|stream| stream.ejected.contains(&node))
     }
 
-    /// The operations that an order names; none named is all of them.
-    fn named(&self, operations: &[OperationId]) -> Vec<OperationId> {
+    /// The operations that an action names; an empty list names all.
+    fn expand_operations(&self, operations: &[OperationId]) -> Vec<OperationId> {
         match operations {
             [] => (0..self.operations.len())
-                .map(|at| OperationId(at as u8))
+                .map(|position| OperationId(position as u8))
                 .collect(),
             named => named.to_vec(),
         }
     }
 
-    /// Takes an order down; what is no order to proxies is not kept here.
-    pub fn order(&mut self, action: &Action) -> Kept {
+    /// Records an action for the next messages.
+    pub fn record(&mut self, action: &Action) -> ActionTarget {
         match action {
             Action::SetWeight {
                 table,
                 node,
                 weight,
-            } => {
-                let lines = &mut self.tables.entry(*table).or_default().lines;
-                // As exact as it is said; what then says nothing is no line.
-                match f64::from(*weight as f32) {
-                    weight if weight > 0.0 => drop(lines.insert(*node, weight)),
-                    _ => drop(lines.remove(node)),
-                }
-                self.news.lines.entry(*table).or_default().insert(*node);
-            }
+            } => self.set_weight(*table, *node, *weight),
             Action::ClearTable { table } => {
                 self.tables.remove(table);
-                self.news.cleared.insert(*table);
+                self.changes.cleared.insert(*table);
             }
             Action::BindTable {
                 proxy,
                 table,
                 operations,
-            } => {
-                let named = self.named(operations);
-                if let Some(told) = self.streams.get_mut(proxy) {
-                    told.bound
-                        .extend(named.into_iter().map(|operation| (operation, *table)));
-                    self.news.bound.entry(*proxy).or_default().insert(*table);
-                }
-            }
+            } => self.bind_table(*proxy, *table, operations),
             Action::SetAdmission {
                 table,
                 operations,
-                limit: quota,
+                limit,
                 retry,
             } => {
-                let level = Level {
-                    quota: *quota,
+                let setting = AdmissionSetting {
+                    limit: *limit,
                     retry: *retry,
                 };
-                let named = self.named(operations);
-                let levels = match table {
-                    Some(table) => &mut self.tables.entry(*table).or_default().levels,
-                    None => &mut self.everywhere,
-                };
-                levels.extend(named.iter().map(|operation| (*operation, level)));
-                self.news
-                    .levels
-                    .extend(named.iter().map(|operation| (*table, *operation)));
+                self.set_admission(*table, operations, setting);
             }
-            Action::EjectNode { node, ejected: out } => {
-                let (into, from) = match out {
-                    true => (&mut self.withdrawn, &mut self.let_back),
-                    false => (&mut self.let_back, &mut self.withdrawn),
-                };
-                from.remove(node);
-                into.insert(*node);
+            Action::EjectNode { node, ejected } => self.set_ejected(*node, *ejected),
+            Action::SendMarker { marker, to_all } => {
+                self.changes.marker = Some(PendingMarker {
+                    marker: *marker,
+                    to_all: *to_all,
+                });
             }
-            Action::SendMarker {
-                marker: mark,
-                to_all: everyone,
-            } => self.news.mark = Some((*mark, *everyone)),
-            _ => return Kept::NotMine,
+            _ => return ActionTarget::Other,
+        }
+        self.changes.is_any = true;
+        ActionTarget::Proxies
+    }
+
+    fn set_weight(&mut self, table: TableId, node: NodeId, weight: f64) {
+        let weights = &mut self.tables.entry(table).or_default().weights;
+        // Held as exactly as it is sent; a weight that is 0 on the wire is no entry.
+        let sent_weight = f64::from(weight as f32);
+        if sent_weight > 0.0 {
+            weights.insert(node, sent_weight);
+        } else {
+            weights.remove(&node);
         }
-        self.news.any = true;
-        Kept::Kept
+        self.changes.weights.entry(table).or_default().insert(node);
     }
 
-    /// The messages that what was ordered makes, as bytes to write.
-    pub fn messages(&mut self, now: Moment, membership: &Membership) -> Vec<(ProxyId, Rc<[u8]>)> {
-        let news = std::mem::take(&mut self.news);
-        if !news.any {
+    fn bind_table(&mut self, proxy: ProxyId, table: TableId, operations: &[OperationId]) {
+        let named = self.expand_operations(operations);
+        if let Some(stream) = self.streams.get_mut(&proxy) {
+            stream
+                .bindings
+                .extend(named.into_iter().map(|operation| (operation, table)));
+            self.changes.bound.entry(proxy).or_default().insert(table);
+        }
+    }
+
+    fn set_admission(
+        &mut self,
+        table: Option<TableId>,
+        operations: &[OperationId],
+        setting: AdmissionSetting,
+    ) {
+        let named = self.expand_operations(operations);
+        let settings = match table {
+            Some(table) => &mut self.tables.entry(table).or_default().admission,
+            None => &mut self.admission_for_all,
+        };
+        settings.extend(named.iter().map(|operation| (*operation, setting)));
+        self.changes
+            .admission
+            .extend(named.iter().map(|operation| (table, *operation)));
+    }
+
+    fn set_ejected(&mut self, node: NodeId, is_ejected: bool) {
+        let (into, from) = if is_ejected {
+            (&mut self.ejected, &mut self.readmitted)
+        } else {
+            (&mut self.readmitted, &mut self.ejected)
+        };
+        from.remove(&node);
+        into.insert(node);
+    }
+
+    /// The messages for all recorded changes, as bytes to write.
+    pub fn take_messages(
+        &mut self,
+        now: Moment,
+        membership: &Membership,
+    ) -> Vec<(ProxyId, Rc<[u8]>)> {
+        let changes = std::mem::take(&mut self.changes);
+        if !changes.is_any {
             return Vec::new();
         }
-        let mut made: BTreeMap<Key, Option<Rc<[u8]>>> = BTreeMap::new();
+        let mut composed: BTreeMap<MessageKey, Option<Rc<[u8]>>> = BTreeMap::new();
         let mut messages = Vec::new();
         for proxy in self.streams.keys().copied().collect::<Vec<_>>() {
-            let fresh = news.bound.get(&proxy).cloned().unwrap_or_default();
-            let (drop, undrop) = self.withdrawals(proxy, !fresh.is_empty());
-            let Some(told) = self.streams.get_mut(&proxy) else {
+            let Some(key) = self.message_key(proxy, &changes) else {
                 continue;
             };
-            told.out.extend(&drop);
-            undrop.iter().for_each(|node| _ = told.out.remove(node));
-            let key = (told.bound.clone(), fresh, drop, undrop);
-            let message = match made.get(&key) {
+            let message = match composed.get(&key) {
                 Some(message) => message.clone(),
                 None => {
-                    let message = self.message(&news, &key, membership);
-                    made.insert(key, message.clone());
+                    let message = self.compose(&changes, &key, membership);
+                    composed.insert(key, message.clone());
                     message
                 }
             };
             let Some(message) = message else { continue };
-            if let (Some((mark, _)), Some(told)) = (news.mark, self.streams.get_mut(&proxy)) {
-                told.marks.push_back((mark, now));
-            }
+            self.expect_acknowledgement(proxy, changes.marker, now);
             messages.push((proxy, message));
         }
         messages
     }
 
-    /// Nodes that a proxy is to shut out, and to let back, beside what it was told.
-    fn withdrawals(&self, proxy: ProxyId, fresh: bool) -> (Vec<NodeId>, Vec<NodeId>) {
-        let Some(told) = self
+    /// What this proxy's message depends on. Its ejections are taken as sent.
+    fn message_key(&mut self, proxy: ProxyId, changes: &PendingChanges) -> Option<MessageKey> {
+        let newly_bound = changes.bound.get(&proxy).cloned().unwrap_or_default();
+        let EjectionChanges { eject, readmit } =
+            self.ejection_changes(proxy, !newly_bound.is_empty());
+        let stream = self.streams.get_mut(&proxy)?;
+        stream.ejected.extend(&eject);
+        for node in &readmit {
+            stream.ejected.remove(node);
+        }
+        Some(MessageKey {
+            bindings: stream.bindings.clone(),
+            newly_bound,
+            eject,
+            readmit,
+        })
+    }
+
+    fn expect_acknowledgement(
+        &mut self,
+        proxy: ProxyId,
+        marker: Option<PendingMarker>,
+        now: Moment,
+    ) {
+        if let (Some(pending), Some(stream)) = (marker, self.streams.get_mut(&proxy)) {
+            stream.outstanding.push_back(OutstandingMarker {
+                marker: pending.marker,
+                sent_at: now,
+            });
+        }
+    }
+
+    /// Nodes that a proxy is to eject or to readmit, beyond what its stream was sent.
+    fn ejection_changes(&self, proxy: ProxyId, is_newly_bound: bool) -> EjectionChanges {
+        let Some(stream) = self
             .streams
             .get(&proxy)
-            .filter(|told| !told.bound.is_empty())
+            .filter(|stream| !stream.bindings.is_empty())
         else {
-            return Default::default();
+            return EjectionChanges::default();
         };
-        let tables = |node: &NodeId| {
-            let mut own = told
-                .bound
+        let is_in_tables = |node: &NodeId| {
+            let mut tables = stream
+                .bindings
                 .values()
                 .filter_map(|table| self.tables.get(table));
-            own.any(|table| table.lines.contains_key(node))
+            tables.any(|table| table.weights.contains_key(node))
         };
-        let out = |node: &&NodeId| !told.out.contains(node) && tables(node);
-        let back = |node: &&NodeId| told.out.contains(node) || fresh;
-        (
-            self.withdrawn.iter().filter(out).copied().collect(),
-            self.let_back.iter().filter(back).copied().collect(),
-        )
-    }
-
-    fn message(&self, news: &News, key: &Key, membership: &Membership) -> Option<Rc<[u8]>> {
-        let (bound, fresh, drop, undrop) = key;
-        let mut parts: Vec<Vec<(&str, String)>> = Vec::new();
-        for table in bound.values().collect::<BTreeSet<_>>() {
-            let own: Vec<OperationId> = bound
+        let must_eject = |node: &&NodeId| !stream.ejected.contains(node) && is_in_tables(node);
+        let must_readmit = |node: &&NodeId| stream.ejected.contains(node) || is_newly_bound;
+        EjectionChanges {
+            eject: self.ejected.iter().filter(must_eject).copied().collect(),
+            readmit: self
+                .readmitted
                 .iter()
-                .filter(|(_, bound)| *bound == table)
-                .map(|(operation, _)| *operation)
-                .collect();
-            let whole = fresh.contains(table) || news.cleared.contains(table);
-            self.table_parts(news, *table, &own, whole, membership, &mut parts);
-        }
-        // Levels for all reach operations without a table of ours too.
-        let plain = |operation: &OperationId| !bound.contains_key(operation);
-        let asked = news
-            .levels
-            .iter()
-            .filter(|(table, _)| table.is_none())
-            .map(|(_, operation)| *operation);
-        self.level_parts(
-            asked.filter(plain),
-            &|operation| self.everywhere.get(&operation).copied(),
-            &mut parts,
-        );
-        let mut last = Vec::new();
-        for (word, nodes) in [("drop", drop), ("undrop", undrop)] {
-            let names: Vec<&str> = nodes
-                .iter()
-                .filter_map(|node| membership.name(*node))
-                .collect();
-            if !names.is_empty() {
-                last.push((word, names.join(",")));
-            }
-        }
-        match news.mark {
-            Some((mark, everyone)) if everyone || !parts.is_empty() || !last.is_empty() => {
-                last.push(("stamp", mark.0.to_string()));
-            }
-            _ => {}
-        }
-        match parts.last_mut() {
-            Some(part) => part.extend(last),
-            None if last.is_empty() => return None,
-            None => parts.push(last),
-        }
-        let (mut bytes, count) = (Vec::new(), parts.len());
-        for (at, part) in parts.into_iter().enumerate() {
-            let mut strings = vec!["update".to_string()];
-            strings.extend(
-                part.into_iter()
-                    .flat_map(|(name, value)| [name.to_string(), value]),
-            );
-            if at + 1 < count {
-                strings.extend(["part".to_string(), "1".to_string()]);
-            }
-            wheelspread_resp::write(&strings, &mut bytes);
-        }
-        Some(bytes.into())
-    }
-
-    fn table_parts(
-        &self,
-        news: &News,
-        id: TableId,
-        own: &[OperationId],
-        whole: bool,
-        membership: &Membership,
-        parts: &mut Vec<Vec<(&'static str, String)>>,
-    ) {
-        let empty = Table::default();
-        let table = self.tables.get(&id).unwrap_or(&empty);
-        let changed = news.lines.get(&id).into_iter().flatten();
-        let lines: Vec<(NodeId, f64)> = match whole {
-            true => table
-                .lines
-                .iter()
-                .map(|(node, weight)| (*node, *weight))
-                .collect(),
-            false => changed
-                .map(|node| (*node, table.lines.get(node).copied().unwrap_or(0.0)))
+                .filter(must_readmit)
+                .copied()
                 .collect(),
-        };
-        let level = |operation: OperationId| {
-            let own = table.levels.get(&operation).copied();
-            Level::with(own, self.everywhere.get(&operation).copied())
-        };
-        let told = |operation: &OperationId| {
-            whole
-                || [Some(id), None]
-                    .iter()
-                    .any(|table| news.levels.contains(&(*table, *operation)))
-        };
-        let first = parts.len();
-        if whole || !lines.is_empty() {
-            let mut part = self.meant(own);
-            if whole {
-                part.push(("replace", "1".to_string()));
-            }
-            let mut rows = String::new();
-            for (node, weight) in lines {
-                let Some(name) = membership.name(node) else {
-                    continue;
-                };
-                let comma = if rows.is_empty() { "" } else { "," };
-                let _ = write!(rows, "{comma}{name}:{}", weight as f32);
-            }
-            if !rows.is_empty() {
-                part.push(("rows", rows));
-            }
-            parts.push(part);
-        }
-        self.level_parts(own.iter().copied().filter(told), &level, parts);
-        // One level for all that the lines are meant for goes with the lines.
-        if parts.len() == first + 2
-            && parts[first + 1]
-                .iter()
-                .all(|field| field.0 != "for" || parts[first].contains(field))
-        {
-            let levels = parts.pop().unwrap_or_default();
-            parts[first].extend(levels.into_iter().filter(|field| field.0 != "for"));
-        }
-    }
-
-    /// One part for each level, with the operations that get it.
-    fn level_parts(
-        &self,
-        operations: impl Iterator<Item = OperationId>,
-        level: &dyn Fn(OperationId) -> Option<Level>,
-        parts: &mut Vec<Vec<(&'static str, String)>>,
-    ) {
-        let mut groups: Vec<(Level, Vec<OperationId>)> = Vec::new();
-        for operation in operations {
-            let Some(level) = level(operation) else {
-                continue;
-            };
-            match groups.iter_mut().find(|group| group.0 == level) {
-                Some(group) => group.1.push(operation),
-                None => groups.push((level, vec![operation])),
-            }
-        }
-        for (level, operations) in groups {
-            let mut part = self.meant(&operations);
-            part.push(("gate", (level.quota as f32).to_string()));
-            part.push(("again", level.again().to_string()));
-            parts.push(part);
-        }
-    }
-
-    /// The operations that a part is meant for; all, where it does not say.
-    fn meant(&self, operations: &[OperationId]) -> Vec<(&'static str, String)> {
-        if operations.len() == self.operations.len() {
-            return Vec::new();
         }
-        let names = operations
-            .iter()
-            .filter_map(|operation| self.operations.get(usize::from(operation.0)));
-        vec![(
-            "for",
-            names.map(String::as_str).collect::<Vec<_>>().join("+"),
-        )]
     }
 }
--- a/crates/platform-core/src/tests.rs
+++ b/crates/platform-core/src/tests.rs
@@ -16,17 +16,20 @@
 //! expectations lines are played in the order of their times.
 
 use crate::membership::Membership;
-use crate::message::{read, BadMessage, Bounds};
-use crate::publication::{Kept, TableStore};
-use crate::{ConnectionId, Desk, List, Out, Reply, SourceId, WatchPlace, CONFIGURATION};
+use crate::message::{parse, MessageError, MessageLimits};
+use crate::publication::{ActionTarget, Publication};
+use crate::{
+    ConnectionId, ControllerCore, EndpointList, MessageOutcome, Output, SourceId, WatchPosition,
+    CONFIGURED_SOURCE,
+};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use test_case::test_case;
 use wheelspread::ids::*;
 use wheelspread::time::{Moment, Span};
 use wheelspread::{Action, EndpointListKind, EndpointStatus, RetryPolicy};
-use wheelspread_resp::{Limits, Reader};
-use wheelspread_settings::{settings, Names};
+use wheelspread_resp::{Decoder, Limits};
+use wheelspread_settings::{from_wire, Names};
 
 const EPOCH: f64 = 1000.0;
 
@@ -45,26 +48,26 @@
             "update_window": 10.0, "fails_to_eject": 8}})
 }
 
-fn desk() -> Desk {
+fn core() -> ControllerCore {
     let value = settings_of();
-    Desk::start(
+    ControllerCore::start(
         Moment::from_seconds(EPOCH),
         7,
-        settings(&value),
-        Names::read(&value),
+        from_wire(&value),
+        Names::from_wire(&value),
     )
     .expect("fine")
 }
 
 /// What was written, as words.
 fn texts(bytes: &[u8]) -> Vec<String> {
-    let mut reader = Reader::new(Limits {
-        message: 1 << 20,
+    let mut decoder = Decoder::new(Limits {
+        message_bytes: 1 << 20,
         strings: 64,
     });
-    reader.feed(bytes);
+    decoder.feed(bytes);
     let mut texts = Vec::new();
-    while let Some(strings) = reader.message().expect("messages") {
+    while let Some(strings) = decoder.next_message().expect("messages") {
         let words: Vec<_> = strings
             .iter()
             .map(|string| String::from_utf8_lossy(string))
@@ -94,9 +97,9 @@
 }
 
 struct Stage {
-    desk: Desk,
+    core: ControllerCore,
     now: f64,
-    reply: Reply,
+    reply: MessageOutcome,
     told: BTreeMap<u64, Vec<String>>,
     marks: BTreeMap<u64, String>,
     closed: Vec<u64>,
@@ -126,9 +129,9 @@
         let version: u64 = words[0].parse().expect("a version");
         let entries: Vec<Value> = words[1..].iter().map(entry).collect();
         let value = json!({"index": version, "snapshot": whole, "endpoints": entries});
-        let list = List::read(&value, self.desk.names()).expect("a list");
-        self.desk
-            .list(Moment::from_seconds(now), &list, SourceId(self.source));
+        let list = EndpointList::parse(&value, self.core.names()).expect("a list");
+        self.core
+            .handle_endpoint_list(Moment::from_seconds(now), &list, SourceId(self.source));
     }
 
     fn play(&mut self, time: f64, words: &[&str]) {
@@ -141,8 +144,8 @@
             "connection" => {
                 let strings: Vec<&[u8]> = words[2..].iter().map(|word| word.as_bytes()).collect();
                 self.reply = self
-                    .desk
-                    .message(now, ConnectionId(key(words[1])), &strings);
+                    .core
+                    .handle_message(now, ConnectionId(key(words[1])), &strings);
             }
             "answer" => {
                 let connection = key(words[1]);
@@ -152,15 +155,19 @@
                     "applied", "sidecar", &proxy, "version", &mark, "lag_ms", "300.5",
                 ];
                 let strings: Vec<&[u8]> = strings.iter().map(|word| word.as_bytes()).collect();
-                self.reply = self.desk.message(now, ConnectionId(connection), &strings);
+                self.reply = self
+                    .core
+                    .handle_message(now, ConnectionId(connection), &strings);
             }
-            "end" => self.desk.closed(now, ConnectionId(key(words[1]))),
+            "end" => self
+                .core
+                .handle_connection_closed(now, ConnectionId(key(words[1]))),
             "settle" => {}
             other => panic!("no such line: {other}"),
         }
-        for out in self.desk.settle(now) {
+        for out in self.core.decide(now) {
             match out {
-                Out::Write { connection, bytes } => {
+                Output::Write { connection, bytes } => {
                     for text in texts(&bytes) {
                         if let Some((_, mark)) = text.split_once("stamp ") {
                             self.marks.insert(
@@ -171,7 +178,7 @@
                         self.told.entry(connection.0).or_default().push(text);
                     }
                 }
-                Out::Close { connection, .. } => self.closed.push(connection.0),
+                Output::Close { connection, .. } => self.closed.push(connection.0),
                 _ => {}
             }
         }
@@ -182,10 +189,10 @@
         match words[0] {
             "reply" => {
                 let reply = match &self.reply {
-                    Reply::Nothing => "nothing",
-                    Reply::Known => "known",
-                    Reply::Pong => "pong",
-                    Reply::Close(_) => "close",
+                    MessageOutcome::Consumed => "nothing",
+                    MessageOutcome::Identified => "known",
+                    MessageOutcome::Pong => "pong",
+                    MessageOutcome::Close(_) => "close",
                 };
                 assert_eq!(reply, words[1], "{line}");
             }
@@ -213,7 +220,7 @@
                 "{line}\nbut {:?}",
                 self.closed
             ),
-            "proxies" => assert_eq!(self.desk.proxies().to_string(), words[1], "{line}"),
+            "proxies" => assert_eq!(self.core.proxy_count().to_string(), words[1], "{line}"),
             "end" => {}
             other => panic!("no such expectation: {other}"),
         }
@@ -231,9 +238,9 @@
 fn plays(script: &str) {
     let (told, marks, closed) = Default::default();
     let mut stage = Stage {
-        desk: desk(),
+        core: core(),
         now: EPOCH,
-        reply: Reply::Nothing,
+        reply: MessageOutcome::Consumed,
         told,
         marks,
         closed,
@@ -265,12 +272,12 @@
 }
 
 fn names() -> Names {
-    Names::read(&settings_of())
+    Names::from_wire(&settings_of())
 }
 
-const BOUNDS: Bounds = Bounds {
-    proxies: 8,
-    longest_try: Span::ZERO,
+const LIMITS: MessageLimits = MessageLimits {
+    proxy_count: 8,
+    attempt_duration: Span::ZERO,
 };
 
 #[test_case("joined sidecar 8 az a share 1 standing 1", "sidecar"; "a proxy that there is not")]
@@ -294,12 +301,12 @@
 #[test_case("ping now", "without a value"; "a name without a value")]
 fn what_can_t_be_is_refused_and_named(text: &str, why: &str) {
     let strings: Vec<&[u8]> = text.split(' ').map(str::as_bytes).collect();
-    let refused: BadMessage = read(&strings, &names(), &BOUNDS).expect_err("it can't be");
+    let refused: MessageError = parse(&strings, &names(), &LIMITS).expect_err("it can't be");
     assert!(refused.to_string().contains(why), "{refused}");
 }
 
-/// A table store with two listed nodes, and what a stream is told of some orders.
-fn table_store() -> (TableStore, Membership, [NodeId; 2]) {
+/// A publication with two listed nodes, and what a stream is told of some orders.
+fn publication() -> (Publication, Membership, [NodeId; 2]) {
     let mut membership = Membership::default();
     let entries: Vec<Value> = ["x", "y"]
         .iter()
@@ -308,22 +315,22 @@
             "status": "Ready", "weight": 1.0, "since_ms": 0})
         })
         .collect();
-    let list = List::read(
+    let list = EndpointList::parse(
         &json!({"index": 1, "snapshot": true, "endpoints": entries}),
         &names(),
     );
-    membership.take(&list.expect("a list"), CONFIGURATION, Moment::default());
+    membership.apply(&list.expect("a list"), CONFIGURED_SOURCE, Moment::default());
     let ids = ["x", "y"].map(|name| membership.id(name).expect("listed"));
-    let mut tables = TableStore::new(&names().operations);
-    tables.join(ProxyId(0));
-    (tables, membership, ids)
+    let mut publication = Publication::new(&names().operations);
+    publication.add_stream(ProxyId(0));
+    (publication, membership, ids)
 }
 
-fn told(tables: &mut TableStore, membership: &Membership, actions: &[Action]) -> Vec<String> {
+fn told(publication: &mut Publication, membership: &Membership, actions: &[Action]) -> Vec<String> {
     assert!(actions
         .iter()
-        .all(|action| tables.order(action) == Kept::Kept));
-    let messages = tables.messages(Moment::default(), membership);
+        .all(|action| publication.record(action) == ActionTarget::Proxies));
+    let messages = publication.take_messages(Moment::default(), membership);
     messages
         .iter()
         .flat_map(|(_, bytes)| texts(bytes))
@@ -359,13 +366,13 @@
 
 #[test]
 fn a_table_is_told_whole_once_and_then_by_its_changes() {
-    let (mut tables, membership, [x, y]) = table_store();
+    let (mut publication, membership, [x, y]) = publication();
     let mark = |mark| Action::SendMarker {
         marker: MarkerId(mark),
         to_all: false,
     };
     let first = [line(3, x, 1.5), line(3, y, 0.1), bind(3, &[]), mark(9)];
-    let said = told(&mut tables, &membership, &first);
+    let said = told(&mut publication, &membership, &first);
     assert!(
         says(
             &said[0],
@@ -382,21 +389,21 @@
         "{said:?}"
     );
     assert_eq!(
-        told(&mut tables, &membership, &[line(3, x, 0.0), mark(10)]),
+        told(&mut publication, &membership, &[line(3, x, 0.0), mark(10)]),
         ["update rows x:0 stamp 10"]
     );
     assert_eq!(
-        told(&mut tables, &membership, &[line(4, x, 2.0), mark(11)]).len(),
+        told(&mut publication, &membership, &[line(4, x, 2.0), mark(11)]).len(),
         0,
         "another table"
     );
     assert_eq!(
-        tables.acked(ProxyId(0), MarkerId(10)),
+        publication.acknowledge(ProxyId(0), MarkerId(10)),
         [MarkerId(9), MarkerId(10)],
         "an answer covers all before"
     );
     assert_eq!(
-        tables.acked(ProxyId(0), MarkerId(11)),
+        publication.acknowledge(ProxyId(0), MarkerId(11)),
         [],
         "that was never sent"
     );
@@ -404,9 +411,12 @@
         marker: MarkerId(12),
         to_all: true,
     };
-    assert_eq!(told(&mut tables, &membership, &[all]), ["update stamp 12"]);
+    assert_eq!(
+        told(&mut publication, &membership, &[all]),
+        ["update stamp 12"]
+    );
     let cleared = told(
-        &mut tables,
+        &mut publication,
         &membership,
         &[Action::ClearTable { table: TableId(3) }],
     );
@@ -415,7 +425,7 @@
 
 #[test]
 fn levels_go_with_the_lines_where_one_holds_for_all_and_apart_where_not() {
-    let (mut tables, membership, [x, _]) = table_store();
+    let (mut publication, membership, [x, _]) = publication();
     let usual = RetryPolicy::IfUnprocessed;
     let same = [
         line(0, x, 1.0),
@@ -423,18 +433,18 @@
         bind(0, &[0, 1]),
     ];
     assert_eq!(
-        told(&mut tables, &membership, &same),
+        told(&mut publication, &membership, &same),
         ["update replace 1 rows x:1 gate 0.9 again 1"]
     );
     let one = told(
-        &mut tables,
+        &mut publication,
         &membership,
         &[level(Some(0), &[1], 0.5, RetryPolicy::Never)],
     );
     assert_eq!(one, ["update for order gate 0.5 again 0"]);
     // For all: the lower level, and the table's own way of trying again.
     let all = told(
-        &mut tables,
+        &mut publication,
         &membership,
         &[level(None, &[], 0.7, RetryPolicy::TwiceOnAnyFailure)],
     );
@@ -445,7 +455,7 @@
             "update for order gate 0.5 again 0"
         ]
     );
-    let again = told(&mut tables, &membership, &[bind(0, &[0, 1])]);
+    let again = told(&mut publication, &membership, &[bind(0, &[0, 1])]);
     let parts = [
         "update replace 1 rows x:1 part 1",
         "update for lookup gate 0.7 again 1 part 1",
@@ -459,26 +469,30 @@
 
 #[test]
 fn withdrawals_reach_who_holds_the_node_and_are_taken_back() {
-    let (mut tables, membership, [x, y]) = table_store();
-    told(&mut tables, &membership, &[line(0, x, 1.0), bind(0, &[])]);
+    let (mut publication, membership, [x, y]) = publication();
+    told(
+        &mut publication,
+        &membership,
+        &[line(0, x, 1.0), bind(0, &[])],
+    );
     let withdraw = |node, out| Action::EjectNode { node, ejected: out };
     assert_eq!(
-        told(&mut tables, &membership, &[withdraw(y, true)]).len(),
+        told(&mut publication, &membership, &[withdraw(y, true)]).len(),
         0,
         "it does not hold it"
     );
     assert_eq!(
-        told(&mut tables, &membership, &[line(0, y, 1.0)]),
+        told(&mut publication, &membership, &[line(0, y, 1.0)]),
         ["update rows y:1 drop y"]
     );
     assert_eq!(
-        told(&mut tables, &membership, &[withdraw(y, false)]),
+        told(&mut publication, &membership, &[withdraw(y, false)]),
         ["update undrop y"]
     );
     // A proxy keeps withdrawals over a change of streams.
-    tables.leave(ProxyId(0));
-    tables.join(ProxyId(0));
-    let said = told(&mut tables, &membership, &[bind(0, &[])]);
+    publication.remove_stream(ProxyId(0));
+    publication.add_stream(ProxyId(0));
+    let said = told(&mut publication, &membership, &[bind(0, &[])]);
     assert!(says(&said[0], &["undrop", "y"]), "{said:?}");
 }
 
@@ -490,13 +504,13 @@
     };
     let list = |version: u64, whole: bool, entries: Vec<Value>| {
         let value = json!({"index": version, "snapshot": whole, "endpoints": entries});
-        List::read(&value, &names()).expect("a list")
+        EndpointList::parse(&value, &names()).expect("a list")
     };
     let mut membership = Membership::default();
     let now = Moment::default();
     let changes = list(4, false, vec![entry("x", "a", "Ready")]);
     assert_eq!(
-        membership.take(&changes, SourceId(1), now),
+        membership.apply(&changes, SourceId(1), now),
         None,
         "changes of nothing"
     );
@@ -509,20 +523,20 @@
             entry("z", "b", "Lost"),
         ],
     );
-    assert_eq!((first.entries.len(), first.refused.len()), (1, 2));
+    assert_eq!((first.entries.len(), first.rejected.len()), (1, 2));
     assert_eq!(first.entries[0].started, Some(Moment::from_seconds(5.0)));
-    assert!(membership.take(&first, SourceId(1), now).is_some());
+    assert!(membership.apply(&first, SourceId(1), now).is_some());
     assert_eq!(
-        membership.take(&list(3, true, vec![]), SourceId(1), now),
+        membership.apply(&list(3, true, vec![]), SourceId(1), now),
         None,
         "a list from before"
     );
     assert_eq!(
-        membership.take(&changes, SourceId(1), now),
+        membership.apply(&changes, SourceId(1), now),
         None,
         "changes that were in the full list"
     );
-    let gone = membership.take(
+    let gone = membership.apply(
         &list(5, false, vec![entry("x", "a", "Gone")]),
         SourceId(1),
         now,
@@ -536,11 +550,11 @@
     };
     assert_eq!(entries[0].status, EndpointStatus::Gone);
     let later = now + Span::from_seconds(100.0);
-    membership.forget(later, Span::from_seconds(160.0), |_| false);
+    membership.forget_unlisted(later, Span::from_seconds(160.0), |_| false);
     assert!(membership.id("x").is_some(), "late sums may still name it");
-    membership.forget(later, Span::from_seconds(60.0), |_| true);
+    membership.forget_unlisted(later, Span::from_seconds(60.0), |_| true);
     assert!(membership.id("x").is_some(), "a table names it");
-    membership.forget(later, Span::from_seconds(60.0), |_| false);
+    membership.forget_unlisted(later, Span::from_seconds(60.0), |_| false);
     assert_eq!(membership.id("x"), None);
 }
 
@@ -548,39 +562,42 @@
 fn a_watch_that_counts_lower_than_before_owes_the_full_list() {
     let list = |version: u64, full: bool| {
         let value = json!({"index": version, "snapshot": full, "endpoints": []});
-        List::read(&value, &names()).expect("a list")
+        EndpointList::parse(&value, &names()).expect("a list")
     };
-    let mut place = WatchPlace::from(Some(40));
-    assert!(place.follows(&list(40, false)), "nothing new");
-    assert!(place.follows(&list(41, false)) && !place.follows(&list(6, false)));
-    let mut place = WatchPlace::from(Some(40));
+    let mut place = WatchPosition::starting_at(Some(40));
+    assert!(place.advance(&list(40, false)), "nothing new");
+    assert!(place.advance(&list(41, false)) && !place.advance(&list(6, false)));
+    let mut place = WatchPosition::starting_at(Some(40));
     assert!(
-        !place.follows(&list(6, false)),
+        !place.advance(&list(6, false)),
         "what changed after 40 can't be 6"
     );
-    let mut place = WatchPlace::from(Some(40));
+    let mut place = WatchPosition::starting_at(Some(40));
     assert!(
-        place.follows(&list(6, true)),
+        place.advance(&list(6, true)),
         "the full list, of a new count"
     );
     assert!(
-        place.follows(&list(7, false)) && !place.follows(&list(5, true)),
+        place.advance(&list(7, false)) && !place.advance(&list(5, true)),
         "a full list from before"
     );
-    assert!(WatchPlace::from(None).follows(&list(2, false)));
+    assert!(WatchPosition::starting_at(None).advance(&list(2, false)));
 }
 
 #[test]
 fn a_collector_is_spared_once_a_newer_one_has_come_for_its_zone() {
-    let mut desk = desk();
+    let mut core = core();
     let now = Moment::from_seconds(EPOCH);
     let mut collect = |at: u64, zone: &str| {
         let strings = ["collector", "az", zone].map(str::as_bytes);
-        assert_eq!(desk.message(now, ConnectionId(at), &strings), Reply::Known);
-        desk.spare()
+        assert_eq!(
+            core.handle_message(now, ConnectionId(at), &strings),
+            MessageOutcome::Identified
+        );
+        core.redundant_collector()
     };
     assert_eq!((collect(5, "a"), collect(6, "b")), (None, None));
     assert_eq!(collect(7, "a"), Some(ConnectionId(5)));
-    desk.closed(now, ConnectionId(5));
-    assert_eq!(desk.spare(), None);
+    core.handle_connection_closed(now, ConnectionId(5));
+    assert_eq!(core.redundant_collector(), None);
 }
--- a/crates/platform/src/clock.rs
+++ b/crates/platform/src/clock.rs
@@ -1,24 +1,31 @@
-//! Points in time as the platform dates things: seconds since 1970, but going on evenly whatever is done to
-//! the machine's time afterwards.
+//! The service's clock: seconds since 1970 at the start, and evenly from there whatever is done to the
+//! machine's time afterwards. Discovery dates the starts of nodes by the same epoch.
 
-use wheelspread::time::Moment;
+use std::time::Duration;
+use wheelspread::time::{Moment, Span};
 use wheelspread_reactor as reactor;
 
+/// Counts from the wall clock at its start by the monotonic clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    began: Moment,
-    counted_from: Moment,
+    started_at: Moment,
+    monotonic_start: Moment,
 }
 
 impl Clock {
-    pub fn new() -> Clock {
+    pub fn start() -> Clock {
         Clock {
-            began: Moment::from_seconds(reactor::wall()),
-            counted_from: reactor::now(),
+            started_at: Moment::from_seconds(reactor::wall()),
+            monotonic_start: reactor::now(),
         }
     }
 
     pub fn now(&self) -> Moment {
-        self.began + (reactor::now() - self.counted_from)
+        self.started_at + (reactor::now() - self.monotonic_start)
     }
 }
+
+/// A duration on this clock.
+pub fn span(duration: Duration) -> Span {
+    Span::from_seconds(duration.as_secs_f64())
+}
--- a/crates/platform/src/close_reason.rs
+++ b/crates/platform/src/close_reason.rs
@@ -1,68 +1,84 @@
-//! Every way in which a connection at the conductor's address ends, and what is still owed to it or by it in
-//! that instant (docs/endings.md).
+//! Why a connection at the controller's address is closed, and what closing it still has to do
+//! (docs/endings.md).
 
+/// Why a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
-    /// The peer ended or reset it, and was read to the end.
-    Ended,
-    /// Writing failed: what the peer had said before is still to be read.
+pub enum CloseReason {
+    /// The peer closed or reset it, and everything it sent was read.
+    PeerClosed,
+    /// A write failed: what the peer had sent before is still to be read.
     WriteFailed,
-    /// What it says can't be read.
+    /// The peer sends what is no message.
     Unreadable,
-    /// It leaves unread what it is sent.
-    Unread,
-    /// It said what its handshake does not allow.
-    Refused,
-    /// A newer stream of its proxy has come, or it fell silent.
+    /// The peer leaves unread what it is sent.
+    UnreadOutput,
+    /// The peer sent what the handshake does not allow.
+    Rejected,
+    /// A newer connection has taken its place, or its stream fell silent.
     Replaced,
-    /// It has not said who it is.
-    Late,
+    /// The peer did not identify itself in time.
+    IdentificationTimeout,
     /// Descriptors are short.
     Evicted,
-    /// Buffers hold too much.
-    Crowded,
-    /// It asks and asks, and does not read the answers.
-    Flooded,
+    /// All buffers together hold too much, and this one the most.
+    BuffersFull,
+    /// The peer sends pings without end and does not read the answers.
+    PingFlood,
 }
 
-/// A last look at what has come and was not read yet.
+/// Whether a connection is read once more before it is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LastLook {
-    /// All was read, or nothing it says counts.
-    None,
-    /// What it said counts, and it ends. No ending that a reading itself finds may ask for this.
-    Counts,
-    /// It stays if it has said who it is now: it was only not read in time.
-    Spares,
+pub enum FinalRead {
+    /// Everything was read, or nothing it sent counts.
+    Skip,
+    /// What it sent counts, and it is closed. A reason that reading itself finds must not ask for this.
+    Process,
+    /// It stays open if it has identified itself by now: it was only not read in time.
+    KeepIfIdentified,
 }
 
+/// What closing a connection has to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Owed {
-    pub look: LastLook,
-    /// By a reset, so that the peer does not wait for what was cut off.
+pub struct CloseObligations {
+    pub final_read: FinalRead,
+    /// Close by a reset, so that the peer does not wait for the rest of a message that was cut.
     pub reset: bool,
 }
 
-const fn owed(look: LastLook, reset: bool) -> Owed {
-    Owed { look, reset }
-}
+impl CloseReason {
+    pub fn obligations(self) -> CloseObligations {
+        CloseObligations {
+            final_read: self.final_read(),
+            reset: self.needs_reset(),
+        }
+    }
 
-const ENDINGS: &[(Ending, Owed)] = &[
-    (Ending::Ended, owed(LastLook::None, false)),
-    (Ending::WriteFailed, owed(LastLook::Counts, false)),
-    (Ending::Unreadable, owed(LastLook::None, false)),
-    (Ending::Unread, owed(LastLook::Counts, true)),
-    (Ending::Refused, owed(LastLook::None, false)),
-    (Ending::Replaced, owed(LastLook::None, false)),
-    (Ending::Late, owed(LastLook::Spares, false)),
-    (Ending::Evicted, owed(LastLook::Spares, false)),
-    (Ending::Crowded, owed(LastLook::Counts, true)),
-    (Ending::Flooded, owed(LastLook::None, true)),
-];
+    fn final_read(self) -> FinalRead {
+        match self {
+            CloseReason::WriteFailed | CloseReason::UnreadOutput | CloseReason::BuffersFull => {
+                FinalRead::Process
+            }
+            CloseReason::IdentificationTimeout | CloseReason::Evicted => {
+                FinalRead::KeepIfIdentified
+            }
+            CloseReason::PeerClosed
+            | CloseReason::Unreadable
+            | CloseReason::Rejected
+            | CloseReason::Replaced
+            | CloseReason::PingFlood => FinalRead::Skip,
+        }
+    }
 
-impl Ending {
-    pub fn owed(self) -> Owed {
-        let row = ENDINGS.iter().find(|row| row.0 == self);
-        row.map_or(owed(LastLook::None, false), |row| row.1)
+    fn needs_reset(self) -> bool {
+        match self {
+            CloseReason::UnreadOutput | CloseReason::BuffersFull | CloseReason::PingFlood => true,
+            CloseReason::PeerClosed
+            | CloseReason::WriteFailed
+            | CloseReason::Unreadable
+            | CloseReason::Rejected
+            | CloseReason::Replaced
+            | CloseReason::IdentificationTimeout
+            | CloseReason::Evicted => false,
+        }
     }
 }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,128 +1,214 @@
-//! What a conductor is told by the platform, as one JSON file.
+//! The configuration that a platform hands to a controller, as one JSON file.
 
 use serde_json::Value;
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
 use wheelspread::settings::Settings;
-use wheelspread_platform_core::List;
-use wheelspread_settings::{check, settings, Names, Wrong};
+use wheelspread_platform_core::{EndpointList, EntryError, ListError};
+use wheelspread_settings::{check, from_wire, Names};
 
+/// A configuration that has been read and checked.
 #[derive(Clone, Debug)]
-pub struct PlatformFile {
+pub struct PlatformConfig {
+    /// The controller's name, for the log.
     pub name: String,
+    /// Where proxies and collectors connect.
     pub listen: SocketAddrV4,
+    /// Where discovery answers.
     pub discovery: SocketAddrV4,
+    /// The seed of the balancer's random choices.
     pub seed: u64,
-    /// Descriptors that it may hold.
-    pub sockets: usize,
-    pub memory: usize,
-    /// The list as this conductor had it last.
-    pub known: Option<List>,
-    /// What of that list can't be used, and why: the start goes on without it.
-    pub refused: Vec<String>,
-    pub facts: Settings,
+    /// Descriptors that the controller may hold.
+    pub socket_limit: usize,
+    /// Bytes of memory that it may take.
+    pub memory_limit: usize,
+    /// The endpoint list as this controller had it last.
+    pub known_list: Option<EndpointList>,
+    /// What of that list can't be used: the start goes on without it.
+    pub known_list_errors: Vec<KnownListError>,
+    /// The balancer's settings.
+    pub settings: Settings,
+    /// The names that messages use.
     pub names: Names,
 }
 
+/// What of the known endpoint list can't be used.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum KnownListError {
+    /// Nothing of it.
+    #[error(transparent)]
+    List(#[from] ListError),
+    /// One entry.
+    #[error(transparent)]
+    Entry(#[from] EntryError),
+}
+
+/// Why a configuration can't be used.
 #[derive(Debug, thiserror::Error)]
-pub enum BadFile {
+pub enum ConfigError {
+    /// The file can't be read.
     #[error("{path}: {error}")]
     Unreadable {
+        /// The file.
         path: PathBuf,
+        /// Why.
         error: std::io::Error,
     },
+    /// The file is no JSON.
     #[error("{path} is no JSON: {error}")]
     Syntax {
+        /// The file.
         path: PathBuf,
+        /// Where and why.
         error: serde_json::Error,
     },
-    #[error("{path}: `{field}` {why}")]
+    /// A field outside the settings can't be used.
+    #[error("{path}: `{field}` {problem}")]
     Field {
+        /// The file.
         path: PathBuf,
+        /// The field.
         field: &'static str,
-        why: String,
+        /// What is wrong with it.
+        problem: FieldProblem,
+    },
+    /// A setting can't be used.
+    #[error("{path}: in the settings, {error}")]
+    Setting {
+        /// The file.
+        path: PathBuf,
+        /// Which one, and why.
+        error: wheelspread_settings::ConfigError,
     },
-    #[error("{path}: in the settings, {wrong}")]
-    Setting { path: PathBuf, wrong: Wrong },
 }
 
-/// Where the file does not limit them.
-const SOCKETS: u64 = 1024;
-const MEMORY_MB: f64 = 1024.0;
+/// What is wrong with a field.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum FieldProblem {
+    /// It is not there.
+    #[error("is missing")]
+    Missing,
+    /// The settings are not there.
+    #[error("are missing")]
+    SettingsMissing,
+    /// It is no IPv4 address with a port.
+    #[error("is no address: {0}")]
+    InvalidAddress(String),
+    /// It is no hexadecimal number.
+    #[error("is no number: {0}")]
+    InvalidNumber(String),
+}
+
+/// Descriptors, where the file does not limit them.
+const SOCKETS_DEFAULT: u64 = 1024;
+/// Fewer descriptors would leave none for connections.
+const SOCKETS_MIN: u64 = 48;
+const SOCKETS_MAX: u64 = 1 << 20;
+/// Memory, where the file does not limit it.
+const MEMORY_MEGABYTES_DEFAULT: f64 = 1024.0;
+const MEMORY_MEGABYTES_MIN: f64 = 8.0;
+const MEMORY_MEGABYTES_MAX: f64 = 1e6;
+const BYTES_IN_MEGABYTE: f64 = 1e6;
 
-impl PlatformFile {
-    pub fn read(path: &Path) -> Result<PlatformFile, BadFile> {
-        let unreadable = |error| BadFile::Unreadable {
-            path: path.to_path_buf(),
+/// A field that can't be used, before the file's path is known.
+struct FieldError {
+    field: &'static str,
+    problem: FieldProblem,
+}
+
+impl PlatformConfig {
+    /// Reads and checks a configuration file.
+    pub fn read(path: &Path) -> Result<PlatformConfig, ConfigError> {
+        let path_buf = || path.to_path_buf();
+        let text = std::fs::read(path).map_err(|error| ConfigError::Unreadable {
+            path: path_buf(),
             error,
-        };
-        let text = std::fs::read(path).map_err(unreadable)?;
-        let syntax = |error| BadFile::Syntax {
-            path: path.to_path_buf(),
+        })?;
+        let value: Value = serde_json::from_slice(&text).map_err(|error| ConfigError::Syntax {
+            path: path_buf(),
             error,
-        };
-        let value: Value = serde_json::from_slice(&text).map_err(syntax)?;
-        let setting = |wrong| BadFile::Setting {
-            path: path.to_path_buf(),
-            wrong,
-        };
+        })?;
         if !value["settings"].is_object() {
-            let why = "are missing".to_string();
-            return Err(BadFile::Field {
-                path: path.to_path_buf(),
+            return Err(ConfigError::Field {
+                path: path_buf(),
                 field: "settings",
-                why,
+                problem: FieldProblem::SettingsMissing,
             });
         }
-        check(&value["settings"]).map_err(setting)?;
-        PlatformFile::of(&value).map_err(|(field, why)| BadFile::Field {
-            path: path.to_path_buf(),
-            field,
-            why,
+        check(&value["settings"]).map_err(|error| ConfigError::Setting {
+            path: path_buf(),
+            error,
+        })?;
+        PlatformConfig::from_json(&value).map_err(|error| ConfigError::Field {
+            path: path_buf(),
+            field: error.field,
+            problem: error.problem,
         })
     }
 
-    fn of(value: &Value) -> Result<PlatformFile, (&'static str, String)> {
-        let text = |field: &'static str| {
-            value[field]
-                .as_str()
-                .ok_or((field, "is missing".to_string()))
-        };
-        let address = |field| {
-            let text = text(field)?;
-            text.parse()
-                .map_err(|_| (field, format!("is no address: {text}")))
-        };
-        let settings_of = &value["settings"];
-        let names = Names::read(settings_of);
-        let (known, refused) = match &value["known"] {
-            Value::Null => (None, Vec::new()),
-            known => match List::read(known, &names) {
-                Ok(list) => (Some(list.clone()), list.refused),
-                Err(why) => (None, vec![why]),
-            },
-        };
-        let seed = text("seed")?;
-        let limits = &value["limits"];
-        Ok(PlatformFile {
-            name: text("name")?.to_string(),
-            listen: address("listen")?,
-            discovery: address("discovery")?,
-            seed: u64::from_str_radix(seed, 16)
-                .map_err(|_| ("seed", format!("is no number: {seed}")))?,
-            sockets: limits["sockets"]
-                .as_u64()
-                .unwrap_or(SOCKETS)
-                .clamp(48, 1 << 20) as usize,
-            memory: (limits["memory_mb"]
-                .as_f64()
-                .unwrap_or(MEMORY_MB)
-                .clamp(8.0, 1e6)
-                * 1e6) as usize,
-            known,
-            refused,
-            facts: settings(settings_of),
+    fn from_json(value: &Value) -> Result<PlatformConfig, FieldError> {
+        let names = Names::from_wire(&value["settings"]);
+        let (known_list, known_list_errors) = known_list(&value["known"], &names);
+        let seed = text(value, "seed")?;
+        Ok(PlatformConfig {
+            name: text(value, "name")?.to_string(),
+            listen: address(value, "listen")?,
+            discovery: address(value, "discovery")?,
+            seed: hexadecimal("seed", seed)?,
+            socket_limit: socket_limit(&value["limits"]),
+            memory_limit: memory_limit(&value["limits"]),
+            known_list,
+            known_list_errors,
+            settings: from_wire(&value["settings"]),
             names,
         })
     }
 }
+
+fn known_list(value: &Value, names: &Names) -> (Option<EndpointList>, Vec<KnownListError>) {
+    if value.is_null() {
+        return (None, Vec::new());
+    }
+    match EndpointList::parse(value, names) {
+        Ok(list) => {
+            let errors = list.rejected.iter().cloned().map(Into::into).collect();
+            (Some(list), errors)
+        }
+        Err(error) => (None, vec![error.into()]),
+    }
+}
+
+fn text<'a>(value: &'a Value, field: &'static str) -> Result<&'a str, FieldError> {
+    value[field].as_str().ok_or(FieldError {
+        field,
+        problem: FieldProblem::Missing,
+    })
+}
+
+fn address(value: &Value, field: &'static str) -> Result<SocketAddrV4, FieldError> {
+    let text = text(value, field)?;
+    text.parse().map_err(|_| FieldError {
+        field,
+        problem: FieldProblem::InvalidAddress(text.to_string()),
+    })
+}
+
+fn hexadecimal(field: &'static str, text: &str) -> Result<u64, FieldError> {
+    u64::from_str_radix(text, 16).map_err(|_| FieldError {
+        field,
+        problem: FieldProblem::InvalidNumber(text.to_string()),
+    })
+}
+
+fn socket_limit(limits: &Value) -> usize {
+    let sockets = limits["sockets"].as_u64().unwrap_or(SOCKETS_DEFAULT);
+    sockets.clamp(SOCKETS_MIN, SOCKETS_MAX) as usize
+}
+
+fn memory_limit(limits: &Value) -> usize {
+    let megabytes = limits["memory_mb"]
+        .as_f64()
+        .unwrap_or(MEMORY_MEGABYTES_DEFAULT)
+        .clamp(MEMORY_MEGABYTES_MIN, MEMORY_MEGABYTES_MAX);
+    (megabytes * BYTES_IN_MEGABYTE) as usize
+}
--- a/crates/platform/src/connection.rs
+++ b/crates/platform/src/connection.rs
@@ -1,83 +1,112 @@
-//! One connection at the conductor's address: bytes in, messages out of them, bytes back.
+//! One connection at the controller's address: bytes in, messages out of them, bytes back.
 
+use crate::close_reason::CloseReason;
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::TcpStream;
 use wheelspread::time::Moment;
-use wheelspread_resp::{BadMessage, Limits, Reader};
+use wheelspread_platform_core::RejectReason;
+use wheelspread_resp::{DecodeError, Decoder, Limits};
 
-/// Of who has not said who it is; of who has.
-pub const STRANGER: Limits = Limits {
-    message: 4 << 10,
+/// Message limits of a connection that has not identified itself.
+const UNIDENTIFIED_LIMITS: Limits = Limits {
+    message_bytes: 4 << 10,
     strings: 32,
 };
-pub const KNOWN: Limits = Limits {
-    message: 1 << 20,
+/// Message limits of a proxy or a collector.
+const IDENTIFIED_LIMITS: Limits = Limits {
+    message_bytes: 1 << 20,
     strings: 64,
 };
-/// What one connection may bring before the others have their turn.
-const TURN: usize = 256 << 10;
-/// What may wait for who does not read.
-const UNREAD: usize = 128 << 10;
+/// What is read of one connection before the others have their turn.
+const READ_TURN_BYTES: usize = 256 << 10;
+/// What may wait for a peer that does not read.
+const UNREAD_OUTPUT_BYTES_MAX: usize = 128 << 10;
 
+/// A connection with its buffers.
 pub struct Connection {
     pub stream: TcpStream,
-    pub reader: Reader,
-    pub since: Moment,
-    pub known: bool,
-    out: Vec<u8>,
+    pub decoder: Decoder,
+    pub accepted_at: Moment,
+    output: Vec<u8>,
+    /// How much of the output has been written.
     written: usize,
 }
 
 /// Why a connection can't go on.
 #[derive(Debug, thiserror::Error)]
-pub enum Over {
-    #[error("it has ended")]
-    Ended,
-    #[error("{0}")]
-    Failed(#[from] io::Error),
-    #[error("not taken: {0}")]
-    Refused(String),
-    #[error("{0}")]
-    Unreadable(#[from] BadMessage),
-    #[error("it does not read what it is sent")]
-    Unread,
+pub enum ConnectionError {
+    #[error("closed by the peer")]
+    PeerClosed,
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    #[error("message rejected: {0}")]
+    Rejected(RejectReason),
+    #[error(transparent)]
+    Unreadable(#[from] DecodeError),
+    #[error("the peer does not read what it is sent")]
+    UnreadOutput,
+}
+
+impl ConnectionError {
+    /// The close reason for an error that reading has found.
+    pub fn read_close_reason(&self) -> CloseReason {
+        match self {
+            ConnectionError::PeerClosed | ConnectionError::Io(_) => CloseReason::PeerClosed,
+            ConnectionError::Unreadable(_) => CloseReason::Unreadable,
+            ConnectionError::Rejected(_) => CloseReason::Rejected,
+            ConnectionError::UnreadOutput => CloseReason::PingFlood,
+        }
+    }
+
+    /// The close reason for an error that writing has found.
+    pub fn write_close_reason(&self) -> CloseReason {
+        match self {
+            ConnectionError::UnreadOutput => CloseReason::UnreadOutput,
+            ConnectionError::PeerClosed
+            | ConnectionError::Io(_)
+            | ConnectionError::Rejected(_)
+            | ConnectionError::Unreadable(_) => CloseReason::WriteFailed,
+        }
+    }
 }
 
 impl Connection {
     pub fn new(stream: TcpStream, now: Moment) -> Connection {
         Connection {
             stream,
-            reader: Reader::new(STRANGER),
-            since: now,
-            known: false,
-            out: Vec::new(),
+            decoder: Decoder::new(UNIDENTIFIED_LIMITS),
+            accepted_at: now,
+            output: Vec::new(),
             written: 0,
         }
     }
 
-    /// It has said who it is.
-    pub fn know(&mut self) {
-        self.known = true;
-        self.reader.limit(KNOWN);
+    /// The peer has identified itself: larger messages are read from now on.
+    pub fn mark_identified(&mut self) {
+        self.decoder.set_limits(IDENTIFIED_LIMITS);
     }
 
-    /// Reads what there is, up to a turn's worth, and gives it to the reader; whether there may be more.
-    /// `messages` takes the whole messages out after each piece.
-    pub fn read<F>(&mut self, scratch: &mut [u8], mut messages: F) -> Result<bool, Over>
+    /// Reads what has come, up to one turn's worth, and feeds the decoder. `process_messages` takes the whole
+    /// messages out after each piece. Whether there may be more to read.
+    pub fn read<F>(
+        &mut self,
+        scratch: &mut [u8],
+        mut process_messages: F,
+    ) -> Result<bool, ConnectionError>
     where
-        F: FnMut(&mut Connection) -> Result<(), Over>,
+        F: FnMut(&mut Connection) -> Result<(), ConnectionError>,
     {
-        let mut taken = 0;
-        while taken < TURN {
+        let mut total = 0;
+        while total < READ_TURN_BYTES {
             match self.stream.read(scratch) {
-                Ok(0) => return Err(Over::Ended),
+                Ok(0) => return Err(ConnectionError::PeerClosed),
                 Ok(count) => {
-                    taken += count;
-                    self.reader.feed(&scratch[..count]);
-                    messages(self)?;
+                    total += count;
+                    self.decoder.feed(&scratch[..count]);
+                    process_messages(self)?;
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
-                    self.reader.rest();
+                    self.decoder.release_memory();
                     return Ok(false);
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
@@ -87,38 +116,38 @@
         Ok(true)
     }
 
-    /// What the kernel does not take at once waits here, and is bounded.
-    pub fn write(&mut self, bytes: &[u8]) -> Result<(), Over> {
-        self.out.extend_from_slice(bytes);
-        self.push()?;
-        if self.out.len() - self.written > UNREAD {
-            return Err(Over::Unread);
+    /// Writes these bytes behind what waits. What the kernel does not take at once is buffered, within bounds.
+    pub fn write(&mut self, bytes: &[u8]) -> Result<(), ConnectionError> {
+        self.output.extend_from_slice(bytes);
+        self.flush()?;
+        if self.output.len() - self.written > UNREAD_OUTPUT_BYTES_MAX {
+            return Err(ConnectionError::UnreadOutput);
         }
         Ok(())
     }
 
-    /// Sends what waits, as far as it goes.
-    pub fn push(&mut self) -> Result<(), Over> {
-        while self.written < self.out.len() {
-            match self.stream.write(&self.out[self.written..]) {
-                Ok(0) => return Err(Over::Ended),
+    /// Writes what waits, as far as the kernel takes it.
+    pub fn flush(&mut self) -> Result<(), ConnectionError> {
+        while self.written < self.output.len() {
+            match self.stream.write(&self.output[self.written..]) {
+                Ok(0) => return Err(ConnectionError::PeerClosed),
                 Ok(count) => self.written += count,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => break,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) => return Err(error.into()),
             }
         }
-        if self.written == self.out.len() {
-            (self.out, self.written) = (Vec::new(), 0);
-        } else if self.written > UNREAD / 2 {
-            self.out.drain(..self.written);
+        if self.written == self.output.len() {
+            (self.output, self.written) = (Vec::new(), 0);
+        } else if self.written > UNREAD_OUTPUT_BYTES_MAX / 2 {
+            self.output.drain(..self.written);
             self.written = 0;
         }
         Ok(())
     }
 
-    /// What it holds in memory.
-    pub fn held(&self) -> usize {
-        self.out.capacity() + self.reader.held()
+    /// Bytes of memory that its buffers take.
+    pub fn buffer_bytes(&self) -> usize {
+        self.output.capacity() + self.decoder.buffer_bytes()
     }
 }
--- a/crates/platform/src/exchange.rs
+++ b/crates/platform/src/exchange.rs
@@ -1,41 +1,54 @@
-//! One HTTP request to discovery or a node and what comes back of it, piece by piece.
+//! One HTTP request to discovery or a node, and its response piece by piece.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddrV4, TcpStream};
 use wheelspread_http1::{response, BadMessage, Body, Limits};
 use wheelspread_reactor as reactor;
 
-/// What may be carried and not yet taken.
-const MOST: usize = 4 << 20;
+/// Bytes of a response's body that were received and not taken out yet.
+const BODY_BYTES_MAX: usize = 4 << 20;
 
+/// Why an exchange has failed.
 #[derive(Debug, thiserror::Error)]
-pub enum Failed {
-    #[error("{0}")]
+pub enum ExchangeError {
+    #[error(transparent)]
     Io(#[from] io::Error),
-    #[error("{0}")]
+    #[error(transparent)]
     Http(#[from] BadMessage),
-    #[error("the connection ended within the answer")]
-    Cut,
-    #[error("an answer of more than {0} bytes")]
+    #[error("the connection ended within the response")]
+    Truncated,
+    #[error("a response of more than {0} bytes")]
     TooLong(usize),
 }
 
+/// A request that was sent, or is being sent, and its response.
 pub struct Exchange {
     pub stream: TcpStream,
     request: Vec<u8>,
     sent: usize,
+    /// What has come of the response's head, until it is complete.
     head: Vec<u8>,
-    body: Option<Body>,
+    body_decoder: Option<Body>,
+    /// The response's status; 0 before its head is complete.
     pub status: u16,
-    /// What the body carried so far; the caller takes it out.
-    pub carried: Vec<u8>,
-    /// How far no line's end is.
-    looked: usize,
-    /// Bytes that have come.
-    pub came: u64,
+    /// The body received so far; the owner takes it out.
+    pub body: Vec<u8>,
+    /// How much of the body was searched for the end of a line.
+    searched: usize,
+    /// All bytes received, head included.
+    pub received_bytes: u64,
+}
+
+/// A socket that takes or brings nothing now. One that is not connected yet does neither.
+fn is_not_ready(error: &io::Error) -> bool {
+    matches!(
+        error.kind(),
+        ErrorKind::WouldBlock | ErrorKind::NotConnected
+    )
 }
 
 impl Exchange {
+    /// Connects and prepares a GET request.
     pub fn get(address: SocketAddrV4, target: &str) -> io::Result<Exchange> {
         let stream = reactor::connect(address.ip().octets(), address.port())?;
         let request =
@@ -45,93 +58,95 @@
             request,
             sent: 0,
             head: Vec::new(),
-            body: None,
+            body_decoder: None,
             status: 0,
-            carried: Vec::new(),
-            looked: 0,
-            came: 0,
+            body: Vec::new(),
+            searched: 0,
+            received_bytes: 0,
         })
     }
 
-    /// Writes and reads what it can; whether the answer is whole.
-    pub fn turn(&mut self, scratch: &mut [u8]) -> Result<bool, Failed> {
+    /// Writes and reads what it can. Whether the response is complete.
+    pub fn progress(&mut self, scratch: &mut [u8]) -> Result<bool, ExchangeError> {
+        self.send()?;
+        self.receive(scratch)
+    }
+
+    fn send(&mut self) -> Result<(), ExchangeError> {
         while self.sent < self.request.len() {
             match self.stream.write(&self.request[self.sent..]) {
-                Ok(0) => return Err(Failed::Cut),
+                Ok(0) => return Err(ExchangeError::Truncated),
                 Ok(count) => self.sent += count,
-                // A connection that is not through yet takes nothing.
-                Err(error)
-                    if matches!(
-                        error.kind(),
-                        ErrorKind::WouldBlock | ErrorKind::NotConnected
-                    ) =>
-                {
-                    break
-                }
+                Err(error) if is_not_ready(&error) => break,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) => return Err(error.into()),
             }
         }
+        Ok(())
+    }
+
+    fn receive(&mut self, scratch: &mut [u8]) -> Result<bool, ExchangeError> {
         loop {
-            let count = match self.stream.read(scratch) {
-                Ok(0) if self.body.as_ref().is_some_and(Body::ends_with_connection) => {
-                    return Ok(true)
+            match self.stream.read(scratch) {
+                Ok(0) => return self.finish_at_end(),
+                Ok(count) => {
+                    self.received_bytes += count as u64;
+                    if self.decode(&scratch[..count])? {
+                        return Ok(true);
+                    }
                 }
-                Ok(0) => return Err(Failed::Cut),
-                Ok(count) => count,
-                Err(error)
-                    if matches!(
-                        error.kind(),
-                        ErrorKind::WouldBlock | ErrorKind::NotConnected
-                    ) =>
-                {
-                    return Ok(false)
-                }
-                Err(error) if error.kind() == ErrorKind::Interrupted => continue,
+                Err(error) if is_not_ready(&error) => return Ok(false),
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) => return Err(error.into()),
-            };
-            self.came += count as u64;
-            if self.take(&scratch[..count])? {
-                return Ok(true);
             }
         }
     }
 
-    fn take(&mut self, bytes: &[u8]) -> Result<bool, Failed> {
-        if let Some(body) = &mut self.body {
-            body.read(bytes, &mut self.carried)?;
+    /// The end of the connection completes only a body that is delimited by it.
+    fn finish_at_end(&self) -> Result<bool, ExchangeError> {
+        let ends_here = self.body_decoder.as_ref();
+        if ends_here.is_some_and(Body::ends_with_connection) {
+            Ok(true)
+        } else {
+            Err(ExchangeError::Truncated)
+        }
+    }
+
+    fn decode(&mut self, bytes: &[u8]) -> Result<bool, ExchangeError> {
+        if let Some(decoder) = &mut self.body_decoder {
+            decoder.read(bytes, &mut self.body)?;
         } else {
             self.head.extend_from_slice(bytes);
             let Some(head) = response(&self.head, false, Limits::default())? else {
                 return Ok(false);
             };
             let head_bytes = std::mem::take(&mut self.head);
-            let mut body = Body::new(head.framing);
-            body.read(&head_bytes[head.length..], &mut self.carried)?;
-            (self.status, self.body) = (head.status, Some(body));
+            let mut decoder = Body::new(head.framing);
+            decoder.read(&head_bytes[head.length..], &mut self.body)?;
+            (self.status, self.body_decoder) = (head.status, Some(decoder));
         }
-        if self.carried.len() > MOST {
-            return Err(Failed::TooLong(MOST));
+        if self.body.len() > BODY_BYTES_MAX {
+            return Err(ExchangeError::TooLong(BODY_BYTES_MAX));
         }
-        Ok(self.body.as_ref().is_some_and(Body::done))
+        Ok(self.body_decoder.as_ref().is_some_and(Body::done))
     }
 
-    /// The whole lines that came since they were last taken. No byte is looked at twice: a long list may
-    /// come in pieces of a byte.
-    pub fn lines(&mut self) -> Vec<Vec<u8>> {
-        let new = self.looked.min(self.carried.len());
-        let end = self.carried[new..]
+    /// Takes the complete lines out of the body, empty ones left out. No byte is searched twice: a long list
+    /// may come in pieces of a byte.
+    pub fn take_lines(&mut self) -> Vec<Vec<u8>> {
+        let unsearched = self.searched.min(self.body.len());
+        let last_end = self.body[unsearched..]
             .iter()
             .rposition(|byte| *byte == b'\n')
-            .map(|at| new + at);
-        let Some(end) = end else {
-            self.looked = self.carried.len();
+            .map(|position| unsearched + position);
+        let Some(last_end) = last_end else {
+            self.searched = self.body.len();
             return Vec::new();
         };
-        let rest = self.carried.split_off(end + 1);
-        self.looked = rest.len();
-        let whole = std::mem::replace(&mut self.carried, rest);
-        whole
+        let rest = self.body.split_off(last_end + 1);
+        self.searched = rest.len();
+        let complete = std::mem::replace(&mut self.body, rest);
+        complete
             .split(|byte| *byte == b'\n')
             .map(<[u8]>::to_vec)
             .filter(|line| !line.is_empty())
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,7 +1,15 @@
-//! The conductor on a platform that speaks to it by messages on plain connections (docs/platform.md): its
-//! configuration (`config`), the connections of proxies and collectors (`connection`), exchanges to discovery and to
-//! nodes (`exchange`), what is owed where a connection ends (`close_reason`), and the loop that turns them (`service`). Limits of buffers, descriptors and of how long
-//! strangers are waited for are kept here; everything else is decided beneath `wheelspread-platform-core`.
+//! The controller on a platform, which talks to it by messages on plain TCP connections (docs/platform.md).
+//!
+//! | module | owns |
+//! | --- | --- |
+//! | `config` | the configuration file |
+//! | `connection` | one connection of a proxy or a collector: reading, buffering, writing |
+//! | `exchange` | one HTTP request to discovery or a node |
+//! | `close_reason` | why connections are closed, and what closing still has to do |
+//! | `service` | the event loop over all of them |
+//!
+//! Limits of buffers, descriptors and waiting times are kept here. Everything else is decided beneath
+//! `wheelspread-platform-core`.
 
 mod clock;
 mod close_reason;
@@ -10,5 +18,5 @@
 mod exchange;
 mod service;
 
-pub use config::{BadFile, PlatformFile};
-pub use service::{NoStart, Service};
+pub use config::{ConfigError, FieldProblem, KnownListError, PlatformConfig};
+pub use service::{Service, StartError};
--- /dev/null
+++ b/crates/platform/src/service/connection_table.rs
@@ -0,0 +1,129 @@
+//! The connections of proxies, collectors and peers that have not identified themselves. What all of them
+//! hold in memory is counted along, so that no pass over all connections is needed.
+
+use crate::connection::Connection;
+use std::collections::{BTreeMap, BTreeSet};
+use wheelspread::time::Moment;
+use wheelspread_platform_core::ConnectionId;
+
+/// A connection that was removed from the table.
+pub(super) struct RemovedConnection {
+    pub(super) connection: Connection,
+    pub(super) was_identified: bool,
+}
+
+#[derive(Default)]
+pub(super) struct ConnectionTable {
+    connections: BTreeMap<ConnectionId, Connection>,
+    /// Those that have not identified themselves, the oldest first.
+    unidentified: BTreeSet<ConnectionId>,
+    /// Bytes of memory that the buffers of all connections take.
+    buffer_bytes: usize,
+    /// Those that may have more to read than their turn allowed.
+    more_to_read: BTreeSet<ConnectionId>,
+}
+
+impl ConnectionTable {
+    pub(super) fn len(&self) -> usize {
+        self.connections.len()
+    }
+
+    pub(super) fn identified_count(&self) -> usize {
+        self.connections.len() - self.unidentified.len()
+    }
+
+    pub(super) fn buffer_bytes(&self) -> usize {
+        self.buffer_bytes
+    }
+
+    pub(super) fn contains(&self, id: ConnectionId) -> bool {
+        self.connections.contains_key(&id)
+    }
+
+    pub(super) fn is_unidentified(&self, id: ConnectionId) -> bool {
+        self.unidentified.contains(&id)
+    }
+
+    /// A new connection, which has not identified itself.
+    pub(super) fn insert(&mut self, id: ConnectionId, connection: Connection) {
+        self.connections.insert(id, connection);
+        self.unidentified.insert(id);
+    }
+
+    pub(super) fn remove(&mut self, id: ConnectionId) -> Option<RemovedConnection> {
+        self.more_to_read.remove(&id);
+        let was_identified = !self.unidentified.remove(&id);
+        let connection = self.connections.remove(&id)?;
+        self.buffer_bytes -= connection.buffer_bytes();
+        Some(RemovedConnection {
+            connection,
+            was_identified,
+        })
+    }
+
+    pub(super) fn mark_identified(&mut self, id: ConnectionId) {
+        self.unidentified.remove(&id);
+    }
+
+    /// Runs something on a connection that may change its buffers; `None` where there is no such connection.
+    pub(super) fn with<T>(
+        &mut self,
+        id: ConnectionId,
+        run: impl FnOnce(&mut Connection) -> T,
+    ) -> Option<T> {
+        let connection = self.connections.get_mut(&id)?;
+        let before = connection.buffer_bytes();
+        let result = run(connection);
+        self.buffer_bytes = self.buffer_bytes + connection.buffer_bytes() - before;
+        Some(result)
+    }
+
+    pub(super) fn has_more_to_read(&self) -> bool {
+        !self.more_to_read.is_empty()
+    }
+
+    pub(super) fn set_more_to_read(&mut self, id: ConnectionId) {
+        self.more_to_read.insert(id);
+    }
+
+    pub(super) fn take_more_to_read(&mut self) -> BTreeSet<ConnectionId> {
+        std::mem::take(&mut self.more_to_read)
+    }
+
+    /// The connection that has been unidentified for longest, and when it was accepted.
+    pub(super) fn oldest_unidentified(&self) -> Option<(ConnectionId, Moment)> {
+        let id = *self.unidentified.first()?;
+        let connection = self.connections.get(&id)?;
+        Some((id, connection.accepted_at))
+    }
+
+    /// Unidentified connections that were accepted before this moment.
+    pub(super) fn unidentified_before(&self, moment: Moment) -> Vec<ConnectionId> {
+        let is_older = |id: &ConnectionId| {
+            self.connections
+                .get(id)
+                .is_some_and(|connection| connection.accepted_at < moment)
+        };
+        self.unidentified
+            .iter()
+            .copied()
+            .take_while(is_older)
+            .collect()
+    }
+
+    /// The connection whose buffers take the most memory.
+    pub(super) fn largest(&self) -> Option<ConnectionId> {
+        self.connections
+            .iter()
+            .max_by_key(|(_, connection)| connection.buffer_bytes())
+            .map(|(id, _)| *id)
+    }
+
+    /// Flushes what waits on all connections, as far as it goes.
+    pub(super) fn flush_all(&mut self) {
+        for connection in self.connections.values_mut() {
+            // The program ends; what can't be written now is lost in any case.
+            _ = connection.flush();
+        }
+    }
+}
--- /dev/null
+++ b/crates/platform/src/service/discovery.rs
@@ -0,0 +1,186 @@
+//! The client of discovery: a watch on the endpoint list, and the full list where it is needed.
+
+use super::exchanges::{ExchangeId, OpenExchange, Purpose};
+use super::Service;
+use crate::clock::span;
+use std::net::SocketAddrV4;
+use std::time::Duration;
+use tracing::{debug, info, warn};
+use wheelspread::time::Moment;
+use wheelspread_platform_core::{EndpointList, SourceId, CONFIGURED_SOURCE};
+
+/// Time from the end of a watch to the next one, at first; it doubles up to the maximum.
+const REDIAL_BACKOFF_MIN: Duration = Duration::from_millis(50);
+const REDIAL_BACKOFF_MAX: Duration = Duration::from_secs(1);
+const MEMBERS_PATH: &str = "/catalog/members";
+
+/// What the client knows beside its exchanges.
+pub(super) struct DiscoveryState {
+    /// When the next watch may be opened.
+    dial_at: Moment,
+    backoff: Duration,
+    pub(super) newest_source: SourceId,
+    /// Discovery has started its versions again: changes mean nothing before the full list is read.
+    awaits_full_list: bool,
+}
+
+impl DiscoveryState {
+    pub(super) fn new(now: Moment) -> DiscoveryState {
+        DiscoveryState {
+            dial_at: now,
+            backoff: REDIAL_BACKOFF_MIN,
+            newest_source: CONFIGURED_SOURCE,
+            awaits_full_list: false,
+        }
+    }
+
+    fn back_off(&mut self, now: Moment) {
+        self.dial_at = now + span(self.backoff);
+        self.backoff = (self.backoff * 2).min(REDIAL_BACKOFF_MAX);
+    }
+
+    fn reset_backoff(&mut self) {
+        self.backoff = REDIAL_BACKOFF_MIN;
+    }
+
+    /// The full list of a source was read, or can't be: the watch may be opened, from whatever version is
+    /// in force.
+    fn full_list_ended(&mut self, source: SourceId) {
+        if source == self.newest_source {
+            self.awaits_full_list = false;
+        }
+    }
+}
+
+impl Service {
+    /// Opens a watch if there is none at the address in force.
+    pub(super) fn maintain_watch(&mut self, now: Moment) {
+        let address = self.config.discovery;
+        let is_current =
+            |open: &OpenExchange| open.purpose == Purpose::Watch && open.address == address;
+        if now < self.discovery.dial_at
+            || self.discovery.awaits_full_list
+            || self.exchanges.values().any(is_current)
+        {
+            return;
+        }
+        let target = match self.core.endpoint_list_version() {
+            Some(version) => format!("{MEMBERS_PATH}?watch=1&from={version}"),
+            None => format!("{MEMBERS_PATH}?watch=1"),
+        };
+        self.discovery.back_off(now);
+        self.discovery.newest_source = self.discovery.newest_source.next();
+        self.open_exchange(now, address, &target, Purpose::Watch);
+    }
+
+    /// The configuration names another address. Its versions may be others, so the full list is read beside
+    /// the watch.
+    pub(super) fn move_discovery(&mut self, now: Moment) {
+        self.discovery.dial_at = now;
+        self.discovery.reset_backoff();
+        self.discovery.awaits_full_list = false;
+        self.maintain_watch(now);
+        self.request_full_list(now);
+    }
+
+    /// Whether the request was opened.
+    pub(super) fn request_full_list(&mut self, now: Moment) -> bool {
+        let is_open =
+            self.open_exchange(now, self.config.discovery, MEMBERS_PATH, Purpose::FullList);
+        if !is_open {
+            self.core.handle_endpoint_list_unavailable(now);
+        }
+        is_open
+    }
+
+    pub(super) fn complete_full_list(&mut self, now: Moment, open: &OpenExchange) {
+        if let Some(list) = self.parse_list(&open.exchange.body) {
+            self.handle_list(now, &list, open.source);
+            // The watch beside it continues from here.
+            let watch = self
+                .exchanges
+                .values_mut()
+                .find(|other| other.purpose == Purpose::Watch && other.source == open.source);
+            if let Some(watch) = watch {
+                watch.position.full_list_read(&list);
+            }
+        }
+        self.discovery.full_list_ended(open.source);
+    }
+
+    pub(super) fn fail_full_list(&mut self, now: Moment, source: SourceId) {
+        self.core.handle_endpoint_list_unavailable(now);
+        self.discovery.full_list_ended(source);
+    }
+
+    /// Whether all objects continue from those before them on this watch.
+    pub(super) fn handle_watch_lines(
+        &mut self,
+        now: Moment,
+        id: ExchangeId,
+        lines: &[Vec<u8>],
+    ) -> bool {
+        lines
+            .iter()
+            .all(|line| self.handle_watch_line(now, id, line))
+    }
+
+    fn handle_watch_line(&mut self, now: Moment, id: ExchangeId, line: &[u8]) -> bool {
+        let Some(list) = self.parse_list(line) else {
+            return true;
+        };
+        let Some(open) = self.exchanges.get_mut(&id) else {
+            return true;
+        };
+        let source = open.source;
+        if !open.position.advance(&list) {
+            // A watch at an address that was left changes nothing any more.
+            return open.address != self.config.discovery;
+        }
+        self.discovery.reset_backoff();
+        self.handle_list(now, &list, source);
+        true
+    }
+
+    /// A watch has gone back to lower versions: changes by them mean nothing before the full list is read.
+    pub(super) fn restart_versions(&mut self, now: Moment, id: ExchangeId) {
+        info!("discovery restarted its versions, reading the full endpoint list");
+        self.exchanges.remove(&id);
+        self.discovery.newest_source = self.discovery.newest_source.next();
+        self.discovery.awaits_full_list = self.request_full_list(now);
+    }
+
+    /// The end of a watch at an address that was left holds up no other.
+    pub(super) fn handle_watch_end(&mut self, now: Moment, address: SocketAddrV4) {
+        if address == self.config.discovery {
+            self.discovery.back_off(now);
+        }
+    }
+
+    fn parse_list(&self, text: &[u8]) -> Option<EndpointList> {
+        match EndpointList::parse_json(text, self.core.names()) {
+            Ok(list) => {
+                for error in &list.rejected {
+                    warn!(%error, "endpoint list entry rejected");
+                }
+                Some(list)
+            }
+            Err(error) => {
+                warn!(%error, "endpoint list can't be read");
+                None
+            }
+        }
+    }
+
+    fn handle_list(&mut self, now: Moment, list: &EndpointList, source: SourceId) {
+        let is_accepted = self.core.handle_endpoint_list(now, list, source);
+        debug!(
+            version = list.version,
+            full = list.full,
+            count = list.entries.len(),
+            accepted = is_accepted,
+            source = source.0,
+            "endpoint list received"
+        );
+    }
+}
--- /dev/null
+++ b/crates/platform/src/service/report.rs
@@ -0,0 +1,68 @@
+//! The status line in the log.
+
+use super::Service;
+use crate::clock::span;
+use std::time::Duration;
+use tracing::info;
+use wheelspread::time::Moment;
+
+/// Time between two status lines.
+const REPORT_INTERVAL: Duration = Duration::from_secs(10);
+
+/// Counted since the last status line.
+#[derive(Default)]
+pub(super) struct Counters {
+    pub(super) unidentified_closed: u64,
+    /// Messages that were rejected or ignored, and what else the core reported.
+    pub(super) diagnostics: u64,
+    pub(super) streams_lost: u64,
+}
+
+impl Counters {
+    pub(super) fn count_closed(&mut self, was_identified: bool) {
+        if was_identified {
+            self.streams_lost += 1;
+        } else {
+            self.unidentified_closed += 1;
+        }
+    }
+}
+
+/// When the next status line is due, and what it counts.
+pub(super) struct StatusReport {
+    pub(super) next_at: Moment,
+    pub(super) counters: Counters,
+}
+
+impl StatusReport {
+    pub(super) fn new(now: Moment) -> StatusReport {
+        StatusReport {
+            next_at: now + span(REPORT_INTERVAL),
+            counters: Counters::default(),
+        }
+    }
+}
+
+impl Service {
+    pub(super) fn report_if_due(&mut self, now: Moment) {
+        if now < self.report.next_at {
+            return;
+        }
+        let Counters {
+            unidentified_closed,
+            diagnostics,
+            streams_lost,
+        } = std::mem::replace(&mut self.report, StatusReport::new(now)).counters;
+        info!(
+            proxies = self.core.proxy_count(),
+            connections = self.connections.len(),
+            exchanges = self.exchanges.len(),
+            list_version = self.core.endpoint_list_version(),
+            unidentified_closed,
+            diagnostics,
+            streams_lost,
+            buffer_bytes = self.connections.buffer_bytes(),
+            "status"
+        );
+    }
+}
--- /dev/null
+++ b/crates/resp/src/decoder.rs
@@ -0,0 +1,297 @@
+//! Incremental decoding of messages.
+
+use std::ops::Range;
+
+/// The first byte of an array.
+pub(crate) const ARRAY_TYPE: u8 = b'*';
+/// The first byte of a bulk string.
+pub(crate) const BULK_STRING_TYPE: u8 = b'$';
+/// The end of a header and of a bulk string.
+pub(crate) const LINE_END: &[u8; 2] = b"\r\n";
+/// Digits of a length, at most.
+const LENGTH_DIGITS_MAX: usize = 9;
+/// The shortest bulk string on the wire, `$0\r\n\r\n`.
+const BULK_STRING_BYTES_MIN: usize = 6;
+
+/// How large a message may be.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Limits {
+    /// Bytes of a whole message, framing included.
+    pub message_bytes: usize,
+    /// Strings in one message.
+    pub strings: usize,
+}
+
+/// Why bytes are no message. Nothing after them can be told apart any more.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum DecodeError {
+    /// Another byte where an array should begin.
+    #[error("a message begins with {0:#04x} and not with `*`")]
+    NotAnArray(u8),
+    /// Another byte where a bulk string should begin.
+    #[error("a string begins with {0:#04x} and not with `$`")]
+    NotAString(u8),
+    /// A length that is no number, or is too long for one.
+    #[error("a length that is no number")]
+    InvalidLength,
+    /// An array of more strings than the limits allow.
+    #[error("an array of {count} strings: {max} at most are read")]
+    TooManyStrings {
+        /// What the array declares.
+        count: usize,
+        /// The limit.
+        max: usize,
+    },
+    /// A message that can't be within the limits.
+    #[error("a message of more than {max} bytes")]
+    MessageTooLong {
+        /// The limit.
+        max: usize,
+    },
+    /// A header or a string without the end of its line.
+    #[error("a line or a string does not end where it says")]
+    MissingLineEnd,
+}
+
+/// What the next byte belongs to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum State {
+    ArrayHeader,
+    StringHeader,
+    /// A string up to this position, and the end of its line.
+    String {
+        end: usize,
+    },
+}
+
+/// Decodes messages out of bytes that are fed in.
+#[derive(Debug)]
+pub struct Decoder {
+    limits: Limits,
+    bytes: Vec<u8>,
+    /// Where the current message begins.
+    message_start: usize,
+    /// How far the current message has been decoded.
+    position: usize,
+    /// How far the end of a header has been searched for.
+    searched: usize,
+    state: State,
+    /// Strings of the current message that are still to come.
+    missing_strings: usize,
+    strings: Vec<Range<usize>>,
+    error: Option<DecodeError>,
+}
+
+impl Decoder {
+    /// A decoder at the beginning of a message.
+    pub fn new(limits: Limits) -> Decoder {
+        Decoder {
+            limits,
+            bytes: Vec::new(),
+            message_start: 0,
+            position: 0,
+            searched: 0,
+            state: State::ArrayHeader,
+            missing_strings: 0,
+            strings: Vec::new(),
+            error: None,
+        }
+    }
+
+    /// Changes the limits, also for the message that is being decoded.
+    pub fn set_limits(&mut self, limits: Limits) {
+        self.limits = limits;
+    }
+
+    /// Takes the next bytes of the input.
+    pub fn feed(&mut self, bytes: &[u8]) {
+        self.discard_decoded();
+        if self.error.is_none() {
+            self.bytes.extend_from_slice(bytes);
+        }
+    }
+
+    /// Drops the messages that were taken out. This happens once for each feeding, so that no byte is moved
+    /// for every message.
+    fn discard_decoded(&mut self) {
+        if self.message_start == self.bytes.len() {
+            self.bytes.clear();
+        } else if self.message_start > 0 {
+            self.bytes.drain(..self.message_start);
+        }
+        let discarded = std::mem::take(&mut self.message_start);
+        self.position -= discarded;
+        self.searched = self.searched.saturating_sub(discarded);
+        for range in &mut self.strings {
+            *range = range.start - discarded..range.end - discarded;
+        }
+        if let State::String { end } = &mut self.state {
+            *end -= discarded;
+        }
+    }
+
+    /// Bytes of a message that is not complete.
+    pub fn pending_bytes(&self) -> usize {
+        self.bytes.len() - self.message_start
+    }
+
+    /// Bytes of memory that the buffer takes.
+    pub fn buffer_bytes(&self) -> usize {
+        self.bytes.capacity()
+    }
+
+    /// Gives back memory that a burst took, where no message is pending.
+    pub fn release_memory(&mut self) {
+        if self.message_start == self.bytes.len() && self.state == State::ArrayHeader {
+            self.bytes = Vec::new();
+            self.strings = Vec::new();
+            (self.message_start, self.position, self.searched) = (0, 0, 0);
+        }
+    }
+
+    /// The next complete message; `None` until more bytes come. After an error there are no more messages.
+    pub fn next_message(&mut self) -> Result<Option<Vec<&[u8]>>, DecodeError> {
+        if let Some(error) = self.error {
+            return Err(error);
+        }
+        match self.advance() {
+            Ok(true) => Ok(Some(self.take_message())),
+            Ok(false) => Ok(None),
+            Err(error) => {
+                self.error = Some(error);
+                (self.bytes, self.strings) = (Vec::new(), Vec::new());
+                (self.message_start, self.position) = (0, 0);
+                Err(error)
+            }
+        }
+    }
+
+    fn take_message(&mut self) -> Vec<&[u8]> {
+        let strings = std::mem::take(&mut self.strings);
+        (self.message_start, self.searched) = (self.position, self.position);
+        self.state = State::ArrayHeader;
+        strings
+            .into_iter()
+            .map(|range| &self.bytes[range])
+            .collect()
+    }
+
+    /// Decodes as far as the bytes go. Whether a message is complete.
+    fn advance(&mut self) -> Result<bool, DecodeError> {
+        loop {
+            let has_advanced = match self.state {
+                State::ArrayHeader => self.decode_array_header()?,
+                State::StringHeader if self.missing_strings == 0 => return Ok(true),
+                State::StringHeader => self.decode_string_header()?,
+                State::String { end } => self.decode_string(end)?,
+            };
+            if !has_advanced {
+                return Ok(false);
+            }
+        }
+    }
+
+    fn decode_array_header(&mut self) -> Result<bool, DecodeError> {
+        let Some(count) = self.decode_header(ARRAY_TYPE, DecodeError::NotAnArray)? else {
+            return Ok(false);
+        };
+        if count > self.limits.strings {
+            return Err(DecodeError::TooManyStrings {
+                count,
+                max: self.limits.strings,
+            });
+        }
+        self.missing_strings = count;
+        self.state = State::StringHeader;
+        Ok(true)
+    }
+
+    fn decode_string_header(&mut self) -> Result<bool, DecodeError> {
+        let Some(length) = self.decode_header(BULK_STRING_TYPE, DecodeError::NotAString)? else {
+            return Ok(false);
+        };
+        let decoded = self.position - self.message_start;
+        let least_rest = (self.missing_strings - 1) * BULK_STRING_BYTES_MIN;
+        if decoded + length + LINE_END.len() + least_rest > self.limits.message_bytes {
+            return Err(DecodeError::MessageTooLong {
+                max: self.limits.message_bytes,
+            });
+        }
+        self.state = State::String {
+            end: self.position + length,
+        };
+        Ok(true)
+    }
+
+    fn decode_string(&mut self, end: usize) -> Result<bool, DecodeError> {
+        let line_end = end + LINE_END.len();
+        if self.bytes.len() < line_end {
+            return Ok(false);
+        }
+        if &self.bytes[end..line_end] != LINE_END {
+            return Err(DecodeError::MissingLineEnd);
+        }
+        self.strings.push(self.position..end);
+        (self.position, self.searched) = (line_end, line_end);
+        self.missing_strings -= 1;
+        self.state = State::StringHeader;
+        Ok(true)
+    }
+
+    /// Decodes a type byte and a length, if they are all there.
+    fn decode_header(
+        &mut self,
+        type_byte: u8,
+        wrong_type: impl Fn(u8) -> DecodeError,
+    ) -> Result<Option<usize>, DecodeError> {
+        match self.bytes.get(self.position) {
+            None => return Ok(None),
+            Some(byte) if *byte != type_byte => return Err(wrong_type(*byte)),
+            Some(_) => {}
+        }
+        let Some(digits_end) = self.find_header_end()? else {
+            return Ok(None);
+        };
+        let length = parse_length(&self.bytes[self.position + 1..digits_end])?;
+        match self.bytes.get(digits_end + 1) {
+            None => {
+                self.searched = digits_end;
+                Ok(None)
+            }
+            Some(b'\n') => {
+                let header_end = digits_end + LINE_END.len();
+                (self.position, self.searched) = (header_end, header_end);
+                Ok(Some(length))
+            }
+            Some(_) => Err(DecodeError::MissingLineEnd),
+        }
+    }
+
+    /// The position of the carriage return that ends the header.
+    fn find_header_end(&mut self) -> Result<Option<usize>, DecodeError> {
+        let unsearched = self.searched.max(self.position + 1);
+        let found = self.bytes[unsearched..]
+            .iter()
+            .position(|byte| *byte == LINE_END[0]);
+        if let Some(offset) = found {
+            return Ok(Some(unsearched + offset));
+        }
+        self.searched = self.bytes.len();
+        if self.bytes.len() - self.position > LENGTH_DIGITS_MAX + 1 {
+            return Err(DecodeError::InvalidLength);
+        }
+        Ok(None)
+    }
+}
+
+fn parse_length(digits: &[u8]) -> Result<usize, DecodeError> {
+    let is_number = !digits.is_empty()
+        && digits.len() <= LENGTH_DIGITS_MAX
+        && digits.iter().all(u8::is_ascii_digit);
+    if !is_number {
+        return Err(DecodeError::InvalidLength);
+    }
+    Ok(digits
+        .iter()
+        .fold(0, |sum, digit| sum * 10 + usize::from(digit - b'0')))
+}
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -1,167 +1,259 @@
-//! Whether settings can be used, told by the names that they came with.
+//! Whether settings can be used. Errors name a setting by its path on the wire.
 
+use crate::child_path;
 use serde_json::Value;
+use std::fmt;
 
-/// A setting that can't be used, by its path.
+/// A setting that can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("`{field}` {why}")]
-pub struct Wrong {
+#[error("`{field}` {problem}")]
+pub struct ConfigError {
+    /// The setting's path on the wire.
     pub field: String,
-    pub why: String,
+    /// What is wrong with it.
+    pub problem: Problem,
+}
+
+/// What is wrong with a setting.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum Problem {
+    /// It is needed and not there.
+    #[error("is missing")]
+    Missing,
+    /// It has another form, or is out of range.
+    #[error("should be {expected}, it is {found}")]
+    Invalid {
+        /// The form it should have.
+        expected: String,
+        /// The beginning of what it is.
+        found: String,
+    },
+    /// A name that is given twice: messages could not tell the two apart.
+    #[error("is {value}, as `{first}` is")]
+    Duplicate {
+        /// The name.
+        value: String,
+        /// The path of the setting that has it as well.
+        first: String,
+    },
+}
+
+/// The numbers that a setting may be.
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct NumberRange {
+    min: f64,
+    min_is_allowed: bool,
+    max: f64,
+}
+
+impl NumberRange {
+    const NON_NEGATIVE: NumberRange = NumberRange {
+        min: 0.0,
+        min_is_allowed: true,
+        max: f64::MAX,
+    };
+    const POSITIVE: NumberRange = NumberRange {
+        min: 0.0,
+        min_is_allowed: false,
+        max: f64::MAX,
+    };
+
+    fn contains(&self, number: f64) -> bool {
+        let is_above = number > self.min || (self.min_is_allowed && number == self.min);
+        number.is_finite() && is_above && number <= self.max
+    }
+}
+
+impl fmt::Display for NumberRange {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let NumberRange { min, max, .. } = self;
+        match (self.min_is_allowed, self.max == f64::MAX) {
+            (true, true) => write!(f, "a number of at least {min}"),
+            (false, true) => write!(f, "a number above {min}"),
+            _ => write!(f, "a number above {min}, {max} at most"),
+        }
+    }
 }
 
 /// What a setting has to be where it is there.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Form {
-    /// A number from the first to the second; the first itself only where `true`.
-    Number(f64, bool, f64),
+    Number(NumberRange),
     Flag,
     Text,
-    /// So many items, from the first to the second.
-    List(usize, usize),
+    /// A list of so many items.
+    List {
+        min: usize,
+        max: usize,
+    },
+}
+
+impl Form {
+    fn accepts(self, value: &Value) -> bool {
+        match self {
+            Form::Number(range) => value.as_f64().is_some_and(|number| range.contains(number)),
+            Form::Flag => value.is_boolean(),
+            Form::Text => value.as_str().is_some_and(|text| !text.is_empty()),
+            Form::List { min, max } => value
+                .as_array()
+                .is_some_and(|items| (min..=max).contains(&items.len())),
+        }
+    }
+}
+
+impl fmt::Display for Form {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Form::Number(range) => range.fmt(f),
+            Form::Flag => f.write_str("true or false"),
+            Form::Text => f.write_str("a text"),
+            Form::List { min, max } => write!(f, "a list of {min} to {max}"),
+        }
+    }
 }
 
-/// Settings without which nothing can be decided, and others.
+/// Whether decisions need a setting.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Need {
-    Needed,
+enum Presence {
+    Required,
     Optional,
 }
 
-use Form::*;
-use Need::*;
-
-const ANY: Form = Number(0.0, true, f64::MAX);
-const SOME: Form = Number(0.0, false, f64::MAX);
-
-/// `*` stands for each item of a list. Numbers of zones, kinds, classes and proxies are bounded by what ids hold.
-const FORMS: &[(&str, Form, Need)] = &[
-    ("zones", List(1, 250), Needed),
-    ("zones.*", Text, Needed),
-    ("kinds", List(1, 255), Needed),
-    ("kinds.*", Text, Needed),
-    ("classes", List(1, 16), Needed),
-    ("classes.*.name", Text, Needed),
-    ("classes.*.aim", SOME, Needed),
-    ("classes.*.deadline", SOME, Needed),
-    ("classes.*.idempotency", Text, Needed),
-    ("classes.*.group", Text, Optional),
-    ("classes.*.key_ttl", ANY, Optional),
-    ("classes.*.worth", ANY, Optional),
-    ("classes.*.late_value", ANY, Optional),
-    ("peers_total", SOME, Needed),
-    ("tick", ANY, Optional),
-    ("feedback.fields", List(0, 16), Optional),
-    ("feedback.fields.*", Text, Needed),
-    ("extra.proxy_count", Number(0.0, false, 65535.0), Needed),
-    ("extra.period", SOME, Needed),
-    ("extra.backlog", ANY, Needed),
-    ("extra.head", ANY, Needed),
-    ("extra.push_delay_max", ANY, Needed),
-    ("extra.push_rate", ANY, Optional),
-    ("extra.pushes_allowed", ANY, Optional),
-    ("extra.update_window", ANY, Optional),
-    ("extra.fails_to_eject", ANY, Optional),
-    ("extra.homed_by_zone", Flag, Optional),
-    ("extra.stays_local.*", Flag, Optional),
-    ("extra.admit", Text, Optional),
-    ("limits.conn_idle", ANY, Optional),
-    ("limits.peer_messages", Flag, Optional),
-    ("prices.cross_zone", ANY, Optional),
-    ("rules.overload_factor", SOME, Needed),
-    ("rules.start_capacity", ANY, Needed),
-    ("rules.warm_after", ANY, Needed),
+/// What is known of a setting.
+struct SettingForm {
+    /// On the wire; `*` stands for each item of a list.
+    path: &'static str,
+    form: Form,
+    presence: Presence,
+}
+
+const fn required(path: &'static str, form: Form) -> SettingForm {
+    SettingForm {
+        path,
+        form,
+        presence: Presence::Required,
+    }
+}
+
+const fn optional(path: &'static str, form: Form) -> SettingForm {
+    SettingForm {
+        path,
+        form,
+        presence: Presence::Optional,
+    }
+}
+
+const NON_NEGATIVE: Form = Form::Number(NumberRange::NON_NEGATIVE);
+const POSITIVE: Form = Form::Number(NumberRange::POSITIVE);
+const PROXY_COUNT: Form = Form::Number(NumberRange {
+    max: u16::MAX as f64,
+    ..NumberRange::POSITIVE
+});
+
+/// Numbers of zones, kinds, operations and proxies are bounded by what ids hold.
+const FORMS: &[SettingForm] = &[
+    required("zones", Form::List { min: 1, max: 250 }),
+    required("zones.*", Form::Text),
+    required("kinds", Form::List { min: 1, max: 255 }),
+    required("kinds.*", Form::Text),
+    required("classes", Form::List { min: 1, max: 16 }),
+    required("classes.*.name", Form::Text),
+    required("classes.*.aim", POSITIVE),
+    required("classes.*.deadline", POSITIVE),
+    required("classes.*.idempotency", Form::Text),
+    optional("classes.*.group", Form::Text),
+    optional("classes.*.key_ttl", NON_NEGATIVE),
+    optional("classes.*.worth", NON_NEGATIVE),
+    optional("classes.*.late_value", NON_NEGATIVE),
+    required("peers_total", POSITIVE),
+    optional("tick", NON_NEGATIVE),
+    optional("feedback.fields", Form::List { min: 0, max: 16 }),
+    required("feedback.fields.*", Form::Text),
+    required("extra.proxy_count", PROXY_COUNT),
+    required("extra.period", POSITIVE),
+    required("extra.backlog", NON_NEGATIVE),
+    required("extra.head", NON_NEGATIVE),
+    required("extra.push_delay_max", NON_NEGATIVE),
+    optional("extra.push_rate", NON_NEGATIVE),
+    optional("extra.pushes_allowed", NON_NEGATIVE),
+    optional("extra.update_window", NON_NEGATIVE),
+    optional("extra.fails_to_eject", NON_NEGATIVE),
+    optional("extra.homed_by_zone", Form::Flag),
+    optional("extra.stays_local.*", Form::Flag),
+    optional("extra.admit", Form::Text),
+    optional("limits.conn_idle", NON_NEGATIVE),
+    optional("limits.peer_messages", Form::Flag),
+    optional("prices.cross_zone", NON_NEGATIVE),
+    required("rules.overload_factor", POSITIVE),
+    required("rules.start_capacity", NON_NEGATIVE),
+    required("rules.warm_after", NON_NEGATIVE),
 ];
 
-impl Form {
-    fn wrong(self, value: &Value) -> Option<String> {
-        let (fits, what) = match self {
-            Number(least, itself, most) => {
-                let number = value.as_f64().filter(|number| number.is_finite());
-                let fits = |number: f64| number > least || (itself && number == least);
-                let what = match (itself, most == f64::MAX) {
-                    (true, true) => format!("a number of at least {least}"),
-                    (false, true) => format!("a number above {least}"),
-                    _ => format!("a number above {least}, {most} at most"),
-                };
-                (
-                    number.is_some_and(|number| fits(number) && number <= most),
-                    what,
-                )
-            }
-            Flag => (value.is_boolean(), "true or false".to_string()),
-            Text => (
-                value.as_str().is_some_and(|text| !text.is_empty()),
-                "a text".to_string(),
-            ),
-            List(least, most) => {
-                let count = value.as_array().map(Vec::len);
-                let what = format!("a list of {least} to {most}");
-                (
-                    count.is_some_and(|count| (least..=most).contains(&count)),
-                    what,
-                )
-            }
-        };
-        let shown: String = value.to_string().chars().take(40).collect();
-        (!fits).then(|| format!("should be {what}, it is {shown}"))
+/// Names by which messages tell things apart.
+const UNIQUE_PATHS: &[&str] = &["zones.*", "kinds.*", "classes.*.name"];
+
+/// Characters of a bad value that go into an error.
+const QUOTED_CHARS: usize = 40;
+
+/// Reports the first setting that can't be used.
+pub fn check(settings: &Value) -> Result<(), ConfigError> {
+    for setting in FORMS {
+        for (field, value) in resolve_path(settings, setting.path) {
+            check_form(setting, value).map_err(|problem| ConfigError { field, problem })?;
+        }
     }
+    UNIQUE_PATHS
+        .iter()
+        .try_for_each(|path| check_unique(settings, path))
+}
+
+fn check_form(setting: &SettingForm, value: &Value) -> Result<(), Problem> {
+    match (value, setting.presence) {
+        (Value::Null, Presence::Optional) => Ok(()),
+        (Value::Null, Presence::Required) => Err(Problem::Missing),
+        _ if setting.form.accepts(value) => Ok(()),
+        _ => Err(Problem::Invalid {
+            expected: setting.form.to_string(),
+            found: value.to_string().chars().take(QUOTED_CHARS).collect(),
+        }),
+    }
+}
+
+fn check_unique(settings: &Value, path: &str) -> Result<(), ConfigError> {
+    let named = resolve_path(settings, path);
+    for (position, (field, value)) in named.iter().enumerate() {
+        let mut earlier = named[..position].iter();
+        if let Some((first, _)) = earlier.find(|(_, other)| other == value) {
+            return Err(ConfigError {
+                field: field.clone(),
+                problem: Problem::Duplicate {
+                    value: value.to_string(),
+                    first: first.clone(),
+                },
+            });
+        }
+    }
+    Ok(())
 }
 
 /// All places that a path names, with what stands there; `Null` where nothing does.
-fn places<'a>(value: &'a Value, path: &str) -> Vec<(String, &'a Value)> {
+fn resolve_path<'a>(value: &'a Value, path: &str) -> Vec<(String, &'a Value)> {
     let mut places = vec![(String::new(), value)];
     for word in path.split('.') {
-        let inner = |(at, value): (String, &'a Value)| -> Vec<(String, &'a Value)> {
-            let name = |key: &str| {
-                if at.is_empty() {
-                    key.to_string()
-                } else {
-                    format!("{at}.{key}")
-                }
-            };
-            match word {
-                "*" => {
-                    let items = value.as_array().into_iter().flatten().enumerate();
-                    items
-                        .map(|(key, item)| (name(&key.to_string()), item))
-                        .collect()
-                }
-                word => vec![(name(word), &value[word])],
-            }
-        };
-        places = places.into_iter().flat_map(inner).collect();
+        places = places
+            .into_iter()
+            .flat_map(|(at, value)| children(&at, value, word))
+            .collect();
     }
     places
 }
 
-/// Names by which messages tell things apart: the same twice would be taken for the first.
-const UNLIKE: &[&str] = &["zones.*", "kinds.*", "classes.*.name"];
-
-/// The first setting that can't be used.
-pub fn check(settings: &Value) -> Result<(), Wrong> {
-    for (path, form, need) in FORMS {
-        for (field, value) in places(settings, path) {
-            let why = match (value, need) {
-                (Value::Null, Optional) => None,
-                (Value::Null, Needed) => Some("is missing".to_string()),
-                _ => form.wrong(value),
-            };
-            if let Some(why) = why {
-                return Err(Wrong { field, why });
-            }
-        }
+fn children<'a>(path: &str, value: &'a Value, word: &str) -> Vec<(String, &'a Value)> {
+    if word != "*" {
+        return vec![(child_path(path, word), &value[word])];
     }
-    for path in UNLIKE {
-        let named = places(settings, path);
-        for (at, (field, value)) in named.iter().enumerate() {
-            if let Some((first, _)) = named[..at].iter().find(|(_, other)| other == value) {
-                return Err(Wrong {
-                    field: field.clone(),
-                    why: format!("is {value}, as `{first}` is"),
-                });
-            }
-        }
-    }
-    Ok(())
+    let items = value.as_array().into_iter().flatten().enumerate();
+    items
+        .map(|(position, item)| (child_path(path, &position.to_string()), item))
+        .collect()
 }
--- a/crates/settings/tests/names.rs
+++ b/crates/settings/tests/names.rs
@@ -1,34 +1,41 @@
-//! Settings by their names on the wire: what they become, and what is said of those that can't be used.
+//! Settings by their names on the wire: their names here, and the errors for those that can't be used.
 
 use serde_json::{json, Value};
 use test_case::test_case;
-use wheelspread_settings::{check, field, read, Names};
+use wheelspread_settings::{check, metric_name, parse, Names};
 
 #[test]
-fn settings_are_told_in_our_words_and_lists_by_position() {
+fn settings_get_our_names_and_lists_are_flattened_by_position() {
     let text = r#"{"az": 1, "zones": ["a", "b"], "classes": [{"name": "read", "aim": 1.5,
         "idempotency": "idempotency_key"}], "feedback": {"fields": ["busy", "q"]}, "new": {"key": 7}}"#;
-    let facts = read(text).expect("JSON");
-    assert_eq!(facts.number("operation.0.latency_objective"), Ok(1.5));
-    assert_eq!(facts.text("operation.0.repeat"), Ok("fingerprinted"));
+    let settings = parse(text).expect("JSON");
+    assert_eq!(settings.number("operation.0.latency_objective"), Ok(1.5));
+    assert_eq!(settings.text("operation.0.repeat"), Ok("fingerprinted"));
     assert_eq!(
-        (facts.number("zone.count"), facts.number("conductor.zone")),
+        (
+            settings.number("zone.count"),
+            settings.number("conductor.zone")
+        ),
         (Ok(2.0), Ok(1.0))
     );
-    assert_eq!(facts.text("report.field.0"), Ok("utilization"));
+    assert_eq!(settings.text("report.field.0"), Ok("utilization"));
     assert!(
-        !facts.0.keys().any(|name| name.contains("new")),
+        !settings.0.keys().any(|name| name.contains("new")),
         "what is not known is skipped"
     );
-    assert!(read("{").is_err());
-    let names = Names::read(&serde_json::from_str(text).expect("JSON"));
+    assert!(parse("{").is_err());
+    let names = Names::from_wire(&serde_json::from_str(text).expect("JSON"));
     assert_eq!(
         (names.zones, names.operations),
         (vec!["a".into(), "b".into()], vec!["read".into()])
     );
-    assert_eq!(names.fields, ["utilization", "queue"]);
+    assert_eq!(names.metrics, ["utilization", "queue"]);
     assert_eq!(
-        (field("util"), field("queue"), field("inflight")),
+        (
+            metric_name("util"),
+            metric_name("queue"),
+            metric_name("inflight")
+        ),
         ("utilization", "queue", "in-flight")
     );
 }
--- a/crates/wheelspread-adapter/src/decode.rs
+++ b/crates/wheelspread-adapter/src/decode.rs
@@ -1,325 +1,313 @@
-//! Framing: bytes into events and actions into bytes.
+//! Decoding of the simulator's frames: bytes into records.
 
+use crate::codes::{endpoint_status, event, list_kind, PROBE_SUCCEEDED};
+use std::string::FromUtf8Error;
 use wheelspread::ids::*;
 use wheelspread::time::{Moment, Span};
-use wheelspread::*;
+use wheelspread::{EndpointEntry, EndpointListKind, EndpointStatus, Event};
 
+/// Why bytes are no record.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum DecodeError {
+    /// The batch ends within a field.
+    #[error("{wanted} bytes wanted, {left} left")]
+    Truncated {
+        /// Bytes of the field.
+        wanted: usize,
+        /// Bytes that are there.
+        left: usize,
+    },
+    /// No event has this code.
+    #[error("unknown event code {0}")]
+    UnknownEvent(u8),
+    /// No kind of endpoint list has this code.
+    #[error("unknown kind of list {0}")]
+    UnknownListKind(u8),
+    /// No endpoint status has this code.
+    #[error("unknown mode {0} in a list entry")]
+    UnknownEndpointStatus(u8),
+    /// The settings are no UTF-8.
+    #[error("settings: {0}")]
+    Settings(#[from] FromUtf8Error),
+}
+
+/// Reads fields from the front of a frame. Integers and floats are little-endian.
 pub struct Reader<'a> {
     bytes: &'a [u8],
-    pub at: usize,
+    /// How much has been read.
+    pub position: usize,
 }
 
-type Read<T> = Result<T, String>;
-
 impl<'a> Reader<'a> {
+    /// A reader at the beginning of these bytes.
     pub fn new(bytes: &'a [u8]) -> Reader<'a> {
-        Reader { bytes, at: 0 }
+        Reader { bytes, position: 0 }
     }
 
-    pub fn left(&self) -> usize {
-        self.bytes.len() - self.at
+    /// Bytes that have not been read.
+    pub fn remaining(&self) -> usize {
+        self.bytes.len() - self.position
     }
 
-    pub fn take(&mut self, count: usize) -> Read<&'a [u8]> {
-        if self.left() < count {
-            return Err(format!("{count} bytes wanted, {} left", self.left()));
+    fn read_bytes(&mut self, count: usize) -> Result<&'a [u8], DecodeError> {
+        if self.remaining() < count {
+            return Err(DecodeError::Truncated {
+                wanted: count,
+                left: self.remaining(),
+            });
         }
-        self.at += count;
-        Ok(&self.bytes[self.at - count..self.at])
+        self.position += count;
+        Ok(&self.bytes[self.position - count..self.position])
     }
 
-    fn array<const N: usize>(&mut self) -> Read<[u8; N]> {
-        Ok(self.take(N)?.try_into().expect("as long as asked for"))
+    fn read_array<const N: usize>(&mut self) -> Result<[u8; N], DecodeError> {
+        let mut array = [0; N];
+        array.copy_from_slice(self.read_bytes(N)?);
+        Ok(array)
     }
 
-    pub fn u8(&mut self) -> Read<u8> {
-        Ok(self.array::<1>()?[0])
+    fn read_u8(&mut self) -> Result<u8, DecodeError> {
+        Ok(u8::from_le_bytes(self.read_array()?))
     }
 
-    pub fn u16(&mut self) -> Read<u16> {
-        Ok(u16::from_le_bytes(self.array()?))
+    fn read_u16(&mut self) -> Result<u16, DecodeError> {
+        Ok(u16::from_le_bytes(self.read_array()?))
     }
 
-    pub fn u32(&mut self) -> Read<u32> {
-        Ok(u32::from_le_bytes(self.array()?))
+    /// Reads four bytes as an unsigned number.
+    pub fn read_u32(&mut self) -> Result<u32, DecodeError> {
+        Ok(u32::from_le_bytes(self.read_array()?))
     }
 
-    pub fn u64(&mut self) -> Read<u64> {
-        Ok(u64::from_le_bytes(self.array()?))
+    fn read_u64(&mut self) -> Result<u64, DecodeError> {
+        Ok(u64::from_le_bytes(self.read_array()?))
     }
 
-    pub fn f32(&mut self) -> Read<f64> {
-        Ok(f64::from(f32::from_le_bytes(self.array()?)))
+    fn read_f32(&mut self) -> Result<f64, DecodeError> {
+        Ok(f64::from(f32::from_le_bytes(self.read_array()?)))
     }
 
-    pub fn f64(&mut self) -> Read<f64> {
-        Ok(f64::from_le_bytes(self.array()?))
+    /// Reads eight bytes as a floating-point number.
+    pub fn read_f64(&mut self) -> Result<f64, DecodeError> {
+        Ok(f64::from_le_bytes(self.read_array()?))
     }
 
-    fn node(&mut self) -> Read<NodeId> {
+    fn read_flag(&mut self) -> Result<bool, DecodeError> {
+        Ok(self.read_u8()? != 0)
+    }
+
+    /// A number of requests or attempts.
+    fn read_count(&mut self) -> Result<f64, DecodeError> {
+        Ok(f64::from(self.read_u32()?))
+    }
+
+    fn read_span(&mut self) -> Result<Span, DecodeError> {
+        Ok(Span::from_seconds(self.read_f64()?))
+    }
+
+    fn read_node(&mut self) -> Result<NodeId, DecodeError> {
         Ok(NodeId {
-            address: self.array()?,
-            port: self.u16()?,
+            address: self.read_array()?,
+            port: self.read_u16()?,
         })
     }
 
-    fn span(&mut self) -> Read<Span> {
-        Ok(Span::from_seconds(self.f64()?))
+    fn read_proxy(&mut self) -> Result<ProxyId, DecodeError> {
+        self.read_u16().map(ProxyId)
+    }
+
+    fn read_zone(&mut self) -> Result<ZoneId, DecodeError> {
+        self.read_u16().map(ZoneId)
+    }
+
+    fn read_slice(&mut self) -> Result<SliceId, DecodeError> {
+        self.read_u16().map(SliceId)
+    }
+
+    fn read_operation(&mut self) -> Result<OperationId, DecodeError> {
+        self.read_u8().map(OperationId)
     }
 
-    fn load(&mut self) -> Read<Vec<f64>> {
-        let count = self.u8()?;
-        (0..count).map(|_| self.f32()).collect()
+    fn read_metrics(&mut self) -> Result<Vec<f64>, DecodeError> {
+        let count = self.read_u8()?;
+        (0..count).map(|_| self.read_f32()).collect()
     }
 }
 
-pub enum Record {
-    Boot { seed: u64, settings: String },
+/// Identifies a controller in the simulator.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ControllerId(pub u16);
+
+/// What a record orders.
+pub enum RecordBody {
+    /// Start the controller.
+    Boot {
+        /// The seed of its random choices.
+        seed: u64,
+        /// Its settings as JSON text.
+        settings: String,
+    },
+    /// Stop the controller.
     Stop,
+    /// Pass an event to the controller.
     Event(Event),
 }
 
-/// One event record; its conductor comes first so that a bad rest can still be blamed on it.
-pub fn record(reader: &mut Reader) -> Read<(u16, Record)> {
-    let code = reader.u8()?;
-    if !(16..=29).contains(&code) {
-        return Err(format!("unknown event code {code}"));
+/// One record of a batch.
+pub struct Record {
+    /// The controller that it is for.
+    pub controller: ControllerId,
+    /// What it orders.
+    pub body: RecordBody,
+}
+
+/// Reads one record. The controller's number follows the code directly.
+pub fn read_record(reader: &mut Reader) -> Result<Record, DecodeError> {
+    let code = reader.read_u8()?;
+    if !event::ALL.contains(&code) {
+        return Err(DecodeError::UnknownEvent(code));
     }
-    let conductor = reader.u16()?;
-    let event = match code {
-        16 => Event::TimerFired {
-            timer: TimerId(reader.u64()?),
-        },
-        17 => {
-            let from = PeerId(reader.u32()?);
-            let count = reader.u16()?;
-            Event::PeerGossip {
-                from,
-                payload: reader.take(count.into())?.to_vec(),
-            }
-        }
-        18 => Event::NodeLoadReport {
-            zone: ZoneId(reader.u16()?),
-            node: reader.node()?,
-            attempts: f64::from(reader.u32()?),
-            failures: f64::from(reader.u32()?),
-            mean_latency: reader.span()?,
-            window: reader.span()?,
-            metrics: reader.load()?,
-        },
-        19 => Event::SliceOwnership {
-            slice: SliceId(reader.u16()?),
-            owned: reader.u8()? != 0,
-        },
-        20 => Event::ProxyLeft {
-            proxy: ProxyId(reader.u16()?),
-        },
-        21 => {
-            let seed = reader.u64()?;
-            let count = reader.u32()?;
-            let text = reader.take(count as usize)?;
-            let settings =
-                String::from_utf8(text.to_vec()).map_err(|e| format!("settings: {e}"))?;
-            return Ok((conductor, Record::Boot { seed, settings }));
-        }
-        22 => Event::DemandReport {
-            proxy: ProxyId(reader.u16()?),
-            operation: OperationId(reader.u8()?),
-            requests: f64::from(reader.u32()?),
-            failures: f64::from(reader.u32()?),
-            window: reader.span()?,
-        },
-        23 => {
-            let operation = OperationId(reader.u8()?);
-            let errored = f64::from(reader.u32()?);
-            let count = f64::from(reader.u32()?);
-            let slice = SliceId(reader.u16()?);
-            Event::SliceDemandReport {
-                slice,
-                operation,
-                requests: count,
-                failures: errored,
-                window: reader.span()?,
-            }
-        }
-        24 => Event::ProxyJoined {
-            proxy: ProxyId(reader.u16()?),
-            zone: ZoneId(reader.u16()?),
-            usual_rate: reader.f32()?,
-            fresh: reader.u8()? != 0,
-        },
-        25 => Event::ProbeCompleted {
-            node: reader.node()?,
-            succeeded: reader.u16()? == 200,
-            latency: reader.span()?,
-            metrics: reader.load()?,
-        },
-        26 => Event::MarkerAcknowledged {
-            proxy: ProxyId(reader.u16()?),
-            marker: MarkerId(reader.u32()?),
-            latency: reader.span()?,
-        },
-        27 => return Ok((conductor, Record::Stop)),
-        28 => {
-            let kind = match reader.u8()? {
-                0 => EndpointListKind::Cached,
-                1 => EndpointListKind::Changes,
-                2 => EndpointListKind::Complete,
-                3 => EndpointListKind::Unavailable,
-                other => return Err(format!("unknown kind of list {other}")),
-            };
-            reader.u32()?;
-            let count = reader.u32()?;
-            let mut entries = Vec::new();
-            for _ in 0..count {
-                entries.push(entry(reader)?);
-            }
-            Event::EndpointList { kind, entries }
-        }
-        _ => {
-            let node = reader.node()?;
-            let slice = SliceId(reader.u16()?);
-            Event::SliceAssignment {
-                slice,
-                node,
-                weight: reader.f32()?,
-            }
-        }
+    let controller = ControllerId(reader.read_u16()?);
+    let body = match code {
+        event::BOOT => read_boot(reader)?,
+        event::STOP => RecordBody::Stop,
+        _ => RecordBody::Event(read_event(code, reader)?),
     };
-    Ok((conductor, Record::Event(event)))
+    Ok(Record { controller, body })
 }
 
-fn entry(reader: &mut Reader) -> Read<EndpointEntry> {
-    Ok(EndpointEntry {
-        node: reader.node()?,
-        zone: ZoneId(reader.u16()?),
-        kind: KindId(reader.u8()?),
-        cell: CellId(reader.u16()?),
-        status: match reader.u8()? {
-            0 => EndpointStatus::Gone,
-            1 => EndpointStatus::Ready,
-            2 => EndpointStatus::Draining,
-            other => return Err(format!("unknown mode {other} in a list entry")),
-        },
-        weight: reader.f32()?,
-        started: Some(reader.f64()?)
-            .filter(|at| *at > 0.0)
-            .map(Moment::from_seconds),
+fn read_boot(reader: &mut Reader) -> Result<RecordBody, DecodeError> {
+    let seed = reader.read_u64()?;
+    let length = reader.read_u32()?;
+    let settings = reader.read_bytes(length as usize)?;
+    Ok(RecordBody::Boot {
+        seed,
+        settings: String::from_utf8(settings.to_vec())?,
     })
 }
 
-fn mask(operations: &[OperationId]) -> u16 {
-    operations.iter().fold(0, |sum, operation| {
-        sum | 1u16.checked_shl(operation.0.into()).unwrap_or(0)
+// Fields are read in the order in which they are written here.
+fn read_event(code: u8, reader: &mut Reader) -> Result<Event, DecodeError> {
+    match code {
+        event::TIMER => Ok(Event::TimerFired {
+            timer: TimerId(reader.read_u64()?),
+        }),
+        event::GOSSIP => read_gossip(reader),
+        event::NODE_LOAD => read_node_load(reader),
+        event::SLICE_OWNERSHIP => Ok(Event::SliceOwnership {
+            slice: reader.read_slice()?,
+            owned: reader.read_flag()?,
+        }),
+        event::PROXY_LEFT => Ok(Event::ProxyLeft {
+            proxy: reader.read_proxy()?,
+        }),
+        event::DEMAND => Ok(Event::DemandReport {
+            proxy: reader.read_proxy()?,
+            operation: reader.read_operation()?,
+            requests: reader.read_count()?,
+            failures: reader.read_count()?,
+            window: reader.read_span()?,
+        }),
+        event::SLICE_DEMAND => read_slice_demand(reader),
+        event::PROXY_JOINED => Ok(Event::ProxyJoined {
+            proxy: reader.read_proxy()?,
+            zone: reader.read_zone()?,
+            usual_rate: reader.read_f32()?,
+            fresh: reader.read_flag()?,
+        }),
+        event::PROBE_COMPLETED => Ok(Event::ProbeCompleted {
+            node: reader.read_node()?,
+            succeeded: reader.read_u16()? == PROBE_SUCCEEDED,
+            latency: reader.read_span()?,
+            metrics: reader.read_metrics()?,
+        }),
+        event::MARKER_ACKNOWLEDGED => Ok(Event::MarkerAcknowledged {
+            proxy: reader.read_proxy()?,
+            marker: MarkerId(reader.read_u32()?),
+            latency: reader.read_span()?,
+        }),
+        event::ENDPOINT_LIST => read_endpoint_list(reader),
+        event::SLICE_ASSIGNMENT => read_slice_assignment(reader),
+        other => Err(DecodeError::UnknownEvent(other)),
+    }
+}
+
+fn read_gossip(reader: &mut Reader) -> Result<Event, DecodeError> {
+    let from = PeerId(reader.read_u32()?);
+    let length = reader.read_u16()?;
+    Ok(Event::PeerGossip {
+        from,
+        payload: reader.read_bytes(length.into())?.to_vec(),
     })
 }
 
-pub fn write(conductor: u16, action: &Action, out: &mut Vec<u8>) {
-    let start = |code: u8, out: &mut Vec<u8>| {
-        out.push(code);
-        out.extend(conductor.to_le_bytes());
-    };
-    let node = |node: &NodeId, out: &mut Vec<u8>| {
-        out.extend(node.address);
-        out.extend(node.port.to_le_bytes());
-    };
-    match action {
-        Action::SendGossip {
-            peer,
-            payload: bytes,
-        } => {
-            start(16, out);
-            out.extend(peer.map_or(u32::MAX, |peer| peer.0).to_le_bytes());
-            out.extend((bytes.len() as u16).to_le_bytes());
-            out.extend(bytes);
-        }
-        Action::SendMarker {
-            marker: mark,
-            to_all: everyone,
-        } => {
-            start(17, out);
-            out.extend(mark.0.to_le_bytes());
-            out.push(u8::from(*everyone));
-        }
-        Action::RequestEndpointList => start(18, out),
-        Action::Log { message: text } => write_text(19, conductor, text, out),
-        Action::EjectNode {
-            node: id,
-            ejected: is_out,
-        } => {
-            start(20, out);
-            node(id, out);
-            out.push(u8::from(*is_out));
-        }
-        Action::BindTable {
-            proxy,
-            table,
-            operations,
-        } => {
-            start(21, out);
-            out.extend(proxy.0.to_le_bytes());
-            out.extend(table.0.to_le_bytes());
-            out.extend(mask(operations).to_le_bytes());
-        }
-        Action::SetWeight {
-            table,
-            node: id,
-            weight,
-        } => {
-            start(22, out);
-            out.extend(table.0.to_le_bytes());
-            node(id, out);
-            out.extend((*weight as f32).to_le_bytes());
-        }
-        Action::ClearTable { table } => {
-            start(23, out);
-            out.extend(table.0.to_le_bytes());
-        }
-        Action::SetTimer { after, timer } => {
-            start(24, out);
-            out.extend(after.seconds().to_le_bytes());
-            out.extend(timer.0.to_le_bytes());
-        }
-        Action::SetAdmission {
-            table,
-            operations,
-            limit: quota,
-            retry,
-        } => {
-            start(25, out);
-            out.extend(table.map_or(u16::MAX, |table| table.0).to_le_bytes());
-            out.extend(mask(operations).to_le_bytes());
-            out.extend((*quota as f32).to_le_bytes());
-            out.push(match retry {
-                RetryPolicy::Never => 0,
-                RetryPolicy::IfUnprocessed => 1,
-                RetryPolicy::OnceOnAnyFailure => 2,
-                RetryPolicy::TwiceOnAnyFailure => 3,
-            });
-        }
-        Action::WatchEndpoints { enabled: on } => {
-            start(26, out);
-            out.push(u8::from(*on));
-        }
-        Action::ProbeNode { node: id } => {
-            start(28, out);
-            node(id, out);
-        }
-    }
+fn read_node_load(reader: &mut Reader) -> Result<Event, DecodeError> {
+    Ok(Event::NodeLoadReport {
+        zone: reader.read_zone()?,
+        node: reader.read_node()?,
+        attempts: reader.read_count()?,
+        failures: reader.read_count()?,
+        mean_latency: reader.read_span()?,
+        window: reader.read_span()?,
+        metrics: reader.read_metrics()?,
+    })
+}
+
+fn read_slice_demand(reader: &mut Reader) -> Result<Event, DecodeError> {
+    let operation = reader.read_operation()?;
+    let failures = reader.read_count()?;
+    let requests = reader.read_count()?;
+    Ok(Event::SliceDemandReport {
+        slice: reader.read_slice()?,
+        operation,
+        requests,
+        failures,
+        window: reader.read_span()?,
+    })
+}
+
+fn read_slice_assignment(reader: &mut Reader) -> Result<Event, DecodeError> {
+    let node = reader.read_node()?;
+    Ok(Event::SliceAssignment {
+        slice: reader.read_slice()?,
+        node,
+        weight: reader.read_f32()?,
+    })
 }
 
-fn write_text(code: u8, conductor: u16, text: &str, out: &mut Vec<u8>) {
-    let end = (0..=text.len().min(1000))
-        .rev()
-        .find(|at| text.is_char_boundary(*at))
-        .unwrap_or(0);
-    out.push(code);
-    out.extend(conductor.to_le_bytes());
-    out.extend((end as u16).to_le_bytes());
-    out.extend(&text.as_bytes()[..end]);
+fn read_endpoint_list(reader: &mut Reader) -> Result<Event, DecodeError> {
+    let kind = match reader.read_u8()? {
+        list_kind::CACHED => EndpointListKind::Cached,
+        list_kind::CHANGES => EndpointListKind::Changes,
+        list_kind::COMPLETE => EndpointListKind::Complete,
+        list_kind::UNAVAILABLE => EndpointListKind::Unavailable,
+        other => return Err(DecodeError::UnknownListKind(other)),
+    };
+    // The list's version: the balancer has no use for it.
+    reader.read_u32()?;
+    let count = reader.read_u32()?;
+    let mut entries = Vec::new();
+    for _ in 0..count {
+        entries.push(read_endpoint_entry(reader)?);
+    }
+    Ok(Event::EndpointList { kind, entries })
 }
 
-/// The wire's way to say that the decisions have failed.
-pub fn write_failure(conductor: u16, text: &str, out: &mut Vec<u8>) {
-    write_text(27, conductor, text, out);
+fn read_endpoint_entry(reader: &mut Reader) -> Result<EndpointEntry, DecodeError> {
+    Ok(EndpointEntry {
+        node: reader.read_node()?,
+        zone: reader.read_zone()?,
+        kind: KindId(reader.read_u8()?),
+        cell: CellId(reader.read_u16()?),
+        status: match reader.read_u8()? {
+            endpoint_status::GONE => EndpointStatus::Gone,
+            endpoint_status::READY => EndpointStatus::Ready,
+            endpoint_status::DRAINING => EndpointStatus::Draining,
+            other => return Err(DecodeError::UnknownEndpointStatus(other)),
+        },
+        weight: reader.read_f32()?,
+        started: Some(reader.read_f64()?)
+            .filter(|seconds| *seconds > 0.0)
+            .map(Moment::from_seconds),
+    })
 }
