--- /dev/null
+++ b/crates/wheelspread-adapter/src/encode.rs
@@ -0,0 +1,128 @@
+//! Encoding of the balancer's actions into the simulator's frames.
+
+use crate::codes::{action, retry, ALL_PEERS, ALL_TABLES};
+use crate::decode::ControllerId;
+use wheelspread::ids::{NodeId, OperationId};
+use wheelspread::{Action, RetryPolicy};
+
+/// Bytes of a text, at most.
+const TEXT_BYTES_MAX: usize = 1000;
+
+/// Appends one action of a controller.
+pub fn write_action(controller: ControllerId, action: &Action, output: &mut Vec<u8>) {
+    write_header(code_of(action), controller, output);
+    match action {
+        Action::SendGossip { peer, payload } => {
+            let peer = peer.map_or(ALL_PEERS, |peer| peer.0);
+            output.extend(peer.to_le_bytes());
+            output.extend((payload.len() as u16).to_le_bytes());
+            output.extend(payload);
+        }
+        Action::SendMarker { marker, to_all } => {
+            output.extend(marker.0.to_le_bytes());
+            output.push(u8::from(*to_all));
+        }
+        Action::RequestEndpointList => {}
+        Action::Log { message } => write_text(message, output),
+        Action::EjectNode { node, ejected } => {
+            write_node(*node, output);
+            output.push(u8::from(*ejected));
+        }
+        Action::BindTable {
+            proxy,
+            table,
+            operations,
+        } => {
+            output.extend(proxy.0.to_le_bytes());
+            output.extend(table.0.to_le_bytes());
+            output.extend(operation_mask(operations).to_le_bytes());
+        }
+        Action::SetWeight {
+            table,
+            node,
+            weight,
+        } => {
+            output.extend(table.0.to_le_bytes());
+            write_node(*node, output);
+            output.extend((*weight as f32).to_le_bytes());
+        }
+        Action::ClearTable { table } => output.extend(table.0.to_le_bytes()),
+        Action::SetTimer { after, timer } => {
+            output.extend(after.seconds().to_le_bytes());
+            output.extend(timer.0.to_le_bytes());
+        }
+        Action::SetAdmission {
+            table,
+            operations,
+            limit,
+            retry,
+        } => {
+            let table = table.map_or(ALL_TABLES, |table| table.0);
+            output.extend(table.to_le_bytes());
+            output.extend(operation_mask(operations).to_le_bytes());
+            output.extend((*limit as f32).to_le_bytes());
+            output.push(retry_code(*retry));
+        }
+        Action::WatchEndpoints { enabled } => output.push(u8::from(*enabled)),
+        Action::ProbeNode { node } => write_node(*node, output),
+    }
+}
+
+/// Appends the wire's word that the decisions of a controller have failed.
+pub fn write_failure(controller: ControllerId, text: &str, output: &mut Vec<u8>) {
+    write_header(action::FAILURE, controller, output);
+    write_text(text, output);
+}
+
+fn code_of(action: &Action) -> u8 {
+    match action {
+        Action::SendGossip { .. } => action::GOSSIP,
+        Action::SendMarker { .. } => action::MARKER,
+        Action::RequestEndpointList => action::REQUEST_ENDPOINT_LIST,
+        Action::Log { .. } => action::LOG,
+        Action::EjectNode { .. } => action::EJECT,
+        Action::BindTable { .. } => action::BIND_TABLE,
+        Action::SetWeight { .. } => action::SET_WEIGHT,
+        Action::ClearTable { .. } => action::CLEAR_TABLE,
+        Action::SetTimer { .. } => action::SET_TIMER,
+        Action::SetAdmission { .. } => action::SET_ADMISSION,
+        Action::WatchEndpoints { .. } => action::WATCH_ENDPOINTS,
+        Action::ProbeNode { .. } => action::PROBE,
+    }
+}
+
+fn retry_code(policy: RetryPolicy) -> u8 {
+    match policy {
+        RetryPolicy::Never => retry::NEVER,
+        RetryPolicy::IfUnprocessed => retry::IF_UNPROCESSED,
+        RetryPolicy::OnceOnAnyFailure => retry::ONCE_ON_ANY_FAILURE,
+        RetryPolicy::TwiceOnAnyFailure => retry::TWICE_ON_ANY_FAILURE,
+    }
+}
+
+/// A bit for each operation; none stands for all.
+fn operation_mask(operations: &[OperationId]) -> u16 {
+    operations.iter().fold(0, |mask, operation| {
+        mask | 1u16.checked_shl(operation.0.into()).unwrap_or(0)
+    })
+}
+
+fn write_header(code: u8, controller: ControllerId, output: &mut Vec<u8>) {
+    output.push(code);
+    output.extend(controller.0.to_le_bytes());
+}
+
+fn write_node(node: NodeId, output: &mut Vec<u8>) {
+    output.extend(node.address);
+    output.extend(node.port.to_le_bytes());
+}
+
+/// Writes a text with its length; a long one is cut at the end of a character.
+fn write_text(text: &str, output: &mut Vec<u8>) {
+    let end = (0..=text.len().min(TEXT_BYTES_MAX))
+        .rev()
+        .find(|end| text.is_char_boundary(*end))
+        .unwrap_or(0);
+    output.extend((end as u16).to_le_bytes());
+    output.extend(&text.as_bytes()[..end]);
+}
--- /dev/null
+++ b/crates/wheelspread-adapter/src/host.rs
@@ -0,0 +1,192 @@
+//! Runs one balancer for each controller of the simulator.
+
+use crate::decode::{self, ControllerId, Reader, Record, RecordBody};
+use crate::encode;
+use std::collections::{BTreeMap, BTreeSet};
+use std::panic::{catch_unwind, AssertUnwindSafe};
+use wheelspread::time::Moment;
+use wheelspread::{Action, Balancer, Event};
+
+/// The balancers, and the controllers whose balancer has failed.
+#[derive(Default)]
+pub struct Host {
+    balancers: BTreeMap<ControllerId, Balancer>,
+    failed: BTreeSet<ControllerId>,
+}
+
+/// The answer to a batch.
+#[derive(Default)]
+pub struct Reply {
+    /// How many actions it has.
+    pub action_count: u32,
+    /// The encoded actions.
+    pub bytes: Vec<u8>,
+}
+
+impl Reply {
+    fn push_actions(&mut self, controller: ControllerId, actions: &[Action]) {
+        for action in actions {
+            encode::write_action(controller, action, &mut self.bytes);
+            self.action_count += 1;
+        }
+    }
+
+    fn push_failure(&mut self, controller: ControllerId, text: &str) {
+        eprintln!("controller {}: {text}", controller.0);
+        encode::write_failure(controller, text, &mut self.bytes);
+        self.action_count += 1;
+    }
+}
+
+/// Why a record has no effect.
+#[derive(Debug, thiserror::Error)]
+enum RecordError {
+    #[error("controller {0} is stopped but never booted")]
+    StopBeforeBoot(u16),
+    #[error("event for controller {0}, which never booted")]
+    EventBeforeBoot(u16),
+    /// The balancer does not accept the event.
+    #[error("{0}")]
+    EventRejected(String),
+}
+
+/// Why a controller does not start.
+#[derive(Debug, thiserror::Error)]
+enum BootError {
+    #[error(transparent)]
+    Settings(#[from] wheelspread_settings::ParseError),
+    #[error("{0}")]
+    Balancer(String),
+}
+
+impl Host {
+    /// Runs one batch. A record that can't be read is reported on standard error by its number and offset;
+    /// what follows it in the batch can't be told apart and is ignored.
+    pub fn run_batch(&mut self, now: Moment, record_count: u32, body: &[u8]) -> Reply {
+        let mut reply = Reply::default();
+        let mut reader = Reader::new(body);
+        let mut touched = BTreeSet::new();
+        for number in 0..record_count {
+            let offset = reader.position;
+            match decode::read_record(&mut reader) {
+                Ok(record) => {
+                    touched.insert(record.controller);
+                    if let Err(error) = self.run_record(now, record, &mut reply) {
+                        eprintln!("record {number} at offset {offset}: {error}");
+                    }
+                }
+                Err(error) => {
+                    eprintln!(
+                        "record {number} at offset {offset}: {error}; rest of the batch ignored"
+                    );
+                    break;
+                }
+            }
+        }
+        if reader.remaining() > 0 {
+            eprintln!(
+                "{} bytes left after {record_count} records at offset {}",
+                reader.remaining(),
+                reader.position
+            );
+        }
+        for controller in touched {
+            self.decide(now, controller, &mut reply);
+        }
+        reply
+    }
+
+    fn run_record(
+        &mut self,
+        now: Moment,
+        record: Record,
+        reply: &mut Reply,
+    ) -> Result<(), RecordError> {
+        let controller = record.controller;
+        match record.body {
+            RecordBody::Boot { seed, settings } => {
+                self.boot(now, controller, seed, &settings, reply);
+                Ok(())
+            }
+            RecordBody::Stop => match self.balancers.remove(&controller) {
+                Some(_) => Ok(()),
+                None => Err(RecordError::StopBeforeBoot(controller.0)),
+            },
+            RecordBody::Event(_) if self.failed.contains(&controller) => Ok(()),
+            RecordBody::Event(event) => self.handle_event(now, controller, &event, reply),
+        }
+    }
+
+    fn boot(
+        &mut self,
+        now: Moment,
+        controller: ControllerId,
+        seed: u64,
+        settings: &str,
+        reply: &mut Reply,
+    ) {
+        self.failed.remove(&controller);
+        self.balancers.remove(&controller);
+        match start_balancer(now, seed, settings) {
+            Ok(balancer) => {
+                self.balancers.insert(controller, balancer);
+            }
+            Err(error) => self.fail(controller, &error.to_string(), reply),
+        }
+    }
+
+    fn handle_event(
+        &mut self,
+        now: Moment,
+        controller: ControllerId,
+        event: &Event,
+        reply: &mut Reply,
+    ) -> Result<(), RecordError> {
+        if !self.balancers.contains_key(&controller) {
+            return Err(RecordError::EventBeforeBoot(controller.0));
+        }
+        let mut result = Ok(());
+        self.run_balancer(controller, reply, |balancer, _| {
+            result = balancer
+                .handle_event(now, event)
+                .map_err(|error| RecordError::EventRejected(error.to_string()));
+        });
+        result
+    }
+
+    fn decide(&mut self, now: Moment, controller: ControllerId, reply: &mut Reply) {
+        self.run_balancer(controller, reply, |balancer, actions| {
+            balancer.decide(now, actions);
+        });
+    }
+
+    /// Runs a balancer. If it panics, the simulator is told and the balancer is dropped.
+    fn run_balancer<F>(&mut self, controller: ControllerId, reply: &mut Reply, run: F)
+    where
+        F: FnOnce(&mut Balancer, &mut Vec<Action>),
+    {
+        let Some(balancer) = self.balancers.get_mut(&controller) else {
+            return;
+        };
+        let mut actions = Vec::new();
+        // The balancer is dropped after a panic, so nobody sees its broken state.
+        match catch_unwind(AssertUnwindSafe(|| run(balancer, &mut actions))) {
+            Ok(()) => reply.push_actions(controller, &actions),
+            Err(_) => {
+                let text = "the decisions failed, see standard error";
+                self.fail(controller, text, reply);
+            }
+        }
+    }
+
+    fn fail(&mut self, controller: ControllerId, text: &str, reply: &mut Reply) {
+        self.balancers.remove(&controller);
+        self.failed.insert(controller);
+        reply.push_failure(controller, text);
+    }
+}
+
+fn start_balancer(now: Moment, seed: u64, settings: &str) -> Result<Balancer, BootError> {
+    let settings = wheelspread_settings::parse(settings)?;
+    Balancer::start(now, seed, settings).map_err(|error| BootError::Balancer(error.to_string()))
+}
--- a/crates/wheelspread-adapter/src/main.rs
+++ b/crates/wheelspread-adapter/src/main.rs
@@ -1,185 +1,104 @@
-//! Hosts one module instance for each conductor and speaks the simulator's wire on standard input
-//! and output. Nothing is decided here.
+//! The adapter to the simulator: hosts one balancer for each simulated controller, and speaks the simulator's
+//! wire on standard input and output. Nothing is decided here.
+//!
+//! A batch is a header (size of the body, time, number of records) and its records. Each batch gets one reply:
+//! number of actions, size, and the actions.
 
+mod codes;
 mod decode;
+mod encode;
+mod host;
 
-use decode::Record;
-use std::collections::{BTreeMap, BTreeSet};
+use decode::{DecodeError, Reader};
+use host::{Host, Reply};
 use std::io::{self, Read, Write};
-use std::panic::{catch_unwind, AssertUnwindSafe};
+use std::process::ExitCode;
 use wheelspread::time::Moment;
-use wheelspread::Action;
-use wheelspread::Balancer;
 
-const HEADER: usize = 16;
+const BATCH_HEADER_BYTES: usize = 16;
 
-#[derive(Default)]
-struct Host {
-    instances: BTreeMap<u16, Balancer>,
-    failed: BTreeSet<u16>,
+/// The fixed part of a batch.
+struct BatchHeader {
+    body_bytes: u32,
+    now: Moment,
+    record_count: u32,
 }
 
-struct Reply {
-    count: u32,
-    bytes: Vec<u8>,
-}
-
-impl Reply {
-    fn actions(&mut self, conductor: u16, actions: &[Action]) {
-        for action in actions {
-            decode::write(conductor, action, &mut self.bytes);
-            self.count += 1;
-        }
+impl BatchHeader {
+    fn decode(bytes: &[u8]) -> Result<BatchHeader, DecodeError> {
+        let mut reader = Reader::new(bytes);
+        Ok(BatchHeader {
+            body_bytes: reader.read_u32()?,
+            now: Moment::from_seconds(reader.read_f64()?),
+            record_count: reader.read_u32()?,
+        })
     }
+}
 
-    fn failure(&mut self, conductor: u16, text: &str) {
-        eprintln!("conductor {conductor}: {text}");
-        decode::write_failure(conductor, text, &mut self.bytes);
-        self.count += 1;
-    }
+/// Why the adapter ends before the input does.
+#[derive(Debug, thiserror::Error)]
+enum AdapterError {
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    #[error("input ends inside a batch header, {received} of {BATCH_HEADER_BYTES} bytes")]
+    TruncatedHeader { received: usize },
+    #[error("input ends inside a batch, {received} of {expected} bytes")]
+    TruncatedBody { received: usize, expected: u32 },
 }
 
-impl Host {
-    /// Plays one batch. What can't be read is named on standard error with its record and offset;
-    /// the rest of such a batch can't be told apart any more and is left out.
-    fn batch(&mut self, now: Moment, count: u32, body: &[u8]) -> Reply {
-        let mut reply = Reply {
-            count: 0,
-            bytes: Vec::new(),
-        };
-        let mut reader = decode::Reader::new(body);
-        let mut touched = BTreeSet::new();
-        for number in 0..count {
-            let offset = reader.at;
-            match decode::record(&mut reader) {
-                Ok((conductor, record)) => {
-                    if let Err(text) = self.record(now, conductor, record, &mut reply) {
-                        eprintln!("record {number} at offset {offset}: {text}");
-                    }
-                    touched.insert(conductor);
-                }
-                Err(text) => {
-                    eprintln!(
-                        "record {number} at offset {offset}: {text}; rest of the batch left out"
-                    );
-                    break;
-                }
-            }
-        }
-        if reader.left() > 0 {
-            eprintln!(
-                "{} bytes left after {count} records at offset {}",
-                reader.left(),
-                reader.at
-            );
+fn main() -> ExitCode {
+    match run() {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("{error}");
+            ExitCode::FAILURE
         }
-        for conductor in touched {
-            self.call(conductor, &mut reply, |balancer, actions| {
-                balancer.decide(now, actions);
-                Ok(())
-            });
-        }
-        reply
     }
+}
 
-    fn record(
-        &mut self,
-        now: Moment,
-        conductor: u16,
-        record: Record,
-        reply: &mut Reply,
-    ) -> Result<(), String> {
-        match record {
-            Record::Boot { seed, settings } => {
-                self.failed.remove(&conductor);
-                self.instances.remove(&conductor);
-                match wheelspread_settings::read(&settings)
-                    .and_then(|facts| Balancer::start(now, seed, facts))
-                {
-                    Ok(balancer) => drop(self.instances.insert(conductor, balancer)),
-                    Err(text) => {
-                        self.failed.insert(conductor);
-                        reply.failure(conductor, &text);
-                    }
-                }
-                Ok(())
-            }
-            Record::Stop => match self.instances.remove(&conductor) {
-                Some(_) => Ok(()),
-                None => Err(format!("conductor {conductor} is stopped but never booted")),
-            },
-            Record::Event(_) if self.failed.contains(&conductor) => Ok(()),
-            Record::Event(_) if !self.instances.contains_key(&conductor) => Err(format!(
-                "event for conductor {conductor}, which never booted"
-            )),
-            Record::Event(event) => {
-                let mut said = Ok(());
-                self.call(conductor, reply, |balancer, _| {
-                    said = balancer.handle_event(now, &event);
-                    Ok(())
-                });
-                said
-            }
-        }
+/// Answers batches until the input ends.
+fn run() -> Result<(), AdapterError> {
+    let mut input = io::stdin().lock();
+    let mut output = io::BufWriter::new(io::stdout().lock());
+    let mut host = Host::default();
+    while let Some(header) = read_header(&mut input)? {
+        let body = read_body(&mut input, header.body_bytes)?;
+        let reply = host.run_batch(header.now, header.record_count, &body);
+        write_reply(&mut output, &reply)?;
     }
+    Ok(())
+}
 
-    /// Runs the module. If it fails inside, the wire is told so and the instance acts no more.
-    fn call<F>(&mut self, conductor: u16, reply: &mut Reply, run: F)
-    where
-        F: FnOnce(&mut Balancer, &mut Vec<Action>) -> Result<(), String>,
-    {
-        let Some(balancer) = self.instances.get_mut(&conductor) else {
-            return;
-        };
-        let mut actions = Vec::new();
-        match catch_unwind(AssertUnwindSafe(|| run(balancer, &mut actions))) {
-            Ok(Ok(())) => reply.actions(conductor, &actions),
-            Ok(Err(text)) => self.fail(conductor, &text, reply),
-            Err(_) => self.fail(conductor, "the decisions failed, see standard error", reply),
-        }
+/// The next batch's header; `None` at the end of the input.
+fn read_header(input: &mut impl Read) -> Result<Option<BatchHeader>, AdapterError> {
+    let mut bytes = Vec::with_capacity(BATCH_HEADER_BYTES);
+    input
+        .take(BATCH_HEADER_BYTES as u64)
+        .read_to_end(&mut bytes)?;
+    if bytes.is_empty() {
+        return Ok(None);
     }
+    let header = BatchHeader::decode(&bytes).map_err(|_| AdapterError::TruncatedHeader {
+        received: bytes.len(),
+    })?;
+    Ok(Some(header))
+}
 
-    fn fail(&mut self, conductor: u16, text: &str, reply: &mut Reply) {
-        self.instances.remove(&conductor);
-        self.failed.insert(conductor);
-        reply.failure(conductor, text);
+fn read_body(input: &mut impl Read, size: u32) -> Result<Vec<u8>, AdapterError> {
+    let mut body = Vec::new();
+    input.take(u64::from(size)).read_to_end(&mut body)?;
+    if body.len() < size as usize {
+        return Err(AdapterError::TruncatedBody {
+            received: body.len(),
+            expected: size,
+        });
     }
+    Ok(body)
 }
 
-fn main() -> io::Result<()> {
-    let mut input = io::stdin().lock();
-    let mut output = io::BufWriter::new(io::stdout().lock());
-    let mut host = Host::default();
-    loop {
-        let mut header = Vec::with_capacity(HEADER);
-        input
-            .by_ref()
-            .take(HEADER as u64)
-            .read_to_end(&mut header)?;
-        if header.is_empty() {
-            return Ok(());
-        }
-        let mut fields = decode::Reader::new(&header);
-        let (Ok(size), Ok(clock), Ok(count)) = (fields.u32(), fields.f64(), fields.u32()) else {
-            eprintln!(
-                "input ends inside a batch header, {} of {HEADER} bytes",
-                header.len()
-            );
-            std::process::exit(1);
-        };
-        let mut body = Vec::new();
-        input
-            .by_ref()
-            .take(u64::from(size))
-            .read_to_end(&mut body)?;
-        if body.len() < size as usize {
-            eprintln!("input ends inside a batch, {} of {size} bytes", body.len());
-            std::process::exit(1);
-        }
-        let reply = host.batch(Moment::from_seconds(clock), count, &body);
-        output.write_all(&reply.count.to_le_bytes())?;
-        output.write_all(&(reply.bytes.len() as u32).to_le_bytes())?;
-        output.write_all(&reply.bytes)?;
-        output.flush()?;
-    }
+fn write_reply(output: &mut impl Write, reply: &Reply) -> io::Result<()> {
+    output.write_all(&reply.action_count.to_le_bytes())?;
+    output.write_all(&(reply.bytes.len() as u32).to_le_bytes())?;
+    output.write_all(&reply.bytes)?;
+    output.flush()
 }
--- a/crates/wheelspread-adapter/tests/framing.rs
+++ b/crates/wheelspread-adapter/tests/framing.rs
@@ -92,7 +92,7 @@
     body.extend(hex("63 0300 1111"));
     let output = run(&batch(2, &body));
     assert!(
-        said(&output).contains("record 0 at offset 0: event for conductor 3, which never booted")
+        said(&output).contains("record 0 at offset 0: event for controller 3, which never booted")
     );
     assert!(
         said(&output).contains("record 1 at offset 11: unknown event code 99"),
