--- a/crates/platform-core/examples/load.rs
+++ b/crates/platform-core/examples/load.rs
@@ -9,13 +9,20 @@
 use wheelspread_platform_core::{ConnectionId, ControllerCore, EndpointList, Output, SourceId};
 use wheelspread_settings::{from_wire, Names};
 
-const EPOCH: f64 = 1.0e9;
+const START_SECONDS: f64 = 1.0e9;
 /// Seconds between two wake-ups, as messages come.
-const WAKE: f64 = 0.002;
+const WAKE_INTERVAL_SECONDS: f64 = 0.002;
+const WAKES_PER_SECOND: usize = 500;
+const ZONES: [&str; 2] = ["a", "b"];
+const KINDS: [&str; 2] = ["k", "l"];
+const OPERATIONS: [&str; 2] = ["lookup", "order"];
+/// Collectors come first, a connection for each zone.
+const FIRST_PROXY_CONNECTION: usize = 10;
+const SOURCE: SourceId = SourceId(1);
 
 fn settings_of(proxies: usize) -> Value {
     json!({"az": 0, "me": 0, "peers_total": 5, "discovery": "push", "tick": 0.001,
-        "zones": ["a", "b"], "kinds": ["k", "l"],
+        "zones": ZONES, "kinds": KINDS,
         "classes": [
             {"name": "lookup", "aim": 1.5, "deadline": 5.0, "worth": 3.0, "idempotency": "read_like"},
             {"name": "order", "aim": 1.5, "deadline": 5.0, "worth": 2.0, "idempotency": "non_idempotent"}],
@@ -27,130 +34,184 @@
             "update_window": 10.0, "fails_to_eject": 8}})
 }
 
-fn send(core: &mut ControllerCore, now: f64, connection: usize, text: &str) {
-    let strings: Vec<&[u8]> = text.split(' ').map(str::as_bytes).collect();
-    core.handle_message(
-        Moment::from_seconds(now),
-        ConnectionId(connection as u64),
-        &strings,
-    );
+fn endpoint(node: usize, status: &str) -> Value {
+    json!({"name": format!("s{node}"), "address": "127.0.0.9:80", "zone": ZONES[node % 2],
+        "type": KINDS[node / 2 % 2], "group": 1, "status": status, "weight": 1.0, "since_ms": 0})
 }
 
-fn cpu() -> f64 {
+fn cpu_seconds() -> f64 {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::ProcessCPUTime);
     time.tv_sec as f64 + time.tv_nsec as f64 / 1e9
 }
 
-fn main() {
-    let arguments: Vec<usize> = std::env::args()
-        .skip(1)
-        .filter_map(|word| word.parse().ok())
-        .collect();
-    let [proxies, nodes, seconds] = arguments[..] else {
-        eprintln!("load PROXIES NODES SECONDS");
-        std::process::exit(2);
-    };
-    let value = settings_of(proxies);
-    let start = Moment::from_seconds(EPOCH);
-    let mut core = ControllerCore::start(start, 7, from_wire(&value), Names::from_wire(&value))
-        .expect("it starts");
-    let zone = |at: usize| ["a", "b"][at % 2];
-    let kind = |at: usize| ["k", "l"][at / 2 % 2];
-    let entry = |at: usize, status: &str| {
-        json!({"name": format!("s{at}"), "address": "127.0.0.9:80", "zone": zone(at), "type": kind(at),
-            "group": 1, "status": status, "weight": 1.0, "since_ms": 0})
-    };
-    let entries: Vec<Value> = (0..nodes).map(|at| entry(at, "Ready")).collect();
-    let list = json!({"index": 1, "snapshot": true, "endpoints": entries});
-    core.handle_endpoint_list(
-        start,
-        &EndpointList::parse(&list, core.names()).expect("a list"),
-        SourceId(1),
-    );
-    for zone in 0..2 {
-        send(
-            &mut core,
-            EPOCH,
-            zone,
-            &format!("collector az {}", ["a", "b"][zone]),
-        );
+/// The part of `count` things whose turn is at this wake-up, once a second each.
+fn due(count: usize, wake: usize) -> std::ops::Range<usize> {
+    let phase = wake % WAKES_PER_SECOND;
+    (count * phase / WAKES_PER_SECOND)..(count * (phase + 1) / WAKES_PER_SECOND)
+}
+
+/// An acknowledgement that is sent at the next wake-up.
+struct DueAcknowledgement {
+    connection: usize,
+    marker: String,
+}
+
+/// What was measured.
+#[derive(Default)]
+struct Totals {
+    messages: usize,
+    bytes: usize,
+    decide_seconds: f64,
+    wakes: usize,
+}
+
+struct Load {
+    core: ControllerCore,
+    proxies: usize,
+    nodes: usize,
+    acknowledgements: Vec<DueAcknowledgement>,
+    totals: Totals,
+}
+
+impl Load {
+    fn start(proxies: usize, nodes: usize) -> Load {
+        let value = settings_of(proxies);
+        let start = Moment::from_seconds(START_SECONDS);
+        let core = ControllerCore::start(start, 7, from_wire(&value), Names::from_wire(&value))
+            .expect("the settings are valid");
+        let mut load = Load {
+            core,
+            proxies,
+            nodes,
+            acknowledgements: Vec::new(),
+            totals: Totals::default(),
+        };
+        let endpoints = (0..nodes).map(|node| endpoint(node, "Ready")).collect();
+        load.send_list(START_SECONDS, 1, true, endpoints);
+        load.connect_all();
+        load
+    }
+
+    fn connect_all(&mut self) {
+        for (connection, zone) in ZONES.iter().enumerate() {
+            self.send(START_SECONDS, connection, &format!("collector az {zone}"));
+        }
+        for proxy in 0..self.proxies {
+            let zone = ZONES[proxy % 2];
+            let text = format!("joined sidecar {proxy} az {zone} share 2.5 standing 1");
+            self.send(START_SECONDS, FIRST_PROXY_CONNECTION + proxy, &text);
+        }
+    }
+
+    fn send(&mut self, now: f64, connection: usize, text: &str) {
+        let strings: Vec<&[u8]> = text.split(' ').map(str::as_bytes).collect();
+        let connection = ConnectionId(connection as u64);
+        self.core
+            .handle_message(Moment::from_seconds(now), connection, &strings);
     }
-    for proxy in 0..proxies {
-        let az = zone(proxy);
-        send(
-            &mut core,
-            EPOCH,
-            10 + proxy,
-            &format!("joined sidecar {proxy} az {az} share 2.5 standing 1"),
-        );
+
+    fn send_list(&mut self, now: f64, version: u64, full: bool, endpoints: Vec<Value>) {
+        let list = json!({"index": version, "snapshot": full, "endpoints": endpoints});
+        let list = EndpointList::parse(&list, self.core.names()).expect("the list is valid");
+        self.core
+            .handle_endpoint_list(Moment::from_seconds(now), &list, SOURCE);
+    }
+
+    /// Once a second each proxy reports its demand and each zone's collector each node, and one node drains;
+    /// acknowledgements come with the next wake-up.
+    fn wake(&mut self, wake: usize) {
+        let now = START_SECONDS + wake as f64 * WAKE_INTERVAL_SECONDS;
+        self.report_demand(now, wake);
+        self.report_node_load(now, wake);
+        if wake % WAKES_PER_SECOND == WAKES_PER_SECOND / 2 {
+            let node = wake / WAKES_PER_SECOND % self.nodes;
+            let changed = vec![endpoint(node, "Terminating")];
+            self.send_list(now, wake as u64 + 2, false, changed);
+        }
+        self.acknowledge(now);
+        self.decide(now);
     }
-    let (mut messages, mut bytes, mut decide_seconds, mut wakes) = (0usize, 0usize, 0.0, 0usize);
-    let (mut markers, before) = (Vec::new(), cpu());
-    let steps = (seconds as f64 / WAKE) as usize;
-    for step in 0..steps {
-        let now = EPOCH + step as f64 * WAKE;
-        // Once a second each proxy reports its demand and each zone's collector each node; one node a second
-        // drains; acknowledgements come with the next wake-up.
-        let of = |count: usize, at: usize| (count * at / 500)..(count * (at + 1) / 500);
-        for proxy in of(proxies, step % 500) {
-            for class in ["lookup", "order"] {
-                let n = 1 + (proxy + step / 500) % 3;
-                let text = format!("usage sidecar {proxy} kind {class} n {n} bad 0 window 1000");
-                send(&mut core, now, 10 + proxy, &text);
+
+    fn report_demand(&mut self, now: f64, wake: usize) {
+        for proxy in due(self.proxies, wake) {
+            for operation in OPERATIONS {
+                let n = 1 + (proxy + wake / WAKES_PER_SECOND) % 3;
+                let text =
+                    format!("usage sidecar {proxy} kind {operation} n {n} bad 0 window 1000");
+                self.send(now, FIRST_PROXY_CONNECTION + proxy, &text);
             }
         }
-        for node in of(nodes, step % 500) {
-            for (at, az) in ["a", "b"].iter().enumerate() {
-                let ms = 80 + (node * 7 + step / 500 * 13) % 40;
+    }
+
+    fn report_node_load(&mut self, now: f64, wake: usize) {
+        for node in due(self.nodes, wake) {
+            for (connection, zone) in ZONES.iter().enumerate() {
+                let millis = 80 + (node * 7 + wake / WAKES_PER_SECOND * 13) % 40;
                 let text = format!(
-                    "heard az {az} host s{node} n 12 bad 0 avg {ms} window 1000 report util:0.5,queue:0"
+                    "heard az {zone} host s{node} n 12 bad 0 avg {millis} window 1000 report util:0.5,queue:0"
                 );
-                send(&mut core, now, at, &text);
+                self.send(now, connection, &text);
             }
         }
-        if step % 500 == 250 {
-            let (at, version) = (step / 500, step as u64 + 2);
-            let list = json!({"index": version, "snapshot": false, "endpoints": [entry(at % nodes, "Terminating")]});
-            let list = EndpointList::parse(&list, core.names()).expect("a list");
-            core.handle_endpoint_list(Moment::from_seconds(now), &list, SourceId(1));
-        }
-        for (connection, marker) in std::mem::take(&mut markers) {
-            let proxy: usize = connection - 10;
-            send(
-                &mut core,
-                now,
-                connection,
-                &format!("applied sidecar {proxy} version {marker} lag_ms 150"),
-            );
+    }
+
+    fn acknowledge(&mut self, now: f64) {
+        for due in std::mem::take(&mut self.acknowledgements) {
+            let proxy = due.connection - FIRST_PROXY_CONNECTION;
+            let text = format!("applied sidecar {proxy} version {} lag_ms 150", due.marker);
+            self.send(now, due.connection, &text);
         }
-        let began = cpu();
-        let out = core.decide(Moment::from_seconds(now));
-        decide_seconds += cpu() - began;
-        wakes += 1;
-        for out in out {
-            if let Output::Write {
-                connection,
-                bytes: written,
-            } = out
-            {
-                (messages, bytes) = (messages + 1, bytes + written.len());
-                let text = String::from_utf8_lossy(&written);
-                if let Some(marker) = text
-                    .split("stamp\r\n")
-                    .nth(1)
-                    .and_then(|rest| rest.split("\r\n").nth(1))
-                {
-                    markers.push((connection.0 as usize, marker.to_string()));
-                }
+    }
+
+    fn decide(&mut self, now: f64) {
+        let began = cpu_seconds();
+        let outputs = self.core.decide(Moment::from_seconds(now));
+        self.totals.decide_seconds += cpu_seconds() - began;
+        self.totals.wakes += 1;
+        for output in outputs {
+            if let Output::Write { connection, bytes } = output {
+                self.totals.messages += 1;
+                self.totals.bytes += bytes.len();
+                self.acknowledgements
+                    .extend(marker_of(&bytes).map(|marker| DueAcknowledgement {
+                        connection: connection.0 as usize,
+                        marker,
+                    }));
             }
         }
     }
-    let spent = cpu() - before;
+}
+
+/// The marker of a message, if it has one.
+fn marker_of(bytes: &[u8]) -> Option<String> {
+    let text = String::from_utf8_lossy(bytes);
+    let after = text.split("stamp\r\n").nth(1)?;
+    after.split("\r\n").nth(1).map(str::to_string)
+}
+
+fn main() {
+    let arguments: Vec<usize> = std::env::args()
+        .skip(1)
+        .filter_map(|word| word.parse().ok())
+        .collect();
+    let [proxies, nodes, seconds] = arguments[..] else {
+        eprintln!("load PROXIES NODES SECONDS");
+        std::process::exit(2);
+    };
+    let mut load = Load::start(proxies, nodes);
+    let before = cpu_seconds();
+    for wake in 0..(seconds as f64 / WAKE_INTERVAL_SECONDS) as usize {
+        load.wake(wake);
+    }
+    let spent = cpu_seconds() - before;
+    let totals = load.totals;
     println!(
         "{proxies} proxies, {nodes} nodes: {:.4} s of CPU a second, {:.4} of it to settle, {:.1} us a wake-up; \
-         {messages} messages, {bytes} bytes",
+         {} messages, {} bytes",
         spent / seconds as f64,
-        decide_seconds / seconds as f64,
-        decide_seconds / wakes as f64 * 1e6,
+        totals.decide_seconds / seconds as f64,
+        totals.decide_seconds / totals.wakes as f64 * 1e6,
+        totals.messages,
+        totals.bytes,
     );
 }
--- a/crates/platform-core/src/handshake.rs
+++ b/crates/platform-core/src/handshake.rs
@@ -20,13 +20,17 @@
 /// How a message is treated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HandshakeAction {
+    /// Answered at once.
     AnswerPing,
+    /// The connection becomes a collector.
     RegisterCollector,
+    /// The connection becomes a proxy's stream.
     JoinProxy,
     /// A report or an acknowledgement goes to the balancer.
     Process,
     /// The message is dropped; those after it count.
     Ignore,
+    /// The connection is closed.
     Close,
 }
 
--- a/crates/platform-core/src/membership.rs
+++ b/crates/platform-core/src/membership.rs
@@ -42,16 +42,19 @@
         self.current.map(|current| current.version)
     }
 
+    /// The node's name, unless it was forgotten.
     pub fn name(&self, id: NodeId) -> Option<&str> {
         self.nodes
             .get(&id)
             .map(|known| known.endpoint.name.as_str())
     }
 
+    /// Where the node was listed last.
     pub fn address(&self, id: NodeId) -> Option<SocketAddrV4> {
         self.nodes.get(&id).map(|known| known.endpoint.address)
     }
 
+    /// The id of a name that a list has named.
     pub fn id(&self, name: &str) -> Option<NodeId> {
         self.ids.get(name).copied()
     }
--- a/crates/platform-core/src/message.rs
+++ b/crates/platform-core/src/message.rs
@@ -12,10 +12,11 @@
 /// A parsed message. The words on the wire are in docs/platform.md.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
+    /// Asks whether the controller is alive.
     Ping,
-    CollectorHello {
-        zone: ZoneId,
-    },
+    /// The first message of a collector.
+    CollectorHello { zone: ZoneId },
+    /// The first message on a proxy's stream.
     ProxyJoin(ProxyJoin),
     /// A proxy has applied everything up to a version marker.
     Acknowledgement {
@@ -43,7 +44,7 @@
     },
 }
 
-/// The first message on a proxy's stream.
+/// A proxy that joins.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ProxyJoin {
     pub proxy: ProxyId,
--- a/crates/platform-core/src/publication/admission.rs
+++ b/crates/platform-core/src/publication/admission.rs
@@ -7,6 +7,7 @@
 pub struct AdmissionSetting {
     /// The admission ratio or rate.
     pub limit: f64,
+    /// Which failed attempts it retries.
     pub retry: RetryPolicy,
 }
 
--- a/crates/platform/src/clock.rs
+++ b/crates/platform/src/clock.rs
@@ -13,6 +13,7 @@
 }
 
 impl Clock {
+    /// A clock that starts now.
     pub fn start() -> Clock {
         Clock {
             started_at: Moment::from_seconds(reactor::wall()),
@@ -20,6 +21,7 @@
         }
     }
 
+    /// The time on this clock.
     pub fn now(&self) -> Moment {
         self.started_at + (reactor::now() - self.monotonic_start)
     }
--- a/crates/platform/src/close_reason.rs
+++ b/crates/platform/src/close_reason.rs
@@ -40,12 +40,14 @@
 /// What closing a connection has to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CloseObligations {
+    /// Whether it is read once more first.
     pub final_read: FinalRead,
     /// Close by a reset, so that the peer does not wait for the rest of a message that was cut.
     pub reset: bool,
 }
 
 impl CloseReason {
+    /// What closing for this reason has to do.
     pub fn obligations(self) -> CloseObligations {
         CloseObligations {
             final_read: self.final_read(),
--- a/crates/platform/src/connection.rs
+++ b/crates/platform/src/connection.rs
@@ -24,8 +24,11 @@
 
 /// A connection with its buffers.
 pub struct Connection {
+    /// The socket.
     pub stream: TcpStream,
+    /// Decodes what was read.
     pub decoder: Decoder,
+    /// When it was accepted.
     pub accepted_at: Moment,
     output: Vec<u8>,
     /// How much of the output has been written.
@@ -35,14 +38,19 @@
 /// Why a connection can't go on.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectionError {
+    /// The peer closed it.
     #[error("closed by the peer")]
     PeerClosed,
+    /// The socket failed, or the peer reset it.
     #[error(transparent)]
     Io(#[from] io::Error),
+    /// The core rejected a message.
     #[error("message rejected: {0}")]
     Rejected(RejectReason),
+    /// The bytes are no message.
     #[error(transparent)]
     Unreadable(#[from] DecodeError),
+    /// More output waits than the bound.
     #[error("the peer does not read what it is sent")]
     UnreadOutput,
 }
@@ -71,6 +79,7 @@
 }
 
 impl Connection {
+    /// A connection that was just accepted.
     pub fn new(stream: TcpStream, now: Moment) -> Connection {
         Connection {
             stream,
--- a/crates/platform/src/exchange.rs
+++ b/crates/platform/src/exchange.rs
@@ -11,18 +11,23 @@
 /// Why an exchange has failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ExchangeError {
+    /// The socket failed.
     #[error(transparent)]
     Io(#[from] io::Error),
+    /// The response is no valid HTTP.
     #[error(transparent)]
     Http(#[from] BadMessage),
+    /// The response was cut.
     #[error("the connection ended within the response")]
     Truncated,
+    /// More of the body came than the bound.
     #[error("a response of more than {0} bytes")]
     TooLong(usize),
 }
 
 /// A request that was sent, or is being sent, and its response.
 pub struct Exchange {
+    /// The socket.
     pub stream: TcpStream,
     request: Vec<u8>,
     sent: usize,
--- a/crates/wheelspread-adapter/src/encode.rs
+++ b/crates/wheelspread-adapter/src/encode.rs
@@ -2,7 +2,7 @@
 
 use crate::codes::{action, retry, ALL_PEERS, ALL_TABLES};
 use crate::decode::ControllerId;
-use wheelspread::ids::{NodeId, OperationId};
+use wheelspread::ids::{NodeId, OperationId, PeerId};
 use wheelspread::{Action, RetryPolicy};
 
 /// Bytes of a text, at most.
@@ -12,12 +12,7 @@
 pub fn write_action(controller: ControllerId, action: &Action, output: &mut Vec<u8>) {
     write_header(code_of(action), controller, output);
     match action {
-        Action::SendGossip { peer, payload } => {
-            let peer = peer.map_or(ALL_PEERS, |peer| peer.0);
-            output.extend(peer.to_le_bytes());
-            output.extend((payload.len() as u16).to_le_bytes());
-            output.extend(payload);
-        }
+        Action::SendGossip { peer, payload } => write_gossip(*peer, payload, output),
         Action::SendMarker { marker, to_all } => {
             output.extend(marker.0.to_le_bytes());
             output.push(u8::from(*to_all));
@@ -60,8 +55,7 @@
             let table = table.map_or(ALL_TABLES, |table| table.0);
             output.extend(table.to_le_bytes());
             output.extend(operation_mask(operations).to_le_bytes());
-            output.extend((*limit as f32).to_le_bytes());
-            output.push(retry_code(*retry));
+            write_limit(*limit, *retry, output);
         }
         Action::WatchEndpoints { enabled } => output.push(u8::from(*enabled)),
         Action::ProbeNode { node } => write_node(*node, output),
@@ -100,6 +94,18 @@
     }
 }
 
+fn write_gossip(peer: Option<PeerId>, payload: &[u8], output: &mut Vec<u8>) {
+    let peer = peer.map_or(ALL_PEERS, |peer| peer.0);
+    output.extend(peer.to_le_bytes());
+    output.extend((payload.len() as u16).to_le_bytes());
+    output.extend(payload);
+}
+
+fn write_limit(limit: f64, retry: RetryPolicy, output: &mut Vec<u8>) {
+    output.extend((limit as f32).to_le_bytes());
+    output.push(retry_code(retry));
+}
+
 /// A bit for each operation; none stands for all.
 fn operation_mask(operations: &[OperationId]) -> u16 {
     operations.iter().fold(0, |mask, operation| {
