--- /dev/null
+++ b/crates/platform-core/src/tests/endpoint_lists.rs
@@ -0,0 +1,114 @@
+//! Endpoint lists that come late, twice or from another count, and what connections the core gives up.
+
+use super::{core, endpoint, names, START_SECONDS};
+use crate::membership::Membership;
+use crate::{ConnectionId, EndpointList, MessageOutcome, SourceId, WatchPosition};
+use serde_json::{json, Value};
+use wheelspread::time::{Moment, Span};
+use wheelspread::{EndpointListKind, EndpointStatus};
+
+#[test]
+fn a_late_list_changes_nothing_and_an_invalid_entry_spoils_no_other() {
+    let entry = |name: &str, zone: &str, status: &str| endpoint(name, zone, status, 5000.0);
+    let list = |version: u64, full: bool, entries: Vec<Value>| {
+        let value = json!({"index": version, "snapshot": full, "endpoints": entries});
+        EndpointList::parse(&value, &names()).expect("a list")
+    };
+    let mut membership = Membership::default();
+    let now = Moment::default();
+    let changes = list(4, false, vec![entry("x", "a", "Ready")]);
+    assert_eq!(
+        membership.apply(&changes, SourceId(1), now),
+        None,
+        "changes of nothing"
+    );
+    let first = list(
+        4,
+        true,
+        vec![
+            entry("x", "a", "Ready"),
+            entry("y", "c", "Ready"),
+            entry("z", "b", "Lost"),
+        ],
+    );
+    assert_eq!((first.entries.len(), first.rejected.len()), (1, 2));
+    assert_eq!(first.entries[0].started, Some(Moment::from_seconds(5.0)));
+    assert!(membership.apply(&first, SourceId(1), now).is_some());
+    assert_eq!(
+        membership.apply(&list(3, true, vec![]), SourceId(1), now),
+        None,
+        "a list from before"
+    );
+    assert_eq!(
+        membership.apply(&changes, SourceId(1), now),
+        None,
+        "changes that were in the full list"
+    );
+    let gone = membership.apply(
+        &list(5, false, vec![entry("x", "a", "Gone")]),
+        SourceId(1),
+        now,
+    );
+    let Some(wheelspread::Event::EndpointList {
+        kind: EndpointListKind::Changes,
+        entries,
+    }) = gone
+    else {
+        panic!("changes, not {gone:?}")
+    };
+    assert_eq!(entries[0].status, EndpointStatus::Gone);
+    let later = now + Span::from_seconds(100.0);
+    membership.forget_unlisted(later, Span::from_seconds(160.0), |_| false);
+    assert!(
+        membership.id("x").is_some(),
+        "a late load report may still name it"
+    );
+    membership.forget_unlisted(later, Span::from_seconds(60.0), |_| true);
+    assert!(membership.id("x").is_some(), "a table uses it");
+    membership.forget_unlisted(later, Span::from_seconds(60.0), |_| false);
+    assert_eq!(membership.id("x"), None);
+}
+
+#[test]
+fn a_watch_with_lower_versions_than_before_does_not_continue() {
+    let list = |version: u64, full: bool| {
+        let value = json!({"index": version, "snapshot": full, "endpoints": []});
+        EndpointList::parse(&value, &names()).expect("a list")
+    };
+    let mut place = WatchPosition::starting_at(Some(40));
+    assert!(place.advance(&list(40, false)), "nothing new");
+    assert!(place.advance(&list(41, false)) && !place.advance(&list(6, false)));
+    let mut place = WatchPosition::starting_at(Some(40));
+    assert!(
+        !place.advance(&list(6, false)),
+        "changes after version 40 can't have version 6"
+    );
+    let mut place = WatchPosition::starting_at(Some(40));
+    assert!(
+        place.advance(&list(6, true)),
+        "the full list of restarted versions"
+    );
+    assert!(
+        place.advance(&list(7, false)) && !place.advance(&list(5, true)),
+        "a full list from before"
+    );
+    assert!(WatchPosition::starting_at(None).advance(&list(2, false)));
+}
+
+#[test]
+fn a_collector_is_redundant_once_its_zone_has_a_newer_one() {
+    let mut core = core();
+    let now = Moment::from_seconds(START_SECONDS);
+    let mut collect = |at: u64, zone: &str| {
+        let strings = ["collector", "az", zone].map(str::as_bytes);
+        assert_eq!(
+            core.handle_message(now, ConnectionId(at), &strings),
+            MessageOutcome::Identified
+        );
+        core.redundant_collector()
+    };
+    assert_eq!((collect(5, "a"), collect(6, "b")), (None, None));
+    assert_eq!(collect(7, "a"), Some(ConnectionId(5)));
+    core.handle_connection_closed(now, ConnectionId(5));
+    assert_eq!(core.redundant_collector(), None);
+}
--- /dev/null
+++ b/crates/platform-core/src/tests/publication.rs
@@ -0,0 +1,217 @@
+//! What streams are sent of the balancer's tables.
+
+use super::{contains_words, decode_messages, endpoint, names};
+use crate::membership::Membership;
+use crate::publication::{ActionTarget, Publication};
+use crate::{EndpointList, CONFIGURED_SOURCE};
+use serde_json::json;
+use wheelspread::ids::{MarkerId, NodeId, OperationId, ProxyId, TableId};
+use wheelspread::time::Moment;
+use wheelspread::{Action, RetryPolicy};
+
+/// A publication with one stream, and two listed nodes.
+fn publication() -> (Publication, Membership, [NodeId; 2]) {
+    let mut membership = Membership::default();
+    let entries = ["x", "y"].map(|name| endpoint(name, "a", "Ready", 0.0));
+    let list = EndpointList::parse(
+        &json!({"index": 1, "snapshot": true, "endpoints": entries}),
+        &names(),
+    );
+    membership.apply(&list.expect("a list"), CONFIGURED_SOURCE, Moment::default());
+    let ids = ["x", "y"].map(|name| membership.id(name).expect("listed"));
+    let mut publication = Publication::new(&names().operations);
+    publication.add_stream(ProxyId(0));
+    (publication, membership, ids)
+}
+
+/// The messages that these actions make.
+fn publish(
+    publication: &mut Publication,
+    membership: &Membership,
+    actions: &[Action],
+) -> Vec<String> {
+    assert!(actions
+        .iter()
+        .all(|action| publication.record(action) == ActionTarget::Proxies));
+    publication
+        .take_messages(Moment::default(), membership)
+        .iter()
+        .flat_map(|(_, bytes)| decode_messages(bytes))
+        .collect()
+}
+
+fn bind(table: u16, operations: &[u8]) -> Action {
+    let operations = operations.iter().map(|at| OperationId(*at)).collect();
+    Action::BindTable {
+        proxy: ProxyId(0),
+        table: TableId(table),
+        operations,
+    }
+}
+
+fn weight(table: u16, node: NodeId, weight: f64) -> Action {
+    Action::SetWeight {
+        table: TableId(table),
+        node,
+        weight,
+    }
+}
+
+fn admission(table: Option<u16>, operations: &[u8], limit: f64, retry: RetryPolicy) -> Action {
+    let operations = operations.iter().map(|at| OperationId(*at)).collect();
+    Action::SetAdmission {
+        table: table.map(TableId),
+        operations,
+        limit,
+        retry,
+    }
+}
+
+#[test]
+fn a_table_is_sent_complete_once_and_then_by_its_changes() {
+    let (mut publication, membership, [x, y]) = publication();
+    let marker = |id| Action::SendMarker {
+        marker: MarkerId(id),
+        to_all: false,
+    };
+    let first = [
+        weight(3, x, 1.5),
+        weight(3, y, 0.1),
+        bind(3, &[]),
+        marker(9),
+    ];
+    let messages = publish(&mut publication, &membership, &first);
+    assert!(
+        contains_words(
+            &messages[0],
+            &[
+                "update",
+                "replace",
+                "1",
+                "rows",
+                "x:1.5,y:0.1",
+                "stamp",
+                "9"
+            ]
+        ),
+        "{messages:?}"
+    );
+    assert_eq!(
+        publish(
+            &mut publication,
+            &membership,
+            &[weight(3, x, 0.0), marker(10)]
+        ),
+        ["update rows x:0 stamp 10"]
+    );
+    assert_eq!(
+        publish(
+            &mut publication,
+            &membership,
+            &[weight(4, x, 2.0), marker(11)]
+        )
+        .len(),
+        0,
+        "another table"
+    );
+    assert_eq!(
+        publication.acknowledge(ProxyId(0), MarkerId(10)),
+        [MarkerId(9), MarkerId(10)],
+        "an acknowledgement covers all markers before it"
+    );
+    assert_eq!(
+        publication.acknowledge(ProxyId(0), MarkerId(11)),
+        [],
+        "a marker that was never sent"
+    );
+    let all = Action::SendMarker {
+        marker: MarkerId(12),
+        to_all: true,
+    };
+    assert_eq!(
+        publish(&mut publication, &membership, &[all]),
+        ["update stamp 12"]
+    );
+    let cleared = publish(
+        &mut publication,
+        &membership,
+        &[Action::ClearTable { table: TableId(3) }],
+    );
+    assert_eq!(cleared, ["update replace 1"]);
+}
+
+#[test]
+fn one_admission_setting_goes_with_the_weights_and_several_go_apart() {
+    let (mut publication, membership, [x, _]) = publication();
+    let usual = RetryPolicy::IfUnprocessed;
+    let same = [
+        weight(0, x, 1.0),
+        admission(Some(0), &[0, 1], 0.9, usual),
+        bind(0, &[0, 1]),
+    ];
+    assert_eq!(
+        publish(&mut publication, &membership, &same),
+        ["update replace 1 rows x:1 gate 0.9 again 1"]
+    );
+    let one = publish(
+        &mut publication,
+        &membership,
+        &[admission(Some(0), &[1], 0.5, RetryPolicy::Never)],
+    );
+    assert_eq!(one, ["update for order gate 0.5 again 0"]);
+    // For all proxies: the lower limit, and the table's own retry policy.
+    let all = publish(
+        &mut publication,
+        &membership,
+        &[admission(None, &[], 0.7, RetryPolicy::TwiceOnAnyFailure)],
+    );
+    assert_eq!(
+        all,
+        [
+            "update for lookup gate 0.7 again 1 part 1",
+            "update for order gate 0.5 again 0"
+        ]
+    );
+    let again = publish(&mut publication, &membership, &[bind(0, &[0, 1])]);
+    let parts = [
+        "update replace 1 rows x:1 part 1",
+        "update for lookup gate 0.7 again 1 part 1",
+    ];
+    assert_eq!(
+        again[..2],
+        parts,
+        "the setting for all is in every complete table"
+    );
+}
+
+#[test]
+fn ejections_reach_proxies_that_hold_the_node_and_are_reverted() {
+    let (mut publication, membership, [x, y]) = publication();
+    publish(
+        &mut publication,
+        &membership,
+        &[weight(0, x, 1.0), bind(0, &[])],
+    );
+    let eject = |node, ejected| Action::EjectNode { node, ejected };
+    assert_eq!(
+        publish(&mut publication, &membership, &[eject(y, true)]).len(),
+        0,
+        "the proxy does not hold the node"
+    );
+    assert_eq!(
+        publish(&mut publication, &membership, &[weight(0, y, 1.0)]),
+        ["update rows y:1 drop y"]
+    );
+    assert_eq!(
+        publish(&mut publication, &membership, &[eject(y, false)]),
+        ["update undrop y"]
+    );
+    // A proxy keeps ejections over a change of streams.
+    publication.remove_stream(ProxyId(0));
+    publication.add_stream(ProxyId(0));
+    let messages = publish(&mut publication, &membership, &[bind(0, &[])]);
+    assert!(
+        contains_words(&messages[0], &["undrop", "y"]),
+        "{messages:?}"
+    );
+}
--- /dev/null
+++ b/crates/platform-core/src/tests/scenarios.rs
@@ -0,0 +1,222 @@
+//! Plays the scripts in `scenarios/`. A script has a line for each step, `#` begins a comment:
+//!
+//!     TIME list VERSION NAME:ZONE[:STATUS][:AGE] ..    the full list; `change` for changes of it
+//!     TIME source N                                    lists come from this source from now on, at first from 1
+//!     TIME connection KEY WORDS ..                     a message on this connection
+//!     TIME acknowledge KEY                             it acknowledges the newest marker it was sent
+//!     TIME end KEY                                     the connection ends
+//!     TIME idle                                        nothing happens
+//!     expect outcome consumed|identified|pong|close    of the last message
+//!     expect received KEY WORDS ..                     in what it was sent since the last such expectation
+//!     expect not-received KEY [WORDS ..]               it was sent nothing, or nothing with these words in it
+//!     expect closed KEY                                the core has closed the connection; `open` for not
+//!     expect proxies N                                 so many proxies have joined
+//!
+//! After each step the core decides. `FROM..TO/EVERY` repeats a step; between two expectations steps are
+//! played in the order of their times.
+
+use super::{contains_words, core, decode_messages, endpoint, START_SECONDS};
+use crate::{ConnectionId, ControllerCore, EndpointList, MessageOutcome, Output, SourceId};
+use serde_json::{json, Value};
+use std::collections::BTreeMap;
+use test_case::test_case;
+use wheelspread::time::Moment;
+
+const FIRST_SOURCE: SourceId = SourceId(1);
+
+struct Player {
+    core: ControllerCore,
+    /// Seconds.
+    now: f64,
+    last_outcome: MessageOutcome,
+    /// Messages by connection since the last expectation on them.
+    received: BTreeMap<ConnectionId, Vec<String>>,
+    newest_markers: BTreeMap<ConnectionId, String>,
+    closed: Vec<ConnectionId>,
+    source: SourceId,
+}
+
+/// A step of a script.
+struct Step<'a> {
+    time: f64,
+    words: Vec<&'a str>,
+}
+
+fn parse<T: std::str::FromStr>(word: &str) -> T {
+    word.parse()
+        .unwrap_or_else(|_| panic!("{word} can't be read"))
+}
+
+fn connection(word: &str) -> ConnectionId {
+    ConnectionId(parse(word))
+}
+
+impl Player {
+    fn new() -> Player {
+        Player {
+            core: core(),
+            now: START_SECONDS,
+            last_outcome: MessageOutcome::Consumed,
+            received: BTreeMap::new(),
+            newest_markers: BTreeMap::new(),
+            closed: Vec::new(),
+            source: FIRST_SOURCE,
+        }
+    }
+
+    fn play(&mut self, step: &Step) {
+        self.now = START_SECONDS + step.time;
+        let now = Moment::from_seconds(self.now);
+        match &step.words[..] {
+            ["list", version, entries @ ..] => self.send_list(version, true, entries),
+            ["change", version, entries @ ..] => self.send_list(version, false, entries),
+            ["source", number] => self.source = SourceId(parse(number)),
+            ["connection", key, words @ ..] => self.send(connection(key), words),
+            ["acknowledge", key] => self.acknowledge(connection(key)),
+            ["end", key] => self.core.handle_connection_closed(now, connection(key)),
+            ["idle"] => {}
+            other => panic!("no such step: {other:?}"),
+        }
+        for output in self.core.decide(now) {
+            self.record(output);
+        }
+    }
+
+    fn send_list(&mut self, version: &str, full: bool, entries: &[&str]) {
+        let entries: Vec<Value> = entries.iter().map(|entry| self.entry(entry)).collect();
+        let version: u64 = parse(version);
+        let value = json!({"index": version, "snapshot": full, "endpoints": entries});
+        let list = EndpointList::parse(&value, self.core.names()).expect("a list");
+        let now = Moment::from_seconds(self.now);
+        self.core.handle_endpoint_list(now, &list, self.source);
+    }
+
+    fn entry(&self, text: &str) -> Value {
+        let parts: Vec<&str> = text.split(':').collect();
+        let status = parts
+            .get(2)
+            .filter(|status| !status.is_empty())
+            .unwrap_or(&"Ready");
+        let since_millis = parts
+            .get(3)
+            .map_or(0.0, |age| (self.now - parse::<f64>(age)) * 1e3);
+        endpoint(parts[0], parts[1], status, since_millis)
+    }
+
+    fn send(&mut self, connection: ConnectionId, words: &[&str]) {
+        let strings: Vec<&[u8]> = words.iter().map(|word| word.as_bytes()).collect();
+        let now = Moment::from_seconds(self.now);
+        self.last_outcome = self.core.handle_message(now, connection, &strings);
+    }
+
+    /// The last digit of a connection is its proxy.
+    fn acknowledge(&mut self, connection: ConnectionId) {
+        let marker = self.newest_markers.get(&connection).cloned();
+        let marker = marker.expect("the connection was sent a marker");
+        let proxy = (connection.0 % 10).to_string();
+        let words = [
+            "applied", "sidecar", &proxy, "version", &marker, "lag_ms", "300.5",
+        ];
+        self.send(connection, &words);
+    }
+
+    fn record(&mut self, output: Output) {
+        match output {
+            Output::Write { connection, bytes } => {
+                for text in decode_messages(&bytes) {
+                    if let Some((_, rest)) = text.split_once("stamp ") {
+                        let marker = rest.split(' ').next().unwrap_or("");
+                        self.newest_markers.insert(connection, marker.to_string());
+                    }
+                    self.received.entry(connection).or_default().push(text);
+                }
+            }
+            Output::Close { connection, .. } => self.closed.push(connection),
+            _ => {}
+        }
+    }
+
+    fn expect(&mut self, line: &str, words: &[&str]) {
+        match words {
+            ["outcome", expected] => assert_eq!(self.outcome(), *expected, "{line}"),
+            ["received", key, words @ ..] => {
+                let received = self.take_received(key);
+                let has_come = received.iter().any(|text| contains_words(text, words));
+                assert!(has_come, "{line}\nbut {received:#?}");
+            }
+            ["not-received", key, words @ ..] => {
+                let received = self.take_received(key);
+                let is_meant = |text: &String| words.is_empty() || contains_words(text, words);
+                assert!(!received.iter().any(is_meant), "{line}\nbut {received:#?}");
+            }
+            ["closed", key] => assert!(self.is_closed(key), "{line}\nbut {:?}", self.closed),
+            ["open", key] => assert!(!self.is_closed(key), "{line}\nbut {:?}", self.closed),
+            ["proxies", count] => assert_eq!(self.core.proxy_count().to_string(), *count, "{line}"),
+            other => panic!("no such expectation: {other:?}"),
+        }
+    }
+
+    fn outcome(&self) -> &'static str {
+        match &self.last_outcome {
+            MessageOutcome::Consumed => "consumed",
+            MessageOutcome::Identified => "identified",
+            MessageOutcome::Pong => "pong",
+            MessageOutcome::Close(_) => "close",
+        }
+    }
+
+    fn take_received(&mut self, key: &str) -> Vec<String> {
+        self.received.remove(&connection(key)).unwrap_or_default()
+    }
+
+    fn is_closed(&self, key: &str) -> bool {
+        self.closed.contains(&connection(key))
+    }
+
+    fn play_all(&mut self, steps: &mut Vec<Step>) {
+        steps.sort_by(|a, b| a.time.total_cmp(&b.time));
+        for step in steps.drain(..) {
+            self.play(&step);
+        }
+    }
+}
+
+/// The steps of a line, one for each time that it names.
+fn expand<'a>(time: &str, words: &[&'a str]) -> Vec<Step<'a>> {
+    let (from, to) = time.split_once("..").unwrap_or((time, time));
+    let (to, every) = to.split_once('/').unwrap_or((to, "1"));
+    let (from, to, every): (f64, f64, f64) = (parse(from), parse(to), parse(every));
+    let count = ((to - from) / every).round() as usize;
+    (0..=count)
+        .map(|position| Step {
+            time: from + every * position as f64,
+            words: words.to_vec(),
+        })
+        .collect()
+}
+
+#[test_case(include_str!("../../scenarios/join.txt"); "joins and changes")]
+#[test_case(include_str!("../../scenarios/handshake.txt"); "what each peer may send")]
+#[test_case(include_str!("../../scenarios/spoilt.txt"); "invalid reports and acknowledgements")]
+#[test_case(include_str!("../../scenarios/streams.txt"); "streams that break and come back")]
+#[test_case(include_str!("../../scenarios/silent.txt"); "streams that fall silent")]
+#[test_case(include_str!("../../scenarios/crossing.txt"); "two streams of one proxy cross")]
+#[test_case(include_str!("../../scenarios/sources.txt"); "discovery that moves or restarts its versions")]
+#[test_case(include_str!("../../scenarios/lists.txt"); "lists that come late or twice")]
+fn the_script_plays(script: &str) {
+    let mut player = Player::new();
+    let mut steps = Vec::new();
+    for line in script.lines() {
+        let line = line.split('#').next().unwrap_or("").trim();
+        let words: Vec<&str> = line.split_whitespace().collect();
+        match words.split_first() {
+            None => {}
+            Some((&"expect", rest)) => {
+                player.play_all(&mut steps);
+                player.expect(line, rest);
+            }
+            Some((time, rest)) => steps.extend(expand(time, rest)),
+        }
+    }
+    player.play_all(&mut steps);
+}
--- a/crates/wheelspread-adapter/tests/framing.rs
+++ b/crates/wheelspread-adapter/tests/framing.rs
@@ -32,7 +32,7 @@
     let mut body = hex("15 0300 4d00000000000000");
     body.extend((settings.len() as u32).to_le_bytes());
     body.extend(settings.as_bytes());
-    // One ready node in zone 0, listed as conductor 3 last held it.
+    // One ready node in zone 0, as controller 3 held it last.
     body.extend(hex(
         "1c 0300 00 29000000 01000000  0a124a07 931f 0000 00 0000 01 0000803f 0000000000000000",
     ));
@@ -50,7 +50,7 @@
     child.wait_with_output().unwrap()
 }
 
-fn said(output: &Output) -> String {
+fn stderr_of(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
@@ -80,10 +80,10 @@
         "{:02x?}",
         output.stdout
     );
-    assert!(place(&line).is_some(), "{}", said(&output));
+    assert!(place(&line).is_some(), "{}", stderr_of(&output));
     let size = u32::from_le_bytes(output.stdout[4..8].try_into().unwrap());
     assert_eq!(output.stdout.len(), 8 + size as usize);
-    assert_eq!(said(&output), "");
+    assert_eq!(stderr_of(&output), "");
 }
 
 #[test]
@@ -91,42 +91,45 @@
     let mut body = hex("10 0300 4d00000000000000");
     body.extend(hex("63 0300 1111"));
     let output = run(&batch(2, &body));
+    assert!(stderr_of(&output)
+        .contains("record 0 at offset 0: event for controller 3, which never booted"));
     assert!(
-        said(&output).contains("record 0 at offset 0: event for controller 3, which never booted")
-    );
-    assert!(
-        said(&output).contains("record 1 at offset 11: unknown event code 99"),
+        stderr_of(&output).contains("record 1 at offset 11: unknown event code 99"),
         "{}",
-        said(&output)
+        stderr_of(&output)
     );
     assert_eq!(output.stdout, hex("00000000 00000000"));
 
     let output = run(&batch(1, &hex("12 0300 0000 0a124a07 931f 0e000000")));
     assert!(
-        said(&output).contains("record 0 at offset 0: 4 bytes wanted, 0 left"),
+        stderr_of(&output).contains("record 0 at offset 0: 4 bytes wanted, 0 left"),
         "{}",
-        said(&output)
+        stderr_of(&output)
     );
 
     let output = run(&batch(1, &hex("1b 0300 ffff")));
     assert!(
-        said(&output).contains("2 bytes left after 1 records at offset 3"),
+        stderr_of(&output).contains("2 bytes left after 1 records at offset 3"),
         "{}",
-        said(&output)
+        stderr_of(&output)
     );
 }
 
 #[test]
-fn events_of_strangers_are_named_and_change_nothing() {
+fn events_of_unknown_proxies_and_nodes_are_reported_and_change_nothing() {
     let mut body = boot(SETTINGS);
     body.extend(hex("14 0300 2900")); // proxy 41 never joined
     body.extend(hex(
         "12 0300 0000 0a9011f2 bc1f 0e000000 01000000 4e62105839b4a83f 000000000000f03f 00",
     ));
     let output = run(&batch(4, &body));
-    assert!(said(&output).contains("record 2"), "{}", said(&output));
-    assert!(said(&output).contains("left but never joined"));
-    assert!(said(&output).contains("sums of unknown"));
+    assert!(
+        stderr_of(&output).contains("record 2"),
+        "{}",
+        stderr_of(&output)
+    );
+    assert!(stderr_of(&output).contains("left but never joined"));
+    assert!(stderr_of(&output).contains("sums of unknown"));
     assert!(output.status.success());
 }
 
@@ -142,9 +145,9 @@
         &boot(&SETTINGS.replace("\"head\": 6.0", "\"head\": \"six\"")),
     ));
     assert!(
-        said(&output).contains("setting channel.head_lines should be a number"),
+        stderr_of(&output).contains("setting channel.head_lines should be a number"),
         "{}",
-        said(&output)
+        stderr_of(&output)
     );
 }
 
@@ -152,11 +155,11 @@
 fn input_that_ends_inside_a_frame_ends_the_process_with_a_message() {
     let whole = batch(2, &boot(SETTINGS));
     let output = run(&whole[..whole.len() - 5]);
-    assert!(!output.status.success() && said(&output).contains("input ends inside a batch"));
+    assert!(!output.status.success() && stderr_of(&output).contains("input ends inside a batch"));
     let output = run(&whole[..7]);
     assert!(
-        !output.status.success() && said(&output).contains("7 of 16 bytes"),
+        !output.status.success() && stderr_of(&output).contains("7 of 16 bytes"),
         "{}",
-        said(&output)
+        stderr_of(&output)
     );
 }
