--- a/crates/cli/tests/common/platform.rs
+++ b/crates/cli/tests/common/platform.rs
@@ -1,5 +1,5 @@
-//! A conductor of a platform as a process on loopback. Discovery's agent, proxies, collectors and strangers
-//! are stand-ins that say on sockets what docs/platform.md says they do.
+//! A controller on a platform as a process on loopback. Discovery's agent, proxies, collectors and unidentified
+//! peers are stand-ins that send what docs/platform.md describes.
 
 #![allow(dead_code)] // each test binary uses its part
 
@@ -15,7 +15,7 @@
 use wheelspread_resp::{encode, Decoder, Limits};
 
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_wheelspread");
-pub const PATIENCE: Duration = Duration::from_secs(10);
+pub const TIMEOUT: Duration = Duration::from_secs(10);
 
 pub fn entry(name: &str, status: &str) -> Value {
     json!({"name": name, "address": "127.0.0.9:9000", "zone": "a", "type": "k", "group": 1,
@@ -25,7 +25,7 @@
 /// Objects of the watch so far; the first is the full list.
 pub type Objects = Arc<Mutex<Vec<Value>>>;
 
-/// An agent of discovery. It says what it has been sent, and ends its connections when it is moved away.
+/// An agent of discovery. It sends all objects so far, and closes its connections when it is moved away.
 pub struct Agent {
     pub address: SocketAddr,
     pub objects: Objects,
@@ -47,7 +47,7 @@
             while !moved.load(Ordering::Relaxed) {
                 if let Ok((stream, _)) = listener.accept() {
                     let (objects, moved) = (objects.clone(), moved.clone());
-                    std::thread::spawn(move || answer(stream, &objects, &moved));
+                    std::thread::spawn(move || serve(stream, &objects, &moved));
                 }
                 sleep(Duration::from_millis(2));
             }
@@ -55,12 +55,12 @@
         agent
     }
 
-    pub fn say(&self, object: Value) {
+    pub fn publish(&self, object: Value) {
         self.objects.lock().expect("nobody failed").push(object);
     }
 }
 
-pub fn answer(stream: TcpStream, objects: &Objects, moved: &AtomicBool) {
+pub fn serve(stream: TcpStream, objects: &Objects, moved: &AtomicBool) {
     stream.set_nonblocking(false).expect("a stream");
     let mut reader = BufReader::new(&stream);
     let mut line = String::new();
@@ -77,14 +77,14 @@
         return;
     }
     let _ = out.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    let (mut said, mut spoke) = (0, Instant::now());
+    let (mut sent, mut sent_at) = (0, Instant::now());
     while !moved.load(Ordering::Relaxed) {
         let known = known();
-        let news: String = known[said..]
+        let news: String = known[sent..]
             .iter()
             .map(|object| format!("{object}\n"))
             .collect();
-        let text = if news.is_empty() && spoke.elapsed() > Duration::from_secs(1) {
+        let text = if news.is_empty() && sent_at.elapsed() > Duration::from_secs(1) {
             "\n"
         } else {
             &news
@@ -96,26 +96,26 @@
             if out.write_all(&chunk).is_err() {
                 return;
             }
-            spoke = Instant::now();
+            sent_at = Instant::now();
         }
-        said = known.len();
+        sent = known.len();
         sleep(Duration::from_millis(5));
     }
 }
 
-/// A connection to the conductor.
-pub struct Party {
+/// A connection to the controller.
+pub struct Peer {
     pub stream: TcpStream,
     pub decoder: Decoder,
 }
 
-impl Party {
-    pub fn dial(to: SocketAddr) -> Party {
+impl Peer {
+    pub fn dial(to: SocketAddr) -> Peer {
         let stream = TcpStream::connect(to).expect("it listens");
         stream
             .set_read_timeout(Some(Duration::from_millis(20)))
             .expect("a stream");
-        Party {
+        Peer {
             stream,
             decoder: Decoder::new(Limits {
                 message_bytes: 1 << 20,
@@ -124,7 +124,7 @@
         }
     }
 
-    pub fn say(&mut self, text: &str) {
+    pub fn send(&mut self, text: &str) {
         let mut bytes = Vec::new();
         encode(&text.split(' ').collect::<Vec<_>>(), &mut bytes);
         // In pieces, as a network may bring them.
@@ -134,7 +134,7 @@
     }
 
     /// The next message; `None` when the connection is over.
-    pub fn hear(&mut self) -> Option<String> {
+    pub fn receive(&mut self) -> Option<String> {
         let begin = Instant::now();
         let mut room = [0; 4096];
         loop {
@@ -146,8 +146,8 @@
                 return Some(words.join(" "));
             }
             assert!(
-                begin.elapsed() < PATIENCE,
-                "nothing is said and nothing ends"
+                begin.elapsed() < TIMEOUT,
+                "nothing is received and nothing is closed"
             );
             match self.stream.read(&mut room) {
                 Ok(0) => return None,
@@ -159,26 +159,26 @@
         }
     }
 
-    pub fn until(&mut self, words: &str) -> String {
+    pub fn receive_until(&mut self, words: &str) -> String {
         loop {
-            let said = self
-                .hear()
-                .unwrap_or_else(|| panic!("it ended before it said {words}"));
-            if said.contains(words) {
-                return said;
+            let message = self
+                .receive()
+                .unwrap_or_else(|| panic!("closed before {words} was received"));
+            if message.contains(words) {
+                return message;
             }
         }
     }
 
-    /// Answers the mark of a message.
-    pub fn answer(&mut self, proxy: u16, said: &str) {
-        let mark = said
+    /// Acknowledges the marker of a message.
+    pub fn acknowledge(&mut self, proxy: u16, message: &str) {
+        let marker = message
             .split("stamp ")
             .nth(1)
             .and_then(|rest| rest.split(' ').next())
-            .expect("a mark");
-        self.say(&format!(
-            "applied sidecar {proxy} version {mark} lag_ms 2.5"
+            .expect("a marker");
+        self.send(&format!(
+            "applied sidecar {proxy} version {marker} lag_ms 2.5"
         ));
     }
 }
@@ -193,7 +193,7 @@
     pub fn start(discovery: SocketAddr, sockets: usize) -> Platform {
         let mut platform = Platform::prepare(discovery, sockets);
         platform.spawn();
-        platform.until_it_listens();
+        platform.wait_until_listening();
         platform
     }
 
@@ -223,10 +223,10 @@
         self.child = Some(child);
     }
 
-    pub fn until_it_listens(&self) {
+    pub fn wait_until_listening(&self) {
         let begin = Instant::now();
         while TcpStream::connect(self.listen).is_err() {
-            assert!(begin.elapsed() < PATIENCE, "it does not listen");
+            assert!(begin.elapsed() < TIMEOUT, "it does not listen");
             sleep(Duration::from_millis(5));
         }
     }
@@ -235,30 +235,30 @@
         self.directory.path().join("log")
     }
 
-    pub fn until_it_says(&self, words: &str, mut meanwhile: impl FnMut()) {
+    pub fn wait_for_log(&self, words: &str, mut meanwhile: impl FnMut()) {
         let begin = Instant::now();
         while !std::fs::read_to_string(self.log()).is_ok_and(|log| log.contains(words)) {
-            assert!(begin.elapsed() < PATIENCE, "it does not say {words}");
+            assert!(begin.elapsed() < TIMEOUT, "it does not say {words}");
             meanwhile();
             sleep(Duration::from_millis(5));
         }
     }
 
-    /// How it ends.
-    pub fn ended(&mut self) -> std::process::ExitStatus {
+    /// Waits for the end of the process.
+    pub fn wait_for_exit(&mut self) -> std::process::ExitStatus {
         let mut child = self.child.take().expect("it runs");
         let begin = Instant::now();
         loop {
             if let Some(status) = child.try_wait().expect("a child") {
                 return status;
             }
-            assert!(begin.elapsed() < PATIENCE, "it does not end");
+            assert!(begin.elapsed() < TIMEOUT, "it does not end");
             sleep(Duration::from_millis(2));
         }
     }
 
-    /// Nothing is read while `meanwhile` goes on; all of it is then there at once.
-    pub fn halted<T>(&self, meanwhile: impl FnOnce() -> T) -> T {
+    /// Runs something while the controller is stopped: it finds all of it at once afterwards.
+    pub fn while_stopped<T>(&self, meanwhile: impl FnOnce() -> T) -> T {
         self.signal(rustix::process::Signal::STOP);
         let stat = format!("/proc/{}/stat", self.child.as_ref().expect("it runs").id());
         let begin = Instant::now();
@@ -268,7 +268,7 @@
             .next()
             .is_some_and(|rest| rest.trim_start().starts_with('T'))
         {
-            assert!(begin.elapsed() < PATIENCE, "it does not halt");
+            assert!(begin.elapsed() < TIMEOUT, "it does not halt");
             std::thread::yield_now();
         }
         let result = meanwhile();
@@ -304,7 +304,7 @@
     pub fn signal(&self, signal: rustix::process::Signal) {
         let id = self.child.as_ref().expect("it runs").id();
         let pid = rustix::process::Pid::from_raw(id as i32).expect("a process");
-        rustix::process::kill_process(pid, signal).expect("told");
+        rustix::process::kill_process(pid, signal).expect("the signal is sent");
     }
 }
 
@@ -325,26 +325,26 @@
 }
 
 /// Discovery whose every answer a test gives itself.
-pub struct Manual {
+pub struct ManualDiscovery {
     listener: TcpListener,
     pub address: SocketAddr,
 }
 
-impl Manual {
-    pub fn start() -> Manual {
+impl ManualDiscovery {
+    pub fn start() -> ManualDiscovery {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
         listener.set_nonblocking(true).expect("a listener");
         let address = listener.local_addr().expect("bound");
-        Manual { listener, address }
+        ManualDiscovery { listener, address }
     }
 
-    /// The next that is asked.
-    pub fn asked(&self) -> Asked {
+    /// The next request to discovery.
+    pub fn next_request(&self) -> DiscoveryRequest {
         let begin = Instant::now();
         loop {
             if let Ok((stream, _)) = self.listener.accept() {
                 stream.set_nonblocking(false).expect("a stream");
-                stream.set_read_timeout(Some(PATIENCE)).expect("a stream");
+                stream.set_read_timeout(Some(TIMEOUT)).expect("a stream");
                 let mut target = String::new();
                 let mut reader = BufReader::new(stream.try_clone().expect("a stream"));
                 reader.read_line(&mut target).expect("a request");
@@ -356,17 +356,17 @@
                         "a head without an end"
                     );
                 }
-                return Asked { stream, target };
+                return DiscoveryRequest { stream, target };
             }
-            assert!(begin.elapsed() < PATIENCE, "nothing is asked");
+            assert!(begin.elapsed() < TIMEOUT, "discovery gets no request");
             sleep(Duration::from_millis(1));
         }
     }
 
-    /// Both that a start and a move ask for: the watch and the full list, in whatever order.
-    pub fn both(&self) -> (Asked, Asked) {
-        let (first, second) = (self.asked(), self.asked());
-        match first.watches() {
+    /// The two requests of a start and of a new address, in whatever order: the watch, and the complete list.
+    pub fn watch_and_list(&self) -> (DiscoveryRequest, DiscoveryRequest) {
+        let (first, second) = (self.next_request(), self.next_request());
+        match first.is_watch() {
             true => (first, second),
             false => (second, first),
         }
@@ -374,47 +374,47 @@
 }
 
 /// A request to discovery, not answered yet.
-pub struct Asked {
+pub struct DiscoveryRequest {
     pub stream: TcpStream,
     pub target: String,
 }
 
-impl Asked {
-    pub fn watches(&self) -> bool {
+impl DiscoveryRequest {
+    pub fn is_watch(&self) -> bool {
         self.target.contains("watch=1")
     }
 
-    pub fn raw(&mut self, text: &str) {
+    pub fn send_raw(&mut self, text: &str) {
         let _ = self.stream.write_all(text.as_bytes());
     }
 
-    /// A whole answer.
-    pub fn full(mut self, list: &Value) {
+    /// Sends a complete response.
+    pub fn respond(mut self, list: &Value) {
         let text = list.to_string();
-        self.raw(&format!(
+        self.send_raw(&format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}",
             text.len()
         ));
     }
 
-    pub fn begin(&mut self) {
-        self.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+    pub fn begin_watch(&mut self) {
+        self.send_raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     }
 
-    pub fn chunk(&mut self, text: &str) {
-        self.raw(&format!("{:x}\r\n{text}\r\n", text.len()));
+    pub fn send_chunk(&mut self, text: &str) {
+        self.send_raw(&format!("{:x}\r\n{text}\r\n", text.len()));
     }
 
-    pub fn object(&mut self, list: &Value) {
-        self.chunk(&format!("{list}\n"));
+    pub fn send_object(&mut self, list: &Value) {
+        self.send_chunk(&format!("{list}\n"));
     }
 
-    /// Whether the conductor has ended it.
-    pub fn until_it_ends(&mut self) {
+    /// Waits until the controller has closed it.
+    pub fn wait_until_closed(&mut self) {
         let mut room = [0; 64];
         assert!(
             matches!(self.stream.read(&mut room), Ok(0) | Err(_)),
-            "it says more"
+            "it sends more"
         );
     }
 }
--- a/crates/platform/src/close_reason.rs
+++ b/crates/platform/src/close_reason.rs
@@ -1,5 +1,5 @@
 //! Why a connection at the controller's address is closed, and what closing it still has to do
-//! (docs/endings.md).
+//! (docs/connection-closing.md).
 
 /// Why a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
