--- a/crates/platform-core/src/controller_core.rs
+++ b/crates/platform-core/src/controller_core.rs
@@ -195,7 +195,7 @@
         true
     }
 
-    /// The full endpoint list was asked for and could not be read.
+    /// The complete endpoint list was asked for and could not be read.
     pub fn handle_endpoint_list_unavailable(&mut self, now: Moment) {
         let event = Event::EndpointList {
             kind: EndpointListKind::Unavailable,
--- a/crates/platform-core/src/endpoint_list.rs
+++ b/crates/platform-core/src/endpoint_list.rs
@@ -28,13 +28,13 @@
     pub started: Option<Moment>,
 }
 
-/// One object of discovery: a full list, or the entries that have changed.
+/// One object of discovery: a complete list, or the entries that have changed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointList {
     /// Discovery's count of changes.
     pub version: u64,
     /// Whether nodes that are not in it are gone.
-    pub full: bool,
+    pub is_complete: bool,
     /// The valid entries.
     pub entries: Vec<ListedEndpoint>,
     /// Why other entries were rejected.
@@ -102,7 +102,7 @@
         let version = value["index"]
             .as_u64()
             .ok_or(ListError::MissingField("index"))?;
-        let full = value["snapshot"]
+        let is_complete = value["snapshot"]
             .as_bool()
             .ok_or(ListError::MissingField("snapshot"))?;
         let endpoints = value["endpoints"]
@@ -110,7 +110,7 @@
             .ok_or(ListError::MissingField("endpoints"))?;
         let mut list = EndpointList {
             version,
-            full,
+            is_complete,
             entries: Vec::new(),
             rejected: Vec::new(),
             rejected_names: Vec::new(),
@@ -235,7 +235,7 @@
 /// How far a watch has come.
 ///
 /// Discovery that has started its versions again answers a watch from a version it never had with nothing
-/// until its own count gets there. Versions that go down on a watch show it; then the full list must be read.
+/// until its own count gets there. Versions that go down on a watch show it; then the complete list must be read.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WatchPosition {
     version: Option<u64>,
@@ -251,18 +251,18 @@
         }
     }
 
-    /// The full list was read beside the watch, before the watch brought anything.
-    pub fn full_list_read(&mut self, list: &EndpointList) {
+    /// The complete list was read beside the watch, before the watch brought anything.
+    pub fn complete_list_read(&mut self, list: &EndpointList) {
         if !self.has_received {
             self.version = Some(list.version);
         }
     }
 
     /// Advances to a list that the watch has brought. Whether the list continues from the position before;
-    /// the first one may be a full list of any version.
+    /// the first one may be a complete list of any version.
     pub fn advance(&mut self, list: &EndpointList) -> bool {
         let continues = self.version.is_none_or(|version| list.version >= version)
-            || (list.full && !self.has_received);
+            || (list.is_complete && !self.has_received);
         (self.version, self.has_received) = (Some(list.version), true);
         continues
     }
--- a/crates/platform-core/src/membership.rs
+++ b/crates/platform-core/src/membership.rs
@@ -32,7 +32,7 @@
 pub struct Membership {
     ids: BTreeMap<String, NodeId>,
     nodes: BTreeMap<NodeId, KnownNode>,
-    /// `None` before the first full list.
+    /// `None` before the first complete list.
     current: Option<ListPosition>,
 }
 
@@ -69,7 +69,7 @@
             version: list.version,
         });
         let mut endpoints = list.entries.clone();
-        if list.full {
+        if list.is_complete {
             endpoints.extend(self.retained_endpoints(list));
             for known in self.nodes.values_mut().filter(|known| known.listed) {
                 (known.listed, known.since) = (false, now);
@@ -79,7 +79,7 @@
             .iter()
             .map(|endpoint| self.balancer_entry(endpoint, now))
             .collect();
-        let kind = match (source, list.full) {
+        let kind = match (source, list.is_complete) {
             (CONFIGURED_SOURCE, _) => EndpointListKind::Cached,
             (_, true) => EndpointListKind::Complete,
             _ => EndpointListKind::Changes,
@@ -88,15 +88,15 @@
     }
 
     /// A watch opened before the one in force has been left, and counts no more. One opened later is believed
-    /// in its full list whatever the version, since discovery may have started its versions again.
+    /// in its complete list whatever the version, since discovery may have started its versions again.
     fn is_newer(&self, list: &EndpointList, source: SourceId) -> bool {
         let Some(current) = self.current else {
-            return list.full;
+            return list.is_complete;
         };
-        // A full list of the same version may repair what a lost change left out.
+        // A complete list of the same version may repair what a lost change left out.
         let newer_version =
-            list.version > current.version || (list.full && list.version == current.version);
-        source >= current.source && (newer_version || (list.full && source > current.source))
+            list.version > current.version || (list.is_complete && list.version == current.version);
+        source >= current.source && (newer_version || (list.is_complete && source > current.source))
     }
 
     /// An entry that can't be read loses only itself: its node stays what it was listed as.
--- a/crates/platform-core/src/output.rs
+++ b/crates/platform-core/src/output.rs
@@ -61,7 +61,7 @@
         /// Why it is closed.
         cause: CloseCause,
     },
-    /// Ask discovery for the full endpoint list.
+    /// Ask discovery for the complete endpoint list.
     RequestEndpointList,
     /// Send a health check to a node.
     HealthCheck {
--- a/crates/platform-core/src/tests/endpoint_lists.rs
+++ b/crates/platform-core/src/tests/endpoint_lists.rs
@@ -5,51 +5,61 @@
 use crate::{ConnectionId, EndpointList, MessageOutcome, SourceId, WatchPosition};
 use serde_json::{json, Value};
 use wheelspread::time::{Moment, Span};
-use wheelspread::{EndpointListKind, EndpointStatus};
+use wheelspread::{EndpointListKind, EndpointStatus, Event};
+
+fn list(version: u64, complete: bool, entries: &[Value]) -> EndpointList {
+    let value = json!({"index": version, "snapshot": complete, "endpoints": entries});
+    EndpointList::parse(&value, &names()).expect("a list")
+}
+
+fn entry(name: &str, zone: &str, status: &str) -> Value {
+    endpoint(name, zone, status, 5000.0)
+}
+
+/// A complete list of version 4 with one valid entry and two invalid ones.
+fn first_list() -> EndpointList {
+    let entries = [
+        entry("x", "a", "Ready"),
+        entry("y", "c", "Ready"),
+        entry("z", "b", "Lost"),
+    ];
+    list(4, true, &entries)
+}
 
 #[test]
 fn a_late_list_changes_nothing_and_an_invalid_entry_spoils_no_other() {
-    let entry = |name: &str, zone: &str, status: &str| endpoint(name, zone, status, 5000.0);
-    let list = |version: u64, full: bool, entries: Vec<Value>| {
-        let value = json!({"index": version, "snapshot": full, "endpoints": entries});
-        EndpointList::parse(&value, &names()).expect("a list")
-    };
     let mut membership = Membership::default();
     let now = Moment::default();
-    let changes = list(4, false, vec![entry("x", "a", "Ready")]);
+    let changes = list(4, false, &[entry("x", "a", "Ready")]);
     assert_eq!(
         membership.apply(&changes, SourceId(1), now),
         None,
         "changes of nothing"
     );
-    let first = list(
-        4,
-        true,
-        vec![
-            entry("x", "a", "Ready"),
-            entry("y", "c", "Ready"),
-            entry("z", "b", "Lost"),
-        ],
-    );
+    let first = first_list();
     assert_eq!((first.entries.len(), first.rejected.len()), (1, 2));
     assert_eq!(first.entries[0].started, Some(Moment::from_seconds(5.0)));
     assert!(membership.apply(&first, SourceId(1), now).is_some());
     assert_eq!(
-        membership.apply(&list(3, true, vec![]), SourceId(1), now),
+        membership.apply(&list(3, true, &[]), SourceId(1), now),
         None,
         "a list from before"
     );
     assert_eq!(
         membership.apply(&changes, SourceId(1), now),
         None,
-        "changes that were in the full list"
+        "changes that were in the complete list"
     );
-    let gone = membership.apply(
-        &list(5, false, vec![entry("x", "a", "Gone")]),
-        SourceId(1),
-        now,
-    );
-    let Some(wheelspread::Event::EndpointList {
+}
+
+#[test]
+fn a_removed_node_is_remembered_while_it_is_in_use_or_recent() {
+    let mut membership = Membership::default();
+    let now = Moment::default();
+    membership.apply(&first_list(), SourceId(1), now);
+    let removal = list(5, false, &[entry("x", "a", "Gone")]);
+    let gone = membership.apply(&removal, SourceId(1), now);
+    let Some(Event::EndpointList {
         kind: EndpointListKind::Changes,
         entries,
     }) = gone
@@ -71,10 +81,7 @@
 
 #[test]
 fn a_watch_with_lower_versions_than_before_does_not_continue() {
-    let list = |version: u64, full: bool| {
-        let value = json!({"index": version, "snapshot": full, "endpoints": []});
-        EndpointList::parse(&value, &names()).expect("a list")
-    };
+    let list = |version: u64, complete: bool| list(version, complete, &[]);
     let mut place = WatchPosition::starting_at(Some(40));
     assert!(place.advance(&list(40, false)), "nothing new");
     assert!(place.advance(&list(41, false)) && !place.advance(&list(6, false)));
@@ -86,11 +93,11 @@
     let mut place = WatchPosition::starting_at(Some(40));
     assert!(
         place.advance(&list(6, true)),
-        "the full list of restarted versions"
+        "the complete list of restarted versions"
     );
     assert!(
         place.advance(&list(7, false)) && !place.advance(&list(5, true)),
-        "a full list from before"
+        "a complete list from before"
     );
     assert!(WatchPosition::starting_at(None).advance(&list(2, false)));
 }
--- a/crates/platform-core/src/tests/publication.rs
+++ b/crates/platform-core/src/tests/publication.rs
@@ -67,77 +67,66 @@
     }
 }
 
-#[test]
-fn a_table_is_sent_complete_once_and_then_by_its_changes() {
-    let (mut publication, membership, [x, y]) = publication();
-    let marker = |id| Action::SendMarker {
+fn marker(id: u32, to_all: bool) -> Action {
+    Action::SendMarker {
         marker: MarkerId(id),
-        to_all: false,
-    };
-    let first = [
+        to_all,
+    }
+}
+
+/// Table 3 with both nodes, bound to the proxy for all operations, with marker 9.
+fn first_table([x, y]: [NodeId; 2]) -> [Action; 4] {
+    [
         weight(3, x, 1.5),
         weight(3, y, 0.1),
         bind(3, &[]),
-        marker(9),
-    ];
-    let messages = publish(&mut publication, &membership, &first);
-    assert!(
-        contains_words(
-            &messages[0],
-            &[
-                "update",
-                "replace",
-                "1",
-                "rows",
-                "x:1.5,y:0.1",
-                "stamp",
-                "9"
-            ]
-        ),
-        "{messages:?}"
-    );
+        marker(9, false),
+    ]
+}
+
+#[test]
+fn a_table_is_sent_complete_once_and_then_by_its_changes() {
+    let (mut publication, membership, nodes) = publication();
+    let messages = publish(&mut publication, &membership, &first_table(nodes));
+    let complete = "update replace 1 rows x:1.5,y:0.1 stamp 9";
+    let words: Vec<&str> = complete.split(' ').collect();
+    assert!(contains_words(&messages[0], &words), "{messages:?}");
+    let removal = [weight(3, nodes[0], 0.0), marker(10, false)];
     assert_eq!(
-        publish(
-            &mut publication,
-            &membership,
-            &[weight(3, x, 0.0), marker(10)]
-        ),
+        publish(&mut publication, &membership, &removal),
         ["update rows x:0 stamp 10"]
     );
+    let other_table = [weight(4, nodes[0], 2.0), marker(11, false)];
+    let messages = publish(&mut publication, &membership, &other_table);
+    assert_eq!(messages.len(), 0, "another table");
+    let cleared = [Action::ClearTable { table: TableId(3) }];
     assert_eq!(
-        publish(
-            &mut publication,
-            &membership,
-            &[weight(4, x, 2.0), marker(11)]
-        )
-        .len(),
-        0,
-        "another table"
+        publish(&mut publication, &membership, &cleared),
+        ["update replace 1"]
     );
+}
+
+#[test]
+fn an_acknowledgement_covers_all_markers_before_it() {
+    let (mut publication, membership, nodes) = publication();
+    publish(&mut publication, &membership, &first_table(nodes));
+    let removal = [weight(3, nodes[0], 0.0), marker(10, false)];
+    publish(&mut publication, &membership, &removal);
+    let other_table = [weight(4, nodes[0], 2.0), marker(11, false)];
+    publish(&mut publication, &membership, &other_table);
     assert_eq!(
         publication.acknowledge(ProxyId(0), MarkerId(10)),
-        [MarkerId(9), MarkerId(10)],
-        "an acknowledgement covers all markers before it"
+        [MarkerId(9), MarkerId(10)]
     );
     assert_eq!(
         publication.acknowledge(ProxyId(0), MarkerId(11)),
         [],
         "a marker that was never sent"
     );
-    let all = Action::SendMarker {
-        marker: MarkerId(12),
-        to_all: true,
-    };
     assert_eq!(
-        publish(&mut publication, &membership, &[all]),
+        publish(&mut publication, &membership, &[marker(12, true)]),
         ["update stamp 12"]
     );
-    let cleared = publish(
-        &mut publication,
-        &membership,
-        &[Action::ClearTable { table: TableId(3) }],
-    );
-    assert_eq!(cleared, ["update replace 1"]);
 }
 
 #[test]
--- a/crates/platform-core/src/tests/scenarios.rs
+++ b/crates/platform-core/src/tests/scenarios.rs
@@ -1,6 +1,6 @@
 //! Plays the scripts in `scenarios/`. A script has a line for each step, `#` begins a comment:
 //!
-//!     TIME list VERSION NAME:ZONE[:STATUS][:AGE] ..    the full list; `change` for changes of it
+//!     TIME list VERSION NAME:ZONE[:STATUS][:AGE] ..    the complete list; `change` for changes of it
 //!     TIME source N                                    lists come from this source from now on, at first from 1
 //!     TIME connection KEY WORDS ..                     a message on this connection
 //!     TIME acknowledge KEY                             it acknowledges the newest marker it was sent
@@ -82,10 +82,10 @@
         }
     }
 
-    fn send_list(&mut self, version: &str, full: bool, entries: &[&str]) {
+    fn send_list(&mut self, version: &str, complete: bool, entries: &[&str]) {
         let entries: Vec<Value> = entries.iter().map(|entry| self.entry(entry)).collect();
         let version: u64 = parse(version);
-        let value = json!({"index": version, "snapshot": full, "endpoints": entries});
+        let value = json!({"index": version, "snapshot": complete, "endpoints": entries});
         let list = EndpointList::parse(&value, self.core.names()).expect("a list");
         let now = Moment::from_seconds(self.now);
         self.core.handle_endpoint_list(now, &list, self.source);
--- a/crates/platform/src/service.rs
+++ b/crates/platform/src/service.rs
@@ -7,7 +7,7 @@
 //! | `connection_table` | the connections, and their buffers in sum |
 //! | `connections` | reading, writing and closing connections |
 //! | `exchanges` | HTTP requests and their time limits |
-//! | `discovery` | the watch on the endpoint list, and reading the full list |
+//! | `discovery` | the watch on the endpoint list, and reading the complete list |
 //! | `health_checks` | health checks of nodes |
 //! | `reload` | taking a new configuration |
 //! | `maintenance` | what is due by time |
@@ -153,7 +153,7 @@
                 self.close_replaced(now, connection, &cause);
             }
             Output::RequestEndpointList => {
-                self.request_full_list(now);
+                self.request_complete_list(now);
             }
             Output::HealthCheck { node, address } => self.start_health_check(now, node, address),
             Output::Diagnostic(diagnostic) => self.log_diagnostic(&diagnostic),
--- a/crates/platform/src/service/discovery.rs
+++ b/crates/platform/src/service/discovery.rs
@@ -1,4 +1,4 @@
-//! The client of discovery: a watch on the endpoint list, and the full list where it is needed.
+//! The client of discovery: a watch on the endpoint list, and the complete list where it is needed.
 
 use super::exchanges::{ExchangeId, OpenExchange, Purpose};
 use super::Service;
@@ -20,8 +20,8 @@
     dial_at: Moment,
     backoff: Duration,
     pub(super) newest_source: SourceId,
-    /// Discovery has started its versions again: changes mean nothing before the full list is read.
-    awaits_full_list: bool,
+    /// Discovery has started its versions again: changes mean nothing before the complete list is read.
+    awaits_complete_list: bool,
 }
 
 impl DiscoveryState {
@@ -30,7 +30,7 @@
             dial_at: now,
             backoff: REDIAL_BACKOFF_MIN,
             newest_source: CONFIGURED_SOURCE,
-            awaits_full_list: false,
+            awaits_complete_list: false,
         }
     }
 
@@ -43,11 +43,11 @@
         self.backoff = REDIAL_BACKOFF_MIN;
     }
 
-    /// The full list of a source was read, or can't be: the watch may be opened, from whatever version is
+    /// The complete list of a source was read, or can't be: the watch may be opened, from whatever version is
     /// in force.
-    fn full_list_ended(&mut self, source: SourceId) {
+    fn complete_list_ended(&mut self, source: SourceId) {
         if source == self.newest_source {
-            self.awaits_full_list = false;
+            self.awaits_complete_list = false;
         }
     }
 }
@@ -59,7 +59,7 @@
         let is_current =
             |open: &OpenExchange| open.purpose == Purpose::Watch && open.address == address;
         if now < self.discovery.dial_at
-            || self.discovery.awaits_full_list
+            || self.discovery.awaits_complete_list
             || self.exchanges.values().any(is_current)
         {
             return;
@@ -73,27 +73,31 @@
         self.open_exchange(now, address, &target, Purpose::Watch);
     }
 
-    /// The configuration names another address. Its versions may be others, so the full list is read beside
+    /// The configuration names another address. Its versions may be others, so the complete list is read beside
     /// the watch.
     pub(super) fn move_discovery(&mut self, now: Moment) {
         self.discovery.dial_at = now;
         self.discovery.reset_backoff();
-        self.discovery.awaits_full_list = false;
+        self.discovery.awaits_complete_list = false;
         self.maintain_watch(now);
-        self.request_full_list(now);
+        self.request_complete_list(now);
     }
 
     /// Whether the request was opened.
-    pub(super) fn request_full_list(&mut self, now: Moment) -> bool {
-        let is_open =
-            self.open_exchange(now, self.config.discovery, MEMBERS_PATH, Purpose::FullList);
+    pub(super) fn request_complete_list(&mut self, now: Moment) -> bool {
+        let is_open = self.open_exchange(
+            now,
+            self.config.discovery,
+            MEMBERS_PATH,
+            Purpose::CompleteList,
+        );
         if !is_open {
             self.core.handle_endpoint_list_unavailable(now);
         }
         is_open
     }
 
-    pub(super) fn complete_full_list(&mut self, now: Moment, open: &OpenExchange) {
+    pub(super) fn handle_complete_list(&mut self, now: Moment, open: &OpenExchange) {
         if let Some(list) = self.parse_list(&open.exchange.body) {
             self.handle_list(now, &list, open.source);
             // The watch beside it continues from here.
@@ -102,15 +106,15 @@
                 .values_mut()
                 .find(|other| other.purpose == Purpose::Watch && other.source == open.source);
             if let Some(watch) = watch {
-                watch.position.full_list_read(&list);
+                watch.position.complete_list_read(&list);
             }
         }
-        self.discovery.full_list_ended(open.source);
+        self.discovery.complete_list_ended(open.source);
     }
 
-    pub(super) fn fail_full_list(&mut self, now: Moment, source: SourceId) {
+    pub(super) fn handle_complete_list_failure(&mut self, now: Moment, source: SourceId) {
         self.core.handle_endpoint_list_unavailable(now);
-        self.discovery.full_list_ended(source);
+        self.discovery.complete_list_ended(source);
     }
 
     /// Whether all objects continue from those before them on this watch.
@@ -142,12 +146,12 @@
         true
     }
 
-    /// A watch has gone back to lower versions: changes by them mean nothing before the full list is read.
+    /// A watch has gone back to lower versions: changes by them mean nothing before the complete list is read.
     pub(super) fn restart_versions(&mut self, now: Moment, id: ExchangeId) {
-        info!("discovery restarted its versions, reading the full endpoint list");
+        info!("discovery restarted its versions, reading the complete endpoint list");
         self.exchanges.remove(&id);
         self.discovery.newest_source = self.discovery.newest_source.next();
-        self.discovery.awaits_full_list = self.request_full_list(now);
+        self.discovery.awaits_complete_list = self.request_complete_list(now);
     }
 
     /// The end of a watch at an address that was left holds up no other.
@@ -176,7 +180,7 @@
         let is_accepted = self.core.handle_endpoint_list(now, list, source);
         debug!(
             version = list.version,
-            full = list.full,
+            complete = list.is_complete,
             count = list.entries.len(),
             accepted = is_accepted,
             source = source.0,
--- a/crates/platform/src/service/exchanges.rs
+++ b/crates/platform/src/service/exchanges.rs
@@ -29,8 +29,8 @@
 /// What an exchange is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Purpose {
-    /// The full endpoint list, once.
-    FullList,
+    /// The complete endpoint list, once.
+    CompleteList,
     /// Changes of the endpoint list.
     Watch,
     HealthCheck(NodeId),
@@ -57,7 +57,7 @@
         let (since, timeout) = match self.purpose {
             Purpose::Watch if self.exchange.status == 0 => (self.opened_at, LIST_TIMEOUT),
             Purpose::Watch => (self.last_received_at, WATCH_IDLE_TIMEOUT),
-            Purpose::FullList => (self.opened_at, LIST_TIMEOUT),
+            Purpose::CompleteList => (self.opened_at, LIST_TIMEOUT),
             Purpose::HealthCheck(_) => (self.opened_at, HEALTH_CHECK_TIMEOUT),
         };
         now - since > span(timeout)
@@ -75,7 +75,7 @@
     ) -> bool {
         let max = match purpose {
             Purpose::HealthCheck(_) => EXCHANGES_MAX_FOR_HEALTH_CHECKS,
-            Purpose::FullList | Purpose::Watch => EXCHANGES_MAX,
+            Purpose::CompleteList | Purpose::Watch => EXCHANGES_MAX,
         };
         if self.exchanges.len() >= max {
             return false;
@@ -139,14 +139,14 @@
         let Some(open) = self.exchanges.get(&id) else {
             return;
         };
-        if open.purpose == Purpose::FullList && !open.is_successful() {
+        if open.purpose == Purpose::CompleteList && !open.is_successful() {
             return self.fail_exchange(now, id);
         }
         let Some(open) = self.exchanges.remove(&id) else {
             return;
         };
         match open.purpose {
-            Purpose::FullList => self.complete_full_list(now, &open),
+            Purpose::CompleteList => self.handle_complete_list(now, &open),
             Purpose::Watch => self.handle_watch_end(now, open.address),
             Purpose::HealthCheck(node) => self.complete_health_check(now, node, &open),
         }
@@ -157,7 +157,7 @@
             return;
         };
         match open.purpose {
-            Purpose::FullList => self.fail_full_list(now, open.source),
+            Purpose::CompleteList => self.handle_complete_list_failure(now, open.source),
             Purpose::Watch => self.handle_watch_end(now, open.address),
             Purpose::HealthCheck(node) => {
                 self.fail_health_check(now, node, now - open.opened_at);
--- a/crates/wheelspread-adapter/src/encode.rs
+++ b/crates/wheelspread-adapter/src/encode.rs
@@ -2,7 +2,8 @@
 
 use crate::codes::{action, retry, ALL_PEERS, ALL_TABLES};
 use crate::decode::ControllerId;
-use wheelspread::ids::{NodeId, OperationId, PeerId};
+use wheelspread::ids::{NodeId, OperationId, PeerId, TimerId};
+use wheelspread::time::Span;
 use wheelspread::{Action, RetryPolicy};
 
 /// Bytes of a text, at most.
@@ -15,13 +16,13 @@
         Action::SendGossip { peer, payload } => write_gossip(*peer, payload, output),
         Action::SendMarker { marker, to_all } => {
             output.extend(marker.0.to_le_bytes());
-            output.push(u8::from(*to_all));
+            write_flag(*to_all, output);
         }
         Action::RequestEndpointList => {}
         Action::Log { message } => write_text(message, output),
         Action::EjectNode { node, ejected } => {
             write_node(*node, output);
-            output.push(u8::from(*ejected));
+            write_flag(*ejected, output);
         }
         Action::BindTable {
             proxy,
@@ -30,7 +31,7 @@
         } => {
             output.extend(proxy.0.to_le_bytes());
             output.extend(table.0.to_le_bytes());
-            output.extend(operation_mask(operations).to_le_bytes());
+            write_operations(operations, output);
         }
         Action::SetWeight {
             table,
@@ -42,22 +43,18 @@
             output.extend((*weight as f32).to_le_bytes());
         }
         Action::ClearTable { table } => output.extend(table.0.to_le_bytes()),
-        Action::SetTimer { after, timer } => {
-            output.extend(after.seconds().to_le_bytes());
-            output.extend(timer.0.to_le_bytes());
-        }
+        Action::SetTimer { after, timer } => write_timer(*after, *timer, output),
         Action::SetAdmission {
             table,
             operations,
             limit,
             retry,
         } => {
-            let table = table.map_or(ALL_TABLES, |table| table.0);
-            output.extend(table.to_le_bytes());
-            output.extend(operation_mask(operations).to_le_bytes());
+            output.extend(table.map_or(ALL_TABLES, |table| table.0).to_le_bytes());
+            write_operations(operations, output);
             write_limit(*limit, *retry, output);
         }
-        Action::WatchEndpoints { enabled } => output.push(u8::from(*enabled)),
+        Action::WatchEndpoints { enabled } => write_flag(*enabled, output),
         Action::ProbeNode { node } => write_node(*node, output),
     }
 }
@@ -101,16 +98,22 @@
     output.extend(payload);
 }
 
+fn write_timer(after: Span, timer: TimerId, output: &mut Vec<u8>) {
+    output.extend(after.seconds().to_le_bytes());
+    output.extend(timer.0.to_le_bytes());
+}
+
 fn write_limit(limit: f64, retry: RetryPolicy, output: &mut Vec<u8>) {
     output.extend((limit as f32).to_le_bytes());
     output.push(retry_code(retry));
 }
 
-/// A bit for each operation; none stands for all.
-fn operation_mask(operations: &[OperationId]) -> u16 {
-    operations.iter().fold(0, |mask, operation| {
+/// Writes a bit for each operation; none stands for all.
+fn write_operations(operations: &[OperationId], output: &mut Vec<u8>) {
+    let mask = operations.iter().fold(0u16, |mask, operation| {
         mask | 1u16.checked_shl(operation.0.into()).unwrap_or(0)
-    })
+    });
+    output.extend(mask.to_le_bytes());
 }
 
 fn write_header(code: u8, controller: ControllerId, output: &mut Vec<u8>) {
@@ -118,6 +121,10 @@
     output.extend(controller.0.to_le_bytes());
 }
 
+fn write_flag(flag: bool, output: &mut Vec<u8>) {
+    output.push(u8::from(flag));
+}
+
 fn write_node(node: NodeId, output: &mut Vec<u8>) {
     output.extend(node.address);
     output.extend(node.port.to_le_bytes());
