--- a/crates/platform-core/src/controller_core/silence.rs
+++ b/crates/platform-core/src/controller_core/silence.rs
@@ -8,7 +8,7 @@
 use crate::ConnectionId;
 use std::time::Duration;
 use wheelspread::ids::ProxyId;
-use wheelspread::ring::Ring;
+use wheelspread::rolling_window::RollingWindow;
 use wheelspread::time::{Moment, Span};
 
 /// A stream is silent when a marker is unacknowledged, and nothing else has come, for the sum of these. A
@@ -43,11 +43,11 @@
 }
 
 /// How long recent acknowledgements took.
-pub(super) struct LatencyHistory(Ring<SlowestLatency>);
+pub(super) struct LatencyHistory(RollingWindow<SlowestLatency>);
 
 impl LatencyHistory {
     pub(super) fn new() -> LatencyHistory {
-        LatencyHistory(Ring::new(span(LATENCY_BUCKET), LATENCY_BUCKETS))
+        LatencyHistory(RollingWindow::new(span(LATENCY_BUCKET), LATENCY_BUCKETS))
     }
 
     pub(super) fn record(&mut self, now: Moment, latency: Span) {
@@ -55,7 +55,7 @@
     }
 
     fn slowest(&self, now: Moment) -> Span {
-        self.0.whole(now).0
+        self.0.total(now).0
     }
 }
 
--- a/crates/wheelspread-adapter/tests/framing.rs
+++ b/crates/wheelspread-adapter/tests/framing.rs
@@ -129,7 +129,7 @@
         stderr_of(&output)
     );
     assert!(stderr_of(&output).contains("left but never joined"));
-    assert!(stderr_of(&output).contains("sums of unknown"));
+    assert!(stderr_of(&output).contains("load report for unknown node"));
     assert!(output.status.success());
 }
 
