--- a/crates/platform-core/src/controller_core.rs
+++ b/crates/platform-core/src/controller_core.rs
@@ -17,7 +17,7 @@
 use wheelspread::ids::{NodeId, ProxyId, TimerId, ZoneId};
 use wheelspread::settings::Settings;
 use wheelspread::time::{Moment, Span};
-use wheelspread::{Action, Balancer, EndpointListKind, Event};
+use wheelspread::{Action, Balancer, ConfigError, EndpointListKind, Event};
 use wheelspread_settings::Names;
 
 /// Time between two searches for silent streams and for names that are no longer used.
@@ -32,22 +32,22 @@
 const OPERATIONS_MAX: usize = 16;
 
 /// Why the core can't start.
-#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum StartError {
     /// The balancer does not accept the settings.
-    #[error("{0}")]
-    Settings(String),
+    #[error(transparent)]
+    Settings(#[from] ConfigError),
 }
 
 /// Why new settings are not taken.
-#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ReconfigureError {
     /// They name other zones, kinds, operations or metrics.
     #[error("zones, kinds, operations and reports stay what they are while this runs")]
     NamesChanged,
     /// The balancer does not accept the settings.
-    #[error("{0}")]
-    Settings(String),
+    #[error(transparent)]
+    Settings(#[from] ConfigError),
 }
 
 /// What a health check brought.
@@ -128,8 +128,7 @@
         names: Names,
     ) -> Result<ControllerCore, StartError> {
         let core_settings = CoreSettings::from_settings(&settings);
-        let balancer = Balancer::start(now, seed, settings)
-            .map_err(|error| StartError::Settings(error.to_string()))?;
+        let balancer = Balancer::start(now, seed, settings)?;
         Ok(ControllerCore {
             balancer,
             settings: core_settings,
@@ -158,9 +157,7 @@
             return Err(ReconfigureError::NamesChanged);
         }
         let core_settings = CoreSettings::from_settings(&settings);
-        self.balancer
-            .reconfigure(settings)
-            .map_err(|error| ReconfigureError::Settings(error.to_string()))?;
+        self.balancer.reconfigure(settings)?;
         self.settings = core_settings;
         self.has_new_events = true;
         Ok(())
@@ -218,7 +215,7 @@
     fn handle_event(&mut self, now: Moment, event: &Event) {
         self.has_new_events = true;
         if let Err(error) = self.balancer.handle_event(now, event) {
-            self.report(Diagnostic::EventRejected(error.to_string()));
+            self.report(Diagnostic::EventRejected(error));
         }
     }
 
--- a/crates/platform-core/src/output.rs
+++ b/crates/platform-core/src/output.rs
@@ -5,6 +5,7 @@
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 use wheelspread::ids::{MarkerId, NodeId, ProxyId};
+use wheelspread::EventError;
 
 /// The immediate effect of one received message.
 #[derive(Clone, Debug, PartialEq)]
@@ -79,7 +80,7 @@
 pub enum Diagnostic {
     /// The balancer did not accept an event.
     #[error("event rejected: {0}")]
-    EventRejected(String),
+    EventRejected(EventError),
     /// A message that can't be read, on a connection that goes on.
     #[error("message ignored: {0}")]
     UnreadableMessage(MessageError),
--- a/crates/wheelspread-adapter/src/host.rs
+++ b/crates/wheelspread-adapter/src/host.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use wheelspread::time::Moment;
-use wheelspread::{Action, Balancer, Event};
+use wheelspread::{Action, Balancer, ConfigError, Event, EventError};
 
 /// The balancers, and the controllers whose balancer has failed.
 #[derive(Default)]
@@ -46,8 +46,8 @@
     #[error("event for controller {0}, which never booted")]
     EventBeforeBoot(u16),
     /// The balancer does not accept the event.
-    #[error("{0}")]
-    EventRejected(String),
+    #[error(transparent)]
+    EventRejected(#[from] EventError),
 }
 
 /// Why a controller does not start.
@@ -55,8 +55,8 @@
 enum BootError {
     #[error(transparent)]
     Settings(#[from] wheelspread_settings::ParseError),
-    #[error("{0}")]
-    Balancer(String),
+    #[error(transparent)]
+    Balancer(#[from] ConfigError),
 }
 
 impl Host {
@@ -147,11 +147,9 @@
         }
         let mut result = Ok(());
         self.run_balancer(controller, reply, |balancer, _| {
-            result = balancer
-                .handle_event(now, event)
-                .map_err(|error| RecordError::EventRejected(error.to_string()));
+            result = balancer.handle_event(now, event);
         });
-        result
+        Ok(result?)
     }
 
     fn decide(&mut self, now: Moment, controller: ControllerId, reply: &mut Reply) {
@@ -188,5 +186,5 @@
 
 fn start_balancer(now: Moment, seed: u64, settings: &str) -> Result<Balancer, BootError> {
     let settings = wheelspread_settings::parse(settings)?;
-    Balancer::start(now, seed, settings).map_err(|error| BootError::Balancer(error.to_string()))
+    Ok(Balancer::start(now, seed, settings)?)
 }
