--- /dev/null
+++ b/crates/platform-core/src/publication.rs
@@ -0,0 +1,346 @@
+//! The balancer's tables, and what each proxy's stream was sent of them.
+//!
+//! All changes of one decision round become one message for each proxy that they concern: whole tables where
+//! the proxy was bound anew, the changed entries otherwise. `update_message` composes the messages.
+
+mod admission;
+mod update_message;
+
+use crate::membership::Membership;
+use admission::AdmissionSetting;
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::rc::Rc;
+use wheelspread::ids::{MarkerId, NodeId, OperationId, ProxyId, TableId};
+use wheelspread::time::Moment;
+use wheelspread::Action;
+
+/// A table as the balancer has ordered it so far.
+#[derive(Clone, Debug, Default)]
+struct WeightTable {
+    weights: BTreeMap<NodeId, f64>,
+    admission: BTreeMap<OperationId, AdmissionSetting>,
+}
+
+/// A version marker that a proxy has not acknowledged.
+#[derive(Clone, Copy, Debug)]
+struct OutstandingMarker {
+    marker: MarkerId,
+    sent_at: Moment,
+}
+
+/// What one stream was sent.
+#[derive(Clone, Debug, Default)]
+struct StreamState {
+    bindings: BTreeMap<OperationId, TableId>,
+    ejected: BTreeSet<NodeId>,
+    /// In the order in which they were sent.
+    outstanding: VecDeque<OutstandingMarker>,
+}
+
+/// The marker of the next messages.
+#[derive(Clone, Copy, Debug)]
+struct PendingMarker {
+    marker: MarkerId,
+    /// Also to proxies that the changes do not concern.
+    to_all: bool,
+}
+
+/// What was ordered since the last messages.
+#[derive(Clone, Debug, Default)]
+struct PendingChanges {
+    weights: BTreeMap<TableId, BTreeSet<NodeId>>,
+    /// `None` for a table is the setting for all proxies.
+    admission: BTreeSet<(Option<TableId>, OperationId)>,
+    cleared: BTreeSet<TableId>,
+    bound: BTreeMap<ProxyId, BTreeSet<TableId>>,
+    marker: Option<PendingMarker>,
+    /// Whether anything was ordered at all: if not, no stream needs to be visited.
+    is_any: bool,
+}
+
+/// What a message depends on beside the pending changes: proxies with the same key share one message.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct MessageKey {
+    bindings: BTreeMap<OperationId, TableId>,
+    /// Tables that are to be sent whole.
+    newly_bound: BTreeSet<TableId>,
+    eject: Vec<NodeId>,
+    readmit: Vec<NodeId>,
+}
+
+/// Nodes whose ejection a proxy is to be told of.
+#[derive(Debug, Default)]
+struct EjectionChanges {
+    eject: Vec<NodeId>,
+    readmit: Vec<NodeId>,
+}
+
+/// The published state.
+#[derive(Clone, Debug, Default)]
+pub struct Publication {
+    operations: Vec<String>,
+    tables: BTreeMap<TableId, WeightTable>,
+    admission_for_all: BTreeMap<OperationId, AdmissionSetting>,
+    ejected: BTreeSet<NodeId>,
+    /// Ejected once and readmitted: proxies keep ejections over a change of streams.
+    readmitted: BTreeSet<NodeId>,
+    streams: BTreeMap<ProxyId, StreamState>,
+    changes: PendingChanges,
+}
+
+/// Whether an action of the balancer is part of what proxies are sent.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum ActionTarget {
+    /// The action was recorded for the next messages.
+    Proxies,
+    /// It is for somebody else, and nothing was recorded.
+    Other,
+}
+
+impl Publication {
+    /// An empty publication for these operations.
+    pub fn new(operations: &[String]) -> Publication {
+        Publication {
+            operations: operations.to_vec(),
+            ..Publication::default()
+        }
+    }
+
+    /// A proxy has a new stream, on which nothing was sent.
+    pub fn add_stream(&mut self, proxy: ProxyId) {
+        self.streams.insert(proxy, StreamState::default());
+    }
+
+    /// A proxy's stream has ended.
+    pub fn remove_stream(&mut self, proxy: ProxyId) {
+        self.streams.remove(&proxy);
+        self.changes.bound.remove(&proxy);
+    }
+
+    /// Takes an acknowledgement. It covers all markers before it: they are returned in order, the named one
+    /// last; none, where the named one is not outstanding.
+    pub fn acknowledge(&mut self, proxy: ProxyId, marker: MarkerId) -> Vec<MarkerId> {
+        let Some(stream) = self.streams.get_mut(&proxy) else {
+            return Vec::new();
+        };
+        let is_named = |sent: &OutstandingMarker| sent.marker == marker;
+        let Some(position) = stream.outstanding.iter().position(is_named) else {
+            return Vec::new();
+        };
+        let covered = stream.outstanding.drain(..=position);
+        covered.map(|sent| sent.marker).collect()
+    }
+
+    /// When the oldest marker was sent that a proxy has not acknowledged.
+    pub fn oldest_unacknowledged(&self, proxy: ProxyId) -> Option<Moment> {
+        let stream = self.streams.get(&proxy)?;
+        stream.outstanding.front().map(|sent| sent.sent_at)
+    }
+
+    /// Whether a message may still have to name the node.
+    pub fn uses_node(&self, node: NodeId) -> bool {
+        // A proxy that has ejected a node can only be told by its name to readmit it.
+        self.ejected.contains(&node)
+            || self
+                .tables
+                .values()
+                .any(|table| table.weights.contains_key(&node))
+            || self
+                .streams
+                .values()
+                .any(|stream| stream.ejected.contains(&node))
+    }
+
+    /// The operations that an action names; an empty list names all.
+    fn expand_operations(&self, operations: &[OperationId]) -> Vec<OperationId> {
+        match operations {
+            [] => (0..self.operations.len())
+                .map(|position| OperationId(position as u8))
+                .collect(),
+            named => named.to_vec(),
+        }
+    }
+
+    /// Records an action for the next messages.
+    pub fn record(&mut self, action: &Action) -> ActionTarget {
+        match action {
+            Action::SetWeight {
+                table,
+                node,
+                weight,
+            } => self.set_weight(*table, *node, *weight),
+            Action::ClearTable { table } => {
+                self.tables.remove(table);
+                self.changes.cleared.insert(*table);
+            }
+            Action::BindTable {
+                proxy,
+                table,
+                operations,
+            } => self.bind_table(*proxy, *table, operations),
+            Action::SetAdmission {
+                table,
+                operations,
+                limit,
+                retry,
+            } => {
+                let setting = AdmissionSetting {
+                    limit: *limit,
+                    retry: *retry,
+                };
+                self.set_admission(*table, operations, setting);
+            }
+            Action::EjectNode { node, ejected } => self.set_ejected(*node, *ejected),
+            Action::SendMarker { marker, to_all } => {
+                self.changes.marker = Some(PendingMarker {
+                    marker: *marker,
+                    to_all: *to_all,
+                });
+            }
+            _ => return ActionTarget::Other,
+        }
+        self.changes.is_any = true;
+        ActionTarget::Proxies
+    }
+
+    fn set_weight(&mut self, table: TableId, node: NodeId, weight: f64) {
+        let weights = &mut self.tables.entry(table).or_default().weights;
+        // Held as exactly as it is sent; a weight that is 0 on the wire is no entry.
+        let sent_weight = f64::from(weight as f32);
+        if sent_weight > 0.0 {
+            weights.insert(node, sent_weight);
+        } else {
+            weights.remove(&node);
+        }
+        self.changes.weights.entry(table).or_default().insert(node);
+    }
+
+    fn bind_table(&mut self, proxy: ProxyId, table: TableId, operations: &[OperationId]) {
+        let named = self.expand_operations(operations);
+        if let Some(stream) = self.streams.get_mut(&proxy) {
+            stream
+                .bindings
+                .extend(named.into_iter().map(|operation| (operation, table)));
+            self.changes.bound.entry(proxy).or_default().insert(table);
+        }
+    }
+
+    fn set_admission(
+        &mut self,
+        table: Option<TableId>,
+        operations: &[OperationId],
+        setting: AdmissionSetting,
+    ) {
+        let named = self.expand_operations(operations);
+        let settings = match table {
+            Some(table) => &mut self.tables.entry(table).or_default().admission,
+            None => &mut self.admission_for_all,
+        };
+        settings.extend(named.iter().map(|operation| (*operation, setting)));
+        self.changes
+            .admission
+            .extend(named.iter().map(|operation| (table, *operation)));
+    }
+
+    fn set_ejected(&mut self, node: NodeId, is_ejected: bool) {
+        let (into, from) = if is_ejected {
+            (&mut self.ejected, &mut self.readmitted)
+        } else {
+            (&mut self.readmitted, &mut self.ejected)
+        };
+        from.remove(&node);
+        into.insert(node);
+    }
+
+    /// The messages for all recorded changes, as bytes to write.
+    pub fn take_messages(
+        &mut self,
+        now: Moment,
+        membership: &Membership,
+    ) -> Vec<(ProxyId, Rc<[u8]>)> {
+        let changes = std::mem::take(&mut self.changes);
+        if !changes.is_any {
+            return Vec::new();
+        }
+        let mut composed: BTreeMap<MessageKey, Option<Rc<[u8]>>> = BTreeMap::new();
+        let mut messages = Vec::new();
+        for proxy in self.streams.keys().copied().collect::<Vec<_>>() {
+            let Some(key) = self.message_key(proxy, &changes) else {
+                continue;
+            };
+            let message = match composed.get(&key) {
+                Some(message) => message.clone(),
+                None => {
+                    let message = self.compose(&changes, &key, membership);
+                    composed.insert(key, message.clone());
+                    message
+                }
+            };
+            let Some(message) = message else { continue };
+            self.expect_acknowledgement(proxy, changes.marker, now);
+            messages.push((proxy, message));
+        }
+        messages
+    }
+
+    /// What this proxy's message depends on. Its ejections are taken as sent.
+    fn message_key(&mut self, proxy: ProxyId, changes: &PendingChanges) -> Option<MessageKey> {
+        let newly_bound = changes.bound.get(&proxy).cloned().unwrap_or_default();
+        let EjectionChanges { eject, readmit } =
+            self.ejection_changes(proxy, !newly_bound.is_empty());
+        let stream = self.streams.get_mut(&proxy)?;
+        stream.ejected.extend(&eject);
+        for node in &readmit {
+            stream.ejected.remove(node);
+        }
+        Some(MessageKey {
+            bindings: stream.bindings.clone(),
+            newly_bound,
+            eject,
+            readmit,
+        })
+    }
+
+    fn expect_acknowledgement(
+        &mut self,
+        proxy: ProxyId,
+        marker: Option<PendingMarker>,
+        now: Moment,
+    ) {
+        if let (Some(pending), Some(stream)) = (marker, self.streams.get_mut(&proxy)) {
+            stream.outstanding.push_back(OutstandingMarker {
+                marker: pending.marker,
+                sent_at: now,
+            });
+        }
+    }
+
+    /// Nodes that a proxy is to eject or to readmit, beyond what its stream was sent.
+    fn ejection_changes(&self, proxy: ProxyId, is_newly_bound: bool) -> EjectionChanges {
+        let Some(stream) = self
+            .streams
+            .get(&proxy)
+            .filter(|stream| !stream.bindings.is_empty())
+        else {
+            return EjectionChanges::default();
+        };
+        let is_in_tables = |node: &NodeId| {
+            let mut tables = stream
+                .bindings
+                .values()
+                .filter_map(|table| self.tables.get(table));
+            tables.any(|table| table.weights.contains_key(node))
+        };
+        let must_eject = |node: &&NodeId| !stream.ejected.contains(node) && is_in_tables(node);
+        let must_readmit = |node: &&NodeId| stream.ejected.contains(node) || is_newly_bound;
+        EjectionChanges {
+            eject: self.ejected.iter().filter(must_eject).copied().collect(),
+            readmit: self
+                .readmitted
+                .iter()
+                .filter(must_readmit)
+                .copied()
+                .collect(),
+        }
+    }
+}
