--- a/crates/cli/tests/proxy.rs
+++ b/crates/cli/tests/proxy.rs
@@ -357,7 +357,7 @@
     stage.wait();
     let answer = stage.talk(b"GET /quote HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
     assert!(
-        answer.starts_with("HTTP/1.1 429") && answer.contains("RetryPolicy-After: 1"),
+        answer.starts_with("HTTP/1.1 429") && answer.contains("Retry-After: 1"),
         "{answer}"
     );
 }
--- a/crates/proxy-core/src/retry.rs
+++ b/crates/proxy-core/src/retry.rs
@@ -21,7 +21,7 @@
     Unsent,
     /// The connection ended after some of it was written and before an answer.
     Reset,
-    /// The node said that it takes no more and has begun nothing (503 with `RetryPolicy-After`, or 429).
+    /// The node said that it takes no more and has begun nothing (503 with `Retry-After`, or 429).
     Refused,
     /// The node answered with an error.
     Errored,
--- a/crates/proxy/src/http.rs
+++ b/crates/proxy/src/http.rs
@@ -117,7 +117,7 @@
         .find(|row| row.0 == answer)
         .map_or((500, "Error"), |row| (row.1, row.2));
     let again = again_in.map_or(String::new(), |span| {
-        format!("RetryPolicy-After: {}\r\n", span.seconds().ceil().max(1.0))
+        format!("Retry-After: {}\r\n", span.seconds().ceil().max(1.0))
     });
     let close = if close { "Connection: close\r\n" } else { "" };
     let body = if is_head {
@@ -168,7 +168,7 @@
         );
         let text = String::from_utf8_lossy(&text).into_owned();
         assert!(
-            text.starts_with("HTTP/1.1 429 ") && text.contains("RetryPolicy-After: 1\r\n"),
+            text.starts_with("HTTP/1.1 429 ") && text.contains("Retry-After: 1\r\n"),
             "{text}"
         );
     }
