--- a/crates/drill/src/gateways.rs
+++ b/crates/drill/src/gateways.rs
@@ -16,7 +16,7 @@
 use wheelspread_files::Held;
 use wheelspread_proxy::witness::Outcome;
 use wheelspread_proxy::{ConductorSide, Proxy, ProxyPlan, Reads, Waits, Witness};
-use wheelspread_proxy_core::{CorePlan, Failure, Guard, OperationRules, Picking};
+use wheelspread_proxy_core::{CoreConfig, Failure, OperationRules, RetrySafety, SelectionPolicy};
 use wheelspread_reactor::{self as reactor, Poll, Token, Waker};
 
 pub enum GatewayOrder {
@@ -171,14 +171,14 @@
     let rules =
         |operation: &wheelspread_controller_core::deployment::OperationPlan| OperationRules {
             name: operation.name.clone(),
-            guard: match operation.repeat {
+            retry_safety: match operation.repeat {
                 // A gateway that trusts its tables blindly, to see the audit find what comes of it.
-                _ if trusting => Guard::Idempotent,
-                Repeat::Idempotent => Guard::Idempotent,
-                Repeat::Fingerprinted => Guard::Fingerprinted {
+                _ if trusting => RetrySafety::Idempotent,
+                Repeat::Idempotent => RetrySafety::Idempotent,
+                Repeat::Fingerprinted => RetrySafety::Fingerprinted {
                     window: operation.repeat_window,
                 },
-                Repeat::SideEffecting => Guard::SideEffecting,
+                Repeat::SideEffecting => RetrySafety::SideEffecting,
             },
             integration_timeout: operation.integration_timeout,
         };
@@ -195,13 +195,13 @@
                 tables: tables.clone(),
             })
             .collect(),
-        core: CorePlan {
+        core: CoreConfig {
             operations: deployment.operations.iter().map(rules).collect(),
-            picking: Picking::Lottery,
+            picking: SelectionPolicy::WeightedRandom,
             errors_until_avoided: deployment.proxies.errors_until_avoided,
-            avoided_for: Span::from_seconds(4.0),
+            ejection_time: Span::from_seconds(4.0),
             repeats: (0.2, 20.0),
-            outstanding_at_most: 0,
+            max_in_flight_per_node: 0,
         },
         head: 16 << 10,
         body: 1 << 16,
--- a/crates/proxy-core/src/core.rs
+++ b/crates/proxy-core/src/core.rs
@@ -2,10 +2,13 @@
 //! stand at the moment: a table that changes while an invocation is tried is the one its next try goes by.
 
 use crate::admission::Admission;
-use crate::pick::{Lines, Picking};
-use crate::retry::{may_follow, may_repeat, Budget, Failure, Guard, Past, Proof};
-use crate::shun::{Shunning, Standing};
-use crate::tally::Tally;
+use crate::ejection::{EjectionState, PassiveHealth};
+use crate::load_accounting::LoadAccounting;
+use crate::retry::{
+    is_retry_allowed, is_retryable_after_any_failure, AttemptHistory, Failure, Processing,
+    RetryBudget, RetrySafety,
+};
+use crate::selection::{SelectionPolicy, WeightedEntries};
 use std::collections::{BTreeMap, BTreeSet};
 use wheelspread::ids::{NodeId, OperationId};
 use wheelspread::pcg::Pcg;
@@ -15,33 +18,33 @@
 
 /// An invocation under way. Numbers are used again, the second part tells uses apart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct InvocationId(pub u32, pub u32);
+pub struct RequestHandle(pub u32, pub u32);
 
 /// What a proxy knows of an operation besides its tables.
 #[derive(Clone, Debug)]
 pub struct OperationRules {
     pub name: String,
-    pub guard: Guard,
+    pub retry_safety: RetrySafety,
     /// What an invocation may take over all tries, where the tables don't say.
     pub integration_timeout: Span,
 }
 
 #[derive(Clone, Debug)]
-pub struct CorePlan {
+pub struct CoreConfig {
     pub operations: Vec<OperationRules>,
-    pub picking: Picking,
+    pub picking: SelectionPolicy,
     /// Failures in a row after which a node is shunned; 0: never.
     pub errors_until_avoided: u32,
-    pub avoided_for: Span,
+    pub ejection_time: Span,
     /// Repeats, as a part of first tries; those that may come at once.
     pub repeats: (f64, f64),
     /// Invocations outstanding at one node; 0: no limit.
-    pub outstanding_at_most: u32,
+    pub max_in_flight_per_node: u32,
 }
 
 /// What tables order for one operation.
 #[derive(Clone, Debug)]
-pub struct Orders {
+pub struct OperationTable {
     pub lines: Vec<(NodeId, u32)>,
     pub dropped_of_million: u32,
     pub rate: Option<f64>,
@@ -52,56 +55,56 @@
 
 /// How a try ended.
 #[derive(Clone, Debug)]
-pub enum TryEnd {
+pub enum AttemptOutcome {
     /// Answered in full; with the loads the node told of.
     Succeeded {
         loads: Vec<(String, f64)>,
     },
     Failed(Failure),
     /// It failed when its answer had begun to go to the client: nothing can be made good.
-    Cut(Failure),
+    FailedMidResponse(Failure),
 }
 
 /// Send the invocation to a node, as its so-manyth try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Send {
+pub struct AttemptOrder {
     pub node: NodeId,
     pub number: u32,
-    /// When the shell must let go of it; `Core` says so by itself, too.
+    /// When the shell must let go of it; `ProxyCore` says so by itself, too.
     pub until: Moment,
 }
 
 /// What the client is told.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Answer {
+pub enum ClientResponse {
     /// What the node answered.
-    Node,
+    Upstream,
     /// Turned away; it may come again after a while.
-    RateLimited { again_in: Span },
+    RateLimited { retry_after: Span },
     /// There is no line to go by.
     NoNode,
     /// The last try failed, and no other is made.
     Failed(Failure),
     /// Nothing is told: the client is gone.
-    Nobody,
+    ClientGone,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Move {
-    Send(Send),
+pub enum Action {
+    Send(AttemptOrder),
     /// Give up the try that is under way, then send.
-    SendInstead(Send),
-    Answer(Answer),
+    AbandonAndSend(AttemptOrder),
+    Respond(ClientResponse),
     /// Give up the try that is under way, then answer.
-    AnswerInstead(Answer),
+    AbandonAndRespond(ClientResponse),
     /// It is over already.
-    Nothing,
+    Continue,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Decision {
-    pub invocation: InvocationId,
-    pub step: Move,
+    pub request: RequestHandle,
+    pub action: Action,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -195,15 +198,15 @@
     node: Option<NodeId>,
     sent_at: Moment,
     until: Moment,
-    proof: Proof,
-    first_may_have_run: Option<Moment>,
+    processing: Processing,
+    first_maybe_processed_at: Option<Moment>,
     answering: bool,
 }
 
 #[derive(Clone, Debug)]
 struct Operation {
     rules: OperationRules,
-    lines: Lines,
+    lines: WeightedEntries,
     admission: Admission,
     retry: RetryPolicy,
     per_try_timeout: Option<Span>,
@@ -212,12 +215,12 @@
 
 #[derive(Clone, Debug, Default)]
 struct Node {
-    shunning: Shunning,
+    shunning: PassiveHealth,
     outstanding: u32,
 }
 
-pub struct Core {
-    plan: CorePlan,
+pub struct ProxyCore {
+    plan: CoreConfig,
     chance: Pcg,
     operations: Vec<Operation>,
     nodes: BTreeMap<NodeId, Node>,
@@ -225,16 +228,16 @@
     free: Vec<u32>,
     timers: BTreeSet<(Moment, u32)>,
     shunned: BTreeSet<(Moment, NodeId)>,
-    budget: Budget,
-    tally: Tally,
+    budget: RetryBudget,
+    tally: LoadAccounting,
     open: BTreeMap<(OperationId, NodeId), u64>,
 }
 
-impl Core {
-    pub fn new(now: Moment, seed: u64, plan: CorePlan) -> Core {
+impl ProxyCore {
+    pub fn new(now: Moment, seed: u64, plan: CoreConfig) -> ProxyCore {
         let operation = |rules: &OperationRules| Operation {
             rules: rules.clone(),
-            lines: Lines::new([]),
+            lines: WeightedEntries::new([]),
             admission: Admission::default(),
             retry: RetryPolicy::IfUnprocessed,
             per_try_timeout: None,
@@ -245,7 +248,7 @@
             .iter()
             .map(|rules| rules.name.clone())
             .collect();
-        Core {
+        ProxyCore {
             chance: Pcg::new(seed),
             operations: plan.operations.iter().map(operation).collect(),
             nodes: BTreeMap::new(),
@@ -253,14 +256,14 @@
             free: Vec::new(),
             timers: BTreeSet::new(),
             shunned: BTreeSet::new(),
-            budget: Budget::new(plan.repeats.0, plan.repeats.1),
-            tally: Tally::new(now, names),
+            budget: RetryBudget::new(plan.repeats.0, plan.repeats.1),
+            tally: LoadAccounting::new(now, names),
             open: BTreeMap::new(),
             plan,
         }
     }
 
-    pub fn operation(&self, name: &str) -> Option<OperationId> {
+    pub fn operation_id(&self, name: &str) -> Option<OperationId> {
         self.operations
             .iter()
             .position(|operation| operation.rules.name == name)
@@ -268,7 +271,7 @@
     }
 
     /// Nodes that some table names now.
-    pub fn published(&self) -> BTreeSet<NodeId> {
+    pub fn published_nodes(&self) -> BTreeSet<NodeId> {
         self.operations
             .iter()
             .flat_map(|operation| operation.lines.nodes())
@@ -281,36 +284,40 @@
             .map_or(0, |operation| operation.lines.len())
     }
 
-    pub fn standing(&self, node: NodeId) -> Standing {
+    pub fn ejection_state(&self, node: NodeId) -> EjectionState {
         self.nodes
             .get(&node)
-            .map_or(Standing::Open, |node| node.shunning.standing())
+            .map_or(EjectionState::Available, |node| node.shunning.standing())
     }
 
-    pub fn under_way(&self) -> usize {
+    pub fn active_requests(&self) -> usize {
         self.invocations.len() - self.free.len()
     }
 
     /// New tables, all at once. Invocations under way go on; one whose operation is shut is answered.
-    pub fn tables(&mut self, now: Moment, orders: &[(OperationId, Orders)]) -> Vec<Decision> {
+    pub fn apply_tables(
+        &mut self,
+        now: Moment,
+        orders: &[(OperationId, OperationTable)],
+    ) -> Vec<Decision> {
         let named: BTreeSet<OperationId> = orders.iter().map(|(operation, _)| *operation).collect();
         for (place, operation) in self.operations.iter_mut().enumerate() {
             if !named.contains(&OperationId(place as u8)) {
-                operation.lines = Lines::new([]);
+                operation.lines = WeightedEntries::new([]);
             }
         }
         for (id, order) in orders {
             let Some(operation) = self.operations.get_mut(usize::from(id.0)) else {
                 continue;
             };
-            operation.lines = Lines::new(order.lines.iter().copied());
+            operation.lines = WeightedEntries::new(order.lines.iter().copied());
             operation
                 .admission
                 .order(now, order.dropped_of_million, order.rate);
             operation.retry = order.retry;
             (operation.per_try_timeout, operation.timeout) = (order.per_try_timeout, order.timeout);
         }
-        let published = self.published();
+        let published = self.published_nodes();
         // A node that is published no more and has nothing outstanding is forgotten, its run too.
         self.nodes
             .retain(|node, known| published.contains(node) || known.outstanding > 0);
@@ -336,7 +343,7 @@
     /// Opens or closes a node's lines in all operations, by what is known of it.
     fn reopen(&mut self, node: NodeId) {
         let known = self.nodes.entry(node).or_default();
-        let most = self.plan.outstanding_at_most;
+        let most = self.plan.max_in_flight_per_node;
         let open = known.shunning.open() && (most == 0 || known.outstanding < most);
         for operation in &mut self.operations {
             operation.lines.set_open(node, open);
@@ -345,7 +352,7 @@
 
     // ---- what happens ----
 
-    pub fn arrive(&mut self, now: Moment, operation: OperationId) -> Decision {
+    pub fn start_request(&mut self, now: Moment, operation: OperationId) -> Decision {
         let of = &mut self.operations[usize::from(operation.0)];
         let admitted = of.admission.ask(now, &mut self.chance);
         let timeout = of.timeout.unwrap_or(of.rules.integration_timeout);
@@ -359,8 +366,8 @@
             node: None,
             sent_at: now,
             until: now,
-            proof: Proof::NeverRan,
-            first_may_have_run: None,
+            processing: Processing::NotProcessed,
+            first_maybe_processed_at: None,
             answering: false,
         };
         let at = match self.free.pop() {
@@ -378,7 +385,7 @@
             }
         };
         match admitted {
-            Err(again_in) => self.turn_away(now, at, again_in),
+            Err(retry_after) => self.reject(now, at, retry_after),
             Ok(()) => match self.pick(operation, &[]) {
                 Some(node) => {
                     self.budget.first_try();
@@ -389,25 +396,31 @@
         }
     }
 
-    fn turn_away(&mut self, now: Moment, at: u32, again_in: Span) -> Decision {
+    fn reject(&mut self, now: Moment, at: u32, retry_after: Span) -> Decision {
         self.tally
             .rate_limited(self.invocations[at as usize].operation);
         let mut decision = self.turn(now, at, Input::TurnedAway, None, Failure::Refused);
-        decision.step = Move::Answer(Answer::RateLimited { again_in });
+        decision.action = Action::Respond(ClientResponse::RateLimited { retry_after });
         decision
     }
 
     /// Which place an id still names.
-    fn place(&self, id: InvocationId) -> Option<u32> {
+    fn place(&self, id: RequestHandle) -> Option<u32> {
         let invocation = self.invocations.get(id.0 as usize)?;
         (invocation.use_number == id.1 && invocation.state == State::Trying).then_some(id.0)
     }
 
     /// A try ended, or its bytes can't be forwarded; `number` tells which.
-    pub fn ended(&mut self, now: Moment, id: InvocationId, number: u32, end: TryEnd) -> Decision {
+    pub fn finish_attempt(
+        &mut self,
+        now: Moment,
+        id: RequestHandle,
+        number: u32,
+        end: AttemptOutcome,
+    ) -> Decision {
         let nothing = Decision {
-            invocation: id,
-            step: Move::Nothing,
+            request: id,
+            action: Action::Continue,
         };
         let Some(at) = self.place(id) else {
             return nothing;
@@ -420,14 +433,14 @@
             return nothing;
         }
         match end {
-            TryEnd::Succeeded { loads } => {
+            AttemptOutcome::Succeeded { loads } => {
                 let latency = now - invocation.sent_at;
                 self.tally.succeeded(operation, node, latency, &loads);
                 self.close_try(now, at, Some(true));
                 self.turn(now, at, Input::Succeeded, None, Failure::Connect)
             }
-            TryEnd::Failed(failure) => self.failed(now, at, failure, false),
-            TryEnd::Cut(failure) => {
+            AttemptOutcome::Failed(failure) => self.failed(now, at, failure, false),
+            AttemptOutcome::FailedMidResponse(failure) => {
                 self.invocations[at as usize].answering = true;
                 self.failed(now, at, failure, false)
             }
@@ -436,7 +449,7 @@
 
     /// The answer of a try begins to go to the client: from here on it is this try or none, and it is
     /// waited for as long as the client waits.
-    pub fn answer_began(&mut self, id: InvocationId, number: u32) {
+    pub fn start_response(&mut self, id: RequestHandle, number: u32) {
         let Some(at) = self.place(id) else { return };
         let invocation = &mut self.invocations[at as usize];
         if invocation.tries == number && invocation.node.is_some() {
@@ -446,11 +459,11 @@
         }
     }
 
-    pub fn client_gone(&mut self, now: Moment, id: InvocationId) -> Decision {
+    pub fn cancel_request(&mut self, now: Moment, id: RequestHandle) -> Decision {
         let Some(at) = self.place(id) else {
             return Decision {
-                invocation: id,
-                step: Move::Nothing,
+                request: id,
+                action: Action::Continue,
             };
         };
         self.close_try(now, at, None);
@@ -459,11 +472,12 @@
 
     fn failed(&mut self, now: Moment, at: u32, failure: Failure, late: bool) -> Decision {
         let invocation = &mut self.invocations[at as usize];
-        let (proof, operation) = (failure.proof(), invocation.operation);
-        if proof == Proof::MayHaveRun {
-            invocation.proof = Proof::MayHaveRun;
-            invocation.first_may_have_run =
-                invocation.first_may_have_run.or(Some(invocation.sent_at));
+        let (processing, operation) = (failure.processing(), invocation.operation);
+        if processing == Processing::MaybeProcessed {
+            invocation.processing = Processing::MaybeProcessed;
+            invocation.first_maybe_processed_at = invocation
+                .first_maybe_processed_at
+                .or(Some(invocation.sent_at));
         }
         if let Some(node) = invocation.node {
             invocation.tried.push(node);
@@ -472,16 +486,23 @@
         self.close_try(now, at, Some(false));
         let invocation = &self.invocations[at as usize];
         let of = &self.operations[usize::from(operation.0)];
-        let (tries, first_may_have_run) = (invocation.tries, invocation.first_may_have_run);
-        let past = Past {
+        let (tries, first_maybe_processed_at) =
+            (invocation.tries, invocation.first_maybe_processed_at);
+        let past = AttemptHistory {
             tries,
-            proof: invocation.proof,
-            first_may_have_run,
+            processing: invocation.processing,
+            first_maybe_processed_at,
         };
         let allowed = now < invocation.deadline
             && !invocation.answering
             && !of.admission.shut()
-            && may_repeat(of.retry, of.rules.guard, past, proof, invocation.deadline);
+            && is_retry_allowed(
+                of.retry,
+                of.rules.retry_safety,
+                past,
+                processing,
+                invocation.deadline,
+            );
         let tried = invocation.tried.clone();
         // Another node, or none: the one that just failed is not asked again.
         let node = if allowed {
@@ -503,10 +524,10 @@
     }
 
     /// What is due by now: tries that took too long, nodes whose time is over.
-    pub fn due(&mut self, now: Moment) -> Vec<Decision> {
+    pub fn expire_timers(&mut self, now: Moment) -> Vec<Decision> {
         while let Some((_, node)) = self.shunned.first().copied().filter(|(at, _)| *at <= now) {
             self.shunned.pop_first();
-            let span = self.plan.avoided_for;
+            let span = self.plan.ejection_time;
             if let Some(known) = self.nodes.get_mut(&node) {
                 known.shunning.pass(now, span);
                 self.reopen(node);
@@ -527,7 +548,7 @@
         decisions
     }
 
-    pub fn wake_at(&self) -> Option<Moment> {
+    pub fn next_timer(&self) -> Option<Moment> {
         let timers = self.timers.first().map(|(at, _)| *at);
         timers
             .into_iter()
@@ -535,14 +556,14 @@
             .min()
     }
 
-    pub fn report(&mut self, now: Moment) -> Option<LoadReport> {
+    pub fn take_load_report(&mut self, now: Moment) -> Option<LoadReport> {
         self.tally.report(now, &self.open)
     }
 
     // ---- how it goes on ----
 
     fn pick(&mut self, operation: OperationId, tried: &[NodeId]) -> Option<NodeId> {
-        let Core {
+        let ProxyCore {
             operations,
             nodes,
             chance,
@@ -564,7 +585,8 @@
                 .nodes()
                 .filter(|node| nodes.get(node).is_some_and(|node| !node.shunning.open()))
                 .filter(|node| {
-                    plan.outstanding_at_most == 0 || outstanding(*node) < plan.outstanding_at_most
+                    plan.max_in_flight_per_node == 0
+                        || outstanding(*node) < plan.max_in_flight_per_node
                 })
                 .collect();
             let opened: Vec<NodeId> = shunned
@@ -600,7 +622,7 @@
             return;
         };
         known.outstanding = known.outstanding.saturating_sub(1);
-        let (after, span) = (self.plan.errors_until_avoided, self.plan.avoided_for);
+        let (after, span) = (self.plan.errors_until_avoided, self.plan.ejection_time);
         match success {
             Some(success) => known.shunning.met(now, success, after, span),
             None => known.shunning.untold(),
@@ -620,14 +642,14 @@
         failure: Failure,
     ) -> Decision {
         let invocation = &self.invocations[at as usize];
-        let id = InvocationId(at, invocation.use_number);
+        let id = RequestHandle(at, invocation.use_number);
         let Some(row) = COURSE
             .iter()
             .find(|row| (row.0, row.1) == (invocation.state, input))
         else {
             return Decision {
-                invocation: id,
-                step: Move::Nothing,
+                request: id,
+                action: Action::Continue,
             };
         };
         let (next, effect) = (row.2, row.3);
@@ -638,38 +660,42 @@
         if next == State::Over {
             self.free.push(at);
         }
-        let again_in = Span::from_seconds(1.0);
+        let retry_after = Span::from_seconds(1.0);
         let step = match (effect, node) {
-            (Effect::Send, Some(node)) => Move::Send(self.send(now, at, node)),
-            (Effect::SendInstead, Some(node)) => Move::SendInstead(self.send(now, at, node)),
-            (Effect::TurnAway, _) => Move::Answer(Answer::RateLimited { again_in }),
-            (Effect::TurnAwayInstead, _) => Move::AnswerInstead(Answer::RateLimited { again_in }),
-            (Effect::NoNode, _) => Move::Answer(Answer::NoNode),
-            (Effect::Forward, _) => Move::Answer(Answer::Node),
-            (Effect::GiveUp, _) => Move::Answer(Answer::Failed(failure)),
-            (Effect::GiveUpInstead, _) => Move::AnswerInstead(Answer::Failed(failure)),
-            (Effect::LetGo, _) => Move::AnswerInstead(Answer::Nobody),
-            (Effect::Send | Effect::SendInstead, None) => Move::Nothing,
+            (Effect::Send, Some(node)) => Action::Send(self.send(now, at, node)),
+            (Effect::SendInstead, Some(node)) => Action::AbandonAndSend(self.send(now, at, node)),
+            (Effect::TurnAway, _) => Action::Respond(ClientResponse::RateLimited { retry_after }),
+            (Effect::TurnAwayInstead, _) => {
+                Action::AbandonAndRespond(ClientResponse::RateLimited { retry_after })
+            }
+            (Effect::NoNode, _) => Action::Respond(ClientResponse::NoNode),
+            (Effect::Forward, _) => Action::Respond(ClientResponse::Upstream),
+            (Effect::GiveUp, _) => Action::Respond(ClientResponse::Failed(failure)),
+            (Effect::GiveUpInstead, _) => {
+                Action::AbandonAndRespond(ClientResponse::Failed(failure))
+            }
+            (Effect::LetGo, _) => Action::AbandonAndRespond(ClientResponse::ClientGone),
+            (Effect::Send | Effect::SendInstead, None) => Action::Continue,
         };
         Decision {
-            invocation: id,
-            step,
+            request: id,
+            action: step,
         }
     }
 
-    fn send(&mut self, now: Moment, at: u32, node: NodeId) -> Send {
+    fn send(&mut self, now: Moment, at: u32, node: NodeId) -> AttemptOrder {
         let invocation = &mut self.invocations[at as usize];
         invocation.tries += 1;
         (invocation.node, invocation.sent_at) = (Some(node), now);
         let of = &self.operations[usize::from(invocation.operation.0)];
         // One that may be followed is given up early; the last one is waited for as long as the client is.
-        let early = of
-            .per_try_timeout
-            .filter(|_| may_follow(of.retry, of.rules.guard, invocation.tries));
+        let early = of.per_try_timeout.filter(|_| {
+            is_retryable_after_any_failure(of.retry, of.rules.retry_safety, invocation.tries)
+        });
         invocation.until = early.map_or(invocation.deadline, |early| {
             (now + early).min(invocation.deadline)
         });
-        let send = Send {
+        let send = AttemptOrder {
             node,
             number: invocation.tries,
             until: invocation.until,
--- a/crates/proxy-core/src/dial.rs
+++ b/crates/proxy-core/src/dialer.rs
@@ -21,7 +21,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Effect {
-    Dial,
+    ControllerDialer,
     Join,
     /// It did not come about: after some of these the next conductor is tried.
     CountAndWait,
@@ -29,7 +29,12 @@
 }
 
 const DIAL: &[(State, Input, State, Effect)] = &[
-    (State::Waiting, Input::Due, State::Dialling, Effect::Dial),
+    (
+        State::Waiting,
+        Input::Due,
+        State::Dialling,
+        Effect::ControllerDialer,
+    ),
     (
         State::Dialling,
         Input::Accepted,
@@ -54,7 +59,7 @@
 const ATTEMPTS: u32 = 2;
 
 #[derive(Clone, Debug)]
-pub struct Dial {
+pub struct ControllerDialer {
     state: State,
     conductors: usize,
     at: usize,
@@ -64,10 +69,10 @@
     chance: Pcg,
 }
 
-impl Dial {
-    pub fn new(now: Moment, conductors: usize, redial: Span, seed: u64) -> Dial {
+impl ControllerDialer {
+    pub fn new(now: Moment, conductors: usize, redial: Span, seed: u64) -> ControllerDialer {
         let chance = Pcg::new(seed);
-        Dial {
+        ControllerDialer {
             state: State::Waiting,
             conductors: conductors.max(1),
             at: 0,
@@ -95,7 +100,7 @@
     /// Which conductor to dial now.
     pub fn due(&mut self, now: Moment) -> Option<usize> {
         let due = self.until().is_some_and(|until| now >= until);
-        (due && self.turn(now, Input::Due) == Some(Effect::Dial)).then_some(self.at)
+        (due && self.turn(now, Input::Due) == Some(Effect::ControllerDialer)).then_some(self.at)
     }
 
     /// `true`: joined by this.
@@ -114,7 +119,7 @@
             .find(|row| (row.0, row.1) == (self.state, input))?;
         self.state = row.2;
         match row.3 {
-            Effect::Dial => {}
+            Effect::ControllerDialer => {}
             Effect::Join => self.failures = 0,
             Effect::CountAndWait | Effect::LeaveAndWait => {
                 self.failures += 1;
@@ -138,7 +143,7 @@
 
     #[test]
     fn a_stream_that_broke_is_dialled_again_and_a_conductor_that_does_not_answer_gives_way() {
-        let mut dial = Dial::new(at(0.0), 2, Span::from_seconds(1.0), 3);
+        let mut dial = ControllerDialer::new(at(0.0), 2, Span::from_seconds(1.0), 3);
         assert_eq!(
             (dial.due(at(0.0)), dial.due(at(0.0))),
             (Some(0), None),
--- a/crates/proxy-core/src/shun.rs
+++ b/crates/proxy-core/src/ejection.rs
@@ -4,11 +4,11 @@
 use wheelspread::time::{Moment, Span};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
-    Open,
-    Shunned,
+pub enum EjectionState {
+    Available,
+    Ejected,
     /// The time is over; the next try decides.
-    Trial,
+    Probation,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,48 +31,53 @@
 }
 
 // A failure that comes back while the node is shunned already, of a try from before, changes nothing.
-const STANDING: &[(Standing, Met, Standing, Effect)] = &[
+const STANDING: &[(EjectionState, Met, EjectionState, Effect)] = &[
     (
-        Standing::Open,
+        EjectionState::Available,
         Met::Success,
-        Standing::Open,
+        EjectionState::Available,
         Effect::ClearRun,
     ),
     (
-        Standing::Open,
+        EjectionState::Available,
         Met::Failure,
-        Standing::Open,
+        EjectionState::Available,
         Effect::CountRun,
     ),
     (
-        Standing::Open,
+        EjectionState::Available,
         Met::LastFailure,
-        Standing::Shunned,
+        EjectionState::Ejected,
         Effect::Shun,
     ),
     (
-        Standing::Shunned,
+        EjectionState::Ejected,
         Met::TimeOver,
-        Standing::Trial,
+        EjectionState::Probation,
         Effect::Nothing,
     ),
     (
-        Standing::Shunned,
+        EjectionState::Ejected,
         Met::Success,
-        Standing::Trial,
+        EjectionState::Probation,
         Effect::Nothing,
     ),
-    (Standing::Trial, Met::Success, Standing::Open, Effect::Admit),
     (
-        Standing::Trial,
+        EjectionState::Probation,
+        Met::Success,
+        EjectionState::Available,
+        Effect::Admit,
+    ),
+    (
+        EjectionState::Probation,
         Met::Failure,
-        Standing::Shunned,
+        EjectionState::Ejected,
         Effect::ShunLonger,
     ),
     (
-        Standing::Trial,
+        EjectionState::Probation,
         Met::LastFailure,
-        Standing::Shunned,
+        EjectionState::Ejected,
         Effect::ShunLonger,
     ),
 ];
@@ -81,8 +86,8 @@
 const LONGEST: i32 = 4;
 
 #[derive(Clone, Debug)]
-pub struct Shunning {
-    standing: Standing,
+pub struct PassiveHealth {
+    standing: EjectionState,
     run: u32,
     until: Moment,
     times: i32,
@@ -90,11 +95,11 @@
     trying: bool,
 }
 
-impl Default for Shunning {
+impl Default for PassiveHealth {
     fn default() -> Self {
         let until = Moment::from_seconds(0.0);
-        Shunning {
-            standing: Standing::Open,
+        PassiveHealth {
+            standing: EjectionState::Available,
             run: 0,
             until,
             times: 0,
@@ -103,27 +108,27 @@
     }
 }
 
-impl Shunning {
-    pub fn standing(&self) -> Standing {
+impl PassiveHealth {
+    pub fn standing(&self) -> EjectionState {
         self.standing
     }
 
     /// Whether an invocation may go there now, for a line that is published.
     pub fn open(&self) -> bool {
         match self.standing {
-            Standing::Open => true,
-            Standing::Shunned => false,
-            Standing::Trial => !self.trying,
+            EjectionState::Available => true,
+            EjectionState::Ejected => false,
+            EjectionState::Probation => !self.trying,
         }
     }
 
     /// An invocation goes there.
     pub fn sent(&mut self) {
-        self.trying |= self.standing == Standing::Trial;
+        self.trying |= self.standing == EjectionState::Probation;
     }
 
     pub fn until(&self) -> Option<Moment> {
-        (self.standing == Standing::Shunned).then_some(self.until)
+        (self.standing == EjectionState::Ejected).then_some(self.until)
     }
 
     /// `after`: failures in a row that it takes; 0: no node is ever shunned.
@@ -144,7 +149,7 @@
 
     /// `true` if its time is over now.
     pub fn pass(&mut self, now: Moment, span: Span) -> bool {
-        let over = self.standing == Standing::Shunned && now >= self.until;
+        let over = self.standing == EjectionState::Ejected && now >= self.until;
         if over {
             self.turn(now, Met::TimeOver, span);
         }
@@ -183,13 +188,13 @@
         Moment::from_seconds(seconds)
     }
 
-    fn met(shunning: &mut Shunning, seconds: f64, success: bool) {
+    fn met(shunning: &mut PassiveHealth, seconds: f64, success: bool) {
         shunning.met(at(seconds), success, 3, Span::from_seconds(SPAN));
     }
 
     #[test]
     fn a_run_of_failures_shuns_and_a_trial_brings_back() {
-        let mut node = Shunning::default();
+        let mut node = PassiveHealth::default();
         for (seconds, success) in [
             (0.0, false),
             (0.1, false),
@@ -210,22 +215,25 @@
         assert!(node.pass(at(9.6), Span::from_seconds(SPAN)));
         node.sent();
         met(&mut node, 9.7, true);
-        assert_eq!((node.standing(), node.open()), (Standing::Open, true));
+        assert_eq!(
+            (node.standing(), node.open()),
+            (EjectionState::Available, true)
+        );
     }
 
     #[test]
     fn late_failures_of_a_shunned_node_do_not_shun_it_longer() {
-        let mut node = Shunning::default();
+        let mut node = PassiveHealth::default();
         (0..6).for_each(|_| met(&mut node, 0.0, false));
         assert_eq!(node.until(), Some(at(3.0)));
         // An answer that comes after all shortens it: it works.
         met(&mut node, 0.5, true);
-        assert_eq!(node.standing(), Standing::Trial);
+        assert_eq!(node.standing(), EjectionState::Probation);
     }
 
     #[test]
     fn a_trial_whose_client_went_away_leaves_room_for_the_next() {
-        let mut node = Shunning::default();
+        let mut node = PassiveHealth::default();
         (0..3).for_each(|_| met(&mut node, 0.0, false));
         node.pass(at(3.0), Span::from_seconds(SPAN));
         node.sent();
@@ -235,7 +243,7 @@
 
     #[test]
     fn with_no_limit_nothing_is_shunned() {
-        let mut node = Shunning::default();
+        let mut node = PassiveHealth::default();
         (0..100).for_each(|_| node.met(at(0.0), false, 0, Span::from_seconds(SPAN)));
         assert!(node.open());
     }
--- a/crates/proxy-core/src/tally.rs
+++ b/crates/proxy-core/src/load_accounting.rs
@@ -24,7 +24,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Tally {
+pub struct LoadAccounting {
     names: Vec<String>,
     operations: Vec<Operation>,
     since: Moment,
@@ -33,10 +33,10 @@
 /// What is older tells nothing of the present and would be refused.
 const OLDEST: f64 = 300.0;
 
-impl Tally {
-    pub fn new(now: Moment, names: Vec<String>) -> Tally {
+impl LoadAccounting {
+    pub fn new(now: Moment, names: Vec<String>) -> LoadAccounting {
         let operations = vec![Operation::default(); names.len()];
-        Tally {
+        LoadAccounting {
             names,
             operations,
             since: now,
@@ -166,7 +166,8 @@
     #[test]
     fn what_was_met_is_told_once_and_dated_by_its_span() {
         let at = Moment::from_seconds;
-        let mut tally = Tally::new(at(10.0), vec!["quote".to_string(), "book".to_string()]);
+        let mut tally =
+            LoadAccounting::new(at(10.0), vec!["quote".to_string(), "book".to_string()]);
         let loads = [("cpu_utilization".to_string(), 0.5)];
         tally.succeeded(QUOTE, node(1), Span::from_seconds(0.2), &loads);
         tally.succeeded(QUOTE, node(1), Span::from_seconds(0.4), &loads);
--- a/crates/proxy-core/src/retry.rs
+++ b/crates/proxy-core/src/retry.rs
@@ -6,10 +6,10 @@
 
 /// What is known of a try that failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Proof {
+pub enum Processing {
     /// Its invocation was never begun, by what the node or the connection said.
-    NeverRan,
-    MayHaveRun,
+    NotProcessed,
+    MaybeProcessed,
 }
 
 /// How a try failed.
@@ -37,11 +37,11 @@
     /// went out brought nothing either. A refusal says so itself. A reset after bytes were written proves
     /// nothing: the node may have read them and begun before it died, also when a pooled connection was
     /// closed just as the invocation was written on it.
-    pub fn proof(self) -> Proof {
+    pub fn processing(self) -> Processing {
         match self {
-            Failure::Connect | Failure::Unsent | Failure::Refused => Proof::NeverRan,
+            Failure::Connect | Failure::Unsent | Failure::Refused => Processing::NotProcessed,
             Failure::Reset | Failure::Errored | Failure::Garbled | Failure::TimedOut => {
-                Proof::MayHaveRun
+                Processing::MaybeProcessed
             }
         }
     }
@@ -49,7 +49,7 @@
 
 /// What an operation can bear.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Guard {
+pub enum RetrySafety {
     Idempotent,
     /// Repeats are dropped within this span after the first try that may have run.
     Fingerprinted {
@@ -75,83 +75,87 @@
     (RetryPolicy::TwiceOnAnyFailure, 2, 2),
 ];
 
-const BEARS: &[(Bears, Proof, bool)] = &[
-    (Bears::AnyRepeat, Proof::NeverRan, true),
-    (Bears::AnyRepeat, Proof::MayHaveRun, true),
-    (Bears::InWindow, Proof::NeverRan, true),
-    (Bears::InWindow, Proof::MayHaveRun, true),
-    (Bears::PastWindow, Proof::NeverRan, false),
-    (Bears::PastWindow, Proof::MayHaveRun, false),
-    (Bears::OnlyProven, Proof::NeverRan, true),
-    (Bears::OnlyProven, Proof::MayHaveRun, false),
+const BEARS: &[(Bears, Processing, bool)] = &[
+    (Bears::AnyRepeat, Processing::NotProcessed, true),
+    (Bears::AnyRepeat, Processing::MaybeProcessed, true),
+    (Bears::InWindow, Processing::NotProcessed, true),
+    (Bears::InWindow, Processing::MaybeProcessed, true),
+    (Bears::PastWindow, Processing::NotProcessed, false),
+    (Bears::PastWindow, Processing::MaybeProcessed, false),
+    (Bears::OnlyProven, Processing::NotProcessed, true),
+    (Bears::OnlyProven, Processing::MaybeProcessed, false),
 ];
 
 /// What is known of an invocation when one of its tries has failed.
 #[derive(Clone, Copy, Debug)]
-pub struct Past {
+pub struct AttemptHistory {
     /// Tries made so far, the failed one included.
     pub tries: u32,
     /// Of all tries so far: one that may have run makes the invocation one that may have run.
-    pub proof: Proof,
+    pub processing: Processing,
     /// When the first try that may have run was sent.
-    pub first_may_have_run: Option<Moment>,
+    pub first_maybe_processed_at: Option<Moment>,
 }
 
 /// Whether one more try is allowed, by `order` and by what the operation bears until `done_by`, the latest
 /// moment at which that try could still take effect.
-pub fn may_repeat(
+pub fn is_retry_allowed(
     order: RetryPolicy,
-    guard: Guard,
-    past: Past,
-    last: Proof,
+    retry_safety: RetrySafety,
+    past: AttemptHistory,
+    last: Processing,
     done_by: Moment,
 ) -> bool {
     let allowed = ORDERS
         .iter()
         .find(|row| row.0 == order)
         .map_or(0, |row| match last {
-            Proof::NeverRan => row.1,
-            Proof::MayHaveRun => row.2,
+            Processing::NotProcessed => row.1,
+            Processing::MaybeProcessed => row.2,
         });
     if past.tries > allowed {
         return false;
     }
-    let bears = match (guard, past.first_may_have_run) {
-        (Guard::Idempotent, _) => Bears::AnyRepeat,
-        (Guard::SideEffecting, _) => Bears::OnlyProven,
-        (Guard::Fingerprinted { .. }, None) => Bears::InWindow,
-        (Guard::Fingerprinted { window }, Some(first)) if done_by - first < window => {
+    let bears = match (retry_safety, past.first_maybe_processed_at) {
+        (RetrySafety::Idempotent, _) => Bears::AnyRepeat,
+        (RetrySafety::SideEffecting, _) => Bears::OnlyProven,
+        (RetrySafety::Fingerprinted { .. }, None) => Bears::InWindow,
+        (RetrySafety::Fingerprinted { window }, Some(first)) if done_by - first < window => {
             Bears::InWindow
         }
-        (Guard::Fingerprinted { .. }, Some(_)) => Bears::PastWindow,
+        (RetrySafety::Fingerprinted { .. }, Some(_)) => Bears::PastWindow,
     };
     BEARS
         .iter()
-        .any(|row| (row.0, row.1, row.2) == (bears, past.proof, true))
+        .any(|row| (row.0, row.1, row.2) == (bears, past.processing, true))
 }
 
 /// Whether a try may be followed by another after any failure, and so is given up early.
-pub fn may_follow(order: RetryPolicy, guard: Guard, tries: u32) -> bool {
+pub fn is_retryable_after_any_failure(
+    order: RetryPolicy,
+    retry_safety: RetrySafety,
+    tries: u32,
+) -> bool {
     let allowed = ORDERS
         .iter()
         .find(|row| row.0 == order)
         .map_or(0, |row| row.2);
-    tries <= allowed && guard != Guard::SideEffecting
+    tries <= allowed && retry_safety != RetrySafety::SideEffecting
 }
 
 /// Repeats as a part of first tries, so that they can't add up to a storm: each first try puts a part of
 /// one in, each repeat takes one out.
 #[derive(Clone, Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     part: f64,
     most: f64,
     held: f64,
 }
 
-impl Budget {
+impl RetryBudget {
     /// `part` of 1; a proxy that just started may repeat `most` at once.
-    pub fn new(part: f64, most: f64) -> Budget {
-        Budget {
+    pub fn new(part: f64, most: f64) -> RetryBudget {
+        RetryBudget {
             part,
             most,
             held: most,
@@ -174,43 +178,55 @@
     use super::*;
     use test_case::test_case;
 
-    const KEYED: Guard = Guard::Fingerprinted { window: Span::ZERO };
+    const KEYED: RetrySafety = RetrySafety::Fingerprinted { window: Span::ZERO };
 
-    fn past(tries: u32, proof: Proof) -> Past {
-        let first = (proof == Proof::MayHaveRun).then_some(Moment::from_seconds(1.0));
-        Past {
+    fn past(tries: u32, processing: Processing) -> AttemptHistory {
+        let first = (processing == Processing::MaybeProcessed).then_some(Moment::from_seconds(1.0));
+        AttemptHistory {
             tries,
-            proof,
-            first_may_have_run: first,
+            processing,
+            first_maybe_processed_at: first,
         }
     }
 
-    fn window(seconds: f64) -> Guard {
-        Guard::Fingerprinted {
+    fn window(seconds: f64) -> RetrySafety {
+        RetrySafety::Fingerprinted {
             window: Span::from_seconds(seconds),
         }
     }
 
     // The latest the next try could take effect is 4 s after the start, 3 s after the first try.
-    #[test_case(RetryPolicy::Never, Guard::Idempotent, 1, Failure::Connect, false; "no order, no repeat")]
-    #[test_case(RetryPolicy::IfUnprocessed, Guard::SideEffecting, 1, Failure::Connect, true; "proven by the connect")]
-    #[test_case(RetryPolicy::IfUnprocessed, Guard::SideEffecting, 1, Failure::Refused, true; "proven by a refusal")]
-    #[test_case(RetryPolicy::IfUnprocessed, Guard::SideEffecting, 1, Failure::Unsent, true; "proven: nothing went out")]
-    #[test_case(RetryPolicy::IfUnprocessed, Guard::SideEffecting, 1, Failure::Reset, false; "a reset proves nothing")]
-    #[test_case(RetryPolicy::IfUnprocessed, Guard::Idempotent, 1, Failure::TimedOut, false; "ordered after proof only")]
-    #[test_case(RetryPolicy::IfUnprocessed, Guard::Idempotent, 2, Failure::Connect, false; "once, not twice")]
-    #[test_case(RetryPolicy::OnceOnAnyFailure, Guard::Idempotent, 1, Failure::TimedOut, true; "an idempotent one")]
-    #[test_case(RetryPolicy::OnceOnAnyFailure, Guard::SideEffecting, 1, Failure::TimedOut, false; "whatever is ordered")]
+    #[test_case(RetryPolicy::Never, RetrySafety::Idempotent, 1, Failure::Connect, false; "no order, no repeat")]
+    #[test_case(RetryPolicy::IfUnprocessed, RetrySafety::SideEffecting, 1, Failure::Connect, true; "proven by the connect")]
+    #[test_case(RetryPolicy::IfUnprocessed, RetrySafety::SideEffecting, 1, Failure::Refused, true; "proven by a refusal")]
+    #[test_case(RetryPolicy::IfUnprocessed, RetrySafety::SideEffecting, 1, Failure::Unsent, true; "proven: nothing went out")]
+    #[test_case(RetryPolicy::IfUnprocessed, RetrySafety::SideEffecting, 1, Failure::Reset, false; "a reset proves nothing")]
+    #[test_case(RetryPolicy::IfUnprocessed, RetrySafety::Idempotent, 1, Failure::TimedOut, false; "ordered after proof only")]
+    #[test_case(RetryPolicy::IfUnprocessed, RetrySafety::Idempotent, 2, Failure::Connect, false; "once, not twice")]
+    #[test_case(RetryPolicy::OnceOnAnyFailure, RetrySafety::Idempotent, 1, Failure::TimedOut, true; "an idempotent one")]
+    #[test_case(RetryPolicy::OnceOnAnyFailure, RetrySafety::SideEffecting, 1, Failure::TimedOut, false; "whatever is ordered")]
     #[test_case(RetryPolicy::OnceOnAnyFailure, window(5.0), 1, Failure::Errored, true; "within the window")]
     #[test_case(RetryPolicy::OnceOnAnyFailure, window(2.9), 1, Failure::Errored, false; "could end after the window")]
     #[test_case(RetryPolicy::OnceOnAnyFailure, KEYED, 1, Failure::Connect, true; "nothing has begun the window")]
-    #[test_case(RetryPolicy::TwiceOnAnyFailure, Guard::Idempotent, 2, Failure::Garbled, true; "a third try")]
-    #[test_case(RetryPolicy::TwiceOnAnyFailure, Guard::Idempotent, 3, Failure::Connect, false; "no fourth")]
-    fn repeats(order: RetryPolicy, guard: Guard, tries: u32, failure: Failure, wanted: bool) {
-        let proof = failure.proof();
+    #[test_case(RetryPolicy::TwiceOnAnyFailure, RetrySafety::Idempotent, 2, Failure::Garbled, true; "a third try")]
+    #[test_case(RetryPolicy::TwiceOnAnyFailure, RetrySafety::Idempotent, 3, Failure::Connect, false; "no fourth")]
+    fn repeats(
+        order: RetryPolicy,
+        retry_safety: RetrySafety,
+        tries: u32,
+        failure: Failure,
+        wanted: bool,
+    ) {
+        let processing = failure.processing();
         let done_by = Moment::from_seconds(4.0);
         assert_eq!(
-            may_repeat(order, guard, past(tries, proof), proof, done_by),
+            is_retry_allowed(
+                order,
+                retry_safety,
+                past(tries, processing),
+                processing,
+                done_by
+            ),
             wanted
         );
     }
@@ -218,24 +234,24 @@
     #[test]
     fn a_try_that_may_have_run_is_not_forgotten_over_a_later_one_that_did_not() {
         // The second try was refused, but the first may have run: a side-effecting one stays ended.
-        let past = Past {
+        let past = AttemptHistory {
             tries: 2,
-            ..past(2, Proof::MayHaveRun)
+            ..past(2, Processing::MaybeProcessed)
         };
         let order = RetryPolicy::TwiceOnAnyFailure;
         let done_by = Moment::from_seconds(4.0);
-        assert!(!may_repeat(
+        assert!(!is_retry_allowed(
             order,
-            Guard::SideEffecting,
+            RetrySafety::SideEffecting,
             past,
-            Proof::NeverRan,
+            Processing::NotProcessed,
             done_by
         ));
     }
 
     #[test]
     fn a_budget_lets_a_part_through() {
-        let mut budget = Budget::new(0.2, 3.0);
+        let mut budget = RetryBudget::new(0.2, 3.0);
         let at_once = (0..10).filter(|_| budget.take()).count();
         let mut later = 0;
         for _ in 0..1000 {
--- a/crates/proxy-core/src/pick.rs
+++ b/crates/proxy-core/src/selection.rs
@@ -1,19 +1,19 @@
 //! Which line an invocation goes by. Weights are whole numbers as published, so sums are exact and no pick
-//! is biased by what changed before. Lines can be closed for a while without touching the others.
+//! is biased by what changed before. WeightedEntries can be closed for a while without touching the others.
 
 use wheelspread::ids::NodeId;
 use wheelspread::pcg::Pcg;
 
 /// How a line is chosen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Picking {
+pub enum SelectionPolicy {
     /// By chance, each line by its weight.
     #[default]
-    Lottery,
+    WeightedRandom,
     /// In turn, each line as often as its weight says.
-    Wheel,
+    WeightedRoundRobin,
     /// Of two drawn by weight, the one with fewer invocations outstanding.
-    Pair,
+    PowerOfTwoChoices,
 }
 
 #[derive(Clone, Debug)]
@@ -27,7 +27,7 @@
 
 /// The lines of one operation, with a tree of partial sums over the weights of the open ones.
 #[derive(Clone, Debug)]
-pub struct Lines {
+pub struct WeightedEntries {
     lines: Vec<Line>,
     sums: Vec<u64>,
     total: u64,
@@ -36,9 +36,9 @@
 
 const ROUND: u128 = 1 << 64;
 
-impl Lines {
+impl WeightedEntries {
     /// Each node once; weights of 0 are lines that get nothing.
-    pub fn new(weights: impl IntoIterator<Item = (NodeId, u32)>) -> Lines {
+    pub fn new(weights: impl IntoIterator<Item = (NodeId, u32)>) -> WeightedEntries {
         let mut merged = std::collections::BTreeMap::new();
         for (node, weight) in weights {
             *merged.entry(node).or_insert(0u64) += u64::from(weight);
@@ -49,7 +49,7 @@
             open: weight > 0,
             turn: 0,
         };
-        let mut lines = Lines {
+        let mut lines = WeightedEntries {
             lines: merged.into_iter().map(line).collect(),
             sums: Vec::new(),
             total: 0,
@@ -140,13 +140,13 @@
     /// Picks an open line; `None` if there is none.
     pub fn pick(
         &mut self,
-        how: Picking,
+        how: SelectionPolicy,
         chance: &mut Pcg,
         outstanding: impl Fn(NodeId) -> u32,
     ) -> Option<NodeId> {
         let at = match how {
-            Picking::Lottery => self.draw(chance)?,
-            Picking::Pair => {
+            SelectionPolicy::WeightedRandom => self.draw(chance)?,
+            SelectionPolicy::PowerOfTwoChoices => {
                 let (first, second) = (self.draw(chance)?, self.draw(chance)?);
                 let busy = |at: usize| outstanding(self.lines[at].node);
                 if busy(second) < busy(first) {
@@ -155,7 +155,7 @@
                     first
                 }
             }
-            Picking::Wheel => {
+            SelectionPolicy::WeightedRoundRobin => {
                 let (turn, at) = self.turns.pop_first()?;
                 let next = turn + ROUND / u128::from(self.lines[at].weight);
                 self.lines[at].turn = next;
@@ -192,7 +192,7 @@
         }
     }
 
-    fn counts(lines: &mut Lines, how: Picking, picks: u32) -> BTreeMap<u16, u32> {
+    fn counts(lines: &mut WeightedEntries, how: SelectionPolicy, picks: u32) -> BTreeMap<u16, u32> {
         let (mut chance, mut counts) = (Pcg::new(5), BTreeMap::new());
         for _ in 0..picks {
             let picked = lines
@@ -203,11 +203,15 @@
         counts
     }
 
-    #[test_case(Picking::Lottery, 0.02; "by chance")]
-    #[test_case(Picking::Wheel, 0.0002; "in turn")]
-    #[test_case(Picking::Pair, 0.02; "of two alike")]
-    fn shares_are_those_of_the_weights_also_after_lines_closed_and_opened(how: Picking, off: f64) {
-        let mut lines = Lines::new((1..=5).map(|port| (node(port), u32::from(port) * 1000)));
+    #[test_case(SelectionPolicy::WeightedRandom, 0.02; "by chance")]
+    #[test_case(SelectionPolicy::WeightedRoundRobin, 0.0002; "in turn")]
+    #[test_case(SelectionPolicy::PowerOfTwoChoices, 0.02; "of two alike")]
+    fn shares_are_those_of_the_weights_also_after_lines_closed_and_opened(
+        how: SelectionPolicy,
+        off: f64,
+    ) {
+        let mut lines =
+            WeightedEntries::new((1..=5).map(|port| (node(port), u32::from(port) * 1000)));
         for port in [2, 4, 5] {
             lines.set_open(node(port), false);
         }
@@ -226,10 +230,13 @@
 
     #[test]
     fn of_two_the_less_busy_is_taken() {
-        let mut lines = Lines::new([(node(1), 1), (node(2), 1)]);
+        let mut lines = WeightedEntries::new([(node(1), 1), (node(2), 1)]);
         let mut chance = Pcg::new(1);
-        let mut picks = (0..100)
-            .map(|_| lines.pick(Picking::Pair, &mut chance, |node| u32::from(node.port == 1)));
+        let mut picks = (0..100).map(|_| {
+            lines.pick(SelectionPolicy::PowerOfTwoChoices, &mut chance, |node| {
+                u32::from(node.port == 1)
+            })
+        });
         let second = picks
             .by_ref()
             .filter(|picked| *picked == Some(node(2)))
@@ -244,12 +251,16 @@
     fn without_an_open_line_there_is_no_pick() {
         let mut chance = Pcg::new(1);
         assert_eq!(
-            Lines::new([]).pick(Picking::Lottery, &mut chance, |_| 0),
+            WeightedEntries::new([]).pick(SelectionPolicy::WeightedRandom, &mut chance, |_| 0),
             None
         );
-        let mut lines = Lines::new([(node(1), 0), (node(2), 3)]);
+        let mut lines = WeightedEntries::new([(node(1), 0), (node(2), 3)]);
         lines.set_open(node(2), false);
-        for how in [Picking::Lottery, Picking::Wheel, Picking::Pair] {
+        for how in [
+            SelectionPolicy::WeightedRandom,
+            SelectionPolicy::WeightedRoundRobin,
+            SelectionPolicy::PowerOfTwoChoices,
+        ] {
             assert_eq!(lines.pick(how, &mut chance, |_| 0), None);
         }
         assert!(
@@ -265,7 +276,7 @@
             weights in prop::collection::vec(0u32..50, 1..40),
             turns in prop::collection::vec((0usize..40, any::<bool>()), 0..60),
         ) {
-            let mut lines = Lines::new(weights.iter().enumerate().map(|(at, weight)| (node(at as u16), *weight)));
+            let mut lines = WeightedEntries::new(weights.iter().enumerate().map(|(at, weight)| (node(at as u16), *weight)));
             for (at, open) in turns {
                 lines.set_open(node(at as u16), open);
             }
--- a/crates/proxy-core/src/tests.rs
+++ b/crates/proxy-core/src/tests.rs
@@ -17,27 +17,27 @@
     Moment::from_seconds(seconds)
 }
 
-fn plan() -> CorePlan {
-    let rules = |name: &str, guard| OperationRules {
+fn plan() -> CoreConfig {
+    let rules = |name: &str, retry_safety| OperationRules {
         name: name.to_string(),
-        guard,
+        retry_safety,
         integration_timeout: Span::from_seconds(4.0),
     };
-    CorePlan {
+    CoreConfig {
         operations: vec![
-            rules("quote", Guard::Idempotent),
-            rules("book", Guard::SideEffecting),
+            rules("quote", RetrySafety::Idempotent),
+            rules("book", RetrySafety::SideEffecting),
         ],
-        picking: Picking::Lottery,
+        picking: SelectionPolicy::WeightedRandom,
         errors_until_avoided: 3,
-        avoided_for: Span::from_seconds(3.0),
+        ejection_time: Span::from_seconds(3.0),
         repeats: (0.5, 100.0),
-        outstanding_at_most: 0,
+        max_in_flight_per_node: 0,
     }
 }
 
-fn orders(ports: &[u16], retry: RetryPolicy) -> Orders {
-    Orders {
+fn orders(ports: &[u16], retry: RetryPolicy) -> OperationTable {
+    OperationTable {
         lines: ports.iter().map(|port| (node(*port), 1000)).collect(),
         dropped_of_million: 0,
         rate: None,
@@ -47,42 +47,45 @@
     }
 }
 
-fn core(ports: &[u16], retry: RetryPolicy) -> Core {
-    let mut core = Core::new(at(0.0), 3, plan());
-    core.tables(
+fn core(ports: &[u16], retry: RetryPolicy) -> ProxyCore {
+    let mut core = ProxyCore::new(at(0.0), 3, plan());
+    core.apply_tables(
         at(0.0),
         &[(QUOTE, orders(ports, retry)), (BOOK, orders(ports, retry))],
     );
     core
 }
 
-fn sent(decision: Decision) -> (InvocationId, Send) {
-    match decision.step {
-        Move::Send(send) | Move::SendInstead(send) => (decision.invocation, send),
+fn sent(decision: Decision) -> (RequestHandle, AttemptOrder) {
+    match decision.action {
+        Action::Send(send) | Action::AbandonAndSend(send) => (decision.request, send),
         other => panic!("{other:?}"),
     }
 }
 
-fn failed(failure: Failure) -> TryEnd {
-    TryEnd::Failed(failure)
+fn failed(failure: Failure) -> AttemptOutcome {
+    AttemptOutcome::Failed(failure)
 }
 
 #[test]
 fn a_table_that_changes_within_a_retry_rules_the_next_try() {
     let mut core = core(&[1, 2], RetryPolicy::OnceOnAnyFailure);
-    let (id, first) = sent(core.arrive(at(0.0), QUOTE));
+    let (id, first) = sent(core.start_request(at(0.0), QUOTE));
     // The other node drains, a third takes its place, and now two repeats would be allowed.
     let new = orders(&[first.node.port, 3], RetryPolicy::OnceOnAnyFailure);
-    assert_eq!(core.tables(at(0.1), &[(QUOTE, new)]), []);
-    let (_, second) = sent(core.ended(at(0.2), id, 1, failed(Failure::Errored)));
+    assert_eq!(core.apply_tables(at(0.1), &[(QUOTE, new)]), []);
+    let (_, second) = sent(core.finish_attempt(at(0.2), id, 1, failed(Failure::Errored)));
     assert_eq!((second.node, second.number), (node(3), 2));
     // The table changes again: that makes it no fresh invocation, a third try is not made.
-    core.tables(
+    core.apply_tables(
         at(0.3),
         &[(QUOTE, orders(&[4, 5], RetryPolicy::OnceOnAnyFailure))],
     );
-    let end = core.ended(at(0.4), id, 2, failed(Failure::Errored));
-    assert_eq!(end.step, Move::Answer(Answer::Failed(Failure::Errored)));
+    let end = core.finish_attempt(at(0.4), id, 2, failed(Failure::Errored));
+    assert_eq!(
+        end.action,
+        Action::Respond(ClientResponse::Failed(Failure::Errored))
+    );
 }
 
 #[test]
@@ -90,11 +93,16 @@
     let mut core = core(&[1, 2], RetryPolicy::OnceOnAnyFailure);
     let mut lost = 0;
     let mut now = 0.0;
-    while core.standing(node(1)) == Standing::Open {
+    while core.ejection_state(node(1)) == EjectionState::Available {
         now += 0.01;
-        let (id, send) = sent(core.arrive(at(now), BOOK));
+        let (id, send) = sent(core.start_request(at(now), BOOK));
         if send.node == node(2) {
-            core.ended(at(now), id, 1, TryEnd::Succeeded { loads: Vec::new() });
+            core.finish_attempt(
+                at(now),
+                id,
+                1,
+                AttemptOutcome::Succeeded { loads: Vec::new() },
+            );
             continue;
         }
         assert_eq!(
@@ -103,126 +111,142 @@
             "what is not repeated is waited for"
         );
         now += 4.0;
-        let due = core.due(at(now));
+        let due = core.expire_timers(at(now));
         assert_eq!(due.len(), 1);
         assert_eq!(
-            due[0].step,
-            Move::AnswerInstead(Answer::Failed(Failure::TimedOut))
+            due[0].action,
+            Action::AbandonAndRespond(ClientResponse::Failed(Failure::TimedOut))
         );
         lost += 1;
     }
     assert_eq!(lost, 3);
     for _ in 0..50 {
-        let (id, send) = sent(core.arrive(at(now), BOOK));
+        let (id, send) = sent(core.start_request(at(now), BOOK));
         assert_eq!(send.node, node(2));
-        core.ended(at(now), id, 1, TryEnd::Succeeded { loads: Vec::new() });
+        core.finish_attempt(
+            at(now),
+            id,
+            1,
+            AttemptOutcome::Succeeded { loads: Vec::new() },
+        );
     }
     // It comes back by one trial at a time.
     now += 3.1;
-    core.due(at(now));
-    let sends: Vec<_> = (0..60).map(|_| sent(core.arrive(at(now), BOOK))).collect();
+    core.expire_timers(at(now));
+    let sends: Vec<_> = (0..60)
+        .map(|_| sent(core.start_request(at(now), BOOK)))
+        .collect();
     let trials: Vec<_> = sends
         .iter()
         .filter(|(_, send)| send.node == node(1))
         .collect();
     assert_eq!(trials.len(), 1);
-    core.ended(
+    core.finish_attempt(
         at(now),
         trials[0].0,
         1,
-        TryEnd::Succeeded { loads: Vec::new() },
+        AttemptOutcome::Succeeded { loads: Vec::new() },
     );
-    assert_eq!(core.standing(node(1)), Standing::Open);
+    assert_eq!(core.ejection_state(node(1)), EjectionState::Available);
 }
 
 #[test]
 fn an_early_end_makes_room_for_one_more_try_and_never_past_the_timeout() {
     let mut core = core(&[1, 2, 3], RetryPolicy::TwiceOnAnyFailure);
-    let (_, first) = sent(core.arrive(at(0.0), QUOTE));
+    let (_, first) = sent(core.start_request(at(0.0), QUOTE));
     assert_eq!(first.until, at(1.0));
-    let (id, second) = sent(core.due(at(1.0))[0]);
+    let (id, second) = sent(core.expire_timers(at(1.0))[0]);
     assert_eq!((second.until, second.number), (at(2.0), 2));
     assert_ne!(second.node, first.node);
-    let (_, third) = sent(core.due(at(2.0))[0]);
+    let (_, third) = sent(core.expire_timers(at(2.0))[0]);
     assert_eq!(third.until, at(4.0), "the last one is waited for");
     assert_eq!(
-        core.due(at(4.0))[0].step,
-        Move::AnswerInstead(Answer::Failed(Failure::TimedOut))
+        core.expire_timers(at(4.0))[0].action,
+        Action::AbandonAndRespond(ClientResponse::Failed(Failure::TimedOut))
     );
     assert_eq!(
-        core.ended(at(4.1), id, 3, failed(Failure::Reset)).step,
-        Move::Nothing,
+        core.finish_attempt(at(4.1), id, 3, failed(Failure::Reset))
+            .action,
+        Action::Continue,
         "it is over"
     );
-    assert_eq!(core.under_way(), 0);
+    assert_eq!(core.active_requests(), 0);
 }
 
 #[test]
 fn all_nodes_shunned_one_left_and_none_at_all() {
     let mut core = core(&[1, 2], RetryPolicy::Never);
     for _ in 0..40 {
-        let (id, _) = sent(core.arrive(at(0.0), QUOTE));
-        core.ended(at(0.0), id, 1, failed(Failure::Connect));
+        let (id, _) = sent(core.start_request(at(0.0), QUOTE));
+        core.finish_attempt(at(0.0), id, 1, failed(Failure::Connect));
     }
     assert!([1, 2]
         .iter()
-        .all(|port| core.standing(node(*port)) == Standing::Shunned));
+        .all(|port| core.ejection_state(node(*port)) == EjectionState::Ejected));
     // None is better than another: they are asked all the same.
-    let (id, _) = sent(core.arrive(at(0.1), QUOTE));
-    core.ended(at(0.1), id, 1, failed(Failure::Connect));
-    core.tables(
+    let (id, _) = sent(core.start_request(at(0.1), QUOTE));
+    core.finish_attempt(at(0.1), id, 1, failed(Failure::Connect));
+    core.apply_tables(
         at(0.2),
         &[(QUOTE, orders(&[2], RetryPolicy::IfUnprocessed))],
     );
-    let (id, send) = sent(core.arrive(at(0.2), QUOTE));
+    let (id, send) = sent(core.start_request(at(0.2), QUOTE));
     assert_eq!(send.node, node(2));
     // There is no other node for the repeat that its order would allow.
-    let end = core.ended(at(0.2), id, 1, failed(Failure::Connect));
-    assert_eq!(end.step, Move::Answer(Answer::Failed(Failure::Connect)));
-    core.tables(at(0.3), &[]);
+    let end = core.finish_attempt(at(0.2), id, 1, failed(Failure::Connect));
     assert_eq!(
-        core.arrive(at(0.3), QUOTE).step,
-        Move::Answer(Answer::NoNode)
+        end.action,
+        Action::Respond(ClientResponse::Failed(Failure::Connect))
+    );
+    core.apply_tables(at(0.3), &[]);
+    assert_eq!(
+        core.start_request(at(0.3), QUOTE).action,
+        Action::Respond(ClientResponse::NoNode)
     );
 }
 
 #[test]
 fn a_level_of_nothing_answers_what_is_under_way_at_once() {
     let mut core = core(&[1, 2], RetryPolicy::Never);
-    let (id, _) = sent(core.arrive(at(0.0), QUOTE));
-    let shut = Orders {
+    let (id, _) = sent(core.start_request(at(0.0), QUOTE));
+    let shut = OperationTable {
         dropped_of_million: 1_000_000,
         ..orders(&[1, 2], RetryPolicy::Never)
     };
-    let decisions = core.tables(
+    let decisions = core.apply_tables(
         at(0.1),
         &[(QUOTE, shut), (BOOK, orders(&[1, 2], RetryPolicy::Never))],
     );
     assert_eq!(decisions.len(), 1);
-    assert_eq!(decisions[0].invocation, id);
+    assert_eq!(decisions[0].request, id);
+    assert!(matches!(
+        decisions[0].action,
+        Action::AbandonAndRespond(ClientResponse::RateLimited { .. })
+    ));
     assert!(matches!(
-        decisions[0].step,
-        Move::AnswerInstead(Answer::RateLimited { .. })
+        core.start_request(at(0.1), QUOTE).action,
+        Action::Respond(ClientResponse::RateLimited { .. })
     ));
     assert!(matches!(
-        core.arrive(at(0.1), QUOTE).step,
-        Move::Answer(Answer::RateLimited { .. })
+        core.start_request(at(0.1), BOOK).action,
+        Action::Send(_)
     ));
-    assert!(matches!(core.arrive(at(0.1), BOOK).step, Move::Send(_)));
 }
 
 #[test]
 fn a_node_takes_no_more_than_it_may_at_once() {
-    let mut core = Core::new(
+    let mut core = ProxyCore::new(
         at(0.0),
         3,
-        CorePlan {
-            outstanding_at_most: 2,
+        CoreConfig {
+            max_in_flight_per_node: 2,
             ..plan()
         },
     );
-    core.tables(at(0.0), &[(QUOTE, orders(&[1, 2], RetryPolicy::Never))]);
-    let sends: Vec<_> = (0..4).map(|_| sent(core.arrive(at(0.0), QUOTE))).collect();
+    core.apply_tables(at(0.0), &[(QUOTE, orders(&[1, 2], RetryPolicy::Never))]);
+    let sends: Vec<_> = (0..4)
+        .map(|_| sent(core.start_request(at(0.0), QUOTE)))
+        .collect();
     assert_eq!(
         sends
             .iter()
@@ -231,39 +255,55 @@
         2
     );
     assert_eq!(
-        core.arrive(at(0.0), QUOTE).step,
-        Move::Answer(Answer::NoNode)
+        core.start_request(at(0.0), QUOTE).action,
+        Action::Respond(ClientResponse::NoNode)
+    );
+    core.cancel_request(at(0.1), sends[0].0);
+    assert_eq!(
+        sent(core.start_request(at(0.1), QUOTE)).1.node,
+        sends[0].1.node
     );
-    core.client_gone(at(0.1), sends[0].0);
-    assert_eq!(sent(core.arrive(at(0.1), QUOTE)).1.node, sends[0].1.node);
 }
 
 #[test]
 fn an_answer_that_has_begun_is_followed_by_no_other_try() {
     let mut core = core(&[1, 2], RetryPolicy::TwiceOnAnyFailure);
-    let (id, send) = sent(core.arrive(at(0.0), QUOTE));
+    let (id, send) = sent(core.start_request(at(0.0), QUOTE));
     assert_eq!(send.until, at(1.0));
-    core.answer_began(id, 1);
-    assert_eq!(core.due(at(2.0)), [], "it is waited for");
-    let end = core.ended(at(3.0), id, 1, TryEnd::Cut(Failure::Reset));
-    assert_eq!(end.step, Move::Answer(Answer::Failed(Failure::Reset)));
-    let (id, _) = sent(core.arrive(at(3.0), QUOTE));
-    core.answer_began(id, 1);
-    let late = core.due(at(7.0));
+    core.start_response(id, 1);
+    assert_eq!(core.expire_timers(at(2.0)), [], "it is waited for");
+    let end = core.finish_attempt(
+        at(3.0),
+        id,
+        1,
+        AttemptOutcome::FailedMidResponse(Failure::Reset),
+    );
+    assert_eq!(
+        end.action,
+        Action::Respond(ClientResponse::Failed(Failure::Reset))
+    );
+    let (id, _) = sent(core.start_request(at(3.0), QUOTE));
+    core.start_response(id, 1);
+    let late = core.expire_timers(at(7.0));
     assert_eq!(
-        late[0].step,
-        Move::AnswerInstead(Answer::Failed(Failure::TimedOut))
+        late[0].action,
+        Action::AbandonAndRespond(ClientResponse::Failed(Failure::TimedOut))
     );
 }
 
 #[test]
 fn repeats_and_what_was_turned_away_are_told() {
     let mut core = core(&[1, 2], RetryPolicy::OnceOnAnyFailure);
-    let (id, _) = sent(core.arrive(at(0.0), QUOTE));
-    let (_, second) = sent(core.ended(at(0.3), id, 1, failed(Failure::Reset)));
-    core.arrive(at(0.4), BOOK);
-    core.ended(at(0.5), id, 2, TryEnd::Succeeded { loads: Vec::new() });
-    let report = core.report(at(1.0)).expect("time has passed");
+    let (id, _) = sent(core.start_request(at(0.0), QUOTE));
+    let (_, second) = sent(core.finish_attempt(at(0.3), id, 1, failed(Failure::Reset)));
+    core.start_request(at(0.4), BOOK);
+    core.finish_attempt(
+        at(0.5),
+        id,
+        2,
+        AttemptOutcome::Succeeded { loads: Vec::new() },
+    );
+    let report = core.take_load_report(at(1.0)).expect("time has passed");
     let quote = &report.operations[0];
     assert_eq!((quote.repeats, quote.nodes.len()), (1, 2));
     let good = quote
@@ -290,7 +330,7 @@
     let picks = || {
         let mut core = core(&[1, 2, 3, 4], RetryPolicy::Never);
         (0..200)
-            .map(|_| sent(core.arrive(at(0.0), QUOTE)).1.node.port)
+            .map(|_| sent(core.start_request(at(0.0), QUOTE)).1.node.port)
             .collect::<Vec<_>>()
     };
     assert_eq!(picks(), picks());
@@ -301,60 +341,60 @@
     // after a try that may have run, and nobody waits past the timeout.
     #[test]
     fn books_stay_balanced(steps in prop::collection::vec((0u8..7, 0usize..8, 0u64..900), 1..300), seed in any::<u64>()) {
-        let mut core = Core::new(at(0.0), seed, plan());
+        let mut core = ProxyCore::new(at(0.0), seed, plan());
         let retries = [RetryPolicy::Never, RetryPolicy::IfUnprocessed, RetryPolicy::OnceOnAnyFailure, RetryPolicy::TwiceOnAnyFailure];
         let failures = [Failure::Connect, Failure::Unsent, Failure::Reset, Failure::Refused, Failure::Errored,
             Failure::Garbled, Failure::TimedOut];
         let mut now = at(0.0);
-        let mut open: BTreeMap<InvocationId, (u32, OperationId, Moment, bool)> = BTreeMap::new();
+        let mut open: BTreeMap<RequestHandle, (u32, OperationId, Moment, bool)> = BTreeMap::new();
         let mut all = vec![(QUOTE, orders(&[1, 2, 3], RetryPolicy::OnceOnAnyFailure)), (BOOK, orders(&[1, 2, 3], RetryPolicy::OnceOnAnyFailure))];
-        core.tables(now, &all);
+        core.apply_tables(now, &all);
         for (what, which, wait) in steps {
             now = now + Span::from_seconds(wait as f64 / 1000.0);
             let chosen = open.keys().nth(which % open.len().max(1)).copied();
-            let mut decisions = core.due(now);
+            let mut decisions = core.expire_timers(now);
             match (what, chosen) {
                 (0 | 1, _) => {
                     let operation = OperationId((which % 2) as u8);
-                    let decision = core.arrive(now, operation);
-                    if matches!(decision.step, Move::Send(_)) {
-                        open.insert(decision.invocation, (0, operation, now + Span::from_seconds(4.0), false));
+                    let decision = core.start_request(now, operation);
+                    if matches!(decision.action, Action::Send(_)) {
+                        open.insert(decision.request, (0, operation, now + Span::from_seconds(4.0), false));
                     }
                     decisions.push(decision);
                 }
-                (2, Some(id)) => decisions.push(core.ended(now, id, open[&id].0, TryEnd::Succeeded { loads: Vec::new() })),
+                (2, Some(id)) => decisions.push(core.finish_attempt(now, id, open[&id].0, AttemptOutcome::Succeeded { loads: Vec::new() })),
                 (3 | 4, Some(id)) => {
                     let failure = failures[which % failures.len()];
                     if let Some(known) = open.get_mut(&id) {
-                        known.3 |= failure.proof() == Proof::MayHaveRun;
+                        known.3 |= failure.processing() == Processing::MaybeProcessed;
                     }
-                    decisions.push(core.ended(now, id, open[&id].0, failed(failure)));
+                    decisions.push(core.finish_attempt(now, id, open[&id].0, failed(failure)));
                 }
-                (5, Some(id)) => decisions.push(core.client_gone(now, id)),
+                (5, Some(id)) => decisions.push(core.cancel_request(now, id)),
                 (6, _) => {
                     let ports: Vec<u16> = (1..=(which as u16 % 4)).collect();
                     all[0].1 = orders(&ports, retries[which % 4]);
-                    decisions.extend(core.tables(now, &all));
+                    decisions.extend(core.apply_tables(now, &all));
                 }
                 _ => {}
             }
             for decision in decisions {
-                match decision.step {
-                    Move::Send(send) | Move::SendInstead(send) => {
-                        let known = open.get_mut(&decision.invocation).expect("it is under way");
+                match decision.action {
+                    Action::Send(send) | Action::AbandonAndSend(send) => {
+                        let known = open.get_mut(&decision.request).expect("it is under way");
                         prop_assert_eq!(send.number, known.0 + 1);
                         prop_assert!(known.0 == 0 || known.1 == QUOTE || !known.3, "repeated though it may have run");
                         prop_assert!(send.until <= known.2 && send.number <= 3);
                         // A try that was given up for being late may have run as well.
-                        known.3 |= matches!(decision.step, Move::SendInstead(_));
+                        known.3 |= matches!(decision.action, Action::AbandonAndSend(_));
                         known.0 = send.number;
                     }
-                    Move::Answer(_) | Move::AnswerInstead(_) => drop(open.remove(&decision.invocation)),
-                    Move::Nothing => {}
+                    Action::Respond(_) | Action::AbandonAndRespond(_) => drop(open.remove(&decision.request)),
+                    Action::Continue => {}
                 }
             }
             prop_assert!(open.values().all(|known| known.2 > now), "somebody waits past the timeout");
-            prop_assert_eq!(core.under_way(), open.len());
+            prop_assert_eq!(core.active_requests(), open.len());
             prop_assert_eq!(core.open.values().sum::<u64>(), open.len() as u64);
             prop_assert_eq!(core.timers.len(), open.len());
         }
--- a/crates/proxy/src/client.rs
+++ b/crates/proxy/src/client.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use wheelspread::time::Moment;
 use wheelspread_http1::{Body, Request};
-use wheelspread_proxy_core::InvocationId;
+use wheelspread_proxy_core::RequestHandle;
 
 /// Read ahead of a request that is under way: no more than this.
 pub const AHEAD: usize = 64 << 10;
@@ -27,7 +27,7 @@
 
 /// The invocation that a client waits for.
 pub struct Under {
-    pub invocation: InvocationId,
+    pub handle: RequestHandle,
     pub id: String,
     pub operation: String,
     pub request: Rc<Vec<u8>>,
--- a/crates/proxy/src/file.rs
+++ b/crates/proxy/src/file.rs
@@ -8,7 +8,7 @@
 use wheelspread_controller_core::deployment::Repeat;
 use wheelspread_controller_core::membership::Introduction;
 use wheelspread_controller_core::span_format;
-use wheelspread_proxy_core::{CorePlan, Guard, OperationRules, Picking};
+use wheelspread_proxy_core::{CoreConfig, OperationRules, RetrySafety, SelectionPolicy};
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -219,7 +219,7 @@
     pub usual_rate: Option<f64>,
     pub seed: u64,
     pub conductors: Vec<ConductorSide>,
-    pub core: CorePlan,
+    pub core: CoreConfig,
     pub head: usize,
     pub body: usize,
     pub connections: usize,
@@ -313,16 +313,16 @@
                     operation.name
                 ));
             }
-            let guard = match operation.repeat {
-                Repeat::Idempotent => Guard::Idempotent,
-                Repeat::Fingerprinted => Guard::Fingerprinted {
+            let retry_safety = match operation.repeat {
+                Repeat::Idempotent => RetrySafety::Idempotent,
+                Repeat::Fingerprinted => RetrySafety::Fingerprinted {
                     window: operation.repeat_window,
                 },
-                Repeat::SideEffecting => Guard::SideEffecting,
+                Repeat::SideEffecting => RetrySafety::SideEffecting,
             };
             operations.push(OperationRules {
                 name: operation.name.clone(),
-                guard,
+                retry_safety,
                 integration_timeout: operation.integration_timeout,
             });
         }
@@ -342,17 +342,17 @@
             usual_rate: self.proxy.usual_rate,
             seed: self.proxy.seed,
             conductors: self.conductors.into_iter().map(side).collect(),
-            core: CorePlan {
+            core: CoreConfig {
                 operations,
                 picking: match self.pick {
-                    Pick::Lottery => Picking::Lottery,
-                    Pick::Wheel => Picking::Wheel,
-                    Pick::Pair => Picking::Pair,
+                    Pick::Lottery => SelectionPolicy::WeightedRandom,
+                    Pick::Wheel => SelectionPolicy::WeightedRoundRobin,
+                    Pick::Pair => SelectionPolicy::PowerOfTwoChoices,
                 },
                 errors_until_avoided: self.avoid.after_errors,
-                avoided_for: self.avoid.span,
+                ejection_time: self.avoid.span,
                 repeats: (self.repeats.part, self.repeats.at_once),
-                outstanding_at_most: self.sizes.outstanding_per_node,
+                max_in_flight_per_node: self.sizes.outstanding_per_node,
             },
             head: self.sizes.head,
             body: self.sizes.body,
--- a/crates/proxy/src/http.rs
+++ b/crates/proxy/src/http.rs
@@ -111,12 +111,18 @@
     (Own::NodeTimeout, 504, "Gateway Timeout"),
 ];
 
-pub fn own(answer: Own, said: &str, again_in: Option<Span>, is_head: bool, close: bool) -> Vec<u8> {
+pub fn own(
+    answer: Own,
+    said: &str,
+    retry_after: Option<Span>,
+    is_head: bool,
+    close: bool,
+) -> Vec<u8> {
     let (status, reason) = OWN
         .iter()
         .find(|row| row.0 == answer)
         .map_or((500, "Error"), |row| (row.1, row.2));
-    let again = again_in.map_or(String::new(), |span| {
+    let again = retry_after.map_or(String::new(), |span| {
         format!("Retry-After: {}\r\n", span.seconds().ceil().max(1.0))
     });
     let close = if close { "Connection: close\r\n" } else { "" };
--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -7,12 +7,12 @@
 use wheelspread::ids::NodeId;
 use wheelspread::time::Moment;
 use wheelspread_http1::{Body, Response};
-use wheelspread_proxy_core::{Failure, InvocationId};
+use wheelspread_proxy_core::{Failure, RequestHandle};
 
 /// The try that a connection carries.
 pub struct Trial {
     pub client: usize,
-    pub invocation: InvocationId,
+    pub handle: RequestHandle,
     pub number: u32,
 }
 
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -18,8 +18,10 @@
 use wheelspread::time::{Moment, Span};
 use wheelspread_files::Held;
 use wheelspread_http1::{request, response, BadMessage, Body, Framing, Limits, Request};
-use wheelspread_proxy_core::core::Orders;
-use wheelspread_proxy_core::{Answer, Core, Decision, Failure, InvocationId, Move, TryEnd};
+use wheelspread_proxy_core::core::OperationTable;
+use wheelspread_proxy_core::{
+    Action, AttemptOutcome, ClientResponse, Decision, Failure, ProxyCore, RequestHandle,
+};
 use wheelspread_reactor::{self as reactor, Interest, Poll, Readiness, Token};
 use wheelspread_xds::orca;
 
@@ -44,7 +46,7 @@
 pub struct Proxy<W> {
     plan: ProxyPlan,
     base: u64,
-    core: Core,
+    core: ProxyCore,
     listener: TcpListener,
     clients: Slab<Client>,
     nodes: Slab<NodeLine>,
@@ -92,7 +94,7 @@
             (plan.reads == Reads::Stream).then(|| Stream::new(&plan, Token(base + STREAM)));
         let reports = Reports::new(now, &plan, Token(base + REPORTS));
         let mut proxy = Proxy {
-            core: Core::new(now, plan.seed, plan.core.clone()),
+            core: ProxyCore::new(now, plan.seed, plan.core.clone()),
             base,
             listener,
             clients: Slab::new(),
@@ -168,7 +170,7 @@
 
     /// What is due though nothing is ready.
     pub fn turn(&mut self, poll: &Poll, now: Moment) {
-        for decision in self.core.due(now) {
+        for decision in self.core.expire_timers(now) {
             self.act(poll, now, decision);
         }
         if now >= self.reports.wake_at(now) {
@@ -202,14 +204,14 @@
             .stream
             .as_ref()
             .map_or(at, |stream| at.min(stream.wake_at(now)));
-        self.core.wake_at().map_or(at, |due| at.min(due))
+        self.core.next_timer().map_or(at, |due| at.min(due))
     }
 
     // ---- tables and sums ----
 
     fn turn_reports(&mut self, poll: &Poll, now: Moment) {
         let Proxy { reports, core, .. } = self;
-        for told in reports.turn(poll, now, || core.report(now)) {
+        for told in reports.turn(poll, now, || core.take_load_report(now)) {
             match told {
                 Told::Joined { conductor } => {
                     self.witness
@@ -254,13 +256,13 @@
     fn take(&mut self, poll: &Poll, now: Moment, held: &Held) {
         let mut orders = Vec::new();
         for told in &held.orders.operations {
-            let Some(operation) = self.core.operation(&told.operation) else {
+            let Some(operation) = self.core.operation_id(&told.operation) else {
                 continue;
             };
             let line = |line: &wheelspread_controller_core::TableEntry| {
                 (line.node, (line.weight * THOUSANDTHS).round() as u32)
             };
-            let order = Orders {
+            let order = OperationTable {
                 lines: told.lines.iter().map(line).collect(),
                 dropped_of_million: told.dropped_of_million,
                 rate: told.rate,
@@ -270,11 +272,11 @@
             };
             orders.push((operation, order));
         }
-        for decision in self.core.tables(now, &orders) {
+        for decision in self.core.apply_tables(now, &orders) {
             self.act(poll, now, decision);
         }
         // Idle connections to nodes that no table names are closed.
-        let published = self.core.published();
+        let published = self.core.published_nodes();
         let gone: Vec<usize> = self
             .idle
             .iter()
@@ -403,7 +405,7 @@
             return false;
         };
         let target = std::str::from_utf8(&client.input[head.target.clone()]).unwrap_or("");
-        if self.core.operation(http::operation(target)).is_none() {
+        if self.core.operation_id(http::operation(target)).is_none() {
             return self.refuse(now, slot, Own::NoOperation, "no operation of that name");
         }
         if long {
@@ -428,7 +430,7 @@
         };
         let target = std::str::from_utf8(&client.input[head.target.clone()]).unwrap_or("");
         let name = http::operation(target).to_string();
-        let Some(operation) = self.core.operation(&name) else {
+        let Some(operation) = self.core.operation_id(&name) else {
             return;
         };
         let id = http::header(&client.input, &head.headers, "x-request-id")
@@ -443,9 +445,9 @@
         client.consume(end);
         client.stage = Stage::Waiting;
         self.witness.arrived(now, &id, &name);
-        let decision = self.core.arrive(now, operation);
+        let decision = self.core.start_request(now, operation);
         let under = Under {
-            invocation: decision.invocation,
+            handle: decision.request,
             id,
             operation: name,
             request,
@@ -457,11 +459,11 @@
         if let Some(client) = self.clients.get_mut(slot) {
             client.under = Some(under);
         }
-        self.own(decision.invocation, slot);
+        self.own(decision.request, slot);
         self.act(poll, now, decision);
     }
 
-    fn own(&mut self, invocation: InvocationId, slot: usize) {
+    fn own(&mut self, invocation: RequestHandle, slot: usize) {
         let at = invocation.0 as usize;
         if self.owners.len() <= at {
             self.owners.resize(at + 1, NO_OWNER);
@@ -470,10 +472,10 @@
     }
 
     /// The client whose invocation it is.
-    fn owner(&self, invocation: InvocationId) -> Option<usize> {
+    fn owner(&self, invocation: RequestHandle) -> Option<usize> {
         let slot = *self.owners.get(invocation.0 as usize)?;
         let under = self.clients.get(slot)?.under.as_ref()?;
-        (under.invocation == invocation).then_some(slot)
+        (under.handle == invocation).then_some(slot)
     }
 
     fn client_lost(&mut self, poll: &Poll, now: Moment, slot: usize) {
@@ -483,7 +485,7 @@
         let _ = poll.remove(&client.socket);
         if let Some(under) = client.under {
             self.witness.answered(now, &under.id, Outcome::Nobody);
-            self.core.client_gone(now, under.invocation);
+            self.core.cancel_request(now, under.handle);
             under.node.into_iter().for_each(|node| self.drop_node(node));
         }
     }
@@ -493,22 +495,22 @@
     fn act(&mut self, poll: &Poll, now: Moment, decision: Decision) {
         let mut next = Some(decision);
         while let Some(decision) = next.take() {
-            let Some(slot) = self.owner(decision.invocation) else {
+            let Some(slot) = self.owner(decision.request) else {
                 return;
             };
-            next = match decision.step {
-                Move::Nothing => None,
-                Move::Send(send) => self.send(poll, now, slot, send),
-                Move::SendInstead(send) => {
+            next = match decision.action {
+                Action::Continue => None,
+                Action::Send(send) => self.send(poll, now, slot, send),
+                Action::AbandonAndSend(send) => {
                     self.abandon(now, slot, Some(Failure::TimedOut));
                     self.send(poll, now, slot, send)
                 }
-                Move::Answer(answer) => {
+                Action::Respond(answer) => {
                     self.answer(now, slot, answer);
                     None
                 }
-                Move::AnswerInstead(answer) => {
-                    let failure = if let Answer::Failed(failure) = answer {
+                Action::AbandonAndRespond(answer) => {
+                    let failure = if let ClientResponse::Failed(failure) = answer {
                         Some(failure)
                     } else {
                         None
@@ -530,10 +532,10 @@
         poll: &Poll,
         now: Moment,
         slot: usize,
-        send: wheelspread_proxy_core::Send,
+        send: wheelspread_proxy_core::AttemptOrder,
     ) -> Option<Decision> {
         let under = self.clients.get(slot)?.under.as_ref()?;
-        let (invocation, request) = (under.invocation, under.request.clone());
+        let (invocation, request) = (under.handle, under.request.clone());
         self.witness
             .sent(now, &under.id, &under.operation, send.node, send.number);
         let Some(line) = self.line_to(poll, now, send.node) else {
@@ -541,7 +543,7 @@
         };
         let trial = Trial {
             client: slot,
-            invocation,
+            handle: invocation,
             number: send.number,
         };
         self.nodes[line].carry(now, trial, request);
@@ -577,19 +579,19 @@
             .and_then(|client| client.under.as_mut())
         else {
             return Decision {
-                invocation: InvocationId(u32::MAX, 0),
-                step: Move::Nothing,
+                request: RequestHandle(u32::MAX, 0),
+                action: Action::Continue,
             };
         };
         under.node = None;
         self.witness
             .ended(now, &under.id, node, number, Some(failure));
         let end = if under.began {
-            TryEnd::Cut(failure)
+            AttemptOutcome::FailedMidResponse(failure)
         } else {
-            TryEnd::Failed(failure)
+            AttemptOutcome::Failed(failure)
         };
-        self.core.ended(now, under.invocation, number, end)
+        self.core.finish_attempt(now, under.handle, number, end)
     }
 
     /// An idle connection, the one used last, or a new one; `None` if there can be no more.
@@ -653,7 +655,7 @@
     }
 
     /// The invocation is over for the core; the client is told.
-    fn answer(&mut self, now: Moment, slot: usize, answer: Answer) {
+    fn answer(&mut self, now: Moment, slot: usize, answer: ClientResponse) {
         let Some(client) = self.clients.get_mut(slot) else {
             return;
         };
@@ -661,29 +663,29 @@
             return;
         };
         let close = !under.keep_alive || client.ended;
-        let (own, said, again_in) = match answer {
-            Answer::Node | Answer::Nobody => (None, "", None),
-            Answer::RateLimited { again_in } => {
-                (Some(Own::RateLimited), "turned away", Some(again_in))
+        let (own, said, retry_after) = match answer {
+            ClientResponse::Upstream | ClientResponse::ClientGone => (None, "", None),
+            ClientResponse::RateLimited { retry_after } => {
+                (Some(Own::RateLimited), "turned away", Some(retry_after))
             }
-            Answer::NoNode => (Some(Own::NoNode), "no node to send to", None),
-            Answer::Failed(Failure::TimedOut) => {
+            ClientResponse::NoNode => (Some(Own::NoNode), "no node to send to", None),
+            ClientResponse::Failed(Failure::TimedOut) => {
                 (Some(Own::NodeTimeout), "no answer in time", None)
             }
-            Answer::Failed(_) => (Some(Own::BadNode), "the node failed", None),
+            ClientResponse::Failed(_) => (Some(Own::BadNode), "the node failed", None),
         };
         let outcome = match answer {
-            Answer::RateLimited { .. } => Outcome::RateLimited,
-            Answer::NoNode => Outcome::NoNode,
-            Answer::Failed(failure) => Outcome::Failed(failure),
-            Answer::Node | Answer::Nobody => Outcome::Nobody,
+            ClientResponse::RateLimited { .. } => Outcome::RateLimited,
+            ClientResponse::NoNode => Outcome::NoNode,
+            ClientResponse::Failed(failure) => Outcome::Failed(failure),
+            ClientResponse::Upstream | ClientResponse::ClientGone => Outcome::Nobody,
         };
         self.witness.answered(now, &under.id, outcome);
         match own {
             // Half an answer can't be taken back: the end of the connection tells the client.
             Some(_) if under.began => client.stage = Stage::Ending,
             Some(own) => {
-                let bytes = http::own(own, said, again_in, under.is_head, close);
+                let bytes = http::own(own, said, retry_after, under.is_head, close);
                 client.queue(&bytes);
                 client.stage = if close { Stage::Ending } else { Stage::Head };
             }
@@ -827,7 +829,7 @@
             _ => None,
         };
         let (node, trial) = (line.node, line.trial.as_ref()?);
-        let (invocation, number) = (trial.invocation, trial.number);
+        let (invocation, number) = (trial.handle, trial.number);
         line.reply = Some(Reply {
             body: Body::new(head.framing),
             loads: loads.into_iter().collect(),
@@ -835,16 +837,19 @@
             head,
         });
         match failure {
-            None => self.core.answer_began(invocation, number),
+            None => self.core.start_response(invocation, number),
             Some(failure) => {
                 let holder = self.clients.get_mut(client)?;
                 let under = holder.under.as_mut()?;
                 self.witness
                     .ended(now, &under.id, node, number, Some(failure));
-                let decision = self
-                    .core
-                    .ended(now, invocation, number, TryEnd::Failed(failure));
-                if matches!(decision.step, Move::Send(_) | Move::SendInstead(_)) {
+                let decision = self.core.finish_attempt(
+                    now,
+                    invocation,
+                    number,
+                    AttemptOutcome::Failed(failure),
+                );
+                if matches!(decision.action, Action::Send(_) | Action::AbandonAndSend(_)) {
                     // Another node is asked; this one's answer is let go, its connection with it.
                     under.node = None;
                     self.drop_node(slot);
@@ -905,11 +910,11 @@
         let under = holder.under.take()?;
         if !reply.told {
             self.witness.ended(now, &under.id, node, trial.number, None);
-            self.core.ended(
+            self.core.finish_attempt(
                 now,
-                trial.invocation,
+                trial.handle,
                 trial.number,
-                TryEnd::Succeeded { loads: reply.loads },
+                AttemptOutcome::Succeeded { loads: reply.loads },
             );
         }
         self.witness
--- a/crates/proxy/src/reports.rs
+++ b/crates/proxy/src/reports.rs
@@ -9,7 +9,7 @@
 use wheelspread_controller_core::load_report::{LoadReport, NodeReport};
 use wheelspread_controller_core::membership::Introduction;
 use wheelspread_grpc::{ClientConnection, ClientEvent};
-use wheelspread_proxy_core::dial::Dial;
+use wheelspread_proxy_core::dialer::ControllerDialer;
 use wheelspread_reactor::{self as reactor, Interest, Poll, Token};
 use wheelspread_xds::loads;
 
@@ -28,7 +28,7 @@
     sides: Vec<SocketAddrV4>,
     source: Option<Ipv4Addr>,
     state: State,
-    dial: Dial,
+    dial: ControllerDialer,
     token: Token,
     dialled: SystemTime,
     tls: Option<TlsSide>,
@@ -42,7 +42,7 @@
 impl Reports {
     pub fn new(now: Moment, plan: &ProxyPlan, token: Token) -> Reports {
         let sides = plan.sides();
-        let dial = Dial::new(now, sides.len(), plan.waits.redial, plan.seed);
+        let dial = ControllerDialer::new(now, sides.len(), plan.waits.redial, plan.seed);
         Reports {
             who: plan.introduction(),
             sides,
