--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -22,7 +22,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use wheelspread_controller::{log, Controller, ControllerFile, LogPlan};
-use wheelspread_proxy::{serve, ProxyFile, Silent};
+use wheelspread_proxy::{serve, NoObserver, ProxyFile};
 
 /// Directs the traffic of a fleet of plain proxies.
 #[derive(Parser)]
@@ -189,7 +189,7 @@
         }
     };
     log::start(&LogPlan::default());
-    match serve(plan, Silent) {
+    match serve(plan, NoObserver) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("{}: {error}", path.display());
--- a/crates/drill/src/gateways.rs
+++ b/crates/drill/src/gateways.rs
@@ -14,15 +14,17 @@
 use wheelspread_controller_core::deployment::Repeat;
 use wheelspread_controller_core::endpoint_list::show;
 use wheelspread_files::Held;
-use wheelspread_proxy::witness::Outcome;
-use wheelspread_proxy::{ConductorSide, Proxy, ProxyPlan, Reads, Waits, Witness};
+use wheelspread_proxy::observer::RequestOutcome;
+use wheelspread_proxy::{
+    ControllerEndpoint, Proxy, ProxyConfig, RequestObserver, TableSource, Timeouts,
+};
 use wheelspread_proxy_core::{CoreConfig, Failure, OperationRules, RetrySafety, SelectionPolicy};
 use wheelspread_reactor::{self as reactor, Poll, Token, Waker};
 
 pub enum GatewayOrder {
     Die(usize),
     /// It comes back, on a new port, knowing nothing; the address is told.
-    Start(Box<ProxyPlan>, usize, Sender<Option<SocketAddr>>),
+    Start(Box<ProxyConfig>, usize, Sender<Option<SocketAddr>>),
     End,
 }
 
@@ -70,7 +72,7 @@
         self.waker.wake();
     }
 
-    pub fn add(&self, plan: ProxyPlan, number: usize) -> Option<SocketAddr> {
+    pub fn add(&self, plan: ProxyConfig, number: usize) -> Option<SocketAddr> {
         let (tell, told) = channel();
         self.order(GatewayOrder::Start(Box::new(plan), number, tell));
         told.recv().ok().flatten()
@@ -128,7 +130,7 @@
                         if proxies.len() <= gateway {
                             proxies.resize_with(gateway + 1, || None);
                         }
-                        let streams = plan.reads == Reads::Stream;
+                        let streams = plan.reads == TableSource::Stream;
                         let seen = Seen {
                             recorder: recorder.clone(),
                             holding: holding.clone(),
@@ -164,7 +166,7 @@
     seed: u64,
     trusting: bool,
     follows: bool,
-) -> ProxyPlan {
+) -> ProxyConfig {
     let deployment = &script.deployment;
     let count = sides.len();
     let conductors = (0..count).map(|at| &sides[(gateway + at) % count]);
@@ -182,7 +184,7 @@
             },
             integration_timeout: operation.integration_timeout,
         };
-    ProxyPlan {
+    ProxyConfig {
         name: name(gateway),
         zone: deployment.zones[zone].clone(),
         listen: SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0),
@@ -190,7 +192,7 @@
         usual_rate: None,
         seed: seed.wrapping_add(gateway as u64),
         conductors: conductors
-            .map(|(reports, tables)| ConductorSide {
+            .map(|(reports, tables)| ControllerEndpoint {
                 reports: *reports,
                 tables: tables.clone(),
             })
@@ -207,18 +209,18 @@
         body: 1 << 16,
         connections: 5000,
         connections_per_node: 64,
-        waits: Waits {
+        waits: Timeouts {
             node_idle: deployment.proxies.connection_idle,
             redial: Span::from_seconds(0.7),
-            ..Waits::default()
+            ..Timeouts::default()
         },
         publishes_status: true,
         follows_unjoined: follows,
         tls: None,
         reads: if deployment.fronts.files {
-            Reads::Files
+            TableSource::Files
         } else {
-            Reads::Stream
+            TableSource::Stream
         },
     }
 }
@@ -247,8 +249,8 @@
     held.orders.operations.iter().map(of).collect()
 }
 
-impl Witness for Seen {
-    fn sent(&mut self, now: Moment, id: &str, operation: &str, node: NodeId, number: u32) {
+impl RequestObserver for Seen {
+    fn attempt_sent(&mut self, now: Moment, id: &str, operation: &str, node: NodeId, number: u32) {
         let (gateway, id, node) = (self.gateway, id.to_string(), show(node));
         let operation = operation.to_string();
         self.recorder.note(
@@ -263,7 +265,7 @@
         );
     }
 
-    fn ended(
+    fn attempt_ended(
         &mut self,
         now: Moment,
         id: &str,
@@ -287,13 +289,13 @@
         );
     }
 
-    fn answered(&mut self, now: Moment, id: &str, outcome: Outcome) {
+    fn request_finished(&mut self, now: Moment, id: &str, outcome: RequestOutcome) {
         let outcome = match outcome {
-            Outcome::Node(status) => format!("node-{status}"),
-            Outcome::RateLimited => "rate-limited".to_string(),
-            Outcome::NoNode => "no-node".to_string(),
-            Outcome::Failed(failure) => format!("{failure:?}").to_lowercase(),
-            Outcome::Nobody => "client-gone".to_string(),
+            RequestOutcome::Upstream(status) => format!("node-{status}"),
+            RequestOutcome::RateLimited => "rate-limited".to_string(),
+            RequestOutcome::NoNode => "no-node".to_string(),
+            RequestOutcome::Failed(failure) => format!("{failure:?}").to_lowercase(),
+            RequestOutcome::ClientGone => "client-gone".to_string(),
         };
         self.recorder.note(
             now,
@@ -305,7 +307,7 @@
         );
     }
 
-    fn holds(&mut self, now: Moment, held: &Held) {
+    fn tables_applied(&mut self, now: Moment, held: &Held) {
         let (version, hash) = (held.orders.version.0, held.hash.clone());
         let (gateway, conductor) = (self.gateway, self.conductor);
         if let Ok(mut holding) = self.holding.lock() {
@@ -337,7 +339,7 @@
         );
     }
 
-    fn refused(&mut self, now: Moment, reason: &str) {
+    fn tables_rejected(&mut self, now: Moment, reason: &str) {
         self.recorder.note(
             now,
             Record::TablesRefused {
@@ -347,7 +349,7 @@
         );
     }
 
-    fn joined(&mut self, now: Moment, conductor: usize, of: usize) {
+    fn controller_joined(&mut self, now: Moment, conductor: usize, of: usize) {
         // Told by its place among the proxy's own conductors, which begin with its usual one.
         self.conductor = (self.gateway + conductor) % of;
         self.recorder.note(
@@ -359,7 +361,7 @@
         );
     }
 
-    fn left(&mut self, now: Moment, _reason: &str) {
+    fn controller_left(&mut self, now: Moment, _reason: &str) {
         self.recorder.note(
             now,
             Record::Left {
--- a/crates/proxy/src/client.rs
+++ b/crates/proxy/src/client.rs
@@ -7,10 +7,10 @@
 use wheelspread_http1::{Body, Request};
 use wheelspread_proxy_core::RequestHandle;
 
-/// Read ahead of a request that is under way: no more than this.
-pub const AHEAD: usize = 64 << 10;
+/// Read ahead of a request that is pending way: no more than this.
+pub const READ_AHEAD_BYTES: usize = 64 << 10;
 /// Answers that the client has not taken yet: while more wait, nodes are not read from.
-pub const BEHIND: usize = 256 << 10;
+pub const MAX_UNSENT_RESPONSE_BYTES: usize = 256 << 10;
 
 pub enum Stage {
     Head,
@@ -19,14 +19,14 @@
         body: Body,
         taken: usize,
     },
-    /// An invocation is under way.
+    /// An invocation is pending way.
     Waiting,
     /// Nothing more is taken from this client; what is left goes out.
     Ending,
 }
 
 /// The invocation that a client waits for.
-pub struct Under {
+pub struct PendingRequest {
     pub handle: RequestHandle,
     pub id: String,
     pub operation: String,
@@ -44,7 +44,7 @@
     output: Vec<u8>,
     sent: usize,
     pub stage: Stage,
-    pub under: Option<Under>,
+    pub pending: Option<PendingRequest>,
     /// The client sends no more; it may still read.
     pub ended: bool,
     pub since: Moment,
@@ -54,12 +54,12 @@
 
 /// What became of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Line {
-    Up,
-    Lost,
+pub enum ConnectionState {
+    Open,
+    Closed,
 }
 
-/// Reads until there is no more for now, the peer ended, or as much is held as may be. `state`: whether there
+/// TableSource until there is no more for now, the peer ended, or as much is held as may be. `state`: whether there
 /// may be more, and whether the peer sends no more.
 pub fn take_in(
     mut socket: &TcpStream,
@@ -67,7 +67,7 @@
     most: usize,
     piece: &mut [u8],
     (more, ended): (&mut bool, &mut bool),
-) -> Line {
+) -> ConnectionState {
     while *more && !*ended && input.len() < most {
         match socket.read(piece) {
             Ok(0) => *ended = true,
@@ -86,10 +86,10 @@
                 *more = false
             }
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
-            Err(_) => return Line::Lost,
+            Err(_) => return ConnectionState::Closed,
         }
     }
-    Line::Up
+    ConnectionState::Open
 }
 
 impl Client {
@@ -100,7 +100,7 @@
             output: Vec::new(),
             sent: 0,
             stage: Stage::Head,
-            under: None,
+            pending: None,
             ended: false,
             since: now,
             more: true,
@@ -108,7 +108,13 @@
     }
 
     /// Takes what has come, as far as it may be held.
-    pub fn read(&mut self, now: Moment, most: usize, readable: bool, piece: &mut [u8]) -> Line {
+    pub fn read(
+        &mut self,
+        now: Moment,
+        most: usize,
+        readable: bool,
+        piece: &mut [u8],
+    ) -> ConnectionState {
         self.more |= readable;
         let before = self.input.len();
         let (more, ended) = (&mut self.more, &mut self.ended);
@@ -128,37 +134,37 @@
     }
 
     /// Bytes that wait to be taken.
-    pub fn behind(&self) -> usize {
+    pub fn unsent(&self) -> usize {
         self.output.len() - self.sent
     }
 
-    pub fn write(&mut self, now: Moment) -> Line {
-        while self.behind() > 0 {
+    pub fn write(&mut self, now: Moment) -> ConnectionState {
+        while self.unsent() > 0 {
             match self.socket.write(&self.output[self.sent..]) {
-                Ok(0) => return Line::Lost,
+                Ok(0) => return ConnectionState::Closed,
                 Ok(count) => {
                     self.sent += count;
                     self.since = now;
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => break,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                Err(_) => return Line::Lost,
+                Err(_) => return ConnectionState::Closed,
             }
         }
-        if self.behind() == 0 {
+        if self.unsent() == 0 {
             self.output.clear();
             self.sent = 0;
             // A connection that idles holds no buffer.
-            if self.output.capacity() > AHEAD
+            if self.output.capacity() > READ_AHEAD_BYTES
                 || matches!(self.stage, Stage::Head) && self.input.is_empty()
             {
                 self.output = Vec::new();
             }
-        } else if self.sent > BEHIND {
+        } else if self.sent > MAX_UNSENT_RESPONSE_BYTES {
             self.output.drain(..self.sent);
             self.sent = 0;
         }
-        Line::Up
+        ConnectionState::Open
     }
 
     /// Lets go of what was read of a request.
--- a/crates/proxy/src/file.rs
+++ b/crates/proxy/src/config.rs
@@ -1,6 +1,6 @@
 //! What a proxy is told by its YAML file.
 
-use crate::secure::TlsSide;
+use crate::tls::TlsSide;
 use serde::Deserialize;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::{Path, PathBuf};
@@ -28,7 +28,7 @@
 /// One conductor: where it takes sums, and the root of its files.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ConductorSide {
+pub struct ControllerEndpoint {
     pub reports: SocketAddrV4,
     /// The root of its files; not needed where tables are read from streams.
     #[serde(default)]
@@ -38,7 +38,7 @@
 /// Where tables come from.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Reads {
+pub enum TableSource {
     #[default]
     Files,
     /// A discovery stream at the address of `reports`.
@@ -129,7 +129,7 @@
 /// How long the proxy waits for what.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Waits {
+pub struct Timeouts {
     /// For a connection to a node.
     #[serde(with = "span_format")]
     pub connect: Span,
@@ -147,10 +147,10 @@
     pub redial: Span,
 }
 
-impl Default for Waits {
+impl Default for Timeouts {
     fn default() -> Self {
         let seconds = Span::from_seconds;
-        Waits {
+        Timeouts {
             connect: seconds(0.3),
             request: seconds(10.0),
             client_idle: seconds(60.0),
@@ -164,9 +164,9 @@
 #[serde(deny_unknown_fields)]
 pub struct ProxyFile {
     proxy: Place,
-    conductors: Vec<ConductorSide>,
+    conductors: Vec<ControllerEndpoint>,
     #[serde(default)]
-    reads: Reads,
+    reads: TableSource,
     /// Left out: streams to conductors are not secured.
     #[serde(default)]
     tls: Option<TlsSide>,
@@ -180,7 +180,7 @@
     #[serde(default)]
     sizes: Sizes,
     #[serde(default)]
-    waits: Waits,
+    waits: Timeouts,
     /// Whether it tells conductors which version it holds.
     #[serde(default = "yes")]
     publishes_status: bool,
@@ -199,7 +199,7 @@
 }
 
 #[derive(Debug, thiserror::Error)]
-pub enum BadFile {
+pub enum ConfigError {
     #[error("{path}: {source}", path = .path.display())]
     Unreadable {
         path: PathBuf,
@@ -211,27 +211,27 @@
 
 /// A proxy as it is run.
 #[derive(Clone, Debug)]
-pub struct ProxyPlan {
+pub struct ProxyConfig {
     pub name: String,
     pub zone: String,
     pub listen: SocketAddrV4,
     pub source: Option<Ipv4Addr>,
     pub usual_rate: Option<f64>,
     pub seed: u64,
-    pub conductors: Vec<ConductorSide>,
+    pub conductors: Vec<ControllerEndpoint>,
     pub core: CoreConfig,
     pub head: usize,
     pub body: usize,
     pub connections: usize,
     pub connections_per_node: usize,
-    pub waits: Waits,
+    pub waits: Timeouts,
     pub publishes_status: bool,
     pub follows_unjoined: bool,
-    pub reads: Reads,
+    pub reads: TableSource,
     pub tls: Option<TlsSide>,
 }
 
-impl ProxyPlan {
+impl ProxyConfig {
     /// How the proxy introduces itself to conductors.
     pub(crate) fn introduction(&self) -> Introduction {
         Introduction {
@@ -248,16 +248,16 @@
 }
 
 impl ProxyFile {
-    pub fn read(path: &Path) -> Result<ProxyPlan, BadFile> {
-        let text = std::fs::read_to_string(path).map_err(|source| BadFile::Unreadable {
+    pub fn read(path: &Path) -> Result<ProxyConfig, ConfigError> {
+        let text = std::fs::read_to_string(path).map_err(|source| ConfigError::Unreadable {
             path: path.to_path_buf(),
             source,
         })?;
         ProxyFile::parse(&text, path)
     }
 
-    pub fn parse(text: &str, path: &Path) -> Result<ProxyPlan, BadFile> {
-        let content = |text: String| BadFile::Content {
+    pub fn parse(text: &str, path: &Path) -> Result<ProxyConfig, ConfigError> {
+        let content = |text: String| ConfigError::Content {
             path: path.to_path_buf(),
             text,
         };
@@ -267,7 +267,7 @@
         file.plan(base).map_err(content)
     }
 
-    fn plan(self, base: &Path) -> Result<ProxyPlan, String> {
+    fn plan(self, base: &Path) -> Result<ProxyConfig, String> {
         let fine = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
         let name = &self.proxy.name;
         if name.is_empty() || name.len() > 100 || !name.chars().all(fine) {
@@ -326,15 +326,15 @@
                 integration_timeout: operation.integration_timeout,
             });
         }
-        let tls = self.tls.map(|tls| tls.under(base));
+        let tls = self.tls.map(|tls| tls.pending(base));
         if let Some(flaw) = tls.as_ref().and_then(TlsSide::flaw) {
             return Err(format!("tls: {flaw}"));
         }
-        let side = |side: ConductorSide| ConductorSide {
+        let side = |side: ControllerEndpoint| ControllerEndpoint {
             tables: base.join(side.tables),
             ..side
         };
-        Ok(ProxyPlan {
+        Ok(ProxyConfig {
             name: self.proxy.name,
             zone: self.proxy.zone,
             listen: self.proxy.listen,
--- a/crates/proxy/src/http.rs
+++ b/crates/proxy/src/http.rs
@@ -87,7 +87,7 @@
 
 /// Answers that come from the proxy itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Own {
+pub enum LocalResponse {
     BadRequest,
     NoOperation,
     RequestTimeout,
@@ -99,20 +99,24 @@
     NodeTimeout,
 }
 
-const OWN: &[(Own, u16, &str)] = &[
-    (Own::BadRequest, 400, "Bad Request"),
-    (Own::NoOperation, 404, "Not Found"),
-    (Own::RequestTimeout, 408, "Request Timeout"),
-    (Own::TooLarge, 413, "Content Too Large"),
-    (Own::HeadTooLarge, 431, "Request Header Fields Too Large"),
-    (Own::RateLimited, 429, "Too Many Requests"),
-    (Own::BadNode, 502, "Bad Gateway"),
-    (Own::NoNode, 503, "Service Unavailable"),
-    (Own::NodeTimeout, 504, "Gateway Timeout"),
+const OWN: &[(LocalResponse, u16, &str)] = &[
+    (LocalResponse::BadRequest, 400, "Bad Request"),
+    (LocalResponse::NoOperation, 404, "Not Found"),
+    (LocalResponse::RequestTimeout, 408, "Request Timeout"),
+    (LocalResponse::TooLarge, 413, "Content Too Large"),
+    (
+        LocalResponse::HeadTooLarge,
+        431,
+        "Request Header Fields Too Large",
+    ),
+    (LocalResponse::RateLimited, 429, "Too Many Requests"),
+    (LocalResponse::BadNode, 502, "Bad Gateway"),
+    (LocalResponse::NoNode, 503, "Service Unavailable"),
+    (LocalResponse::NodeTimeout, 504, "Gateway Timeout"),
 ];
 
 pub fn own(
-    answer: Own,
+    answer: LocalResponse,
     said: &str,
     retry_after: Option<Span>,
     is_head: bool,
@@ -166,7 +170,7 @@
     #[test]
     fn who_is_turned_away_is_told_when_to_come_again() {
         let text = own(
-            Own::RateLimited,
+            LocalResponse::RateLimited,
             "turned away",
             Some(Span::from_seconds(0.2)),
             false,
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -3,19 +3,19 @@
 //! thread can carry several; `serve` is the loop of one.
 
 mod client;
-mod discovery;
-mod file;
+mod config;
 mod http;
-mod node;
+pub mod observer;
 mod proxy;
-mod reports;
-mod secure;
+mod report_stream;
 mod serve;
-mod tables;
-pub mod witness;
+mod table_files;
+mod table_stream;
+mod tls;
+mod upstream;
 
-pub use file::{BadFile, ConductorSide, ProxyFile, ProxyPlan, Reads, Waits};
+pub use config::{ConfigError, ControllerEndpoint, ProxyConfig, ProxyFile, TableSource, Timeouts};
+pub use observer::{NoObserver, RequestObserver};
 pub use proxy::Proxy;
-pub use secure::TlsSide;
 pub use serve::serve;
-pub use witness::{Silent, Witness};
+pub use tls::TlsSide;
--- a/crates/proxy/src/witness.rs
+++ b/crates/proxy/src/observer.rs
@@ -7,22 +7,30 @@
 
 /// Why a client was answered as it was.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Outcome {
+pub enum RequestOutcome {
     /// With what the node answered, of this status.
-    Node(u16),
+    Upstream(u16),
     RateLimited,
     NoNode,
     Failed(Failure),
     /// The client went away, or its request can't be taken.
-    Nobody,
+    ClientGone,
 }
 
 /// All calls name the invocation by its `x-request-id`.
-pub trait Witness {
-    fn arrived(&mut self, _now: Moment, _id: &str, _operation: &str) {}
-    fn sent(&mut self, _now: Moment, _id: &str, _operation: &str, _node: NodeId, _number: u32) {}
+pub trait RequestObserver {
+    fn request_received(&mut self, _now: Moment, _id: &str, _operation: &str) {}
+    fn attempt_sent(
+        &mut self,
+        _now: Moment,
+        _id: &str,
+        _operation: &str,
+        _node: NodeId,
+        _number: u32,
+    ) {
+    }
     /// `None`: the try succeeded.
-    fn ended(
+    fn attempt_ended(
         &mut self,
         _now: Moment,
         _id: &str,
@@ -31,17 +39,17 @@
         _failure: Option<Failure>,
     ) {
     }
-    fn answered(&mut self, _now: Moment, _id: &str, _outcome: Outcome) {}
-    /// Tables came into force.
-    fn holds(&mut self, _now: Moment, _held: &Held) {}
-    fn refused(&mut self, _now: Moment, _reason: &str) {}
+    fn request_finished(&mut self, _now: Moment, _id: &str, _outcome: RequestOutcome) {}
+    /// TableFiles came into force.
+    fn tables_applied(&mut self, _now: Moment, _held: &Held) {}
+    fn tables_rejected(&mut self, _now: Moment, _reason: &str) {}
     /// Joined to this one `of` its conductors, by their place in its file.
-    fn joined(&mut self, _now: Moment, _conductor: usize, _of: usize) {}
-    fn left(&mut self, _now: Moment, _reason: &str) {}
+    fn controller_joined(&mut self, _now: Moment, _conductor: usize, _of: usize) {}
+    fn controller_left(&mut self, _now: Moment, _reason: &str) {}
 }
 
 /// Writes nothing down.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Silent;
+pub struct NoObserver;
 
-impl Witness for Silent {}
+impl RequestObserver for NoObserver {}
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -1,13 +1,15 @@
 //! One proxy: what its core decides is carried out on sockets, what happens on sockets is told to it.
 
-use crate::client::{Client, Line, Stage, Under, AHEAD, BEHIND};
-use crate::discovery::Stream;
-use crate::file::{ProxyPlan, Reads};
-use crate::http::{self, Own};
-use crate::node::{NodeLine, Reply, Trial};
-use crate::reports::{Reports, Told};
-use crate::tables::{Looked, Tables};
-use crate::witness::{Outcome, Witness};
+use crate::client::{
+    Client, ConnectionState, PendingRequest, Stage, MAX_UNSENT_RESPONSE_BYTES, READ_AHEAD_BYTES,
+};
+use crate::config::{ProxyConfig, TableSource};
+use crate::http::{self, LocalResponse};
+use crate::observer::{RequestObserver, RequestOutcome};
+use crate::report_stream::{ReportStream, ReportStreamEvent};
+use crate::table_files::{TableFiles, TableUpdate};
+use crate::table_stream::Stream;
+use crate::upstream::{Attempt, UpstreamConnection, UpstreamResponse};
 use slab::Slab;
 use std::collections::BTreeMap;
 use std::io;
@@ -44,36 +46,36 @@
 const NO_OWNER: usize = usize::MAX;
 
 pub struct Proxy<W> {
-    plan: ProxyPlan,
+    plan: ProxyConfig,
     base: u64,
     core: ProxyCore,
     listener: TcpListener,
     clients: Slab<Client>,
-    nodes: Slab<NodeLine>,
+    nodes: Slab<UpstreamConnection>,
     /// By node, connections that carry nothing.
     idle: BTreeMap<NodeId, Vec<usize>>,
     open: BTreeMap<NodeId, usize>,
     owners: Vec<usize>,
-    tables: Tables,
+    tables: TableFiles,
     stream: Option<Stream>,
-    reports: Reports,
+    reports: ReportStream,
     next_sweep: Moment,
     limits: Limits,
     /// Clients for whom something changed; looked after before the loop sleeps.
     stirred: Vec<usize>,
     /// What is read in one go, before it is kept.
     scratch: Vec<u8>,
-    pub witness: W,
+    pub observer: W,
 }
 
-impl<W: Witness> Proxy<W> {
+impl<W: RequestObserver> Proxy<W> {
     /// `instance`: tells the proxies of one loop apart, by the upper half of their tokens.
     pub fn start(
         poll: &Poll,
         now: Moment,
         instance: u32,
-        plan: ProxyPlan,
-        witness: W,
+        plan: ProxyConfig,
+        observer: W,
     ) -> io::Result<Proxy<W>> {
         let base = u64::from(instance) << 32;
         let listener = reactor::listen(plan.listen)?;
@@ -83,7 +85,7 @@
             .iter()
             .map(|side| side.tables.clone())
             .collect();
-        let tables = Tables::new(
+        let tables = TableFiles::new(
             poll,
             Token(base + TABLES),
             &plan.name,
@@ -91,8 +93,8 @@
             plan.publishes_status,
         )?;
         let stream =
-            (plan.reads == Reads::Stream).then(|| Stream::new(&plan, Token(base + STREAM)));
-        let reports = Reports::new(now, &plan, Token(base + REPORTS));
+            (plan.reads == TableSource::Stream).then(|| Stream::new(&plan, Token(base + STREAM)));
+        let reports = ReportStream::new(now, &plan, Token(base + REPORTS));
         let mut proxy = Proxy {
             core: ProxyCore::new(now, plan.seed, plan.core.clone()),
             base,
@@ -112,7 +114,7 @@
             },
             stirred: Vec::new(),
             scratch: vec![0; SCRATCH],
-            witness,
+            observer,
             plan,
         };
         if proxy.plan.follows_unjoined {
@@ -213,9 +215,9 @@
         let Proxy { reports, core, .. } = self;
         for told in reports.turn(poll, now, || core.take_load_report(now)) {
             match told {
-                Told::Joined { conductor } => {
-                    self.witness
-                        .joined(now, conductor, self.plan.conductors.len());
+                ReportStreamEvent::Joined { conductor } => {
+                    self.observer
+                        .controller_joined(now, conductor, self.plan.conductors.len());
                     if let Some(stream) = &mut self.stream {
                         stream.follow(now, conductor);
                         continue;
@@ -224,12 +226,14 @@
                     match self.tables.follow(poll, token, conductor, dialled) {
                         Ok(looked) => self.looked(poll, now, looked),
                         Err(error) => {
-                            self.witness
-                                .refused(now, &format!("its directory can't be watched: {error}"));
+                            self.observer.tables_rejected(
+                                now,
+                                &format!("its directory can't be watched: {error}"),
+                            );
                         }
                     }
                 }
-                Told::Left { reason } => self.witness.left(now, &reason),
+                ReportStreamEvent::Left { reason } => self.observer.controller_left(now, &reason),
             }
         }
     }
@@ -242,12 +246,12 @@
             .for_each(|looked| self.looked(poll, now, looked));
     }
 
-    fn looked(&mut self, poll: &Poll, now: Moment, looked: Looked) {
+    fn looked(&mut self, poll: &Poll, now: Moment, looked: TableUpdate) {
         match looked {
-            Looked::Nothing => {}
-            Looked::Refused(reason) => self.witness.refused(now, &reason),
-            Looked::New(held) => {
-                self.witness.holds(now, &held);
+            TableUpdate::Unchanged => {}
+            TableUpdate::Rejected(reason) => self.observer.tables_rejected(now, &reason),
+            TableUpdate::New(held) => {
+                self.observer.tables_applied(now, &held);
                 self.take(poll, now, &held);
             }
         }
@@ -305,14 +309,18 @@
     }
 
     fn client_ready(&mut self, poll: &Poll, now: Moment, slot: usize, readable: bool) {
-        let most = self.plan.head + self.plan.body + AHEAD;
+        let most = self.plan.head + self.plan.body + READ_AHEAD_BYTES;
         loop {
             let Some(client) = self.clients.get_mut(slot) else {
                 return;
             };
-            let limit = if client.under.is_some() { AHEAD } else { most };
-            if client.read(now, limit, readable, &mut self.scratch) == Line::Lost
-                || client.write(now) == Line::Lost
+            let limit = if client.pending.is_some() {
+                READ_AHEAD_BYTES
+            } else {
+                most
+            };
+            if client.read(now, limit, readable, &mut self.scratch) == ConnectionState::Closed
+                || client.write(now) == ConnectionState::Closed
             {
                 return self.client_lost(poll, now, slot);
             }
@@ -323,20 +331,20 @@
         let Some(client) = self.clients.get_mut(slot) else {
             return;
         };
-        if client.write(now) == Line::Lost {
+        if client.write(now) == ConnectionState::Closed {
             return self.client_lost(poll, now, slot);
         }
         let idle_end =
-            client.ended && matches!(client.stage, Stage::Head) && client.under.is_none();
-        if client.behind() == 0 && (matches!(client.stage, Stage::Ending) || idle_end) {
+            client.ended && matches!(client.stage, Stage::Head) && client.pending.is_none();
+        if client.unsent() == 0 && (matches!(client.stage, Stage::Ending) || idle_end) {
             return self.client_lost(poll, now, slot);
         }
         // A node that was held back while this client took nothing goes on.
         let node = client
-            .under
+            .pending
             .as_ref()
-            .and_then(|under| under.node)
-            .filter(|_| client.behind() < BEHIND);
+            .and_then(|pending| pending.node)
+            .filter(|_| client.unsent() < MAX_UNSENT_RESPONSE_BYTES);
         if let Some(node) = node {
             if self.nodes.get(node).is_some_and(|line| line.held_back()) {
                 self.node_ready(poll, now, node, false);
@@ -357,10 +365,15 @@
                 }
                 match request(&client.input, limits) {
                     Ok(None) => false,
-                    Err(BadMessage::HeadTooLong(_) | BadMessage::TooManyHeaders(_)) => {
-                        self.refuse(now, slot, Own::HeadTooLarge, "the head is too long")
+                    Err(BadMessage::HeadTooLong(_) | BadMessage::TooManyHeaders(_)) => self.refuse(
+                        now,
+                        slot,
+                        LocalResponse::HeadTooLarge,
+                        "the head is too long",
+                    ),
+                    Err(error) => {
+                        self.refuse(now, slot, LocalResponse::BadRequest, &error.to_string())
                     }
-                    Err(error) => self.refuse(now, slot, Own::BadRequest, &error.to_string()),
                     Ok(Some(head)) => self.begin_body(now, slot, head),
                 }
             }
@@ -368,11 +381,18 @@
                 let start = head.length + *taken;
                 let came = &client.input[start.min(client.input.len())..];
                 match body.take(came) {
-                    Err(error) => self.refuse(now, slot, Own::BadRequest, &error.to_string()),
+                    Err(error) => {
+                        self.refuse(now, slot, LocalResponse::BadRequest, &error.to_string())
+                    }
                     Ok(count) => {
                         *taken += count;
                         if *taken > self.plan.body {
-                            return self.refuse(now, slot, Own::TooLarge, "the body is too long");
+                            return self.refuse(
+                                now,
+                                slot,
+                                LocalResponse::TooLarge,
+                                "the body is too long",
+                            );
                         }
                         if !body.done() {
                             return false;
@@ -388,7 +408,7 @@
     }
 
     /// Answers a request that is not taken, and takes nothing more: where it ends is not known.
-    fn refuse(&mut self, now: Moment, slot: usize, answer: Own, said: &str) -> bool {
+    fn refuse(&mut self, now: Moment, slot: usize, answer: LocalResponse, said: &str) -> bool {
         if let Some(client) = self.clients.get_mut(slot) {
             let bytes = http::own(answer, said, None, false, true);
             client.queue(&bytes);
@@ -406,10 +426,15 @@
         };
         let target = std::str::from_utf8(&client.input[head.target.clone()]).unwrap_or("");
         if self.core.operation_id(http::operation(target)).is_none() {
-            return self.refuse(now, slot, Own::NoOperation, "no operation of that name");
+            return self.refuse(
+                now,
+                slot,
+                LocalResponse::NoOperation,
+                "no operation of that name",
+            );
         }
         if long {
-            return self.refuse(now, slot, Own::TooLarge, "the body is too long");
+            return self.refuse(now, slot, LocalResponse::TooLarge, "the body is too long");
         }
         if head.expects_continue {
             client.queue(b"HTTP/1.1 100 Continue\r\n\r\n");
@@ -444,9 +469,9 @@
         ));
         client.consume(end);
         client.stage = Stage::Waiting;
-        self.witness.arrived(now, &id, &name);
+        self.observer.request_received(now, &id, &name);
         let decision = self.core.start_request(now, operation);
-        let under = Under {
+        let pending = PendingRequest {
             handle: decision.request,
             id,
             operation: name,
@@ -457,7 +482,7 @@
             began: false,
         };
         if let Some(client) = self.clients.get_mut(slot) {
-            client.under = Some(under);
+            client.pending = Some(pending);
         }
         self.own(decision.request, slot);
         self.act(poll, now, decision);
@@ -474,8 +499,8 @@
     /// The client whose invocation it is.
     fn owner(&self, invocation: RequestHandle) -> Option<usize> {
         let slot = *self.owners.get(invocation.0 as usize)?;
-        let under = self.clients.get(slot)?.under.as_ref()?;
-        (under.handle == invocation).then_some(slot)
+        let pending = self.clients.get(slot)?.pending.as_ref()?;
+        (pending.handle == invocation).then_some(slot)
     }
 
     fn client_lost(&mut self, poll: &Poll, now: Moment, slot: usize) {
@@ -483,10 +508,14 @@
             return;
         };
         let _ = poll.remove(&client.socket);
-        if let Some(under) = client.under {
-            self.witness.answered(now, &under.id, Outcome::Nobody);
-            self.core.cancel_request(now, under.handle);
-            under.node.into_iter().for_each(|node| self.drop_node(node));
+        if let Some(pending) = client.pending {
+            self.observer
+                .request_finished(now, &pending.id, RequestOutcome::ClientGone);
+            self.core.cancel_request(now, pending.handle);
+            pending
+                .node
+                .into_iter()
+                .for_each(|node| self.drop_node(node));
         }
     }
 
@@ -534,29 +563,29 @@
         slot: usize,
         send: wheelspread_proxy_core::AttemptOrder,
     ) -> Option<Decision> {
-        let under = self.clients.get(slot)?.under.as_ref()?;
-        let (invocation, request) = (under.handle, under.request.clone());
-        self.witness
-            .sent(now, &under.id, &under.operation, send.node, send.number);
+        let pending = self.clients.get(slot)?.pending.as_ref()?;
+        let (invocation, request) = (pending.handle, pending.request.clone());
+        self.observer
+            .attempt_sent(now, &pending.id, &pending.operation, send.node, send.number);
         let Some(line) = self.line_to(poll, now, send.node) else {
             return Some(self.tried(now, slot, send.node, send.number, Failure::Connect));
         };
-        let trial = Trial {
+        let attempt = Attempt {
             client: slot,
             handle: invocation,
             number: send.number,
         };
-        self.nodes[line].carry(now, trial, request);
-        if let Some(under) = self
+        self.nodes[line].carry(now, attempt, request);
+        if let Some(pending) = self
             .clients
             .get_mut(slot)
-            .and_then(|client| client.under.as_mut())
+            .and_then(|client| client.pending.as_mut())
         {
-            under.node = Some(line);
+            pending.node = Some(line);
         }
         match self.nodes[line].write() {
-            Line::Up => None,
-            Line::Lost => {
+            ConnectionState::Open => None,
+            ConnectionState::Closed => {
                 let failure = self.nodes[line].failure();
                 self.drop_node(line);
                 Some(self.tried(now, slot, send.node, send.number, failure))
@@ -573,25 +602,25 @@
         number: u32,
         failure: Failure,
     ) -> Decision {
-        let Some(under) = self
+        let Some(pending) = self
             .clients
             .get_mut(slot)
-            .and_then(|client| client.under.as_mut())
+            .and_then(|client| client.pending.as_mut())
         else {
             return Decision {
                 request: RequestHandle(u32::MAX, 0),
                 action: Action::Continue,
             };
         };
-        under.node = None;
-        self.witness
-            .ended(now, &under.id, node, number, Some(failure));
-        let end = if under.began {
+        pending.node = None;
+        self.observer
+            .attempt_ended(now, &pending.id, node, number, Some(failure));
+        let end = if pending.began {
             AttemptOutcome::FailedMidResponse(failure)
         } else {
             AttemptOutcome::Failed(failure)
         };
-        self.core.finish_attempt(now, under.handle, number, end)
+        self.core.finish_attempt(now, pending.handle, number, end)
     }
 
     /// An idle connection, the one used last, or a new one; `None` if there can be no more.
@@ -600,7 +629,7 @@
             // One that the node closed meanwhile is seen here, before anything is written on it: a look costs
             // less than a try that may have run.
             let line = &mut self.nodes[slot];
-            if line.read(1, true, &mut self.scratch) == Line::Up
+            if line.read(1, true, &mut self.scratch) == ConnectionState::Open
                 && !line.ended
                 && line.input.is_empty()
             {
@@ -625,29 +654,29 @@
             Interest::Edges,
         )
         .ok()?;
-        entry.insert(NodeLine::new(now, socket, node));
+        entry.insert(UpstreamConnection::new(now, socket, node));
         *self.open.entry(node).or_insert(0) += 1;
         Some(slot)
     }
 
-    /// Gives up the try that is under way: its connection is closed, whatever may still come on it.
+    /// Gives up the try that is pending way: its connection is closed, whatever may still come on it.
     fn abandon(&mut self, now: Moment, slot: usize, failure: Option<Failure>) {
-        let Some(under) = self
+        let Some(pending) = self
             .clients
             .get_mut(slot)
-            .and_then(|client| client.under.as_mut())
+            .and_then(|client| client.pending.as_mut())
         else {
             return;
         };
-        let Some(line) = under.node.take() else {
+        let Some(line) = pending.node.take() else {
             return;
         };
-        if let (Some(failure), Some(trial)) = (failure, &self.nodes[line].trial) {
-            self.witness.ended(
+        if let (Some(failure), Some(attempt)) = (failure, &self.nodes[line].attempt) {
+            self.observer.attempt_ended(
                 now,
-                &under.id,
+                &pending.id,
                 self.nodes[line].node,
-                trial.number,
+                attempt.number,
                 Some(failure),
             );
         }
@@ -659,33 +688,35 @@
         let Some(client) = self.clients.get_mut(slot) else {
             return;
         };
-        let Some(under) = client.under.take() else {
+        let Some(pending) = client.pending.take() else {
             return;
         };
-        let close = !under.keep_alive || client.ended;
+        let close = !pending.keep_alive || client.ended;
         let (own, said, retry_after) = match answer {
             ClientResponse::Upstream | ClientResponse::ClientGone => (None, "", None),
-            ClientResponse::RateLimited { retry_after } => {
-                (Some(Own::RateLimited), "turned away", Some(retry_after))
-            }
-            ClientResponse::NoNode => (Some(Own::NoNode), "no node to send to", None),
+            ClientResponse::RateLimited { retry_after } => (
+                Some(LocalResponse::RateLimited),
+                "turned away",
+                Some(retry_after),
+            ),
+            ClientResponse::NoNode => (Some(LocalResponse::NoNode), "no node to send to", None),
             ClientResponse::Failed(Failure::TimedOut) => {
-                (Some(Own::NodeTimeout), "no answer in time", None)
+                (Some(LocalResponse::NodeTimeout), "no answer in time", None)
             }
-            ClientResponse::Failed(_) => (Some(Own::BadNode), "the node failed", None),
+            ClientResponse::Failed(_) => (Some(LocalResponse::BadNode), "the node failed", None),
         };
         let outcome = match answer {
-            ClientResponse::RateLimited { .. } => Outcome::RateLimited,
-            ClientResponse::NoNode => Outcome::NoNode,
-            ClientResponse::Failed(failure) => Outcome::Failed(failure),
-            ClientResponse::Upstream | ClientResponse::ClientGone => Outcome::Nobody,
+            ClientResponse::RateLimited { .. } => RequestOutcome::RateLimited,
+            ClientResponse::NoNode => RequestOutcome::NoNode,
+            ClientResponse::Failed(failure) => RequestOutcome::Failed(failure),
+            ClientResponse::Upstream | ClientResponse::ClientGone => RequestOutcome::ClientGone,
         };
-        self.witness.answered(now, &under.id, outcome);
+        self.observer.request_finished(now, &pending.id, outcome);
         match own {
             // Half an answer can't be taken back: the end of the connection tells the client.
-            Some(_) if under.began => client.stage = Stage::Ending,
+            Some(_) if pending.began => client.stage = Stage::Ending,
             Some(own) => {
-                let bytes = http::own(own, said, retry_after, under.is_head, close);
+                let bytes = http::own(own, said, retry_after, pending.is_head, close);
                 client.queue(&bytes);
                 client.stage = if close { Stage::Ending } else { Stage::Head };
             }
@@ -712,7 +743,7 @@
                 self.idle.remove(&line.node);
             }
         }
-        if line.trial.is_some() {
+        if line.attempt.is_some() {
             // The node sees that nobody waits any more.
             reactor::reset(line.socket);
         }
@@ -722,21 +753,21 @@
         let Some(line) = self.nodes.get_mut(slot) else {
             return;
         };
-        let client = line.trial.as_ref().map(|trial| trial.client);
-        let lost = line.write() == Line::Lost;
+        let client = line.attempt.as_ref().map(|attempt| attempt.client);
+        let lost = line.write() == ConnectionState::Closed;
         let behind = client
             .and_then(|client| self.clients.get(client))
-            .map_or(0, Client::behind);
+            .map_or(0, Client::unsent);
         let Some(line) = self.nodes.get_mut(slot) else {
             return;
         };
-        let most = if behind >= BEHIND {
+        let most = if behind >= MAX_UNSENT_RESPONSE_BYTES {
             0
         } else {
             HELD + self.limits.head
         };
         // What was answered before the connection broke still counts.
-        let lost = line.read(most, readable, &mut self.scratch) == Line::Lost || lost;
+        let lost = line.read(most, readable, &mut self.scratch) == ConnectionState::Closed || lost;
         let Some(client) = client else {
             if lost || line.ended || !line.input.is_empty() {
                 self.drop_node(slot);
@@ -750,24 +781,24 @@
         self.stirred.push(client);
     }
 
-    /// Reads a node's answer as far as it has come, and passes it on.
+    /// TableSource a node's answer as far as it has come, and passes it on.
     fn replied(&mut self, now: Moment, slot: usize, client: usize, lost: bool) -> Option<Decision> {
-        if self.nodes.get(slot)?.reply.is_none() {
+        if self.nodes.get(slot)?.response.is_none() {
             if let Some(decision) = self.reply_head(now, slot, client, lost)? {
                 return Some(decision);
             }
         }
         let line = self.nodes.get_mut(slot)?;
-        let reply = line.reply.as_mut()?;
+        let response = line.response.as_mut()?;
         let over = lost || line.ended;
-        let taken = match reply.body.take(&line.input) {
+        let taken = match response.body.take(&line.input) {
             Ok(taken) => taken,
             Err(_) => return self.reply_fails(now, slot, client, Failure::Garbled),
         };
         let holder = self.clients.get_mut(client)?;
         holder.output().extend_from_slice(&line.input[..taken]);
         line.input.drain(..taken);
-        if reply.body.done() || (over && reply.body.ends_with_connection()) {
+        if response.body.done() || (over && response.body.ends_with_connection()) {
             return self.reply_done(now, slot, client);
         }
         if over {
@@ -787,8 +818,8 @@
         let limits = self.limits;
         loop {
             let line = self.nodes.get_mut(slot)?;
-            let under = self.clients.get(client)?.under.as_ref()?;
-            match response(&line.input, under.is_head, limits) {
+            let pending = self.clients.get(client)?.pending.as_ref()?;
+            match response(&line.input, pending.is_head, limits) {
                 Ok(Some(head)) if head.status / 100 == 1 && head.status != 101 => {
                     line.input.drain(..head.length);
                 }
@@ -828,9 +859,9 @@
             500.. => Some(Failure::Errored),
             _ => None,
         };
-        let (node, trial) = (line.node, line.trial.as_ref()?);
-        let (invocation, number) = (trial.handle, trial.number);
-        line.reply = Some(Reply {
+        let (node, attempt) = (line.node, line.attempt.as_ref()?);
+        let (invocation, number) = (attempt.handle, attempt.number);
+        line.response = Some(UpstreamResponse {
             body: Body::new(head.framing),
             loads: loads.into_iter().collect(),
             told: failure.is_some(),
@@ -840,9 +871,9 @@
             None => self.core.start_response(invocation, number),
             Some(failure) => {
                 let holder = self.clients.get_mut(client)?;
-                let under = holder.under.as_mut()?;
-                self.witness
-                    .ended(now, &under.id, node, number, Some(failure));
+                let pending = holder.pending.as_mut()?;
+                self.observer
+                    .attempt_ended(now, &pending.id, node, number, Some(failure));
                 let decision = self.core.finish_attempt(
                     now,
                     invocation,
@@ -851,7 +882,7 @@
                 );
                 if matches!(decision.action, Action::Send(_) | Action::AbandonAndSend(_)) {
                     // Another node is asked; this one's answer is let go, its connection with it.
-                    under.node = None;
+                    pending.node = None;
                     self.drop_node(slot);
                     return Some(decision);
                 }
@@ -859,17 +890,17 @@
             }
         }
         let line = self.nodes.get_mut(slot)?;
-        let reply = line.reply.as_ref()?;
+        let response = line.response.as_ref()?;
         let holder = self.clients.get_mut(client)?;
-        let close = !holder.under.as_ref()?.keep_alive
+        let close = !holder.pending.as_ref()?.keep_alive
             || holder.ended
-            || reply.head.framing == Framing::UntilClose;
-        let length = reply.head.length;
-        http::forward_response(&line.input, &reply.head, close, holder.output());
+            || response.head.framing == Framing::UntilClose;
+        let length = response.head.length;
+        http::forward_response(&line.input, &response.head, close, holder.output());
         line.input.drain(..length);
-        let under = holder.under.as_mut()?;
-        under.began = true;
-        under.keep_alive = !close;
+        let pending = holder.pending.as_mut()?;
+        pending.began = true;
+        pending.keep_alive = !close;
         None
     }
 
@@ -881,16 +912,16 @@
         failure: Failure,
     ) -> Option<Decision> {
         let line = self.nodes.get(slot)?;
-        let (node, number) = (line.node, line.trial.as_ref()?.number);
-        let told = line.reply.as_ref().is_some_and(|reply| reply.told);
+        let (node, number) = (line.node, line.attempt.as_ref()?.number);
+        let told = line.response.as_ref().is_some_and(|response| response.told);
         self.drop_node(slot);
         if told {
             // Already told to the core; half of the node's refusal reached the client.
             let holder = self.clients.get_mut(client)?;
-            let under = holder.under.take()?;
+            let pending = holder.pending.take()?;
             holder.stage = Stage::Ending;
-            self.witness
-                .answered(now, &under.id, Outcome::Failed(failure));
+            self.observer
+                .request_finished(now, &pending.id, RequestOutcome::Failed(failure));
             return None;
         }
         Some(self.tried(now, client, node, number, failure))
@@ -899,7 +930,7 @@
     fn reply_done(&mut self, now: Moment, slot: usize, client: usize) -> Option<Decision> {
         let line = self.nodes.get_mut(slot)?;
         let (node, reusable) = (line.node, line.reusable());
-        let (reply, trial) = (line.reply.take()?, line.trial.take()?);
+        let (response, attempt) = (line.response.take()?, line.attempt.take()?);
         if reusable {
             line.rest(now);
             self.idle.entry(node).or_default().push(slot);
@@ -907,19 +938,25 @@
             self.drop_node(slot);
         }
         let holder = self.clients.get_mut(client)?;
-        let under = holder.under.take()?;
-        if !reply.told {
-            self.witness.ended(now, &under.id, node, trial.number, None);
+        let pending = holder.pending.take()?;
+        if !response.told {
+            self.observer
+                .attempt_ended(now, &pending.id, node, attempt.number, None);
             self.core.finish_attempt(
                 now,
-                trial.handle,
-                trial.number,
-                AttemptOutcome::Succeeded { loads: reply.loads },
+                attempt.handle,
+                attempt.number,
+                AttemptOutcome::Succeeded {
+                    loads: response.loads,
+                },
             );
         }
-        self.witness
-            .answered(now, &under.id, Outcome::Node(reply.head.status));
-        holder.stage = if under.keep_alive {
+        self.observer.request_finished(
+            now,
+            &pending.id,
+            RequestOutcome::Upstream(response.head.status),
+        );
+        holder.stage = if pending.keep_alive {
             Stage::Head
         } else {
             Stage::Ending
@@ -941,18 +978,18 @@
         let nodes: Vec<(usize, bool)> = self
             .nodes
             .iter()
-            .filter(|(_, line)| match &line.trial {
+            .filter(|(_, line)| match &line.attempt {
                 Some(_) => !line.stood && now - line.since > connect,
                 None => now - line.since > node_idle,
             })
-            .map(|(slot, line)| (slot, line.trial.is_some()))
+            .map(|(slot, line)| (slot, line.attempt.is_some()))
             .collect();
         for (slot, carries) in nodes {
             let client = self
                 .nodes
                 .get(slot)
-                .and_then(|line| line.trial.as_ref())
-                .map(|trial| trial.client);
+                .and_then(|line| line.attempt.as_ref())
+                .map(|attempt| attempt.client);
             match client.filter(|_| carries) {
                 Some(client) => {
                     let decision = self.reply_fails(now, slot, client, Failure::Connect);
@@ -966,9 +1003,9 @@
         let late = |client: &Client| {
             let quiet = now - client.since;
             match client.stage {
-                Stage::Head if client.input.is_empty() && client.behind() == 0 => quiet > idle,
+                Stage::Head if client.input.is_empty() && client.unsent() == 0 => quiet > idle,
                 Stage::Head | Stage::Body { .. } | Stage::Ending => quiet > request,
-                Stage::Waiting => client.behind() > 0 && quiet > request,
+                Stage::Waiting => client.unsent() > 0 && quiet > request,
             }
         };
         let late: Vec<usize> = self
@@ -983,14 +1020,14 @@
             };
             let begun = matches!(client.stage, Stage::Body { .. }) || !client.input.is_empty();
             if begun
-                && client.behind() == 0
-                && client.under.is_none()
+                && client.unsent() == 0
+                && client.pending.is_none()
                 && !matches!(client.stage, Stage::Ending)
             {
                 self.refuse(
                     now,
                     slot,
-                    Own::RequestTimeout,
+                    LocalResponse::RequestTimeout,
                     "the rest of the request did not come",
                 );
                 self.stirred.push(slot);
--- a/crates/proxy/src/reports.rs
+++ b/crates/proxy/src/report_stream.rs
@@ -1,7 +1,7 @@
 //! The stream of sums: dialled, lost, dialled again, at the next conductor if one does not answer.
 
-use crate::file::ProxyPlan;
-use crate::secure::{self, TlsSide};
+use crate::config::ProxyConfig;
+use crate::tls::{self, TlsSide};
 use prost::Message;
 use std::net::{Ipv4Addr, SocketAddrV4, TcpStream};
 use std::time::SystemTime;
@@ -23,7 +23,7 @@
     },
 }
 
-pub struct Reports {
+pub struct ReportStream {
     who: Introduction,
     sides: Vec<SocketAddrV4>,
     source: Option<Ipv4Addr>,
@@ -34,16 +34,16 @@
     tls: Option<TlsSide>,
 }
 
-pub enum Told {
+pub enum ReportStreamEvent {
     Joined { conductor: usize },
     Left { reason: String },
 }
 
-impl Reports {
-    pub fn new(now: Moment, plan: &ProxyPlan, token: Token) -> Reports {
+impl ReportStream {
+    pub fn new(now: Moment, plan: &ProxyConfig, token: Token) -> ReportStream {
         let sides = plan.sides();
         let dial = ControllerDialer::new(now, sides.len(), plan.waits.redial, plan.seed);
-        Reports {
+        ReportStream {
             who: plan.introduction(),
             sides,
             source: plan.source,
@@ -64,13 +64,13 @@
         self.dial.joined()
     }
 
-    /// Reads, writes, dials. `report` is asked for sums when they are due.
+    /// TableSource, writes, dials. `report` is asked for sums when they are due.
     pub fn turn(
         &mut self,
         poll: &Poll,
         now: Moment,
         report: impl FnOnce() -> Option<LoadReport>,
-    ) -> Vec<Told> {
+    ) -> Vec<ReportStreamEvent> {
         if let Some(side) = self.dial.due(now) {
             self.dial(poll, now, side);
         }
@@ -119,11 +119,11 @@
         told
     }
 
-    fn accepted(&mut self, now: Moment, period: Span, told: &mut Vec<Told>) {
+    fn accepted(&mut self, now: Moment, period: Span, told: &mut Vec<ReportStreamEvent>) {
         self.state = match std::mem::replace(&mut self.state, State::Waiting) {
             State::Dialling(connection) => {
                 if self.dial.accepted(now) {
-                    told.push(Told::Joined {
+                    told.push(ReportStreamEvent::Joined {
                         conductor: self.dial.conductor(),
                     });
                 }
@@ -145,9 +145,9 @@
     }
 
     /// Breaks the stream, as when the network does.
-    pub fn lost(&mut self, now: Moment, reason: String, told: &mut Vec<Told>) {
+    pub fn lost(&mut self, now: Moment, reason: String, told: &mut Vec<ReportStreamEvent>) {
         if self.dial.lost(now) {
-            told.push(Told::Left { reason });
+            told.push(ReportStreamEvent::Left { reason });
         }
         self.state = State::Waiting;
     }
@@ -158,7 +158,7 @@
         let socket = reactor::connect_from(self.source, side.ip().octets(), side.port());
         let dialled = socket.and_then(|socket: TcpStream| {
             poll.add(&socket, self.token, Interest::Edges)?;
-            secure::connect(now, socket, loads::METHOD, self.tls.as_ref())
+            tls::connect(now, socket, loads::METHOD, self.tls.as_ref())
         });
         match dialled {
             Ok(connection) => self.state = State::Dialling(Box::new(connection)),
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -1,6 +1,6 @@
 //! The loop of one proxy.
 
-use crate::{Proxy, ProxyPlan, Witness};
+use crate::{Proxy, ProxyConfig, RequestObserver};
 use std::io;
 use tracing::info;
 use wheelspread_reactor::{self as reactor, Poll, Signals, Token};
@@ -8,11 +8,11 @@
 const SIGNALS: Token = Token(1 << 60);
 
 /// Until a signal tells it to stop.
-pub fn serve<W: Witness>(plan: ProxyPlan, witness: W) -> io::Result<()> {
+pub fn serve<W: RequestObserver>(plan: ProxyConfig, observer: W) -> io::Result<()> {
     let mut poll = Poll::new()?;
     let signals = Signals::new(&poll, SIGNALS, &[reactor::TERMINATE, reactor::INTERRUPT])?;
     let name = plan.name.clone();
-    let mut proxy = Proxy::start(&poll, reactor::now(), 0, plan, witness)?;
+    let mut proxy = Proxy::start(&poll, reactor::now(), 0, plan, observer)?;
     info!(name, address = %proxy.address()?, "proxy listens");
     let mut ready = Vec::new();
     loop {
--- a/crates/proxy/src/tables.rs
+++ b/crates/proxy/src/table_files.rs
@@ -1,4 +1,4 @@
-//! Tables from the directory of the conductor that the proxy is joined to. On coming to a conductor the
+//! TableFiles from the directory of the conductor that the proxy is joined to. On coming to a conductor the
 //! proxy keeps what it holds until that one swaps something in: what lies there may be of long ago.
 
 use std::io;
@@ -12,7 +12,7 @@
 /// File systems date by a clock that may lie behind by a tick.
 const COARSE: Duration = Duration::from_millis(20);
 
-pub struct Tables {
+pub struct TableFiles {
     name: String,
     roots: Vec<Root>,
     watcher: Watcher,
@@ -22,23 +22,23 @@
 }
 
 /// What looking at the files led to.
-pub enum Looked {
-    Nothing,
+pub enum TableUpdate {
+    Unchanged,
     New(Box<Held>),
-    Refused(String),
+    Rejected(String),
 }
 
-impl Tables {
+impl TableFiles {
     pub fn new(
         poll: &Poll,
         token: Token,
         name: &str,
         roots: Vec<PathBuf>,
         publishes: bool,
-    ) -> io::Result<Tables> {
+    ) -> io::Result<TableFiles> {
         let watcher = Watcher::new(poll, token)?;
         let roots = roots.into_iter().map(Root::new).collect();
-        Ok(Tables {
+        Ok(TableFiles {
             name: name.to_string(),
             roots,
             watcher,
@@ -53,13 +53,13 @@
     }
 
     /// At its start a proxy goes by the first tables that lie there, if any do.
-    pub fn start(&mut self) -> Looked {
+    pub fn start(&mut self) -> TableUpdate {
         for conductor in 0..self.roots.len() {
-            if let looked @ Looked::New(_) = self.look(conductor) {
+            if let looked @ TableUpdate::New(_) = self.look(conductor) {
                 return looked;
             }
         }
-        Looked::Nothing
+        TableUpdate::Unchanged
     }
 
     /// The proxy is joined to this conductor from now on, which it began to dial at `dialled`. What was swapped
@@ -70,7 +70,7 @@
         token: Token,
         conductor: usize,
         dialled: SystemTime,
-    ) -> io::Result<Looked> {
+    ) -> io::Result<TableUpdate> {
         if self.watched != Some(conductor) {
             let directory = self.gateway(conductor);
             std::fs::create_dir_all(&directory)?;
@@ -83,11 +83,11 @@
                 return Ok(self.look(conductor));
             }
         }
-        Ok(Looked::Nothing)
+        Ok(TableUpdate::Unchanged)
     }
 
     /// The watch told something.
-    pub fn moved(&mut self) -> io::Result<Looked> {
+    pub fn moved(&mut self) -> io::Result<TableUpdate> {
         let mine = |moved: &Moved| match moved {
             Moved::Into { name, .. } => name == CURRENT,
             Moved::Overflow | Moved::Gone { .. } => true,
@@ -101,22 +101,22 @@
         }
         match self.watched {
             Some(conductor) if moved.iter().any(mine) => Ok(self.look(conductor)),
-            _ => Ok(Looked::Nothing),
+            _ => Ok(TableUpdate::Unchanged),
         }
     }
 
-    fn look(&mut self, conductor: usize) -> Looked {
+    fn look(&mut self, conductor: usize) -> TableUpdate {
         match read_tables(&self.gateway(conductor)) {
-            Ok(None) => Looked::Nothing,
+            Ok(None) => TableUpdate::Unchanged,
             Ok(Some(held)) => {
                 self.version = held.orders.version;
                 self.publish(conductor, None);
-                Looked::New(Box::new(held))
+                TableUpdate::New(Box::new(held))
             }
             Err(error) => {
                 let refused = (error.version().unwrap_or_default(), error.to_string());
                 self.publish(conductor, Some(refused));
-                Looked::Refused(error.to_string())
+                TableUpdate::Rejected(error.to_string())
             }
         }
     }
@@ -168,10 +168,10 @@
             (SystemTime::now() + hour, false),
         ] {
             let roots = vec![directory.path().to_path_buf()];
-            let mut tables = Tables::new(&poll, Token(1), "g1", roots, false).expect("inotify");
+            let mut tables = TableFiles::new(&poll, Token(1), "g1", roots, false).expect("inotify");
             let looked = tables.follow(&poll, Token(1), 0, dialled).expect("watched");
             assert_eq!(
-                matches!(looked, Looked::New(_)),
+                matches!(looked, TableUpdate::New(_)),
                 taken,
                 "of long ago: {}",
                 !taken
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/table_stream.rs
@@ -1,9 +1,9 @@
-//! Tables by a discovery stream of the conductor that the proxy is joined to: dialled when it joins, dialled
+//! TableFiles by a discovery stream of the conductor that the proxy is joined to: dialled when it joins, dialled
 //! again while it stays joined, and told what is held already.
 
-use crate::file::ProxyPlan;
-use crate::secure::{self, TlsSide};
-use crate::tables::Looked;
+use crate::config::ProxyConfig;
+use crate::table_files::TableUpdate;
+use crate::tls::{self, TlsSide};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use wheelspread::time::{Moment, Span};
 use wheelspread_controller_core::membership::Introduction;
@@ -30,7 +30,7 @@
 }
 
 impl Stream {
-    pub fn new(plan: &ProxyPlan, token: Token) -> Stream {
+    pub fn new(plan: &ProxyConfig, token: Token) -> Stream {
         let operations = &plan.core.operations;
         let names = |make: &dyn Fn(&str) -> String| {
             operations.iter().map(|rules| make(&rules.name)).collect()
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Reads, answers, dials; returns what came of it.
-    pub fn turn(&mut self, poll: &Poll, now: Moment) -> Vec<Looked> {
+    /// TableSource, answers, dials; returns what came of it.
+    pub fn turn(&mut self, poll: &Poll, now: Moment) -> Vec<TableUpdate> {
         let mut looked = Vec::new();
         if self.dial_at.is_some_and(|at| now >= at) {
             self.dial(poll, now);
@@ -114,7 +114,7 @@
         }
     }
 
-    fn told(&mut self, bytes: &[u8], looked: &mut Vec<Looked>) -> Result<(), String> {
+    fn told(&mut self, bytes: &[u8], looked: &mut Vec<TableUpdate>) -> Result<(), String> {
         let told = discovery::read_told(bytes).map_err(|error| error.to_string())?;
         let mut made = None;
         let step = self.reader.told(
@@ -136,10 +136,10 @@
             },
         );
         if let Some(reason) = step.reply.error.clone().filter(|_| step.restart.is_none()) {
-            looked.push(Looked::Refused(reason));
+            looked.push(TableUpdate::Rejected(reason));
         }
         if let (Some(orders), Some(_)) = (made, step.complete) {
-            looked.push(Looked::New(Box::new(Held {
+            looked.push(TableUpdate::New(Box::new(Held {
                 orders,
                 hash: self.reader.name(),
             })));
@@ -158,7 +158,7 @@
         let socket = reactor::connect_from(self.source, side.ip().octets(), side.port());
         let dialled = socket.and_then(|socket| {
             poll.add(&socket, self.token, Interest::Edges)?;
-            secure::connect(now, socket, discovery::DELTA, self.tls.as_ref())
+            tls::connect(now, socket, discovery::DELTA, self.tls.as_ref())
         });
         self.dial_at = None;
         match dialled {
--- a/crates/proxy/src/secure.rs
+++ b/crates/proxy/src/tls.rs
@@ -1,4 +1,4 @@
-//! Streams to a conductor, under TLS where the file says so. Keys and roots are read at each dial, so that
+//! Streams to a conductor, pending TLS where the file says so. Keys and roots are read at each dial, so that
 //! what was swapped in is used from the next stream on.
 
 use serde::Deserialize;
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TlsSide {
-    /// Under which a conductor's certificate has to lie.
+    /// PendingRequest which a conductor's certificate has to lie.
     pub roots: PathBuf,
     /// For which it has to be.
     pub name: String,
@@ -24,7 +24,7 @@
 }
 
 impl TlsSide {
-    pub fn under(mut self, base: &Path) -> TlsSide {
+    pub fn pending(mut self, base: &Path) -> TlsSide {
         self.roots = base.join(&self.roots);
         self.certificate = self.certificate.map(|path| base.join(path));
         self.key = self.key.map(|path| base.join(path));
--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/upstream.rs
@@ -1,6 +1,6 @@
 //! One connection to a node: idle in the pool, or with one try on it.
 
-use crate::client::{take_in, Line};
+use crate::client::{take_in, ConnectionState};
 use std::io::{ErrorKind, Write};
 use std::net::TcpStream;
 use std::rc::Rc;
@@ -10,13 +10,13 @@
 use wheelspread_proxy_core::{Failure, RequestHandle};
 
 /// The try that a connection carries.
-pub struct Trial {
+pub struct Attempt {
     pub client: usize,
     pub handle: RequestHandle,
     pub number: u32,
 }
 
-pub struct Reply {
+pub struct UpstreamResponse {
     pub head: Response,
     pub body: Body,
     pub loads: Vec<(String, f64)>,
@@ -24,14 +24,14 @@
     pub told: bool,
 }
 
-pub struct NodeLine {
+pub struct UpstreamConnection {
     pub socket: TcpStream,
     pub node: NodeId,
-    pub trial: Option<Trial>,
+    pub attempt: Option<Attempt>,
     request: Rc<Vec<u8>>,
     sent: usize,
     pub input: Vec<u8>,
-    pub reply: Option<Reply>,
+    pub response: Option<UpstreamResponse>,
     /// It has carried a try before, or at least stands.
     pub stood: bool,
     reused: bool,
@@ -40,16 +40,16 @@
     more: bool,
 }
 
-impl NodeLine {
-    pub fn new(now: Moment, socket: TcpStream, node: NodeId) -> NodeLine {
-        NodeLine {
+impl UpstreamConnection {
+    pub fn new(now: Moment, socket: TcpStream, node: NodeId) -> UpstreamConnection {
+        UpstreamConnection {
             socket,
             node,
-            trial: None,
+            attempt: None,
             request: Rc::new(Vec::new()),
             sent: 0,
             input: Vec::new(),
-            reply: None,
+            response: None,
             stood: false,
             reused: false,
             since: now,
@@ -58,31 +58,31 @@
         }
     }
 
-    pub fn carry(&mut self, now: Moment, trial: Trial, request: Rc<Vec<u8>>) {
-        (self.trial, self.request, self.sent, self.reply) = (Some(trial), request, 0, None);
+    pub fn carry(&mut self, now: Moment, attempt: Attempt, request: Rc<Vec<u8>>) {
+        (self.attempt, self.request, self.sent, self.response) = (Some(attempt), request, 0, None);
         (self.reused, self.since) = (self.stood, now);
     }
 
-    pub fn write(&mut self) -> Line {
-        while self.trial.is_some() && self.sent < self.request.len() {
+    pub fn write(&mut self) -> ConnectionState {
+        while self.attempt.is_some() && self.sent < self.request.len() {
             match self.socket.write(&self.request[self.sent..]) {
-                Ok(0) => return Line::Lost,
+                Ok(0) => return ConnectionState::Closed,
                 Ok(count) => {
                     self.sent += count;
                     self.stood = true;
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => break,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                // A connect that is under way says so in several ways.
+                // A connect that is pending way says so in several ways.
                 Err(error) if error.kind() == ErrorKind::NotConnected && !self.stood => break,
-                Err(_) => return Line::Lost,
+                Err(_) => return ConnectionState::Closed,
             }
         }
-        Line::Up
+        ConnectionState::Open
     }
 
     /// Takes what has come, while not more than `most` is held.
-    pub fn read(&mut self, most: usize, readable: bool, piece: &mut [u8]) -> Line {
+    pub fn read(&mut self, most: usize, readable: bool, piece: &mut [u8]) -> ConnectionState {
         self.more |= readable;
         take_in(
             &self.socket,
@@ -95,7 +95,7 @@
 
     /// There is more of an answer than was taken.
     pub fn held_back(&self) -> bool {
-        self.reply.is_some() && self.trial.is_some() && (self.more || !self.input.is_empty())
+        self.response.is_some() && self.attempt.is_some() && (self.more || !self.input.is_empty())
     }
 
     /// What a connection that ended without an answer says of the try on it.
@@ -110,14 +110,14 @@
     /// The whole request went out and the whole answer came: another may follow on it.
     pub fn reusable(&self) -> bool {
         let whole = self
-            .reply
+            .response
             .as_ref()
-            .is_some_and(|reply| reply.head.keep_alive && reply.body.done());
+            .is_some_and(|response| response.head.keep_alive && response.body.done());
         whole && self.sent == self.request.len() && self.input.is_empty() && !self.ended
     }
 
     pub fn rest(&mut self, now: Moment) {
-        (self.trial, self.reply, self.request) = (None, None, Rc::new(Vec::new()));
+        (self.attempt, self.response, self.request) = (None, None, Rc::new(Vec::new()));
         (self.input, self.since) = (Vec::new(), now);
     }
 }
