--- a/crates/proxy-core/src/core.rs
+++ b/crates/proxy-core/src/core.rs
@@ -711,5 +711,4 @@
 }
 
 #[cfg(test)]
-#[path = "tests.rs"]
 mod tests;
--- /dev/null
+++ b/crates/proxy/src/table_files/tests.rs
@@ -0,0 +1,34 @@
+use super::*;
+use wheelspread_xds::tables::Documents;
+
+#[test]
+fn what_is_swapped_in_between_the_join_and_the_watch_is_not_missed() {
+    let directory = tempfile::tempdir().expect("a directory");
+    let root = Root::new(directory.path());
+    root.prepare().expect("prepared");
+    let response =
+        |kind: &str| format!(r#"{{"versionInfo": "7", "typeUrl": "type.googleapis.com/{kind}"}}"#);
+    let documents = Documents {
+        eds: response("envoy.config.endpoint.v3.ClusterLoadAssignment"),
+        rds: response("envoy.config.route.v3.RouteConfiguration"),
+    };
+    swap::Swap::new(&root, Version(7), &documents, "g1")
+        .run()
+        .expect("swapped");
+    let poll = Poll::new().expect("epoll");
+    let hour = Duration::from_secs(3600);
+    for (dialled, taken) in [
+        (SystemTime::now() - hour, true),
+        (SystemTime::now() + hour, false),
+    ] {
+        let roots = vec![directory.path().to_path_buf()];
+        let mut tables = TableFiles::new(&poll, Token(1), "g1", roots, false).expect("inotify");
+        let looked = tables.follow(&poll, Token(1), 0, dialled).expect("watched");
+        assert_eq!(
+            matches!(looked, TableUpdate::New(_)),
+            taken,
+            "of long ago: {}",
+            !taken
+        );
+    }
+}
