--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -22,7 +22,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use wheelspread_controller::{log, Controller, ControllerFile, LogPlan};
-use wheelspread_proxy::{serve, NoObserver, ProxyFile};
+use wheelspread_proxy::{serve, NoObserver, ProxyConfig};
 
 /// Directs the traffic of a fleet of plain proxies.
 #[derive(Parser)]
@@ -181,7 +181,7 @@
 }
 
 fn proxy(path: &Path) -> ExitCode {
-    let plan = match ProxyFile::read(path) {
+    let plan = match ProxyConfig::read(path) {
         Ok(plan) => plan,
         Err(error) => {
             eprintln!("{error}");
--- a/crates/drill/src/gateways.rs
+++ b/crates/drill/src/gateways.rs
@@ -102,8 +102,8 @@
         let now = reactor::now();
         let mut wake = now + Span::from_seconds(1.0);
         for proxy in proxies.iter_mut().flatten() {
-            proxy.turn(&poll, now);
-            wake = wake.min(proxy.wake_at(now));
+            proxy.run_due_work(&poll, now);
+            wake = wake.min(proxy.next_wakeup(now));
         }
         if poll.wait(wake - reactor::now(), &mut ready).is_err() {
             return;
@@ -111,10 +111,10 @@
         let now = reactor::now();
         for ready in ready.drain(..) {
             if ready.token != WAKER {
-                let (number, token) = ((ready.token.0 >> 32) as usize, ready.token.0 & 0xffff_ffff);
+                let number = (ready.token.0 >> 32) as usize;
                 if let Some(proxy) = proxies.get_mut(number).and_then(Option::as_mut) {
                     // A watch that fails shows as tables that are never taken.
-                    let _ = proxy.ready(&poll, now, token, ready);
+                    let _ = proxy.on_ready(&poll, now, ready);
                 }
                 continue;
             }
@@ -130,7 +130,7 @@
                         if proxies.len() <= gateway {
                             proxies.resize_with(gateway + 1, || None);
                         }
-                        let streams = plan.reads == TableSource::Stream;
+                        let streams = plan.table_source == TableSource::Stream;
                         let seen = Seen {
                             recorder: recorder.clone(),
                             holding: holding.clone(),
@@ -191,7 +191,7 @@
         source: Some(gateway_address(zone, gateway)),
         usual_rate: None,
         seed: seed.wrapping_add(gateway as u64),
-        conductors: conductors
+        controllers: conductors
             .map(|(reports, tables)| ControllerEndpoint {
                 reports: *reports,
                 tables: tables.clone(),
@@ -205,19 +205,19 @@
             repeats: (0.2, 20.0),
             max_in_flight_per_node: 0,
         },
-        head: 16 << 10,
-        body: 1 << 16,
-        connections: 5000,
-        connections_per_node: 64,
-        waits: Timeouts {
+        max_head_bytes: 16 << 10,
+        max_body_bytes: 1 << 16,
+        max_client_connections: 5000,
+        max_connections_per_node: 64,
+        timeouts: Timeouts {
             node_idle: deployment.proxies.connection_idle,
-            redial: Span::from_seconds(0.7),
+            reconnect_delay: Span::from_seconds(0.7),
             ..Timeouts::default()
         },
         publishes_status: true,
         follows_unjoined: follows,
         tls: None,
-        reads: if deployment.fronts.files {
+        table_source: if deployment.fronts.files {
             TableSource::Files
         } else {
             TableSource::Stream
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -1,36 +1,24 @@
-//! What a proxy is told by its YAML file.
+//! How a proxy is configured: what the rest of the crate works with, checked and with absolute meaning.
+//! The form of the YAML file is in [`file`].
 
-use crate::tls::TlsSide;
+mod file;
+
+use crate::tls::{TlsConfigError, TlsSide};
 use serde::Deserialize;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::{Path, PathBuf};
 use wheelspread::time::Span;
-use wheelspread_controller_core::deployment::Repeat;
 use wheelspread_controller_core::membership::Introduction;
 use wheelspread_controller_core::span_format;
-use wheelspread_proxy_core::{CoreConfig, OperationRules, RetrySafety, SelectionPolicy};
-
-#[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-struct Place {
-    name: String,
-    zone: String,
-    listen: SocketAddrV4,
-    /// The address that it calls nodes and conductors from.
-    #[serde(default)]
-    source: Option<Ipv4Addr>,
-    #[serde(default)]
-    usual_rate: Option<f64>,
-    #[serde(default)]
-    seed: u64,
-}
+use wheelspread_proxy_core::CoreConfig;
 
-/// One conductor: where it takes sums, and the root of its files.
+/// One controller of a proxy.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControllerEndpoint {
+    /// Where it takes load reports and serves tables by stream.
     pub reports: SocketAddrV4,
-    /// The root of its files; not needed where tables are read from streams.
+    /// The root of its table files; not needed where tables are read from streams.
     #[serde(default)]
     pub tables: PathBuf,
 }
@@ -39,93 +27,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TableSource {
+    /// Files that a controller swaps in.
     #[default]
     Files,
     /// A discovery stream at the address of `reports`.
     Stream,
 }
 
-#[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-struct Operation {
-    name: String,
-    #[serde(with = "span_format")]
-    integration_timeout: Span,
-    repeat: Repeat,
-    #[serde(default = "none", with = "span_format")]
-    repeat_window: Span,
-}
-
-fn none() -> Span {
-    Span::ZERO
-}
-
-#[derive(Clone, Copy, Debug, Deserialize)]
-#[serde(rename_all = "kebab-case")]
-enum Pick {
-    Lottery,
-    Wheel,
-    Pair,
-}
-
-#[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields, default)]
-struct Avoid {
-    /// Failures in a row of its own tries at a node; 0: it avoids none.
-    after_errors: u32,
-    #[serde(with = "span_format")]
-    span: Span,
-}
-
-impl Default for Avoid {
-    fn default() -> Self {
-        Avoid {
-            after_errors: 3,
-            span: Span::from_seconds(5.0),
-        }
-    }
-}
-
-#[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields, default)]
-struct Repeats {
-    /// Of first tries.
-    part: f64,
-    at_once: f64,
-}
-
-impl Default for Repeats {
-    fn default() -> Self {
-        Repeats {
-            part: 0.2,
-            at_once: 10.0,
-        }
-    }
-}
-
-#[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields, default)]
-struct Sizes {
-    /// Bytes.
-    head: usize,
-    body: usize,
-    connections: usize,
-    connections_per_node: usize,
-    outstanding_per_node: u32,
-}
-
-impl Default for Sizes {
-    fn default() -> Self {
-        Sizes {
-            head: 16 << 10,
-            body: 1 << 20,
-            connections: 20_000,
-            connections_per_node: 256,
-            outstanding_per_node: 0,
-        }
-    }
-}
-
 /// How long the proxy waits for what.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
@@ -139,12 +47,12 @@
     /// For a client's next request.
     #[serde(with = "span_format")]
     pub client_idle: Span,
-    /// Before a connection to a node that nobody uses is closed.
+    /// Before an idle connection to a node is closed.
     #[serde(with = "span_format")]
     pub node_idle: Span,
-    /// Between two attempts to reach a conductor.
-    #[serde(with = "span_format")]
-    pub redial: Span,
+    /// Between two attempts to reach a controller, before jitter.
+    #[serde(rename = "redial", with = "span_format")]
+    pub reconnect_delay: Span,
 }
 
 impl Default for Timeouts {
@@ -155,214 +63,170 @@
             request: seconds(10.0),
             client_idle: seconds(60.0),
             node_idle: seconds(15.0),
-            redial: seconds(1.0),
+            reconnect_delay: seconds(1.0),
         }
     }
 }
 
-#[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct ProxyFile {
-    proxy: Place,
-    conductors: Vec<ControllerEndpoint>,
-    #[serde(default)]
-    reads: TableSource,
-    /// Left out: streams to conductors are not secured.
-    #[serde(default)]
-    tls: Option<TlsSide>,
-    operations: Vec<Operation>,
-    #[serde(default = "lottery")]
-    pick: Pick,
-    #[serde(default)]
-    avoid: Avoid,
-    #[serde(default)]
-    repeats: Repeats,
-    #[serde(default)]
-    sizes: Sizes,
-    #[serde(default)]
-    waits: Timeouts,
-    /// Whether it tells conductors which version it holds.
-    #[serde(default = "yes")]
-    publishes_status: bool,
-    /// Whether it goes by what is swapped into the first conductor's directory though no conductor took it
-    /// in, as where somebody swaps tables by hand.
-    #[serde(default)]
-    follows_unjoined: bool,
-}
-
-fn lottery() -> Pick {
-    Pick::Lottery
-}
-
-fn yes() -> bool {
-    true
-}
-
-#[derive(Debug, thiserror::Error)]
-pub enum ConfigError {
-    #[error("{path}: {source}", path = .path.display())]
-    Unreadable {
-        path: PathBuf,
-        source: std::io::Error,
-    },
-    #[error("{path}: {text}", path = .path.display())]
-    Content { path: PathBuf, text: String },
-}
-
 /// A proxy as it is run.
 #[derive(Clone, Debug)]
 pub struct ProxyConfig {
+    /// The name under which controllers know it.
     pub name: String,
+    /// The zone that it is in.
     pub zone: String,
+    /// Where clients connect.
     pub listen: SocketAddrV4,
+    /// The address that it calls nodes and controllers from; `None`: the system chooses.
     pub source: Option<Ipv4Addr>,
+    /// Requests per second that usually come to it, for controllers that have no reports of it yet.
     pub usual_rate: Option<f64>,
+    /// Seeds node selection, admission and reconnect jitter.
     pub seed: u64,
-    pub conductors: Vec<ControllerEndpoint>,
+    /// Its controllers, the usual one first.
+    pub controllers: Vec<ControllerEndpoint>,
+    /// What the core is configured with.
     pub core: CoreConfig,
-    pub head: usize,
-    pub body: usize,
-    pub connections: usize,
-    pub connections_per_node: usize,
-    pub waits: Timeouts,
+    /// The longest head of a request or response, in bytes.
+    pub max_head_bytes: usize,
+    /// The longest body of a request, in bytes.
+    pub max_body_bytes: usize,
+    /// Client connections at one time; more are closed at once.
+    pub max_client_connections: usize,
+    /// Connections to one node, idle ones included.
+    pub max_connections_per_node: usize,
+    /// How long it waits for what.
+    pub timeouts: Timeouts,
+    /// Whether it tells controllers which version it holds.
     pub publishes_status: bool,
+    /// Whether it goes by what is swapped into the first controller's directory though no controller accepted
+    /// its report stream, as where somebody swaps tables by hand.
     pub follows_unjoined: bool,
-    pub reads: TableSource,
+    /// Where tables come from.
+    pub table_source: TableSource,
+    /// How streams to controllers are secured; `None`: not at all.
     pub tls: Option<TlsSide>,
 }
 
 impl ProxyConfig {
-    /// How the proxy introduces itself to conductors.
-    pub(crate) fn introduction(&self) -> Introduction {
-        Introduction {
-            name: self.name.clone(),
-            zone: self.zone.clone(),
-            usual_rate: self.usual_rate,
-        }
-    }
-
-    /// Where conductors listen.
-    pub(crate) fn sides(&self) -> Vec<SocketAddrV4> {
-        self.conductors.iter().map(|side| side.reports).collect()
-    }
-}
-
-impl ProxyFile {
+    /// Reads a YAML file; relative paths in it start from its directory.
+    ///
+    /// # Errors
+    /// The file can't be read or is not valid.
     pub fn read(path: &Path) -> Result<ProxyConfig, ConfigError> {
         let text = std::fs::read_to_string(path).map_err(|source| ConfigError::Unreadable {
             path: path.to_path_buf(),
             source,
         })?;
-        ProxyFile::parse(&text, path)
+        ProxyConfig::parse(&text, path)
     }
 
+    /// Reads the text of a YAML file that lies at `path`.
+    ///
+    /// # Errors
+    /// The text is not valid.
     pub fn parse(text: &str, path: &Path) -> Result<ProxyConfig, ConfigError> {
-        let content = |text: String| ConfigError::Content {
-            path: path.to_path_buf(),
-            text,
-        };
-        let file: ProxyFile =
-            serde_yaml_ng::from_str(text).map_err(|error| content(error.to_string()))?;
+        let file: file::ProxyFile =
+            serde_yaml_ng::from_str(text).map_err(|source| ConfigError::Syntax {
+                path: path.to_path_buf(),
+                source,
+            })?;
         let base = path.parent().unwrap_or(Path::new("."));
-        file.plan(base).map_err(content)
+        file.into_config(base)
+            .map_err(|source| ConfigError::Invalid {
+                path: path.to_path_buf(),
+                source,
+            })
     }
 
-    fn plan(self, base: &Path) -> Result<ProxyConfig, String> {
-        let fine = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
-        let name = &self.proxy.name;
-        if name.is_empty() || name.len() > 100 || !name.chars().all(fine) {
-            return Err(format!(
-                "proxy.name: `{name}` should be 1 to 100 letters, digits, - and _"
-            ));
-        }
-        if self.conductors.is_empty() {
-            return Err("conductors: one at least is needed".to_string());
-        }
-        if self.operations.is_empty() || self.operations.len() > 16 {
-            return Err(format!(
-                "operations: {}, between 1 and 16 are possible",
-                self.operations.len()
-            ));
-        }
-        if !(0.0..=10.0).contains(&self.repeats.part)
-            || !(0.0..=1e6).contains(&self.repeats.at_once)
-        {
-            return Err(
-                "repeats: part should lie between 0 and 10, at_once between 0 and 1e6".to_string(),
-            );
-        }
-        let sizes = &self.sizes;
-        if sizes.head < 256 || sizes.connections == 0 || sizes.connections_per_node == 0 {
-            return Err(
-                "sizes: head should be 256 at least, numbers of connections above 0".to_string(),
-            );
-        }
-        let mut operations = Vec::new();
-        for (at, operation) in self.operations.iter().enumerate() {
-            if operation.integration_timeout <= Span::ZERO {
-                return Err(format!(
-                    "operations.{at}.integration_timeout: should be above 0"
-                ));
-            }
-            if self.operations[..at]
-                .iter()
-                .any(|other| other.name == operation.name)
-            {
-                return Err(format!(
-                    "operations.{at}.name: `{}` is named twice",
-                    operation.name
-                ));
-            }
-            let retry_safety = match operation.repeat {
-                Repeat::Idempotent => RetrySafety::Idempotent,
-                Repeat::Fingerprinted => RetrySafety::Fingerprinted {
-                    window: operation.repeat_window,
-                },
-                Repeat::SideEffecting => RetrySafety::SideEffecting,
-            };
-            operations.push(OperationRules {
-                name: operation.name.clone(),
-                retry_safety,
-                integration_timeout: operation.integration_timeout,
-            });
-        }
-        let tls = self.tls.map(|tls| tls.pending(base));
-        if let Some(flaw) = tls.as_ref().and_then(TlsSide::flaw) {
-            return Err(format!("tls: {flaw}"));
+    /// How the proxy introduces itself to controllers.
+    pub(crate) fn introduction(&self) -> Introduction {
+        Introduction {
+            name: self.name.clone(),
+            zone: self.zone.clone(),
+            usual_rate: self.usual_rate,
         }
-        let side = |side: ControllerEndpoint| ControllerEndpoint {
-            tables: base.join(side.tables),
-            ..side
-        };
-        Ok(ProxyConfig {
-            name: self.proxy.name,
-            zone: self.proxy.zone,
-            listen: self.proxy.listen,
-            source: self.proxy.source,
-            usual_rate: self.proxy.usual_rate,
-            seed: self.proxy.seed,
-            conductors: self.conductors.into_iter().map(side).collect(),
-            core: CoreConfig {
-                operations,
-                picking: match self.pick {
-                    Pick::Lottery => SelectionPolicy::WeightedRandom,
-                    Pick::Wheel => SelectionPolicy::WeightedRoundRobin,
-                    Pick::Pair => SelectionPolicy::PowerOfTwoChoices,
-                },
-                errors_until_avoided: self.avoid.after_errors,
-                ejection_time: self.avoid.span,
-                repeats: (self.repeats.part, self.repeats.at_once),
-                max_in_flight_per_node: self.sizes.outstanding_per_node,
-            },
-            head: self.sizes.head,
-            body: self.sizes.body,
-            connections: self.sizes.connections,
-            connections_per_node: self.sizes.connections_per_node,
-            waits: self.waits,
-            publishes_status: self.publishes_status,
-            follows_unjoined: self.follows_unjoined,
-            reads: self.reads,
-            tls,
-        })
     }
+
+    /// Where controllers listen.
+    pub(crate) fn controller_addresses(&self) -> Vec<SocketAddrV4> {
+        self.controllers
+            .iter()
+            .map(|controller| controller.reports)
+            .collect()
+    }
+
+    /// The roots of the controllers' table files.
+    pub(crate) fn table_roots(&self) -> Vec<PathBuf> {
+        self.controllers
+            .iter()
+            .map(|controller| controller.tables.clone())
+            .collect()
+    }
+}
+
+/// Why a proxy has no configuration.
+#[derive(Debug, thiserror::Error)]
+pub enum ConfigError {
+    /// The file can't be read.
+    #[error("{path}: {source}", path = .path.display())]
+    Unreadable {
+        /// The file.
+        path: PathBuf,
+        /// Why.
+        source: std::io::Error,
+    },
+    /// The file does not have the form of a proxy's file.
+    #[error("{path}: {source}", path = .path.display())]
+    Syntax {
+        /// The file.
+        path: PathBuf,
+        /// Where it differs.
+        source: serde_yaml_ng::Error,
+    },
+    /// A value is not allowed.
+    #[error("{path}: {source}", path = .path.display())]
+    Invalid {
+        /// The file.
+        path: PathBuf,
+        /// Which value.
+        source: InvalidConfig,
+    },
+}
+
+/// A value in a proxy's file that is not allowed, named by its key.
+#[derive(Debug, thiserror::Error)]
+pub enum InvalidConfig {
+    /// The name is also a file name in the controllers' roots.
+    #[error("proxy.name: `{0}` should be 1 to 100 letters, digits, - and _")]
+    ProxyName(String),
+    /// There is nobody to take tables from.
+    #[error("conductors: one at least is needed")]
+    NoControllers,
+    /// Too few or too many operations.
+    #[error("operations: {0}, between 1 and 16 are possible")]
+    OperationCount(usize),
+    /// The retry budget is out of range.
+    #[error("repeats: part should lie between 0 and 10, at_once between 0 and 1e6")]
+    RetryBudget,
+    /// A size is too small.
+    #[error("sizes: head should be 256 at least, numbers of connections above 0")]
+    Sizes,
+    /// An operation without time.
+    #[error("operations.{index}.integration_timeout: should be above 0")]
+    IntegrationTimeout {
+        /// Its place in the list.
+        index: usize,
+    },
+    /// Two operations of one name.
+    #[error("operations.{index}.name: `{name}` is named twice")]
+    DuplicateOperation {
+        /// The place of the second one in the list.
+        index: usize,
+        /// The name.
+        name: String,
+    },
+    /// The TLS part is not usable.
+    #[error("tls: {0}")]
+    Tls(#[from] TlsConfigError),
 }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,9 +1,13 @@
-//! The proxy around its core: clients on one side, pooled connections to nodes on the other, tables read
-//! from swapped files, sums told on a stream. A `Proxy` is driven by whoever owns the loop, so that one
-//! thread can carry several; `serve` is the loop of one.
+//! A small HTTP/1.1 proxy that obeys published tables.
+//!
+//! [`Proxy`] is the proxy around its core (`wheelspread-proxy-core`): client connections on one side, pooled
+//! connections to nodes on the other, tables read from swapped files or a stream, load reports sent on a
+//! stream. It is driven by whoever owns the event loop, so that one thread can carry several; [`serve`] is the
+//! loop of one.
 
 mod client;
 mod config;
+mod connection;
 mod http;
 pub mod observer;
 mod proxy;
@@ -13,9 +17,12 @@
 mod table_stream;
 mod tls;
 mod upstream;
+mod upstream_pool;
 
-pub use config::{ConfigError, ControllerEndpoint, ProxyConfig, ProxyFile, TableSource, Timeouts};
+pub use config::{
+    ConfigError, ControllerEndpoint, InvalidConfig, ProxyConfig, TableSource, Timeouts,
+};
 pub use observer::{NoObserver, RequestObserver};
 pub use proxy::Proxy;
 pub use serve::serve;
-pub use tls::TlsSide;
+pub use tls::{TlsConfigError, TlsSide};
--- a/crates/proxy/src/observer.rs
+++ b/crates/proxy/src/observer.rs
@@ -1,25 +1,33 @@
-//! What a proxy does, for those who write it down: drills, and logs of single invocations.
+//! What a proxy does, for those who record it: drills, and logs of single requests.
 
 use wheelspread::ids::NodeId;
 use wheelspread::time::Moment;
 use wheelspread_files::Held;
 use wheelspread_proxy_core::Failure;
 
-/// Why a client was answered as it was.
+/// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RequestOutcome {
-    /// With what the node answered, of this status.
+    /// The response of a node was passed on; with its status.
     Upstream(u16),
+    /// Rejected by the admission ratio or the rate limit of the table.
     RateLimited,
+    /// There was no node to send to.
     NoNode,
+    /// The last attempt failed.
     Failed(Failure),
-    /// The client went away, or its request can't be taken.
+    /// The client disconnected before the end.
     ClientGone,
 }
 
-/// All calls name the invocation by its `x-request-id`.
+/// Is told of each step of each request, and of tables and controllers.
+///
+/// `id` is always the request's `x-request-id`, empty if it has none.
 pub trait RequestObserver {
+    /// A request was read whole.
     fn request_received(&mut self, _now: Moment, _id: &str, _operation: &str) {}
+
+    /// An attempt is sent; `number` counts the attempts of its request from 1.
     fn attempt_sent(
         &mut self,
         _now: Moment,
@@ -29,7 +37,8 @@
         _number: u32,
     ) {
     }
-    /// `None`: the try succeeded.
+
+    /// An attempt ended; without a failure it succeeded.
     fn attempt_ended(
         &mut self,
         _now: Moment,
@@ -39,16 +48,24 @@
         _failure: Option<Failure>,
     ) {
     }
+
+    /// A request ended for its client.
     fn request_finished(&mut self, _now: Moment, _id: &str, _outcome: RequestOutcome) {}
-    /// TableFiles came into force.
+
+    /// Tables came into force.
     fn tables_applied(&mut self, _now: Moment, _held: &Held) {}
+
+    /// Tables were not taken; the last good ones stay in force.
     fn tables_rejected(&mut self, _now: Moment, _reason: &str) {}
-    /// Joined to this one `of` its conductors, by their place in its file.
-    fn controller_joined(&mut self, _now: Moment, _conductor: usize, _of: usize) {}
+
+    /// A controller accepted the report stream: the one at this place of the `count` in the configuration.
+    fn controller_joined(&mut self, _now: Moment, _controller: usize, _count: usize) {}
+
+    /// The report stream to that controller closed.
     fn controller_left(&mut self, _now: Moment, _reason: &str) {}
 }
 
-/// Writes nothing down.
+/// Records nothing.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NoObserver;
 
--- /dev/null
+++ b/crates/proxy/src/proxy/client_side.rs
@@ -0,0 +1,271 @@
+//! The client side: connections are accepted, requests are read whole and handed to the core.
+
+use super::token::Source;
+use super::Proxy;
+use crate::client::{Client, PendingRequest, Stage, MAX_UNSENT_RESPONSE_BYTES, READ_AHEAD_BYTES};
+use crate::connection::ConnectionState;
+use crate::http::{self, LocalResponse, LocalStatus};
+use crate::observer::{RequestObserver, RequestOutcome};
+use std::rc::Rc;
+use wheelspread::time::Moment;
+use wheelspread_http1::{request, BadMessage, Body, Framing, Request};
+use wheelspread_proxy_core::RequestHandle;
+use wheelspread_reactor::{self as reactor, Interest, Poll};
+
+impl<W: RequestObserver> Proxy<W> {
+    pub(super) fn accept_clients(&mut self, poll: &Poll, now: Moment) {
+        let (accepted, _) = reactor::accept(&self.listener);
+        for socket in accepted {
+            if self.clients.len() >= self.config.max_client_connections {
+                continue; // dropped, so closed at once: the client sees that it is not served
+            }
+            let entry = self.clients.vacant_entry();
+            let slot = entry.key();
+            let token = self.tokens.token(Source::Client(slot));
+            if poll.add(&socket, token, Interest::Edges).is_ok() {
+                entry.insert(Client::new(now, socket));
+                self.serve_client(poll, now, slot, true);
+            }
+        }
+    }
+
+    /// Reads, handles and writes what it can for one client.
+    pub(super) fn serve_client(&mut self, poll: &Poll, now: Moment, slot: usize, readable: bool) {
+        if self.read_requests(poll, now, slot, readable) == ConnectionState::Closed {
+            return self.disconnect_client(poll, now, slot);
+        }
+        let Some(client) = self.clients.get_mut(slot) else {
+            return;
+        };
+        if client.write(now) == ConnectionState::Closed || client.is_finished() {
+            return self.disconnect_client(poll, now, slot);
+        }
+        self.resume_upstream(poll, now, slot);
+    }
+
+    fn read_requests(
+        &mut self,
+        poll: &Poll,
+        now: Moment,
+        slot: usize,
+        readable: bool,
+    ) -> ConnectionState {
+        let max_request =
+            self.config.max_head_bytes + self.config.max_body_bytes + READ_AHEAD_BYTES;
+        loop {
+            let Some(client) = self.clients.get_mut(slot) else {
+                return ConnectionState::Open;
+            };
+            let limit = if client.pending.is_some() {
+                READ_AHEAD_BYTES
+            } else {
+                max_request
+            };
+            if client.read(now, limit, readable, &mut self.read_buffer) == ConnectionState::Closed
+                || client.write(now) == ConnectionState::Closed
+            {
+                return ConnectionState::Closed;
+            }
+            if !self.advance_request(poll, now, slot) {
+                return ConnectionState::Open;
+            }
+        }
+    }
+
+    /// Reads on from a node that was held back while this client took nothing.
+    fn resume_upstream(&mut self, poll: &Poll, now: Moment, slot: usize) {
+        let Some(client) = self.clients.get(slot) else {
+            return;
+        };
+        if client.unsent() >= MAX_UNSENT_RESPONSE_BYTES {
+            return;
+        }
+        let Some(upstream) = client.pending.as_ref().and_then(|pending| pending.upstream) else {
+            return;
+        };
+        let connection = self.upstreams.get(upstream);
+        if connection.is_some_and(|connection| connection.has_unforwarded_response()) {
+            self.serve_upstream(poll, now, upstream, false);
+        }
+    }
+
+    /// One step through what a client sent; `false` if there is nothing to do for now.
+    fn advance_request(&mut self, poll: &Poll, now: Moment, slot: usize) -> bool {
+        match self.clients.get(slot).map(|client| &client.stage) {
+            Some(Stage::Head) => self.read_head(now, slot),
+            Some(Stage::Body { .. }) => self.read_body(poll, now, slot),
+            Some(Stage::Waiting | Stage::Closing) | None => false,
+        }
+    }
+
+    fn read_head(&mut self, now: Moment, slot: usize) -> bool {
+        let input = &self.clients[slot].input;
+        if input.is_empty() {
+            return false;
+        }
+        match request(input, self.limits) {
+            Ok(None) => false,
+            Ok(Some(head)) => self.start_body(now, slot, head),
+            Err(BadMessage::HeadTooLong(_) | BadMessage::TooManyHeaders(_)) => {
+                self.reject_request(now, slot, LocalStatus::HeadTooLarge, "the head is too long")
+            }
+            Err(error) => {
+                self.reject_request(now, slot, LocalStatus::BadRequest, &error.to_string())
+            }
+        }
+    }
+
+    fn read_body(&mut self, poll: &Poll, now: Moment, slot: usize) -> bool {
+        let client = &mut self.clients[slot];
+        let Stage::Body {
+            head,
+            body,
+            received,
+        } = &mut client.stage
+        else {
+            return false;
+        };
+        let start = (head.length + *received).min(client.input.len());
+        match body.take(&client.input[start..]) {
+            Err(error) => {
+                self.reject_request(now, slot, LocalStatus::BadRequest, &error.to_string())
+            }
+            Ok(count) => {
+                *received += count;
+                if *received > self.config.max_body_bytes {
+                    return self.reject_request(
+                        now,
+                        slot,
+                        LocalStatus::BodyTooLarge,
+                        "the body is too long",
+                    );
+                }
+                if !body.done() {
+                    return false;
+                }
+                let (head, body_length) = (head.clone(), *received);
+                self.start_request(poll, now, slot, &head, body_length);
+                true
+            }
+        }
+    }
+
+    /// Responds to a request that is not taken, and reads nothing more: where it ends is not known.
+    pub(super) fn reject_request(
+        &mut self,
+        now: Moment,
+        slot: usize,
+        status: LocalStatus,
+        message: &str,
+    ) -> bool {
+        if let Some(client) = self.clients.get_mut(slot) {
+            let response = LocalResponse {
+                status,
+                message,
+                retry_after: None,
+            };
+            client.queue(&response.encode(false, true));
+            client.stage = Stage::Closing;
+            client.last_activity_at = now;
+        }
+        true
+    }
+
+    fn start_body(&mut self, now: Moment, slot: usize, head: Request) -> bool {
+        let max_body = self.config.max_body_bytes as u64;
+        let Some(client) = self.clients.get_mut(slot) else {
+            return false;
+        };
+        let target = std::str::from_utf8(&client.input[head.target.clone()]).unwrap_or("");
+        if self.core.operation_id(http::operation(target)).is_none() {
+            let message = "no operation of that name";
+            return self.reject_request(now, slot, LocalStatus::UnknownOperation, message);
+        }
+        if matches!(head.framing, Framing::Length(length) if length > max_body) {
+            let message = "the body is too long";
+            return self.reject_request(now, slot, LocalStatus::BodyTooLarge, message);
+        }
+        if head.expects_continue {
+            client.queue(b"HTTP/1.1 100 Continue\r\n\r\n");
+        }
+        let body = Body::new(head.framing);
+        client.stage = Stage::Body {
+            head,
+            body,
+            received: 0,
+        };
+        true
+    }
+
+    /// Hands a request to the core; it is here as a whole.
+    fn start_request(
+        &mut self,
+        poll: &Poll,
+        now: Moment,
+        slot: usize,
+        head: &Request,
+        body_length: usize,
+    ) {
+        let Some(client) = self.clients.get_mut(slot) else {
+            return;
+        };
+        let target = std::str::from_utf8(&client.input[head.target.clone()]).unwrap_or("");
+        let name = http::operation(target).to_string();
+        let Some(operation) = self.core.operation_id(&name) else {
+            return;
+        };
+        let id = http::header(&client.input, &head.headers, "x-request-id")
+            .unwrap_or("")
+            .to_string();
+        let end = head.length + body_length;
+        let body = &client.input[head.length..end];
+        let bytes = Rc::new(http::forward_request(&client.input, head, body));
+        client.consume(end);
+        client.stage = Stage::Waiting;
+        self.observer.request_received(now, &id, &name);
+        let decision = self.core.start_request(now, operation);
+        client.pending = Some(PendingRequest {
+            handle: decision.request,
+            id,
+            operation: name,
+            bytes,
+            upstream: None,
+            is_head: head.is_head,
+            keep_alive: head.keep_alive,
+            response_started: false,
+        });
+        self.set_request_owner(decision.request, slot);
+        self.apply_decision(poll, now, decision);
+    }
+
+    fn set_request_owner(&mut self, request: RequestHandle, slot: usize) {
+        let at = request.0 as usize;
+        if self.request_owners.len() <= at {
+            self.request_owners.resize(at + 1, None);
+        }
+        self.request_owners[at] = Some(slot);
+    }
+
+    /// The client that waits for a request.
+    pub(super) fn request_owner(&self, request: RequestHandle) -> Option<usize> {
+        let slot = (*self.request_owners.get(request.0 as usize)?)?;
+        let pending = self.clients.get(slot)?.pending.as_ref()?;
+        (pending.handle == request).then_some(slot)
+    }
+
+    /// Closes a client connection and gives up its request.
+    pub(super) fn disconnect_client(&mut self, poll: &Poll, now: Moment, slot: usize) {
+        let Some(client) = self.clients.try_remove(slot) else {
+            return;
+        };
+        let _ = poll.remove(&client.socket);
+        if let Some(pending) = client.pending {
+            self.observer
+                .request_finished(now, &pending.id, RequestOutcome::ClientGone);
+            self.core.cancel_request(now, pending.handle);
+            if let Some(upstream) = pending.upstream {
+                self.upstreams.close(upstream);
+            }
+        }
+    }
+}
--- a/crates/proxy/src/report_stream.rs
+++ b/crates/proxy/src/report_stream.rs
@@ -1,9 +1,11 @@
-//! The stream of sums: dialled, lost, dialled again, at the next conductor if one does not answer.
+//! The load report stream: dialed, and dialed again when it closed, at the next controller if one does not
+//! accept it.
 
 use crate::config::ProxyConfig;
 use crate::tls::{self, TlsSide};
 use prost::Message;
-use std::net::{Ipv4Addr, SocketAddrV4, TcpStream};
+use std::io;
+use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::SystemTime;
 use wheelspread::time::{Moment, Span};
 use wheelspread_controller_core::load_report::{LoadReport, NodeReport};
@@ -13,165 +15,230 @@
 use wheelspread_reactor::{self as reactor, Interest, Poll, Token};
 use wheelspread_xds::loads;
 
+/// Seconds between two looks at an open stream: its pings need them.
+const KEEPALIVE_INTERVAL_SECONDS: f64 = 0.5;
+/// The next report comes this part of a period after a late one at the earliest.
+const MIN_PART_OF_PERIOD: f64 = 0.5;
+
 enum State {
     Waiting,
-    Dialling(Box<ClientConnection>),
-    Joined {
-        connection: Box<ClientConnection>,
-        period: Span,
-        next: Moment,
-    },
+    Dialing(Box<ClientConnection>),
+    Joined(Joined),
+}
+
+/// A stream that a controller accepted.
+struct Joined {
+    connection: Box<ClientConnection>,
+    /// The report period that the controller asks for.
+    period: Span,
+    next_report: Moment,
 }
 
+/// The load report stream of a proxy.
 pub struct ReportStream {
-    who: Introduction,
-    sides: Vec<SocketAddrV4>,
+    introduction: Introduction,
+    controllers: Vec<SocketAddrV4>,
     source: Option<Ipv4Addr>,
     state: State,
-    dial: ControllerDialer,
+    dialer: ControllerDialer,
     token: Token,
-    dialled: SystemTime,
+    dialed_at: SystemTime,
     tls: Option<TlsSide>,
 }
 
+/// What came of the stream.
 pub enum ReportStreamEvent {
-    Joined { conductor: usize },
-    Left { reason: String },
+    /// A controller accepted it.
+    Joined {
+        /// Its place in the configuration.
+        controller: usize,
+    },
+    /// The stream that it had accepted closed.
+    Left {
+        /// Why.
+        reason: String,
+    },
+}
+
+/// Why a stream closed.
+#[derive(Debug, thiserror::Error)]
+enum StreamError {
+    #[error("{0}")]
+    Connection(String),
+    #[error("{0}")]
+    Message(String),
+    #[error("report period of zero")]
+    ZeroPeriod,
+    #[error("load report not taken")]
+    ReportNotTaken,
+    #[error(transparent)]
+    Dial(#[from] io::Error),
 }
 
 impl ReportStream {
-    pub fn new(now: Moment, plan: &ProxyConfig, token: Token) -> ReportStream {
-        let sides = plan.sides();
-        let dial = ControllerDialer::new(now, sides.len(), plan.waits.redial, plan.seed);
+    /// A stream that is dialed at the first poll.
+    pub fn new(now: Moment, config: &ProxyConfig, token: Token) -> ReportStream {
+        let controllers = config.controller_addresses();
+        let delay = config.timeouts.reconnect_delay;
         ReportStream {
-            who: plan.introduction(),
-            sides,
-            source: plan.source,
+            introduction: config.introduction(),
+            dialer: ControllerDialer::new(now, controllers.len(), delay, config.seed),
+            controllers,
+            source: config.source,
             state: State::Waiting,
-            dial,
             token,
-            dialled: SystemTime::now(),
-            tls: plan.tls.clone(),
+            dialed_at: SystemTime::now(),
+            tls: config.tls.clone(),
         }
     }
 
-    /// When it last began to dial.
-    pub fn dialled(&self) -> SystemTime {
-        self.dialled
+    /// When it was last dialed, by the clock that files are dated by.
+    pub fn dialed_at(&self) -> SystemTime {
+        self.dialed_at
     }
 
-    pub fn joined(&self) -> bool {
-        self.dial.joined()
+    /// Whether a controller has accepted it.
+    pub fn is_joined(&self) -> bool {
+        self.dialer.joined()
     }
 
-    /// TableSource, writes, dials. `report` is asked for sums when they are due.
-    pub fn turn(
+    /// Dials, reads and writes. `take_report` is called when a report is due.
+    pub fn poll(
         &mut self,
         poll: &Poll,
         now: Moment,
-        report: impl FnOnce() -> Option<LoadReport>,
+        take_report: impl FnOnce() -> Option<LoadReport>,
     ) -> Vec<ReportStreamEvent> {
-        if let Some(side) = self.dial.due(now) {
-            self.dial(poll, now, side);
+        if let Some(controller) = self.dialer.due(now) {
+            self.dial(poll, now, controller);
         }
-        let mut told = Vec::new();
-        let (events, mut over) = match &mut self.state {
-            State::Waiting => return told,
-            State::Dialling(connection) | State::Joined { connection, .. } => connection.turn(now),
+        let mut joined = Vec::new();
+        let (events, closed) = match &mut self.state {
+            State::Waiting => return joined,
+            State::Dialing(connection) => connection.turn(now),
+            State::Joined(stream) => stream.connection.turn(now),
         };
+        let mut error = closed.map(StreamError::Connection);
         for event in events {
             match event {
-                ClientEvent::Opened => {
-                    let hello = loads::introduce(&self.who).encode_to_vec();
-                    if let State::Dialling(connection) = &mut self.state {
-                        connection.send(&hello);
-                        over = over.or(connection.push(now));
+                ClientEvent::Opened => error = error.or(self.introduce(now)),
+                ClientEvent::Message { bytes } => {
+                    if let Err(bad_message) = self.on_message(now, &bytes, &mut joined) {
+                        error = Some(bad_message);
                     }
                 }
-                ClientEvent::Message { bytes } => match loads::decode_response(&bytes) {
-                    Ok(period) if period > Span::ZERO => self.accepted(now, period, &mut told),
-                    Ok(_) => over = Some("a period of nothing".to_string()),
-                    Err(error) => over = Some(error.to_string()),
-                },
             }
         }
-        if let State::Joined {
-            connection,
-            period,
-            next,
-        } = &mut self.state
-        {
-            if now >= *next && over.is_none() {
-                *next = (*next + *period).max(now + *period * 0.5);
-                let request = report()
-                    .map(|report| loads::request(&report, |_: &NodeReport| self.who.zone.clone()));
-                if let Some(request) = request {
-                    if !connection.send(&request.encode_to_vec()) {
-                        over = Some("sums are not taken".to_string());
-                    }
-                    over = over.or(connection.push(now));
-                }
-            }
+        if error.is_none() {
+            error = self.send_report_if_due(now, take_report);
         }
-        if let Some(reason) = over {
-            self.lost(now, reason, &mut told);
+        if let Some(error) = error {
+            joined.extend(self.close(now, &error));
         }
-        told
+        joined
     }
 
-    fn accepted(&mut self, now: Moment, period: Span, told: &mut Vec<ReportStreamEvent>) {
-        self.state = match std::mem::replace(&mut self.state, State::Waiting) {
-            State::Dialling(connection) => {
-                if self.dial.accepted(now) {
-                    told.push(ReportStreamEvent::Joined {
-                        conductor: self.dial.conductor(),
-                    });
-                }
-                State::Joined {
+    /// Says who calls, once the stream is open.
+    fn introduce(&mut self, now: Moment) -> Option<StreamError> {
+        let State::Dialing(connection) = &mut self.state else {
+            return None;
+        };
+        let hello = loads::introduce(&self.introduction).encode_to_vec();
+        connection.send(&hello);
+        connection.push(now).map(StreamError::Connection)
+    }
+
+    /// A controller says how often it wants reports; the first time it accepts the stream by that.
+    fn on_message(
+        &mut self,
+        now: Moment,
+        bytes: &[u8],
+        events: &mut Vec<ReportStreamEvent>,
+    ) -> Result<(), StreamError> {
+        let period = loads::decode_response(bytes)
+            .map_err(|error| StreamError::Message(error.to_string()))?;
+        if period <= Span::ZERO {
+            return Err(StreamError::ZeroPeriod);
+        }
+        events.extend(self.set_period(now, period));
+        Ok(())
+    }
+
+    fn set_period(&mut self, now: Moment, period: Span) -> Option<ReportStreamEvent> {
+        match std::mem::replace(&mut self.state, State::Waiting) {
+            State::Dialing(connection) => {
+                self.state = State::Joined(Joined {
                     connection,
                     period,
-                    next: now + period,
-                }
+                    next_report: now + period,
+                });
+                let controller = self.dialer.conductor();
+                let is_joined = self.dialer.accepted(now);
+                is_joined.then_some(ReportStreamEvent::Joined { controller })
             }
-            State::Joined {
-                connection, next, ..
-            } => State::Joined {
-                connection,
-                period,
-                next,
-            },
-            waiting => waiting,
-        };
+            State::Joined(stream) => {
+                self.state = State::Joined(Joined { period, ..stream });
+                None
+            }
+            State::Waiting => None,
+        }
     }
 
-    /// Breaks the stream, as when the network does.
-    pub fn lost(&mut self, now: Moment, reason: String, told: &mut Vec<ReportStreamEvent>) {
-        if self.dial.lost(now) {
-            told.push(ReportStreamEvent::Left { reason });
+    fn send_report_if_due(
+        &mut self,
+        now: Moment,
+        take_report: impl FnOnce() -> Option<LoadReport>,
+    ) -> Option<StreamError> {
+        let State::Joined(stream) = &mut self.state else {
+            return None;
+        };
+        if now < stream.next_report {
+            return None;
+        }
+        let earliest = now + stream.period * MIN_PART_OF_PERIOD;
+        stream.next_report = (stream.next_report + stream.period).max(earliest);
+        let report = take_report()?;
+        let zone = |_: &NodeReport| self.introduction.zone.clone();
+        let request = loads::request(&report, zone).encode_to_vec();
+        let is_queued = stream.connection.send(&request);
+        let closed = stream.connection.push(now);
+        if !is_queued {
+            return Some(StreamError::ReportNotTaken);
         }
+        closed.map(StreamError::Connection)
+    }
+
+    fn close(&mut self, now: Moment, error: &StreamError) -> Option<ReportStreamEvent> {
         self.state = State::Waiting;
+        let was_joined = self.dialer.lost(now);
+        was_joined.then(|| ReportStreamEvent::Left {
+            reason: error.to_string(),
+        })
     }
 
-    fn dial(&mut self, poll: &Poll, now: Moment, side: usize) {
-        self.dialled = SystemTime::now();
-        let side = self.sides[side];
-        let socket = reactor::connect_from(self.source, side.ip().octets(), side.port());
-        let dialled = socket.and_then(|socket: TcpStream| {
-            poll.add(&socket, self.token, Interest::Edges)?;
-            tls::connect(now, socket, loads::METHOD, self.tls.as_ref())
-        });
-        match dialled {
-            Ok(connection) => self.state = State::Dialling(Box::new(connection)),
-            Err(error) => self.lost(now, error.to_string(), &mut Vec::new()),
+    fn dial(&mut self, poll: &Poll, now: Moment, controller: usize) {
+        self.dialed_at = SystemTime::now();
+        match self.connect(poll, now, controller) {
+            Ok(connection) => self.state = State::Dialing(Box::new(connection)),
+            // It was not joined, so nobody has to be told.
+            Err(error) => drop(self.close(now, &error.into())),
         }
     }
 
-    pub fn wake_at(&self, now: Moment) -> Moment {
+    fn connect(&self, poll: &Poll, now: Moment, controller: usize) -> io::Result<ClientConnection> {
+        let address = self.controllers[controller];
+        let socket = reactor::connect_from(self.source, address.ip().octets(), address.port())?;
+        poll.add(&socket, self.token, Interest::Edges)?;
+        tls::connect(now, socket, loads::METHOD, self.tls.as_ref())
+    }
+
+    /// When it has to be polled at the latest.
+    pub fn next_wakeup(&self, now: Moment) -> Moment {
+        let keepalive = now + Span::from_seconds(KEEPALIVE_INTERVAL_SECONDS);
         match &self.state {
-            State::Waiting => self.dial.until().unwrap_or(now),
-            State::Dialling(_) => now + Span::from_seconds(0.5),
-            // Pings are looked after as well.
-            State::Joined { next, .. } => (*next).min(now + Span::from_seconds(0.5)),
+            State::Waiting => self.dialer.until().unwrap_or(now),
+            State::Dialing(_) => keepalive,
+            State::Joined(stream) => stream.next_report.min(keepalive),
         }
     }
 }
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -1,35 +1,38 @@
-//! The loop of one proxy.
+//! The event loop of one proxy.
 
+use crate::proxy::is_upstream_token;
 use crate::{Proxy, ProxyConfig, RequestObserver};
 use std::io;
 use tracing::info;
 use wheelspread_reactor::{self as reactor, Poll, Signals, Token};
 
+/// Above all tokens of a proxy with the number 0.
 const SIGNALS: Token = Token(1 << 60);
 
-/// Until a signal tells it to stop.
-pub fn serve<W: RequestObserver>(plan: ProxyConfig, observer: W) -> io::Result<()> {
+/// Runs one proxy until it gets SIGTERM or SIGINT.
+///
+/// # Errors
+/// The proxy can't listen, or the loop itself failed.
+pub fn serve<W: RequestObserver>(config: ProxyConfig, observer: W) -> io::Result<()> {
     let mut poll = Poll::new()?;
     let signals = Signals::new(&poll, SIGNALS, &[reactor::TERMINATE, reactor::INTERRUPT])?;
-    let name = plan.name.clone();
-    let mut proxy = Proxy::start(&poll, reactor::now(), 0, plan, observer)?;
+    let name = config.name.clone();
+    let mut proxy = Proxy::start(&poll, reactor::now(), 0, config, observer)?;
     info!(name, address = %proxy.address()?, "proxy listens");
-    let mut ready = Vec::new();
+    let mut events = Vec::new();
     loop {
         let now = reactor::now();
-        proxy.turn(&poll, now);
-        let wait = proxy.wake_at(now) - now;
-        poll.wait(wait, &mut ready)?;
+        proxy.run_due_work(&poll, now);
+        let timeout = proxy.next_wakeup(now) - now;
+        poll.wait(timeout, &mut events)?;
         let now = reactor::now();
-        ready.sort_by_key(|ready| !Proxy::<W>::of_node(ready.token.0 & u64::from(u32::MAX)));
-        for ready in ready.drain(..) {
-            if ready.token == SIGNALS {
-                if !signals.came().is_empty() {
-                    info!(name, "proxy stopped");
-                    return Ok(());
-                }
-            } else {
-                proxy.ready(&poll, now, ready.token.0 & u64::from(u32::MAX), ready)?;
+        events.sort_by_key(|event| !is_upstream_token(event.token));
+        for event in events.drain(..) {
+            if event.token != SIGNALS {
+                proxy.on_ready(&poll, now, event)?;
+            } else if !signals.came().is_empty() {
+                info!(name, "proxy stopped");
+                return Ok(());
             }
         }
     }
--- a/crates/proxy/src/table_files.rs
+++ b/crates/proxy/src/table_files.rs
@@ -1,145 +1,173 @@
-//! TableFiles from the directory of the conductor that the proxy is joined to. On coming to a conductor the
-//! proxy keeps what it holds until that one swaps something in: what lies there may be of long ago.
+//! Tables from the directory of the controller that the proxy is joined to. On joining a controller the proxy
+//! keeps what it holds until that controller swaps something in: what lies there may be long out of date.
 
 use std::io;
 use std::path::PathBuf;
 use std::time::{Duration, SystemTime};
 use wheelspread_controller_core::publication::Version;
-use wheelspread_files::{read_tables, swap, Held, Root, CURRENT};
+use wheelspread_files::{read_tables, swap, Held, ReadError, Root, CURRENT};
 use wheelspread_reactor::{Moved, Poll, Token, Watcher};
 use wheelspread_xds::status::{self, Status};
 
 /// File systems date by a clock that may lie behind by a tick.
-const COARSE: Duration = Duration::from_millis(20);
+const FILE_TIME_TOLERANCE: Duration = Duration::from_millis(20);
 
+/// The table files of a proxy's controllers.
 pub struct TableFiles {
-    name: String,
+    proxy: String,
     roots: Vec<Root>,
     watcher: Watcher,
+    /// The controller whose directory is watched.
     watched: Option<usize>,
+    /// The version held last.
     version: Version,
-    publishes: bool,
+    publishes_status: bool,
 }
 
-/// What looking at the files led to.
+/// What came of reading tables.
 pub enum TableUpdate {
+    /// There is nothing to read.
     Unchanged,
+    /// Tables to apply.
     New(Box<Held>),
+    /// What is there can't be used; with the reason.
     Rejected(String),
 }
 
+/// Tables that were not taken, for the proxy's status file.
+struct Rejection {
+    version: Version,
+    reason: String,
+}
+
 impl TableFiles {
+    /// Files under `roots`, one root for each controller; nothing is watched yet.
     pub fn new(
         poll: &Poll,
         token: Token,
-        name: &str,
+        proxy: &str,
         roots: Vec<PathBuf>,
-        publishes: bool,
+        publishes_status: bool,
     ) -> io::Result<TableFiles> {
-        let watcher = Watcher::new(poll, token)?;
-        let roots = roots.into_iter().map(Root::new).collect();
         Ok(TableFiles {
-            name: name.to_string(),
-            roots,
-            watcher,
+            proxy: proxy.to_string(),
+            roots: roots.into_iter().map(Root::new).collect(),
+            watcher: Watcher::new(poll, token)?,
             watched: None,
             version: Version(0),
-            publishes,
+            publishes_status,
         })
     }
 
-    fn gateway(&self, conductor: usize) -> PathBuf {
-        self.roots[conductor].gateway(&self.name)
+    fn directory(&self, controller: usize) -> PathBuf {
+        self.roots[controller].gateway(&self.proxy)
     }
 
-    /// At its start a proxy goes by the first tables that lie there, if any do.
-    pub fn start(&mut self) -> TableUpdate {
-        for conductor in 0..self.roots.len() {
-            if let looked @ TableUpdate::New(_) = self.look(conductor) {
-                return looked;
+    /// The first tables that lie under any root: a proxy that starts goes by those.
+    pub fn load_existing(&mut self) -> TableUpdate {
+        for controller in 0..self.roots.len() {
+            let update = self.load(controller);
+            if matches!(update, TableUpdate::New(_)) {
+                return update;
             }
         }
         TableUpdate::Unchanged
     }
 
-    /// The proxy is joined to this conductor from now on, which it began to dial at `dialled`. What was swapped
-    /// in since is for it, though the watch came too late to tell of it.
+    /// The proxy is joined to this controller from now on, which it began to dial at `dialed_at`. What was
+    /// swapped in since is for this proxy, though the watch came too late to tell of it.
     pub fn follow(
         &mut self,
         poll: &Poll,
         token: Token,
-        conductor: usize,
-        dialled: SystemTime,
+        controller: usize,
+        dialed_at: SystemTime,
     ) -> io::Result<TableUpdate> {
-        if self.watched != Some(conductor) {
-            let directory = self.gateway(conductor);
-            std::fs::create_dir_all(&directory)?;
-            let mut watcher = Watcher::new(poll, token)?;
-            watcher.add(&directory)?;
-            (self.watcher, self.watched) = (watcher, Some(conductor));
-            let swapped =
-                std::fs::symlink_metadata(directory.join(CURRENT)).and_then(|link| link.modified());
-            if swapped.is_ok_and(|at| at + COARSE >= dialled) {
-                return Ok(self.look(conductor));
-            }
+        if self.watched == Some(controller) {
+            return Ok(TableUpdate::Unchanged);
+        }
+        let directory = self.directory(controller);
+        std::fs::create_dir_all(&directory)?;
+        let mut watcher = Watcher::new(poll, token)?;
+        watcher.add(&directory)?;
+        self.watcher = watcher;
+        self.watched = Some(controller);
+        let swapped_at =
+            std::fs::symlink_metadata(directory.join(CURRENT)).and_then(|link| link.modified());
+        if swapped_at.is_ok_and(|at| at + FILE_TIME_TOLERANCE >= dialed_at) {
+            return Ok(self.load(controller));
         }
         Ok(TableUpdate::Unchanged)
     }
 
-    /// The watch told something.
-    pub fn moved(&mut self) -> io::Result<TableUpdate> {
-        let mine = |moved: &Moved| match moved {
-            Moved::Into { name, .. } => name == CURRENT,
-            Moved::Overflow | Moved::Gone { .. } => true,
-        };
-        let moved = self.watcher.moved()?;
-        if moved
-            .iter()
-            .any(|moved| matches!(moved, Moved::Gone { .. }))
-        {
+    /// Handles events of the watch.
+    pub fn on_watch_event(&mut self) -> io::Result<TableUpdate> {
+        let events = self.watcher.moved()?;
+        let is_gone = |event: &Moved| matches!(event, Moved::Gone { .. });
+        if events.iter().any(is_gone) {
             self.watched = None;
         }
         match self.watched {
-            Some(conductor) if moved.iter().any(mine) => Ok(self.look(conductor)),
+            Some(controller) if events.iter().any(may_change_tables) => Ok(self.load(controller)),
             _ => Ok(TableUpdate::Unchanged),
         }
     }
 
-    fn look(&mut self, conductor: usize) -> TableUpdate {
-        match read_tables(&self.gateway(conductor)) {
+    fn load(&mut self, controller: usize) -> TableUpdate {
+        match read_tables(&self.directory(controller)) {
             Ok(None) => TableUpdate::Unchanged,
             Ok(Some(held)) => {
                 self.version = held.orders.version;
-                self.publish(conductor, None);
+                self.publish_status(controller, None);
                 TableUpdate::New(Box::new(held))
             }
             Err(error) => {
-                let refused = (error.version().unwrap_or_default(), error.to_string());
-                self.publish(conductor, Some(refused));
+                self.publish_status(controller, Some(Rejection::new(&error)));
                 TableUpdate::Rejected(error.to_string())
             }
         }
     }
 
-    /// Says what is held, or why something was not taken. A conductor that does not hear it goes by time.
-    fn publish(&self, conductor: usize, refused: Option<(Version, String)>) {
-        if !self.publishes {
+    /// Says what is held, or why something was not taken. A controller that does not see it goes by time.
+    fn publish_status(&self, controller: usize, rejection: Option<Rejection>) {
+        if !self.publishes_status {
             return;
         }
-        let told = Status {
-            proxy: self.name.clone(),
+        let status = Status {
+            proxy: self.proxy.clone(),
             version: self.version,
-            refused,
+            refused: rejection.map(|rejection| (rejection.version, rejection.reason)),
+        };
+        let reason = match status::write(&status) {
+            Ok(text) => {
+                let path = self.roots[controller].status(&self.proxy);
+                let Err(error) = swap::place(&path, &text) else {
+                    return;
+                };
+                error.to_string()
+            }
+            Err(error) => error.to_string(),
         };
-        let path = self.roots[conductor].status(&self.name);
-        let written = status::write(&told).map_err(|error| error.to_string());
-        let written =
-            written.and_then(|text| swap::place(&path, &text).map_err(|error| error.to_string()));
-        if let Err(reason) = written {
-            tracing::debug!(proxy = self.name, reason, "status not published");
+        tracing::debug!(proxy = self.proxy, reason, "status not published");
+    }
+}
+
+impl Rejection {
+    fn new(error: &ReadError) -> Rejection {
+        Rejection {
+            version: error.version().unwrap_or_default(),
+            reason: error.to_string(),
         }
     }
 }
 
+/// Whether an event of the watch may mean other tables.
+fn may_change_tables(event: &Moved) -> bool {
+    match event {
+        Moved::Into { name, .. } => name == CURRENT,
+        Moved::Overflow | Moved::Gone { .. } => true,
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/proxy/src/table_files/tests.rs
+++ b/crates/proxy/src/table_files/tests.rs
@@ -2,7 +2,7 @@
 use wheelspread_xds::tables::Documents;
 
 #[test]
-fn what_is_swapped_in_between_the_join_and_the_watch_is_not_missed() {
+fn tables_swapped_in_between_the_join_and_the_watch_are_applied() {
     let directory = tempfile::tempdir().expect("a directory");
     let root = Root::new(directory.path());
     root.prepare().expect("prepared");
@@ -17,18 +17,20 @@
         .expect("swapped");
     let poll = Poll::new().expect("epoll");
     let hour = Duration::from_secs(3600);
-    for (dialled, taken) in [
+    for (dialed_at, is_applied) in [
         (SystemTime::now() - hour, true),
         (SystemTime::now() + hour, false),
     ] {
         let roots = vec![directory.path().to_path_buf()];
         let mut tables = TableFiles::new(&poll, Token(1), "g1", roots, false).expect("inotify");
-        let looked = tables.follow(&poll, Token(1), 0, dialled).expect("watched");
+        let update = tables
+            .follow(&poll, Token(1), 0, dialed_at)
+            .expect("watched");
         assert_eq!(
-            matches!(looked, TableUpdate::New(_)),
-            taken,
+            matches!(update, TableUpdate::New(_)),
+            is_applied,
             "of long ago: {}",
-            !taken
+            !is_applied
         );
     }
 }
--- a/crates/proxy/src/table_stream.rs
+++ b/crates/proxy/src/table_stream.rs
@@ -1,9 +1,10 @@
-//! TableFiles by a discovery stream of the conductor that the proxy is joined to: dialled when it joins, dialled
-//! again while it stays joined, and told what is held already.
+//! Tables by a discovery stream of the controller that accepted the report stream: dialed when it accepts,
+//! dialed again while it stays joined. A new stream says which version is held already.
 
 use crate::config::ProxyConfig;
 use crate::table_files::TableUpdate;
 use crate::tls::{self, TlsSide};
+use std::io;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use wheelspread::time::{Moment, Span};
 use wheelspread_controller_core::membership::Introduction;
@@ -14,161 +15,207 @@
 use wheelspread_reactor::{self as reactor, Interest, Poll, Token};
 use wheelspread_xds::discovery;
 
-pub struct Stream {
-    who: Introduction,
-    sides: Vec<SocketAddrV4>,
+/// Seconds between two looks at an open stream: its pings need them.
+const KEEPALIVE_INTERVAL_SECONDS: f64 = 0.5;
+
+/// Why a stream closed.
+#[derive(Debug, thiserror::Error)]
+enum StreamError {
+    #[error("{0}")]
+    Connection(String),
+    #[error("{0}")]
+    Message(String),
+    /// What came does not fit to what is held: a new stream begins with everything.
+    #[error("{0}")]
+    Inconsistent(String),
+}
+
+/// The discovery stream of a proxy.
+pub struct TableStream {
+    introduction: Introduction,
+    addresses: Vec<SocketAddrV4>,
     source: Option<Ipv4Addr>,
     token: Token,
-    redial: Span,
-    conductor: Option<usize>,
+    reconnect_delay: Span,
+    /// The controller that the proxy is joined to.
+    controller: Option<usize>,
     connection: Option<Box<ClientConnection>>,
     dial_at: Option<Moment>,
     reader: Reader,
-    /// A dialled stream still has to be said who calls.
-    silent: bool,
+    /// The first request of a stream still has to say who calls.
+    needs_introduction: bool,
     tls: Option<TlsSide>,
 }
 
-impl Stream {
-    pub fn new(plan: &ProxyConfig, token: Token) -> Stream {
-        let operations = &plan.core.operations;
-        let names = |make: &dyn Fn(&str) -> String| {
-            operations.iter().map(|rules| make(&rules.name)).collect()
-        };
-        let reader = Reader::new(vec![
-            (
-                Kind::Endpoints,
-                names(&|name| format!("{}{name}", discovery::LINES_APART)),
-            ),
-            (
-                Kind::Lines,
-                names(&|name| format!("{}{name}/*", discovery::LINE)),
-            ),
-            (Kind::Routes, vec![discovery::OPERATIONS.to_string()]),
-        ]);
-        Stream {
-            who: plan.introduction(),
-            sides: plan.sides(),
-            source: plan.source,
+impl TableStream {
+    /// A stream that is dialed once the proxy is joined to a controller.
+    pub fn new(config: &ProxyConfig, token: Token) -> TableStream {
+        TableStream {
+            introduction: config.introduction(),
+            addresses: config.controller_addresses(),
+            source: config.source,
             token,
-            redial: plan.waits.redial,
-            conductor: None,
+            reconnect_delay: config.timeouts.reconnect_delay,
+            controller: None,
             connection: None,
             dial_at: None,
-            reader,
-            silent: true,
-            tls: plan.tls.clone(),
+            reader: Reader::new(subscriptions(config)),
+            needs_introduction: true,
+            tls: config.tls.clone(),
         }
     }
 
-    /// The proxy is joined to this conductor from now on.
-    pub fn follow(&mut self, now: Moment, conductor: usize) {
-        if self.conductor != Some(conductor) || self.connection.is_none() {
-            (self.conductor, self.connection, self.dial_at) = (Some(conductor), None, Some(now));
+    /// The proxy is joined to this controller from now on.
+    pub fn follow(&mut self, now: Moment, controller: usize) {
+        if self.controller != Some(controller) || self.connection.is_none() {
+            self.controller = Some(controller);
+            self.connection = None;
+            self.dial_at = Some(now);
         }
     }
 
-    /// TableSource, answers, dials; returns what came of it.
-    pub fn turn(&mut self, poll: &Poll, now: Moment) -> Vec<TableUpdate> {
-        let mut looked = Vec::new();
+    /// Dials, reads and acknowledges; returns what came of it.
+    pub fn poll(&mut self, poll: &Poll, now: Moment) -> Vec<TableUpdate> {
+        let mut updates = Vec::new();
         if self.dial_at.is_some_and(|at| now >= at) {
             self.dial(poll, now);
         }
-        let mut over = None;
-        // What is said back goes out with a turn of its own, in which more may come.
-        while let Some(connection) = self.connection.as_mut().filter(|_| over.is_none()) {
-            let (events, ended) = connection.turn(now);
-            over = ended;
+        if let Err(error) = self.read(now, &mut updates) {
+            tracing::debug!(reason = %error, "table stream closed");
+            self.connection = None;
+            self.dial_at = Some(now + self.reconnect_delay);
+        }
+        updates
+    }
+
+    /// Reads until nothing more comes: what is said back goes out with a turn of its own, in which more may come.
+    fn read(&mut self, now: Moment, updates: &mut Vec<TableUpdate>) -> Result<(), StreamError> {
+        let mut result = Ok(());
+        while let Some(connection) = self.connection.as_mut().filter(|_| result.is_ok()) {
+            let (events, closed) = connection.turn(now);
+            if let Some(reason) = closed {
+                result = Err(StreamError::Connection(reason));
+            }
             if events.is_empty() {
                 break;
             }
+            // What came before the stream closed still counts.
             for event in events {
                 match event {
-                    ClientEvent::Opened => {
-                        self.silent = true;
-                        for ask in self.reader.hello() {
-                            self.say(&ask);
-                        }
-                    }
+                    ClientEvent::Opened => self.subscribe(),
                     ClientEvent::Message { bytes } => {
-                        if let Err(reason) = self.told(&bytes, &mut looked) {
-                            over = Some(reason);
+                        if let Err(error) = self.on_message(&bytes, updates) {
+                            result = Err(error);
                         }
                     }
                 }
             }
         }
-        if let Some(reason) = over {
-            tracing::debug!(reason, "stream of tables over");
-            self.connection = None;
-            self.dial_at = Some(now + self.redial);
+        result
+    }
+
+    fn subscribe(&mut self) {
+        self.needs_introduction = true;
+        for request in self.reader.hello() {
+            self.send(&request);
         }
-        looked
     }
 
-    fn say(&mut self, ask: &Ask) {
-        let who = std::mem::take(&mut self.silent).then_some(&self.who);
-        let message = discovery::ask(who, self.reader.version(), ask);
+    fn send(&mut self, request: &Ask) {
+        let is_first = std::mem::take(&mut self.needs_introduction);
+        let introduction = is_first.then_some(&self.introduction);
+        let message = discovery::ask(introduction, self.reader.version(), request);
         if let Some(connection) = &mut self.connection {
             connection.send(&message);
         }
     }
 
-    fn told(&mut self, bytes: &[u8], looked: &mut Vec<TableUpdate>) -> Result<(), String> {
-        let told = discovery::read_told(bytes).map_err(|error| error.to_string())?;
-        let mut made = None;
+    fn on_message(
+        &mut self,
+        bytes: &[u8],
+        updates: &mut Vec<TableUpdate>,
+    ) -> Result<(), StreamError> {
+        let response =
+            discovery::read_told(bytes).map_err(|error| StreamError::Message(error.to_string()))?;
+        let mut complete_orders = None;
         let step = self.reader.told(
-            told.kind,
-            &told.nonce,
-            told.version,
-            &told.delta,
+            response.kind,
+            &response.nonce,
+            response.version,
+            &response.delta,
             |reader, version| {
                 let values = |kind| reader.held(kind).map(|(_, bytes)| bytes);
-                let assignments = values(Kind::Endpoints);
                 let orders = discovery::orders(
                     version,
                     reader.held(Kind::Lines),
-                    assignments,
+                    values(Kind::Endpoints),
                     values(Kind::Routes),
                 );
-                made = Some(orders.map_err(|error| error.to_string())?);
+                complete_orders = Some(orders.map_err(|error| error.to_string())?);
                 Ok(())
             },
         );
+        // A stream that starts again rejects nothing: the same version comes whole.
         if let Some(reason) = step.reply.error.clone().filter(|_| step.restart.is_none()) {
-            looked.push(TableUpdate::Rejected(reason));
+            updates.push(TableUpdate::Rejected(reason));
         }
-        if let (Some(orders), Some(_)) = (made, step.complete) {
-            looked.push(TableUpdate::New(Box::new(Held {
+        if let (Some(orders), Some(_)) = (complete_orders, step.complete) {
+            updates.push(TableUpdate::New(Box::new(Held {
                 orders,
                 hash: self.reader.name(),
             })));
         }
-        self.say(&step.reply);
-        step.restart.map_or(Ok(()), Err)
+        self.send(&step.reply);
+        step.restart
+            .map_or(Ok(()), |reason| Err(StreamError::Inconsistent(reason)))
     }
 
     fn dial(&mut self, poll: &Poll, now: Moment) {
-        let Some(side) = self
-            .conductor
-            .and_then(|conductor| self.sides.get(conductor))
-        else {
+        let address = self
+            .controller
+            .and_then(|controller| self.addresses.get(controller));
+        let Some(&address) = address else {
             return;
         };
-        let socket = reactor::connect_from(self.source, side.ip().octets(), side.port());
-        let dialled = socket.and_then(|socket| {
-            poll.add(&socket, self.token, Interest::Edges)?;
-            tls::connect(now, socket, discovery::DELTA, self.tls.as_ref())
-        });
-        self.dial_at = None;
-        match dialled {
-            Ok(connection) => self.connection = Some(Box::new(connection)),
-            Err(_) => self.dial_at = Some(now + self.redial),
+        match self.connect(poll, now, address) {
+            Ok(connection) => {
+                self.connection = Some(Box::new(connection));
+                self.dial_at = None;
+            }
+            Err(_) => self.dial_at = Some(now + self.reconnect_delay),
         }
     }
 
-    pub fn wake_at(&self, now: Moment) -> Moment {
-        // Pings of an open stream are looked after as well.
-        self.dial_at.unwrap_or(now + Span::from_seconds(0.5))
+    fn connect(
+        &self,
+        poll: &Poll,
+        now: Moment,
+        address: SocketAddrV4,
+    ) -> io::Result<ClientConnection> {
+        let socket = reactor::connect_from(self.source, address.ip().octets(), address.port())?;
+        poll.add(&socket, self.token, Interest::Edges)?;
+        tls::connect(now, socket, discovery::DELTA, self.tls.as_ref())
+    }
+
+    /// When it has to be polled at the latest.
+    pub fn next_wakeup(&self, now: Moment) -> Moment {
+        let keepalive = now + Span::from_seconds(KEEPALIVE_INTERVAL_SECONDS);
+        self.dial_at.unwrap_or(keepalive)
     }
 }
+
+/// The resources that the proxy's operations need, in the order in which they make up a version.
+fn subscriptions(config: &ProxyConfig) -> Vec<(Kind, Vec<String>)> {
+    let operations = &config.core.operations;
+    let assignments = operations
+        .iter()
+        .map(|operation| format!("{}{}", discovery::LINES_APART, operation.name));
+    let entries = operations
+        .iter()
+        .map(|operation| format!("{}{}/*", discovery::LINE, operation.name));
+    vec![
+        (Kind::Endpoints, assignments.collect()),
+        (Kind::Lines, entries.collect()),
+        (Kind::Routes, vec![discovery::OPERATIONS.to_string()]),
+    ]
+}
