--- a/crates/drill/src/gateways.rs
+++ b/crates/drill/src/gateways.rs
@@ -18,7 +18,10 @@
 use wheelspread_proxy::{
     ControllerEndpoint, Proxy, ProxyConfig, RequestObserver, TableSource, Timeouts,
 };
-use wheelspread_proxy_core::{CoreConfig, Failure, OperationRules, RetrySafety, SelectionPolicy};
+use wheelspread_proxy_core::{
+    CoreConfig, EjectionPolicy, Failure, OperationRules, RetryBudgetConfig, RetrySafety,
+    SelectionPolicy,
+};
 use wheelspread_reactor::{self as reactor, Poll, Token, Waker};
 
 pub enum GatewayOrder {
@@ -199,10 +202,15 @@
             .collect(),
         core: CoreConfig {
             operations: deployment.operations.iter().map(rules).collect(),
-            picking: SelectionPolicy::WeightedRandom,
-            errors_until_avoided: deployment.proxies.errors_until_avoided,
-            ejection_time: Span::from_seconds(4.0),
-            repeats: (0.2, 20.0),
+            selection: SelectionPolicy::WeightedRandom,
+            ejection: EjectionPolicy {
+                consecutive_failures: deployment.proxies.errors_until_avoided,
+                ejection_time: Span::from_seconds(4.0),
+            },
+            retry_budget: RetryBudgetConfig {
+                ratio: 0.2,
+                burst: 20.0,
+            },
             max_in_flight_per_node: 0,
         },
         max_head_bytes: 16 << 10,
--- a/crates/proxy-core/src/admission.rs
+++ b/crates/proxy-core/src/admission.rs
@@ -1,88 +1,121 @@
-//! How much of an operation is let in: by a share, drawn for each invocation, or by a rate.
+//! Which requests of an operation are admitted: by a ratio, drawn for each request, or by a rate.
 
 use wheelspread::pcg::Pcg;
 use wheelspread::time::{Moment, Span};
 
 const MILLION: u32 = 1_000_000;
 
-/// Tokens that come at a steady rate; a second's worth may be held, one at least.
+/// Seconds after which a request that was rejected by the ratio may come again: any wait will do, since it is
+/// drawn anew each time.
+const RATIO_RETRY_AFTER_SECONDS: f64 = 1.0;
+/// Bounds of what a client is told to wait for the next token, in seconds.
+const MIN_TOKEN_WAIT_SECONDS: f64 = 0.001;
+const MAX_TOKEN_WAIT_SECONDS: f64 = 60.0;
+/// A rate of zero would wait forever; with this the longest wait is told.
+const MIN_RATE: f64 = 1e-3;
+
+/// Tokens that come at a steady rate. The tokens of one second are kept, one token at least.
 #[derive(Clone, Debug)]
-struct Bucket {
-    rate: f64,
-    held: f64,
-    since: Moment,
+struct TokenBucket {
+    tokens_per_second: f64,
+    tokens: f64,
+    refilled_at: Moment,
 }
 
-impl Bucket {
-    fn take(&mut self, now: Moment) -> bool {
-        let passed = (now - self.since).seconds().max(0.0);
-        self.since = now;
-        self.held = (self.held + passed * self.rate).min(self.rate.max(1.0));
-        let may = self.held >= 1.0;
-        self.held -= f64::from(u8::from(may));
-        may
+impl TokenBucket {
+    fn full(now: Moment, rate: f64) -> TokenBucket {
+        TokenBucket {
+            tokens_per_second: rate,
+            tokens: capacity(rate),
+            refilled_at: now,
+        }
+    }
+
+    /// The tokens of now, of a bucket that holds `capacity`.
+    fn tokens_at(&self, now: Moment, capacity: f64) -> f64 {
+        let passed = (now - self.refilled_at).seconds().max(0.0);
+        (self.tokens + passed * self.tokens_per_second).min(capacity)
+    }
+
+    /// The same tokens at another rate.
+    fn with_rate(&self, now: Moment, rate: f64) -> TokenBucket {
+        TokenBucket {
+            tokens_per_second: rate,
+            tokens: self.tokens_at(now, capacity(rate)),
+            refilled_at: now,
+        }
+    }
+
+    fn try_take(&mut self, now: Moment) -> bool {
+        self.tokens = self.tokens_at(now, capacity(self.tokens_per_second));
+        self.refilled_at = now;
+        let is_available = self.tokens >= 1.0;
+        if is_available {
+            self.tokens -= 1.0;
+        }
+        is_available
     }
 
     /// How long until the next token.
     fn wait(&self) -> Span {
-        Span::from_seconds(((1.0 - self.held) / self.rate.max(1e-3)).clamp(0.001, 60.0))
+        let seconds = (1.0 - self.tokens) / self.tokens_per_second.max(MIN_RATE);
+        Span::from_seconds(seconds.clamp(MIN_TOKEN_WAIT_SECONDS, MAX_TOKEN_WAIT_SECONDS))
     }
 }
 
+fn capacity(tokens_per_second: f64) -> f64 {
+    tokens_per_second.max(1.0)
+}
+
+/// A request is not admitted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Rejected {
+    /// When it may come again.
+    pub retry_after: Span,
+}
+
+/// Admission of one operation.
 #[derive(Clone, Debug, Default)]
 pub struct Admission {
     dropped_of_million: u32,
-    bucket: Option<Bucket>,
+    bucket: Option<TokenBucket>,
 }
 
-/// What a client is told to wait where a share turned it away: it would be drawn anew at once.
-const AFTER_SHARE: f64 = 1.0;
-
 impl Admission {
-    /// New orders; what a bucket holds stays where its rate does.
-    pub fn order(&mut self, now: Moment, dropped_of_million: u32, rate: Option<f64>) {
+    /// Takes the orders of a new table. A bucket keeps its tokens, so that a table that repeats a rate does not
+    /// fill it.
+    pub fn configure(&mut self, now: Moment, dropped_of_million: u32, rate_limit: Option<f64>) {
         self.dropped_of_million = dropped_of_million.min(MILLION);
         let before = self.bucket.take();
-        self.bucket = rate.map(|rate| match before {
-            Some(mut bucket) => {
-                let passed = (now - bucket.since).seconds().max(0.0);
-                bucket.held = (bucket.held + passed * bucket.rate).min(rate.max(1.0));
-                Bucket {
-                    rate,
-                    held: bucket.held,
-                    since: now,
-                }
-            }
-            None => Bucket {
-                rate,
-                held: rate.max(1.0),
-                since: now,
-            },
+        self.bucket = rate_limit.map(|rate| match before {
+            Some(bucket) => bucket.with_rate(now, rate),
+            None => TokenBucket::full(now, rate),
         });
     }
 
-    /// Nothing is let in: what a proxy still holds is given up too.
-    pub fn shut(&self) -> bool {
-        self.dropped_of_million == MILLION
-            || self
-                .bucket
-                .as_ref()
-                .is_some_and(|bucket| bucket.rate <= 0.0)
+    /// Whether nothing is admitted. Requests in flight are given up then, too.
+    pub fn rejects_all(&self) -> bool {
+        let has_no_rate = |bucket: &TokenBucket| bucket.tokens_per_second <= 0.0;
+        self.dropped_of_million == MILLION || self.bucket.as_ref().is_some_and(has_no_rate)
     }
 
-    /// `Err`: turned away, with how long to wait.
-    pub fn ask(&mut self, now: Moment, chance: &mut Pcg) -> Result<(), Span> {
-        let drawn = (u64::from(chance.draw()) * u64::from(MILLION)) >> 32;
+    /// Admits or rejects a request that has just arrived.
+    pub fn try_admit(&mut self, now: Moment, random: &mut Pcg) -> Result<(), Rejected> {
+        let drawn = (u64::from(random.draw()) * u64::from(MILLION)) >> 32;
         if drawn < u64::from(self.dropped_of_million) {
-            return Err(Span::from_seconds(AFTER_SHARE));
+            return Err(Rejected {
+                retry_after: Span::from_seconds(RATIO_RETRY_AFTER_SECONDS),
+            });
         }
         let Some(bucket) = &mut self.bucket else {
             return Ok(());
         };
-        if bucket.take(now) {
+        if bucket.try_take(now) {
             return Ok(());
         }
-        Err(bucket.wait())
+        Err(Rejected {
+            retry_after: bucket.wait(),
+        })
     }
 }
 
--- a/crates/proxy-core/src/admission/tests.rs
+++ b/crates/proxy-core/src/admission/tests.rs
@@ -1,38 +1,39 @@
 use super::*;
 use test_case::test_case;
 
-fn let_in(admission: &mut Admission, seconds: f64, rate: f64) -> f64 {
-    let (mut chance, mut count) = (Pcg::new(9), 0);
-    let asked = (seconds * rate) as u32;
-    for at in 0..asked {
+fn admitted_ratio(admission: &mut Admission, seconds: f64, rate: f64) -> f64 {
+    let (mut random, mut admitted) = (Pcg::new(9), 0);
+    let requests = (seconds * rate) as u32;
+    for at in 0..requests {
         let now = Moment::from_seconds(f64::from(at) / rate);
-        count += u32::from(admission.ask(now, &mut chance).is_ok());
+        admitted += u32::from(admission.try_admit(now, &mut random).is_ok());
     }
-    f64::from(count) / f64::from(asked)
+    f64::from(admitted) / f64::from(requests)
 }
 
 #[test_case(0, 1.0; "all")]
 #[test_case(250_000, 0.75; "three quarters")]
 #[test_case(1_000_000, 0.0; "none")]
-fn a_share_is_let_in(dropped: u32, wanted: f64) {
+fn the_admission_ratio_is_kept(dropped: u32, wanted: f64) {
     let mut admission = Admission::default();
-    admission.order(Moment::from_seconds(0.0), dropped, None);
-    let share = let_in(&mut admission, 100.0, 1000.0);
-    assert!((share - wanted).abs() < 0.005, "{share}");
-    assert_eq!(admission.shut(), wanted == 0.0);
+    admission.configure(Moment::from_seconds(0.0), dropped, None);
+    let ratio = admitted_ratio(&mut admission, 100.0, 1000.0);
+    assert!((ratio - wanted).abs() < 0.005, "{ratio}");
+    assert_eq!(admission.rejects_all(), wanted == 0.0);
 }
 
 #[test_case(20.0, 0.2; "a rate")]
 #[test_case(0.5, 0.005; "less than one a second")]
-fn a_rate_is_let_in(rate: f64, wanted: f64) {
+fn the_rate_limit_is_kept(rate: f64, wanted: f64) {
     let mut admission = Admission::default();
-    admission.order(Moment::from_seconds(0.0), 0, Some(rate));
-    let share = let_in(&mut admission, 100.0, 100.0);
-    assert!((share / wanted - 1.0).abs() < 0.05, "{share}");
-    let (now, mut chance) = (Moment::from_seconds(100.0), Pcg::new(1));
+    admission.configure(Moment::from_seconds(0.0), 0, Some(rate));
+    let ratio = admitted_ratio(&mut admission, 100.0, 100.0);
+    assert!((ratio / wanted - 1.0).abs() < 0.05, "{ratio}");
+    let (now, mut random) = (Moment::from_seconds(100.0), Pcg::new(1));
     let wait = (0..100)
-        .find_map(|_| admission.ask(now, &mut chance).err())
-        .expect("it is used up");
+        .find_map(|_| admission.try_admit(now, &mut random).err())
+        .expect("it is used up")
+        .retry_after;
     assert!(
         wait > Span::ZERO && wait <= Span::from_seconds(1.0 / rate),
         "{wait:?}"
@@ -40,11 +41,11 @@
 }
 
 #[test]
-fn orders_that_repeat_a_rate_do_not_fill_the_bucket() {
+fn a_table_that_repeats_a_rate_does_not_fill_the_bucket() {
     let mut admission = Admission::default();
-    let (now, mut chance) = (Moment::from_seconds(0.0), Pcg::new(1));
-    admission.order(now, 0, Some(10.0));
-    assert!((0..10).all(|_| admission.ask(now, &mut chance).is_ok()));
-    admission.order(now, 0, Some(10.0));
-    assert!(admission.ask(now, &mut chance).is_err());
+    let (now, mut random) = (Moment::from_seconds(0.0), Pcg::new(1));
+    admission.configure(now, 0, Some(10.0));
+    assert!((0..10).all(|_| admission.try_admit(now, &mut random).is_ok()));
+    admission.configure(now, 0, Some(10.0));
+    assert!(admission.try_admit(now, &mut random).is_err());
 }
--- a/crates/proxy-core/src/core/tests.rs
+++ b/crates/proxy-core/src/core/tests.rs
@@ -1,6 +1,10 @@
-//! The course of invocations under a clock that the test turns.
+//! The course of requests under a clock that the test sets.
 
 use super::*;
+use crate::ejection::EjectionPolicy;
+use crate::message::{AttemptOrder, ClientResponse};
+use crate::retry::{Processing, RetryBudgetConfig, RetrySafety};
+use crate::selection::{SelectionPolicy, WeightedNode};
 use proptest::prelude::*;
 
 const QUOTE: OperationId = OperationId(0);
@@ -17,7 +21,7 @@
     Moment::from_seconds(seconds)
 }
 
-fn plan() -> CoreConfig {
+fn config() -> CoreConfig {
     let rules = |name: &str, retry_safety| OperationRules {
         name: name.to_string(),
         retry_safety,
@@ -28,30 +32,41 @@
             rules("quote", RetrySafety::Idempotent),
             rules("book", RetrySafety::SideEffecting),
         ],
-        picking: SelectionPolicy::WeightedRandom,
-        errors_until_avoided: 3,
-        ejection_time: Span::from_seconds(3.0),
-        repeats: (0.5, 100.0),
+        selection: SelectionPolicy::WeightedRandom,
+        ejection: EjectionPolicy {
+            consecutive_failures: 3,
+            ejection_time: Span::from_seconds(3.0),
+        },
+        retry_budget: RetryBudgetConfig {
+            ratio: 0.5,
+            burst: 100.0,
+        },
         max_in_flight_per_node: 0,
     }
 }
 
-fn orders(ports: &[u16], retry: RetryPolicy) -> OperationTable {
+fn table(ports: &[u16], retry: RetryPolicy) -> OperationTable {
     OperationTable {
-        lines: ports.iter().map(|port| (node(*port), 1000)).collect(),
+        entries: ports
+            .iter()
+            .map(|port| WeightedNode {
+                node: node(*port),
+                weight: 1000,
+            })
+            .collect(),
         dropped_of_million: 0,
-        rate: None,
-        retry,
-        per_try_timeout: Some(Span::from_seconds(1.0)),
-        timeout: None,
+        rate_limit: None,
+        retry_policy: retry,
+        per_attempt_timeout: Some(Span::from_seconds(1.0)),
+        request_timeout: None,
     }
 }
 
 fn core(ports: &[u16], retry: RetryPolicy) -> ProxyCore {
-    let mut core = ProxyCore::new(at(0.0), 3, plan());
+    let mut core = ProxyCore::new(at(0.0), 3, config());
     core.apply_tables(
         at(0.0),
-        &[(QUOTE, orders(ports, retry)), (BOOK, orders(ports, retry))],
+        &[(QUOTE, table(ports, retry)), (BOOK, table(ports, retry))],
     );
     core
 }
@@ -68,18 +83,18 @@
 }
 
 #[test]
-fn a_table_that_changes_within_a_retry_rules_the_next_try() {
+fn a_table_that_changes_while_a_request_is_active_rules_its_next_attempt() {
     let mut core = core(&[1, 2], RetryPolicy::OnceOnAnyFailure);
     let (id, first) = sent(core.start_request(at(0.0), QUOTE));
-    // The other node drains, a third takes its place, and now two repeats would be allowed.
-    let new = orders(&[first.node.port, 3], RetryPolicy::OnceOnAnyFailure);
+    // The other node drains, a third takes its place, and now two retries would be allowed.
+    let new = table(&[first.node.port, 3], RetryPolicy::OnceOnAnyFailure);
     assert_eq!(core.apply_tables(at(0.1), &[(QUOTE, new)]), []);
     let (_, second) = sent(core.finish_attempt(at(0.2), id, 1, failed(Failure::Errored)));
     assert_eq!((second.node, second.number), (node(3), 2));
-    // The table changes again: that makes it no fresh invocation, a third try is not made.
+    // The table changes again: that makes it no new request, a third attempt is not made.
     core.apply_tables(
         at(0.3),
-        &[(QUOTE, orders(&[4, 5], RetryPolicy::OnceOnAnyFailure))],
+        &[(QUOTE, table(&[4, 5], RetryPolicy::OnceOnAnyFailure))],
     );
     let end = core.finish_attempt(at(0.4), id, 2, failed(Failure::Errored));
     assert_eq!(
@@ -89,7 +104,7 @@
 }
 
 #[test]
-fn a_host_whose_answers_vanish_is_shunned_and_what_has_effects_is_not_repeated() {
+fn a_node_whose_responses_get_lost_is_ejected_and_side_effects_are_not_retried() {
     let mut core = core(&[1, 2], RetryPolicy::OnceOnAnyFailure);
     let mut lost = 0;
     let mut now = 0.0;
@@ -106,9 +121,9 @@
             continue;
         }
         assert_eq!(
-            send.until,
+            send.deadline,
             at(now) + Span::from_seconds(4.0),
-            "what is not repeated is waited for"
+            "an attempt that is not retried is waited for"
         );
         now += 4.0;
         let due = core.expire_timers(at(now));
@@ -130,20 +145,20 @@
             AttemptOutcome::Succeeded { loads: Vec::new() },
         );
     }
-    // It comes back by one trial at a time.
+    // It comes back by one probation attempt at a time.
     now += 3.1;
     core.expire_timers(at(now));
     let sends: Vec<_> = (0..60)
         .map(|_| sent(core.start_request(at(now), BOOK)))
         .collect();
-    let trials: Vec<_> = sends
+    let probation: Vec<_> = sends
         .iter()
         .filter(|(_, send)| send.node == node(1))
         .collect();
-    assert_eq!(trials.len(), 1);
+    assert_eq!(probation.len(), 1);
     core.finish_attempt(
         at(now),
-        trials[0].0,
+        probation[0].0,
         1,
         AttemptOutcome::Succeeded { loads: Vec::new() },
     );
@@ -151,15 +166,15 @@
 }
 
 #[test]
-fn an_early_end_makes_room_for_one_more_try_and_never_past_the_timeout() {
+fn an_attempt_timeout_allows_a_retry_but_never_past_the_request_timeout() {
     let mut core = core(&[1, 2, 3], RetryPolicy::TwiceOnAnyFailure);
     let (_, first) = sent(core.start_request(at(0.0), QUOTE));
-    assert_eq!(first.until, at(1.0));
+    assert_eq!(first.deadline, at(1.0));
     let (id, second) = sent(core.expire_timers(at(1.0))[0]);
-    assert_eq!((second.until, second.number), (at(2.0), 2));
+    assert_eq!((second.deadline, second.number), (at(2.0), 2));
     assert_ne!(second.node, first.node);
     let (_, third) = sent(core.expire_timers(at(2.0))[0]);
-    assert_eq!(third.until, at(4.0), "the last one is waited for");
+    assert_eq!(third.deadline, at(4.0), "the last one is waited for");
     assert_eq!(
         core.expire_timers(at(4.0))[0].action,
         Action::AbandonAndRespond(ClientResponse::Failed(Failure::TimedOut))
@@ -174,7 +189,7 @@
 }
 
 #[test]
-fn all_nodes_shunned_one_left_and_none_at_all() {
+fn ejected_nodes_are_used_when_no_other_is_left() {
     let mut core = core(&[1, 2], RetryPolicy::Never);
     for _ in 0..40 {
         let (id, _) = sent(core.start_request(at(0.0), QUOTE));
@@ -183,16 +198,13 @@
     assert!([1, 2]
         .iter()
         .all(|port| core.ejection_state(node(*port)) == EjectionState::Ejected));
-    // None is better than another: they are asked all the same.
+    // None is better than another: they get requests all the same.
     let (id, _) = sent(core.start_request(at(0.1), QUOTE));
     core.finish_attempt(at(0.1), id, 1, failed(Failure::Connect));
-    core.apply_tables(
-        at(0.2),
-        &[(QUOTE, orders(&[2], RetryPolicy::IfUnprocessed))],
-    );
+    core.apply_tables(at(0.2), &[(QUOTE, table(&[2], RetryPolicy::IfUnprocessed))]);
     let (id, send) = sent(core.start_request(at(0.2), QUOTE));
     assert_eq!(send.node, node(2));
-    // There is no other node for the repeat that its order would allow.
+    // There is no other node for the retry that the policy would allow.
     let end = core.finish_attempt(at(0.2), id, 1, failed(Failure::Connect));
     assert_eq!(
         end.action,
@@ -206,16 +218,16 @@
 }
 
 #[test]
-fn a_level_of_nothing_answers_what_is_under_way_at_once() {
+fn a_table_that_admits_nothing_rejects_active_requests_at_once() {
     let mut core = core(&[1, 2], RetryPolicy::Never);
     let (id, _) = sent(core.start_request(at(0.0), QUOTE));
     let shut = OperationTable {
         dropped_of_million: 1_000_000,
-        ..orders(&[1, 2], RetryPolicy::Never)
+        ..table(&[1, 2], RetryPolicy::Never)
     };
     let decisions = core.apply_tables(
         at(0.1),
-        &[(QUOTE, shut), (BOOK, orders(&[1, 2], RetryPolicy::Never))],
+        &[(QUOTE, shut), (BOOK, table(&[1, 2], RetryPolicy::Never))],
     );
     assert_eq!(decisions.len(), 1);
     assert_eq!(decisions[0].request, id);
@@ -234,16 +246,16 @@
 }
 
 #[test]
-fn a_node_takes_no_more_than_it_may_at_once() {
+fn a_node_gets_no_more_than_its_limit_in_flight() {
     let mut core = ProxyCore::new(
         at(0.0),
         3,
         CoreConfig {
             max_in_flight_per_node: 2,
-            ..plan()
+            ..config()
         },
     );
-    core.apply_tables(at(0.0), &[(QUOTE, orders(&[1, 2], RetryPolicy::Never))]);
+    core.apply_tables(at(0.0), &[(QUOTE, table(&[1, 2], RetryPolicy::Never))]);
     let sends: Vec<_> = (0..4)
         .map(|_| sent(core.start_request(at(0.0), QUOTE)))
         .collect();
@@ -266,10 +278,10 @@
 }
 
 #[test]
-fn an_answer_that_has_begun_is_followed_by_no_other_try() {
+fn a_response_that_has_begun_is_followed_by_no_other_attempt() {
     let mut core = core(&[1, 2], RetryPolicy::TwiceOnAnyFailure);
     let (id, send) = sent(core.start_request(at(0.0), QUOTE));
-    assert_eq!(send.until, at(1.0));
+    assert_eq!(send.deadline, at(1.0));
     core.start_response(id, 1);
     assert_eq!(core.expire_timers(at(2.0)), [], "it is waited for");
     let end = core.finish_attempt(
@@ -292,7 +304,7 @@
 }
 
 #[test]
-fn repeats_and_what_was_turned_away_are_told() {
+fn retries_and_attempts_in_flight_are_reported() {
     let mut core = core(&[1, 2], RetryPolicy::OnceOnAnyFailure);
     let (id, _) = sent(core.start_request(at(0.0), QUOTE));
     let (_, second) = sent(core.finish_attempt(at(0.3), id, 1, failed(Failure::Reset)));
@@ -315,7 +327,7 @@
     assert_eq!(
         good.metrics["latency_ms"].mean().map(f64::round),
         Some(200.0),
-        "of the try, not of the whole"
+        "of the attempt, not of the whole request"
     );
     let open: u64 = report.operations[1]
         .nodes
@@ -326,28 +338,28 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_picks() {
-    let picks = || {
+fn the_same_seed_selects_the_same_nodes() {
+    let selections = || {
         let mut core = core(&[1, 2, 3, 4], RetryPolicy::Never);
         (0..200)
             .map(|_| sent(core.start_request(at(0.0), QUOTE)).1.node.port)
             .collect::<Vec<_>>()
     };
-    assert_eq!(picks(), picks());
+    assert_eq!(selections(), selections());
 }
 
 proptest! {
-    // Whatever happens in whatever order: books are balanced, no side-effecting invocation is repeated
-    // after a try that may have run, and nobody waits past the timeout.
+    // Whatever happens in whatever order: counts agree, no side-effecting request is retried after an attempt that
+    // may have been processed, and nobody waits past the timeout.
     #[test]
-    fn books_stay_balanced(steps in prop::collection::vec((0u8..7, 0usize..8, 0u64..900), 1..300), seed in any::<u64>()) {
-        let mut core = ProxyCore::new(at(0.0), seed, plan());
+    fn counts_agree_and_no_side_effect_is_retried(steps in prop::collection::vec((0u8..7, 0usize..8, 0u64..900), 1..300), seed in any::<u64>()) {
+        let mut core = ProxyCore::new(at(0.0), seed, config());
         let retries = [RetryPolicy::Never, RetryPolicy::IfUnprocessed, RetryPolicy::OnceOnAnyFailure, RetryPolicy::TwiceOnAnyFailure];
         let failures = [Failure::Connect, Failure::Unsent, Failure::Reset, Failure::Refused, Failure::Errored,
             Failure::Garbled, Failure::TimedOut];
         let mut now = at(0.0);
         let mut open: BTreeMap<RequestHandle, (u32, OperationId, Moment, bool)> = BTreeMap::new();
-        let mut all = vec![(QUOTE, orders(&[1, 2, 3], RetryPolicy::OnceOnAnyFailure)), (BOOK, orders(&[1, 2, 3], RetryPolicy::OnceOnAnyFailure))];
+        let mut all = vec![(QUOTE, table(&[1, 2, 3], RetryPolicy::OnceOnAnyFailure)), (BOOK, table(&[1, 2, 3], RetryPolicy::OnceOnAnyFailure))];
         core.apply_tables(now, &all);
         for (what, which, wait) in steps {
             now = now + Span::from_seconds(wait as f64 / 1000.0);
@@ -373,7 +385,7 @@
                 (5, Some(id)) => decisions.push(core.cancel_request(now, id)),
                 (6, _) => {
                     let ports: Vec<u16> = (1..=(which as u16 % 4)).collect();
-                    all[0].1 = orders(&ports, retries[which % 4]);
+                    all[0].1 = table(&ports, retries[which % 4]);
                     decisions.extend(core.apply_tables(now, &all));
                 }
                 _ => {}
@@ -383,9 +395,9 @@
                     Action::Send(send) | Action::AbandonAndSend(send) => {
                         let known = open.get_mut(&decision.request).expect("it is under way");
                         prop_assert_eq!(send.number, known.0 + 1);
-                        prop_assert!(known.0 == 0 || known.1 == QUOTE || !known.3, "repeated though it may have run");
-                        prop_assert!(send.until <= known.2 && send.number <= 3);
-                        // A try that was given up for being late may have run as well.
+                        prop_assert!(known.0 == 0 || known.1 == QUOTE || !known.3, "retried though it may have been processed");
+                        prop_assert!(send.deadline <= known.2 && send.number <= 3);
+                        // An attempt that was given up for being late may have been processed as well.
                         known.3 |= matches!(decision.action, Action::AbandonAndSend(_));
                         known.0 = send.number;
                     }
@@ -395,8 +407,8 @@
             }
             prop_assert!(open.values().all(|known| known.2 > now), "somebody waits past the timeout");
             prop_assert_eq!(core.active_requests(), open.len());
-            prop_assert_eq!(core.open.values().sum::<u64>(), open.len() as u64);
-            prop_assert_eq!(core.timers.len(), open.len());
+            prop_assert_eq!(core.in_flight.total(), open.len() as u64);
+            prop_assert_eq!(core.attempt_timers.len(), open.len());
         }
     }
 }
--- /dev/null
+++ b/crates/proxy-core/src/core/transitions.rs
@@ -0,0 +1,127 @@
+//! The state machine of a request: state and input to next state and action.
+
+use super::requests::RequestState;
+use super::ProxyCore;
+use crate::message::{Action, AttemptOrder, ClientResponse, Decision};
+use crate::retry::{is_retryable_after_any_failure, Failure};
+use wheelspread::ids::NodeId;
+use wheelspread::time::{Moment, Span};
+
+/// Seconds after which a request that was given up by a new table may come again.
+const SHED_RETRY_AFTER_SECONDS: f64 = 1.0;
+
+/// What happens to a request. The attempt that ended, if any, is off the books already.
+#[derive(Clone, Copy, Debug)]
+pub(super) enum RequestInput {
+    /// It is admitted, and a node is selected.
+    Admitted { node: NodeId },
+    /// It is not admitted.
+    Rejected { retry_after: Span },
+    /// It is admitted, but there is no node to send to.
+    NoNode,
+    /// The attempt succeeded.
+    Succeeded,
+    /// The attempt failed by itself, and another one is allowed.
+    Retry { node: NodeId },
+    /// The attempt took too long, and another one is allowed.
+    RetryAfterTimeout { node: NodeId },
+    /// The attempt failed by itself, and no other is allowed.
+    Failed { failure: Failure },
+    /// The attempt took too long, and no other is allowed.
+    FailedByTimeout { failure: Failure },
+    /// The operation admits nothing any more.
+    Shed,
+    /// The client is gone.
+    ClientGone,
+}
+
+impl ProxyCore {
+    /// Moves a request on. An input that its state does not expect changes nothing.
+    pub(super) fn advance(&mut self, now: Moment, slot: u32, input: RequestInput) -> Decision {
+        let request = self.requests.handle(slot);
+        let action = match self.requests.get(slot).state {
+            RequestState::Arrived => self.advance_arrived(now, slot, input),
+            RequestState::InFlight => self.advance_in_flight(now, slot, input),
+            RequestState::Finished => Action::Continue,
+        };
+        Decision { request, action }
+    }
+
+    fn advance_arrived(&mut self, now: Moment, slot: u32, input: RequestInput) -> Action {
+        match input {
+            RequestInput::Admitted { node } => Action::Send(self.send_attempt(now, slot, node)),
+            RequestInput::Rejected { retry_after } => {
+                self.requests.finish(slot);
+                Action::Respond(ClientResponse::RateLimited { retry_after })
+            }
+            RequestInput::NoNode => {
+                self.requests.finish(slot);
+                Action::Respond(ClientResponse::NoNode)
+            }
+            RequestInput::Succeeded
+            | RequestInput::Retry { .. }
+            | RequestInput::RetryAfterTimeout { .. }
+            | RequestInput::Failed { .. }
+            | RequestInput::FailedByTimeout { .. }
+            | RequestInput::Shed
+            | RequestInput::ClientGone => Action::Continue,
+        }
+    }
+
+    fn advance_in_flight(&mut self, now: Moment, slot: u32, input: RequestInput) -> Action {
+        let action = match input {
+            RequestInput::Retry { node } => {
+                return Action::Send(self.send_attempt(now, slot, node));
+            }
+            RequestInput::RetryAfterTimeout { node } => {
+                return Action::AbandonAndSend(self.send_attempt(now, slot, node));
+            }
+            RequestInput::Admitted { .. }
+            | RequestInput::Rejected { .. }
+            | RequestInput::NoNode => return Action::Continue,
+            RequestInput::Succeeded => Action::Respond(ClientResponse::Upstream),
+            RequestInput::Failed { failure } => Action::Respond(ClientResponse::Failed(failure)),
+            RequestInput::FailedByTimeout { failure } => {
+                Action::AbandonAndRespond(ClientResponse::Failed(failure))
+            }
+            RequestInput::Shed => {
+                self.cancel_attempt(slot);
+                let retry_after = Span::from_seconds(SHED_RETRY_AFTER_SECONDS);
+                Action::AbandonAndRespond(ClientResponse::RateLimited { retry_after })
+            }
+            RequestInput::ClientGone => Action::AbandonAndRespond(ClientResponse::ClientGone),
+        };
+        self.requests.finish(slot);
+        action
+    }
+
+    /// Puts an attempt on the books and starts its timer.
+    fn send_attempt(&mut self, now: Moment, slot: u32, node: NodeId) -> AttemptOrder {
+        let request = self.requests.get_mut(slot);
+        let operation = &self.operations[usize::from(request.operation.0)];
+        request.state = RequestState::InFlight;
+        request.attempts += 1;
+        request.node = Some(node);
+        request.sent_at = now;
+        // An attempt that may be followed is given up early; the last one is waited for as long as the client is.
+        let early = operation.per_attempt_timeout.filter(|_| {
+            let (policy, safety) = (operation.retry_policy, operation.rules.retry_safety);
+            is_retryable_after_any_failure(policy, safety, request.attempts)
+        });
+        request.attempt_deadline = early.map_or(request.deadline, |timeout| {
+            (now + timeout).min(request.deadline)
+        });
+        let order = AttemptOrder {
+            node,
+            number: request.attempts,
+            deadline: request.attempt_deadline,
+        };
+        self.attempt_timers.insert(request.timer(slot));
+        self.in_flight.add(request.operation, node);
+        let state = self.nodes.entry(node).or_default();
+        state.in_flight += 1;
+        state.health.on_attempt_started();
+        self.update_availability(node);
+        order
+    }
+}
--- a/crates/proxy-core/src/dialer.rs
+++ b/crates/proxy-core/src/dialer.rs
@@ -1,6 +1,6 @@
-//! Which conductor a proxy's stream goes to, and when it dials: the usual one first, again after a wait that
-//! differs by chance (so that those who lost their streams together don't all come back at once), the next
-//! one when it does not answer.
+//! Which controller a proxy's stream goes to, and when it dials: the usual one first, again after a delay with
+//! jitter (so that proxies that lost their streams together don't all come back at once), the next one when it
+//! does not accept.
 
 use wheelspread::pcg::Pcg;
 use wheelspread::time::{Moment, Span};
@@ -8,128 +8,89 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Waiting,
-    Dialling,
+    Dialing,
     Joined,
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Input {
-    Due,
-    Accepted,
-    Lost,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Effect {
-    ControllerDialer,
-    Join,
-    /// It did not come about: after some of these the next conductor is tried.
-    CountAndWait,
-    LeaveAndWait,
-}
-
-const DIAL: &[(State, Input, State, Effect)] = &[
-    (
-        State::Waiting,
-        Input::Due,
-        State::Dialling,
-        Effect::ControllerDialer,
-    ),
-    (
-        State::Dialling,
-        Input::Accepted,
-        State::Joined,
-        Effect::Join,
-    ),
-    (
-        State::Dialling,
-        Input::Lost,
-        State::Waiting,
-        Effect::CountAndWait,
-    ),
-    (
-        State::Joined,
-        Input::Lost,
-        State::Waiting,
-        Effect::LeaveAndWait,
-    ),
-];
-
-/// Attempts that came to nothing, a lost stream included, before the next conductor is tried.
-const ATTEMPTS: u32 = 2;
+/// Failed attempts, a closed stream included, before the next controller is tried.
+const MAX_FAILURES_PER_CONTROLLER: u32 = 2;
+/// The shortest delay as a part of the configured one; the longest is one more than that.
+const MIN_JITTER_FACTOR: f64 = 0.5;
 
+/// The state of a stream to one of several controllers.
 #[derive(Clone, Debug)]
 pub struct ControllerDialer {
     state: State,
-    conductors: usize,
-    at: usize,
+    controllers: usize,
+    current: usize,
     failures: u32,
-    redial: Span,
-    until: Moment,
-    chance: Pcg,
+    delay: Span,
+    next_dial_at: Moment,
+    random: Pcg,
 }
 
 impl ControllerDialer {
-    pub fn new(now: Moment, conductors: usize, redial: Span, seed: u64) -> ControllerDialer {
-        let chance = Pcg::new(seed);
+    /// Dials the first of `controllers` at once; `delay` is the mean delay between attempts.
+    pub fn new(now: Moment, controllers: usize, delay: Span, seed: u64) -> ControllerDialer {
         ControllerDialer {
             state: State::Waiting,
-            conductors: conductors.max(1),
-            at: 0,
+            controllers: controllers.max(1),
+            current: 0,
             failures: 0,
-            redial,
-            until: now,
-            chance,
+            delay,
+            next_dial_at: now,
+            random: Pcg::new(seed),
         }
     }
 
-    /// The conductor that is dialled or joined, by its place among the proxy's.
-    pub fn conductor(&self) -> usize {
-        self.at
+    /// The controller that is dialed or joined, by its place among the proxy's.
+    pub fn controller(&self) -> usize {
+        self.current
     }
 
-    pub fn joined(&self) -> bool {
+    /// Whether a controller has accepted the stream.
+    pub fn is_joined(&self) -> bool {
         self.state == State::Joined
     }
 
-    /// When it dials next; `None` while it dials or is joined.
-    pub fn until(&self) -> Option<Moment> {
-        (self.state == State::Waiting).then_some(self.until)
-    }
-
-    /// Which conductor to dial now.
-    pub fn due(&mut self, now: Moment) -> Option<usize> {
-        let due = self.until().is_some_and(|until| now >= until);
-        (due && self.turn(now, Input::Due) == Some(Effect::ControllerDialer)).then_some(self.at)
+    /// When to dial next; `None` while it dials or is joined.
+    pub fn next_dial_at(&self) -> Option<Moment> {
+        (self.state == State::Waiting).then_some(self.next_dial_at)
     }
 
-    /// `true`: joined by this.
-    pub fn accepted(&mut self, now: Moment) -> bool {
-        self.turn(now, Input::Accepted) == Some(Effect::Join)
+    /// The controller to dial now, if a dial is due.
+    pub fn start_dial_if_due(&mut self, now: Moment) -> Option<usize> {
+        if self.next_dial_at().is_none_or(|at| now < at) {
+            return None;
+        }
+        self.state = State::Dialing;
+        Some(self.current)
     }
 
-    /// `true`: it was joined until now.
-    pub fn lost(&mut self, now: Moment) -> bool {
-        self.turn(now, Input::Lost) == Some(Effect::LeaveAndWait)
+    /// The controller accepted the stream; `true`: joined by this.
+    pub fn on_accepted(&mut self) -> bool {
+        if self.state != State::Dialing {
+            return false;
+        }
+        self.state = State::Joined;
+        self.failures = 0;
+        true
     }
 
-    fn turn(&mut self, now: Moment, input: Input) -> Option<Effect> {
-        let row = DIAL
-            .iter()
-            .find(|row| (row.0, row.1) == (self.state, input))?;
-        self.state = row.2;
-        match row.3 {
-            Effect::ControllerDialer => {}
-            Effect::Join => self.failures = 0,
-            Effect::CountAndWait | Effect::LeaveAndWait => {
-                self.failures += 1;
-                if self.failures >= ATTEMPTS {
-                    (self.at, self.failures) = ((self.at + 1) % self.conductors, 0);
-                }
-                self.until = now + self.redial * (0.5 + self.chance.unit());
-            }
+    /// The stream closed, or did not come about; `true`: it was joined until now.
+    pub fn on_closed(&mut self, now: Moment) -> bool {
+        if self.state == State::Waiting {
+            return false;
+        }
+        let was_joined = self.is_joined();
+        self.state = State::Waiting;
+        self.failures += 1;
+        if self.failures >= MAX_FAILURES_PER_CONTROLLER {
+            self.current = (self.current + 1) % self.controllers;
+            self.failures = 0;
         }
-        Some(row.3)
+        self.next_dial_at = now + self.delay * (MIN_JITTER_FACTOR + self.random.unit());
+        was_joined
     }
 }
 
--- a/crates/proxy-core/src/ejection.rs
+++ b/crates/proxy-core/src/ejection.rs
@@ -1,180 +1,132 @@
-//! Keeping away from a node after a run of failures of the proxy's own tries there, and coming back to it
-//! by a trial: one invocation at a time until one succeeds.
+//! Passive health checking: a node is ejected after failures in a row of the proxy's own attempts there, and
+//! comes back by probation, one attempt at a time until one succeeds.
 
 use wheelspread::time::{Moment, Span};
 
+/// When a node is ejected, and for how long.
+#[derive(Clone, Copy, Debug)]
+pub struct EjectionPolicy {
+    /// Failures in a row that eject a node; 0: no node is ever ejected.
+    pub consecutive_failures: u32,
+    /// How long the first ejection lasts. Each probation that fails doubles it, up to four times.
+    pub ejection_time: Span,
+}
+
+/// Whether a node gets attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EjectionState {
+    /// It does.
     Available,
+    /// It gets none for now.
     Ejected,
-    /// The time is over; the next try decides.
+    /// The ejection is over; the next attempt decides.
     Probation,
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Met {
-    Success,
-    /// One failure fewer than it takes.
-    Failure,
-    LastFailure,
-    TimeOver,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Effect {
-    Nothing,
-    ClearRun,
-    CountRun,
-    Shun,
-    ShunLonger,
-    Admit,
-}
-
-// A failure that comes back while the node is shunned already, of a try from before, changes nothing.
-const STANDING: &[(EjectionState, Met, EjectionState, Effect)] = &[
-    (
-        EjectionState::Available,
-        Met::Success,
-        EjectionState::Available,
-        Effect::ClearRun,
-    ),
-    (
-        EjectionState::Available,
-        Met::Failure,
-        EjectionState::Available,
-        Effect::CountRun,
-    ),
-    (
-        EjectionState::Available,
-        Met::LastFailure,
-        EjectionState::Ejected,
-        Effect::Shun,
-    ),
-    (
-        EjectionState::Ejected,
-        Met::TimeOver,
-        EjectionState::Probation,
-        Effect::Nothing,
-    ),
-    (
-        EjectionState::Ejected,
-        Met::Success,
-        EjectionState::Probation,
-        Effect::Nothing,
-    ),
-    (
-        EjectionState::Probation,
-        Met::Success,
-        EjectionState::Available,
-        Effect::Admit,
-    ),
-    (
-        EjectionState::Probation,
-        Met::Failure,
-        EjectionState::Ejected,
-        Effect::ShunLonger,
-    ),
-    (
-        EjectionState::Probation,
-        Met::LastFailure,
-        EjectionState::Ejected,
-        Effect::ShunLonger,
-    ),
-];
-
-/// How many times the first span a node is shunned at most, when its trials fail one after the other.
-const LONGEST: i32 = 4;
+/// How many times the first ejection one lasts at most, when one probation after the other fails.
+const MAX_EJECTION_TIME_FACTOR: i32 = 4;
 
+/// What a proxy knows of a node's health by its own attempts.
 #[derive(Clone, Debug)]
 pub struct PassiveHealth {
-    standing: EjectionState,
-    run: u32,
-    until: Moment,
-    times: i32,
-    /// A trial is under way.
-    trying: bool,
+    state: EjectionState,
+    failures_in_a_row: u32,
+    ejected_until: Moment,
+    ejection_time_factor: i32,
+    is_probation_attempt_in_flight: bool,
 }
 
 impl Default for PassiveHealth {
     fn default() -> Self {
-        let until = Moment::from_seconds(0.0);
         PassiveHealth {
-            standing: EjectionState::Available,
-            run: 0,
-            until,
-            times: 0,
-            trying: false,
+            state: EjectionState::Available,
+            failures_in_a_row: 0,
+            ejected_until: Moment::from_seconds(0.0),
+            ejection_time_factor: 0,
+            is_probation_attempt_in_flight: false,
         }
     }
 }
 
 impl PassiveHealth {
-    pub fn standing(&self) -> EjectionState {
-        self.standing
+    /// Whether the node gets attempts.
+    pub fn state(&self) -> EjectionState {
+        self.state
     }
 
-    /// Whether an invocation may go there now, for a line that is published.
-    pub fn open(&self) -> bool {
-        match self.standing {
+    /// Whether an attempt may go there now, if a table names the node.
+    pub fn is_available(&self) -> bool {
+        match self.state {
             EjectionState::Available => true,
             EjectionState::Ejected => false,
-            EjectionState::Probation => !self.trying,
+            EjectionState::Probation => !self.is_probation_attempt_in_flight,
         }
     }
 
-    /// An invocation goes there.
-    pub fn sent(&mut self) {
-        self.trying |= self.standing == EjectionState::Probation;
+    /// When the ejection ends; `None` if the node is not ejected.
+    pub fn ejected_until(&self) -> Option<Moment> {
+        (self.state == EjectionState::Ejected).then_some(self.ejected_until)
     }
 
-    pub fn until(&self) -> Option<Moment> {
-        (self.standing == EjectionState::Ejected).then_some(self.until)
+    /// An attempt goes there.
+    pub fn on_attempt_started(&mut self) {
+        self.is_probation_attempt_in_flight |= self.state == EjectionState::Probation;
     }
 
-    /// `after`: failures in a row that it takes; 0: no node is ever shunned.
-    pub fn met(&mut self, now: Moment, success: bool, after: u32, span: Span) {
-        let met = match success {
-            true => Met::Success,
-            false if after > 0 && self.run + 1 >= after => Met::LastFailure,
-            false => Met::Failure,
-        };
-        self.trying = false;
-        self.turn(now, met, span);
+    /// An attempt told nothing of the node, as when the client went away.
+    pub fn on_attempt_cancelled(&mut self) {
+        self.is_probation_attempt_in_flight = false;
     }
 
-    /// A try that told nothing of the node, as when the client went away.
-    pub fn untold(&mut self) {
-        self.trying = false;
+    /// An attempt succeeded.
+    pub fn on_success(&mut self) {
+        self.is_probation_attempt_in_flight = false;
+        match self.state {
+            EjectionState::Available => self.failures_in_a_row = 0,
+            // A late response of an attempt from before the ejection: the node works again.
+            EjectionState::Ejected => self.state = EjectionState::Probation,
+            EjectionState::Probation => {
+                self.state = EjectionState::Available;
+                self.failures_in_a_row = 0;
+                self.ejection_time_factor = 0;
+            }
+        }
     }
 
-    /// `true` if its time is over now.
-    pub fn pass(&mut self, now: Moment, span: Span) -> bool {
-        let over = self.standing == EjectionState::Ejected && now >= self.until;
-        if over {
-            self.turn(now, Met::TimeOver, span);
+    /// An attempt failed.
+    pub fn on_failure(&mut self, now: Moment, policy: EjectionPolicy) {
+        self.is_probation_attempt_in_flight = false;
+        match self.state {
+            EjectionState::Available => {
+                self.failures_in_a_row += 1;
+                let limit = policy.consecutive_failures;
+                if limit > 0 && self.failures_in_a_row >= limit {
+                    self.failures_in_a_row = 0;
+                    self.eject(now, policy, 1);
+                }
+            }
+            // A late failure of an attempt from before the ejection changes nothing.
+            EjectionState::Ejected => {}
+            EjectionState::Probation => {
+                let factor = (self.ejection_time_factor * 2).min(MAX_EJECTION_TIME_FACTOR);
+                self.eject(now, policy, factor);
+            }
         }
-        over
     }
 
-    fn turn(&mut self, now: Moment, met: Met, span: Span) {
-        let Some(row) = STANDING
-            .iter()
-            .find(|row| (row.0, row.1) == (self.standing, met))
-        else {
-            return;
-        };
-        self.standing = row.2;
-        match row.3 {
-            Effect::Nothing => {}
-            Effect::ClearRun => self.run = 0,
-            Effect::CountRun => self.run += 1,
-            Effect::Shun => (self.until, self.times, self.run) = (now + span, 1, 0),
-            Effect::ShunLonger => {
-                self.times = (self.times * 2).min(LONGEST);
-                self.until = now + span * f64::from(self.times);
-            }
-            Effect::Admit => (self.run, self.times) = (0, 0),
+    fn eject(&mut self, now: Moment, policy: EjectionPolicy, factor: i32) {
+        self.state = EjectionState::Ejected;
+        self.ejection_time_factor = factor;
+        self.ejected_until = now + policy.ejection_time * f64::from(factor);
+    }
+
+    /// Begins probation if the ejection is over; `true` if that is now.
+    pub fn end_ejection_if_due(&mut self, now: Moment) -> bool {
+        let is_due = self.state == EjectionState::Ejected && now >= self.ejected_until;
+        if is_due {
+            self.state = EjectionState::Probation;
         }
+        is_due
     }
 }
 
--- a/crates/proxy-core/src/ejection/tests.rs
+++ b/crates/proxy-core/src/ejection/tests.rs
@@ -1,17 +1,26 @@
 use super::*;
 
-const SPAN: f64 = 3.0;
+fn policy(consecutive_failures: u32) -> EjectionPolicy {
+    EjectionPolicy {
+        consecutive_failures,
+        ejection_time: Span::from_seconds(3.0),
+    }
+}
 
 fn at(seconds: f64) -> Moment {
     Moment::from_seconds(seconds)
 }
 
-fn met(shunning: &mut PassiveHealth, seconds: f64, success: bool) {
-    shunning.met(at(seconds), success, 3, Span::from_seconds(SPAN));
+fn observe(health: &mut PassiveHealth, seconds: f64, success: bool) {
+    if success {
+        health.on_success();
+    } else {
+        health.on_failure(at(seconds), policy(3));
+    }
 }
 
 #[test]
-fn a_run_of_failures_shuns_and_a_trial_brings_back() {
+fn failures_in_a_row_eject_and_a_probation_that_succeeds_readmits() {
     let mut node = PassiveHealth::default();
     for (seconds, success) in [
         (0.0, false),
@@ -20,48 +29,55 @@
         (0.3, false),
         (0.4, false),
     ] {
-        met(&mut node, seconds, success);
+        observe(&mut node, seconds, success);
     }
-    assert!(node.open(), "a success in between ends the run");
-    met(&mut node, 0.5, false);
-    assert!(!node.open() && !node.pass(at(3.4), Span::from_seconds(SPAN)));
-    assert!(node.pass(at(3.5), Span::from_seconds(SPAN)) && node.open());
-    node.sent();
-    assert!(!node.open(), "one trial at a time");
-    met(&mut node, 3.6, false);
-    assert_eq!(node.until(), Some(at(9.6)), "a failed trial: twice as long");
-    assert!(node.pass(at(9.6), Span::from_seconds(SPAN)));
-    node.sent();
-    met(&mut node, 9.7, true);
+    assert!(
+        node.is_available(),
+        "a success in between starts the count anew"
+    );
+    observe(&mut node, 0.5, false);
+    assert!(!node.is_available() && !node.end_ejection_if_due(at(3.4)));
+    assert!(node.end_ejection_if_due(at(3.5)) && node.is_available());
+    node.on_attempt_started();
+    assert!(!node.is_available(), "one probation attempt at a time");
+    observe(&mut node, 3.6, false);
+    assert_eq!(
+        node.ejected_until(),
+        Some(at(9.6)),
+        "a failed probation: twice as long"
+    );
+    assert!(node.end_ejection_if_due(at(9.6)));
+    node.on_attempt_started();
+    observe(&mut node, 9.7, true);
     assert_eq!(
-        (node.standing(), node.open()),
+        (node.state(), node.is_available()),
         (EjectionState::Available, true)
     );
 }
 
 #[test]
-fn late_failures_of_a_shunned_node_do_not_shun_it_longer() {
+fn late_failures_of_an_ejected_node_do_not_eject_it_longer() {
     let mut node = PassiveHealth::default();
-    (0..6).for_each(|_| met(&mut node, 0.0, false));
-    assert_eq!(node.until(), Some(at(3.0)));
+    (0..6).for_each(|_| observe(&mut node, 0.0, false));
+    assert_eq!(node.ejected_until(), Some(at(3.0)));
     // An answer that comes after all shortens it: it works.
-    met(&mut node, 0.5, true);
-    assert_eq!(node.standing(), EjectionState::Probation);
+    observe(&mut node, 0.5, true);
+    assert_eq!(node.state(), EjectionState::Probation);
 }
 
 #[test]
-fn a_trial_whose_client_went_away_leaves_room_for_the_next() {
+fn a_cancelled_probation_attempt_allows_the_next() {
     let mut node = PassiveHealth::default();
-    (0..3).for_each(|_| met(&mut node, 0.0, false));
-    node.pass(at(3.0), Span::from_seconds(SPAN));
-    node.sent();
-    node.untold();
-    assert!(node.open());
+    (0..3).for_each(|_| observe(&mut node, 0.0, false));
+    node.end_ejection_if_due(at(3.0));
+    node.on_attempt_started();
+    node.on_attempt_cancelled();
+    assert!(node.is_available());
 }
 
 #[test]
-fn with_no_limit_nothing_is_shunned() {
+fn without_a_limit_nothing_is_ejected() {
     let mut node = PassiveHealth::default();
-    (0..100).for_each(|_| node.met(at(0.0), false, 0, Span::from_seconds(SPAN)));
-    assert!(node.open());
+    (0..100).for_each(|_| node.on_failure(at(0.0), policy(0)));
+    assert!(node.is_available());
 }
--- a/crates/proxy-core/src/load_accounting/tests.rs
+++ b/crates/proxy-core/src/load_accounting/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 
 const QUOTE: OperationId = OperationId(0);
+const BOOK: OperationId = OperationId(1);
 
 fn node(port: u16) -> NodeId {
     NodeId {
@@ -10,22 +11,27 @@
 }
 
 #[test]
-fn what_was_met_is_told_once_and_dated_by_its_span() {
+fn counts_are_reported_once_with_the_time_that_they_cover() {
     let at = Moment::from_seconds;
-    let mut tally = LoadAccounting::new(at(10.0), vec!["quote".to_string(), "book".to_string()]);
+    let mut accounting =
+        LoadAccounting::new(at(10.0), vec!["quote".to_string(), "book".to_string()]);
     let loads = [("cpu_utilization".to_string(), 0.5)];
-    tally.succeeded(QUOTE, node(1), Span::from_seconds(0.2), &loads);
-    tally.succeeded(QUOTE, node(1), Span::from_seconds(0.4), &loads);
-    tally.errored(QUOTE, node(2));
-    tally.rate_limited(QUOTE);
-    let open = BTreeMap::from([((QUOTE, node(3)), 4), ((OperationId(1), node(1)), 1)]);
-    let report = tally.report(at(17.5), &open).expect("time has passed");
+    accounting.record_success(QUOTE, node(1), Span::from_seconds(0.2), &loads);
+    accounting.record_success(QUOTE, node(1), Span::from_seconds(0.4), &loads);
+    accounting.record_failure(QUOTE, node(2));
+    accounting.record_rejected(QUOTE);
+    let mut in_flight = InFlightAttempts::default();
+    (0..4).for_each(|_| in_flight.add(QUOTE, node(3)));
+    in_flight.add(BOOK, node(1));
+    let report = accounting
+        .take_report(at(17.5), &in_flight)
+        .expect("time has passed");
     assert_eq!(report.over, Span::from_seconds(7.5));
     let quote = &report.operations[0];
     assert_eq!(
         (quote.rate_limited, quote.nodes.len()),
         (1, 3),
-        "one that only has tries open is told too"
+        "a node that only has attempts in flight is reported too"
     );
     let first = &quote.nodes[0];
     assert_eq!(
@@ -36,21 +42,21 @@
         (2, Some(300.0))
     );
     assert_eq!(first.metrics["cpu_utilization"].mean(), Some(0.5));
-    let again = tally
-        .report(at(18.0), &BTreeMap::new())
+    let again = accounting
+        .take_report(at(18.0), &InFlightAttempts::default())
         .expect("time has passed");
     assert!(again
         .operations
         .iter()
         .all(|of| of.nodes.is_empty() && of.rate_limited == 0));
     assert_eq!(
-        tally.report(at(18.0), &BTreeMap::new()),
+        accounting.take_report(at(18.0), &InFlightAttempts::default()),
         None,
         "no time, no report"
     );
     assert_eq!(
-        tally.report(at(999.0), &BTreeMap::new()),
+        accounting.take_report(at(999.0), &InFlightAttempts::default()),
         None,
-        "too old to tell anything"
+        "too old to say anything"
     );
 }
--- a/crates/proxy-core/src/retry.rs
+++ b/crates/proxy-core/src/retry.rs
@@ -1,42 +1,44 @@
-//! Whether a try that failed is made again. Three things must agree: what the tables order, what the
-//! operation can bear, and what is known of the try.
+//! Whether a failed attempt is followed by another. Three things must agree: the retry policy of the table, the
+//! retry safety of the operation, and what is known of the attempts made so far.
 
 use wheelspread::time::{Moment, Span};
 use wheelspread::RetryPolicy;
 
-/// What is known of a try that failed.
+/// Whether a node can have processed a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Processing {
-    /// Its invocation was never begun, by what the node or the connection said.
+    /// It has not, by what the node or the connection said.
     NotProcessed,
+    /// Nothing proves that it has not.
     MaybeProcessed,
 }
 
-/// How a try failed.
+/// How an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
     /// No connection came about.
     Connect,
-    /// The connection ended before anything of the invocation was written on it.
+    /// The connection ended before anything of the request was written on it.
     Unsent,
-    /// The connection ended after some of it was written and before an answer.
+    /// The connection ended after some of it was written and before a response.
     Reset,
     /// The node said that it takes no more and has begun nothing (503 with `Retry-After`, or 429).
     Refused,
-    /// The node answered with an error.
+    /// The node responded with an error.
     Errored,
-    /// What came is no answer.
+    /// What came is no response.
     Garbled,
+    /// No response came in time.
     TimedOut,
 }
 
 impl Failure {
-    /// The one place where it is decided what proves that a try never ran.
+    /// The one place where it is decided what proves that an attempt was not processed.
     ///
-    /// Without a connection nothing was sent. A connection that was closed under us before the first byte
-    /// went out brought nothing either. A refusal says so itself. A reset after bytes were written proves
-    /// nothing: the node may have read them and begun before it died, also when a pooled connection was
-    /// closed just as the invocation was written on it.
+    /// Without a connection nothing was sent. A connection that the node closed before the first byte went out
+    /// brought nothing either. A refusal says so itself. A reset after bytes were written proves nothing: the
+    /// node may have read them and begun before it died, also when a pooled connection was closed just as the
+    /// request was written on it.
     pub fn processing(self) -> Processing {
         match self {
             Failure::Connect | Failure::Unsent | Failure::Refused => Processing::NotProcessed,
@@ -47,129 +49,111 @@
     }
 }
 
-/// What an operation can bear.
+/// Whether a retry of an operation can take effect twice.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RetrySafety {
+    /// Processed twice is as good as once.
     Idempotent,
-    /// Repeats are dropped within this span after the first try that may have run.
+    /// Nodes remember the key of a request and drop retries.
     Fingerprinted {
+        /// How long they remember it, from the first attempt that may have been processed.
         window: Span,
     },
+    /// Processed twice takes effect twice.
     SideEffecting,
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Bears {
-    AnyRepeat,
-    /// Within the window, which is over or not.
-    InWindow,
-    PastWindow,
-    OnlyProven,
-}
-
-/// Tries more than the first that an order allows, by what is known of the last: proven, unproven.
-const ORDERS: &[(RetryPolicy, u32, u32)] = &[
-    (RetryPolicy::Never, 0, 0),
-    (RetryPolicy::IfUnprocessed, 1, 0),
-    (RetryPolicy::OnceOnAnyFailure, 1, 1),
-    (RetryPolicy::TwiceOnAnyFailure, 2, 2),
-];
-
-const BEARS: &[(Bears, Processing, bool)] = &[
-    (Bears::AnyRepeat, Processing::NotProcessed, true),
-    (Bears::AnyRepeat, Processing::MaybeProcessed, true),
-    (Bears::InWindow, Processing::NotProcessed, true),
-    (Bears::InWindow, Processing::MaybeProcessed, true),
-    (Bears::PastWindow, Processing::NotProcessed, false),
-    (Bears::PastWindow, Processing::MaybeProcessed, false),
-    (Bears::OnlyProven, Processing::NotProcessed, true),
-    (Bears::OnlyProven, Processing::MaybeProcessed, false),
-];
-
-/// What is known of an invocation when one of its tries has failed.
+/// What is known of a request when one of its attempts has failed.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptHistory {
-    /// Tries made so far, the failed one included.
-    pub tries: u32,
-    /// Of all tries so far: one that may have run makes the invocation one that may have run.
+    /// Attempts made so far, the failed one included.
+    pub attempts: u32,
+    /// Of all attempts so far: one that may have been processed decides.
     pub processing: Processing,
-    /// When the first try that may have run was sent.
+    /// When the first attempt that may have been processed was sent.
     pub first_maybe_processed_at: Option<Moment>,
 }
 
-/// Whether one more try is allowed, by `order` and by what the operation bears until `done_by`, the latest
-/// moment at which that try could still take effect.
+/// Attempts after the first that a policy allows, by what is known of the last one.
+fn max_retries(policy: RetryPolicy, last: Processing) -> u32 {
+    match (policy, last) {
+        (RetryPolicy::Never, _) => 0,
+        (RetryPolicy::IfUnprocessed, Processing::NotProcessed) => 1,
+        (RetryPolicy::IfUnprocessed, Processing::MaybeProcessed) => 0,
+        (RetryPolicy::OnceOnAnyFailure, _) => 1,
+        (RetryPolicy::TwiceOnAnyFailure, _) => 2,
+    }
+}
+
+/// Whether one more attempt is allowed. `last` is what is known of the attempt that just failed, `done_by` the
+/// latest moment at which the next one could still take effect.
 pub fn is_retry_allowed(
-    order: RetryPolicy,
-    retry_safety: RetrySafety,
-    past: AttemptHistory,
+    policy: RetryPolicy,
+    safety: RetrySafety,
+    history: AttemptHistory,
     last: Processing,
     done_by: Moment,
 ) -> bool {
-    let allowed = ORDERS
-        .iter()
-        .find(|row| row.0 == order)
-        .map_or(0, |row| match last {
-            Processing::NotProcessed => row.1,
-            Processing::MaybeProcessed => row.2,
-        });
-    if past.tries > allowed {
-        return false;
+    history.attempts <= max_retries(policy, last) && is_retry_safe(safety, history, done_by)
+}
+
+fn is_retry_safe(safety: RetrySafety, history: AttemptHistory, done_by: Moment) -> bool {
+    match (safety, history.first_maybe_processed_at) {
+        (RetrySafety::Idempotent, _) => true,
+        (RetrySafety::SideEffecting, _) => history.processing == Processing::NotProcessed,
+        (RetrySafety::Fingerprinted { .. }, None) => true,
+        (RetrySafety::Fingerprinted { window }, Some(first)) => done_by - first < window,
     }
-    let bears = match (retry_safety, past.first_maybe_processed_at) {
-        (RetrySafety::Idempotent, _) => Bears::AnyRepeat,
-        (RetrySafety::SideEffecting, _) => Bears::OnlyProven,
-        (RetrySafety::Fingerprinted { .. }, None) => Bears::InWindow,
-        (RetrySafety::Fingerprinted { window }, Some(first)) if done_by - first < window => {
-            Bears::InWindow
-        }
-        (RetrySafety::Fingerprinted { .. }, Some(_)) => Bears::PastWindow,
-    };
-    BEARS
-        .iter()
-        .any(|row| (row.0, row.1, row.2) == (bears, past.processing, true))
 }
 
-/// Whether a try may be followed by another after any failure, and so is given up early.
+/// Whether an attempt may be followed by another after any failure. Such an attempt is given up early.
 pub fn is_retryable_after_any_failure(
-    order: RetryPolicy,
-    retry_safety: RetrySafety,
-    tries: u32,
+    policy: RetryPolicy,
+    safety: RetrySafety,
+    attempts: u32,
 ) -> bool {
-    let allowed = ORDERS
-        .iter()
-        .find(|row| row.0 == order)
-        .map_or(0, |row| row.2);
-    tries <= allowed && retry_safety != RetrySafety::SideEffecting
+    attempts <= max_retries(policy, Processing::MaybeProcessed)
+        && safety != RetrySafety::SideEffecting
+}
+
+/// How many retries there may be.
+#[derive(Clone, Copy, Debug)]
+pub struct RetryBudgetConfig {
+    /// Retries as a part of first attempts.
+    pub ratio: f64,
+    /// Retries that may come at once, also of a proxy that has just started.
+    pub burst: f64,
 }
 
-/// Repeats as a part of first tries, so that they can't add up to a storm: each first try puts a part of
-/// one in, each repeat takes one out.
+/// Bounds retries as a part of first attempts, so that they can't add up to a storm: each first attempt adds a
+/// part of a retry, each retry takes one.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
-    part: f64,
-    most: f64,
-    held: f64,
+    config: RetryBudgetConfig,
+    available: f64,
 }
 
 impl RetryBudget {
-    /// `part` of 1; a proxy that just started may repeat `most` at once.
-    pub fn new(part: f64, most: f64) -> RetryBudget {
+    /// A full budget.
+    pub fn new(config: RetryBudgetConfig) -> RetryBudget {
         RetryBudget {
-            part,
-            most,
-            held: most,
+            config,
+            available: config.burst,
         }
     }
 
-    pub fn first_try(&mut self) {
-        self.held = (self.held + self.part).min(self.most);
+    /// A first attempt is sent.
+    pub fn on_first_attempt(&mut self) {
+        self.available = (self.available + self.config.ratio).min(self.config.burst);
     }
 
-    pub fn take(&mut self) -> bool {
-        let may = self.held >= 1.0;
-        self.held -= f64::from(u8::from(may));
-        may
+    /// Takes one retry; `false` if there is none left.
+    pub fn try_take(&mut self) -> bool {
+        let is_allowed = self.available >= 1.0;
+        if is_allowed {
+            self.available -= 1.0;
+        }
+        is_allowed
     }
 }
 
--- a/crates/proxy-core/src/selection.rs
+++ b/crates/proxy-core/src/selection.rs
@@ -1,131 +1,162 @@
-//! Which line an invocation goes by. Weights are whole numbers as published, so sums are exact and no pick
-//! is biased by what changed before. WeightedEntries can be closed for a while without touching the others.
+//! Which node gets an attempt. Weights are whole numbers as published, so sums are exact and no selection is
+//! biased by what changed before. Entries can be made unavailable for a while without touching the others.
 
+use std::collections::{BTreeMap, BTreeSet};
 use wheelspread::ids::NodeId;
 use wheelspread::pcg::Pcg;
 
-/// How a line is chosen.
+/// How a node is selected.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum SelectionPolicy {
-    /// By chance, each line by its weight.
+    /// By chance, each node by its weight.
     #[default]
     WeightedRandom,
-    /// In turn, each line as often as its weight says.
+    /// In turn, each node as often as its weight says.
     WeightedRoundRobin,
-    /// Of two drawn by weight, the one with fewer invocations outstanding.
+    /// Of two drawn by weight, the one with fewer attempts in flight.
     PowerOfTwoChoices,
 }
 
+/// A node and its weight in a table.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct WeightedNode {
+    /// The node.
+    pub node: NodeId,
+    /// Its weight; 0: it gets nothing.
+    pub weight: u32,
+}
+
 #[derive(Clone, Debug)]
-struct Line {
+struct Entry {
     node: NodeId,
     weight: u64,
-    open: bool,
-    /// Of a wheel: when its turn is next, in parts of a round.
-    turn: u128,
+    is_available: bool,
+    /// Of a round robin: when its turn is next, in parts of a round.
+    next_turn: u128,
 }
 
-/// The lines of one operation, with a tree of partial sums over the weights of the open ones.
-#[derive(Clone, Debug)]
-pub struct WeightedEntries {
-    lines: Vec<Line>,
-    sums: Vec<u64>,
-    total: u64,
-    turns: std::collections::BTreeSet<(u128, usize)>,
+/// A turn of a round robin. Turns are taken in the order of time, then of entries.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Turn {
+    at: u128,
+    entry: usize,
 }
 
+/// The time in which an entry of weight 1 gets one turn.
 const ROUND: u128 = 1 << 64;
 
+/// The entries of one operation, with a Fenwick tree over the weights of the available ones.
+#[derive(Clone, Debug)]
+pub struct WeightedEntries {
+    /// In the order of their nodes, each node once.
+    entries: Vec<Entry>,
+    /// The Fenwick tree; its first place is not used.
+    partial_sums: Vec<u64>,
+    total_weight: u64,
+    /// Of the available entries.
+    turns: BTreeSet<Turn>,
+}
+
 impl WeightedEntries {
-    /// Each node once; weights of 0 are lines that get nothing.
-    pub fn new(weights: impl IntoIterator<Item = (NodeId, u32)>) -> WeightedEntries {
-        let mut merged = std::collections::BTreeMap::new();
-        for (node, weight) in weights {
-            *merged.entry(node).or_insert(0u64) += u64::from(weight);
+    /// All entries available but those of weight 0. Weights of a node that comes more than once are added.
+    pub fn new(weights: impl IntoIterator<Item = WeightedNode>) -> WeightedEntries {
+        let mut weight_by_node = BTreeMap::new();
+        for WeightedNode { node, weight } in weights {
+            *weight_by_node.entry(node).or_insert(0u64) += u64::from(weight);
         }
-        let line = |(node, weight)| Line {
+        let entry = |(node, weight)| Entry {
             node,
             weight,
-            open: weight > 0,
-            turn: 0,
+            is_available: weight > 0,
+            next_turn: 0,
         };
-        let mut lines = WeightedEntries {
-            lines: merged.into_iter().map(line).collect(),
-            sums: Vec::new(),
-            total: 0,
-            turns: Default::default(),
+        let entries: Vec<Entry> = weight_by_node.into_iter().map(entry).collect();
+        let mut all = WeightedEntries {
+            partial_sums: vec![0; entries.len() + 1],
+            entries,
+            total_weight: 0,
+            turns: BTreeSet::new(),
         };
-        lines.sums = vec![0; lines.lines.len() + 1];
-        for at in 0..lines.lines.len() {
-            if lines.lines[at].open {
-                let weight = lines.lines[at].weight;
-                lines.add(at, weight as i64);
-                // The first turn of each comes half its share of a round in, so that none goes all at once.
-                lines.lines[at].turn = ROUND / u128::from(weight) / 2;
-                lines.turns.insert((lines.lines[at].turn, at));
+        for at in 0..all.entries.len() {
+            if all.entries[at].is_available {
+                let weight = all.entries[at].weight;
+                all.add_weight(at, weight as i64);
+                // The first turn comes half a share of a round in, so that no entry gets all its turns at once.
+                all.schedule_turn(at, ROUND / u128::from(weight) / 2);
             }
         }
-        lines
+        all
     }
 
+    /// The number of entries.
     pub fn len(&self) -> usize {
-        self.lines.len()
+        self.entries.len()
     }
 
+    /// Whether there are no entries.
     pub fn is_empty(&self) -> bool {
-        self.lines.is_empty()
+        self.entries.is_empty()
     }
 
+    /// The nodes of all entries, in order.
     pub fn nodes(&self) -> impl Iterator<Item = NodeId> + '_ {
-        self.lines.iter().map(|line| line.node)
+        self.entries.iter().map(|entry| entry.node)
     }
 
-    fn place(&self, node: NodeId) -> Option<usize> {
-        self.lines
-            .binary_search_by(|line| line.node.cmp(&node))
+    fn position(&self, node: NodeId) -> Option<usize> {
+        self.entries
+            .binary_search_by(|entry| entry.node.cmp(&node))
             .ok()
     }
 
-    fn add(&mut self, at: usize, change: i64) {
-        self.total = self.total.wrapping_add_signed(change);
+    fn schedule_turn(&mut self, entry: usize, at: u128) {
+        self.entries[entry].next_turn = at;
+        self.turns.insert(Turn { at, entry });
+    }
+
+    fn add_weight(&mut self, at: usize, change: i64) {
+        self.total_weight = self.total_weight.wrapping_add_signed(change);
         let mut index = at + 1;
-        while index < self.sums.len() {
-            self.sums[index] = self.sums[index].wrapping_add_signed(change);
+        while index < self.partial_sums.len() {
+            self.partial_sums[index] = self.partial_sums[index].wrapping_add_signed(change);
             index += index & index.wrapping_neg();
         }
     }
 
-    /// Opens or closes a node's line; `true` if that changed it.
-    pub fn set_open(&mut self, node: NodeId, open: bool) -> bool {
-        let Some(at) = self.place(node) else {
+    /// Makes a node's entry available or not; `true` if that changed it.
+    pub fn set_available(&mut self, node: NodeId, is_available: bool) -> bool {
+        let Some(at) = self.position(node) else {
             return false;
         };
-        let line = &self.lines[at];
-        if line.open == open || line.weight == 0 {
+        let entry = &self.entries[at];
+        if entry.is_available == is_available || entry.weight == 0 {
             return false;
         }
-        let (weight, turn) = (line.weight as i64, line.turn);
-        self.add(at, if open { weight } else { -weight });
-        if open {
+        let (weight, next_turn) = (entry.weight as i64, entry.next_turn);
+        if is_available {
+            self.add_weight(at, weight);
             // It comes in with the others' present turn, not with all the turns that it missed.
-            let present = self.turns.first().map_or(turn, |first| first.0);
-            self.lines[at].turn = turn.max(present);
-            self.turns.insert((self.lines[at].turn, at));
+            let present = self.turns.first().map_or(next_turn, |first| first.at);
+            self.schedule_turn(at, next_turn.max(present));
         } else {
-            self.turns.remove(&(turn, at));
+            self.add_weight(at, -weight);
+            self.turns.remove(&Turn {
+                at: next_turn,
+                entry: at,
+            });
         }
-        self.lines[at].open = open;
+        self.entries[at].is_available = is_available;
         true
     }
 
-    /// The line at which the running sum of open weights passes `mark`.
+    /// The entry at which the running sum of available weights passes `mark`.
     fn find(&self, mut mark: u64) -> usize {
         let mut at = 0;
-        let mut step = (self.sums.len()).next_power_of_two() >> 1;
+        let mut step = (self.partial_sums.len()).next_power_of_two() >> 1;
         while step > 0 {
             let next = at + step;
-            if next < self.sums.len() && self.sums[next] <= mark {
-                mark -= self.sums[next];
+            if next < self.partial_sums.len() && self.partial_sums[next] <= mark {
+                mark -= self.partial_sums[next];
                 at = next;
             }
             step >>= 1;
@@ -133,45 +164,48 @@
         at
     }
 
-    fn draw(&self, chance: &mut Pcg) -> Option<usize> {
-        (self.total > 0).then(|| self.find(below(chance, self.total)))
+    fn draw(&self, random: &mut Pcg) -> Option<usize> {
+        (self.total_weight > 0).then(|| self.find(uniform_below(random, self.total_weight)))
     }
 
-    /// Picks an open line; `None` if there is none.
-    pub fn pick(
+    /// Selects an available entry; `None` if there is none.
+    pub fn select(
         &mut self,
-        how: SelectionPolicy,
-        chance: &mut Pcg,
-        outstanding: impl Fn(NodeId) -> u32,
+        policy: SelectionPolicy,
+        random: &mut Pcg,
+        in_flight: impl Fn(NodeId) -> u32,
     ) -> Option<NodeId> {
-        let at = match how {
-            SelectionPolicy::WeightedRandom => self.draw(chance)?,
-            SelectionPolicy::PowerOfTwoChoices => {
-                let (first, second) = (self.draw(chance)?, self.draw(chance)?);
-                let busy = |at: usize| outstanding(self.lines[at].node);
-                if busy(second) < busy(first) {
-                    second
-                } else {
-                    first
-                }
-            }
-            SelectionPolicy::WeightedRoundRobin => {
-                let (turn, at) = self.turns.pop_first()?;
-                let next = turn + ROUND / u128::from(self.lines[at].weight);
-                self.lines[at].turn = next;
-                self.turns.insert((next, at));
-                at
-            }
+        let at = match policy {
+            SelectionPolicy::WeightedRandom => self.draw(random)?,
+            SelectionPolicy::PowerOfTwoChoices => self.draw_less_busy(random, in_flight)?,
+            SelectionPolicy::WeightedRoundRobin => self.take_turn()?,
         };
-        self.lines.get(at).map(|line| line.node)
+        self.entries.get(at).map(|entry| entry.node)
+    }
+
+    fn draw_less_busy(&self, random: &mut Pcg, in_flight: impl Fn(NodeId) -> u32) -> Option<usize> {
+        let (first, second) = (self.draw(random)?, self.draw(random)?);
+        let in_flight = |at: usize| in_flight(self.entries[at].node);
+        if in_flight(second) < in_flight(first) {
+            Some(second)
+        } else {
+            Some(first)
+        }
+    }
+
+    fn take_turn(&mut self) -> Option<usize> {
+        let Turn { at, entry } = self.turns.pop_first()?;
+        let interval = ROUND / u128::from(self.entries[entry].weight);
+        self.schedule_turn(entry, at + interval);
+        Some(entry)
     }
 }
 
-/// Evenly from 0 up to `end`: what would favour the small ones is drawn again.
-fn below(chance: &mut Pcg, end: u64) -> u64 {
+/// A number from 0 up to `end`, each as likely: draws that would favour the small ones are made again.
+fn uniform_below(random: &mut Pcg, end: u64) -> u64 {
     let fair = u64::MAX - u64::MAX % end;
     loop {
-        let draw = u64::from(chance.draw()) << 32 | u64::from(chance.draw());
+        let draw = u64::from(random.draw()) << 32 | u64::from(random.draw());
         if draw < fair {
             return draw % end;
         }
--- a/crates/proxy-core/src/selection/tests.rs
+++ b/crates/proxy-core/src/selection/tests.rs
@@ -10,13 +10,24 @@
     }
 }
 
-fn counts(lines: &mut WeightedEntries, how: SelectionPolicy, picks: u32) -> BTreeMap<u16, u32> {
-    let (mut chance, mut counts) = (Pcg::new(5), BTreeMap::new());
-    for _ in 0..picks {
-        let picked = lines
-            .pick(how, &mut chance, |_| 0)
-            .expect("there is a line");
-        *counts.entry(picked.port).or_insert(0) += 1;
+fn weighted(port: u16, weight: u32) -> WeightedNode {
+    WeightedNode {
+        node: node(port),
+        weight,
+    }
+}
+
+fn counts(
+    entries: &mut WeightedEntries,
+    policy: SelectionPolicy,
+    selections: u32,
+) -> BTreeMap<u16, u32> {
+    let (mut random, mut counts) = (Pcg::new(5), BTreeMap::new());
+    for _ in 0..selections {
+        let selected = entries
+            .select(policy, &mut random, |_| 0)
+            .expect("there is an entry");
+        *counts.entry(selected.port).or_insert(0) += 1;
     }
     counts
 }
@@ -24,17 +35,18 @@
 #[test_case(SelectionPolicy::WeightedRandom, 0.02; "by chance")]
 #[test_case(SelectionPolicy::WeightedRoundRobin, 0.0002; "in turn")]
 #[test_case(SelectionPolicy::PowerOfTwoChoices, 0.02; "of two alike")]
-fn shares_are_those_of_the_weights_also_after_lines_closed_and_opened(
-    how: SelectionPolicy,
+fn shares_follow_the_weights_also_after_entries_became_unavailable_and_available(
+    policy: SelectionPolicy,
     off: f64,
 ) {
-    let mut lines = WeightedEntries::new((1..=5).map(|port| (node(port), u32::from(port) * 1000)));
+    let mut entries =
+        WeightedEntries::new((1..=5).map(|port| weighted(port, u32::from(port) * 1000)));
     for port in [2, 4, 5] {
-        lines.set_open(node(port), false);
+        entries.set_available(node(port), false);
     }
-    lines.set_open(node(4), true);
-    lines.set_open(node(2), true);
-    let counts = counts(&mut lines, how, 200_000);
+    entries.set_available(node(4), true);
+    entries.set_available(node(2), true);
+    let counts = counts(&mut entries, policy, 200_000);
     for (port, count) in &counts {
         let (share, wanted) = (f64::from(*count) / 200_000.0, f64::from(*port) / 10.0);
         assert!(
@@ -46,17 +58,17 @@
 }
 
 #[test]
-fn of_two_the_less_busy_is_taken() {
-    let mut lines = WeightedEntries::new([(node(1), 1), (node(2), 1)]);
-    let mut chance = Pcg::new(1);
-    let mut picks = (0..100).map(|_| {
-        lines.pick(SelectionPolicy::PowerOfTwoChoices, &mut chance, |node| {
+fn power_of_two_choices_takes_the_less_busy_node() {
+    let mut entries = WeightedEntries::new([weighted(1, 1), weighted(2, 1)]);
+    let mut random = Pcg::new(1);
+    let mut selections = (0..100).map(|_| {
+        entries.select(SelectionPolicy::PowerOfTwoChoices, &mut random, |node| {
             u32::from(node.port == 1)
         })
     });
-    let second = picks
+    let second = selections
         .by_ref()
-        .filter(|picked| *picked == Some(node(2)))
+        .filter(|selected| *selected == Some(node(2)))
         .count();
     assert!(
         second > 60,
@@ -65,24 +77,24 @@
 }
 
 #[test]
-fn without_an_open_line_there_is_no_pick() {
-    let mut chance = Pcg::new(1);
+fn without_an_available_entry_nothing_is_selected() {
+    let mut random = Pcg::new(1);
     assert_eq!(
-        WeightedEntries::new([]).pick(SelectionPolicy::WeightedRandom, &mut chance, |_| 0),
+        WeightedEntries::new([]).select(SelectionPolicy::WeightedRandom, &mut random, |_| 0),
         None
     );
-    let mut lines = WeightedEntries::new([(node(1), 0), (node(2), 3)]);
-    lines.set_open(node(2), false);
-    for how in [
+    let mut entries = WeightedEntries::new([weighted(1, 0), weighted(2, 3)]);
+    entries.set_available(node(2), false);
+    for policy in [
         SelectionPolicy::WeightedRandom,
         SelectionPolicy::WeightedRoundRobin,
         SelectionPolicy::PowerOfTwoChoices,
     ] {
-        assert_eq!(lines.pick(how, &mut chance, |_| 0), None);
+        assert_eq!(entries.select(policy, &mut random, |_| 0), None);
     }
     assert!(
-        !lines.set_open(node(1), true),
-        "a line of weight 0 is not opened"
+        !entries.set_available(node(1), true),
+        "an entry of weight 0 stays unavailable"
     );
 }
 
@@ -93,16 +105,16 @@
         weights in prop::collection::vec(0u32..50, 1..40),
         turns in prop::collection::vec((0usize..40, any::<bool>()), 0..60),
     ) {
-        let mut lines = WeightedEntries::new(weights.iter().enumerate().map(|(at, weight)| (node(at as u16), *weight)));
+        let mut entries = WeightedEntries::new(weights.iter().enumerate().map(|(at, weight)| weighted(at as u16, *weight)));
         for (at, open) in turns {
-            lines.set_open(node(at as u16), open);
+            entries.set_available(node(at as u16), open);
         }
-        let open: Vec<u64> = lines.lines.iter().map(|line| if line.open { line.weight } else { 0 }).collect();
-        prop_assert_eq!(lines.total, open.iter().sum::<u64>());
-        prop_assert_eq!(lines.turns.len(), lines.lines.iter().filter(|line| line.open).count());
+        let open: Vec<u64> = entries.entries.iter().map(|entry| if entry.is_available { entry.weight } else { 0 }).collect();
+        prop_assert_eq!(entries.total_weight, open.iter().sum::<u64>());
+        prop_assert_eq!(entries.turns.len(), entries.entries.iter().filter(|entry| entry.is_available).count());
         let walk = open.iter().enumerate().flat_map(|(at, weight)| (0..*weight).map(move |_| at));
         for (mark, at) in walk.enumerate() {
-            prop_assert_eq!(lines.find(mark as u64), at);
+            prop_assert_eq!(entries.find(mark as u64), at);
         }
     }
 }
--- a/crates/proxy/src/config/file.rs
+++ b/crates/proxy/src/config/file.rs
@@ -8,7 +8,9 @@
 use wheelspread::time::Span;
 use wheelspread_controller_core::deployment::Repeat;
 use wheelspread_controller_core::span_format;
-use wheelspread_proxy_core::{CoreConfig, OperationRules, RetrySafety, SelectionPolicy};
+use wheelspread_proxy_core::{
+    CoreConfig, EjectionPolicy, OperationRules, RetryBudgetConfig, RetrySafety, SelectionPolicy,
+};
 
 const MAX_NAME_LENGTH: usize = 100;
 /// Operations are numbered by a byte, and a proxy has few.
@@ -207,10 +209,15 @@
             controllers: self.controllers.into_iter().map(under_base).collect(),
             core: CoreConfig {
                 operations: self.operations.iter().map(Operation::rules).collect(),
-                picking: self.selection.policy(),
-                errors_until_avoided: self.ejection.consecutive_failures,
-                ejection_time: self.ejection.ejection_time,
-                repeats: (self.retry_budget.ratio, self.retry_budget.burst),
+                selection: self.selection.policy(),
+                ejection: EjectionPolicy {
+                    consecutive_failures: self.ejection.consecutive_failures,
+                    ejection_time: self.ejection.ejection_time,
+                },
+                retry_budget: RetryBudgetConfig {
+                    ratio: self.retry_budget.ratio,
+                    burst: self.retry_budget.burst,
+                },
                 max_in_flight_per_node: self.sizes.in_flight_per_node,
             },
             max_head_bytes: self.sizes.head,
--- a/crates/proxy/src/proxy/attempts.rs
+++ b/crates/proxy/src/proxy/attempts.rs
@@ -14,7 +14,10 @@
 use wheelspread_reactor::Poll;
 
 /// Names no request, so the core and the proxy ignore it.
-const NO_REQUEST: RequestHandle = RequestHandle(u32::MAX, 0);
+const NO_REQUEST: RequestHandle = RequestHandle {
+    slot: u32::MAX,
+    generation: 0,
+};
 
 impl<W: RequestObserver> Proxy<W> {
     /// Carries out what the core decides by its timers.
--- a/crates/proxy/src/proxy/client_side.rs
+++ b/crates/proxy/src/proxy/client_side.rs
@@ -239,7 +239,7 @@
     }
 
     fn set_request_owner(&mut self, request: RequestHandle, slot: usize) {
-        let at = request.0 as usize;
+        let at = request.slot as usize;
         if self.request_owners.len() <= at {
             self.request_owners.resize(at + 1, None);
         }
@@ -248,7 +248,7 @@
 
     /// The client that waits for a request.
     pub(super) fn request_owner(&self, request: RequestHandle) -> Option<usize> {
-        let slot = (*self.request_owners.get(request.0 as usize)?)?;
+        let slot = (*self.request_owners.get(request.slot as usize)?)?;
         let pending = self.clients.get(slot)?.pending.as_ref()?;
         (pending.handle == request).then_some(slot)
     }
--- a/crates/proxy/src/proxy/tables.rs
+++ b/crates/proxy/src/proxy/tables.rs
@@ -8,7 +8,7 @@
 use wheelspread::time::Moment;
 use wheelspread_controller_core::TableEntry;
 use wheelspread_files::Held;
-use wheelspread_proxy_core::core::OperationTable;
+use wheelspread_proxy_core::{OperationTable, WeightedNode};
 use wheelspread_reactor::Poll;
 use wheelspread_xds::tables::OperationOrders;
 
@@ -90,16 +90,16 @@
 }
 
 fn operation_table(orders: &OperationOrders) -> OperationTable {
-    let entry = |entry: &TableEntry| {
-        let weight = (entry.weight * WEIGHT_UNITS_PER_ONE).round() as u32;
-        (entry.node, weight)
+    let entry = |entry: &TableEntry| WeightedNode {
+        node: entry.node,
+        weight: (entry.weight * WEIGHT_UNITS_PER_ONE).round() as u32,
     };
     OperationTable {
-        lines: orders.lines.iter().map(entry).collect(),
+        entries: orders.lines.iter().map(entry).collect(),
         dropped_of_million: orders.dropped_of_million,
-        rate: orders.rate,
-        retry: orders.retry,
-        per_try_timeout: orders.per_try_timeout,
-        timeout: orders.timeout,
+        rate_limit: orders.rate,
+        retry_policy: orders.retry,
+        per_attempt_timeout: orders.per_try_timeout,
+        request_timeout: orders.timeout,
     }
 }
--- a/crates/proxy/src/report_stream.rs
+++ b/crates/proxy/src/report_stream.rs
@@ -99,7 +99,7 @@
 
     /// Whether a controller has accepted it.
     pub fn is_joined(&self) -> bool {
-        self.dialer.joined()
+        self.dialer.is_joined()
     }
 
     /// Dials, reads and writes. `take_report` is called when a report is due.
@@ -109,7 +109,7 @@
         now: Moment,
         take_report: impl FnOnce() -> Option<LoadReport>,
     ) -> Vec<ReportStreamEvent> {
-        if let Some(controller) = self.dialer.due(now) {
+        if let Some(controller) = self.dialer.start_dial_if_due(now) {
             self.dial(poll, now, controller);
         }
         let mut joined = Vec::new();
@@ -172,8 +172,8 @@
                     period,
                     next_report: now + period,
                 });
-                let controller = self.dialer.conductor();
-                let is_joined = self.dialer.accepted(now);
+                let controller = self.dialer.controller();
+                let is_joined = self.dialer.on_accepted();
                 is_joined.then_some(ReportStreamEvent::Joined { controller })
             }
             State::Joined(stream) => {
@@ -210,7 +210,7 @@
 
     fn close(&mut self, now: Moment, error: &StreamError) -> Option<ReportStreamEvent> {
         self.state = State::Waiting;
-        let was_joined = self.dialer.lost(now);
+        let was_joined = self.dialer.on_closed(now);
         was_joined.then(|| ReportStreamEvent::Left {
             reason: error.to_string(),
         })
@@ -236,7 +236,7 @@
     pub fn next_wakeup(&self, now: Moment) -> Moment {
         let keepalive = now + Span::from_seconds(KEEPALIVE_INTERVAL_SECONDS);
         match &self.state {
-            State::Waiting => self.dialer.until().unwrap_or(now),
+            State::Waiting => self.dialer.next_dial_at().unwrap_or(now),
             State::Dialing(_) => keepalive,
             State::Joined(stream) => stream.next_report.min(keepalive),
         }
