--- a/crates/proxy-core/src/core.rs
+++ b/crates/proxy-core/src/core.rs
@@ -1,7 +1,7 @@
 //! The course of each request, over the tables in force at the moment: a table that changes while a request is
 //! active is the one that its next attempt goes by.
 //!
-//! [`requests`] holds the active requests, [`transitions`] is their state machine, [`attempts`] ends attempts and
+//! `requests` holds the active requests, `transitions` is their state machine, `attempts` ends attempts and
 //! selects nodes for new ones.
 
 mod attempts;
--- a/crates/proxy/src/proxy/client_side.rs
+++ b/crates/proxy/src/proxy/client_side.rs
@@ -6,6 +6,7 @@
 use crate::connection::ConnectionState;
 use crate::http::{self, LocalResponse, LocalStatus};
 use crate::observer::{RequestObserver, RequestOutcome};
+use crate::upstream::UpstreamConnection;
 use std::rc::Rc;
 use wheelspread::time::Moment;
 use wheelspread_http1::{request, BadMessage, Body, Framing, Request};
@@ -84,7 +85,7 @@
             return;
         };
         let connection = self.upstreams.get(upstream);
-        if connection.is_some_and(|connection| connection.has_unforwarded_response()) {
+        if connection.is_some_and(UpstreamConnection::has_unforwarded_response) {
             self.serve_upstream(poll, now, upstream, false);
         }
     }
