--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -12,8 +12,8 @@
 use view::Snapshot;
 use wheelspread::time::Span;
 use wheelspread_controller_core::span_format;
-use wheelspread_drain::agree::missed;
-use wheelspread_drain::{Drain, Outcome, Reply, Word};
+use wheelspread_drain::consistency::missing_orders;
+use wheelspread_drain::{Drain, DrainAction, Outcome, Reply};
 use wheelspread_fleet::{drain_order, Failed, Fleet, FleetFile, Request};
 
 use crate::operator::{NOT_CARRIED_OUT, NO_CONDUCTOR};
@@ -121,8 +121,8 @@
             view::whereabouts,
         ),
         What::Sync => sync(&fleet, arguments.json),
-        What::Drain(order) => ordered(&fleet, arguments.json, order, Word::Drain),
-        What::Undrain(order) => ordered(&fleet, arguments.json, order, Word::Undrain),
+        What::Drain(order) => ordered(&fleet, arguments.json, order, DrainAction::Drain),
+        What::Undrain(order) => ordered(&fleet, arguments.json, order, DrainAction::Undrain),
         What::Watch { every, times } => watch(&fleet, arguments.json, *every, *times),
         What::Top { every } => {
             match top::run(&fleet, Duration::from_secs_f64(every.seconds().max(0.1))) {
@@ -217,7 +217,7 @@
     code
 }
 
-fn ordered(fleet: &Fleet, as_object: bool, order: &Ordering, word: Word) -> u8 {
+fn ordered(fleet: &Fleet, as_object: bool, order: &Ordering, word: DrainAction) -> u8 {
     let begin = Instant::now();
     let within = order.order_within.unwrap_or(fleet.order_within);
     let body = drain_order(&order.node, word, &order.by, &order.force);
@@ -287,7 +287,7 @@
         let drains = serde_json::from_value::<Vec<Drain>>(answer.as_ref().ok()?.clone());
         Some((name.clone(), drains.ok()?))
     });
-    let missed = missed(&held.collect());
+    let missed = missing_orders(&held.collect());
     let (mut told, mut code) = (
         Vec::new(),
         if missing(&answers).is_empty() {
@@ -348,7 +348,13 @@
 const LOOK: Duration = Duration::from_millis(100);
 
 /// Until the conductors that took an order say that it is quiet there, or taken back.
-fn wait(fleet: &Fleet, node: &str, word: Word, taken: &BTreeSet<String>, until: Instant) -> Waited {
+fn wait(
+    fleet: &Fleet,
+    node: &str,
+    word: DrainAction,
+    taken: &BTreeSet<String>,
+    until: Instant,
+) -> Waited {
     loop {
         let round = (Instant::now() + fleet.within).min(until + LOOK);
         let answers = fleet.ask_some(taken, &Request::get(format!("/v1/where/{node}")), round);
@@ -369,13 +375,13 @@
     }
 }
 
-fn evidence(drain: &Value, word: Word) -> (bool, String) {
+fn evidence(drain: &Value, word: DrainAction) -> (bool, String) {
     let (state, told) = (
         drain["state"].as_str().unwrap_or("not known"),
         &drain["evidence"],
     );
     let number = |name: &str| told[name].as_u64().unwrap_or(0);
-    if word == Word::Undrain {
+    if word == DrainAction::Undrain {
         return (state == "withdrawn", state.to_string());
     }
     let (named, gateways) = (number("named_by"), number("gateways"));
--- a/crates/cli/src/fleet/top.rs
+++ b/crates/cli/src/fleet/top.rs
@@ -189,7 +189,7 @@
     use ratatui::Terminal;
     use serde_json::json;
     use std::collections::BTreeMap;
-    use wheelspread_drain::agree::{Disagreement, Matter};
+    use wheelspread_drain::consistency::{Disagreement, DisagreementKind};
     use wheelspread_fleet::Failed;
 
     fn snapshot(count: usize) -> Snapshot {
@@ -215,7 +215,7 @@
         ]);
         let node = Some("127.0.0.1:9001".to_string());
         let found = Disagreement {
-            matter: Matter::EndpointStatus,
+            matter: DisagreementKind::EndpointStatus,
             node,
             held,
             lists_differ: false,
--- a/crates/cli/src/fleet/view.rs
+++ b/crates/cli/src/fleet/view.rs
@@ -5,7 +5,7 @@
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::time::Instant;
-use wheelspread_drain::agree::{disagreements, Disagreement, Held, View};
+use wheelspread_drain::consistency::{find_disagreements, ControllerView, Disagreement, NodeView};
 use wheelspread_fleet::{Fleet, Request};
 
 pub struct Snapshot {
@@ -15,20 +15,20 @@
 }
 
 /// What a conductor holds of its nodes, by its own word.
-fn held(status: &Value, nodes: &Value) -> Held {
+fn held(status: &Value, nodes: &Value) -> ControllerView {
     let view = |node: &Value| {
         let text = |field: &str| node[field].as_str().unwrap_or("").to_string();
         let by_order = node["by_order"].as_bool().unwrap_or(false);
         (
             text("node"),
-            View {
+            NodeView {
                 listing: text("listing"),
                 zone: text("zone"),
                 by_order,
             },
         )
     };
-    Held {
+    ControllerView {
         list: nodes["list"].as_str().unwrap_or("").to_string(),
         configuration: status["configuration"].as_u64().unwrap_or(0),
         nodes: entries(&nodes["nodes"]).map(view).collect(),
@@ -50,8 +50,8 @@
             let (status, nodes) = (status.as_ref().ok()?, nodes.get(name)?.as_ref().ok()?);
             Some((name.clone(), held(status, nodes)))
         });
-        let all: BTreeMap<String, Held> = both.collect();
-        let disagreements = disagreements(&all);
+        let all: BTreeMap<String, ControllerView> = both.collect();
+        let disagreements = find_disagreements(&all);
         Snapshot {
             status,
             disagreements,
--- a/crates/controller/src/drains.rs
+++ b/crates/controller/src/drains.rs
@@ -8,8 +8,10 @@
 use wheelspread_config_rollout::values::node;
 use wheelspread_config_transaction::{Commit, PersistedState};
 use wheelspread_controller_core::{ControllerCore, Observation};
-use wheelspread_drain::book::Effect;
-use wheelspread_drain::{Book, Drain, Evidence, Order, OrderId, Refused, State, Word};
+use wheelspread_drain::registry::DrainEffect;
+use wheelspread_drain::{
+    Drain, DrainAction, DrainError, DrainOrder, DrainRegistry, DrainState, Evidence, OrderId,
+};
 
 /// A fact: what is kept of a node's order.
 const DRAIN: &str = "drain.";
@@ -33,7 +35,7 @@
 pub type Told = (u64, Result<Drain, String>);
 
 pub struct Drains {
-    book: Book,
+    book: DrainRegistry,
     writing: BTreeMap<u64, Writing>,
     next: u64,
     look_at: Moment,
@@ -55,7 +57,7 @@
                 None
             }
         });
-        let book = Book::recover(now, drains);
+        let book = DrainRegistry::recover(now, drains);
         Drains {
             book,
             writing: BTreeMap::new(),
@@ -66,18 +68,18 @@
         }
     }
 
-    pub fn book(&self) -> &Book {
+    pub fn book(&self) -> &DrainRegistry {
         &self.book
     }
 
     /// Nodes that are kept out.
     pub fn out(&self) -> std::collections::BTreeSet<wheelspread::ids::NodeId> {
-        self.book.out().filter_map(node).collect()
+        self.book.drained_nodes().filter_map(node).collect()
     }
 
     /// Whether there is anything to look after.
     pub fn wake_at(&self) -> Option<Moment> {
-        let waits = !self.writing.is_empty() || self.book.drains().any(Drain::goes);
+        let waits = !self.writing.is_empty() || self.book.drains().any(Drain::is_active);
         waits.then_some(self.look_at)
     }
 
@@ -86,18 +88,18 @@
         &mut self,
         now: Moment,
         caller: u64,
-        order: Order,
+        order: DrainOrder,
         session: &ControllerCore,
-    ) -> Result<(), Refused> {
+    ) -> Result<(), DrainError> {
         let named = node(&order.node).ok_or_else(|| {
-            Refused::Checks(vec![format!(
+            DrainError::Checks(vec![format!(
                 "node: `{}` should be an address as 127.0.0.1:9000",
                 order.node
             )])
         })?;
         let against = match order.word {
-            Word::Drain => against_drain(now, named, self.value_lost_at_most, session),
-            Word::Undrain => Vec::new(),
+            DrainAction::Drain => against_drain(now, named, self.value_lost_at_most, session),
+            DrainAction::Undrain => Vec::new(),
         };
         let (place, overrides) = (order.node.clone(), order.overrides.join(", "));
         if !overrides.is_empty() {
@@ -110,7 +112,7 @@
                 "an order overrides checks"
             );
         }
-        let drain = self.book.order(now, order, &against)?.clone();
+        let drain = self.book.submit(now, order, &against)?.clone();
         self.follow(now, caller);
         // Told twice, and kept since: answered as it stands.
         if !self
@@ -132,9 +134,9 @@
     }
 
     fn follow(&mut self, now: Moment, caller: u64) {
-        for effect in self.book.effects() {
+        for effect in self.book.take_effects() {
             match effect {
-                Effect::Write { node, drain } => {
+                DrainEffect::Write { node, drain } => {
                     let order = drain.as_ref().map(|drain| drain.order.id.clone());
                     let text = drain.and_then(|drain| serde_json::to_string(&drain).ok());
                     let facts = BTreeMap::from([(format!("{DRAIN}{node}"), text)]);
@@ -164,8 +166,8 @@
                     };
                     self.writing.insert(self.next, writing);
                 }
-                Effect::Turned { node, state, order } => {
-                    let (state, order) = (format!("{state:?}").to_lowercase(), order.0);
+                DrainEffect::StateChanged { node, state, order } => {
+                    let (state, order) = (state.as_str(), order.0);
                     info!(node, state, order, "drain");
                 }
             }
@@ -230,10 +232,10 @@
             session.observe(now, Observation::Drained(out));
         }
         let grace = session.plan().rules.drain_grace;
-        let going: Vec<(String, State)> = self
+        let going: Vec<(String, DrainState)> = self
             .book
             .drains()
-            .filter(|drain| drain.goes())
+            .filter(|drain| drain.is_active())
             .map(|drain| (drain.order.node.clone(), drain.state))
             .collect();
         for (name, before) in going {
@@ -245,13 +247,13 @@
                 tries: traces.tries,
                 heard: traces.heard,
             };
-            self.book.see(now, &name, grace, evidence);
+            self.book.record_evidence(now, &name, grace, evidence);
             let after = self.book.drain(&name).map(|drain| drain.state);
-            if before == State::Telling && after == Some(State::InForce) {
+            if before == DrainState::Propagating && after == Some(DrainState::InForce) {
                 session.watch(now, id);
             }
         }
-        self.book.forget(now, grace);
+        self.book.expire_withdrawn(now, grace);
         self.follow(now, 0);
         std::mem::take(&mut self.told)
     }
--- a/crates/controller/src/routes.rs
+++ b/crates/controller/src/routes.rs
@@ -18,7 +18,7 @@
 use wheelspread_controller_core::publication::{BundleId, Version};
 use wheelspread_controller_core::transport::Transport;
 use wheelspread_controller_core::{ControllerCore, Observation};
-use wheelspread_drain::{Order, OrderId, Word};
+use wheelspread_drain::{DrainAction, DrainOrder, OrderId};
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -159,7 +159,7 @@
 struct DrainTold {
     id: String,
     node: String,
-    word: Word,
+    word: DrainAction,
     by: String,
     #[serde(default)]
     given_ms: Option<u64>,
@@ -170,7 +170,7 @@
 /// A clock that is further ahead than this is not believed: its orders would go before all others for as long.
 const AHEAD_MS: u64 = 60_000;
 
-fn drain(told: DrainTold) -> Result<Order, (u16, String)> {
+fn drain(told: DrainTold) -> Result<DrainOrder, (u16, String)> {
     named("id", &told.id)?;
     named("by", &told.by)?;
     let now_ms = (wheelspread_reactor::wall() * 1e3) as u64;
@@ -192,7 +192,7 @@
         overrides,
         ..
     } = told;
-    Ok(Order {
+    Ok(DrainOrder {
         id: OrderId(id),
         node,
         word,
@@ -314,7 +314,7 @@
         .drains
         .book()
         .drains()
-        .filter(|drain| drain.goes())
+        .filter(|drain| drain.is_active())
         .count();
     json!({
         "interface": INTERFACE,
--- a/crates/drain/src/agree.rs
+++ b/crates/drain/src/consistency.rs
@@ -1,13 +1,13 @@
 //! Where conductors of one fleet are of two minds. Each decides alone, so some disagreement is the ordinary
 //! course of things for a while; what is named here is what an operator would want to know of.
 
-use crate::book::{Drain, Order};
+use crate::registry::{Drain, DrainOrder};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What one conductor holds of a node.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
-pub struct View {
+pub struct NodeView {
     /// `ready`, `draining`, `out`; a node that it does not list has none.
     pub listing: String,
     pub zone: String,
@@ -16,15 +16,15 @@
 
 /// What a conductor holds of everything.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Held {
+pub struct ControllerView {
     pub list: String,
     pub configuration: u64,
-    pub nodes: BTreeMap<String, View>,
+    pub nodes: BTreeMap<String, NodeView>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Matter {
+pub enum DisagreementKind {
     /// Some hold it ready that others hold draining or out.
     EndpointStatus,
     /// Some list it and others do not.
@@ -36,7 +36,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Disagreement {
-    pub matter: Matter,
+    pub matter: DisagreementKind,
     /// Left out where it is not about one node.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub node: Option<String>,
@@ -56,8 +56,8 @@
 
 /// Which orders have to be told to whom so that all that answered hold the newest for every node: what a
 /// conductor missed while it was away.
-pub fn missed(conductors: &BTreeMap<String, Vec<Drain>>) -> Vec<(String, Order)> {
-    let mut newest: BTreeMap<&str, &Order> = BTreeMap::new();
+pub fn missing_orders(conductors: &BTreeMap<String, Vec<Drain>>) -> Vec<(String, DrainOrder)> {
+    let mut newest: BTreeMap<&str, &DrainOrder> = BTreeMap::new();
     for drain in conductors.values().flatten() {
         let known = newest.entry(&drain.order.node).or_insert(&drain.order);
         if drain.order.rank() > known.rank() {
@@ -65,7 +65,7 @@
         }
     }
     let lacks =
-        |held: &[Drain], order: &Order| !held.iter().any(|drain| drain.order.id == order.id);
+        |held: &[Drain], order: &DrainOrder| !held.iter().any(|drain| drain.order.id == order.id);
     let mut missed = Vec::new();
     for (name, held) in conductors {
         let orders = newest.values().filter(|order| lacks(held, order));
@@ -75,7 +75,7 @@
 }
 
 /// By conductor, those that answered only.
-pub fn disagreements(conductors: &BTreeMap<String, Held>) -> Vec<Disagreement> {
+pub fn find_disagreements(conductors: &BTreeMap<String, ControllerView>) -> Vec<Disagreement> {
     let mut found = Vec::new();
     let lists: BTreeSet<&str> = conductors.values().map(|held| held.list.as_str()).collect();
     let lists_differ = lists.len() > 1;
@@ -85,7 +85,7 @@
             .map(|(name, held)| (name, held.configuration.to_string())),
     );
     if by_version.len() > 1 {
-        let (matter, node) = (Matter::Configuration, None);
+        let (matter, node) = (DisagreementKind::Configuration, None);
         found.push(Disagreement {
             matter,
             node,
@@ -98,7 +98,7 @@
         .flat_map(|held| held.nodes.keys())
         .collect();
     for node in nodes {
-        let of = |word: fn(&View) -> String| {
+        let of = |word: fn(&NodeView) -> String| {
             sides(conductors.iter().map(|(name, held)| {
                 (
                     name,
@@ -124,12 +124,12 @@
             });
         };
         if both(&listing) > 1 {
-            tell(Matter::EndpointStatus, listing);
+            tell(DisagreementKind::EndpointStatus, listing);
         } else if listed.len() > 1 {
-            tell(Matter::Listed, listed);
+            tell(DisagreementKind::Listed, listed);
         }
         if both(&zone) > 1 {
-            tell(Matter::Zone, zone);
+            tell(DisagreementKind::Zone, zone);
         }
     }
     found
--- a/crates/drain/src/campaign.rs
+++ b/crates/drain/src/delivery.rs
@@ -29,11 +29,11 @@
 
 /// How long the whole may take, and how soon one that failed is told again.
 #[derive(Clone, Copy, Debug)]
-pub struct Spent {
-    pub within: Span,
+pub struct RetryBudget {
+    pub timeout: Span,
     /// The first wait; then twice that, and so on.
-    pub first_wait: Span,
-    pub longest_wait: Span,
+    pub initial_backoff: Span,
+    pub max_backoff: Span,
 }
 
 #[derive(Clone, Debug)]
@@ -56,29 +56,29 @@
 }
 
 #[derive(Debug)]
-pub struct Campaign {
+pub struct OrderDelivery {
     told: BTreeMap<String, Told>,
     until: Moment,
-    spent: Spent,
+    spent: RetryBudget,
     chance: Pcg,
 }
 
-impl Campaign {
+impl OrderDelivery {
     pub fn new(
         now: Moment,
         seed: u64,
-        spent: Spent,
+        spent: RetryBudget,
         conductors: impl Iterator<Item = String>,
-    ) -> Campaign {
+    ) -> OrderDelivery {
         let fresh = Told {
             at: At::Due(now),
             tries: 0,
             last: None,
         };
         let told = conductors.map(|name| (name, fresh.clone())).collect();
-        Campaign {
+        OrderDelivery {
             told,
-            until: now + spent.within,
+            until: now + spent.timeout,
             spent,
             chance: Pcg::new(seed),
         }
@@ -108,9 +108,9 @@
             Reply::Taken { .. } => At::Taken,
             Reply::Refused { .. } => At::Refused,
             Reply::Failed { .. } => {
-                let doubled =
-                    self.spent.first_wait * f64::from(1u32 << told.tries.saturating_sub(1).min(16));
-                let wait = doubled.min(self.spent.longest_wait);
+                let doubled = self.spent.initial_backoff
+                    * f64::from(1u32 << told.tries.saturating_sub(1).min(16));
+                let wait = doubled.min(self.spent.max_backoff);
                 // Jitter keeps those that failed together from being told together again.
                 At::Due(now + wait * (0.5 + 0.5 * self.chance.unit()))
             }
@@ -152,7 +152,7 @@
         }
     }
 
-    /// What each conductor said last, and how often it was told; `None`: nothing within the time.
+    /// What each conductor said last, and how often it was told; `None`: nothing timeout the time.
     pub fn replies(&self) -> impl Iterator<Item = (&str, u32, Option<&Reply>)> {
         self.told
             .iter()
--- a/crates/drain/src/lib.rs
+++ b/crates/drain/src/lib.rs
@@ -3,9 +3,11 @@
 //! and when, within a budget of time, and what may be said of the whole; `agree` finds where conductors are of two
 //! minds. None of it reads a clock or a socket.
 
-pub mod agree;
-pub mod book;
-pub mod campaign;
+pub mod consistency;
+pub mod delivery;
+pub mod registry;
 
-pub use book::{Book, Drain, Evidence, Order, OrderId, Refused, State, Word};
-pub use campaign::{Campaign, Outcome, Reply, Spent};
+pub use delivery::{OrderDelivery, Outcome, Reply, RetryBudget};
+pub use registry::{
+    Drain, DrainAction, DrainError, DrainOrder, DrainRegistry, DrainState, Evidence, OrderId,
+};
--- a/crates/drain/src/book.rs
+++ b/crates/drain/src/registry.rs
@@ -11,16 +11,16 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Word {
+pub enum DrainAction {
     Drain,
     Undrain,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Order {
+pub struct DrainOrder {
     pub id: OrderId,
     pub node: String,
-    pub word: Word,
+    pub word: DrainAction,
     pub by: String,
     /// When it was given, in milliseconds since 1970 by the clock of who gave it.
     pub given_ms: u64,
@@ -29,7 +29,7 @@
     pub overrides: Vec<String>,
 }
 
-impl Order {
+impl DrainOrder {
     /// The newer of two goes; of two that were given at once, the later name, whoever hears them.
     pub fn rank(&self) -> (u64, &OrderId) {
         (self.given_ms, &self.id)
@@ -38,21 +38,37 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum State {
+pub enum DrainState {
     /// Taken; the disk does not have it yet.
-    Wanted,
+    #[serde(rename = "wanted")]
+    Accepted,
     /// Kept over crashes, and the gateways are being told.
-    Telling,
+    #[serde(rename = "telling")]
+    Propagating,
     /// No table that a joined gateway holds names the node, or the grace is over.
     InForce,
     /// And nothing was sent there since, by what gateways report.
-    Quiet,
+    #[serde(rename = "quiet")]
+    Drained,
     /// Taken back: the list has its word again.
     Withdrawn,
 }
 
+impl DrainState {
+    /// The spelling in the operators' API, the state file and the log.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            DrainState::Accepted => "wanted",
+            DrainState::Propagating => "telling",
+            DrainState::InForce => "in-force",
+            DrainState::Drained => "quiet",
+            DrainState::Withdrawn => "withdrawn",
+        }
+    }
+}
+
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Input {
+pub enum DrainEvent {
     Written,
     /// No joined gateway holds a table that names it.
     Unnamed,
@@ -65,16 +81,40 @@
 }
 
 /// What is not in it does not happen. An order of the other word is a new one: it begins at `Wanted`.
-pub const TABLE: &[(State, Input, State)] = &[
-    (State::Wanted, Input::Written, State::Telling),
-    (State::Telling, Input::Unnamed, State::InForce),
-    (State::Telling, Input::GraceOver, State::InForce),
-    (State::InForce, Input::Silent, State::Quiet),
-    (State::Quiet, Input::Met, State::InForce),
+pub const TABLE: &[(DrainState, DrainEvent, DrainState)] = &[
+    (
+        DrainState::Accepted,
+        DrainEvent::Written,
+        DrainState::Propagating,
+    ),
+    (
+        DrainState::Propagating,
+        DrainEvent::Unnamed,
+        DrainState::InForce,
+    ),
+    (
+        DrainState::Propagating,
+        DrainEvent::GraceOver,
+        DrainState::InForce,
+    ),
+    (DrainState::InForce, DrainEvent::Silent, DrainState::Drained),
+    (DrainState::Drained, DrainEvent::Met, DrainState::InForce),
     // What stood in force has to be shown again: gateways may hold what an earlier run gave them.
-    (State::Telling, Input::Restarted, State::Telling),
-    (State::InForce, Input::Restarted, State::Telling),
-    (State::Quiet, Input::Restarted, State::Telling),
+    (
+        DrainState::Propagating,
+        DrainEvent::Restarted,
+        DrainState::Propagating,
+    ),
+    (
+        DrainState::InForce,
+        DrainEvent::Restarted,
+        DrainState::Propagating,
+    ),
+    (
+        DrainState::Drained,
+        DrainEvent::Restarted,
+        DrainState::Propagating,
+    ),
 ];
 
 /// By what is said that nothing is sent to a node.
@@ -91,8 +131,8 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Drain {
-    pub order: Order,
-    pub state: State,
+    pub order: DrainOrder,
+    pub state: DrainState,
     #[serde(default)]
     pub evidence: Evidence,
     #[serde(skip)]
@@ -103,13 +143,13 @@
 
 impl Drain {
     /// Whether the node is kept out by it.
-    pub fn goes(&self) -> bool {
-        self.order.word == Word::Drain && self.state != State::Wanted
+    pub fn is_active(&self) -> bool {
+        self.order.word == DrainAction::Drain && self.state != DrainState::Accepted
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refused {
+pub enum DrainError {
     #[error("order `{0}` was given before with other content")]
     OtherContent(String),
     #[error("`{newer}` by {by}, given later, goes before it")]
@@ -122,15 +162,15 @@
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Effect {
+pub enum DrainEffect {
     /// Keep it over crashes; `None` lets go of it.
     Write {
         node: String,
         drain: Option<Box<Drain>>,
     },
-    Turned {
+    StateChanged {
         node: String,
-        state: State,
+        state: DrainState,
         order: OrderId,
     },
 }
@@ -141,26 +181,26 @@
 const REMEMBERED: f64 = 600.0;
 
 #[derive(Clone, Debug, Default)]
-pub struct Book {
+pub struct DrainRegistry {
     drains: BTreeMap<String, Drain>,
-    effects: Vec<Effect>,
+    effects: Vec<DrainEffect>,
 }
 
-impl Book {
+impl DrainRegistry {
     /// What an earlier run kept.
-    pub fn recover(now: Moment, kept: impl Iterator<Item = Drain>) -> Book {
-        let mut book = Book::default();
+    pub fn recover(now: Moment, kept: impl Iterator<Item = Drain>) -> DrainRegistry {
+        let mut registry = DrainRegistry::default();
         for mut drain in kept {
             // What was found written is written.
-            if drain.state == State::Wanted {
+            if drain.state == DrainState::Accepted {
                 drain.state = settled(drain.order.word);
             }
             (drain.since, drain.told) = (now, Some(now));
-            drain.state = turn(drain.state, Input::Restarted).unwrap_or(drain.state);
+            drain.state = turn(drain.state, DrainEvent::Restarted).unwrap_or(drain.state);
             drain.evidence = Evidence::default();
-            book.drains.insert(drain.order.node.clone(), drain);
+            registry.drains.insert(drain.order.node.clone(), drain);
         }
-        book
+        registry
     }
 
     pub fn drains(&self) -> impl Iterator<Item = &Drain> {
@@ -172,21 +212,21 @@
     }
 
     /// Nodes that are kept out.
-    pub fn out(&self) -> impl Iterator<Item = &str> {
+    pub fn drained_nodes(&self) -> impl Iterator<Item = &str> {
         self.drains
             .values()
-            .filter(|drain| drain.goes())
+            .filter(|drain| drain.is_active())
             .map(|drain| drain.order.node.as_str())
     }
 
     /// An order comes. One that takes back a drain which never came is kept too: the drain may be on its way,
     /// and was given before. `against`: what speaks against it; a drain goes against no more than it names.
-    pub fn order(
+    pub fn submit(
         &mut self,
         now: Moment,
-        order: Order,
+        order: DrainOrder,
         against: &[String],
-    ) -> Result<&Drain, Refused> {
+    ) -> Result<&Drain, DrainError> {
         let node = order.node.clone();
         if let Some(known) = self.drains.get(&node) {
             if known.order.id == order.id {
@@ -194,29 +234,29 @@
                 return if same {
                     Ok(&self.drains[&node])
                 } else {
-                    Err(Refused::OtherContent(order.id.0))
+                    Err(DrainError::OtherContent(order.id.0))
                 };
             }
             if known.order.rank() > order.rank() {
                 let (newer, by) = (known.order.id.0.clone(), known.order.by.clone());
-                return Err(Refused::Overtaken { newer, by });
+                return Err(DrainError::Overtaken { newer, by });
             }
         } else if self.drains.len() >= MOST {
-            return Err(Refused::Full(MOST));
+            return Err(DrainError::Full(MOST));
         }
         let left: Vec<String> = against
             .iter()
             .filter(|text| !overridden(&order.overrides, text))
             .cloned()
             .collect();
-        if order.word == Word::Drain && !left.is_empty() {
-            return Err(Refused::Checks(left));
+        if order.word == DrainAction::Drain && !left.is_empty() {
+            return Err(DrainError::Checks(left));
         }
         // A drain on a drain goes on where that is; its order is the one that is told.
         let before = self
             .drains
             .get(&node)
-            .filter(|known| known.goes() && order.word == Word::Drain);
+            .filter(|known| known.is_active() && order.word == DrainAction::Drain);
         let drain = match before {
             Some(known) => Drain {
                 order,
@@ -226,7 +266,7 @@
                 let evidence = Evidence::default();
                 Drain {
                     order,
-                    state: State::Wanted,
+                    state: DrainState::Accepted,
                     evidence,
                     since: now,
                     told: None,
@@ -234,7 +274,7 @@
             }
         };
         let keep = Box::new(drain.clone());
-        self.effects.push(Effect::Write {
+        self.effects.push(DrainEffect::Write {
             node: node.clone(),
             drain: Some(keep),
         });
@@ -245,7 +285,7 @@
 
     fn turned(&mut self, drain: &Drain) {
         let (node, order) = (drain.order.node.clone(), drain.order.id.clone());
-        self.effects.push(Effect::Turned {
+        self.effects.push(DrainEffect::StateChanged {
             node,
             state: drain.state,
             order,
@@ -261,7 +301,7 @@
         else {
             return;
         };
-        if drain.state != State::Wanted {
+        if drain.state != DrainState::Accepted {
             return;
         }
         drain.state = settled(drain.order.word);
@@ -271,16 +311,18 @@
     }
 
     /// What is known of a node that is kept out, after the moment from which tries there count.
-    pub fn see(&mut self, now: Moment, node: &str, grace: Span, evidence: Evidence) {
-        let Some(drain) = self.drains.get_mut(node).filter(|drain| drain.goes()) else {
+    pub fn record_evidence(&mut self, now: Moment, node: &str, grace: Span, evidence: Evidence) {
+        let Some(drain) = self.drains.get_mut(node).filter(|drain| drain.is_active()) else {
             return;
         };
         let over = drain.told.is_some_and(|told| now - told >= grace);
         let input = match drain.state {
-            State::Telling if evidence.named_by == 0 && evidence.gateways > 0 => Input::Unnamed,
-            State::Telling if over => Input::GraceOver,
-            State::InForce if evidence.tries == 0 && evidence.heard > 0 => Input::Silent,
-            State::Quiet if evidence.tries > 0 => Input::Met,
+            DrainState::Propagating if evidence.named_by == 0 && evidence.gateways > 0 => {
+                DrainEvent::Unnamed
+            }
+            DrainState::Propagating if over => DrainEvent::GraceOver,
+            DrainState::InForce if evidence.tries == 0 && evidence.heard > 0 => DrainEvent::Silent,
+            DrainState::Drained if evidence.tries > 0 => DrainEvent::Met,
             _ => {
                 drain.evidence = evidence;
                 return;
@@ -295,9 +337,9 @@
     }
 
     /// Lets go of orders that were taken back long ago.
-    pub fn forget(&mut self, now: Moment, grace: Span) {
+    pub fn expire_withdrawn(&mut self, now: Moment, grace: Span) {
         let long = grace * REMEMBERED;
-        let old = |drain: &Drain| drain.state == State::Withdrawn && now - drain.since >= long;
+        let old = |drain: &Drain| drain.state == DrainState::Withdrawn && now - drain.since >= long;
         let gone: Vec<String> = self
             .drains
             .iter()
@@ -306,23 +348,23 @@
             .collect();
         for node in gone {
             self.drains.remove(&node);
-            self.effects.push(Effect::Write { node, drain: None });
+            self.effects.push(DrainEffect::Write { node, drain: None });
         }
     }
 
-    pub fn effects(&mut self) -> Vec<Effect> {
+    pub fn take_effects(&mut self) -> Vec<DrainEffect> {
         std::mem::take(&mut self.effects)
     }
 }
 
-fn settled(word: Word) -> State {
+fn settled(word: DrainAction) -> DrainState {
     match word {
-        Word::Drain => State::Telling,
-        Word::Undrain => State::Withdrawn,
+        DrainAction::Drain => DrainState::Propagating,
+        DrainAction::Undrain => DrainState::Withdrawn,
     }
 }
 
-fn turn(state: State, input: Input) -> Option<State> {
+fn turn(state: DrainState, input: DrainEvent) -> Option<DrainState> {
     TABLE
         .iter()
         .find(|row| (row.0, row.1) == (state, input))
--- a/crates/drain/tests/lives.rs
+++ b/crates/drain/tests/lives.rs
@@ -4,10 +4,13 @@
 use std::collections::BTreeMap;
 use test_case::test_case;
 use wheelspread::time::{Moment, Span};
-use wheelspread_drain::agree::{disagreements, missed, Held, Matter, View};
-use wheelspread_drain::book::Effect;
+use wheelspread_drain::consistency::{
+    find_disagreements, missing_orders, ControllerView, DisagreementKind, NodeView,
+};
+use wheelspread_drain::registry::DrainEffect;
 use wheelspread_drain::{
-    Book, Campaign, Drain, Evidence, Order, OrderId, Outcome, Refused, Reply, Spent, State, Word,
+    Drain, DrainAction, DrainError, DrainOrder, DrainRegistry, DrainState, Evidence, OrderDelivery,
+    OrderId, Outcome, Reply, RetryBudget,
 };
 
 const NODE: &str = "127.0.0.1:9001";
@@ -20,9 +23,9 @@
     Span::from_seconds(seconds)
 }
 
-fn order(id: &str, word: Word, given_ms: u64) -> Order {
+fn order(id: &str, word: DrainAction, given_ms: u64) -> DrainOrder {
     let (node, by) = (NODE.to_string(), "ada".to_string());
-    Order {
+    DrainOrder {
         id: OrderId(id.into()),
         node,
         word,
@@ -32,15 +35,15 @@
     }
 }
 
-fn state(book: &Book) -> Option<State> {
-    book.drain(NODE).map(|drain| drain.state)
+fn state(registry: &DrainRegistry) -> Option<DrainState> {
+    registry.drain(NODE).map(|drain| drain.state)
 }
 
-fn take(book: &mut Book, now: Moment, order: Order) {
+fn take(registry: &mut DrainRegistry, now: Moment, order: DrainOrder) {
     let id = order.id.clone();
-    book.order(now, order, &[]).expect("taken");
-    book.written(now, NODE, &id);
-    book.effects();
+    registry.submit(now, order, &[]).expect("taken");
+    registry.written(now, NODE, &id);
+    registry.take_effects();
 }
 
 fn seen(named_by: usize, tries: u64, heard: usize) -> Evidence {
@@ -54,100 +57,108 @@
 
 #[test]
 fn a_drain_is_wanted_told_in_force_and_quiet_and_says_by_what() {
-    let mut book = Book::default();
-    book.order(at(0.0), order("o1", Word::Drain, 1), &[])
+    let mut registry = DrainRegistry::default();
+    registry
+        .submit(at(0.0), order("o1", DrainAction::Drain, 1), &[])
         .expect("taken");
     assert_eq!(
-        (state(&book), book.out().count()),
-        (Some(State::Wanted), 0),
+        (state(&registry), registry.drained_nodes().count()),
+        (Some(DrainState::Accepted), 0),
         "the disk does not have it"
     );
     assert!(matches!(
-        &book.effects()[..],
-        [Effect::Write { .. }, Effect::Turned { .. }]
+        &registry.take_effects()[..],
+        [DrainEffect::Write { .. }, DrainEffect::StateChanged { .. }]
     ));
-    book.written(at(0.1), NODE, &OrderId("o1".into()));
-    assert_eq!(book.out().collect::<Vec<_>>(), [NODE]);
-    book.see(at(0.2), NODE, span(2.0), seen(3, 0, 0));
+    registry.written(at(0.1), NODE, &OrderId("o1".into()));
+    assert_eq!(registry.drained_nodes().collect::<Vec<_>>(), [NODE]);
+    registry.record_evidence(at(0.2), NODE, span(2.0), seen(3, 0, 0));
     assert_eq!(
-        state(&book),
-        Some(State::Telling),
+        state(&registry),
+        Some(DrainState::Propagating),
         "three gateways name it still"
     );
-    book.see(at(0.4), NODE, span(2.0), seen(0, 0, 0));
-    assert_eq!(state(&book), Some(State::InForce));
-    book.see(at(0.5), NODE, span(2.0), seen(0, 0, 0));
+    registry.record_evidence(at(0.4), NODE, span(2.0), seen(0, 0, 0));
+    assert_eq!(state(&registry), Some(DrainState::InForce));
+    registry.record_evidence(at(0.5), NODE, span(2.0), seen(0, 0, 0));
     assert_eq!(
-        state(&book),
-        Some(State::InForce),
+        state(&registry),
+        Some(DrainState::InForce),
         "nobody was heard since: no evidence of quiet"
     );
-    book.see(at(1.5), NODE, span(2.0), seen(0, 0, 4));
-    assert_eq!(state(&book), Some(State::Quiet));
-    book.see(at(2.5), NODE, span(2.0), seen(0, 2, 4));
+    registry.record_evidence(at(1.5), NODE, span(2.0), seen(0, 0, 4));
+    assert_eq!(state(&registry), Some(DrainState::Drained));
+    registry.record_evidence(at(2.5), NODE, span(2.0), seen(0, 2, 4));
     assert_eq!(
-        state(&book),
-        Some(State::InForce),
+        state(&registry),
+        Some(DrainState::InForce),
         "something was sent there after all"
     );
-    assert_eq!(book.drain(NODE).map(|drain| drain.evidence.tries), Some(2));
+    assert_eq!(
+        registry.drain(NODE).map(|drain| drain.evidence.tries),
+        Some(2)
+    );
 }
 
 #[test]
 fn after_the_grace_it_is_in_force_whatever_gateways_hold() {
-    let mut book = Book::default();
-    take(&mut book, at(0.0), order("o1", Word::Drain, 1));
-    book.see(at(1.9), NODE, span(2.0), seen(1, 0, 0));
-    assert_eq!(state(&book), Some(State::Telling));
-    book.see(at(2.0), NODE, span(2.0), seen(1, 0, 0));
-    assert_eq!(state(&book), Some(State::InForce));
+    let mut registry = DrainRegistry::default();
+    take(&mut registry, at(0.0), order("o1", DrainAction::Drain, 1));
+    registry.record_evidence(at(1.9), NODE, span(2.0), seen(1, 0, 0));
+    assert_eq!(state(&registry), Some(DrainState::Propagating));
+    registry.record_evidence(at(2.0), NODE, span(2.0), seen(1, 0, 0));
+    assert_eq!(state(&registry), Some(DrainState::InForce));
 }
 
 #[test]
 fn of_two_tools_the_later_order_goes_in_whichever_order_they_come() {
-    let (drain, undrain) = (order("a", Word::Drain, 5), order("b", Word::Undrain, 6));
-    let mut first = Book::default();
+    let (drain, undrain) = (
+        order("a", DrainAction::Drain, 5),
+        order("b", DrainAction::Undrain, 6),
+    );
+    let mut first = DrainRegistry::default();
     take(&mut first, at(0.0), drain.clone());
     take(&mut first, at(1.0), undrain.clone());
     // The other conductor hears the two the other way round.
-    let mut second = Book::default();
+    let mut second = DrainRegistry::default();
     take(&mut second, at(1.0), undrain);
     let late = second
-        .order(at(2.0), drain, &[])
+        .submit(at(2.0), drain, &[])
         .expect_err("it was given before");
     assert_eq!(
         late,
-        Refused::Overtaken {
+        DrainError::Overtaken {
             newer: "b".into(),
             by: "ada".into()
         }
     );
     assert_eq!(
         (state(&first), state(&second)),
-        (Some(State::Withdrawn), Some(State::Withdrawn))
+        (Some(DrainState::Withdrawn), Some(DrainState::Withdrawn))
     );
 }
 
 #[test]
 fn told_twice_it_is_one_and_the_same_name_with_other_content_is_refused() {
-    let mut book = Book::default();
-    take(&mut book, at(0.0), order("a", Word::Drain, 5));
-    book.see(at(1.0), NODE, span(2.0), seen(0, 0, 0));
-    let again = book
-        .order(at(2.0), order("a", Word::Drain, 5), &[])
+    let mut registry = DrainRegistry::default();
+    take(&mut registry, at(0.0), order("a", DrainAction::Drain, 5));
+    registry.record_evidence(at(1.0), NODE, span(2.0), seen(0, 0, 0));
+    let again = registry
+        .submit(at(2.0), order("a", DrainAction::Drain, 5), &[])
         .expect("known")
         .state;
     assert_eq!(
-        (again, book.effects().len()),
-        (State::InForce, 1),
+        (again, registry.take_effects().len()),
+        (DrainState::InForce, 1),
         "only the turn before"
     );
-    let other = book.order(at(3.0), order("a", Word::Undrain, 9), &[]);
-    assert_eq!(other.err(), Some(Refused::OtherContent("a".into())));
+    let other = registry.submit(at(3.0), order("a", DrainAction::Undrain, 9), &[]);
+    assert_eq!(other.err(), Some(DrainError::OtherContent("a".into())));
     // The tool was killed and is run again: a new order of the same word goes on where the first is.
-    book.order(at(4.0), order("c", Word::Drain, 9), &[])
+    registry
+        .submit(at(4.0), order("c", DrainAction::Drain, 9), &[])
         .expect("taken");
-    assert_eq!(state(&book), Some(State::InForce));
+    assert_eq!(state(&registry), Some(DrainState::InForce));
 }
 
 #[test_case(&[], true; "nothing is overridden")]
@@ -159,12 +170,14 @@
         "pool: no node would be left".to_string(),
         "capacity: 40% would be lost".to_string(),
     ];
-    let mut told = order("a", Word::Drain, 5);
+    let mut told = order("a", DrainAction::Drain, 5);
     told.overrides = overrides.iter().map(|name| name.to_string()).collect();
-    let mut book = Book::default();
-    let result = book.order(at(0.0), told, &against).map(|drain| drain.state);
+    let mut registry = DrainRegistry::default();
+    let result = registry
+        .submit(at(0.0), told, &against)
+        .map(|drain| drain.state);
     assert_eq!(result.is_err(), refuses);
-    if let Err(Refused::Checks(left)) = result {
+    if let Err(DrainError::Checks(left)) = result {
         assert_eq!(
             left.len(),
             2 - overrides.iter().filter(|name| **name == "pool").count()
@@ -174,25 +187,30 @@
 
 #[test]
 fn a_restart_keeps_a_drain_in_force_and_shows_anew_that_it_is() {
-    let mut book = Book::default();
-    take(&mut book, at(0.0), order("a", Word::Drain, 5));
-    book.see(at(1.0), NODE, span(2.0), seen(0, 0, 0));
-    book.see(at(2.0), NODE, span(2.0), seen(0, 0, 4));
-    let kept: Vec<Drain> = book.drains().cloned().collect();
-    let book = Book::recover(at(0.0), kept.into_iter());
-    assert_eq!(state(&book), Some(State::Telling));
+    let mut registry = DrainRegistry::default();
+    take(&mut registry, at(0.0), order("a", DrainAction::Drain, 5));
+    registry.record_evidence(at(1.0), NODE, span(2.0), seen(0, 0, 0));
+    registry.record_evidence(at(2.0), NODE, span(2.0), seen(0, 0, 4));
+    let kept: Vec<Drain> = registry.drains().cloned().collect();
+    let registry = DrainRegistry::recover(at(0.0), kept.into_iter());
+    assert_eq!(state(&registry), Some(DrainState::Propagating));
     assert_eq!(
-        book.out().count(),
+        registry.drained_nodes().count(),
         1,
         "its node is out from the first moment"
     );
     // Killed when the disk had an order and nobody was told: it goes.
-    let mut wanted = Book::default();
+    let mut wanted = DrainRegistry::default();
     wanted
-        .order(at(0.0), order("a", Word::Drain, 5), &[])
+        .submit(at(0.0), order("a", DrainAction::Drain, 5), &[])
         .expect("taken");
     let kept: Vec<Drain> = wanted.drains().cloned().collect();
-    assert_eq!(Book::recover(at(0.0), kept.into_iter()).out().count(), 1);
+    assert_eq!(
+        DrainRegistry::recover(at(0.0), kept.into_iter())
+            .drained_nodes()
+            .count(),
+        1
+    );
 }
 
 proptest! {
@@ -204,36 +222,36 @@
         ways in prop::collection::vec(prop::collection::vec(0usize..8, 8..24), 3),
     ) {
         let of = |at: usize| {
-            let word = if words[at] { Word::Drain } else { Word::Undrain };
+            let word = if words[at] { DrainAction::Drain } else { DrainAction::Undrain };
             // Two that were given in the same millisecond are told apart by name.
             order(&format!("o{at}"), word, 10 + at as u64 / 2)
         };
         let mut ends = Vec::new();
         for way in ways {
-            let mut book = Book::default();
+            let mut registry = DrainRegistry::default();
             let all = way.into_iter().filter(|at| *at < words.len()).chain(0..words.len());
             for (turn, which) in all.enumerate() {
                 let told = of(which);
                 let id = told.id.clone();
-                if book.order(at(1.0), told, &[]).is_ok() {
-                    book.written(at(1.0), NODE, &id);
+                if registry.submit(at(1.0), told, &[]).is_ok() {
+                    registry.written(at(1.0), NODE, &id);
                 }
                 if turn % 5 == 4 {
-                    let kept: Vec<Drain> = book.drains().cloned().collect();
-                    book = Book::recover(at(2.0), kept.into_iter());
+                    let kept: Vec<Drain> = registry.drains().cloned().collect();
+                    registry = DrainRegistry::recover(at(2.0), kept.into_iter());
                 }
             }
-            ends.push(book.drain(NODE).map(|drain| (drain.order.id.clone(), drain.goes())));
+            ends.push(registry.drain(NODE).map(|drain| (drain.order.id.clone(), drain.is_active())));
         }
         prop_assert!(ends.windows(2).all(|pair| pair[0] == pair[1]), "{:?}", ends);
     }
 }
 
-fn spent() -> Spent {
-    Spent {
-        within: span(5.0),
-        first_wait: span(0.1),
-        longest_wait: span(1.0),
+fn spent() -> RetryBudget {
+    RetryBudget {
+        timeout: span(5.0),
+        initial_backoff: span(0.1),
+        max_backoff: span(1.0),
     }
 }
 
@@ -245,8 +263,11 @@
 fn play(
     count: usize,
     answer: impl Fn(&str, u32) -> Option<Reply>,
-) -> (Campaign, Moment, Vec<(f64, String)>) {
-    let (mut now, mut campaign) = (at(0.0), Campaign::new(at(0.0), 3, spent(), names(count)));
+) -> (OrderDelivery, Moment, Vec<(f64, String)>) {
+    let (mut now, mut campaign) = (
+        at(0.0),
+        OrderDelivery::new(at(0.0), 3, spent(), names(count)),
+    );
     let (mut tries, mut told): (BTreeMap<String, u32>, Vec<(f64, String)>) = Default::default();
     while !campaign.over(now) {
         for name in campaign.due(now) {
@@ -340,20 +361,23 @@
 
 #[test]
 fn who_missed_an_order_is_told_the_newest_and_nobody_else_is() {
-    let of = |orders: Vec<Order>| {
-        let mut book = Book::default();
+    let of = |orders: Vec<DrainOrder>| {
+        let mut registry = DrainRegistry::default();
         orders
             .into_iter()
-            .for_each(|order| take(&mut book, at(0.0), order));
-        book.drains().cloned().collect::<Vec<Drain>>()
+            .for_each(|order| take(&mut registry, at(0.0), order));
+        registry.drains().cloned().collect::<Vec<Drain>>()
     };
-    let (old, new) = (order("a", Word::Drain, 1), order("b", Word::Undrain, 2));
+    let (old, new) = (
+        order("a", DrainAction::Drain, 1),
+        order("b", DrainAction::Undrain, 2),
+    );
     let fleet = BTreeMap::from([
         ("c0".to_string(), of(vec![old.clone(), new.clone()])),
         ("c1".to_string(), of(vec![old])),
         ("c2".to_string(), of(vec![])),
     ]);
-    let told: Vec<(String, String)> = missed(&fleet)
+    let told: Vec<(String, String)> = missing_orders(&fleet)
         .into_iter()
         .map(|(to, order)| (to, order.id.0))
         .collect();
@@ -366,16 +390,16 @@
     );
 }
 
-fn held(list: &str, configuration: u64, nodes: &[(&str, &str, &str, bool)]) -> Held {
+fn held(list: &str, configuration: u64, nodes: &[(&str, &str, &str, bool)]) -> ControllerView {
     let view = |(name, listing, zone, by_order): &(&str, &str, &str, bool)| {
-        let view = View {
+        let view = NodeView {
             listing: listing.to_string(),
             zone: zone.to_string(),
             by_order: *by_order,
         };
         (name.to_string(), view)
     };
-    Held {
+    ControllerView {
         list: list.into(),
         configuration,
         nodes: nodes.iter().map(view).collect(),
@@ -384,7 +408,7 @@
 
 #[test]
 fn disagreement_is_named_with_both_sides_and_only_where_it_is() {
-    let fleet = |other: Held| {
+    let fleet = |other: ControllerView| {
         let sound = held(
             "7",
             3,
@@ -407,7 +431,7 @@
             ("n2", "ready", "north", false),
         ],
     );
-    assert_eq!(disagreements(&fleet(alike)), []);
+    assert_eq!(find_disagreements(&fleet(alike)), []);
     let drained = held(
         "7",
         3,
@@ -416,17 +440,17 @@
             ("n2", "ready", "north", false),
         ],
     );
-    let found = disagreements(&fleet(drained));
+    let found = find_disagreements(&fleet(drained));
     assert_eq!(
         (found.len(), found[0].matter, found[0].node.as_deref()),
-        (1, Matter::EndpointStatus, Some("n1"))
+        (1, DisagreementKind::EndpointStatus, Some("n1"))
     );
     assert_eq!(found[0].held["draining by order"], ["c"]);
     assert_eq!(found[0].held["ready"], ["a", "b"]);
-    let late = disagreements(&fleet(held("6", 3, &[("n1", "ready", "north", false)])));
+    let late = find_disagreements(&fleet(held("6", 3, &[("n1", "ready", "north", false)])));
     assert_eq!(
         (late.len(), late[0].matter, late[0].lists_differ),
-        (1, Matter::Listed, true)
+        (1, DisagreementKind::Listed, true)
     );
     let moved = held(
         "7",
@@ -436,9 +460,12 @@
             ("n2", "ready", "north", false),
         ],
     );
-    let matters: Vec<Matter> = disagreements(&fleet(moved))
+    let matters: Vec<DisagreementKind> = find_disagreements(&fleet(moved))
         .iter()
         .map(|found| found.matter)
         .collect();
-    assert_eq!(matters, [Matter::Configuration, Matter::Zone]);
+    assert_eq!(
+        matters,
+        [DisagreementKind::Configuration, DisagreementKind::Zone]
+    );
 }
--- a/crates/drill/src/run.rs
+++ b/crates/drill/src/run.rs
@@ -25,7 +25,7 @@
 use wheelspread::time::{Moment, Span};
 use wheelspread_controller_core::endpoint_list::{EndpointRecord, EndpointSnapshot};
 use wheelspread_controller_core::span_format;
-use wheelspread_drain::{Outcome, Word};
+use wheelspread_drain::{DrainAction, Outcome};
 use wheelspread_files::{swap, Root};
 use wheelspread_fleet::{drain_order, Fleet, Line, Request};
 use wheelspread_reactor as reactor;
@@ -119,7 +119,7 @@
     /// Told to all conductors, again where it failed, until this long after.
     Order {
         nodes: Vec<usize>,
-        word: Word,
+        word: DrainAction,
         within: Span,
     },
     /// A change of configuration that moves nodes to the next zone, or its undo, told in the same way.
@@ -499,13 +499,13 @@
     }
 
     /// As an operator's tool does it, at each conductor by itself.
-    fn order(&self, node: String, word: Word, within: Span) {
+    fn order(&self, node: String, word: DrainAction, within: Span) {
         let now = reactor::now();
         let asked = self.recorder.at(now);
         // Whatever checks say: the drill knows what it does.
         let overrides = ["pool", "cold", "capacity"].map(str::to_string);
         let body = drain_order(&node, word, "drill", &overrides);
-        let out = word == Word::Drain;
+        let out = word == DrainAction::Drain;
         self.tell(
             vec![Request::post("/v1/drains", body)],
             within,
@@ -893,7 +893,7 @@
                     at,
                     Step::Order {
                         nodes: nodes.clone(),
-                        word: Word::Drain,
+                        word: DrainAction::Drain,
                         within,
                     },
                 );
@@ -902,7 +902,7 @@
                     end,
                     Step::Order {
                         nodes,
-                        word: Word::Undrain,
+                        word: DrainAction::Undrain,
                         within,
                     },
                 );
--- a/crates/fleet/examples/drain.rs
+++ b/crates/fleet/examples/drain.rs
@@ -3,7 +3,7 @@
 //!     cargo run -p wheelspread-fleet --example drain -- fleet.yaml 127.0.0.1:9001
 
 use std::path::Path;
-use wheelspread_drain::Word;
+use wheelspread_drain::DrainAction;
 use wheelspread_fleet::{drain_order, FleetFile, Request};
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
@@ -15,7 +15,7 @@
     for (name, answer) in fleet.ask(&Request::get(format!("/v1/where/{node}")), fleet.within) {
         println!("{name}: {answer:?}");
     }
-    let body = drain_order(node, Word::Drain, "example", &[]);
+    let body = drain_order(node, DrainAction::Drain, "example", &[]);
     let told = fleet.order(&Request::post("/v1/drains", body), fleet.order_within, 1);
     println!("{:?}: {:#?}", told.outcome, told.conductors);
     Ok(())
--- a/crates/fleet/src/order.rs
+++ b/crates/fleet/src/order.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use wheelspread::time::{Moment, Span};
-use wheelspread_drain::{Campaign, Outcome, Reply, Spent, Word};
+use wheelspread_drain::{DrainAction, OrderDelivery, Outcome, Reply, RetryBudget};
 
 /// How far an order came.
 #[derive(Clone, Debug, Serialize)]
@@ -23,7 +23,7 @@
 
 /// The body of an order about a node. Its name holds who gave it and when, so that the same words given again
 /// later are another order.
-pub fn drain_order(node: &str, word: Word, by: &str, overrides: &[String]) -> Value {
+pub fn drain_order(node: &str, word: DrainAction, by: &str, overrides: &[String]) -> Value {
     let since = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
@@ -53,12 +53,12 @@
         let begin = Instant::now();
         let now = || Moment::from_seconds(begin.elapsed().as_secs_f64());
         let one = Span::from_seconds(self.within.as_secs_f64());
-        let spent = Spent {
-            within,
-            first_wait: one * FIRST_WAIT,
-            longest_wait: one * LONGEST_WAIT,
+        let spent = RetryBudget {
+            timeout: within,
+            initial_backoff: one * FIRST_WAIT,
+            max_backoff: one * LONGEST_WAIT,
         };
-        let mut campaign = Campaign::new(now(), seed, spent, self.conductors.keys().cloned());
+        let mut campaign = OrderDelivery::new(now(), seed, spent, self.conductors.keys().cloned());
         let (told, answers) = std::sync::mpsc::channel();
         while !campaign.over(now()) {
             for name in campaign.due(now()) {
