--- a/crates/cli/src/fleet/top.rs
+++ b/crates/cli/src/fleet/top.rs
@@ -215,9 +215,9 @@
         ]);
         let node = Some("127.0.0.1:9001".to_string());
         let found = Disagreement {
-            matter: DisagreementKind::EndpointStatus,
+            kind: DisagreementKind::EndpointStatus,
             node,
-            held,
+            views: held,
             lists_differ: false,
         };
         Snapshot {
--- a/crates/cli/src/fleet/view.rs
+++ b/crates/cli/src/fleet/view.rs
@@ -110,7 +110,7 @@
     /// Where conductors are of two minds, one line each.
     pub fn minds(&self) -> Vec<String> {
         let one = |found: &Disagreement| {
-            let sides = found.held.iter().map(|(word, by)| {
+            let sides = found.views.iter().map(|(word, by)| {
                 let some = by.iter().take(3).cloned().collect::<Vec<_>>().join(" ");
                 let more = if by.len() > 3 {
                     format!(" and {} more", by.len() - 3)
--- a/crates/cli/src/measure/state.rs
+++ b/crates/cli/src/measure/state.rs
@@ -8,8 +8,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 use std::time::{Duration, Instant};
-use wheelspread_config_transaction::ledger::Record;
-use wheelspread_config_transaction::{Change, ChangeId, Commit, Configuration, State};
+use wheelspread_config_transaction::ledger::ChangeRecord;
+use wheelspread_config_transaction::{Change, ChangeId, ChangeState, Commit, Configuration};
 use wheelspread_drill::DrillError;
 use wheelspread_store::{Store, StoreError};
 
@@ -37,7 +37,7 @@
     DrillError::NotReady(error.to_string())
 }
 
-fn record(number: usize) -> Record {
+fn record(number: usize) -> ChangeRecord {
     let path = format!(
         "nodes.127.0.{}.{}:9000.weight",
         1 + number % 250,
@@ -51,14 +51,14 @@
         sets,
     };
     let made = Some(number as u64 + 2);
-    Record {
+    ChangeRecord {
         change,
-        state: State::Kept,
-        before: BTreeMap::new(),
+        state: ChangeState::Kept,
+        previous_values: BTreeMap::new(),
         findings: Vec::new(),
-        why: None,
-        made,
-        unmade: None,
+        reason: None,
+        applied_version: made,
+        undone_version: None,
     }
 }
 
@@ -80,7 +80,7 @@
 }
 
 fn state(root: &Path) -> Result<(u64, u64), DrillError> {
-    let (kept, _, bytes) = Store::look(&root.join("state")).map_err(stored)?;
+    let (kept, _, bytes) = Store::inspect(&root.join("state")).map_err(stored)?;
     Ok((kept.commits, bytes))
 }
 
--- a/crates/cli/src/state.rs
+++ b/crates/cli/src/state.rs
@@ -3,7 +3,7 @@
 use clap::{Args, Subcommand};
 use std::path::PathBuf;
 use std::process::ExitCode;
-use wheelspread_store::{Found, Store};
+use wheelspread_store::{OpenOutcome, Store};
 
 #[derive(Args)]
 pub struct StateArguments {
@@ -26,11 +26,11 @@
 
 pub fn state(arguments: StateArguments) -> ExitCode {
     let result = match arguments.what {
-        What::Inspect { file } => Store::look(&file).map(|(kept, _, _)| {
+        What::Inspect { file } => Store::inspect(&file).map(|(kept, _, _)| {
             say!("{}", serde_json::to_string_pretty(&kept).unwrap_or_default());
             ExitCode::SUCCESS
         }),
-        What::Verify { file } => Store::look(&file).map(|(kept, sound, all)| {
+        What::Verify { file } => Store::inspect(&file).map(|(kept, sound, all)| {
             let commits = kept.commits;
             if sound == all {
                 say!("{}: {commits} commits in {all} bytes, all sound", file.display());
@@ -47,9 +47,9 @@
             let before = store.bytes();
             store.compact()?;
             match &found {
-                Found::Fresh | Found::Sound => {}
-                Found::TornTail { bytes } => say!("a torn commit of {bytes} bytes was cut off"),
-                Found::Damaged { aside, at, bytes } => {
+                OpenOutcome::Fresh | OpenOutcome::Sound => {}
+                OpenOutcome::TornTail { bytes } => say!("a torn commit of {bytes} bytes was cut off"),
+                OpenOutcome::Damaged { aside, at, bytes } => {
                     say!(
                         "damaged at byte {at}: {bytes} bytes not gone on with, the whole is kept as {}",
                         aside.display()
--- a/crates/config-rollout/src/lib.rs
+++ b/crates/config-rollout/src/lib.rs
@@ -8,5 +8,5 @@
 pub mod values;
 pub mod watch;
 
-pub use rollout::{Answer, Plans, Rollout, RolloutCommand, RolloutEvent, Step};
+pub use rollout::{Answer, Rollout, RolloutAction, RolloutCommand, RolloutEvent, RolloutSettings};
 pub use watch::Conditions;
--- a/crates/config-rollout/src/rollout.rs
+++ b/crates/config-rollout/src/rollout.rs
@@ -9,20 +9,20 @@
 use std::collections::VecDeque;
 use wheelspread::ids::NodeId;
 use wheelspread::time::{Moment, Span};
-use wheelspread_config_transaction::checks::{self, Bounds, Way};
-use wheelspread_config_transaction::ledger::{Deadlines, Order, Record};
+use wheelspread_config_transaction::checks::{self, ChangeLimits, Propagation};
+use wheelspread_config_transaction::ledger::{ChangeRecord, Deadlines, LedgerAction};
 use wheelspread_config_transaction::{
-    Change, ChangeId, Commit, Configuration, Effect, Finding, Input, Ledger, PersistedState,
-    Refused, State, Verdict,
+    Change, ChangeEffect, ChangeError, ChangeEvent, ChangeId, ChangeState, CheckReport, Commit,
+    Configuration, Finding, Ledger, PersistedState,
 };
 use wheelspread_controller_core::controller_core::ConfigUpdate;
 use wheelspread_controller_core::{ControllerCore, Deployment};
 
 /// All that is told of how changes are handled.
 #[derive(Clone, Copy, Debug)]
-pub struct Plans {
+pub struct RolloutSettings {
     pub deadlines: Deadlines,
-    pub bounds: Bounds,
+    pub limits: ChangeLimits,
     pub conditions: Conditions,
 }
 
@@ -53,12 +53,12 @@
         lines: Vec<PlanLine>,
         findings: Vec<Finding>,
     },
-    Change(Box<Record>),
+    Change(Box<ChangeRecord>),
 }
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
+pub enum RolloutAction {
     /// To the disk, in this order; what came of it is told by its number.
     Write {
         number: u64,
@@ -66,25 +66,25 @@
     },
     Configure(Box<ConfigUpdate>),
     Answer {
-        order: u64,
-        result: Result<Answer, Refused>,
+        request: u64,
+        result: Result<Answer, ChangeError>,
     },
     Log(RolloutEvent),
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum RolloutEvent {
-    Turned {
+    StateChanged {
         id: ChangeId,
-        state: State,
+        state: ChangeState,
         why: Option<String>,
     },
-    NotWritten {
+    WriteFailed {
         reason: String,
         again_in: Span,
     },
     /// A value of an earlier run that does not fit any more.
-    LeftOut {
+    ValueIgnored {
         field: String,
         text: String,
     },
@@ -120,7 +120,7 @@
 
 pub struct Rollout {
     base: Deployment,
-    plans: Plans,
+    settings: RolloutSettings,
     ledger: Ledger,
     /// Written in order; the first is at the disk.
     writing: VecDeque<Writing>,
@@ -132,7 +132,7 @@
     watched_since: Option<Moment>,
     baseline: Baseline,
     bare_since: Option<Moment>,
-    out: Vec<Step>,
+    out: Vec<RolloutAction>,
 }
 
 impl Rollout {
@@ -141,7 +141,7 @@
     pub fn start(
         now: Moment,
         base: Deployment,
-        plans: Plans,
+        settings: RolloutSettings,
         kept: &PersistedState,
     ) -> (Rollout, ConfigUpdate, Vec<NodeId>) {
         let configuration = Configuration {
@@ -150,14 +150,14 @@
         };
         let (configured, flaws) = what_fits(&base, &configuration);
         let records = kept.changes.values().cloned().collect();
-        let (ledger, orders) = Ledger::recover(now, configuration, records, plans.deadlines);
+        let (ledger, orders) = Ledger::recover(now, configuration, records, settings.deadlines);
         let baseline = kept
             .facts
             .get(BASELINE)
             .and_then(|text| serde_json::from_str(text).ok());
         let mut rollout = Rollout {
             base,
-            plans,
+            settings,
             ledger,
             writing: VecDeque::new(),
             at_disk: false,
@@ -170,17 +170,24 @@
             out: Vec::new(),
         };
         for flaw in flaws {
-            rollout.out.push(Step::Log(RolloutEvent::LeftOut {
-                field: flaw.field,
-                text: flaw.text,
-            }));
+            rollout
+                .out
+                .push(RolloutAction::Log(RolloutEvent::ValueIgnored {
+                    field: flaw.field,
+                    text: flaw.text,
+                }));
         }
-        for Order { id, effect } in orders {
+        for LedgerAction { id, effect } in orders {
             match effect {
                 // Its values stand in the configuration that the session starts with.
-                Effect::PutInForce | Effect::PutBack => rollout.forced = Some((id.clone(), now)),
-                Effect::Watch => rollout.watched_since = Some(now),
-                Effect::Nothing | Effect::Write | Effect::Keep | Effect::Close => {}
+                ChangeEffect::PutInForce | ChangeEffect::PutBack => {
+                    rollout.forced = Some((id.clone(), now))
+                }
+                ChangeEffect::Watch => rollout.watched_since = Some(now),
+                ChangeEffect::Nothing
+                | ChangeEffect::Write
+                | ChangeEffect::Keep
+                | ChangeEffect::Close => {}
             }
         }
         let under_way = rollout
@@ -192,7 +199,7 @@
     }
 
     /// The file was read again: its pace goes where no change has set one.
-    pub fn pace(&mut self, lines_per_second: f64) {
+    pub fn set_entries_per_second(&mut self, lines_per_second: f64) {
         self.base.channel.lines_per_second = lines_per_second;
     }
 
@@ -205,19 +212,25 @@
         self.writing.len()
     }
 
-    pub fn ask(&mut self, now: Moment, order: u64, ask: RolloutCommand, session: &ControllerCore) {
+    pub fn handle_command(
+        &mut self,
+        now: Moment,
+        request: u64,
+        ask: RolloutCommand,
+        session: &ControllerCore,
+    ) {
         let result = match ask {
             RolloutCommand::Plan(change) => self.plan(now, change, session),
-            RolloutCommand::Stage(change) => self.stage(now, order, change, session),
+            RolloutCommand::Stage(change) => self.stage(now, request, change, session),
             RolloutCommand::Apply(id) => self.ledger.apply(now, &id).and_then(|orders| {
                 if !orders.is_empty() {
                     self.measure(now, session);
                 }
-                self.follow(now, orders, order);
+                self.follow(now, orders, request);
                 self.answer(&id)
             }),
             RolloutCommand::Undo(id, why) => self.ledger.undo(now, &id, &why).and_then(|orders| {
-                self.follow(now, orders, order);
+                self.follow(now, orders, request);
                 self.answer(&id)
             }),
         };
@@ -225,18 +238,18 @@
         if !self
             .writing
             .iter()
-            .any(|writing| writing.orders.contains(&order))
+            .any(|writing| writing.orders.contains(&request))
         {
-            self.out.push(Step::Answer { order, result });
+            self.out.push(RolloutAction::Answer { request, result });
         }
     }
 
-    fn answer(&self, id: &ChangeId) -> Result<Answer, Refused> {
+    fn answer(&self, id: &ChangeId) -> Result<Answer, ChangeError> {
         let record = self
             .ledger
             .record(id)
             .cloned()
-            .ok_or_else(|| Refused::Unknown(id.0.clone()))?;
+            .ok_or_else(|| ChangeError::Unknown(id.0.clone()))?;
         Ok(Answer::Change(Box::new(record)))
     }
 
@@ -245,7 +258,7 @@
         now: Moment,
         change: Change,
         session: &ControllerCore,
-    ) -> Result<Answer, Refused> {
+    ) -> Result<Answer, ChangeError> {
         let lines = self
             .ledger
             .plan(&change)
@@ -267,21 +280,21 @@
     fn stage(
         &mut self,
         now: Moment,
-        order: u64,
+        request: u64,
         change: Change,
         session: &ControllerCore,
-    ) -> Result<Answer, Refused> {
+    ) -> Result<Answer, ChangeError> {
         let id = change.id.clone();
-        if self.ledger.propose(now, change.clone())? == State::Proposed {
+        if self.ledger.propose(now, change.clone())? == ChangeState::Proposed {
             let verdict = self.check(now, &change, session);
-            let orders = self.ledger.checked(now, &id, verdict)?;
-            self.follow(now, orders, order);
+            let orders = self.ledger.record_checks(now, &id, verdict)?;
+            self.follow(now, orders, request);
         }
         self.answer(&id)
     }
 
     /// Everything that speaks for or against a change, by what was measured.
-    fn check(&self, now: Moment, change: &Change, session: &ControllerCore) -> Verdict {
+    fn check(&self, now: Moment, change: &Change, session: &ControllerCore) -> CheckReport {
         let mut after = self.ledger.configuration().clone();
         for (path, to) in &change.sets {
             match to {
@@ -300,7 +313,7 @@
                 let each = flaws
                     .into_iter()
                     .map(|flaw| format!("{}: {}", flaw.field, flaw.text));
-                return Verdict(each.map(|text| told("values", true, text)).collect());
+                return CheckReport(each.map(|text| told("values", true, text)).collect());
             }
         };
         let mut findings = Vec::new();
@@ -334,7 +347,7 @@
                 known.fleet(now, &after, &then.plan),
             );
             let channel = &then.plan.channel;
-            let way = Way {
+            let way = Propagation {
                 gateways: session.members().members().count() as u32,
                 lines_per_second: channel.lines_per_second,
                 head_lines: channel.head_lines,
@@ -342,41 +355,48 @@
                 window: channel.messages_window,
                 steps: 2,
             };
-            findings.extend(checks::check(&before, &after, self.plans.bounds, way).0);
+            findings.extend(checks::check(&before, &after, self.settings.limits, way).0);
         }
-        Verdict(findings)
+        CheckReport(findings)
     }
 
     /// What the service was like before a change.
     fn measure(&mut self, now: Moment, session: &ControllerCore) {
         let (tallies, _) = session
             .measured()
-            .between(now - self.plans.deadlines.watch, now);
+            .between(now - self.settings.deadlines.watch, now);
         self.baseline = Baseline::of(&tallies, session.plan());
     }
 
-    /// Carries out what the ledger orders. `order`: whose answer waits for it; 0: nobody's.
-    fn follow(&mut self, now: Moment, orders: Vec<Order>, order: u64) {
-        for Order { id, effect } in orders {
+    /// Carries out what the ledger orders. `request`: whose answer waits for it; 0: nobody's.
+    fn follow(&mut self, now: Moment, orders: Vec<LedgerAction>, request: u64) {
+        for LedgerAction { id, effect } in orders {
             let then = match effect {
-                Effect::Write => Then::Staged(id.clone()),
-                Effect::PutInForce | Effect::PutBack => Then::Force(id.clone()),
-                Effect::Nothing | Effect::Watch | Effect::Keep | Effect::Close => Then::Nothing,
+                ChangeEffect::Write => Then::Staged(id.clone()),
+                ChangeEffect::PutInForce | ChangeEffect::PutBack => Then::Force(id.clone()),
+                ChangeEffect::Nothing
+                | ChangeEffect::Watch
+                | ChangeEffect::Keep
+                | ChangeEffect::Close => Then::Nothing,
             };
-            if effect == Effect::Watch {
+            if effect == ChangeEffect::Watch {
                 (self.watched_since, self.bare_since) = (Some(now), None);
             }
             self.turned(&id);
-            let orders = Some(order).filter(|order| *order > 0 && then != Then::Nothing);
+            let orders = Some(request).filter(|request| *request > 0 && then != Then::Nothing);
             self.write(&id, then, orders.into_iter().collect());
         }
     }
 
     fn turned(&mut self, id: &ChangeId) {
         if let Some(record) = self.ledger.record(id) {
-            let (id, state, why) = (id.clone(), record.state, record.why.clone());
+            let (id, state, why) = (id.clone(), record.state, record.reason.clone());
             self.out
-                .push(Step::Log(RolloutEvent::Turned { id, state, why }));
+                .push(RolloutAction::Log(RolloutEvent::StateChanged {
+                    id,
+                    state,
+                    why,
+                }));
         }
     }
 
@@ -404,7 +424,7 @@
     }
 
     /// What came of a write.
-    pub fn written(&mut self, now: Moment, number: u64, result: Result<(), String>) {
+    pub fn on_write_completed(&mut self, now: Moment, number: u64, result: Result<(), String>) {
         if self
             .writing
             .front()
@@ -414,11 +434,12 @@
         }
         self.at_disk = false;
         if let Err(reason) = result {
-            let again_in = self.plans.deadlines.write * AGAIN;
+            let again_in = self.settings.deadlines.write * AGAIN;
             self.again_at = Some(now + again_in);
-            return self
-                .out
-                .push(Step::Log(RolloutEvent::NotWritten { reason, again_in }));
+            return self.out.push(RolloutAction::Log(RolloutEvent::WriteFailed {
+                reason,
+                again_in,
+            }));
         }
         let Some(writing) = self.writing.pop_front() else {
             return;
@@ -426,7 +447,9 @@
         let id = match &writing.then {
             Then::Nothing => return,
             Then::Staged(id) => {
-                let _ = self.ledger.tell(now, id, Input::Written, None);
+                let _ = self
+                    .ledger
+                    .handle_event(now, id, ChangeEvent::Written, None);
                 self.turned(id);
                 id
             }
@@ -440,28 +463,30 @@
                 if version == Some(self.ledger.configuration().version) {
                     let (configured, flaws) = what_fits(&self.base, self.ledger.configuration());
                     for flaw in flaws {
-                        self.out.push(Step::Log(RolloutEvent::LeftOut {
-                            field: flaw.field,
-                            text: flaw.text,
-                        }));
+                        self.out
+                            .push(RolloutAction::Log(RolloutEvent::ValueIgnored {
+                                field: flaw.field,
+                                text: flaw.text,
+                            }));
                     }
-                    self.out.push(Step::Configure(Box::new(configured)));
+                    self.out
+                        .push(RolloutAction::Configure(Box::new(configured)));
                     self.forced = Some((id.clone(), now));
                 }
                 id
             }
         };
         let result = self.answer(id);
-        for order in writing.orders {
-            self.out.push(Step::Answer {
-                order,
+        for request in writing.orders {
+            self.out.push(RolloutAction::Answer {
+                request,
                 result: result.clone(),
             });
         }
     }
 
     /// What is due: states that lasted too long, gateways that have taken a change, harm that it did.
-    pub fn settle(&mut self, now: Moment, session: &ControllerCore, out: &mut Vec<Step>) {
+    pub fn settle(&mut self, now: Moment, session: &ControllerCore, out: &mut Vec<RolloutAction>) {
         self.reached(now, session);
         self.judge(now, session);
         let nobody = !session
@@ -470,7 +495,7 @@
             .any(|(_, member)| member.joined());
         let known = session.known_until().or(nobody.then_some(now));
         let evidence = known.unwrap_or_default();
-        let orders = self.ledger.due(now, evidence);
+        let orders = self.ledger.advance(now, evidence);
         self.follow(now, orders, 0);
         self.hand_over(now);
         out.append(&mut self.out);
@@ -483,7 +508,7 @@
         self.again_at = None;
         if let Some(Writing { number, commit, .. }) = self.writing.front() {
             self.at_disk = true;
-            self.out.push(Step::Write {
+            self.out.push(RolloutAction::Write {
                 number: *number,
                 commit: commit.clone(),
             });
@@ -503,7 +528,7 @@
             self.forced = None;
             let orders = self
                 .ledger
-                .tell(now, &id, Input::InForce, None)
+                .handle_event(now, &id, ChangeEvent::InForce, None)
                 .unwrap_or_default();
             self.follow(now, orders, 0);
         }
@@ -512,8 +537,8 @@
     fn judge(&mut self, now: Moment, session: &ControllerCore) {
         let watched = self
             .ledger
-            .open()
-            .find(|record| record.state == State::Watched);
+            .unfinished()
+            .find(|record| record.state == ChangeState::Watched);
         let Some(id) = watched.map(|record| record.change.id.clone()) else {
             (self.watched_since, self.bare_since) = (None, None);
             return;
@@ -537,7 +562,7 @@
                 let (tallies, _) = session
                     .measured()
                     .between(since + plan.sums.period * SETTLES, now);
-                broken(&self.plans.conditions, &self.baseline, &tallies, plan)
+                broken(&self.settings.conditions, &self.baseline, &tallies, plan)
             }
         };
         if let Some(why) = why {
--- a/crates/config-rollout/tests/kills.rs
+++ b/crates/config-rollout/tests/kills.rs
@@ -7,10 +7,14 @@
 use test_case::test_case;
 use wheelspread::ids::NodeId;
 use wheelspread::time::{Moment, Span};
-use wheelspread_config_rollout::{Answer, Conditions, Plans, Rollout, RolloutCommand, Step};
-use wheelspread_config_transaction::checks::Bounds;
-use wheelspread_config_transaction::ledger::{Deadlines, Record};
-use wheelspread_config_transaction::{Change, ChangeId, Commit, PersistedState, Refused, State};
+use wheelspread_config_rollout::{
+    Answer, Conditions, Rollout, RolloutAction, RolloutCommand, RolloutSettings,
+};
+use wheelspread_config_transaction::checks::ChangeLimits;
+use wheelspread_config_transaction::ledger::{ChangeRecord, Deadlines};
+use wheelspread_config_transaction::{
+    Change, ChangeError, ChangeId, ChangeState, Commit, PersistedState,
+};
 use wheelspread_controller_core::controller_core::RecoveredState;
 use wheelspread_controller_core::endpoint_list::{EndpointRecord, EndpointSnapshot};
 use wheelspread_controller_core::load_report::{LoadReport, NodeReport, OperationReport};
@@ -51,8 +55,8 @@
     serde_json::from_value(told).expect("a sound plan")
 }
 
-fn plans() -> Plans {
-    Plans {
+fn settings() -> RolloutSettings {
+    RolloutSettings {
         deadlines: Deadlines {
             checks: span(2.0),
             write: span(0.4),
@@ -60,10 +64,10 @@
             apply: span(4.0),
             watch: span(1.2),
         },
-        bounds: Bounds {
-            loses_at_most: 0.5,
-            cold_at_most: 0.9,
-            takes_at_most: span(4.0),
+        limits: ChangeLimits {
+            value_loss_share_limit: 0.5,
+            warming_work_share_limit: 0.9,
+            propagation_time_limit: span(4.0),
         },
         conditions: Conditions {
             invocations_at_least: 5.0,
@@ -178,7 +182,8 @@
     }
 
     fn start(&mut self) {
-        let (rollout, configured, moving) = Rollout::start(self.now, plan(), plans(), &self.kept);
+        let (rollout, configured, moving) =
+            Rollout::start(self.now, plan(), settings(), &self.kept);
         let versions = self.links.values().map(|set| set.version).collect();
         let held = self
             .links
@@ -379,7 +384,7 @@
             .settle(self.now, &running.session, &mut steps);
         for step in steps {
             match step {
-                Step::Write { number, commit } => {
+                RolloutAction::Write { number, commit } => {
                     if self.point() {
                         return None;
                     }
@@ -387,7 +392,7 @@
                         .at_disk
                         .push((self.now + self.disk_takes, number, commit));
                 }
-                Step::Configure(configured) => {
+                RolloutAction::Configure(configured) => {
                     if self.point() {
                         return None;
                     }
@@ -403,8 +408,8 @@
                         return None;
                     }
                 }
-                Step::Answer { order, result } => self.answered(order, result),
-                Step::Log(_) => {}
+                RolloutAction::Answer { request, result } => self.answered(request, result),
+                RolloutAction::Log(_) => {}
             }
         }
         for (at, number, commit) in std::mem::take(&mut running.at_disk) {
@@ -413,17 +418,19 @@
                 continue;
             }
             if self.now < self.disk_full_until {
-                running
-                    .rollout
-                    .written(self.now, number, Err("the disk is full".into()));
+                running.rollout.on_write_completed(
+                    self.now,
+                    number,
+                    Err("the disk is full".into()),
+                );
                 continue;
             }
-            self.kept.take(commit);
+            self.kept.apply(commit);
             // On the disk, and nobody was told.
             if self.point() {
                 return None;
             }
-            running.rollout.written(self.now, number, Ok(()));
+            running.rollout.on_write_completed(self.now, number, Ok(()));
         }
         self.conductor = Some(running);
         Some(())
@@ -435,7 +442,9 @@
         let ask = match (self.staged, self.applied, self.undone) {
             (false, ..) => RolloutCommand::Stage(change()),
             (true, false, _) => RolloutCommand::Apply(change().id),
-            (true, true, false) if self.end == End::Undone && state == Some(State::Watched) => {
+            (true, true, false)
+                if self.end == End::Undone && state == Some(ChangeState::Watched) =>
+            {
                 RolloutCommand::Undo(change().id, "not liked".into())
             }
             _ => return,
@@ -446,29 +455,29 @@
         self.orders += 1;
         running
             .rollout
-            .ask(self.now, self.orders, ask, &running.session);
+            .handle_command(self.now, self.orders, ask, &running.session);
     }
 
-    fn answered(&mut self, _: u64, result: Result<Answer, Refused>) {
+    fn answered(&mut self, _: u64, result: Result<Answer, ChangeError>) {
         let record = match result {
             Ok(Answer::Change(record)) => record,
             Ok(other) => panic!("{other:?}"),
             Err(refused) => panic!("{refused}"),
         };
         match record.state {
-            State::Proposed | State::Checked => {}
-            State::Staged => self.staged = true,
-            State::Applying | State::Watched | State::Kept => {
+            ChangeState::Proposed | ChangeState::Checked => {}
+            ChangeState::Staged => self.staged = true,
+            ChangeState::Applying | ChangeState::Watched | ChangeState::Kept => {
                 (self.staged, self.applied) = (true, true)
             }
-            State::Undoing | State::Undone => {
+            ChangeState::Undoing | ChangeState::Undone => {
                 (self.staged, self.applied, self.undone) = (true, true, true)
             }
-            State::Refused => panic!("{:?}", record.why),
+            ChangeState::Refused => panic!("{:?}", record.reason),
         }
     }
 
-    fn record(&self) -> Option<&Record> {
+    fn record(&self) -> Option<&ChangeRecord> {
         self.conductor
             .as_ref()?
             .rollout
@@ -478,9 +487,9 @@
 
     fn over(&self) -> bool {
         let wanted = if self.end == End::Kept {
-            State::Kept
+            ChangeState::Kept
         } else {
-            State::Undone
+            ChangeState::Undone
         };
         let there = self.record().is_some_and(|record| record.state == wanted);
         let told = self
@@ -519,7 +528,7 @@
         let record = self.record().expect("known");
         let version = if self.end == End::Kept { 2 } else { 3 };
         assert_eq!(
-            (record.made, self.kept.configuration.version),
+            (record.applied_version, self.kept.configuration.version),
             (Some(2), version),
             "applied once"
         );
@@ -585,7 +594,7 @@
     stuck.staged_then_full(9.0);
     assert_eq!(
         stuck.record().map(|record| record.state),
-        Some(State::Undone)
+        Some(ChangeState::Undone)
     );
     assert!(
         stuck.links.values().all(|set| set.configuration != 2),
--- a/crates/config-transaction/src/checks.rs
+++ b/crates/config-transaction/src/checks.rs
@@ -1,25 +1,25 @@
 //! What speaks against a change before it is staged, by what was measured: a fleet as it is and as it would be.
 //! Each finding names its figures, also those that forbid nothing.
 
-use crate::ledger::{Finding, Verdict};
+use crate::ledger::{CheckReport, Finding};
 use std::collections::{BTreeMap, BTreeSet};
 use wheelspread::time::Span;
 use wheelspread_solve::{solve, Fleet, HostState, Solution};
 
 /// What a change may cost.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bounds {
+pub struct ChangeLimits {
     /// Of the value served now, so much may be lost.
-    pub loses_at_most: f64,
+    pub value_loss_share_limit: f64,
     /// Of all work afterwards, so much may be at hosts that are cold.
-    pub cold_at_most: f64,
+    pub warming_work_share_limit: f64,
     /// Until all gateways hold it.
-    pub takes_at_most: Span,
+    pub propagation_time_limit: Span,
 }
 
 /// What tables cost on their way.
 #[derive(Clone, Copy, Debug)]
-pub struct Way {
+pub struct Propagation {
     pub gateways: u32,
     pub lines_per_second: f64,
     pub head_lines: f64,
@@ -38,7 +38,7 @@
     }
 }
 
-pub fn check(before: &Fleet, after: &Fleet, bounds: Bounds, way: Way) -> Verdict {
+pub fn check(before: &Fleet, after: &Fleet, bounds: ChangeLimits, way: Propagation) -> CheckReport {
     let mut findings = pools(before, after);
     match (solve(before, &mut || false), solve(after, &mut || false)) {
         (_, Err(refused)) => findings.push(finding("capacity", true, refused.to_string())),
@@ -48,7 +48,7 @@
         }
     }
     findings.push(channel(before, after, bounds, way));
-    Verdict(findings)
+    CheckReport(findings)
 }
 
 /// Hosts that serve an operation in a zone: those of the zone where it stays, all others too where it does not.
@@ -94,7 +94,7 @@
     findings
 }
 
-fn capacity(now: Option<&Solution>, then: &Solution, bounds: Bounds) -> Finding {
+fn capacity(now: Option<&Solution>, then: &Solution, bounds: ChangeLimits) -> Finding {
     let full = then
         .hosts
         .iter()
@@ -117,13 +117,17 @@
         now.value_per_s,
         then.value_per_s,
         -lost * 100.0,
-        bounds.loses_at_most * 100.0,
+        bounds.value_loss_share_limit * 100.0,
         then.hosts.len()
     );
-    finding("capacity", lost > bounds.loses_at_most + 1e-9, text)
+    finding(
+        "capacity",
+        lost > bounds.value_loss_share_limit + 1e-9,
+        text,
+    )
 }
 
-fn cold(after: &Fleet, then: &Solution, bounds: Bounds) -> Finding {
+fn cold(after: &Fleet, then: &Solution, bounds: ChangeLimits) -> Finding {
     let all: f64 = then.hosts.iter().map(|host| host.load).sum();
     let colds = after
         .hosts
@@ -137,13 +141,13 @@
     let text = format!(
         "{count} cold hosts would carry {:.1}% of the work ({:.1}% may be)",
         part * 100.0,
-        bounds.cold_at_most * 100.0
+        bounds.warming_work_share_limit * 100.0
     );
-    finding("cold", part > bounds.cold_at_most + 1e-9, text)
+    finding("cold", part > bounds.warming_work_share_limit + 1e-9, text)
 }
 
 /// Lines of every gateway for each host that comes, goes or is weighed anew, in at least so many messages.
-fn channel(before: &Fleet, after: &Fleet, bounds: Bounds, way: Way) -> Finding {
+fn channel(before: &Fleet, after: &Fleet, bounds: ChangeLimits, way: Propagation) -> Finding {
     let of = |fleet: &Fleet| -> BTreeMap<String, (String, u64)> {
         let host = |host: &wheelspread_solve::Host| {
             (
@@ -176,7 +180,11 @@
     let text = format!(
         "{hosts} hosts change: {lines:.0} lines and {steps:.0} messages to each of {gateways:.0} gateways, at least \
          {seconds:.1} s ({:.1} s at most)",
-        bounds.takes_at_most.seconds()
+        bounds.propagation_time_limit.seconds()
     );
-    finding("channel", seconds > bounds.takes_at_most.seconds(), text)
+    finding(
+        "channel",
+        seconds > bounds.propagation_time_limit.seconds(),
+        text,
+    )
 }
--- a/crates/config-transaction/src/ledger.rs
+++ b/crates/config-transaction/src/ledger.rs
@@ -1,7 +1,7 @@
 //! The configuration in force and all changes of it. One change is under way at a time; another that was made
 //! against the same version is refused when the first comes into force, and both are named.
 
-use crate::state::{Effect, Input, State};
+use crate::state::{ChangeEffect, ChangeEvent, ChangeState};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use wheelspread::time::{Moment, Span};
@@ -38,10 +38,10 @@
 
 /// What came of the checks.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Verdict(pub Vec<Finding>);
+pub struct CheckReport(pub Vec<Finding>);
 
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refused {
+pub enum ChangeError {
     #[error("`{0}` names another change already")]
     OtherContent(String),
     #[error("it changes nothing")]
@@ -67,7 +67,7 @@
         keys: String,
     },
     #[error("`{id}` is {state:?}, which that does not fit to")]
-    Unfit { id: String, state: State },
+    Unfit { id: String, state: ChangeState },
 }
 
 /// How long each state may last.
@@ -82,34 +82,37 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Record {
+pub struct ChangeRecord {
     pub change: Change,
-    pub state: State,
+    pub state: ChangeState,
     /// The values that it took the place of, once it was in force.
-    pub before: BTreeMap<String, Option<String>>,
+    #[serde(rename = "before")]
+    pub previous_values: BTreeMap<String, Option<String>>,
     pub findings: Vec<Finding>,
     /// Why it is refused or undone.
-    pub why: Option<String>,
+    #[serde(rename = "why")]
+    pub reason: Option<String>,
     /// The version that it made.
-    pub made: Option<u64>,
+    #[serde(rename = "made")]
+    pub applied_version: Option<u64>,
     /// The version that took it back.
-    #[serde(default)]
-    pub unmade: Option<u64>,
+    #[serde(default, rename = "unmade")]
+    pub undone_version: Option<u64>,
 }
 
 /// What is to be done for a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Order {
+pub struct LedgerAction {
     pub id: ChangeId,
-    pub effect: Effect,
+    pub effect: ChangeEffect,
 }
 
 #[derive(Clone, Debug)]
 pub struct Ledger {
     configuration: Configuration,
-    records: BTreeMap<ChangeId, Record>,
+    records: BTreeMap<ChangeId, ChangeRecord>,
     /// In the order in which they came into force.
-    made: Vec<(u64, ChangeId)>,
+    version_history: Vec<(u64, ChangeId)>,
     /// Of changes of which something is still to come, and since when they are what they are.
     since: BTreeMap<ChangeId, Moment>,
     deadlines: Deadlines,
@@ -124,7 +127,7 @@
         Ledger {
             configuration,
             records: BTreeMap::new(),
-            made: Vec::new(),
+            version_history: Vec::new(),
             since: BTreeMap::new(),
             deadlines,
         }
@@ -135,37 +138,40 @@
     pub fn recover(
         now: Moment,
         configuration: Configuration,
-        records: Vec<Record>,
+        records: Vec<ChangeRecord>,
         deadlines: Deadlines,
-    ) -> (Ledger, Vec<Order>) {
+    ) -> (Ledger, Vec<LedgerAction>) {
         let mut ledger = Ledger::new(configuration, deadlines);
         let mut orders = Vec::new();
         for mut record in records {
             let id = record.change.id.clone();
             // What was found written is written.
-            if record.state == State::Checked {
-                record.state = State::Staged;
+            if record.state == ChangeState::Checked {
+                record.state = ChangeState::Staged;
             }
             let effect = match record.state {
-                State::Applying => Some(Effect::PutInForce),
-                State::Undoing => Some(Effect::PutBack),
-                State::Watched => Some(Effect::Watch),
+                ChangeState::Applying => Some(ChangeEffect::PutInForce),
+                ChangeState::Undoing => Some(ChangeEffect::PutBack),
+                ChangeState::Watched => Some(ChangeEffect::Watch),
                 _ => None,
             };
-            orders.extend(effect.map(|effect| Order {
+            orders.extend(effect.map(|effect| LedgerAction {
                 id: id.clone(),
                 effect,
             }));
-            let versions = record.made.into_iter().chain(record.unmade);
+            let versions = record
+                .applied_version
+                .into_iter()
+                .chain(record.undone_version);
             ledger
-                .made
+                .version_history
                 .extend(versions.map(|version| (version, id.clone())));
-            if !record.state.over() {
+            if !record.state.is_final() {
                 ledger.since.insert(id.clone(), now);
             }
             ledger.records.insert(id, record);
         }
-        ledger.made.sort();
+        ledger.version_history.sort();
         (ledger, orders)
     }
 
@@ -173,16 +179,16 @@
         &self.configuration
     }
 
-    pub fn records(&self) -> impl Iterator<Item = &Record> {
+    pub fn records(&self) -> impl Iterator<Item = &ChangeRecord> {
         self.records.values()
     }
 
     /// Those of which something is still to come, however many are remembered.
-    pub fn open(&self) -> impl Iterator<Item = &Record> {
+    pub fn unfinished(&self) -> impl Iterator<Item = &ChangeRecord> {
         self.since.keys().filter_map(|id| self.records.get(id))
     }
 
-    pub fn record(&self, id: &ChangeId) -> Option<&Record> {
+    pub fn record(&self, id: &ChangeId) -> Option<&ChangeRecord> {
         self.records.get(id)
     }
 
@@ -195,43 +201,43 @@
         change.sets.iter().filter_map(line).collect()
     }
 
-    pub fn propose(&mut self, now: Moment, change: Change) -> Result<State, Refused> {
+    pub fn propose(&mut self, now: Moment, change: Change) -> Result<ChangeState, ChangeError> {
         if let Some(known) = self.records.get(&change.id) {
             let same = known.change == change;
             return if same {
                 Ok(known.state)
             } else {
-                Err(Refused::OtherContent(change.id.0))
+                Err(ChangeError::OtherContent(change.id.0))
             };
         }
         if change.base > self.configuration.version {
-            return Err(Refused::UnknownBase(change.base));
+            return Err(ChangeError::UnknownBase(change.base));
         }
         if let Some(conflict) = self.conflict(&change) {
             return Err(conflict);
         }
         if self.plan(&change).is_empty() {
-            return Err(Refused::Empty);
+            return Err(ChangeError::Empty);
         }
         let id = change.id.clone();
-        let record = Record {
+        let record = ChangeRecord {
             change,
-            state: State::Proposed,
-            before: BTreeMap::new(),
+            state: ChangeState::Proposed,
+            previous_values: BTreeMap::new(),
             findings: Vec::new(),
-            why: None,
-            made: None,
-            unmade: None,
+            reason: None,
+            applied_version: None,
+            undone_version: None,
         };
         self.records.insert(id.clone(), record);
         self.since.insert(id, now);
-        Ok(State::Proposed)
+        Ok(ChangeState::Proposed)
     }
 
     /// A change that came into force, or was taken back, after the version that this one was made against.
-    fn conflict(&self, change: &Change) -> Option<Refused> {
+    fn conflict(&self, change: &Change) -> Option<ChangeError> {
         let (version, theirs) = self
-            .made
+            .version_history
             .iter()
             .rev()
             .find(|(version, _)| *version > change.base)?;
@@ -249,7 +255,7 @@
             both
         };
         let (mine, theirs) = (named(change), named(&other.change));
-        Some(Refused::Conflict {
+        Some(ChangeError::Conflict {
             base: change.base,
             version: *version,
             mine,
@@ -258,12 +264,12 @@
         })
     }
 
-    pub fn checked(
+    pub fn record_checks(
         &mut self,
         now: Moment,
         id: &ChangeId,
-        verdict: Verdict,
-    ) -> Result<Vec<Order>, Refused> {
+        verdict: CheckReport,
+    ) -> Result<Vec<LedgerAction>, ChangeError> {
         let forbids = verdict
             .0
             .iter()
@@ -272,60 +278,70 @@
         let record = self
             .records
             .get_mut(id)
-            .ok_or_else(|| Refused::Unknown(id.0.clone()))?;
-        if record.state == State::Proposed {
+            .ok_or_else(|| ChangeError::Unknown(id.0.clone()))?;
+        if record.state == ChangeState::Proposed {
             record.findings = verdict.0;
         }
         match forbids {
-            None => self.tell(now, id, Input::ChecksPassed, None),
-            Some(why) => self.tell(now, id, Input::ChecksFailed, Some(why)),
+            None => self.handle_event(now, id, ChangeEvent::ChecksPassed, None),
+            Some(why) => self.handle_event(now, id, ChangeEvent::ChecksFailed, Some(why)),
         }
     }
 
     /// An operator wants it in force.
-    pub fn apply(&mut self, now: Moment, id: &ChangeId) -> Result<Vec<Order>, Refused> {
+    pub fn apply(&mut self, now: Moment, id: &ChangeId) -> Result<Vec<LedgerAction>, ChangeError> {
         let record = self
             .records
             .get(id)
-            .ok_or_else(|| Refused::Unknown(id.0.clone()))?;
+            .ok_or_else(|| ChangeError::Unknown(id.0.clone()))?;
         match record.state {
-            State::Staged => {}
+            ChangeState::Staged => {}
             // Told twice: it is under way, or was.
-            State::Applying | State::Watched | State::Kept => return Ok(Vec::new()),
+            ChangeState::Applying | ChangeState::Watched | ChangeState::Kept => {
+                return Ok(Vec::new())
+            }
             state => {
-                return Err(Refused::Unfit {
+                return Err(ChangeError::Unfit {
                     id: id.0.clone(),
                     state,
                 })
             }
         }
-        if let Some(runs) = self.open().find(|other| other.state.under_way()) {
-            return Err(Refused::Busy {
+        if let Some(runs) = self.unfinished().find(|other| other.state.is_in_progress()) {
+            return Err(ChangeError::Busy {
                 waits: id.0.clone(),
                 runs: runs.change.id.0.clone(),
             });
         }
         if let Some(conflict) = self.conflict(&record.change.clone()) {
-            self.tell(now, id, Input::BaseMoved, Some(conflict.to_string()))?;
+            self.handle_event(now, id, ChangeEvent::BaseMoved, Some(conflict.to_string()))?;
             return Err(conflict);
         }
-        self.tell(now, id, Input::Apply, None)
+        self.handle_event(now, id, ChangeEvent::Apply, None)
     }
 
     /// An operator wants it gone, or a condition is broken.
-    pub fn undo(&mut self, now: Moment, id: &ChangeId, why: &str) -> Result<Vec<Order>, Refused> {
+    pub fn undo(
+        &mut self,
+        now: Moment,
+        id: &ChangeId,
+        why: &str,
+    ) -> Result<Vec<LedgerAction>, ChangeError> {
         let record = self
             .records
             .get(id)
-            .ok_or_else(|| Refused::Unknown(id.0.clone()))?;
-        if matches!(record.state, State::Undoing | State::Undone) {
+            .ok_or_else(|| ChangeError::Unknown(id.0.clone()))?;
+        if matches!(record.state, ChangeState::Undoing | ChangeState::Undone) {
             return Ok(Vec::new());
         }
-        if let Some(made) = record.made {
+        if let Some(made) = record.applied_version {
             let mine = &record.change.sets;
-            let later = self.made.iter().filter(|(version, _)| *version > made);
+            let later = self
+                .version_history
+                .iter()
+                .filter(|(version, _)| *version > made);
             for other in later.filter_map(|(_, other)| self.records.get(other)) {
-                let rests = !matches!(other.state, State::Undone | State::Refused);
+                let rests = !matches!(other.state, ChangeState::Undone | ChangeState::Refused);
                 let both = keys(
                     other
                         .change
@@ -336,7 +352,7 @@
                 );
                 if rests && !both.is_empty() {
                     let (id, later) = (id.0.clone(), other.change.id.0.clone());
-                    return Err(Refused::RestsOn {
+                    return Err(ChangeError::RestsOn {
                         id,
                         later,
                         keys: both,
@@ -345,46 +361,46 @@
             }
         }
         if let Some(runs) = self
-            .open()
-            .find(|other| other.change.id != *id && other.state.under_way())
+            .unfinished()
+            .find(|other| other.change.id != *id && other.state.is_in_progress())
         {
-            return Err(Refused::Busy {
+            return Err(ChangeError::Busy {
                 waits: id.0.clone(),
                 runs: runs.change.id.0.clone(),
             });
         }
-        self.tell(now, id, Input::Undo, Some(why.to_string()))
+        self.handle_event(now, id, ChangeEvent::Undo, Some(why.to_string()))
     }
 
     /// Something came of what was ordered, or time passed.
-    pub fn tell(
+    pub fn handle_event(
         &mut self,
         now: Moment,
         id: &ChangeId,
-        input: Input,
+        input: ChangeEvent,
         why: Option<String>,
-    ) -> Result<Vec<Order>, Refused> {
+    ) -> Result<Vec<LedgerAction>, ChangeError> {
         let record = self
             .records
             .get_mut(id)
-            .ok_or_else(|| Refused::Unknown(id.0.clone()))?;
-        let Some((next, effect)) = record.state.turn(input) else {
+            .ok_or_else(|| ChangeError::Unknown(id.0.clone()))?;
+        let Some((next, effect)) = record.state.on_event(input) else {
             return Ok(Vec::new());
         };
         let before = std::mem::replace(&mut record.state, next);
-        record.why = why.or(record.why.take());
-        match next.over() {
+        record.reason = why.or(record.reason.take());
+        match next.is_final() {
             true => drop(self.since.remove(id)),
             false => drop(self.since.insert(id.clone(), now)),
         }
         match (before, next) {
-            (State::Staged, State::Applying) => self.put(id),
-            (from, State::Undoing) if from != State::Undoing => self.put_back(id),
+            (ChangeState::Staged, ChangeState::Applying) => self.put(id),
+            (from, ChangeState::Undoing) if from != ChangeState::Undoing => self.put_back(id),
             _ => {}
         }
-        let told = !matches!(effect, Effect::Nothing);
+        let told = !matches!(effect, ChangeEffect::Nothing);
         Ok(told
-            .then(|| Order {
+            .then(|| LedgerAction {
                 id: id.clone(),
                 effect,
             })
@@ -404,10 +420,11 @@
                 Some(value) => values.insert(path.clone(), value.clone()),
                 None => values.remove(path),
             };
-            record.before.insert(path.clone(), before);
+            record.previous_values.insert(path.clone(), before);
         }
-        record.made = Some(self.configuration.version);
-        self.made.push((self.configuration.version, id.clone()));
+        record.applied_version = Some(self.configuration.version);
+        self.version_history
+            .push((self.configuration.version, id.clone()));
     }
 
     /// The former values are a version too: numbers never fall.
@@ -416,9 +433,10 @@
             return;
         };
         self.configuration.version += 1;
-        record.unmade = Some(self.configuration.version);
-        self.made.push((self.configuration.version, id.clone()));
-        for (path, before) in &record.before {
+        record.undone_version = Some(self.configuration.version);
+        self.version_history
+            .push((self.configuration.version, id.clone()));
+        for (path, before) in &record.previous_values {
             match before {
                 Some(value) => drop(
                     self.configuration
@@ -430,20 +448,20 @@
         }
     }
 
-    fn lasts(&self, state: State) -> Option<Span> {
+    fn lasts(&self, state: ChangeState) -> Option<Span> {
         let deadlines = &self.deadlines;
         match state {
-            State::Proposed => Some(deadlines.checks),
-            State::Checked => Some(deadlines.write),
-            State::Staged => Some(deadlines.staged),
-            State::Applying | State::Undoing => Some(deadlines.apply),
-            State::Watched => Some(deadlines.watch * 2.0),
-            State::Kept | State::Undone | State::Refused => None,
+            ChangeState::Proposed => Some(deadlines.checks),
+            ChangeState::Checked => Some(deadlines.write),
+            ChangeState::Staged => Some(deadlines.staged),
+            ChangeState::Applying | ChangeState::Undoing => Some(deadlines.apply),
+            ChangeState::Watched => Some(deadlines.watch * 2.0),
+            ChangeState::Kept | ChangeState::Undone | ChangeState::Refused => None,
         }
     }
 
     /// What is due by now. `evidence`: until when what is measured is known.
-    pub fn due(&mut self, now: Moment, evidence: Moment) -> Vec<Order> {
+    pub fn advance(&mut self, now: Moment, evidence: Moment) -> Vec<LedgerAction> {
         let mut orders = Vec::new();
         for id in self.since.keys().cloned().collect::<Vec<_>>() {
             let (Some(record), Some(since)) = (self.records.get(&id), self.since.get(&id).copied())
@@ -451,14 +469,14 @@
                 continue;
             };
             let state = record.state;
-            let watched = state == State::Watched && evidence - since >= self.deadlines.watch;
+            let watched = state == ChangeState::Watched && evidence - since >= self.deadlines.watch;
             let late = self.lasts(state).is_some_and(|span| now - since >= span);
             let told = match (watched, late) {
-                (true, _) => self.tell(now, &id, Input::WatchOver, None),
-                (_, true) => self.tell(
+                (true, _) => self.handle_event(now, &id, ChangeEvent::WatchOver, None),
+                (_, true) => self.handle_event(
                     now,
                     &id,
-                    Input::Late,
+                    ChangeEvent::Late,
                     Some(format!("{state:?} lasted too long")),
                 ),
                 _ => continue,
@@ -474,7 +492,7 @@
             let span = self.lasts(record.state)?;
             Some(
                 *since
-                    + if record.state == State::Watched {
+                    + if record.state == ChangeState::Watched {
                         self.deadlines.watch
                     } else {
                         span
--- a/crates/config-transaction/src/lib.rs
+++ b/crates/config-transaction/src/lib.rs
@@ -8,6 +8,6 @@
 pub mod persisted;
 pub mod state;
 
-pub use ledger::{Change, ChangeId, Configuration, Finding, Ledger, Refused, Verdict};
+pub use ledger::{Change, ChangeError, ChangeId, CheckReport, Configuration, Finding, Ledger};
 pub use persisted::{Commit, PersistedState};
-pub use state::{Effect, Input, State};
+pub use state::{ChangeEffect, ChangeEvent, ChangeState};
--- a/crates/config-transaction/src/persisted.rs
+++ b/crates/config-transaction/src/persisted.rs
@@ -1,6 +1,6 @@
 //! What outlives a crash, and in which pieces it is written.
 
-use crate::ledger::{Configuration, Record};
+use crate::ledger::{ChangeRecord, Configuration};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub configuration: Option<Configuration>,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub changes: Vec<Record>,
+    pub changes: Vec<ChangeRecord>,
     /// `None` takes a fact away.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub facts: BTreeMap<String, Option<String>>,
@@ -18,7 +18,7 @@
 
 impl Commit {
     /// What another commit adds, in the same write.
-    pub fn join(&mut self, later: Commit) {
+    pub fn merge(&mut self, later: Commit) {
         self.configuration = later.configuration.or(self.configuration.take());
         self.changes.extend(later.changes);
         self.facts.extend(later.facts);
@@ -29,13 +29,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct PersistedState {
     pub configuration: Configuration,
-    pub changes: BTreeMap<String, Record>,
+    pub changes: BTreeMap<String, ChangeRecord>,
     pub facts: BTreeMap<String, String>,
     pub commits: u64,
 }
 
 impl PersistedState {
-    pub fn take(&mut self, commit: Commit) {
+    pub fn apply(&mut self, commit: Commit) {
         self.commits += 1;
         self.configuration = commit
             .configuration
@@ -55,7 +55,7 @@
     }
 
     /// All of it as one commit.
-    pub fn whole(&self) -> Commit {
+    pub fn to_commit(&self) -> Commit {
         Commit {
             configuration: Some(self.configuration.clone()),
             changes: self.changes.values().cloned().collect(),
--- a/crates/config-transaction/src/state.rs
+++ b/crates/config-transaction/src/state.rs
@@ -4,7 +4,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum State {
+pub enum ChangeState {
     /// Told; its checks are asked for.
     Proposed,
     /// Nothing speaks against it.
@@ -23,7 +23,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Input {
+pub enum ChangeEvent {
     ChecksPassed,
     ChecksFailed,
     /// The disk has it.
@@ -42,7 +42,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum ChangeEffect {
     Nothing,
     Write,
     /// Puts the new values in force, through the module's ordered steps.
@@ -55,97 +55,178 @@
 }
 
 /// What is not in it does not happen: an input that a state has no row for changes nothing.
-pub const TABLE: &[(State, Input, State, Effect)] = &[
+pub const TABLE: &[(ChangeState, ChangeEvent, ChangeState, ChangeEffect)] = &[
     (
-        State::Proposed,
-        Input::ChecksPassed,
-        State::Checked,
-        Effect::Write,
+        ChangeState::Proposed,
+        ChangeEvent::ChecksPassed,
+        ChangeState::Checked,
+        ChangeEffect::Write,
     ),
     (
-        State::Proposed,
-        Input::ChecksFailed,
-        State::Refused,
-        Effect::Close,
+        ChangeState::Proposed,
+        ChangeEvent::ChecksFailed,
+        ChangeState::Refused,
+        ChangeEffect::Close,
     ),
     (
-        State::Proposed,
-        Input::BaseMoved,
-        State::Refused,
-        Effect::Close,
+        ChangeState::Proposed,
+        ChangeEvent::BaseMoved,
+        ChangeState::Refused,
+        ChangeEffect::Close,
     ),
-    (State::Proposed, Input::Late, State::Refused, Effect::Close),
-    (State::Proposed, Input::Undo, State::Refused, Effect::Close),
     (
-        State::Checked,
-        Input::Written,
-        State::Staged,
-        Effect::Nothing,
+        ChangeState::Proposed,
+        ChangeEvent::Late,
+        ChangeState::Refused,
+        ChangeEffect::Close,
     ),
     (
-        State::Checked,
-        Input::BaseMoved,
-        State::Refused,
-        Effect::Close,
+        ChangeState::Proposed,
+        ChangeEvent::Undo,
+        ChangeState::Refused,
+        ChangeEffect::Close,
+    ),
+    (
+        ChangeState::Checked,
+        ChangeEvent::Written,
+        ChangeState::Staged,
+        ChangeEffect::Nothing,
+    ),
+    (
+        ChangeState::Checked,
+        ChangeEvent::BaseMoved,
+        ChangeState::Refused,
+        ChangeEffect::Close,
+    ),
+    (
+        ChangeState::Checked,
+        ChangeEvent::Undo,
+        ChangeState::Refused,
+        ChangeEffect::Close,
     ),
-    (State::Checked, Input::Undo, State::Refused, Effect::Close),
     // A disk that takes seconds delays the change and nothing else.
-    (State::Checked, Input::Late, State::Checked, Effect::Write),
     (
-        State::Staged,
-        Input::Apply,
-        State::Applying,
-        Effect::PutInForce,
+        ChangeState::Checked,
+        ChangeEvent::Late,
+        ChangeState::Checked,
+        ChangeEffect::Write,
+    ),
+    (
+        ChangeState::Staged,
+        ChangeEvent::Apply,
+        ChangeState::Applying,
+        ChangeEffect::PutInForce,
+    ),
+    (
+        ChangeState::Staged,
+        ChangeEvent::BaseMoved,
+        ChangeState::Refused,
+        ChangeEffect::Close,
+    ),
+    (
+        ChangeState::Staged,
+        ChangeEvent::Undo,
+        ChangeState::Refused,
+        ChangeEffect::Close,
+    ),
+    (
+        ChangeState::Staged,
+        ChangeEvent::Late,
+        ChangeState::Refused,
+        ChangeEffect::Close,
+    ),
+    (
+        ChangeState::Applying,
+        ChangeEvent::InForce,
+        ChangeState::Watched,
+        ChangeEffect::Watch,
     ),
     (
-        State::Staged,
-        Input::BaseMoved,
-        State::Refused,
-        Effect::Close,
+        ChangeState::Applying,
+        ChangeEvent::Undo,
+        ChangeState::Undoing,
+        ChangeEffect::PutBack,
     ),
-    (State::Staged, Input::Undo, State::Refused, Effect::Close),
-    (State::Staged, Input::Late, State::Refused, Effect::Close),
     (
-        State::Applying,
-        Input::InForce,
-        State::Watched,
-        Effect::Watch,
+        ChangeState::Applying,
+        ChangeEvent::Late,
+        ChangeState::Undoing,
+        ChangeEffect::PutBack,
     ),
     (
-        State::Applying,
-        Input::Undo,
-        State::Undoing,
-        Effect::PutBack,
+        ChangeState::Watched,
+        ChangeEvent::WatchOver,
+        ChangeState::Kept,
+        ChangeEffect::Keep,
     ),
     (
-        State::Applying,
-        Input::Late,
-        State::Undoing,
-        Effect::PutBack,
+        ChangeState::Watched,
+        ChangeEvent::Undo,
+        ChangeState::Undoing,
+        ChangeEffect::PutBack,
     ),
-    (State::Watched, Input::WatchOver, State::Kept, Effect::Keep),
-    (State::Watched, Input::Undo, State::Undoing, Effect::PutBack),
     // Evidence that never comes is no good news.
-    (State::Watched, Input::Late, State::Undoing, Effect::PutBack),
+    (
+        ChangeState::Watched,
+        ChangeEvent::Late,
+        ChangeState::Undoing,
+        ChangeEffect::PutBack,
+    ),
     // A change that was kept can be taken back as long as nothing rests on it.
-    (State::Kept, Input::Undo, State::Undoing, Effect::PutBack),
-    (State::Undoing, Input::InForce, State::Undone, Effect::Close),
-    (State::Undoing, Input::Late, State::Undoing, Effect::PutBack),
+    (
+        ChangeState::Kept,
+        ChangeEvent::Undo,
+        ChangeState::Undoing,
+        ChangeEffect::PutBack,
+    ),
+    (
+        ChangeState::Undoing,
+        ChangeEvent::InForce,
+        ChangeState::Undone,
+        ChangeEffect::Close,
+    ),
+    (
+        ChangeState::Undoing,
+        ChangeEvent::Late,
+        ChangeState::Undoing,
+        ChangeEffect::PutBack,
+    ),
 ];
 
-impl State {
-    pub fn turn(self, input: Input) -> Option<(State, Effect)> {
+impl ChangeState {
+    /// The spelling in the operators' API, the state file and the log.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            ChangeState::Proposed => "proposed",
+            ChangeState::Checked => "checked",
+            ChangeState::Staged => "staged",
+            ChangeState::Applying => "applying",
+            ChangeState::Watched => "watched",
+            ChangeState::Kept => "kept",
+            ChangeState::Undoing => "undoing",
+            ChangeState::Undone => "undone",
+            ChangeState::Refused => "refused",
+        }
+    }
+
+    pub fn on_event(self, input: ChangeEvent) -> Option<(ChangeState, ChangeEffect)> {
         let row = TABLE.iter().find(|row| (row.0, row.1) == (self, input));
         row.map(|row| (row.2, row.3))
     }
 
     /// Nothing more comes of it by itself.
-    pub fn over(self) -> bool {
-        matches!(self, State::Kept | State::Undone | State::Refused)
+    pub fn is_final(self) -> bool {
+        matches!(
+            self,
+            ChangeState::Kept | ChangeState::Undone | ChangeState::Refused
+        )
     }
 
     /// Its values, or some of them, are at gateways.
-    pub fn under_way(self) -> bool {
-        matches!(self, State::Applying | State::Watched | State::Undoing)
+    pub fn is_in_progress(self) -> bool {
+        matches!(
+            self,
+            ChangeState::Applying | ChangeState::Watched | ChangeState::Undoing
+        )
     }
 }
--- a/crates/config-transaction/tests/checks.rs
+++ b/crates/config-transaction/tests/checks.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use test_case::test_case;
 use wheelspread::time::Span;
-use wheelspread_config_transaction::checks::{check, Bounds, Way};
+use wheelspread_config_transaction::checks::{check, ChangeLimits, Propagation};
 use wheelspread_solve::{Fleet, Gateway, Host, HostState, Operation};
 
 fn fleet() -> Fleet {
@@ -49,9 +49,9 @@
     }
 }
 
-fn way(lines_per_second: f64, messages_at_most: u32) -> Way {
+fn way(lines_per_second: f64, messages_at_most: u32) -> Propagation {
     let window = Span::from_seconds(10.0);
-    Way {
+    Propagation {
         gateways: 100,
         lines_per_second,
         head_lines: 6.0,
@@ -61,13 +61,13 @@
     }
 }
 
-fn forbidden(change: fn(&mut Fleet), way: Way) -> Vec<String> {
+fn forbidden(change: fn(&mut Fleet), way: Propagation) -> Vec<String> {
     let (before, mut after) = (fleet(), fleet());
     change(&mut after);
-    let bounds = Bounds {
-        loses_at_most: 0.05,
-        cold_at_most: 0.3,
-        takes_at_most: Span::from_seconds(5.0),
+    let bounds = ChangeLimits {
+        value_loss_share_limit: 0.05,
+        warming_work_share_limit: 0.3,
+        propagation_time_limit: Span::from_seconds(5.0),
     };
     let verdict = check(&before, &after, bounds, way);
     assert!(verdict.0.iter().all(|finding| !finding.text.is_empty()));
@@ -98,7 +98,7 @@
 #[test_case(way(100.0, 0), true; "a slow channel")]
 #[test_case(way(10_000.0, 1), true; "more messages than a window allows")]
 #[test_case(way(10_000.0, 2), false; "just as many as it allows")]
-fn what_takes_too_long_on_its_way_is_told(way: Way, forbids: bool) {
+fn what_takes_too_long_on_its_way_is_told(way: Propagation, forbids: bool) {
     let found = forbidden(|fleet| drop(fleet.hosts.remove(0)), way);
     assert_eq!(
         found
--- a/crates/config-transaction/tests/life.rs
+++ b/crates/config-transaction/tests/life.rs
@@ -4,9 +4,10 @@
 use std::collections::BTreeMap;
 use test_case::test_case;
 use wheelspread::time::{Moment, Span};
-use wheelspread_config_transaction::ledger::{Deadlines, Record};
+use wheelspread_config_transaction::ledger::{ChangeRecord, Deadlines};
 use wheelspread_config_transaction::{
-    Change, ChangeId, Configuration, Effect, Finding, Input, Ledger, Refused, State, Verdict,
+    Change, ChangeEffect, ChangeError, ChangeEvent, ChangeId, ChangeState, CheckReport,
+    Configuration, Finding, Ledger,
 };
 
 fn at(seconds: f64) -> Moment {
@@ -55,15 +56,15 @@
     let id = change.id.clone();
     ledger.propose(at(0.0), change).expect("taken");
     let orders = ledger
-        .checked(at(1.0), &id, Verdict::default())
+        .record_checks(at(1.0), &id, CheckReport::default())
         .expect("known");
-    assert_eq!(orders[0].effect, Effect::Write);
+    assert_eq!(orders[0].effect, ChangeEffect::Write);
     ledger
-        .tell(at(1.5), &id, Input::Written, None)
+        .handle_event(at(1.5), &id, ChangeEvent::Written, None)
         .expect("known");
     assert_eq!(
         ledger.record(&id).map(|record| record.state),
-        Some(State::Staged)
+        Some(ChangeState::Staged)
     );
     id
 }
@@ -93,7 +94,7 @@
             "staged is not applied"
         );
         let orders = ledger.apply(at(2.0), &id).expect("nothing is in its way");
-        assert_eq!(orders[0].effect, Effect::PutInForce);
+        assert_eq!(orders[0].effect, ChangeEffect::PutInForce);
         assert_eq!(ledger.configuration().version, 8);
         assert_eq!(
             ledger.apply(at(2.1), &id),
@@ -102,25 +103,28 @@
         );
         assert_eq!(ledger.configuration().version, 8);
         ledger
-            .tell(at(3.0), &id, Input::InForce, None)
+            .handle_event(at(3.0), &id, ChangeEvent::InForce, None)
             .expect("known");
         if good {
-            assert_eq!(ledger.due(at(32.9), at(32.9)), []);
-            assert_eq!(ledger.due(at(33.0), at(33.0))[0].effect, Effect::Keep);
+            assert_eq!(ledger.advance(at(32.9), at(32.9)), []);
+            assert_eq!(
+                ledger.advance(at(33.0), at(33.0))[0].effect,
+                ChangeEffect::Keep
+            );
         } else {
             let orders = ledger
                 .undo(at(10.0), &id, "errors rose to 4%")
                 .expect("it is the last");
-            assert_eq!(orders[0].effect, Effect::PutBack);
+            assert_eq!(orders[0].effect, ChangeEffect::PutBack);
             ledger
-                .tell(at(11.0), &id, Input::InForce, None)
+                .handle_event(at(11.0), &id, ChangeEvent::InForce, None)
                 .expect("known");
             assert_eq!(ledger.configuration().values, configuration().values);
             assert_eq!(ledger.configuration().version, 9, "numbers never fall");
             let record = ledger.record(&id).expect("known");
             assert_eq!(
-                (record.state, record.why.as_deref()),
-                (State::Undone, Some("errors rose to 4%"))
+                (record.state, record.reason.as_deref()),
+                (ChangeState::Undone, Some("errors rose to 4%"))
             );
         }
     }
@@ -132,14 +136,17 @@
     let id = staged(&mut ledger, moved());
     ledger.apply(at(2.0), &id).expect("applied");
     ledger
-        .tell(at(3.0), &id, Input::InForce, None)
+        .handle_event(at(3.0), &id, ChangeEvent::InForce, None)
         .expect("known");
     assert_eq!(
-        ledger.due(at(40.0), at(20.0)),
+        ledger.advance(at(40.0), at(20.0)),
         [],
         "what is known of ends at 20 s"
     );
-    assert_eq!(ledger.due(at(63.0), at(20.0))[0].effect, Effect::PutBack);
+    assert_eq!(
+        ledger.advance(at(63.0), at(20.0))[0].effect,
+        ChangeEffect::PutBack
+    );
 }
 
 #[test]
@@ -156,15 +163,15 @@
         ),
     );
     ledger.apply(at(2.0), &first).expect("the first");
-    let busy = Refused::Busy {
+    let busy = ChangeError::Busy {
         waits: "c2".into(),
         runs: "c1".into(),
     };
     assert_eq!(ledger.apply(at(2.5), &second), Err(busy));
     ledger
-        .tell(at(3.0), &first, Input::InForce, None)
+        .handle_event(at(3.0), &first, ChangeEvent::InForce, None)
         .expect("known");
-    ledger.due(at(40.0), at(40.0));
+    ledger.advance(at(40.0), at(40.0));
     let refused = ledger
         .apply(at(41.0), &second)
         .expect_err("its base has moved")
@@ -179,7 +186,7 @@
     );
     assert_eq!(
         ledger.record(&second).map(|record| record.state),
-        Some(State::Refused)
+        Some(ChangeState::Refused)
     );
 }
 
@@ -194,11 +201,11 @@
         let id = staged(&mut ledger, change(name, "ada", base, &sets));
         ledger.apply(at(2.0), &id).expect("applied");
         ledger
-            .tell(at(3.0), &id, Input::InForce, None)
+            .handle_event(at(3.0), &id, ChangeEvent::InForce, None)
             .expect("known");
-        ledger.due(at(40.0), at(40.0));
+        ledger.advance(at(40.0), at(40.0));
     }
-    let rests = Refused::RestsOn {
+    let rests = ChangeError::RestsOn {
         id: "c1".into(),
         later: "c2".into(),
         keys: "pool.a".into(),
@@ -208,7 +215,7 @@
         .undo(at(51.0), &id("c2"), "not liked")
         .expect("c3 has nothing to do with it");
     ledger
-        .tell(at(52.0), &id("c2"), Input::InForce, None)
+        .handle_event(at(52.0), &id("c2"), ChangeEvent::InForce, None)
         .expect("known");
     ledger
         .undo(at(53.0), &id("c1"), "not liked")
@@ -231,12 +238,12 @@
 #[test]
 fn a_finding_that_forbids_ends_it_and_a_proposal_told_twice_is_one() {
     let mut ledger = Ledger::new(configuration(), deadlines());
-    assert_eq!(ledger.propose(at(0.0), moved()), Ok(State::Proposed));
-    assert_eq!(ledger.propose(at(0.1), moved()), Ok(State::Proposed));
+    assert_eq!(ledger.propose(at(0.0), moved()), Ok(ChangeState::Proposed));
+    assert_eq!(ledger.propose(at(0.1), moved()), Ok(ChangeState::Proposed));
     let other = change("c1", "bob", 7, &[("price", Some("8"))]);
     assert_eq!(
         ledger.propose(at(0.2), other),
-        Err(Refused::OtherContent("c1".into()))
+        Err(ChangeError::OtherContent("c1".into()))
     );
     let text = "pool a would have 0 hosts for quote in north".to_string();
     let finding = Finding {
@@ -245,16 +252,16 @@
         forbids: true,
     };
     ledger
-        .checked(at(1.0), &id("c1"), Verdict(vec![finding]))
+        .record_checks(at(1.0), &id("c1"), CheckReport(vec![finding]))
         .expect("known");
     let record = ledger.record(&id("c1")).expect("known");
     assert_eq!(
-        (record.state, record.why.clone()),
-        (State::Refused, Some(text))
+        (record.state, record.reason.clone()),
+        (ChangeState::Refused, Some(text))
     );
     assert!(matches!(
         ledger.apply(at(2.0), &id("c1")),
-        Err(Refused::Unfit { .. })
+        Err(ChangeError::Unfit { .. })
     ));
 }
 
@@ -304,12 +311,12 @@
                     let path = format!("key.{key}");
                     let made = change(&format!("c{n}"), "ada", base, &[(&path, Some(&format!("{n}")))]);
                     if ledger.propose(now, made).is_ok() {
-                        let _ = ledger.checked(now, &name(n), Verdict::default());
-                        let _ = ledger.tell(now, &name(n), Input::Written, None);
+                        let _ = ledger.record_checks(now, &name(n), CheckReport::default());
+                        let _ = ledger.handle_event(now, &name(n), ChangeEvent::Written, None);
                         let _ = ledger.apply(now, &name(n));
-                        let _ = ledger.tell(now, &name(n), Input::InForce, None);
+                        let _ = ledger.handle_event(now, &name(n), ChangeEvent::InForce, None);
                         now = now + Span::from_seconds(31.0);
-                        ledger.due(now, now);
+                        ledger.advance(now, now);
                     }
                 }
                 Act::Propose(n, key, old) => {
@@ -319,37 +326,37 @@
                     let made = change(&format!("c{n}"), by, base, &[(&path, Some(&format!("{n}")))]);
                     let _ = ledger.propose(now, made);
                 }
-                Act::Pass(n) => drop(ledger.checked(now, &name(n), Verdict::default())),
+                Act::Pass(n) => drop(ledger.record_checks(now, &name(n), CheckReport::default())),
                 Act::Fail(n) => {
                     let finding = Finding { check: "c".into(), text: "no".into(), forbids: true };
-                    let _ = ledger.checked(now, &name(n), Verdict(vec![finding]));
+                    let _ = ledger.record_checks(now, &name(n), CheckReport(vec![finding]));
                 }
-                Act::Written(n) => drop(ledger.tell(now, &name(n), Input::Written, None)),
+                Act::Written(n) => drop(ledger.handle_event(now, &name(n), ChangeEvent::Written, None)),
                 Act::Apply(n) => drop(ledger.apply(now, &name(n))),
-                Act::InForce(n) => drop(ledger.tell(now, &name(n), Input::InForce, None)),
+                Act::InForce(n) => drop(ledger.handle_event(now, &name(n), ChangeEvent::InForce, None)),
                 Act::Undo(n) => drop(ledger.undo(now, &name(n), "not liked")),
                 Act::Wait(tenths) => {
                     now = now + Span::from_seconds(f64::from(tenths) / 10.0);
-                    ledger.due(now, now);
+                    ledger.advance(now, now);
                 }
                 Act::Crash => {
-                    let records: Vec<Record> = ledger.records().cloned().collect();
+                    let records: Vec<ChangeRecord> = ledger.records().cloned().collect();
                     let (next, orders) =
                         Ledger::recover(now, ledger.configuration().clone(), records, deadlines());
-                    let under_way = next.records().filter(|record| record.state.under_way()).count();
-                    let told = orders.iter().filter(|order| order.effect != Effect::Write).count();
+                    let under_way = next.records().filter(|record| record.state.is_in_progress()).count();
+                    let told = orders.iter().filter(|order| order.effect != ChangeEffect::Write).count();
                     prop_assert_eq!(under_way, told, "what was under way is taken up");
                     ledger = next;
                 }
             }
-            prop_assert!(ledger.records().filter(|record| record.state.under_way()).count() <= 1);
+            prop_assert!(ledger.records().filter(|record| record.state.is_in_progress()).count() <= 1);
             prop_assert!(ledger.configuration().version >= version);
             version = ledger.configuration().version;
-            let mut live: Vec<&Record> = ledger
+            let mut live: Vec<&ChangeRecord> = ledger
                 .records()
-                .filter(|r| matches!(r.state, State::Applying | State::Watched | State::Kept))
+                .filter(|r| matches!(r.state, ChangeState::Applying | ChangeState::Watched | ChangeState::Kept))
                 .collect();
-            live.sort_by_key(|record| record.made);
+            live.sort_by_key(|record| record.applied_version);
             let mut wanted: BTreeMap<String, String> = configuration().values;
             for record in live {
                 for (path, to) in &record.change.sets {
--- a/crates/config-transaction/tests/model.rs
+++ b/crates/config-transaction/tests/model.rs
@@ -9,9 +9,10 @@
 use std::hash::{Hash, Hasher};
 use test_case::test_case;
 use wheelspread::time::{Moment, Span};
-use wheelspread_config_transaction::ledger::{Deadlines, Order, Record};
+use wheelspread_config_transaction::ledger::{ChangeRecord, Deadlines, LedgerAction};
 use wheelspread_config_transaction::{
-    Change, ChangeId, Configuration, Effect, Input, Ledger, Refused, State, Verdict,
+    Change, ChangeEffect, ChangeError, ChangeEvent, ChangeId, ChangeState, CheckReport,
+    Configuration, Ledger,
 };
 
 fn deadlines() -> Deadlines {
@@ -49,7 +50,7 @@
 struct Memory(Ledger);
 
 impl Memory {
-    fn key(&self) -> (&Configuration, Vec<&Record>) {
+    fn key(&self) -> (&Configuration, Vec<&ChangeRecord>) {
         (self.0.configuration(), self.0.records().collect())
     }
 }
@@ -71,7 +72,7 @@
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct Write {
     configuration: Configuration,
-    record: Record,
+    record: ChangeRecord,
     effect: Option<Force>,
 }
 
@@ -87,7 +88,7 @@
 struct Conductor {
     memory: Option<Memory>,
     waits: VecDeque<Write>,
-    disk: (Configuration, BTreeMap<String, Record>),
+    disk: (Configuration, BTreeMap<String, ChangeRecord>),
     /// What gateways were told, version by version, and what they hold last.
     told: BTreeMap<u64, Configuration>,
     holds: u64,
@@ -140,14 +141,14 @@
         self.holds = configuration.version;
     }
 
-    fn follow(&mut self, orders: Vec<Order>, variant: Variant) {
+    fn follow(&mut self, orders: Vec<LedgerAction>, variant: Variant) {
         let Some(Memory(ledger)) = self.memory.clone() else {
             return;
         };
-        for Order { id, effect } in orders {
+        for LedgerAction { id, effect } in orders {
             let effect = match effect {
-                Effect::Write => Some(Force::Staged),
-                Effect::PutInForce | Effect::PutBack => Some(Force::Values),
+                ChangeEffect::Write => Some(Force::Staged),
+                ChangeEffect::PutInForce | ChangeEffect::PutBack => Some(Force::Values),
                 _ => None,
             };
             let record = ledger.record(&id).expect("known").clone();
@@ -169,7 +170,7 @@
     fn act(
         &self,
         variant: Variant,
-        what: impl FnOnce(&mut Ledger) -> Result<Vec<Order>, Refused>,
+        what: impl FnOnce(&mut Ledger) -> Result<Vec<LedgerAction>, ChangeError>,
     ) -> Option<Conductor> {
         let mut next = self.clone();
         let Memory(ledger) = next.memory.as_mut()?;
@@ -189,10 +190,10 @@
         let Memory(ledger) = next.memory.as_mut()?;
         match write.effect {
             Some(Force::Staged) => {
-                let _ = ledger.tell(
+                let _ = ledger.handle_event(
                     Moment::default(),
                     &write.record.change.id,
-                    Input::Written,
+                    ChangeEvent::Written,
                     None,
                 );
             }
@@ -226,7 +227,8 @@
     fn start(&self, variant: Variant) -> Conductor {
         let mut next = self.clone();
         let (configuration, records) = next.disk.clone();
-        let kept = |record: &Record| variant != Variant::Forgetful || !record.state.under_way();
+        let kept =
+            |record: &ChangeRecord| variant != Variant::Forgetful || !record.state.is_in_progress();
         let records = records.into_values().filter(kept).collect();
         let (ledger, _) = Ledger::recover(
             Moment::default(),
@@ -248,16 +250,21 @@
         next.extend(self.written(variant));
         for name in ["a", "b"] {
             let id = ChangeId(name.to_string());
-            let ledger =
-                |what: &dyn Fn(&mut Ledger) -> Result<Vec<Order>, Refused>| self.act(variant, what);
+            let ledger = |what: &dyn Fn(&mut Ledger) -> Result<Vec<LedgerAction>, ChangeError>| {
+                self.act(variant, what)
+            };
             next.extend(ledger(&|l| {
                 l.propose(now, change(name))?;
-                l.checked(now, &id, Verdict::default())
+                l.record_checks(now, &id, CheckReport::default())
             }));
             next.extend(ledger(&|l| l.apply(now, &id)));
             next.extend(ledger(&|l| l.undo(now, &id, "not liked")));
-            next.extend(ledger(&|l| l.tell(now, &id, Input::Late, None)));
-            next.extend(ledger(&|l| l.tell(now, &id, Input::WatchOver, None)));
+            next.extend(ledger(&|l| {
+                l.handle_event(now, &id, ChangeEvent::Late, None)
+            }));
+            next.extend(ledger(&|l| {
+                l.handle_event(now, &id, ChangeEvent::WatchOver, None)
+            }));
             // Gateways hold it only after they were told.
             let version = self
                 .memory
@@ -265,7 +272,9 @@
                 .map(|memory| memory.0.configuration().version);
             if version == Some(self.holds) && self.waits.iter().all(|write| write.effect.is_none())
             {
-                next.extend(ledger(&|l| l.tell(now, &id, Input::InForce, None)));
+                next.extend(ledger(&|l| {
+                    l.handle_event(now, &id, ChangeEvent::InForce, None)
+                }));
             }
         }
         next.retain(|next| next != self);
@@ -282,7 +291,7 @@
         };
         let under_way = ledger
             .records()
-            .filter(|record| record.state.under_way())
+            .filter(|record| record.state.is_in_progress())
             .count();
         if under_way > 1 {
             return Some("two changes are under way".to_string());
@@ -290,7 +299,12 @@
         // Each change was put in force once at most, and taken back once at most: versions tell.
         let versions: Vec<u64> = ledger
             .records()
-            .flat_map(|record| record.made.into_iter().chain(record.unmade))
+            .flat_map(|record| {
+                record
+                    .applied_version
+                    .into_iter()
+                    .chain(record.undone_version)
+            })
             .collect();
         if versions.iter().collect::<BTreeSet<_>>().len() != versions.len() {
             return Some("one version was made by two changes".to_string());
@@ -299,7 +313,7 @@
         if under_way == 0 && self.waits.is_empty() {
             let kept = ledger
                 .records()
-                .filter(|record| record.state == State::Kept);
+                .filter(|record| record.state == ChangeState::Kept);
             let mut wanted = BTreeMap::new();
             for record in kept {
                 let set = record
@@ -412,10 +426,12 @@
             .any(|conductor| conductor.broken().is_some());
         let both = (0..3).any(|at| stands("a", at) == Some(true) && stands("b", at) == Some(true));
         let apart = all("a")
-            && self
-                .conductors
-                .iter()
-                .any(|c| c.disk.1.get("a").is_none_or(|r| r.made.is_none()));
+            && self.conductors.iter().any(|c| {
+                c.disk
+                    .1
+                    .get("a")
+                    .is_none_or(|r| r.applied_version.is_none())
+            });
         wrong || both || apart
     }
 }
@@ -435,17 +451,17 @@
     };
     let staged = conductor.act(right, |l| {
         l.propose(now, change(name))?;
-        l.checked(now, &id, Verdict::default())
+        l.record_checks(now, &id, CheckReport::default())
     });
     let staged = drain(staged.unwrap_or_else(|| conductor.clone()));
     let Some(applied) = staged.act(right, |l| l.apply(now, &id)) else {
         return (staged, false);
     };
     let mut applied = drain(applied);
-    for input in [Input::InForce, Input::WatchOver] {
+    for input in [ChangeEvent::InForce, ChangeEvent::WatchOver] {
         applied = drain(
             applied
-                .act(right, |l| l.tell(now, &id, input, None))
+                .act(right, |l| l.handle_event(now, &id, input, None))
                 .unwrap_or(applied),
         );
     }
--- a/crates/controller/src/admin.rs
+++ b/crates/controller/src/admin.rs
@@ -16,7 +16,7 @@
 use tracing::{info, warn};
 use wheelspread::time::{Moment, Span};
 use wheelspread_config_rollout::Answer;
-use wheelspread_config_transaction::Refused;
+use wheelspread_config_transaction::ChangeError;
 use wheelspread_controller_core::endpoint_list::show;
 use wheelspread_controller_core::rollback::{ExclusionReason, RollbackResult};
 use wheelspread_drain::Drain;
@@ -287,13 +287,13 @@
     }
 
     /// What came of an order about a change.
-    pub fn told(&mut self, order: u64, result: &Result<Answer, Refused>) {
+    pub fn told(&mut self, order: u64, result: &Result<Answer, ChangeError>) {
         self.end(
             order,
             result
                 .as_ref()
                 .map(|answer| json!(answer))
-                .map_err(Refused::to_string),
+                .map_err(ChangeError::to_string),
         );
     }
 
--- a/crates/controller/src/drains.rs
+++ b/crates/controller/src/drains.rs
@@ -97,7 +97,7 @@
                 order.node
             )])
         })?;
-        let against = match order.word {
+        let against = match order.action {
             DrainAction::Drain => against_drain(now, named, self.value_lost_at_most, session),
             DrainAction::Undrain => Vec::new(),
         };
@@ -243,9 +243,9 @@
             let traces = session.traces(id);
             let evidence = Evidence {
                 named_by: traces.named_by,
-                gateways: traces.gateways,
-                tries: traces.tries,
-                heard: traces.heard,
+                proxies: traces.gateways,
+                attempts: traces.tries,
+                reporting_proxies: traces.heard,
             };
             self.book.record_evidence(now, &name, grace, evidence);
             let after = self.book.drain(&name).map(|drain| drain.state);
--- a/crates/controller/src/file.rs
+++ b/crates/controller/src/file.rs
@@ -6,8 +6,8 @@
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
 use wheelspread::time::Span;
-use wheelspread_config_rollout::{Conditions, Plans};
-use wheelspread_config_transaction::checks::Bounds;
+use wheelspread_config_rollout::{Conditions, RolloutSettings};
+use wheelspread_config_transaction::checks::ChangeLimits;
 use wheelspread_config_transaction::ledger::Deadlines;
 use wheelspread_controller_core::{span_format, Deployment};
 
@@ -151,9 +151,9 @@
 const WRITE: f64 = 0.2;
 
 impl ChangePlan {
-    pub fn plans(&self) -> Plans {
+    pub fn rollout_settings(&self) -> RolloutSettings {
         let apply = self.apply_at_most;
-        Plans {
+        RolloutSettings {
             deadlines: Deadlines {
                 checks: apply,
                 write: apply * WRITE,
@@ -161,10 +161,10 @@
                 apply,
                 watch: self.watch,
             },
-            bounds: Bounds {
-                loses_at_most: self.value_lost_at_most,
-                cold_at_most: self.cold_work_at_most,
-                takes_at_most: apply,
+            limits: ChangeLimits {
+                value_loss_share_limit: self.value_lost_at_most,
+                warming_work_share_limit: self.cold_work_at_most,
+                propagation_time_limit: apply,
             },
             conditions: self.undo_when,
         }
--- a/crates/controller/src/log.rs
+++ b/crates/controller/src/log.rs
@@ -21,15 +21,15 @@
 
 pub fn note(note: &RolloutEvent) {
     match note {
-        RolloutEvent::Turned { id, state, why } => {
-            let (change, state) = (&id.0, format!("{state:?}").to_lowercase());
+        RolloutEvent::StateChanged { id, state, why } => {
+            let (change, state) = (&id.0, state.as_str());
             info!(change, state, why, "change");
         }
-        RolloutEvent::NotWritten { reason, again_in } => {
+        RolloutEvent::WriteFailed { reason, again_in } => {
             let again_in_s = again_in.seconds();
             warn!(reason, again_in_s, "a change waits for the disk");
         }
-        RolloutEvent::LeftOut { field, text } => {
+        RolloutEvent::ValueIgnored { field, text } => {
             warn!(
                 field,
                 text, "a value of an earlier change does not fit, left out"
--- a/crates/controller/src/routes.rs
+++ b/crates/controller/src/routes.rs
@@ -10,7 +10,7 @@
 use wheelspread::{EndpointEntry, EndpointStatus};
 use wheelspread_config_rollout::values::node;
 use wheelspread_config_rollout::{Rollout, RolloutCommand};
-use wheelspread_config_transaction::ledger::Record;
+use wheelspread_config_transaction::ledger::ChangeRecord;
 use wheelspread_config_transaction::{Change, ChangeId};
 use wheelspread_controller_core::deployment::OperationPlan;
 use wheelspread_controller_core::endpoint_list::show;
@@ -195,7 +195,7 @@
     Ok(DrainOrder {
         id: OrderId(id),
         node,
-        word,
+        action: word,
         by,
         given_ms,
         overrides,
@@ -246,7 +246,7 @@
         ("GET", target) => return shown(now, target, desk).map(Some),
         (method, target) => return Err((404, format!("{method} {target} is not served here"))),
     };
-    rollout.ask(now, order, ask, session);
+    rollout.handle_command(now, order, ask, session);
     Ok(None)
 }
 
@@ -277,9 +277,12 @@
 
 /// Those of which something is still to come, then the latest in force.
 fn changes(rollout: &Rollout) -> Value {
-    let mut records: Vec<&Record> = rollout.ledger().records().collect();
+    let mut records: Vec<&ChangeRecord> = rollout.ledger().records().collect();
     records.sort_by_key(|record| {
-        std::cmp::Reverse((!record.state.over(), record.made.max(record.unmade)))
+        std::cmp::Reverse((
+            !record.state.is_final(),
+            record.applied_version.max(record.undone_version),
+        ))
     });
     records.truncate(RECENT);
     json!(records)
@@ -308,8 +311,8 @@
     let reach = session.reach();
     let under_way = rollout
         .ledger()
-        .open()
-        .find(|record| record.state.under_way());
+        .unfinished()
+        .find(|record| record.state.is_in_progress());
     let drains = desk
         .drains
         .book()
--- a/crates/controller/src/service.rs
+++ b/crates/controller/src/service.rs
@@ -17,7 +17,7 @@
 use std::sync::Arc;
 use tracing::{error, info, warn};
 use wheelspread::time::{Moment, Span};
-use wheelspread_config_rollout::{Rollout, Step};
+use wheelspread_config_rollout::{Rollout, RolloutAction};
 use wheelspread_config_transaction::Commit;
 use wheelspread_controller_core::controller_core::ConfigUpdate;
 use wheelspread_controller_core::rollback::RollbackResult;
@@ -128,8 +128,12 @@
             StateWriter::start(&place.tables.join("state"), reactor::wall(), waker.clone())?;
         let now = reactor::now();
         let drains = Drains::start(now, &kept, file.changes.value_lost_at_most);
-        let (rollout, configured, moving) =
-            Rollout::start(now, file.deployment.clone(), file.changes.plans(), &kept);
+        let (rollout, configured, moving) = Rollout::start(
+            now,
+            file.deployment.clone(),
+            file.changes.rollout_settings(),
+            &kept,
+        );
         let plan = configured.plan;
         let mut scan = scan(&root, &plan).map_err(named("what lies under the root of tables"))?;
         for text in &scan.unreadable {
@@ -300,13 +304,13 @@
         self.rollout.settle(now, &self.session, &mut steps);
         for step in steps {
             match step {
-                Step::Write { number, commit } => self.write(now, number, commit),
-                Step::Configure(configured) => self.configure(now, *configured),
-                Step::Answer { order, result } => {
+                RolloutAction::Write { number, commit } => self.write(now, number, commit),
+                RolloutAction::Configure(configured) => self.configure(now, *configured),
+                RolloutAction::Answer { request, result } => {
                     let _ = reached("change.answer");
-                    self.admin.told(order, &result);
+                    self.admin.told(request, &result);
                 }
-                Step::Log(note) => log::note(&note),
+                RolloutAction::Log(note) => log::note(&note),
             }
         }
         let soon = now + self.session.plan().conductors.tick;
@@ -319,7 +323,7 @@
     fn write(&mut self, now: Moment, number: u64, commit: Commit) {
         if !self.keeper.write(number, commit) {
             let reason = "the state can't be written, see the log of the start".to_string();
-            self.rollout.written(now, number, Err(reason));
+            self.rollout.on_write_completed(now, number, Err(reason));
         }
     }
 
@@ -423,7 +427,7 @@
                 self.drains.written(now, number, result);
                 continue;
             }
-            self.rollout.written(now, number, result);
+            self.rollout.on_write_completed(now, number, result);
             self.changes_at = Some(now);
         }
         let done: Vec<Done> = self.writer.iter().flat_map(Writer::done).collect();
@@ -593,7 +597,7 @@
         match ControllerFile::read(&path) {
             Ok(new) => {
                 let lines_per_second = new.deployment.channel.lines_per_second;
-                self.rollout.pace(lines_per_second);
+                self.rollout.set_entries_per_second(lines_per_second);
                 // A change that set the pace says more than the file does.
                 let set = "channel.lines_per_second";
                 if self
--- a/crates/controller/src/state_writer.rs
+++ b/crates/controller/src/state_writer.rs
@@ -20,7 +20,7 @@
 use wheelspread_controller_core::Version;
 use wheelspread_faults::reached;
 use wheelspread_reactor::Waker;
-use wheelspread_store::{Found as File, Store, StoreError};
+use wheelspread_store::{OpenOutcome, Store, StoreError};
 
 /// Settings: the last version that was published, the list, its nodes, what was learnt of them.
 const VERSION: &str = "version";
@@ -98,13 +98,13 @@
             }
         };
         match &found {
-            File::Fresh => info!("no state of an earlier run"),
-            File::Sound => {}
-            File::TornTail { bytes } => warn!(
+            OpenOutcome::Fresh => info!("no state of an earlier run"),
+            OpenOutcome::Sound => {}
+            OpenOutcome::TornTail { bytes } => warn!(
                 bytes,
                 "the last commit of the state was torn, it was cut off"
             ),
-            File::Damaged { aside, at, bytes } => {
+            OpenOutcome::Damaged { aside, at, bytes } => {
                 let aside = aside.display().to_string();
                 warn!(
                     aside,
@@ -112,7 +112,7 @@
                 );
             }
         }
-        let kept = store.kept().clone();
+        let kept = store.state().clone();
         // What is kept already is not kept again, and what has gone since is let go of.
         keeper.list = kept.facts.get(LIST).cloned().unwrap_or_default();
         keeper.listed = listed(&kept, wall)
@@ -331,7 +331,7 @@
             Ok(first) => {
                 for (number, later) in std::iter::once(first).chain(commits.try_iter()) {
                     numbers.extend(number);
-                    commit.join(later);
+                    commit.merge(later);
                 }
             }
         }
@@ -347,7 +347,7 @@
             let _ = told.send((number, written.clone()));
         }
         waker.wake();
-        if store.bytes() > LONG.max(store.compacted() * 2) {
+        if store.bytes() > LONG.max(store.compacted_bytes() * 2) {
             if let Err(error) = store.compact() {
                 warn!(%error, "the state could not be written anew, it goes on growing");
             }
@@ -428,7 +428,7 @@
         );
         keeper.keep(1000.0, Version(7), nodes, learnt);
         drop(keeper);
-        Store::look(path).expect("there").0
+        Store::inspect(path).expect("there").0
     }
 
     #[test]
--- a/crates/drain/src/consistency.rs
+++ b/crates/drain/src/consistency.rs
@@ -36,12 +36,14 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Disagreement {
-    pub matter: DisagreementKind,
+    #[serde(rename = "matter")]
+    pub kind: DisagreementKind,
     /// Left out where it is not about one node.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub node: Option<String>,
     /// What is held, and by whom.
-    pub held: BTreeMap<String, Vec<String>>,
+    #[serde(rename = "held")]
+    pub views: BTreeMap<String, Vec<String>>,
     /// It may be nothing but a list that reached some later than others.
     pub lists_differ: bool,
 }
@@ -85,11 +87,11 @@
             .map(|(name, held)| (name, held.configuration.to_string())),
     );
     if by_version.len() > 1 {
-        let (matter, node) = (DisagreementKind::Configuration, None);
+        let (kind, node) = (DisagreementKind::Configuration, None);
         found.push(Disagreement {
-            matter,
+            kind,
             node,
-            held: by_version,
+            views: by_version,
             lists_differ: false,
         });
     }
@@ -115,21 +117,21 @@
         let both = |held: &BTreeMap<String, Vec<String>>| {
             held.keys().filter(|k| *k != "not listed").count()
         };
-        let mut tell = |matter, held| {
+        let mut add = |kind, views| {
             found.push(Disagreement {
-                matter,
+                kind,
                 node: Some(node.clone()),
-                held,
+                views,
                 lists_differ,
             });
         };
         if both(&listing) > 1 {
-            tell(DisagreementKind::EndpointStatus, listing);
+            add(DisagreementKind::EndpointStatus, listing);
         } else if listed.len() > 1 {
-            tell(DisagreementKind::Listed, listed);
+            add(DisagreementKind::Listed, listed);
         }
         if both(&zone) > 1 {
-            tell(DisagreementKind::Zone, zone);
+            add(DisagreementKind::Zone, zone);
         }
     }
     found
--- a/crates/drain/src/registry.rs
+++ b/crates/drain/src/registry.rs
@@ -20,7 +20,8 @@
 pub struct DrainOrder {
     pub id: OrderId,
     pub node: String,
-    pub word: DrainAction,
+    #[serde(rename = "word")]
+    pub action: DrainAction,
     pub by: String,
     /// When it was given, in milliseconds since 1970 by the clock of who gave it.
     pub given_ms: u64,
@@ -122,11 +123,14 @@
 pub struct Evidence {
     /// Joined gateways whose tables name it still.
     pub named_by: usize,
-    pub gateways: usize,
+    #[serde(rename = "gateways")]
+    pub proxies: usize,
     /// Tries there that were reported since the order came into force.
-    pub tries: u64,
+    #[serde(rename = "tries")]
+    pub attempts: u64,
     /// Gateways that have reported since.
-    pub heard: usize,
+    #[serde(rename = "heard")]
+    pub reporting_proxies: usize,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -144,7 +148,7 @@
 impl Drain {
     /// Whether the node is kept out by it.
     pub fn is_active(&self) -> bool {
-        self.order.word == DrainAction::Drain && self.state != DrainState::Accepted
+        self.order.action == DrainAction::Drain && self.state != DrainState::Accepted
     }
 }
 
@@ -193,7 +197,7 @@
         for mut drain in kept {
             // What was found written is written.
             if drain.state == DrainState::Accepted {
-                drain.state = settled(drain.order.word);
+                drain.state = settled(drain.order.action);
             }
             (drain.since, drain.told) = (now, Some(now));
             drain.state = turn(drain.state, DrainEvent::Restarted).unwrap_or(drain.state);
@@ -249,14 +253,14 @@
             .filter(|text| !overridden(&order.overrides, text))
             .cloned()
             .collect();
-        if order.word == DrainAction::Drain && !left.is_empty() {
+        if order.action == DrainAction::Drain && !left.is_empty() {
             return Err(DrainError::Checks(left));
         }
         // A drain on a drain goes on where that is; its order is the one that is told.
         let before = self
             .drains
             .get(&node)
-            .filter(|known| known.is_active() && order.word == DrainAction::Drain);
+            .filter(|known| known.is_active() && order.action == DrainAction::Drain);
         let drain = match before {
             Some(known) => Drain {
                 order,
@@ -304,7 +308,7 @@
         if drain.state != DrainState::Accepted {
             return;
         }
-        drain.state = settled(drain.order.word);
+        drain.state = settled(drain.order.action);
         (drain.since, drain.told) = (now, Some(now));
         let drain = drain.clone();
         self.turned(&drain);
@@ -317,12 +321,14 @@
         };
         let over = drain.told.is_some_and(|told| now - told >= grace);
         let input = match drain.state {
-            DrainState::Propagating if evidence.named_by == 0 && evidence.gateways > 0 => {
+            DrainState::Propagating if evidence.named_by == 0 && evidence.proxies > 0 => {
                 DrainEvent::Unnamed
             }
             DrainState::Propagating if over => DrainEvent::GraceOver,
-            DrainState::InForce if evidence.tries == 0 && evidence.heard > 0 => DrainEvent::Silent,
-            DrainState::Drained if evidence.tries > 0 => DrainEvent::Met,
+            DrainState::InForce if evidence.attempts == 0 && evidence.reporting_proxies > 0 => {
+                DrainEvent::Silent
+            }
+            DrainState::Drained if evidence.attempts > 0 => DrainEvent::Met,
             _ => {
                 drain.evidence = evidence;
                 return;
--- a/crates/drain/tests/lives.rs
+++ b/crates/drain/tests/lives.rs
@@ -23,12 +23,12 @@
     Span::from_seconds(seconds)
 }
 
-fn order(id: &str, word: DrainAction, given_ms: u64) -> DrainOrder {
+fn order(id: &str, action: DrainAction, given_ms: u64) -> DrainOrder {
     let (node, by) = (NODE.to_string(), "ada".to_string());
     DrainOrder {
         id: OrderId(id.into()),
         node,
-        word,
+        action,
         by,
         given_ms,
         overrides: Vec::new(),
@@ -46,12 +46,12 @@
     registry.take_effects();
 }
 
-fn seen(named_by: usize, tries: u64, heard: usize) -> Evidence {
+fn evidence(named_by: usize, attempts: u64, reporting_proxies: usize) -> Evidence {
     Evidence {
         named_by,
-        gateways: 4,
-        tries,
-        heard,
+        proxies: 4,
+        attempts,
+        reporting_proxies,
     }
 }
 
@@ -72,30 +72,30 @@
     ));
     registry.written(at(0.1), NODE, &OrderId("o1".into()));
     assert_eq!(registry.drained_nodes().collect::<Vec<_>>(), [NODE]);
-    registry.record_evidence(at(0.2), NODE, span(2.0), seen(3, 0, 0));
+    registry.record_evidence(at(0.2), NODE, span(2.0), evidence(3, 0, 0));
     assert_eq!(
         state(&registry),
         Some(DrainState::Propagating),
         "three gateways name it still"
     );
-    registry.record_evidence(at(0.4), NODE, span(2.0), seen(0, 0, 0));
+    registry.record_evidence(at(0.4), NODE, span(2.0), evidence(0, 0, 0));
     assert_eq!(state(&registry), Some(DrainState::InForce));
-    registry.record_evidence(at(0.5), NODE, span(2.0), seen(0, 0, 0));
+    registry.record_evidence(at(0.5), NODE, span(2.0), evidence(0, 0, 0));
     assert_eq!(
         state(&registry),
         Some(DrainState::InForce),
         "nobody was heard since: no evidence of quiet"
     );
-    registry.record_evidence(at(1.5), NODE, span(2.0), seen(0, 0, 4));
+    registry.record_evidence(at(1.5), NODE, span(2.0), evidence(0, 0, 4));
     assert_eq!(state(&registry), Some(DrainState::Drained));
-    registry.record_evidence(at(2.5), NODE, span(2.0), seen(0, 2, 4));
+    registry.record_evidence(at(2.5), NODE, span(2.0), evidence(0, 2, 4));
     assert_eq!(
         state(&registry),
         Some(DrainState::InForce),
         "something was sent there after all"
     );
     assert_eq!(
-        registry.drain(NODE).map(|drain| drain.evidence.tries),
+        registry.drain(NODE).map(|drain| drain.evidence.attempts),
         Some(2)
     );
 }
@@ -104,9 +104,9 @@
 fn after_the_grace_it_is_in_force_whatever_gateways_hold() {
     let mut registry = DrainRegistry::default();
     take(&mut registry, at(0.0), order("o1", DrainAction::Drain, 1));
-    registry.record_evidence(at(1.9), NODE, span(2.0), seen(1, 0, 0));
+    registry.record_evidence(at(1.9), NODE, span(2.0), evidence(1, 0, 0));
     assert_eq!(state(&registry), Some(DrainState::Propagating));
-    registry.record_evidence(at(2.0), NODE, span(2.0), seen(1, 0, 0));
+    registry.record_evidence(at(2.0), NODE, span(2.0), evidence(1, 0, 0));
     assert_eq!(state(&registry), Some(DrainState::InForce));
 }
 
@@ -142,7 +142,7 @@
 fn told_twice_it_is_one_and_the_same_name_with_other_content_is_refused() {
     let mut registry = DrainRegistry::default();
     take(&mut registry, at(0.0), order("a", DrainAction::Drain, 5));
-    registry.record_evidence(at(1.0), NODE, span(2.0), seen(0, 0, 0));
+    registry.record_evidence(at(1.0), NODE, span(2.0), evidence(0, 0, 0));
     let again = registry
         .submit(at(2.0), order("a", DrainAction::Drain, 5), &[])
         .expect("known")
@@ -189,8 +189,8 @@
 fn a_restart_keeps_a_drain_in_force_and_shows_anew_that_it_is() {
     let mut registry = DrainRegistry::default();
     take(&mut registry, at(0.0), order("a", DrainAction::Drain, 5));
-    registry.record_evidence(at(1.0), NODE, span(2.0), seen(0, 0, 0));
-    registry.record_evidence(at(2.0), NODE, span(2.0), seen(0, 0, 4));
+    registry.record_evidence(at(1.0), NODE, span(2.0), evidence(0, 0, 0));
+    registry.record_evidence(at(2.0), NODE, span(2.0), evidence(0, 0, 4));
     let kept: Vec<Drain> = registry.drains().cloned().collect();
     let registry = DrainRegistry::recover(at(0.0), kept.into_iter());
     assert_eq!(state(&registry), Some(DrainState::Propagating));
@@ -442,14 +442,14 @@
     );
     let found = find_disagreements(&fleet(drained));
     assert_eq!(
-        (found.len(), found[0].matter, found[0].node.as_deref()),
+        (found.len(), found[0].kind, found[0].node.as_deref()),
         (1, DisagreementKind::EndpointStatus, Some("n1"))
     );
-    assert_eq!(found[0].held["draining by order"], ["c"]);
-    assert_eq!(found[0].held["ready"], ["a", "b"]);
+    assert_eq!(found[0].views["draining by order"], ["c"]);
+    assert_eq!(found[0].views["ready"], ["a", "b"]);
     let late = find_disagreements(&fleet(held("6", 3, &[("n1", "ready", "north", false)])));
     assert_eq!(
-        (late.len(), late[0].matter, late[0].lists_differ),
+        (late.len(), late[0].kind, late[0].lists_differ),
         (1, DisagreementKind::Listed, true)
     );
     let moved = held(
@@ -462,7 +462,7 @@
     );
     let matters: Vec<DisagreementKind> = find_disagreements(&fleet(moved))
         .iter()
-        .map(|found| found.matter)
+        .map(|found| found.kind)
         .collect();
     assert_eq!(
         matters,
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -34,7 +34,7 @@
 /// How the file was found.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Found {
+pub enum OpenOutcome {
     /// It was not there.
     Fresh,
     Sound,
@@ -97,7 +97,7 @@
             .then(|| serde_json::from_slice::<Commit>(text).ok())
             .flatten();
         let Some(commit) = commit else { return reading };
-        reading.kept.take(commit);
+        reading.kept.apply(commit);
         reading.sound += FRAME + length;
     }
 }
@@ -132,7 +132,7 @@
 
 impl Store {
     /// Opens the file, makes it if it is missing, mends what can be, and says how it was found.
-    pub fn open(path: &Path) -> Result<(Store, Found), StoreError> {
+    pub fn open(path: &Path) -> Result<(Store, OpenOutcome), StoreError> {
         let disk = |source| StoreError::Disk {
             path: path.to_path_buf(),
             source,
@@ -172,7 +172,7 @@
                 length: begun.len() as u64,
                 compacted: 0,
             };
-            return Ok((store, Found::Fresh));
+            return Ok((store, OpenOutcome::Fresh));
         }
         let line = bytes
             .iter()
@@ -201,9 +201,9 @@
                     .map_err(disk)?;
             }
             let found = if torn {
-                Found::TornTail { bytes: rest }
+                OpenOutcome::TornTail { bytes: rest }
             } else {
-                Found::Sound
+                OpenOutcome::Sound
             };
             let store = Store {
                 path: path.to_path_buf(),
@@ -226,7 +226,7 @@
         store.compact()?;
         Ok((
             store,
-            Found::Damaged {
+            OpenOutcome::Damaged {
                 aside,
                 at: sound as u64,
                 bytes: rest,
@@ -235,7 +235,7 @@
     }
 
     /// Reads a file and mends nothing: what it keeps, up to which byte it is sound, and how many it has.
-    pub fn look(path: &Path) -> Result<(PersistedState, u64, u64), StoreError> {
+    pub fn inspect(path: &Path) -> Result<(PersistedState, u64, u64), StoreError> {
         let bytes = std::fs::read(path).map_err(|source| StoreError::Disk {
             path: path.to_path_buf(),
             source,
@@ -247,11 +247,11 @@
         Ok((reading.kept, sound, bytes.len() as u64))
     }
 
-    pub fn kept(&self) -> &PersistedState {
+    pub fn state(&self) -> &PersistedState {
         &self.kept
     }
 
-    pub fn compacted(&self) -> u64 {
+    pub fn compacted_bytes(&self) -> u64 {
         self.compacted
     }
 
@@ -275,7 +275,7 @@
             });
         }
         self.length += bytes.len() as u64;
-        self.kept.take(commit);
+        self.kept.apply(commit);
         Ok(())
     }
 
@@ -300,7 +300,11 @@
         let mut draft = self.path.as_os_str().to_os_string();
         draft.push(".draft");
         let draft = PathBuf::from(draft);
-        let bytes = [head().as_bytes(), &frame(&self.kept.whole()).map_err(disk)?].concat();
+        let bytes = [
+            head().as_bytes(),
+            &frame(&self.kept.to_commit()).map_err(disk)?,
+        ]
+        .concat();
         reached("store.compact").map_err(disk)?;
         let mut file = File::create(&draft).map_err(disk)?;
         file.write_all(&bytes)
--- a/crates/store/tests/damage.rs
+++ b/crates/store/tests/damage.rs
@@ -2,11 +2,11 @@
 
 use proptest::prelude::*;
 use std::collections::BTreeMap;
-use wheelspread_config_transaction::ledger::Record;
-use wheelspread_config_transaction::{Change, ChangeId, Configuration, State};
-use wheelspread_store::{Commit, Found, Store, StoreError};
+use wheelspread_config_transaction::ledger::ChangeRecord;
+use wheelspread_config_transaction::{Change, ChangeId, ChangeState, Configuration};
+use wheelspread_store::{Commit, OpenOutcome, Store, StoreError};
 
-fn record(n: u64) -> Record {
+fn record(n: u64) -> ChangeRecord {
     let sets = BTreeMap::from([(format!("key.{n}"), Some(n.to_string()))]);
     let change = Change {
         id: ChangeId(format!("c{n:04}")),
@@ -14,14 +14,14 @@
         base: n,
         sets,
     };
-    Record {
+    ChangeRecord {
         change,
-        state: State::Kept,
-        before: BTreeMap::new(),
+        state: ChangeState::Kept,
+        previous_values: BTreeMap::new(),
         findings: vec![],
-        why: None,
-        made: Some(n),
-        unmade: None,
+        reason: None,
+        applied_version: Some(n),
+        undone_version: None,
     }
 }
 
@@ -43,13 +43,13 @@
     let directory = tempfile::tempdir().expect("a directory");
     let path = directory.path().join("state");
     let (mut store, found) = Store::open(&path).expect("made");
-    assert_eq!(found, Found::Fresh);
+    assert_eq!(found, OpenOutcome::Fresh);
     fill(&mut store, 1..60);
     assert!(matches!(Store::open(&path), Err(StoreError::InUse { .. })));
     drop(store);
     let (mut store, found) = Store::open(&path).expect("opened");
-    assert_eq!(found, Found::Sound);
-    let kept = store.kept().clone();
+    assert_eq!(found, OpenOutcome::Sound);
+    let kept = store.state().clone();
     assert_eq!(
         (kept.configuration.version, kept.changes.len(), kept.commits),
         (59, 59, 59)
@@ -61,7 +61,10 @@
     fill(&mut store, 60..61);
     drop(store);
     let (store, found) = Store::open(&path).expect("opened");
-    assert_eq!((found, store.kept().changes.len()), (Found::Sound, 60));
+    assert_eq!(
+        (found, store.state().changes.len()),
+        (OpenOutcome::Sound, 60)
+    );
     drop(store);
     std::fs::write(&path, "wheelspread-state 9\n").expect("written");
     assert!(matches!(
@@ -77,10 +80,10 @@
     std::fs::write(&path, "not a store at all").expect("written");
     let (store, found) = Store::open(&path).expect("gone on with");
     assert!(
-        matches!(&found, Found::Damaged { aside, .. } if aside.exists()),
+        matches!(&found, OpenOutcome::Damaged { aside, .. } if aside.exists()),
         "{found:?}"
     );
-    assert_eq!(store.kept().commits, 0);
+    assert_eq!(store.state().commits, 0);
 }
 
 /// A store of eleven commits, with its bytes and where each commit ends.
@@ -108,13 +111,13 @@
             .filter(|end| **end <= cut as u64)
             .count()
             .saturating_sub(1) as u64;
-        assert_eq!(store.kept().configuration.version, whole, "cut at {cut}");
+        assert_eq!(store.state().configuration.version, whole, "cut at {cut}");
         let at_an_end = ends.contains(&(cut as u64));
         let fine = match found {
-            Found::Sound => at_an_end,
-            Found::TornTail { .. } => !at_an_end && cut as u64 > ends[0],
-            Found::Fresh => (cut as u64) < ends[0],
-            Found::Damaged { .. } => false,
+            OpenOutcome::Sound => at_an_end,
+            OpenOutcome::TornTail { .. } => !at_an_end && cut as u64 > ends[0],
+            OpenOutcome::Fresh => (cut as u64) < ends[0],
+            OpenOutcome::Damaged { .. } => false,
         };
         assert!(fine, "cut at {cut}: {found:?}");
     }
@@ -139,11 +142,11 @@
             Err(StoreError::Newer { .. }) => return Ok(()),
             Err(error) => return Err(TestCaseError::fail(error.to_string())),
         };
-        prop_assert!(!matches!(found, Found::Sound | Found::Fresh), "{:?} at {}", found, place);
-        let kept = store.kept();
+        prop_assert!(!matches!(found, OpenOutcome::Sound | OpenOutcome::Fresh), "{:?} at {}", found, place);
+        let kept = store.state();
         // What stood behind it is not thrown away.
         let last = ends[ends.len() - 2];
-        let aside = matches!(&found, Found::Damaged { aside, .. } if std::fs::read(aside).ok() == Some(bytes));
+        let aside = matches!(&found, OpenOutcome::Damaged { aside, .. } if std::fs::read(aside).ok() == Some(bytes));
         prop_assert!(aside || place as u64 >= last, "{:?} at {}", found, place);
         let whole = match ends.iter().position(|end| *end > place as u64) {
             Some(0) | None => 11,
