--- a/crates/cli/src/measure/state.rs
+++ b/crates/cli/src/measure/state.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 use std::time::{Duration, Instant};
-use wheelspread_config_transaction::ledger::ChangeRecord;
+use wheelspread_config_transaction::ChangeRecord;
 use wheelspread_config_transaction::{Change, ChangeId, ChangeState, Commit, Configuration};
 use wheelspread_drill::DrillError;
 use wheelspread_store::{Store, StoreError};
--- a/crates/config-rollout/src/rollout.rs
+++ b/crates/config-rollout/src/rollout.rs
@@ -10,11 +10,11 @@
 use wheelspread::ids::NodeId;
 use wheelspread::time::{Moment, Span};
 use wheelspread_config_transaction::checks::{self, ChangeLimits, Propagation};
-use wheelspread_config_transaction::ledger::{ChangeRecord, Deadlines, LedgerAction};
 use wheelspread_config_transaction::{
     Change, ChangeEffect, ChangeError, ChangeEvent, ChangeId, ChangeState, CheckReport, Commit,
-    Configuration, Finding, Ledger, PersistedState,
+    Configuration, Finding, Ledger, PersistedState, ValueChange,
 };
+use wheelspread_config_transaction::{ChangeRecord, Deadlines, LedgerAction};
 use wheelspread_controller_core::controller_core::ConfigUpdate;
 use wheelspread_controller_core::{ControllerCore, Deployment};
 
@@ -180,7 +180,7 @@
         for LedgerAction { id, effect } in orders {
             match effect {
                 // Its values stand in the configuration that the session starts with.
-                ChangeEffect::PutInForce | ChangeEffect::PutBack => {
+                ChangeEffect::ApplyValues | ChangeEffect::RestoreValues => {
                     rollout.forced = Some((id.clone(), now))
                 }
                 ChangeEffect::Watch => rollout.watched_since = Some(now),
@@ -263,7 +263,7 @@
             .ledger
             .plan(&change)
             .into_iter()
-            .map(|(path, from, to)| {
+            .map(|ValueChange { path, from, to }| {
                 // Where no change sets a path, the file has its word.
                 let file = in_file(&self.base, &path);
                 let (from, to) = (from.or_else(|| file.clone()), to.or(file));
@@ -348,12 +348,12 @@
             );
             let channel = &then.plan.channel;
             let way = Propagation {
-                gateways: session.members().members().count() as u32,
-                lines_per_second: channel.lines_per_second,
-                head_lines: channel.head_lines,
-                messages_at_most: channel.messages_at_most,
+                proxies: session.members().members().count() as u32,
+                entries_per_second: channel.lines_per_second,
+                header_entries: channel.head_lines,
+                messages_per_window: channel.messages_at_most,
                 window: channel.messages_window,
-                steps: 2,
+                update_steps: 2,
             };
             findings.extend(checks::check(&before, &after, self.settings.limits, way).0);
         }
@@ -373,7 +373,7 @@
         for LedgerAction { id, effect } in orders {
             let then = match effect {
                 ChangeEffect::Write => Then::Staged(id.clone()),
-                ChangeEffect::PutInForce | ChangeEffect::PutBack => Then::Force(id.clone()),
+                ChangeEffect::ApplyValues | ChangeEffect::RestoreValues => Then::Force(id.clone()),
                 ChangeEffect::Nothing
                 | ChangeEffect::Watch
                 | ChangeEffect::Keep
--- a/crates/config-rollout/tests/kills.rs
+++ b/crates/config-rollout/tests/kills.rs
@@ -11,10 +11,10 @@
     Answer, Conditions, Rollout, RolloutAction, RolloutCommand, RolloutSettings,
 };
 use wheelspread_config_transaction::checks::ChangeLimits;
-use wheelspread_config_transaction::ledger::{ChangeRecord, Deadlines};
 use wheelspread_config_transaction::{
     Change, ChangeError, ChangeId, ChangeState, Commit, PersistedState,
 };
+use wheelspread_config_transaction::{ChangeRecord, Deadlines};
 use wheelspread_controller_core::controller_core::RecoveredState;
 use wheelspread_controller_core::endpoint_list::{EndpointRecord, EndpointSnapshot};
 use wheelspread_controller_core::load_report::{LoadReport, NodeReport, OperationReport};
--- a/crates/config-transaction/src/checks.rs
+++ b/crates/config-transaction/src/checks.rs
@@ -1,64 +1,77 @@
-//! What speaks against a change before it is staged, by what was measured: a fleet as it is and as it would be.
-//! Each finding names its figures, also those that forbid nothing.
+//! What a change would do, by measured figures: the fleet as it is beside the fleet as it would be. Every finding
+//! names its figures, also those that forbid nothing.
 
-use crate::ledger::{CheckReport, Finding};
+mod finding;
+
+pub use finding::{CheckFinding, ServedValue};
+
+use crate::change::{CheckReport, Finding};
 use std::collections::{BTreeMap, BTreeSet};
 use wheelspread::time::Span;
-use wheelspread_solve::{solve, Fleet, HostState, Solution};
+use wheelspread_solve::{solve, Fleet, Host, HostState, Solution};
+
+/// How far a share may exceed its limit by rounding.
+const SHARE_TOLERANCE: f64 = 1e-9;
+/// Capacities count as equal when they agree to this many parts of one invocation a second.
+const CAPACITY_STEPS_PER_UNIT: f64 = 1e6;
+/// What the solver says of a host whose capacity is used up.
+const FULL_HOST: &str = "its capacity";
 
 /// What a change may cost.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ChangeLimits {
-    /// Of the value served now, so much may be lost.
+    /// The share of the value served now that may be lost.
     pub value_loss_share_limit: f64,
-    /// Of all work afterwards, so much may be at hosts that are cold.
+    /// The share of all work afterwards that hosts in slow start may carry.
     pub warming_work_share_limit: f64,
-    /// Until all gateways hold it.
+    /// The time until all proxies have the change.
     pub propagation_time_limit: Span,
 }
 
-/// What tables cost on their way.
+/// What it costs to send tables to the proxies.
 #[derive(Clone, Copy, Debug)]
 pub struct Propagation {
-    pub gateways: u32,
-    pub lines_per_second: f64,
-    pub head_lines: f64,
-    /// Messages to one gateway within `window`; 0: no limit.
-    pub messages_at_most: u32,
+    /// How many proxies there are.
+    pub proxies: u32,
+    /// The pace of the update queue.
+    pub entries_per_second: f64,
+    /// Entries that a message counts for besides those in it.
+    pub header_entries: f64,
+    /// Messages to one proxy within `window`; 0: no cap.
+    pub messages_per_window: u32,
+    /// The window of the message cap.
     pub window: Span,
-    /// Steps that the module takes at least: removals, then additions.
-    pub steps: u32,
-}
-
-fn finding(check: &str, forbids: bool, text: String) -> Finding {
-    Finding {
-        check: check.to_string(),
-        text,
-        forbids,
-    }
+    /// The fewest update steps that the balancer takes: removals, then additions.
+    pub update_steps: u32,
 }
 
-pub fn check(before: &Fleet, after: &Fleet, bounds: ChangeLimits, way: Propagation) -> CheckReport {
-    let mut findings = pools(before, after);
+/// Runs all checks of a change from one fleet to another.
+pub fn check(
+    before: &Fleet,
+    after: &Fleet,
+    limits: ChangeLimits,
+    propagation: Propagation,
+) -> CheckReport {
+    let mut findings = pool_findings(before, after);
     match (solve(before, &mut || false), solve(after, &mut || false)) {
-        (_, Err(refused)) => findings.push(finding("capacity", true, refused.to_string())),
+        (_, Err(error)) => findings.push(CheckFinding::NoSolution(error)),
         (now, Ok(then)) => {
-            findings.push(capacity(now.ok().as_ref(), &then, bounds));
-            findings.push(cold(after, &then, bounds));
+            findings.push(capacity_finding(now.ok().as_ref(), &then, limits));
+            findings.push(slow_start_finding(after, &then, limits));
         }
     }
-    findings.push(channel(before, after, bounds, way));
-    CheckReport(findings)
+    findings.push(propagation_finding(before, after, limits, propagation));
+    CheckReport(findings.into_iter().map(Finding::from).collect())
 }
 
-/// Hosts that serve an operation in a zone: those of the zone where it stays, all others too where it does not.
-fn open(fleet: &Fleet, zone: &str, stays: bool) -> usize {
-    let serves =
-        |host: &&wheelspread_solve::Host| fleet.room(host) > 0.0 && (!stays || host.zone == zone);
+/// Hosts that serve an operation in a zone: those of the zone if the operation stays there, otherwise all.
+fn serving_hosts(fleet: &Fleet, zone: &str, stays_in_zone: bool) -> usize {
+    let serves = |host: &&Host| fleet.room(host) > 0.0 && (!stays_in_zone || host.zone == zone);
     fleet.hosts.iter().filter(serves).count()
 }
 
-fn pools(before: &Fleet, after: &Fleet) -> Vec<Finding> {
+/// Zones that would have no host for what their proxies ask for.
+fn pool_findings(before: &Fleet, after: &Fleet) -> Vec<CheckFinding> {
     let zones: BTreeSet<&str> = after
         .gateways
         .iter()
@@ -67,124 +80,128 @@
     let mut findings = Vec::new();
     for operation in &after.operations {
         for zone in &zones {
-            let asks = after
+            let demand_per_s: f64 = after
                 .gateways
                 .iter()
-                .filter(|gateway| gateway.zone == **zone);
-            let rate: f64 = asks
+                .filter(|gateway| gateway.zone == **zone)
                 .filter_map(|gateway| gateway.demand.get(&operation.name))
                 .sum();
             let stays = operation.stays_in_zone;
-            let (had, has) = (open(before, zone, stays), open(after, zone, stays));
-            if has == 0 && rate > 0.0 {
-                let name = &operation.name;
-                let text =
-                    format!("no host for `{name}` in `{zone}`, which asks for {rate:.1}/s ({had} hosts now)");
-                findings.push(finding("pools", true, text));
+            if demand_per_s > 0.0 && serving_hosts(after, zone, stays) == 0 {
+                findings.push(CheckFinding::ZoneWithoutHost {
+                    operation: operation.name.clone(),
+                    zone: zone.to_string(),
+                    demand_per_s,
+                    hosts_now: serving_hosts(before, zone, stays),
+                });
             }
         }
     }
     if findings.is_empty() {
-        findings.push(finding(
-            "pools",
-            false,
-            "every zone has a host for what it asks for".to_string(),
-        ));
+        findings.push(CheckFinding::EveryZoneHasHosts);
     }
     findings
 }
 
-fn capacity(now: Option<&Solution>, then: &Solution, bounds: ChangeLimits) -> Finding {
-    let full = then
-        .hosts
-        .iter()
-        .filter(|host| host.binds == "its capacity")
-        .count();
+/// The value that would be served, beside the value served now.
+fn capacity_finding(now: Option<&Solution>, then: &Solution, limits: ChangeLimits) -> CheckFinding {
     let Some(now) = now else {
-        let text = format!(
-            "{:.2} a second would be served; now nothing can be",
-            then.value_per_s
-        );
-        return finding("capacity", false, text);
+        return CheckFinding::NothingServedNow {
+            value_after_per_s: then.value_per_s,
+        };
     };
-    let lost = if now.value_per_s > 0.0 {
+    let loss_share = if now.value_per_s > 0.0 {
         1.0 - then.value_per_s / now.value_per_s
     } else {
         0.0
     };
-    let text = format!(
-        "value served {:.2} a second now, {:.2} after ({:+.1}%, {:.1}% may be lost), {full} of {} hosts full",
-        now.value_per_s,
-        then.value_per_s,
-        -lost * 100.0,
-        bounds.value_loss_share_limit * 100.0,
-        then.hosts.len()
-    );
-    finding(
-        "capacity",
-        lost > bounds.value_loss_share_limit + 1e-9,
-        text,
-    )
+    CheckFinding::ServedValue(ServedValue {
+        now_per_s: now.value_per_s,
+        after_per_s: then.value_per_s,
+        loss_share,
+        loss_share_limit: limits.value_loss_share_limit,
+        exceeds_limit: loss_share > limits.value_loss_share_limit + SHARE_TOLERANCE,
+        full_hosts: then
+            .hosts
+            .iter()
+            .filter(|host| host.binds == FULL_HOST)
+            .count(),
+        hosts: then.hosts.len(),
+    })
 }
 
-fn cold(after: &Fleet, then: &Solution, bounds: ChangeLimits) -> Finding {
-    let all: f64 = then.hosts.iter().map(|host| host.load).sum();
-    let colds = after
+/// The share of the work that hosts in slow start would carry.
+fn slow_start_finding(after: &Fleet, then: &Solution, limits: ChangeLimits) -> CheckFinding {
+    let total_load: f64 = then.hosts.iter().map(|host| host.load).sum();
+    let warming = after
         .hosts
         .iter()
         .zip(&then.hosts)
         .filter(|(host, _)| host.state == HostState::Cold);
-    let (count, load) = colds.fold((0, 0.0), |(count, sum), (_, told)| {
-        (count + 1, sum + told.load)
+    let (hosts, warming_load) = warming.fold((0, 0.0), |(count, load), (_, solved)| {
+        (count + 1, load + solved.load)
     });
-    let part = if all > 0.0 { load / all } else { 0.0 };
-    let text = format!(
-        "{count} cold hosts would carry {:.1}% of the work ({:.1}% may be)",
-        part * 100.0,
-        bounds.warming_work_share_limit * 100.0
-    );
-    finding("cold", part > bounds.warming_work_share_limit + 1e-9, text)
+    let work_share = if total_load > 0.0 {
+        warming_load / total_load
+    } else {
+        0.0
+    };
+    CheckFinding::SlowStartWork {
+        hosts,
+        work_share,
+        work_share_limit: limits.warming_work_share_limit,
+        exceeds_limit: work_share > limits.warming_work_share_limit + SHARE_TOLERANCE,
+    }
 }
 
-/// Lines of every gateway for each host that comes, goes or is weighed anew, in at least so many messages.
-fn channel(before: &Fleet, after: &Fleet, bounds: ChangeLimits, way: Propagation) -> Finding {
-    let of = |fleet: &Fleet| -> BTreeMap<String, (String, u64)> {
-        let host = |host: &wheelspread_solve::Host| {
-            (
-                host.id.clone(),
-                (host.zone.clone(), (fleet.room(host) * 1e6).round() as u64),
-            )
-        };
-        fleet.hosts.iter().map(host).collect()
+/// What has to be equal for a host's entries to stay as they are: its zone and its capacity.
+fn host_placements(fleet: &Fleet) -> BTreeMap<String, (String, u64)> {
+    let placement = |host: &Host| {
+        let capacity_steps = (fleet.room(host) * CAPACITY_STEPS_PER_UNIT).round() as u64;
+        (host.id.clone(), (host.zone.clone(), capacity_steps))
     };
-    let (was, is) = (of(before), of(after));
-    let changed = was.keys().chain(is.keys()).collect::<BTreeSet<_>>();
-    let hosts = changed
-        .into_iter()
+    fleet.hosts.iter().map(placement).collect()
+}
+
+fn changed_hosts(before: &Fleet, after: &Fleet) -> usize {
+    let (was, is) = (host_placements(before), host_placements(after));
+    let ids: BTreeSet<&String> = was.keys().chain(is.keys()).collect();
+    ids.into_iter()
         .filter(|id| was.get(*id) != is.get(*id))
-        .count();
-    let gateways = f64::from(way.gateways);
-    let steps = if hosts == 0 {
+        .count()
+}
+
+/// The time until all proxies have new entries for each host that is added, removed or weighted anew.
+fn propagation_finding(
+    before: &Fleet,
+    after: &Fleet,
+    limits: ChangeLimits,
+    propagation: Propagation,
+) -> CheckFinding {
+    let changed_hosts = changed_hosts(before, after);
+    let proxies = f64::from(propagation.proxies);
+    let messages = if changed_hosts == 0 {
         0.0
     } else {
-        f64::from(way.steps.max(1))
+        f64::from(propagation.update_steps.max(1))
     };
-    let lines = gateways * (hosts as f64 * after.operations.len() as f64 + way.head_lines * steps);
-    let by_pace = lines / way.lines_per_second.max(1.0);
-    // Messages beyond the cap wait for the next window.
-    let windows = match way.messages_at_most {
+    let entries = proxies
+        * (changed_hosts as f64 * after.operations.len() as f64
+            + propagation.header_entries * messages);
+    let queue_seconds = entries / propagation.entries_per_second.max(1.0);
+    // Messages above the cap wait for the next window.
+    let windows_waited = match propagation.messages_per_window {
         0 => 0.0,
-        most => (steps / f64::from(most)).ceil().max(1.0) - 1.0,
+        cap => (messages / f64::from(cap)).ceil().max(1.0) - 1.0,
     };
-    let seconds = by_pace + windows * way.window.seconds();
-    let text = format!(
-        "{hosts} hosts change: {lines:.0} lines and {steps:.0} messages to each of {gateways:.0} gateways, at least \
-         {seconds:.1} s ({:.1} s at most)",
-        bounds.propagation_time_limit.seconds()
-    );
-    finding(
-        "channel",
-        seconds > bounds.propagation_time_limit.seconds(),
-        text,
-    )
+    let seconds = queue_seconds + windows_waited * propagation.window.seconds();
+    CheckFinding::PropagationTime {
+        changed_hosts,
+        entries,
+        messages,
+        proxies,
+        at_least_s: seconds,
+        limit: limits.propagation_time_limit,
+        exceeds_limit: seconds > limits.propagation_time_limit.seconds(),
+    }
 }
--- a/crates/config-transaction/src/ledger.rs
+++ b/crates/config-transaction/src/ledger.rs
@@ -1,140 +1,53 @@
-//! The configuration in force and all changes of it. One change is under way at a time; another that was made
-//! against the same version is refused when the first comes into force, and both are named.
+//! The configuration in force and all changes of it. One change is in progress at a time. A second change that was
+//! made against the same version is refused once the first is in force, and the error names both.
 
-use crate::state::{ChangeEffect, ChangeEvent, ChangeState};
-use serde::{Deserialize, Serialize};
-use std::collections::BTreeMap;
-use wheelspread::time::{Moment, Span};
-
-/// Given by who proposes it, so that a proposal that is told twice is one.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct ChangeId(pub String);
-
-/// Values by their path, as `operations.quote.billed_value`.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Configuration {
-    pub version: u64,
-    pub values: BTreeMap<String, String>,
-}
+mod conflict;
+mod deadlines;
+mod versions;
 
-#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Change {
-    pub id: ChangeId,
-    pub by: String,
-    /// The version that it was made against.
-    pub base: u64,
-    /// `None` takes a value away.
-    pub sets: BTreeMap<String, Option<String>>,
-}
-
-/// What a check found, with its figures.
-#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Finding {
-    pub check: String,
-    pub text: String,
-    /// It speaks against the change.
-    pub forbids: bool,
-}
+pub use deadlines::Deadlines;
 
-/// What came of the checks.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CheckReport(pub Vec<Finding>);
-
-#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum ChangeError {
-    #[error("`{0}` names another change already")]
-    OtherContent(String),
-    #[error("it changes nothing")]
-    Empty,
-    #[error("it was made against version {base}, {version} is in force: `{mine}` and `{theirs}` both change {keys}")]
-    Conflict {
-        base: u64,
-        version: u64,
-        mine: String,
-        theirs: String,
-        keys: String,
-    },
-    #[error("version {0} was never in force")]
-    UnknownBase(u64),
-    #[error("`{0}` is no change that is known")]
-    Unknown(String),
-    #[error("`{waits}` waits: `{runs}` is under way")]
-    Busy { waits: String, runs: String },
-    #[error("`{id}` can't be undone: `{later}` rests on it ({keys})")]
-    RestsOn {
-        id: String,
-        later: String,
-        keys: String,
-    },
-    #[error("`{id}` is {state:?}, which that does not fit to")]
-    Unfit { id: String, state: ChangeState },
-}
-
-/// How long each state may last.
-#[derive(Clone, Copy, Debug)]
-pub struct Deadlines {
-    pub checks: Span,
-    pub write: Span,
-    pub staged: Span,
-    pub apply: Span,
-    /// What is measured is looked at for so long; evidence may come as late again.
-    pub watch: Span,
-}
-
-#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct ChangeRecord {
-    pub change: Change,
-    pub state: ChangeState,
-    /// The values that it took the place of, once it was in force.
-    #[serde(rename = "before")]
-    pub previous_values: BTreeMap<String, Option<String>>,
-    pub findings: Vec<Finding>,
-    /// Why it is refused or undone.
-    #[serde(rename = "why")]
-    pub reason: Option<String>,
-    /// The version that it made.
-    #[serde(rename = "made")]
-    pub applied_version: Option<u64>,
-    /// The version that took it back.
-    #[serde(default, rename = "unmade")]
-    pub undone_version: Option<u64>,
-}
+use crate::change::{Change, ChangeId, ChangeRecord, CheckReport, Configuration, ValueChange};
+use crate::error::ChangeError;
+use crate::state::{ChangeEffect, ChangeEvent, ChangeState};
+use std::collections::BTreeMap;
+use wheelspread::time::Moment;
 
 /// What is to be done for a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LedgerAction {
+    /// The change.
     pub id: ChangeId,
+    /// What to do; never `ChangeEffect::Nothing`.
     pub effect: ChangeEffect,
 }
 
+/// The configuration in force and every change that is remembered.
 #[derive(Clone, Debug)]
 pub struct Ledger {
     configuration: Configuration,
     records: BTreeMap<ChangeId, ChangeRecord>,
-    /// In the order in which they came into force.
+    /// Versions with the change that made each, or that was undone by it, in ascending order.
     version_history: Vec<(u64, ChangeId)>,
-    /// Of changes of which something is still to come, and since when they are what they are.
-    since: BTreeMap<ChangeId, Moment>,
+    /// Changes that are not final, and when each entered its state.
+    entered_state_at: BTreeMap<ChangeId, Moment>,
     deadlines: Deadlines,
 }
 
-fn keys(of: impl Iterator<Item = String>) -> String {
-    of.collect::<Vec<_>>().join(", ")
-}
-
 impl Ledger {
+    /// A ledger that knows no change.
     pub fn new(configuration: Configuration, deadlines: Deadlines) -> Ledger {
         Ledger {
             configuration,
             records: BTreeMap::new(),
             version_history: Vec::new(),
-            since: BTreeMap::new(),
+            entered_state_at: BTreeMap::new(),
             deadlines,
         }
     }
 
-    /// What a conductor that starts anew makes of what it finds written. A change that was under way is taken
-    /// up where it was: what it orders is told again.
+    /// Rebuilds the ledger of a controller that restarts. A change that was in progress goes on in its state: the
+    /// action for that state is returned again.
     pub fn recover(
         now: Moment,
         configuration: Configuration,
@@ -142,72 +55,84 @@
         deadlines: Deadlines,
     ) -> (Ledger, Vec<LedgerAction>) {
         let mut ledger = Ledger::new(configuration, deadlines);
-        let mut orders = Vec::new();
+        let mut actions = Vec::new();
         for mut record in records {
             let id = record.change.id.clone();
-            // What was found written is written.
+            // A record that was read from the disk has been written.
             if record.state == ChangeState::Checked {
                 record.state = ChangeState::Staged;
             }
             let effect = match record.state {
-                ChangeState::Applying => Some(ChangeEffect::PutInForce),
-                ChangeState::Undoing => Some(ChangeEffect::PutBack),
+                ChangeState::Applying => Some(ChangeEffect::ApplyValues),
+                ChangeState::Undoing => Some(ChangeEffect::RestoreValues),
                 ChangeState::Watched => Some(ChangeEffect::Watch),
                 _ => None,
             };
-            orders.extend(effect.map(|effect| LedgerAction {
+            actions.extend(effect.map(|effect| LedgerAction {
                 id: id.clone(),
                 effect,
             }));
-            let versions = record
-                .applied_version
-                .into_iter()
-                .chain(record.undone_version);
+            let versions = [record.applied_version, record.undone_version];
+            let versions = versions.into_iter().flatten();
             ledger
                 .version_history
                 .extend(versions.map(|version| (version, id.clone())));
             if !record.state.is_final() {
-                ledger.since.insert(id.clone(), now);
+                ledger.entered_state_at.insert(id.clone(), now);
             }
             ledger.records.insert(id, record);
         }
         ledger.version_history.sort();
-        (ledger, orders)
+        (ledger, actions)
     }
 
+    /// The configuration in force.
     pub fn configuration(&self) -> &Configuration {
         &self.configuration
     }
 
+    /// All changes that are remembered, by id.
     pub fn records(&self) -> impl Iterator<Item = &ChangeRecord> {
         self.records.values()
     }
 
-    /// Those of which something is still to come, however many are remembered.
+    /// Changes whose state is not final.
     pub fn unfinished(&self) -> impl Iterator<Item = &ChangeRecord> {
-        self.since.keys().filter_map(|id| self.records.get(id))
+        self.entered_state_at
+            .keys()
+            .filter_map(|id| self.records.get(id))
     }
 
+    /// The record of a change.
     pub fn record(&self, id: &ChangeId) -> Option<&ChangeRecord> {
         self.records.get(id)
     }
 
-    /// What a change would do, line by line: path, value in force, value it sets.
-    pub fn plan(&self, change: &Change) -> Vec<(String, Option<String>, Option<String>)> {
-        let line = |(path, to): (&String, &Option<String>)| {
+    fn known_record(&self, id: &ChangeId) -> Result<&ChangeRecord, ChangeError> {
+        self.records
+            .get(id)
+            .ok_or_else(|| ChangeError::Unknown(id.0.clone()))
+    }
+
+    /// The values that a change would set to something else than what is in force.
+    pub fn plan(&self, change: &Change) -> Vec<ValueChange> {
+        let value_change = |(path, to): (&String, &Option<String>)| {
             let from = self.configuration.values.get(path).cloned();
-            (from != *to).then(|| (path.clone(), from, to.clone()))
+            (from != *to).then(|| ValueChange {
+                path: path.clone(),
+                from,
+                to: to.clone(),
+            })
         };
-        change.sets.iter().filter_map(line).collect()
+        change.sets.iter().filter_map(value_change).collect()
     }
 
+    /// Takes a proposal in; its checks follow. A repeated proposal returns the state that the change has by now.
     pub fn propose(&mut self, now: Moment, change: Change) -> Result<ChangeState, ChangeError> {
         if let Some(known) = self.records.get(&change.id) {
-            let same = known.change == change;
-            return if same {
-                Ok(known.state)
-            } else {
-                Err(ChangeError::OtherContent(change.id.0))
+            return match known.change == change {
+                true => Ok(known.state),
+                false => Err(ChangeError::OtherContent(change.id.0)),
             };
         }
         if change.base > self.configuration.version {
@@ -220,83 +145,40 @@
             return Err(ChangeError::Empty);
         }
         let id = change.id.clone();
-        let record = ChangeRecord {
-            change,
-            state: ChangeState::Proposed,
-            previous_values: BTreeMap::new(),
-            findings: Vec::new(),
-            reason: None,
-            applied_version: None,
-            undone_version: None,
-        };
-        self.records.insert(id.clone(), record);
-        self.since.insert(id, now);
+        self.records
+            .insert(id.clone(), ChangeRecord::proposed(change));
+        self.entered_state_at.insert(id, now);
         Ok(ChangeState::Proposed)
     }
 
-    /// A change that came into force, or was taken back, after the version that this one was made against.
-    fn conflict(&self, change: &Change) -> Option<ChangeError> {
-        let (version, theirs) = self
-            .version_history
-            .iter()
-            .rev()
-            .find(|(version, _)| *version > change.base)?;
-        let other = self.records.get(theirs)?;
-        let both = change
-            .sets
-            .keys()
-            .filter(|key| other.change.sets.contains_key(*key))
-            .cloned();
-        let named = |change: &Change| format!("{} by {}", change.id.0, change.by);
-        let both = keys(both);
-        let keys = if both.is_empty() {
-            "the configuration".to_string()
-        } else {
-            both
-        };
-        let (mine, theirs) = (named(change), named(&other.change));
-        Some(ChangeError::Conflict {
-            base: change.base,
-            version: *version,
-            mine,
-            theirs,
-            keys,
-        })
-    }
-
+    /// Stores what the checks of a proposal found, and refuses it if a finding forbids it.
     pub fn record_checks(
         &mut self,
         now: Moment,
         id: &ChangeId,
-        verdict: CheckReport,
+        report: CheckReport,
     ) -> Result<Vec<LedgerAction>, ChangeError> {
-        let forbids = verdict
-            .0
-            .iter()
-            .find(|finding| finding.forbids)
+        let forbidden = report
+            .first_forbidding()
             .map(|finding| finding.text.clone());
         let record = self
             .records
             .get_mut(id)
             .ok_or_else(|| ChangeError::Unknown(id.0.clone()))?;
         if record.state == ChangeState::Proposed {
-            record.findings = verdict.0;
+            record.findings = report.0;
         }
-        match forbids {
+        match forbidden {
             None => self.handle_event(now, id, ChangeEvent::ChecksPassed, None),
-            Some(why) => self.handle_event(now, id, ChangeEvent::ChecksFailed, Some(why)),
+            Some(reason) => self.handle_event(now, id, ChangeEvent::ChecksFailed, Some(reason)),
         }
     }
 
-    /// An operator wants it in force.
+    /// An operator applies a staged change. Repeated, it does nothing.
     pub fn apply(&mut self, now: Moment, id: &ChangeId) -> Result<Vec<LedgerAction>, ChangeError> {
-        let record = self
-            .records
-            .get(id)
-            .ok_or_else(|| ChangeError::Unknown(id.0.clone()))?;
+        let record = self.known_record(id)?;
         match record.state {
             ChangeState::Staged => {}
-            // Told twice: it is under way, or was.
             ChangeState::Applying | ChangeState::Watched | ChangeState::Kept => {
                 return Ok(Vec::new())
             }
@@ -307,198 +189,65 @@
                 })
             }
         }
-        if let Some(runs) = self.unfinished().find(|other| other.state.is_in_progress()) {
-            return Err(ChangeError::Busy {
-                waits: id.0.clone(),
-                runs: runs.change.id.0.clone(),
-            });
-        }
-        if let Some(conflict) = self.conflict(&record.change.clone()) {
-            self.handle_event(now, id, ChangeEvent::BaseMoved, Some(conflict.to_string()))?;
+        self.ensure_nothing_else_in_progress(id)?;
+        if let Some(conflict) = self.conflict(&record.change) {
+            let reason = Some(conflict.to_string());
+            self.handle_event(now, id, ChangeEvent::BaseOutdated, reason)?;
             return Err(conflict);
         }
-        self.handle_event(now, id, ChangeEvent::Apply, None)
+        self.handle_event(now, id, ChangeEvent::ApplyRequested, None)
     }
 
-    /// An operator wants it gone, or a condition is broken.
+    /// An operator undoes a change, or a condition of its watch is broken. Repeated, it does nothing.
     pub fn undo(
         &mut self,
         now: Moment,
         id: &ChangeId,
-        why: &str,
+        reason: &str,
     ) -> Result<Vec<LedgerAction>, ChangeError> {
-        let record = self
-            .records
-            .get(id)
-            .ok_or_else(|| ChangeError::Unknown(id.0.clone()))?;
+        let record = self.known_record(id)?;
         if matches!(record.state, ChangeState::Undoing | ChangeState::Undone) {
             return Ok(Vec::new());
         }
-        if let Some(made) = record.applied_version {
-            let mine = &record.change.sets;
-            let later = self
-                .version_history
-                .iter()
-                .filter(|(version, _)| *version > made);
-            for other in later.filter_map(|(_, other)| self.records.get(other)) {
-                let rests = !matches!(other.state, ChangeState::Undone | ChangeState::Refused);
-                let both = keys(
-                    other
-                        .change
-                        .sets
-                        .keys()
-                        .filter(|key| mine.contains_key(*key))
-                        .cloned(),
-                );
-                if rests && !both.is_empty() {
-                    let (id, later) = (id.0.clone(), other.change.id.0.clone());
-                    return Err(ChangeError::RestsOn {
-                        id,
-                        later,
-                        keys: both,
-                    });
-                }
-            }
-        }
-        if let Some(runs) = self
-            .unfinished()
-            .find(|other| other.change.id != *id && other.state.is_in_progress())
-        {
-            return Err(ChangeError::Busy {
-                waits: id.0.clone(),
-                runs: runs.change.id.0.clone(),
-            });
-        }
-        self.handle_event(now, id, ChangeEvent::Undo, Some(why.to_string()))
+        self.ensure_nothing_rests_on(record)?;
+        self.ensure_nothing_else_in_progress(id)?;
+        let reason = Some(reason.to_string());
+        self.handle_event(now, id, ChangeEvent::UndoRequested, reason)
     }
 
-    /// Something came of what was ordered, or time passed.
+    /// The outcome of an action, or a deadline that passed. An event that does not fit the state changes nothing.
     pub fn handle_event(
         &mut self,
         now: Moment,
         id: &ChangeId,
-        input: ChangeEvent,
-        why: Option<String>,
+        event: ChangeEvent,
+        reason: Option<String>,
     ) -> Result<Vec<LedgerAction>, ChangeError> {
         let record = self
             .records
             .get_mut(id)
             .ok_or_else(|| ChangeError::Unknown(id.0.clone()))?;
-        let Some((next, effect)) = record.state.on_event(input) else {
+        let Some(transition) = record.state.transition(event) else {
             return Ok(Vec::new());
         };
-        let before = std::mem::replace(&mut record.state, next);
-        record.reason = why.or(record.reason.take());
-        match next.is_final() {
-            true => drop(self.since.remove(id)),
-            false => drop(self.since.insert(id.clone(), now)),
-        }
-        match (before, next) {
-            (ChangeState::Staged, ChangeState::Applying) => self.put(id),
-            (from, ChangeState::Undoing) if from != ChangeState::Undoing => self.put_back(id),
+        let before = std::mem::replace(&mut record.state, transition.next);
+        record.reason = reason.or(record.reason.take());
+        match transition.next.is_final() {
+            true => drop(self.entered_state_at.remove(id)),
+            false => drop(self.entered_state_at.insert(id.clone(), now)),
+        }
+        match (before, transition.next) {
+            (ChangeState::Staged, ChangeState::Applying) => self.apply_values(id),
+            (from, ChangeState::Undoing) if from != ChangeState::Undoing => self.restore_values(id),
             _ => {}
         }
-        let told = !matches!(effect, ChangeEffect::Nothing);
-        Ok(told
-            .then(|| LedgerAction {
-                id: id.clone(),
-                effect,
-            })
-            .into_iter()
-            .collect())
-    }
-
-    /// The new values are a version of their own, all at once.
-    fn put(&mut self, id: &ChangeId) {
-        let Some(record) = self.records.get_mut(id) else {
-            return;
-        };
-        self.configuration.version += 1;
-        for (path, to) in &record.change.sets {
-            let values = &mut self.configuration.values;
-            let before = match to {
-                Some(value) => values.insert(path.clone(), value.clone()),
-                None => values.remove(path),
-            };
-            record.previous_values.insert(path.clone(), before);
-        }
-        record.applied_version = Some(self.configuration.version);
-        self.version_history
-            .push((self.configuration.version, id.clone()));
-    }
-
-    /// The former values are a version too: numbers never fall.
-    fn put_back(&mut self, id: &ChangeId) {
-        let Some(record) = self.records.get_mut(id) else {
-            return;
+        let action = LedgerAction {
+            id: id.clone(),
+            effect: transition.effect,
         };
-        self.configuration.version += 1;
-        record.undone_version = Some(self.configuration.version);
-        self.version_history
-            .push((self.configuration.version, id.clone()));
-        for (path, before) in &record.previous_values {
-            match before {
-                Some(value) => drop(
-                    self.configuration
-                        .values
-                        .insert(path.clone(), value.clone()),
-                ),
-                None => drop(self.configuration.values.remove(path)),
-            }
-        }
-    }
-
-    fn lasts(&self, state: ChangeState) -> Option<Span> {
-        let deadlines = &self.deadlines;
-        match state {
-            ChangeState::Proposed => Some(deadlines.checks),
-            ChangeState::Checked => Some(deadlines.write),
-            ChangeState::Staged => Some(deadlines.staged),
-            ChangeState::Applying | ChangeState::Undoing => Some(deadlines.apply),
-            ChangeState::Watched => Some(deadlines.watch * 2.0),
-            ChangeState::Kept | ChangeState::Undone | ChangeState::Refused => None,
-        }
-    }
-
-    /// What is due by now. `evidence`: until when what is measured is known.
-    pub fn advance(&mut self, now: Moment, evidence: Moment) -> Vec<LedgerAction> {
-        let mut orders = Vec::new();
-        for id in self.since.keys().cloned().collect::<Vec<_>>() {
-            let (Some(record), Some(since)) = (self.records.get(&id), self.since.get(&id).copied())
-            else {
-                continue;
-            };
-            let state = record.state;
-            let watched = state == ChangeState::Watched && evidence - since >= self.deadlines.watch;
-            let late = self.lasts(state).is_some_and(|span| now - since >= span);
-            let told = match (watched, late) {
-                (true, _) => self.handle_event(now, &id, ChangeEvent::WatchOver, None),
-                (_, true) => self.handle_event(
-                    now,
-                    &id,
-                    ChangeEvent::Late,
-                    Some(format!("{state:?} lasted too long")),
-                ),
-                _ => continue,
-            };
-            orders.extend(told.into_iter().flatten());
-        }
-        orders
-    }
-
-    pub fn wake_at(&self) -> Option<Moment> {
-        let due = |(id, since): (&ChangeId, &Moment)| {
-            let record = self.records.get(id)?;
-            let span = self.lasts(record.state)?;
-            Some(
-                *since
-                    + if record.state == ChangeState::Watched {
-                        self.deadlines.watch
-                    } else {
-                        span
-                    },
-            )
-        };
-        self.since.iter().filter_map(due).min()
+        Ok(match transition.effect {
+            ChangeEffect::Nothing => Vec::new(),
+            _ => vec![action],
+        })
     }
 }
--- /dev/null
+++ b/crates/config-transaction/src/ledger/conflict.rs
@@ -0,0 +1,80 @@
+//! Changes that stand in the way of one another.
+
+use super::Ledger;
+use crate::change::{Change, ChangeId, ChangeRecord};
+use crate::error::ChangeError;
+use crate::state::ChangeState;
+
+/// The paths that both changes set, separated by commas; empty: none.
+fn shared_paths(one: &Change, other: &Change) -> String {
+    let shared = one
+        .sets
+        .keys()
+        .filter(|path| other.sets.contains_key(*path));
+    shared.cloned().collect::<Vec<_>>().join(", ")
+}
+
+fn with_author(change: &Change) -> String {
+    format!("{} by {}", change.id.0, change.by)
+}
+
+impl Ledger {
+    /// The latest change that came into force, or was undone, after the version that this one was made against.
+    pub(super) fn conflict(&self, change: &Change) -> Option<ChangeError> {
+        let (version, other_id) = self
+            .version_history
+            .iter()
+            .rev()
+            .find(|(version, _)| *version > change.base)?;
+        let other = &self.records.get(other_id)?.change;
+        let mut keys = shared_paths(change, other);
+        if keys.is_empty() {
+            keys = "the configuration".to_string();
+        }
+        Some(ChangeError::Conflict {
+            base: change.base,
+            version: *version,
+            mine: with_author(change),
+            theirs: with_author(other),
+            keys,
+        })
+    }
+
+    /// Fails if a later change that is in force sets one of the same values.
+    pub(super) fn ensure_nothing_rests_on(&self, record: &ChangeRecord) -> Result<(), ChangeError> {
+        let Some(applied) = record.applied_version else {
+            return Ok(());
+        };
+        let later = self
+            .version_history
+            .iter()
+            .filter(|(version, _)| *version > applied)
+            .filter_map(|(_, id)| self.records.get(id));
+        for other in later {
+            let in_force = !matches!(other.state, ChangeState::Undone | ChangeState::Refused);
+            let keys = shared_paths(&other.change, &record.change);
+            if in_force && !keys.is_empty() {
+                return Err(ChangeError::RestsOn {
+                    id: record.change.id.0.clone(),
+                    later: other.change.id.0.clone(),
+                    keys,
+                });
+            }
+        }
+        Ok(())
+    }
+
+    /// Fails if another change is being applied, watched or undone.
+    pub(super) fn ensure_nothing_else_in_progress(&self, id: &ChangeId) -> Result<(), ChangeError> {
+        let other = self
+            .unfinished()
+            .find(|other| other.change.id != *id && other.state.is_in_progress());
+        match other {
+            None => Ok(()),
+            Some(other) => Err(ChangeError::Busy {
+                waits: id.0.clone(),
+                runs: other.change.id.0.clone(),
+            }),
+        }
+    }
+}
--- a/crates/config-transaction/src/persisted.rs
+++ b/crates/config-transaction/src/persisted.rs
@@ -1,23 +1,25 @@
-//! What outlives a crash, and in which pieces it is written.
+//! What outlives a crash, and the commits in which it is written.
 
-use crate::ledger::{ChangeRecord, Configuration};
+use crate::change::{ChangeRecord, Configuration};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What is written together; later commits take the place of earlier ones, value by value.
+/// What is written together. Later commits replace earlier ones value by value.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Commit {
+    /// The configuration in force, if it is part of the commit.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub configuration: Option<Configuration>,
+    /// Records of changes; each replaces the former record of its change.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub changes: Vec<ChangeRecord>,
-    /// `None` takes a fact away.
+    /// Facts by name; `None` removes a fact.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub facts: BTreeMap<String, Option<String>>,
 }
 
 impl Commit {
-    /// What another commit adds, in the same write.
+    /// Adds a later commit, so that both are one write.
     pub fn merge(&mut self, later: Commit) {
         self.configuration = later.configuration.or(self.configuration.take());
         self.changes.extend(later.changes);
@@ -25,27 +27,29 @@
     }
 }
 
-/// All that is kept.
+/// Everything that is persisted: the result of all commits.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct PersistedState {
+    /// The configuration in force.
     pub configuration: Configuration,
+    /// Records of changes by id.
     pub changes: BTreeMap<String, ChangeRecord>,
+    /// Facts by name.
     pub facts: BTreeMap<String, String>,
+    /// How many commits made this state.
     pub commits: u64,
 }
 
 impl PersistedState {
+    /// Applies a commit.
     pub fn apply(&mut self, commit: Commit) {
         self.commits += 1;
-        self.configuration = commit
-            .configuration
-            .unwrap_or_else(|| std::mem::take(&mut self.configuration));
-        self.changes.extend(
-            commit
-                .changes
-                .into_iter()
-                .map(|record| (record.change.id.0.clone(), record)),
-        );
+        if let Some(configuration) = commit.configuration {
+            self.configuration = configuration;
+        }
+        let records = commit.changes.into_iter();
+        self.changes
+            .extend(records.map(|record| (record.change.id.0.clone(), record)));
         for (name, value) in commit.facts {
             match value {
                 Some(value) => drop(self.facts.insert(name, value)),
@@ -54,14 +58,13 @@
         }
     }
 
-    /// All of it as one commit.
+    /// The whole state as one commit, for compaction.
     pub fn to_commit(&self) -> Commit {
+        let facts = self.facts.iter();
         Commit {
             configuration: Some(self.configuration.clone()),
             changes: self.changes.values().cloned().collect(),
-            facts: self
-                .facts
-                .iter()
+            facts: facts
                 .map(|(name, value)| (name.clone(), Some(value.clone())))
                 .collect(),
         }
--- a/crates/config-transaction/src/state.rs
+++ b/crates/config-transaction/src/state.rs
@@ -1,197 +1,86 @@
-//! The life of a change, as a table.
+//! The life cycle of a change: its states, the events that move it on, and what each transition asks for.
+//!
+//! ```text
+//! proposed → checked → staged → applying → watched → kept
+//!                                    ↘ undoing → undone      refused: before it ever was in force
+//! ```
 
 use serde::{Deserialize, Serialize};
 
+/// How far a change has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ChangeState {
-    /// Told; its checks are asked for.
+    /// Received; its checks have not finished.
     Proposed,
-    /// Nothing speaks against it.
+    /// No check forbids it; the write to the disk has not finished.
     Checked,
-    /// It is on the disk and can be applied.
+    /// On the disk and ready to be applied.
     Staged,
-    /// It is on its way to the gateways.
+    /// On its way to the proxies.
     Applying,
-    /// It is in force, and what is measured is looked at.
+    /// In force; the service is compared with the baseline.
     Watched,
+    /// In force for good: the watch ended with no broken condition.
     Kept,
+    /// The former values are on their way to the proxies.
     Undoing,
+    /// The former values are in force again.
     Undone,
     /// It never was in force and never will be.
     Refused,
 }
 
+/// What moves a change from one state to the next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ChangeEvent {
+    /// No check forbids it.
     ChecksPassed,
+    /// A check forbids it.
     ChecksFailed,
     /// The disk has it.
     Written,
     /// Another change came into force since the version that it was made against.
-    BaseMoved,
-    /// By an operator.
-    Apply,
-    /// Every gateway holds it, or went without it by design.
+    BaseOutdated,
+    /// An operator applies it.
+    ApplyRequested,
+    /// Every proxy has the values, or is excluded from waiting by design.
     InForce,
-    /// By an operator, or because what is watched broke a condition.
-    Undo,
-    WatchOver,
-    /// The state lasted longer than it may.
-    Late,
+    /// An operator undoes it, or a condition of its watch is broken.
+    UndoRequested,
+    /// The evidence covers the whole watch and no condition was broken.
+    WatchCompleted,
+    /// The state lasted longer than its deadline.
+    DeadlineExceeded,
 }
 
+/// What the owner of disk and sockets does for a transition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeEffect {
+    /// Nothing to carry out, and nothing new to persist.
     Nothing,
+    /// Write the change; `ChangeEvent::Written` follows.
     Write,
-    /// Puts the new values in force, through the module's ordered steps.
-    PutInForce,
-    /// Puts the former values in force, in the same way.
-    PutBack,
+    /// Put the new values in force through the balancer's ordered steps; `ChangeEvent::InForce` follows.
+    ApplyValues,
+    /// Put the former values in force in the same way; `ChangeEvent::InForce` follows.
+    RestoreValues,
+    /// Begin to compare the service with the baseline.
     Watch,
+    /// Persist that the change is kept.
     Keep,
+    /// Persist that the change is over without being in force.
     Close,
 }
 
-/// What is not in it does not happen: an input that a state has no row for changes nothing.
-pub const TABLE: &[(ChangeState, ChangeEvent, ChangeState, ChangeEffect)] = &[
-    (
-        ChangeState::Proposed,
-        ChangeEvent::ChecksPassed,
-        ChangeState::Checked,
-        ChangeEffect::Write,
-    ),
-    (
-        ChangeState::Proposed,
-        ChangeEvent::ChecksFailed,
-        ChangeState::Refused,
-        ChangeEffect::Close,
-    ),
-    (
-        ChangeState::Proposed,
-        ChangeEvent::BaseMoved,
-        ChangeState::Refused,
-        ChangeEffect::Close,
-    ),
-    (
-        ChangeState::Proposed,
-        ChangeEvent::Late,
-        ChangeState::Refused,
-        ChangeEffect::Close,
-    ),
-    (
-        ChangeState::Proposed,
-        ChangeEvent::Undo,
-        ChangeState::Refused,
-        ChangeEffect::Close,
-    ),
-    (
-        ChangeState::Checked,
-        ChangeEvent::Written,
-        ChangeState::Staged,
-        ChangeEffect::Nothing,
-    ),
-    (
-        ChangeState::Checked,
-        ChangeEvent::BaseMoved,
-        ChangeState::Refused,
-        ChangeEffect::Close,
-    ),
-    (
-        ChangeState::Checked,
-        ChangeEvent::Undo,
-        ChangeState::Refused,
-        ChangeEffect::Close,
-    ),
-    // A disk that takes seconds delays the change and nothing else.
-    (
-        ChangeState::Checked,
-        ChangeEvent::Late,
-        ChangeState::Checked,
-        ChangeEffect::Write,
-    ),
-    (
-        ChangeState::Staged,
-        ChangeEvent::Apply,
-        ChangeState::Applying,
-        ChangeEffect::PutInForce,
-    ),
-    (
-        ChangeState::Staged,
-        ChangeEvent::BaseMoved,
-        ChangeState::Refused,
-        ChangeEffect::Close,
-    ),
-    (
-        ChangeState::Staged,
-        ChangeEvent::Undo,
-        ChangeState::Refused,
-        ChangeEffect::Close,
-    ),
-    (
-        ChangeState::Staged,
-        ChangeEvent::Late,
-        ChangeState::Refused,
-        ChangeEffect::Close,
-    ),
-    (
-        ChangeState::Applying,
-        ChangeEvent::InForce,
-        ChangeState::Watched,
-        ChangeEffect::Watch,
-    ),
-    (
-        ChangeState::Applying,
-        ChangeEvent::Undo,
-        ChangeState::Undoing,
-        ChangeEffect::PutBack,
-    ),
-    (
-        ChangeState::Applying,
-        ChangeEvent::Late,
-        ChangeState::Undoing,
-        ChangeEffect::PutBack,
-    ),
-    (
-        ChangeState::Watched,
-        ChangeEvent::WatchOver,
-        ChangeState::Kept,
-        ChangeEffect::Keep,
-    ),
-    (
-        ChangeState::Watched,
-        ChangeEvent::Undo,
-        ChangeState::Undoing,
-        ChangeEffect::PutBack,
-    ),
-    // Evidence that never comes is no good news.
-    (
-        ChangeState::Watched,
-        ChangeEvent::Late,
-        ChangeState::Undoing,
-        ChangeEffect::PutBack,
-    ),
-    // A change that was kept can be taken back as long as nothing rests on it.
-    (
-        ChangeState::Kept,
-        ChangeEvent::Undo,
-        ChangeState::Undoing,
-        ChangeEffect::PutBack,
-    ),
-    (
-        ChangeState::Undoing,
-        ChangeEvent::InForce,
-        ChangeState::Undone,
-        ChangeEffect::Close,
-    ),
-    (
-        ChangeState::Undoing,
-        ChangeEvent::Late,
-        ChangeState::Undoing,
-        ChangeEffect::PutBack,
-    ),
-];
+/// A state that follows, and what is to be done on the way there.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Transition {
+    /// The state afterwards.
+    pub next: ChangeState,
+    /// What is to be carried out.
+    pub effect: ChangeEffect,
+}
 
 impl ChangeState {
     /// The spelling in the operators' API, the state file and the log.
@@ -209,12 +98,65 @@
         }
     }
 
-    pub fn on_event(self, input: ChangeEvent) -> Option<(ChangeState, ChangeEffect)> {
-        let row = TABLE.iter().find(|row| (row.0, row.1) == (self, input));
-        row.map(|row| (row.2, row.3))
+    /// The transition for an event; `None`: the event changes nothing in this state.
+    pub fn transition(self, event: ChangeEvent) -> Option<Transition> {
+        use ChangeEvent as Event;
+        let (next, effect) = match self {
+            ChangeState::Proposed => match event {
+                Event::ChecksPassed => (ChangeState::Checked, ChangeEffect::Write),
+                Event::ChecksFailed
+                | Event::BaseOutdated
+                | Event::DeadlineExceeded
+                | Event::UndoRequested => (ChangeState::Refused, ChangeEffect::Close),
+                _ => return None,
+            },
+            ChangeState::Checked => match event {
+                Event::Written => (ChangeState::Staged, ChangeEffect::Nothing),
+                Event::BaseOutdated | Event::UndoRequested => {
+                    (ChangeState::Refused, ChangeEffect::Close)
+                }
+                // A disk that takes seconds delays the change and nothing else.
+                Event::DeadlineExceeded => (ChangeState::Checked, ChangeEffect::Write),
+                _ => return None,
+            },
+            ChangeState::Staged => match event {
+                Event::ApplyRequested => (ChangeState::Applying, ChangeEffect::ApplyValues),
+                Event::BaseOutdated | Event::UndoRequested | Event::DeadlineExceeded => {
+                    (ChangeState::Refused, ChangeEffect::Close)
+                }
+                _ => return None,
+            },
+            ChangeState::Applying => match event {
+                Event::InForce => (ChangeState::Watched, ChangeEffect::Watch),
+                Event::UndoRequested | Event::DeadlineExceeded => {
+                    (ChangeState::Undoing, ChangeEffect::RestoreValues)
+                }
+                _ => return None,
+            },
+            ChangeState::Watched => match event {
+                Event::WatchCompleted => (ChangeState::Kept, ChangeEffect::Keep),
+                // Evidence that never comes counts against the change.
+                Event::UndoRequested | Event::DeadlineExceeded => {
+                    (ChangeState::Undoing, ChangeEffect::RestoreValues)
+                }
+                _ => return None,
+            },
+            // A change that was kept can be undone as long as no later change rests on it.
+            ChangeState::Kept => match event {
+                Event::UndoRequested => (ChangeState::Undoing, ChangeEffect::RestoreValues),
+                _ => return None,
+            },
+            ChangeState::Undoing => match event {
+                Event::InForce => (ChangeState::Undone, ChangeEffect::Close),
+                Event::DeadlineExceeded => (ChangeState::Undoing, ChangeEffect::RestoreValues),
+                _ => return None,
+            },
+            ChangeState::Undone | ChangeState::Refused => return None,
+        };
+        Some(Transition { next, effect })
     }
 
-    /// Nothing more comes of it by itself.
+    /// Whether nothing more comes of the change by itself.
     pub fn is_final(self) -> bool {
         matches!(
             self,
@@ -222,7 +164,7 @@
         )
     }
 
-    /// Its values, or some of them, are at gateways.
+    /// Whether its values, or some of them, are at proxies and the change has not ended.
     pub fn is_in_progress(self) -> bool {
         matches!(
             self,
--- a/crates/config-transaction/tests/checks.rs
+++ b/crates/config-transaction/tests/checks.rs
@@ -1,4 +1,4 @@
-//! What speaks against a change, with its figures.
+//! The checks of a change: what each finds, with its figures.
 
 use std::collections::BTreeMap;
 use test_case::test_case;
@@ -49,19 +49,19 @@
     }
 }
 
-fn way(lines_per_second: f64, messages_at_most: u32) -> Propagation {
+fn propagation(entries_per_second: f64, messages_per_window: u32) -> Propagation {
     let window = Span::from_seconds(10.0);
     Propagation {
-        gateways: 100,
-        lines_per_second,
-        head_lines: 6.0,
-        messages_at_most,
+        proxies: 100,
+        entries_per_second,
+        header_entries: 6.0,
+        messages_per_window,
         window,
-        steps: 2,
+        update_steps: 2,
     }
 }
 
-fn forbidden(change: fn(&mut Fleet), way: Propagation) -> Vec<String> {
+fn forbidding_findings(change: fn(&mut Fleet), propagation: Propagation) -> Vec<String> {
     let (before, mut after) = (fleet(), fleet());
     change(&mut after);
     let bounds = ChangeLimits {
@@ -69,7 +69,7 @@
         warming_work_share_limit: 0.3,
         propagation_time_limit: Span::from_seconds(5.0),
     };
-    let verdict = check(&before, &after, bounds, way);
+    let verdict = check(&before, &after, bounds, propagation);
     assert!(verdict.0.iter().all(|finding| !finding.text.is_empty()));
     let against = verdict.0.into_iter().filter(|finding| finding.forbids);
     against
@@ -87,19 +87,22 @@
     "capacity that is not enough")]
 #[test_case(|fleet| fleet.hosts.iter_mut().for_each(|host| host.state = HostState::Cold),
     &["capacity: ", "cold: 4 cold hosts would carry 100.0% of the work (30.0% may be)"]; "all cold")]
-fn a_fleet_is_judged(change: fn(&mut Fleet), said: &[&str]) {
-    let found = forbidden(change, way(10_000.0, 60));
-    assert_eq!(found.len(), said.len(), "{found:?}");
-    for (found, said) in found.iter().zip(said) {
-        assert!(found.starts_with(said), "{found}");
+fn checks_forbid_what_costs_capacity_or_overloads_hosts_in_slow_start(
+    change: fn(&mut Fleet),
+    expected: &[&str],
+) {
+    let found = forbidding_findings(change, propagation(10_000.0, 60));
+    assert_eq!(found.len(), expected.len(), "{found:?}");
+    for (found, expected) in found.iter().zip(expected) {
+        assert!(found.starts_with(expected), "{found}");
     }
 }
 
-#[test_case(way(100.0, 0), true; "a slow channel")]
-#[test_case(way(10_000.0, 1), true; "more messages than a window allows")]
-#[test_case(way(10_000.0, 2), false; "just as many as it allows")]
-fn what_takes_too_long_on_its_way_is_told(way: Propagation, forbids: bool) {
-    let found = forbidden(|fleet| drop(fleet.hosts.remove(0)), way);
+#[test_case(propagation(100.0, 0), true; "a slow channel")]
+#[test_case(propagation(10_000.0, 1), true; "more messages than a window allows")]
+#[test_case(propagation(10_000.0, 2), false; "just as many as it allows")]
+fn a_change_that_propagates_too_slowly_is_forbidden(propagation: Propagation, forbids: bool) {
+    let found = forbidding_findings(|fleet| drop(fleet.hosts.remove(0)), propagation);
     assert_eq!(
         found
             .iter()
--- a/crates/config-transaction/tests/life.rs
+++ b/crates/config-transaction/tests/life_cycle.rs
@@ -1,14 +1,14 @@
-//! Lives of changes under a scripted clock: two operators, crashes at any step, evidence that is late.
+//! The life cycle of changes under a scripted clock: two operators, crashes at any step, evidence that is late.
 
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use test_case::test_case;
 use wheelspread::time::{Moment, Span};
-use wheelspread_config_transaction::ledger::{ChangeRecord, Deadlines};
 use wheelspread_config_transaction::{
     Change, ChangeEffect, ChangeError, ChangeEvent, ChangeId, ChangeState, CheckReport,
     Configuration, Finding, Ledger,
 };
+use wheelspread_config_transaction::{ChangeRecord, Deadlines};
 
 fn at(seconds: f64) -> Moment {
     Moment::from_seconds(seconds)
@@ -69,7 +69,7 @@
     id
 }
 
-fn moved() -> Change {
+fn pool_change() -> Change {
     change(
         "c1",
         "ada",
@@ -83,18 +83,18 @@
 }
 
 #[test]
-fn a_change_comes_into_force_all_at_once_is_watched_and_kept_or_undone_to_what_was() {
+fn a_change_is_applied_as_one_version_and_kept_or_undone_after_its_watch() {
     for good in [true, false] {
         let mut ledger = Ledger::new(configuration(), deadlines());
-        assert_eq!(ledger.plan(&moved()).len(), 3);
-        let id = staged(&mut ledger, moved());
+        assert_eq!(ledger.plan(&pool_change()).len(), 3);
+        let id = staged(&mut ledger, pool_change());
         assert_eq!(
             ledger.configuration(),
             &configuration(),
             "staged is not applied"
         );
         let orders = ledger.apply(at(2.0), &id).expect("nothing is in its way");
-        assert_eq!(orders[0].effect, ChangeEffect::PutInForce);
+        assert_eq!(orders[0].effect, ChangeEffect::ApplyValues);
         assert_eq!(ledger.configuration().version, 8);
         assert_eq!(
             ledger.apply(at(2.1), &id),
@@ -115,7 +115,7 @@
             let orders = ledger
                 .undo(at(10.0), &id, "errors rose to 4%")
                 .expect("it is the last");
-            assert_eq!(orders[0].effect, ChangeEffect::PutBack);
+            assert_eq!(orders[0].effect, ChangeEffect::RestoreValues);
             ledger
                 .handle_event(at(11.0), &id, ChangeEvent::InForce, None)
                 .expect("known");
@@ -131,9 +131,9 @@
 }
 
 #[test]
-fn evidence_that_is_late_is_waited_for_as_long_again_and_then_counts_against_the_change() {
+fn a_watch_without_complete_evidence_is_undone_after_twice_its_length() {
     let mut ledger = Ledger::new(configuration(), deadlines());
-    let id = staged(&mut ledger, moved());
+    let id = staged(&mut ledger, pool_change());
     ledger.apply(at(2.0), &id).expect("applied");
     ledger
         .handle_event(at(3.0), &id, ChangeEvent::InForce, None)
@@ -145,14 +145,14 @@
     );
     assert_eq!(
         ledger.advance(at(63.0), at(20.0))[0].effect,
-        ChangeEffect::PutBack
+        ChangeEffect::RestoreValues
     );
 }
 
 #[test]
-fn a_conflict_names_both_changes_and_what_they_both_touch() {
+fn a_conflict_names_both_changes_and_the_paths_that_both_set() {
     let mut ledger = Ledger::new(configuration(), deadlines());
-    let first = staged(&mut ledger, moved());
+    let first = staged(&mut ledger, pool_change());
     let second = staged(
         &mut ledger,
         change(
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn what_a_later_change_rests_on_is_not_undone() {
+fn a_change_is_not_undone_while_a_later_one_sets_the_same_values() {
     let mut ledger = Ledger::new(configuration(), deadlines());
     for (name, base, sets) in [
         ("c1", 7, [("pool.a", Some("5"))]),
@@ -226,20 +226,26 @@
 
 #[test_case(change("c1", "ada", 9, &[("price", Some("1"))]), "version 9 was never in force"; "a version to come")]
 #[test_case(change("c1", "ada", 7, &[("price", Some("2"))]), "changes nothing"; "what is so already")]
-fn what_can_not_be_is_refused_with_its_reason(change: Change, said: &str) {
+fn an_impossible_proposal_is_refused_with_its_reason(change: Change, expected: &str) {
     let mut ledger = Ledger::new(configuration(), deadlines());
     let refused = ledger
         .propose(at(0.0), change)
         .expect_err("it can't be")
         .to_string();
-    assert!(refused.contains(said), "{refused}");
+    assert!(refused.contains(expected), "{refused}");
 }
 
 #[test]
-fn a_finding_that_forbids_ends_it_and_a_proposal_told_twice_is_one() {
+fn a_forbidding_finding_refuses_a_change_and_a_repeated_proposal_is_one_change() {
     let mut ledger = Ledger::new(configuration(), deadlines());
-    assert_eq!(ledger.propose(at(0.0), moved()), Ok(ChangeState::Proposed));
-    assert_eq!(ledger.propose(at(0.1), moved()), Ok(ChangeState::Proposed));
+    assert_eq!(
+        ledger.propose(at(0.0), pool_change()),
+        Ok(ChangeState::Proposed)
+    );
+    assert_eq!(
+        ledger.propose(at(0.1), pool_change()),
+        Ok(ChangeState::Proposed)
+    );
     let other = change("c1", "bob", 7, &[("price", Some("8"))]);
     assert_eq!(
         ledger.propose(at(0.2), other),
@@ -266,9 +272,9 @@
 }
 
 #[derive(Clone, Debug)]
-enum Act {
+enum Step {
     /// From the proposal to being kept, if nothing is in the way.
-    Live(u8, u8),
+    Keep(u8, u8),
     Propose(u8, u8, bool),
     Pass(u8),
     Fail(u8),
@@ -280,19 +286,19 @@
     Crash,
 }
 
-fn act() -> impl Strategy<Value = Act> {
+fn step() -> impl Strategy<Value = Step> {
     let which = 0u8..5;
     prop_oneof![
-        4 => (which.clone(), 0u8..4).prop_map(|(n, key)| Act::Live(n, key)),
-        1 => (which.clone(), 0u8..4, any::<bool>()).prop_map(|(n, key, old)| Act::Propose(n, key, old)),
-        1 => which.clone().prop_map(Act::Pass),
-        1 => which.clone().prop_map(Act::Fail),
-        1 => which.clone().prop_map(Act::Written),
-        1 => which.clone().prop_map(Act::Apply),
-        2 => which.clone().prop_map(Act::InForce),
-        2 => which.prop_map(Act::Undo),
-        1 => (0u16..700).prop_map(Act::Wait),
-        1 => Just(Act::Crash),
+        4 => (which.clone(), 0u8..4).prop_map(|(n, key)| Step::Keep(n, key)),
+        1 => (which.clone(), 0u8..4, any::<bool>()).prop_map(|(n, key, old)| Step::Propose(n, key, old)),
+        1 => which.clone().prop_map(Step::Pass),
+        1 => which.clone().prop_map(Step::Fail),
+        1 => which.clone().prop_map(Step::Written),
+        1 => which.clone().prop_map(Step::Apply),
+        2 => which.clone().prop_map(Step::InForce),
+        2 => which.prop_map(Step::Undo),
+        1 => (0u16..700).prop_map(Step::Wait),
+        1 => Just(Step::Crash),
     ]
 }
 
@@ -300,13 +306,13 @@
     // Whatever two operators, the disk, the gateways and crashes do: one change is under way at most, versions
     // never fall, and what is in force is what the changes in force make of the first configuration, in order.
     #[test]
-    fn what_is_in_force_is_what_the_changes_in_force_say(acts in prop::collection::vec(act(), 1..120)) {
+    fn the_configuration_is_the_result_of_the_changes_in_force_in_order(steps in prop::collection::vec(step(), 1..120)) {
         let mut ledger = Ledger::new(configuration(), deadlines());
         let (mut now, mut version) = (at(0.0), 7);
-        for act in acts {
+        for step in steps {
             let name = |n: u8| id(&format!("c{n}"));
-            match act {
-                Act::Live(n, key) => {
+            match step {
+                Step::Keep(n, key) => {
                     let base = ledger.configuration().version;
                     let path = format!("key.{key}");
                     let made = change(&format!("c{n}"), "ada", base, &[(&path, Some(&format!("{n}")))]);
@@ -319,27 +325,27 @@
                         ledger.advance(now, now);
                     }
                 }
-                Act::Propose(n, key, old) => {
+                Step::Propose(n, key, old) => {
                     let base = ledger.configuration().version - u64::from(old);
                     let by = if n % 2 == 0 { "ada" } else { "bob" };
                     let path = format!("key.{key}");
                     let made = change(&format!("c{n}"), by, base, &[(&path, Some(&format!("{n}")))]);
                     let _ = ledger.propose(now, made);
                 }
-                Act::Pass(n) => drop(ledger.record_checks(now, &name(n), CheckReport::default())),
-                Act::Fail(n) => {
+                Step::Pass(n) => drop(ledger.record_checks(now, &name(n), CheckReport::default())),
+                Step::Fail(n) => {
                     let finding = Finding { check: "c".into(), text: "no".into(), forbids: true };
                     let _ = ledger.record_checks(now, &name(n), CheckReport(vec![finding]));
                 }
-                Act::Written(n) => drop(ledger.handle_event(now, &name(n), ChangeEvent::Written, None)),
-                Act::Apply(n) => drop(ledger.apply(now, &name(n))),
-                Act::InForce(n) => drop(ledger.handle_event(now, &name(n), ChangeEvent::InForce, None)),
-                Act::Undo(n) => drop(ledger.undo(now, &name(n), "not liked")),
-                Act::Wait(tenths) => {
+                Step::Written(n) => drop(ledger.handle_event(now, &name(n), ChangeEvent::Written, None)),
+                Step::Apply(n) => drop(ledger.apply(now, &name(n))),
+                Step::InForce(n) => drop(ledger.handle_event(now, &name(n), ChangeEvent::InForce, None)),
+                Step::Undo(n) => drop(ledger.undo(now, &name(n), "not liked")),
+                Step::Wait(tenths) => {
                     now = now + Span::from_seconds(f64::from(tenths) / 10.0);
                     ledger.advance(now, now);
                 }
-                Act::Crash => {
+                Step::Crash => {
                     let records: Vec<ChangeRecord> = ledger.records().cloned().collect();
                     let (next, orders) =
                         Ledger::recover(now, ledger.configuration().clone(), records, deadlines());
--- a/crates/config-transaction/tests/model.rs
+++ b/crates/config-transaction/tests/model.rs
@@ -1,6 +1,6 @@
 //! Every order in which things can happen, by breadth-first search over the real ledger: two operators whose
 //! orders and answers may be lost and come again, a disk that may refuse or lose what it was given, crashes
-//! at any time and during recovery, gateways that take what they are told early or late. A variant that is
+//! at any time and during recovery, proxies that take what they are told early or late. A variant that is
 //! broken on purpose has to be caught, with the shortest way there.
 
 use pathfinding::directed::bfs::bfs;
@@ -9,11 +9,11 @@
 use std::hash::{Hash, Hasher};
 use test_case::test_case;
 use wheelspread::time::{Moment, Span};
-use wheelspread_config_transaction::ledger::{ChangeRecord, Deadlines, LedgerAction};
 use wheelspread_config_transaction::{
     Change, ChangeEffect, ChangeError, ChangeEvent, ChangeId, ChangeState, CheckReport,
     Configuration, Ledger,
 };
+use wheelspread_config_transaction::{ChangeRecord, Deadlines, LedgerAction};
 
 fn deadlines() -> Deadlines {
     let span = Span::from_seconds(10.0);
@@ -76,21 +76,21 @@
     effect: Option<Force>,
 }
 
-/// What the gateways are told when the disk has it.
+/// What the proxies are told when the disk has it.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 enum Force {
     Staged,
     Values,
 }
 
-/// One conductor with its disk and its gateways.
+/// One controller with its disk and its proxies.
 #[derive(Clone, PartialEq, Eq, Hash)]
-struct Conductor {
+struct Controller {
     memory: Option<Memory>,
     waits: VecDeque<Write>,
     disk: (Configuration, BTreeMap<String, ChangeRecord>),
-    /// What gateways were told, version by version, and what they hold last.
-    told: BTreeMap<u64, Configuration>,
+    /// What proxies were sent, by version, and the version that they have.
+    sent: BTreeMap<u64, Configuration>,
     holds: u64,
     /// A version with two contents, or one that went down.
     wrong: Option<String>,
@@ -105,30 +105,30 @@
     Forgetful,
 }
 
-impl Conductor {
-    fn new() -> Conductor {
+impl Controller {
+    fn new() -> Controller {
         let first = Configuration {
             version: 1,
             values: BTreeMap::new(),
         };
-        Conductor {
+        Controller {
             memory: Some(Memory(Ledger::new(first.clone(), deadlines()))),
             waits: VecDeque::new(),
             disk: (first.clone(), BTreeMap::new()),
-            told: BTreeMap::from([(1, first)]),
+            sent: BTreeMap::from([(1, first)]),
             holds: 1,
             wrong: None,
         }
     }
 
-    fn tell(&mut self, configuration: &Configuration) {
+    fn send_to_proxies(&mut self, configuration: &Configuration) {
         let known = self
-            .told
+            .sent
             .entry(configuration.version)
             .or_insert_with(|| configuration.clone());
         if known != configuration {
             self.wrong = Some(format!(
-                "version {} was told with two contents",
+                "version {} was sent with two contents",
                 configuration.version
             ));
         }
@@ -148,12 +148,12 @@
         for LedgerAction { id, effect } in orders {
             let effect = match effect {
                 ChangeEffect::Write => Some(Force::Staged),
-                ChangeEffect::PutInForce | ChangeEffect::PutBack => Some(Force::Values),
+                ChangeEffect::ApplyValues | ChangeEffect::RestoreValues => Some(Force::Values),
                 _ => None,
             };
             let record = ledger.record(&id).expect("known").clone();
             if variant == Variant::Hasty && effect == Some(Force::Values) {
-                self.tell(ledger.configuration());
+                self.send_to_proxies(ledger.configuration());
             }
             let write = Write {
                 configuration: ledger.configuration().clone(),
@@ -171,7 +171,7 @@
         &self,
         variant: Variant,
         what: impl FnOnce(&mut Ledger) -> Result<Vec<LedgerAction>, ChangeError>,
-    ) -> Option<Conductor> {
+    ) -> Option<Controller> {
         let mut next = self.clone();
         let Memory(ledger) = next.memory.as_mut()?;
         let orders = what(ledger).ok()?;
@@ -179,7 +179,7 @@
         Some(next)
     }
 
-    fn written(&self, variant: Variant) -> Option<Conductor> {
+    fn written(&self, variant: Variant) -> Option<Controller> {
         let mut next = self.clone();
         next.memory.as_ref()?;
         let write = next.waits.pop_front()?;
@@ -197,18 +197,20 @@
                     None,
                 );
             }
-            // Overtaken by its own undo: that is told when the disk has it.
+            // Overtaken by its own undo: that is sent when the disk has it.
             Some(Force::Values)
                 if ledger.configuration().version != write.configuration.version => {}
-            Some(Force::Values) if variant != Variant::Hasty => next.tell(&write.configuration),
+            Some(Force::Values) if variant != Variant::Hasty => {
+                next.send_to_proxies(&write.configuration);
+            }
             _ => {}
         }
         Some(next)
     }
 
     /// Killed; what the disk was given last may be on it or not.
-    fn crash(&self) -> Vec<Conductor> {
-        let down = |mut of: Conductor| {
+    fn crash(&self) -> Vec<Controller> {
+        let down = |mut of: Controller| {
             (of.memory, of.waits) = (None, VecDeque::new());
             of
         };
@@ -224,7 +226,7 @@
         ends
     }
 
-    fn start(&self, variant: Variant) -> Conductor {
+    fn start(&self, variant: Variant) -> Controller {
         let mut next = self.clone();
         let (configuration, records) = next.disk.clone();
         let kept =
@@ -237,11 +239,11 @@
             deadlines(),
         );
         next.memory = Some(Memory(ledger));
-        next.tell(&configuration);
+        next.send_to_proxies(&configuration);
         next
     }
 
-    fn successors(&self, variant: Variant) -> Vec<Conductor> {
+    fn successors(&self, variant: Variant) -> Vec<Controller> {
         let now = Moment::default();
         if self.memory.is_none() {
             return vec![self.start(variant)];
@@ -260,12 +262,12 @@
             next.extend(ledger(&|l| l.apply(now, &id)));
             next.extend(ledger(&|l| l.undo(now, &id, "not liked")));
             next.extend(ledger(&|l| {
-                l.handle_event(now, &id, ChangeEvent::Late, None)
+                l.handle_event(now, &id, ChangeEvent::DeadlineExceeded, None)
             }));
             next.extend(ledger(&|l| {
-                l.handle_event(now, &id, ChangeEvent::WatchOver, None)
+                l.handle_event(now, &id, ChangeEvent::WatchCompleted, None)
             }));
-            // Gateways hold it only after they were told.
+            // Gateways hold it only after they were sent.
             let version = self
                 .memory
                 .as_ref()
@@ -309,7 +311,7 @@
         if versions.iter().collect::<BTreeSet<_>>().len() != versions.len() {
             return Some("one version was made by two changes".to_string());
         }
-        // With nothing under way and nothing at the disk, gateways hold what the changes in force say.
+        // With nothing under way and nothing at the disk, proxies hold what the changes in force say.
         if under_way == 0 && self.waits.is_empty() {
             let kept = ledger
                 .records()
@@ -323,10 +325,10 @@
                     .filter_map(|(path, to)| Some((path.clone(), to.clone()?)));
                 wanted.extend(set);
             }
-            let held = self.told.get(&self.holds);
+            let held = self.sent.get(&self.holds);
             if held.is_some_and(|held| held.values != wanted) {
                 return Some(format!(
-                    "gateways hold {:?}, {wanted:?} is in force",
+                    "proxies hold {:?}, {wanted:?} is in force",
                     held.map(|h| &h.values)
                 ));
             }
@@ -351,22 +353,22 @@
 }
 
 #[test]
-fn nothing_that_can_happen_to_one_conductor_breaks_it() {
+fn every_order_of_events_leaves_one_controller_consistent() {
     let (states, way) = search(
-        Conductor::new(),
+        Controller::new(),
         |state| state.successors(Variant::Right),
         |state| state.broken().is_some(),
     );
-    println!("one conductor: {states} states");
+    println!("one controller: {states} states");
     assert_eq!(way, None);
     assert!(states > 500, "{states}");
 }
 
-#[test_case(Variant::Hasty; "gateways are told before the disk has it")]
-#[test_case(Variant::Forgetful; "what was under way is forgotten")]
-fn what_is_broken_on_purpose_is_caught(variant: Variant) {
+#[test_case(Variant::Hasty; "values are sent to proxies before they are on the disk")]
+#[test_case(Variant::Forgetful; "a change in progress is forgotten at a crash")]
+fn the_search_finds_a_variant_that_is_broken_on_purpose(variant: Variant) {
     let (_, way) = search(
-        Conductor::new(),
+        Controller::new(),
         |state| state.successors(variant),
         |state| state.broken().is_some(),
     );
@@ -374,11 +376,11 @@
     assert!(steps < 12, "{steps} steps");
 }
 
-/// Three conductors in coarse steps: an order reaches one of them and is carried out to its end, or is lost.
+/// Three controllers in coarse steps: an order reaches one of them and is carried out to its end, or is lost.
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct Three {
-    conductors: [Conductor; 3],
-    /// What each operator was told, by conductor: whether the change stands there, or that it was refused.
+    controllers: [Controller; 3],
+    /// What each operator was told, by controller: whether the change stands there, or that it was refused.
     answers: BTreeMap<(String, usize), bool>,
     crashes: u8,
 }
@@ -387,18 +389,18 @@
     fn successors(&self) -> Vec<Three> {
         let mut next = Vec::new();
         for at in 0..3 {
-            let with = |conductor: Conductor| {
+            let with = |controller: Controller| {
                 let mut three = self.clone();
-                three.conductors[at] = conductor;
+                three.controllers[at] = controller;
                 three
             };
-            let conductor = &self.conductors[at];
-            if conductor.memory.is_none() {
-                next.push(with(conductor.start(Variant::Right)));
+            let controller = &self.controllers[at];
+            if controller.memory.is_none() {
+                next.push(with(controller.start(Variant::Right)));
                 continue;
             }
             if self.crashes < 2 {
-                for down in conductor.crash() {
+                for down in controller.crash() {
                     next.push(Three {
                         crashes: self.crashes + 1,
                         ..with(down)
@@ -406,7 +408,7 @@
                 }
             }
             for name in ["a", "b"] {
-                let (after, stands) = apply(conductor, name);
+                let (after, stands) = apply(controller, name);
                 // The answer reaches the operator, or is lost.
                 let mut told = with(after.clone());
                 told.answers.insert((name.to_string(), at), stands);
@@ -421,12 +423,12 @@
         let stands = |name: &str, at: usize| self.answers.get(&(name.to_string(), at)).copied();
         let all = |name: &str| (0..3).all(|at| stands(name, at) == Some(true));
         let wrong = self
-            .conductors
+            .controllers
             .iter()
-            .any(|conductor| conductor.broken().is_some());
+            .any(|controller| controller.broken().is_some());
         let both = (0..3).any(|at| stands("a", at) == Some(true) && stands("b", at) == Some(true));
         let apart = all("a")
-            && self.conductors.iter().any(|c| {
+            && self.controllers.iter().any(|c| {
                 c.disk
                     .1
                     .get("a")
@@ -436,29 +438,29 @@
     }
 }
 
-/// Stages and applies, through the disk and the gateways, to its end.
-fn apply(conductor: &Conductor, name: &str) -> (Conductor, bool) {
+/// Stages and applies, through the disk and the proxies, to its end.
+fn apply(controller: &Controller, name: &str) -> (Controller, bool) {
     let (now, id, right) = (
         Moment::default(),
         ChangeId(name.to_string()),
         Variant::Right,
     );
-    let drain = |mut of: Conductor| {
+    let drain = |mut of: Controller| {
         while let Some(next) = of.written(right) {
             of = next;
         }
         of
     };
-    let staged = conductor.act(right, |l| {
+    let staged = controller.act(right, |l| {
         l.propose(now, change(name))?;
         l.record_checks(now, &id, CheckReport::default())
     });
-    let staged = drain(staged.unwrap_or_else(|| conductor.clone()));
+    let staged = drain(staged.unwrap_or_else(|| controller.clone()));
     let Some(applied) = staged.act(right, |l| l.apply(now, &id)) else {
         return (staged, false);
     };
     let mut applied = drain(applied);
-    for input in [ChangeEvent::InForce, ChangeEvent::WatchOver] {
+    for input in [ChangeEvent::InForce, ChangeEvent::WatchCompleted] {
         applied = drain(
             applied
                 .act(right, |l| l.handle_event(now, &id, input, None))
@@ -469,15 +471,15 @@
 }
 
 #[test]
-fn three_conductors_never_let_two_operators_both_believe() {
-    let conductors = [Conductor::new(), Conductor::new(), Conductor::new()];
+fn conflicting_changes_never_both_stand_at_three_controllers() {
+    let controllers = [Controller::new(), Controller::new(), Controller::new()];
     let start = Three {
-        conductors,
+        controllers,
         answers: BTreeMap::new(),
         crashes: 0,
     };
     let (states, way) = search(start, Three::successors, Three::broken);
-    println!("three conductors: {states} states");
+    println!("three controllers: {states} states");
     assert_eq!(way, None);
     assert!(states > 500, "{states}");
 }
--- a/crates/config-transaction/tests/stored_form.rs
+++ b/crates/config-transaction/tests/stored_form.rs
@@ -2,7 +2,7 @@
 //! names are.
 
 use std::collections::BTreeMap;
-use wheelspread_config_transaction::ledger::ChangeRecord;
+use wheelspread_config_transaction::ChangeRecord;
 use wheelspread_config_transaction::{
     Change, ChangeId, ChangeState, Commit, Configuration, Finding, PersistedState,
 };
--- a/crates/controller/src/file.rs
+++ b/crates/controller/src/file.rs
@@ -8,7 +8,7 @@
 use wheelspread::time::Span;
 use wheelspread_config_rollout::{Conditions, RolloutSettings};
 use wheelspread_config_transaction::checks::ChangeLimits;
-use wheelspread_config_transaction::ledger::Deadlines;
+use wheelspread_config_transaction::Deadlines;
 use wheelspread_controller_core::{span_format, Deployment};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
--- a/crates/controller/src/routes.rs
+++ b/crates/controller/src/routes.rs
@@ -10,7 +10,7 @@
 use wheelspread::{EndpointEntry, EndpointStatus};
 use wheelspread_config_rollout::values::node;
 use wheelspread_config_rollout::{Rollout, RolloutCommand};
-use wheelspread_config_transaction::ledger::ChangeRecord;
+use wheelspread_config_transaction::ChangeRecord;
 use wheelspread_config_transaction::{Change, ChangeId};
 use wheelspread_controller_core::deployment::OperationPlan;
 use wheelspread_controller_core::endpoint_list::show;
--- a/crates/store/tests/damage.rs
+++ b/crates/store/tests/damage.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use std::collections::BTreeMap;
-use wheelspread_config_transaction::ledger::ChangeRecord;
+use wheelspread_config_transaction::ChangeRecord;
 use wheelspread_config_transaction::{Change, ChangeId, ChangeState, Configuration};
 use wheelspread_store::{Commit, OpenOutcome, Store, StoreError};
 
