--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -12,7 +12,7 @@
 use view::Snapshot;
 use wheelspread::time::Span;
 use wheelspread_controller_core::span_format;
-use wheelspread_drain::consistency::missing_orders;
+use wheelspread_drain::consistency::{missing_orders, MissingOrder};
 use wheelspread_drain::{Drain, DrainAction, Outcome, Reply};
 use wheelspread_fleet::{drain_order, Failed, Fleet, FleetFile, Request};
 
@@ -296,7 +296,11 @@
             NO_CONDUCTOR
         },
     );
-    for (name, order) in missed {
+    for MissingOrder {
+        controller: name,
+        order,
+    } in missed
+    {
         let one = BTreeSet::from([name.clone()]);
         let request = Request::post("/v1/drains", json!(order));
         let answer = fleet
--- a/crates/config-rollout/src/rollout.rs
+++ b/crates/config-rollout/src/rollout.rs
@@ -1,586 +1,248 @@
-//! What becomes of changes in one conductor. Operators ask, the ledger says what is to be done, the disk says
-//! what it has, the session says how far the gateways are and what was measured. What gateways could see
+//! Carries changes through one controller. Operators give commands, the ledger decides what follows, the disk reports
+//! what it has, the controller core reports how far the proxies are and what was measured. What proxies could see
 //! waits until the disk has what a crash would need to know of it; nothing else waits for the disk.
 
-use crate::fleet::{emptied, Known};
-use crate::values::{configured, in_file, moved, what_fits};
-use crate::watch::{broken, Baseline, Conditions};
-use serde::Serialize;
+mod apply;
+mod proposal;
+mod watching;
+mod writes;
+
+use crate::messages::{Answer, RolloutAction, RolloutCommand, RolloutEvent, RolloutSettings};
+use crate::values::{config_update_of_valid_values, migrating_nodes};
+use crate::watch::Baseline;
 use std::collections::VecDeque;
 use wheelspread::ids::NodeId;
 use wheelspread::time::{Moment, Span};
-use wheelspread_config_transaction::checks::{self, ChangeLimits, Propagation};
 use wheelspread_config_transaction::{
-    Change, ChangeEffect, ChangeError, ChangeEvent, ChangeId, ChangeState, CheckReport, Commit,
-    Configuration, Finding, Ledger, PersistedState, ValueChange,
+    ChangeEffect, ChangeError, ChangeId, Configuration, Ledger, LedgerAction, PersistedState,
 };
-use wheelspread_config_transaction::{ChangeRecord, Deadlines, LedgerAction};
 use wheelspread_controller_core::controller_core::ConfigUpdate;
+use wheelspread_controller_core::deployment::ConfigError;
 use wheelspread_controller_core::{ControllerCore, Deployment};
+use writes::PendingWrite;
 
-/// All that is told of how changes are handled.
-#[derive(Clone, Copy, Debug)]
-pub struct RolloutSettings {
-    pub deadlines: Deadlines,
-    pub limits: ChangeLimits,
-    pub conditions: Conditions,
-}
-
-/// What an operator asks.
-#[derive(Clone, Debug, PartialEq)]
-pub enum RolloutCommand {
-    /// What a change would do, and what speaks against it.
-    Plan(Change),
-    Stage(Change),
-    Apply(ChangeId),
-    Undo(ChangeId, String),
-}
-
-/// A line of a plan: path, what goes now, what would go. `None`: what the file, or the list, says.
-#[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct PlanLine {
-    pub path: String,
-    pub from: Option<String>,
-    pub to: Option<String>,
-}
-
-#[derive(Clone, Debug, PartialEq, Serialize)]
-#[serde(rename_all = "snake_case")]
-pub enum Answer {
-    Planned {
-        /// The version of the configuration in force.
-        version: u64,
-        lines: Vec<PlanLine>,
-        findings: Vec<Finding>,
-    },
-    Change(Box<ChangeRecord>),
-}
-
-/// What is to be done.
-#[derive(Clone, Debug, PartialEq)]
-pub enum RolloutAction {
-    /// To the disk, in this order; what came of it is told by its number.
-    Write {
-        number: u64,
-        commit: Commit,
-    },
-    Configure(Box<ConfigUpdate>),
-    Answer {
-        request: u64,
-        result: Result<Answer, ChangeError>,
-    },
-    Log(RolloutEvent),
-}
-
-#[derive(Clone, Debug, PartialEq)]
-pub enum RolloutEvent {
-    StateChanged {
-        id: ChangeId,
-        state: ChangeState,
-        why: Option<String>,
-    },
-    WriteFailed {
-        reason: String,
-        again_in: Span,
-    },
-    /// A value of an earlier run that does not fit any more.
-    ValueIgnored {
-        field: String,
-        text: String,
-    },
-}
-
-/// What follows a write.
-#[derive(Clone, Debug, PartialEq)]
-enum Then {
-    Nothing,
-    Staged(ChangeId),
-    /// The configuration of this change is for the gateways now.
-    Force(ChangeId),
-}
+/// The fact that holds the baseline of the change that is watched.
+const BASELINE_FACT: &str = "baseline";
+/// How often a change in progress is checked, in report periods.
+const CHECK_INTERVAL_PERIODS: f64 = 0.25;
 
+/// A change whose values the controller core has, and since when.
 #[derive(Clone, Debug)]
-struct Writing {
-    number: u64,
-    commit: Commit,
-    then: Then,
-    orders: Vec<u64>,
+struct Propagating {
+    id: ChangeId,
+    since: Moment,
 }
 
-/// A fact kept with the change that is watched.
-const BASELINE: &str = "baseline";
-/// Of a period of sums: between two looks at a change under way.
-const LOOK: f64 = 0.25;
-/// Of the time that a write may take: until it is tried again after the disk refused it.
-const AGAIN: f64 = 0.25;
-/// Of the time that a joined proxy may lack a line: a change that leaves one so long is undone.
-const BARE: f64 = 0.5;
-/// Periods of sums that come after a change is in force and still speak of the time before it.
-const SETTLES: f64 = 2.0;
-
+/// All changes of one controller.
 pub struct Rollout {
+    /// The controller's file.
     base: Deployment,
     settings: RolloutSettings,
     ledger: Ledger,
-    /// Written in order; the first is at the disk.
-    writing: VecDeque<Writing>,
-    at_disk: bool,
-    again_at: Option<Moment>,
-    next_number: u64,
-    /// The change whose values the session was told, and when.
-    forced: Option<(ChangeId, Moment)>,
+    /// In the order in which they are written.
+    pending_writes: VecDeque<PendingWrite>,
+    /// Whether the first of them is at the disk.
+    write_in_progress: bool,
+    /// When the first of them is repeated after the disk refused it.
+    retry_write_at: Option<Moment>,
+    next_write_number: u64,
+    propagating: Option<Propagating>,
+    /// Since when the change in force is watched.
     watched_since: Option<Moment>,
+    /// The service before the change that is watched.
     baseline: Baseline,
-    bare_since: Option<Moment>,
-    out: Vec<RolloutAction>,
+    /// Since when a proxy has had no entry for an operation.
+    missing_entries_since: Option<Moment>,
+    /// What is to be done, until `settle` returns it.
+    actions: Vec<RolloutAction>,
 }
 
 impl Rollout {
-    /// Takes up what an earlier run left; returns what the session starts with: the configuration, and nodes
-    /// that were on their way from one pool to another.
+    /// Takes up the changes of an earlier run. Returns what the controller core starts with: the configuration, and
+    /// the nodes that were migrating between pools.
     pub fn start(
         now: Moment,
         base: Deployment,
         settings: RolloutSettings,
-        kept: &PersistedState,
+        persisted: &PersistedState,
     ) -> (Rollout, ConfigUpdate, Vec<NodeId>) {
         let configuration = Configuration {
-            version: kept.configuration.version.max(1),
-            values: kept.configuration.values.clone(),
+            version: persisted.configuration.version.max(1),
+            values: persisted.configuration.values.clone(),
         };
-        let (configured, flaws) = what_fits(&base, &configuration);
-        let records = kept.changes.values().cloned().collect();
-        let (ledger, orders) = Ledger::recover(now, configuration, records, settings.deadlines);
-        let baseline = kept
+        let (update, errors) = config_update_of_valid_values(&base, &configuration);
+        let records = persisted.changes.values().cloned().collect();
+        let (ledger, actions) = Ledger::recover(now, configuration, records, settings.deadlines);
+        let baseline = persisted
             .facts
-            .get(BASELINE)
+            .get(BASELINE_FACT)
             .and_then(|text| serde_json::from_str(text).ok());
         let mut rollout = Rollout {
             base,
             settings,
             ledger,
-            writing: VecDeque::new(),
-            at_disk: false,
-            again_at: None,
-            next_number: 0,
-            forced: None,
+            pending_writes: VecDeque::new(),
+            write_in_progress: false,
+            retry_write_at: None,
+            next_write_number: 0,
+            propagating: None,
             watched_since: None,
             baseline: baseline.unwrap_or_default(),
-            bare_since: None,
-            out: Vec::new(),
+            missing_entries_since: None,
+            actions: Vec::new(),
         };
-        for flaw in flaws {
-            rollout
-                .out
-                .push(RolloutAction::Log(RolloutEvent::ValueIgnored {
-                    field: flaw.field,
-                    text: flaw.text,
-                }));
+        rollout.log_ignored_values(errors);
+        for action in actions {
+            rollout.resume(now, action);
         }
-        for LedgerAction { id, effect } in orders {
-            match effect {
-                // Its values stand in the configuration that the session starts with.
-                ChangeEffect::ApplyValues | ChangeEffect::RestoreValues => {
-                    rollout.forced = Some((id.clone(), now))
-                }
-                ChangeEffect::Watch => rollout.watched_since = Some(now),
-                ChangeEffect::Nothing
-                | ChangeEffect::Write
-                | ChangeEffect::Keep
-                | ChangeEffect::Close => {}
+        let in_progress = rollout
+            .propagating
+            .as_ref()
+            .and_then(|propagating| rollout.ledger.record(&propagating.id));
+        let migrating = in_progress.map_or_else(Vec::new, |record| migrating_nodes(&record.change));
+        (rollout, update, migrating)
+    }
+
+    /// Goes on with a change that was in progress when the controller stopped.
+    fn resume(&mut self, now: Moment, action: LedgerAction) {
+        match action.effect {
+            // The controller core starts with its values.
+            ChangeEffect::ApplyValues | ChangeEffect::RestoreValues => {
+                self.propagating = Some(Propagating {
+                    id: action.id,
+                    since: now,
+                });
             }
+            ChangeEffect::Watch => self.watched_since = Some(now),
+            ChangeEffect::Nothing
+            | ChangeEffect::Write
+            | ChangeEffect::Keep
+            | ChangeEffect::Close => {}
         }
-        let under_way = rollout
-            .forced
-            .as_ref()
-            .and_then(|(id, _)| rollout.ledger.record(id));
-        let moving = under_way.map_or_else(Vec::new, |record| moved(&record.change));
-        (rollout, configured, moving)
     }
 
-    /// The file was read again: its pace goes where no change has set one.
-    pub fn set_entries_per_second(&mut self, lines_per_second: f64) {
-        self.base.channel.lines_per_second = lines_per_second;
+    /// The controller's file was read again: its pace counts where no change has set one.
+    pub fn set_entries_per_second(&mut self, entries_per_second: f64) {
+        self.base.channel.lines_per_second = entries_per_second;
     }
 
+    /// The configuration in force and all changes.
     pub fn ledger(&self) -> &Ledger {
         &self.ledger
     }
 
-    /// Changes whose latest state waits for the disk.
+    /// How many writes the disk has not finished.
     pub fn unwritten(&self) -> usize {
-        self.writing.len()
+        self.pending_writes.len()
     }
 
+    /// Carries out a command. `request` identifies the answer.
     pub fn handle_command(
         &mut self,
         now: Moment,
         request: u64,
-        ask: RolloutCommand,
-        session: &ControllerCore,
+        command: RolloutCommand,
+        core: &ControllerCore,
     ) {
-        let result = match ask {
-            RolloutCommand::Plan(change) => self.plan(now, change, session),
-            RolloutCommand::Stage(change) => self.stage(now, request, change, session),
-            RolloutCommand::Apply(id) => self.ledger.apply(now, &id).and_then(|orders| {
-                if !orders.is_empty() {
-                    self.measure(now, session);
-                }
-                self.follow(now, orders, request);
-                self.answer(&id)
-            }),
-            RolloutCommand::Undo(id, why) => self.ledger.undo(now, &id, &why).and_then(|orders| {
-                self.follow(now, orders, request);
-                self.answer(&id)
-            }),
+        let result = match command {
+            RolloutCommand::Plan(change) => Ok(self.plan(now, &change, core)),
+            RolloutCommand::Stage(change) => self.stage(now, request, change, core),
+            RolloutCommand::Apply(id) => self.apply(now, request, &id, core),
+            RolloutCommand::Undo(id, reason) => self.undo(now, request, &id, &reason),
         };
-        // What waits for the disk is answered when the disk has it.
-        if !self
-            .writing
+        let waits_for_disk = self
+            .pending_writes
             .iter()
-            .any(|writing| writing.orders.contains(&request))
-        {
-            self.out.push(RolloutAction::Answer { request, result });
+            .any(|write| write.requests.contains(&request));
+        if !waits_for_disk {
+            self.actions.push(RolloutAction::Answer { request, result });
         }
     }
 
-    fn answer(&self, id: &ChangeId) -> Result<Answer, ChangeError> {
-        let record = self
-            .ledger
-            .record(id)
-            .cloned()
-            .ok_or_else(|| ChangeError::Unknown(id.0.clone()))?;
-        Ok(Answer::Change(Box::new(record)))
-    }
-
-    fn plan(
-        &self,
-        now: Moment,
-        change: Change,
-        session: &ControllerCore,
-    ) -> Result<Answer, ChangeError> {
-        let lines = self
-            .ledger
-            .plan(&change)
-            .into_iter()
-            .map(|ValueChange { path, from, to }| {
-                // Where no change sets a path, the file has its word.
-                let file = in_file(&self.base, &path);
-                let (from, to) = (from.or_else(|| file.clone()), to.or(file));
-                PlanLine { path, from, to }
-            });
-        let (lines, findings) = (lines.collect(), self.check(now, &change, session).0);
-        Ok(Answer::Planned {
-            version: self.ledger.configuration().version,
-            lines,
-            findings,
-        })
-    }
-
-    fn stage(
+    fn undo(
         &mut self,
         now: Moment,
         request: u64,
-        change: Change,
-        session: &ControllerCore,
+        id: &ChangeId,
+        reason: &str,
     ) -> Result<Answer, ChangeError> {
-        let id = change.id.clone();
-        if self.ledger.propose(now, change.clone())? == ChangeState::Proposed {
-            let verdict = self.check(now, &change, session);
-            let orders = self.ledger.record_checks(now, &id, verdict)?;
-            self.follow(now, orders, request);
-        }
-        self.answer(&id)
-    }
-
-    /// Everything that speaks for or against a change, by what was measured.
-    fn check(&self, now: Moment, change: &Change, session: &ControllerCore) -> CheckReport {
-        let mut after = self.ledger.configuration().clone();
-        for (path, to) in &change.sets {
-            match to {
-                Some(value) => drop(after.values.insert(path.clone(), value.clone())),
-                None => drop(after.values.remove(path)),
-            }
-        }
-        let told = |check: &str, forbids, text| Finding {
-            check: check.to_string(),
-            text,
-            forbids,
-        };
-        let then = match configured(&self.base, &after) {
-            Ok(then) => then,
-            Err(flaws) => {
-                let each = flaws
-                    .into_iter()
-                    .map(|flaw| format!("{}: {}", flaw.field, flaw.text));
-                return CheckReport(each.map(|text| told("values", true, text)).collect());
-            }
-        };
-        let mut findings = Vec::new();
-        let listed: Vec<_> = session
-            .nodes()
-            .listed()
-            .map(|(_, entry)| entry.node)
-            .collect();
-        for node in then.values.keys().filter(|node| !listed.contains(node)) {
-            let text = format!(
-                "{} is not listed now",
-                wheelspread_controller_core::endpoint_list::show(*node)
-            );
-            findings.push(told("nodes", false, text));
-        }
-        let (before, after) = (
-            session.serving().collect::<Vec<_>>(),
-            session.serving_with(&then),
-        );
-        for text in emptied(now, &before, &after, session.plan(), &then.plan) {
-            findings.push(told("pools", true, text));
-        }
-        let known = Known::of(now, session);
-        if !known.enough() {
-            let text =
-                "nothing was measured yet: what it does to capacity is not known".to_string();
-            findings.push(told("measured", false, text));
-        } else {
-            let (before, after) = (
-                known.fleet(now, &before, session.plan()),
-                known.fleet(now, &after, &then.plan),
-            );
-            let channel = &then.plan.channel;
-            let way = Propagation {
-                proxies: session.members().members().count() as u32,
-                entries_per_second: channel.lines_per_second,
-                header_entries: channel.head_lines,
-                messages_per_window: channel.messages_at_most,
-                window: channel.messages_window,
-                update_steps: 2,
-            };
-            findings.extend(checks::check(&before, &after, self.settings.limits, way).0);
-        }
-        CheckReport(findings)
+        let actions = self.ledger.undo(now, id, reason)?;
+        self.carry_out(now, actions, Some(request));
+        self.answer(id)
     }
 
-    /// What the service was like before a change.
-    fn measure(&mut self, now: Moment, session: &ControllerCore) {
-        let (tallies, _) = session
-            .measured()
-            .between(now - self.settings.deadlines.watch, now);
-        self.baseline = Baseline::of(&tallies, session.plan());
+    fn answer(&self, id: &ChangeId) -> Result<Answer, ChangeError> {
+        let record = self.ledger.record(id).cloned();
+        let record = record.ok_or_else(|| ChangeError::Unknown(id.0.clone()))?;
+        Ok(Answer::Change(Box::new(record)))
     }
 
-    /// Carries out what the ledger orders. `request`: whose answer waits for it; 0: nobody's.
-    fn follow(&mut self, now: Moment, orders: Vec<LedgerAction>, request: u64) {
-        for LedgerAction { id, effect } in orders {
-            let then = match effect {
-                ChangeEffect::Write => Then::Staged(id.clone()),
-                ChangeEffect::ApplyValues | ChangeEffect::RestoreValues => Then::Force(id.clone()),
-                ChangeEffect::Nothing
-                | ChangeEffect::Watch
-                | ChangeEffect::Keep
-                | ChangeEffect::Close => Then::Nothing,
-            };
+    /// Carries out what the ledger orders. `request`: the command whose answer waits for it.
+    fn carry_out(&mut self, now: Moment, actions: Vec<LedgerAction>, request: Option<u64>) {
+        for LedgerAction { id, effect } in actions {
             if effect == ChangeEffect::Watch {
-                (self.watched_since, self.bare_since) = (Some(now), None);
+                self.watched_since = Some(now);
+                self.missing_entries_since = None;
             }
-            self.turned(&id);
-            let orders = Some(request).filter(|request| *request > 0 && then != Then::Nothing);
-            self.write(&id, then, orders.into_iter().collect());
-        }
+            self.log_state(&id);
+            self.write(&id, effect, request);
+        }
+    }
+
+    /// Does what is due: deadlines, changes that all proxies have, harm that a change did. `actions` receives what is
+    /// to be carried out.
+    pub fn settle(&mut self, now: Moment, core: &ControllerCore, actions: &mut Vec<RolloutAction>) {
+        self.check_propagation(now, core);
+        self.check_watched_change(now, core);
+        let mut members = core.members().members();
+        let has_proxies = members.any(|(_, member)| member.joined());
+        // Without a proxy there is nothing to measure, so nothing is missing.
+        let evidence_until = match (core.known_until(), has_proxies) {
+            (Some(until), _) => until,
+            (None, true) => Moment::default(),
+            (None, false) => now,
+        };
+        let due = self.ledger.advance(now, evidence_until);
+        self.carry_out(now, due, None);
+        self.start_next_write(now);
+        actions.append(&mut self.actions);
+    }
+
+    /// When `settle` is due without a command or the result of a write.
+    pub fn wake_at(&self, now: Moment, core: &ControllerCore) -> Option<Moment> {
+        // While a change is in progress, the regular checks come before any deadline of the ledger.
+        let in_progress = self.propagating.is_some() || self.watched_since.is_some();
+        let check_at = match in_progress {
+            true => Some(now + check_interval(core.plan())),
+            false => self.ledger.wake_at(),
+        };
+        [check_at, self.next_write_at(now)]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
-    fn turned(&mut self, id: &ChangeId) {
+    fn log_state(&mut self, id: &ChangeId) {
         if let Some(record) = self.ledger.record(id) {
-            let (id, state, why) = (id.clone(), record.state, record.reason.clone());
-            self.out
+            self.actions
                 .push(RolloutAction::Log(RolloutEvent::StateChanged {
-                    id,
-                    state,
-                    why,
+                    id: id.clone(),
+                    state: record.state,
+                    reason: record.reason.clone(),
                 }));
         }
     }
 
-    /// A change as it is now, with the configuration, as one commit.
-    fn write(&mut self, id: &ChangeId, then: Then, orders: Vec<u64>) {
-        let mut commit = Commit::default();
-        commit.changes.extend(self.ledger.record(id).cloned());
-        commit.configuration = Some(self.ledger.configuration().clone());
-        if matches!(then, Then::Force(_)) {
-            let baseline = serde_json::to_string(&self.baseline).ok();
-            commit.facts.insert(BASELINE.to_string(), baseline);
-        }
-        // A state that lasts too long for want of the disk is ordered again: it waits there already.
-        let waits = |writing: &Writing| writing.then == then && writing.commit == commit;
-        if then != Then::Nothing && self.writing.iter().any(waits) {
-            return;
-        }
-        self.next_number += 1;
-        self.writing.push_back(Writing {
-            number: self.next_number,
-            commit,
-            then,
-            orders,
+    fn log_ignored_values(&mut self, errors: Vec<ConfigError>) {
+        let events = errors.into_iter().map(|error| RolloutEvent::ValueIgnored {
+            field: error.field,
+            text: error.text,
         });
+        self.actions.extend(events.map(RolloutAction::Log));
     }
+}
 
-    /// What came of a write.
-    pub fn on_write_completed(&mut self, now: Moment, number: u64, result: Result<(), String>) {
-        if self
-            .writing
-            .front()
-            .is_none_or(|writing| writing.number != number)
-        {
-            return;
-        }
-        self.at_disk = false;
-        if let Err(reason) = result {
-            let again_in = self.settings.deadlines.write * AGAIN;
-            self.again_at = Some(now + again_in);
-            return self.out.push(RolloutAction::Log(RolloutEvent::WriteFailed {
-                reason,
-                again_in,
-            }));
-        }
-        let Some(writing) = self.writing.pop_front() else {
-            return;
-        };
-        let id = match &writing.then {
-            Then::Nothing => return,
-            Then::Staged(id) => {
-                let _ = self
-                    .ledger
-                    .handle_event(now, id, ChangeEvent::Written, None);
-                self.turned(id);
-                id
-            }
-            Then::Force(id) => {
-                // Overtaken by its own undo: that is what goes to the gateways, when the disk has it.
-                let version = writing
-                    .commit
-                    .configuration
-                    .as_ref()
-                    .map(|written| written.version);
-                if version == Some(self.ledger.configuration().version) {
-                    let (configured, flaws) = what_fits(&self.base, self.ledger.configuration());
-                    for flaw in flaws {
-                        self.out
-                            .push(RolloutAction::Log(RolloutEvent::ValueIgnored {
-                                field: flaw.field,
-                                text: flaw.text,
-                            }));
-                    }
-                    self.out
-                        .push(RolloutAction::Configure(Box::new(configured)));
-                    self.forced = Some((id.clone(), now));
-                }
-                id
-            }
-        };
-        let result = self.answer(id);
-        for request in writing.orders {
-            self.out.push(RolloutAction::Answer {
-                request,
-                result: result.clone(),
-            });
-        }
-    }
-
-    /// What is due: states that lasted too long, gateways that have taken a change, harm that it did.
-    pub fn settle(&mut self, now: Moment, session: &ControllerCore, out: &mut Vec<RolloutAction>) {
-        self.reached(now, session);
-        self.judge(now, session);
-        let nobody = !session
-            .members()
-            .members()
-            .any(|(_, member)| member.joined());
-        let known = session.known_until().or(nobody.then_some(now));
-        let evidence = known.unwrap_or_default();
-        let orders = self.ledger.advance(now, evidence);
-        self.follow(now, orders, 0);
-        self.hand_over(now);
-        out.append(&mut self.out);
-    }
-
-    fn hand_over(&mut self, now: Moment) {
-        if self.at_disk || self.again_at.is_some_and(|at| now < at) {
-            return;
-        }
-        self.again_at = None;
-        if let Some(Writing { number, commit, .. }) = self.writing.front() {
-            self.at_disk = true;
-            self.out.push(RolloutAction::Write {
-                number: *number,
-                commit: commit.clone(),
-            });
-        }
-    }
-
-    /// Whether the gateways have taken what the session was told.
-    fn reached(&mut self, now: Moment, session: &ControllerCore) {
-        let Some((id, since)) = self.forced.clone() else {
-            return;
-        };
-        let reach = session.reach();
-        // Who is away takes the newest when it comes back; until the grace is over it is waited for.
-        let here = reach.away == 0 || now - since >= session.plan().rules.drain_grace;
-        let there = reach.configuration == self.ledger.configuration().version;
-        if there && here && reach.lacking.is_empty() && reach.between == 0 {
-            self.forced = None;
-            let orders = self
-                .ledger
-                .handle_event(now, &id, ChangeEvent::InForce, None)
-                .unwrap_or_default();
-            self.follow(now, orders, 0);
-        }
-    }
-
-    fn judge(&mut self, now: Moment, session: &ControllerCore) {
-        let watched = self
-            .ledger
-            .unfinished()
-            .find(|record| record.state == ChangeState::Watched);
-        let Some(id) = watched.map(|record| record.change.id.clone()) else {
-            (self.watched_since, self.bare_since) = (None, None);
-            return;
-        };
-        let Some(since) = self.watched_since else {
-            return;
-        };
-        let plan = session.plan();
-        let bare = session.without_line();
-        self.bare_since = if bare.is_empty() {
-            None
-        } else {
-            self.bare_since.or(Some(now))
-        };
-        let most = plan.rules.without_node_at_most * BARE;
-        let why = match self.bare_since {
-            Some(bare_since) if now - bare_since >= most => {
-                Some(format!("no line for an operation at {}", bare.join(", ")))
-            }
-            _ => {
-                let (tallies, _) = session
-                    .measured()
-                    .between(since + plan.sums.period * SETTLES, now);
-                broken(&self.settings.conditions, &self.baseline, &tallies, plan)
-            }
-        };
-        if let Some(why) = why {
-            let orders = self.ledger.undo(now, &id, &why).unwrap_or_default();
-            self.follow(now, orders, 0);
-        }
-    }
-
-    /// When `settle` is due though nothing was asked or written.
-    pub fn wake_at(&self, now: Moment, session: &ControllerCore) -> Option<Moment> {
-        // Whoever looks at gateways and sums again and again sees what is due by the way.
-        let under_way = self.forced.is_some() || self.watched_since.is_some();
-        let due = match under_way {
-            true => Some(now + session.plan().sums.period * LOOK),
-            false => self.ledger.wake_at(),
-        };
-        let hands =
-            (!self.at_disk && !self.writing.is_empty()).then(|| self.again_at.unwrap_or(now));
-        [due, hands].into_iter().flatten().min()
-    }
+/// How often a change in progress is checked.
+fn check_interval(deployment: &Deployment) -> Span {
+    deployment.sums.period * CHECK_INTERVAL_PERIODS
 }
--- /dev/null
+++ b/crates/config-rollout/src/rollout/proposal.rs
@@ -0,0 +1,184 @@
+//! Plans and staging: what a change would do, and what its checks find.
+
+use super::Rollout;
+use crate::measured_fleet::MeasuredFleet;
+use crate::messages::{Answer, PlanLine};
+use crate::pool_risk::{pool_risks, PoolRisk};
+use crate::values::{config_update, value_in_file};
+use std::fmt;
+use wheelspread::ids::NodeId;
+use wheelspread::time::Moment;
+use wheelspread::EndpointEntry;
+use wheelspread_config_transaction::checks::{check, Propagation};
+use wheelspread_config_transaction::{
+    Change, ChangeError, ChangeState, CheckReport, Configuration, Finding, ValueChange,
+};
+use wheelspread_controller_core::controller_core::ConfigUpdate;
+use wheelspread_controller_core::deployment::ConfigError;
+use wheelspread_controller_core::endpoint_list::show;
+use wheelspread_controller_core::ControllerCore;
+
+/// The fewest update steps of a change: removals, then additions.
+const LEAST_UPDATE_STEPS: u32 = 2;
+
+/// What the rollout finds besides the checks by measured figures.
+enum ProposalFinding {
+    /// A value can't be used.
+    InvalidValue(ConfigError),
+    /// A node has values and is not in the endpoint list.
+    UnlistedNode(NodeId),
+    /// A pool would be left without a node.
+    Pool(PoolRisk),
+    /// There are no measurements yet.
+    NotMeasured,
+}
+
+impl ProposalFinding {
+    /// The name of the check, as it is stored and shown.
+    fn check_name(&self) -> &'static str {
+        match self {
+            ProposalFinding::InvalidValue(_) => "values",
+            ProposalFinding::UnlistedNode(_) => "nodes",
+            ProposalFinding::Pool(_) => "pools",
+            ProposalFinding::NotMeasured => "measured",
+        }
+    }
+
+    fn forbids(&self) -> bool {
+        match self {
+            ProposalFinding::InvalidValue(_) | ProposalFinding::Pool(_) => true,
+            ProposalFinding::UnlistedNode(_) | ProposalFinding::NotMeasured => false,
+        }
+    }
+}
+
+impl fmt::Display for ProposalFinding {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            ProposalFinding::InvalidValue(error) => write!(f, "{}: {}", error.field, error.text),
+            ProposalFinding::UnlistedNode(node) => write!(f, "{} is not listed now", show(*node)),
+            ProposalFinding::Pool(risk) => write!(f, "{risk}"),
+            ProposalFinding::NotMeasured => write!(
+                f,
+                "nothing was measured yet: what it does to capacity is not known"
+            ),
+        }
+    }
+}
+
+impl From<ProposalFinding> for Finding {
+    fn from(found: ProposalFinding) -> Finding {
+        Finding {
+            check: found.check_name().to_string(),
+            text: found.to_string(),
+            forbids: found.forbids(),
+        }
+    }
+}
+
+/// A configuration as it would be with a change.
+fn configuration_with(configuration: &Configuration, change: &Change) -> Configuration {
+    let mut after = configuration.clone();
+    for (path, to) in &change.sets {
+        match to {
+            Some(value) => drop(after.values.insert(path.clone(), value.clone())),
+            None => drop(after.values.remove(path)),
+        }
+    }
+    after
+}
+
+/// Nodes that have values and are not in the endpoint list now.
+fn unlisted_nodes(update: &ConfigUpdate, core: &ControllerCore) -> Vec<ProposalFinding> {
+    let listed: Vec<NodeId> = core.nodes().listed().map(|(_, entry)| entry.node).collect();
+    let nodes = update.values.keys().copied();
+    nodes
+        .filter(|node| !listed.contains(node))
+        .map(ProposalFinding::UnlistedNode)
+        .collect()
+}
+
+impl Rollout {
+    pub(super) fn plan(&self, now: Moment, change: &Change, core: &ControllerCore) -> Answer {
+        let plan_line = |ValueChange { path, from, to }| {
+            // Where no change sets a path, the controller's file counts.
+            let in_file = value_in_file(&self.base, &path);
+            PlanLine {
+                path,
+                from: from.or_else(|| in_file.clone()),
+                to: to.or(in_file),
+            }
+        };
+        let value_changes = self.ledger.plan(change);
+        Answer::Planned {
+            version: self.ledger.configuration().version,
+            lines: value_changes.into_iter().map(plan_line).collect(),
+            findings: self.check(now, change, core).0,
+        }
+    }
+
+    pub(super) fn stage(
+        &mut self,
+        now: Moment,
+        request: u64,
+        change: Change,
+        core: &ControllerCore,
+    ) -> Result<Answer, ChangeError> {
+        let id = change.id.clone();
+        if self.ledger.propose(now, change.clone())? == ChangeState::Proposed {
+            let report = self.check(now, &change, core);
+            let actions = self.ledger.record_checks(now, &id, report)?;
+            self.carry_out(now, actions, Some(request));
+        }
+        self.answer(&id)
+    }
+
+    /// Everything that is found for or against a change.
+    fn check(&self, now: Moment, change: &Change, core: &ControllerCore) -> CheckReport {
+        let configuration = configuration_with(self.ledger.configuration(), change);
+        let update = match config_update(&self.base, &configuration) {
+            Ok(update) => update,
+            Err(errors) => {
+                let findings = errors.into_iter().map(ProposalFinding::InvalidValue);
+                return CheckReport(findings.map(Finding::from).collect());
+            }
+        };
+        let before: Vec<EndpointEntry> = core.serving().collect();
+        let after = core.serving_with(&update);
+        let mut found = unlisted_nodes(&update, core);
+        let risks = pool_risks(now, &before, &after, core.plan(), &update.plan);
+        found.extend(risks.into_iter().map(ProposalFinding::Pool));
+        let measured = MeasuredFleet::from_core(now, core);
+        if !measured.is_sufficient() {
+            found.push(ProposalFinding::NotMeasured);
+            return CheckReport(found.into_iter().map(Finding::from).collect());
+        }
+        let fleet_before = measured.fleet(now, &before, core.plan());
+        let fleet_after = measured.fleet(now, &after, &update.plan);
+        let propagation = propagation(&update, core);
+        let mut findings: Vec<Finding> = found.into_iter().map(Finding::from).collect();
+        findings.extend(
+            check(
+                &fleet_before,
+                &fleet_after,
+                self.settings.limits,
+                propagation,
+            )
+            .0,
+        );
+        CheckReport(findings)
+    }
+}
+
+/// What it costs to send the tables of an update to the proxies.
+fn propagation(update: &ConfigUpdate, core: &ControllerCore) -> Propagation {
+    let queue = &update.plan.channel;
+    Propagation {
+        proxies: core.members().members().count() as u32,
+        entries_per_second: queue.lines_per_second,
+        header_entries: queue.head_lines,
+        messages_per_window: queue.messages_at_most,
+        window: queue.messages_window,
+        update_steps: LEAST_UPDATE_STEPS,
+    }
+}
--- a/crates/config-rollout/src/values.rs
+++ b/crates/config-rollout/src/values.rs
@@ -1,22 +1,23 @@
-//! Values that a change may set while a conductor runs, by their paths:
+//! Values that a change may set while a controller runs, by their paths:
 //!
-//! - `nodes.ADDRESS:PORT.zone`, `.cell`, `.weight`, `.service` (`draining` or `out`): over what the list says;
-//! - fields of the conductor's file under `deployment` that `LIVE` names, operations by their names
+//! - `nodes.ADDRESS:PORT.zone`, `.cell`, `.weight`, `.service` (`draining` or `out`): they override the endpoint list;
+//! - the fields under `deployment` of the controller's file that `MUTABLE_FIELDS` lists, with operations by name
 //!   (`operations.quote.billed_value`).
 //!
-//! Everything else needs a restart and is refused by name.
+//! Everything else needs a restart and is refused by its path.
 
 use serde_json::Value;
 use std::collections::BTreeMap;
+use std::ops::RangeInclusive;
 use wheelspread::ids::NodeId;
 use wheelspread_config_transaction::{Change, Configuration};
 use wheelspread_controller_core::controller_core::ConfigUpdate;
 use wheelspread_controller_core::deployment::ConfigError;
 use wheelspread_controller_core::{Deployment, NodeValues, Service};
 
-/// Fields that may change, `*` for the name of an operation. What decides whether a repeat can take effect
-/// twice is not among them: tables of two minds about it would be at gateways at the same time.
-const LIVE: &[&str] = &[
+/// Fields that may change; `*` stands for the name of an operation. What decides whether a retry can take effect twice
+/// is not among them: while a change propagates, proxies would have tables that disagree about it.
+const MUTABLE_FIELDS: &[&str] = &[
     "operations.*.billed_value",
     "operations.*.late_share",
     "operations.*.latency_objective",
@@ -38,28 +39,31 @@
     "solver.least_share",
     "solver.fill_at_most",
 ];
+/// Paths of node values begin with this.
+const NODE_PREFIX: &str = "nodes.";
+/// Weights that a change may give to a node.
+const NODE_WEIGHT_RANGE: RangeInclusive<f64> = 1e-3..=1e6;
 
-fn flaw(field: &str, text: impl Into<String>) -> ConfigError {
+fn config_error(path: &str, text: impl Into<String>) -> ConfigError {
     ConfigError {
-        field: field.to_string(),
+        field: path.to_string(),
         text: text.into(),
     }
 }
 
-fn is_live(path: &str) -> bool {
-    let parts: Vec<&str> = path.split('.').collect();
-    LIVE.iter().any(|live| {
-        let wanted: Vec<&str> = live.split('.').collect();
-        wanted.len() == parts.len()
+fn is_mutable(path: &str) -> bool {
+    let matches = |field: &str| {
+        let (wanted, parts) = (field.split('.'), path.split('.'));
+        wanted.clone().count() == parts.clone().count()
             && wanted
-                .iter()
-                .zip(&parts)
-                .all(|(w, part)| w == part || *w == "*")
-    })
+                .zip(parts)
+                .all(|(wanted, part)| wanted == part || wanted == "*")
+    };
+    MUTABLE_FIELDS.iter().any(|field| matches(field))
 }
 
-/// An address as `127.0.0.1:9000`.
-pub fn node(text: &str) -> Option<NodeId> {
+/// Reads an address as `127.0.0.1:9000`.
+pub fn parse_node(text: &str) -> Option<NodeId> {
     let address: std::net::SocketAddrV4 = text.parse().ok()?;
     Some(NodeId {
         address: address.ip().octets(),
@@ -67,156 +71,183 @@
     })
 }
 
-/// The place of a path in a file's value: names of operations become their positions.
-fn place<'a>(file: &'a mut Value, path: &str) -> Option<&'a mut Value> {
-    let mut at = file;
+/// Finds the value at a path; an item of an array is found by its `name`.
+fn find_value<'a>(file: &'a mut Value, path: &str) -> Option<&'a mut Value> {
+    let mut value = file;
     for part in path.split('.') {
-        at = match at {
+        value = match value {
             Value::Object(fields) => fields.get_mut(part)?,
             Value::Array(items) => items.iter_mut().find(|item| item["name"] == part)?,
             _ => return None,
         };
     }
-    Some(at)
+    Some(value)
 }
 
-/// A value as it is written: a number, `true`, `false`, or else a text.
-fn value(text: &str) -> Value {
+/// Reads a value as it is written in a change: a number, `true`, `false`, or otherwise a text.
+fn parse_value(text: &str) -> Value {
     match serde_json::from_str::<Value>(text) {
         Ok(plain @ (Value::Number(_) | Value::Bool(_))) => plain,
         _ => Value::String(text.to_string()),
     }
 }
 
-fn of_node(
+/// Sets one value of a node.
+fn set_node_value(
     values: &mut NodeValues,
     path: &str,
     field: &str,
     text: &str,
-    base: &Deployment,
+    deployment: &Deployment,
 ) -> Result<(), ConfigError> {
     match field {
-        "zone" if base.zones.iter().any(|zone| zone == text) => {
-            values.zone = Some(text.to_string())
-        }
         "zone" => {
-            let zones = base.zones.join(", ");
-            return Err(flaw(
-                path,
-                format!("zone `{text}` is not one of this deployment: {zones} are"),
-            ));
+            if !deployment.zones.iter().any(|zone| zone == text) {
+                let zones = deployment.zones.join(", ");
+                let text = format!("zone `{text}` is not one of this deployment: {zones} are");
+                return Err(config_error(path, text));
+            }
+            values.zone = Some(text.to_string());
         }
         "cell" => values.cell = Some(text.to_string()),
-        "weight" => match text.parse::<f64>() {
-            Ok(weight) if (1e-3..=1e6).contains(&weight) => values.weight = Some(weight),
-            _ => {
-                return Err(flaw(
-                    path,
-                    format!("`{text}` should be a number between 0.001 and 1e6"),
-                ))
-            }
-        },
+        "weight" => {
+            let weight = text.parse::<f64>().ok();
+            let Some(weight) = weight.filter(|weight| NODE_WEIGHT_RANGE.contains(weight)) else {
+                let text = format!("`{text}` should be a number between 0.001 and 1e6");
+                return Err(config_error(path, text));
+            };
+            values.weight = Some(weight);
+        }
         "service" => {
             values.service = Some(match text {
                 "draining" => Service::Draining,
                 "out" => Service::Out,
-                _ => return Err(flaw(path, format!("`{text}` should be draining or out"))),
-            })
+                _ => {
+                    let text = format!("`{text}` should be draining or out");
+                    return Err(config_error(path, text));
+                }
+            });
+        }
+        _ => {
+            let text = "a node has zone, cell, weight and service";
+            return Err(config_error(path, text));
         }
-        _ => return Err(flaw(path, "a node has zone, cell, weight and service")),
     }
     Ok(())
 }
 
-/// What the file and the values of a configuration come to, and every value that can't be, by its path.
-fn merged(
-    base: &Deployment,
-    configuration: &Configuration,
-) -> (Deployment, BTreeMap<NodeId, NodeValues>, Vec<ConfigError>) {
-    let mut flaws = Vec::new();
-    let mut nodes: BTreeMap<NodeId, NodeValues> = BTreeMap::new();
-    let mut plan = base.clone();
-    for (path, text) in &configuration.values {
-        if let Some(rest) = path.strip_prefix("nodes.") {
-            let named = rest
-                .rsplit_once('.')
-                .and_then(|(name, field)| Some((node(name)?, field)));
-            let Some((id, field)) = named else {
-                flaws.push(flaw(path, "should be nodes.ADDRESS:PORT.FIELD"));
-                continue;
+/// The deployment with one field set to another value.
+fn with_field(deployment: &Deployment, path: &str, text: &str) -> Result<Deployment, ConfigError> {
+    let invalid = |error: serde_json::Error| config_error(path, error.to_string());
+    let mut file = serde_json::to_value(deployment).map_err(invalid)?;
+    let Some(value) = find_value(&mut file, path) else {
+        return Err(config_error(path, "there is no such value"));
+    };
+    *value = parse_value(text);
+    serde_json::from_value(file).map_err(invalid)
+}
+
+/// The controller's file with the values of a configuration.
+struct MergedValues {
+    deployment: Deployment,
+    nodes: BTreeMap<NodeId, NodeValues>,
+    /// Every value that can't be used.
+    errors: Vec<ConfigError>,
+}
+
+impl MergedValues {
+    fn new(base: &Deployment, configuration: &Configuration) -> MergedValues {
+        let mut merged = MergedValues {
+            deployment: base.clone(),
+            nodes: BTreeMap::new(),
+            errors: Vec::new(),
+        };
+        for (path, text) in &configuration.values {
+            let result = match path.strip_prefix(NODE_PREFIX) {
+                Some(rest) => merged.merge_node_value(base, path, rest, text),
+                None => merged.merge_field(path, text),
             };
-            flaws.extend(of_node(nodes.entry(id).or_default(), path, field, text, base).err());
-            continue;
+            merged.errors.extend(result.err());
         }
-        if !is_live(path) {
-            flaws.push(flaw(path, "can't change while the conductor runs"));
-            continue;
-        }
-        let with = serde_json::to_value(&plan)
-            .map_err(|error| error.to_string())
-            .and_then(|mut file| {
-                *place(&mut file, path).ok_or("there is no such value")? = value(text);
-                serde_json::from_value::<Deployment>(file).map_err(|error| error.to_string())
-            });
-        match with {
-            Ok(next) => plan = next,
-            Err(text) => flaws.push(flaw(path, text)),
+        merged
+    }
+
+    /// `rest`: the path without its prefix.
+    fn merge_node_value(
+        &mut self,
+        base: &Deployment,
+        path: &str,
+        rest: &str,
+        text: &str,
+    ) -> Result<(), ConfigError> {
+        let (node, field) = rest
+            .rsplit_once('.')
+            .and_then(|(address, field)| Some((parse_node(address)?, field)))
+            .ok_or_else(|| config_error(path, "should be nodes.ADDRESS:PORT.FIELD"))?;
+        let values = self.nodes.entry(node).or_default();
+        set_node_value(values, path, field, text, base)
+    }
+
+    fn merge_field(&mut self, path: &str, text: &str) -> Result<(), ConfigError> {
+        if !is_mutable(path) {
+            let text = "can't change while the conductor runs";
+            return Err(config_error(path, text));
         }
+        self.deployment = with_field(&self.deployment, path, text)?;
+        Ok(())
     }
-    (plan, nodes, flaws)
 }
 
-/// What a configuration comes to, or every reason why it can't be.
-pub fn configured(
+/// What a configuration comes to, or every reason why it can't be used.
+pub fn config_update(
     base: &Deployment,
     configuration: &Configuration,
 ) -> Result<ConfigUpdate, Vec<ConfigError>> {
-    let (plan, values, mut flaws) = merged(base, configuration);
-    flaws.extend(plan.flaws());
-    if flaws.is_empty() {
-        Ok(ConfigUpdate {
-            version: configuration.version,
-            plan,
-            values,
-        })
-    } else {
-        Err(flaws)
+    let mut merged = MergedValues::new(base, configuration);
+    merged.errors.extend(merged.deployment.flaws());
+    if !merged.errors.is_empty() {
+        return Err(merged.errors);
     }
+    Ok(ConfigUpdate {
+        version: configuration.version,
+        plan: merged.deployment,
+        values: merged.nodes,
+    })
 }
 
-/// The same for a conductor that starts: what does not fit to its file any more is left out and told.
-pub fn what_fits(
+/// What a configuration comes to without the values that do not fit the controller's file any more, and those values.
+pub fn config_update_of_valid_values(
     base: &Deployment,
     configuration: &Configuration,
 ) -> (ConfigUpdate, Vec<ConfigError>) {
-    let (plan, values, mut flaws) = merged(base, configuration);
-    let together = plan.flaws();
-    let plan = if together.is_empty() {
-        plan
-    } else {
-        base.clone()
+    let mut merged = MergedValues::new(base, configuration);
+    let errors = merged.deployment.flaws();
+    let plan = match errors.is_empty() {
+        true => merged.deployment,
+        false => base.clone(),
+    };
+    merged.errors.extend(errors);
+    let update = ConfigUpdate {
+        version: configuration.version,
+        plan,
+        values: merged.nodes,
     };
-    flaws.extend(together);
-    (
-        ConfigUpdate {
-            version: configuration.version,
-            plan,
-            values,
-        },
-        flaws,
-    )
+    (update, merged.errors)
 }
 
-/// Nodes that a change puts into another pool.
-pub fn moved(change: &Change) -> Vec<NodeId> {
-    let named = |path: &String| node(path.strip_prefix("nodes.")?.strip_suffix(".zone")?);
-    change.sets.keys().filter_map(named).collect()
+/// Nodes that a change migrates to another pool.
+pub fn migrating_nodes(change: &Change) -> Vec<NodeId> {
+    let migrating = |path: &String| {
+        let address = path.strip_prefix(NODE_PREFIX)?.strip_suffix(".zone")?;
+        parse_node(address)
+    };
+    change.sets.keys().filter_map(migrating).collect()
 }
 
-/// What the file says of a path, as it would be written in a change.
-pub fn in_file(base: &Deployment, path: &str) -> Option<String> {
+/// The value at a path in the controller's file, as it would be written in a change.
+pub fn value_in_file(base: &Deployment, path: &str) -> Option<String> {
     let mut file = serde_json::to_value(base).ok()?;
-    match place(&mut file, path)? {
+    match find_value(&mut file, path)? {
         Value::String(text) => Some(text.clone()),
         Value::Null | Value::Object(_) | Value::Array(_) => None,
         plain => Some(plain.to_string()),
--- a/crates/config-rollout/src/watch.rs
+++ b/crates/config-rollout/src/watch.rs
@@ -1,22 +1,23 @@
-//! When a change that is in force has done harm: what was told since then, beside what was told before it.
-//! Each reason names its figures.
+//! When a change in force has done harm: the service since then beside the service before it. Each reason names its
+//! figures.
 
 use serde::{Deserialize, Serialize};
+use std::fmt;
 use wheelspread::ids::OperationId;
 use wheelspread_controller_core::service_history::{Tallies, Tally};
 use wheelspread_controller_core::Deployment;
 
-/// A change is undone when one of these is broken.
+/// A change is undone when one of these conditions is broken. The names are those of the controller's file.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Conditions {
-    /// Of an operation's tries, so many more may err than did before.
+    /// The share of an operation's attempts that may fail beyond the share that failed before.
     pub errored_more_at_most: f64,
-    /// Of the value that is asked for, so much less may be served.
+    /// The share of the value that is asked for by which less may be served.
     pub value_less_at_most: f64,
-    /// Times the mean latency before.
+    /// How many times the mean latency before the mean latency may be.
     pub slower_at_most: f64,
-    /// Invocations of an operation below which nothing is said of it.
+    /// Invocations of an operation below which it is not judged.
     pub invocations_at_least: f64,
 }
 
@@ -31,87 +32,172 @@
     }
 }
 
-/// What was told of an operation before the change.
+/// What was measured of one operation. The serde names are those of the state file.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Usual {
-    pub asked: f64,
+pub struct OperationService {
+    /// Invocations that clients sent.
+    #[serde(rename = "asked")]
+    pub invocations: f64,
+    /// Invocations that succeeded.
     pub succeeded: f64,
+    /// The share of attempts that failed.
     pub errored_share: f64,
+    /// The mean latency in seconds.
     pub latency_s: f64,
 }
 
-/// Of all operations, by their order; kept with the change, so that a conductor that restarts in the middle
-/// of the watch has something to hold what it measures against.
+impl From<Tally> for OperationService {
+    fn from(tally: Tally) -> OperationService {
+        let ratio = |part: f64, all: f64| if all > 0.0 { part / all } else { 0.0 };
+        OperationService {
+            invocations: tally.asked,
+            succeeded: tally.succeeded,
+            errored_share: ratio(tally.errored, tally.tries),
+            latency_s: ratio(tally.seconds, tally.timed),
+        }
+    }
+}
+
+/// What was measured of all operations, in their order. It is persisted with the change, so that a controller that
+/// restarts in the middle of a watch still has it to compare with.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Baseline(pub Vec<Usual>);
+pub struct Baseline(pub Vec<OperationService>);
+
+impl Baseline {
+    /// The service by these tallies.
+    pub fn from_tallies(tallies: &Tallies, deployment: &Deployment) -> Baseline {
+        let operations = 0..deployment.operations.len() as u8;
+        let service = operations.map(|id| tallies.of(OperationId(id)).into());
+        Baseline(service.collect())
+    }
 
-fn usual(tally: Tally) -> Usual {
-    let share = |part: f64, whole: f64| if whole > 0.0 { part / whole } else { 0.0 };
-    Usual {
-        asked: tally.asked,
-        succeeded: tally.succeeded,
-        errored_share: share(tally.errored, tally.tries),
-        latency_s: share(tally.seconds, tally.timed),
+    /// The share of the value asked for that is served, over all operations by their billed value: a cheap one may
+    /// suffer for a dear one. `None`: too few invocations to say.
+    fn served_value_share(&self, conditions: &Conditions, deployment: &Deployment) -> Option<f64> {
+        let (mut served, mut requested, mut invocations) = (0.0, 0.0, 0.0);
+        for (operation, service) in deployment.operations.iter().zip(&self.0) {
+            served += operation.billed_value * service.succeeded;
+            requested += operation.billed_value * service.invocations;
+            invocations += service.invocations;
+        }
+        (requested > 0.0 && invocations >= conditions.invocations_at_least)
+            .then(|| (served / requested).min(1.0))
     }
 }
 
-impl Baseline {
-    pub fn of(tallies: &Tallies, plan: &Deployment) -> Baseline {
-        let each = (0..plan.operations.len() as u8).map(|at| usual(tallies.of(OperationId(at))));
-        Baseline(each.collect())
+/// A condition that a change has broken.
+#[derive(Clone, Debug, PartialEq)]
+pub enum BrokenCondition {
+    /// More attempts of an operation fail.
+    MoreErrors {
+        /// The operation.
+        operation: String,
+        /// The share that fails now.
+        share: f64,
+        /// The share that failed before.
+        share_before: f64,
+    },
+    /// An operation is slower.
+    Slower {
+        /// The operation.
+        operation: String,
+        /// The mean latency now, in seconds.
+        latency_s: f64,
+        /// The mean latency before, in seconds.
+        latency_before_s: f64,
+    },
+    /// Less of the value asked for is served.
+    LessValue {
+        /// The share that is served now.
+        share: f64,
+        /// The share that was served before.
+        share_before: f64,
+    },
+    /// Proxies have had no entry for an operation for too long.
+    MissingEntries {
+        /// The proxies.
+        proxies: Vec<String>,
+    },
+}
+
+/// The text is stored as the reason of the undoing and read by operators.
+impl fmt::Display for BrokenCondition {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            BrokenCondition::MoreErrors {
+                operation,
+                share,
+                share_before,
+            } => write!(
+                f,
+                "{:.1}% of the tries of `{operation}` err, {:.1}% did before",
+                share * 100.0,
+                share_before * 100.0
+            ),
+            BrokenCondition::Slower {
+                operation,
+                latency_s,
+                latency_before_s,
+            } => write!(
+                f,
+                "`{operation}` takes {:.0} ms, {:.0} ms before",
+                latency_s * 1e3,
+                latency_before_s * 1e3
+            ),
+            BrokenCondition::LessValue {
+                share,
+                share_before,
+            } => write!(
+                f,
+                "{:.1}% of the value asked for is served, {:.1}% was before",
+                share * 100.0,
+                share_before * 100.0
+            ),
+            BrokenCondition::MissingEntries { proxies } => {
+                write!(f, "no line for an operation at {}", proxies.join(", "))
+            }
+        }
     }
 }
 
-/// Why the change should be undone, if it should.
-pub fn broken(
+/// The first condition that the service since the change breaks.
+pub fn broken_condition(
     conditions: &Conditions,
     before: &Baseline,
     since: &Tallies,
-    plan: &Deployment,
-) -> Option<String> {
-    let now = Baseline::of(since, plan);
-    let pairs = || plan.operations.iter().zip(before.0.iter().zip(&now.0));
-    let enough = |usual: &Usual| usual.asked >= conditions.invocations_at_least;
-    for (operation, (was, is)) in pairs().filter(|(_, (was, is))| enough(was) && enough(is)) {
-        let name = &operation.name;
+    deployment: &Deployment,
+) -> Option<BrokenCondition> {
+    let now = Baseline::from_tallies(since, deployment);
+    let has_enough =
+        |service: &OperationService| service.invocations >= conditions.invocations_at_least;
+    for (operation, (was, is)) in deployment
+        .operations
+        .iter()
+        .zip(before.0.iter().zip(&now.0))
+    {
+        if !has_enough(was) || !has_enough(is) {
+            continue;
+        }
+        let operation = operation.name.clone();
         if is.errored_share > was.errored_share + conditions.errored_more_at_most {
-            return Some(format!(
-                "{:.1}% of the tries of `{name}` err, {:.1}% did before",
-                is.errored_share * 100.0,
-                was.errored_share * 100.0
-            ));
+            return Some(BrokenCondition::MoreErrors {
+                operation,
+                share: is.errored_share,
+                share_before: was.errored_share,
+            });
         }
         if was.latency_s > 0.0 && is.latency_s > was.latency_s * conditions.slower_at_most {
-            return Some(format!(
-                "`{name}` takes {:.0} ms, {:.0} ms before",
-                is.latency_s * 1e3,
-                was.latency_s * 1e3
-            ));
+            return Some(BrokenCondition::Slower {
+                operation,
+                latency_s: is.latency_s,
+                latency_before_s: was.latency_s,
+            });
         }
     }
-    // Of all operations together, each by its billed value: a cheap one may suffer for a dear one.
-    let served = |of: &Baseline| {
-        let sums =
-            plan.operations
-                .iter()
-                .zip(&of.0)
-                .fold((0.0, 0.0, 0.0), |sums, (operation, usual)| {
-                    let value = operation.billed_value;
-                    (
-                        sums.0 + value * usual.succeeded,
-                        sums.1 + value * usual.asked,
-                        sums.2 + usual.asked,
-                    )
-                });
-        (sums.1 > 0.0 && sums.2 >= conditions.invocations_at_least)
-            .then(|| (sums.0 / sums.1).min(1.0))
-    };
-    match (served(before), served(&now)) {
-        (Some(was), Some(is)) if is < was - conditions.value_less_at_most => Some(format!(
-            "{:.1}% of the value asked for is served, {:.1}% was before",
-            is * 100.0,
-            was * 100.0
-        )),
-        _ => None,
-    }
+    let share_before = before.served_value_share(conditions, deployment)?;
+    let share = now.served_value_share(conditions, deployment)?;
+    (share < share_before - conditions.value_less_at_most).then_some(BrokenCondition::LessValue {
+        share,
+        share_before,
+    })
 }
--- a/crates/config-rollout/tests/kills.rs
+++ b/crates/config-rollout/tests/kills.rs
@@ -1,6 +1,6 @@
-//! A conductor with its disk and its gateways, under a scripted clock. It is killed at every action that a
-//! gateway or the disk could see, before it and after it, once and again while it recovers, while a change is
-//! applied, kept, undone by an operator or undone by what is measured.
+//! A controller with its disk and its proxies, under a scripted clock. It is killed at every action that a
+//! proxy or the disk could see, before it and after it, once and again while it recovers, while a change is
+//! applied, kept, undone by an operator or undone by its watch.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 use wheelspread::ids::NodeId;
 use wheelspread::time::{Moment, Span};
 use wheelspread_config_rollout::{
-    Answer, Conditions, Rollout, RolloutAction, RolloutCommand, RolloutSettings,
+    Answer, Conditions, Rollout, RolloutAction, RolloutCommand, RolloutSettings, WriteError,
 };
 use wheelspread_config_transaction::checks::ChangeLimits;
 use wheelspread_config_transaction::{
@@ -114,11 +114,11 @@
 struct World {
     now: Moment,
     end: End,
-    conductor: Option<Running>,
+    controller: Option<Running>,
     starts_at: Moment,
     // What outlives a kill.
     kept: PersistedState,
-    /// What each gateway's link points at.
+    /// What each proxy's link points at.
     links: BTreeMap<String, Arc<TableSet>>,
     /// Every version that was ever seen, to see that none is made twice.
     seen: BTreeMap<Version, Arc<TableSet>>,
@@ -138,7 +138,7 @@
     killed: u64,
 }
 
-fn gateways() -> Vec<(String, &'static str)> {
+fn proxies() -> Vec<(String, &'static str)> {
     ["north", "south"]
         .into_iter()
         .flat_map(|z| (0..2).map(move |n| (format!("{z}-{n}"), z)))
@@ -150,7 +150,7 @@
         World {
             now: Moment::from_seconds(1000.0),
             end,
-            conductor: None,
+            controller: None,
             starts_at: Moment::from_seconds(1000.0),
             kept: PersistedState::default(),
             links: BTreeMap::new(),
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Comes by an action; `true`: the conductor is killed there.
+    /// Comes by an action; `true`: the controller is killed there.
     fn point(&mut self) -> bool {
         self.actions += 1;
         if !self.kill_at.contains(&self.actions) {
@@ -223,9 +223,9 @@
         running
             .session
             .observe(self.now, Observation::List(Ok(list)));
-        self.conductor = Some(running);
+        self.controller = Some(running);
         let after = |n: usize| self.now + span(0.05 + 0.04 * n as f64);
-        self.joins = gateways()
+        self.joins = proxies()
             .into_iter()
             .enumerate()
             .map(|(n, (name, _))| (after(n), name))
@@ -233,7 +233,7 @@
     }
 
     fn join(&mut self) {
-        let Some(running) = &mut self.conductor else {
+        let Some(running) = &mut self.controller else {
             return;
         };
         let (due, later) = std::mem::take(&mut self.joins)
@@ -268,9 +268,9 @@
         }
     }
 
-    /// Every joined gateway tells what it met in the last period.
+    /// Every joined proxy tells what it met in the last period.
     fn report(&mut self) {
-        let Some(running) = &mut self.conductor else {
+        let Some(running) = &mut self.controller else {
             return;
         };
         let joined = running
@@ -310,7 +310,7 @@
         }
     }
 
-    /// What a gateway sees from now on.
+    /// What a proxy sees from now on.
     fn swap(&mut self, proxy: &str, set: &Arc<TableSet>) {
         let known = self.seen.entry(set.version).or_insert_with(|| set.clone());
         assert_eq!(known, set, "one version, two contents");
@@ -333,7 +333,7 @@
                 table.operation
             );
         }
-        // The moved node serves in one pool or in none: two gateways never find it in both.
+        // The moved node serves in one pool or in none: two proxies never find it in both.
         let names = |set: &TableSet| {
             set.operations
                 .iter()
@@ -348,9 +348,9 @@
         assert!(pools.len() <= 1, "in both pools at {:?}", self.now);
     }
 
-    /// Carries out what the conductor says, action by action; `None`: it was killed.
+    /// Carries out what the controller says, action by action; `None`: it was killed.
     fn turn(&mut self) -> Option<()> {
-        let mut running = self.conductor.take()?;
+        let mut running = self.controller.take()?;
         let (mut effects, mut steps) = (Vec::new(), Vec::new());
         running.session.settle(self.now, &mut effects);
         for effect in effects {
@@ -421,7 +421,7 @@
                 running.rollout.on_write_completed(
                     self.now,
                     number,
-                    Err("the disk is full".into()),
+                    Err(WriteError("the disk is full".into())),
                 );
                 continue;
             }
@@ -432,7 +432,7 @@
             }
             running.rollout.on_write_completed(self.now, number, Ok(()));
         }
-        self.conductor = Some(running);
+        self.controller = Some(running);
         Some(())
     }
 
@@ -449,7 +449,7 @@
             }
             _ => return,
         };
-        let Some(running) = &mut self.conductor else {
+        let Some(running) = &mut self.controller else {
             return;
         };
         self.orders += 1;
@@ -478,7 +478,7 @@
     }
 
     fn record(&self) -> Option<&ChangeRecord> {
-        self.conductor
+        self.controller
             .as_ref()?
             .rollout
             .ledger()
@@ -493,7 +493,7 @@
         };
         let there = self.record().is_some_and(|record| record.state == wanted);
         let told = self
-            .conductor
+            .controller
             .as_ref()
             .is_some_and(|running| running.rollout.unwritten() == 0);
         there && told && self.joins.is_empty()
@@ -505,7 +505,7 @@
             self.now = self.now + span(0.01);
             ticks += 1;
             assert!(ticks < 6000, "it hangs: {:?}", self.record());
-            if self.conductor.is_none() && self.now >= self.starts_at {
+            if self.controller.is_none() && self.now >= self.starts_at {
                 self.start();
             }
             self.join();
@@ -516,14 +516,14 @@
                 self.operate();
             }
             if self.turn().is_none() {
-                self.conductor = None;
+                self.controller = None;
             }
             quiet = if self.over() { quiet + 1 } else { 0 };
         }
         self.check();
     }
 
-    /// All gateways hold one configuration, the right one, and nothing was applied twice.
+    /// All proxies hold one configuration, the right one, and nothing was applied twice.
     fn check(&self) {
         let record = self.record().expect("known");
         let version = if self.end == End::Kept { 2 } else { 3 };
@@ -560,8 +560,8 @@
 
 #[test_case(End::Kept; "kept")]
 #[test_case(End::Undone; "undone by an operator")]
-#[test_case(End::Broken; "undone by what is measured")]
-fn killed_at_every_action_it_ends_as_if_nothing_had_happened(end: End) {
+#[test_case(End::Broken; "undone by its watch")]
+fn a_controller_killed_at_any_action_ends_as_one_that_was_not(end: End) {
     let mut quiet = World::new(end, vec![]);
     quiet.play();
     let actions = quiet.actions;
@@ -582,7 +582,7 @@
 }
 
 #[test]
-fn a_disk_that_takes_seconds_or_is_full_delays_the_change_and_nothing_else() {
+fn a_slow_or_full_disk_delays_the_change_and_nothing_else() {
     let mut slow = World::new(End::Kept, vec![]);
     slow.disk_takes = span(2.0);
     slow.play();
@@ -598,7 +598,7 @@
     );
     assert!(
         stuck.links.values().all(|set| set.configuration != 2),
-        "no gateway ever saw it"
+        "no proxy ever saw it"
     );
 }
 
@@ -606,7 +606,7 @@
     fn staged_then_full(&mut self, seconds: f64) {
         for tick in 0..2500u64 {
             self.now = self.now + span(0.01);
-            if self.conductor.is_none() {
+            if self.controller.is_none() {
                 self.start();
             }
             self.join();
--- a/crates/controller/src/drains.rs
+++ b/crates/controller/src/drains.rs
@@ -1,16 +1,17 @@
-//! Orders to drain nodes, between the book that decides which goes and the session, the disk and whoever asked.
+//! Orders to drain nodes, between the registry that decides which goes and the session, the disk and whoever asked.
 
 use crate::state_writer::StateWriter;
 use std::collections::BTreeMap;
 use tracing::{info, warn};
 use wheelspread::time::{Moment, Span};
-use wheelspread_config_rollout::fleet::against_drain;
-use wheelspread_config_rollout::values::node;
+use wheelspread_config_rollout::pool_risk::{drain_objections, DrainObjection};
+use wheelspread_config_rollout::values::parse_node;
 use wheelspread_config_transaction::{Commit, PersistedState};
 use wheelspread_controller_core::{ControllerCore, Observation};
 use wheelspread_drain::registry::DrainEffect;
 use wheelspread_drain::{
-    Drain, DrainAction, DrainError, DrainOrder, DrainRegistry, DrainState, Evidence, OrderId,
+    describe_checks, Drain, DrainAction, DrainError, DrainOrder, DrainRegistry, DrainState,
+    Evidence, FailedCheck, OrderId,
 };
 
 /// A fact: what is kept of a node's order.
@@ -34,6 +35,13 @@
 /// An answer to a caller.
 pub type Told = (u64, Result<Drain, String>);
 
+fn failed_check(objection: &DrainObjection) -> FailedCheck {
+    FailedCheck {
+        name: objection.check_name().to_string(),
+        text: objection.to_string(),
+    }
+}
+
 pub struct Drains {
     book: DrainRegistry,
     writing: BTreeMap<u64, Writing>,
@@ -74,7 +82,7 @@
 
     /// Nodes that are kept out.
     pub fn out(&self) -> std::collections::BTreeSet<wheelspread::ids::NodeId> {
-        self.book.drained_nodes().filter_map(node).collect()
+        self.book.drained_nodes().filter_map(parse_node).collect()
     }
 
     /// Whether there is anything to look after.
@@ -91,19 +99,25 @@
         order: DrainOrder,
         session: &ControllerCore,
     ) -> Result<(), DrainError> {
-        let named = node(&order.node).ok_or_else(|| {
-            DrainError::Checks(vec![format!(
-                "node: `{}` should be an address as 127.0.0.1:9000",
-                order.node
-            )])
+        let named = parse_node(&order.node).ok_or_else(|| {
+            DrainError::Checks(vec![FailedCheck {
+                name: "node".to_string(),
+                text: format!(
+                    "node: `{}` should be an address as 127.0.0.1:9000",
+                    order.node
+                ),
+            }])
         })?;
         let against = match order.action {
-            DrainAction::Drain => against_drain(now, named, self.value_lost_at_most, session),
+            DrainAction::Drain => {
+                let objections = drain_objections(now, named, self.value_lost_at_most, session);
+                objections.iter().map(failed_check).collect()
+            }
             DrainAction::Undrain => Vec::new(),
         };
         let (place, overrides) = (order.node.clone(), order.overrides.join(", "));
         if !overrides.is_empty() {
-            let against = against.join("; ");
+            let against = describe_checks(&against);
             warn!(
                 node = place,
                 by = order.by,
@@ -239,7 +253,9 @@
             .map(|drain| (drain.order.node.clone(), drain.state))
             .collect();
         for (name, before) in going {
-            let Some(id) = node(&name) else { continue };
+            let Some(id) = parse_node(&name) else {
+                continue;
+            };
             let traces = session.traces(id);
             let evidence = Evidence {
                 named_by: traces.named_by,
--- a/crates/controller/src/log.rs
+++ b/crates/controller/src/log.rs
@@ -21,12 +21,16 @@
 
 pub fn note(note: &RolloutEvent) {
     match note {
-        RolloutEvent::StateChanged { id, state, why } => {
+        RolloutEvent::StateChanged {
+            id,
+            state,
+            reason: why,
+        } => {
             let (change, state) = (&id.0, state.as_str());
             info!(change, state, why, "change");
         }
-        RolloutEvent::WriteFailed { reason, again_in } => {
-            let again_in_s = again_in.seconds();
+        RolloutEvent::WriteFailed { reason, retry_in } => {
+            let again_in_s = retry_in.seconds();
             warn!(reason, again_in_s, "a change waits for the disk");
         }
         RolloutEvent::ValueIgnored { field, text } => {
--- a/crates/controller/src/routes.rs
+++ b/crates/controller/src/routes.rs
@@ -8,7 +8,7 @@
 use wheelspread::ids::{OperationId, ZoneId};
 use wheelspread::time::Moment;
 use wheelspread::{EndpointEntry, EndpointStatus};
-use wheelspread_config_rollout::values::node;
+use wheelspread_config_rollout::values::parse_node;
 use wheelspread_config_rollout::{Rollout, RolloutCommand};
 use wheelspread_config_transaction::ChangeRecord;
 use wheelspread_config_transaction::{Change, ChangeId};
@@ -411,7 +411,7 @@
 }
 
 fn whereabouts(text: &str, desk: &Desk) -> Result<Value, (u16, String)> {
-    let id = node(text).ok_or_else(|| {
+    let id = parse_node(text).ok_or_else(|| {
         (
             400,
             format!("`{text}` should be an address as 127.0.0.1:9000"),
--- a/crates/controller/src/service.rs
+++ b/crates/controller/src/service.rs
@@ -17,7 +17,7 @@
 use std::sync::Arc;
 use tracing::{error, info, warn};
 use wheelspread::time::{Moment, Span};
-use wheelspread_config_rollout::{Rollout, RolloutAction};
+use wheelspread_config_rollout::{Rollout, RolloutAction, WriteError};
 use wheelspread_config_transaction::Commit;
 use wheelspread_controller_core::controller_core::ConfigUpdate;
 use wheelspread_controller_core::rollback::RollbackResult;
@@ -323,7 +323,8 @@
     fn write(&mut self, now: Moment, number: u64, commit: Commit) {
         if !self.keeper.write(number, commit) {
             let reason = "the state can't be written, see the log of the start".to_string();
-            self.rollout.on_write_completed(now, number, Err(reason));
+            self.rollout
+                .on_write_completed(now, number, Err(WriteError(reason)));
         }
     }
 
@@ -427,7 +428,8 @@
                 self.drains.written(now, number, result);
                 continue;
             }
-            self.rollout.on_write_completed(now, number, result);
+            self.rollout
+                .on_write_completed(now, number, result.map_err(WriteError));
             self.changes_at = Some(now);
         }
         let done: Vec<Done> = self.writer.iter().flat_map(Writer::done).collect();
--- a/crates/controller/src/state_writer.rs
+++ b/crates/controller/src/state_writer.rs
@@ -11,7 +11,7 @@
 use wheelspread::ids::NodeId;
 use wheelspread::time::Span;
 use wheelspread::CapacitySnapshot;
-use wheelspread_config_rollout::values::node;
+use wheelspread_config_rollout::values::parse_node;
 use wheelspread_config_transaction::{Commit, PersistedState};
 use wheelspread_controller_core::controller_core::RecoveredState;
 use wheelspread_controller_core::endpoint_list::{
@@ -270,7 +270,7 @@
 ) -> impl Iterator<Item = (NodeId, &'a String)> {
     kept.facts
         .iter()
-        .filter_map(move |(name, text)| Some((node(name.strip_prefix(prefix)?)?, text)))
+        .filter_map(move |(name, text)| Some((parse_node(name.strip_prefix(prefix)?)?, text)))
 }
 
 fn listed(kept: &PersistedState, wall: f64) -> impl Iterator<Item = EndpointRecord> + '_ {
--- a/crates/drain/src/delivery.rs
+++ b/crates/drain/src/delivery.rs
@@ -1,161 +1,213 @@
-//! One order for a fleet of conductors: each is told until it has answered, with back-off and jitter, as long as
-//! the budget lasts. What is said of the whole is never more than what every one of them has answered.
+//! Delivers one order to every controller of a fleet: each gets it until it has answered, with backoff and jitter,
+//! within a budget of time. The outcome never claims more than what every controller has answered.
 
 use serde::Serialize;
 use std::collections::BTreeMap;
 use wheelspread::pcg::Pcg;
 use wheelspread::time::{Moment, Span};
 
-/// What came of telling one conductor.
+/// The backoff stops to double after this many attempts; `max_backoff` ends it long before.
+const MAX_BACKOFF_DOUBLINGS: u32 = 16;
+/// The share of a backoff that jitter may take off.
+const JITTER_SHARE: f64 = 0.5;
+
+/// What came of one attempt at a controller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reply {
-    /// It has the order, and is this far with it.
-    Taken { state: String },
-    /// It was heard and will not: telling it again changes nothing.
-    Refused { reason: String },
-    /// It could not be reached, or its answer could not be read: it is told again.
-    Failed { reason: String },
+    /// It has the order.
+    Taken {
+        /// How far it is with the order.
+        state: String,
+    },
+    /// It refuses the order; a retry would change nothing.
+    Refused {
+        /// Why.
+        reason: String,
+    },
+    /// It could not be reached, or its answer could not be read; the attempt is repeated.
+    Failed {
+        /// Why.
+        reason: String,
+    },
 }
 
+/// Where the delivery to one controller stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum At {
-    /// Not told yet, or to be told again then.
+enum DeliveryState {
+    /// The next attempt is due then.
     Due(Moment),
-    Asked,
+    InFlight,
     Taken,
     Refused,
 }
 
-/// How long the whole may take, and how soon one that failed is told again.
+/// How long the whole delivery may take, and how soon a failed attempt is repeated.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
+    /// The time for all attempts.
     pub timeout: Span,
-    /// The first wait; then twice that, and so on.
+    /// The backoff after the first failed attempt; it doubles with each further one.
     pub initial_backoff: Span,
+    /// The longest backoff.
     pub max_backoff: Span,
 }
 
+impl RetryBudget {
+    fn backoff(&self, attempts: u32) -> Span {
+        let doublings = attempts.saturating_sub(1).min(MAX_BACKOFF_DOUBLINGS);
+        let backoff = self.initial_backoff * f64::from(1u32 << doublings);
+        backoff.min(self.max_backoff)
+    }
+}
+
+/// The delivery to one controller.
 #[derive(Clone, Debug)]
-struct Told {
-    at: At,
-    tries: u32,
-    last: Option<Reply>,
+struct ControllerDelivery {
+    state: DeliveryState,
+    attempts: u32,
+    last_reply: Option<Reply>,
 }
 
-/// What may be said of the whole.
+/// What may be said of the whole delivery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// Every conductor has it.
+    /// Every controller has the order.
     Everywhere,
-    /// Some have it and some do not: the order holds at a part of the gateways.
+    /// Some controllers have it: it holds for a part of the proxies.
     Partly,
-    /// None has it.
+    /// No controller has it.
     Nowhere,
 }
 
+/// What one controller replied last.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ControllerReply<'a> {
+    /// The controller.
+    pub controller: &'a str,
+    /// How many attempts were made at it.
+    pub attempts: u32,
+    /// Its last reply; `None`: none within the time.
+    pub last: Option<&'a Reply>,
+}
+
+/// The delivery of one order to a fleet.
 #[derive(Debug)]
 pub struct OrderDelivery {
-    told: BTreeMap<String, Told>,
+    controllers: BTreeMap<String, ControllerDelivery>,
     until: Moment,
-    spent: RetryBudget,
-    chance: Pcg,
+    budget: RetryBudget,
+    random: Pcg,
 }
 
 impl OrderDelivery {
+    /// A delivery to these controllers that begins now. `seed`: of the jitter.
     pub fn new(
         now: Moment,
         seed: u64,
-        spent: RetryBudget,
-        conductors: impl Iterator<Item = String>,
+        budget: RetryBudget,
+        controllers: impl Iterator<Item = String>,
     ) -> OrderDelivery {
-        let fresh = Told {
-            at: At::Due(now),
-            tries: 0,
-            last: None,
+        let not_attempted = ControllerDelivery {
+            state: DeliveryState::Due(now),
+            attempts: 0,
+            last_reply: None,
         };
-        let told = conductors.map(|name| (name, fresh.clone())).collect();
         OrderDelivery {
-            told,
-            until: now + spent.timeout,
-            spent,
-            chance: Pcg::new(seed),
+            controllers: controllers
+                .map(|name| (name, not_attempted.clone()))
+                .collect(),
+            until: now + budget.timeout,
+            budget,
+            random: Pcg::new(seed),
         }
     }
 
-    /// Whom to tell now; each counts as asked until its reply comes.
+    /// Controllers at which an attempt is due. Each counts as in flight until its reply comes.
     pub fn due(&mut self, now: Moment) -> Vec<String> {
         if now >= self.until {
             return Vec::new();
         }
         let mut due = Vec::new();
-        for (name, told) in &mut self.told {
-            if matches!(told.at, At::Due(at) if at <= now) {
-                told.at = At::Asked;
-                told.tries += 1;
+        for (name, delivery) in &mut self.controllers {
+            if matches!(delivery.state, DeliveryState::Due(at) if at <= now) {
+                delivery.state = DeliveryState::InFlight;
+                delivery.attempts += 1;
                 due.push(name.clone());
             }
         }
         due
     }
 
-    pub fn reply(&mut self, now: Moment, name: &str, reply: Reply) {
-        let Some(told) = self.told.get_mut(name).filter(|told| told.at == At::Asked) else {
+    /// Takes in the reply of a controller; one that was not expected changes nothing.
+    pub fn on_reply(&mut self, now: Moment, controller: &str, reply: Reply) {
+        let delivery = self.controllers.get_mut(controller);
+        let Some(delivery) = delivery.filter(|delivery| delivery.state == DeliveryState::InFlight)
+        else {
             return;
         };
-        told.at = match &reply {
-            Reply::Taken { .. } => At::Taken,
-            Reply::Refused { .. } => At::Refused,
+        delivery.state = match &reply {
+            Reply::Taken { .. } => DeliveryState::Taken,
+            Reply::Refused { .. } => DeliveryState::Refused,
             Reply::Failed { .. } => {
-                let doubled = self.spent.initial_backoff
-                    * f64::from(1u32 << told.tries.saturating_sub(1).min(16));
-                let wait = doubled.min(self.spent.max_backoff);
-                // Jitter keeps those that failed together from being told together again.
-                At::Due(now + wait * (0.5 + 0.5 * self.chance.unit()))
+                let backoff = self.budget.backoff(delivery.attempts);
+                // Jitter keeps controllers that failed together from being retried together.
+                let jitter = (1.0 - JITTER_SHARE) + JITTER_SHARE * self.random.unit();
+                DeliveryState::Due(now + backoff * jitter)
             }
         };
-        told.last = Some(reply);
+        delivery.last_reply = Some(reply);
     }
 
-    /// Whether nothing more will come of it: all have answered for good, or the time is over.
-    pub fn over(&self, now: Moment) -> bool {
-        now >= self.until
-            || self
-                .told
-                .values()
-                .all(|told| matches!(told.at, At::Taken | At::Refused))
+    /// Whether nothing more will come of it: every controller has taken or refused it, or the time is over.
+    pub fn is_over(&self, now: Moment) -> bool {
+        let is_final = |delivery: &ControllerDelivery| {
+            matches!(
+                delivery.state,
+                DeliveryState::Taken | DeliveryState::Refused
+            )
+        };
+        now >= self.until || self.controllers.values().all(is_final)
     }
 
+    /// When the next attempt is due.
     pub fn wake_at(&self) -> Option<Moment> {
-        let due = self.told.values().filter_map(|told| match told.at {
-            At::Due(at) => Some(at),
+        let due_at = |delivery: &ControllerDelivery| match delivery.state {
+            DeliveryState::Due(at) => Some(at),
             _ => None,
-        });
-        due.min().map(|at| at.min(self.until))
+        };
+        let next = self.controllers.values().filter_map(due_at).min()?;
+        Some(next.min(self.until))
     }
 
+    /// When the time is over.
     pub fn until(&self) -> Moment {
         self.until
     }
 
+    /// What may be said of the whole delivery by now.
     pub fn outcome(&self) -> Outcome {
         let taken = self
-            .told
+            .controllers
             .values()
-            .filter(|told| told.at == At::Taken)
+            .filter(|delivery| delivery.state == DeliveryState::Taken)
             .count();
         match taken {
-            count if count == self.told.len() => Outcome::Everywhere,
+            count if count == self.controllers.len() => Outcome::Everywhere,
             0 => Outcome::Nowhere,
             _ => Outcome::Partly,
         }
     }
 
-    /// What each conductor said last, and how often it was told; `None`: nothing timeout the time.
-    pub fn replies(&self) -> impl Iterator<Item = (&str, u32, Option<&Reply>)> {
-        self.told
+    /// The last reply of each controller.
+    pub fn replies(&self) -> impl Iterator<Item = ControllerReply<'_>> {
+        self.controllers
             .iter()
-            .map(|(name, told)| (name.as_str(), told.tries, told.last.as_ref()))
+            .map(|(name, delivery)| ControllerReply {
+                controller: name,
+                attempts: delivery.attempts,
+                last: delivery.last_reply.as_ref(),
+            })
     }
 }
--- a/crates/drain/src/lib.rs
+++ b/crates/drain/src/lib.rs
@@ -1,13 +1,18 @@
-//! Orders to drain a node, and to take that back. `book` is a conductor's side: which order of several goes,
-//! how far it has come, by which evidence. `campaign` is the side of who steers a fleet: whom to tell again
-//! and when, within a budget of time, and what may be said of the whole; `agree` finds where conductors are of two
-//! minds. None of it reads a clock or a socket.
+//! Orders to drain a node, and to take that back, without clock or sockets.
+//!
+//! - `order`: an order, and why it is refused;
+//! - `state`: how far an order has come;
+//! - `registry`: a controller's side: the newest order for each node and its evidence;
+//! - `delivery`: the side of a fleet's tool: an order is sent to every controller, with retries within a budget of time;
+//! - `consistency`: where the controllers of a fleet disagree, and which orders one of them misses.
 
 pub mod consistency;
 pub mod delivery;
+pub mod order;
 pub mod registry;
+pub mod state;
 
 pub use delivery::{OrderDelivery, Outcome, Reply, RetryBudget};
-pub use registry::{
-    Drain, DrainAction, DrainError, DrainOrder, DrainRegistry, DrainState, Evidence, OrderId,
-};
+pub use order::{describe_checks, DrainAction, DrainError, DrainOrder, FailedCheck, OrderId};
+pub use registry::{Drain, DrainRegistry, Evidence};
+pub use state::{DrainEvent, DrainState};
--- a/crates/drain/src/registry.rs
+++ b/crates/drain/src/registry.rs
@@ -1,189 +1,116 @@
-//! What a conductor knows of drains. Of several orders for one node the newest goes, by the time at which it
-//! was given and then by its name, so that conductors which hear them in different orders, or late, end alike.
+//! The drains that a controller knows. Of several orders for one node the newest counts, so controllers that get them
+//! in different sequences, or late, end with the same one.
 
+use crate::order::{DrainAction, DrainError, DrainOrder, FailedCheck, OrderId};
+use crate::state::{DrainEvent, DrainState};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use wheelspread::time::{Moment, Span};
 
-/// Given by who orders, so that an order that is told twice is one.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct OrderId(pub String);
+/// How many nodes may have orders.
+const MAX_ORDERS: usize = 10_000;
+/// Withdrawn orders are remembered for this many grace periods, so that a late order is known to be overtaken.
+const WITHDRAWN_MEMORY_GRACE_PERIODS: f64 = 600.0;
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum DrainAction {
-    Drain,
-    Undrain,
-}
-
-#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct DrainOrder {
-    pub id: OrderId,
-    pub node: String,
-    #[serde(rename = "word")]
-    pub action: DrainAction,
-    pub by: String,
-    /// When it was given, in milliseconds since 1970 by the clock of who gave it.
-    pub given_ms: u64,
-    /// What it overrides, as the conductor named it; empty: nothing.
-    #[serde(default)]
-    pub overrides: Vec<String>,
-}
-
-impl DrainOrder {
-    /// The newer of two goes; of two that were given at once, the later name, whoever hears them.
-    pub fn rank(&self) -> (u64, &OrderId) {
-        (self.given_ms, &self.id)
-    }
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum DrainState {
-    /// Taken; the disk does not have it yet.
-    #[serde(rename = "wanted")]
-    Accepted,
-    /// Kept over crashes, and the gateways are being told.
-    #[serde(rename = "telling")]
-    Propagating,
-    /// No table that a joined gateway holds names the node, or the grace is over.
-    InForce,
-    /// And nothing was sent there since, by what gateways report.
-    #[serde(rename = "quiet")]
-    Drained,
-    /// Taken back: the list has its word again.
-    Withdrawn,
-}
-
-impl DrainState {
-    /// The spelling in the operators' API, the state file and the log.
-    pub fn as_str(self) -> &'static str {
-        match self {
-            DrainState::Accepted => "wanted",
-            DrainState::Propagating => "telling",
-            DrainState::InForce => "in-force",
-            DrainState::Drained => "quiet",
-            DrainState::Withdrawn => "withdrawn",
-        }
-    }
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DrainEvent {
-    Written,
-    /// No joined gateway holds a table that names it.
-    Unnamed,
-    GraceOver,
-    /// Gateways that report were all heard since, and none sent anything there.
-    Silent,
-    /// Something was sent there after all.
-    Met,
-    Restarted,
-}
-
-/// What is not in it does not happen. An order of the other word is a new one: it begins at `Wanted`.
-pub const TABLE: &[(DrainState, DrainEvent, DrainState)] = &[
-    (
-        DrainState::Accepted,
-        DrainEvent::Written,
-        DrainState::Propagating,
-    ),
-    (
-        DrainState::Propagating,
-        DrainEvent::Unnamed,
-        DrainState::InForce,
-    ),
-    (
-        DrainState::Propagating,
-        DrainEvent::GraceOver,
-        DrainState::InForce,
-    ),
-    (DrainState::InForce, DrainEvent::Silent, DrainState::Drained),
-    (DrainState::Drained, DrainEvent::Met, DrainState::InForce),
-    // What stood in force has to be shown again: gateways may hold what an earlier run gave them.
-    (
-        DrainState::Propagating,
-        DrainEvent::Restarted,
-        DrainState::Propagating,
-    ),
-    (
-        DrainState::InForce,
-        DrainEvent::Restarted,
-        DrainState::Propagating,
-    ),
-    (
-        DrainState::Drained,
-        DrainEvent::Restarted,
-        DrainState::Propagating,
-    ),
-];
-
-/// By what is said that nothing is sent to a node.
+/// What shows that nothing is sent to a node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
-    /// Joined gateways whose tables name it still.
+    /// Joined proxies whose tables still have the node.
     pub named_by: usize,
+    /// Joined proxies.
     #[serde(rename = "gateways")]
     pub proxies: usize,
-    /// Tries there that were reported since the order came into force.
+    /// Attempts at the node that were reported since the order came into force.
     #[serde(rename = "tries")]
     pub attempts: u64,
-    /// Gateways that have reported since.
+    /// Proxies that have reported since.
     #[serde(rename = "heard")]
     pub reporting_proxies: usize,
 }
 
+/// The newest order for a node, and how far it has come.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Drain {
+    /// The order.
     pub order: DrainOrder,
+    /// How far it has come.
     pub state: DrainState,
+    /// By what that is known.
     #[serde(default)]
     pub evidence: Evidence,
     #[serde(skip)]
-    since: Moment,
+    entered_state_at: Moment,
+    /// When the proxies began to get tables without the node; the grace period begins then.
     #[serde(skip)]
-    told: Option<Moment>,
+    propagating_since: Option<Moment>,
 }
 
 impl Drain {
-    /// Whether the node is kept out by it.
+    /// An order that has just been accepted.
+    fn accepted(now: Moment, order: DrainOrder) -> Drain {
+        Drain {
+            order,
+            state: DrainState::Accepted,
+            evidence: Evidence::default(),
+            entered_state_at: now,
+            propagating_since: None,
+        }
+    }
+
+    /// Whether it keeps the node out of tables.
     pub fn is_active(&self) -> bool {
         self.order.action == DrainAction::Drain && self.state != DrainState::Accepted
     }
-}
 
-#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum DrainError {
-    #[error("order `{0}` was given before with other content")]
-    OtherContent(String),
-    #[error("`{newer}` by {by}, given later, goes before it")]
-    Overtaken { newer: String, by: String },
-    #[error("{}", .0.join("; "))]
-    Checks(Vec<String>),
-    #[error("{0} orders are kept, no more are taken")]
-    Full(usize),
+    /// The disk has the order.
+    fn begin(&mut self, now: Moment) {
+        self.state = match self.order.action {
+            DrainAction::Drain => DrainState::Propagating,
+            DrainAction::Undrain => DrainState::Withdrawn,
+        };
+        self.entered_state_at = now;
+        self.propagating_since = Some(now);
+    }
+
+    /// What the evidence shows of an active drain; `None`: nothing new.
+    fn event_by(&self, now: Moment, grace: Span, evidence: Evidence) -> Option<DrainEvent> {
+        let is_grace_over = self
+            .propagating_since
+            .is_some_and(|since| now - since >= grace);
+        let is_in_no_table = evidence.named_by == 0 && evidence.proxies > 0;
+        let is_without_traffic = evidence.attempts == 0 && evidence.reporting_proxies > 0;
+        match self.state {
+            DrainState::Propagating if is_in_no_table => Some(DrainEvent::NotInTables),
+            DrainState::Propagating if is_grace_over => Some(DrainEvent::GraceOver),
+            DrainState::InForce if is_without_traffic => Some(DrainEvent::NoTraffic),
+            DrainState::Drained if evidence.attempts > 0 => Some(DrainEvent::TrafficSeen),
+            _ => None,
+        }
+    }
 }
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DrainEffect {
-    /// Keep it over crashes; `None` lets go of it.
+    /// Persist the drain of a node; `None` removes it.
     Write {
+        /// The node.
         node: String,
+        /// Its drain.
         drain: Option<Box<Drain>>,
     },
+    /// Log that a drain entered a state.
     StateChanged {
+        /// The node.
         node: String,
+        /// The state.
         state: DrainState,
+        /// The order.
         order: OrderId,
     },
 }
 
-/// So many nodes may have orders.
-const MOST: usize = 10_000;
-/// Withdrawn orders are remembered for so many times the grace, so that a late one is known as overtaken.
-const REMEMBERED: f64 = 600.0;
-
+/// The newest order for each node.
 #[derive(Clone, Debug, Default)]
 pub struct DrainRegistry {
     drains: BTreeMap<String, Drain>,
@@ -191,31 +118,36 @@
 }
 
 impl DrainRegistry {
-    /// What an earlier run kept.
-    pub fn recover(now: Moment, kept: impl Iterator<Item = Drain>) -> DrainRegistry {
+    /// Takes up the drains of an earlier run.
+    pub fn recover(now: Moment, persisted: impl Iterator<Item = Drain>) -> DrainRegistry {
         let mut registry = DrainRegistry::default();
-        for mut drain in kept {
-            // What was found written is written.
+        for mut drain in persisted {
+            // An order that was read from the disk has been written.
             if drain.state == DrainState::Accepted {
-                drain.state = settled(drain.order.action);
+                drain.begin(now);
+            }
+            drain.entered_state_at = now;
+            drain.propagating_since = Some(now);
+            if let Some(next) = drain.state.on_event(DrainEvent::Restarted) {
+                drain.state = next;
             }
-            (drain.since, drain.told) = (now, Some(now));
-            drain.state = turn(drain.state, DrainEvent::Restarted).unwrap_or(drain.state);
             drain.evidence = Evidence::default();
             registry.drains.insert(drain.order.node.clone(), drain);
         }
         registry
     }
 
+    /// All drains, by node.
     pub fn drains(&self) -> impl Iterator<Item = &Drain> {
         self.drains.values()
     }
 
+    /// The drain of a node.
     pub fn drain(&self, node: &str) -> Option<&Drain> {
         self.drains.get(node)
     }
 
-    /// Nodes that are kept out.
+    /// Nodes that are kept out of tables.
     pub fn drained_nodes(&self) -> impl Iterator<Item = &str> {
         self.drains
             .values()
@@ -223,162 +155,120 @@
             .map(|drain| drain.order.node.as_str())
     }
 
-    /// An order comes. One that takes back a drain which never came is kept too: the drain may be on its way,
-    /// and was given before. `against`: what speaks against it; a drain goes against no more than it names.
+    /// Takes an order in. One that takes back a drain which never came is remembered too: the drain may be on its way
+    /// and is older. `failed_checks`: what is against a drain; the order has to override all of it.
     pub fn submit(
         &mut self,
         now: Moment,
         order: DrainOrder,
-        against: &[String],
+        failed_checks: &[FailedCheck],
     ) -> Result<&Drain, DrainError> {
         let node = order.node.clone();
-        if let Some(known) = self.drains.get(&node) {
-            if known.order.id == order.id {
-                let same = known.order == order;
-                return if same {
-                    Ok(&self.drains[&node])
-                } else {
-                    Err(DrainError::OtherContent(order.id.0))
-                };
-            }
-            if known.order.rank() > order.rank() {
-                let (newer, by) = (known.order.id.0.clone(), known.order.by.clone());
-                return Err(DrainError::Overtaken { newer, by });
-            }
-        } else if self.drains.len() >= MOST {
-            return Err(DrainError::Full(MOST));
+        if self.is_known(&order)? {
+            return Ok(&self.drains[&node]);
         }
-        let left: Vec<String> = against
-            .iter()
-            .filter(|text| !overridden(&order.overrides, text))
-            .cloned()
-            .collect();
-        if order.action == DrainAction::Drain && !left.is_empty() {
-            return Err(DrainError::Checks(left));
+        let failed_checks = order.not_overridden(failed_checks);
+        if order.action == DrainAction::Drain && !failed_checks.is_empty() {
+            return Err(DrainError::Checks(failed_checks));
         }
-        // A drain on a drain goes on where that is; its order is the one that is told.
-        let before = self
-            .drains
-            .get(&node)
-            .filter(|known| known.is_active() && order.action == DrainAction::Drain);
-        let drain = match before {
-            Some(known) => Drain {
+        let active = self.drains.get(&node).filter(|known| known.is_active());
+        let drain = match active {
+            // A drain of a node that is drained already goes on in its state, under the newer order.
+            Some(known) if order.action == DrainAction::Drain => Drain {
                 order,
                 ..known.clone()
             },
-            None => {
-                let evidence = Evidence::default();
-                Drain {
-                    order,
-                    state: DrainState::Accepted,
-                    evidence,
-                    since: now,
-                    told: None,
-                }
-            }
+            _ => Drain::accepted(now, order),
         };
-        let keep = Box::new(drain.clone());
         self.effects.push(DrainEffect::Write {
             node: node.clone(),
-            drain: Some(keep),
+            drain: Some(Box::new(drain.clone())),
         });
-        self.turned(&drain);
-        self.drains.insert(node.clone(), drain);
-        Ok(&self.drains[&node])
+        self.push_state_changed(&drain);
+        Ok(self.drains.entry(node).insert_entry(drain).into_mut())
     }
 
-    fn turned(&mut self, drain: &Drain) {
-        let (node, order) = (drain.order.node.clone(), drain.order.id.clone());
+    /// Whether an order is the one that counts for its node already. Fails if it can't become that one.
+    fn is_known(&self, order: &DrainOrder) -> Result<bool, DrainError> {
+        let Some(known) = self.drains.get(&order.node) else {
+            return match self.drains.len() < MAX_ORDERS {
+                true => Ok(false),
+                false => Err(DrainError::Full(MAX_ORDERS)),
+            };
+        };
+        if known.order.id == order.id {
+            return match known.order == *order {
+                true => Ok(true),
+                false => Err(DrainError::OtherContent(order.id.0.clone())),
+            };
+        }
+        if known.order.rank() > order.rank() {
+            return Err(DrainError::Overtaken {
+                newer: known.order.id.0.clone(),
+                by: known.order.by.clone(),
+            });
+        }
+        Ok(false)
+    }
+
+    fn push_state_changed(&mut self, drain: &Drain) {
         self.effects.push(DrainEffect::StateChanged {
-            node,
+            node: drain.order.node.clone(),
             state: drain.state,
-            order,
+            order: drain.order.id.clone(),
         });
     }
 
-    /// The disk has the order.
+    /// The disk has an order.
     pub fn written(&mut self, now: Moment, node: &str, id: &OrderId) {
-        let Some(drain) = self
-            .drains
-            .get_mut(node)
-            .filter(|drain| drain.order.id == *id)
-        else {
+        let drain = self.drains.get_mut(node);
+        let Some(drain) = drain.filter(|drain| drain.order.id == *id) else {
             return;
         };
         if drain.state != DrainState::Accepted {
             return;
         }
-        drain.state = settled(drain.order.action);
-        (drain.since, drain.told) = (now, Some(now));
+        drain.begin(now);
         let drain = drain.clone();
-        self.turned(&drain);
+        self.push_state_changed(&drain);
     }
 
-    /// What is known of a node that is kept out, after the moment from which tries there count.
+    /// Takes in what is known of a drained node. Attempts count from the moment at which the drain came into force.
     pub fn record_evidence(&mut self, now: Moment, node: &str, grace: Span, evidence: Evidence) {
-        let Some(drain) = self.drains.get_mut(node).filter(|drain| drain.is_active()) else {
+        let drain = self.drains.get_mut(node);
+        let Some(drain) = drain.filter(|drain| drain.is_active()) else {
             return;
         };
-        let over = drain.told.is_some_and(|told| now - told >= grace);
-        let input = match drain.state {
-            DrainState::Propagating if evidence.named_by == 0 && evidence.proxies > 0 => {
-                DrainEvent::Unnamed
-            }
-            DrainState::Propagating if over => DrainEvent::GraceOver,
-            DrainState::InForce if evidence.attempts == 0 && evidence.reporting_proxies > 0 => {
-                DrainEvent::Silent
-            }
-            DrainState::Drained if evidence.attempts > 0 => DrainEvent::Met,
-            _ => {
-                drain.evidence = evidence;
-                return;
-            }
-        };
+        let event = drain.event_by(now, grace, evidence);
         drain.evidence = evidence;
-        if let Some(next) = turn(drain.state, input) {
-            (drain.state, drain.since) = (next, now);
+        if let Some(next) = event.and_then(|event| drain.state.on_event(event)) {
+            drain.state = next;
+            drain.entered_state_at = now;
             let drain = drain.clone();
-            self.turned(&drain);
+            self.push_state_changed(&drain);
         }
     }
 
-    /// Lets go of orders that were taken back long ago.
+    /// Removes orders that were withdrawn long ago.
     pub fn expire_withdrawn(&mut self, now: Moment, grace: Span) {
-        let long = grace * REMEMBERED;
-        let old = |drain: &Drain| drain.state == DrainState::Withdrawn && now - drain.since >= long;
-        let gone: Vec<String> = self
+        let memory = grace * WITHDRAWN_MEMORY_GRACE_PERIODS;
+        let is_expired = |drain: &Drain| {
+            drain.state == DrainState::Withdrawn && now - drain.entered_state_at >= memory
+        };
+        let expired: Vec<String> = self
             .drains
             .iter()
-            .filter(|(_, drain)| old(drain))
+            .filter(|(_, drain)| is_expired(drain))
             .map(|(node, _)| node.clone())
             .collect();
-        for node in gone {
+        for node in expired {
             self.drains.remove(&node);
             self.effects.push(DrainEffect::Write { node, drain: None });
         }
     }
 
+    /// What is to be done since the last call.
     pub fn take_effects(&mut self) -> Vec<DrainEffect> {
         std::mem::take(&mut self.effects)
     }
 }
-
-fn settled(word: DrainAction) -> DrainState {
-    match word {
-        DrainAction::Drain => DrainState::Propagating,
-        DrainAction::Undrain => DrainState::Withdrawn,
-    }
-}
-
-fn turn(state: DrainState, input: DrainEvent) -> Option<DrainState> {
-    TABLE
-        .iter()
-        .find(|row| (row.0, row.1) == (state, input))
-        .map(|row| row.2)
-}
-
-/// A check is overridden by its name, which is what comes before the colon.
-fn overridden(overrides: &[String], text: &str) -> bool {
-    let name = text.split(':').next().unwrap_or(text);
-    overrides.iter().any(|known| known == name)
-}
--- a/crates/drain/tests/lives.rs
+++ b/crates/drain/tests/lives.rs
@@ -1,4 +1,4 @@
-//! Orders that come twice, late, crossed and in any order; campaigns at fleets that fail in parts.
+//! Orders that come twice, late, crossed and in any order; deliverys at fleets that fail in parts.
 
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -9,8 +9,8 @@
 };
 use wheelspread_drain::registry::DrainEffect;
 use wheelspread_drain::{
-    Drain, DrainAction, DrainError, DrainOrder, DrainRegistry, DrainState, Evidence, OrderDelivery,
-    OrderId, Outcome, Reply, RetryBudget,
+    Drain, DrainAction, DrainError, DrainOrder, DrainRegistry, DrainState, Evidence, FailedCheck,
+    OrderDelivery, OrderId, Outcome, Reply, RetryBudget,
 };
 
 const NODE: &str = "127.0.0.1:9001";
@@ -166,9 +166,13 @@
 #[test_case(&["pool"], true; "one of two is")]
 #[test_case(&["pool", "capacity"], false; "both are named")]
 fn what_speaks_against_it_refuses_a_drain_that_does_not_name_it(overrides: &[&str], refuses: bool) {
+    let failed_check = |name: &str, text: &str| FailedCheck {
+        name: name.into(),
+        text: text.into(),
+    };
     let against = [
-        "pool: no node would be left".to_string(),
-        "capacity: 40% would be lost".to_string(),
+        failed_check("pool", "pool: no node would be left"),
+        failed_check("capacity", "capacity: 40% would be lost"),
     ];
     let mut told = order("a", DrainAction::Drain, 5);
     told.overrides = overrides.iter().map(|name| name.to_string()).collect();
@@ -259,28 +263,28 @@
     (0..count).map(|n| format!("c{n}"))
 }
 
-/// Plays a campaign; `answer` says what a conductor does to its n-th try, `None`: it never answers.
+/// Plays a delivery; `answer` says what a conductor does to its n-th try, `None`: it never answers.
 fn play(
     count: usize,
     answer: impl Fn(&str, u32) -> Option<Reply>,
 ) -> (OrderDelivery, Moment, Vec<(f64, String)>) {
-    let (mut now, mut campaign) = (
+    let (mut now, mut delivery) = (
         at(0.0),
         OrderDelivery::new(at(0.0), 3, spent(), names(count)),
     );
     let (mut tries, mut told): (BTreeMap<String, u32>, Vec<(f64, String)>) = Default::default();
-    while !campaign.over(now) {
-        for name in campaign.due(now) {
+    while !delivery.is_over(now) {
+        for name in delivery.due(now) {
             told.push((now.seconds(), name.clone()));
             let n = tries.entry(name.clone()).or_insert(0);
             *n += 1;
             if let Some(reply) = answer(&name, *n) {
-                campaign.reply(now, &name, reply);
+                delivery.on_reply(now, &name, reply);
             }
         }
         now = now + span(0.01);
     }
-    (campaign, now, told)
+    (delivery, now, told)
 }
 
 fn taken() -> Option<Reply> {
@@ -296,48 +300,48 @@
 }
 
 #[test]
-fn a_campaign_at_a_sound_fleet_is_over_at_once() {
-    let (campaign, now, told) = play(30, |_, _| taken());
-    assert_eq!((campaign.outcome(), told.len()), (Outcome::Everywhere, 30));
+fn a_delivery_at_a_sound_fleet_is_over_at_once() {
+    let (delivery, now, told) = play(30, |_, _| taken());
+    assert_eq!((delivery.outcome(), told.len()), (Outcome::Everywhere, 30));
     assert!(now.seconds() < 0.1);
 }
 
 #[test]
 fn one_that_comes_back_is_told_again_and_one_that_is_gone_makes_it_a_part() {
-    let (campaign, now, _) = play(30, |name, n| match name {
+    let (delivery, now, _) = play(30, |name, n| match name {
         "c7" if n < 4 => failed(),
         _ => taken(),
     });
-    assert_eq!(campaign.outcome(), Outcome::Everywhere);
+    assert_eq!(delivery.outcome(), Outcome::Everywhere);
     assert!((0.2..2.0).contains(&now.seconds()), "{now:?}");
-    let (campaign, now, told) = play(30, |name, _| if name == "c7" { failed() } else { taken() });
+    let (delivery, now, told) = play(30, |name, _| if name == "c7" { failed() } else { taken() });
     assert_eq!(
-        (campaign.outcome(), now.seconds()),
+        (delivery.outcome(), now.seconds()),
         (Outcome::Partly, 5.0),
         "the budget is spent, no more"
     );
     let tries = told.iter().filter(|(_, name)| name == "c7").count();
     assert!((5..20).contains(&tries), "{tries} tries with back-off");
-    let last = campaign
+    let last = delivery
         .replies()
-        .find(|(name, ..)| *name == "c7")
-        .and_then(|(_, _, reply)| reply.cloned());
+        .find(|reply| reply.controller == "c7")
+        .and_then(|reply| reply.last.cloned());
     assert_eq!(last, failed());
 }
 
 #[test]
 fn one_that_never_answers_and_one_that_refuses_are_no_success() {
-    let (campaign, ..) = play(3, |name, _| match name {
+    let (delivery, ..) = play(3, |name, _| match name {
         "c0" => None,
         "c1" => Some(Reply::Refused {
             reason: "pool: no node would be left".into(),
         }),
         _ => taken(),
     });
-    assert_eq!(campaign.outcome(), Outcome::Partly);
-    let silent = campaign
+    assert_eq!(delivery.outcome(), Outcome::Partly);
+    let silent = delivery
         .replies()
-        .filter(|(_, _, reply)| reply.is_none())
+        .filter(|reply| reply.last.is_none())
         .count();
     assert_eq!(silent, 1);
     assert_eq!(play(2, |_, _| failed()).0.outcome(), Outcome::Nowhere);
@@ -379,7 +383,7 @@
     ]);
     let told: Vec<(String, String)> = missing_orders(&fleet)
         .into_iter()
-        .map(|(to, order)| (to, order.id.0))
+        .map(|missing| (missing.controller, missing.order.id.0))
         .collect();
     assert_eq!(
         told,
--- a/crates/fleet/src/order.rs
+++ b/crates/fleet/src/order.rs
@@ -53,17 +53,17 @@
         let begin = Instant::now();
         let now = || Moment::from_seconds(begin.elapsed().as_secs_f64());
         let one = Span::from_seconds(self.within.as_secs_f64());
-        let spent = RetryBudget {
+        let budget = RetryBudget {
             timeout: within,
             initial_backoff: one * FIRST_WAIT,
             max_backoff: one * LONGEST_WAIT,
         };
-        let mut campaign = OrderDelivery::new(now(), seed, spent, self.conductors.keys().cloned());
+        let mut delivery = OrderDelivery::new(now(), seed, budget, self.conductors.keys().cloned());
         let (told, answers) = std::sync::mpsc::channel();
-        while !campaign.over(now()) {
-            for name in campaign.due(now()) {
+        while !delivery.is_over(now()) {
+            for name in delivery.due(now()) {
                 let (fleet, request, to) = (self.clone(), request.clone(), told.clone());
-                let left = Duration::from_secs_f64((campaign.until() - now()).seconds().max(0.0));
+                let left = Duration::from_secs_f64((delivery.until() - now()).seconds().max(0.0));
                 let until = Instant::now() + left.min(self.within);
                 let ask = move || {
                     let one = BTreeSet::from([name.clone()]);
@@ -73,20 +73,23 @@
                 };
                 std::thread::spawn(ask);
             }
-            let next = campaign
+            let next = delivery
                 .wake_at()
-                .unwrap_or(campaign.until())
-                .min(campaign.until());
+                .unwrap_or(delivery.until())
+                .min(delivery.until());
             let wait = Duration::from_secs_f64((next - now()).seconds().max(0.001));
             if let Ok((name, reply)) = answers.recv_timeout(wait) {
-                campaign.reply(now(), &name, reply);
+                delivery.on_reply(now(), &name, reply);
             }
         }
-        let replies = campaign
-            .replies()
-            .map(|(name, tries, reply)| (name.to_string(), (tries, reply.cloned())));
+        let replies = delivery.replies().map(|reply| {
+            (
+                reply.controller.to_string(),
+                (reply.attempts, reply.last.cloned()),
+            )
+        });
         Ordered {
-            outcome: campaign.outcome(),
+            outcome: delivery.outcome(),
             conductors: replies.collect(),
         }
     }
