--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -142,7 +142,7 @@
         Err(code) => return code,
     };
     log::start(&file.log);
-    if wheelspread_faults::start() {
+    if wheelspread_faults::enable_from_environment() {
         tracing::warn!("FAILPOINTS is set: this conductor is made to go wrong");
     }
     let conductor = match Controller::start(file, Some(path)) {
--- a/crates/cli/src/measure/state.rs
+++ b/crates/cli/src/measure/state.rs
@@ -11,7 +11,7 @@
 use wheelspread_config_transaction::ChangeRecord;
 use wheelspread_config_transaction::{Change, ChangeId, ChangeState, Commit, Configuration};
 use wheelspread_drill::DrillError;
-use wheelspread_store::{Store, StoreError};
+use wheelspread_store::{Inspection, Store, StoreError};
 
 #[derive(Clone, Debug)]
 pub struct Measured {
@@ -80,7 +80,11 @@
 }
 
 fn state(root: &Path) -> Result<(u64, u64), DrillError> {
-    let (kept, _, bytes) = Store::inspect(&root.join("state")).map_err(stored)?;
+    let Inspection {
+        state: kept,
+        total_bytes: bytes,
+        ..
+    } = Store::inspect(&root.join("state")).map_err(stored)?;
     Ok((kept.commits, bytes))
 }
 
--- a/crates/cli/src/state.rs
+++ b/crates/cli/src/state.rs
@@ -26,13 +26,14 @@
 
 pub fn state(arguments: StateArguments) -> ExitCode {
     let result = match arguments.what {
-        What::Inspect { file } => Store::inspect(&file).map(|(kept, _, _)| {
-            say!("{}", serde_json::to_string_pretty(&kept).unwrap_or_default());
+        What::Inspect { file } => Store::inspect(&file).map(|inspection| {
+            say!("{}", serde_json::to_string_pretty(&inspection.state).unwrap_or_default());
             ExitCode::SUCCESS
         }),
-        What::Verify { file } => Store::inspect(&file).map(|(kept, sound, all)| {
-            let commits = kept.commits;
-            if sound == all {
+        What::Verify { file } => Store::inspect(&file).map(|inspection| {
+            let commits = inspection.state.commits;
+            let (sound, all) = (inspection.sound_bytes, inspection.total_bytes);
+            if inspection.is_sound() {
                 say!("{}: {commits} commits in {all} bytes, all sound", file.display());
                 return ExitCode::SUCCESS;
             }
--- a/crates/cli/tests/changes.rs
+++ b/crates/cli/tests/changes.rs
@@ -323,7 +323,7 @@
 #[test]
 fn killed_at_each_place_by_name_no_gateway_ever_holds_a_mix() {
     let mut cases = vec![(String::new(), false), (String::new(), true)];
-    for point in wheelspread_faults::POINTS {
+    for point in wheelspread_faults::NAMES {
         // The first time, and later times, which fall into the change and into its undo.
         for skipped in [0, 3, 6] {
             cases.push((
--- a/crates/controller/src/service.rs
+++ b/crates/controller/src/service.rs
@@ -22,7 +22,7 @@
 use wheelspread_controller_core::controller_core::ConfigUpdate;
 use wheelspread_controller_core::rollback::RollbackResult;
 use wheelspread_controller_core::{ControllerCore, Effect, LogEvent, Observation};
-use wheelspread_faults::reached;
+use wheelspread_faults::failpoint;
 use wheelspread_files::{read, scan, Done, Job, Root, Writer};
 use wheelspread_grpc::tls::{BadKeys, KeyFiles};
 use wheelspread_grpc::{ServerConfig, Status};
@@ -307,7 +307,7 @@
                 RolloutAction::Write { number, commit } => self.write(now, number, commit),
                 RolloutAction::Configure(configured) => self.configure(now, *configured),
                 RolloutAction::Answer { request, result } => {
-                    let _ = reached("change.answer");
+                    let _ = failpoint("change.answer");
                     self.admin.told(request, &result);
                 }
                 RolloutAction::Log(note) => log::note(&note),
@@ -330,12 +330,12 @@
 
     /// A configuration comes into force: for the decisions, for what is written and for what is streamed.
     fn configure(&mut self, now: Moment, configured: ConfigUpdate) {
-        let _ = reached("change.configure");
+        let _ = failpoint("change.configure");
         self.give(Job::Plan(Box::new(configured.plan.clone())));
         self.desk.configure(configured.plan.clone());
         self.session
             .observe(now, Observation::ConfigUpdated(Box::new(configured)));
-        let _ = reached("change.configured");
+        let _ = failpoint("change.configured");
     }
 
     fn carry_out(&mut self, effect: Effect) {
--- a/crates/controller/src/state_writer.rs
+++ b/crates/controller/src/state_writer.rs
@@ -18,7 +18,7 @@
     show, EndpointList, EndpointRecord, EndpointSnapshot,
 };
 use wheelspread_controller_core::Version;
-use wheelspread_faults::reached;
+use wheelspread_faults::failpoint;
 use wheelspread_reactor::Waker;
 use wheelspread_store::{OpenOutcome, Store, StoreError};
 
@@ -341,7 +341,7 @@
             warn!(reason, "not kept, tried again");
             left.facts = facts;
         }
-        let _ = reached("store.told");
+        let _ = failpoint("store.told");
         for number in numbers {
             // The other side is gone only when the program ends.
             let _ = told.send((number, written.clone()));
@@ -428,7 +428,7 @@
         );
         keeper.keep(1000.0, Version(7), nodes, learnt);
         drop(keeper);
-        Store::inspect(path).expect("there").0
+        Store::inspect(path).expect("there").state
     }
 
     #[test]
--- a/crates/faults/src/lib.rs
+++ b/crates/faults/src/lib.rs
@@ -1,12 +1,16 @@
-//! Named places in the way of a change, where a test or a drill makes something go wrong. Off unless the
-//! environment names some in `FAILPOINTS`, as in `store.half=2*off->1*return(kill)`: the third time the program
-//! comes there it ends at once, as by SIGKILL. `return(full)` is a disk that is full, `sleep(2000)` one that
-//! is slow; the rest is the notation of the crate `fail`.
+//! Failpoints: named places in the path of a configuration change where a test or a drill injects a failure.
+//!
+//! They are off unless the environment names some in `FAILPOINTS`, as in `store.half=2*off->1*return(kill)`: the third
+//! time the program reaches the place it ends at once, as by SIGKILL. `return(full)` is a disk that is full,
+//! `sleep(2000)` one that is slow; the rest is the notation of the crate `fail`.
 
 use std::io;
 
-/// Every place, in the order in which a change comes by them.
-pub const POINTS: &[&str] = &[
+/// The environment variable that turns failpoints on.
+const ENVIRONMENT_VARIABLE: &str = "FAILPOINTS";
+
+/// The name of every failpoint, in the order in which a change reaches them.
+pub const NAMES: &[&str] = &[
     "store.begin",
     "store.half",
     "store.written",
@@ -29,22 +33,22 @@
     "store.renamed",
 ];
 
-/// Reads the environment; `true` if something is to go wrong.
-pub fn start() -> bool {
-    if std::env::var_os("FAILPOINTS").is_none_or(|points| points.is_empty()) {
+/// Turns on the failpoints that the environment names; returns whether there are any.
+pub fn enable_from_environment() -> bool {
+    if std::env::var_os(ENVIRONMENT_VARIABLE).is_none_or(|points| points.is_empty()) {
         return false;
     }
-    // Places stay set for as long as the program runs.
+    // Dropping the scenario would turn the failpoints off; they stay on as long as the program runs.
     std::mem::forget(fail::FailScenario::setup());
     true
 }
 
-/// Comes by a place.
-pub fn reached(point: &str) -> io::Result<()> {
-    let wrong = |what: Option<String>| match what.as_deref() {
+/// Marks a place. If a failure is set for it, the program ends, waits, or gets the error of a failed disk.
+pub fn failpoint(name: &str) -> io::Result<()> {
+    let inject = |failure: Option<String>| match failure.as_deref() {
         Some("kill") => std::process::abort(),
         Some("full") => io::Error::from(io::ErrorKind::StorageFull),
-        _ => io::Error::other(format!("made to fail at {point}")),
+        _ => io::Error::other(format!("made to fail at {name}")),
     };
-    fail::eval(point, wrong).map_or(Ok(()), Err)
+    fail::eval(name, inject).map_or(Ok(()), Err)
 }
--- a/crates/files/src/swap.rs
+++ b/crates/files/src/swap.rs
@@ -6,7 +6,7 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 use wheelspread_controller_core::publication::Version;
-use wheelspread_faults::reached;
+use wheelspread_faults::failpoint;
 use wheelspread_xds::tables::Documents;
 
 /// What is done, in this order. The order is what makes it safe: data before names, names before links.
@@ -127,7 +127,7 @@
                 path: self.draft(),
                 text: plain(&error),
             };
-            reached(&format!("files.{step:?}")).map_err(faulty)?;
+            failpoint(&format!("files.{step:?}")).map_err(faulty)?;
             let paths = match step {
                 Step::SyncDraft => {
                     vec![self.draft().join(EDS), self.draft().join(RDS), self.draft()]
@@ -151,7 +151,7 @@
             path: self.draft(),
             text: plain(&error),
         };
-        reached("files.pointed").map_err(pointed)
+        failpoint("files.pointed").map_err(pointed)
     }
 }
 
--- /dev/null
+++ b/crates/store/src/recovery.rs
@@ -0,0 +1,221 @@
+//! Opens a file, finds out what of it is sound, and mends what can be mended.
+
+use crate::error::StoreError;
+use crate::format::{decode_frame, header, header_version, Frame, FORMAT_VERSION};
+use crate::store::{sync_parent, Store};
+use serde::Serialize;
+use std::fs::{File, OpenOptions, TryLockError};
+use std::io::{Read, Write};
+use std::path::{Path, PathBuf};
+use wheelspread_config_transaction::PersistedState;
+
+/// How a file was found when it was opened.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize)]
+#[serde(rename_all = "kebab-case")]
+pub enum OpenOutcome {
+    /// It was missing, or nothing had been committed to it.
+    Fresh,
+    /// All of it is sound.
+    Sound,
+    /// The last commit was not written to its end. It never counted, and was cut off.
+    TornTail {
+        /// The length of what was cut off.
+        bytes: u64,
+    },
+    /// It can't be believed from some byte on. The whole file was kept aside, and what comes before is used.
+    Damaged {
+        /// Where the whole file is kept.
+        aside: PathBuf,
+        /// The first byte that is not believed.
+        at: u64,
+        /// How many bytes there are from there.
+        bytes: u64,
+    },
+}
+
+/// What a file holds, read without mending anything.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Inspection {
+    /// The result of all sound commits.
+    pub state: PersistedState,
+    /// Up to which byte the file is sound.
+    pub sound_bytes: u64,
+    /// The length of the file.
+    pub total_bytes: u64,
+}
+
+impl Inspection {
+    /// Whether every byte is sound.
+    pub fn is_sound(&self) -> bool {
+        self.sound_bytes == self.total_bytes
+    }
+}
+
+/// What the bytes of a file come to.
+struct Scan {
+    state: PersistedState,
+    has_sound_header: bool,
+    /// Up to which byte frames are sound.
+    sound_bytes: usize,
+    /// Whether what follows is the beginning of a commit that was never finished.
+    has_torn_tail: bool,
+}
+
+impl Scan {
+    fn new(bytes: &[u8]) -> Scan {
+        let header = header();
+        let mut scan = Scan {
+            state: PersistedState::default(),
+            has_sound_header: bytes.starts_with(header.as_bytes()),
+            // A flipped bit in the first line costs none of the commits.
+            sound_bytes: header.len().min(bytes.len()),
+            has_torn_tail: false,
+        };
+        while scan.sound_bytes < bytes.len() {
+            match decode_frame(&bytes[scan.sound_bytes..]) {
+                Frame::Commit { commit, bytes } => {
+                    scan.state.apply(commit);
+                    scan.sound_bytes += bytes;
+                }
+                Frame::Torn => {
+                    scan.has_torn_tail = true;
+                    break;
+                }
+                Frame::Damaged => break,
+            }
+        }
+        scan
+    }
+}
+
+/// Whether a file ends within its header: the program was killed before anything was committed.
+fn ends_within_header(bytes: &[u8]) -> bool {
+    let header = header();
+    bytes.len() < header.len() && header.as_bytes().starts_with(bytes)
+}
+
+/// Opens a file, or makes it, and locks it.
+fn open_locked(path: &Path) -> Result<File, StoreError> {
+    let file = OpenOptions::new()
+        .read(true)
+        .append(true)
+        .create(true)
+        .open(path)
+        .map_err(StoreError::disk(path))?;
+    match file.try_lock() {
+        Ok(()) => Ok(file),
+        Err(TryLockError::WouldBlock) => Err(StoreError::InUse {
+            path: path.to_path_buf(),
+        }),
+        Err(TryLockError::Error(error)) => Err(StoreError::disk(path)(error)),
+    }
+}
+
+impl Store {
+    /// Opens a file, makes it if it is missing, mends what can be mended, and says how it was found.
+    pub fn open(path: &Path) -> Result<(Store, OpenOutcome), StoreError> {
+        let is_missing = !path.exists();
+        let mut file = open_locked(path)?;
+        let mut bytes = Vec::new();
+        file.read_to_end(&mut bytes)
+            .map_err(StoreError::disk(path))?;
+        if is_missing || ends_within_header(&bytes) {
+            let store = Store::initialize(path, file)?;
+            return Ok((store, OpenOutcome::Fresh));
+        }
+        if let Some(found) = header_version(&bytes).filter(|version| *version > FORMAT_VERSION) {
+            return Err(StoreError::Newer {
+                path: path.to_path_buf(),
+                found,
+            });
+        }
+        let scan = Scan::new(&bytes);
+        let is_sound = scan.sound_bytes == bytes.len();
+        match scan.has_sound_header && (is_sound || scan.has_torn_tail) {
+            true => Store::with_sound_commits(path, file, scan, &bytes),
+            false => Store::from_damaged(path, file, scan, &bytes),
+        }
+    }
+
+    /// Writes the header of a new file.
+    fn initialize(path: &Path, mut file: File) -> Result<Store, StoreError> {
+        let header = header();
+        file.set_len(0)
+            .and_then(|()| file.write_all(header.as_bytes()))
+            .and_then(|()| file.sync_all())
+            .and_then(|()| sync_parent(path))
+            .map_err(StoreError::disk(path))?;
+        let state = PersistedState::default();
+        Ok(Store::new(path, file, state, header.len() as u64))
+    }
+
+    /// Cuts off a torn tail, if there is one.
+    fn with_sound_commits(
+        path: &Path,
+        file: File,
+        scan: Scan,
+        bytes: &[u8],
+    ) -> Result<(Store, OpenOutcome), StoreError> {
+        let sound_bytes = scan.sound_bytes as u64;
+        let outcome = match scan.has_torn_tail {
+            true => {
+                file.set_len(sound_bytes)
+                    .and_then(|()| file.sync_all())
+                    .map_err(StoreError::disk(path))?;
+                OpenOutcome::TornTail {
+                    bytes: bytes.len() as u64 - sound_bytes,
+                }
+            }
+            false => OpenOutcome::Sound,
+        };
+        let store = Store::new(path, file, scan.state, sound_bytes);
+        Ok((store, outcome))
+    }
+
+    /// Keeps the whole file aside and goes on with what is sound of it.
+    fn from_damaged(
+        path: &Path,
+        file: File,
+        scan: Scan,
+        bytes: &[u8],
+    ) -> Result<(Store, OpenOutcome), StoreError> {
+        let aside = unused_aside_path(path);
+        std::fs::write(&aside, bytes).map_err(StoreError::disk(path))?;
+        let at = scan.sound_bytes as u64;
+        let mut store = Store::new(path, file, scan.state, at);
+        store.compact()?;
+        let outcome = OpenOutcome::Damaged {
+            aside,
+            at,
+            bytes: bytes.len() as u64 - at,
+        };
+        Ok((store, outcome))
+    }
+
+    /// Reads a file and mends nothing.
+    pub fn inspect(path: &Path) -> Result<Inspection, StoreError> {
+        let bytes = std::fs::read(path).map_err(StoreError::disk(path))?;
+        let scan = Scan::new(&bytes);
+        Ok(Inspection {
+            state: scan.state,
+            sound_bytes: match scan.has_sound_header {
+                true => scan.sound_bytes as u64,
+                false => 0,
+            },
+            total_bytes: bytes.len() as u64,
+        })
+    }
+}
+
+/// The first of `PATH.damaged-1`, `PATH.damaged-2` … that does not exist.
+fn unused_aside_path(path: &Path) -> PathBuf {
+    let numbered = |number: u32| {
+        let mut name = path.as_os_str().to_os_string();
+        name.push(format!(".damaged-{number}"));
+        PathBuf::from(name)
+    };
+    (1..)
+        .map(numbered)
+        .find(|path| !path.exists())
+        .unwrap_or_else(|| numbered(0))
+}
--- a/crates/store/tests/damage.rs
+++ b/crates/store/tests/damage.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn what_was_written_is_there_again_and_a_missing_file_is_said_to_be_fresh() {
+fn commits_survive_a_restart_and_a_missing_file_is_reported_as_fresh() {
     let directory = tempfile::tempdir().expect("a directory");
     let path = directory.path().join("state");
     let (mut store, found) = Store::open(&path).expect("made");
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_file_that_is_none_is_kept_aside_and_said() {
+fn a_file_that_is_no_store_is_kept_aside_and_reported() {
     let directory = tempfile::tempdir().expect("a directory");
     let path = directory.path().join("state");
     std::fs::write(&path, "not a store at all").expect("written");
@@ -129,7 +129,7 @@
     // A flipped bit: it is said, the whole is kept aside or was a tail that never counted, and what is gone on
     // with was written together.
     #[test]
-    fn a_flipped_bit_is_found_and_what_comes_before_it_is_saved(at in 0.0f64..1.0, bit in 0u8..8) {
+    fn a_flipped_bit_is_found_and_the_commits_before_it_are_saved(at in 0.0f64..1.0, bit in 0u8..8) {
         let directory = tempfile::tempdir().expect("a directory");
         let path = directory.path().join("state");
         let (mut bytes, ends) = eleven(&path);
