--- a/crates/config-rollout/tests/kills.rs
+++ b/crates/config-rollout/tests/kills.rs
@@ -36,14 +36,14 @@
     }
 }
 
-fn plan() -> Deployment {
+fn deployment() -> Deployment {
     let operation = |name: &str| {
         serde_json::json!({
             "name": name, "latency_objective": "1s", "integration_timeout": "3s", "billed_value": 1.0,
             "repeat": "idempotent", "stays_in_zone": true
         })
     };
-    let told = serde_json::json!({
+    let deployment = serde_json::json!({
         "zones": ["north", "south"],
         "operations": [operation("quote"), operation("tour-plan")],
         "proxies": { "count": 4, "usual_rate": 20.0 },
@@ -52,7 +52,7 @@
         "channel": { "lines_waiting_at_most": 4000.0, "lines_per_second": 5000.0, "delay_at_most": "200ms" },
         "sums": { "period": "200ms", "loads": ["utilization"] }
     });
-    serde_json::from_value(told).expect("a sound plan")
+    serde_json::from_value(deployment).expect("a sound plan")
 }
 
 fn settings() -> RolloutSettings {
@@ -183,7 +183,7 @@
 
     fn start(&mut self) {
         let (rollout, configured, moving) =
-            Rollout::start(self.now, plan(), settings(), &self.kept);
+            Rollout::start(self.now, deployment(), settings(), &self.kept);
         let versions = self.links.values().map(|set| set.version).collect();
         let held = self
             .links
@@ -426,7 +426,7 @@
                 continue;
             }
             self.kept.apply(commit);
-            // On the disk, and nobody was told.
+            // On the disk, and not reported yet.
             if self.point() {
                 return None;
             }
@@ -468,10 +468,10 @@
             ChangeState::Proposed | ChangeState::Checked => {}
             ChangeState::Staged => self.staged = true,
             ChangeState::Applying | ChangeState::Watched | ChangeState::Kept => {
-                (self.staged, self.applied) = (true, true)
+                (self.staged, self.applied) = (true, true);
             }
             ChangeState::Undoing | ChangeState::Undone => {
-                (self.staged, self.applied, self.undone) = (true, true, true)
+                (self.staged, self.applied, self.undone) = (true, true, true);
             }
             ChangeState::Refused => panic!("{:?}", record.reason),
         }
@@ -492,11 +492,11 @@
             ChangeState::Undone
         };
         let there = self.record().is_some_and(|record| record.state == wanted);
-        let told = self
+        let is_written = self
             .controller
             .as_ref()
             .is_some_and(|running| running.rollout.unwritten() == 0);
-        there && told && self.joins.is_empty()
+        there && is_written && self.joins.is_empty()
     }
 
     fn play(&mut self) {
--- /dev/null
+++ b/crates/drain/tests/consistency.rs
@@ -0,0 +1,129 @@
+//! Where the controllers of a fleet disagree, and which orders one of them misses.
+
+mod common;
+
+use common::{at, order, submit_and_write};
+use std::collections::BTreeMap;
+use wheelspread_drain::consistency::{
+    find_disagreements, missing_orders, ControllerView, DisagreementKind, NodeView,
+};
+use wheelspread_drain::{Drain, DrainAction, DrainOrder, DrainRegistry};
+
+#[test]
+fn the_newest_order_is_missing_only_at_controllers_that_do_not_have_it() {
+    let of = |orders: Vec<DrainOrder>| {
+        let mut registry = DrainRegistry::default();
+        orders
+            .into_iter()
+            .for_each(|order| submit_and_write(&mut registry, at(0.0), order));
+        registry.drains().cloned().collect::<Vec<Drain>>()
+    };
+    let (old, new) = (
+        order("a", DrainAction::Drain, 1),
+        order("b", DrainAction::Undrain, 2),
+    );
+    let fleet = BTreeMap::from([
+        ("c0".to_string(), of(vec![old.clone(), new.clone()])),
+        ("c1".to_string(), of(vec![old])),
+        ("c2".to_string(), of(vec![])),
+    ]);
+    let missing: Vec<(String, String)> = missing_orders(&fleet)
+        .into_iter()
+        .map(|missing| (missing.controller, missing.order.id.0))
+        .collect();
+    assert_eq!(
+        missing,
+        [
+            ("c1".to_string(), "b".to_string()),
+            ("c2".to_string(), "b".to_string())
+        ]
+    );
+}
+
+fn controller_view(
+    list: &str,
+    configuration: u64,
+    nodes: &[(&str, &str, &str, bool)],
+) -> ControllerView {
+    let view = |(name, listing, zone, by_order): &(&str, &str, &str, bool)| {
+        let view = NodeView {
+            listing: listing.to_string(),
+            zone: zone.to_string(),
+            by_order: *by_order,
+        };
+        (name.to_string(), view)
+    };
+    ControllerView {
+        list: list.into(),
+        configuration,
+        nodes: nodes.iter().map(view).collect(),
+    }
+}
+
+#[test]
+fn disagreements_are_found_with_all_views_and_only_where_they_are() {
+    let fleet = |other: ControllerView| {
+        let sound = controller_view(
+            "7",
+            3,
+            &[
+                ("n1", "ready", "north", false),
+                ("n2", "ready", "north", false),
+            ],
+        );
+        BTreeMap::from([
+            ("a".to_string(), sound.clone()),
+            ("b".to_string(), sound),
+            ("c".to_string(), other),
+        ])
+    };
+    let alike = controller_view(
+        "7",
+        3,
+        &[
+            ("n1", "ready", "north", false),
+            ("n2", "ready", "north", false),
+        ],
+    );
+    assert_eq!(find_disagreements(&fleet(alike)), []);
+    let drained = controller_view(
+        "7",
+        3,
+        &[
+            ("n1", "draining", "north", true),
+            ("n2", "ready", "north", false),
+        ],
+    );
+    let found = find_disagreements(&fleet(drained));
+    assert_eq!(
+        (found.len(), found[0].kind, found[0].node.as_deref()),
+        (1, DisagreementKind::EndpointStatus, Some("n1"))
+    );
+    assert_eq!(found[0].views["draining by order"], ["c"]);
+    assert_eq!(found[0].views["ready"], ["a", "b"]);
+    let late = find_disagreements(&fleet(controller_view(
+        "6",
+        3,
+        &[("n1", "ready", "north", false)],
+    )));
+    assert_eq!(
+        (late.len(), late[0].kind, late[0].lists_differ),
+        (1, DisagreementKind::Listed, true)
+    );
+    let migrated = controller_view(
+        "7",
+        4,
+        &[
+            ("n1", "ready", "south", false),
+            ("n2", "ready", "north", false),
+        ],
+    );
+    let kinds: Vec<DisagreementKind> = find_disagreements(&fleet(migrated))
+        .iter()
+        .map(|found| found.kind)
+        .collect();
+    assert_eq!(
+        kinds,
+        [DisagreementKind::Configuration, DisagreementKind::Zone]
+    );
+}
