--- a/crates/controller/src/routes.rs
+++ b/crates/controller/src/routes.rs
@@ -8,9 +8,9 @@
 use wheelspread::ids::{OperationId, ZoneId};
 use wheelspread::time::Moment;
 use wheelspread::{EndpointEntry, EndpointStatus};
-use wheelspread_config_rollout::values::node;
+use wheelspread_config_rollout::values::parse_node;
 use wheelspread_config_rollout::{Rollout, RolloutCommand};
-use wheelspread_config_transaction::ledger::Record;
+use wheelspread_config_transaction::ChangeRecord;
 use wheelspread_config_transaction::{Change, ChangeId};
 use wheelspread_controller_core::deployment::OperationPlan;
 use wheelspread_controller_core::endpoint_list::show;
@@ -18,7 +18,7 @@
 use wheelspread_controller_core::publication::{BundleId, Version};
 use wheelspread_controller_core::transport::Transport;
 use wheelspread_controller_core::{ControllerCore, Observation};
-use wheelspread_drain::{Order, OrderId, Word};
+use wheelspread_drain::{DrainAction, DrainOrder, OrderId};
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -159,7 +159,7 @@
 struct DrainTold {
     id: String,
     node: String,
-    word: Word,
+    word: DrainAction,
     by: String,
     #[serde(default)]
     given_ms: Option<u64>,
@@ -170,7 +170,7 @@
 /// A clock that is further ahead than this is not believed: its orders would go before all others for as long.
 const AHEAD_MS: u64 = 60_000;
 
-fn drain(told: DrainTold) -> Result<Order, (u16, String)> {
+fn drain(told: DrainTold) -> Result<DrainOrder, (u16, String)> {
     named("id", &told.id)?;
     named("by", &told.by)?;
     let now_ms = (wheelspread_reactor::wall() * 1e3) as u64;
@@ -192,10 +192,10 @@
         overrides,
         ..
     } = told;
-    Ok(Order {
+    Ok(DrainOrder {
         id: OrderId(id),
         node,
-        word,
+        action: word,
         by,
         given_ms,
         overrides,
@@ -246,7 +246,7 @@
         ("GET", target) => return shown(now, target, desk).map(Some),
         (method, target) => return Err((404, format!("{method} {target} is not served here"))),
     };
-    rollout.ask(now, order, ask, session);
+    rollout.handle_command(now, order, ask, session);
     Ok(None)
 }
 
@@ -277,9 +277,12 @@
 
 /// Those of which something is still to come, then the latest in force.
 fn changes(rollout: &Rollout) -> Value {
-    let mut records: Vec<&Record> = rollout.ledger().records().collect();
+    let mut records: Vec<&ChangeRecord> = rollout.ledger().records().collect();
     records.sort_by_key(|record| {
-        std::cmp::Reverse((!record.state.over(), record.made.max(record.unmade)))
+        std::cmp::Reverse((
+            !record.state.is_final(),
+            record.applied_version.max(record.undone_version),
+        ))
     });
     records.truncate(RECENT);
     json!(records)
@@ -308,13 +311,13 @@
     let reach = session.reach();
     let under_way = rollout
         .ledger()
-        .open()
-        .find(|record| record.state.under_way());
+        .unfinished()
+        .find(|record| record.state.is_in_progress());
     let drains = desk
         .drains
         .book()
         .drains()
-        .filter(|drain| drain.goes())
+        .filter(|drain| drain.is_active())
         .count();
     json!({
         "interface": INTERFACE,
@@ -408,7 +411,7 @@
 }
 
 fn whereabouts(text: &str, desk: &Desk) -> Result<Value, (u16, String)> {
-    let id = node(text).ok_or_else(|| {
+    let id = parse_node(text).ok_or_else(|| {
         (
             400,
             format!("`{text}` should be an address as 127.0.0.1:9000"),
