--- a/crates/cli/tests/common/client.rs
+++ b/crates/cli/tests/common/client.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 use wheelspread_controller_core::membership::Introduction;
 use wheelspread_controller_core::publication::Version;
-use wheelspread_discovery::reader::Reader;
+use wheelspread_discovery::delta_client::Reader;
 use wheelspread_discovery::Kind;
 use wheelspread_grpc::{ClientConnection, ClientEvent, Limits};
 use wheelspread_reactor as reactor;
--- a/crates/controller/src/front.rs
+++ b/crates/controller/src/front.rs
@@ -11,7 +11,7 @@
 use wheelspread_controller_core::membership::StreamId;
 use wheelspread_controller_core::publication::{TableSet, Version};
 use wheelspread_controller_core::{ControllerCore, Deployment, Observation};
-use wheelspread_discovery::history::Shared;
+use wheelspread_discovery::snapshot_cache::Shared;
 use wheelspread_discovery::{Answer, Content, Front, News, Plan, Verdict};
 use wheelspread_grpc::Status;
 use wheelspread_xds::discovery;
--- a/crates/discovery/src/reader.rs
+++ b/crates/discovery/src/delta_client.rs
@@ -2,8 +2,8 @@
 //! is all of one version. Kinds come one after the other; nothing is in force before the last of a version
 //! has come, so that no invocation meets lines of one version and routes of another.
 
-use crate::content::Kind;
-use crate::receiver::{Delta, Receiver, Taken};
+use crate::resource_store::{Delta, Receiver, Taken};
+use crate::snapshot::Kind;
 use crate::stream::{Ask, Mode};
 use std::collections::BTreeMap;
 use wheelspread_controller_core::publication::Version;
@@ -148,7 +148,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::content::{Content, Resource};
+    use crate::snapshot::{Content, Resource};
     use crate::{Front, Plan};
     use std::sync::Arc;
     use wheelspread::ids::ProxyId;
--- a/crates/discovery/src/receiver.rs
+++ b/crates/discovery/src/resource_store.rs
@@ -2,7 +2,7 @@
 //! as a whole or not at all; one that does not fit to what is held, or does not come to what it says, is
 //! refused, and the whole is asked for.
 
-use crate::content::{checksum, Checksum, Resource};
+use crate::snapshot::{checksum, Checksum, Resource};
 use std::collections::BTreeMap;
 
 /// What a delta says.
--- a/crates/discovery/src/front.rs
+++ b/crates/discovery/src/server.rs
@@ -1,10 +1,10 @@
 //! All discovery streams of a conductor: who is on which, what each was offered, who holds what since when,
 //! and the verdicts on what was refused.
 
-use crate::content::Content;
-use crate::history::History;
+use crate::rejection::{Verdict, Verdicts};
+use crate::snapshot::Content;
+use crate::snapshot_cache::History;
 use crate::stream::{Answer, Ask, Heard, Stream, MOST_NAMES};
-use crate::verdict::{Verdict, Verdicts};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use wheelspread::ids::ProxyId;
--- a/crates/discovery/src/history.rs
+++ b/crates/discovery/src/snapshot_cache.rs
@@ -2,7 +2,7 @@
 //! the same share one difference, so that it is worked out once however many follow. A stream keeps the version
 //! that its client holds by itself, so a difference from any of them can be worked out anew.
 
-use crate::content::{Checksum, Content, Kind, Name, Resource, Wanted};
+use crate::snapshot::{Checksum, Content, Kind, Name, Resource, Wanted};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use wheelspread_controller_core::publication::{BundleId, Version};
--- a/crates/discovery/src/stream.rs
+++ b/crates/discovery/src/stream.rs
@@ -2,8 +2,8 @@
 //! newest version is worked out against what the client then holds. A kind that waits for its
 //! acknowledgement holds back those that refer to it, never those before it.
 
-use crate::content::{Checksum, Content, Kind, Name, Resource, Wanted, ORDER};
-use crate::history::{Difference, History, Shared};
+use crate::snapshot::{Checksum, Content, Kind, Name, Resource, Wanted, ORDER};
+use crate::snapshot_cache::{Difference, History, Shared};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use wheelspread::rolling_window::RollingWindow;
--- a/crates/discovery/tests/streams.rs
+++ b/crates/discovery/tests/streams.rs
@@ -8,7 +8,7 @@
 use wheelspread::time::{Moment, Span};
 use wheelspread_controller_core::membership::StreamId;
 use wheelspread_controller_core::publication::{BundleId, Version};
-use wheelspread_discovery::receiver::Delta;
+use wheelspread_discovery::resource_store::Delta;
 use wheelspread_discovery::{
     Answer, Ask, Content, Front, Kind, Mode, News, Plan, Receiver, Taken, Verdict, Verdicts,
 };
--- a/crates/proxy/src/table_stream.rs
+++ b/crates/proxy/src/table_stream.rs
@@ -8,7 +8,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use wheelspread::time::{Moment, Span};
 use wheelspread_controller_core::membership::Introduction;
-use wheelspread_discovery::reader::Reader;
+use wheelspread_discovery::delta_client::Reader;
 use wheelspread_discovery::{Ask, Kind};
 use wheelspread_files::Held;
 use wheelspread_grpc::{ClientConnection, ClientEvent};
--- a/crates/xds/src/discovery.rs
+++ b/crates/xds/src/discovery.rs
@@ -9,7 +9,7 @@
 use wheelspread_controller_core::membership::Introduction;
 use wheelspread_controller_core::publication::{TableSet, Version};
 use wheelspread_controller_core::Deployment;
-use wheelspread_discovery::receiver::Delta;
+use wheelspread_discovery::resource_store::Delta;
 use wheelspread_discovery::{Answer, Ask, Checksum, Content, Kind, Mode};
 use xds_api::pb::envoy::config::cluster::v3 as cluster;
 use xds_api::pb::envoy::config::core::v3 as core;
@@ -360,7 +360,7 @@
         }
         .encode_to_vec();
     }
-    let resource = |(name, resource): &(wheelspread_discovery::content::Name, _)| {
+    let resource = |(name, resource): &(wheelspread_discovery::snapshot::Name, _)| {
         let resource: &wheelspread_discovery::Resource = resource;
         discovery::Resource {
             name: name.to_string(),
