--- a/crates/cli/src/measure/streams.rs
+++ b/crates/cli/src/measure/streams.rs
@@ -9,7 +9,7 @@
 use std::path::Path;
 use wheelspread::time::{Moment, Span};
 use wheelspread_controller_core::membership::Introduction;
-use wheelspread_discovery::{Ask, Kind, Mode};
+use wheelspread_discovery::{Request, RequestBody, ResourceType};
 use wheelspread_drill::{cpu_of, gateways::name, DrillError};
 use wheelspread_grpc::{ClientConnection, ClientEvent, Limits};
 use wheelspread_reactor::{self as reactor, Interest, Poll, Token};
@@ -47,28 +47,28 @@
     complete: u64,
 }
 
-const ASKED: [(Kind, &str); 3] = [
-    (Kind::Endpoints, discovery::LINES_APART),
-    (Kind::Lines, discovery::LINE),
-    (Kind::Routes, discovery::OPERATIONS),
+const ASKED: [(ResourceType, &str); 3] = [
+    (ResourceType::Endpoints, discovery::LINES_APART),
+    (ResourceType::Entries, discovery::LINE),
+    (ResourceType::Routes, discovery::OPERATIONS),
 ];
 const NAMES: [&str; 2] = ["quote", "plan"];
 
-fn hello(kind: Kind, prefix: &str) -> Ask {
+fn hello(kind: ResourceType, prefix: &str) -> Request {
     let names = match kind {
-        Kind::Endpoints => NAMES.iter().map(|name| format!("{prefix}{name}")).collect(),
-        Kind::Lines => NAMES
+        ResourceType::Endpoints => NAMES.iter().map(|name| format!("{prefix}{name}")).collect(),
+        ResourceType::Entries => NAMES
             .iter()
             .map(|name| format!("{prefix}{name}/*"))
             .collect(),
         _ => vec![prefix.to_string()],
     };
-    let mode = Mode::Delta {
+    let mode = RequestBody::Delta {
         subscribe: names,
         unsubscribe: Vec::new(),
         holds: BTreeMap::new(),
     };
-    Ask {
+    Request {
         kind,
         nonce: String::new(),
         error: None,
@@ -106,17 +106,17 @@
                 let told = discovery::read_told(&bytes);
                 let told = told.map_err(|error| DrillError::NotReady(error.to_string()))?;
                 self.bytes += bytes.len() as u64;
-                if told.kind == Kind::Lines {
+                if told.kind == ResourceType::Entries {
                     self.lines += (told.delta.changed.len() + told.delta.removed.len()) as u64;
                 }
-                let complete = told.kind == Kind::Routes;
+                let complete = told.kind == ResourceType::Routes;
                 self.complete += u64::from(complete);
-                let mode = Mode::Delta {
+                let mode = RequestBody::Delta {
                     subscribe: vec![],
                     unsubscribe: vec![],
                     holds: BTreeMap::new(),
                 };
-                let ask = Ask {
+                let ask = Request {
                     kind: told.kind,
                     nonce: told.nonce,
                     error: None,
--- a/crates/cli/tests/common/client.rs
+++ b/crates/cli/tests/common/client.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeSet;
 use wheelspread_controller_core::membership::Introduction;
 use wheelspread_controller_core::publication::Version;
-use wheelspread_discovery::delta_client::Reader;
-use wheelspread_discovery::Kind;
+use wheelspread_discovery::delta_client::DeltaClient;
+use wheelspread_discovery::ResourceType;
 use wheelspread_grpc::{ClientConnection, ClientEvent, Limits};
 use wheelspread_reactor as reactor;
 use wheelspread_xds::{discovery, tables::Orders};
@@ -14,7 +14,7 @@
 pub struct Client {
     pub who: Introduction,
     pub connection: ClientConnection,
-    pub reader: Reader,
+    pub reader: DeltaClient,
     pub silent: bool,
     pub refuses: bool,
     pub orders: Option<Orders>,
@@ -26,11 +26,17 @@
     pub fn dial(stage: &Stage, name: &str, zone: &str) -> Client {
         let kinds = vec![
             (
-                Kind::Endpoints,
+                ResourceType::Endpoints,
                 vec![format!("{}quote", discovery::LINES_APART)],
             ),
-            (Kind::Lines, vec![format!("{}quote/*", discovery::LINE)]),
-            (Kind::Routes, vec![discovery::OPERATIONS.to_string()]),
+            (
+                ResourceType::Entries,
+                vec![format!("{}quote/*", discovery::LINE)],
+            ),
+            (
+                ResourceType::Routes,
+                vec![discovery::OPERATIONS.to_string()],
+            ),
         ];
         Client {
             who: Introduction {
@@ -39,7 +45,7 @@
                 usual_rate: None,
             },
             connection: connect(stage),
-            reader: Reader::new(kinds),
+            reader: DeltaClient::new(kinds),
             silent: true,
             refuses: false,
             orders: None,
@@ -87,12 +93,12 @@
             &told.delta,
             |reader, version| {
                 let values = |kind| reader.held(kind).map(|(_, bytes)| bytes);
-                let lines = reader.held(Kind::Lines);
+                let lines = reader.held(ResourceType::Entries);
                 made = discovery::orders(
                     version,
                     lines,
-                    values(Kind::Endpoints),
-                    values(Kind::Routes),
+                    values(ResourceType::Endpoints),
+                    values(ResourceType::Routes),
                 )
                 .ok();
                 if refuses {
--- a/crates/cli/tests/streams.rs
+++ b/crates/cli/tests/streams.rs
@@ -7,7 +7,7 @@
 use common::{Stage, PROGRAM};
 use std::process::Command;
 use std::time::{Duration, Instant};
-use wheelspread_discovery::Kind;
+use wheelspread_discovery::ResourceType;
 use wheelspread_grpc::{ClientConnection, ClientEvent, Limits};
 use wheelspread_reactor as reactor;
 use wheelspread_xds::discovery;
@@ -284,13 +284,13 @@
                     1 => bad.send_raw(&[7, 0, 0, 0, 1, 0]),
                     2 => bad.send_raw(&[0, 0xff, 0xff, 0xff, 0xff]),
                     _ => {
-                        let mode = wheelspread_discovery::Mode::Delta {
+                        let mode = wheelspread_discovery::RequestBody::Delta {
                             subscribe: vec!["a".into()],
                             unsubscribe: Vec::new(),
                             holds: Default::default(),
                         };
-                        let ask = wheelspread_discovery::Ask {
-                            kind: Kind::Lines,
+                        let ask = wheelspread_discovery::Request {
+                            kind: ResourceType::Entries,
                             nonce: String::new(),
                             error: None,
                             mode,
--- a/crates/controller/src/front.rs
+++ b/crates/controller/src/front.rs
@@ -11,8 +11,10 @@
 use wheelspread_controller_core::membership::StreamId;
 use wheelspread_controller_core::publication::{TableSet, Version};
 use wheelspread_controller_core::{ControllerCore, Deployment, Observation};
-use wheelspread_discovery::snapshot_cache::Shared;
-use wheelspread_discovery::{Answer, Content, Front, News, Plan, Verdict};
+use wheelspread_discovery::snapshot_cache::DeltaKey;
+use wheelspread_discovery::{
+    DiscoveryLimits, DiscoveryStreams, RejectionResponse, Response, Snapshot, StreamEvent,
+};
 use wheelspread_grpc::Status;
 use wheelspread_xds::discovery;
 
@@ -26,10 +28,10 @@
 const OWN: u64 = 0;
 
 pub struct Desk {
-    front: Front,
+    front: DiscoveryStreams,
     plan: Deployment,
     /// By what they share, and the form.
-    bodies: BTreeMap<(Shared, bool), Arc<Vec<u8>>>,
+    bodies: BTreeMap<(DeltaKey, bool), Arc<Vec<u8>>>,
     next_look: Moment,
 }
 
@@ -37,7 +39,7 @@
     /// `deployment`: as it is in force, which may not be the file's.
     pub fn new(file: &ControllerFile, deployment: Deployment) -> Desk {
         let streams = &file.streams;
-        let plan = Plan {
+        let plan = DiscoveryLimits {
             versions: streams.versions_kept,
             changes_at_most: streams.changes_at_most,
             window: file.deployment.channel.messages_window,
@@ -45,7 +47,7 @@
             hold: file.deployment.channel.delay_at_most * HOLD,
         };
         Desk {
-            front: Front::new(plan),
+            front: DiscoveryStreams::new(plan),
             plan: deployment,
             bodies: BTreeMap::new(),
             next_look: Moment::default(),
@@ -99,7 +101,7 @@
             .history()
             .newest(set.bundle)
             .filter(|known| known.version == set.version);
-        let content: Arc<Content> = match known {
+        let content: Arc<Snapshot> = match known {
             Some(known) => known.clone(),
             None => Arc::new(discovery::resources(set, &self.plan)),
         };
@@ -120,7 +122,7 @@
         }
     }
 
-    fn body(&mut self, answer: &Answer) -> Arc<Vec<u8>> {
+    fn body(&mut self, answer: &Response) -> Arc<Vec<u8>> {
         let Some(shared) = answer.shared else {
             return Arc::new(discovery::body(answer));
         };
@@ -141,12 +143,14 @@
         now: Moment,
         session: &mut ControllerCore,
         streams: &mut Streams,
-        news: Vec<News>,
+        news: Vec<StreamEvent>,
     ) {
         for news in news {
             match news {
-                News::Holds { proxy, version } => status(now, session, proxy, version, None),
-                News::Refused {
+                StreamEvent::VersionAcknowledged { proxy, version } => {
+                    status(now, session, proxy, version, None)
+                }
+                StreamEvent::VersionRejected {
                     proxy,
                     version,
                     reason,
@@ -155,11 +159,11 @@
                     status(now, session, proxy, version, Some(reason));
                     let bundle = session.reads(proxy).newest.map(|set| set.bundle);
                     match (verdict, bundle) {
-                        (Verdict::Hold, Some(bundle)) => {
+                        (RejectionResponse::HoldChanges, Some(bundle)) => {
                             let until = self.front.held_until(bundle).unwrap_or(now);
                             session.observe(now, Observation::HeldBack { bundle, until });
                         }
-                        (Verdict::Back(version), Some(bundle)) => {
+                        (RejectionResponse::RollBack(version), Some(bundle)) => {
                             session.observe(
                                 now,
                                 Observation::Back {
@@ -172,11 +176,11 @@
                         _ => {}
                     }
                 }
-                News::Strange { proxy, text } => {
+                StreamEvent::UnknownNonce { proxy, text } => {
                     let proxy = session.members().name(proxy).unwrap_or_default();
                     warn!(proxy, text, "not believed");
                 }
-                News::End { stream, reason } => {
+                StreamEvent::CloseRequired { stream, reason } => {
                     streams.close(stream, Status::InvalidArgument, &reason)
                 }
             }
--- a/crates/controller/src/streams.rs
+++ b/crates/controller/src/streams.rs
@@ -6,7 +6,7 @@
 use wheelspread::time::{Moment, Span};
 use wheelspread_controller_core::membership::StreamId;
 use wheelspread_controller_core::Observation;
-use wheelspread_discovery::Ask;
+use wheelspread_discovery::Request;
 use wheelspread_grpc::tls::speaks_for;
 use wheelspread_grpc::{Limits, ServerConfig, ServerConnection, ServerEvent, Status, StreamKey};
 use wheelspread_reactor::Token;
@@ -38,7 +38,7 @@
     reporters: BTreeMap<StreamId, Reporter>,
     readers: BTreeMap<StreamId, Reader>,
     /// Requests of readers, for the front.
-    asks: Vec<(StreamId, Ask)>,
+    asks: Vec<(StreamId, Request)>,
     /// Readers to whom something may be sent now.
     open: BTreeSet<StreamId>,
     ids: BTreeMap<(Token, StreamKey), StreamId>,
@@ -311,7 +311,7 @@
     }
 
     /// What readers asked for since the last call.
-    pub fn asks(&mut self) -> Vec<(StreamId, Ask)> {
+    pub fn asks(&mut self) -> Vec<(StreamId, Request)> {
         std::mem::take(&mut self.asks)
     }
 
--- a/crates/discovery/src/delta_client.rs
+++ b/crates/discovery/src/delta_client.rs
@@ -2,34 +2,34 @@
 //! is all of one version. Kinds come one after the other; nothing is in force before the last of a version
 //! has come, so that no invocation meets lines of one version and routes of another.
 
-use crate::resource_store::{Delta, Receiver, Taken};
-use crate::snapshot::Kind;
-use crate::stream::{Ask, Mode};
+use crate::resource_store::{DeltaUpdate, ResourceStore, UpdateResult};
+use crate::snapshot::ResourceType;
+use crate::stream::{Request, RequestBody};
 use std::collections::BTreeMap;
 use wheelspread_controller_core::publication::Version;
 
 #[derive(Clone, Debug)]
-pub struct Reader {
+pub struct DeltaClient {
     /// By kind, the names asked for; the last kind is the one that completes a version.
-    names: Vec<(Kind, Vec<String>)>,
-    held: BTreeMap<Kind, Receiver>,
+    names: Vec<(ResourceType, Vec<String>)>,
+    held: BTreeMap<ResourceType, ResourceStore>,
     version: Option<Version>,
 }
 
 /// What came of an answer.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Step {
+pub struct ClientStep {
     /// To be sent back.
-    pub reply: Ask,
+    pub reply: Request,
     /// All kinds are of this version now.
     pub complete: Option<Version>,
     /// It does not fit to what is held: the stream is to be begun anew, and the whole asked for.
     pub restart: Option<String>,
 }
 
-impl Reader {
-    pub fn new(names: Vec<(Kind, Vec<String>)>) -> Reader {
-        Reader {
+impl DeltaClient {
+    pub fn new(names: Vec<(ResourceType, Vec<String>)>) -> DeltaClient {
+        DeltaClient {
             names,
             held: BTreeMap::new(),
             version: None,
@@ -40,8 +40,12 @@
         self.version
     }
 
-    pub fn held(&self, kind: Kind) -> impl Iterator<Item = (&str, &[u8])> {
-        let held = self.held.get(&kind).into_iter().flat_map(Receiver::held);
+    pub fn held(&self, kind: ResourceType) -> impl Iterator<Item = (&str, &[u8])> {
+        let held = self
+            .held
+            .get(&kind)
+            .into_iter()
+            .flat_map(ResourceStore::held);
         held.map(|(name, resource)| (name.as_str(), &resource.bytes[..]))
     }
 
@@ -55,19 +59,19 @@
     }
 
     /// What a stream begins with: names, and what is held of them already.
-    pub fn hello(&self) -> Vec<Ask> {
-        let ask = |(kind, names): &(Kind, Vec<String>)| {
+    pub fn hello(&self) -> Vec<Request> {
+        let ask = |(kind, names): &(ResourceType, Vec<String>)| {
             let holds = self
                 .held
                 .get(kind)
-                .map(Receiver::versions)
+                .map(ResourceStore::versions)
                 .unwrap_or_default();
-            let mode = Mode::Delta {
+            let mode = RequestBody::Delta {
                 subscribe: names.clone(),
                 unsubscribe: Vec::new(),
                 holds,
             };
-            Ask {
+            Request {
                 kind: *kind,
                 nonce: String::new(),
                 error: None,
@@ -80,18 +84,18 @@
     /// An answer came. `usable`: whether what would be held makes sense, asked when a version is complete.
     pub fn told(
         &mut self,
-        kind: Kind,
+        kind: ResourceType,
         nonce: &str,
         version: Option<Version>,
-        delta: &Delta,
-        usable: impl FnOnce(&Reader, Version) -> Result<(), String>,
-    ) -> Step {
-        let mode = Mode::Delta {
+        delta: &DeltaUpdate,
+        usable: impl FnOnce(&DeltaClient, Version) -> Result<(), String>,
+    ) -> ClientStep {
+        let mode = RequestBody::Delta {
             subscribe: Vec::new(),
             unsubscribe: Vec::new(),
             holds: BTreeMap::new(),
         };
-        let mut reply = Ask {
+        let mut reply = Request {
             kind,
             nonce: nonce.to_string(),
             error: None,
@@ -100,24 +104,24 @@
         let last = self.names.last().map(|(kind, _)| *kind);
         if !self.names.iter().any(|(asked, _)| *asked == kind) {
             reply.error = Some("this kind was not asked for".to_string());
-            return Step {
+            return ClientStep {
                 reply,
                 complete: None,
                 restart: None,
             };
         }
         let before = self.held.entry(kind).or_default().clone();
-        if let Taken::Refused(reason) = self.held.entry(kind).or_default().take(delta) {
+        if let UpdateResult::Refused(reason) = self.held.entry(kind).or_default().take(delta) {
             reply.error = Some(reason.clone());
-            self.held.insert(kind, Receiver::default());
-            return Step {
+            self.held.insert(kind, ResourceStore::default());
+            return ClientStep {
                 reply,
                 complete: None,
                 restart: Some(reason),
             };
         }
         let Some(version) = version.filter(|_| last == Some(kind)) else {
-            return Step {
+            return ClientStep {
                 reply,
                 complete: None,
                 restart: None,
@@ -126,7 +130,7 @@
         match usable(self, version) {
             Ok(()) => {
                 self.version = Some(version);
-                Step {
+                ClientStep {
                     reply,
                     complete: Some(version),
                     restart: None,
@@ -135,7 +139,7 @@
             Err(reason) => {
                 self.held.insert(kind, before);
                 reply.error = Some(reason);
-                Step {
+                ClientStep {
                     reply,
                     complete: None,
                     restart: None,
@@ -148,31 +152,31 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::snapshot::{Content, Resource};
-    use crate::{Front, Plan};
+    use crate::snapshot::{Resource, Snapshot};
+    use crate::{DiscoveryLimits, DiscoveryStreams};
     use std::sync::Arc;
     use wheelspread::ids::ProxyId;
     use wheelspread::time::{Moment, Span};
     use wheelspread_controller_core::membership::StreamId;
     use wheelspread_controller_core::publication::BundleId;
 
-    fn content(version: u64, line: &str) -> Arc<Content> {
-        let mut content = Content::new(BundleId(0), Version(version));
-        content.put(Kind::Lines, "quote/1", line.to_string());
-        content.put(Kind::Routes, "operations", "routes");
+    fn content(version: u64, line: &str) -> Arc<Snapshot> {
+        let mut content = Snapshot::new(BundleId(0), Version(version));
+        content.put(ResourceType::Entries, "quote/1", line.to_string());
+        content.put(ResourceType::Routes, "operations", "routes");
         Arc::new(content)
     }
 
-    fn reader() -> Reader {
-        Reader::new(vec![
-            (Kind::Lines, vec!["quote/*".to_string()]),
-            (Kind::Routes, vec!["operations".to_string()]),
+    fn reader() -> DeltaClient {
+        DeltaClient::new(vec![
+            (ResourceType::Entries, vec!["quote/*".to_string()]),
+            (ResourceType::Routes, vec!["operations".to_string()]),
         ])
     }
 
-    fn front() -> Front {
+    fn front() -> DiscoveryStreams {
         let ten = Span::from_seconds(10.0);
-        let mut front = Front::new(Plan {
+        let mut front = DiscoveryStreams::new(DiscoveryLimits {
             versions: 4,
             changes_at_most: 20,
             window: ten,
@@ -184,12 +188,12 @@
     }
 
     /// Passes answers on until none comes; returns the versions that came into force.
-    fn pass(front: &mut Front, reader: &mut Reader, usable: bool) -> Vec<Version> {
+    fn pass(front: &mut DiscoveryStreams, reader: &mut DeltaClient, usable: bool) -> Vec<Version> {
         let now = Moment::from_seconds(1.0);
         let mut complete = Vec::new();
         while let Some(answer) = front.next(now, StreamId(1), &mut Vec::new()) {
             let changed = answer.changed.iter();
-            let delta = Delta {
+            let delta = DeltaUpdate {
                 changed: changed
                     .map(|(name, r)| (name.to_string(), r.checksum, r.bytes.clone()))
                     .collect(),
@@ -243,17 +247,29 @@
     #[test]
     fn what_does_not_fit_begins_the_stream_anew_from_nothing() {
         let mut reader = reader();
-        let wrong = Delta {
+        let wrong = DeltaUpdate {
             changed: vec![("quote/1".into(), Resource::new("a").checksum, "b".into())],
-            ..Delta::default()
+            ..DeltaUpdate::default()
         };
-        let step = reader.told(Kind::Lines, "1", Some(Version(1)), &wrong, |_, _| Ok(()));
+        let step = reader.told(
+            ResourceType::Entries,
+            "1",
+            Some(Version(1)),
+            &wrong,
+            |_, _| Ok(()),
+        );
         assert!(step.restart.is_some() && step.reply.error.is_some());
         assert!(reader
             .hello()
             .iter()
-            .all(|ask| matches!(&ask.mode, Mode::Delta { holds, .. } if holds.is_empty())));
-        let step = reader.told(Kind::Clusters, "2", None, &Delta::default(), |_, _| Ok(()));
+            .all(|ask| matches!(&ask.mode, RequestBody::Delta { holds, .. } if holds.is_empty())));
+        let step = reader.told(
+            ResourceType::Clusters,
+            "2",
+            None,
+            &DeltaUpdate::default(),
+            |_, _| Ok(()),
+        );
         assert!(step
             .reply
             .error
--- a/crates/discovery/src/server.rs
+++ b/crates/discovery/src/discovery_streams.rs
@@ -1,10 +1,10 @@
 //! All discovery streams of a conductor: who is on which, what each was offered, who holds what since when,
 //! and the verdicts on what was refused.
 
-use crate::rejection::{Verdict, Verdicts};
-use crate::snapshot::Content;
-use crate::snapshot_cache::History;
-use crate::stream::{Answer, Ask, Heard, Stream, MOST_NAMES};
+use crate::rejection::{RejectionResponse, RejectionTracker};
+use crate::snapshot::Snapshot;
+use crate::snapshot_cache::SnapshotCache;
+use crate::stream::{Request, RequestOutcome, Response, Stream, MOST_NAMES};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use wheelspread::ids::ProxyId;
@@ -14,7 +14,7 @@
 
 /// What the front costs at most.
 #[derive(Clone, Copy, Debug)]
-pub struct Plan {
+pub struct DiscoveryLimits {
     /// Of so many versions differences are kept.
     pub versions: usize,
     /// Changes of a stream's subscriptions within the window.
@@ -27,23 +27,23 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
+pub enum StreamEvent {
     /// The client holds this version of all that it watches.
-    Holds { proxy: ProxyId, version: Version },
-    Refused {
+    VersionAcknowledged { proxy: ProxyId, version: Version },
+    VersionRejected {
         proxy: ProxyId,
         version: Version,
         reason: String,
-        verdict: Verdict,
+        verdict: RejectionResponse,
     },
     /// It speaks of what it was not sent.
-    Strange { proxy: ProxyId, text: String },
+    UnknownNonce { proxy: ProxyId, text: String },
     /// The stream should be ended.
-    End { stream: StreamId, reason: String },
+    CloseRequired { stream: StreamId, reason: String },
 }
 
 #[derive(Debug)]
-struct On {
+struct OpenStream {
     proxy: ProxyId,
     stream: Stream,
     /// Told last, and since when.
@@ -52,11 +52,11 @@
 }
 
 #[derive(Debug)]
-pub struct Front {
-    plan: Plan,
-    history: History,
-    streams: BTreeMap<StreamId, On>,
-    verdicts: Verdicts,
+pub struct DiscoveryStreams {
+    plan: DiscoveryLimits,
+    history: SnapshotCache,
+    streams: BTreeMap<StreamId, OpenStream>,
+    verdicts: RejectionTracker,
     /// Words on answers that were overtaken.
     pub stale: u64,
 }
@@ -64,11 +64,11 @@
 /// After so many words on what was never sent a client is not listened to any more.
 const STRANGE: u32 = 10;
 
-impl Front {
-    pub fn new(plan: Plan) -> Front {
-        Front {
-            history: History::new(plan.versions),
-            verdicts: Verdicts::new(plan.hold),
+impl DiscoveryStreams {
+    pub fn new(plan: DiscoveryLimits) -> DiscoveryStreams {
+        DiscoveryStreams {
+            history: SnapshotCache::new(plan.versions),
+            verdicts: RejectionTracker::new(plan.hold),
             plan,
             streams: BTreeMap::new(),
             stale: 0,
@@ -79,7 +79,7 @@
         let fresh = Stream::new(self.plan.changes_at_most, self.plan.window);
         self.streams.insert(
             stream,
-            On {
+            OpenStream {
                 proxy,
                 stream: fresh,
                 holds: None,
@@ -98,7 +98,7 @@
         self.streams.is_empty()
     }
 
-    pub fn history(&self) -> &History {
+    pub fn history(&self) -> &SnapshotCache {
         &self.history
     }
 
@@ -107,7 +107,7 @@
         self.streams.get(&stream)?.holds
     }
 
-    pub fn offer(&mut self, stream: StreamId, content: &Arc<Content>) {
+    pub fn offer(&mut self, stream: StreamId, content: &Arc<Snapshot>) {
         self.history.add(content.clone());
         if let Some(on) = self.streams.get_mut(&stream) {
             on.stream.offer(content.clone());
@@ -128,43 +128,44 @@
             .collect()
     }
 
-    pub fn ask(&mut self, now: Moment, id: StreamId, ask: &Ask) -> Vec<News> {
+    pub fn ask(&mut self, now: Moment, id: StreamId, ask: &Request) -> Vec<StreamEvent> {
         let mut news = Vec::new();
         let Some(on) = self.streams.get_mut(&id) else {
             return news;
         };
         let (proxy, bundle) = (on.proxy, on.stream.newest().map(|newest| newest.bundle));
         match (on.stream.ask(now, ask), bundle) {
-            (Heard::Noted | Heard::Acknowledged, _) | (Heard::Refused { .. }, None) => {}
-            (Heard::Stale, _) => self.stale += 1,
-            (Heard::Strange(text), _) => {
-                news.push(News::Strange {
+            (RequestOutcome::Noted | RequestOutcome::Acknowledged, _)
+            | (RequestOutcome::Refused { .. }, None) => {}
+            (RequestOutcome::Stale, _) => self.stale += 1,
+            (RequestOutcome::Strange(text), _) => {
+                news.push(StreamEvent::UnknownNonce {
                     proxy,
                     text: text.clone(),
                 });
                 if on.stream.strange > STRANGE {
-                    news.push(News::End {
+                    news.push(StreamEvent::CloseRequired {
                         stream: id,
                         reason: text,
                     });
                 }
             }
-            (Heard::Refused { version, reason }, Some(bundle)) => {
+            (RequestOutcome::Refused { version, reason }, Some(bundle)) => {
                 let verdict = self.verdicts.refused(now, bundle, version, proxy);
-                news.push(News::Refused {
+                news.push(StreamEvent::VersionRejected {
                     proxy,
                     version,
                     reason: reason.clone(),
                     verdict,
                 });
-                if verdict == Verdict::Without(proxy) {
+                if verdict == RejectionResponse::RestartStream(proxy) {
                     let reason = format!("it goes on refusing: {reason}");
-                    news.push(News::End { stream: id, reason });
+                    news.push(StreamEvent::CloseRequired { stream: id, reason });
                 }
             }
         }
         if on.stream.names() > MOST_NAMES {
-            news.push(News::End {
+            news.push(StreamEvent::CloseRequired {
                 stream: id,
                 reason: format!("more than {MOST_NAMES} names asked for"),
             });
@@ -175,7 +176,12 @@
     }
 
     /// The next answer of a stream whose client took the last one off our hands.
-    pub fn next(&mut self, now: Moment, id: StreamId, news: &mut Vec<News>) -> Option<Answer> {
+    pub fn next(
+        &mut self,
+        now: Moment,
+        id: StreamId,
+        news: &mut Vec<StreamEvent>,
+    ) -> Option<Response> {
         let on = self.streams.get_mut(&id)?;
         let answer = on.stream.next(now, &mut self.history);
         if answer.is_some() {
@@ -185,7 +191,7 @@
         answer
     }
 
-    fn settled(&mut self, now: Moment, id: StreamId, news: &mut Vec<News>) {
+    fn settled(&mut self, now: Moment, id: StreamId, news: &mut Vec<StreamEvent>) {
         let Some(on) = self.streams.get_mut(&id) else {
             return;
         };
@@ -197,7 +203,7 @@
             return;
         };
         on.holds = Some((version, now));
-        news.push(News::Holds {
+        news.push(StreamEvent::VersionAcknowledged {
             proxy: on.proxy,
             version,
         });
@@ -208,7 +214,7 @@
 
     /// Streams whose client does not speak to what it was sent.
     pub fn silent(&self, now: Moment) -> Vec<StreamId> {
-        let late = |on: &&On| {
+        let late = |on: &&OpenStream| {
             on.unanswered_since
                 .is_some_and(|since| now - since > self.plan.unanswered)
         };
--- a/crates/discovery/src/rejection.rs
+++ b/crates/discovery/src/rejection.rs
@@ -10,14 +10,14 @@
 use wheelspread_controller_core::publication::{BundleId, Version};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    GoOn,
+pub enum RejectionResponse {
+    Continue,
     /// Without this client, whose stream is ended so that it starts anew with the whole.
-    Without(ProxyId),
+    RestartStream(ProxyId),
     /// Only what takes lines away is sent for a while.
-    Hold,
+    HoldChanges,
     /// To the last version that most took.
-    Back(Version),
+    RollBack(Version),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -156,16 +156,16 @@
 }
 
 #[derive(Debug)]
-pub struct Verdicts {
+pub struct RejectionTracker {
     tables: BTreeMap<BundleId, Of>,
     alone: BTreeMap<ProxyId, u32>,
     hold: Span,
 }
 
-impl Verdicts {
+impl RejectionTracker {
     /// `hold`: how long ordinary changes wait after most refused one; twice as long after each more.
-    pub fn new(hold: Span) -> Verdicts {
-        Verdicts {
+    pub fn new(hold: Span) -> RejectionTracker {
+        RejectionTracker {
             tables: BTreeMap::new(),
             alone: BTreeMap::new(),
             hold,
@@ -187,16 +187,16 @@
         bundle: BundleId,
         version: Version,
         proxy: ProxyId,
-    ) -> Verdict {
+    ) -> RejectionResponse {
         self.alone.remove(&proxy);
         let of = self.votes(bundle, version);
         let Some(votes) = of.votes.get_mut(&version) else {
-            return Verdict::GoOn;
+            return RejectionResponse::Continue;
         };
         votes.took.insert(proxy);
         votes.refused.remove(&proxy);
         if !votes.most_take() {
-            return Verdict::GoOn;
+            return RejectionResponse::Continue;
         }
         of.last_good = of.last_good.max(Some(version));
         if version >= of.counted {
@@ -211,10 +211,10 @@
         bundle: BundleId,
         version: Version,
         proxy: ProxyId,
-    ) -> Verdict {
+    ) -> RejectionResponse {
         let of = self.votes(bundle, version);
         let Some(votes) = of.votes.get_mut(&version) else {
-            return Verdict::GoOn;
+            return RejectionResponse::Continue;
         };
         votes.refused.insert(proxy);
         votes.took.remove(&proxy);
@@ -233,33 +233,33 @@
         *alone += 1;
         if *alone >= ALONE {
             *alone = 0;
-            return Verdict::Without(proxy);
+            return RejectionResponse::RestartStream(proxy);
         }
         self.turn(now, bundle, Input::FewRefuse)
     }
 
-    fn turn(&mut self, now: Moment, bundle: BundleId, input: Input) -> Verdict {
+    fn turn(&mut self, now: Moment, bundle: BundleId, input: Input) -> RejectionResponse {
         let hold = self.hold;
         let Some(of) = self.tables.get_mut(&bundle) else {
-            return Verdict::GoOn;
+            return RejectionResponse::Continue;
         };
         let row = TABLE.iter().find(|row| (row.0, row.1) == (of.state, input));
         let Some((_, _, next, effect)) = row else {
-            return Verdict::GoOn;
+            return RejectionResponse::Continue;
         };
         of.state = *next;
         match effect {
-            Effect::Nothing => Verdict::GoOn,
+            Effect::Nothing => RejectionResponse::Continue,
             Effect::Release => {
                 of.held_until = None;
-                Verdict::GoOn
+                RejectionResponse::Continue
             }
             Effect::Hold | Effect::StepBack => {
                 let doubled = 2u32.pow(of.in_a_row.saturating_sub(1).min(6));
                 of.held_until = Some(now + hold * f64::from(doubled));
                 match (effect, of.last_good) {
-                    (Effect::StepBack, Some(good)) => Verdict::Back(good),
-                    _ => Verdict::Hold,
+                    (Effect::StepBack, Some(good)) => RejectionResponse::RollBack(good),
+                    _ => RejectionResponse::HoldChanges,
                 }
             }
         }
--- a/crates/discovery/src/resource_store.rs
+++ b/crates/discovery/src/resource_store.rs
@@ -7,7 +7,7 @@
 
 /// What a delta says.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Delta {
+pub struct DeltaUpdate {
     pub changed: Vec<(String, Checksum, bytes::Bytes)>,
     pub removed: Vec<String>,
     /// Of all that is held afterwards.
@@ -15,18 +15,18 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum UpdateResult {
     Yes,
     /// Nothing of it was taken: what was held before is still held.
     Refused(String),
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Receiver {
+pub struct ResourceStore {
     held: BTreeMap<String, Resource>,
 }
 
-impl Receiver {
+impl ResourceStore {
     pub fn held(&self) -> &BTreeMap<String, Resource> {
         &self.held
     }
@@ -47,26 +47,26 @@
         )
     }
 
-    pub fn take(&mut self, delta: &Delta) -> Taken {
+    pub fn take(&mut self, delta: &DeltaUpdate) -> UpdateResult {
         let mut next = self.held.clone();
         for (name, said, bytes) in &delta.changed {
             let resource = Resource::new(bytes.clone());
             if resource.checksum != *said {
-                return Taken::Refused(format!("`{name}` is not what its version says"));
+                return UpdateResult::Refused(format!("`{name}` is not what its version says"));
             }
             next.insert(name.clone(), resource);
         }
         for name in &delta.removed {
             next.remove(name);
         }
-        let taken = Receiver { held: next };
+        let taken = ResourceStore { held: next };
         match delta.comes_to {
             Some(said) if said != taken.checksum() => {
-                Taken::Refused(format!("it comes to {}, {said} was said", taken.checksum()))
+                UpdateResult::Refused(format!("it comes to {}, {said} was said", taken.checksum()))
             }
             _ => {
                 *self = taken;
-                Taken::Yes
+                UpdateResult::Yes
             }
         }
     }
--- a/crates/discovery/src/snapshot.rs
+++ b/crates/discovery/src/snapshot.rs
@@ -10,28 +10,28 @@
 use xxhash_rust::xxh3::{xxh3_128, Xxh3};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Kind {
+pub enum ResourceType {
     Clusters,
     Endpoints,
     /// Single lines of endpoints, for clients that ask for them.
-    Lines,
+    Entries,
     Listeners,
     Routes,
 }
 
 /// What is referred to is sent before what refers to it.
-pub const ORDER: [Kind; 5] = [
-    Kind::Clusters,
-    Kind::Endpoints,
-    Kind::Lines,
-    Kind::Listeners,
-    Kind::Routes,
+pub const ORDER: [ResourceType; 5] = [
+    ResourceType::Clusters,
+    ResourceType::Endpoints,
+    ResourceType::Entries,
+    ResourceType::Listeners,
+    ResourceType::Routes,
 ];
 
-impl Kind {
+impl ResourceType {
     /// Whether a whole answer names everything that there is, so that what it lacks is gone.
     pub fn complete(self) -> bool {
-        matches!(self, Kind::Clusters | Kind::Listeners)
+        matches!(self, ResourceType::Clusters | ResourceType::Listeners)
     }
 }
 
@@ -71,39 +71,39 @@
     }
 }
 
-pub type Name = Arc<str>;
+pub type ResourceName = Arc<str>;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Content {
+pub struct Snapshot {
     pub bundle: BundleId,
     pub version: Version,
-    kinds: BTreeMap<Kind, BTreeMap<Name, Resource>>,
+    kinds: BTreeMap<ResourceType, BTreeMap<ResourceName, Resource>>,
 }
 
-static NONE: BTreeMap<Name, Resource> = BTreeMap::new();
+static NONE: BTreeMap<ResourceName, Resource> = BTreeMap::new();
 
-impl Content {
-    pub fn new(bundle: BundleId, version: Version) -> Content {
-        Content {
+impl Snapshot {
+    pub fn new(bundle: BundleId, version: Version) -> Snapshot {
+        Snapshot {
             bundle,
             version,
             kinds: BTreeMap::new(),
         }
     }
 
-    pub fn put(&mut self, kind: Kind, name: &str, bytes: impl Into<Bytes>) {
+    pub fn put(&mut self, kind: ResourceType, name: &str, bytes: impl Into<Bytes>) {
         self.kinds
             .entry(kind)
             .or_default()
             .insert(Arc::from(name), Resource::new(bytes));
     }
 
-    pub fn of(&self, kind: Kind) -> &BTreeMap<Name, Resource> {
+    pub fn of(&self, kind: ResourceType) -> &BTreeMap<ResourceName, Resource> {
         self.kinds.get(&kind).unwrap_or(&NONE)
     }
 
     /// Of one kind, or of those resources of it that are wanted.
-    pub fn checksum(&self, kind: Kind, wanted: impl Fn(&str) -> bool) -> Checksum {
+    pub fn checksum(&self, kind: ResourceType, wanted: impl Fn(&str) -> bool) -> Checksum {
         checksum(
             self.of(kind)
                 .iter()
@@ -126,13 +126,13 @@
 
 /// Which resources of a kind a client asked for.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Wanted {
+pub struct ResourceFilter {
     pub all: bool,
     /// A name that ends in `/*` stands for all below it.
     pub names: std::collections::BTreeSet<String>,
 }
 
-impl Wanted {
+impl ResourceFilter {
     pub fn wants(&self, name: &str) -> bool {
         if self.all || self.names.contains(name) {
             return true;
--- a/crates/discovery/src/snapshot_cache.rs
+++ b/crates/discovery/src/snapshot_cache.rs
@@ -2,35 +2,40 @@
 //! the same share one difference, so that it is worked out once however many follow. A stream keeps the version
 //! that its client holds by itself, so a difference from any of them can be worked out anew.
 
-use crate::snapshot::{Checksum, Content, Kind, Name, Resource, Wanted};
+use crate::snapshot::{Checksum, Resource, ResourceFilter, ResourceName, ResourceType, Snapshot};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use wheelspread_controller_core::publication::{BundleId, Version};
 
 /// What turns one version into another, for who asked for certain names.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Difference {
-    pub changed: Vec<(Name, Resource)>,
-    pub removed: Vec<Name>,
+pub struct ResourceDelta {
+    pub changed: Vec<(ResourceName, Resource)>,
+    pub removed: Vec<ResourceName>,
     /// Of all that is then held.
     pub comes_to: Checksum,
 }
 
-impl Difference {
+impl ResourceDelta {
     pub fn nothing(&self) -> bool {
         self.changed.is_empty() && self.removed.is_empty()
     }
 
     /// `from`: left out where nothing is held yet.
-    fn between(kind: Kind, from: Option<&Content>, to: &Content, wanted: &Wanted) -> Difference {
-        let held = |name: &Name| from.and_then(|from| from.of(kind).get(name));
-        let wants = |name: &Name| wanted.wants(name);
+    fn between(
+        kind: ResourceType,
+        from: Option<&Snapshot>,
+        to: &Snapshot,
+        wanted: &ResourceFilter,
+    ) -> ResourceDelta {
+        let held = |name: &ResourceName| from.and_then(|from| from.of(kind).get(name));
+        let wants = |name: &ResourceName| wanted.wants(name);
         let news = to.of(kind).iter().filter(|(name, resource)| {
             wants(name) && held(name).is_none_or(|held| held.checksum != resource.checksum)
         });
         let before = from.into_iter().flat_map(|from| from.of(kind).keys());
         let gone = before.filter(|name| wants(name) && !to.of(kind).contains_key(*name));
-        Difference {
+        ResourceDelta {
             changed: news
                 .map(|(name, resource)| (name.clone(), resource.clone()))
                 .collect(),
@@ -42,37 +47,37 @@
 
 /// Where the same difference goes to all. Those that lead to the oldest versions come first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Shared {
+pub struct DeltaKey {
     pub to: Version,
     /// 0: from nothing.
     pub from: Version,
-    pub kind: Kind,
+    pub kind: ResourceType,
     /// Of the names asked for.
     pub wanted: Checksum,
 }
 
 #[derive(Debug)]
-pub struct History {
-    newest: BTreeMap<BundleId, Arc<Content>>,
-    between: BTreeMap<Shared, Arc<Difference>>,
+pub struct SnapshotCache {
+    newest: BTreeMap<BundleId, Arc<Snapshot>>,
+    between: BTreeMap<DeltaKey, Arc<ResourceDelta>>,
     most: usize,
 }
 
 /// Differences that are kept, for each version that is to be.
 const DIFFERENCES: usize = 64;
 
-impl History {
+impl SnapshotCache {
     /// `versions`: of so many the differences are kept.
-    pub fn new(versions: usize) -> History {
+    pub fn new(versions: usize) -> SnapshotCache {
         let most = versions.max(1).saturating_mul(DIFFERENCES);
-        History {
+        SnapshotCache {
             newest: BTreeMap::new(),
             between: BTreeMap::new(),
             most,
         }
     }
 
-    pub fn add(&mut self, content: Arc<Content>) {
+    pub fn add(&mut self, content: Arc<Snapshot>) {
         let newest = self
             .newest
             .entry(content.bundle)
@@ -82,20 +87,20 @@
         }
     }
 
-    pub fn newest(&self, bundle: BundleId) -> Option<&Arc<Content>> {
+    pub fn newest(&self, bundle: BundleId) -> Option<&Arc<Snapshot>> {
         self.newest.get(&bundle)
     }
 
     pub fn difference(
         &mut self,
-        kind: Kind,
-        from: Option<&Content>,
-        to: &Content,
-        wanted: &Wanted,
+        kind: ResourceType,
+        from: Option<&Snapshot>,
+        to: &Snapshot,
+        wanted: &ResourceFilter,
         name: Checksum,
-    ) -> (Arc<Difference>, Shared) {
+    ) -> (Arc<ResourceDelta>, DeltaKey) {
         let from_version = from.map_or(Version(0), |from| from.version);
-        let key = Shared {
+        let key = DeltaKey {
             to: to.version,
             from: from_version,
             kind,
@@ -107,7 +112,7 @@
         while self.between.len() >= self.most {
             self.between.pop_first();
         }
-        let made = Arc::new(Difference::between(kind, from, to, wanted));
+        let made = Arc::new(ResourceDelta::between(kind, from, to, wanted));
         self.between.insert(key, made.clone());
         (made, key)
     }
--- a/crates/discovery/src/stream.rs
+++ b/crates/discovery/src/stream.rs
@@ -2,8 +2,10 @@
 //! newest version is worked out against what the client then holds. A kind that waits for its
 //! acknowledgement holds back those that refer to it, never those before it.
 
-use crate::snapshot::{Checksum, Content, Kind, Name, Resource, Wanted, ORDER};
-use crate::snapshot_cache::{Difference, History, Shared};
+use crate::snapshot::{
+    Checksum, Resource, ResourceFilter, ResourceName, ResourceType, Snapshot, ORDER,
+};
+use crate::snapshot_cache::{DeltaKey, ResourceDelta, SnapshotCache};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use wheelspread::rolling_window::RollingWindow;
@@ -12,18 +14,18 @@
 
 /// A request, as far as it matters here.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ask {
-    pub kind: Kind,
+pub struct Request {
+    pub kind: ResourceType,
     /// Empty in the first one of a kind.
     pub nonce: String,
     /// Why the answer with that nonce was not taken.
     pub error: Option<String>,
-    pub mode: Mode,
+    pub mode: RequestBody,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Mode {
-    Whole {
+pub enum RequestBody {
+    StateOfTheWorld {
         names: Vec<String>,
         version: String,
     },
@@ -35,22 +37,22 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Answer {
-    pub kind: Kind,
+pub struct Response {
+    pub kind: ResourceType,
     pub nonce: u64,
     pub version: Version,
     pub delta: bool,
-    pub changed: Vec<(Name, Resource)>,
-    pub removed: Vec<Name>,
+    pub changed: Vec<(ResourceName, Resource)>,
+    pub removed: Vec<ResourceName>,
     /// Of what the client holds of this kind afterwards; left out while something stands that will go.
     pub comes_to: Option<Checksum>,
     /// Where any other client that holds the same and asked for the same gets the same.
-    pub shared: Option<Shared>,
+    pub shared: Option<DeltaKey>,
 }
 
 /// What a request meant.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Heard {
+pub enum RequestOutcome {
     /// Only what it subscribes to, or nothing.
     Noted,
     Acknowledged,
@@ -66,15 +68,15 @@
 
 /// What a client holds of a kind.
 #[derive(Clone, Debug)]
-enum Held {
+enum AckedState {
     Nothing,
     /// By its own word, from another stream: names and versions.
     Told(BTreeMap<String, String>),
-    Version(Arc<Content>),
+    Version(Arc<Snapshot>),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum State {
+enum AckState {
     /// All that was sent was answered.
     Settled,
     /// One answer is on its way.
@@ -99,91 +101,91 @@
     Wonder,
 }
 
-const WATCH: &[(State, Input, State, Effect)] = &[
+const WATCH: &[(AckState, Input, AckState, Effect)] = &[
     (
-        State::Settled,
+        AckState::Settled,
         Input::FirstWord,
-        State::Settled,
+        AckState::Settled,
         Effect::Note,
     ),
     // It asks for more before it has taken what is on its way.
     (
-        State::Waiting,
+        AckState::Waiting,
         Input::FirstWord,
-        State::Waiting,
+        AckState::Waiting,
         Effect::Note,
     ),
     (
-        State::Waiting,
+        AckState::Waiting,
         Input::LastNonce,
-        State::Settled,
+        AckState::Settled,
         Effect::Acknowledge,
     ),
     (
-        State::Waiting,
+        AckState::Waiting,
         Input::LastNonceWithError,
-        State::Settled,
+        AckState::Settled,
         Effect::Refuse,
     ),
     // With the nonce of an answer that it took, a client changes what it subscribes to.
     (
-        State::Settled,
+        AckState::Settled,
         Input::LastNonce,
-        State::Settled,
+        AckState::Settled,
         Effect::Note,
     ),
     (
-        State::Settled,
+        AckState::Settled,
         Input::LastNonceWithError,
-        State::Settled,
+        AckState::Settled,
         Effect::Wonder,
     ),
     (
-        State::Settled,
+        AckState::Settled,
         Input::OlderNonce,
-        State::Settled,
+        AckState::Settled,
         Effect::Ignore,
     ),
     (
-        State::Waiting,
+        AckState::Waiting,
         Input::OlderNonce,
-        State::Waiting,
+        AckState::Waiting,
         Effect::Ignore,
     ),
     (
-        State::Settled,
+        AckState::Settled,
         Input::UnknownNonce,
-        State::Settled,
+        AckState::Settled,
         Effect::Wonder,
     ),
     (
-        State::Waiting,
+        AckState::Waiting,
         Input::UnknownNonce,
-        State::Waiting,
+        AckState::Waiting,
         Effect::Wonder,
     ),
 ];
 
 #[derive(Debug)]
-struct Watch {
-    state: State,
+struct Subscription {
+    state: AckState,
     delta: bool,
-    wanted: Wanted,
+    wanted: ResourceFilter,
     /// Of what is wanted.
     name: Checksum,
     /// Asked for since the last answer: sent though they were sent before.
     fresh: BTreeSet<String>,
     last_nonce: u64,
     /// Sent and not answered.
-    sent: Option<Arc<Content>>,
-    held: Held,
+    sent: Option<Arc<Snapshot>>,
+    held: AckedState,
     refused: Option<Version>,
     /// Gone from the newest version and left standing until nothing refers to them.
-    standing: BTreeMap<Name, Option<Resource>>,
+    standing: BTreeMap<ResourceName, Option<Resource>>,
 }
 
 /// Where a kind stands beside the newest version.
-enum Stands {
+enum Progress {
     There,
     OnItsWay,
     /// An older one is on its way: those that come after it in order have to wait.
@@ -192,31 +194,32 @@
     Behind,
 }
 
-impl Watch {
+impl Subscription {
     fn wants(&self) -> bool {
         !self.wanted.nothing()
     }
 
-    fn stands(&self, newest: &Content) -> Stands {
+    fn stands(&self, newest: &Snapshot) -> Progress {
         let sent = self
             .sent
             .as_ref()
             .is_some_and(|sent| sent.version == newest.version);
-        let there = matches!(&self.held, Held::Version(held) if held.version == newest.version);
+        let there =
+            matches!(&self.held, AckedState::Version(held) if held.version == newest.version);
         match (self.state, self.fresh.is_empty()) {
-            (State::Waiting, true) if sent => Stands::OnItsWay,
-            (State::Waiting, _) => Stands::Overtaken,
-            _ if self.refused == Some(newest.version) => Stands::Refused,
-            (State::Settled, true) if there => Stands::There,
-            _ => Stands::Behind,
+            (AckState::Waiting, true) if sent => Progress::OnItsWay,
+            (AckState::Waiting, _) => Progress::Overtaken,
+            _ if self.refused == Some(newest.version) => Progress::Refused,
+            (AckState::Settled, true) if there => Progress::There,
+            _ => Progress::Behind,
         }
     }
 }
 
 #[derive(Debug)]
 pub struct Stream {
-    watches: BTreeMap<Kind, Watch>,
-    newest: Option<Arc<Content>>,
+    watches: BTreeMap<ResourceType, Subscription>,
+    newest: Option<Arc<Snapshot>>,
     last_nonce: u64,
     /// Answers to changed subscriptions, which no version of a table limits.
     asked: RollingWindow<f64>,
@@ -246,11 +249,11 @@
     }
 
     /// From now on this is the newest version; what was offered before and not sent never will be.
-    pub fn offer(&mut self, content: Arc<Content>) {
+    pub fn offer(&mut self, content: Arc<Snapshot>) {
         self.newest = Some(content);
     }
 
-    pub fn newest(&self) -> Option<&Arc<Content>> {
+    pub fn newest(&self) -> Option<&Arc<Snapshot>> {
         self.newest.as_ref()
     }
 
@@ -270,10 +273,10 @@
             .filter(|watch| !watch.wanted.nothing())
         {
             match (&watch.held, all) {
-                (Held::Version(content), None) if watch.state == State::Settled => {
+                (AckedState::Version(content), None) if watch.state == AckState::Settled => {
                     all = Some(content.version)
                 }
-                (Held::Version(content), Some(version)) if version == content.version => {}
+                (AckedState::Version(content), Some(version)) if version == content.version => {}
                 _ => return None,
             }
         }
@@ -284,24 +287,27 @@
     pub fn waits(&self) -> bool {
         self.watches
             .values()
-            .any(|watch| watch.state == State::Waiting)
+            .any(|watch| watch.state == AckState::Waiting)
     }
 
-    pub fn ask(&mut self, now: Moment, ask: &Ask) -> Heard {
+    pub fn ask(&mut self, now: Moment, ask: &Request) -> RequestOutcome {
         let last_of_stream = self.last_nonce;
         let first = !self.watches.contains_key(&ask.kind);
-        let watch = self.watches.entry(ask.kind).or_insert_with(|| Watch {
-            state: State::Settled,
-            delta: matches!(ask.mode, Mode::Delta { .. }),
-            wanted: Wanted::default(),
-            name: Wanted::default().name(),
-            fresh: BTreeSet::new(),
-            last_nonce: 0,
-            sent: None,
-            held: Held::Nothing,
-            refused: None,
-            standing: BTreeMap::new(),
-        });
+        let watch = self
+            .watches
+            .entry(ask.kind)
+            .or_insert_with(|| Subscription {
+                state: AckState::Settled,
+                delta: matches!(ask.mode, RequestBody::Delta { .. }),
+                wanted: ResourceFilter::default(),
+                name: ResourceFilter::default().name(),
+                fresh: BTreeSet::new(),
+                last_nonce: 0,
+                sent: None,
+                held: AckedState::Nothing,
+                refused: None,
+                standing: BTreeMap::new(),
+            });
         let nonce = ask.nonce.parse::<u64>().ok();
         let input = match (ask.nonce.is_empty(), nonce) {
             (true, _) => Input::FirstWord,
@@ -318,7 +324,7 @@
         let (next, mut effect) = row.map_or((watch.state, Effect::Ignore), |row| (row.2, row.3));
         let sent = watch.sent.as_ref().map(|content| content.version);
         // To acknowledge is to name the version that was sent.
-        if let (Effect::Acknowledge, Mode::Whole { version, .. }, Some(sent)) =
+        if let (Effect::Acknowledge, RequestBody::StateOfTheWorld { version, .. }, Some(sent)) =
             (effect, &ask.mode, sent)
         {
             if *version != sent.0.to_string() {
@@ -334,21 +340,21 @@
         }
         watch.state = next;
         match effect {
-            Effect::Note => Heard::Noted,
-            Effect::Ignore => Heard::Stale,
+            Effect::Note => RequestOutcome::Noted,
+            Effect::Ignore => RequestOutcome::Stale,
             Effect::Wonder => {
                 self.strange += 1;
                 let nonce: String = ask.nonce.chars().take(40).collect();
-                Heard::Strange(format!(
+                RequestOutcome::Strange(format!(
                     "it speaks of answer `{nonce}`, which it was not sent"
                 ))
             }
             Effect::Acknowledge => {
                 let Some(content) = watch.sent.take() else {
-                    return Heard::Noted;
+                    return RequestOutcome::Noted;
                 };
-                watch.held = Held::Version(content);
-                Heard::Acknowledged
+                watch.held = AckedState::Version(content);
+                RequestOutcome::Acknowledged
             }
             Effect::Refuse => {
                 // What it held before it holds still.
@@ -360,13 +366,13 @@
                 let reason = ask.error.clone();
                 let reason = reason
                     .unwrap_or_else(|| "it names another version than it was sent".to_string());
-                Heard::Refused { version, reason }
+                RequestOutcome::Refused { version, reason }
             }
         }
     }
 
     /// The next answer, if one is due. It counts as sent.
-    pub fn next(&mut self, now: Moment, history: &mut History) -> Option<Answer> {
+    pub fn next(&mut self, now: Moment, history: &mut SnapshotCache) -> Option<Response> {
         let newest = self.newest.clone()?;
         self.limited = self.asked.total(now) > self.asked_most;
         if self.limited {
@@ -374,23 +380,23 @@
         }
         let last = ORDER
             .iter()
-            .rfind(|kind| self.watches.get(kind).is_some_and(Watch::wants))
+            .rfind(|kind| self.watches.get(kind).is_some_and(Subscription::wants))
             .copied()?;
         for kind in ORDER {
             let Some(watch) = self.watches.get_mut(&kind).filter(|watch| watch.wants()) else {
                 continue;
             };
             match watch.stands(&newest) {
-                Stands::There | Stands::OnItsWay | Stands::Refused => continue,
-                Stands::Overtaken => return None,
-                Stands::Behind => {}
+                Progress::There | Progress::OnItsWay | Progress::Refused => continue,
+                Progress::Overtaken => return None,
+                Progress::Behind => {}
             }
             let (difference, shared) = difference(watch, kind, &newest, history);
             // The last kind of a delta client is answered for every version: it says that this is all of it.
             let must = (watch.delta && kind == last)
-                || (matches!(watch.held, Held::Nothing) && (kind.complete() || watch.delta));
+                || (matches!(watch.held, AckedState::Nothing) && (kind.complete() || watch.delta));
             if difference.nothing() && watch.fresh.is_empty() && !must {
-                watch.held = Held::Version(newest.clone());
+                watch.held = AckedState::Version(newest.clone());
                 continue;
             }
             self.last_nonce += 1;
@@ -407,20 +413,20 @@
     }
 
     /// What others referred to goes when nothing does any more.
-    fn removal(&mut self, newest: &Arc<Content>) -> Option<Answer> {
+    fn removal(&mut self, newest: &Arc<Snapshot>) -> Option<Response> {
         if self
             .watches
             .values()
-            .any(|watch| watch.wants() && watch.state == State::Waiting)
+            .any(|watch| watch.wants() && watch.state == AckState::Waiting)
         {
             return None;
         }
-        let leaves = |(_, watch): &(&Kind, &mut Watch)| !watch.standing.is_empty();
+        let leaves = |(_, watch): &(&ResourceType, &mut Subscription)| !watch.standing.is_empty();
         let (kind, watch) = self.watches.iter_mut().find(leaves)?;
         let standing = std::mem::take(&mut watch.standing);
         let to = newest.of(*kind);
         let comes_to = newest.checksum(*kind, |name| watch.wanted.wants(name));
-        let nothing = Difference {
+        let nothing = ResourceDelta {
             changed: Vec::new(),
             removed: Vec::new(),
             comes_to,
@@ -442,16 +448,16 @@
 }
 
 /// Notes what is asked for; `true` if that is something else than before.
-fn subscribe(watch: &mut Watch, ask: &Ask, first: bool) -> bool {
+fn subscribe(watch: &mut Subscription, ask: &Request, first: bool) -> bool {
     let before = watch.wanted.clone();
     match &ask.mode {
-        Mode::Whole { names, .. } => {
+        RequestBody::StateOfTheWorld { names, .. } => {
             // Nothing named ever is everything, of the kinds that know it; once something was named, no more.
             let implied = ask.kind.complete() && names.is_empty() && (first || watch.wanted.all);
             let all = implied || names.iter().any(|name| name == "*");
             let names: BTreeSet<String> =
                 names.iter().filter(|name| *name != "*").cloned().collect();
-            let known = std::mem::replace(&mut watch.wanted, Wanted { all, names });
+            let known = std::mem::replace(&mut watch.wanted, ResourceFilter { all, names });
             let fresh = watch
                 .wanted
                 .names
@@ -462,7 +468,7 @@
                 watch.fresh.insert("*".to_string());
             }
         }
-        Mode::Delta {
+        RequestBody::Delta {
             subscribe,
             unsubscribe,
             holds,
@@ -470,7 +476,7 @@
             if first {
                 watch.wanted.all = ask.kind.complete() && subscribe.is_empty();
                 if !holds.is_empty() {
-                    watch.held = Held::Told(holds.clone());
+                    watch.held = AckedState::Told(holds.clone());
                 }
             }
             for name in subscribe {
@@ -503,15 +509,15 @@
 }
 
 fn difference(
-    watch: &Watch,
-    kind: Kind,
-    newest: &Arc<Content>,
-    history: &mut History,
-) -> (Arc<Difference>, Option<Shared>) {
+    watch: &Subscription,
+    kind: ResourceType,
+    newest: &Arc<Snapshot>,
+    history: &mut SnapshotCache,
+) -> (Arc<ResourceDelta>, Option<DeltaKey>) {
     let held = match &watch.held {
-        Held::Nothing => None,
-        Held::Version(held) => Some(&**held),
-        Held::Told(told) => return (Arc::new(from_told(watch, kind, newest, told)), None),
+        AckedState::Nothing => None,
+        AckedState::Version(held) => Some(&**held),
+        AckedState::Told(told) => return (Arc::new(from_told(watch, kind, newest, told)), None),
     };
     let (difference, shared) = history.difference(kind, held, newest, &watch.wanted, watch.name);
     (difference, Some(shared))
@@ -519,11 +525,11 @@
 
 /// What a client lacks of a version, or has beyond it, by its own word.
 fn from_told(
-    watch: &Watch,
-    kind: Kind,
-    newest: &Content,
+    watch: &Subscription,
+    kind: ResourceType,
+    newest: &Snapshot,
     told: &BTreeMap<String, String>,
-) -> Difference {
+) -> ResourceDelta {
     let to = newest.of(kind);
     let known = |name: &str, resource: &Resource| {
         told.get(name)
@@ -533,7 +539,7 @@
         .iter()
         .filter(|(name, resource)| watch.wanted.wants(name) && !known(name, resource));
     let removed = told.keys().filter(|name| !to.contains_key(name.as_str()));
-    Difference {
+    ResourceDelta {
         changed: changed
             .map(|(name, resource)| (name.clone(), resource.clone()))
             .collect(),
@@ -543,19 +549,19 @@
 }
 
 fn answer(
-    watch: &mut Watch,
-    kind: Kind,
-    newest: &Arc<Content>,
-    difference: &Difference,
-    mut shared: Option<Shared>,
+    watch: &mut Subscription,
+    kind: ResourceType,
+    newest: &Arc<Snapshot>,
+    difference: &ResourceDelta,
+    mut shared: Option<DeltaKey>,
     nonce: u64,
-) -> Answer {
+) -> Response {
     let to = newest.of(kind);
     let (mut changed, mut removed) = (difference.changed.clone(), difference.removed.clone());
     let fresh = std::mem::take(&mut watch.fresh);
     if !fresh.is_empty() {
-        let listed: BTreeSet<Name> = changed.iter().map(|(name, _)| name.clone()).collect();
-        let asked = Wanted {
+        let listed: BTreeSet<ResourceName> = changed.iter().map(|(name, _)| name.clone()).collect();
+        let asked = ResourceFilter {
             all: fresh.contains("*"),
             names: fresh,
         };
@@ -570,12 +576,12 @@
             .iter()
             .filter(|name| *name != "*" && !name.ends_with("/*"));
         let none = plain.filter(|name| watch.delta && !to.contains_key(name.as_str()));
-        removed.extend(none.map(|name| Name::from(name.as_str())));
+        removed.extend(none.map(|name| ResourceName::from(name.as_str())));
         shared = shared.filter(|_| changed.len() + removed.len() == before);
     }
     if kind.complete() {
         let held = match &watch.held {
-            Held::Version(held) => Some(held.of(kind)),
+            AckedState::Version(held) => Some(held.of(kind)),
             _ => None,
         };
         for name in std::mem::take(&mut removed) {
@@ -599,10 +605,10 @@
         }
         removed.clear();
     }
-    (watch.state, watch.last_nonce, watch.sent) = (State::Waiting, nonce, Some(newest.clone()));
+    (watch.state, watch.last_nonce, watch.sent) = (AckState::Waiting, nonce, Some(newest.clone()));
     // What still stands is this client's own.
     let whole = watch.standing.is_empty();
-    Answer {
+    Response {
         kind,
         nonce,
         version: newest.version,
--- a/crates/proxy/src/table_stream.rs
+++ b/crates/proxy/src/table_stream.rs
@@ -8,8 +8,8 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use wheelspread::time::{Moment, Span};
 use wheelspread_controller_core::membership::Introduction;
-use wheelspread_discovery::delta_client::Reader;
-use wheelspread_discovery::{Ask, Kind};
+use wheelspread_discovery::delta_client::DeltaClient;
+use wheelspread_discovery::{Request, ResourceType};
 use wheelspread_files::Held;
 use wheelspread_grpc::{ClientConnection, ClientEvent};
 use wheelspread_reactor::{self as reactor, Interest, Poll, Token};
@@ -41,7 +41,7 @@
     controller: Option<usize>,
     connection: Option<Box<ClientConnection>>,
     dial_at: Option<Moment>,
-    reader: Reader,
+    reader: DeltaClient,
     /// The first request of a stream still has to say who calls.
     needs_introduction: bool,
     tls: Option<TlsSide>,
@@ -59,7 +59,7 @@
             controller: None,
             connection: None,
             dial_at: None,
-            reader: Reader::new(subscriptions(config)),
+            reader: DeltaClient::new(subscriptions(config)),
             needs_introduction: true,
             tls: config.tls.clone(),
         }
@@ -121,7 +121,7 @@
         }
     }
 
-    fn send(&mut self, request: &Ask) {
+    fn send(&mut self, request: &Request) {
         let is_first = std::mem::take(&mut self.needs_introduction);
         let introduction = is_first.then_some(&self.introduction);
         let message = discovery::ask(introduction, self.reader.version(), request);
@@ -147,9 +147,9 @@
                 let values = |kind| reader.held(kind).map(|(_, bytes)| bytes);
                 let orders = discovery::orders(
                     version,
-                    reader.held(Kind::Lines),
-                    values(Kind::Endpoints),
-                    values(Kind::Routes),
+                    reader.held(ResourceType::Entries),
+                    values(ResourceType::Endpoints),
+                    values(ResourceType::Routes),
                 );
                 complete_orders = Some(orders.map_err(|error| error.to_string())?);
                 Ok(())
@@ -205,7 +205,7 @@
 }
 
 /// The resources that the proxy's operations need, in the order in which they make up a version.
-fn subscriptions(config: &ProxyConfig) -> Vec<(Kind, Vec<String>)> {
+fn subscriptions(config: &ProxyConfig) -> Vec<(ResourceType, Vec<String>)> {
     let operations = &config.core.operations;
     let assignments = operations
         .iter()
@@ -214,8 +214,11 @@
         .iter()
         .map(|operation| format!("{}{}/*", discovery::LINE, operation.name));
     vec![
-        (Kind::Endpoints, assignments.collect()),
-        (Kind::Lines, entries.collect()),
-        (Kind::Routes, vec![discovery::OPERATIONS.to_string()]),
+        (ResourceType::Endpoints, assignments.collect()),
+        (ResourceType::Entries, entries.collect()),
+        (
+            ResourceType::Routes,
+            vec![discovery::OPERATIONS.to_string()],
+        ),
     ]
 }
--- a/crates/xds/src/discovery.rs
+++ b/crates/xds/src/discovery.rs
@@ -9,8 +9,8 @@
 use wheelspread_controller_core::membership::Introduction;
 use wheelspread_controller_core::publication::{TableSet, Version};
 use wheelspread_controller_core::Deployment;
-use wheelspread_discovery::resource_store::Delta;
-use wheelspread_discovery::{Answer, Ask, Checksum, Content, Kind, Mode};
+use wheelspread_discovery::resource_store::DeltaUpdate;
+use wheelspread_discovery::{Checksum, Request, RequestBody, ResourceType, Response, Snapshot};
 use xds_api::pb::envoy::config::cluster::v3 as cluster;
 use xds_api::pb::envoy::config::core::v3 as core;
 use xds_api::pb::envoy::config::endpoint::v3 as endpoint;
@@ -38,22 +38,25 @@
 const ROUTER: &str = "envoy.filters.http.router";
 const INVALID_ARGUMENT: i32 = 3;
 
-const KINDS: [(Kind, fn() -> String); 5] = [
-    (Kind::Clusters, cluster::Cluster::type_url),
-    (Kind::Endpoints, endpoint::ClusterLoadAssignment::type_url),
-    (Kind::Lines, endpoint::LbEndpoint::type_url),
-    (Kind::Listeners, listener::Listener::type_url),
-    (Kind::Routes, route::RouteConfiguration::type_url),
+const KINDS: [(ResourceType, fn() -> String); 5] = [
+    (ResourceType::Clusters, cluster::Cluster::type_url),
+    (
+        ResourceType::Endpoints,
+        endpoint::ClusterLoadAssignment::type_url,
+    ),
+    (ResourceType::Entries, endpoint::LbEndpoint::type_url),
+    (ResourceType::Listeners, listener::Listener::type_url),
+    (ResourceType::Routes, route::RouteConfiguration::type_url),
 ];
 
-pub fn type_url(kind: Kind) -> String {
+pub fn type_url(kind: ResourceType) -> String {
     KINDS
         .iter()
         .find(|row| row.0 == kind)
         .map_or(String::new(), |row| row.1())
 }
 
-fn kind(type_url: &str) -> Result<Kind, Unreadable> {
+fn kind(type_url: &str) -> Result<ResourceType, Unreadable> {
     let found = KINDS
         .iter()
         .find(|row| row.1() == type_url)
@@ -82,9 +85,9 @@
 }
 
 /// All resources of a version.
-pub fn resources(set: &TableSet, plan: &Deployment) -> Content {
+pub fn resources(set: &TableSet, plan: &Deployment) -> Snapshot {
     let (assignments, operations) = tables::resources(set, plan);
-    let mut made = Content::new(set.bundle, set.version);
+    let mut made = Snapshot::new(set.bundle, set.version);
     for assignment in assignments {
         let name = assignment.cluster_name.clone();
         let route = operations
@@ -92,10 +95,22 @@
             .iter()
             .flat_map(|host| &host.routes);
         let route = route.into_iter().find(|route| route.name == name);
-        made.put(Kind::Clusters, &name, cluster_of(&name).encode_to_vec());
-        made.put(Kind::Listeners, &name, listener_of(&name).encode_to_vec());
+        made.put(
+            ResourceType::Clusters,
+            &name,
+            cluster_of(&name).encode_to_vec(),
+        );
+        made.put(
+            ResourceType::Listeners,
+            &name,
+            listener_of(&name).encode_to_vec(),
+        );
         if let Some(route) = route {
-            made.put(Kind::Routes, &name, routes_of(&name, route).encode_to_vec());
+            made.put(
+                ResourceType::Routes,
+                &name,
+                routes_of(&name, route).encode_to_vec(),
+            );
         }
         let mut apart = assignment.clone();
         for locality in &mut apart.endpoints {
@@ -111,7 +126,7 @@
                     if let Ok(node) = crate::node_id(host.address.as_ref()) {
                         let node = wheelspread_controller_core::endpoint_list::show(node);
                         made.put(
-                            Kind::Lines,
+                            ResourceType::Entries,
                             &format!("{LINE}{name}/{zone}/{node}"),
                             line.encode_to_vec(),
                         );
@@ -124,13 +139,17 @@
             .endpoints
             .extend(plan.zones.iter().map(|zone| lines_apart(&name, zone)));
         made.put(
-            Kind::Endpoints,
+            ResourceType::Endpoints,
             &format!("{LINES_APART}{name}"),
             apart.encode_to_vec(),
         );
-        made.put(Kind::Endpoints, &name, weighed(assignment).encode_to_vec());
+        made.put(
+            ResourceType::Endpoints,
+            &name,
+            weighed(assignment).encode_to_vec(),
+        );
     }
-    made.put(Kind::Routes, OPERATIONS, operations.encode_to_vec());
+    made.put(ResourceType::Routes, OPERATIONS, operations.encode_to_vec());
     made
 }
 
@@ -257,9 +276,9 @@
 
 /// A request, and who introduces itself in it.
 #[derive(Debug)]
-pub struct Request {
+pub struct DecodedRequest {
     pub who: Option<Introduction>,
-    pub ask: Ask,
+    pub ask: Request,
     /// The version that the client says it holds, from another stream.
     pub holds: Option<Version>,
 }
@@ -273,7 +292,7 @@
     error.map(|status| status.message.chars().take(500).collect())
 }
 
-pub fn read_whole(bytes: &[u8]) -> Result<Request, Unreadable> {
+pub fn read_whole(bytes: &[u8]) -> Result<DecodedRequest, Unreadable> {
     let request = discovery::DiscoveryRequest::decode(bytes)
         .map_err(|e| content("a request", e.to_string()))?;
     let holds = request
@@ -282,13 +301,13 @@
         .ok()
         .map(Version)
         .filter(|_| request.response_nonce.is_empty());
-    Ok(Request {
+    Ok(DecodedRequest {
         who: introduction(request.node.as_ref()),
-        ask: Ask {
+        ask: Request {
             kind: kind(&request.type_url)?,
             nonce: request.response_nonce,
             error: refusal(request.error_detail),
-            mode: Mode::Whole {
+            mode: RequestBody::StateOfTheWorld {
                 names: request.resource_names,
                 version: request.version_info,
             },
@@ -297,7 +316,7 @@
     })
 }
 
-pub fn read_delta(bytes: &[u8]) -> Result<Request, Unreadable> {
+pub fn read_delta(bytes: &[u8]) -> Result<DecodedRequest, Unreadable> {
     let request = discovery::DeltaDiscoveryRequest::decode(bytes)
         .map_err(|e| content("a request", e.to_string()))?;
     // Names of a collection are told as locators by some.
@@ -318,13 +337,13 @@
         Some(value::Kind::StringValue(version)) => version.parse().ok().map(Version),
         _ => None,
     };
-    Ok(Request {
+    Ok(DecodedRequest {
         who: introduction(request.node.as_ref()),
-        ask: Ask {
+        ask: Request {
             kind: kind(&request.type_url)?,
             nonce: request.response_nonce,
             error: refusal(request.error_detail),
-            mode: Mode::Delta {
+            mode: RequestBody::Delta {
                 subscribe: names(
                     request.resource_names_subscribe,
                     request.resource_locators_subscribe,
@@ -341,7 +360,7 @@
 }
 
 /// Everything of an answer but its nonce, which is its own and goes at the end.
-pub fn body(answer: &Answer) -> Vec<u8> {
+pub fn body(answer: &Response) -> Vec<u8> {
     let url = type_url(answer.kind);
     let packed = |bytes: &bytes::Bytes| Any {
         type_url: url.clone(),
@@ -360,7 +379,7 @@
         }
         .encode_to_vec();
     }
-    let resource = |(name, resource): &(wheelspread_discovery::snapshot::Name, _)| {
+    let resource = |(name, resource): &(wheelspread_discovery::snapshot::ResourceName, _)| {
         let resource: &wheelspread_discovery::Resource = resource;
         discovery::Resource {
             name: name.to_string(),
@@ -383,7 +402,7 @@
 }
 
 /// A body with its nonce: fields of a message may come in any order, so bodies can be shared.
-pub fn with_nonce(body: &[u8], answer: &Answer) -> Vec<u8> {
+pub fn with_nonce(body: &[u8], answer: &Response) -> Vec<u8> {
     let nonce = answer.nonce.to_string();
     let tail = match answer.delta {
         true => discovery::DeltaDiscoveryResponse {
@@ -405,10 +424,10 @@
 /// What a client of the incremental form is told.
 #[derive(Debug)]
 pub struct Told {
-    pub kind: Kind,
+    pub kind: ResourceType,
     pub nonce: String,
     pub version: Option<Version>,
-    pub delta: Delta,
+    pub delta: DeltaUpdate,
 }
 
 pub fn read_told(bytes: &[u8]) -> Result<Told, Unreadable> {
@@ -427,7 +446,7 @@
             .ok_or_else(|| content(format!("resource {at}"), "it is empty"))?;
         changed.push((resource.name, checksum, bytes::Bytes::from(any.value)));
     }
-    let delta = Delta {
+    let delta = DeltaUpdate {
         changed,
         removed: told.removed_resources,
         comes_to,
@@ -441,7 +460,7 @@
 }
 
 /// A request of the incremental form. `who`: told in the first of a stream, with the version held.
-pub fn ask(who: Option<&Introduction>, holds: Option<Version>, ask: &Ask) -> Vec<u8> {
+pub fn ask(who: Option<&Introduction>, holds: Option<Version>, ask: &Request) -> Vec<u8> {
     let node = who
         .and_then(|who| crate::loads::introduce(who).node)
         .map(|mut node| {
@@ -453,12 +472,14 @@
             node
         });
     let (subscribe, unsubscribe, holds) = match &ask.mode {
-        Mode::Delta {
+        RequestBody::Delta {
             subscribe,
             unsubscribe,
             holds,
         } => (subscribe.clone(), unsubscribe.clone(), holds.clone()),
-        Mode::Whole { names, .. } => (names.clone(), Vec::new(), Default::default()),
+        RequestBody::StateOfTheWorld { names, .. } => {
+            (names.clone(), Vec::new(), Default::default())
+        }
     };
     let error_detail = ask.error.as_ref().map(|message| rpc::Status {
         code: INVALID_ARGUMENT,
@@ -537,12 +558,12 @@
         // A request with single bytes spoilt, as a broken client would send it.
         #[test]
         fn a_spoilt_request_is_read_or_refused(at in 0usize..120, to in any::<u8>()) {
-            let mode = Mode::Delta {
+            let mode = RequestBody::Delta {
                 subscribe: vec!["quote".into()], unsubscribe: vec!["old".into()],
                 holds: [("quote".to_string(), "1".to_string())].into(),
             };
             let who = Introduction { name: "g1".into(), zone: "north".into(), usual_rate: Some(3.0) };
-            let mut bytes = ask(Some(&who), Some(Version(7)), &Ask { kind: Kind::Lines, nonce: "4".into(), error: None, mode });
+            let mut bytes = ask(Some(&who), Some(Version(7)), &Request { kind: ResourceType::Entries, nonce: "4".into(), error: None, mode });
             let at = at % bytes.len();
             bytes[at] = to;
             if let Ok(request) = read_delta(&bytes) {
