--- a/crates/cli/src/measure/streams.rs
+++ b/crates/cli/src/measure/streams.rs
@@ -9,7 +9,7 @@
 use std::path::Path;
 use wheelspread::time::{Moment, Span};
 use wheelspread_controller_core::membership::Introduction;
-use wheelspread_discovery::{Request, RequestBody, ResourceType};
+use wheelspread_discovery::{Request, ResourceType};
 use wheelspread_drill::{cpu_of, gateways::name, DrillError};
 use wheelspread_grpc::{ClientConnection, ClientEvent, Limits};
 use wheelspread_reactor::{self as reactor, Interest, Poll, Token};
@@ -63,17 +63,7 @@
             .collect(),
         _ => vec![prefix.to_string()],
     };
-    let mode = RequestBody::Delta {
-        subscribe: names,
-        unsubscribe: Vec::new(),
-        holds: BTreeMap::new(),
-    };
-    Request {
-        kind,
-        nonce: String::new(),
-        error: None,
-        mode,
-    }
+    Request::delta_subscribe(kind, names, BTreeMap::new())
 }
 
 impl Peer {
@@ -106,22 +96,12 @@
                 let told = discovery::read_told(&bytes);
                 let told = told.map_err(|error| DrillError::NotReady(error.to_string()))?;
                 self.bytes += bytes.len() as u64;
-                if told.kind == ResourceType::Entries {
-                    self.lines += (told.delta.changed.len() + told.delta.removed.len()) as u64;
+                if told.resource_type == ResourceType::Entries {
+                    self.lines += (told.update.changed.len() + told.update.removed.len()) as u64;
                 }
-                let complete = told.kind == ResourceType::Routes;
+                let complete = told.resource_type == ResourceType::Routes;
                 self.complete += u64::from(complete);
-                let mode = RequestBody::Delta {
-                    subscribe: vec![],
-                    unsubscribe: vec![],
-                    holds: BTreeMap::new(),
-                };
-                let ask = Request {
-                    kind: told.kind,
-                    nonce: told.nonce,
-                    error: None,
-                    mode,
-                };
+                let ask = Request::delta_ack(told.resource_type, told.nonce);
                 self.connection.send(&discovery::ask(None, None, &ask));
                 Ok(complete)
             }
--- a/crates/cli/tests/common/client.rs
+++ b/crates/cli/tests/common/client.rs
@@ -4,8 +4,7 @@
 use std::collections::BTreeSet;
 use wheelspread_controller_core::membership::Introduction;
 use wheelspread_controller_core::publication::Version;
-use wheelspread_discovery::delta_client::DeltaClient;
-use wheelspread_discovery::ResourceType;
+use wheelspread_discovery::{DeltaClient, ResourceType, TypeSubscription};
 use wheelspread_grpc::{ClientConnection, ClientEvent, Limits};
 use wheelspread_reactor as reactor;
 use wheelspread_xds::{discovery, tables::Orders};
@@ -25,15 +24,15 @@
 impl Client {
     pub fn dial(stage: &Stage, name: &str, zone: &str) -> Client {
         let kinds = vec![
-            (
+            TypeSubscription::new(
                 ResourceType::Endpoints,
                 vec![format!("{}quote", discovery::LINES_APART)],
             ),
-            (
+            TypeSubscription::new(
                 ResourceType::Entries,
                 vec![format!("{}quote/*", discovery::LINE)],
             ),
-            (
+            TypeSubscription::new(
                 ResourceType::Routes,
                 vec![discovery::OPERATIONS.to_string()],
             ),
@@ -73,7 +72,7 @@
     fn event(&mut self, event: ClientEvent) {
         match event {
             ClientEvent::Opened => {
-                for ask in self.reader.hello() {
+                for ask in self.reader.initial_requests() {
                     let who = std::mem::take(&mut self.silent).then_some(&self.who);
                     self.connection
                         .send(&discovery::ask(who, self.reader.version(), &ask));
@@ -86,32 +85,29 @@
     fn told(&mut self, bytes: &[u8]) {
         let told = discovery::read_told(bytes).expect("of the published form");
         let (refuses, mut made) = (self.refuses, None);
-        let step = self.reader.told(
-            told.kind,
-            &told.nonce,
-            told.version,
-            &told.delta,
-            |reader, version| {
-                let values = |kind| reader.held(kind).map(|(_, bytes)| bytes);
-                let lines = reader.held(ResourceType::Entries);
-                made = discovery::orders(
-                    version,
-                    lines,
-                    values(ResourceType::Endpoints),
-                    values(ResourceType::Routes),
-                )
-                .ok();
-                if refuses {
-                    Err("it does not please".to_string())
-                } else {
-                    Ok(())
-                }
-            },
+        let step = self.reader.handle_response(&told, |reader, version| {
+            let values = |kind| reader.resources(kind).map(|(_, bytes)| bytes);
+            let lines = reader.resources(ResourceType::Entries);
+            made = discovery::orders(
+                version,
+                lines,
+                values(ResourceType::Endpoints),
+                values(ResourceType::Routes),
+            )
+            .ok();
+            if refuses {
+                Err("it does not please".to_string())
+            } else {
+                Ok(())
+            }
+        });
+        assert_eq!(
+            step.restart_reason, None,
+            "every delta comes to what it says"
         );
-        assert_eq!(step.restart, None, "every delta comes to what it says");
         if step.reply.error.is_some() {
             self.refused.extend(told.version);
-        } else if step.complete.is_some() {
+        } else if step.completed_version.is_some() {
             self.orders = made;
         }
         self.connection
--- a/crates/cli/tests/streams.rs
+++ b/crates/cli/tests/streams.rs
@@ -245,7 +245,7 @@
             .iter_mut()
             .for_each(|stalled| drop(stalled.connection.turn(reactor::now())));
         for stalled in stalled.iter_mut().filter(|stalled| stalled.silent) {
-            for ask in stalled.reader.hello() {
+            for ask in stalled.reader.initial_requests() {
                 let who = std::mem::take(&mut stalled.silent).then_some(&stalled.who);
                 stalled.connection.send(&discovery::ask(who, None, &ask));
             }
@@ -287,13 +287,13 @@
                         let mode = wheelspread_discovery::RequestBody::Delta {
                             subscribe: vec!["a".into()],
                             unsubscribe: Vec::new(),
-                            holds: Default::default(),
+                            initial_versions: Default::default(),
                         };
                         let ask = wheelspread_discovery::Request {
-                            kind: ResourceType::Entries,
+                            resource_type: ResourceType::Entries,
                             nonce: String::new(),
                             error: None,
-                            mode,
+                            body: mode,
                         };
                         bad.send(&discovery::ask(None, None, &ask));
                     }
--- a/crates/controller/src/front.rs
+++ b/crates/controller/src/front.rs
@@ -40,11 +40,11 @@
     pub fn new(file: &ControllerFile, deployment: Deployment) -> Desk {
         let streams = &file.streams;
         let plan = DiscoveryLimits {
-            versions: streams.versions_kept,
-            changes_at_most: streams.changes_at_most,
-            window: file.deployment.channel.messages_window,
-            unanswered: streams.unanswered_at_most,
-            hold: file.deployment.channel.delay_at_most * HOLD,
+            cached_versions: streams.versions_kept,
+            max_subscription_changes: streams.changes_at_most,
+            subscription_change_window: file.deployment.channel.messages_window,
+            ack_timeout: streams.unanswered_at_most,
+            rejection_hold: file.deployment.channel.delay_at_most * HOLD,
         };
         Desk {
             front: DiscoveryStreams::new(plan),
@@ -89,7 +89,7 @@
     /// The requests that came.
     pub fn asked(&mut self, now: Moment, session: &mut ControllerCore, streams: &mut Streams) {
         for (stream, ask) in streams.asks() {
-            let news = self.front.ask(now, stream, &ask);
+            let news = self.front.handle_request(now, stream, &ask);
             self.told(now, session, streams, news);
             streams.offer(stream);
         }
@@ -98,7 +98,7 @@
     pub fn offer(&mut self, streams: &mut Streams, stream: StreamId, set: &TableSet) {
         let known = self
             .front
-            .history()
+            .cache()
             .newest(set.bundle)
             .filter(|known| known.version == set.version);
         let content: Arc<Snapshot> = match known {
@@ -113,7 +113,7 @@
     pub fn send(&mut self, now: Moment, session: &mut ControllerCore, streams: &mut Streams) {
         for stream in streams.open() {
             let mut news = Vec::new();
-            while let Some(answer) = self.front.next(now, stream, &mut news) {
+            while let Some(answer) = self.front.next_response(now, stream, &mut news) {
                 let body = self.body(&answer);
                 let message = discovery::with_nonce(&body, &answer);
                 streams.send(stream, &message);
@@ -123,10 +123,10 @@
     }
 
     fn body(&mut self, answer: &Response) -> Arc<Vec<u8>> {
-        let Some(shared) = answer.shared else {
+        let Some(shared) = answer.delta_key else {
             return Arc::new(discovery::body(answer));
         };
-        let key = (shared, answer.delta);
+        let key = (shared, answer.is_delta);
         if let Some(body) = self.bodies.get(&key) {
             return body.clone();
         }
@@ -154,13 +154,13 @@
                     proxy,
                     version,
                     reason,
-                    verdict,
+                    response,
                 } => {
                     status(now, session, proxy, version, Some(reason));
                     let bundle = session.reads(proxy).newest.map(|set| set.bundle);
-                    match (verdict, bundle) {
+                    match (response, bundle) {
                         (RejectionResponse::HoldChanges, Some(bundle)) => {
-                            let until = self.front.held_until(bundle).unwrap_or(now);
+                            let until = self.front.changes_held_until(bundle).unwrap_or(now);
                             session.observe(now, Observation::HeldBack { bundle, until });
                         }
                         (RejectionResponse::RollBack(version), Some(bundle)) => {
@@ -193,7 +193,7 @@
             return;
         }
         self.next_look = now + Span::from_seconds(LOOK);
-        for stream in self.front.silent(now) {
+        for stream in self.front.unresponsive_streams(now) {
             streams.close(
                 stream,
                 Status::DeadlineExceeded,
@@ -201,7 +201,7 @@
             );
             self.front.close(stream);
         }
-        for stream in self.front.limited() {
+        for stream in self.front.rate_limited_streams() {
             streams.offer(stream);
         }
     }
--- a/crates/discovery/src/discovery_streams.rs
+++ b/crates/discovery/src/discovery_streams.rs
@@ -1,10 +1,11 @@
-//! All discovery streams of a conductor: who is on which, what each was offered, who holds what since when,
-//! and the verdicts on what was refused.
+//! All discovery streams of a controller: which proxy is on which, what each was offered, who holds which version since
+//! when, and what follows from rejections.
 
+use crate::message::{Request, RequestOutcome, Response};
 use crate::rejection::{RejectionResponse, RejectionTracker};
 use crate::snapshot::Snapshot;
 use crate::snapshot_cache::SnapshotCache;
-use crate::stream::{Request, RequestOutcome, Response, Stream, MOST_NAMES};
+use crate::stream::{Stream, MAX_SUBSCRIBED_NAMES};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use wheelspread::ids::ProxyId;
@@ -12,216 +13,293 @@
 use wheelspread_controller_core::membership::StreamId;
 use wheelspread_controller_core::publication::{BundleId, Version};
 
-/// What the front costs at most.
+/// What discovery streams cost at most.
 #[derive(Clone, Copy, Debug)]
 pub struct DiscoveryLimits {
-    /// Of so many versions differences are kept.
-    pub versions: usize,
-    /// Changes of a stream's subscriptions within the window.
-    pub changes_at_most: u32,
-    pub window: Span,
-    /// An answer that is not spoken to for so long ends the stream.
-    pub unanswered: Span,
-    /// How long ordinary changes wait that most refuse.
-    pub hold: Span,
+    /// Versions whose deltas are cached.
+    pub cached_versions: usize,
+    /// Changes of a stream's subscriptions within `subscription_change_window`.
+    pub max_subscription_changes: u32,
+    /// The window that `max_subscription_changes` is about.
+    pub subscription_change_window: Span,
+    /// A response that is not acknowledged or rejected for so long ends the stream.
+    pub ack_timeout: Span,
+    /// How long ordinary changes of a table set wait after most clients rejected one.
+    pub rejection_hold: Span,
 }
 
+/// What happened on a stream.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StreamEvent {
-    /// The client holds this version of all that it watches.
-    VersionAcknowledged { proxy: ProxyId, version: Version },
+    /// The client holds this version of every type that it subscribes to.
+    VersionAcknowledged {
+        /// The client.
+        proxy: ProxyId,
+        /// The version.
+        version: Version,
+    },
+    /// The client rejected this version.
     VersionRejected {
+        /// The client.
         proxy: ProxyId,
+        /// The version.
         version: Version,
+        /// The client's reason.
+        reason: String,
+        /// What is to be done.
+        response: RejectionResponse,
+    },
+    /// The client referred to a response that it was not sent.
+    UnknownNonce {
+        /// The client.
+        proxy: ProxyId,
+        /// What it referred to.
+        text: String,
+    },
+    /// The stream has to be closed.
+    CloseRequired {
+        /// The stream.
+        stream: StreamId,
+        /// The reason, for the client.
         reason: String,
-        verdict: RejectionResponse,
     },
-    /// It speaks of what it was not sent.
-    UnknownNonce { proxy: ProxyId, text: String },
-    /// The stream should be ended.
-    CloseRequired { stream: StreamId, reason: String },
+}
+
+/// A version that a client acknowledged.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct AcknowledgedVersion {
+    /// The version.
+    pub version: Version,
+    /// When it was acknowledged.
+    pub since: Moment,
 }
 
 #[derive(Debug)]
 struct OpenStream {
     proxy: ProxyId,
     stream: Stream,
-    /// Told last, and since when.
-    holds: Option<(Version, Moment)>,
-    unanswered_since: Option<Moment>,
+    /// The last one that was reported.
+    acknowledged: Option<AcknowledgedVersion>,
+    awaiting_ack_since: Option<Moment>,
 }
 
+/// All discovery streams of a controller.
 #[derive(Debug)]
 pub struct DiscoveryStreams {
-    plan: DiscoveryLimits,
-    history: SnapshotCache,
+    limits: DiscoveryLimits,
+    cache: SnapshotCache,
     streams: BTreeMap<StreamId, OpenStream>,
-    verdicts: RejectionTracker,
-    /// Words on answers that were overtaken.
-    pub stale: u64,
+    rejections: RejectionTracker,
+    stale_requests: u64,
 }
 
-/// After so many words on what was never sent a client is not listened to any more.
-const STRANGE: u32 = 10;
+/// A client that refers to more responses that it was not sent has its stream closed.
+const MAX_UNKNOWN_NONCES: u32 = 10;
 
 impl DiscoveryStreams {
-    pub fn new(plan: DiscoveryLimits) -> DiscoveryStreams {
+    /// No streams, with these limits.
+    pub fn new(limits: DiscoveryLimits) -> DiscoveryStreams {
         DiscoveryStreams {
-            history: SnapshotCache::new(plan.versions),
-            verdicts: RejectionTracker::new(plan.hold),
-            plan,
+            cache: SnapshotCache::new(limits.cached_versions),
+            rejections: RejectionTracker::new(limits.rejection_hold),
+            limits,
             streams: BTreeMap::new(),
-            stale: 0,
+            stale_requests: 0,
         }
     }
 
+    /// A proxy opened a stream.
     pub fn open(&mut self, stream: StreamId, proxy: ProxyId) {
-        let fresh = Stream::new(self.plan.changes_at_most, self.plan.window);
-        self.streams.insert(
-            stream,
-            OpenStream {
-                proxy,
-                stream: fresh,
-                holds: None,
-                unanswered_since: None,
-            },
-        );
+        let limits = &self.limits;
+        let opened = OpenStream {
+            proxy,
+            stream: Stream::new(
+                limits.max_subscription_changes,
+                limits.subscription_change_window,
+            ),
+            acknowledged: None,
+            awaiting_ack_since: None,
+        };
+        self.streams.insert(stream, opened);
     }
 
+    /// A stream ended.
     pub fn close(&mut self, stream: StreamId) {
-        if let Some(on) = self.streams.remove(&stream) {
-            self.verdicts.forget(on.proxy);
+        if let Some(closed) = self.streams.remove(&stream) {
+            self.rejections.remove_proxy(closed.proxy);
         }
     }
 
+    /// Whether no stream is open.
     pub fn is_empty(&self) -> bool {
         self.streams.is_empty()
     }
 
-    pub fn history(&self) -> &SnapshotCache {
-        &self.history
+    /// The newest snapshots.
+    pub fn cache(&self) -> &SnapshotCache {
+        &self.cache
     }
 
-    /// The version that the client of a stream holds, and since when.
-    pub fn holds(&self, stream: StreamId) -> Option<(Version, Moment)> {
-        self.streams.get(&stream)?.holds
+    /// Requests that were ignored because a later response had overtaken them.
+    pub fn stale_requests(&self) -> u64 {
+        self.stale_requests
     }
 
-    pub fn offer(&mut self, stream: StreamId, content: &Arc<Snapshot>) {
-        self.history.add(content.clone());
-        if let Some(on) = self.streams.get_mut(&stream) {
-            on.stream.offer(content.clone());
+    /// The version that a stream's client holds, and since when.
+    pub fn acknowledged_version(&self, stream: StreamId) -> Option<AcknowledgedVersion> {
+        self.streams.get(&stream)?.acknowledged
+    }
+
+    /// Makes a snapshot the newest of a stream.
+    pub fn offer(&mut self, stream: StreamId, snapshot: &Arc<Snapshot>) {
+        self.cache.insert(snapshot.clone());
+        if let Some(open) = self.streams.get_mut(&stream) {
+            open.stream.offer(snapshot.clone());
         }
     }
 
-    /// Until when ordinary changes of a table wait.
-    pub fn held_until(&self, bundle: BundleId) -> Option<Moment> {
-        self.verdicts.held_until(bundle)
+    /// Until when ordinary changes of a table set are held, if they are.
+    pub fn changes_held_until(&self, bundle: BundleId) -> Option<Moment> {
+        self.rejections.changes_held_until(bundle)
     }
 
-    /// Streams whose next answer had to wait for the pace that is allowed.
-    pub fn limited(&self) -> Vec<StreamId> {
+    /// Streams whose next response waits because subscriptions changed too often.
+    pub fn rate_limited_streams(&self) -> Vec<StreamId> {
         self.streams
             .iter()
-            .filter(|(_, on)| on.stream.limited())
+            .filter(|(_, open)| open.stream.is_rate_limited())
             .map(|(id, _)| *id)
             .collect()
     }
 
-    pub fn ask(&mut self, now: Moment, id: StreamId, ask: &Request) -> Vec<StreamEvent> {
-        let mut news = Vec::new();
-        let Some(on) = self.streams.get_mut(&id) else {
-            return news;
+    /// Streams whose client did not acknowledge in time what it was sent.
+    pub fn unresponsive_streams(&self, now: Moment) -> Vec<StreamId> {
+        let is_late = |open: &OpenStream| {
+            open.awaiting_ack_since
+                .is_some_and(|since| now - since > self.limits.ack_timeout)
         };
-        let (proxy, bundle) = (on.proxy, on.stream.newest().map(|newest| newest.bundle));
-        match (on.stream.ask(now, ask), bundle) {
-            (RequestOutcome::Noted | RequestOutcome::Acknowledged, _)
-            | (RequestOutcome::Refused { .. }, None) => {}
-            (RequestOutcome::Stale, _) => self.stale += 1,
-            (RequestOutcome::Strange(text), _) => {
-                news.push(StreamEvent::UnknownNonce {
-                    proxy,
-                    text: text.clone(),
-                });
-                if on.stream.strange > STRANGE {
-                    news.push(StreamEvent::CloseRequired {
-                        stream: id,
-                        reason: text,
-                    });
-                }
-            }
-            (RequestOutcome::Refused { version, reason }, Some(bundle)) => {
-                let verdict = self.verdicts.refused(now, bundle, version, proxy);
-                news.push(StreamEvent::VersionRejected {
-                    proxy,
-                    version,
-                    reason: reason.clone(),
-                    verdict,
-                });
-                if verdict == RejectionResponse::RestartStream(proxy) {
-                    let reason = format!("it goes on refusing: {reason}");
-                    news.push(StreamEvent::CloseRequired { stream: id, reason });
-                }
+        self.streams
+            .iter()
+            .filter(|(_, open)| is_late(open))
+            .map(|(id, _)| *id)
+            .collect()
+    }
+
+    /// Handles a request of a stream.
+    pub fn handle_request(
+        &mut self,
+        now: Moment,
+        id: StreamId,
+        request: &Request,
+    ) -> Vec<StreamEvent> {
+        let mut events = Vec::new();
+        let Some(open) = self.streams.get_mut(&id) else {
+            return events;
+        };
+        match open.stream.handle_request(now, request) {
+            RequestOutcome::Subscribed | RequestOutcome::Acknowledged => {}
+            RequestOutcome::Stale => self.stale_requests += 1,
+            RequestOutcome::UnknownNonce(text) => on_unknown_nonce(id, open, text, &mut events),
+            RequestOutcome::Rejected { version, reason } => {
+                self.on_rejected(now, id, version, reason, &mut events);
             }
         }
-        if on.stream.names() > MOST_NAMES {
-            news.push(StreamEvent::CloseRequired {
+        self.after_request(now, id, &mut events);
+        events
+    }
+
+    fn on_rejected(
+        &mut self,
+        now: Moment,
+        id: StreamId,
+        version: Version,
+        reason: String,
+        events: &mut Vec<StreamEvent>,
+    ) {
+        let Some(open) = self.streams.get(&id) else {
+            return;
+        };
+        let Some(bundle) = open.stream.newest().map(|newest| newest.bundle) else {
+            return;
+        };
+        let proxy = open.proxy;
+        let response = self.rejections.on_nack(now, bundle, version, proxy);
+        events.push(StreamEvent::VersionRejected {
+            proxy,
+            version,
+            reason: reason.clone(),
+            response,
+        });
+        if response == RejectionResponse::RestartStream(proxy) {
+            events.push(StreamEvent::CloseRequired {
                 stream: id,
-                reason: format!("more than {MOST_NAMES} names asked for"),
+                reason: format!("it goes on refusing: {reason}"),
             });
         }
-        on.unanswered_since = on.unanswered_since.filter(|_| on.stream.waits());
-        self.settled(now, id, &mut news);
-        news
     }
 
-    /// The next answer of a stream whose client took the last one off our hands.
-    pub fn next(
+    fn after_request(&mut self, now: Moment, id: StreamId, events: &mut Vec<StreamEvent>) {
+        let Some(open) = self.streams.get_mut(&id) else {
+            return;
+        };
+        if open.stream.subscribed_names() > MAX_SUBSCRIBED_NAMES {
+            events.push(StreamEvent::CloseRequired {
+                stream: id,
+                reason: format!("more than {MAX_SUBSCRIBED_NAMES} names asked for"),
+            });
+        }
+        if !open.stream.awaits_ack() {
+            open.awaiting_ack_since = None;
+        }
+        self.report_acknowledged(now, id, events);
+    }
+
+    /// The next response of a stream that can be written to.
+    pub fn next_response(
         &mut self,
         now: Moment,
         id: StreamId,
-        news: &mut Vec<StreamEvent>,
+        events: &mut Vec<StreamEvent>,
     ) -> Option<Response> {
-        let on = self.streams.get_mut(&id)?;
-        let answer = on.stream.next(now, &mut self.history);
-        if answer.is_some() {
-            on.unanswered_since.get_or_insert(now);
+        let open = self.streams.get_mut(&id)?;
+        let response = open.stream.next_response(now, &mut self.cache);
+        if response.is_some() {
+            open.awaiting_ack_since.get_or_insert(now);
         }
-        self.settled(now, id, news);
-        answer
+        // A version that changes nothing for the client is acknowledged without a response.
+        self.report_acknowledged(now, id, events);
+        response
     }
 
-    fn settled(&mut self, now: Moment, id: StreamId, news: &mut Vec<StreamEvent>) {
-        let Some(on) = self.streams.get_mut(&id) else {
+    fn report_acknowledged(&mut self, now: Moment, id: StreamId, events: &mut Vec<StreamEvent>) {
+        let Some(open) = self.streams.get_mut(&id) else {
             return;
         };
-        let Some(version) = on
-            .stream
-            .holds()
-            .filter(|version| on.holds.map(|held| held.0) != Some(*version))
-        else {
+        let Some(version) = open.stream.acknowledged_version() else {
             return;
         };
-        on.holds = Some((version, now));
-        news.push(StreamEvent::VersionAcknowledged {
-            proxy: on.proxy,
-            version,
-        });
-        if let Some(bundle) = on.stream.newest().map(|newest| newest.bundle) {
-            self.verdicts.took(now, bundle, version, on.proxy);
+        if open.acknowledged.map(|last| last.version) == Some(version) {
+            return;
+        }
+        let since = now;
+        open.acknowledged = Some(AcknowledgedVersion { version, since });
+        let proxy = open.proxy;
+        events.push(StreamEvent::VersionAcknowledged { proxy, version });
+        if let Some(newest) = open.stream.newest() {
+            self.rejections.on_ack(now, newest.bundle, version, proxy);
         }
     }
+}
 
-    /// Streams whose client does not speak to what it was sent.
-    pub fn silent(&self, now: Moment) -> Vec<StreamId> {
-        let late = |on: &&OpenStream| {
-            on.unanswered_since
-                .is_some_and(|since| now - since > self.plan.unanswered)
-        };
-        self.streams
-            .iter()
-            .filter(|(_, on)| late(on))
-            .map(|(id, _)| *id)
-            .collect()
+fn on_unknown_nonce(id: StreamId, open: &OpenStream, text: String, events: &mut Vec<StreamEvent>) {
+    events.push(StreamEvent::UnknownNonce {
+        proxy: open.proxy,
+        text: text.clone(),
+    });
+    if open.stream.unknown_nonces() > MAX_UNKNOWN_NONCES {
+        events.push(StreamEvent::CloseRequired {
+            stream: id,
+            reason: text,
+        });
     }
 }
--- /dev/null
+++ b/crates/discovery/src/rejection/votes.rs
@@ -0,0 +1,38 @@
+//! Which clients acknowledged and which rejected a version.
+
+use std::collections::BTreeSet;
+use wheelspread::ids::ProxyId;
+
+/// If more than this part of the clients that answered reject a version, the table set is at fault.
+const MAJORITY_FRACTION: f64 = 0.5;
+/// One client alone is no majority.
+const MAJORITY_MIN_CLIENTS: f64 = 2.0;
+
+/// Which clients acknowledged and which rejected a version.
+#[derive(Debug, Default)]
+pub(super) struct Votes {
+    acknowledged: BTreeSet<ProxyId>,
+    rejected: BTreeSet<ProxyId>,
+}
+
+impl Votes {
+    pub(super) fn acknowledge(&mut self, proxy: ProxyId) {
+        self.acknowledged.insert(proxy);
+        self.rejected.remove(&proxy);
+    }
+
+    pub(super) fn reject(&mut self, proxy: ProxyId) {
+        self.rejected.insert(proxy);
+        self.acknowledged.remove(&proxy);
+    }
+
+    pub(super) fn most_reject(&self) -> bool {
+        let acknowledged = self.acknowledged.len() as f64;
+        let rejected = self.rejected.len() as f64;
+        rejected >= MAJORITY_MIN_CLIENTS && rejected > MAJORITY_FRACTION * (acknowledged + rejected)
+    }
+
+    pub(super) fn most_acknowledge(&self) -> bool {
+        !self.acknowledged.is_empty() && self.acknowledged.len() > self.rejected.len()
+    }
+}
--- a/crates/discovery/src/resource_store.rs
+++ b/crates/discovery/src/resource_store.rs
@@ -1,78 +1,100 @@
-//! The other end: a client that holds a checked version or nothing that it could not name. A delta is taken
-//! as a whole or not at all; one that does not fit to what is held, or does not come to what it says, is
-//! refused, and the whole is asked for.
+//! The client's side of one type: the resources that it holds.
+//!
+//! A client holds a version whose checksum it has verified, or nothing. A delta is applied as a whole or not at all;
+//! one that does not fit what is held, or does not lead to the checksum that it states, is rejected, and everything is
+//! requested again.
 
-use crate::snapshot::{checksum, Checksum, Resource};
+use crate::resource::{Checksum, Resource};
 use std::collections::BTreeMap;
 
-/// What a delta says.
+/// A resource as a response brings it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ReceivedResource {
+    /// Its name.
+    pub name: String,
+    /// Its version as stated: the checksum that its bytes must have.
+    pub checksum: Checksum,
+    /// The serialized message.
+    pub bytes: bytes::Bytes,
+}
+
+/// The changes that a response of the incremental variant brings.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DeltaUpdate {
-    pub changed: Vec<(String, Checksum, bytes::Bytes)>,
+    /// New and changed resources.
+    pub changed: Vec<ReceivedResource>,
+    /// Names of resources that are gone.
     pub removed: Vec<String>,
-    /// Of all that is held afterwards.
-    pub comes_to: Option<Checksum>,
+    /// Of everything that is held afterwards.
+    pub resulting_checksum: Option<Checksum>,
 }
 
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum UpdateResult {
-    Yes,
-    /// Nothing of it was taken: what was held before is still held.
-    Refused(String),
+/// Why a delta was not applied. The text goes to the server as the reason of the NACK.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum DeltaError {
+    /// The bytes of a resource do not have the checksum that is its version.
+    #[error("`{name}` is not what its version says")]
+    ResourceChecksum {
+        /// The resource.
+        name: String,
+    },
+    /// What would be held does not have the stated checksum.
+    #[error("it comes to {actual}, {stated} was said")]
+    ResultingChecksum {
+        /// The checksum of what would be held.
+        actual: Checksum,
+        /// The checksum that the response states.
+        stated: Checksum,
+    },
 }
 
+/// The resources of one type that a client holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ResourceStore {
-    held: BTreeMap<String, Resource>,
+    resources: BTreeMap<String, Resource>,
 }
 
 impl ResourceStore {
-    pub fn held(&self) -> &BTreeMap<String, Resource> {
-        &self.held
+    /// The resources by name.
+    pub fn resources(&self) -> &BTreeMap<String, Resource> {
+        &self.resources
     }
 
-    /// To be told on a new stream, so that only what differs comes.
+    /// Versions by name, to be declared on a new stream so that it brings only what differs.
     pub fn versions(&self) -> BTreeMap<String, String> {
-        self.held
+        self.resources
             .iter()
-            .map(|(name, held)| (name.clone(), held.checksum.to_string()))
+            .map(|(name, resource)| (name.clone(), resource.checksum.to_string()))
             .collect()
     }
 
+    /// The checksum of everything that is held.
     pub fn checksum(&self) -> Checksum {
-        checksum(
-            self.held
-                .iter()
-                .map(|(name, held)| (name.as_str(), held.checksum)),
-        )
+        let resources = self.resources.iter();
+        Checksum::of_set(resources.map(|(name, resource)| (name.as_str(), resource.checksum)))
     }
 
-    pub fn take(&mut self, delta: &DeltaUpdate) -> UpdateResult {
-        let mut next = self.held.clone();
-        for (name, said, bytes) in &delta.changed {
-            let resource = Resource::new(bytes.clone());
-            if resource.checksum != *said {
-                return UpdateResult::Refused(format!("`{name}` is not what its version says"));
+    /// Applies a delta. After an error the store is as before.
+    pub fn apply(&mut self, delta: &DeltaUpdate) -> Result<(), DeltaError> {
+        let mut next = self.clone();
+        for received in &delta.changed {
+            let resource = Resource::new(received.bytes.clone());
+            if resource.checksum != received.checksum {
+                let name = received.name.clone();
+                return Err(DeltaError::ResourceChecksum { name });
             }
-            next.insert(name.clone(), resource);
+            next.resources.insert(received.name.clone(), resource);
         }
         for name in &delta.removed {
-            next.remove(name);
+            next.resources.remove(name);
         }
-        let taken = ResourceStore { held: next };
-        match delta.comes_to {
-            Some(said) if said != taken.checksum() => {
-                UpdateResult::Refused(format!("it comes to {}, {said} was said", taken.checksum()))
-            }
-            _ => {
-                *self = taken;
-                UpdateResult::Yes
+        if let Some(stated) = delta.resulting_checksum {
+            let actual = next.checksum();
+            if actual != stated {
+                return Err(DeltaError::ResultingChecksum { actual, stated });
             }
         }
-    }
-
-    /// Forgets everything: the next delta must bring the whole.
-    pub fn clear(&mut self) {
-        self.held.clear();
+        *self = next;
+        Ok(())
     }
 }
--- a/crates/discovery/src/snapshot_cache.rs
+++ b/crates/discovery/src/snapshot_cache.rs
@@ -1,119 +1,90 @@
-//! The newest version of each table, and what lies between two versions. Clients that hold the same and ask for
-//! the same share one difference, so that it is worked out once however many follow. A stream keeps the version
-//! that its client holds by itself, so a difference from any of them can be worked out anew.
+//! The newest snapshot of each table set, and cached deltas between snapshots.
+//!
+//! Clients that hold the same and subscribed to the same share one delta, so that it is computed once however many
+//! follow. A stream keeps a reference to the snapshot that its client holds, so a delta that is no longer cached can
+//! be computed again.
 
-use crate::snapshot::{Checksum, Resource, ResourceFilter, ResourceName, ResourceType, Snapshot};
+use crate::resource::{Checksum, ResourceType};
+use crate::resource_delta::ResourceDelta;
+use crate::resource_filter::ResourceFilter;
+use crate::snapshot::Snapshot;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use wheelspread_controller_core::publication::{BundleId, Version};
 
-/// What turns one version into another, for who asked for certain names.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ResourceDelta {
-    pub changed: Vec<(ResourceName, Resource)>,
-    pub removed: Vec<ResourceName>,
-    /// Of all that is then held.
-    pub comes_to: Checksum,
-}
-
-impl ResourceDelta {
-    pub fn nothing(&self) -> bool {
-        self.changed.is_empty() && self.removed.is_empty()
-    }
-
-    /// `from`: left out where nothing is held yet.
-    fn between(
-        kind: ResourceType,
-        from: Option<&Snapshot>,
-        to: &Snapshot,
-        wanted: &ResourceFilter,
-    ) -> ResourceDelta {
-        let held = |name: &ResourceName| from.and_then(|from| from.of(kind).get(name));
-        let wants = |name: &ResourceName| wanted.wants(name);
-        let news = to.of(kind).iter().filter(|(name, resource)| {
-            wants(name) && held(name).is_none_or(|held| held.checksum != resource.checksum)
-        });
-        let before = from.into_iter().flat_map(|from| from.of(kind).keys());
-        let gone = before.filter(|name| wants(name) && !to.of(kind).contains_key(*name));
-        ResourceDelta {
-            changed: news
-                .map(|(name, resource)| (name.clone(), resource.clone()))
-                .collect(),
-            removed: gone.cloned().collect(),
-            comes_to: to.checksum(kind, |name| wanted.wants(name)),
-        }
-    }
-}
-
-/// Where the same difference goes to all. Those that lead to the oldest versions come first.
+/// Names a delta that many clients may get. Those that lead to the oldest versions come first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DeltaKey {
+    /// The version that it leads to.
     pub to: Version,
-    /// 0: from nothing.
+    /// The version that it starts from; 0: from nothing.
     pub from: Version,
-    pub kind: ResourceType,
-    /// Of the names asked for.
-    pub wanted: Checksum,
+    /// The type of the resources.
+    pub resource_type: ResourceType,
+    /// The fingerprint of the names subscribed to.
+    pub filter: Checksum,
 }
 
+/// The newest snapshots, and deltas that lead to them.
 #[derive(Debug)]
 pub struct SnapshotCache {
     newest: BTreeMap<BundleId, Arc<Snapshot>>,
-    between: BTreeMap<DeltaKey, Arc<ResourceDelta>>,
-    most: usize,
+    deltas: BTreeMap<DeltaKey, Arc<ResourceDelta>>,
+    max_deltas: usize,
 }
 
-/// Differences that are kept, for each version that is to be.
-const DIFFERENCES: usize = 64;
+/// Cached deltas for each version.
+const DELTAS_PER_VERSION: usize = 64;
 
 impl SnapshotCache {
-    /// `versions`: of so many the differences are kept.
+    /// A cache that has room for the deltas of so many versions.
     pub fn new(versions: usize) -> SnapshotCache {
-        let most = versions.max(1).saturating_mul(DIFFERENCES);
         SnapshotCache {
             newest: BTreeMap::new(),
-            between: BTreeMap::new(),
-            most,
+            deltas: BTreeMap::new(),
+            max_deltas: versions.max(1).saturating_mul(DELTAS_PER_VERSION),
         }
     }
 
-    pub fn add(&mut self, content: Arc<Snapshot>) {
+    /// Keeps a snapshot if none of its table set is newer.
+    pub fn insert(&mut self, snapshot: Arc<Snapshot>) {
         let newest = self
             .newest
-            .entry(content.bundle)
-            .or_insert_with(|| content.clone());
-        if newest.version < content.version {
-            *newest = content;
+            .entry(snapshot.bundle)
+            .or_insert_with(|| snapshot.clone());
+        if newest.version < snapshot.version {
+            *newest = snapshot;
         }
     }
 
+    /// The newest snapshot of a table set.
     pub fn newest(&self, bundle: BundleId) -> Option<&Arc<Snapshot>> {
         self.newest.get(&bundle)
     }
 
-    pub fn difference(
+    /// The delta between two snapshots, and the key by which others find it. `fingerprint` is that of `filter`.
+    pub(crate) fn delta(
         &mut self,
-        kind: ResourceType,
+        resource_type: ResourceType,
         from: Option<&Snapshot>,
         to: &Snapshot,
-        wanted: &ResourceFilter,
-        name: Checksum,
+        filter: &ResourceFilter,
+        fingerprint: Checksum,
     ) -> (Arc<ResourceDelta>, DeltaKey) {
-        let from_version = from.map_or(Version(0), |from| from.version);
         let key = DeltaKey {
             to: to.version,
-            from: from_version,
-            kind,
-            wanted: name,
+            from: from.map_or(Version(0), |from| from.version),
+            resource_type,
+            filter: fingerprint,
         };
-        if let Some(known) = self.between.get(&key) {
-            return (known.clone(), key);
+        if let Some(cached) = self.deltas.get(&key) {
+            return (cached.clone(), key);
         }
-        while self.between.len() >= self.most {
-            self.between.pop_first();
+        while self.deltas.len() >= self.max_deltas {
+            self.deltas.pop_first();
         }
-        let made = Arc::new(ResourceDelta::between(kind, from, to, wanted));
-        self.between.insert(key, made.clone());
-        (made, key)
+        let delta = Arc::new(ResourceDelta::between(resource_type, from, to, filter));
+        self.deltas.insert(key, delta.clone());
+        (delta, key)
     }
 }
--- a/crates/discovery/src/stream.rs
+++ b/crates/discovery/src/stream.rs
@@ -1,621 +1,231 @@
-//! One stream. Of each kind at most one answer is on its way; what changes meanwhile is not queued, the
-//! newest version is worked out against what the client then holds. A kind that waits for its
-//! acknowledgement holds back those that refer to it, never those before it.
-
-use crate::snapshot::{
-    Checksum, Resource, ResourceFilter, ResourceName, ResourceType, Snapshot, ORDER,
-};
-use crate::snapshot_cache::{DeltaKey, ResourceDelta, SnapshotCache};
-use std::collections::{BTreeMap, BTreeSet};
+//! The state of one discovery stream.
+//!
+//! Of each type one response at most is in flight. What changes meanwhile is not queued: the next response leads from
+//! what the client then holds to the newest snapshot. A type that waits for its acknowledgement holds back the types
+//! that refer to it, never those before it.
+
+use crate::ack::AckEffect;
+use crate::message::{Request, RequestOutcome, Response};
+use crate::resource::{ResourceType, SEND_ORDER};
+use crate::resource_delta::ResourceDelta;
+use crate::response_builder::build_response;
+use crate::snapshot::Snapshot;
+use crate::snapshot_cache::SnapshotCache;
+use crate::subscription::{HeldResources, Progress, Subscription};
+use std::collections::BTreeMap;
 use std::sync::Arc;
 use wheelspread::rolling_window::RollingWindow;
 use wheelspread::time::{Moment, Span};
 use wheelspread_controller_core::publication::Version;
 
-/// A request, as far as it matters here.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Request {
-    pub kind: ResourceType,
-    /// Empty in the first one of a kind.
-    pub nonce: String,
-    /// Why the answer with that nonce was not taken.
-    pub error: Option<String>,
-    pub mode: RequestBody,
-}
-
-#[derive(Clone, Debug, PartialEq)]
-pub enum RequestBody {
-    StateOfTheWorld {
-        names: Vec<String>,
-        version: String,
-    },
-    Delta {
-        subscribe: Vec<String>,
-        unsubscribe: Vec<String>,
-        holds: BTreeMap<String, String>,
-    },
-}
-
-#[derive(Clone, Debug, PartialEq)]
-pub struct Response {
-    pub kind: ResourceType,
-    pub nonce: u64,
-    pub version: Version,
-    pub delta: bool,
-    pub changed: Vec<(ResourceName, Resource)>,
-    pub removed: Vec<ResourceName>,
-    /// Of what the client holds of this kind afterwards; left out while something stands that will go.
-    pub comes_to: Option<Checksum>,
-    /// Where any other client that holds the same and asked for the same gets the same.
-    pub shared: Option<DeltaKey>,
-}
-
-/// What a request meant.
-#[derive(Clone, Debug, PartialEq)]
-pub enum RequestOutcome {
-    /// Only what it subscribes to, or nothing.
-    Noted,
-    Acknowledged,
-    Refused {
-        version: Version,
-        reason: String,
-    },
-    /// It speaks of an answer that was overtaken.
-    Stale,
-    /// It speaks of what was never sent.
-    Strange(String),
-}
-
-/// What a client holds of a kind.
-#[derive(Clone, Debug)]
-enum AckedState {
-    Nothing,
-    /// By its own word, from another stream: names and versions.
-    Told(BTreeMap<String, String>),
-    Version(Arc<Snapshot>),
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum AckState {
-    /// All that was sent was answered.
-    Settled,
-    /// One answer is on its way.
-    Waiting,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Input {
-    FirstWord,
-    LastNonce,
-    LastNonceWithError,
-    OlderNonce,
-    UnknownNonce,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Effect {
-    Note,
-    Acknowledge,
-    Refuse,
-    Ignore,
-    Wonder,
-}
-
-const WATCH: &[(AckState, Input, AckState, Effect)] = &[
-    (
-        AckState::Settled,
-        Input::FirstWord,
-        AckState::Settled,
-        Effect::Note,
-    ),
-    // It asks for more before it has taken what is on its way.
-    (
-        AckState::Waiting,
-        Input::FirstWord,
-        AckState::Waiting,
-        Effect::Note,
-    ),
-    (
-        AckState::Waiting,
-        Input::LastNonce,
-        AckState::Settled,
-        Effect::Acknowledge,
-    ),
-    (
-        AckState::Waiting,
-        Input::LastNonceWithError,
-        AckState::Settled,
-        Effect::Refuse,
-    ),
-    // With the nonce of an answer that it took, a client changes what it subscribes to.
-    (
-        AckState::Settled,
-        Input::LastNonce,
-        AckState::Settled,
-        Effect::Note,
-    ),
-    (
-        AckState::Settled,
-        Input::LastNonceWithError,
-        AckState::Settled,
-        Effect::Wonder,
-    ),
-    (
-        AckState::Settled,
-        Input::OlderNonce,
-        AckState::Settled,
-        Effect::Ignore,
-    ),
-    (
-        AckState::Waiting,
-        Input::OlderNonce,
-        AckState::Waiting,
-        Effect::Ignore,
-    ),
-    (
-        AckState::Settled,
-        Input::UnknownNonce,
-        AckState::Settled,
-        Effect::Wonder,
-    ),
-    (
-        AckState::Waiting,
-        Input::UnknownNonce,
-        AckState::Waiting,
-        Effect::Wonder,
-    ),
-];
-
-#[derive(Debug)]
-struct Subscription {
-    state: AckState,
-    delta: bool,
-    wanted: ResourceFilter,
-    /// Of what is wanted.
-    name: Checksum,
-    /// Asked for since the last answer: sent though they were sent before.
-    fresh: BTreeSet<String>,
-    last_nonce: u64,
-    /// Sent and not answered.
-    sent: Option<Arc<Snapshot>>,
-    held: AckedState,
-    refused: Option<Version>,
-    /// Gone from the newest version and left standing until nothing refers to them.
-    standing: BTreeMap<ResourceName, Option<Resource>>,
-}
-
-/// Where a kind stands beside the newest version.
-enum Progress {
-    There,
-    OnItsWay,
-    /// An older one is on its way: those that come after it in order have to wait.
-    Overtaken,
-    Refused,
-    Behind,
-}
-
-impl Subscription {
-    fn wants(&self) -> bool {
-        !self.wanted.nothing()
-    }
-
-    fn stands(&self, newest: &Snapshot) -> Progress {
-        let sent = self
-            .sent
-            .as_ref()
-            .is_some_and(|sent| sent.version == newest.version);
-        let there =
-            matches!(&self.held, AckedState::Version(held) if held.version == newest.version);
-        match (self.state, self.fresh.is_empty()) {
-            (AckState::Waiting, true) if sent => Progress::OnItsWay,
-            (AckState::Waiting, _) => Progress::Overtaken,
-            _ if self.refused == Some(newest.version) => Progress::Refused,
-            (AckState::Settled, true) if there => Progress::There,
-            _ => Progress::Behind,
-        }
-    }
-}
+/// Names that a stream may subscribe to, over all types.
+pub const MAX_SUBSCRIBED_NAMES: usize = 2000;
+/// Buckets of the window that subscription changes are counted in.
+const RATE_WINDOW_BUCKETS: usize = 20;
+/// Characters of an unknown nonce that are reported.
+const REPORTED_NONCE_CHARS: usize = 40;
 
+/// The state of one discovery stream.
 #[derive(Debug)]
 pub struct Stream {
-    watches: BTreeMap<ResourceType, Subscription>,
+    subscriptions: BTreeMap<ResourceType, Subscription>,
     newest: Option<Arc<Snapshot>>,
     last_nonce: u64,
-    /// Answers to changed subscriptions, which no version of a table limits.
-    asked: RollingWindow<f64>,
-    asked_most: f64,
-    pub strange: u32,
-    /// An answer waits for the pace that is allowed.
-    limited: bool,
+    /// Changed subscriptions: the responses they cause are limited by no version of a table.
+    subscription_changes: RollingWindow<f64>,
+    max_subscription_changes: f64,
+    unknown_nonces: u32,
+    is_rate_limited: bool,
 }
 
-const BUCKETS: usize = 20;
-/// A client asks for so many names at most, of all kinds.
-pub const MOST_NAMES: usize = 2000;
-
 impl Stream {
-    /// Subscriptions may change so often within the window.
-    pub fn new(changes_at_most: u32, window: Span) -> Stream {
-        let bucket = Span::from_seconds(window.seconds() / BUCKETS as f64);
+    /// A stream whose subscriptions may change so often within `window`.
+    pub fn new(max_subscription_changes: u32, window: Span) -> Stream {
+        let bucket_width = Span::from_seconds(window.seconds() / RATE_WINDOW_BUCKETS as f64);
         Stream {
-            watches: BTreeMap::new(),
+            subscriptions: BTreeMap::new(),
             newest: None,
             last_nonce: 0,
-            asked: RollingWindow::new(bucket, BUCKETS + 2),
-            asked_most: f64::from(changes_at_most.max(1)),
-            strange: 0,
-            limited: false,
+            subscription_changes: RollingWindow::new(bucket_width, RATE_WINDOW_BUCKETS + 2),
+            max_subscription_changes: f64::from(max_subscription_changes.max(1)),
+            unknown_nonces: 0,
+            is_rate_limited: false,
         }
     }
 
-    /// From now on this is the newest version; what was offered before and not sent never will be.
-    pub fn offer(&mut self, content: Arc<Snapshot>) {
-        self.newest = Some(content);
+    /// Makes a snapshot the newest. One that was offered before and not sent is never sent.
+    pub fn offer(&mut self, snapshot: Arc<Snapshot>) {
+        self.newest = Some(snapshot);
     }
 
+    /// The newest snapshot.
     pub fn newest(&self) -> Option<&Arc<Snapshot>> {
         self.newest.as_ref()
     }
 
-    pub fn names(&self) -> usize {
-        self.watches
+    /// How many names the client subscribes to, over all types.
+    pub fn subscribed_names(&self) -> usize {
+        self.subscriptions
             .values()
-            .map(|watch| watch.wanted.names.len())
+            .map(|subscription| subscription.filter.names.len())
             .sum()
     }
 
-    /// The version that the client holds of every kind that it watches.
-    pub fn holds(&self) -> Option<Version> {
-        let mut all = None;
-        for watch in self
-            .watches
-            .values()
-            .filter(|watch| !watch.wanted.nothing())
-        {
-            match (&watch.held, all) {
-                (AckedState::Version(content), None) if watch.state == AckState::Settled => {
-                    all = Some(content.version)
-                }
-                (AckedState::Version(content), Some(version)) if version == content.version => {}
-                _ => return None,
-            }
-        }
-        all
+    /// How many requests referred to a response that was never sent.
+    pub fn unknown_nonces(&self) -> u32 {
+        self.unknown_nonces
     }
 
-    /// An answer is on its way that the client has not spoken to.
-    pub fn waits(&self) -> bool {
-        self.watches
-            .values()
-            .any(|watch| watch.state == AckState::Waiting)
+    /// Whether the next response waits because subscriptions changed too often.
+    pub fn is_rate_limited(&self) -> bool {
+        self.is_rate_limited
     }
 
-    pub fn ask(&mut self, now: Moment, ask: &Request) -> RequestOutcome {
-        let last_of_stream = self.last_nonce;
-        let first = !self.watches.contains_key(&ask.kind);
-        let watch = self
-            .watches
-            .entry(ask.kind)
-            .or_insert_with(|| Subscription {
-                state: AckState::Settled,
-                delta: matches!(ask.mode, RequestBody::Delta { .. }),
-                wanted: ResourceFilter::default(),
-                name: ResourceFilter::default().name(),
-                fresh: BTreeSet::new(),
-                last_nonce: 0,
-                sent: None,
-                held: AckedState::Nothing,
-                refused: None,
-                standing: BTreeMap::new(),
-            });
-        let nonce = ask.nonce.parse::<u64>().ok();
-        let input = match (ask.nonce.is_empty(), nonce) {
-            (true, _) => Input::FirstWord,
-            (_, Some(nonce)) if nonce == watch.last_nonce && nonce > 0 => match ask.error {
-                None => Input::LastNonce,
-                Some(_) => Input::LastNonceWithError,
-            },
-            (_, Some(nonce)) if nonce > 0 && nonce <= last_of_stream => Input::OlderNonce,
-            _ => Input::UnknownNonce,
-        };
-        let row = WATCH
-            .iter()
-            .find(|row| (row.0, row.1) == (watch.state, input));
-        let (next, mut effect) = row.map_or((watch.state, Effect::Ignore), |row| (row.2, row.3));
-        let sent = watch.sent.as_ref().map(|content| content.version);
-        // To acknowledge is to name the version that was sent.
-        if let (Effect::Acknowledge, RequestBody::StateOfTheWorld { version, .. }, Some(sent)) =
-            (effect, &ask.mode, sent)
-        {
-            if *version != sent.0.to_string() {
-                effect = Effect::Refuse;
+    /// Whether a response is in flight.
+    pub fn awaits_ack(&self) -> bool {
+        self.subscriptions.values().any(Subscription::awaits_ack)
+    }
+
+    /// The version that the client acknowledged of every type that it subscribes to.
+    pub fn acknowledged_version(&self) -> Option<Version> {
+        let mut common = None;
+        let active = self.subscriptions.values().filter(|one| one.is_active());
+        for subscription in active {
+            let HeldResources::Snapshot(held) = &subscription.held else {
+                return None;
+            };
+            match common {
+                None if !subscription.awaits_ack() => common = Some(held.version),
+                Some(version) if version == held.version => {}
+                _ => return None,
             }
         }
-        // An overtaken request of the whole form is to be ignored, subscriptions and all.
-        if effect != Effect::Ignore || watch.delta {
-            let changed = subscribe(watch, ask, first);
-            if changed && !first {
-                self.asked.add(now, 1.0);
+        common
+    }
+
+    /// Handles a request: subscriptions, an ACK or a NACK.
+    pub fn handle_request(&mut self, now: Moment, request: &Request) -> RequestOutcome {
+        let is_first = !self.subscriptions.contains_key(&request.resource_type);
+        let subscription = self
+            .subscriptions
+            .entry(request.resource_type)
+            .or_insert_with(|| Subscription::new(request));
+        let nonce = subscription.classify_nonce(request, self.last_nonce);
+        let (next_state, effect) = subscription.state.on_request(nonce);
+        let effect = subscription.check_acknowledged_version(request, effect);
+        // A stale request of the state-of-the-world variant is ignored, subscriptions and all.
+        if effect != AckEffect::Ignore || subscription.is_delta {
+            let changed = subscription.update_filter(request, is_first);
+            if changed && !is_first {
+                self.subscription_changes.add(now, 1.0);
             }
         }
-        watch.state = next;
+        subscription.state = next_state;
         match effect {
-            Effect::Note => RequestOutcome::Noted,
-            Effect::Ignore => RequestOutcome::Stale,
-            Effect::Wonder => {
-                self.strange += 1;
-                let nonce: String = ask.nonce.chars().take(40).collect();
-                RequestOutcome::Strange(format!(
+            AckEffect::Subscribe => RequestOutcome::Subscribed,
+            AckEffect::Ignore => RequestOutcome::Stale,
+            AckEffect::Acknowledge => acknowledge(subscription),
+            AckEffect::Reject => reject(subscription, request),
+            AckEffect::ReportUnknownNonce => {
+                self.unknown_nonces += 1;
+                let nonce: String = request.nonce.chars().take(REPORTED_NONCE_CHARS).collect();
+                RequestOutcome::UnknownNonce(format!(
                     "it speaks of answer `{nonce}`, which it was not sent"
                 ))
             }
-            Effect::Acknowledge => {
-                let Some(content) = watch.sent.take() else {
-                    return RequestOutcome::Noted;
-                };
-                watch.held = AckedState::Version(content);
-                RequestOutcome::Acknowledged
-            }
-            Effect::Refuse => {
-                // What it held before it holds still.
-                let version = watch
-                    .sent
-                    .take()
-                    .map_or(Version(0), |content| content.version);
-                watch.refused = Some(version);
-                let reason = ask.error.clone();
-                let reason = reason
-                    .unwrap_or_else(|| "it names another version than it was sent".to_string());
-                RequestOutcome::Refused { version, reason }
-            }
         }
     }
 
-    /// The next answer, if one is due. It counts as sent.
-    pub fn next(&mut self, now: Moment, history: &mut SnapshotCache) -> Option<Response> {
+    /// The next response, if one is due. It counts as sent.
+    pub fn next_response(&mut self, now: Moment, cache: &mut SnapshotCache) -> Option<Response> {
         let newest = self.newest.clone()?;
-        self.limited = self.asked.total(now) > self.asked_most;
-        if self.limited {
+        self.is_rate_limited = self.subscription_changes.total(now) > self.max_subscription_changes;
+        if self.is_rate_limited {
             return None;
         }
-        let last = ORDER
-            .iter()
-            .rfind(|kind| self.watches.get(kind).is_some_and(Subscription::wants))
-            .copied()?;
-        for kind in ORDER {
-            let Some(watch) = self.watches.get_mut(&kind).filter(|watch| watch.wants()) else {
+        let last_type = self.last_active_type()?;
+        for resource_type in SEND_ORDER {
+            let subscription = self.subscriptions.get_mut(&resource_type);
+            let Some(subscription) = subscription.filter(|one| one.is_active()) else {
                 continue;
             };
-            match watch.stands(&newest) {
-                Progress::There | Progress::OnItsWay | Progress::Refused => continue,
-                Progress::Overtaken => return None,
+            match subscription.progress(&newest) {
+                Progress::UpToDate | Progress::InFlight | Progress::Rejected => continue,
+                Progress::Blocked => return None,
                 Progress::Behind => {}
             }
-            let (difference, shared) = difference(watch, kind, &newest, history);
-            // The last kind of a delta client is answered for every version: it says that this is all of it.
-            let must = (watch.delta && kind == last)
-                || (matches!(watch.held, AckedState::Nothing) && (kind.complete() || watch.delta));
-            if difference.nothing() && watch.fresh.is_empty() && !must {
-                watch.held = AckedState::Version(newest.clone());
+            let (delta, key) = subscription.delta_to(&newest, cache);
+            if delta.is_empty() && !must_respond(subscription, last_type) {
+                subscription.held = HeldResources::Snapshot(newest.clone());
                 continue;
             }
             self.last_nonce += 1;
-            return Some(answer(
-                watch,
-                kind,
-                &newest,
-                &difference,
-                shared,
-                self.last_nonce,
-            ));
+            let nonce = self.last_nonce;
+            return Some(build_response(subscription, &newest, &delta, key, nonce));
         }
-        self.removal(&newest)
+        self.deferred_removal(&newest)
     }
 
-    /// What others referred to goes when nothing does any more.
-    fn removal(&mut self, newest: &Arc<Snapshot>) -> Option<Response> {
-        if self
-            .watches
-            .values()
-            .any(|watch| watch.wants() && watch.state == AckState::Waiting)
-        {
+    /// The last type in order that the client subscribes to.
+    fn last_active_type(&self) -> Option<ResourceType> {
+        let is_active = |resource_type: &ResourceType| {
+            self.subscriptions
+                .get(resource_type)
+                .is_some_and(Subscription::is_active)
+        };
+        SEND_ORDER.into_iter().rfind(is_active)
+    }
+
+    /// Removes what other resources referred to, once everything else is acknowledged.
+    fn deferred_removal(&mut self, newest: &Arc<Snapshot>) -> Option<Response> {
+        let awaits_ack = |one: &Subscription| one.is_active() && one.awaits_ack();
+        if self.subscriptions.values().any(awaits_ack) {
             return None;
         }
-        let leaves = |(_, watch): &(&ResourceType, &mut Subscription)| !watch.standing.is_empty();
-        let (kind, watch) = self.watches.iter_mut().find(leaves)?;
-        let standing = std::mem::take(&mut watch.standing);
-        let to = newest.of(*kind);
-        let comes_to = newest.checksum(*kind, |name| watch.wanted.wants(name));
-        let nothing = ResourceDelta {
-            changed: Vec::new(),
-            removed: Vec::new(),
-            comes_to,
-        };
+        let subscription = self
+            .subscriptions
+            .values_mut()
+            .find(|subscription| !subscription.deferred_removals.is_empty())?;
+        let deferred = std::mem::take(&mut subscription.deferred_removals);
+        let resource_type = subscription.resource_type;
+        let unchanged = ResourceDelta::unchanged(resource_type, newest, &subscription.filter);
         self.last_nonce += 1;
-        let mut answer = answer(watch, *kind, newest, &nothing, None, self.last_nonce);
-        if answer.delta {
-            answer.removed = standing
+        let mut response = build_response(subscription, newest, &unchanged, None, self.last_nonce);
+        if response.is_delta {
+            let resources = newest.resources(resource_type);
+            response.removed = deferred
                 .into_keys()
-                .filter(|name| !to.contains_key(name))
+                .filter(|name| !resources.contains_key(name))
                 .collect();
         }
-        Some(answer)
-    }
-
-    pub fn limited(&self) -> bool {
-        self.limited
-    }
-}
-
-/// Notes what is asked for; `true` if that is something else than before.
-fn subscribe(watch: &mut Subscription, ask: &Request, first: bool) -> bool {
-    let before = watch.wanted.clone();
-    match &ask.mode {
-        RequestBody::StateOfTheWorld { names, .. } => {
-            // Nothing named ever is everything, of the kinds that know it; once something was named, no more.
-            let implied = ask.kind.complete() && names.is_empty() && (first || watch.wanted.all);
-            let all = implied || names.iter().any(|name| name == "*");
-            let names: BTreeSet<String> =
-                names.iter().filter(|name| *name != "*").cloned().collect();
-            let known = std::mem::replace(&mut watch.wanted, ResourceFilter { all, names });
-            let fresh = watch
-                .wanted
-                .names
-                .difference(&known.names)
-                .filter(|name| !known.wants(name));
-            watch.fresh.extend(fresh.cloned().collect::<Vec<_>>());
-            if all && !known.all && !first {
-                watch.fresh.insert("*".to_string());
-            }
-        }
-        RequestBody::Delta {
-            subscribe,
-            unsubscribe,
-            holds,
-        } => {
-            if first {
-                watch.wanted.all = ask.kind.complete() && subscribe.is_empty();
-                if !holds.is_empty() {
-                    watch.held = AckedState::Told(holds.clone());
-                }
-            }
-            for name in subscribe {
-                let many = name == "*" || name.ends_with("/*");
-                if name == "*" {
-                    watch.wanted.all = true;
-                } else {
-                    watch.wanted.names.insert(name.clone());
-                }
-                // What a stream begins with is worked out against what is held.
-                let begins = many && first;
-                if !begins && !holds.contains_key(name) {
-                    watch.fresh.insert(name.clone());
-                }
-            }
-            for name in unsubscribe {
-                if name == "*" {
-                    watch.wanted.all = false;
-                }
-                watch.wanted.names.remove(name);
-                watch.fresh.remove(name);
-            }
-        }
-    }
-    let changed = before != watch.wanted;
-    if changed {
-        watch.name = watch.wanted.name();
+        Some(response)
     }
-    changed
 }
 
-fn difference(
-    watch: &Subscription,
-    kind: ResourceType,
-    newest: &Arc<Snapshot>,
-    history: &mut SnapshotCache,
-) -> (Arc<ResourceDelta>, Option<DeltaKey>) {
-    let held = match &watch.held {
-        AckedState::Nothing => None,
-        AckedState::Version(held) => Some(&**held),
-        AckedState::Told(told) => return (Arc::new(from_told(watch, kind, newest, told)), None),
-    };
-    let (difference, shared) = history.difference(kind, held, newest, &watch.wanted, watch.name);
-    (difference, Some(shared))
+/// Whether a response is due although it brings no change.
+fn must_respond(subscription: &Subscription, last_type: ResourceType) -> bool {
+    let resource_type = subscription.resource_type;
+    // The last type of an incremental client is answered for every version: it says that the version is complete.
+    let completes_version = subscription.is_delta && resource_type == last_type;
+    let is_initial = matches!(subscription.held, HeldResources::Nothing)
+        && (resource_type.is_complete_set() || subscription.is_delta);
+    completes_version || is_initial || !subscription.pending_names.is_empty()
 }
 
-/// What a client lacks of a version, or has beyond it, by its own word.
-fn from_told(
-    watch: &Subscription,
-    kind: ResourceType,
-    newest: &Snapshot,
-    told: &BTreeMap<String, String>,
-) -> ResourceDelta {
-    let to = newest.of(kind);
-    let known = |name: &str, resource: &Resource| {
-        told.get(name)
-            .is_some_and(|version| *version == resource.checksum.to_string())
+fn acknowledge(subscription: &mut Subscription) -> RequestOutcome {
+    let Some(snapshot) = subscription.in_flight.take() else {
+        return RequestOutcome::Subscribed;
     };
-    let changed = to
-        .iter()
-        .filter(|(name, resource)| watch.wanted.wants(name) && !known(name, resource));
-    let removed = told.keys().filter(|name| !to.contains_key(name.as_str()));
-    ResourceDelta {
-        changed: changed
-            .map(|(name, resource)| (name.clone(), resource.clone()))
-            .collect(),
-        removed: removed.map(|name| Arc::from(name.as_str())).collect(),
-        comes_to: newest.checksum(kind, |name| watch.wanted.wants(name)),
-    }
-}
-
-fn answer(
-    watch: &mut Subscription,
-    kind: ResourceType,
-    newest: &Arc<Snapshot>,
-    difference: &ResourceDelta,
-    mut shared: Option<DeltaKey>,
-    nonce: u64,
-) -> Response {
-    let to = newest.of(kind);
-    let (mut changed, mut removed) = (difference.changed.clone(), difference.removed.clone());
-    let fresh = std::mem::take(&mut watch.fresh);
-    if !fresh.is_empty() {
-        let listed: BTreeSet<ResourceName> = changed.iter().map(|(name, _)| name.clone()).collect();
-        let asked = ResourceFilter {
-            all: fresh.contains("*"),
-            names: fresh,
-        };
-        let more = to
-            .iter()
-            .filter(|(name, _)| asked.wants(name) && !listed.contains(*name));
-        let before = changed.len() + removed.len();
-        changed.extend(more.map(|(name, resource)| (name.clone(), resource.clone())));
-        // In deltas a name that there is nothing for is told as gone, so that the client need not wait.
-        let plain = asked
-            .names
-            .iter()
-            .filter(|name| *name != "*" && !name.ends_with("/*"));
-        let none = plain.filter(|name| watch.delta && !to.contains_key(name.as_str()));
-        removed.extend(none.map(|name| ResourceName::from(name.as_str())));
-        shared = shared.filter(|_| changed.len() + removed.len() == before);
-    }
-    if kind.complete() {
-        let held = match &watch.held {
-            AckedState::Version(held) => Some(held.of(kind)),
-            _ => None,
-        };
-        for name in std::mem::take(&mut removed) {
-            let resource = held.and_then(|held| held.get(&name)).cloned();
-            watch.standing.insert(name, resource);
-        }
-    }
-    if !watch.delta {
-        if kind.complete() {
-            let all = to.iter().filter(|(name, _)| watch.wanted.wants(name));
-            changed = all
-                .map(|(name, resource)| (name.clone(), resource.clone()))
-                .collect();
-            let stand = watch
-                .standing
-                .iter()
-                .filter(|(name, _)| !to.contains_key(*name));
-            let stand =
-                stand.filter_map(|(name, resource)| Some((name.clone(), resource.clone()?)));
-            changed.extend(stand);
-        }
-        removed.clear();
-    }
-    (watch.state, watch.last_nonce, watch.sent) = (AckState::Waiting, nonce, Some(newest.clone()));
-    // What still stands is this client's own.
-    let whole = watch.standing.is_empty();
-    Response {
-        kind,
-        nonce,
-        version: newest.version,
-        delta: watch.delta,
-        changed,
-        removed,
-        comes_to: whole.then_some(difference.comes_to),
-        shared: shared.filter(|_| whole),
-    }
+    subscription.held = HeldResources::Snapshot(snapshot);
+    RequestOutcome::Acknowledged
+}
+
+/// The client still holds what it held before.
+fn reject(subscription: &mut Subscription, request: &Request) -> RequestOutcome {
+    let in_flight = subscription.in_flight.take();
+    let version = in_flight.map_or(Version(0), |snapshot| snapshot.version);
+    subscription.rejected = Some(version);
+    let other_version = || "it names another version than it was sent".to_string();
+    let reason = request.error.clone().unwrap_or_else(other_version);
+    RequestOutcome::Rejected { version, reason }
 }
--- /dev/null
+++ b/crates/discovery/src/subscription.rs
@@ -0,0 +1,240 @@
+//! The subscription of a stream to one type: names, what the client holds, and the response in flight.
+
+use crate::ack::{AckEffect, AckState, NonceKind};
+use crate::message::{Request, RequestBody};
+use crate::resource::{Checksum, Resource, ResourceName, ResourceType};
+use crate::resource_delta::ResourceDelta;
+use crate::resource_filter::{is_pattern, ResourceFilter, WILDCARD};
+use crate::snapshot::Snapshot;
+use crate::snapshot_cache::{DeltaKey, SnapshotCache};
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+use wheelspread_controller_core::publication::Version;
+
+/// What a client holds of a type.
+#[derive(Clone, Debug)]
+pub(crate) enum HeldResources {
+    /// Nothing yet.
+    Nothing,
+    /// What the client declared on this stream to hold from another one: versions by name.
+    Declared(BTreeMap<String, String>),
+    /// The resources of a snapshot, which the client acknowledged.
+    Snapshot(Arc<Snapshot>),
+}
+
+/// How far a type is, compared to the newest snapshot.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Progress {
+    /// The client holds it.
+    UpToDate,
+    /// It is in flight.
+    InFlight,
+    /// An older response is in flight: types that come later in order have to wait.
+    Blocked,
+    /// The client rejected it.
+    Rejected,
+    /// It has to be sent.
+    Behind,
+}
+
+/// The subscription of a stream to one type.
+#[derive(Debug)]
+pub(crate) struct Subscription {
+    pub(crate) resource_type: ResourceType,
+    pub(crate) state: AckState,
+    pub(crate) is_delta: bool,
+    pub(crate) filter: ResourceFilter,
+    /// Of `filter`.
+    fingerprint: Checksum,
+    /// Names subscribed to since the last response: they are sent even if they were sent before.
+    pub(crate) pending_names: BTreeSet<String>,
+    pub(crate) last_nonce: u64,
+    /// Sent and not acknowledged yet.
+    pub(crate) in_flight: Option<Arc<Snapshot>>,
+    pub(crate) held: HeldResources,
+    pub(crate) rejected: Option<Version>,
+    /// Resources that the newest snapshot lacks and that the client keeps until nothing refers to them.
+    pub(crate) deferred_removals: BTreeMap<ResourceName, Option<Resource>>,
+}
+
+impl Subscription {
+    /// A subscription to nothing, in the variant of its first request.
+    pub(crate) fn new(request: &Request) -> Subscription {
+        Subscription {
+            resource_type: request.resource_type,
+            state: AckState::Idle,
+            is_delta: matches!(request.body, RequestBody::Delta { .. }),
+            filter: ResourceFilter::default(),
+            fingerprint: ResourceFilter::default().fingerprint(),
+            pending_names: BTreeSet::new(),
+            last_nonce: 0,
+            in_flight: None,
+            held: HeldResources::Nothing,
+            rejected: None,
+            deferred_removals: BTreeMap::new(),
+        }
+    }
+
+    /// Whether the client subscribes to anything.
+    pub(crate) fn is_active(&self) -> bool {
+        !self.filter.is_empty()
+    }
+
+    /// Whether a response is in flight.
+    pub(crate) fn awaits_ack(&self) -> bool {
+        self.state == AckState::AwaitingAck
+    }
+
+    /// How far it is, compared to the newest snapshot.
+    pub(crate) fn progress(&self, newest: &Snapshot) -> Progress {
+        let is_newest = |snapshot: &Arc<Snapshot>| snapshot.version == newest.version;
+        let is_sent = self.in_flight.as_ref().is_some_and(is_newest);
+        let is_held = matches!(&self.held, HeldResources::Snapshot(held) if is_newest(held));
+        let nothing_pending = self.pending_names.is_empty();
+        match self.state {
+            AckState::AwaitingAck if is_sent && nothing_pending => Progress::InFlight,
+            AckState::AwaitingAck => Progress::Blocked,
+            AckState::Idle if self.rejected == Some(newest.version) => Progress::Rejected,
+            AckState::Idle if is_held && nothing_pending => Progress::UpToDate,
+            AckState::Idle => Progress::Behind,
+        }
+    }
+
+    /// What a request's nonce refers to; `last_stream_nonce` is the last one of the stream, of any type.
+    pub(crate) fn classify_nonce(&self, request: &Request, last_stream_nonce: u64) -> NonceKind {
+        if request.nonce.is_empty() {
+            return NonceKind::Empty;
+        }
+        match request.nonce.parse::<u64>() {
+            Ok(nonce) if nonce > 0 && nonce == self.last_nonce => match request.error {
+                None => NonceKind::Latest,
+                Some(_) => NonceKind::LatestWithError,
+            },
+            Ok(nonce) if nonce > 0 && nonce <= last_stream_nonce => NonceKind::Older,
+            _ => NonceKind::Unknown,
+        }
+    }
+
+    /// In the state-of-the-world variant an ACK names the version that was sent; with another one it is a NACK.
+    pub(crate) fn check_acknowledged_version(
+        &self,
+        request: &Request,
+        effect: AckEffect,
+    ) -> AckEffect {
+        let (RequestBody::StateOfTheWorld { version, .. }, Some(sent)) =
+            (&request.body, &self.in_flight)
+        else {
+            return effect;
+        };
+        if effect == AckEffect::Acknowledge && *version != sent.version.0.to_string() {
+            return AckEffect::Reject;
+        }
+        effect
+    }
+
+    /// Applies a request's names; returns whether the client subscribes to something else than before.
+    pub(crate) fn update_filter(&mut self, request: &Request, is_first: bool) -> bool {
+        let before = self.filter.clone();
+        match &request.body {
+            RequestBody::StateOfTheWorld { names, .. } => self.replace_names(names, is_first),
+            RequestBody::Delta {
+                subscribe,
+                unsubscribe,
+                initial_versions,
+            } => {
+                if is_first {
+                    self.begin_delta(subscribe, initial_versions);
+                }
+                self.add_names(subscribe, initial_versions, is_first);
+                self.remove_names(unsubscribe);
+            }
+        }
+        let changed = before != self.filter;
+        if changed {
+            self.fingerprint = self.filter.fingerprint();
+        }
+        changed
+    }
+
+    fn replace_names(&mut self, names: &[String], is_first: bool) {
+        // A client that never named anything subscribes to everything, of the types that know this; once it named
+        // something, an empty list is an empty list.
+        let implied_wildcard = self.resource_type.is_complete_set()
+            && names.is_empty()
+            && (is_first || self.filter.wildcard);
+        let wildcard = implied_wildcard || names.iter().any(|name| name == WILDCARD);
+        let names = names
+            .iter()
+            .filter(|name| *name != WILDCARD)
+            .cloned()
+            .collect();
+        let before = std::mem::replace(&mut self.filter, ResourceFilter { wildcard, names });
+        let added = self.filter.names.difference(&before.names);
+        self.pending_names
+            .extend(added.filter(|name| !before.matches(name)).cloned());
+        if wildcard && !before.wildcard && !is_first {
+            self.pending_names.insert(WILDCARD.to_string());
+        }
+    }
+
+    fn begin_delta(&mut self, subscribe: &[String], initial_versions: &BTreeMap<String, String>) {
+        self.filter.wildcard = self.resource_type.is_complete_set() && subscribe.is_empty();
+        if !initial_versions.is_empty() {
+            self.held = HeldResources::Declared(initial_versions.clone());
+        }
+    }
+
+    fn add_names(
+        &mut self,
+        subscribe: &[String],
+        initial_versions: &BTreeMap<String, String>,
+        is_first: bool,
+    ) {
+        for name in subscribe {
+            if name == WILDCARD {
+                self.filter.wildcard = true;
+            } else {
+                self.filter.names.insert(name.clone());
+            }
+            // A pattern that a stream begins with is compared to what the client holds instead.
+            let is_initial_pattern = is_first && is_pattern(name);
+            if !is_initial_pattern && !initial_versions.contains_key(name) {
+                self.pending_names.insert(name.clone());
+            }
+        }
+    }
+
+    fn remove_names(&mut self, unsubscribe: &[String]) {
+        for name in unsubscribe {
+            if name == WILDCARD {
+                self.filter.wildcard = false;
+            }
+            self.filter.names.remove(name);
+            self.pending_names.remove(name);
+        }
+    }
+
+    /// What the client lacks of a snapshot, and the key of that delta if other clients may get it too.
+    pub(crate) fn delta_to(
+        &self,
+        newest: &Snapshot,
+        cache: &mut SnapshotCache,
+    ) -> (Arc<ResourceDelta>, Option<DeltaKey>) {
+        let resource_type = self.resource_type;
+        let held = match &self.held {
+            HeldResources::Declared(versions) => {
+                let delta = ResourceDelta::from_declared_versions(
+                    resource_type,
+                    versions,
+                    newest,
+                    &self.filter,
+                );
+                return (Arc::new(delta), None);
+            }
+            HeldResources::Nothing => None,
+            HeldResources::Snapshot(held) => Some(&**held),
+        };
+        let (delta, key) = cache.delta(resource_type, held, newest, &self.filter, self.fingerprint);
+        (delta, Some(key))
+    }
+}
--- a/crates/proxy/src/table_stream.rs
+++ b/crates/proxy/src/table_stream.rs
@@ -8,8 +8,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use wheelspread::time::{Moment, Span};
 use wheelspread_controller_core::membership::Introduction;
-use wheelspread_discovery::delta_client::DeltaClient;
-use wheelspread_discovery::{Request, ResourceType};
+use wheelspread_discovery::{DeltaClient, Request, ResourceType, TypeSubscription};
 use wheelspread_files::Held;
 use wheelspread_grpc::{ClientConnection, ClientEvent};
 use wheelspread_reactor::{self as reactor, Interest, Poll, Token};
@@ -116,7 +115,7 @@
 
     fn subscribe(&mut self) {
         self.needs_introduction = true;
-        for request in self.reader.hello() {
+        for request in self.reader.initial_requests() {
             self.send(&request);
         }
     }
@@ -138,35 +137,34 @@
         let response =
             discovery::read_told(bytes).map_err(|error| StreamError::Message(error.to_string()))?;
         let mut complete_orders = None;
-        let step = self.reader.told(
-            response.kind,
-            &response.nonce,
-            response.version,
-            &response.delta,
-            |reader, version| {
-                let values = |kind| reader.held(kind).map(|(_, bytes)| bytes);
-                let orders = discovery::orders(
-                    version,
-                    reader.held(ResourceType::Entries),
-                    values(ResourceType::Endpoints),
-                    values(ResourceType::Routes),
-                );
-                complete_orders = Some(orders.map_err(|error| error.to_string())?);
-                Ok(())
-            },
-        );
+        let step = self.reader.handle_response(&response, |reader, version| {
+            let values = |kind| reader.resources(kind).map(|(_, bytes)| bytes);
+            let orders = discovery::orders(
+                version,
+                reader.resources(ResourceType::Entries),
+                values(ResourceType::Endpoints),
+                values(ResourceType::Routes),
+            );
+            complete_orders = Some(orders?);
+            Ok::<(), wheelspread_xds::Unreadable>(())
+        });
         // A stream that starts again rejects nothing: the same version comes whole.
-        if let Some(reason) = step.reply.error.clone().filter(|_| step.restart.is_none()) {
+        if let Some(reason) = step
+            .reply
+            .error
+            .clone()
+            .filter(|_| step.restart_reason.is_none())
+        {
             updates.push(TableUpdate::Rejected(reason));
         }
-        if let (Some(orders), Some(_)) = (complete_orders, step.complete) {
+        if let (Some(orders), Some(_)) = (complete_orders, step.completed_version) {
             updates.push(TableUpdate::New(Box::new(Held {
                 orders,
-                hash: self.reader.name(),
+                hash: self.reader.fingerprint(),
             })));
         }
         self.send(&step.reply);
-        step.restart
+        step.restart_reason
             .map_or(Ok(()), |reason| Err(StreamError::Inconsistent(reason)))
     }
 
@@ -205,7 +203,7 @@
 }
 
 /// The resources that the proxy's operations need, in the order in which they make up a version.
-fn subscriptions(config: &ProxyConfig) -> Vec<(ResourceType, Vec<String>)> {
+fn subscriptions(config: &ProxyConfig) -> Vec<TypeSubscription> {
     let operations = &config.core.operations;
     let assignments = operations
         .iter()
@@ -214,9 +212,9 @@
         .iter()
         .map(|operation| format!("{}{}/*", discovery::LINE, operation.name));
     vec![
-        (ResourceType::Endpoints, assignments.collect()),
-        (ResourceType::Entries, entries.collect()),
-        (
+        TypeSubscription::new(ResourceType::Endpoints, assignments.collect()),
+        TypeSubscription::new(ResourceType::Entries, entries.collect()),
+        TypeSubscription::new(
             ResourceType::Routes,
             vec![discovery::OPERATIONS.to_string()],
         ),
--- a/crates/xds/src/discovery.rs
+++ b/crates/xds/src/discovery.rs
@@ -9,8 +9,10 @@
 use wheelspread_controller_core::membership::Introduction;
 use wheelspread_controller_core::publication::{TableSet, Version};
 use wheelspread_controller_core::Deployment;
-use wheelspread_discovery::resource_store::DeltaUpdate;
-use wheelspread_discovery::{Checksum, Request, RequestBody, ResourceType, Response, Snapshot};
+use wheelspread_discovery::{
+    Checksum, DeltaResponse, DeltaUpdate, ReceivedResource, Request, RequestBody, ResourceType,
+    Response, Snapshot,
+};
 use xds_api::pb::envoy::config::cluster::v3 as cluster;
 use xds_api::pb::envoy::config::core::v3 as core;
 use xds_api::pb::envoy::config::endpoint::v3 as endpoint;
@@ -95,18 +97,18 @@
             .iter()
             .flat_map(|host| &host.routes);
         let route = route.into_iter().find(|route| route.name == name);
-        made.put(
+        made.insert(
             ResourceType::Clusters,
             &name,
             cluster_of(&name).encode_to_vec(),
         );
-        made.put(
+        made.insert(
             ResourceType::Listeners,
             &name,
             listener_of(&name).encode_to_vec(),
         );
         if let Some(route) = route {
-            made.put(
+            made.insert(
                 ResourceType::Routes,
                 &name,
                 routes_of(&name, route).encode_to_vec(),
@@ -125,7 +127,7 @@
                 {
                     if let Ok(node) = crate::node_id(host.address.as_ref()) {
                         let node = wheelspread_controller_core::endpoint_list::show(node);
-                        made.put(
+                        made.insert(
                             ResourceType::Entries,
                             &format!("{LINE}{name}/{zone}/{node}"),
                             line.encode_to_vec(),
@@ -138,18 +140,18 @@
         apart
             .endpoints
             .extend(plan.zones.iter().map(|zone| lines_apart(&name, zone)));
-        made.put(
+        made.insert(
             ResourceType::Endpoints,
             &format!("{LINES_APART}{name}"),
             apart.encode_to_vec(),
         );
-        made.put(
+        made.insert(
             ResourceType::Endpoints,
             &name,
             weighed(assignment).encode_to_vec(),
         );
     }
-    made.put(ResourceType::Routes, OPERATIONS, operations.encode_to_vec());
+    made.insert(ResourceType::Routes, OPERATIONS, operations.encode_to_vec());
     made
 }
 
@@ -304,10 +306,10 @@
     Ok(DecodedRequest {
         who: introduction(request.node.as_ref()),
         ask: Request {
-            kind: kind(&request.type_url)?,
+            resource_type: kind(&request.type_url)?,
             nonce: request.response_nonce,
             error: refusal(request.error_detail),
-            mode: RequestBody::StateOfTheWorld {
+            body: RequestBody::StateOfTheWorld {
                 names: request.resource_names,
                 version: request.version_info,
             },
@@ -340,10 +342,10 @@
     Ok(DecodedRequest {
         who: introduction(request.node.as_ref()),
         ask: Request {
-            kind: kind(&request.type_url)?,
+            resource_type: kind(&request.type_url)?,
             nonce: request.response_nonce,
             error: refusal(request.error_detail),
-            mode: RequestBody::Delta {
+            body: RequestBody::Delta {
                 subscribe: names(
                     request.resource_names_subscribe,
                     request.resource_locators_subscribe,
@@ -352,7 +354,7 @@
                     request.resource_names_unsubscribe,
                     request.resource_locators_unsubscribe,
                 ),
-                holds: request.initial_resource_versions.into_iter().collect(),
+                initial_versions: request.initial_resource_versions.into_iter().collect(),
             },
         },
         holds: version,
@@ -361,12 +363,12 @@
 
 /// Everything of an answer but its nonce, which is its own and goes at the end.
 pub fn body(answer: &Response) -> Vec<u8> {
-    let url = type_url(answer.kind);
+    let url = type_url(answer.resource_type);
     let packed = |bytes: &bytes::Bytes| Any {
         type_url: url.clone(),
         value: bytes.to_vec(),
     };
-    if !answer.delta {
+    if !answer.is_delta {
         return discovery::DiscoveryResponse {
             version_info: answer.version.0.to_string(),
             resources: answer
@@ -379,7 +381,7 @@
         }
         .encode_to_vec();
     }
-    let resource = |(name, resource): &(wheelspread_discovery::snapshot::ResourceName, _)| {
+    let resource = |(name, resource): &(wheelspread_discovery::ResourceName, _)| {
         let resource: &wheelspread_discovery::Resource = resource;
         discovery::Resource {
             name: name.to_string(),
@@ -389,7 +391,7 @@
         }
     };
     let comes_to = answer
-        .comes_to
+        .resulting_checksum
         .map_or(String::new(), |sum| format!(" {sum}"));
     discovery::DeltaDiscoveryResponse {
         system_version_info: format!("{}{comes_to}", answer.version.0),
@@ -404,7 +406,7 @@
 /// A body with its nonce: fields of a message may come in any order, so bodies can be shared.
 pub fn with_nonce(body: &[u8], answer: &Response) -> Vec<u8> {
     let nonce = answer.nonce.to_string();
-    let tail = match answer.delta {
+    let tail = match answer.is_delta {
         true => discovery::DeltaDiscoveryResponse {
             nonce,
             ..Default::default()
@@ -421,16 +423,8 @@
 
 // ---- the side that asks ----
 
-/// What a client of the incremental form is told.
-#[derive(Debug)]
-pub struct Told {
-    pub kind: ResourceType,
-    pub nonce: String,
-    pub version: Option<Version>,
-    pub delta: DeltaUpdate,
-}
-
-pub fn read_told(bytes: &[u8]) -> Result<Told, Unreadable> {
+/// Reads a response of the incremental variant.
+pub fn read_told(bytes: &[u8]) -> Result<DeltaResponse, Unreadable> {
     let told = discovery::DeltaDiscoveryResponse::decode(bytes)
         .map_err(|e| content("a response", e.to_string()))?;
     let mut said = told.system_version_info.split(' ');
@@ -440,22 +434,26 @@
     for (at, resource) in told.resources.into_iter().enumerate() {
         let checksum = resource.version.parse::<Checksum>();
         let checksum = checksum
-            .map_err(|()| content(format!("resource {at}"), "its version is no checksum"))?;
+            .map_err(|_| content(format!("resource {at}"), "its version is no checksum"))?;
         let any = resource
             .resource
             .ok_or_else(|| content(format!("resource {at}"), "it is empty"))?;
-        changed.push((resource.name, checksum, bytes::Bytes::from(any.value)));
+        changed.push(ReceivedResource {
+            name: resource.name,
+            checksum,
+            bytes: bytes::Bytes::from(any.value),
+        });
     }
-    let delta = DeltaUpdate {
+    let update = DeltaUpdate {
         changed,
         removed: told.removed_resources,
-        comes_to,
+        resulting_checksum: comes_to,
     };
-    Ok(Told {
-        kind: kind(&told.type_url)?,
+    Ok(DeltaResponse {
+        resource_type: kind(&told.type_url)?,
         nonce: told.nonce,
         version,
-        delta,
+        update,
     })
 }
 
@@ -471,12 +469,16 @@
             }
             node
         });
-    let (subscribe, unsubscribe, holds) = match &ask.mode {
+    let (subscribe, unsubscribe, holds) = match &ask.body {
         RequestBody::Delta {
             subscribe,
             unsubscribe,
-            holds,
-        } => (subscribe.clone(), unsubscribe.clone(), holds.clone()),
+            initial_versions,
+        } => (
+            subscribe.clone(),
+            unsubscribe.clone(),
+            initial_versions.clone(),
+        ),
         RequestBody::StateOfTheWorld { names, .. } => {
             (names.clone(), Vec::new(), Default::default())
         }
@@ -488,7 +490,7 @@
     });
     discovery::DeltaDiscoveryRequest {
         node,
-        type_url: type_url(ask.kind),
+        type_url: type_url(ask.resource_type),
         resource_names_subscribe: subscribe,
         resource_names_unsubscribe: unsubscribe,
         initial_resource_versions: holds.into_iter().collect(),
@@ -560,15 +562,15 @@
         fn a_spoilt_request_is_read_or_refused(at in 0usize..120, to in any::<u8>()) {
             let mode = RequestBody::Delta {
                 subscribe: vec!["quote".into()], unsubscribe: vec!["old".into()],
-                holds: [("quote".to_string(), "1".to_string())].into(),
+                initial_versions: [("quote".to_string(), "1".to_string())].into(),
             };
             let who = Introduction { name: "g1".into(), zone: "north".into(), usual_rate: Some(3.0) };
-            let mut bytes = ask(Some(&who), Some(Version(7)), &Request { kind: ResourceType::Entries, nonce: "4".into(), error: None, mode });
+            let mut bytes = ask(Some(&who), Some(Version(7)), &Request { resource_type: ResourceType::Entries, nonce: "4".into(), error: None, body: mode });
             let at = at % bytes.len();
             bytes[at] = to;
             if let Ok(request) = read_delta(&bytes) {
                 let mut front = wheelspread_discovery::Stream::new(5, wheelspread::time::Span::from_seconds(1.0));
-                front.ask(wheelspread::time::Moment::from_seconds(1.0), &request.ask);
+                front.handle_request(wheelspread::time::Moment::from_seconds(1.0), &request.ask);
             }
         }
     }
