--- a/crates/wheelspread/src/admission.rs
+++ b/crates/wheelspread/src/admission.rs
@@ -91,7 +91,7 @@
         self.load == FleetLoad::Strained
     }
 
-    /// The last resort of the latest update plan; `None`: it had room.
+    /// The last resort of the latest update plan; `None`: it had headroom.
     pub fn set_cut(&mut self, cut: Option<AdmissionCut>) {
         self.cut = cut;
     }
@@ -111,7 +111,7 @@
             let local_limit = local_limit(fleet, table, &demand);
             let warming_limit = warming_ratio(fleet, table);
             let is_tight = local_limit.is_some() || self.is_strained();
-            for operation in &table.operations {
+            for operation in table.operations() {
                 let before = self.ratio(*id, *operation);
                 let most = before + RETURN_STEP * (before + RETURN_OFFSET).min(1.0);
                 let mut ratio = wanted[operation];
@@ -207,21 +207,21 @@
     let is_strained = |zone: ZoneId| {
         mean_utilization(fleet, |node| node.zone() == zone) >= LOAD_THRESHOLDS.strained
     };
-    if !table.class.stays_in_zone || !is_strained(zone) {
+    if !table.class().stays_in_zone || !is_strained(zone) {
         return None;
     }
     let own = fleet.nodes.open().filter(|(_, node)| node.zone() == zone);
     let capacity = own.map(|(_, node)| fleet.capacity_of(node)).sum::<f64>();
-    Some(capacity / demand[&table.class].max(1e-6))
+    Some(capacity / demand[&table.class()].max(1e-6))
 }
 
 /// Where a table has entries of warming nodes only: the ratio that these may take.
 fn warming_ratio(fleet: &Fleet, table: &Table) -> Option<f64> {
-    if table.entries.is_empty() {
+    if table.entries().is_empty() {
         return None;
     }
     let limit = |node: &Node| node.is_warming().then(|| warming_limit(fleet, node));
-    let entries = table.entries.keys();
+    let entries = table.entries().keys();
     let limits: Option<Vec<f64>> = entries.map(|id| limit(fleet.nodes.get(id)?)).collect();
     let sum: f64 = limits?.iter().sum();
     Some(sum / fleet.demand_of(table).max(1e-6))
--- a/crates/wheelspread/src/balancer/tests/expectation.rs
+++ b/crates/wheelspread/src/balancer/tests/expectation.rs
@@ -77,7 +77,7 @@
             .iter()
             .flat_map(|balancer| balancer.fleet.tables.values());
         tables
-            .filter(|table| table.zone() == zone(in_zone) && !table.entries.is_empty())
+            .filter(|table| table.zone() == zone(in_zone) && !table.entries().is_empty())
             .count()
     }
 
--- a/crates/wheelspread/src/balancer/tests/stage.rs
+++ b/crates/wheelspread/src/balancer/tests/stage.rs
@@ -222,7 +222,7 @@
             ["entries", id, entries @ ..] => {
                 let tables = &mut self.balancer().fleet.tables;
                 if let Some(known) = tables.get_mut(&table(id)) {
-                    known.entries = weights(entries);
+                    known.set_entries(weights(entries));
                 }
             }
             ["target", id, entries @ ..] => {
@@ -331,7 +331,7 @@
         balancer.admission.set_cut(cut);
         for (id, entries) in &draft {
             if let Some(table) = balancer.fleet.tables.get_mut(id) {
-                table.entries = entries.clone();
+                table.set_entries(entries.clone());
             }
         }
         self.tables = draft;
--- a/crates/wheelspread/src/capacity.rs
+++ b/crates/wheelspread/src/capacity.rs
@@ -71,7 +71,7 @@
     most: 1.25,
 };
 
-/// What is worth keeping of a node over a restart.
+/// What is kept of a node over a restart.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CapacitySnapshot {
     /// The node.
--- a/crates/wheelspread/src/capacity/learning.rs
+++ b/crates/wheelspread/src/capacity/learning.rs
@@ -51,6 +51,7 @@
 
 /// Each period, the factor by which the quickest latency of a kind is forgotten.
 const QUICKEST_GROWTH: f64 = 1.003;
+
 /// What a learning step goes by, beside the nodes.
 pub(crate) struct LearningInput {
     /// Time constant of averages.
--- a/crates/wheelspread/src/fleet.rs
+++ b/crates/wheelspread/src/fleet.rs
@@ -13,7 +13,7 @@
 use crate::time::Moment;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Share of all demand at proxies that are not heard: with more of it, load reports teach no capacity.
+/// Share of all demand at proxies that have left: with more of it, load reports teach no capacity.
 const UNREPORTED_DEMAND: f64 = 0.15;
 
 /// Everything that is known at one moment.
@@ -83,7 +83,7 @@
     /// Requests per second that come to the proxies of a table, admitted or not.
     pub fn demand_of(&self, table: &Table) -> f64 {
         self.proxies_of(table)
-            .map(|(_, proxy)| proxy.demand(&table.operations))
+            .map(|(_, proxy)| proxy.demand(table.operations()))
             .sum()
     }
 
@@ -94,9 +94,9 @@
             .proxies_of(table)
             .filter(|(_, proxy)| proxy.has_joined())
         {
-            for operation in &table.operations {
+            for operation in table.operations() {
                 let demand = proxy.demand_for(*operation).unwrap_or(0.0);
-                let order = table.admission.get(operation);
+                let order = table.admission(*operation);
                 let limit = order.map_or(f64::INFINITY, |order| order.limit);
                 sum += if self.config.admission_as_share {
                     demand * limit.min(1.0)
@@ -109,7 +109,7 @@
     }
 
     /// Demand by zone and by whether it stays there: of own proxies, of those out of a single controller's
-    /// reach, and of those that peers have told of.
+    /// reach, and of those that peers reported.
     pub fn demand_by_class(&self) -> BTreeMap<DemandClass, f64> {
         let is_alone = self.config.controllers <= 1.0;
         let mut sums = self.own_demand(|proxy| proxy.has_joined() || is_alone);
@@ -149,7 +149,7 @@
     }
 
     /// Reads new load reports into the capacity estimates. Reports that show only a part of what nodes get, as
-    /// while many proxies are not heard, teach nothing.
+    /// while many proxies have left, teach nothing.
     pub fn learn_capacity(&mut self, is_strained: bool) {
         let unreported = self.members.demand_of(|proxy| !proxy.has_joined())
             / self.members.total_demand().max(1e-6);
@@ -193,7 +193,10 @@
         const WARM_UPS_REMEMBERED: f64 = 10.0;
         let (now, long) = (self.now, self.config.warm_up * WARM_UPS_REMEMBERED);
         let is_recent = |at: Moment| now - at < long;
-        let entries = self.tables.values().flat_map(|table| table.entries.keys());
+        let entries = self
+            .tables
+            .values()
+            .flat_map(|table| table.entries().keys());
         let held: BTreeSet<NodeId> = entries.copied().collect();
         self.nodes.forget_unlisted(&held, is_recent);
         self.outliers.forget_unknown(&self.nodes);
--- a/crates/wheelspread/src/gossip.rs
+++ b/crates/wheelspread/src/gossip.rs
@@ -27,24 +27,24 @@
 const RATE_STEPS: f64 = 64.0;
 const MAX_U16: f64 = 65535.0;
 
-/// What one peer has told; what a message does not speak of stands as it was told before.
+/// What one peer reported; what a message does not name stands as it was reported before.
 #[derive(Clone, Debug, Default)]
 struct PeerView {
     last_message_at: Moment,
     proxies: f64,
     demand: BTreeMap<DemandClass, f64>,
-    /// Requests per second that a node serves for the peer's proxies, and when that was told.
+    /// Requests per second that a node serves for the peer's proxies, and when that was reported.
     rates: BTreeMap<NodeId, (f64, Moment)>,
 }
 
-/// What all peers have told.
+/// What all peers reported.
 #[derive(Clone, Debug)]
 pub(crate) struct Gossip {
     peers: BTreeMap<PeerId, PeerView>,
     last_sent_at: Moment,
 }
 
-/// What this controller tells its peers.
+/// What this controller reports to its peers.
 pub(crate) struct LocalView {
     /// Proxies that have joined here.
     pub proxies: usize,
@@ -55,7 +55,7 @@
 }
 
 impl Gossip {
-    /// Nothing was told yet.
+    /// Nothing was received yet.
     pub fn new(now: Moment) -> Gossip {
         Gossip {
             peers: BTreeMap::new(),
@@ -63,7 +63,7 @@
         }
     }
 
-    /// What was told before that moment no longer stands.
+    /// What was received before that moment no longer counts.
     pub fn valid_since(period: Span, now: Moment) -> Moment {
         now - period * GOSSIP_TIMING.stands
     }
@@ -94,12 +94,12 @@
         is_due
     }
 
-    /// Proxies that have joined peers who told so since `since`.
+    /// Proxies that have joined peers, by messages since `since`.
     pub fn proxies(&self, since: Moment) -> f64 {
         self.recent(since).map(|peer| peer.proxies).sum()
     }
 
-    /// Adds the demand that peers have told since `since`.
+    /// Adds the demand that peers reported since `since`.
     pub fn add_demand(&self, sums: &mut BTreeMap<DemandClass, f64>, since: Moment) {
         for peer in self.recent(since) {
             for (class, sum) in sums.iter_mut() {
@@ -108,10 +108,11 @@
         }
     }
 
-    /// Requests per second that a node serves for peers' proxies, as told since `since`.
+    /// Requests per second that a node serves for peers' proxies, as reported since `since`.
     pub fn rate(&self, id: NodeId, since: Moment) -> f64 {
-        let told = self.peers.values().filter_map(|peer| peer.rates.get(&id));
-        told.filter(|(_, told_at)| *told_at >= since)
+        let reported = self.peers.values().filter_map(|peer| peer.rates.get(&id));
+        reported
+            .filter(|(_, reported_at)| *reported_at >= since)
             .map(|(rate, _)| rate)
             .sum()
     }
--- a/crates/wheelspread/src/lifecycle.rs
+++ b/crates/wheelspread/src/lifecycle.rs
@@ -9,6 +9,9 @@
 use crate::{EndpointEntry, EndpointStatus};
 use std::collections::{BTreeMap, BTreeSet};
 
+#[cfg(test)]
+mod tests;
+
 /// Where a node stands in its life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Lifecycle {
@@ -44,7 +47,7 @@
     Keep,
     /// The node's own; what zones observed there is forgotten.
     ForgetPaths,
-    /// None: a process that started anew is another one.
+    /// None: a restarted process is another one.
     ForgetAll,
 }
 
--- /dev/null
+++ b/crates/wheelspread/src/lifecycle/tests.rs
@@ -0,0 +1,34 @@
+use super::transition;
+use super::Lifecycle::{self, Draining, Ready, Unlisted, WarmingUp};
+use super::LifecycleInput::{self, ListedDraining, ListedReady, Removed, Restarted, WarmedUp};
+use super::Measurements::{self, ForgetAll, ForgetPaths, Keep};
+
+/// Every transition there is.
+const TRANSITIONS: [(Lifecycle, LifecycleInput, Lifecycle, Measurements); 13] = [
+    (Unlisted, ListedReady, Ready, ForgetPaths),
+    (Unlisted, Restarted, WarmingUp, ForgetAll),
+    (Unlisted, ListedDraining, Draining, Keep),
+    (WarmingUp, Restarted, WarmingUp, ForgetAll),
+    (WarmingUp, WarmedUp, Ready, Keep),
+    (WarmingUp, ListedDraining, Draining, Keep),
+    (WarmingUp, Removed, Unlisted, ForgetPaths),
+    (Ready, Restarted, WarmingUp, ForgetAll),
+    (Ready, ListedDraining, Draining, Keep),
+    (Ready, Removed, Unlisted, ForgetPaths),
+    (Draining, ListedReady, Ready, ForgetPaths),
+    (Draining, Restarted, WarmingUp, ForgetAll),
+    (Draining, Removed, Unlisted, ForgetPaths),
+];
+
+#[test]
+fn lifecycle_changes_by_the_listed_transitions_and_no_others() {
+    for state in [Unlisted, WarmingUp, Ready, Draining] {
+        for input in [ListedReady, Restarted, ListedDraining, Removed, WarmedUp] {
+            let row = TRANSITIONS
+                .iter()
+                .find(|row| (row.0, row.1) == (state, input));
+            let expected = row.map(|row| (row.2, row.3));
+            assert_eq!(transition(state, input), expected, "{state:?}, {input:?}");
+        }
+    }
+}
--- a/crates/wheelspread/src/locality.rs
+++ b/crates/wheelspread/src/locality.rs
@@ -2,7 +2,7 @@
 //!
 //! Traffic stays in its zone up to a comfortable part of the zone's capacity, or somewhat above the fleet's
 //! part; the rest goes where there is headroom. A zone's nodes stand in a row, in a random order that stays the
-//! same, so that neighbours differ in kind and cell; each subset of its proxies uses the stretch of the row that
+//! same, so that neighbours differ in kind and cell; each subset of its proxies uses the range of the row that
 //! its part of the demand fills.
 
 use crate::fleet::Fleet;
@@ -43,7 +43,7 @@
     let placement = Placement::new(fleet);
     let ranges = subset_ranges(fleet);
     let targets = fleet.tables.iter().map(|(id, table)| {
-        let range = ranges[&(table.zone(), table.subset)];
+        let range = ranges[&(table.zone(), table.subset())];
         (*id, placement.table_shares(table, range))
     });
     targets.collect()
@@ -147,7 +147,7 @@
                 headroom: sum.headroom + zone.headroom,
                 capacity: sum.capacity + zone.capacity,
             });
-        let is_bound_to_zone = table.class.stays_in_zone || total.capacity <= 0.0;
+        let is_bound_to_zone = table.class().stays_in_zone || total.capacity <= 0.0;
         let away = match (is_bound_to_zone, self.between[&(at, at)] > 0.0) {
             (true, _) => 0.0,
             (false, false) => 1.0,
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Shares of one table's traffic, by the stretch of the row that its subset uses.
+    /// Shares of one table's traffic, by the range of the row that its subset uses.
     fn table_shares(&self, table: &Table, range: SubsetRange) -> NodeWeights {
         let at = table.zone();
         let spillover = self.spillover(table);
@@ -182,7 +182,7 @@
         }
         if entries.is_empty() {
             // No table may be left without a node: with no healthy one, any open one will do.
-            let stays = table.class.stays_in_zone;
+            let stays = table.class().stays_in_zone;
             let allowed = self.row.iter().filter(|c| !stays || c.zone == at);
             entries = allowed.map(|c| (c.node, c.capacity.max(1e-6))).collect();
         }
--- a/crates/wheelspread/src/membership.rs
+++ b/crates/wheelspread/src/membership.rs
@@ -41,7 +41,7 @@
         self.has_joined
     }
 
-    /// Whether it was told which tables to use.
+    /// Whether it was sent the tables that it uses.
     pub fn is_bound(&self) -> bool {
         self.is_bound
     }
@@ -183,7 +183,7 @@
         &self.unbound
     }
 
-    /// Binds proxies of a zone anew: which tables serve them has changed.
+    /// Binds proxies of a zone again: which tables serve them has changed.
     pub fn rebind_zone(&mut self, zone: ZoneId) {
         let bound = |proxy: &Proxy| proxy.has_joined && proxy.zone == zone && proxy.is_bound;
         let again = self.proxies.iter().filter(|(_, proxy)| bound(proxy));
--- a/crates/wheelspread/src/outlier.rs
+++ b/crates/wheelspread/src/outlier.rs
@@ -10,6 +10,9 @@
 use crate::time::{Moment, Span};
 use std::collections::BTreeMap;
 
+#[cfg(test)]
+mod tests;
+
 /// How a zone's proxies find a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HealthState {
@@ -255,7 +258,7 @@
     }
 
     /// The part of a node's capacity that a zone should use. A node that fails in part gets less, by the root
-    /// of what works: an attempt that fails is retried, but a node that is avoided drowns the others.
+    /// of what works: an attempt that fails is retried, but a node that is avoided overloads the others.
     pub fn usable_share(
         &self,
         id: NodeId,
--- a/crates/wheelspread/src/publication.rs
+++ b/crates/wheelspread/src/publication.rs
@@ -26,12 +26,13 @@
 pub(crate) fn published_weights(fleet: &Fleet) -> TableWeights {
     let tables = fleet.tables.iter();
     tables
-        .map(|(id, table)| (*id, table.entries.clone()))
+        .map(|(id, table)| (*id, table.entries().clone()))
         .collect()
 }
 
 /// Draining and gone nodes leave at once. A table whose ready entries are then meant to carry only a small part of
-/// its traffic takes its whole target at once: the few entries left would drown, and warming nodes fall.
+/// its traffic takes its whole target at once: the few entries left would be
+/// overloaded, and warming nodes among them pushed over.
 pub(crate) fn apply_urgent_changes(
     fleet: &Fleet,
     targets: &TableWeights,
@@ -85,7 +86,7 @@
             continue;
         };
         for change in changes {
-            table.entries.insert(change.node, change.new);
+            table.set_weight(change.node, change.new);
             out.push(Action::SetWeight {
                 table: *id,
                 node: change.node,
@@ -93,16 +94,15 @@
             });
             *changed.entry(*id).or_default() += 1;
         }
-        table.entries.retain(|_, weight| *weight > 0.0);
     }
     changed
 }
 
 fn entry_changes(table: &Table, goal: &NodeWeights, may_lower: bool) -> Vec<EntryChange> {
     let mean = goal.values().sum::<f64>() / goal.len().max(1) as f64;
-    let nodes: BTreeSet<NodeId> = table.entries.keys().chain(goal.keys()).copied().collect();
+    let nodes: BTreeSet<NodeId> = table.entries().keys().chain(goal.keys()).copied().collect();
     let change = |node: NodeId| {
-        let old = table.entries.get(&node).copied().unwrap_or(0.0);
+        let old = table.entries().get(&node).copied().unwrap_or(0.0);
         let new = goal
             .get(&node)
             .map_or(0.0, |weight| f64::from(*weight as f32));
@@ -126,7 +126,7 @@
         .filter(|(_, proxy)| proxy.is_bound())
         .count() as f64;
     let has_ready = table
-        .entries
+        .entries()
         .keys()
         .any(|node| fleet.nodes.get(node).is_some_and(Node::is_ready));
     *headroom -= users * fleet.config.message_entries(0);
@@ -152,7 +152,7 @@
 ) {
     let tables = fleet.tables.iter();
     let all: Vec<(TableId, OperationId)> = tables
-        .flat_map(|(id, table)| table.operations.iter().map(|operation| (*id, *operation)))
+        .flat_map(|(id, table)| table.operations().iter().map(|operation| (*id, *operation)))
         .collect();
     for (id, operation) in all {
         let order = admission.order(fleet, id, operation);
@@ -161,11 +161,11 @@
         };
         let is_near =
             |old: f64| (old - order.limit).abs() <= LEAST_LIMIT_CHANGE * old.max(order.limit);
-        let published = table.admission.get(&operation);
+        let published = table.admission(operation);
         if published.is_some_and(|old| is_near(old.limit) && old.retry == order.retry) {
             continue;
         }
-        table.admission.insert(operation, order);
+        table.set_admission(operation, order);
         out.push(Action::SetAdmission {
             table: Some(id),
             operations: vec![operation],
@@ -199,10 +199,8 @@
         let serves = |table: &&Table| table.serves(*id, proxy.zone());
         let own = || fleet.tables.values().filter(serves);
         // A table without entries is bound beside others: to hear of nodes that come, and hold none that went.
-        let is_empty = own().all(|table| table.entries.is_empty());
-        let count = own()
-            .map(|table| 1 + table.entries.len() + table.admission.len())
-            .sum();
+        let is_empty = own().all(|table| table.entries().is_empty());
+        let count = own().map(Table::message_entries).sum();
         let entries = fleet.config.message_entries(count);
         if is_empty || sum + entries > limit {
             continue;
@@ -211,7 +209,7 @@
             out.push(Action::BindTable {
                 proxy: *id,
                 table: *table_id,
-                operations: table.operations.clone(),
+                operations: table.operations().to_vec(),
             });
         }
         sum += entries;
--- a/crates/wheelspread/src/slow_start.rs
+++ b/crates/wheelspread/src/slow_start.rs
@@ -99,7 +99,7 @@
 
 /// Proxies that avoid what fails leave the whole load to the entries that don't, however small their weight. While
 /// runs of errors that long are common, a warming node gets no entry beside ready ones; nor while nothing can be
-/// known of them: some cycles after a start, or in a zone that is not heard, as after a network partition.
+/// known of them: some cycles after a start, or in a zone that is not observed, as after a network partition.
 fn remove_unsafe_entries(fleet: &Fleet, draft: &mut TableWeights) {
     let since = fleet.now - fleet.timing.cycle() * AVOIDANCE_RISK.blind_cycles;
     let buckets = fleet.timing.buckets(AVOIDANCE_RISK.failure_cycles);
@@ -125,7 +125,7 @@
     fleet: &'a Fleet,
     /// Admitted requests per second by table.
     traffic: BTreeMap<TableId, f64>,
-    /// Attempts by request, with those of proxies and controllers that are not heard.
+    /// Attempts by request, with those of proxies and controllers that are not observed.
     amplification: f64,
 }
 
@@ -141,7 +141,7 @@
             .filter_map(|(_, path)| path.attempt_rate())
             .sum();
         let admitted = traffic.values().sum::<f64>().max(1e-6);
-        let amplification = (attempts / admitted).max(1.0) * unheard_factor(fleet);
+        let amplification = (attempts / admitted).max(1.0) * unobserved_factor(fleet);
         IncomingLoad {
             fleet,
             traffic,
@@ -174,9 +174,9 @@
     }
 }
 
-/// How many times the joined proxies' load there may be: proxies and controllers that are not heard. Where
+/// How many times the joined proxies' load there may be: proxies and controllers that are not observed. Where
 /// controllers never hear of each other, what nodes are seen to do is counted by own proxies too.
-fn unheard_factor(fleet: &Fleet) -> f64 {
+fn unobserved_factor(fleet: &Fleet) -> f64 {
     if fleet.config.controllers > 1.0 && !fleet.config.gossip_enabled {
         return 1.0;
     }
--- a/crates/wheelspread/src/subset.rs
+++ b/crates/wheelspread/src/subset.rs
@@ -2,10 +2,10 @@
 
 use crate::fleet::Fleet;
 use crate::ids::{TableId, ZoneId};
-use crate::tables::{zones_of, Table};
+use crate::tables::zones_of;
 use std::collections::BTreeMap;
 
-/// When a zone falls into subsets.
+/// When a zone is divided into subsets.
 struct Subsetting {
     /// Uses of an entry within the time after which a proxy closes an idle connection.
     uses_while_idle: f64,
@@ -51,7 +51,7 @@
         let undivided: Vec<TableId> = fleet
             .tables
             .iter()
-            .filter(|(_, table)| table.zone() == *zone && table.subsets == 0)
+            .filter(|(_, table)| table.zone() == *zone && !table.is_divided())
             .map(|(id, _)| *id)
             .collect();
         if undivided.is_empty() {
@@ -64,14 +64,14 @@
         for id in undivided {
             split_table(fleet, id, subsets, zones.len());
         }
-        // Proxies that were bound while there was no subset yet are bound anew, each to its own.
+        // Proxies that were bound while there was no subset yet are bound again, each to its own.
         if subsets > 1 {
             fleet.members.rebind_zone(*zone);
         }
     }
 }
 
-/// Into how many subsets a zone falls; `None` while it has no nodes or no proxies.
+/// Into how many subsets a zone is divided; `None` while it has no nodes or no proxies.
 fn subset_count(
     fleet: &Fleet,
     zone: ZoneId,
@@ -99,18 +99,10 @@
     Some(subsets.clamp(1.0, SUBSETTING.most_tables / zones as f64) as u16)
 }
 
-/// Replaces a table by one for each subset; the first keeps what was published.
+/// Replaces a table by one for each subset.
 fn split_table(fleet: &mut Fleet, id: TableId, subsets: u16, zones: usize) {
     for subset in 0..subsets {
-        let mut table = Table {
-            subset,
-            subsets,
-            ..fleet.tables[&id].clone()
-        };
-        if subset > 0 {
-            table.entries.clear();
-            table.admission.clear();
-        }
+        let table = fleet.tables[&id].for_subset(subset, subsets);
         let new_id = TableId(id.0 + subset * 2 * zones as u16);
         fleet.tables.insert(new_id, table);
     }
@@ -146,7 +138,7 @@
 fn demand_by_subset(fleet: &Fleet) -> BTreeMap<(ZoneId, u16), f64> {
     let mut demand: BTreeMap<(ZoneId, u16), f64> = BTreeMap::new();
     for table in fleet.tables.values() {
-        *demand.entry((table.zone(), table.subset)).or_default() += fleet.demand_of(table) + 1e-3;
+        *demand.entry((table.zone(), table.subset())).or_default() += fleet.demand_of(table) + 1e-3;
     }
     let expected = expected_proxies(fleet);
     for zone in zones_of(&fleet.tables) {
--- a/crates/wheelspread/src/tables.rs
+++ b/crates/wheelspread/src/tables.rs
@@ -2,7 +2,7 @@
 
 use crate::action::RetryPolicy;
 use crate::config::Operation;
-use crate::ids::{OperationId, ProxyId, TableId, ZoneId};
+use crate::ids::{NodeId, OperationId, ProxyId, TableId, ZoneId};
 use crate::shares::NodeWeights;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -24,18 +24,87 @@
 /// One table, which the proxies of a zone or of a subset of it share.
 #[derive(Clone, Debug)]
 pub(crate) struct Table {
-    pub class: DemandClass,
+    class: DemandClass,
     /// Which subset of the zone's proxies uses it.
-    pub subset: u16,
+    subset: u16,
     /// Of how many; 0 while the zone is undivided.
-    pub subsets: u16,
-    pub operations: Vec<OperationId>,
+    subsets: u16,
+    operations: Vec<OperationId>,
     /// Weights as published; no entry has weight 0.
-    pub entries: NodeWeights,
-    pub admission: BTreeMap<OperationId, AdmissionOrder>,
+    entries: NodeWeights,
+    admission: BTreeMap<OperationId, AdmissionOrder>,
 }
 
 impl Table {
+    /// Where its requests come from, and whether they may leave that zone.
+    pub fn class(&self) -> DemandClass {
+        self.class
+    }
+
+    /// Which subset of the zone's proxies uses it.
+    pub fn subset(&self) -> u16 {
+        self.subset
+    }
+
+    /// Whether it was decided into how many subsets its zone is divided.
+    pub fn is_divided(&self) -> bool {
+        self.subsets > 0
+    }
+
+    /// The operations it serves.
+    pub fn operations(&self) -> &[OperationId] {
+        &self.operations
+    }
+
+    /// Weights as published.
+    pub fn entries(&self) -> &NodeWeights {
+        &self.entries
+    }
+
+    /// The admission order as published; `None`: all is admitted.
+    pub fn admission(&self, operation: OperationId) -> Option<&AdmissionOrder> {
+        self.admission.get(&operation)
+    }
+
+    /// Entries of a message that holds the whole table.
+    pub fn message_entries(&self) -> usize {
+        1 + self.entries.len() + self.admission.len()
+    }
+
+    /// Publishes a weight; 0 removes the entry.
+    pub fn set_weight(&mut self, node: NodeId, weight: f64) {
+        if weight > 0.0 {
+            self.entries.insert(node, weight);
+        } else {
+            self.entries.remove(&node);
+        }
+    }
+
+    /// Publishes an admission order.
+    pub fn set_admission(&mut self, operation: OperationId, order: AdmissionOrder) {
+        self.admission.insert(operation, order);
+    }
+
+    /// The table of one of so many subsets; the first keeps what was published.
+    pub fn for_subset(&self, subset: u16, subsets: u16) -> Table {
+        let mut table = Table {
+            subset,
+            subsets,
+            ..self.clone()
+        };
+        if subset > 0 {
+            table.entries.clear();
+            table.admission.clear();
+        }
+        table
+    }
+
+    /// Takes entries as published.
+    #[cfg(test)]
+    pub fn set_entries(&mut self, entries: NodeWeights) {
+        self.entries = entries;
+    }
+
     /// The zone of its proxies.
     pub fn zone(&self) -> ZoneId {
         self.class.zone
--- a/crates/wheelspread/src/update_plan.rs
+++ b/crates/wheelspread/src/update_plan.rs
@@ -42,7 +42,7 @@
 
 /// The greedy step and the admission cut.
 struct LastResort {
-    /// Of the load that a table moves: smaller greedy steps are not worth a message.
+    /// Of the load that a table moves: smaller greedy steps are not sent.
     least_shift: f64,
     /// Of the load that a table moves: what an admission cut is to make headroom for.
     wanted_headroom: f64,
