--- a/crates/controller-core/src/controller_core.rs
+++ b/crates/controller-core/src/controller_core.rs
@@ -1513,5 +1513,4 @@
 }
 
 #[cfg(test)]
-#[path = "tests.rs"]
 mod tests;
