--- a/crates/config-rollout/src/fleet.rs
+++ b/crates/config-rollout/src/fleet.rs
@@ -24,11 +24,11 @@
 impl Known {
     pub fn of(now: Moment, session: &ControllerCore) -> Known {
         let capacity = session
-            .learnt()
+            .capacity_snapshots()
             .map(|learnt| (learnt.node, learnt.capacity.exp()))
             .collect();
         let from = now - Span::from_seconds(session.plan().sums.period.seconds() * LOOKS_BACK);
-        let (tallies, seconds) = session.measured().between(from, now);
+        let (tallies, seconds) = session.service_history().between(from, now);
         let rate = |asked: f64| if seconds > 0.0 { asked / seconds } else { 0.0 };
         let demand = tallies
             .0
--- a/crates/config-rollout/src/rollout.rs
+++ b/crates/config-rollout/src/rollout.rs
@@ -350,7 +350,7 @@
     /// What the service was like before a change.
     fn measure(&mut self, now: Moment, session: &ControllerCore) {
         let (tallies, _) = session
-            .measured()
+            .service_history()
             .between(now - self.plans.deadlines.watch, now);
         self.baseline = Baseline::of(&tallies, session.plan());
     }
@@ -468,7 +468,7 @@
             .members()
             .members()
             .any(|(_, member)| member.joined());
-        let known = session.known_until().or(nobody.then_some(now));
+        let known = session.reported_until().or(nobody.then_some(now));
         let evidence = known.unwrap_or_default();
         let orders = self.ledger.due(now, evidence);
         self.follow(now, orders, 0);
@@ -495,7 +495,7 @@
         let Some((id, since)) = self.forced.clone() else {
             return;
         };
-        let reach = session.reach();
+        let reach = session.rollout_progress();
         // Who is away takes the newest when it comes back; until the grace is over it is waited for.
         let here = reach.away == 0 || now - since >= session.plan().rules.drain_grace;
         let there = reach.configuration == self.ledger.configuration().version;
@@ -522,7 +522,7 @@
             return;
         };
         let plan = session.plan();
-        let bare = session.without_line();
+        let bare = session.proxies_without_entries();
         self.bare_since = if bare.is_empty() {
             None
         } else {
@@ -535,7 +535,7 @@
             }
             _ => {
                 let (tallies, _) = session
-                    .measured()
+                    .service_history()
                     .between(since + plan.sums.period * SETTLES, now);
                 broken(&self.plans.conditions, &self.baseline, &tallies, plan)
             }
--- a/crates/config-rollout/tests/kills.rs
+++ b/crates/config-rollout/tests/kills.rs
@@ -217,7 +217,7 @@
         };
         running
             .session
-            .observe(self.now, Observation::List(Ok(list)));
+            .observe(self.now, Observation::EndpointList(Ok(list)));
         self.conductor = Some(running);
         let after = |n: usize| self.now + span(0.05 + 0.04 * n as f64);
         self.joins = gateways()
@@ -253,7 +253,7 @@
                 let (proxy, version) = (name, set.version);
                 running.session.observe(
                     self.now,
-                    Observation::Status {
+                    Observation::StatusReported {
                         proxy,
                         version,
                         refused: None,
@@ -349,7 +349,7 @@
         let (mut effects, mut steps) = (Vec::new(), Vec::new());
         running.session.settle(self.now, &mut effects);
         for effect in effects {
-            if let Effect::Point { proxy, set } = effect {
+            if let Effect::WriteTables { proxy, set } = effect {
                 if self.point() {
                     return None;
                 }
@@ -358,7 +358,7 @@
                     return None;
                 }
                 let version = set.version;
-                let pointed = Observation::Pointed {
+                let pointed = Observation::TablesWritten {
                     proxy: proxy.clone(),
                     version,
                     result: Ok(()),
@@ -366,7 +366,7 @@
                 running.session.observe(self.now, pointed);
                 running.session.observe(
                     self.now,
-                    Observation::Status {
+                    Observation::StatusReported {
                         proxy,
                         version,
                         refused: None,
--- a/crates/controller-core/src/controller_core.rs
+++ b/crates/controller-core/src/controller_core.rs
@@ -68,7 +68,7 @@
 #[derive(Clone, Debug)]
 pub enum Observation {
     /// The list of nodes was swapped in, or could not be read.
-    List(Result<EndpointSnapshot, String>),
+    EndpointList(Result<EndpointSnapshot, String>),
     StreamOpened {
         stream: StreamId,
         who: Introduction,
@@ -81,20 +81,20 @@
         report: LoadReport,
     },
     /// A proxy published that it holds a version, or why it refused one.
-    Status {
+    StatusReported {
         proxy: String,
         version: Version,
         refused: Option<String>,
     },
     /// A proxy was pointed at a version, or that failed.
-    Pointed {
+    TablesWritten {
         proxy: String,
         version: Version,
         result: Result<(), String>,
     },
     /// The operators gave the channel another pace.
-    Pace {
-        lines_per_second: f64,
+    PaceChanged {
+        entries_per_second: f64,
     },
     /// A proxy opened a stream to read its tables from; `brings`: the version that it says it holds.
     Subscribed {
@@ -106,22 +106,22 @@
         stream: StreamId,
     },
     /// Most refuse what a table became: its ordinary changes wait.
-    HeldBack {
+    UpdatesPaused {
         bundle: BundleId,
         until: Moment,
     },
     /// Back to an older version of a table, by order of an operator or because most refuse the newer.
-    Back {
+    RollBack {
         order: u64,
         bundle: BundleId,
         version: Version,
     },
     /// No version is stepped back to any more.
-    Free {
+    EndRollback {
         order: u64,
     },
     /// Nodes that are drained by order, whatever the list says of them; all others are not any more.
-    Drained(BTreeSet<NodeId>),
+    DrainedNodes(BTreeSet<NodeId>),
     /// A change of configuration comes into force.
     ConfigUpdated(Box<ConfigUpdate>),
 }
@@ -129,31 +129,31 @@
 #[derive(Clone, Debug)]
 pub enum Effect {
     /// The stream may report, as often as this.
-    Accept {
+    AcceptStream {
         stream: StreamId,
         period: Span,
     },
-    Close {
+    CloseStream {
         stream: StreamId,
         reason: String,
     },
     /// Write the version if it is not there yet, then point the proxy at it.
-    Point {
+    WriteTables {
         proxy: String,
         set: Arc<TableSet>,
     },
     /// The proxy reads streams: it is to be offered this, in the place of what it was not sent yet.
-    Send {
+    SendTables {
         stream: StreamId,
         set: Arc<TableSet>,
     },
     /// What came of an order.
-    Answered {
+    RollbackFinished {
         order: u64,
         result: Result<RollbackResult, String>,
     },
     /// No proxy has been pointed at the version for a while: it can go.
-    Retire {
+    RetireVersion {
         version: Version,
     },
     Log(LogEvent),
@@ -161,38 +161,38 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum LogEvent {
-    ListTaken {
+    EndpointListAccepted {
         version: String,
         ready: usize,
         changes: usize,
     },
-    ListRefused {
+    EndpointListRejected {
         reason: String,
     },
-    Joined {
+    ProxyJoined {
         proxy: String,
         zone: String,
     },
-    Left {
+    ProxyLeft {
         proxy: String,
     },
-    Subscribed {
+    ProxySubscribed {
         proxy: String,
         stream: StreamId,
     },
-    Unsubscribed {
+    ProxyUnsubscribed {
         proxy: String,
     },
-    HeldBack {
+    UpdatesPaused {
         bundle: BundleId,
         wait: Span,
     },
-    SteppedBack {
+    RolledBack {
         version: Version,
         lines: usize,
         left_out: Vec<(NodeId, &'static str)>,
     },
-    Freed {
+    RollbackEnded {
         nodes: usize,
     },
     ConfigApplied {
@@ -200,55 +200,55 @@
         nodes: usize,
     },
     /// It says what can't be while this runs.
-    NotConfigured {
+    ConfigRejected {
         configuration: u64,
         reason: String,
     },
     /// The list can't be read, and the last one that was taken stands.
-    ListRemembered {
+    EndpointListRestored {
         version: String,
         nodes: usize,
     },
-    TurnedAway {
+    StreamRejected {
         stream: StreamId,
         reason: String,
     },
-    Forgotten {
+    ProxyForgotten {
         proxy: String,
     },
-    Published {
+    VersionPublished {
         bundle: BundleId,
         version: Version,
         configuration: u64,
         proxies: usize,
         lines: usize,
     },
-    Pointed {
+    TablesWritten {
         proxy: String,
         version: Version,
     },
-    WriteFailed {
+    TableWriteFailed {
         proxy: String,
         version: Version,
         reason: String,
         again_in: Span,
     },
-    Refused {
+    TablesRejected {
         proxy: String,
         version: Version,
         reason: String,
     },
-    ReportRefused {
+    LoadReportRejected {
         proxy: String,
         reason: String,
     },
     UnknownNodes {
         count: u64,
     },
-    ChannelFull {
+    UpdateQueueFull {
         lines: f64,
     },
-    Pruned {
+    StaleEntriesPruned {
         proxy: String,
         nodes: Vec<String>,
     },
@@ -257,14 +257,14 @@
         nodes: usize,
     },
     /// The last good weights stand.
-    NotSolved {
+    SolverFailed {
         reason: String,
     },
-    Remark {
+    BalancerMessage {
         text: String,
     },
     /// The module could not use an event.
-    NotUsed {
+    EventIgnored {
         reason: String,
     },
 }
@@ -272,7 +272,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     #[error("settings that can't be: {}", .0.iter().map(|f| format!("{}: {}", f.field, f.text)).collect::<Vec<_>>().join("; "))]
-    Flaws(Vec<ConfigError>),
+    InvalidSettings(Vec<ConfigError>),
     #[error("the decisions can't start: {0}")]
     Module(String),
 }
@@ -304,16 +304,16 @@
     balancer: Balancer,
     nodes: EndpointList,
     members: Membership,
-    book: Publication,
-    channel: UpdateQueue,
-    marks: Acknowledgements,
-    sums: LoadAggregator,
-    weigher: WeightSolver,
-    fronts: Transports,
-    pins: RollbackWeights,
-    overlay: NodeOverrides,
-    measured: ServiceHistory,
-    quiet: DrainEvidence,
+    publication: Publication,
+    queue: UpdateQueue,
+    acknowledgements: Acknowledgements,
+    aggregator: LoadAggregator,
+    solver: WeightSolver,
+    transports: Transports,
+    rollback: RollbackWeights,
+    overrides: NodeOverrides,
+    history: ServiceHistory,
+    evidence: DrainEvidence,
     configuration: u64,
     /// Versions above it were made under this configuration.
     configured_at: Version,
@@ -353,7 +353,7 @@
     ) -> Result<ControllerCore, StartError> {
         let flaws = plan.flaws();
         if !flaws.is_empty() {
-            return Err(StartError::Flaws(flaws));
+            return Err(StartError::InvalidSettings(flaws));
         }
         let balancer =
             Balancer::start(now, seed, plan.facts(number, None)).map_err(StartError::Module)?;
@@ -378,16 +378,16 @@
             number,
             nodes,
             members: Membership::default(),
-            book,
-            channel: UpdateQueue::new(now, &plan.channel),
-            marks: Acknowledgements::default(),
-            sums: LoadAggregator::default(),
-            weigher: WeightSolver::default(),
-            fronts: Transports::new(plan.fronts.files),
-            pins: RollbackWeights::default(),
-            overlay,
-            measured: ServiceHistory::new(plan.sums.period),
-            quiet: DrainEvidence::default(),
+            publication: book,
+            queue: UpdateQueue::new(now, &plan.channel),
+            acknowledgements: Acknowledgements::default(),
+            aggregator: LoadAggregator::default(),
+            solver: WeightSolver::default(),
+            transports: Transports::new(plan.fronts.files),
+            rollback: RollbackWeights::default(),
+            overrides: overlay,
+            history: ServiceHistory::new(plan.sums.period),
+            evidence: DrainEvidence::default(),
             configuration: found.configuration,
             configured_at: last,
             remembered: found.list,
@@ -422,11 +422,11 @@
 
     /// The last version that was made.
     pub fn version(&self) -> Version {
-        self.book.last()
+        self.publication.last()
     }
 
-    pub fn lines_waiting(&self) -> f64 {
-        self.channel.lines_waiting()
+    pub fn queued_entries(&self) -> f64 {
+        self.queue.lines_waiting()
     }
 
     pub fn nodes(&self) -> &EndpointList {
@@ -442,50 +442,54 @@
     pub fn observe(&mut self, now: Moment, observation: Observation) {
         self.stirred = true;
         match observation {
-            Observation::List(list) => self.list(now, list),
+            Observation::EndpointList(list) => self.list(now, list),
             Observation::StreamOpened { stream, who } => self.opened(now, stream, &who),
             Observation::StreamClosed { stream } => self.closed(now, stream),
             Observation::LoadReport { stream, report } => self.report(now, stream, &report),
-            Observation::Status {
+            Observation::StatusReported {
                 proxy,
                 version,
                 refused,
             } => self.status(now, proxy, version, refused),
-            Observation::Pointed {
+            Observation::TablesWritten {
                 proxy,
                 version,
                 result,
             } => self.was_pointed(now, proxy, version, result),
-            Observation::Pace { lines_per_second } => self.channel.set_pace(lines_per_second),
+            Observation::PaceChanged { entries_per_second } => {
+                self.queue.set_pace(entries_per_second)
+            }
             Observation::Subscribed {
                 stream,
                 who,
                 brings,
             } => self.subscribed(now, stream, &who, brings),
             Observation::Unsubscribed { stream } => self.unsubscribed(now, stream),
-            Observation::HeldBack { bundle, until } => {
-                self.fronts.hold(bundle, until);
-                self.log(LogEvent::HeldBack {
+            Observation::UpdatesPaused { bundle, until } => {
+                self.transports.hold(bundle, until);
+                self.log(LogEvent::UpdatesPaused {
                     bundle,
                     wait: until - now,
                 });
             }
-            Observation::Back {
+            Observation::RollBack {
                 order,
                 bundle,
                 version,
             } => {
                 let result = self.back(now, bundle, version);
-                self.effects.push(Effect::Answered { order, result });
+                self.effects
+                    .push(Effect::RollbackFinished { order, result });
             }
-            Observation::Drained(nodes) => {
-                let changed: BTreeSet<NodeId> = self.overlay.drain(nodes).into_iter().collect();
+            Observation::DrainedNodes(nodes) => {
+                let changed: BTreeSet<NodeId> = self.overrides.drain(nodes).into_iter().collect();
                 self.relist(now, |entry| changed.contains(&entry.node));
             }
             Observation::ConfigUpdated(configured) => self.configure(now, *configured),
-            Observation::Free { order } => {
+            Observation::EndRollback { order } => {
                 let result = self.free(now);
-                self.effects.push(Effect::Answered { order, result });
+                self.effects
+                    .push(Effect::RollbackFinished { order, result });
             }
         }
     }
@@ -494,9 +498,9 @@
         self.effects.push(Effect::Log(notice));
     }
 
-    fn hear(&mut self, now: Moment, event: &Event) {
+    fn handle_event(&mut self, now: Moment, event: &Event) {
         if let Err(reason) = self.balancer.handle_event(now, event) {
-            self.log(LogEvent::NotUsed { reason });
+            self.log(LogEvent::EventIgnored { reason });
         }
     }
 
@@ -506,7 +510,7 @@
         let remembered = self.remembered.take().filter(|_| first && list.is_err());
         if let Some(remembered) = remembered {
             let (version, nodes) = (remembered.version.clone(), remembered.records.len());
-            self.log(LogEvent::ListRemembered { version, nodes });
+            self.log(LogEvent::EndpointListRestored { version, nodes });
             let outcome = self.nodes.take(now, Ok(remembered), &self.plan, true);
             self.nodes.remember();
             if let Some(event) = outcome.event {
@@ -515,7 +519,7 @@
         }
         let outcome = self.nodes.take(now, list, &self.plan, first);
         if let Some(refusal) = outcome.refusal {
-            self.log(LogEvent::ListRefused {
+            self.log(LogEvent::EndpointListRejected {
                 reason: refusal.to_string(),
             });
         }
@@ -539,7 +543,7 @@
             .filter(|(record, _)| !record.draining)
             .count();
         let version = self.nodes.version().to_string();
-        self.log(LogEvent::ListTaken {
+        self.log(LogEvent::EndpointListAccepted {
             version,
             ready,
             changes: entries.len(),
@@ -553,19 +557,22 @@
         match self.members.open(now, stream, who, &self.plan) {
             Ok(opened) => {
                 // A stream of tables goes on beside one of sums.
-                if let Some(old) = opened.superseded.filter(|old| !self.fronts.reads(*old)) {
+                if let Some(old) = opened.superseded.filter(|old| !self.transports.reads(*old)) {
                     let reason = format!("`{}` opened another stream", who.name);
-                    self.effects.push(Effect::Close {
+                    self.effects.push(Effect::CloseStream {
                         stream: old,
                         reason,
                     });
                 }
-                self.effects.push(Effect::Accept {
+                self.effects.push(Effect::AcceptStream {
                     stream,
                     period: self.plan.sums.period,
                 });
-                opened.events.iter().for_each(|event| self.hear(now, event));
-                self.log(LogEvent::Joined {
+                opened
+                    .events
+                    .iter()
+                    .for_each(|event| self.handle_event(now, event));
+                self.log(LogEvent::ProxyJoined {
                     proxy: who.name.clone(),
                     zone: who.zone.clone(),
                 });
@@ -578,11 +585,11 @@
             }
             Err(turned) => {
                 let reason = turned.to_string();
-                self.log(LogEvent::TurnedAway {
+                self.log(LogEvent::StreamRejected {
                     stream,
                     reason: reason.clone(),
                 });
-                self.effects.push(Effect::Close { stream, reason });
+                self.effects.push(Effect::CloseStream { stream, reason });
             }
         }
     }
@@ -595,9 +602,9 @@
         let (Some((proxy, id)), Some(event)) = (who, self.members.close(now, stream)) else {
             return;
         };
-        self.marks.forget(id);
-        self.hear(now, &event);
-        self.log(LogEvent::Left { proxy });
+        self.acknowledgements.forget(id);
+        self.handle_event(now, &event);
+        self.log(LogEvent::ProxyLeft { proxy });
     }
 
     fn report(&mut self, now: Moment, stream: StreamId, report: &LoadReport) {
@@ -605,18 +612,20 @@
             return;
         };
         let (name, id, zone) = (name.to_string(), member.id, member.zone);
-        let before = self.sums.unknown_nodes;
+        let before = self.aggregator.unknown_nodes;
         let nodes = &self.nodes;
-        let result = self.sums.report(id, zone, report, &self.plan, |node| {
-            nodes.record(node).is_some()
-        });
+        let result = self
+            .aggregator
+            .report(id, zone, report, &self.plan, |node| {
+                nodes.record(node).is_some()
+            });
         if let Err(absurd) = result {
             let reason = absurd.to_string();
-            self.effects.push(Effect::Close {
+            self.effects.push(Effect::CloseStream {
                 stream,
                 reason: reason.clone(),
             });
-            self.log(LogEvent::ReportRefused {
+            self.log(LogEvent::LoadReportRejected {
                 proxy: name,
                 reason,
             });
@@ -628,12 +637,12 @@
                     .position(|operation| operation.name == name)
             };
             let operation = |name: &str| operation(name).map(|at| OperationId(at as u8));
-            self.measured.hear(now, id, zone, report, operation);
-            self.quiet.hear(now, id, report);
+            self.history.hear(now, id, zone, report, operation);
+            self.evidence.hear(now, id, report);
         }
-        if self.sums.unknown_nodes > before && before == 0 {
+        if self.aggregator.unknown_nodes > before && before == 0 {
             self.log(LogEvent::UnknownNodes {
-                count: self.sums.unknown_nodes,
+                count: self.aggregator.unknown_nodes,
             });
         }
         if self.nodes.doubted_until(&self.plan).is_some() {
@@ -654,14 +663,14 @@
         let Some(id) = self.members.member(&proxy).map(|member| member.id) else {
             return;
         };
-        if refused.is_none() && version > self.book.last() {
+        if refused.is_none() && version > self.publication.last() {
             return; // what was never published can't be held
         }
         match refused {
-            None => self.marks.told(now, id, version),
+            None => self.acknowledgements.told(now, id, version),
             Some(reason) => {
-                self.marks.refused(id, version);
-                self.log(LogEvent::Refused {
+                self.acknowledgements.refused(id, version);
+                self.log(LogEvent::TablesRejected {
                     proxy,
                     version,
                     reason,
@@ -686,14 +695,14 @@
         };
         match result {
             Ok(()) => {
-                self.channel.done(id);
-                self.marks.pointed(now, id, version);
+                self.queue.done(id);
+                self.acknowledgements.pointed(now, id, version);
                 self.pointed.insert(id, set);
-                self.log(LogEvent::Pointed { proxy, version });
+                self.log(LogEvent::TablesWritten { proxy, version });
             }
             Err(reason) => {
-                let again_in = self.channel.failed(now, id, Urgency::Change);
-                self.log(LogEvent::WriteFailed {
+                let again_in = self.queue.failed(now, id, Urgency::Change);
+                self.log(LogEvent::TableWriteFailed {
                     proxy,
                     version,
                     reason,
@@ -712,24 +721,27 @@
     ) {
         if !self.plan.fronts.streams {
             let reason = "tables are not given out by streams here".to_string();
-            return self.effects.push(Effect::Close { stream, reason });
+            return self.effects.push(Effect::CloseStream { stream, reason });
         }
         let known = self.members.member(&who.name);
         let by_sums =
-            known.is_some_and(|member| member.stream().is_some_and(|s| !self.fronts.reads(s)));
+            known.is_some_and(|member| member.stream().is_some_and(|s| !self.transports.reads(s)));
         if !by_sums {
             match self.members.open(now, stream, who, &self.plan) {
-                Ok(opened) => opened.events.iter().for_each(|event| self.hear(now, event)),
+                Ok(opened) => opened
+                    .events
+                    .iter()
+                    .for_each(|event| self.handle_event(now, event)),
                 Err(turned) => {
                     let reason = turned.to_string();
-                    self.log(LogEvent::TurnedAway {
+                    self.log(LogEvent::StreamRejected {
                         stream,
                         reason: reason.clone(),
                     });
-                    return self.effects.push(Effect::Close { stream, reason });
+                    return self.effects.push(Effect::CloseStream { stream, reason });
                 }
             }
-            self.log(LogEvent::Joined {
+            self.log(LogEvent::ProxyJoined {
                 proxy: who.name.clone(),
                 zone: who.zone.clone(),
             });
@@ -737,21 +749,21 @@
         let Some(id) = self.members.member(&who.name).map(|member| member.id) else {
             return;
         };
-        let brings = brings.filter(|version| self.book.at_least(*version));
-        if let Some(old) = self.fronts.open(id, stream, brings) {
+        let brings = brings.filter(|version| self.publication.at_least(*version));
+        if let Some(old) = self.transports.open(id, stream, brings) {
             let reason = format!("`{}` opened another stream", who.name);
-            self.effects.push(Effect::Close {
+            self.effects.push(Effect::CloseStream {
                 stream: old,
                 reason,
             });
         }
         self.strangers.remove(&who.name);
         self.sent.remove(&id);
-        self.channel.drop_message(id);
+        self.queue.drop_message(id);
         self.pointed.remove(&id);
         // It speaks for itself: nothing is assumed of it.
-        self.marks.streams(id);
-        self.log(LogEvent::Subscribed {
+        self.acknowledgements.streams(id);
+        self.log(LogEvent::ProxySubscribed {
             proxy: who.name.clone(),
             stream,
         });
@@ -759,11 +771,11 @@
     }
 
     fn unsubscribed(&mut self, now: Moment, stream: StreamId) {
-        if let Some(id) = self.fronts.close(stream) {
+        if let Some(id) = self.transports.close(stream) {
             self.pointed.remove(&id);
-            self.channel.drop_message(id);
+            self.queue.drop_message(id);
             let proxy = self.members.name(id).unwrap_or_default().to_string();
-            self.log(LogEvent::Unsubscribed { proxy });
+            self.log(LogEvent::ProxyUnsubscribed { proxy });
         }
         self.closed(now, stream);
     }
@@ -782,26 +794,26 @@
         self.recent = kept;
     }
 
-    pub fn recent(&self) -> impl Iterator<Item = &Arc<TableSet>> {
+    pub fn retained_versions(&self) -> impl Iterator<Item = &Arc<TableSet>> {
         self.recent.values()
     }
 
-    pub fn reads(&self, proxy: ProxyId) -> ProxyTableStatus<'_> {
+    pub fn table_status(&self, proxy: ProxyId) -> ProxyTableStatus<'_> {
         let newest = self
-            .book
+            .publication
             .bundle_of(proxy)
-            .and_then(|bundle| self.book.newest(bundle));
-        let refused = self.marks.refused_version(proxy);
+            .and_then(|bundle| self.publication.newest(bundle));
+        let refused = self.acknowledgements.refused_version(proxy);
         ProxyTableStatus {
             newest,
-            front: self.fronts.front(proxy),
-            holds: self.marks.holds(proxy),
+            front: self.transports.front(proxy),
+            holds: self.acknowledgements.holds(proxy),
             refused,
         }
     }
 
-    pub fn stepped_back_to(&self) -> Option<Version> {
-        self.pins.version()
+    pub fn rollback_target(&self) -> Option<Version> {
+        self.rollback.version()
     }
 
     fn back(
@@ -823,7 +835,7 @@
             .iter()
             .map(|(node, why)| (*node, why.word()))
             .collect();
-        self.log(LogEvent::SteppedBack {
+        self.log(LogEvent::RolledBack {
             version,
             lines: stepped.lines,
             left_out,
@@ -833,21 +845,26 @@
 
     fn step(&mut self, now: Moment, old: &Arc<TableSet>) -> Result<RollbackResult, String> {
         let newest = self
-            .book
+            .publication
             .newest(old.bundle)
             .cloned()
             .ok_or("this table was never published")?;
         let listed = self.serving().map(|entry| (entry.node, entry)).collect();
-        let stepped = self.pins.step(now, old, &newest, &listed, &self.plan.rules);
+        let stepped = self
+            .rollback
+            .step(now, old, &newest, &listed, &self.plan.rules);
         self.relist(now, |entry| entry.status == EndpointStatus::Ready);
         Ok(stepped)
     }
 
     fn free(&mut self, now: Moment) -> Result<RollbackResult, String> {
-        let version = self.pins.version().ok_or("no version is stepped back to")?;
-        let nodes: BTreeSet<NodeId> = self.pins.free().into_iter().collect();
+        let version = self
+            .rollback
+            .version()
+            .ok_or("no version is stepped back to")?;
+        let nodes: BTreeSet<NodeId> = self.rollback.free().into_iter().collect();
         self.relist(now, |entry| nodes.contains(&entry.node));
-        self.log(LogEvent::Freed { nodes: nodes.len() });
+        self.log(LogEvent::RollbackEnded { nodes: nodes.len() });
         Ok(RollbackResult {
             version,
             lines: nodes.len(),
@@ -874,9 +891,9 @@
 
     /// What the list says goes to the module as the configuration, the solver and steps back have it.
     fn tell_list(&mut self, now: Moment, event: Event) {
-        let event = self.overlay.put(now, event);
-        let event = self.pins.put(self.weigher.put(event));
-        self.hear(now, &event);
+        let event = self.overrides.put(now, event);
+        let event = self.rollback.put(self.solver.put(event));
+        self.handle_event(now, &event);
     }
 
     /// Another configuration is in force from now on: the module hears its figures and where nodes serve, all
@@ -888,20 +905,20 @@
             values,
         } = configured;
         if let Err(reason) = self.balancer.reconfigure(plan.facts(self.number, None)) {
-            return self.log(LogEvent::NotConfigured {
+            return self.log(LogEvent::ConfigRejected {
                 configuration: version,
                 reason,
             });
         }
-        self.channel.set_plan(&plan.channel);
+        self.queue.set_plan(&plan.channel);
         self.plan = plan;
         let (plan, nodes) = (&self.plan, &mut self.nodes);
-        let spoken = self
-            .overlay
-            .set(values, |zone| zone_of(plan, zone), |cell| nodes.cell(cell));
+        let spoken =
+            self.overrides
+                .set(values, |zone| zone_of(plan, zone), |cell| nodes.cell(cell));
         self.configuration = version;
-        self.configured_at = self.book.last();
-        self.book.configure(version);
+        self.configured_at = self.publication.last();
+        self.publication.configure(version);
         let spoken: BTreeSet<NodeId> = spoken.into_iter().collect();
         self.relist(now, |entry| spoken.contains(&entry.node));
         self.log(LogEvent::ConfigApplied {
@@ -912,17 +929,20 @@
 
     /// Nodes that have left one pool are listed in the other.
     fn arrive(&mut self, now: Moment) {
-        if self.overlay.between() == 0 {
+        if self.overrides.between() == 0 {
             return;
         }
         let joined = self.members.members().filter(|(_, member)| member.joined());
         let readers: Vec<(Option<Version>, &Arc<TableSet>)> = joined
             .filter_map(|(_, member)| {
                 let newest = self
-                    .book
+                    .publication
                     .bundle_of(member.id)
-                    .and_then(|bundle| self.book.newest(bundle))?;
-                Some((self.marks.holds(member.id).map(|held| held.0), newest))
+                    .and_then(|bundle| self.publication.newest(bundle))?;
+                Some((
+                    self.acknowledgements.holds(member.id).map(|held| held.0),
+                    newest,
+                ))
             })
             .collect();
         let names = |set: &TableSet, node: NodeId| {
@@ -939,7 +959,7 @@
                     .any(|(holds, newest)| *holds < Some(newest.version) || names(newest, node))
         };
         let arrived: BTreeSet<NodeId> = self
-            .overlay
+            .overrides
             .arrived(now, self.plan.rules.drain_grace, named)
             .into_iter()
             .collect();
@@ -949,10 +969,12 @@
     }
 
     /// How far the configuration has come.
-    pub fn reach(&self) -> RolloutProgress {
+    pub fn rollout_progress(&self) -> RolloutProgress {
         let lacks = |member: &crate::membership::Member| {
-            let bound = self.book.bundle_of(member.id).is_some();
-            bound && self.marks.holds(member.id).map(|held| held.0) <= Some(self.configured_at)
+            let bound = self.publication.bundle_of(member.id).is_some();
+            bound
+                && self.acknowledgements.holds(member.id).map(|held| held.0)
+                    <= Some(self.configured_at)
         };
         let members = self
             .members
@@ -967,7 +989,7 @@
                     .members()
                     .filter(|(_, member)| !member.joined())
                     .count(),
-            between: self.overlay.between(),
+            between: self.overrides.between(),
         }
     }
 
@@ -975,7 +997,7 @@
     pub fn serving(&self) -> impl Iterator<Item = EndpointEntry> + '_ {
         self.nodes
             .listed()
-            .map(|(_, entry)| self.overlay.over(entry))
+            .map(|(_, entry)| self.overrides.over(entry))
     }
 
     /// Listed nodes as another configuration would have them.
@@ -989,24 +1011,24 @@
             .collect()
     }
 
-    pub fn measured(&self) -> &ServiceHistory {
-        &self.measured
+    pub fn service_history(&self) -> &ServiceHistory {
+        &self.history
     }
 
     /// Up to when all joined proxies that report have told what they met.
-    pub fn known_until(&self) -> Option<Moment> {
+    pub fn reported_until(&self) -> Option<Moment> {
         let joined = self.members.members().filter(|(_, member)| member.joined());
-        self.measured
+        self.history
             .known_until(joined.map(|(_, member)| member.id))
     }
 
     /// Joined proxies whose newest tables lack a line for some operation.
-    pub fn without_line(&self) -> Vec<String> {
+    pub fn proxies_without_entries(&self) -> Vec<String> {
         let lacks = |id: ProxyId| {
             let newest = self
-                .book
+                .publication
                 .bundle_of(id)
-                .and_then(|bundle| self.book.newest(bundle));
+                .and_then(|bundle| self.publication.newest(bundle));
             newest.is_some_and(|set| {
                 set.operations
                     .iter()
@@ -1021,18 +1043,18 @@
     }
 
     /// From now on tries at a node count that should get nothing.
-    pub fn watch(&mut self, now: Moment, node: NodeId) {
-        self.quiet.watch(now, node);
+    pub fn watch_drained_node(&mut self, now: Moment, node: NodeId) {
+        self.evidence.watch(now, node);
     }
 
     /// Joined gateways that hold a table which names a node, or of which it is not known what they hold.
-    pub fn named_by(&self, node: NodeId) -> Vec<String> {
+    pub fn proxies_naming(&self, node: NodeId) -> Vec<String> {
         let holds = |id: ProxyId| {
             let newest = self
-                .book
+                .publication
                 .bundle_of(id)
-                .and_then(|bundle| self.book.newest(bundle))?;
-            let held = self.marks.holds(id).map(|held| held.0)?;
+                .and_then(|bundle| self.publication.newest(bundle))?;
+            let held = self.acknowledgements.holds(id).map(|held| held.0)?;
             let set = if held == newest.version {
                 Some(newest)
             } else {
@@ -1049,31 +1071,31 @@
         named.map(|(name, _)| name.to_string()).collect()
     }
 
-    pub fn traces(&self, node: NodeId) -> EvidenceSummary {
-        let (tries, heard) = self.quiet.of(node);
+    pub fn drain_evidence(&self, node: NodeId) -> EvidenceSummary {
+        let (tries, heard) = self.evidence.of(node);
         let gateways = self
             .members
             .members()
             .filter(|(_, member)| member.joined())
             .count();
         EvidenceSummary {
-            named_by: self.named_by(node).len(),
+            named_by: self.proxies_naming(node).len(),
             gateways,
             tries,
             heard,
         }
     }
 
-    pub fn drained(&self) -> &BTreeSet<NodeId> {
-        self.overlay.drained()
+    pub fn drained_nodes(&self) -> &BTreeSet<NodeId> {
+        self.overrides.drained()
     }
 
     /// Messages that were sent to proxies, and those that a newer one overtook.
     pub fn messages(&self) -> (u64, u64) {
-        (self.channel.messages, self.channel.overtaken)
+        (self.queue.messages, self.queue.overtaken)
     }
 
-    pub fn learnt(&self) -> impl Iterator<Item = CapacitySnapshot> + '_ {
+    pub fn capacity_snapshots(&self) -> impl Iterator<Item = CapacitySnapshot> + '_ {
         self.balancer.capacity_snapshots()
     }
 
@@ -1094,7 +1116,7 @@
             self.decide(now);
         }
         self.prune(now);
-        for proxy in self.fronts.resumed(now) {
+        for proxy in self.transports.resumed(now) {
             self.offer(now, proxy, false);
         }
         self.send(now);
@@ -1105,33 +1127,35 @@
         now >= self.next_period
             || self.echo_at.is_some_and(|at| at <= now)
             || self.timers.first().is_some_and(|(at, _)| *at <= now)
-            || self.marks.wake_at().is_some_and(|at| at <= now)
+            || self.acknowledgements.wake_at().is_some_and(|at| at <= now)
     }
 
     fn decide(&mut self, now: Moment) {
         while let Some((_, timer)) = self.timers.first().copied().filter(|(at, _)| *at <= now) {
             self.timers.pop_first();
-            self.hear(now, &Event::TimerFired { timer });
+            self.handle_event(now, &Event::TimerFired { timer });
         }
         if now >= self.next_period {
             // A loop that stood still for periods makes up for none of them.
             let period = self.plan.sums.period;
             self.next_period = (self.next_period + period).max(now + period * 0.5);
-            let events = self.sums.drain(&self.members);
-            events.iter().for_each(|event| self.hear(now, event));
+            let events = self.aggregator.drain(&self.members);
+            events
+                .iter()
+                .for_each(|event| self.handle_event(now, event));
             self.weigh(now, &events);
-            if let Some(old) = self.pins.due(now) {
+            if let Some(old) = self.rollback.due(now) {
                 // A table that is not published any more is not corrected.
                 let _ = self.step(now, &old);
             }
             for proxy in self.members.forget(now, &self.plan) {
-                self.log(LogEvent::Forgotten { proxy });
+                self.log(LogEvent::ProxyForgotten { proxy });
             }
             self.let_go();
             self.retire(now);
         }
-        for event in self.marks.answered(now) {
-            self.hear(now, &event);
+        for event in self.acknowledgements.answered(now) {
+            self.handle_event(now, &event);
         }
         self.arrive(now);
         let mut actions = Vec::new();
@@ -1144,14 +1168,14 @@
                     table,
                     node,
                     weight,
-                } => self.book.set_line(table, node, weight),
-                Action::ClearTable { table } => self.book.clear(table),
+                } => self.publication.set_line(table, node, weight),
+                Action::ClearTable { table } => self.publication.clear(table),
                 Action::BindTable {
                     proxy,
                     table,
                     operations,
                 } => {
-                    self.book.bind(proxy, table, &operations);
+                    self.publication.bind(proxy, table, &operations);
                     bound.insert(proxy);
                 }
                 Action::SetAdmission {
@@ -1160,9 +1184,9 @@
                     limit: quota,
                     retry,
                 } => {
-                    self.book.set_level(table, &operations, quota, retry);
+                    self.publication.set_level(table, &operations, quota, retry);
                 }
-                Action::EjectNode { node, ejected: out } => self.book.withdraw(node, out),
+                Action::EjectNode { node, ejected: out } => self.publication.withdraw(node, out),
                 Action::SendMarker {
                     marker: mark,
                     to_all: everyone,
@@ -1173,7 +1197,7 @@
                     let whole = self.nodes.complete();
                     self.tell_list(now, whole);
                 }
-                Action::Log { message: text } => self.log(LogEvent::Remark { text }),
+                Action::Log { message: text } => self.log(LogEvent::BalancerMessage { text }),
                 // Not allowed by the facts that this program gives.
                 Action::WatchEndpoints { .. }
                 | Action::ProbeNode { .. }
@@ -1190,7 +1214,7 @@
         marks: Vec<(wheelspread::ids::MarkerId, bool)>,
     ) {
         let anew = touched.clone();
-        let (nodes, overlay) = (&self.nodes, &self.overlay);
+        let (nodes, overlay) = (&self.nodes, &self.overrides);
         let listed = |node: NodeId| nodes.record(node).map_or("", |record| record.zone.as_str());
         let zone = |node: NodeId| {
             overlay
@@ -1198,10 +1222,10 @@
                 .unwrap_or_else(|| listed(node))
                 .to_string()
         };
-        let published: BTreeSet<BundleId> = self.book.publish(zone).into_iter().collect();
-        let bound: Vec<ProxyId> = self.book.bound().collect();
+        let published: BTreeSet<BundleId> = self.publication.publish(zone).into_iter().collect();
+        let bound: Vec<ProxyId> = self.publication.bound().collect();
         let users = bound.iter().filter(|proxy| {
-            self.book
+            self.publication
                 .bundle_of(**proxy)
                 .is_some_and(|b| published.contains(&b))
         });
@@ -1209,9 +1233,9 @@
         for bundle in &published {
             let proxies = bound
                 .iter()
-                .filter(|proxy| self.book.bundle_of(**proxy) == Some(*bundle))
+                .filter(|proxy| self.publication.bundle_of(**proxy) == Some(*bundle))
                 .count();
-            if let Some(set) = self.book.newest(*bundle) {
+            if let Some(set) = self.publication.newest(*bundle) {
                 let lines = set
                     .operations
                     .iter()
@@ -1221,7 +1245,7 @@
                 let version = set.version;
                 self.recent.insert(version, set.clone());
                 let configuration = set.configuration;
-                self.log(LogEvent::Published {
+                self.log(LogEvent::VersionPublished {
                     bundle: *bundle,
                     version,
                     configuration,
@@ -1252,26 +1276,26 @@
                 .collect();
             for proxy in asked {
                 let newest = self
-                    .book
+                    .publication
                     .bundle_of(proxy)
-                    .and_then(|bundle| self.book.newest(bundle));
+                    .and_then(|bundle| self.publication.newest(bundle));
                 let Some(version) = newest.map(|set| set.version) else {
                     continue;
                 };
-                self.marks.ask(now, proxy, mark, version);
+                self.acknowledgements.ask(now, proxy, mark, version);
                 if self
                     .pointed
                     .get(&proxy)
                     .is_some_and(|set| set.version >= version)
                 {
-                    self.marks.pointed(now, proxy, version);
+                    self.acknowledgements.pointed(now, proxy, version);
                 }
             }
         }
-        let full = self.channel.full();
+        let full = self.queue.full();
         if full && !self.full {
-            self.log(LogEvent::ChannelFull {
-                lines: self.channel.lines_waiting(),
+            self.log(LogEvent::UpdateQueueFull {
+                lines: self.queue.lines_waiting(),
             });
         }
         self.full = full;
@@ -1281,9 +1305,9 @@
     /// not start `anew`.
     fn offer(&mut self, now: Moment, proxy: ProxyId, anew: bool) {
         let Some(newest) = self
-            .book
+            .publication
             .bundle_of(proxy)
-            .and_then(|bundle| self.book.newest(bundle))
+            .and_then(|bundle| self.publication.newest(bundle))
         else {
             return;
         };
@@ -1292,7 +1316,7 @@
             return;
         }
         let (newest, held) = (newest.clone(), held.cloned());
-        let front = self.fronts.front(proxy);
+        let front = self.transports.front(proxy);
         if front == Transport::Away {
             return; // it comes back to the newest
         }
@@ -1304,58 +1328,58 @@
             (false, _) => Urgency::Away,
             (true, Some(held)) if removes_lines(held, &newest) => Urgency::Removal,
             // After a stream broke it is not known what the proxy has taken; what it says of itself counts.
-            (true, None) if !self.fronts.brought(proxy) => Urgency::Empty,
+            (true, None) if !self.transports.brought(proxy) => Urgency::Empty,
             (true, _) => Urgency::Change,
         };
         let lines = lines_apart(held.as_deref(), &newest) as f64;
-        if urgency == Urgency::Change && self.fronts.postpone(now, newest.bundle, proxy) {
+        if urgency == Urgency::Change && self.transports.postpone(now, newest.bundle, proxy) {
             return;
         }
-        self.channel.offer(now, proxy, lines, urgency);
+        self.queue.offer(now, proxy, lines, urgency);
     }
 
     fn send(&mut self, now: Moment) {
-        while let Some(id) = self.channel.next(now) {
+        while let Some(id) = self.queue.next(now) {
             let newest = self
-                .book
+                .publication
                 .bundle_of(id)
-                .and_then(|bundle| self.book.newest(bundle))
+                .and_then(|bundle| self.publication.newest(bundle))
                 .cloned();
             let (Some(set), Some(name)) = (newest, self.members.name(id)) else {
-                self.channel.done(id);
+                self.queue.done(id);
                 continue;
             };
-            match self.fronts.front(id) {
+            match self.transports.front(id) {
                 Transport::Files => {
                     let proxy = name.to_string();
                     self.sent.insert(id, set.clone());
-                    self.effects.push(Effect::Point { proxy, set });
+                    self.effects.push(Effect::WriteTables { proxy, set });
                 }
                 // A stream keeps no queue: what it was offered last is what it will send.
                 Transport::Stream(stream) => {
-                    self.channel.done(id);
-                    self.marks.pointed(now, id, set.version);
+                    self.queue.done(id);
+                    self.acknowledgements.pointed(now, id, set.version);
                     self.pointed.insert(id, set.clone());
-                    self.effects.push(Effect::Send { stream, set });
+                    self.effects.push(Effect::SendTables { stream, set });
                 }
-                Transport::Away => self.channel.done(id),
+                Transport::Away => self.queue.done(id),
             }
         }
     }
 
     /// Proxies that were forgotten are written to no more.
     fn let_go(&mut self) {
-        let bound: Vec<ProxyId> = self.book.bound().collect();
+        let bound: Vec<ProxyId> = self.publication.bound().collect();
         for id in bound
             .into_iter()
             .filter(|id| self.members.name(*id).is_none())
         {
-            self.book.unbind(id);
-            self.channel.drop_proxy(id);
-            self.marks.forget(id);
-            self.sums.forget(id);
-            self.measured.forget(id);
-            self.fronts.forget(id);
+            self.publication.unbind(id);
+            self.queue.drop_proxy(id);
+            self.acknowledgements.forget(id);
+            self.aggregator.forget(id);
+            self.history.forget(id);
+            self.transports.forget(id);
             self.pointed.remove(&id);
             self.sent.remove(&id);
         }
@@ -1366,9 +1390,9 @@
         let Some(solver) = &self.plan.solver else {
             return;
         };
-        self.weigher
+        self.solver
             .hear(events, &self.plan, solver, &self.members, &self.nodes);
-        match self.weigher.round(now, &self.plan, solver, &self.nodes) {
+        match self.solver.round(now, &self.plan, solver, &self.nodes) {
             Some(SolverOutcome::Changed(entries)) => {
                 self.log(LogEvent::WeightsSolved {
                     nodes: entries.len(),
@@ -1381,7 +1405,7 @@
                     },
                 );
             }
-            Some(SolverOutcome::Failed(reason)) => self.log(LogEvent::NotSolved { reason }),
+            Some(SolverOutcome::Failed(reason)) => self.log(LogEvent::SolverFailed { reason }),
             None => {}
         }
     }
@@ -1393,7 +1417,7 @@
             .chain(self.sent.values())
             .map(|set| set.version);
         let strangers = self.strangers.values().map(|set| set.version);
-        let newest = self.book.in_force().map(|set| set.version);
+        let newest = self.publication.in_force().map(|set| set.version);
         for version in pointed.chain(strangers).chain(newest) {
             self.lying.insert(version, now);
         }
@@ -1408,7 +1432,7 @@
             .collect();
         for version in old {
             self.lying.remove(&version);
-            self.effects.push(Effect::Retire { version });
+            self.effects.push(Effect::RetireVersion { version });
         }
     }
 
@@ -1426,9 +1450,9 @@
         let ready: BTreeSet<NodeId> = self
             .nodes
             .listed()
-            .map(|(_, entry)| self.overlay.over(entry))
+            .map(|(_, entry)| self.overrides.over(entry))
             .filter(|entry| {
-                entry.status == EndpointStatus::Ready && !self.overlay.is_between(entry.node)
+                entry.status == EndpointStatus::Ready && !self.overrides.is_between(entry.node)
             })
             .map(|entry| entry.node)
             .collect();
@@ -1459,18 +1483,18 @@
             if out.is_empty() {
                 continue;
             }
-            set.version = self.book.number();
+            set.version = self.publication.number();
             // A bundle of its own: nobody else reads it.
             set.bundle = BundleId(u32::MAX);
             self.lying.insert(set.version, now);
             self.strangers.insert(proxy.clone(), set.clone());
             self.stranger_writes.insert(proxy.clone());
             let nodes = out.into_iter().map(show).collect();
-            self.log(LogEvent::Pruned {
+            self.log(LogEvent::StaleEntriesPruned {
                 proxy: proxy.clone(),
                 nodes,
             });
-            self.effects.push(Effect::Point {
+            self.effects.push(Effect::WriteTables {
                 proxy,
                 set: Arc::new(set),
             });
@@ -1489,10 +1513,10 @@
         }
         let doubted = self.nodes.doubted_until(&self.plan);
         let timer = self.timers.first().map(|(at, _)| *at);
-        let held = self.fronts.wake_at();
+        let held = self.transports.wake_at();
         let times = [
             timer,
-            self.marks.wake_at(),
+            self.acknowledgements.wake_at(),
             self.prune_at,
             self.echo_at,
             doubted,
@@ -1501,7 +1525,7 @@
         for due in times.into_iter().flatten() {
             at = at.min(due.max(self.next_settle));
         }
-        self.channel.wake_at(now).map_or(at, |due| at.min(due))
+        self.queue.wake_at(now).map_or(at, |due| at.min(due))
     }
 }
 
--- a/crates/controller-core/src/controller_core/tests.rs
+++ b/crates/controller-core/src/controller_core/tests.rs
@@ -70,7 +70,8 @@
             version: self.list_version.to_string(),
             records,
         };
-        self.session.observe(self.now, Observation::List(Ok(list)));
+        self.session
+            .observe(self.now, Observation::EndpointList(Ok(list)));
         self.turn();
     }
 
@@ -121,7 +122,7 @@
         self.session.settle(self.now, &mut effects);
         for effect in effects {
             match effect {
-                Effect::Point { proxy, set } => {
+                Effect::WriteTables { proxy, set } => {
                     let version = set.version;
                     let result = if self.failing {
                         Err("the disk is full".to_string())
@@ -137,23 +138,23 @@
                     }
                     self.session.observe(
                         self.now,
-                        Observation::Pointed {
+                        Observation::TablesWritten {
                             proxy,
                             version,
                             result,
                         },
                     );
                 }
-                Effect::Close { stream, reason } => {
+                Effect::CloseStream { stream, reason } => {
                     self.closed.push((stream, reason));
                     self.session
                         .observe(self.now, Observation::StreamClosed { stream });
                 }
                 Effect::Log(notice) => self.notices.push(notice),
-                Effect::Retire { version } => self.retired.push(version),
-                Effect::Accept { .. } => {}
-                Effect::Send { stream, set } => self.sends.push((stream, set)),
-                Effect::Answered { result, .. } => self.answers.push(result),
+                Effect::RetireVersion { version } => self.retired.push(version),
+                Effect::AcceptStream { .. } => {}
+                Effect::SendTables { stream, set } => self.sends.push((stream, set)),
+                Effect::RollbackFinished { result, .. } => self.answers.push(result),
             }
         }
     }
@@ -276,7 +277,7 @@
     stage.failing = true;
     stage.list((1..=8).map(|port| record(port, port == 2, 500.0)).collect());
     stage.pass(0.8, &[1, 2]);
-    let failed = |notice: &&LogEvent| matches!(notice, LogEvent::WriteFailed { reason, .. } if reason.contains("full"));
+    let failed = |notice: &&LogEvent| matches!(notice, LogEvent::TableWriteFailed { reason, .. } if reason.contains("full"));
     assert!(
         stage.notices.iter().filter(failed).count() >= 2,
         "named, and tried again: {:?}",
@@ -455,7 +456,7 @@
     let mut stage = solving();
     stage.pass(12.0, &[1, 2]);
     let weights = |stage: &Stage| {
-        let of = |port: u16| stage.session.weigher.weight(node(port)).unwrap_or(1.0);
+        let of = |port: u16| stage.session.solver.weight(node(port)).unwrap_or(1.0);
         (of(2), of(6))
     };
     // One quote every period or so at each of them: little is known, so what was told stands.
@@ -475,7 +476,7 @@
 fn a_solve_that_fails_leaves_the_last_weights_and_is_told() {
     let mut stage = solving();
     stage.pass(6.0, &[1, 2]);
-    let before = stage.session.weigher.weight(node(6));
+    let before = stage.session.solver.weight(node(6));
     // A demand for what no host is left to do can't be solved: every node drains.
     let records = kinds(false)
         .into_iter()
@@ -486,9 +487,9 @@
         .collect();
     stage.list(records);
     stage.pass(4.0, &[1, 2]);
-    let failed = |notice: &LogEvent| matches!(notice, LogEvent::NotSolved { reason } if reason.contains("no capacity"));
+    let failed = |notice: &LogEvent| matches!(notice, LogEvent::SolverFailed { reason } if reason.contains("no capacity"));
     assert!(stage.notices.iter().any(failed));
-    assert_eq!(stage.session.weigher.weight(node(6)), before);
+    assert_eq!(stage.session.solver.weight(node(6)), before);
 }
 
 #[test]
@@ -590,7 +591,7 @@
     let until = stage.now + Span::from_seconds(5.0);
     stage
         .session
-        .observe(stage.now, Observation::HeldBack { bundle, until });
+        .observe(stage.now, Observation::UpdatesPaused { bundle, until });
     let sent = stage.sends.len();
     let mut records: Vec<EndpointRecord> = (1..=8).map(|port| record(port, false, 500.0)).collect();
     records.push(record(9, false, 500.0));
@@ -631,7 +632,7 @@
     stage.pass(3.0, &[1, 2]);
     let newer = stage.last_sent(9).expect("sent").clone();
     assert!(weight(&newer, 2) > 3.0 * weight(&newer, 4));
-    let order = Observation::Back {
+    let order = Observation::RollBack {
         order: 1,
         bundle: old.bundle,
         version: old.version,
@@ -655,7 +656,7 @@
     assert!(!ports(now).contains(&6));
     stage.session.observe(
         stage.now,
-        Observation::Back {
+        Observation::RollBack {
             order: 2,
             bundle: old.bundle,
             version: Version(1 << 40),
@@ -663,7 +664,7 @@
     );
     stage
         .session
-        .observe(stage.now, Observation::Free { order: 3 });
+        .observe(stage.now, Observation::EndRollback { order: 3 });
     stage.pass(4.0, &[1, 2]);
     assert!(stage.answers[1]
         .as_ref()
--- a/crates/controller/src/drains.rs
+++ b/crates/controller/src/drains.rs
@@ -226,8 +226,8 @@
         }
         self.follow(now, 0);
         let out = self.out();
-        if out != *session.drained() {
-            session.observe(now, Observation::Drained(out));
+        if out != *session.drained_nodes() {
+            session.observe(now, Observation::DrainedNodes(out));
         }
         let grace = session.plan().rules.drain_grace;
         let going: Vec<(String, State)> = self
@@ -238,7 +238,7 @@
             .collect();
         for (name, before) in going {
             let Some(id) = node(&name) else { continue };
-            let traces = session.traces(id);
+            let traces = session.drain_evidence(id);
             let evidence = Evidence {
                 named_by: traces.named_by,
                 gateways: traces.gateways,
@@ -248,7 +248,7 @@
             self.book.see(now, &name, grace, evidence);
             let after = self.book.drain(&name).map(|drain| drain.state);
             if before == State::Telling && after == Some(State::InForce) {
-                session.watch(now, id);
+                session.watch_drained_node(now, id);
             }
         }
         self.book.forget(now, grace);
--- a/crates/controller/src/front.rs
+++ b/crates/controller/src/front.rs
@@ -70,7 +70,7 @@
         session.observe(now, observation);
         if let Some((stream, name)) = opened {
             let reads = |id: &ProxyId| {
-                session.reads(*id).front
+                session.table_status(*id).front
                     == wheelspread_controller_core::transport::Transport::Stream(stream)
             };
             if let Some(id) = session
@@ -153,16 +153,16 @@
                     verdict,
                 } => {
                     status(now, session, proxy, version, Some(reason));
-                    let bundle = session.reads(proxy).newest.map(|set| set.bundle);
+                    let bundle = session.table_status(proxy).newest.map(|set| set.bundle);
                     match (verdict, bundle) {
                         (Verdict::Hold, Some(bundle)) => {
                             let until = self.front.held_until(bundle).unwrap_or(now);
-                            session.observe(now, Observation::HeldBack { bundle, until });
+                            session.observe(now, Observation::UpdatesPaused { bundle, until });
                         }
                         (Verdict::Back(version), Some(bundle)) => {
                             session.observe(
                                 now,
-                                Observation::Back {
+                                Observation::RollBack {
                                     order: OWN,
                                     bundle,
                                     version,
@@ -217,7 +217,7 @@
     if let Some(proxy) = session.members().name(proxy).map(str::to_string) {
         session.observe(
             now,
-            Observation::Status {
+            Observation::StatusReported {
                 proxy,
                 version,
                 refused,
--- a/crates/controller/src/log.rs
+++ b/crates/controller/src/log.rs
@@ -40,26 +40,26 @@
 
 pub fn notice(notice: &LogEvent) {
     match notice {
-        LogEvent::ListTaken {
+        LogEvent::EndpointListAccepted {
             version,
             ready,
             changes,
         } => info!(version, ready, changes, "list taken"),
-        LogEvent::ListRefused { reason } => warn!(reason, "list kept out"),
-        LogEvent::Joined { proxy, zone } => info!(proxy, zone, "proxy joined"),
-        LogEvent::Left { proxy } => info!(proxy, "proxy left"),
-        LogEvent::Subscribed { proxy, stream } => {
+        LogEvent::EndpointListRejected { reason } => warn!(reason, "list kept out"),
+        LogEvent::ProxyJoined { proxy, zone } => info!(proxy, zone, "proxy joined"),
+        LogEvent::ProxyLeft { proxy } => info!(proxy, "proxy left"),
+        LogEvent::ProxySubscribed { proxy, stream } => {
             info!(proxy, stream = stream.0, "proxy reads a stream")
         }
-        LogEvent::Unsubscribed { proxy } => info!(proxy, "proxy reads no stream any more"),
-        LogEvent::HeldBack { bundle, wait } => {
+        LogEvent::ProxyUnsubscribed { proxy } => info!(proxy, "proxy reads no stream any more"),
+        LogEvent::UpdatesPaused { bundle, wait } => {
             let wait_s = wait.seconds();
             warn!(
                 table = bundle.0,
                 wait_s, "most refuse this table, its ordinary changes wait"
             );
         }
-        LogEvent::SteppedBack {
+        LogEvent::RolledBack {
             version,
             lines,
             left_out,
@@ -73,12 +73,12 @@
                 lines, left_out, "stepped back to an older version"
             );
         }
-        LogEvent::Freed { nodes } => info!(nodes, "no version is stepped back to any more"),
-        LogEvent::TurnedAway { stream, reason } => {
+        LogEvent::RollbackEnded { nodes } => info!(nodes, "no version is stepped back to any more"),
+        LogEvent::StreamRejected { stream, reason } => {
             warn!(stream = stream.0, reason, "stream turned away")
         }
-        LogEvent::Forgotten { proxy } => info!(proxy, "proxy forgotten"),
-        LogEvent::Published {
+        LogEvent::ProxyForgotten { proxy } => info!(proxy, "proxy forgotten"),
+        LogEvent::VersionPublished {
             bundle,
             version,
             configuration,
@@ -94,10 +94,10 @@
                 "version made"
             );
         }
-        LogEvent::Pointed { proxy, version } => {
+        LogEvent::TablesWritten { proxy, version } => {
             debug!(proxy, version = version.0, "proxy pointed at version")
         }
-        LogEvent::WriteFailed {
+        LogEvent::TableWriteFailed {
             proxy,
             version,
             reason,
@@ -112,19 +112,19 @@
                 "tables not written"
             );
         }
-        LogEvent::Refused {
+        LogEvent::TablesRejected {
             proxy,
             version,
             reason,
         } => {
             warn!(proxy, version = version.0, reason, "proxy refused tables");
         }
-        LogEvent::ReportRefused { proxy, reason } => warn!(proxy, reason, "report refused"),
+        LogEvent::LoadReportRejected { proxy, reason } => warn!(proxy, reason, "report refused"),
         LogEvent::UnknownNodes { count } => {
             warn!(count, "reports speak of nodes that are not listed")
         }
-        LogEvent::ChannelFull { lines } => warn!(lines, "more lines wait than are allowed"),
-        LogEvent::Pruned { proxy, nodes } => {
+        LogEvent::UpdateQueueFull { lines } => warn!(lines, "more lines wait than are allowed"),
+        LogEvent::StaleEntriesPruned { proxy, nodes } => {
             let nodes = nodes.join(" ");
             warn!(
                 proxy,
@@ -132,12 +132,14 @@
             );
         }
         LogEvent::WeightsSolved { nodes } => debug!(nodes, "solved weights listed"),
-        LogEvent::NotSolved { reason } => warn!(reason, "weights not solved, the last ones stand"),
+        LogEvent::SolverFailed { reason } => {
+            warn!(reason, "weights not solved, the last ones stand")
+        }
         LogEvent::ConfigApplied {
             configuration,
             nodes,
         } => info!(configuration, nodes, "configuration in force"),
-        LogEvent::NotConfigured {
+        LogEvent::ConfigRejected {
             configuration,
             reason,
         } => {
@@ -146,13 +148,13 @@
                 reason, "configuration not taken, the one before stands"
             );
         }
-        LogEvent::ListRemembered { version, nodes } => {
+        LogEvent::EndpointListRestored { version, nodes } => {
             warn!(
                 version,
                 nodes, "no list can be read, the last one that was taken stands"
             );
         }
-        LogEvent::Remark { text } => info!(text, "remark"),
-        LogEvent::NotUsed { reason } => debug!(reason, "event not used"),
+        LogEvent::BalancerMessage { text } => info!(text, "remark"),
+        LogEvent::EventIgnored { reason } => debug!(reason, "event not used"),
     }
 }
--- a/crates/controller/src/routes.rs
+++ b/crates/controller/src/routes.rs
@@ -224,7 +224,7 @@
             let (bundle, version) = (BundleId(told.table), Version(told.version));
             session.observe(
                 now,
-                Observation::Back {
+                Observation::RollBack {
                     order,
                     bundle,
                     version,
@@ -233,7 +233,7 @@
             return Ok(None);
         }
         ("POST", "/v1/tables/free") => {
-            session.observe(now, Observation::Free { order });
+            session.observe(now, Observation::EndRollback { order });
             return Ok(None);
         }
         ("POST", "/v1/drains") => {
@@ -305,7 +305,7 @@
         .members()
         .filter(|(_, member)| member.joined())
         .count();
-    let reach = session.reach();
+    let reach = session.rollout_progress();
     let under_way = rollout
         .ledger()
         .open()
@@ -325,8 +325,8 @@
         "list": session.nodes().version(),
         "nodes": { "ready": ready, "draining": draining, "cold": cold },
         "gateways": { "joined": joined, "known": session.members().members().count() },
-        "sums_heard_s": seconds_since(now, session.measured().heard_last()),
-        "lines_waiting": session.lines_waiting(),
+        "sums_heard_s": seconds_since(now, session.service_history().heard_last()),
+        "lines_waiting": session.queued_entries(),
         "lines_waiting_at_most": session.plan().channel.lines_waiting_at_most,
         "newest_version": session.version().0,
         "configuration": reach.configuration,
@@ -345,7 +345,7 @@
     let (messages, overtaken) = session.messages();
     let plan = &session.plan().channel;
     json!({
-        "lines_waiting": session.lines_waiting(),
+        "lines_waiting": session.queued_entries(),
         "lines_waiting_at_most": plan.lines_waiting_at_most,
         "lines_per_second": plan.lines_per_second,
         "messages_sent": messages,
@@ -359,7 +359,7 @@
 fn sums(now: Moment, session: &ControllerCore) -> Value {
     let plan = session.plan();
     let (tallies, seconds) = session
-        .measured()
+        .service_history()
         .between(now - plan.sums.period * SUMS, now);
     let operation = |(at, operation): (usize, &OperationPlan)| {
         let tally = tallies.of(OperationId(at as u8));
@@ -375,7 +375,7 @@
         })
     };
     let gateway = |(name, member): (&str, &Member)| {
-        let heard = session.measured().heard(member.id);
+        let heard = session.service_history().heard(member.id);
         json!({ "gateway": name, "joined": member.joined(), "heard_s": seconds_since(now, heard) })
     };
     json!({
@@ -402,7 +402,7 @@
         };
         let cold = is_cold(now, &entry, session);
         json!({ "node": show(entry.node), "zone": zone(entry.zone), "listing": listing, "cold": cold,
-                "by_order": session.drained().contains(&entry.node), "weight": entry.weight })
+                "by_order": session.drained_nodes().contains(&entry.node), "weight": entry.weight })
     };
     json!({ "list": session.nodes().version(), "nodes": session.serving().map(node).collect::<Vec<_>>() })
 }
@@ -420,7 +420,7 @@
         EndpointStatus::Draining => "draining",
         EndpointStatus::Gone => "out",
     });
-    let named_by = desk.session.named_by(id);
+    let named_by = desk.session.proxies_naming(id);
     Ok(
         json!({ "node": text, "listing": listing, "named_by": named_by, "drain": desk.drains.book().drain(text) }),
     )
@@ -428,7 +428,7 @@
 
 /// The configuration in force, and how far the gateways have come with it.
 fn configuration(session: &ControllerCore, rollout: &Rollout) -> Value {
-    let (in_force, reach) = (rollout.ledger().configuration(), session.reach());
+    let (in_force, reach) = (rollout.ledger().configuration(), session.rollout_progress());
     json!({
         "version": in_force.version,
         "values": in_force.values,
@@ -442,7 +442,7 @@
 
 fn tables(now: Moment, session: &ControllerCore) -> Value {
     let gateway = |(name, member): (&str, &wheelspread_controller_core::membership::Member)| {
-        let reads = session.reads(member.id);
+        let reads = session.table_status(member.id);
         let told = GatewayTold {
             gateway: name,
             joined: member.joined(),
@@ -460,7 +460,7 @@
         json!(told)
     };
     let mut versions: BTreeMap<u32, Vec<u64>> = BTreeMap::new();
-    for set in session.recent() {
+    for set in session.retained_versions() {
         versions
             .entry(set.bundle.0)
             .or_default()
@@ -472,9 +472,9 @@
         .collect();
     json!({
         "list": session.nodes().version(),
-        "stepped_back_to": session.stepped_back_to().map(|version| version.0),
+        "stepped_back_to": session.rollback_target().map(|version| version.0),
         "gateways": session.members().members().map(gateway).collect::<Vec<_>>(),
         "tables": kept,
-        "lines_waiting": session.lines_waiting(),
+        "lines_waiting": session.queued_entries(),
     })
 }
--- a/crates/controller/src/service.rs
+++ b/crates/controller/src/service.rs
@@ -290,7 +290,7 @@
             reactor::wall(),
             session.version(),
             session.nodes(),
-            session.learnt(),
+            session.capacity_snapshots(),
         );
     }
 
@@ -335,16 +335,16 @@
 
     fn carry_out(&mut self, effect: Effect) {
         match effect {
-            Effect::Accept { stream, period } => {
+            Effect::AcceptStream { stream, period } => {
                 self.streams.send(stream, &loads::response(period))
             }
-            Effect::Close { stream, reason } => {
+            Effect::CloseStream { stream, reason } => {
                 self.streams.close(stream, Status::InvalidArgument, &reason)
             }
-            Effect::Point { proxy, set } => self.give(Job::Point { proxy, set }),
-            Effect::Send { stream, set } => self.desk.offer(&mut self.streams, stream, &set),
-            Effect::Answered { order, result } => self.answered(order, result),
-            Effect::Retire { version } => self.give(Job::Retire { version }),
+            Effect::WriteTables { proxy, set } => self.give(Job::Point { proxy, set }),
+            Effect::SendTables { stream, set } => self.desk.offer(&mut self.streams, stream, &set),
+            Effect::RollbackFinished { order, result } => self.answered(order, result),
+            Effect::RetireVersion { version } => self.give(Job::Retire { version }),
             Effect::Log(notice) => log::notice(&notice),
         }
     }
@@ -436,7 +436,7 @@
                 } => {
                     self.session.observe(
                         now,
-                        Observation::Pointed {
+                        Observation::TablesWritten {
                             proxy,
                             version,
                             result,
@@ -551,7 +551,7 @@
             nodes::read(&text, reactor::wall()).map_err(|error| error.to_string())
         });
         self.last_list = Some(text);
-        self.session.observe(now, Observation::List(list));
+        self.session.observe(now, Observation::EndpointList(list));
     }
 
     fn read_status(&mut self, now: Moment, proxy: &str) {
@@ -561,14 +561,14 @@
         match told {
             Ok(told) if told.proxy == proxy => {
                 let name = || proxy.to_string();
-                let held = Observation::Status {
+                let held = Observation::StatusReported {
                     proxy: name(),
                     version: told.version,
                     refused: None,
                 };
                 self.session.observe(now, held);
                 if let Some((version, reason)) = told.refused {
-                    let refused = Observation::Status {
+                    let refused = Observation::StatusReported {
                         proxy: name(),
                         version,
                         refused: Some(reason),
@@ -615,8 +615,12 @@
                     );
                 }
                 self.file.deployment.channel.lines_per_second = lines_per_second;
-                self.session
-                    .observe(now, Observation::Pace { lines_per_second });
+                self.session.observe(
+                    now,
+                    Observation::PaceChanged {
+                        entries_per_second: lines_per_second,
+                    },
+                );
             }
             Err(error) => {
                 let reason = error.to_string();
@@ -638,7 +642,7 @@
                 } = done
                 {
                     let again_in = Span::ZERO;
-                    log::notice(&LogEvent::WriteFailed {
+                    log::notice(&LogEvent::TableWriteFailed {
                         proxy,
                         version,
                         reason,
