--- a/crates/controller-core/src/acknowledgement.rs
+++ b/crates/controller-core/src/acknowledgement.rs
@@ -18,7 +18,7 @@
 
 /// A version that a proxy holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HeldVersion {
+pub struct AppliedVersion {
     /// The version.
     pub version: Version,
     /// Since when it is known.
@@ -36,7 +36,7 @@
 struct ProxyAcknowledgements {
     pending: VecDeque<PendingMarker>,
     /// What was last delivered to it.
-    delivered: Option<HeldVersion>,
+    delivered: Option<AppliedVersion>,
     /// The newest version that it said it holds; `None` while it never published a status.
     reported: Option<Version>,
     reported_at: Option<Moment>,
@@ -90,7 +90,7 @@
 
     /// A version was written for the proxy, or sent to it.
     pub fn on_delivered(&mut self, now: Moment, proxy: ProxyId, version: Version) {
-        self.proxies.entry(proxy).or_default().delivered = Some(HeldVersion {
+        self.proxies.entry(proxy).or_default().delivered = Some(AppliedVersion {
             version,
             since: now,
         });
@@ -117,10 +117,10 @@
     }
 
     /// The version that a proxy said it holds or, if it never did, that was written for it.
-    pub fn held(&self, proxy: ProxyId) -> Option<HeldVersion> {
+    pub fn applied(&self, proxy: ProxyId) -> Option<AppliedVersion> {
         let state = self.proxies.get(&proxy)?;
         match (state.reported, state.reported_at) {
-            (Some(version), Some(since)) => Some(HeldVersion { version, since }),
+            (Some(version), Some(since)) => Some(AppliedVersion { version, since }),
             _ => state.delivered.filter(|_| !state.reads_stream),
         }
     }
--- a/crates/controller-core/src/acknowledgement/tests.rs
+++ b/crates/controller-core/src/acknowledgement/tests.rs
@@ -66,7 +66,7 @@
     assert_eq!(acknowledgements.wake_at(), Some(at(1.0)));
     assert_eq!(markers(acknowledgements.take_acknowledged(at(1.0))), [1]);
     assert_eq!(
-        acknowledgements.held(ProxyId(1)),
+        acknowledgements.applied(ProxyId(1)),
         None,
         "and it is not said to hold it"
     );
--- a/crates/controller-core/src/controller_core.rs
+++ b/crates/controller-core/src/controller_core.rs
@@ -24,7 +24,7 @@
 pub use observation::{ConfigUpdate, Observation, TableWriteError};
 pub use recovery::{RecoveredState, StartError};
 
-use crate::acknowledgement::{Acknowledgements, HeldVersion};
+use crate::acknowledgement::{Acknowledgements, AppliedVersion};
 use crate::deployment::Deployment;
 use crate::drain_evidence::DrainEvidence;
 use crate::endpoint_list::EndpointList;
@@ -54,7 +54,7 @@
     /// How it gets its tables.
     pub transport: Transport,
     /// The version that it holds, and since when.
-    pub held: Option<HeldVersion>,
+    pub applied: Option<AppliedVersion>,
     /// The last version that it rejected.
     pub rejected: Option<Version>,
 }
@@ -98,27 +98,12 @@
         number: u32,
         recovered: RecoveredState,
     ) -> Result<ControllerCore, StartError> {
-        let errors = plan.flaws();
-        if !errors.is_empty() {
-            return Err(StartError::InvalidSettings(errors));
-        }
-        let balancer = Balancer::start(now, seed, plan.facts(number, None)).map_err(|error| {
-            StartError::Balancer {
-                reason: error.to_string(),
-            }
-        })?;
+        let balancer = start_balancer(now, seed, &plan, number)?;
         let last_version = recovered.last_version();
         let mut publication = Publication::new(plan.operations.len(), last_version);
         publication.set_configuration(recovered.configuration);
         let mut endpoints = EndpointList::default();
-        let mut overrides = NodeOverrides::default();
-        overrides.set(
-            recovered.values,
-            |zone| zone_of(&plan, zone),
-            |cell| endpoints.cell(cell),
-        );
-        overrides.drain(recovered.drained);
-        overrides.leave(now, &recovered.migrating);
+        let overrides = recovered.node_overrides(now, &plan, &mut endpoints);
         let prune_at = now + plan.rules.drain_grace * PRUNE_AFTER_DRAIN_GRACES;
         Ok(ControllerCore {
             number,
@@ -181,27 +166,21 @@
             Observation::Subscribed {
                 stream,
                 introduction,
-                held_version,
-            } => self.on_subscribed(now, stream, &introduction, held_version),
+                initial_version,
+            } => self.on_subscribed(now, stream, &introduction, initial_version),
             Observation::Unsubscribed { stream } => self.on_unsubscribed(now, stream),
-            Observation::UpdatesPaused { bundle, until } => {
-                self.transports.pause_updates(bundle, until);
-                let wait = until - now;
-                self.log(LogEvent::UpdatesPaused { bundle, wait });
-            }
+            Observation::UpdatesPaused { bundle, until } => self.pause_updates(now, bundle, until),
             Observation::RollBack {
                 request,
                 bundle,
                 version,
             } => {
                 let result = self.roll_back(now, bundle, version);
-                self.effects
-                    .push(Effect::RollbackFinished { request, result });
+                self.finish_rollback_request(request, result);
             }
             Observation::EndRollback { request } => {
                 let result = self.end_rollback(now);
-                self.effects
-                    .push(Effect::RollbackFinished { request, result });
+                self.finish_rollback_request(request, result);
             }
             Observation::DrainedNodes(nodes) => self.set_drained_nodes(now, nodes),
             Observation::ConfigUpdated(update) => self.apply_configuration(now, *update),
@@ -259,7 +238,7 @@
         ProxyTableStatus {
             newest: self.publication.newest_for(proxy),
             transport: self.transports.transport(proxy),
-            held: self.acknowledgements.held(proxy),
+            applied: self.acknowledgements.applied(proxy),
             rejected: self.acknowledgements.rejected(proxy),
         }
     }
@@ -273,10 +252,10 @@
     }
 
     /// The version that a proxy is known to hold.
-    fn held_version(&self, member: &Member) -> Option<Version> {
+    fn applied_version(&self, member: &Member) -> Option<Version> {
         self.acknowledgements
-            .held(member.id)
-            .map(|held| held.version)
+            .applied(member.id)
+            .map(|applied| applied.version)
     }
 
     fn log(&mut self, event: LogEvent) {
@@ -292,6 +271,21 @@
     }
 }
 
+fn start_balancer(
+    now: Moment,
+    seed: u64,
+    plan: &Deployment,
+    number: u32,
+) -> Result<Balancer, StartError> {
+    let errors = plan.flaws();
+    if !errors.is_empty() {
+        return Err(StartError::InvalidSettings(errors));
+    }
+    Balancer::start(now, seed, plan.facts(number, None)).map_err(|error| StartError::Balancer {
+        reason: error.to_string(),
+    })
+}
+
 fn zone_of(plan: &Deployment, name: &str) -> Option<ZoneId> {
     plan.zones
         .iter()
--- a/crates/controller-core/src/controller_core/configuration.rs
+++ b/crates/controller-core/src/controller_core/configuration.rs
@@ -31,14 +31,14 @@
 
 /// A joined proxy's tables, as a migration depends on them.
 struct TableReader<'a> {
-    held: Option<Version>,
+    applied: Option<Version>,
     newest: &'a Arc<TableSet>,
 }
 
 impl TableReader<'_> {
     /// Whether the proxy may send requests to the node.
     fn may_name(&self, node: NodeId) -> bool {
-        self.held < Some(self.newest.version) || self.newest.names(node)
+        self.applied < Some(self.newest.version) || self.newest.names(node)
     }
 }
 
@@ -88,7 +88,9 @@
             .joined_members()
             .filter_map(|(_, member)| {
                 Some(TableReader {
-                    held: acknowledgements.held(member.id).map(|held| held.version),
+                    applied: acknowledgements
+                        .applied(member.id)
+                        .map(|applied| applied.version),
                     newest: publication.newest_for(member.id)?,
                 })
             })
@@ -112,7 +114,7 @@
     pub fn rollout_progress(&self) -> RolloutProgress {
         let is_outdated = |member: &Member| {
             self.publication.bundle_of(member.id).is_some()
-                && self.held_version(member) <= Some(self.configuration.tables_above)
+                && self.applied_version(member) <= Some(self.configuration.tables_above)
         };
         let outdated = self
             .joined_members()
--- a/crates/controller-core/src/controller_core/drains.rs
+++ b/crates/controller-core/src/controller_core/drains.rs
@@ -40,11 +40,11 @@
     /// `None`: it is not known what the proxy holds.
     fn holds_entry_for(&self, member: &Member, node: NodeId) -> Option<bool> {
         let newest = self.publication.newest_for(member.id)?;
-        let held = self.held_version(member)?;
-        let set = if held == newest.version {
+        let applied = self.applied_version(member)?;
+        let set = if applied == newest.version {
             newest
         } else {
-            self.retained_versions.get(held)?
+            self.retained_versions.get(applied)?
         };
         Some(set.names(node))
     }
--- a/crates/controller-core/src/controller_core/observation.rs
+++ b/crates/controller-core/src/controller_core/observation.rs
@@ -75,7 +75,7 @@
         /// How the proxy introduced itself.
         introduction: Introduction,
         /// The version that it says it holds.
-        held_version: Option<Version>,
+        initial_version: Option<Version>,
     },
     /// A stream that tables were read from ended.
     Unsubscribed {
--- a/crates/controller-core/src/controller_core/publishing.rs
+++ b/crates/controller-core/src/controller_core/publishing.rs
@@ -147,7 +147,7 @@
         match latest {
             Some(latest) if removes_entries(latest, newest) => Urgency::Removal,
             // After a stream broke it is not known what the proxy has taken; what it says of itself counts.
-            None if !self.transports.held_tables_at_start(proxy) => Urgency::FirstTables,
+            None if !self.transports.has_initial_version(proxy) => Urgency::FirstTables,
             _ => Urgency::Update,
         }
     }
--- a/crates/controller-core/src/controller_core/recovery.rs
+++ b/crates/controller-core/src/controller_core/recovery.rs
@@ -1,10 +1,10 @@
 //! What a controller starts from: the files and stored state of an earlier run, and the proxies in them that have
 //! not come back yet.
 
-use super::ControllerCore;
-use crate::deployment::ConfigError;
-use crate::endpoint_list::{show, EndpointSnapshot};
-use crate::node_overrides::NodeValues;
+use super::{zone_of, ControllerCore};
+use crate::deployment::{ConfigError, Deployment};
+use crate::endpoint_list::{show, EndpointList, EndpointSnapshot};
+use crate::node_overrides::{NodeOverrides, NodeValues};
 use crate::publication::{BundleId, TableSet, Version};
 use crate::{Effect, LogEvent};
 use std::collections::{BTreeMap, BTreeSet};
@@ -49,6 +49,24 @@
             .max()
             .unwrap_or_default()
     }
+
+    /// What configuration, drains and migrations make of single nodes.
+    pub(super) fn node_overrides(
+        &self,
+        now: Moment,
+        plan: &Deployment,
+        endpoints: &mut EndpointList,
+    ) -> NodeOverrides {
+        let mut overrides = NodeOverrides::default();
+        overrides.set(
+            self.values.clone(),
+            |zone| zone_of(plan, zone),
+            |cell| endpoints.cell(cell),
+        );
+        overrides.drain(self.drained.clone());
+        overrides.leave(now, &self.migrating);
+        overrides
+    }
 }
 
 /// Why a controller can't start.
--- a/crates/controller-core/src/controller_core/rollbacks.rs
+++ b/crates/controller-core/src/controller_core/rollbacks.rs
@@ -3,7 +3,7 @@
 use super::ControllerCore;
 use crate::publication::{BundleId, TableSet, Version};
 use crate::rollback::{RollbackError, RollbackRequest, RollbackResult};
-use crate::LogEvent;
+use crate::{Effect, LogEvent};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use wheelspread::ids::NodeId;
@@ -16,6 +16,22 @@
         self.rollback.target()
     }
 
+    pub(super) fn finish_rollback_request(
+        &mut self,
+        request: u64,
+        result: Result<RollbackResult, RollbackError>,
+    ) {
+        self.effects
+            .push(Effect::RollbackFinished { request, result });
+    }
+
+    /// Most proxies reject a table: ordinary updates of it wait until then.
+    pub(super) fn pause_updates(&mut self, now: Moment, bundle: BundleId, until: Moment) {
+        self.transports.pause_updates(bundle, until);
+        let wait = until - now;
+        self.log(LogEvent::UpdatesPaused { bundle, wait });
+    }
+
     pub(super) fn roll_back(
         &mut self,
         now: Moment,
--- a/crates/controller-core/src/controller_core/streams.rs
+++ b/crates/controller-core/src/controller_core/streams.rs
@@ -1,7 +1,7 @@
 //! Streams: load reports and tables, and the proxies that join and leave with them.
 
 use super::ControllerCore;
-use crate::membership::{Introduction, Opened, StreamId};
+use crate::membership::{Introduction, Member, Opened, StreamId};
 use crate::publication::Version;
 use crate::{Effect, LogEvent};
 use std::sync::Arc;
@@ -54,7 +54,7 @@
         now: Moment,
         stream: StreamId,
         introduction: &Introduction,
-        held_version: Option<Version>,
+        initial_version: Option<Version>,
     ) {
         if !self.plan.fronts.streams {
             let reason = "tables are not given out by streams here".to_string();
@@ -70,9 +70,9 @@
         let Some(id) = member.map(|member| member.id) else {
             return;
         };
-        let held_version =
-            held_version.filter(|version| self.publication.raise_last_version(*version));
-        if let Some(old) = self.transports.open(id, stream, held_version) {
+        let initial_version =
+            initial_version.filter(|version| self.publication.raise_last_version(*version));
+        if let Some(old) = self.transports.open(id, stream, initial_version) {
             self.close_superseded(old, &introduction.name);
         }
         self.unclaimed.claim(&introduction.name);
@@ -98,7 +98,7 @@
     fn has_report_stream(&self, proxy: &str) -> bool {
         self.members
             .member(proxy)
-            .and_then(|member| member.stream())
+            .and_then(Member::stream)
             .is_some_and(|stream| !self.transports.is_table_stream(stream))
     }
 
--- a/crates/controller-core/src/controller_core/tests.rs
+++ b/crates/controller-core/src/controller_core/tests.rs
@@ -96,19 +96,19 @@
         self.settle();
     }
 
-    fn subscribe(&mut self, stream: u64, name: &str, zone: &str, held_version: Option<u64>) {
+    fn subscribe(&mut self, stream: u64, name: &str, zone: &str, initial_version: Option<u64>) {
         let introduction = Introduction {
             name: name.into(),
             zone: zone.into(),
             usual_rate: None,
         };
-        let held_version = held_version.map(Version);
+        let initial_version = initial_version.map(Version);
         self.core.observe(
             self.now,
             Observation::Subscribed {
                 stream: StreamId(stream),
                 introduction,
-                held_version,
+                initial_version,
             },
         );
         self.settle();
@@ -182,7 +182,7 @@
         }
     }
 
-    /// What a proxy would have met with the files it reads: ten quotes a second, all well.
+    /// The load report of a proxy with the files it reads: ten quotes a second, all successful.
     fn report(&mut self, stream: u64) {
         let Some((name, _)) = self.core.members.of_stream(StreamId(stream)) else {
             return;
@@ -257,7 +257,7 @@
 }
 
 #[test]
-fn a_swap_lands_though_the_stream_of_sums_breaks_with_it() {
+fn files_are_written_though_the_stream_of_load_reports_breaks() {
     let mut harness = started();
     harness.core.observe(
         harness.now,
@@ -277,7 +277,7 @@
 }
 
 #[test]
-fn a_disk_that_is_full_delays_and_loses_nothing() {
+fn a_full_disk_delays_updates_and_loses_none() {
     let mut harness = started();
     harness.failing = true;
     harness.list((1..=8).map(|port| record(port, port == 2, 500.0)).collect());
@@ -285,7 +285,7 @@
     let failed = |event: &&LogEvent| matches!(event, LogEvent::TableWriteFailed { reason, .. } if reason.contains("full"));
     assert!(
         harness.log.iter().filter(failed).count() >= 2,
-        "named, and tried again: {:?}",
+        "logged, and retried: {:?}",
         harness.log
     );
     assert!(harness.nodes_of("n1").contains(&2));
@@ -295,7 +295,7 @@
 }
 
 #[test]
-fn a_restart_goes_on_after_the_versions_it_finds_and_names_no_former_node() {
+fn a_restart_goes_on_above_the_versions_it_finds_and_names_no_former_node() {
     let mut before = started();
     before.join(3, "n2", "north");
     before.pass(1.0, &[1, 2, 3]);
@@ -349,7 +349,7 @@
 }
 
 #[test]
-fn a_proxy_that_sends_what_cannot_be_is_closed_with_a_reason() {
+fn a_stream_with_an_invalid_load_report_is_closed_with_a_reason() {
     let mut harness = started();
     let report = LoadReport {
         over: Span::from_seconds(-1.0),
@@ -375,7 +375,7 @@
 }
 
 #[test]
-fn versions_that_nobody_reads_are_let_go_and_those_in_use_are_not() {
+fn versions_that_no_proxy_reads_are_retired_and_those_in_use_are_not() {
     let mut harness = started();
     for drained in [2, 3, 4] {
         harness.list(
@@ -394,7 +394,7 @@
 }
 
 #[test]
-fn a_loop_that_stands_still_goes_on_without_making_up_for_it() {
+fn a_loop_that_stalled_makes_up_for_no_rounds() {
     let mut harness = started();
     harness.now = harness.now + Span::from_seconds(30.0);
     let mut turns = 0;
@@ -422,7 +422,7 @@
     assert_eq!(files(), files());
 }
 
-/// The same fleet with capacities by kind: nodes 1 to 4 are said to do four times what 5 to 8 do.
+/// The same fleet with capacities by kind: nodes 1 to 4 are configured with four times the capacity of 5 to 8.
 fn solving() -> Harness {
     let mut plan = plan();
     plan.kinds = vec!["large".to_string(), "small".to_string()];
@@ -457,14 +457,14 @@
 }
 
 #[test]
-fn solved_weights_follow_the_capacities_that_were_told_and_mended() {
+fn solved_weights_follow_the_configured_capacities_and_what_is_measured() {
     let mut harness = solving();
     harness.pass(12.0, &[1, 2]);
     let weights = |harness: &Harness| {
         let of = |port: u16| harness.core.solver.weight(node(port)).unwrap_or(1.0);
         (of(2), of(6))
     };
-    // One quote every period or so at each of them: little is known, so what was told stands.
+    // One quote every period or so at each of them: little is measured, so the configured capacity stands.
     let (large, small) = weights(&harness);
     assert!(
         (2.0..6.0).contains(&(large / small)),
@@ -478,11 +478,11 @@
 }
 
 #[test]
-fn a_solve_that_fails_leaves_the_last_weights_and_is_told() {
+fn a_solve_that_fails_leaves_the_last_weights_and_is_logged() {
     let mut harness = solving();
     harness.pass(6.0, &[1, 2]);
     let before = harness.core.solver.weight(node(6));
-    // A demand for what no host is left to do can't be solved: every node drains.
+    // Demand that no node is left to serve can't be solved: every node drains.
     let records = kinds(false)
         .into_iter()
         .map(|record| EndpointRecord {
@@ -517,7 +517,7 @@
 }
 
 #[test]
-fn a_proxy_that_reads_a_stream_gets_no_files_and_after_a_break_the_newest_alone() {
+fn a_proxy_that_reads_a_stream_gets_no_files_and_after_a_break_only_the_newest_tables() {
     let mut harness = started();
     harness.subscribe(9, "x1", "north", None);
     harness.pass(2.0, &[1, 2]);
@@ -540,7 +540,11 @@
         );
         harness.pass(1.0, &[1, 2]);
     }
-    assert_eq!(harness.sends.len(), sent, "nothing is sent to nobody");
+    assert_eq!(
+        harness.sends.len(),
+        sent,
+        "nothing is sent while no stream is open"
+    );
     harness.subscribe(10, "x1", "north", Some(1));
     // Shorter than the least time between two steps: an ordinary step may follow the newest version.
     harness.pass(0.1, &[1, 2]);
@@ -555,7 +559,7 @@
 }
 
 #[test]
-fn versions_go_on_above_what_a_gateway_says_it_holds_unless_that_cannot_be() {
+fn versions_go_on_above_what_a_proxy_says_it_holds_unless_that_is_implausible() {
     let mut harness = started();
     harness.subscribe(9, "x1", "north", Some(70_000));
     harness.subscribe(10, "x2", "south", Some(u64::MAX));
@@ -569,7 +573,7 @@
 }
 
 #[test]
-fn a_proxy_with_a_stream_of_sums_keeps_it_beside_its_stream_of_tables() {
+fn a_proxy_keeps_its_stream_of_load_reports_beside_its_stream_of_tables() {
     let mut harness = started();
     harness.subscribe(9, "n1", "north", None);
     harness.subscribe(10, "x1", "south", None);
@@ -586,11 +590,11 @@
         .core
         .members()
         .member("x1")
-        .is_some_and(|member| member.joined()));
+        .is_some_and(Member::joined));
 }
 
 #[test]
-fn held_back_changes_wait_and_what_takes_a_node_away_does_not() {
+fn paused_updates_wait_and_removals_do_not() {
     let mut harness = started();
     harness.subscribe(9, "x1", "north", None);
     harness.pass(1.0, &[1, 2]);
@@ -617,7 +621,7 @@
 }
 
 #[test]
-fn a_step_back_goes_to_the_old_weights_without_what_drains_or_is_cold() {
+fn a_rollback_goes_to_the_old_weights_without_nodes_that_drain_or_warm_up() {
     let mut harness = started();
     harness.subscribe(9, "x1", "north", None);
     harness.pass(1.0, &[1, 2]);
@@ -630,7 +634,7 @@
             .find(|line| line.node.port == port)
             .map_or(0.0, |line| line.weight / all)
     };
-    // An operator's list gives two nodes other weights; one drains, one starts anew and is cold.
+    // An operator's list gives two nodes other weights; one drains, one restarts and warms up.
     let mut records: Vec<EndpointRecord> = (1..=8).map(|port| record(port, false, 500.0)).collect();
     (records[1].weight, records[3].weight) = (5.0, 0.2);
     records[5].draining = true;
@@ -646,8 +650,8 @@
     };
     harness.core.observe(harness.now, rollback);
     harness.pass(20.0, &[1, 2]);
-    let stepped = harness.rollbacks[0].clone().expect("the version is kept");
-    let out: Vec<(u16, &str)> = stepped
+    let result = harness.rollbacks[0].clone().expect("the version is kept");
+    let out: Vec<(u16, &str)> = result
         .excluded
         .iter()
         .map(|(node, why)| (node.port, why.as_str()))
@@ -676,9 +680,9 @@
     assert!(harness.rollbacks[1]
         .as_ref()
         .is_err_and(|error| error.to_string().contains("is not kept")));
-    let freed = harness.last_sent(9).expect("sent");
+    let ended = harness.last_sent(9).expect("sent");
     assert!(
-        weight(freed, 2) > 3.0 * weight(freed, 4),
+        weight(ended, 2) > 3.0 * weight(ended, 4),
         "the list's weights are back"
     );
 }
--- a/crates/controller-core/src/publication/tests.rs
+++ b/crates/controller-core/src/publication/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 const QUOTE: OperationId = OperationId(0);
-const BOOK: OperationId = OperationId(1);
+const ORDER: OperationId = OperationId(1);
 
 fn node(port: u16) -> NodeId {
     NodeId {
@@ -45,7 +45,7 @@
 #[test]
 fn a_change_of_two_tables_is_one_version_of_both() {
     let mut publication = publication();
-    publication.bind(ProxyId(0), TableId(1), &[BOOK]);
+    publication.bind(ProxyId(0), TableId(1), &[ORDER]);
     publication.set_weight(TableId(1), node(9), 1.0);
     publication.publish(|_| String::new());
     publication.set_weight(TableId(0), node(1), 0.0);
@@ -61,7 +61,7 @@
         .and_then(|id| publication.newest(id))
         .expect("bound");
     let lines = |operation: OperationId| both.operations[usize::from(operation.0)].lines.len();
-    assert_eq!((lines(QUOTE), lines(BOOK)), (3, 2));
+    assert_eq!((lines(QUOTE), lines(ORDER)), (3, 2));
 }
 
 #[test]
@@ -74,7 +74,7 @@
     assert_eq!(count_entry_changes(None, &first), 6);
     publication.set_weight(TableId(0), node(1), 0.0);
     publication.set_weight(TableId(0), node(2), 30.0);
-    publication.set_admission(Some(TableId(0)), &[BOOK], 0.5, RetryPolicy::Never);
+    publication.set_admission(Some(TableId(0)), &[ORDER], 0.5, RetryPolicy::Never);
     publication.publish(|_| String::new());
     let second = publication.newest(bundle).expect("published").clone();
     assert_eq!(count_entry_changes(Some(&first), &second), 3);
@@ -91,13 +91,13 @@
     let set = publication
         .newest(publication.bundle_of(ProxyId(0)).expect("bound"))
         .expect("published");
-    let (quote, booking) = (&set.operations[0], &set.operations[1]);
+    let (quote, order) = (&set.operations[0], &set.operations[1]);
     assert_eq!(
         (quote.quota, quote.retry, quote.lines.len()),
         (Some(0.5), RetryPolicy::Never, 3)
     );
     assert_eq!(
-        (booking.quota, booking.retry),
+        (order.quota, order.retry),
         (Some(0.5), RetryPolicy::OnceOnAnyFailure)
     );
 }
--- a/crates/controller-core/src/transport.rs
+++ b/crates/controller-core/src/transport.rs
@@ -86,7 +86,7 @@
     }
 
     /// Whether the proxy held tables when it subscribed: it can wait longer than one that holds nothing.
-    pub fn held_tables_at_start(&self, proxy: ProxyId) -> bool {
+    pub fn has_initial_version(&self, proxy: ProxyId) -> bool {
         self.initial_versions.contains_key(&proxy)
     }
 
--- a/crates/controller-core/src/update_queue.rs
+++ b/crates/controller-core/src/update_queue.rs
@@ -13,7 +13,7 @@
 /// Buckets of the window in which updates to one proxy are counted; two more are kept, so that an update
 /// counts until it is surely outside.
 const WINDOW_BUCKETS: usize = 20;
-const SPARE_BUCKETS: usize = 2;
+const MARGIN_BUCKETS: usize = 2;
 /// The queue writes so far ahead of its pace, and saves up no more idle time than this.
 const MAX_WRITE_AHEAD: Duration = Duration::from_millis(100);
 /// The first wait after a failed write, as a multiple of the longest delay of an update; it doubles with each
@@ -207,7 +207,7 @@
         let bucket = Span::from_seconds(self.window.seconds() / WINDOW_BUCKETS as f64);
         self.written
             .entry(proxy)
-            .or_insert_with(|| Ring::new(bucket, WINDOW_BUCKETS + SPARE_BUCKETS))
+            .or_insert_with(|| Ring::new(bucket, WINDOW_BUCKETS + MARGIN_BUCKETS))
             .add(now, 1.0);
         self.counts.sent += 1;
     }
--- a/crates/controller/src/routes.rs
+++ b/crates/controller/src/routes.rs
@@ -453,8 +453,8 @@
             },
             table: reads.newest.map(|set| set.bundle.0),
             newest: reads.newest.map(|set| set.version.0),
-            holds: reads.held.map(|held| held.version.0),
-            held_for_s: reads.held.map(|held| (now - held.since).seconds()),
+            holds: reads.applied.map(|applied| applied.version.0),
+            held_for_s: reads.applied.map(|applied| (now - applied.since).seconds()),
             refused: reads.rejected.map(|version| version.0),
         };
         json!(told)
--- a/crates/controller/src/streams.rs
+++ b/crates/controller/src/streams.rs
@@ -307,7 +307,7 @@
             told.push(Observation::Subscribed {
                 stream: id,
                 introduction: who,
-                held_version: request.holds,
+                initial_version: request.holds,
             });
         }
         self.asks.push((id, request.ask));
