--- a/crates/cli/src/measure/proxy.rs
+++ b/crates/cli/src/measure/proxy.rs
@@ -70,8 +70,8 @@
         let table = OperationTable {
             operation: OperationId(0),
             table: TableId(0),
-            lines: nodes.iter().map(line).collect(),
-            quota: None,
+            entries: nodes.iter().map(line).collect(),
+            admission_limit: None,
             retry: RetryPolicy::TwiceOnAnyFailure,
         };
         let set = TableSet {
--- a/crates/cli/tests/proxy.rs
+++ b/crates/cli/tests/proxy.rs
@@ -92,8 +92,8 @@
         let table = |operation| OperationTable {
             operation: OperationId(operation),
             table: TableId(0),
-            lines: lines.iter().map(line).collect(),
-            quota,
+            entries: lines.iter().map(line).collect(),
+            admission_limit: quota,
             retry,
         };
         let set = TableSet {
--- a/crates/config-rollout/tests/kills.rs
+++ b/crates/config-rollout/tests/kills.rs
@@ -282,7 +282,7 @@
             };
             let errs = self.end == End::Broken && set.configuration == 2;
             let operations = set.operations.iter().map(|table| {
-                let count = 6 / table.lines.len().max(1) as u64;
+                let count = 6 / table.entries.len().max(1) as u64;
                 let met = |line: &wheelspread_controller_core::TableEntry| NodeReport {
                     node: Some(line.node),
                     succeeded: if errs { 0 } else { count },
@@ -291,7 +291,7 @@
                 };
                 OperationReport {
                     operation: ["quote", "tour-plan"][usize::from(table.operation.0)].to_string(),
-                    nodes: table.lines.iter().map(met).collect(),
+                    nodes: table.entries.iter().map(met).collect(),
                     ..OperationReport::default()
                 }
             });
@@ -323,7 +323,7 @@
         self.configurations.insert(set.configuration);
         for table in &set.operations {
             assert!(
-                !table.lines.is_empty(),
+                !table.entries.is_empty(),
                 "{proxy} has no line for {:?}",
                 table.operation
             );
@@ -332,7 +332,7 @@
         let names = |set: &TableSet| {
             set.operations
                 .iter()
-                .any(|t| t.lines.iter().any(|l| l.node == node(MOVED)))
+                .any(|t| t.entries.iter().any(|l| l.node == node(MOVED)))
         };
         let pools: BTreeSet<&str> = self
             .links
@@ -538,7 +538,7 @@
             let there = set
                 .operations
                 .iter()
-                .all(|t| t.lines.iter().any(|line| line.node == node(MOVED)));
+                .all(|t| t.entries.iter().any(|line| line.node == node(MOVED)));
             let pool = if self.end == End::Kept {
                 "south"
             } else {
--- a/crates/controller-core/src/controller_core/configuration.rs
+++ b/crates/controller-core/src/controller_core/configuration.rs
@@ -136,7 +136,7 @@
             self.publication.newest_for(member.id).is_some_and(|set| {
                 set.operations
                     .iter()
-                    .any(|operation| operation.lines.is_empty())
+                    .any(|operation| operation.entries.is_empty())
             })
         };
         self.joined_members()
--- a/crates/controller-core/src/controller_core/publishing.rs
+++ b/crates/controller-core/src/controller_core/publishing.rs
@@ -59,7 +59,7 @@
             .iter()
             .filter(|proxy| self.publication.bundle_of(**proxy) == Some(bundle))
             .count();
-        let entries = set.operations.iter().map(|table| table.lines.len()).max();
+        let entries = set.operations.iter().map(|table| table.entries.len()).max();
         self.log(LogEvent::VersionPublished {
             bundle,
             version: set.version,
--- a/crates/controller-core/src/controller_core/recovery.rs
+++ b/crates/controller-core/src/controller_core/recovery.rs
@@ -199,7 +199,7 @@
 fn remove_stale_entries(set: &mut TableSet, ready: &BTreeSet<NodeId>) -> BTreeSet<NodeId> {
     let mut removed = BTreeSet::new();
     for operation in &mut set.operations {
-        let entries = &mut operation.lines;
+        let entries = &mut operation.entries;
         if entries.iter().any(|entry| ready.contains(&entry.node)) {
             let stale = entries.iter().map(|entry| entry.node);
             removed.extend(stale.filter(|node| !ready.contains(node)));
--- a/crates/controller-core/src/controller_core/tests.rs
+++ b/crates/controller-core/src/controller_core/tests.rs
@@ -215,7 +215,7 @@
 
     fn nodes_of(&self, proxy: &str) -> Vec<u16> {
         let set = self.files.get(proxy);
-        let lines = set.into_iter().flat_map(|set| &set.operations[0].lines);
+        let lines = set.into_iter().flat_map(|set| &set.operations[0].entries);
         lines.map(|line| line.node.port).collect()
     }
 }
@@ -239,7 +239,7 @@
     assert!(harness.files["n1"]
         .operations
         .iter()
-        .all(|operation| operation.lines.iter().all(|l| !l.zone.is_empty())));
+        .all(|operation| operation.entries.iter().all(|l| !l.zone.is_empty())));
 }
 
 #[test]
@@ -334,7 +334,7 @@
         assert!(harness.files[proxy].version > last);
     }
     let weight = |port: u16| {
-        let lines = &harness.files["n1"].operations[0].lines;
+        let lines = &harness.files["n1"].operations[0].entries;
         lines
             .iter()
             .find(|line| line.node.port == port)
@@ -510,7 +510,7 @@
 
 fn ports(set: &TableSet) -> Vec<u16> {
     set.operations[0]
-        .lines
+        .entries
         .iter()
         .map(|line| line.node.port)
         .collect()
@@ -627,7 +627,7 @@
     harness.pass(1.0, &[1, 2]);
     let old = harness.last_sent(9).expect("sent").clone();
     let weight = |set: &TableSet, port: u16| {
-        let lines = &set.operations[0].lines;
+        let lines = &set.operations[0].entries;
         let all: f64 = lines.iter().map(|line| line.weight).sum();
         lines
             .iter()
--- a/crates/controller-core/src/publication.rs
+++ b/crates/controller-core/src/publication.rs
@@ -265,8 +265,8 @@
         OperationTable {
             operation,
             table,
-            lines: entries.collect(),
-            quota: limit,
+            entries: entries.collect(),
+            admission_limit: limit,
             retry,
         }
     }
--- a/crates/controller-core/src/publication/table_set.rs
+++ b/crates/controller-core/src/publication/table_set.rs
@@ -31,9 +31,9 @@
     /// The shared table that its entries come from.
     pub table: TableId,
     /// Its entries, by node.
-    pub lines: Vec<TableEntry>,
+    pub entries: Vec<TableEntry>,
     /// The admission limit: a share of 1, or requests a second at each proxy, as the deployment's form says.
-    pub quota: Option<f64>,
+    pub admission_limit: Option<f64>,
     /// Which failed requests are retried.
     pub retry: RetryPolicy,
 }
@@ -56,7 +56,7 @@
     pub fn names(&self, node: NodeId) -> bool {
         self.operations
             .iter()
-            .any(|operation| operation.lines.iter().any(|entry| entry.node == node))
+            .any(|operation| operation.entries.iter().any(|entry| entry.node == node))
     }
 }
 
@@ -71,8 +71,9 @@
                 .iter()
                 .find(|old| old.operation == new.operation)
         });
-        let is_same_policy =
-            old.is_some_and(|old| (old.quota, old.retry) == (new.quota, new.retry));
+        let is_same_policy = old.is_some_and(|old| {
+            (old.admission_limit, old.retry) == (new.admission_limit, new.retry)
+        });
         changes += usize::from(!is_same_policy);
         if counted.insert(new.table) {
             changes += count_weight_changes(old, new);
@@ -97,7 +98,7 @@
 
 fn weights(table: &OperationTable) -> BTreeMap<NodeId, f64> {
     table
-        .lines
+        .entries
         .iter()
         .map(|entry| (entry.node, entry.weight))
         .collect()
@@ -111,7 +112,7 @@
             .iter()
             .find(|new| new.operation == old.operation);
         let remains =
-            |node| new.is_some_and(|new| new.lines.iter().any(|entry| entry.node == node));
-        old.lines.iter().any(|entry| !remains(entry.node))
+            |node| new.is_some_and(|new| new.entries.iter().any(|entry| entry.node == node));
+        old.entries.iter().any(|entry| !remains(entry.node))
     })
 }
--- a/crates/controller-core/src/publication/tests.rs
+++ b/crates/controller-core/src/publication/tests.rs
@@ -60,7 +60,7 @@
         .bundle_of(ProxyId(0))
         .and_then(|id| publication.newest(id))
         .expect("bound");
-    let lines = |operation: OperationId| both.operations[usize::from(operation.0)].lines.len();
+    let lines = |operation: OperationId| both.operations[usize::from(operation.0)].entries.len();
     assert_eq!((lines(QUOTE), lines(ORDER)), (3, 2));
 }
 
@@ -93,11 +93,11 @@
         .expect("published");
     let (quote, order) = (&set.operations[0], &set.operations[1]);
     assert_eq!(
-        (quote.quota, quote.retry, quote.lines.len()),
+        (quote.admission_limit, quote.retry, quote.entries.len()),
         (Some(0.5), RetryPolicy::Never, 3)
     );
     assert_eq!(
-        (order.quota, order.retry),
+        (order.admission_limit, order.retry),
         (Some(0.5), RetryPolicy::OnceOnAnyFailure)
     );
 }
--- a/crates/controller-core/src/rollback.rs
+++ b/crates/controller-core/src/rollback.rs
@@ -129,7 +129,7 @@
     let mut shares: BTreeMap<NodeId, f64> = BTreeMap::new();
     for table in tables {
         let entries: Vec<_> = table
-            .lines
+            .entries
             .iter()
             .filter(|entry| is_included(entry.node))
             .collect();
--- a/crates/drill/src/even.rs
+++ b/crates/drill/src/even.rs
@@ -107,8 +107,8 @@
                 OperationTable {
                     operation: OperationId(at as u8),
                     table: TableId(at as u16),
-                    lines: open.map(line).collect(),
-                    quota: None,
+                    entries: open.map(line).collect(),
+                    admission_limit: None,
                     retry: if repeats {
                         RetryPolicy::OnceOnAnyFailure
                     } else {
--- a/crates/files/src/writer/tests.rs
+++ b/crates/files/src/writer/tests.rs
@@ -35,8 +35,8 @@
     let table = OperationTable {
         operation: OperationId(0),
         table: TableId(0),
-        lines,
-        quota: None,
+        entries: lines,
+        admission_limit: None,
         retry: RetryPolicy::Never,
     };
     TableSet {
--- a/crates/xds/src/tables.rs
+++ b/crates/xds/src/tables.rs
@@ -147,7 +147,7 @@
     plan: &Deployment,
 ) -> endpoint::ClusterLoadAssignment {
     let mut zones: BTreeMap<&str, Vec<endpoint::LbEndpoint>> = BTreeMap::new();
-    for line in &table.lines {
+    for line in &table.entries {
         let weight = (line.weight * WEIGHT_UNIT).round().clamp(1.0, 1e9) as u32;
         zones
             .entry(&line.zone)
@@ -175,7 +175,7 @@
             ..endpoint::LocalityLbEndpoints::default()
         });
     let share = table
-        .quota
+        .admission_limit
         .filter(|quota| plan.admission == LevelForm::Share && *quota < 1.0);
     let drop_overloads = share.map(|share| DropOverload {
         category: DROPPED.to_string(),
@@ -211,7 +211,7 @@
         ..route::RetryPolicy::default()
     });
     let rate = table
-        .quota
+        .admission_limit
         .filter(|quota| plan.admission == LevelForm::Rate && quota.is_finite());
     let limit = rate.map(|rate| {
         // A bucket filled once a second holds whole tokens; low rates are filled more rarely.
@@ -413,8 +413,8 @@
         Some(OperationTable {
             operation,
             table,
-            lines: told.lines,
-            quota,
+            entries: told.lines,
+            admission_limit: quota,
             retry: told.retry,
         })
     };
@@ -464,8 +464,8 @@
         let table = |operation, lines, quota, retry| OperationTable {
             operation: OperationId(operation),
             table: TableId(3),
-            lines,
-            quota,
+            entries: lines,
+            admission_limit: quota,
             retry,
         };
         let operations = vec![
@@ -577,8 +577,8 @@
             let back = recover(orders, &plan);
             for (table, was) in back.operations.iter().zip(&set.operations) {
                 prop_assert_eq!(table.retry, was.retry);
-                prop_assert!((table.quota.unwrap_or(1.0) - was.quota.unwrap_or(1.0)).abs() < 1e-5);
-                for (line, was) in table.lines.iter().zip(&was.lines) {
+                prop_assert!((table.admission_limit.unwrap_or(1.0) - was.admission_limit.unwrap_or(1.0)).abs() < 1e-5);
+                for (line, was) in table.entries.iter().zip(&was.entries) {
                     prop_assert_eq!(line.node, was.node);
                     prop_assert!((line.weight - was.weight).abs() <= 0.0006);
                 }
