--- a/crates/controller-core/src/controller_core.rs
+++ b/crates/controller-core/src/controller_core.rs
@@ -281,9 +281,7 @@
     if !errors.is_empty() {
         return Err(StartError::InvalidSettings(errors));
     }
-    Balancer::start(now, seed, plan.facts(number, None)).map_err(|error| StartError::Balancer {
-        reason: error.to_string(),
-    })
+    Balancer::start(now, seed, plan.facts(number, None)).map_err(StartError::Balancer)
 }
 
 fn zone_of(plan: &Deployment, name: &str) -> Option<ZoneId> {
--- a/crates/controller-core/src/controller_core/recovery.rs
+++ b/crates/controller-core/src/controller_core/recovery.rs
@@ -76,11 +76,8 @@
     #[error("settings that can't be: {}", .0.iter().map(|f| format!("{}: {}", f.field, f.text)).collect::<Vec<_>>().join("; "))]
     InvalidSettings(Vec<ConfigError>),
     /// The balancer refuses the settings.
-    #[error("the decisions can't start: {reason}")]
-    Balancer {
-        /// The balancer's account of it.
-        reason: String,
-    },
+    #[error("the decisions can't start: {0}")]
+    Balancer(wheelspread::ConfigError),
 }
 
 /// Stored state that waits for the first endpoint list.
--- a/crates/controller-core/src/update_queue.rs
+++ b/crates/controller-core/src/update_queue.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use wheelspread::ids::ProxyId;
-use wheelspread::ring::Ring;
+use wheelspread::rolling_window::RollingWindow;
 use wheelspread::time::{Moment, Span};
 
 /// Buckets of the window in which updates to one proxy are counted; two more are kept, so that an update
@@ -68,7 +68,7 @@
     /// Entries that are being written, overhead included.
     in_flight: BTreeMap<ProxyId, f64>,
     failures: BTreeMap<ProxyId, u32>,
-    written: BTreeMap<ProxyId, Ring<f64>>,
+    written: BTreeMap<ProxyId, RollingWindow<f64>>,
     free_at: Moment,
     counts: UpdateCounts,
 }
@@ -207,13 +207,16 @@
         let bucket = Span::from_seconds(self.window.seconds() / WINDOW_BUCKETS as f64);
         self.written
             .entry(proxy)
-            .or_insert_with(|| Ring::new(bucket, WINDOW_BUCKETS + MARGIN_BUCKETS))
+            .or_insert_with(|| RollingWindow::new(bucket, WINDOW_BUCKETS + MARGIN_BUCKETS))
             .add(now, 1.0);
         self.counts.sent += 1;
     }
 
     fn is_below_update_cap(&self, now: Moment, proxy: ProxyId) -> bool {
-        let written = self.written.get(&proxy).map_or(0.0, |ring| ring.whole(now));
+        let written = self
+            .written
+            .get(&proxy)
+            .map_or(0.0, |window| window.total(now));
         self.max_updates <= 0.0 || written + 1.0 <= self.max_updates
     }
 
