--- a/crates/config-rollout/tests/kills.rs
+++ b/crates/config-rollout/tests/kills.rs
@@ -1,16 +1,20 @@
-//! A conductor with its disk and its gateways, under a scripted clock. It is killed at every action that a
-//! gateway or the disk could see, before it and after it, once and again while it recovers, while a change is
-//! applied, kept, undone by an operator or undone by what is measured.
+//! A controller with its disk and its proxies, under a scripted clock. It is killed at every action that a
+//! proxy or the disk could see, before it and after it, once and again while it recovers, while a change is
+//! applied, kept, undone by an operator or undone by its watch.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use test_case::test_case;
 use wheelspread::ids::NodeId;
 use wheelspread::time::{Moment, Span};
-use wheelspread_config_rollout::{Answer, Conditions, Plans, Rollout, RolloutCommand, Step};
-use wheelspread_config_transaction::checks::Bounds;
-use wheelspread_config_transaction::ledger::{Deadlines, Record};
-use wheelspread_config_transaction::{Change, ChangeId, Commit, PersistedState, Refused, State};
+use wheelspread_config_rollout::{
+    Answer, Conditions, Rollout, RolloutAction, RolloutCommand, RolloutSettings, WriteError,
+};
+use wheelspread_config_transaction::checks::ChangeLimits;
+use wheelspread_config_transaction::{
+    Change, ChangeError, ChangeId, ChangeState, Commit, PersistedState,
+};
+use wheelspread_config_transaction::{ChangeRecord, Deadlines};
 use wheelspread_controller_core::controller_core::RecoveredState;
 use wheelspread_controller_core::endpoint_list::{EndpointRecord, EndpointSnapshot};
 use wheelspread_controller_core::load_report::{LoadReport, NodeReport, OperationReport};
@@ -32,14 +36,14 @@
     }
 }
 
-fn plan() -> Deployment {
+fn deployment() -> Deployment {
     let operation = |name: &str| {
         serde_json::json!({
             "name": name, "latency_objective": "1s", "integration_timeout": "3s", "billed_value": 1.0,
             "repeat": "idempotent", "stays_in_zone": true
         })
     };
-    let told = serde_json::json!({
+    let deployment = serde_json::json!({
         "zones": ["north", "south"],
         "operations": [operation("quote"), operation("tour-plan")],
         "proxies": { "count": 4, "usual_rate": 20.0 },
@@ -48,11 +52,11 @@
         "channel": { "lines_waiting_at_most": 4000.0, "lines_per_second": 5000.0, "delay_at_most": "200ms" },
         "sums": { "period": "200ms", "loads": ["utilization"] }
     });
-    serde_json::from_value(told).expect("a sound plan")
+    serde_json::from_value(deployment).expect("a sound plan")
 }
 
-fn plans() -> Plans {
-    Plans {
+fn settings() -> RolloutSettings {
+    RolloutSettings {
         deadlines: Deadlines {
             checks: span(2.0),
             write: span(0.4),
@@ -60,10 +64,10 @@
             apply: span(4.0),
             watch: span(1.2),
         },
-        bounds: Bounds {
-            loses_at_most: 0.5,
-            cold_at_most: 0.9,
-            takes_at_most: span(4.0),
+        limits: ChangeLimits {
+            value_loss_share_limit: 0.5,
+            warming_work_share_limit: 0.9,
+            propagation_time_limit: span(4.0),
         },
         conditions: Conditions {
             invocations_at_least: 5.0,
@@ -110,11 +114,11 @@
 struct World {
     now: Moment,
     end: End,
-    conductor: Option<Running>,
+    controller: Option<Running>,
     starts_at: Moment,
     // What outlives a kill.
     kept: PersistedState,
-    /// What each gateway's link points at.
+    /// What each proxy's link points at.
     links: BTreeMap<String, Arc<TableSet>>,
     /// Every version that was ever seen, to see that none is made twice.
     seen: BTreeMap<Version, Arc<TableSet>>,
@@ -134,7 +138,7 @@
     killed: u64,
 }
 
-fn gateways() -> Vec<(String, &'static str)> {
+fn proxies() -> Vec<(String, &'static str)> {
     ["north", "south"]
         .into_iter()
         .flat_map(|z| (0..2).map(move |n| (format!("{z}-{n}"), z)))
@@ -146,7 +150,7 @@
         World {
             now: Moment::from_seconds(1000.0),
             end,
-            conductor: None,
+            controller: None,
             starts_at: Moment::from_seconds(1000.0),
             kept: PersistedState::default(),
             links: BTreeMap::new(),
@@ -166,7 +170,7 @@
         }
     }
 
-    /// Comes by an action; `true`: the conductor is killed there.
+    /// Comes by an action; `true`: the controller is killed there.
     fn point(&mut self) -> bool {
         self.actions += 1;
         if !self.kill_at.contains(&self.actions) {
@@ -178,7 +182,8 @@
     }
 
     fn start(&mut self) {
-        let (rollout, configured, moving) = Rollout::start(self.now, plan(), plans(), &self.kept);
+        let (rollout, configured, moving) =
+            Rollout::start(self.now, deployment(), settings(), &self.kept);
         let versions = self.links.values().map(|set| set.version).collect();
         let held = self
             .links
@@ -218,9 +223,9 @@
         running
             .session
             .observe(self.now, Observation::EndpointList(Ok(list)));
-        self.conductor = Some(running);
+        self.controller = Some(running);
         let after = |n: usize| self.now + span(0.05 + 0.04 * n as f64);
-        self.joins = gateways()
+        self.joins = proxies()
             .into_iter()
             .enumerate()
             .map(|(n, (name, _))| (after(n), name))
@@ -228,7 +233,7 @@
     }
 
     fn join(&mut self) {
-        let Some(running) = &mut self.conductor else {
+        let Some(running) = &mut self.controller else {
             return;
         };
         let (due, later) = std::mem::take(&mut self.joins)
@@ -263,9 +268,9 @@
         }
     }
 
-    /// Every joined gateway tells what it met in the last period.
+    /// Every joined proxy tells what it met in the last period.
     fn report(&mut self) {
-        let Some(running) = &mut self.conductor else {
+        let Some(running) = &mut self.controller else {
             return;
         };
         let joined = running
@@ -305,7 +310,7 @@
         }
     }
 
-    /// What a gateway sees from now on.
+    /// What a proxy sees from now on.
     fn swap(&mut self, proxy: &str, set: &Arc<TableSet>) {
         let known = self.seen.entry(set.version).or_insert_with(|| set.clone());
         assert_eq!(known, set, "one version, two contents");
@@ -328,7 +333,7 @@
                 table.operation
             );
         }
-        // The moved node serves in one pool or in none: two gateways never find it in both.
+        // The moved node serves in one pool or in none: two proxies never find it in both.
         let names = |set: &TableSet| {
             set.operations
                 .iter()
@@ -343,9 +348,9 @@
         assert!(pools.len() <= 1, "in both pools at {:?}", self.now);
     }
 
-    /// Carries out what the conductor says, action by action; `None`: it was killed.
+    /// Carries out what the controller says, action by action; `None`: it was killed.
     fn turn(&mut self) -> Option<()> {
-        let mut running = self.conductor.take()?;
+        let mut running = self.controller.take()?;
         let (mut effects, mut steps) = (Vec::new(), Vec::new());
         running.session.settle(self.now, &mut effects);
         for effect in effects {
@@ -379,7 +384,7 @@
             .settle(self.now, &running.session, &mut steps);
         for step in steps {
             match step {
-                Step::Write { number, commit } => {
+                RolloutAction::Write { number, commit } => {
                     if self.point() {
                         return None;
                     }
@@ -387,7 +392,7 @@
                         .at_disk
                         .push((self.now + self.disk_takes, number, commit));
                 }
-                Step::Configure(configured) => {
+                RolloutAction::Configure(configured) => {
                     if self.point() {
                         return None;
                     }
@@ -403,8 +408,8 @@
                         return None;
                     }
                 }
-                Step::Answer { order, result } => self.answered(order, result),
-                Step::Log(_) => {}
+                RolloutAction::Answer { request, result } => self.answered(request, result),
+                RolloutAction::Log(_) => {}
             }
         }
         for (at, number, commit) in std::mem::take(&mut running.at_disk) {
@@ -413,19 +418,21 @@
                 continue;
             }
             if self.now < self.disk_full_until {
-                running
-                    .rollout
-                    .written(self.now, number, Err("the disk is full".into()));
+                running.rollout.on_write_completed(
+                    self.now,
+                    number,
+                    Err(WriteError("the disk is full".into())),
+                );
                 continue;
             }
-            self.kept.take(commit);
-            // On the disk, and nobody was told.
+            self.kept.apply(commit);
+            // On the disk, and not reported yet.
             if self.point() {
                 return None;
             }
-            running.rollout.written(self.now, number, Ok(()));
+            running.rollout.on_write_completed(self.now, number, Ok(()));
         }
-        self.conductor = Some(running);
+        self.controller = Some(running);
         Some(())
     }
 
@@ -435,41 +442,43 @@
         let ask = match (self.staged, self.applied, self.undone) {
             (false, ..) => RolloutCommand::Stage(change()),
             (true, false, _) => RolloutCommand::Apply(change().id),
-            (true, true, false) if self.end == End::Undone && state == Some(State::Watched) => {
+            (true, true, false)
+                if self.end == End::Undone && state == Some(ChangeState::Watched) =>
+            {
                 RolloutCommand::Undo(change().id, "not liked".into())
             }
             _ => return,
         };
-        let Some(running) = &mut self.conductor else {
+        let Some(running) = &mut self.controller else {
             return;
         };
         self.orders += 1;
         running
             .rollout
-            .ask(self.now, self.orders, ask, &running.session);
+            .handle_command(self.now, self.orders, ask, &running.session);
     }
 
-    fn answered(&mut self, _: u64, result: Result<Answer, Refused>) {
+    fn answered(&mut self, _: u64, result: Result<Answer, ChangeError>) {
         let record = match result {
             Ok(Answer::Change(record)) => record,
             Ok(other) => panic!("{other:?}"),
             Err(refused) => panic!("{refused}"),
         };
         match record.state {
-            State::Proposed | State::Checked => {}
-            State::Staged => self.staged = true,
-            State::Applying | State::Watched | State::Kept => {
-                (self.staged, self.applied) = (true, true)
+            ChangeState::Proposed | ChangeState::Checked => {}
+            ChangeState::Staged => self.staged = true,
+            ChangeState::Applying | ChangeState::Watched | ChangeState::Kept => {
+                (self.staged, self.applied) = (true, true);
             }
-            State::Undoing | State::Undone => {
-                (self.staged, self.applied, self.undone) = (true, true, true)
+            ChangeState::Undoing | ChangeState::Undone => {
+                (self.staged, self.applied, self.undone) = (true, true, true);
             }
-            State::Refused => panic!("{:?}", record.why),
+            ChangeState::Refused => panic!("{:?}", record.reason),
         }
     }
 
-    fn record(&self) -> Option<&Record> {
-        self.conductor
+    fn record(&self) -> Option<&ChangeRecord> {
+        self.controller
             .as_ref()?
             .rollout
             .ledger()
@@ -478,16 +487,16 @@
 
     fn over(&self) -> bool {
         let wanted = if self.end == End::Kept {
-            State::Kept
+            ChangeState::Kept
         } else {
-            State::Undone
+            ChangeState::Undone
         };
         let there = self.record().is_some_and(|record| record.state == wanted);
-        let told = self
-            .conductor
+        let is_written = self
+            .controller
             .as_ref()
             .is_some_and(|running| running.rollout.unwritten() == 0);
-        there && told && self.joins.is_empty()
+        there && is_written && self.joins.is_empty()
     }
 
     fn play(&mut self) {
@@ -496,7 +505,7 @@
             self.now = self.now + span(0.01);
             ticks += 1;
             assert!(ticks < 6000, "it hangs: {:?}", self.record());
-            if self.conductor.is_none() && self.now >= self.starts_at {
+            if self.controller.is_none() && self.now >= self.starts_at {
                 self.start();
             }
             self.join();
@@ -507,19 +516,19 @@
                 self.operate();
             }
             if self.turn().is_none() {
-                self.conductor = None;
+                self.controller = None;
             }
             quiet = if self.over() { quiet + 1 } else { 0 };
         }
         self.check();
     }
 
-    /// All gateways hold one configuration, the right one, and nothing was applied twice.
+    /// All proxies hold one configuration, the right one, and nothing was applied twice.
     fn check(&self) {
         let record = self.record().expect("known");
         let version = if self.end == End::Kept { 2 } else { 3 };
         assert_eq!(
-            (record.made, self.kept.configuration.version),
+            (record.applied_version, self.kept.configuration.version),
             (Some(2), version),
             "applied once"
         );
@@ -551,8 +560,8 @@
 
 #[test_case(End::Kept; "kept")]
 #[test_case(End::Undone; "undone by an operator")]
-#[test_case(End::Broken; "undone by what is measured")]
-fn killed_at_every_action_it_ends_as_if_nothing_had_happened(end: End) {
+#[test_case(End::Broken; "undone by its watch")]
+fn a_controller_killed_at_any_action_ends_as_one_that_was_not(end: End) {
     let mut quiet = World::new(end, vec![]);
     quiet.play();
     let actions = quiet.actions;
@@ -573,7 +582,7 @@
 }
 
 #[test]
-fn a_disk_that_takes_seconds_or_is_full_delays_the_change_and_nothing_else() {
+fn a_slow_or_full_disk_delays_the_change_and_nothing_else() {
     let mut slow = World::new(End::Kept, vec![]);
     slow.disk_takes = span(2.0);
     slow.play();
@@ -585,11 +594,11 @@
     stuck.staged_then_full(9.0);
     assert_eq!(
         stuck.record().map(|record| record.state),
-        Some(State::Undone)
+        Some(ChangeState::Undone)
     );
     assert!(
         stuck.links.values().all(|set| set.configuration != 2),
-        "no gateway ever saw it"
+        "no proxy ever saw it"
     );
 }
 
@@ -597,7 +606,7 @@
     fn staged_then_full(&mut self, seconds: f64) {
         for tick in 0..2500u64 {
             self.now = self.now + span(0.01);
-            if self.conductor.is_none() {
+            if self.controller.is_none() {
                 self.start();
             }
             self.join();
