--- a/crates/config-rollout/src/measured_fleet.rs
+++ b/crates/config-rollout/src/measured_fleet.rs
@@ -32,11 +32,11 @@
     /// What the controller core has measured by now.
     pub fn from_core(now: Moment, core: &ControllerCore) -> MeasuredFleet {
         let capacity = core
-            .learnt()
+            .capacity_snapshots()
             .map(|snapshot| (snapshot.node, snapshot.capacity.exp()))
             .collect();
         let window = Span::from_seconds(core.plan().sums.period.seconds() * DEMAND_WINDOW_PERIODS);
-        let (tallies, seconds) = core.measured().between(now - window, now);
+        let (tallies, seconds) = core.service_history().between(now - window, now);
         let rate = |count: f64| if seconds > 0.0 { count / seconds } else { 0.0 };
         let demand = tallies
             .0
--- a/crates/controller/src/front.rs
+++ b/crates/controller/src/front.rs
@@ -60,7 +60,11 @@
     /// What happened on streams goes to the session; streams of tables are opened and closed here too.
     pub fn observe(&mut self, now: Moment, session: &mut ControllerCore, observation: Observation) {
         let opened = match &observation {
-            Observation::Subscribed { stream, who, .. } => Some((*stream, who.name.clone())),
+            Observation::Subscribed {
+                stream,
+                introduction: who,
+                ..
+            } => Some((*stream, who.name.clone())),
             Observation::Unsubscribed { stream } => {
                 self.front.close(*stream);
                 None
@@ -70,7 +74,7 @@
         session.observe(now, observation);
         if let Some((stream, name)) = opened {
             let reads = |id: &ProxyId| {
-                session.reads(*id).front
+                session.table_status(*id).transport
                     == wheelspread_controller_core::transport::Transport::Stream(stream)
             };
             if let Some(id) = session
@@ -153,17 +157,17 @@
                     verdict,
                 } => {
                     status(now, session, proxy, version, Some(reason));
-                    let bundle = session.reads(proxy).newest.map(|set| set.bundle);
+                    let bundle = session.table_status(proxy).newest.map(|set| set.bundle);
                     match (verdict, bundle) {
                         (Verdict::Hold, Some(bundle)) => {
                             let until = self.front.held_until(bundle).unwrap_or(now);
-                            session.observe(now, Observation::HeldBack { bundle, until });
+                            session.observe(now, Observation::UpdatesPaused { bundle, until });
                         }
                         (Verdict::Back(version), Some(bundle)) => {
                             session.observe(
                                 now,
-                                Observation::Back {
-                                    order: OWN,
+                                Observation::RollBack {
+                                    request: OWN,
                                     bundle,
                                     version,
                                 },
@@ -217,10 +221,10 @@
     if let Some(proxy) = session.members().name(proxy).map(str::to_string) {
         session.observe(
             now,
-            Observation::Status {
+            Observation::StatusReported {
                 proxy,
                 version,
-                refused,
+                rejection: refused,
             },
         );
     }
