--- a/crates/config-transaction/src/persisted.rs
+++ b/crates/config-transaction/src/persisted.rs
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The whole state as one commit, for compaction.
+    /// All of the state as one commit, for compaction.
     pub fn to_commit(&self) -> Commit {
         let facts = self.facts.iter();
         Commit {
--- a/crates/config-transaction/src/state.rs
+++ b/crates/config-transaction/src/state.rs
@@ -101,54 +101,46 @@
     /// The transition for an event; `None`: the event changes nothing in this state.
     pub fn transition(self, event: ChangeEvent) -> Option<Transition> {
         use ChangeEvent as Event;
+        let refuse = (ChangeState::Refused, ChangeEffect::Close);
+        let undo = (ChangeState::Undoing, ChangeEffect::RestoreValues);
         let (next, effect) = match self {
             ChangeState::Proposed => match event {
                 Event::ChecksPassed => (ChangeState::Checked, ChangeEffect::Write),
-                Event::ChecksFailed
-                | Event::BaseOutdated
-                | Event::DeadlineExceeded
-                | Event::UndoRequested => (ChangeState::Refused, ChangeEffect::Close),
+                Event::ChecksFailed | Event::BaseOutdated => refuse,
+                Event::DeadlineExceeded | Event::UndoRequested => refuse,
                 _ => return None,
             },
             ChangeState::Checked => match event {
                 Event::Written => (ChangeState::Staged, ChangeEffect::Nothing),
-                Event::BaseOutdated | Event::UndoRequested => {
-                    (ChangeState::Refused, ChangeEffect::Close)
-                }
+                Event::BaseOutdated | Event::UndoRequested => refuse,
                 // A disk that takes seconds delays the change and nothing else.
                 Event::DeadlineExceeded => (ChangeState::Checked, ChangeEffect::Write),
                 _ => return None,
             },
             ChangeState::Staged => match event {
                 Event::ApplyRequested => (ChangeState::Applying, ChangeEffect::ApplyValues),
-                Event::BaseOutdated | Event::UndoRequested | Event::DeadlineExceeded => {
-                    (ChangeState::Refused, ChangeEffect::Close)
-                }
+                Event::BaseOutdated | Event::UndoRequested | Event::DeadlineExceeded => refuse,
                 _ => return None,
             },
             ChangeState::Applying => match event {
                 Event::InForce => (ChangeState::Watched, ChangeEffect::Watch),
-                Event::UndoRequested | Event::DeadlineExceeded => {
-                    (ChangeState::Undoing, ChangeEffect::RestoreValues)
-                }
+                Event::UndoRequested | Event::DeadlineExceeded => undo,
                 _ => return None,
             },
             ChangeState::Watched => match event {
                 Event::WatchCompleted => (ChangeState::Kept, ChangeEffect::Keep),
                 // Evidence that never comes counts against the change.
-                Event::UndoRequested | Event::DeadlineExceeded => {
-                    (ChangeState::Undoing, ChangeEffect::RestoreValues)
-                }
+                Event::UndoRequested | Event::DeadlineExceeded => undo,
                 _ => return None,
             },
             // A change that was kept can be undone as long as no later change rests on it.
             ChangeState::Kept => match event {
-                Event::UndoRequested => (ChangeState::Undoing, ChangeEffect::RestoreValues),
+                Event::UndoRequested => undo,
                 _ => return None,
             },
             ChangeState::Undoing => match event {
                 Event::InForce => (ChangeState::Undone, ChangeEffect::Close),
-                Event::DeadlineExceeded => (ChangeState::Undoing, ChangeEffect::RestoreValues),
+                Event::DeadlineExceeded => undo,
                 _ => return None,
             },
             ChangeState::Undone | ChangeState::Refused => return None,
--- a/crates/config-transaction/tests/life_cycle.rs
+++ b/crates/config-transaction/tests/life_cycle.rs
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_change_is_applied_as_one_version_and_kept_or_undone_after_its_watch() {
+fn a_change_is_applied_as_one_version_and_its_watch_confirms_or_undoes_it() {
     for good in [true, false] {
         let mut ledger = Ledger::new(configuration(), deadlines());
         assert_eq!(ledger.plan(&pool_change()).len(), 3);
--- a/crates/config-transaction/tests/transitions.rs
+++ b/crates/config-transaction/tests/transitions.rs
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn only_kept_changes_leave_a_final_state() {
+fn a_final_state_is_left_only_to_undo_a_change_in_force() {
     for state in STATES.into_iter().filter(|state| state.is_final()) {
         let leaves = EVENTS
             .into_iter()
--- a/crates/store/src/compaction.rs
+++ b/crates/store/src/compaction.rs
@@ -1,4 +1,4 @@
-//! Writes the whole state anew as one commit.
+//! Writes the state anew as one commit.
 
 use crate::error::StoreError;
 use crate::format::{encode_frame, header};
--- a/crates/store/tests/damage.rs
+++ b/crates/store/tests/damage.rs
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_file_that_is_no_store_is_kept_aside_and_reported() {
+fn a_file_that_is_no_store_is_set_aside_and_reported() {
     let directory = tempfile::tempdir().expect("a directory");
     let path = directory.path().join("state");
     std::fs::write(&path, "not a store at all").expect("written");
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_file_cut_at_any_byte_opens_to_the_last_whole_commit() {
+fn a_file_cut_at_any_byte_opens_to_the_last_complete_commit() {
     let directory = tempfile::tempdir().expect("a directory");
     let path = directory.path().join("state");
     let (bytes, ends) = eleven(&path);
