--- a/crates/drill/src/gateways.rs
+++ b/crates/drill/src/gateways.rs
@@ -14,15 +14,20 @@
 use wheelspread_controller_core::deployment::Repeat;
 use wheelspread_controller_core::endpoint_list::show;
 use wheelspread_files::Held;
-use wheelspread_proxy::witness::Outcome;
-use wheelspread_proxy::{ConductorSide, Proxy, ProxyPlan, Reads, Waits, Witness};
-use wheelspread_proxy_core::{CorePlan, Failure, Guard, OperationRules, Picking};
+use wheelspread_proxy::observer::RequestOutcome;
+use wheelspread_proxy::{
+    ControllerEndpoint, Proxy, ProxyConfig, RequestObserver, TableSource, Timeouts,
+};
+use wheelspread_proxy_core::{
+    CoreConfig, EjectionPolicy, Failure, OperationRules, RetryBudgetConfig, RetrySafety,
+    SelectionPolicy,
+};
 use wheelspread_reactor::{self as reactor, Poll, Token, Waker};
 
 pub enum GatewayOrder {
     Die(usize),
     /// It comes back, on a new port, knowing nothing; the address is told.
-    Start(Box<ProxyPlan>, usize, Sender<Option<SocketAddr>>),
+    Start(Box<ProxyConfig>, usize, Sender<Option<SocketAddr>>),
     End,
 }
 
@@ -70,7 +75,7 @@
         self.waker.wake();
     }
 
-    pub fn add(&self, plan: ProxyPlan, number: usize) -> Option<SocketAddr> {
+    pub fn add(&self, plan: ProxyConfig, number: usize) -> Option<SocketAddr> {
         let (tell, told) = channel();
         self.order(GatewayOrder::Start(Box::new(plan), number, tell));
         told.recv().ok().flatten()
@@ -100,8 +105,8 @@
         let now = reactor::now();
         let mut wake = now + Span::from_seconds(1.0);
         for proxy in proxies.iter_mut().flatten() {
-            proxy.turn(&poll, now);
-            wake = wake.min(proxy.wake_at(now));
+            proxy.run_due_work(&poll, now);
+            wake = wake.min(proxy.next_wakeup(now));
         }
         if poll.wait(wake - reactor::now(), &mut ready).is_err() {
             return;
@@ -109,10 +114,10 @@
         let now = reactor::now();
         for ready in ready.drain(..) {
             if ready.token != WAKER {
-                let (number, token) = ((ready.token.0 >> 32) as usize, ready.token.0 & 0xffff_ffff);
+                let number = (ready.token.0 >> 32) as usize;
                 if let Some(proxy) = proxies.get_mut(number).and_then(Option::as_mut) {
                     // A watch that fails shows as tables that are never taken.
-                    let _ = proxy.ready(&poll, now, token, ready);
+                    let _ = proxy.on_ready(&poll, now, ready);
                 }
                 continue;
             }
@@ -128,7 +133,7 @@
                         if proxies.len() <= gateway {
                             proxies.resize_with(gateway + 1, || None);
                         }
-                        let streams = plan.reads == Reads::Stream;
+                        let streams = plan.table_source == TableSource::Stream;
                         let seen = Seen {
                             recorder: recorder.clone(),
                             holding: holding.clone(),
@@ -164,61 +169,66 @@
     seed: u64,
     trusting: bool,
     follows: bool,
-) -> ProxyPlan {
+) -> ProxyConfig {
     let deployment = &script.deployment;
     let count = sides.len();
     let conductors = (0..count).map(|at| &sides[(gateway + at) % count]);
     let rules =
         |operation: &wheelspread_controller_core::deployment::OperationPlan| OperationRules {
             name: operation.name.clone(),
-            guard: match operation.repeat {
+            retry_safety: match operation.repeat {
                 // A gateway that trusts its tables blindly, to see the audit find what comes of it.
-                _ if trusting => Guard::Idempotent,
-                Repeat::Idempotent => Guard::Idempotent,
-                Repeat::Fingerprinted => Guard::Fingerprinted {
+                _ if trusting => RetrySafety::Idempotent,
+                Repeat::Idempotent => RetrySafety::Idempotent,
+                Repeat::Fingerprinted => RetrySafety::Fingerprinted {
                     window: operation.repeat_window,
                 },
-                Repeat::SideEffecting => Guard::SideEffecting,
+                Repeat::SideEffecting => RetrySafety::SideEffecting,
             },
             integration_timeout: operation.integration_timeout,
         };
-    ProxyPlan {
+    ProxyConfig {
         name: name(gateway),
         zone: deployment.zones[zone].clone(),
         listen: SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0),
         source: Some(gateway_address(zone, gateway)),
         usual_rate: None,
         seed: seed.wrapping_add(gateway as u64),
-        conductors: conductors
-            .map(|(reports, tables)| ConductorSide {
+        controllers: conductors
+            .map(|(reports, tables)| ControllerEndpoint {
                 reports: *reports,
                 tables: tables.clone(),
             })
             .collect(),
-        core: CorePlan {
+        core: CoreConfig {
             operations: deployment.operations.iter().map(rules).collect(),
-            picking: Picking::Lottery,
-            errors_until_avoided: deployment.proxies.errors_until_avoided,
-            avoided_for: Span::from_seconds(4.0),
-            repeats: (0.2, 20.0),
-            outstanding_at_most: 0,
+            selection: SelectionPolicy::WeightedRandom,
+            ejection: EjectionPolicy {
+                consecutive_failures: deployment.proxies.errors_until_avoided,
+                ejection_time: Span::from_seconds(4.0),
+            },
+            retry_budget: RetryBudgetConfig {
+                ratio: 0.2,
+                burst: 20.0,
+            },
+            max_in_flight_per_node: 0,
         },
-        head: 16 << 10,
-        body: 1 << 16,
-        connections: 5000,
-        connections_per_node: 64,
-        waits: Waits {
+        max_head_bytes: 16 << 10,
+        max_body_bytes: 1 << 16,
+        max_client_connections: 5000,
+        max_connections_per_node: 64,
+        timeouts: Timeouts {
             node_idle: deployment.proxies.connection_idle,
-            redial: Span::from_seconds(0.7),
-            ..Waits::default()
+            reconnect_delay: Span::from_seconds(0.7),
+            ..Timeouts::default()
         },
         publishes_status: true,
         follows_unjoined: follows,
         tls: None,
-        reads: if deployment.fronts.files {
-            Reads::Files
+        table_source: if deployment.fronts.files {
+            TableSource::Files
         } else {
-            Reads::Stream
+            TableSource::Stream
         },
     }
 }
@@ -247,8 +257,8 @@
     held.orders.operations.iter().map(of).collect()
 }
 
-impl Witness for Seen {
-    fn sent(&mut self, now: Moment, id: &str, operation: &str, node: NodeId, number: u32) {
+impl RequestObserver for Seen {
+    fn attempt_sent(&mut self, now: Moment, id: &str, operation: &str, node: NodeId, number: u32) {
         let (gateway, id, node) = (self.gateway, id.to_string(), show(node));
         let operation = operation.to_string();
         self.recorder.note(
@@ -263,7 +273,7 @@
         );
     }
 
-    fn ended(
+    fn attempt_ended(
         &mut self,
         now: Moment,
         id: &str,
@@ -287,13 +297,13 @@
         );
     }
 
-    fn answered(&mut self, now: Moment, id: &str, outcome: Outcome) {
+    fn request_finished(&mut self, now: Moment, id: &str, outcome: RequestOutcome) {
         let outcome = match outcome {
-            Outcome::Node(status) => format!("node-{status}"),
-            Outcome::RateLimited => "rate-limited".to_string(),
-            Outcome::NoNode => "no-node".to_string(),
-            Outcome::Failed(failure) => format!("{failure:?}").to_lowercase(),
-            Outcome::Nobody => "client-gone".to_string(),
+            RequestOutcome::Upstream(status) => format!("node-{status}"),
+            RequestOutcome::RateLimited => "rate-limited".to_string(),
+            RequestOutcome::NoNode => "no-node".to_string(),
+            RequestOutcome::Failed(failure) => format!("{failure:?}").to_lowercase(),
+            RequestOutcome::ClientGone => "client-gone".to_string(),
         };
         self.recorder.note(
             now,
@@ -305,7 +315,7 @@
         );
     }
 
-    fn holds(&mut self, now: Moment, held: &Held) {
+    fn tables_applied(&mut self, now: Moment, held: &Held) {
         let (version, hash) = (held.orders.version.0, held.hash.clone());
         let (gateway, conductor) = (self.gateway, self.conductor);
         if let Ok(mut holding) = self.holding.lock() {
@@ -337,7 +347,7 @@
         );
     }
 
-    fn refused(&mut self, now: Moment, reason: &str) {
+    fn tables_rejected(&mut self, now: Moment, reason: &str) {
         self.recorder.note(
             now,
             Record::TablesRefused {
@@ -347,7 +357,7 @@
         );
     }
 
-    fn joined(&mut self, now: Moment, conductor: usize, of: usize) {
+    fn controller_joined(&mut self, now: Moment, conductor: usize, of: usize) {
         // Told by its place among the proxy's own conductors, which begin with its usual one.
         self.conductor = (self.gateway + conductor) % of;
         self.recorder.note(
@@ -359,7 +369,7 @@
         );
     }
 
-    fn left(&mut self, now: Moment, _reason: &str) {
+    fn controller_left(&mut self, now: Moment, _reason: &str) {
         self.recorder.note(
             now,
             Record::Left {
