--- a/crates/proxy-core/src/admission/tests.rs
+++ b/crates/proxy-core/src/admission/tests.rs
@@ -14,7 +14,7 @@
 #[test_case(0, 1.0; "all")]
 #[test_case(250_000, 0.75; "three quarters")]
 #[test_case(1_000_000, 0.0; "none")]
-fn the_admission_ratio_is_kept(dropped: u32, wanted: f64) {
+fn requests_are_admitted_by_the_ratio(dropped: u32, wanted: f64) {
     let mut admission = Admission::default();
     admission.configure(Moment::from_seconds(0.0), dropped, None);
     let ratio = admitted_ratio(&mut admission, 100.0, 1000.0);
@@ -24,7 +24,7 @@
 
 #[test_case(20.0, 0.2; "a rate")]
 #[test_case(0.5, 0.005; "less than one a second")]
-fn the_rate_limit_is_kept(rate: f64, wanted: f64) {
+fn requests_are_admitted_up_to_the_rate_limit(rate: f64, wanted: f64) {
     let mut admission = Admission::default();
     admission.configure(Moment::from_seconds(0.0), 0, Some(rate));
     let ratio = admitted_ratio(&mut admission, 100.0, 100.0);
--- a/crates/proxy/src/http/tests.rs
+++ b/crates/proxy/src/http/tests.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_rate_limited_client_is_told_when_to_retry() {
+fn a_rate_limited_response_says_when_to_retry() {
     let response = LocalResponse {
         status: LocalStatus::RateLimited,
         message: "turned away",
