--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -142,7 +142,7 @@
         Err(code) => return code,
     };
     log::start(&file.log);
-    if wheelspread_faults::start() {
+    if wheelspread_faults::enable_from_environment() {
         tracing::warn!("FAILPOINTS is set: this conductor is made to go wrong");
     }
     let conductor = match Controller::start(file, Some(path)) {
@@ -165,7 +165,7 @@
     log::start(&LogPlan::default());
     let service = match wheelspread_platform::Service::start(path) {
         Ok(service) => service,
-        Err(wheelspread_platform::NoStart::Told) => return ExitCode::SUCCESS,
+        Err(wheelspread_platform::StartError::Stopped) => return ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("{error}");
             return ExitCode::from(BAD_INPUT);
--- /dev/null
+++ b/crates/platform-core/src/controller_core.rs
@@ -0,0 +1,361 @@
+//! Feeds the balancer: messages and endpoint lists become events, its actions become messages and outputs.
+//! One decision round serves everything received since the last one, at most one round in each tick.
+
+mod messages;
+mod silence;
+
+use crate::endpoint_list::{EndpointList, SourceId};
+use crate::handshake::Peer;
+use crate::membership::Membership;
+use crate::message::MessageLimits;
+use crate::output::{CloseCause, Diagnostic, Output};
+use crate::publication::{ActionTarget, Publication};
+use crate::ConnectionId;
+use silence::LatencyHistory;
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+use wheelspread::ids::{NodeId, ProxyId, TimerId, ZoneId};
+use wheelspread::settings::Settings;
+use wheelspread::time::{Moment, Span};
+use wheelspread::{Action, Balancer, ConfigError, EndpointListKind, Event};
+use wheelspread_settings::Names;
+
+/// Time between two searches for silent streams and for names that are no longer used.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(250);
+/// How long a name that is not in use is remembered, as a multiple of the time in which nodes warm up.
+const NAME_RETENTION_FACTOR: f64 = 10.0;
+/// The longest attempt that a report may tell of, as a multiple of the longest deadline: the mean latency
+/// carries noise, and an attempt may outlast its client.
+const ATTEMPT_DURATION_FACTOR: f64 = 4.0;
+/// Deadlines shorter than this don't lower that bound.
+const DEADLINE_MIN_SECONDS: f64 = 1.0;
+const OPERATIONS_MAX: usize = 16;
+
+/// Why the core can't start.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+pub enum StartError {
+    /// The balancer does not accept the settings.
+    #[error(transparent)]
+    Settings(#[from] ConfigError),
+}
+
+/// Why new settings are not taken.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+pub enum ReconfigureError {
+    /// They name other zones, kinds, operations or metrics.
+    #[error("zones, kinds, operations and reports stay what they are while this runs")]
+    NamesChanged,
+    /// The balancer does not accept the settings.
+    #[error(transparent)]
+    Settings(#[from] ConfigError),
+}
+
+/// What a health check brought.
+#[derive(Clone, Debug, PartialEq)]
+pub struct HealthCheckResult {
+    /// The node that was checked.
+    pub node: NodeId,
+    /// Whether it answered that it serves.
+    pub succeeded: bool,
+    /// How long the answer took.
+    pub latency: Span,
+    /// Its load metrics in the order of the settings; empty where there are none.
+    pub metrics: Vec<f64>,
+}
+
+/// The stream of a proxy that has joined.
+struct Stream {
+    connection: ConnectionId,
+    last_message_at: Moment,
+}
+
+/// What the settings give for this crate.
+struct CoreSettings {
+    message_limits: MessageLimits,
+    tick: Span,
+    /// The longest delay of a message to a proxy.
+    message_delay: Span,
+    warm_up: Span,
+}
+
+impl CoreSettings {
+    fn from_settings(settings: &Settings) -> CoreSettings {
+        let span = |name| Span::from_seconds(settings.number_or(name, 0.0));
+        let longest_deadline = (0..OPERATIONS_MAX)
+            .map(|operation| format!("operation.{operation}.integration_timeout"))
+            .map(|name| settings.number_or(&name, 0.0))
+            .fold(DEADLINE_MIN_SECONDS, f64::max);
+        let proxy_count = settings.number_or("proxy.count", 0.0);
+        CoreSettings {
+            message_limits: MessageLimits {
+                proxy_count: proxy_count.clamp(0.0, f64::from(u16::MAX)) as u16,
+                attempt_duration: Span::from_seconds(longest_deadline * ATTEMPT_DURATION_FACTOR),
+            },
+            tick: span("conductor.tick"),
+            message_delay: span("channel.delay_at_most"),
+            warm_up: span("rules.warm_after"),
+        }
+    }
+}
+
+/// The protocol state of one controller. The owner of the sockets passes in what it receives, and calls
+/// [`ControllerCore::decide`] afterwards and at [`ControllerCore::wake_at`].
+pub struct ControllerCore {
+    balancer: Balancer,
+    names: Names,
+    settings: CoreSettings,
+    membership: Membership,
+    publication: Publication,
+    peers: BTreeMap<ConnectionId, Peer>,
+    streams: BTreeMap<ProxyId, Stream>,
+    /// The newest connection on which each proxy has joined.
+    newest_connections: BTreeMap<ProxyId, ConnectionId>,
+    timers: BTreeSet<(Moment, TimerId)>,
+    acknowledgement_latency: LatencyHistory,
+    /// Events have come since the last decision round.
+    has_new_events: bool,
+    last_round_at: Option<Moment>,
+    next_maintenance_at: Moment,
+    outputs: Vec<Output>,
+}
+
+impl ControllerCore {
+    /// Starts with the balancer's settings and the names that messages use.
+    pub fn start(
+        now: Moment,
+        seed: u64,
+        settings: Settings,
+        names: Names,
+    ) -> Result<ControllerCore, StartError> {
+        let core_settings = CoreSettings::from_settings(&settings);
+        let balancer = Balancer::start(now, seed, settings)?;
+        Ok(ControllerCore {
+            balancer,
+            settings: core_settings,
+            membership: Membership::default(),
+            publication: Publication::new(&names.operations),
+            names,
+            peers: BTreeMap::new(),
+            streams: BTreeMap::new(),
+            newest_connections: BTreeMap::new(),
+            timers: BTreeSet::new(),
+            acknowledgement_latency: LatencyHistory::new(),
+            has_new_events: true,
+            last_round_at: None,
+            next_maintenance_at: now,
+            outputs: Vec::new(),
+        })
+    }
+
+    /// Takes other settings. Zones, kinds, operations and metrics stay what they are.
+    pub fn reconfigure(
+        &mut self,
+        settings: Settings,
+        names: &Names,
+    ) -> Result<(), ReconfigureError> {
+        if *names != self.names {
+            return Err(ReconfigureError::NamesChanged);
+        }
+        let core_settings = CoreSettings::from_settings(&settings);
+        self.balancer.reconfigure(settings)?;
+        self.settings = core_settings;
+        self.has_new_events = true;
+        Ok(())
+    }
+
+    /// The names that messages use.
+    pub fn names(&self) -> &Names {
+        &self.names
+    }
+
+    /// How many proxies have joined.
+    pub fn proxy_count(&self) -> usize {
+        self.streams.len()
+    }
+
+    /// The version of the endpoint list in force.
+    pub fn endpoint_list_version(&self) -> Option<u64> {
+        self.membership.version()
+    }
+
+    /// Takes an endpoint list. Whether it is newer than the one in force.
+    pub fn handle_endpoint_list(
+        &mut self,
+        now: Moment,
+        list: &EndpointList,
+        source: SourceId,
+    ) -> bool {
+        let Some(event) = self.membership.apply(list, source, now) else {
+            return false;
+        };
+        self.handle_event(now, &event);
+        true
+    }
+
+    /// The complete endpoint list was asked for and could not be read.
+    pub fn handle_endpoint_list_unavailable(&mut self, now: Moment) {
+        let event = Event::EndpointList {
+            kind: EndpointListKind::Unavailable,
+            entries: Vec::new(),
+        };
+        self.handle_event(now, &event);
+    }
+
+    /// A health check has ended.
+    pub fn handle_health_check(&mut self, now: Moment, result: HealthCheckResult) {
+        let event = Event::ProbeCompleted {
+            node: result.node,
+            succeeded: result.succeeded,
+            latency: result.latency,
+            metrics: result.metrics,
+        };
+        self.handle_event(now, &event);
+    }
+
+    fn handle_event(&mut self, now: Moment, event: &Event) {
+        self.has_new_events = true;
+        if let Err(error) = self.balancer.handle_event(now, event) {
+            self.report(Diagnostic::EventRejected(error));
+        }
+    }
+
+    fn report(&mut self, diagnostic: Diagnostic) {
+        self.outputs.push(Output::Diagnostic(diagnostic));
+    }
+
+    /// Closes a connection from this side. Until its owner has closed it, it is ignored.
+    fn close(&mut self, now: Moment, connection: ConnectionId, cause: CloseCause) {
+        self.outputs.push(Output::Close { connection, cause });
+        self.end_stream(now, connection);
+        self.peers.insert(connection, Peer::Closing);
+    }
+
+    /// A connection has been closed, by whichever side.
+    pub fn handle_connection_closed(&mut self, now: Moment, connection: ConnectionId) {
+        self.end_stream(now, connection);
+        self.peers.remove(&connection);
+    }
+
+    /// The proxy leaves, where this connection is its stream.
+    fn end_stream(&mut self, now: Moment, connection: ConnectionId) {
+        let Some(Peer::Proxy(proxy)) = self.peers.get(&connection).copied() else {
+            return;
+        };
+        let is_current = |stream: &Stream| stream.connection == connection;
+        if self.streams.get(&proxy).is_some_and(is_current) {
+            self.streams.remove(&proxy);
+            self.publication.remove_stream(proxy);
+            self.handle_event(now, &Event::ProxyLeft { proxy });
+        }
+    }
+
+    /// A collector that a newer one of its zone has replaced, if there is one. This happens after a silent
+    /// break of its connection, which nothing else shows.
+    pub fn redundant_collector(&self) -> Option<ConnectionId> {
+        let has_newer = |connection: &ConnectionId, zone: ZoneId| {
+            self.peers
+                .range(connection..)
+                .skip(1)
+                .any(|(_, peer)| *peer == Peer::Collector(zone))
+        };
+        let redundant = |(connection, peer): (&ConnectionId, &Peer)| match peer {
+            Peer::Collector(zone) if has_newer(connection, *zone) => Some(*connection),
+            _ => None,
+        };
+        self.peers.iter().find_map(redundant)
+    }
+
+    /// Runs what is due - maintenance, timers, a decision round - and returns what is to be done.
+    pub fn decide(&mut self, now: Moment) -> Vec<Output> {
+        if now >= self.next_maintenance_at {
+            self.run_maintenance(now);
+        }
+        self.fire_timers(now);
+        if self.is_round_due(now) {
+            self.run_round(now);
+        }
+        std::mem::take(&mut self.outputs)
+    }
+
+    fn run_maintenance(&mut self, now: Moment) {
+        self.close_silent_streams(now);
+        self.next_maintenance_at = now + span(MAINTENANCE_INTERVAL);
+        let retention = self.settings.warm_up * NAME_RETENTION_FACTOR;
+        let publication = &self.publication;
+        self.membership
+            .forget_unlisted(now, retention, |node| publication.uses_node(node));
+    }
+
+    fn fire_timers(&mut self, now: Moment) {
+        while let Some((_, timer)) = self.timers.first().copied().filter(|first| first.0 <= now) {
+            self.timers.pop_first();
+            self.handle_event(now, &Event::TimerFired { timer });
+        }
+    }
+
+    fn is_round_due(&self, now: Moment) -> bool {
+        let tick_is_over = |last: Moment| now >= last + self.settings.tick;
+        self.has_new_events && self.last_round_at.is_none_or(tick_is_over)
+    }
+
+    fn run_round(&mut self, now: Moment) {
+        (self.has_new_events, self.last_round_at) = (false, Some(now));
+        let mut actions = Vec::new();
+        self.balancer.decide(now, &mut actions);
+        for action in &actions {
+            self.execute(now, action);
+        }
+        for (proxy, bytes) in self.publication.take_messages(now, &self.membership) {
+            if let Some(Stream { connection, .. }) = self.streams.get(&proxy) {
+                self.outputs.push(Output::Write {
+                    connection: *connection,
+                    bytes,
+                });
+            }
+        }
+    }
+
+    fn execute(&mut self, now: Moment, action: &Action) {
+        if self.publication.record(action) == ActionTarget::Proxies {
+            return;
+        }
+        match action {
+            Action::SetTimer { after, timer } => {
+                self.timers.insert((now + *after, *timer));
+            }
+            Action::RequestEndpointList => self.outputs.push(Output::RequestEndpointList),
+            Action::ProbeNode { node } => {
+                if let Some(address) = self.membership.address(*node) {
+                    self.outputs.push(Output::HealthCheck {
+                        node: *node,
+                        address,
+                    });
+                }
+            }
+            Action::Log { message } => self.report(Diagnostic::Balancer(message.clone())),
+            // Changes of the endpoint list come without being asked for, and controllers have no way to reach
+            // each other on a platform.
+            Action::WatchEndpoints { .. } | Action::SendGossip { .. } => {}
+            _ => {}
+        }
+    }
+
+    /// When [`ControllerCore::decide`] is to be called again if nothing is received.
+    pub fn wake_at(&self) -> Moment {
+        let next_timer = self
+            .timers
+            .first()
+            .map_or(self.next_maintenance_at, |first| first.0)
+            .min(self.next_maintenance_at);
+        match (self.has_new_events, self.last_round_at) {
+            (true, Some(last)) => next_timer.min(last + self.settings.tick),
+            (true, None) => Moment::default(),
+            _ => next_timer,
+        }
+    }
+}
+
+/// A duration on the balancer's clock.
+fn span(duration: Duration) -> Span {
+    Span::from_seconds(duration.as_secs_f64())
+}
