--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -230,3 +230,6 @@
     #[error("tls: {0}")]
     Tls(#[from] TlsConfigError),
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/proxy/src/proxy/token.rs
+++ b/crates/proxy/src/proxy/token.rs
@@ -77,3 +77,6 @@
 pub(crate) fn is_upstream_token(token: Token) -> bool {
     token.0 & UPSTREAM_FLAG != 0
 }
+
+#[cfg(test)]
+mod tests;
