--- a/crates/proxy-core/src/admission.rs
+++ b/crates/proxy-core/src/admission.rs
@@ -8,10 +8,10 @@
 /// Seconds after which a request that was rejected by the ratio may come again: any wait will do, since it is
 /// drawn anew each time.
 const RATIO_RETRY_AFTER_SECONDS: f64 = 1.0;
-/// Bounds of what a client is told to wait for the next token, in seconds.
+/// Bounds of the wait for the next token that a client gets, in seconds.
 const MIN_TOKEN_WAIT_SECONDS: f64 = 0.001;
 const MAX_TOKEN_WAIT_SECONDS: f64 = 60.0;
-/// A rate of zero would wait forever; with this the longest wait is told.
+/// A rate of zero would make the wait endless; with this it is the longest one.
 const MIN_RATE: f64 = 1e-3;
 
 /// Tokens that come at a steady rate. The tokens of one second are kept, one token at least.
--- a/crates/proxy-core/src/core/attempts.rs
+++ b/crates/proxy-core/src/core/attempts.rs
@@ -14,7 +14,7 @@
         self.advance(now, slot, RequestInput::Succeeded)
     }
 
-    /// The attempt in flight told nothing of its node.
+    /// The attempt in flight ended without evidence about its node.
     pub(super) fn cancel_attempt(&mut self, slot: u32) {
         self.close_attempt(slot, |state| state.health.on_attempt_cancelled());
     }
@@ -85,7 +85,7 @@
         self.retry_budget.try_take().then_some(node)
     }
 
-    /// Takes the attempt in flight off the books; `update_health` says what it told of its node.
+    /// Removes the attempt in flight from all counts; `update_health` applies the evidence about its node.
     fn close_attempt(&mut self, slot: u32, update_health: impl FnOnce(&mut NodeState)) {
         let request = self.requests.get_mut(slot);
         self.attempt_timers.remove(&request.timer(slot));
--- a/crates/proxy-core/src/core/transitions.rs
+++ b/crates/proxy-core/src/core/transitions.rs
@@ -10,7 +10,7 @@
 /// Seconds after which a request that was given up by a new table may come again.
 const SHED_RETRY_AFTER_SECONDS: f64 = 1.0;
 
-/// What happens to a request. The attempt that ended, if any, is off the books already.
+/// What happens to a request. The attempt that ended, if any, is removed from all counts already.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum RequestInput {
     /// It is admitted, and a node is selected.
@@ -95,7 +95,7 @@
         action
     }
 
-    /// Puts an attempt on the books and starts its timer.
+    /// Counts an attempt as in flight and starts its timer.
     fn send_attempt(&mut self, now: Moment, slot: u32, node: NodeId) -> AttemptOrder {
         let request = self.requests.get_mut(slot);
         let operation = &self.operations[usize::from(request.operation.0)];
--- a/crates/proxy-core/src/ejection.rs
+++ b/crates/proxy-core/src/ejection.rs
@@ -73,7 +73,7 @@
         self.is_probation_attempt_in_flight |= self.state == EjectionState::Probation;
     }
 
-    /// An attempt told nothing of the node, as when the client went away.
+    /// An attempt ended without evidence about the node, as when the client disconnected.
     pub fn on_attempt_cancelled(&mut self) {
         self.is_probation_attempt_in_flight = false;
     }
--- a/crates/proxy-core/src/lib.rs
+++ b/crates/proxy-core/src/lib.rs
@@ -1,7 +1,6 @@
 //! The decisions of a proxy that obeys published tables, without I/O.
 //!
-//! [`ProxyCore`] is told of requests that arrive, of attempts that end and of tables that change. It decides
-//! where to send, what to respond and when to give up. It holds no socket and reads no clock: the event loop
+//! Events go in: requests that arrive, attempts that end, tables that change. [`ProxyCore`] decides where to send, what to respond and when to give up. It holds no socket and reads no clock: the event loop
 //! around it moves bytes and passes the time in.
 //!
 //! | module | decides |
--- a/crates/proxy-core/src/load_accounting.rs
+++ b/crates/proxy-core/src/load_accounting.rs
@@ -143,7 +143,7 @@
         }
     }
 
-    /// An attempt succeeded, with the load that the node told.
+    /// An attempt succeeded; `loads` are the load metrics that the node sent.
     pub fn record_success(
         &mut self,
         operation: OperationId,
--- a/crates/proxy-core/src/message.rs
+++ b/crates/proxy-core/src/message.rs
@@ -18,7 +18,7 @@
 pub enum AttemptOutcome {
     /// The response came in full.
     Succeeded {
-        /// The load that the node told with it, by metric.
+        /// The load metrics that the node sent with it, by name.
         loads: Vec<(String, f64)>,
     },
     /// It failed before its response had begun to go to the client.
--- a/crates/proxy/src/client.rs
+++ b/crates/proxy/src/client.rs
@@ -172,7 +172,7 @@
         self.unsent() == 0 && (is_closing || (self.peer_closed() && is_idle))
     }
 
-    /// Whether a request has begun and can still be answered.
+    /// Whether a request has begun and the client can still get a response to it.
     pub fn has_partial_request(&self) -> bool {
         let has_begun = matches!(self.stage, Stage::Body { .. }) || !self.input.is_empty();
         has_begun
--- a/crates/proxy/src/http.rs
+++ b/crates/proxy/src/http.rs
@@ -138,7 +138,7 @@
 }
 
 impl LocalResponse<'_> {
-    /// The response as bytes; without a body if it answers a `HEAD` request.
+    /// The response as bytes; without a body if the request is a `HEAD`.
     pub fn encode(&self, is_head: bool, close: bool) -> Vec<u8> {
         let status = self.status.code_and_reason();
         let length = self.message.len() + 1;
--- a/crates/proxy/src/observer.rs
+++ b/crates/proxy/src/observer.rs
@@ -20,7 +20,7 @@
     ClientGone,
 }
 
-/// Is told of each step of each request, and of tables and controllers.
+/// Observes each step of each request, and changes of tables and controllers.
 ///
 /// `id` is always the request's `x-request-id`, empty if it has none.
 pub trait RequestObserver {
--- a/crates/proxy/src/proxy/upstream_side.rs
+++ b/crates/proxy/src/proxy/upstream_side.rs
@@ -41,7 +41,7 @@
         } else {
             MAX_BUFFERED_RESPONSE_BYTES + self.limits.head
         };
-        // What was answered before the connection broke still counts, so it is read after a failed write too.
+        // A response that came before the connection broke still counts, so it is read after a failed write too.
         let read_failed =
             connection.read(limit, readable, &mut self.read_buffer) == ConnectionState::Closed;
         let broken = read_failed || write_failed;
--- a/crates/proxy/src/report_stream.rs
+++ b/crates/proxy/src/report_stream.rs
@@ -220,7 +220,7 @@
         self.dialed_at = SystemTime::now();
         match self.connect(poll, now, controller) {
             Ok(connection) => self.state = State::Dialing(Box::new(connection)),
-            // It was not joined, so nobody has to be told.
+            // The stream was not joined, so there is no event.
             Err(error) => drop(self.close(now, &error.into())),
         }
     }
--- a/crates/proxy/src/table_stream.rs
+++ b/crates/proxy/src/table_stream.rs
@@ -25,7 +25,7 @@
     Connection(String),
     #[error("{0}")]
     Message(String),
-    /// What came does not fit to what is held: a new stream begins with everything.
+    /// What came does not fit the resources held: a new stream begins with everything.
     #[error("{0}")]
     Inconsistent(String),
 }
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -25,7 +25,7 @@
     pub head: Response,
     /// Tells where the body ends.
     pub body: Body,
-    /// The load that the node told with it.
+    /// The load metrics that the node sent with it.
     pub loads: Vec<(String, f64)>,
     /// The core knows of the attempt's end already; the response is only passed on.
     pub is_reported: bool,
--- a/crates/proxy/src/upstream_pool.rs
+++ b/crates/proxy/src/upstream_pool.rs
@@ -86,7 +86,7 @@
         self.connect(poll, now, node)
     }
 
-    /// Whether an idle connection still stands. One that the node closed meanwhile is seen here, before
+    /// Whether an idle connection is still open. One that the node closed meanwhile is seen here, before
     /// anything is written on it: a read costs less than an attempt that may have been processed.
     fn is_usable(&mut self, slot: usize, read_buffer: &mut [u8]) -> bool {
         self.connections.get_mut(slot).is_some_and(|connection| {
