--- a/crates/drill/src/node.rs
+++ b/crates/drill/src/node.rs
@@ -533,7 +533,7 @@
         let full = self.nodes[key].waiting.len() >= self.nodes[key].spec.queue;
         if errs || refuse || full {
             let status = if errs { "500 Error" } else { "503 Full" };
-            let again = if errs { "" } else { "RetryPolicy-After: 1\r\n" };
+            let again = if errs { "" } else { "Retry-After: 1\r\n" };
             let bytes = format!(
                 "HTTP/1.1 {status}\r\nContent-Length: 0\r\n{again}{}\r\n",
                 self.loads(now, key)
