--- a/crates/proxy-core/src/lib.rs
+++ b/crates/proxy-core/src/lib.rs
@@ -1,7 +1,8 @@
 //! The decisions of a proxy that obeys published tables, without I/O.
 //!
-//! Events go in: requests that arrive, attempts that end, tables that change. [`ProxyCore`] decides where to send, what to respond and when to give up. It holds no socket and reads no clock: the event loop
-//! around it moves bytes and passes the time in.
+//! Events go in: requests that arrive, attempts that end, tables that change. [`ProxyCore`] decides where to
+//! send, what to respond and when to give up. It holds no socket and reads no clock: the event loop around it
+//! moves bytes and passes the time in.
 //!
 //! | module | decides |
 //! | --- | --- |
