--- a/crates/config-rollout/src/rollout.rs
+++ b/crates/config-rollout/src/rollout.rs
@@ -467,7 +467,7 @@
         let nobody = !session
             .members()
             .members()
-            .any(|(_, member)| member.joined());
+            .any(|(_, member)| member.is_joined());
         let known = session.known_until().or(nobody.then_some(now));
         let evidence = known.unwrap_or_default();
         let orders = self.ledger.due(now, evidence);
--- a/crates/config-rollout/src/values.rs
+++ b/crates/config-rollout/src/values.rs
@@ -172,7 +172,7 @@
     configuration: &Configuration,
 ) -> Result<ConfigUpdate, Vec<ConfigError>> {
     let (plan, values, mut flaws) = merged(base, configuration);
-    flaws.extend(plan.flaws());
+    flaws.extend(plan.validate());
     if flaws.is_empty() {
         Ok(ConfigUpdate {
             version: configuration.version,
@@ -190,7 +190,7 @@
     configuration: &Configuration,
 ) -> (ConfigUpdate, Vec<ConfigError>) {
     let (plan, values, mut flaws) = merged(base, configuration);
-    let together = plan.flaws();
+    let together = plan.validate();
     let plan = if together.is_empty() {
         plan
     } else {
--- a/crates/config-rollout/tests/kills.rs
+++ b/crates/config-rollout/tests/kills.rs
@@ -272,7 +272,7 @@
             .session
             .members()
             .members()
-            .filter(|(_, member)| member.joined());
+            .filter(|(_, member)| member.is_joined());
         let joined: Vec<(String, StreamId)> = joined
             .filter_map(|(name, member)| Some((name.to_string(), member.stream()?)))
             .collect();
--- a/crates/controller-core/src/controller_core.rs
+++ b/crates/controller-core/src/controller_core.rs
@@ -351,12 +351,12 @@
         number: u32,
         found: RecoveredState,
     ) -> Result<ControllerCore, StartError> {
-        let flaws = plan.flaws();
+        let flaws = plan.validate();
         if !flaws.is_empty() {
             return Err(StartError::Flaws(flaws));
         }
-        let balancer =
-            Balancer::start(now, seed, plan.facts(number, None)).map_err(StartError::Module)?;
+        let balancer = Balancer::start(now, seed, plan.to_settings(number, None))
+            .map_err(StartError::Module)?;
         let held = found.held.values().map(|set| set.version);
         let last = held
             .chain(found.versions.iter().copied())
@@ -367,10 +367,10 @@
         overlay.set(
             found.values,
             |zone| zone_of(&plan, zone),
-            |cell| nodes.cell(cell),
+            |cell| nodes.cell_id(cell),
         );
-        overlay.drain(found.drained);
-        overlay.leave(now, &found.moving);
+        overlay.set_drained(found.drained);
+        overlay.restore_migrations(now, &found.moving);
         let mut book = Publication::new(plan.operations.len(), last);
         book.configure(found.configuration);
         Ok(ControllerCore {
@@ -479,7 +479,8 @@
                 self.effects.push(Effect::Answered { order, result });
             }
             Observation::Drained(nodes) => {
-                let changed: BTreeSet<NodeId> = self.overlay.drain(nodes).into_iter().collect();
+                let changed: BTreeSet<NodeId> =
+                    self.overlay.set_drained(nodes).into_iter().collect();
                 self.relist(now, |entry| changed.contains(&entry.node));
             }
             Observation::ConfigUpdated(configured) => self.configure(now, *configured),
@@ -507,16 +508,18 @@
         if let Some(remembered) = remembered {
             let (version, nodes) = (remembered.version.clone(), remembered.records.len());
             self.log(LogEvent::ListRemembered { version, nodes });
-            let outcome = self.nodes.take(now, Ok(remembered), &self.plan, true);
-            self.nodes.remember();
+            let outcome = self
+                .nodes
+                .apply_snapshot(now, Ok(remembered), &self.plan, true);
+            self.nodes.mark_restored();
             if let Some(event) = outcome.event {
                 self.listed(now, &event);
             }
         }
-        let outcome = self.nodes.take(now, list, &self.plan, first);
-        if let Some(refusal) = outcome.refusal {
+        let outcome = self.nodes.apply_snapshot(now, list, &self.plan, first);
+        if let Some(rejection) = outcome.rejection {
             self.log(LogEvent::ListRefused {
-                reason: refusal.to_string(),
+                reason: rejection.to_string(),
             });
         }
         if let Some(event) = outcome.event {
@@ -590,7 +593,7 @@
     fn closed(&mut self, now: Moment, stream: StreamId) {
         let who = self
             .members
-            .of_stream(stream)
+            .by_stream(stream)
             .map(|(name, member)| (name.to_string(), member.id));
         let (Some((proxy, id)), Some(event)) = (who, self.members.close(now, stream)) else {
             return;
@@ -601,13 +604,13 @@
     }
 
     fn report(&mut self, now: Moment, stream: StreamId, report: &LoadReport) {
-        let Some((name, member)) = self.members.of_stream(stream) else {
+        let Some((name, member)) = self.members.by_stream(stream) else {
             return;
         };
         let (name, id, zone) = (name.to_string(), member.id, member.zone);
         let before = self.sums.unknown_nodes;
         let nodes = &self.nodes;
-        let result = self.sums.report(id, zone, report, &self.plan, |node| {
+        let result = self.sums.add_report(id, zone, report, &self.plan, |node| {
             nodes.record(node).is_some()
         });
         if let Err(absurd) = result {
@@ -628,7 +631,7 @@
                     .position(|operation| operation.name == name)
             };
             let operation = |name: &str| operation(name).map(|at| OperationId(at as u8));
-            self.measured.hear(now, id, zone, report, operation);
+            self.measured.record(now, id, zone, report, operation);
             self.quiet.hear(now, id, report);
         }
         if self.sums.unknown_nodes > before && before == 0 {
@@ -645,7 +648,7 @@
                 .filter(|met| met.succeeded > 0)
                 .filter_map(|met| met.node)
             {
-                self.nodes.answered(node, now - report.over);
+                self.nodes.record_answer(node, now - report.over);
             }
         }
     }
@@ -874,8 +877,8 @@
 
     /// What the list says goes to the module as the configuration, the solver and steps back have it.
     fn tell_list(&mut self, now: Moment, event: Event) {
-        let event = self.overlay.put(now, event);
-        let event = self.pins.put(self.weigher.put(event));
+        let event = self.overlay.apply_to_event(now, event);
+        let event = self.pins.put(self.weigher.apply_to_event(event));
         self.hear(now, &event);
     }
 
@@ -887,7 +890,10 @@
             plan,
             values,
         } = configured;
-        if let Err(reason) = self.balancer.reconfigure(plan.facts(self.number, None)) {
+        if let Err(reason) = self
+            .balancer
+            .reconfigure(plan.to_settings(self.number, None))
+        {
             return self.log(LogEvent::NotConfigured {
                 configuration: version,
                 reason,
@@ -896,9 +902,11 @@
         self.channel.set_plan(&plan.channel);
         self.plan = plan;
         let (plan, nodes) = (&self.plan, &mut self.nodes);
-        let spoken = self
-            .overlay
-            .set(values, |zone| zone_of(plan, zone), |cell| nodes.cell(cell));
+        let spoken = self.overlay.set(
+            values,
+            |zone| zone_of(plan, zone),
+            |cell| nodes.cell_id(cell),
+        );
         self.configuration = version;
         self.configured_at = self.book.last();
         self.book.configure(version);
@@ -912,10 +920,13 @@
 
     /// Nodes that have left one pool are listed in the other.
     fn arrive(&mut self, now: Moment) {
-        if self.overlay.between() == 0 {
+        if self.overlay.migration_count() == 0 {
             return;
         }
-        let joined = self.members.members().filter(|(_, member)| member.joined());
+        let joined = self
+            .members
+            .members()
+            .filter(|(_, member)| member.is_joined());
         let readers: Vec<(Option<Version>, &Arc<TableSet>)> = joined
             .filter_map(|(_, member)| {
                 let newest = self
@@ -940,7 +951,7 @@
         };
         let arrived: BTreeSet<NodeId> = self
             .overlay
-            .arrived(now, self.plan.rules.drain_grace, named)
+            .complete_migrations(now, self.plan.rules.drain_grace, named)
             .into_iter()
             .collect();
         if !arrived.is_empty() {
@@ -957,7 +968,7 @@
         let members = self
             .members
             .members()
-            .filter(|(_, member)| member.joined() && lacks(member));
+            .filter(|(_, member)| member.is_joined() && lacks(member));
         RolloutProgress {
             configuration: self.configuration,
             lacking: members.map(|(name, _)| name.to_string()).collect(),
@@ -965,9 +976,9 @@
                 + self
                     .members
                     .members()
-                    .filter(|(_, member)| !member.joined())
+                    .filter(|(_, member)| !member.is_joined())
                     .count(),
-            between: self.overlay.between(),
+            between: self.overlay.migration_count(),
         }
     }
 
@@ -975,17 +986,17 @@
     pub fn serving(&self) -> impl Iterator<Item = EndpointEntry> + '_ {
         self.nodes
             .listed()
-            .map(|(_, entry)| self.overlay.over(entry))
+            .map(|(_, entry)| self.overlay.effective_entry(entry))
     }
 
     /// Listed nodes as another configuration would have them.
     pub fn serving_with(&self, configured: &ConfigUpdate) -> Vec<EndpointEntry> {
         let (mut overlay, mut nodes) = (NodeOverrides::default(), self.nodes.clone());
         let zone = |name: &str| zone_of(&configured.plan, name);
-        overlay.set(configured.values.clone(), zone, |cell| nodes.cell(cell));
+        overlay.set(configured.values.clone(), zone, |cell| nodes.cell_id(cell));
         self.nodes
             .listed()
-            .map(|(_, entry)| overlay.over(entry))
+            .map(|(_, entry)| overlay.effective_entry(entry))
             .collect()
     }
 
@@ -995,7 +1006,10 @@
 
     /// Up to when all joined proxies that report have told what they met.
     pub fn known_until(&self) -> Option<Moment> {
-        let joined = self.members.members().filter(|(_, member)| member.joined());
+        let joined = self
+            .members
+            .members()
+            .filter(|(_, member)| member.is_joined());
         self.measured
             .known_until(joined.map(|(_, member)| member.id))
     }
@@ -1016,7 +1030,7 @@
         let members = self
             .members
             .members()
-            .filter(|(_, member)| member.joined() && lacks(member.id));
+            .filter(|(_, member)| member.is_joined() && lacks(member.id));
         members.map(|(name, _)| name.to_string()).collect()
     }
 
@@ -1044,7 +1058,10 @@
                     .any(|o| o.lines.iter().any(|line| line.node == node))
             })
         };
-        let named = self.members.members().filter(|(_, member)| member.joined());
+        let named = self
+            .members
+            .members()
+            .filter(|(_, member)| member.is_joined());
         let named = named.filter(|(_, member)| holds(member.id).unwrap_or(true));
         named.map(|(name, _)| name.to_string()).collect()
     }
@@ -1054,7 +1071,7 @@
         let gateways = self
             .members
             .members()
-            .filter(|(_, member)| member.joined())
+            .filter(|(_, member)| member.is_joined())
             .count();
         EvidenceSummary {
             named_by: self.named_by(node).len(),
@@ -1081,7 +1098,7 @@
 
     /// Lets the module decide if it is time to, and writes what is to be done to `out`.
     pub fn settle(&mut self, now: Moment, out: &mut Vec<Effect>) {
-        if let Some(event) = self.nodes.resolve(now, &self.plan) {
+        if let Some(event) = self.nodes.resolve_doubt(now, &self.plan) {
             self.listed(now, &event);
             self.stirred = true;
         }
@@ -1117,7 +1134,7 @@
             // A loop that stood still for periods makes up for none of them.
             let period = self.plan.sums.period;
             self.next_period = (self.next_period + period).max(now + period * 0.5);
-            let events = self.sums.drain(&self.members);
+            let events = self.sums.take_events(&self.members);
             events.iter().for_each(|event| self.hear(now, event));
             self.weigh(now, &events);
             if let Some(old) = self.pins.due(now) {
@@ -1170,7 +1187,7 @@
                 Action::SetTimer { after, timer } => drop(self.timers.insert((now + after, timer))),
                 // The list is watched: what is held is what there is.
                 Action::RequestEndpointList => {
-                    let whole = self.nodes.complete();
+                    let whole = self.nodes.complete_event();
                     self.tell_list(now, whole);
                 }
                 Action::Log { message: text } => self.log(LogEvent::Remark { text }),
@@ -1240,8 +1257,8 @@
         }
         let joined = |id: &ProxyId| {
             self.members
-                .numbered(*id)
-                .is_some_and(|member| member.joined())
+                .by_id(*id)
+                .is_some_and(|member| member.is_joined())
         };
         let everyone: Vec<ProxyId> = bound.iter().copied().filter(joined).collect();
         for (mark, all) in marks {
@@ -1298,8 +1315,8 @@
         }
         let joined = self
             .members
-            .numbered(proxy)
-            .is_some_and(|member| member.joined());
+            .by_id(proxy)
+            .is_some_and(|member| member.is_joined());
         let urgency = match (joined || front != Transport::Files, &held) {
             (false, _) => Urgency::Away,
             (true, Some(held)) if removes_lines(held, &newest) => Urgency::Removal,
@@ -1367,8 +1384,11 @@
             return;
         };
         self.weigher
-            .hear(events, &self.plan, solver, &self.members, &self.nodes);
-        match self.weigher.round(now, &self.plan, solver, &self.nodes) {
+            .record_reports(events, &self.plan, solver, &self.members, &self.nodes);
+        match self
+            .weigher
+            .solve_if_due(now, &self.plan, solver, &self.nodes)
+        {
             Some(SolverOutcome::Changed(entries)) => {
                 self.log(LogEvent::WeightsSolved {
                     nodes: entries.len(),
@@ -1426,9 +1446,9 @@
         let ready: BTreeSet<NodeId> = self
             .nodes
             .listed()
-            .map(|(_, entry)| self.overlay.over(entry))
+            .map(|(_, entry)| self.overlay.effective_entry(entry))
             .filter(|entry| {
-                entry.status == EndpointStatus::Ready && !self.overlay.is_between(entry.node)
+                entry.status == EndpointStatus::Ready && !self.overlay.is_migrating(entry.node)
             })
             .map(|entry| entry.node)
             .collect();
--- a/crates/controller-core/src/deployment.rs
+++ b/crates/controller-core/src/deployment.rs
@@ -28,7 +28,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum RepeatGroup {
+pub enum RetryScope {
     All,
     Zone,
     Cell,
@@ -58,15 +58,15 @@
     pub late_share: f64,
     pub repeat: Repeat,
     #[serde(default = "all_nodes")]
-    pub repeat_group: RepeatGroup,
+    pub repeat_group: RetryScope,
     #[serde(default = "no_span", with = "span_format")]
     pub repeat_window: Span,
     #[serde(default)]
     pub stays_in_zone: bool,
 }
 
-fn all_nodes() -> RepeatGroup {
-    RepeatGroup::All
+fn all_nodes() -> RetryScope {
+    RetryScope::All
 }
 
 fn no_span() -> Span {
@@ -304,7 +304,7 @@
 const MOST_OPERATIONS: usize = 16;
 
 impl Deployment {
-    pub fn flaws(&self) -> Vec<ConfigError> {
+    pub fn validate(&self) -> Vec<ConfigError> {
         let mut flaws = Vec::new();
         let mut wrong = |field: &str, text: String| {
             flaws.push(ConfigError {
@@ -573,7 +573,7 @@
     }
 
     /// The settings by the names that the module reads.
-    pub fn facts(&self, number: u32, zone: Option<u16>) -> Settings {
+    pub fn to_settings(&self, number: u32, zone: Option<u16>) -> Settings {
         let mut facts = Settings::default();
         let mut put = |name: &str, fact: SettingValue| drop(facts.0.insert(name.to_string(), fact));
         let number_of = SettingValue::Number;
@@ -672,9 +672,9 @@
                 SettingValue::Text(operation.repeat.word().to_string()),
             );
             let group = match operation.repeat_group {
-                RepeatGroup::All => "all",
-                RepeatGroup::Zone => "zone",
-                RepeatGroup::Cell => "cell",
+                RetryScope::All => "all",
+                RetryScope::Zone => "zone",
+                RetryScope::Cell => "cell",
             };
             put("repeat_group", SettingValue::Text(group.to_string()));
             put("repeat_window", span_of(operation.repeat_window));
--- a/crates/controller-core/src/deployment/tests.rs
+++ b/crates/controller-core/src/deployment/tests.rs
@@ -11,7 +11,7 @@
         billed_value: 1.0,
         late_share: 0.0,
         repeat,
-        repeat_group: RepeatGroup::All,
+        repeat_group: RetryScope::All,
         repeat_window: seconds(0.0),
         stays_in_zone: false,
     };
@@ -68,10 +68,10 @@
 #[test_case(|p| p.sums.loads = vec!["mood".into()], "sums.loads"; "an unknown load")]
 fn what_cannot_be_is_named_by_field(spoil: fn(&mut Deployment), field: &str) {
     let mut plan = plan();
-    assert_eq!(plan.flaws(), []);
+    assert_eq!(plan.validate(), []);
     spoil(&mut plan);
     assert_eq!(
-        plan.flaws()
+        plan.validate()
             .iter()
             .map(|flaw| flaw.field.as_str())
             .collect::<Vec<_>>(),
--- a/crates/controller-core/src/endpoint_list.rs
+++ b/crates/controller-core/src/endpoint_list.rs
@@ -30,7 +30,7 @@
 
 /// Why a list was not taken.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum Refusal {
+pub enum SnapshotRejection {
     #[error("the list can't be read: {0}")]
     Unreadable(String),
     #[error("version {version} is not newer than version {held}, which is held")]
@@ -126,9 +126,9 @@
 
 /// What came of a list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Outcome {
+pub struct SnapshotOutcome {
     pub event: Option<Event>,
-    pub refusal: Option<Refusal>,
+    pub rejection: Option<SnapshotRejection>,
 }
 
 const MOST_NODES: usize = 20_000;
@@ -172,7 +172,7 @@
 
 impl EndpointList {
     /// What was just taken is what an earlier run had read.
-    pub fn remember(&mut self) {
+    pub fn mark_restored(&mut self) {
         self.remembered = true;
     }
 
@@ -189,33 +189,36 @@
     }
 
     /// Takes a list, a part of it, or says why not. `first` marks the one that stands when a conductor starts.
-    pub fn take(
+    pub fn apply_snapshot(
         &mut self,
         now: Moment,
         list: Result<EndpointSnapshot, String>,
         plan: &Deployment,
         first: bool,
-    ) -> Outcome {
-        let (came, refusal) = match &list {
-            Err(text) => (Came::Broken, Some(Refusal::Unreadable(text.clone()))),
+    ) -> SnapshotOutcome {
+        let (came, rejection) = match &list {
+            Err(text) => (
+                Came::Broken,
+                Some(SnapshotRejection::Unreadable(text.clone())),
+            ),
             Ok(list) => self.judge(list, plan),
         };
         let taken = self.turn(came);
         let list = match list {
             Ok(list) => list,
             Err(text) => {
-                return Outcome {
+                return SnapshotOutcome {
                     event: None,
-                    refusal: Some(Refusal::Unreadable(text)),
+                    rejection: Some(SnapshotRejection::Unreadable(text)),
                 }
             }
         };
         match taken {
             Taken::Take => {
                 self.doubt = None;
-                Outcome {
+                SnapshotOutcome {
                     event: Some(self.adopt(now, list, plan, first)),
-                    refusal: None,
+                    rejection: None,
                 }
             }
             Taken::TakePart => {
@@ -235,18 +238,18 @@
                     missing,
                     answered: BTreeSet::new(),
                 });
-                Outcome {
+                SnapshotOutcome {
                     event: Some(event),
-                    refusal,
+                    rejection,
                 }
             }
             Taken::KeepOut | Taken::TakeDoubted | Taken::Drop => {
-                let empty = Refusal::Empty {
+                let empty = SnapshotRejection::Empty {
                     held: self.held.len(),
                 };
-                Outcome {
+                SnapshotOutcome {
                     event: None,
-                    refusal: refusal.or(Some(empty)),
+                    rejection: rejection.or(Some(empty)),
                 }
             }
         }
@@ -263,7 +266,7 @@
 
     /// A node answered in a time that began at `since`: if the list that lacks it came before, that speaks
     /// against the list.
-    pub fn answered(&mut self, node: NodeId, since: Moment) {
+    pub fn record_answer(&mut self, node: NodeId, since: Moment) {
         let doubt = self
             .doubt
             .as_mut()
@@ -281,7 +284,7 @@
     }
 
     /// Judges a doubted list when its time is over: nodes that nobody had an answer from are gone.
-    pub fn resolve(&mut self, now: Moment, plan: &Deployment) -> Option<Event> {
+    pub fn resolve_doubt(&mut self, now: Moment, plan: &Deployment) -> Option<Event> {
         self.doubted_until(plan).filter(|until| now >= *until)?;
         let doubt = self.doubt.take()?;
         let wrong = doubt.answered.len() as f64 > doubt.missing.len() as f64 * ANSWERING;
@@ -303,11 +306,15 @@
         self.ready().filter(|node| !named.contains(node)).collect()
     }
 
-    fn judge(&self, list: &EndpointSnapshot, plan: &Deployment) -> (Came, Option<Refusal>) {
+    fn judge(
+        &self,
+        list: &EndpointSnapshot,
+        plan: &Deployment,
+    ) -> (Came, Option<SnapshotRejection>) {
         let mut seen = BTreeSet::new();
-        let broken = |refusal| (Came::Broken, Some(refusal));
+        let broken = |rejection| (Came::Broken, Some(rejection));
         if list.records.len() > MOST_NODES {
-            return broken(Refusal::TooMany {
+            return broken(SnapshotRejection::TooMany {
                 count: list.records.len(),
                 most: MOST_NODES,
             });
@@ -315,16 +322,16 @@
         for record in &list.records {
             let node = show(record.node);
             if !seen.insert(record.node) {
-                return broken(Refusal::Twice(node));
+                return broken(SnapshotRejection::Twice(node));
             }
             if !plan.zones.contains(&record.zone) {
-                return broken(Refusal::UnknownZone {
+                return broken(SnapshotRejection::UnknownZone {
                     node,
                     zone: record.zone.clone(),
                 });
             }
             if !record.kind.is_empty() && !plan.kinds.contains(&record.kind) {
-                return broken(Refusal::UnknownKind {
+                return broken(SnapshotRejection::UnknownKind {
                     node,
                     kind: record.kind.clone(),
                 });
@@ -333,12 +340,12 @@
         let same = self.remembered && list.version == self.version;
         if self.trust != Trust::Blank && !same && !newer(&list.version, &self.version) {
             let (version, held) = (list.version.clone(), self.version.clone());
-            return (Came::Late, Some(Refusal::Late { version, held }));
+            return (Came::Late, Some(SnapshotRejection::Late { version, held }));
         }
         if list.records.is_empty() {
             return (
                 Came::Empty,
-                Some(Refusal::Empty {
+                Some(SnapshotRejection::Empty {
                     held: self.held.len(),
                 }),
             );
@@ -346,13 +353,13 @@
         let (missing, ready) = (self.missing(list), self.ready().count());
         let few =
             missing.len() as f64 <= ready as f64 * plan.list.shrinks_at_most || missing.len() <= 1;
-        let refusal = match (few, self.emptied(list, &missing)) {
+        let rejection = match (few, self.emptied(list, &missing)) {
             (true, None) => return (Came::Sound, None),
-            (false, _) => Refusal::Shrunk {
+            (false, _) => SnapshotRejection::Shrunk {
                 missing: missing.len(),
                 ready,
             },
-            (true, Some((what, count))) => Refusal::Emptied { what, count },
+            (true, Some((what, count))) => SnapshotRejection::Emptied { what, count },
         };
         let alike = self
             .doubt
@@ -364,7 +371,7 @@
             } else {
                 Came::Shrunk
             },
-            Some(refusal),
+            Some(rejection),
         )
     }
 
@@ -458,7 +465,7 @@
             node: record.node,
             zone: ZoneId(position(&plan.zones, &record.zone) as u16),
             kind: KindId(position(&plan.kinds, &record.kind) as u8),
-            cell: self.cell(&record.cell),
+            cell: self.cell_id(&record.cell),
             status: if record.draining {
                 EndpointStatus::Draining
             } else {
@@ -469,7 +476,7 @@
         }
     }
 
-    pub fn cell(&mut self, name: &str) -> CellId {
+    pub fn cell_id(&mut self, name: &str) -> CellId {
         let next = CellId(self.cells.len() as u16);
         *self.cells.entry(name.to_string()).or_insert(next)
     }
@@ -479,7 +486,7 @@
     }
 
     /// The whole list as it is held, for a module that asks.
-    pub fn complete(&self) -> Event {
+    pub fn complete_event(&self) -> Event {
         let entries = self.held.values().map(|held| held.entry.clone()).collect();
         Event::EndpointList {
             kind: EndpointListKind::Complete,
--- a/crates/controller-core/src/endpoint_list/tests.rs
+++ b/crates/controller-core/src/endpoint_list/tests.rs
@@ -32,8 +32,8 @@
     let mut nodes = EndpointList::default();
     assert_eq!(
         nodes
-            .take(at(1.0), list(version, ports), &plan(), true)
-            .refusal,
+            .apply_snapshot(at(1.0), list(version, ports), &plan(), true)
+            .rejection,
         None
     );
     nodes
@@ -49,11 +49,11 @@
     "zone `moon`"; "an unknown zone")]
 fn a_list_that_cannot_be_right_is_kept_out(came: Result<EndpointSnapshot, String>, reason: &str) {
     let mut nodes = held("5", 0..8);
-    let refusal = nodes
-        .take(at(2.0), came, &plan(), false)
-        .refusal
+    let rejection = nodes
+        .apply_snapshot(at(2.0), came, &plan(), false)
+        .rejection
         .expect("it is refused");
-    assert!(refusal.to_string().contains(reason), "{refusal}");
+    assert!(rejection.to_string().contains(reason), "{rejection}");
     assert_eq!(nodes.listed().count(), 8, "the last good list stands");
 }
 
@@ -71,34 +71,38 @@
 fn a_second_list_that_lacks_the_same_nodes_is_believed() {
     let mut nodes = held("5", 0..8);
     assert!(nodes
-        .take(at(2.0), list("6", 0..3), &plan(), false)
-        .refusal
+        .apply_snapshot(at(2.0), list("6", 0..3), &plan(), false)
+        .rejection
         .is_some());
     // A broken one in between neither confirms nor clears the doubt.
     assert!(nodes
-        .take(at(2.1), Err("half".into()), &plan(), false)
-        .refusal
+        .apply_snapshot(at(2.1), Err("half".into()), &plan(), false)
+        .rejection
         .is_some());
     assert_eq!(
-        gone(nodes.take(at(3.0), list("7", 0..3), &plan(), false).event),
+        gone(
+            nodes
+                .apply_snapshot(at(3.0), list("7", 0..3), &plan(), false)
+                .event
+        ),
         5
     );
     // A whole list in between clears it.
     let mut nodes = held("5", 0..8);
     assert!(nodes
-        .take(at(2.0), list("6", 0..3), &plan(), false)
-        .refusal
+        .apply_snapshot(at(2.0), list("6", 0..3), &plan(), false)
+        .rejection
         .is_some());
     assert!(nodes
-        .take(at(2.5), list("7", 0..8), &plan(), false)
-        .refusal
+        .apply_snapshot(at(2.5), list("7", 0..8), &plan(), false)
+        .rejection
         .is_none());
     assert!(nodes
-        .take(at(2.6), list("8", 0..3), &plan(), false)
-        .refusal
+        .apply_snapshot(at(2.6), list("8", 0..3), &plan(), false)
+        .rejection
         .is_some());
     assert_eq!(
-        nodes.resolve(at(3.5), &plan()),
+        nodes.resolve_doubt(at(3.5), &plan()),
         None,
         "the doubt is that of the newer one"
     );
@@ -107,35 +111,35 @@
 #[test]
 fn what_a_doubted_list_adds_is_taken_at_once() {
     let mut nodes = held("5", 0..8);
-    let outcome = nodes.take(at(2.0), list("6", 6..12), &plan(), false);
-    assert!(outcome.refusal.is_some() && gone(outcome.event) == 0);
+    let outcome = nodes.apply_snapshot(at(2.0), list("6", 6..12), &plan(), false);
+    assert!(outcome.rejection.is_some() && gone(outcome.event) == 0);
     assert_eq!(nodes.listed().count(), 12);
 }
 
 #[test]
 fn nodes_that_nobody_hears_of_any_more_are_gone_within_the_grace() {
     let mut nodes = held("5", 0..8);
-    nodes.take(at(2.0), list("6", 0..3), &plan(), false);
+    nodes.apply_snapshot(at(2.0), list("6", 0..3), &plan(), false);
     // What was answered before the list came says nothing.
-    (3..8).for_each(|port| nodes.answered(record(port).node, at(1.5)));
+    (3..8).for_each(|port| nodes.record_answer(record(port).node, at(1.5)));
     let until = nodes.doubted_until(&plan()).expect("it is doubted");
     assert!(until > at(2.5) && until < at(2.0) + plan().rules.drain_grace);
-    assert_eq!(nodes.resolve(at(2.5), &plan()), None);
-    assert_eq!(gone(nodes.resolve(until, &plan())), 5);
+    assert_eq!(nodes.resolve_doubt(at(2.5), &plan()), None);
+    assert_eq!(gone(nodes.resolve_doubt(until, &plan())), 5);
     assert_eq!(nodes.listed().count(), 3);
 }
 
 #[test]
 fn nodes_that_go_on_answering_are_kept_though_a_list_lacks_them() {
     let mut nodes = held("5", 0..8);
-    nodes.take(at(2.0), list("6", 0..3), &plan(), false);
-    (4..8).for_each(|port| nodes.answered(record(port).node, at(2.1)));
-    assert_eq!(nodes.resolve(at(3.5), &plan()), None);
+    nodes.apply_snapshot(at(2.0), list("6", 0..3), &plan(), false);
+    (4..8).for_each(|port| nodes.record_answer(record(port).node, at(2.1)));
+    assert_eq!(nodes.resolve_doubt(at(3.5), &plan()), None);
     assert_eq!(nodes.listed().count(), 8);
     // One more list that says so is doubted anew.
     assert!(nodes
-        .take(at(4.0), list("7", 0..3), &plan(), false)
-        .refusal
+        .apply_snapshot(at(4.0), list("7", 0..3), &plan(), false)
+        .rejection
         .is_some());
 }
 
@@ -177,30 +181,30 @@
     let mut nodes = EndpointList::default();
     assert_eq!(
         nodes
-            .take(at(1.0), mixed("1", |_| false), &plan, true)
-            .refusal,
+            .apply_snapshot(at(1.0), mixed("1", |_| false), &plan, true)
+            .rejection,
         None
     );
-    let outcome = nodes.take(at(2.0), mixed("2", without), &plan, false);
+    let outcome = nodes.apply_snapshot(at(2.0), mixed("2", without), &plan, false);
     assert!(outcome
-        .refusal
-        .is_some_and(|refusal| refusal.to_string().starts_with(said)));
+        .rejection
+        .is_some_and(|rejection| rejection.to_string().starts_with(said)));
     assert_eq!(nodes.listed().count(), 12, "they are kept meanwhile");
     // Nobody had an answer from them: it was right.
     let until = nodes.doubted_until(&plan).expect("doubted");
     assert!(until < at(2.0) + plan.rules.drain_grace);
-    assert!(nodes.resolve(until, &plan).is_some());
+    assert!(nodes.resolve_doubt(until, &plan).is_some());
     assert!(nodes.listed().count() < 12);
     // One node of several may go without a word.
     let mut nodes = EndpointList::default();
-    nodes.take(at(1.0), mixed("1", |_| false), &plan, true);
-    let one = nodes.take(
+    nodes.apply_snapshot(at(1.0), mixed("1", |_| false), &plan, true);
+    let one = nodes.apply_snapshot(
         at(2.0),
         mixed("2", |record| record.node.port == 0),
         &plan,
         false,
     );
-    assert_eq!(one.refusal, None);
+    assert_eq!(one.rejection, None);
 }
 
 #[test]
@@ -216,9 +220,10 @@
         })
     };
     let mut nodes = EndpointList::default();
-    nodes.take(at(100.0), told("1", 60.0), &plan(), true);
-    let Some(Event::EndpointList { entries, .. }) =
-        nodes.take(at(101.0), told("2", 0.0), &plan(), false).event
+    nodes.apply_snapshot(at(100.0), told("1", 60.0), &plan(), true);
+    let Some(Event::EndpointList { entries, .. }) = nodes
+        .apply_snapshot(at(101.0), told("2", 0.0), &plan(), false)
+        .event
     else {
         panic!("sound")
     };
@@ -231,9 +236,10 @@
 #[test]
 fn a_node_that_returns_without_an_age_may_be_cold() {
     let mut nodes = held("1", 0..8);
-    nodes.take(at(2.0), list("2", 0..7), &plan(), false);
-    let Some(Event::EndpointList { entries, .. }) =
-        nodes.take(at(9.0), list("3", 0..8), &plan(), false).event
+    nodes.apply_snapshot(at(2.0), list("2", 0..7), &plan(), false);
+    let Some(Event::EndpointList { entries, .. }) = nodes
+        .apply_snapshot(at(9.0), list("3", 0..8), &plan(), false)
+        .event
     else {
         panic!("sound")
     };
--- a/crates/controller-core/src/load_report.rs
+++ b/crates/controller-core/src/load_report.rs
@@ -123,7 +123,7 @@
 }
 
 impl LoadAggregator {
-    pub fn report(
+    pub fn add_report(
         &mut self,
         proxy: ProxyId,
         zone: ZoneId,
@@ -220,7 +220,7 @@
     }
 
     /// The events of a period's end.
-    pub fn drain(&mut self, members: &Membership) -> Vec<Event> {
+    pub fn take_events(&mut self, members: &Membership) -> Vec<Event> {
         let mut events = Vec::new();
         let covered = std::mem::take(&mut self.covered);
         let reporting = std::mem::take(&mut self.reporting);
--- a/crates/controller-core/src/load_report/tests.rs
+++ b/crates/controller-core/src/load_report/tests.rs
@@ -49,10 +49,10 @@
     let (mut sums, members) = (LoadAggregator::default(), members(2));
     for (proxy, seconds, count) in [(0, 1.0, 10), (0, 1.0, 10), (1, 1.0, 10)] {
         let told = report(seconds, count, 0, 2);
-        sums.report(ProxyId(proxy), ZoneId(0), &told, &plan(), |_| true)
+        sums.add_report(ProxyId(proxy), ZoneId(0), &told, &plan(), |_| true)
             .expect("fine");
     }
-    let events = sums.drain(&members);
+    let events = sums.take_events(&members);
     let Event::NodeLoadReport {
         attempts: tries,
         window: over,
@@ -87,7 +87,11 @@
             (1, 1, 0.0, 1.0)
         ]
     );
-    assert_eq!(sums.drain(&members), [], "what was told is not told again");
+    assert_eq!(
+        sums.take_events(&members),
+        [],
+        "what was told is not told again"
+    );
 }
 
 #[test]
@@ -95,9 +99,9 @@
     let (mut sums, members) = (LoadAggregator::default(), members(1));
     let mut told = report(1.0, 8, 4, 0);
     (told.operations[0].repeats, told.operations[0].rate_limited) = (2, 5);
-    sums.report(ProxyId(0), ZoneId(0), &told, &plan(), |_| true)
+    sums.add_report(ProxyId(0), ZoneId(0), &told, &plan(), |_| true)
         .expect("fine");
-    let events = sums.drain(&members);
+    let events = sums.take_events(&members);
     assert!(events.iter().any(
         |event| matches!(event, Event::DemandReport { requests: count, .. } if *count == 15.0)
     ));
@@ -111,15 +115,15 @@
 fn absurd_reports_change_nothing(told: LoadReport) {
     let mut sums = LoadAggregator::default();
     assert!(sums
-        .report(ProxyId(0), ZoneId(0), &told, &plan(), |_| true)
+        .add_report(ProxyId(0), ZoneId(0), &told, &plan(), |_| true)
         .is_err());
-    assert_eq!(sums.drain(&members(1)), []);
+    assert_eq!(sums.take_events(&members(1)), []);
 }
 
 #[test]
 fn nodes_that_never_were_are_counted_apart() {
     let mut sums = LoadAggregator::default();
-    sums.report(
+    sums.add_report(
         ProxyId(0),
         ZoneId(0),
         &report(1.0, 5, 0, 0),
@@ -129,7 +133,7 @@
     .expect("fine");
     assert_eq!(sums.unknown_nodes, 1);
     assert!(!sums
-        .drain(&members(1))
+        .take_events(&members(1))
         .iter()
         .any(|event| matches!(event, Event::NodeLoadReport { .. })));
 }
--- a/crates/controller-core/src/membership.rs
+++ b/crates/controller-core/src/membership.rs
@@ -91,7 +91,7 @@
 }
 
 impl Member {
-    pub fn joined(&self) -> bool {
+    pub fn is_joined(&self) -> bool {
         self.state == State::Joined
     }
 
@@ -110,7 +110,7 @@
 
 /// What an opened stream leads to.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Opened {
+pub struct OpenedStream {
     pub events: Vec<Event>,
     /// The stream that the new one takes the place of.
     pub superseded: Option<StreamId>,
@@ -121,7 +121,7 @@
         self.members.get(name)
     }
 
-    pub fn of_stream(&self, stream: StreamId) -> Option<(&str, &Member)> {
+    pub fn by_stream(&self, stream: StreamId) -> Option<(&str, &Member)> {
         let name = self.streams.get(&stream)?;
         Some((name.as_str(), self.members.get(name)?))
     }
@@ -130,7 +130,7 @@
         self.names.get(&id).map(String::as_str)
     }
 
-    pub fn numbered(&self, id: ProxyId) -> Option<&Member> {
+    pub fn by_id(&self, id: ProxyId) -> Option<&Member> {
         self.members.get(self.names.get(&id)?)
     }
 
@@ -143,7 +143,7 @@
     pub fn joined_in(&self, zone: ZoneId) -> usize {
         self.members
             .values()
-            .filter(|member| member.joined() && member.zone == zone)
+            .filter(|member| member.is_joined() && member.zone == zone)
             .count()
     }
 
@@ -153,7 +153,7 @@
         stream: StreamId,
         who: &Introduction,
         plan: &Deployment,
-    ) -> Result<Opened, IdentificationError> {
+    ) -> Result<OpenedStream, IdentificationError> {
         let fine = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
         if who.name.is_empty() || who.name.len() > 100 || !who.name.chars().all(fine) {
             return Err(IdentificationError::Unnamed(
@@ -200,7 +200,7 @@
             Effect::LeaveAndJoin => vec![Event::ProxyLeft { proxy: id }, joined],
             _ => vec![joined],
         };
-        Ok(Opened { events, superseded })
+        Ok(OpenedStream { events, superseded })
     }
 
     pub fn close(&mut self, now: Moment, stream: StreamId) -> Option<Event> {
--- a/crates/controller-core/src/membership/tests.rs
+++ b/crates/controller-core/src/membership/tests.rs
@@ -38,7 +38,7 @@
         None,
         "the old stream's end is no break"
     );
-    assert!(known.member("a").is_some_and(Member::joined));
+    assert!(known.member("a").is_some_and(Member::is_joined));
     assert!(known.close(at(2.0), StreamId(2)).is_some());
 }
 
--- a/crates/controller-core/src/node_overrides.rs
+++ b/crates/controller-core/src/node_overrides.rs
@@ -73,7 +73,7 @@
     }
 
     /// Nodes that orders drain; returns those for which that has changed.
-    pub fn drain(&mut self, nodes: BTreeSet<NodeId>) -> Vec<NodeId> {
+    pub fn set_drained(&mut self, nodes: BTreeSet<NodeId>) -> Vec<NodeId> {
         let changed = self.drained.symmetric_difference(&nodes).copied().collect();
         self.drained = nodes;
         changed
@@ -89,7 +89,7 @@
     }
 
     /// An entry of the list as it goes by the configuration, wherever the node is on its way.
-    pub fn over(&self, entry: &EndpointEntry) -> EndpointEntry {
+    pub fn effective_entry(&self, entry: &EndpointEntry) -> EndpointEntry {
         let mut entry = entry.clone();
         if entry.status == EndpointStatus::Ready && self.drained.contains(&entry.node) {
             entry.status = EndpointStatus::Draining;
@@ -109,10 +109,10 @@
     }
 
     /// What the module is told in the place of the list.
-    pub fn put(&mut self, now: Moment, mut event: Event) -> Event {
+    pub fn apply_to_event(&mut self, now: Moment, mut event: Event) -> Event {
         if let Event::EndpointList { entries, .. } = &mut event {
             for entry in entries {
-                *entry = self.over(entry);
+                *entry = self.effective_entry(entry);
                 if entry.status == EndpointStatus::Gone {
                     self.at.remove(&entry.node);
                     continue;
@@ -131,17 +131,17 @@
     }
 
     /// A conductor that starts in the middle of a move does not know who still holds what.
-    pub fn leave(&mut self, now: Moment, nodes: &[NodeId]) {
+    pub fn restore_migrations(&mut self, now: Moment, nodes: &[NodeId]) {
         self.at
             .extend(nodes.iter().map(|node| (*node, At::Between(now))));
     }
 
-    pub fn is_between(&self, node: NodeId) -> bool {
+    pub fn is_migrating(&self, node: NodeId) -> bool {
         matches!(self.at.get(&node), Some(At::Between(_)))
     }
 
     /// Nodes on their way from one pool to another.
-    pub fn between(&self) -> usize {
+    pub fn migration_count(&self) -> usize {
         self.at
             .values()
             .filter(|at| matches!(at, At::Between(_)))
@@ -149,7 +149,7 @@
     }
 
     /// Nodes that may be listed in their new pool: no gateway names them any more, or none may after `grace`.
-    pub fn arrived(
+    pub fn complete_migrations(
         &mut self,
         now: Moment,
         grace: Span,
--- a/crates/controller-core/src/node_overrides/tests.rs
+++ b/crates/controller-core/src/node_overrides/tests.rs
@@ -53,56 +53,56 @@
 fn a_node_is_in_no_pool_between_two_and_comes_back_whatever_happens_on_the_way() {
     let mut overlay = NodeOverrides::default();
     assert_eq!(
-        told(&overlay.put(at(0.0), listed(0, EndpointStatus::Ready))),
+        told(&overlay.apply_to_event(at(0.0), listed(0, EndpointStatus::Ready))),
         (0, EndpointStatus::Ready)
     );
     assert_eq!(set(&mut overlay, south()), [NODE]);
     assert_eq!(
-        told(&overlay.put(at(1.0), listed(0, EndpointStatus::Ready))),
+        told(&overlay.apply_to_event(at(1.0), listed(0, EndpointStatus::Ready))),
         (0, EndpointStatus::Gone)
     );
     // A list that comes meanwhile does not bring it in early.
     assert_eq!(
-        told(&overlay.put(at(1.1), listed(0, EndpointStatus::Ready))),
+        told(&overlay.apply_to_event(at(1.1), listed(0, EndpointStatus::Ready))),
         (1, EndpointStatus::Gone)
     );
     assert_eq!(
-        overlay.arrived(at(1.2), Span::from_seconds(2.0), |_| true),
+        overlay.complete_migrations(at(1.2), Span::from_seconds(2.0), |_| true),
         []
     );
     // Undone on the way: it goes back where it was, and not before its time either.
     set(&mut overlay, BTreeMap::new());
     assert_eq!(
-        told(&overlay.put(at(1.3), listed(0, EndpointStatus::Ready))),
+        told(&overlay.apply_to_event(at(1.3), listed(0, EndpointStatus::Ready))),
         (0, EndpointStatus::Gone)
     );
     assert_eq!(
-        overlay.arrived(at(1.4), Span::from_seconds(2.0), |_| false),
+        overlay.complete_migrations(at(1.4), Span::from_seconds(2.0), |_| false),
         [NODE]
     );
     assert_eq!(
-        told(&overlay.put(at(1.4), listed(0, EndpointStatus::Ready))),
+        told(&overlay.apply_to_event(at(1.4), listed(0, EndpointStatus::Ready))),
         (0, EndpointStatus::Ready)
     );
-    assert_eq!(overlay.between(), 0);
+    assert_eq!(overlay.migration_count(), 0);
 }
 
 #[test]
 fn after_the_grace_nobody_is_waited_for() {
     let mut overlay = NodeOverrides::default();
-    overlay.put(at(0.0), listed(0, EndpointStatus::Ready));
+    overlay.apply_to_event(at(0.0), listed(0, EndpointStatus::Ready));
     set(&mut overlay, south());
-    overlay.put(at(1.0), listed(0, EndpointStatus::Ready));
+    overlay.apply_to_event(at(1.0), listed(0, EndpointStatus::Ready));
     assert_eq!(
-        overlay.arrived(at(2.9), Span::from_seconds(2.0), |_| true),
+        overlay.complete_migrations(at(2.9), Span::from_seconds(2.0), |_| true),
         []
     );
     assert_eq!(
-        overlay.arrived(at(3.0), Span::from_seconds(2.0), |_| true),
+        overlay.complete_migrations(at(3.0), Span::from_seconds(2.0), |_| true),
         [NODE]
     );
     assert_eq!(
-        told(&overlay.put(at(3.0), listed(0, EndpointStatus::Ready))),
+        told(&overlay.apply_to_event(at(3.0), listed(0, EndpointStatus::Ready))),
         (1, EndpointStatus::Ready)
     );
 }
@@ -112,7 +112,10 @@
     let mut overlay = NodeOverrides::default();
     set(&mut overlay, south());
     for status in [EndpointStatus::Draining, EndpointStatus::Gone] {
-        assert_eq!(told(&overlay.put(at(0.0), listed(1, status))), (1, status));
+        assert_eq!(
+            told(&overlay.apply_to_event(at(0.0), listed(1, status))),
+            (1, status)
+        );
     }
     let service = |service| {
         BTreeMap::from([(
@@ -129,7 +132,7 @@
     ] {
         set(&mut overlay, service(word));
         assert_eq!(
-            told(&overlay.put(at(1.0), listed(1, EndpointStatus::Ready))),
+            told(&overlay.apply_to_event(at(1.0), listed(1, EndpointStatus::Ready))),
             (1, status)
         );
     }
--- a/crates/controller-core/src/service_history.rs
+++ b/crates/controller-core/src/service_history.rs
@@ -75,7 +75,7 @@
     }
 
     /// A report that was found sound; `operation` looks up a name.
-    pub fn hear(
+    pub fn record(
         &mut self,
         now: Moment,
         proxy: ProxyId,
@@ -108,11 +108,11 @@
     }
 
     /// When a proxy last reported, and when any did.
-    pub fn heard(&self, proxy: ProxyId) -> Option<Moment> {
+    pub fn last_report_at(&self, proxy: ProxyId) -> Option<Moment> {
         self.heard.get(&proxy).copied()
     }
 
-    pub fn heard_last(&self) -> Option<Moment> {
+    pub fn latest_report_at(&self) -> Option<Moment> {
         self.heard.values().copied().max()
     }
 
--- a/crates/controller-core/src/service_history/tests.rs
+++ b/crates/controller-core/src/service_history/tests.rs
@@ -33,7 +33,7 @@
         } else {
             report(0, 10, 0, 0)
         };
-        measured.hear(
+        measured.record(
             at(f64::from(second) + 0.5),
             ProxyId(1),
             ZoneId(0),
@@ -66,7 +66,7 @@
         None,
         "nobody has said anything"
     );
-    measured.hear(at(1.0), ProxyId(1), ZoneId(0), &report(1, 0, 0, 0), |_| {
+    measured.record(at(1.0), ProxyId(1), ZoneId(0), &report(1, 0, 0, 0), |_| {
         None
     });
     assert_eq!(
@@ -74,7 +74,7 @@
         Some(at(1.0)),
         "the other may never"
     );
-    measured.hear(at(3.0), ProxyId(2), ZoneId(0), &report(1, 0, 0, 0), |_| {
+    measured.record(at(3.0), ProxyId(2), ZoneId(0), &report(1, 0, 0, 0), |_| {
         None
     });
     assert_eq!(measured.known_until(both()), Some(at(1.0)));
--- a/crates/controller-core/src/tests.rs
+++ b/crates/controller-core/src/tests.rs
@@ -178,7 +178,7 @@
 
     /// What a proxy would have met with the files it reads: ten quotes a second, all well.
     fn report(&mut self, stream: u64) {
-        let Some((name, _)) = self.session.members.of_stream(StreamId(stream)) else {
+        let Some((name, _)) = self.session.members.by_stream(StreamId(stream)) else {
             return;
         };
         let lines = self.nodes_of(name);
@@ -365,7 +365,7 @@
         .session
         .members
         .member("n1")
-        .is_some_and(|member| !member.joined()));
+        .is_some_and(|member| !member.is_joined()));
 }
 
 #[test]
@@ -578,7 +578,7 @@
         .session
         .members()
         .member("x1")
-        .is_some_and(|member| member.joined()));
+        .is_some_and(|member| member.is_joined()));
 }
 
 #[test]
--- a/crates/controller-core/src/weight_solver.rs
+++ b/crates/controller-core/src/weight_solver.rs
@@ -47,7 +47,7 @@
     }
 
     /// Puts solved weights in the place of listed ones.
-    pub fn put(&self, mut event: Event) -> Event {
+    pub fn apply_to_event(&self, mut event: Event) -> Event {
         if let Event::EndpointList { entries, .. } = &mut event {
             for entry in entries {
                 entry.weight = self.weight(entry.node).unwrap_or(entry.weight);
@@ -57,7 +57,7 @@
     }
 
     /// The events of a period's end.
-    pub fn hear(
+    pub fn record_reports(
         &mut self,
         events: &[Event],
         plan: &Deployment,
@@ -76,7 +76,7 @@
                     window: over,
                     ..
                 } if over.seconds() > 0.0 => {
-                    let zone = members.numbered(*proxy).map(|member| member.zone);
+                    let zone = members.by_id(*proxy).map(|member| member.zone);
                     if let Some(zone) = zone {
                         *asked.entry((zone, *operation)).or_insert(0.0) += count / over.seconds();
                     }
@@ -228,7 +228,7 @@
     }
 
     /// Solves, if it is time to.
-    pub fn round(
+    pub fn solve_if_due(
         &mut self,
         now: Moment,
         plan: &Deployment,
--- a/crates/controller/src/file.rs
+++ b/crates/controller/src/file.rs
@@ -276,7 +276,7 @@
         let file: ControllerFile =
             serde_yaml_ng::from_str(text).map_err(|error| form(error.to_string()))?;
         let mut flaws: Vec<(String, String)> = Vec::new();
-        for flaw in file.deployment.flaws() {
+        for flaw in file.deployment.validate() {
             flaws.push((format!("deployment.{}", flaw.field), flaw.text));
         }
         let count = file.deployment.conductors.count;
--- a/crates/controller/src/routes.rs
+++ b/crates/controller/src/routes.rs
@@ -303,7 +303,7 @@
     let joined = session
         .members()
         .members()
-        .filter(|(_, member)| member.joined())
+        .filter(|(_, member)| member.is_joined())
         .count();
     let reach = session.reach();
     let under_way = rollout
@@ -325,7 +325,7 @@
         "list": session.nodes().version(),
         "nodes": { "ready": ready, "draining": draining, "cold": cold },
         "gateways": { "joined": joined, "known": session.members().members().count() },
-        "sums_heard_s": seconds_since(now, session.measured().heard_last()),
+        "sums_heard_s": seconds_since(now, session.measured().latest_report_at()),
         "lines_waiting": session.lines_waiting(),
         "lines_waiting_at_most": session.plan().channel.lines_waiting_at_most,
         "newest_version": session.version().0,
@@ -375,8 +375,8 @@
         })
     };
     let gateway = |(name, member): (&str, &Member)| {
-        let heard = session.measured().heard(member.id);
-        json!({ "gateway": name, "joined": member.joined(), "heard_s": seconds_since(now, heard) })
+        let heard = session.measured().last_report_at(member.id);
+        json!({ "gateway": name, "joined": member.is_joined(), "heard_s": seconds_since(now, heard) })
     };
     json!({
         "over_s": seconds,
@@ -445,7 +445,7 @@
         let reads = session.reads(member.id);
         let told = GatewayTold {
             gateway: name,
-            joined: member.joined(),
+            joined: member.is_joined(),
             front: match reads.front {
                 Transport::Files => "files",
                 Transport::Stream(_) => "stream",
--- a/crates/controller/src/state_writer.rs
+++ b/crates/controller/src/state_writer.rs
@@ -401,8 +401,8 @@
         let mut nodes = EndpointList::default();
         assert_eq!(
             nodes
-                .take(Moment::from_seconds(1.0), Ok(list), &plan(), true)
-                .refusal,
+                .apply_snapshot(Moment::from_seconds(1.0), Ok(list), &plan(), true)
+                .rejection,
             None
         );
         nodes
--- a/crates/drill/src/script.rs
+++ b/crates/drill/src/script.rs
@@ -157,7 +157,7 @@
     fn flaws(&self) -> Vec<String> {
         let mut flaws: Vec<String> = self
             .deployment
-            .flaws()
+            .validate()
             .iter()
             .map(|flaw| format!("deployment.{}: {}", flaw.field, flaw.text))
             .collect();
