--- a/crates/controller-core/src/controller_core.rs
+++ b/crates/controller-core/src/controller_core.rs
@@ -5,7 +5,7 @@
 use crate::acknowledgement::Acknowledgements;
 use crate::deployment::{ConfigError, Deployment};
 use crate::drain_evidence::{DrainEvidence, EvidenceSummary};
-use crate::endpoint_list::{show, EndpointList, EndpointSnapshot};
+use crate::endpoint_list::{show, EndpointList, EndpointSnapshot, SnapshotReadError};
 use crate::load_report::{LoadAggregator, LoadReport};
 use crate::membership::{Introduction, Membership, StreamId};
 use crate::node_overrides::{NodeOverrides, NodeValues};
@@ -68,7 +68,7 @@
 #[derive(Clone, Debug)]
 pub enum Observation {
     /// The list of nodes was swapped in, or could not be read.
-    List(Result<EndpointSnapshot, String>),
+    List(Result<EndpointSnapshot, SnapshotReadError>),
     StreamOpened {
         stream: StreamId,
         who: Introduction,
@@ -501,7 +501,7 @@
         }
     }
 
-    fn list(&mut self, now: Moment, list: Result<EndpointSnapshot, String>) {
+    fn list(&mut self, now: Moment, list: Result<EndpointSnapshot, SnapshotReadError>) {
         let first = !std::mem::replace(&mut self.started, true);
         // Where none can be read, the last that was taken before a restart stands.
         let remembered = self.remembered.take().filter(|_| first && list.is_err());
--- a/crates/controller-core/src/endpoint_list.rs
+++ b/crates/controller-core/src/endpoint_list.rs
@@ -1,518 +1,258 @@
-//! The list of nodes as this conductor holds it. Lists come from a file that others swap in: late,
-//! partial, torn or empty. A list that can't be right is kept out with a named reason and the last good
-//! one stands; what it then says is told to the module as events.
+//! The endpoint list as this controller holds it. Snapshots come from a file that others swap in: late,
+//! partial, torn or empty. One that can't be right is rejected with a named reason and the last accepted
+//! one stands; what an accepted one changes goes to the balancer as an event.
 
-use crate::deployment::Deployment;
-use std::collections::{BTreeMap, BTreeSet};
-use wheelspread::ids::{CellId, KindId, NodeId, ZoneId};
-use wheelspread::time::{Moment, Span};
-use wheelspread::{EndpointEntry, EndpointListKind, EndpointStatus, Event};
+mod snapshot;
+mod table;
+mod validation;
 
-/// One node as a list names it.
-#[derive(Clone, Debug, PartialEq)]
-pub struct EndpointRecord {
-    pub node: NodeId,
-    pub zone: String,
-    pub kind: String,
-    pub cell: String,
-    pub draining: bool,
-    pub weight: f64,
-    /// What tells one run of the process from the next, and how long ago it started, where known.
-    pub started: Option<(String, Span)>,
-}
+pub use snapshot::{EndpointRecord, EndpointSnapshot, SnapshotReadError};
+pub use validation::SnapshotRejection;
 
-#[derive(Clone, Debug, PartialEq)]
-pub struct EndpointSnapshot {
-    /// `version_info` of the document.
-    pub version: String,
-    pub records: Vec<EndpointRecord>,
-}
-
-/// Why a list was not taken.
-#[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum SnapshotRejection {
-    #[error("the list can't be read: {0}")]
-    Unreadable(String),
-    #[error("version {version} is not newer than version {held}, which is held")]
-    Late { version: String, held: String },
-    #[error("the list names no node while {held} are held")]
-    Empty { held: usize },
-    #[error(
-        "{missing} of {ready} ready nodes are missing at once; they are kept while that is doubted"
-    )]
-    Shrunk { missing: usize, ready: usize },
-    #[error("all {count} ready nodes of {what} are missing at once; they are kept while that is doubted")]
-    Emptied { what: String, count: usize },
-    #[error("{0} is named twice")]
-    Twice(String),
-    #[error("{node} stands in zone `{zone}`, which the settings don't name")]
-    UnknownZone { node: String, zone: String },
-    #[error("{node} is of kind `{kind}`, which the settings don't name")]
-    UnknownKind { node: String, kind: String },
-    #[error("{count} nodes: {most} at most are possible")]
-    TooMany { count: usize, most: usize },
-}
-
-/// How the guard takes what comes.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+use crate::deployment::Deployment;
+use std::collections::BTreeSet;
+use table::EndpointTable;
+use wheelspread::ids::{CellId, NodeId};
+use wheelspread::time::Moment;
+use wheelspread::{EndpointEntry, Event};
+
+/// Of the grace that proxies have to stop sending to a node that is gone: a snapshot is doubted for so
+/// long. What is left of the grace is for the tables to reach the proxies, should the snapshot be right.
+const DOUBT_SHARE_OF_DRAIN_GRACE: f64 = 0.6;
+/// Of the missing nodes: with more of them answering, the doubted snapshot is wrong.
+const REFUTING_ANSWER_SHARE: f64 = 0.5;
+
+/// What the list thinks of the last snapshot that named nodes.
+#[derive(Clone, Debug)]
 enum Trust {
-    /// Nothing was ever taken: anything readable is better than nothing.
-    Blank,
-    Held,
-    /// A list lacked too many nodes; the next one decides.
-    Doubting,
+    /// Nothing was ever accepted: any valid snapshot is better than nothing.
+    Unset,
+    Accepted,
+    /// The snapshot lacked too many nodes; the next one, or the nodes' answers, decide.
+    Doubted(Doubt),
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Came {
-    Sound,
-    Shrunk,
-    ShrunkAlike,
-    Empty,
-    Late,
-    Broken,
-    /// The time of doubt is over, and most of the missing nodes answered meanwhile, or did not.
-    Answered,
-    Silent,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Taken {
-    Take,
-    KeepOut,
-    /// What the list adds and drains is taken, what it lacks is kept.
-    TakePart,
-    /// The doubted list is taken as it was.
-    TakeDoubted,
-    Drop,
-}
-
-// A late or broken list says nothing of whether the doubted one was right. An empty one is never right.
-const TRUST: &[(Trust, Came, Trust, Taken)] = &[
-    (Trust::Blank, Came::Sound, Trust::Held, Taken::Take),
-    (Trust::Blank, Came::Empty, Trust::Blank, Taken::KeepOut),
-    (Trust::Held, Came::Sound, Trust::Held, Taken::Take),
-    (Trust::Held, Came::Shrunk, Trust::Doubting, Taken::TakePart),
-    (Trust::Doubting, Came::Sound, Trust::Held, Taken::Take),
-    (
-        Trust::Doubting,
-        Came::Shrunk,
-        Trust::Doubting,
-        Taken::TakePart,
-    ),
-    (Trust::Doubting, Came::ShrunkAlike, Trust::Held, Taken::Take),
-    (
-        Trust::Doubting,
-        Came::Silent,
-        Trust::Held,
-        Taken::TakeDoubted,
-    ),
-    (Trust::Doubting, Came::Answered, Trust::Held, Taken::Drop),
-];
-
-/// Of the grace that proxies have to stop sending to a node that is gone: so long a list is doubted. What is
-/// left of it is for the tables to get there, should the list be right.
-const DOUBT: f64 = 0.6;
-/// Of the missing nodes: with more of them answering the list is wrong.
-const ANSWERING: f64 = 0.5;
-
+/// A snapshot that lacks too many nodes, and which of those go on answering.
 #[derive(Clone, Debug)]
 struct Doubt {
-    list: EndpointSnapshot,
+    snapshot: EndpointSnapshot,
     since: Moment,
     missing: BTreeSet<NodeId>,
     answered: BTreeSet<NodeId>,
 }
 
-/// What came of a list.
+impl Doubt {
+    fn is_refuted(&self) -> bool {
+        self.answered.len() as f64 > self.missing.len() as f64 * REFUTING_ANSWER_SHARE
+    }
+}
+
+/// What came of a snapshot. Both are there where one was applied in part.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SnapshotOutcome {
+    /// What changes, for the balancer.
     pub event: Option<Event>,
+    /// Why it was not applied, or not in full.
     pub rejection: Option<SnapshotRejection>,
 }
 
-const MOST_NODES: usize = 20_000;
-
-#[derive(Clone, Debug)]
-struct Held {
-    record: EndpointRecord,
-    entry: EndpointEntry,
+impl SnapshotOutcome {
+    fn rejected(rejection: SnapshotRejection) -> SnapshotOutcome {
+        SnapshotOutcome {
+            event: None,
+            rejection: Some(rejection),
+        }
+    }
 }
 
+/// The accepted endpoints, and the guard that decides what is accepted.
 #[derive(Clone, Debug)]
 pub struct EndpointList {
     trust: Trust,
     version: String,
-    held: BTreeMap<NodeId, Held>,
-    doubt: Option<Doubt>,
-    cells: BTreeMap<String, CellId>,
-    gone: BTreeMap<NodeId, Moment>,
-    /// What is held was not read but remembered: the same version, read, is news.
-    remembered: bool,
+    table: EndpointTable,
+    /// What is held was not read but restored: the same version, once read, counts as newer.
+    restored: bool,
 }
 
 impl Default for EndpointList {
     fn default() -> Self {
         EndpointList {
-            trust: Trust::Blank,
+            trust: Trust::Unset,
             version: String::new(),
-            held: BTreeMap::new(),
-            doubt: None,
-            cells: BTreeMap::new(),
-            gone: BTreeMap::new(),
-            remembered: false,
+            table: EndpointTable::default(),
+            restored: false,
         }
     }
 }
 
+/// A node's address as logs, the operators' API and tables write it.
 pub fn show(node: NodeId) -> String {
     let [a, b, c, d] = node.address;
     format!("{a}.{b}.{c}.{d}:{}", node.port)
 }
 
 impl EndpointList {
-    /// What was just taken is what an earlier run had read.
+    /// What was just applied is what an earlier run had read.
     pub fn mark_restored(&mut self) {
-        self.remembered = true;
+        self.restored = true;
     }
 
+    /// Version of the last snapshot that was accepted, in full or in part.
     pub fn version(&self) -> &str {
         &self.version
     }
 
+    /// All accepted nodes with the entries that the balancer was given.
     pub fn listed(&self) -> impl Iterator<Item = (&EndpointRecord, &EndpointEntry)> {
-        self.held.values().map(|held| (&held.record, &held.entry))
+        self.table.iter()
     }
 
+    /// The accepted record of a node.
     pub fn record(&self, node: NodeId) -> Option<&EndpointRecord> {
-        self.held.get(&node).map(|held| &held.record)
+        self.table.record(node)
     }
 
-    /// Takes a list, a part of it, or says why not. `first` marks the one that stands when a conductor starts.
+    /// The number of a cell; a new name gets the next one.
+    pub fn cell_id(&mut self, name: &str) -> CellId {
+        self.table.cell_id(name)
+    }
+
+    /// The complete list as it is held, for a balancer that asks.
+    pub fn complete_event(&self) -> Event {
+        self.table.complete_event()
+    }
+
+    /// Applies a snapshot, a part of it, or says why not. `first` marks the one that stands when a
+    /// controller starts.
     pub fn apply_snapshot(
         &mut self,
         now: Moment,
-        list: Result<EndpointSnapshot, String>,
+        snapshot: Result<EndpointSnapshot, SnapshotReadError>,
         plan: &Deployment,
         first: bool,
     ) -> SnapshotOutcome {
-        let (came, rejection) = match &list {
-            Err(text) => (
-                Came::Broken,
-                Some(SnapshotRejection::Unreadable(text.clone())),
-            ),
-            Ok(list) => self.judge(list, plan),
-        };
-        let taken = self.turn(came);
-        let list = match list {
-            Ok(list) => list,
-            Err(text) => {
-                return SnapshotOutcome {
-                    event: None,
-                    rejection: Some(SnapshotRejection::Unreadable(text)),
-                }
-            }
+        let snapshot = match snapshot {
+            Ok(snapshot) => snapshot,
+            Err(error) => return SnapshotOutcome::rejected(error.into()),
         };
-        match taken {
-            Taken::Take => {
-                self.doubt = None;
-                SnapshotOutcome {
-                    event: Some(self.adopt(now, list, plan, first)),
-                    rejection: None,
-                }
-            }
-            Taken::TakePart => {
-                let missing = self.missing(&list);
-                let kept = missing
-                    .iter()
-                    .filter_map(|node| self.record(*node).cloned());
-                let records = list.records.iter().cloned().chain(kept).collect();
-                let part = EndpointSnapshot {
-                    version: list.version.clone(),
-                    records,
-                };
-                let event = self.adopt(now, part, plan, first);
-                self.doubt = Some(Doubt {
-                    list,
-                    since: now,
-                    missing,
-                    answered: BTreeSet::new(),
-                });
-                SnapshotOutcome {
-                    event: Some(event),
-                    rejection,
-                }
-            }
-            Taken::KeepOut | Taken::TakeDoubted | Taken::Drop => {
-                let empty = SnapshotRejection::Empty {
-                    held: self.held.len(),
-                };
-                SnapshotOutcome {
-                    event: None,
-                    rejection: rejection.or(Some(empty)),
-                }
-            }
-        }
-    }
-
-    fn turn(&mut self, came: Came) -> Taken {
-        let row = TRUST
-            .iter()
-            .find(|row| (row.0, row.1) == (self.trust, came));
-        let (next, taken) = row.map_or((self.trust, Taken::KeepOut), |row| (row.2, row.3));
-        self.trust = next;
-        taken
-    }
-
-    /// A node answered in a time that began at `since`: if the list that lacks it came before, that speaks
-    /// against the list.
-    pub fn record_answer(&mut self, node: NodeId, since: Moment) {
-        let doubt = self
-            .doubt
-            .as_mut()
-            .filter(|doubt| since >= doubt.since && doubt.missing.contains(&node));
-        if let Some(doubt) = doubt {
-            doubt.answered.insert(node);
+        // A late, empty or invalid snapshot says nothing of whether the doubted one was right.
+        if let Err(rejection) = self.check(&snapshot, plan) {
+            return SnapshotOutcome::rejected(rejection);
         }
-    }
-
-    /// When a doubted list is judged.
-    pub fn doubted_until(&self, plan: &Deployment) -> Option<Moment> {
-        self.doubt
-            .as_ref()
-            .map(|doubt| doubt.since + plan.rules.drain_grace * DOUBT)
-    }
-
-    /// Judges a doubted list when its time is over: nodes that nobody had an answer from are gone.
-    pub fn resolve_doubt(&mut self, now: Moment, plan: &Deployment) -> Option<Event> {
-        self.doubted_until(plan).filter(|until| now >= *until)?;
-        let doubt = self.doubt.take()?;
-        let wrong = doubt.answered.len() as f64 > doubt.missing.len() as f64 * ANSWERING;
-        match self.turn(if wrong { Came::Answered } else { Came::Silent }) {
-            Taken::TakeDoubted => Some(self.adopt(now, doubt.list, plan, false)),
-            _ => None,
+        let missing = self.table.missing_from(&snapshot.records);
+        match validation::check_shrinkage(&snapshot, &missing, &self.table, plan) {
+            Err(rejection) if !self.confirms_doubt(&missing) => SnapshotOutcome {
+                event: Some(self.apply_doubted(now, snapshot, missing, plan, first)),
+                rejection: Some(rejection),
+            },
+            _ => SnapshotOutcome {
+                event: Some(self.accept(now, snapshot, plan, first)),
+                rejection: None,
+            },
         }
     }
 
-    fn ready(&self) -> impl Iterator<Item = NodeId> + '_ {
-        self.held
-            .iter()
-            .filter(|(_, held)| !held.record.draining)
-            .map(|(node, _)| *node)
-    }
-
-    fn missing(&self, list: &EndpointSnapshot) -> BTreeSet<NodeId> {
-        let named: BTreeSet<NodeId> = list.records.iter().map(|record| record.node).collect();
-        self.ready().filter(|node| !named.contains(node)).collect()
-    }
-
-    fn judge(
+    /// What rejects a snapshot in full.
+    fn check(
         &self,
-        list: &EndpointSnapshot,
+        snapshot: &EndpointSnapshot,
         plan: &Deployment,
-    ) -> (Came, Option<SnapshotRejection>) {
-        let mut seen = BTreeSet::new();
-        let broken = |rejection| (Came::Broken, Some(rejection));
-        if list.records.len() > MOST_NODES {
-            return broken(SnapshotRejection::TooMany {
-                count: list.records.len(),
-                most: MOST_NODES,
+    ) -> Result<(), SnapshotRejection> {
+        validation::check_records(&snapshot.records, plan)?;
+        let is_reread = self.restored && snapshot.version == self.version;
+        let is_first = matches!(self.trust, Trust::Unset);
+        if !is_first && !is_reread && !validation::is_newer(&snapshot.version, &self.version) {
+            return Err(SnapshotRejection::Late {
+                version: snapshot.version.clone(),
+                held: self.version.clone(),
             });
         }
-        for record in &list.records {
-            let node = show(record.node);
-            if !seen.insert(record.node) {
-                return broken(SnapshotRejection::Twice(node));
-            }
-            if !plan.zones.contains(&record.zone) {
-                return broken(SnapshotRejection::UnknownZone {
-                    node,
-                    zone: record.zone.clone(),
-                });
-            }
-            if !record.kind.is_empty() && !plan.kinds.contains(&record.kind) {
-                return broken(SnapshotRejection::UnknownKind {
-                    node,
-                    kind: record.kind.clone(),
-                });
-            }
-        }
-        let same = self.remembered && list.version == self.version;
-        if self.trust != Trust::Blank && !same && !newer(&list.version, &self.version) {
-            let (version, held) = (list.version.clone(), self.version.clone());
-            return (Came::Late, Some(SnapshotRejection::Late { version, held }));
-        }
-        if list.records.is_empty() {
-            return (
-                Came::Empty,
-                Some(SnapshotRejection::Empty {
-                    held: self.held.len(),
-                }),
-            );
+        if snapshot.records.is_empty() {
+            return Err(SnapshotRejection::Empty {
+                held: self.table.len(),
+            });
         }
-        let (missing, ready) = (self.missing(list), self.ready().count());
-        let few =
-            missing.len() as f64 <= ready as f64 * plan.list.shrinks_at_most || missing.len() <= 1;
-        let rejection = match (few, self.emptied(list, &missing)) {
-            (true, None) => return (Came::Sound, None),
-            (false, _) => SnapshotRejection::Shrunk {
-                missing: missing.len(),
-                ready,
-            },
-            (true, Some((what, count))) => SnapshotRejection::Emptied { what, count },
-        };
-        let alike = self
-            .doubt
-            .as_ref()
-            .is_some_and(|doubt| missing.is_superset(&doubt.missing));
-        (
-            if alike {
-                Came::ShrunkAlike
-            } else {
-                Came::Shrunk
-            },
-            Some(rejection),
-        )
+        Ok(())
     }
 
-    /// A zone or a kind of which a list leaves nothing, though it has no more than usual to say otherwise: what
-    /// stays in that zone would have no node. One that had a single node may well lose it.
-    fn emptied(
-        &self,
-        list: &EndpointSnapshot,
-        missing: &BTreeSet<NodeId>,
-    ) -> Option<(String, usize)> {
-        type Group = fn(&EndpointRecord) -> &str;
-        let groups: [(&str, Group); 2] = [
-            ("zone", |record| record.zone.as_str()),
-            ("kind", |record| record.kind.as_str()),
-        ];
-        groups.into_iter().find_map(|(word, group)| {
-            let left: BTreeSet<&str> = list.records.iter().map(group).collect();
-            let mut gone: BTreeMap<&str, usize> = BTreeMap::new();
-            let records = missing.iter().filter_map(|node| self.record(*node));
-            records.for_each(|record| *gone.entry(group(record)).or_default() += 1);
-            let emptied = gone
-                .into_iter()
-                .find(|(name, count)| *count > 1 && !left.contains(name));
-            emptied.map(|(name, count)| (format!("{word} `{name}`"), count))
-        })
+    /// Whether a snapshot that lacks these nodes says the same as the doubted one.
+    fn confirms_doubt(&self, missing: &BTreeSet<NodeId>) -> bool {
+        match &self.trust {
+            Trust::Doubted(doubt) => missing.is_superset(&doubt.missing),
+            Trust::Unset | Trust::Accepted => false,
+        }
     }
 
-    /// Only what changed is told, but for the first list, which the module takes as a whole.
-    fn adopt(
+    fn accept(
         &mut self,
         now: Moment,
-        list: EndpointSnapshot,
+        snapshot: EndpointSnapshot,
         plan: &Deployment,
         first: bool,
     ) -> Event {
-        let whole = first || self.held.is_empty();
-        let mut entries = Vec::new();
-        let mut next = BTreeMap::new();
-        for record in list.records {
-            let before = self.held.remove(&record.node);
-            let entry = self.entry(now, &record, before.as_ref(), plan, whole);
-            let same = before.is_some_and(|before| before.entry_equals(&entry));
-            if whole || !same {
-                entries.push(entry.clone());
-            }
-            self.gone.remove(&record.node);
-            next.insert(record.node, Held { record, entry });
-        }
-        for (node, held) in std::mem::take(&mut self.held) {
-            self.gone.insert(node, now);
-            entries.push(EndpointEntry {
-                status: EndpointStatus::Gone,
-                ..held.entry
-            });
-        }
-        let long = plan.rules.warm_after * 10.0;
-        self.gone.retain(|_, since| now - *since < long);
-        (self.held, self.version, self.remembered) = (next, list.version, false);
-        Event::EndpointList {
-            kind: if whole {
-                EndpointListKind::Complete
-            } else {
-                EndpointListKind::Changes
-            },
-            entries,
-        }
+        self.trust = Trust::Accepted;
+        (self.version, self.restored) = (snapshot.version, false);
+        self.table.replace(now, snapshot.records, plan, first)
     }
 
-    fn entry(
+    /// Applies what a doubted snapshot adds and drains; what it lacks is kept.
+    fn apply_doubted(
         &mut self,
         now: Moment,
-        record: &EndpointRecord,
-        before: Option<&Held>,
+        snapshot: EndpointSnapshot,
+        missing: BTreeSet<NodeId>,
         plan: &Deployment,
-        whole: bool,
-    ) -> EndpointEntry {
-        // The start of a process is fixed when it is first heard of: a clock that jumps moves none.
-        let started = match (&record.started, before) {
-            (Some((run, _)), Some(held))
-                if held.record.started.as_ref().is_some_and(|(r, _)| r == run) =>
-            {
-                held.entry.started
-            }
-            (Some((_, age)), _) => Some(now - *age),
-            (None, Some(held)) if !self.returns(record.node) => held.entry.started,
-            // Listed after the start of this conductor and silent of its age: it may be cold.
-            (None, _) if !whole => Some(now),
-            (None, _) => None,
+        first: bool,
+    ) -> Event {
+        let kept = missing
+            .iter()
+            .filter_map(|node| self.table.record(*node).cloned());
+        let records = snapshot.records.iter().cloned().chain(kept).collect();
+        let partial = EndpointSnapshot {
+            version: snapshot.version.clone(),
+            records,
         };
-        EndpointEntry {
-            node: record.node,
-            zone: ZoneId(position(&plan.zones, &record.zone) as u16),
-            kind: KindId(position(&plan.kinds, &record.kind) as u8),
-            cell: self.cell_id(&record.cell),
-            status: if record.draining {
-                EndpointStatus::Draining
-            } else {
-                EndpointStatus::Ready
-            },
-            weight: record.weight,
-            started,
-        }
-    }
-
-    pub fn cell_id(&mut self, name: &str) -> CellId {
-        let next = CellId(self.cells.len() as u16);
-        *self.cells.entry(name.to_string()).or_insert(next)
-    }
-
-    fn returns(&self, node: NodeId) -> bool {
-        self.gone.contains_key(&node)
+        let event = self.accept(now, partial, plan, first);
+        self.trust = Trust::Doubted(Doubt {
+            snapshot,
+            since: now,
+            missing,
+            answered: BTreeSet::new(),
+        });
+        event
     }
 
-    /// The whole list as it is held, for a module that asks.
-    pub fn complete_event(&self) -> Event {
-        let entries = self.held.values().map(|held| held.entry.clone()).collect();
-        Event::EndpointList {
-            kind: EndpointListKind::Complete,
-            entries,
+    /// A node answered in a period that began at `since`: if the snapshot that lacks it came before, that
+    /// speaks against the snapshot.
+    pub fn record_answer(&mut self, node: NodeId, since: Moment) {
+        if let Trust::Doubted(doubt) = &mut self.trust {
+            if since >= doubt.since && doubt.missing.contains(&node) {
+                doubt.answered.insert(node);
+            }
         }
     }
-}
 
-impl Held {
-    fn entry_equals(&self, other: &EndpointEntry) -> bool {
-        let (a, b) = (&self.entry, other);
-        (a.zone, a.kind, a.cell, a.status, a.started)
-            == (b.zone, b.kind, b.cell, b.status, b.started)
-            && a.weight == b.weight
+    /// When a doubted snapshot is decided on.
+    pub fn doubted_until(&self, plan: &Deployment) -> Option<Moment> {
+        match &self.trust {
+            Trust::Doubted(doubt) => {
+                Some(doubt.since + plan.rules.drain_grace * DOUBT_SHARE_OF_DRAIN_GRACE)
+            }
+            Trust::Unset | Trust::Accepted => None,
+        }
     }
-}
 
-fn position(names: &[String], name: &str) -> usize {
-    names.iter().position(|known| known == name).unwrap_or(0)
-}
-
-/// Versions that both are numbers rise; others only have to differ.
-fn newer(version: &str, held: &str) -> bool {
-    match (version.parse::<u64>(), held.parse::<u64>()) {
-        (Ok(version), Ok(held)) => version > held,
-        _ => version != held,
+    /// Decides on a doubted snapshot when its time is over: nodes that nobody had an answer from are gone.
+    pub fn resolve_doubt(&mut self, now: Moment, plan: &Deployment) -> Option<Event> {
+        self.doubted_until(plan).filter(|until| now >= *until)?;
+        let Trust::Doubted(doubt) = std::mem::replace(&mut self.trust, Trust::Accepted) else {
+            return None;
+        };
+        if doubt.is_refuted() {
+            return None;
+        }
+        Some(self.accept(now, doubt.snapshot, plan, false))
     }
 }
 
--- a/crates/controller-core/src/endpoint_list/tests.rs
+++ b/crates/controller-core/src/endpoint_list/tests.rs
@@ -1,6 +1,8 @@
 use super::*;
 use crate::deployment::tests::plan;
 use test_case::test_case;
+use wheelspread::time::Span;
+use wheelspread::EndpointStatus;
 
 fn record(port: u16) -> EndpointRecord {
     EndpointRecord {
@@ -17,7 +19,7 @@
     }
 }
 
-fn list(version: &str, ports: std::ops::Range<u16>) -> Result<EndpointSnapshot, String> {
+fn list(version: &str, ports: std::ops::Range<u16>) -> Result<EndpointSnapshot, SnapshotReadError> {
     Ok(EndpointSnapshot {
         version: version.to_string(),
         records: ports.map(record).collect(),
@@ -39,7 +41,7 @@
     nodes
 }
 
-#[test_case(Err("not JSON".to_string()), "can't be read"; "torn")]
+#[test_case(Err(SnapshotReadError::new("not JSON")), "can't be read"; "torn")]
 #[test_case(list("4", 0..10), "not newer than version 5"; "an older version, naming a node already gone")]
 #[test_case(list("5", 0..4), "not newer"; "the same version with other content")]
 #[test_case(list("6", 0..0), "names no node while 8"; "empty")]
@@ -47,7 +49,10 @@
 #[test_case(Ok(EndpointSnapshot { version: "6".into(), records: vec![record(1), record(1)] }), "twice"; "a node twice")]
 #[test_case(Ok(EndpointSnapshot { version: "6".into(), records: vec![EndpointRecord { zone: "moon".into(), ..record(1) }] }),
     "zone `moon`"; "an unknown zone")]
-fn a_list_that_cannot_be_right_is_kept_out(came: Result<EndpointSnapshot, String>, reason: &str) {
+fn a_list_that_cannot_be_right_is_kept_out(
+    came: Result<EndpointSnapshot, SnapshotReadError>,
+    reason: &str,
+) {
     let mut nodes = held("5", 0..8);
     let rejection = nodes
         .apply_snapshot(at(2.0), came, &plan(), false)
@@ -76,7 +81,7 @@
         .is_some());
     // A broken one in between neither confirms nor clears the doubt.
     assert!(nodes
-        .apply_snapshot(at(2.1), Err("half".into()), &plan(), false)
+        .apply_snapshot(at(2.1), Err(SnapshotReadError::new("half")), &plan(), false)
         .rejection
         .is_some());
     assert_eq!(
@@ -117,7 +122,7 @@
 }
 
 #[test]
-fn nodes_that_nobody_hears_of_any_more_are_gone_within_the_grace() {
+fn missing_nodes_that_do_not_answer_are_gone_within_the_grace() {
     let mut nodes = held("5", 0..8);
     nodes.apply_snapshot(at(2.0), list("6", 0..3), &plan(), false);
     // What was answered before the list came says nothing.
@@ -147,7 +152,7 @@
 fn mixed(
     version: &str,
     without: impl Fn(&EndpointRecord) -> bool,
-) -> Result<EndpointSnapshot, String> {
+) -> Result<EndpointSnapshot, SnapshotReadError> {
     let record = |port: u16| EndpointRecord {
         zone: if port < 2 { "south" } else { "north" }.into(),
         kind: if (4..7).contains(&port) {
@@ -172,7 +177,7 @@
 #[test_case(|record| record.kind == "large", "all 3 ready nodes of kind `large`"; "a kind")]
 fn a_list_that_empties_a_pool_is_doubted_though_it_lacks_few(
     without: fn(&EndpointRecord) -> bool,
-    said: &str,
+    expected: &str,
 ) {
     let plan = Deployment {
         kinds: vec!["large".into(), "small".into()],
@@ -188,7 +193,7 @@
     let outcome = nodes.apply_snapshot(at(2.0), mixed("2", without), &plan, false);
     assert!(outcome
         .rejection
-        .is_some_and(|rejection| rejection.to_string().starts_with(said)));
+        .is_some_and(|rejection| rejection.to_string().starts_with(expected)));
     assert_eq!(nodes.listed().count(), 12, "they are kept meanwhile");
     // Nobody had an answer from them: it was right.
     let until = nodes.doubted_until(&plan).expect("doubted");
@@ -213,28 +218,28 @@
         started: Some(("r1".into(), Span::from_seconds(age))),
         ..record(1)
     };
-    let told = |version: &str, age| {
+    let snapshot_of_age = |version: &str, age| {
         Ok(EndpointSnapshot {
             version: version.into(),
             records: vec![run(age)],
         })
     };
     let mut nodes = EndpointList::default();
-    nodes.apply_snapshot(at(100.0), told("1", 60.0), &plan(), true);
+    nodes.apply_snapshot(at(100.0), snapshot_of_age("1", 60.0), &plan(), true);
     let Some(Event::EndpointList { entries, .. }) = nodes
-        .apply_snapshot(at(101.0), told("2", 0.0), &plan(), false)
+        .apply_snapshot(at(101.0), snapshot_of_age("2", 0.0), &plan(), false)
         .event
     else {
         panic!("sound")
     };
     assert!(
         entries.is_empty(),
-        "the same run tells nothing new: {entries:?}"
+        "the same run changes nothing: {entries:?}"
     );
 }
 
 #[test]
-fn a_node_that_returns_without_an_age_may_be_cold() {
+fn a_node_that_returns_without_an_age_may_be_warming_up() {
     let mut nodes = held("1", 0..8);
     nodes.apply_snapshot(at(2.0), list("2", 0..7), &plan(), false);
     let Some(Event::EndpointList { entries, .. }) = nodes
--- a/crates/controller/src/service.rs
+++ b/crates/controller/src/service.rs
@@ -20,6 +20,7 @@
 use wheelspread_config_rollout::{Rollout, Step};
 use wheelspread_config_transaction::Commit;
 use wheelspread_controller_core::controller_core::ConfigUpdate;
+use wheelspread_controller_core::endpoint_list::SnapshotReadError;
 use wheelspread_controller_core::rollback::RollbackResult;
 use wheelspread_controller_core::{ControllerCore, Effect, LogEvent, Observation};
 use wheelspread_faults::reached;
@@ -551,6 +552,7 @@
             nodes::read(&text, reactor::wall()).map_err(|error| error.to_string())
         });
         self.last_list = Some(text);
+        let list = list.map_err(SnapshotReadError::new);
         self.session.observe(now, Observation::List(list));
     }
 
