--- a/crates/config-rollout/src/rollout.rs
+++ b/crates/config-rollout/src/rollout.rs
@@ -172,7 +172,7 @@
         for flaw in flaws {
             rollout.out.push(Step::Log(RolloutEvent::LeftOut {
                 field: flaw.field,
-                text: flaw.text,
+                text: flaw.kind.to_string(),
             }));
         }
         for Order { id, effect } in orders {
@@ -299,7 +299,7 @@
             Err(flaws) => {
                 let each = flaws
                     .into_iter()
-                    .map(|flaw| format!("{}: {}", flaw.field, flaw.text));
+                    .map(|flaw| format!("{}: {}", flaw.field, flaw.kind));
                 return Verdict(each.map(|text| told("values", true, text)).collect());
             }
         };
@@ -442,7 +442,7 @@
                     for flaw in flaws {
                         self.out.push(Step::Log(RolloutEvent::LeftOut {
                             field: flaw.field,
-                            text: flaw.text,
+                            text: flaw.kind.to_string(),
                         }));
                     }
                     self.out.push(Step::Configure(Box::new(configured)));
--- a/crates/config-rollout/src/values.rs
+++ b/crates/config-rollout/src/values.rs
@@ -11,7 +11,7 @@
 use wheelspread::ids::NodeId;
 use wheelspread_config_transaction::{Change, Configuration};
 use wheelspread_controller_core::controller_core::ConfigUpdate;
-use wheelspread_controller_core::deployment::ConfigError;
+use wheelspread_controller_core::deployment::{ConfigError, ConfigErrorKind};
 use wheelspread_controller_core::{Deployment, NodeValues, Service};
 
 /// Fields that may change, `*` for the name of an operation. What decides whether a repeat can take effect
@@ -42,7 +42,7 @@
 fn flaw(field: &str, text: impl Into<String>) -> ConfigError {
     ConfigError {
         field: field.to_string(),
-        text: text.into(),
+        kind: ConfigErrorKind::Other(text.into()),
     }
 }
 
--- a/crates/controller-core/src/controller_core.rs
+++ b/crates/controller-core/src/controller_core.rs
@@ -271,7 +271,7 @@
 
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    #[error("settings that can't be: {}", .0.iter().map(|f| format!("{}: {}", f.field, f.text)).collect::<Vec<_>>().join("; "))]
+    #[error("settings that can't be: {}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))]
     Flaws(Vec<ConfigError>),
     #[error("the decisions can't start: {0}")]
     Module(String),
--- /dev/null
+++ b/crates/controller-core/src/deployment/programs.rs
@@ -0,0 +1,99 @@
+//! The controllers and proxies of a deployment, and how tables get from one to the other.
+
+use crate::span_format;
+use serde::{Deserialize, Serialize};
+use wheelspread::time::Span;
+
+const DEFAULT_TICK_SECONDS: f64 = 0.01;
+const DEFAULT_CONNECTION_IDLE_SECONDS: f64 = 15.0;
+
+/// The controllers.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(deny_unknown_fields, default)]
+pub struct ControllerPlan {
+    /// How many controllers share the proxies; each decides alone.
+    pub count: u32,
+    /// Whether a proxy joins a controller of its own zone.
+    pub joined_by_zone: bool,
+    /// The least time between two rounds of decisions.
+    #[serde(with = "span_format")]
+    pub tick: Span,
+}
+
+impl Default for ControllerPlan {
+    fn default() -> Self {
+        ControllerPlan {
+            count: 1,
+            joined_by_zone: false,
+            tick: Span::from_seconds(DEFAULT_TICK_SECONDS),
+        }
+    }
+}
+
+/// The proxies.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(deny_unknown_fields, default)]
+pub struct ProxyPlan {
+    /// Of all controllers together.
+    pub count: u32,
+    /// Errors in a row after which a proxy ejects a node by itself; 0: never.
+    pub errors_until_avoided: u32,
+    /// How long a connection to a node stays open without a request.
+    #[serde(with = "span_format")]
+    pub connection_idle: Span,
+    /// Requests a second that a proxy brings, where it does not say so itself.
+    pub usual_rate: f64,
+}
+
+impl Default for ProxyPlan {
+    fn default() -> Self {
+        ProxyPlan {
+            count: 1,
+            errors_until_avoided: 0,
+            connection_idle: Span::from_seconds(DEFAULT_CONNECTION_IDLE_SECONDS),
+            usual_rate: 0.0,
+        }
+    }
+}
+
+/// Which ways of delivering tables are turned on.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(deny_unknown_fields, default)]
+pub struct FrontPlan {
+    /// Files that proxies watch.
+    pub files: bool,
+    /// Discovery streams that proxies open.
+    pub streams: bool,
+}
+
+impl Default for FrontPlan {
+    fn default() -> Self {
+        FrontPlan {
+            files: true,
+            streams: true,
+        }
+    }
+}
+
+/// How proxies are instructed how much of an operation to admit.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename_all = "kebab-case")]
+pub enum LevelForm {
+    /// As an admission ratio.
+    Share,
+    /// As requests a second.
+    Rate,
+    /// Not at all: proxies admit everything.
+    None,
+}
+
+impl LevelForm {
+    /// The spelling of the settings.
+    pub(super) fn setting(self) -> &'static str {
+        match self {
+            LevelForm::Share => "share",
+            LevelForm::Rate => "rate",
+            LevelForm::None => "none",
+        }
+    }
+}
--- /dev/null
+++ b/crates/controller-core/src/deployment/settings.rs
@@ -0,0 +1,117 @@
+//! The deployment as the named settings that the balancer reads.
+
+use super::{Deployment, OperationPlan, RulePlan};
+use wheelspread::settings::{SettingValue, Settings};
+use wheelspread::time::Span;
+
+/// Settings under construction; every setting is put in once.
+#[derive(Default)]
+struct SettingsBuilder(Settings);
+
+impl SettingsBuilder {
+    fn put(&mut self, name: &str, value: SettingValue) {
+        self.0 .0.insert(name.to_string(), value);
+    }
+
+    fn number(&mut self, name: &str, value: impl Into<f64>) {
+        self.put(name, SettingValue::Number(value.into()));
+    }
+
+    fn count(&mut self, name: &str, count: usize) {
+        self.put(name, SettingValue::Number(count as f64));
+    }
+
+    /// Spans are settings in seconds.
+    fn span(&mut self, name: &str, span: Span) {
+        self.put(name, SettingValue::Number(span.seconds()));
+    }
+
+    fn flag(&mut self, name: &str, value: bool) {
+        self.put(name, SettingValue::Flag(value));
+    }
+
+    fn text(&mut self, name: &str, text: &str) {
+        self.put(name, SettingValue::Text(text.to_string()));
+    }
+}
+
+impl Deployment {
+    /// The settings by the names that the balancer reads, for the controller of this number. `zone`: the
+    /// one that it stands in, where only proxies of its zone join it.
+    pub fn to_settings(&self, number: u32, zone: Option<u16>) -> Settings {
+        let mut settings = SettingsBuilder::default();
+        self.put_controller(&mut settings, number, zone);
+        self.put_fleet(&mut settings);
+        self.put_update_queue(&mut settings);
+        put_rules(&mut settings, &self.rules);
+        self.put_load_reports(&mut settings);
+        settings.number("price.cross_zone", self.cross_zone_price);
+        settings.text("level.form", self.admission.setting());
+        for (position, operation) in self.operations.iter().enumerate() {
+            put_operation(&mut settings, position, operation);
+        }
+        settings.0
+    }
+
+    fn put_controller(&self, settings: &mut SettingsBuilder, number: u32, zone: Option<u16>) {
+        settings.number("conductor.count", self.conductors.count);
+        settings.number("conductor.number", number);
+        settings.flag("conductor.joined_by_zone", self.conductors.joined_by_zone);
+        settings.span("conductor.tick", self.conductors.tick);
+        if let Some(zone) = zone {
+            settings.number("conductor.zone", zone);
+        }
+        settings.flag("peers.may_tell", false);
+    }
+
+    fn put_fleet(&self, settings: &mut SettingsBuilder) {
+        let proxies = &self.proxies;
+        settings.count("zone.count", self.zones.len());
+        settings.count("operation.count", self.operations.len());
+        settings.number("proxy.count", proxies.count);
+        settings.number("proxy.errors_until_avoided", proxies.errors_until_avoided);
+        settings.span("proxy.connection_idle", proxies.connection_idle);
+    }
+
+    fn put_update_queue(&self, settings: &mut SettingsBuilder) {
+        let channel = &self.channel;
+        settings.number(
+            "channel.lines_waiting_at_most",
+            channel.lines_waiting_at_most,
+        );
+        settings.number("channel.head_lines", channel.head_lines);
+        settings.number("channel.lines_per_second", channel.lines_per_second);
+        settings.span("channel.delay_at_most", channel.delay_at_most);
+        settings.number("channel.messages_at_most", channel.messages_at_most);
+        settings.span("channel.messages_window", channel.messages_window);
+    }
+
+    fn put_load_reports(&self, settings: &mut SettingsBuilder) {
+        settings.span("sums.period", self.sums.period);
+        settings.count("report.field.count", self.sums.loads.len());
+        for (position, load) in self.sums.loads.iter().enumerate() {
+            settings.text(&format!("report.field.{position}"), load);
+        }
+    }
+}
+
+fn put_rules(settings: &mut SettingsBuilder, rules: &RulePlan) {
+    settings.span("rules.without_node_at_most", rules.without_node_at_most);
+    settings.span("rules.drain_grace", rules.drain_grace);
+    settings.number("rules.cold_start_share", rules.cold_start_share);
+    settings.span("rules.warm_after", rules.warm_after);
+    settings.number("rules.cold_overload_factor", rules.cold_overload_factor);
+    settings.span("rules.cold_overload_span", rules.cold_overload_span);
+}
+
+fn put_operation(settings: &mut SettingsBuilder, position: usize, operation: &OperationPlan) {
+    let name = |field: &str| format!("operation.{position}.{field}");
+    settings.span(&name("latency_objective"), operation.latency_objective);
+    settings.span(&name("integration_timeout"), operation.integration_timeout);
+    settings.number(&name("billed_value"), operation.billed_value);
+    settings.number(&name("late_share"), operation.late_share);
+    settings.text(&name("repeat"), operation.repeat.setting());
+    settings.text(&name("repeat_group"), operation.repeat_group.setting());
+    settings.span(&name("repeat_window"), operation.repeat_window);
+    settings.flag(&name("stays_in_zone"), operation.stays_in_zone);
+}
--- a/crates/controller-core/src/deployment/tests.rs
+++ b/crates/controller-core/src/deployment/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 use test_case::test_case;
+use wheelspread::time::Span;
 
 /// Two zones, a quote that may go anywhere and a booking that has effects.
 pub(crate) fn plan() -> Deployment {
@@ -73,7 +74,7 @@
     assert_eq!(
         plan.validate()
             .iter()
-            .map(|flaw| flaw.field.as_str())
+            .map(|error| error.field.as_str())
             .collect::<Vec<_>>(),
         [field]
     );
--- a/crates/controller/src/file.rs
+++ b/crates/controller/src/file.rs
@@ -277,7 +277,7 @@
             serde_yaml_ng::from_str(text).map_err(|error| form(error.to_string()))?;
         let mut flaws: Vec<(String, String)> = Vec::new();
         for flaw in file.deployment.validate() {
-            flaws.push((format!("deployment.{}", flaw.field), flaw.text));
+            flaws.push((format!("deployment.{}", flaw.field), flaw.kind.to_string()));
         }
         let count = file.deployment.conductors.count;
         if file.conductor.number >= count {
--- a/crates/drill/src/script.rs
+++ b/crates/drill/src/script.rs
@@ -159,7 +159,7 @@
             .deployment
             .validate()
             .iter()
-            .map(|flaw| format!("deployment.{}: {}", flaw.field, flaw.text))
+            .map(|flaw| format!("deployment.{}: {}", flaw.field, flaw.kind))
             .collect();
         let mut wrong = |text: String| flaws.push(text);
         if !(2.0..=3600.0).contains(&self.length.seconds()) {
