--- a/crates/controller-core/src/controller_core.rs
+++ b/crates/controller-core/src/controller_core.rs
@@ -1401,7 +1401,9 @@
                     },
                 );
             }
-            Some(SolverOutcome::Failed(reason)) => self.log(LogEvent::NotSolved { reason }),
+            Some(SolverOutcome::Failed(error)) => self.log(LogEvent::NotSolved {
+                reason: error.to_string(),
+            }),
             None => {}
         }
     }
--- a/crates/controller-core/src/weight_solver.rs
+++ b/crates/controller-core/src/weight_solver.rs
@@ -1,49 +1,67 @@
-//! Solved weights, where the deployment turns them on: capacities told by kind are corrected by the sums,
-//! what is asked for is taken from them too, and the weights that follow reach the module as the listed
-//! weights of nodes. How traffic gets there is the module's to order. A solve that fails leaves the last
+//! Solved weights, where the deployment turns them on. Capacities configured by kind are corrected by load
+//! reports, demand is taken from them too, and the weights that follow reach the balancer as the listed
+//! weights of nodes. How traffic gets there is the balancer's to order. A solve that fails leaves the last
 //! good weights.
 
+mod observations;
+mod problem;
+
 use crate::deployment::{Deployment, SolverPlan};
 use crate::endpoint_list::{show, EndpointList};
 use crate::membership::Membership;
+use observations::{NodeObservation, Observations};
 use std::collections::BTreeMap;
 use wheelspread::ids::{NodeId, OperationId, ZoneId};
 use wheelspread::time::Moment;
 use wheelspread::{EndpointEntry, EndpointStatus, Event};
 use wheelspread_solve::estimate::{Estimate, Seen};
 use wheelspread_solve::steady::{next, Steadiness};
-use wheelspread_solve::{solve, Fleet, Gateway, Host, HostState, Operation, Status};
+use wheelspread_solve::{solve, Fleet, Host, Refused, Solution, Status};
 
 /// Steps of one solve: far more than the largest fleets take, so that the loop is never held up for long.
-const STEPS: usize = 50_000;
+const MAX_SOLVER_STEPS: usize = 50_000;
 /// Of an even weight: a node that should carry nothing is still listed, and with less it would be noise.
-const LEAST: f64 = 0.05;
-/// Of what is remembered of demand, each period.
-const FORGET: f64 = 0.3;
+const MIN_NODE_WEIGHT: f64 = 0.05;
+/// Of the difference between the remembered demand and a period's: what is taken over each period.
+const DEMAND_SMOOTHING: f64 = 0.3;
+/// Weight of a node that no solve has weighed yet.
+const EVEN_WEIGHT: f64 = 1.0;
 
+/// Capacity estimates, demand and the weights of the last solve.
 #[derive(Clone, Debug, Default)]
 pub struct WeightSolver {
     estimates: BTreeMap<NodeId, Estimate>,
-    /// Invocations a second, by zone and operation.
+    /// Requests a second, by zone and operation.
     demand: BTreeMap<(ZoneId, OperationId), f64>,
-    standing: BTreeMap<String, f64>,
+    /// The weights in force, by the nodes' addresses.
+    weights: BTreeMap<String, f64>,
     next_at: Moment,
 }
 
-/// What a round came to.
+/// Why a solve gave no weights.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+pub enum SolveError {
+    /// It was given up before it was optimal.
+    #[error("it took too many steps")]
+    StepLimit,
+    /// The fleet can't be solved as it is.
+    #[error(transparent)]
+    Refused(#[from] Refused),
+}
+
+/// What a solve came to.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SolverOutcome {
     /// Nodes whose listed weight changes.
     Changed(Vec<EndpointEntry>),
-    Failed(String),
+    /// The last weights stay in force.
+    Failed(SolveError),
 }
 
 impl WeightSolver {
     /// The weight that a node is listed with, where one was solved.
     pub fn weight(&self, node: NodeId) -> Option<f64> {
-        self.standing
-            .get(&show(node))
-            .map(|weight| weight.max(LEAST))
+        weight_of(&self.weights, node)
     }
 
     /// Puts solved weights in the place of listed ones.
@@ -56,7 +74,7 @@
         event
     }
 
-    /// The events of a period's end.
+    /// Takes in the load reports among the events of a period's end.
     pub fn record_reports(
         &mut self,
         events: &[Event],
@@ -65,169 +83,63 @@
         members: &Membership,
         nodes: &EndpointList,
     ) {
-        let mut asked: BTreeMap<(ZoneId, OperationId), f64> = BTreeMap::new();
-        let mut met: BTreeMap<NodeId, (f64, f64, f64, Option<f64>)> = BTreeMap::new();
-        for event in events {
-            match event {
-                Event::DemandReport {
-                    proxy,
-                    operation,
-                    requests: count,
-                    window: over,
-                    ..
-                } if over.seconds() > 0.0 => {
-                    let zone = members.by_id(*proxy).map(|member| member.zone);
-                    if let Some(zone) = zone {
-                        *asked.entry((zone, *operation)).or_insert(0.0) += count / over.seconds();
-                    }
-                }
-                Event::NodeLoadReport {
-                    node,
-                    attempts: tries,
-                    failures: errored,
-                    window: over,
-                    metrics: load,
-                    ..
-                } if over.seconds() > 0.0 => {
-                    let sum = met.entry(*node).or_insert((0.0, 0.0, 0.0, None));
-                    let place = plan
-                        .sums
-                        .loads
-                        .iter()
-                        .position(|name| name == "utilization");
-                    let busy = place
-                        .and_then(|place| load.get(place))
-                        .copied()
-                        .filter(|busy| *busy >= 0.0);
-                    *sum = (
-                        sum.0 + tries / over.seconds(),
-                        sum.1 + errored,
-                        sum.2 + tries,
-                        busy.or(sum.3),
-                    );
-                }
-                _ => {}
-            }
-        }
-        for (key, rate) in asked {
+        let observations = Observations::collect(events, plan, members);
+        for (key, rate) in observations.demand {
             let known = self.demand.entry(key).or_insert(rate);
-            *known += FORGET * (rate - *known);
+            *known += DEMAND_SMOOTHING * (rate - *known);
         }
         let mean_work = self.mean_work(plan, solver);
-        for (node, (rate, errored, tries, utilization)) in met {
-            let Some(record) = nodes.record(node) else {
-                continue;
-            };
-            let told = solver.capacities.get(&record.kind).copied().unwrap_or(0.0);
-            let seen = Seen {
-                load: rate * mean_work,
-                utilization,
-                late_or_errored: errored / tries.max(1.0),
-                tries,
-            };
-            self.estimates
-                .entry(node)
-                .or_insert_with(|| Estimate::new(told))
-                .see(seen);
+        for (node, observation) in observations.nodes {
+            if let Some(record) = nodes.record(node) {
+                let configured = problem::configured_capacity(solver, &record.kind);
+                self.correct_estimate(node, observation, mean_work, configured);
+            }
         }
     }
 
+    fn correct_estimate(
+        &mut self,
+        node: NodeId,
+        observation: NodeObservation,
+        mean_work: f64,
+        configured: f64,
+    ) {
+        let seen = Seen {
+            load: observation.attempt_rate * mean_work,
+            utilization: observation.utilization,
+            late_or_errored: observation.failures / observation.attempts.max(1.0),
+            tries: observation.attempts,
+        };
+        self.estimates
+            .entry(node)
+            .or_insert_with(|| Estimate::new(configured))
+            .see(seen);
+    }
+
+    /// Seconds of work of a mean request; that of the most expensive operation while nothing is asked for.
     fn mean_work(&self, plan: &Deployment, solver: &SolverPlan) -> f64 {
-        let work = |operation: &OperationId| {
-            let name = plan
-                .operations
-                .get(usize::from(operation.0))
-                .map(|operation| operation.name.as_str());
-            name.and_then(|name| solver.work.get(name))
+        let work = |operation: OperationId| {
+            problem::operation_plan(plan, operation)
+                .and_then(|operation| solver.work.get(&operation.name))
                 .map_or(0.0, |work| work.0.seconds())
         };
-        let all: f64 = self.demand.values().sum();
-        let sum: f64 = self
+        let total_rate: f64 = self.demand.values().sum();
+        let total_work: f64 = self
             .demand
             .iter()
-            .map(|((_, operation), rate)| rate * work(operation))
+            .map(|((_, operation), rate)| rate * work(*operation))
             .sum();
-        if all > 0.0 {
-            sum / all
-        } else {
-            solver
-                .work
-                .values()
-                .map(|work| work.0.seconds())
-                .fold(0.0, f64::max)
-        }
-    }
-
-    fn fleet(&self, plan: &Deployment, solver: &SolverPlan, nodes: &EndpointList) -> Fleet {
-        let host = |(record, entry): (&crate::endpoint_list::EndpointRecord, &EndpointEntry)| {
-            let told = solver.capacities.get(&record.kind).copied().unwrap_or(0.0);
-            Host {
-                id: show(record.node),
-                zone: record.zone.clone(),
-                capacity: self
-                    .estimates
-                    .get(&record.node)
-                    .map_or(told, Estimate::capacity),
-                // The module raises a cold node as it warms; its weight here is that of a warm one.
-                state: match entry.status {
-                    EndpointStatus::Ready => HostState::Ready,
-                    _ => HostState::Draining,
-                },
-                price: 0.0,
-                load_at_most: None,
-                kind: String::new(),
-            }
-        };
-        let zone_of = |zone: &ZoneId| {
-            plan.zones
-                .get(usize::from(zone.0))
-                .cloned()
-                .unwrap_or_default()
-        };
-        let mut gateways: BTreeMap<String, Gateway> = BTreeMap::new();
-        for ((zone, operation), rate) in &self.demand {
-            let name = zone_of(zone);
-            let Some(told) = plan.operations.get(usize::from(operation.0)) else {
-                continue;
-            };
-            let empty = Gateway {
-                id: name.clone(),
-                zone: name.clone(),
-                demand: BTreeMap::new(),
-            };
-            gateways
-                .entry(name)
-                .or_insert(empty)
-                .demand
-                .insert(told.name.clone(), *rate);
-        }
-        let operation = |told: &crate::deployment::OperationPlan| Operation {
-            name: told.name.clone(),
-            billed_value: told.billed_value,
-            work: solver
-                .work
-                .get(&told.name)
-                .map_or(1.0, |work| work.0.seconds()),
-            holds: None,
-            stays_in_zone: told.stays_in_zone,
-            least_share: solver.least_share,
-        };
-        Fleet {
-            hosts: nodes.listed().map(host).collect(),
-            gateways: gateways.into_values().collect(),
-            operations: plan.operations.iter().map(operation).collect(),
-            cross_zone_price: plan.cross_zone_price,
-            connection_price: 0.0,
-            crossing_seconds: 0.0,
-            fill_at_most: solver.fill_at_most,
-            cold_share: plan.rules.cold_start_share,
-            steps: vec![(0.6, 0.0), (0.8, 0.01), (1.0, 0.03)],
-            standing: BTreeMap::new(),
-            change_price: 0.0,
+        if total_rate > 0.0 {
+            return total_work / total_rate;
         }
+        solver
+            .work
+            .values()
+            .map(|work| work.0.seconds())
+            .fold(0.0, f64::max)
     }
 
-    /// Solves, if it is time to.
+    /// Solves, if it is time to; `None` where nothing changes.
     pub fn solve_if_due(
         &mut self,
         now: Moment,
@@ -242,48 +154,66 @@
         self.estimates
             .retain(|node, _| nodes.record(*node).is_some());
         let fleet = self.fleet(plan, solver, nodes);
-        let mut left = STEPS;
-        let mut over = || {
-            left = left.saturating_sub(1);
-            left == 0
-        };
-        let solution = match solve(&fleet, &mut over) {
-            Ok(solution) if solution.status == Status::Optimal => solution,
-            Ok(_) => return Some(SolverOutcome::Failed("it took too many steps".to_string())),
-            Err(refused) => return Some(SolverOutcome::Failed(refused.to_string())),
-        };
+        match solve_within_limit(&fleet) {
+            Ok(solution) => {
+                let entries = self.adopt_solution(&fleet, &solution, nodes);
+                (!entries.is_empty()).then_some(SolverOutcome::Changed(entries))
+            }
+            Err(error) => Some(SolverOutcome::Failed(error)),
+        }
+    }
+
+    /// Moves the weights towards a solution, and returns the ready nodes whose weight changes.
+    fn adopt_solution(
+        &mut self,
+        fleet: &Fleet,
+        solution: &Solution,
+        nodes: &EndpointList,
+    ) -> Vec<EndpointEntry> {
         let solved = solution
             .hosts
             .iter()
-            .map(|host| (host.id.clone(), host.weight.max(LEAST)))
+            .map(|host| (host.id.clone(), host.weight.max(MIN_NODE_WEIGHT)))
             .collect();
-        // A node without a weight so far stands at an even one.
-        let even = |host: &Host| {
-            (
-                host.id.clone(),
-                self.standing.get(&host.id).copied().unwrap_or(1.0),
-            )
-        };
-        let standing: BTreeMap<String, f64> = fleet.hosts.iter().map(even).collect();
-        let before = std::mem::replace(
-            &mut self.standing,
-            next(&standing, &solved, Steadiness::default()),
-        );
-        let moved = |entry: &EndpointEntry| {
-            let weight = self.weight(entry.node)?;
-            let changed = before
-                .get(&show(entry.node))
-                .map(|weight| weight.max(LEAST))
-                != Some(weight);
-            (changed && entry.status == EndpointStatus::Ready).then(|| EndpointEntry {
-                weight,
-                ..entry.clone()
-            })
-        };
-        let entries: Vec<EndpointEntry> = nodes
+        let current = fleet.hosts.iter().map(|host| self.current_weight(host));
+        let current: BTreeMap<String, f64> = current.collect();
+        let steadied = next(&current, &solved, Steadiness::default());
+        let before = std::mem::replace(&mut self.weights, steadied);
+        nodes
             .listed()
-            .filter_map(|(_, entry)| moved(entry))
-            .collect();
-        (!entries.is_empty()).then_some(SolverOutcome::Changed(entries))
+            .filter(|(_, entry)| entry.status == EndpointStatus::Ready)
+            .filter_map(|(_, entry)| {
+                let weight = self.weight(entry.node)?;
+                let is_changed = weight_of(&before, entry.node) != Some(weight);
+                is_changed.then(|| EndpointEntry {
+                    weight,
+                    ..entry.clone()
+                })
+            })
+            .collect()
+    }
+
+    fn current_weight(&self, host: &Host) -> (String, f64) {
+        let weight = self.weights.get(&host.id).copied();
+        (host.id.clone(), weight.unwrap_or(EVEN_WEIGHT))
+    }
+}
+
+fn weight_of(weights: &BTreeMap<String, f64>, node: NodeId) -> Option<f64> {
+    weights
+        .get(&show(node))
+        .map(|weight| weight.max(MIN_NODE_WEIGHT))
+}
+
+fn solve_within_limit(fleet: &Fleet) -> Result<Solution, SolveError> {
+    let mut steps_left = MAX_SOLVER_STEPS;
+    let mut is_over_limit = || {
+        steps_left = steps_left.saturating_sub(1);
+        steps_left == 0
+    };
+    let solution = solve(fleet, &mut is_over_limit)?;
+    match solution.status {
+        Status::Optimal => Ok(solution),
+        _ => Err(SolveError::StepLimit),
     }
 }
