--- a/crates/controller-core/src/load_report.rs
+++ b/crates/controller-core/src/load_report.rs
@@ -1,274 +1,159 @@
-//! Sums of what proxies observed, from the reports on their streams to the module's events. Reports come at
-//! their own times and of their own spans; once a period they are put together by zone and node, dated by
-//! the spans they cover. What can't be is refused before anything is counted.
+//! Load reports: what a proxy observed of the requests that came to it and of the nodes that it sent them
+//! to. A report that can't be is refused before anything is counted.
 
-use crate::deployment::Deployment;
-use crate::membership::Membership;
-use std::collections::{BTreeMap, BTreeSet};
-use wheelspread::ids::{NodeId, OperationId, ProxyId, ZoneId};
+mod aggregator;
+
+pub use aggregator::LoadAggregator;
+
+use std::collections::BTreeMap;
+use wheelspread::ids::NodeId;
 use wheelspread::time::Span;
-use wheelspread::Event;
 
-/// A figure that came with some of the answers: how many, and their total.
+/// A metric that came with some of the answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Metric {
+    /// Answers that had it.
     pub count: u64,
+    /// Their values' sum.
     pub total: f64,
 }
 
 impl Metric {
+    /// The mean, where there is one that can be.
     pub fn mean(self) -> Option<f64> {
         let mean = self.total / self.count as f64;
         (self.count > 0 && mean.is_finite() && mean >= 0.0).then_some(mean)
     }
 }
 
+/// What a proxy observed at one node.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NodeReport {
+    /// The node, where its address could be read.
     pub node: Option<NodeId>,
+    /// Attempts that succeeded.
     pub succeeded: u64,
+    /// Attempts that failed.
     pub errored: u64,
-    /// Tries that had no end yet when the report was made.
+    /// Attempts that had no end yet when the report was made.
     pub in_progress: u64,
+    /// Metrics by the names that are constants of this module.
     pub metrics: BTreeMap<String, Metric>,
 }
 
+impl NodeReport {
+    /// Attempts that ended.
+    pub(crate) fn attempts(&self) -> f64 {
+        self.succeeded as f64 + self.errored as f64
+    }
+}
+
+/// What a proxy observed of one operation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OperationReport {
+    /// The operation's name.
     pub operation: String,
-    /// Rejected at the proxy.
+    /// Requests that the proxy rejected.
     pub rate_limited: u64,
-    /// Tries of `nodes` that repeated an earlier one, where the proxy says so.
+    /// Attempts of `nodes` that retried an earlier one, where the proxy says so.
     pub repeats: u64,
+    /// By node.
     pub nodes: Vec<NodeReport>,
 }
 
+/// One report of a proxy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadReport {
+    /// The time that it covers, up to when it was made.
     pub over: Span,
+    /// By operation; one that is left out had no request.
     pub operations: Vec<OperationReport>,
 }
 
+/// Why a report was refused.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum LoadReportError {
-    #[error("a report over {0} s")]
-    Over(f64),
+    /// It covers no time, or too much.
+    #[error("a report over {seconds} s")]
+    Window {
+        /// The time that it covers.
+        seconds: f64,
+    },
+    /// No proxy can have served so many requests, or it counts more retries than attempts.
     #[error("{count} invocations of `{operation}` over {over} s")]
     Count {
+        /// The operation's name, cut short.
         operation: String,
+        /// The larger of its counts.
         count: f64,
+        /// Seconds that the report covers.
         over: f64,
     },
-    #[error("{0} operations in one report")]
-    Operations(usize),
-    #[error("{0} nodes in one report")]
-    TooManyNodes(usize),
+    /// It names too many operations.
+    #[error("{count} operations in one report")]
+    TooManyOperations {
+        /// Operations that it names.
+        count: usize,
+    },
+    /// One of its operations names too many nodes.
+    #[error("{count} nodes in one report")]
+    TooManyNodes {
+        /// Nodes that it names.
+        count: usize,
+    },
 }
 
-/// Names of the figures that a proxy may send beside its counts.
+/// Metric of the latency in milliseconds.
 pub const LATENCY: &str = "latency_ms";
+/// Metric of a node's utilization, of 1.
 pub const UTILIZATION: &str = "cpu_utilization";
+/// Metric of the requests that are queued at a node.
 pub const QUEUE: &str = "named_metrics.queue";
 
-const MOST_PER_SECOND: f64 = 1e7;
-const MOST_OPERATIONS: usize = 1000;
-const MOST_NODES: usize = 100_000;
-const LONGEST: f64 = 600.0;
-
-#[derive(Clone, Debug, Default)]
-struct PathSums {
-    tries: f64,
-    errored: f64,
-    latency: (f64, f64),
-    loads: Vec<Option<f64>>,
-}
-
-#[derive(Clone, Debug, Default)]
-pub struct LoadAggregator {
-    paths: BTreeMap<(ZoneId, NodeId), PathSums>,
-    /// Over how long each zone's proxies reported, together.
-    covered: BTreeMap<ZoneId, Span>,
-    reporting: BTreeMap<ZoneId, BTreeSet<ProxyId>>,
-    offered: BTreeMap<(ProxyId, OperationId), (f64, f64, Span)>,
-    pub unknown_nodes: u64,
-    pub unknown_operations: u64,
-}
+const MAX_REQUESTS_PER_SECOND: f64 = 1e7;
+const MAX_OPERATIONS: usize = 1000;
+const MAX_NODES: usize = 100_000;
+const MAX_WINDOW_SECONDS: f64 = 600.0;
+/// Of a name that an error repeats.
+const MAX_QUOTED_NAME_LENGTH: usize = 40;
 
 fn check(report: &LoadReport) -> Result<(), LoadReportError> {
-    let over = report.over.seconds();
-    if !(over > 0.0 && over <= LONGEST) {
-        return Err(LoadReportError::Over(over));
-    }
-    if report.operations.len() > MOST_OPERATIONS {
-        return Err(LoadReportError::Operations(report.operations.len()));
+    let seconds = report.over.seconds();
+    if !(seconds > 0.0 && seconds <= MAX_WINDOW_SECONDS) {
+        return Err(LoadReportError::Window { seconds });
     }
-    for named in &report.operations {
-        if named.nodes.len() > MOST_NODES {
-            return Err(LoadReportError::TooManyNodes(named.nodes.len()));
-        }
-        let each = |node: &NodeReport| {
-            node.succeeded as f64 + node.errored as f64 + node.in_progress as f64
-        };
-        let count = named.nodes.iter().map(each).sum::<f64>() + named.rate_limited as f64;
-        if count > MOST_PER_SECOND * over.max(1.0) || named.repeats as f64 > count {
-            let operation = named.operation.chars().take(40).collect();
-            return Err(LoadReportError::Count {
-                operation,
-                count: count.max(named.repeats as f64),
-                over,
-            });
-        }
+    if report.operations.len() > MAX_OPERATIONS {
+        return Err(LoadReportError::TooManyOperations {
+            count: report.operations.len(),
+        });
     }
-    Ok(())
+    report
+        .operations
+        .iter()
+        .try_for_each(|operation| check_operation(operation, seconds))
 }
 
-impl LoadAggregator {
-    pub fn add_report(
-        &mut self,
-        proxy: ProxyId,
-        zone: ZoneId,
-        report: &LoadReport,
-        plan: &Deployment,
-        known: impl Fn(NodeId) -> bool,
-    ) -> Result<(), LoadReportError> {
-        check(report)?;
-        *self.covered.entry(zone).or_insert(Span::ZERO) =
-            self.covered.get(&zone).copied().unwrap_or(Span::ZERO) + report.over;
-        self.reporting.entry(zone).or_default().insert(proxy);
-        let mut silent: BTreeSet<OperationId> =
-            (0..plan.operations.len() as u8).map(OperationId).collect();
-        for named in &report.operations {
-            let place = plan
-                .operations
-                .iter()
-                .position(|operation| operation.name == named.operation);
-            let Some(place) = place else {
-                self.unknown_operations += 1;
-                continue;
-            };
-            let operation = OperationId(place as u8);
-            silent.remove(&operation);
-            let (mut tries, mut errored) = (0.0, 0.0);
-            for met in &named.nodes {
-                let met_tries = met.succeeded as f64 + met.errored as f64;
-                (tries, errored) = (tries + met_tries, errored + met.errored as f64);
-                match met.node.filter(|node| known(*node)) {
-                    Some(node) => self.met(zone, node, met, met_tries, report.over, plan),
-                    None => self.unknown_nodes += 1,
-                }
-            }
-            let count = (tries - named.repeats as f64).max(0.0) + named.rate_limited as f64;
-            let sum = self
-                .offered
-                .entry((proxy, operation))
-                .or_insert((0.0, 0.0, Span::ZERO));
-            *sum = (
-                sum.0 + count,
-                sum.1 + errored.min(count),
-                sum.2 + report.over,
-            );
-        }
-        // What a report does not speak of did not come.
-        for operation in silent {
-            let sum = self
-                .offered
-                .entry((proxy, operation))
-                .or_insert((0.0, 0.0, Span::ZERO));
-            sum.2 = sum.2 + report.over;
-        }
-        Ok(())
-    }
-
-    fn met(
-        &mut self,
-        zone: ZoneId,
-        node: NodeId,
-        met: &NodeReport,
-        tries: f64,
-        over: Span,
-        plan: &Deployment,
-    ) {
-        let sums = self.paths.entry((zone, node)).or_default();
-        sums.tries += tries;
-        sums.errored += met.errored as f64;
-        let latency = met
-            .metrics
-            .get(LATENCY)
-            .and_then(|metric| Some((metric.count as f64, metric.mean()?)));
-        // Proxies that time nothing still tell how many tries were in progress: by Little's law that is
-        // the rate times the latency.
-        let by_progress = || {
-            (tries > 0.0).then(|| (tries, met.in_progress as f64 * over.seconds() / tries * 1e3))
-        };
-        if let Some((count, mean)) = latency.or_else(by_progress) {
-            sums.latency = (sums.latency.0 + count, sums.latency.1 + count * mean);
-        }
-        sums.loads.resize(plan.sums.loads.len(), None);
-        for (load, name) in sums.loads.iter_mut().zip(&plan.sums.loads) {
-            let metric = if name == "utilization" {
-                UTILIZATION
-            } else {
-                QUEUE
-            };
-            // The newest of what came in this period stands.
-            *load = met
-                .metrics
-                .get(metric)
-                .and_then(|metric| metric.mean())
-                .or(*load);
-        }
+fn check_operation(report: &OperationReport, seconds: f64) -> Result<(), LoadReportError> {
+    if report.nodes.len() > MAX_NODES {
+        return Err(LoadReportError::TooManyNodes {
+            count: report.nodes.len(),
+        });
     }
-
-    /// The events of a period's end.
-    pub fn take_events(&mut self, members: &Membership) -> Vec<Event> {
-        let mut events = Vec::new();
-        let covered = std::mem::take(&mut self.covered);
-        let reporting = std::mem::take(&mut self.reporting);
-        for ((zone, node), sums) in std::mem::take(&mut self.paths) {
-            // Each proxy of the zone covers its own span; those joined that were not heard count as
-            // silent for now, and as heard when their report comes.
-            let proxies = members
-                .joined_in(zone)
-                .max(reporting.get(&zone).map_or(0, BTreeSet::len))
-                .max(1);
-            let over = covered.get(&zone).copied().unwrap_or(Span::ZERO) * (1.0 / proxies as f64);
-            if sums.tries <= 0.0 || over <= Span::ZERO {
-                continue;
-            }
-            let latency = if sums.latency.0 > 0.0 {
-                sums.latency.1 / sums.latency.0 / 1e3
-            } else {
-                0.0
-            };
-            // A load that was not told is none: the module leaves out what is below 0.
-            let load: Vec<f64> = sums.loads.iter().map(|load| load.unwrap_or(-1.0)).collect();
-            let (tries, errored) = (sums.tries, sums.errored);
-            events.push(Event::NodeLoadReport {
-                zone,
-                node,
-                attempts: tries,
-                failures: errored,
-                mean_latency: Span::from_seconds(latency),
-                window: over,
-                metrics: load,
-            });
-        }
-        for ((proxy, operation), (count, errored, over)) in std::mem::take(&mut self.offered) {
-            events.push(Event::DemandReport {
-                proxy,
-                operation,
-                requests: count,
-                failures: errored,
-                window: over,
-            });
-        }
-        events
-    }
-
-    /// A proxy that was forgotten.
-    pub fn forget(&mut self, proxy: ProxyId) {
-        self.offered.retain(|key, _| key.0 != proxy);
+    let attempts = report
+        .nodes
+        .iter()
+        .map(|node| node.attempts() + node.in_progress as f64);
+    let count = attempts.sum::<f64>() + report.rate_limited as f64;
+    let retries = report.repeats as f64;
+    if count > MAX_REQUESTS_PER_SECOND * seconds.max(1.0) || retries > count {
+        let name = report.operation.chars().take(MAX_QUOTED_NAME_LENGTH);
+        return Err(LoadReportError::Count {
+            operation: name.collect(),
+            count: count.max(retries),
+            over: seconds,
+        });
     }
+    Ok(())
 }
 
 #[cfg(test)]
--- a/crates/controller-core/src/load_report/tests.rs
+++ b/crates/controller-core/src/load_report/tests.rs
@@ -1,8 +1,10 @@
 use super::*;
 use crate::deployment::tests::plan;
-use crate::membership::{Introduction, StreamId};
+use crate::membership::{Introduction, Membership, StreamId};
 use test_case::test_case;
+use wheelspread::ids::{ProxyId, ZoneId};
 use wheelspread::time::Moment;
+use wheelspread::Event;
 
 const NODE: NodeId = NodeId {
     address: [127, 0, 0, 1],
@@ -44,12 +46,12 @@
 }
 
 #[test]
-fn reports_of_unequal_spans_give_the_rate_they_were_met_at() {
+fn reports_of_unequal_windows_give_the_observed_rate() {
     // Two proxies at 10 a second: one reported twice within the period, the other once.
     let (mut sums, members) = (LoadAggregator::default(), members(2));
     for (proxy, seconds, count) in [(0, 1.0, 10), (0, 1.0, 10), (1, 1.0, 10)] {
-        let told = report(seconds, count, 0, 2);
-        sums.add_report(ProxyId(proxy), ZoneId(0), &told, &plan(), |_| true)
+        let sent = report(seconds, count, 0, 2);
+        sums.add_report(ProxyId(proxy), ZoneId(0), &sent, &plan(), |_| true)
             .expect("fine");
     }
     let events = sums.take_events(&members);
@@ -87,19 +89,15 @@
             (1, 1, 0.0, 1.0)
         ]
     );
-    assert_eq!(
-        sums.take_events(&members),
-        [],
-        "what was told is not told again"
-    );
+    assert_eq!(sums.take_events(&members), [], "events are taken once");
 }
 
 #[test]
-fn repeats_are_not_asked_twice_and_who_was_turned_away_was_asked() {
+fn retries_are_not_demand_and_rejected_requests_are() {
     let (mut sums, members) = (LoadAggregator::default(), members(1));
-    let mut told = report(1.0, 8, 4, 0);
-    (told.operations[0].repeats, told.operations[0].rate_limited) = (2, 5);
-    sums.add_report(ProxyId(0), ZoneId(0), &told, &plan(), |_| true)
+    let mut sent = report(1.0, 8, 4, 0);
+    (sent.operations[0].repeats, sent.operations[0].rate_limited) = (2, 5);
+    sums.add_report(ProxyId(0), ZoneId(0), &sent, &plan(), |_| true)
         .expect("fine");
     let events = sums.take_events(&members);
     assert!(events.iter().any(
@@ -112,16 +110,16 @@
 #[test_case(report(1.0, u64::MAX, u64::MAX, 0); "more than can be counted")]
 #[test_case(LoadReport { operations: vec![OperationReport { repeats: 9, ..Default::default() }], ..report(1.0, 0, 0, 0) };
     "more repeats than tries")]
-fn absurd_reports_change_nothing(told: LoadReport) {
+fn impossible_reports_change_nothing(sent: LoadReport) {
     let mut sums = LoadAggregator::default();
     assert!(sums
-        .add_report(ProxyId(0), ZoneId(0), &told, &plan(), |_| true)
+        .add_report(ProxyId(0), ZoneId(0), &sent, &plan(), |_| true)
         .is_err());
     assert_eq!(sums.take_events(&members(1)), []);
 }
 
 #[test]
-fn nodes_that_never_were_are_counted_apart() {
+fn unknown_nodes_are_counted_apart() {
     let mut sums = LoadAggregator::default();
     sums.add_report(
         ProxyId(0),
--- a/crates/controller-core/src/service_history.rs
+++ b/crates/controller-core/src/service_history.rs
@@ -1,23 +1,33 @@
-//! What proxies told of the service they gave, over the last minutes: by zone and operation, in buckets of
-//! the period of sums that are used again in a ring. Changes are judged by it.
+//! What proxies reported of the service they gave, over the last minutes: by zone and operation, in buckets
+//! of the report period that are used again in a ring. Configuration changes are judged by it.
 
-use crate::load_report::{LoadReport, LATENCY};
+use crate::load_report::{LoadReport, NodeReport, OperationReport, LATENCY};
 use std::collections::BTreeMap;
 use std::ops::AddAssign;
 use wheelspread::ids::{OperationId, ProxyId, ZoneId};
 use wheelspread::ring::Ring;
 use wheelspread::time::{Moment, Span};
 
-/// Invocations, but for `tries` and `errored`, which count every try.
+const MILLISECONDS_PER_SECOND: f64 = 1e3;
+/// Report periods that are retained.
+const RETAINED_PERIODS: usize = 300;
+
+/// Requests, but for `tries` and `errored`, which count every attempt.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Tally {
+    /// Requests that came.
     pub asked: f64,
+    /// Requests that succeeded.
     pub succeeded: f64,
+    /// Requests that proxies rejected.
     pub rate_limited: f64,
+    /// Attempts.
     pub tries: f64,
+    /// Attempts that failed.
     pub errored: f64,
-    /// How many were timed, and how long they took together, in seconds.
+    /// How many were timed,
     pub timed: f64,
+    /// and how long they took together, in seconds.
     pub seconds: f64,
 }
 
@@ -33,6 +43,28 @@
     }
 }
 
+impl Tally {
+    fn add_node(&mut self, report: &NodeReport) {
+        self.succeeded += report.succeeded as f64;
+        self.errored += report.errored as f64;
+        self.tries += report.attempts();
+        let latency = report.metrics.get(LATENCY);
+        if let Some((latency, mean)) = latency.and_then(|metric| Some((metric, metric.mean()?))) {
+            self.timed += latency.count as f64;
+            self.seconds += latency.count as f64 * mean / MILLISECONDS_PER_SECOND;
+        }
+    }
+
+    fn add_operation(&mut self, report: &OperationReport) {
+        for node in &report.nodes {
+            self.add_node(node);
+        }
+        let rate_limited = report.rate_limited as f64;
+        self.rate_limited += rate_limited;
+        self.asked += (self.tries - report.repeats as f64).max(0.0) + rate_limited;
+    }
+}
+
 /// By zone of the proxy and operation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Tallies(pub BTreeMap<(ZoneId, OperationId), Tally>);
@@ -46,96 +78,84 @@
 }
 
 impl Tallies {
+    /// One operation's, over all zones.
     pub fn of(&self, operation: OperationId) -> Tally {
-        let mut all = Tally::default();
-        let own = self.0.iter().filter(|((_, of), _)| *of == operation);
-        own.for_each(|(_, tally)| all += *tally);
-        all
+        let mut total = Tally::default();
+        for ((_, of), tally) in &self.0 {
+            if *of == operation {
+                total += *tally;
+            }
+        }
+        total
     }
 }
 
-/// Periods that are kept.
-const KEPT: usize = 300;
-
+/// The last periods, and when each proxy last reported.
 #[derive(Clone, Debug)]
 pub struct ServiceHistory {
-    width: Span,
+    period: Span,
     ring: Ring<Tallies>,
-    /// When each proxy last reported.
-    heard: BTreeMap<ProxyId, Moment>,
+    last_report_at: BTreeMap<ProxyId, Moment>,
 }
 
 impl ServiceHistory {
+    /// An empty history of buckets of this width.
     pub fn new(period: Span) -> ServiceHistory {
         ServiceHistory {
-            width: period,
-            ring: Ring::new(period, KEPT),
-            heard: BTreeMap::new(),
+            period,
+            ring: Ring::new(period, RETAINED_PERIODS),
+            last_report_at: BTreeMap::new(),
         }
     }
 
-    /// A report that was found sound; `operation` looks up a name.
+    /// Adds a report that passed the checks; `operation_id` looks up a name.
     pub fn record(
         &mut self,
         now: Moment,
         proxy: ProxyId,
         zone: ZoneId,
         report: &LoadReport,
-        operation: impl Fn(&str) -> Option<OperationId>,
+        operation_id: impl Fn(&str) -> Option<OperationId>,
     ) {
-        self.heard.insert(proxy, now);
-        let mut all = Tallies::default();
-        for told in &report.operations {
-            let Some(id) = operation(&told.operation) else {
-                continue;
-            };
-            let tally = all.0.entry((zone, id)).or_default();
-            for node in &told.nodes {
-                tally.succeeded += node.succeeded as f64;
-                tally.errored += node.errored as f64;
-                tally.tries += node.succeeded as f64 + node.errored as f64;
-                if let Some((metric, mean)) =
-                    node.metrics.get(LATENCY).and_then(|m| Some((m, m.mean()?)))
-                {
-                    tally.timed += metric.count as f64;
-                    tally.seconds += metric.count as f64 * mean / 1e3;
-                }
+        self.last_report_at.insert(proxy, now);
+        let mut tallies = Tallies::default();
+        for of_operation in &report.operations {
+            if let Some(operation) = operation_id(&of_operation.operation) {
+                let tally = tallies.0.entry((zone, operation)).or_default();
+                tally.add_operation(of_operation);
             }
-            tally.rate_limited += told.rate_limited as f64;
-            tally.asked += (tally.tries - told.repeats as f64).max(0.0) + told.rate_limited as f64;
         }
-        self.ring.add(now, all);
+        self.ring.add(now, tallies);
     }
 
-    /// When a proxy last reported, and when any did.
+    /// When a proxy last reported.
     pub fn last_report_at(&self, proxy: ProxyId) -> Option<Moment> {
-        self.heard.get(&proxy).copied()
+        self.last_report_at.get(&proxy).copied()
     }
 
+    /// When any proxy last reported.
     pub fn latest_report_at(&self) -> Option<Moment> {
-        self.heard.values().copied().max()
+        self.last_report_at.values().copied().max()
     }
 
+    /// A proxy was forgotten.
     pub fn forget(&mut self, proxy: ProxyId) {
-        self.heard.remove(&proxy);
+        self.last_report_at.remove(&proxy);
     }
 
-    /// What was told from `from` up to `to`, and over how many seconds; what is older than the ring is left out.
+    /// What was reported from `from` up to `to`, and over how many seconds; what is older than the ring is
+    /// left out.
     pub fn between(&self, from: Moment, to: Moment) -> (Tallies, f64) {
-        let count =
-            ((to - from).micros() / self.width.micros().max(1)).clamp(0, KEPT as i64) as usize;
-        (
-            self.ring.last(to, count),
-            self.width.seconds() * count as f64,
-        )
+        let periods = (to - from).micros() / self.period.micros().max(1);
+        let count = periods.clamp(0, RETAINED_PERIODS as i64) as usize;
+        let seconds = self.period.seconds() * count as f64;
+        (self.ring.last(to, count), seconds)
     }
 
-    /// Up to when all of these proxies that report have told what they met. Some never do, as clients that
-    /// only read streams of tables; `None` if that is all of them.
+    /// Up to when all of these proxies that report have reported. Some never do, as clients that only read
+    /// streams of tables; `None` if that is all of them.
     pub fn known_until(&self, proxies: impl Iterator<Item = ProxyId>) -> Option<Moment> {
-        proxies
-            .filter_map(|proxy| self.heard.get(&proxy).copied())
-            .min()
+        proxies.filter_map(|proxy| self.last_report_at(proxy)).min()
     }
 }
 
--- a/crates/controller-core/src/service_history/tests.rs
+++ b/crates/controller-core/src/service_history/tests.rs
@@ -28,7 +28,7 @@
     let mut measured = ServiceHistory::new(Span::from_seconds(1.0));
     let quote = |name: &str| (name == "quote").then_some(OperationId(0));
     for second in 0..20 {
-        let told = if second < 10 {
+        let sent = if second < 10 {
             report(9, 1, 1, 2)
         } else {
             report(0, 10, 0, 0)
@@ -37,7 +37,7 @@
             at(f64::from(second) + 0.5),
             ProxyId(1),
             ZoneId(0),
-            &told,
+            &sent,
             quote,
         );
     }
@@ -58,14 +58,10 @@
 }
 
 #[test]
-fn what_is_known_ends_where_the_last_proxy_was_heard() {
+fn known_until_ends_at_the_least_recent_report() {
     let mut measured = ServiceHistory::new(Span::from_seconds(1.0));
     let both = || [ProxyId(1), ProxyId(2)].into_iter();
-    assert_eq!(
-        measured.known_until(both()),
-        None,
-        "nobody has said anything"
-    );
+    assert_eq!(measured.known_until(both()), None, "nobody has reported");
     measured.record(at(1.0), ProxyId(1), ZoneId(0), &report(1, 0, 0, 0), |_| {
         None
     });
