--- a/crates/controller-core/src/deployment.rs
+++ b/crates/controller-core/src/deployment.rs
@@ -20,6 +20,7 @@
 pub use rules::RulePlan;
 pub use solver::{SolverPlan, Work};
 pub use update_queue::ChannelPlan;
+pub(crate) use validation::is_plain_name;
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/controller-core/src/deployment/validation.rs
+++ b/crates/controller-core/src/deployment/validation.rs
@@ -63,7 +63,7 @@
 }
 
 /// Names go into paths of files and into logs.
-fn is_plain_name(name: &str) -> bool {
+pub(crate) fn is_plain_name(name: &str) -> bool {
     let is_plain = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
     !name.is_empty() && name.len() <= MAX_NAME_LENGTH && name.chars().all(is_plain)
 }
--- a/crates/controller-core/src/membership/tests.rs
+++ b/crates/controller-core/src/membership/tests.rs
@@ -31,7 +31,7 @@
     assert_eq!(
         kinds,
         [true, false],
-        "the module hears of the break, then of the join"
+        "the balancer gets the break, then the join"
     );
     assert_eq!(
         known.close(at(1.1), StreamId(1)),
@@ -68,12 +68,12 @@
 }
 
 #[test]
-fn who_cannot_be_told_apart_is_turned_away() {
+fn streams_without_a_valid_identity_are_rejected() {
     let mut known = Membership::default();
     for name in ["", "../../etc", "a b", &"x".repeat(101)] {
-        let turned = known.open(at(0.0), StreamId(1), &who(name), &plan());
+        let outcome = known.open(at(0.0), StreamId(1), &who(name), &plan());
         assert!(
-            matches!(turned, Err(IdentificationError::Unnamed(_))),
+            matches!(outcome, Err(IdentificationError::Unnamed(_))),
             "{name:?}"
         );
     }
--- a/crates/controller-core/src/node_overrides/tests.rs
+++ b/crates/controller-core/src/node_overrides/tests.rs
@@ -28,7 +28,7 @@
     }
 }
 
-fn told(event: &Event) -> (u16, EndpointStatus) {
+fn listed_as(event: &Event) -> (u16, EndpointStatus) {
     let Event::EndpointList { entries, .. } = event else {
         panic!("{event:?}")
     };
@@ -53,17 +53,17 @@
 fn a_node_is_in_no_pool_between_two_and_comes_back_whatever_happens_on_the_way() {
     let mut overlay = NodeOverrides::default();
     assert_eq!(
-        told(&overlay.apply_to_event(at(0.0), listed(0, EndpointStatus::Ready))),
+        listed_as(&overlay.apply_to_event(at(0.0), listed(0, EndpointStatus::Ready))),
         (0, EndpointStatus::Ready)
     );
     assert_eq!(set(&mut overlay, south()), [NODE]);
     assert_eq!(
-        told(&overlay.apply_to_event(at(1.0), listed(0, EndpointStatus::Ready))),
+        listed_as(&overlay.apply_to_event(at(1.0), listed(0, EndpointStatus::Ready))),
         (0, EndpointStatus::Gone)
     );
     // A list that comes meanwhile does not bring it in early.
     assert_eq!(
-        told(&overlay.apply_to_event(at(1.1), listed(0, EndpointStatus::Ready))),
+        listed_as(&overlay.apply_to_event(at(1.1), listed(0, EndpointStatus::Ready))),
         (1, EndpointStatus::Gone)
     );
     assert_eq!(
@@ -73,7 +73,7 @@
     // Undone on the way: it goes back where it was, and not before its time either.
     set(&mut overlay, BTreeMap::new());
     assert_eq!(
-        told(&overlay.apply_to_event(at(1.3), listed(0, EndpointStatus::Ready))),
+        listed_as(&overlay.apply_to_event(at(1.3), listed(0, EndpointStatus::Ready))),
         (0, EndpointStatus::Gone)
     );
     assert_eq!(
@@ -81,7 +81,7 @@
         [NODE]
     );
     assert_eq!(
-        told(&overlay.apply_to_event(at(1.4), listed(0, EndpointStatus::Ready))),
+        listed_as(&overlay.apply_to_event(at(1.4), listed(0, EndpointStatus::Ready))),
         (0, EndpointStatus::Ready)
     );
     assert_eq!(overlay.migration_count(), 0);
@@ -102,7 +102,7 @@
         [NODE]
     );
     assert_eq!(
-        told(&overlay.apply_to_event(at(3.0), listed(0, EndpointStatus::Ready))),
+        listed_as(&overlay.apply_to_event(at(3.0), listed(0, EndpointStatus::Ready))),
         (1, EndpointStatus::Ready)
     );
 }
@@ -113,7 +113,7 @@
     set(&mut overlay, south());
     for status in [EndpointStatus::Draining, EndpointStatus::Gone] {
         assert_eq!(
-            told(&overlay.apply_to_event(at(0.0), listed(1, status))),
+            listed_as(&overlay.apply_to_event(at(0.0), listed(1, status))),
             (1, status)
         );
     }
@@ -132,7 +132,7 @@
     ] {
         set(&mut overlay, service(word));
         assert_eq!(
-            told(&overlay.apply_to_event(at(1.0), listed(1, EndpointStatus::Ready))),
+            listed_as(&overlay.apply_to_event(at(1.0), listed(1, EndpointStatus::Ready))),
             (1, status)
         );
     }
--- a/crates/controller-core/src/span_format.rs
+++ b/crates/controller-core/src/span_format.rs
@@ -1,47 +1,94 @@
-//! Spans as people write them in settings: a number and its unit (`250ms`, `1.2s`, `2m`).
+//! Spans as people write them in settings: a number and its unit (`250ms`, `1.2s`, `2m`). As a serde module:
+//! `#[serde(with = "span_format")]`.
 
 use serde::{de::Error, Deserialize, Deserializer, Serializer};
 use wheelspread::time::Span;
 
-const UNITS: &[(&str, f64)] = &[
-    ("us", 1e-6),
-    ("ms", 1e-3),
-    ("s", 1.0),
-    ("m", 60.0),
-    ("h", 3600.0),
+const MAX_SECONDS: f64 = 30.0 * 86_400.0;
+const MICROS_PER_SECOND: i64 = 1_000_000;
+const MICROS_PER_MILLISECOND: i64 = 1000;
+
+struct Unit {
+    suffix: &'static str,
+    seconds: f64,
+}
+
+const UNITS: &[Unit] = &[
+    Unit {
+        suffix: "us",
+        seconds: 1e-6,
+    },
+    Unit {
+        suffix: "ms",
+        seconds: 1e-3,
+    },
+    Unit {
+        suffix: "s",
+        seconds: 1.0,
+    },
+    Unit {
+        suffix: "m",
+        seconds: 60.0,
+    },
+    Unit {
+        suffix: "h",
+        seconds: 3600.0,
+    },
 ];
 
-/// What a span says, or why it says nothing.
-pub fn read(text: &str) -> Result<Span, String> {
+/// Why a text is no span.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum SpanFormatError {
+    /// It is not a number followed by a unit.
+    #[error("`{text}` is no span of time: a number and one of us, ms, s, m, h is")]
+    Malformed {
+        /// The text.
+        text: String,
+    },
+    /// It is negative, too long or no number.
+    #[error("`{text}` should lie between 0 and 30 days")]
+    OutOfRange {
+        /// The text.
+        text: String,
+    },
+}
+
+/// Reads a span: a number and its unit.
+pub fn read(text: &str) -> Result<Span, SpanFormatError> {
+    let malformed = || SpanFormatError::Malformed {
+        text: text.to_string(),
+    };
     let split = text
         .find(|c: char| c.is_ascii_alphabetic())
         .unwrap_or(text.len());
-    let (number, unit) = (text[..split].trim(), text[split..].trim());
-    let wanted = || format!("`{text}` is no span of time: a number and one of us, ms, s, m, h is");
-    let factor = UNITS
-        .iter()
-        .find(|known| known.0 == unit)
-        .ok_or_else(wanted)?
-        .1;
-    let number: f64 = number.parse().map_err(|_| wanted())?;
-    if !number.is_finite() || number < 0.0 || number * factor > 30.0 * 86400.0 {
-        return Err(format!("`{text}` should lie between 0 and 30 days"));
+    let (number, suffix) = (text[..split].trim(), text[split..].trim());
+    let unit = UNITS.iter().find(|unit| unit.suffix == suffix);
+    let unit = unit.ok_or_else(malformed)?;
+    let number: f64 = number.parse().map_err(|_| malformed())?;
+    let seconds = number * unit.seconds;
+    if !number.is_finite() || number < 0.0 || seconds > MAX_SECONDS {
+        return Err(SpanFormatError::OutOfRange {
+            text: text.to_string(),
+        });
     }
-    Ok(Span::from_seconds(number * factor))
+    Ok(Span::from_seconds(seconds))
 }
 
+/// Writes a span in the largest of seconds, milliseconds and microseconds that gives a whole number.
 pub fn write(span: Span) -> String {
     match span.micros() {
-        us if us % 1_000_000 == 0 => format!("{}s", us / 1_000_000),
-        us if us % 1000 == 0 => format!("{}ms", us / 1000),
+        us if us % MICROS_PER_SECOND == 0 => format!("{}s", us / MICROS_PER_SECOND),
+        us if us % MICROS_PER_MILLISECOND == 0 => format!("{}ms", us / MICROS_PER_MILLISECOND),
         us => format!("{us}us"),
     }
 }
 
+/// For serde: reads the text of a span.
 pub fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<Span, D::Error> {
     read(&String::deserialize(from)?).map_err(D::Error::custom)
 }
 
+/// For serde: writes a span as text.
 pub fn serialize<S: Serializer>(span: &Span, to: S) -> Result<S::Ok, S::Error> {
     to.serialize_str(&write(*span))
 }
