--- a/crates/controller-core/src/controller_core.rs
+++ b/crates/controller-core/src/controller_core.rs
@@ -356,7 +356,7 @@
             return Err(StartError::Flaws(flaws));
         }
         let balancer = Balancer::start(now, seed, plan.to_settings(number, None))
-            .map_err(StartError::Module)?;
+            .map_err(|error| StartError::Module(error.to_string()))?;
         let held = found.held.values().map(|set| set.version);
         let last = held
             .chain(found.versions.iter().copied())
@@ -496,8 +496,10 @@
     }
 
     fn hear(&mut self, now: Moment, event: &Event) {
-        if let Err(reason) = self.balancer.handle_event(now, event) {
-            self.log(LogEvent::NotUsed { reason });
+        if let Err(error) = self.balancer.handle_event(now, event) {
+            self.log(LogEvent::NotUsed {
+                reason: error.to_string(),
+            });
         }
     }
 
@@ -890,13 +892,13 @@
             plan,
             values,
         } = configured;
-        if let Err(reason) = self
+        if let Err(error) = self
             .balancer
             .reconfigure(plan.to_settings(self.number, None))
         {
             return self.log(LogEvent::NotConfigured {
                 configuration: version,
-                reason,
+                reason: error.to_string(),
             });
         }
         self.channel.set_plan(&plan.channel);
--- a/crates/controller-core/src/service_history.rs
+++ b/crates/controller-core/src/service_history.rs
@@ -1,11 +1,11 @@
 //! What proxies reported of the service they gave, over the last minutes: by zone and operation, in buckets
-//! of the report period that are used again in a ring. Configuration changes are judged by it.
+//! of the report period that a rolling window reuses. Configuration changes are judged by it.
 
 use crate::load_report::{LoadReport, NodeReport, OperationReport, LATENCY};
 use std::collections::BTreeMap;
 use std::ops::AddAssign;
 use wheelspread::ids::{OperationId, ProxyId, ZoneId};
-use wheelspread::ring::Ring;
+use wheelspread::rolling_window::RollingWindow;
 use wheelspread::time::{Moment, Span};
 
 const MILLISECONDS_PER_SECOND: f64 = 1e3;
@@ -94,7 +94,7 @@
 #[derive(Clone, Debug)]
 pub struct ServiceHistory {
     period: Span,
-    ring: Ring<Tallies>,
+    window: RollingWindow<Tallies>,
     last_report_at: BTreeMap<ProxyId, Moment>,
 }
 
@@ -103,7 +103,7 @@
     pub fn new(period: Span) -> ServiceHistory {
         ServiceHistory {
             period,
-            ring: Ring::new(period, RETAINED_PERIODS),
+            window: RollingWindow::new(period, RETAINED_PERIODS),
             last_report_at: BTreeMap::new(),
         }
     }
@@ -125,7 +125,7 @@
                 tally.add_operation(of_operation);
             }
         }
-        self.ring.add(now, tallies);
+        self.window.add(now, tallies);
     }
 
     /// When a proxy last reported.
@@ -143,13 +143,13 @@
         self.last_report_at.remove(&proxy);
     }
 
-    /// What was reported from `from` up to `to`, and over how many seconds; what is older than the ring is
+    /// What was reported from `from` up to `to`, and over how many seconds; what is older than the window is
     /// left out.
     pub fn between(&self, from: Moment, to: Moment) -> (Tallies, f64) {
         let periods = (to - from).micros() / self.period.micros().max(1);
         let count = periods.clamp(0, RETAINED_PERIODS as i64) as usize;
         let seconds = self.period.seconds() * count as f64;
-        (self.ring.last(to, count), seconds)
+        (self.window.last(to, count), seconds)
     }
 
     /// Up to when all of these proxies that report have reported. Some never do, as clients that only read
