--- a/crates/controller-core/src/deployment.rs
+++ b/crates/controller-core/src/deployment.rs
@@ -16,7 +16,7 @@
 pub use error::{ConfigError, ConfigErrorKind};
 pub use inputs::{ListPlan, LoadReportPlan};
 pub use operations::{OperationPlan, Repeat, RetryScope};
-pub use programs::{ControllerPlan, FrontPlan, LevelForm, ProxyPlan};
+pub use programs::{AdmissionForm, ControllerPlan, FrontPlan, ProxyPlan};
 pub use rules::RulePlan;
 pub use solver::{SolverPlan, Work};
 pub use update_queue::ChannelPlan;
@@ -56,7 +56,7 @@
     pub list: ListPlan,
     /// How proxies are instructed how much to admit.
     #[serde(default = "default_admission")]
-    pub admission: LevelForm,
+    pub admission: AdmissionForm,
     /// What a request into another zone costs, of its billed value.
     #[serde(default)]
     pub cross_zone_price: f64,
@@ -68,8 +68,8 @@
     pub solver: Option<SolverPlan>,
 }
 
-fn default_admission() -> LevelForm {
-    LevelForm::Share
+fn default_admission() -> AdmissionForm {
+    AdmissionForm::Share
 }
 
 fn default_first_wait() -> f64 {
--- a/crates/controller-core/src/deployment/programs.rs
+++ b/crates/controller-core/src/deployment/programs.rs
@@ -78,7 +78,7 @@
 /// How proxies are instructed how much of an operation to admit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum LevelForm {
+pub enum AdmissionForm {
     /// As an admission ratio.
     Share,
     /// As requests a second.
@@ -87,13 +87,13 @@
     None,
 }
 
-impl LevelForm {
+impl AdmissionForm {
     /// The spelling of the settings.
     pub(super) fn setting(self) -> &'static str {
         match self {
-            LevelForm::Share => "share",
-            LevelForm::Rate => "rate",
-            LevelForm::None => "none",
+            AdmissionForm::Share => "share",
+            AdmissionForm::Rate => "rate",
+            AdmissionForm::None => "none",
         }
     }
 }
--- a/crates/controller-core/src/deployment/tests.rs
+++ b/crates/controller-core/src/deployment/tests.rs
@@ -51,7 +51,7 @@
             loads: vec!["utilization".to_string()],
         },
         list: ListPlan::default(),
-        admission: LevelForm::Share,
+        admission: AdmissionForm::Share,
         cross_zone_price: 0.02,
         first_wait: 1.0,
         solver: None,
--- a/crates/xds/src/tables.rs
+++ b/crates/xds/src/tables.rs
@@ -9,7 +9,7 @@
 use wheelspread::ids::{OperationId, TableId};
 use wheelspread::time::Span;
 use wheelspread::RetryPolicy;
-use wheelspread_controller_core::deployment::{Deployment, LevelForm};
+use wheelspread_controller_core::deployment::{AdmissionForm, Deployment};
 use wheelspread_controller_core::publication::{
     BundleId, OperationTable, TableEntry, TableSet, Version,
 };
@@ -176,7 +176,7 @@
         });
     let share = table
         .quota
-        .filter(|quota| plan.admission == LevelForm::Share && *quota < 1.0);
+        .filter(|quota| plan.admission == AdmissionForm::Share && *quota < 1.0);
     let drop_overloads = share.map(|share| DropOverload {
         category: DROPPED.to_string(),
         drop_percentage: Some(FractionalPercent {
@@ -212,7 +212,7 @@
     });
     let rate = table
         .quota
-        .filter(|quota| plan.admission == LevelForm::Rate && quota.is_finite());
+        .filter(|quota| plan.admission == AdmissionForm::Rate && quota.is_finite());
     let limit = rate.map(|rate| {
         // A bucket filled once a second holds whole tokens; low rates are filled more rarely.
         let seconds = if rate >= 10.0 { 1.0 } else { 10.0 };
@@ -405,9 +405,9 @@
             .position(|operation| operation.name == told.operation)?;
         let share = 1.0 - f64::from(told.dropped_of_million) / MILLION;
         let quota = match plan.admission {
-            LevelForm::Share => Some(share).filter(|share| *share < 1.0),
-            LevelForm::Rate => told.rate,
-            LevelForm::None => None,
+            AdmissionForm::Share => Some(share).filter(|share| *share < 1.0),
+            AdmissionForm::Rate => told.rate,
+            AdmissionForm::None => None,
         };
         let (operation, table) = (OperationId(place as u8), TableId(u16::MAX - place as u16));
         Some(OperationTable {
@@ -443,7 +443,7 @@
                 "warm_after": "10s", "cold_overload_factor": 4, "cold_overload_span": "2s"},
       "channel": {"lines_waiting_at_most": 1000, "lines_per_second": 1000, "delay_at_most": "500ms"}}"#;
 
-    fn plan(admission: LevelForm) -> Deployment {
+    fn plan(admission: AdmissionForm) -> Deployment {
         Deployment {
             admission,
             first_wait: 0.5,
@@ -483,7 +483,7 @@
     #[test]
     fn the_documents_are_of_the_published_form() {
         let set = set(Some(0.75), RetryPolicy::OnceOnAnyFailure, &[25.0]);
-        let written = write(&set, &plan(LevelForm::Share)).expect("it can be written");
+        let written = write(&set, &plan(AdmissionForm::Share)).expect("it can be written");
         let eds: serde_json::Value = serde_json::from_str(&written.eds).expect("JSON");
         let wanted = serde_json::json!({
           "versionInfo": "42",
@@ -530,7 +530,7 @@
     fn a_rate_is_a_local_rate_limit_of_the_route() {
         let written = write(
             &set(Some(2.5), RetryPolicy::Never, &[1.0]),
-            &plan(LevelForm::Rate),
+            &plan(AdmissionForm::Rate),
         )
         .expect("written");
         let rds: serde_json::Value = serde_json::from_str(&written.rds).expect("JSON");
@@ -552,12 +552,14 @@
     fn documents_of_two_versions_are_no_table() {
         let mut written = write(
             &set(None, RetryPolicy::Never, &[1.0]),
-            &plan(LevelForm::Share),
+            &plan(AdmissionForm::Share),
         )
         .expect("written");
         let mut other = set(None, RetryPolicy::Never, &[1.0]);
         other.version = Version(43);
-        written.rds = write(&other, &plan(LevelForm::Share)).expect("written").rds;
+        written.rds = write(&other, &plan(AdmissionForm::Share))
+            .expect("written")
+            .rds;
         assert!(
             read(&written).is_err_and(|error| error.to_string().contains("version 42 beside 43"))
         );
@@ -570,7 +572,7 @@
         ) {
             let retries = [RetryPolicy::Never, RetryPolicy::IfUnprocessed, RetryPolicy::OnceOnAnyFailure,
                 RetryPolicy::TwiceOnAnyFailure];
-            let plan = plan(LevelForm::Share);
+            let plan = plan(AdmissionForm::Share);
             let set = set(Some(share), retries[which], &weights);
             let orders = read(&write(&set, &plan).expect("written")).expect("read");
             prop_assert_eq!(orders.version, set.version);
