--- a/crates/controller-core/src/deployment/inputs.rs
+++ b/crates/controller-core/src/deployment/inputs.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use wheelspread::time::Span;
 
-const DEFAULT_REPORT_PERIOD_SECONDS: f64 = 1.0;
+const DEFAULT_REPORT_PERIOD: Span = Span::from_seconds(1.0);
 const DEFAULT_SHRINK_LIMIT: f64 = 0.5;
 
 /// Load reports of proxies.
@@ -21,7 +21,7 @@
 impl Default for LoadReportPlan {
     fn default() -> Self {
         LoadReportPlan {
-            period: Span::from_seconds(DEFAULT_REPORT_PERIOD_SECONDS),
+            period: DEFAULT_REPORT_PERIOD,
             loads: Vec::new(),
         }
     }
--- a/crates/controller-core/src/deployment/programs.rs
+++ b/crates/controller-core/src/deployment/programs.rs
@@ -4,8 +4,8 @@
 use serde::{Deserialize, Serialize};
 use wheelspread::time::Span;
 
-const DEFAULT_TICK_SECONDS: f64 = 0.01;
-const DEFAULT_CONNECTION_IDLE_SECONDS: f64 = 15.0;
+const DEFAULT_TICK: Span = Span::from_seconds(0.01);
+const DEFAULT_CONNECTION_IDLE: Span = Span::from_seconds(15.0);
 
 /// The controllers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -25,7 +25,7 @@
         ControllerPlan {
             count: 1,
             joined_by_zone: false,
-            tick: Span::from_seconds(DEFAULT_TICK_SECONDS),
+            tick: DEFAULT_TICK,
         }
     }
 }
@@ -50,7 +50,7 @@
         ProxyPlan {
             count: 1,
             errors_until_avoided: 0,
-            connection_idle: Span::from_seconds(DEFAULT_CONNECTION_IDLE_SECONDS),
+            connection_idle: DEFAULT_CONNECTION_IDLE,
             usual_rate: 0.0,
         }
     }
--- a/crates/controller-core/src/deployment/solver.rs
+++ b/crates/controller-core/src/deployment/solver.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use wheelspread::time::Span;
 
-const DEFAULT_SOLVE_INTERVAL_SECONDS: f64 = 2.0;
+const DEFAULT_SOLVE_INTERVAL: Span = Span::from_seconds(2.0);
 const DEFAULT_LEAST_SHARE: f64 = 0.05;
 const DEFAULT_FILL_LIMIT: f64 = 0.85;
 
@@ -33,7 +33,7 @@
 }
 
 fn default_solve_interval() -> Span {
-    Span::from_seconds(DEFAULT_SOLVE_INTERVAL_SECONDS)
+    DEFAULT_SOLVE_INTERVAL
 }
 
 fn default_least_share() -> f64 {
--- a/crates/controller-core/src/deployment/tests.rs
+++ b/crates/controller-core/src/deployment/tests.rs
@@ -2,20 +2,23 @@
 use test_case::test_case;
 use wheelspread::time::Span;
 
-/// Two zones, a quote that may go anywhere and a booking that has effects.
-pub(crate) fn plan() -> Deployment {
-    let seconds = Span::from_seconds;
-    let operation = |name: &str, repeat| OperationPlan {
+fn operation(name: &str, repeat: Repeat) -> OperationPlan {
+    OperationPlan {
         name: name.to_string(),
-        latency_objective: seconds(1.0),
-        integration_timeout: seconds(3.0),
+        latency_objective: Span::from_seconds(1.0),
+        integration_timeout: Span::from_seconds(3.0),
         billed_value: 1.0,
         late_share: 0.0,
         repeat,
         repeat_group: RetryScope::All,
-        repeat_window: seconds(0.0),
+        repeat_window: Span::ZERO,
         stays_in_zone: false,
-    };
+    }
+}
+
+/// Two zones, a quote that may go anywhere and a booking that has effects.
+pub(crate) fn plan() -> Deployment {
+    let seconds = Span::from_seconds;
     Deployment {
         zones: vec!["north".to_string(), "south".to_string()],
         kinds: Vec::new(),
@@ -79,3 +82,32 @@
         [field]
     );
 }
+
+#[test]
+fn errors_name_the_field_the_value_and_the_limit() {
+    let mut plan = plan();
+    plan.kinds = vec!["small".into()];
+    plan.operations[0].billed_value = 2e9;
+    plan.conductors.tick = Span::ZERO;
+    plan.sums.loads = vec!["mood".into()];
+    plan.solver = Some(SolverPlan {
+        capacities: [("large".to_string(), 1e9)].into(),
+        work: [("quote".to_string(), Work(Span::ZERO))].into(),
+        every: Span::from_seconds(2.0),
+        least_share: 0.05,
+        fill_at_most: 0.85,
+    });
+    let errors: Vec<String> = plan.validate().iter().map(ToString::to_string).collect();
+    assert_eq!(
+        errors,
+        [
+            "sums.loads: `mood` is no load that nodes tell of: utilization, queue are",
+            "operations.0.billed_value: 2000000000 should be above 0, 1e9 at most",
+            "conductors.tick (seconds): 0 should lie between 0.001 and 1",
+            "solver.capacities: kind `small` has none",
+            "solver.work: operation `book` has none",
+            "solver.capacities.large: 1000000000 should lie between 0.001 and 1000000",
+            "solver.work.quote (seconds): 0 should lie between 0.000001 and 3600",
+        ]
+    );
+}
--- a/crates/controller-core/src/deployment/update_queue.rs
+++ b/crates/controller-core/src/deployment/update_queue.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use wheelspread::time::Span;
 
-const DEFAULT_MESSAGES_WINDOW_SECONDS: f64 = 10.0;
+const DEFAULT_MESSAGES_WINDOW: Span = Span::from_seconds(10.0);
 
 /// What may be queued and sent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -29,5 +29,5 @@
 }
 
 fn default_messages_window() -> Span {
-    Span::from_seconds(DEFAULT_MESSAGES_WINDOW_SECONDS)
+    DEFAULT_MESSAGES_WINDOW
 }
--- a/crates/controller-core/src/endpoint_list/tests.rs
+++ b/crates/controller-core/src/endpoint_list/tests.rs
@@ -30,7 +30,7 @@
     Moment::from_seconds(seconds)
 }
 
-fn held(version: &str, ports: std::ops::Range<u16>) -> EndpointList {
+fn accepted(version: &str, ports: std::ops::Range<u16>) -> EndpointList {
     let mut nodes = EndpointList::default();
     assert_eq!(
         nodes
@@ -49,13 +49,13 @@
 #[test_case(Ok(EndpointSnapshot { version: "6".into(), records: vec![record(1), record(1)] }), "twice"; "a node twice")]
 #[test_case(Ok(EndpointSnapshot { version: "6".into(), records: vec![EndpointRecord { zone: "moon".into(), ..record(1) }] }),
     "zone `moon`"; "an unknown zone")]
-fn a_list_that_cannot_be_right_is_kept_out(
-    came: Result<EndpointSnapshot, SnapshotReadError>,
+fn a_list_that_cannot_be_right_is_rejected(
+    snapshot: Result<EndpointSnapshot, SnapshotReadError>,
     reason: &str,
 ) {
-    let mut nodes = held("5", 0..8);
+    let mut nodes = accepted("5", 0..8);
     let rejection = nodes
-        .apply_snapshot(at(2.0), came, &plan(), false)
+        .apply_snapshot(at(2.0), snapshot, &plan(), false)
         .rejection
         .expect("it is refused");
     assert!(rejection.to_string().contains(reason), "{rejection}");
@@ -74,7 +74,7 @@
 
 #[test]
 fn a_second_list_that_lacks_the_same_nodes_is_believed() {
-    let mut nodes = held("5", 0..8);
+    let mut nodes = accepted("5", 0..8);
     assert!(nodes
         .apply_snapshot(at(2.0), list("6", 0..3), &plan(), false)
         .rejection
@@ -93,7 +93,7 @@
         5
     );
     // A whole list in between clears it.
-    let mut nodes = held("5", 0..8);
+    let mut nodes = accepted("5", 0..8);
     assert!(nodes
         .apply_snapshot(at(2.0), list("6", 0..3), &plan(), false)
         .rejection
@@ -115,7 +115,7 @@
 
 #[test]
 fn what_a_doubted_list_adds_is_taken_at_once() {
-    let mut nodes = held("5", 0..8);
+    let mut nodes = accepted("5", 0..8);
     let outcome = nodes.apply_snapshot(at(2.0), list("6", 6..12), &plan(), false);
     assert!(outcome.rejection.is_some() && gone(outcome.event) == 0);
     assert_eq!(nodes.listed().count(), 12);
@@ -123,7 +123,7 @@
 
 #[test]
 fn missing_nodes_that_do_not_answer_are_gone_within_the_grace() {
-    let mut nodes = held("5", 0..8);
+    let mut nodes = accepted("5", 0..8);
     nodes.apply_snapshot(at(2.0), list("6", 0..3), &plan(), false);
     // What was answered before the list came says nothing.
     (3..8).for_each(|port| nodes.record_answer(record(port).node, at(1.5)));
@@ -135,8 +135,8 @@
 }
 
 #[test]
-fn nodes_that_go_on_answering_are_kept_though_a_list_lacks_them() {
-    let mut nodes = held("5", 0..8);
+fn nodes_that_go_on_answering_stay_though_a_list_lacks_them() {
+    let mut nodes = accepted("5", 0..8);
     nodes.apply_snapshot(at(2.0), list("6", 0..3), &plan(), false);
     (4..8).for_each(|port| nodes.record_answer(record(port).node, at(2.1)));
     assert_eq!(nodes.resolve_doubt(at(3.5), &plan()), None);
@@ -194,7 +194,7 @@
     assert!(outcome
         .rejection
         .is_some_and(|rejection| rejection.to_string().starts_with(expected)));
-    assert_eq!(nodes.listed().count(), 12, "they are kept meanwhile");
+    assert_eq!(nodes.listed().count(), 12, "they stay meanwhile");
     // Nobody had an answer from them: it was right.
     let until = nodes.doubted_until(&plan).expect("doubted");
     assert!(until < at(2.0) + plan.rules.drain_grace);
@@ -240,7 +240,7 @@
 
 #[test]
 fn a_node_that_returns_without_an_age_may_be_warming_up() {
-    let mut nodes = held("1", 0..8);
+    let mut nodes = accepted("1", 0..8);
     nodes.apply_snapshot(at(2.0), list("2", 0..7), &plan(), false);
     let Some(Event::EndpointList { entries, .. }) = nodes
         .apply_snapshot(at(9.0), list("3", 0..8), &plan(), false)
--- a/crates/controller-core/src/load_report.rs
+++ b/crates/controller-core/src/load_report.rs
@@ -113,13 +113,13 @@
 const MAX_REQUESTS_PER_SECOND: f64 = 1e7;
 const MAX_OPERATIONS: usize = 1000;
 const MAX_NODES: usize = 100_000;
-const MAX_WINDOW_SECONDS: f64 = 600.0;
+const MAX_WINDOW: Span = Span::from_seconds(600.0);
 /// Of a name that an error repeats.
 const MAX_QUOTED_NAME_LENGTH: usize = 40;
 
 fn check(report: &LoadReport) -> Result<(), LoadReportError> {
     let seconds = report.over.seconds();
-    if !(seconds > 0.0 && seconds <= MAX_WINDOW_SECONDS) {
+    if report.over <= Span::ZERO || report.over > MAX_WINDOW {
         return Err(LoadReportError::Window { seconds });
     }
     if report.operations.len() > MAX_OPERATIONS {
--- a/crates/controller-core/src/service_history/tests.rs
+++ b/crates/controller-core/src/service_history/tests.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_span_is_counted_apart_from_what_came_before_and_after() {
+fn a_window_excludes_reports_before_and_after() {
     let mut measured = ServiceHistory::new(Span::from_seconds(1.0));
     let quote = |name: &str| (name == "quote").then_some(OperationId(0));
     for second in 0..20 {
--- a/crates/controller-core/src/span_format.rs
+++ b/crates/controller-core/src/span_format.rs
@@ -4,7 +4,7 @@
 use serde::{de::Error, Deserialize, Deserializer, Serializer};
 use wheelspread::time::Span;
 
-const MAX_SECONDS: f64 = 30.0 * 86_400.0;
+const MAX_SPAN_SECONDS: f64 = 30.0 * 86_400.0;
 const MICROS_PER_SECOND: i64 = 1_000_000;
 const MICROS_PER_MILLISECOND: i64 = 1000;
 
@@ -66,7 +66,7 @@
     let unit = unit.ok_or_else(malformed)?;
     let number: f64 = number.parse().map_err(|_| malformed())?;
     let seconds = number * unit.seconds;
-    if !number.is_finite() || number < 0.0 || seconds > MAX_SECONDS {
+    if !number.is_finite() || number < 0.0 || seconds > MAX_SPAN_SECONDS {
         return Err(SpanFormatError::OutOfRange {
             text: text.to_string(),
         });
@@ -92,3 +92,6 @@
 pub fn serialize<S: Serializer>(span: &Span, to: S) -> Result<S::Ok, S::Error> {
     to.serialize_str(&write(*span))
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/controller-core/src/weight_solver.rs
+++ b/crates/controller-core/src/weight_solver.rs
@@ -25,7 +25,7 @@
 /// Of the difference between the remembered demand and a period's: what is taken over each period.
 const DEMAND_SMOOTHING: f64 = 0.3;
 /// Weight of a node that no solve has weighed yet.
-const EVEN_WEIGHT: f64 = 1.0;
+const DEFAULT_WEIGHT: f64 = 1.0;
 
 /// Capacity estimates, demand and the weights of the last solve.
 #[derive(Clone, Debug, Default)]
@@ -195,7 +195,7 @@
 
     fn current_weight(&self, host: &Host) -> (String, f64) {
         let weight = self.weights.get(&host.id).copied();
-        (host.id.clone(), weight.unwrap_or(EVEN_WEIGHT))
+        (host.id.clone(), weight.unwrap_or(DEFAULT_WEIGHT))
     }
 }
 
--- a/crates/controller-core/src/weight_solver/problem.rs
+++ b/crates/controller-core/src/weight_solver/problem.rs
@@ -6,12 +6,13 @@
 use crate::endpoint_list::{show, EndpointList, EndpointRecord};
 use std::collections::BTreeMap;
 use wheelspread::ids::{OperationId, ZoneId};
+use wheelspread::time::Span;
 use wheelspread::{EndpointEntry, EndpointStatus};
 use wheelspread_solve::estimate::Estimate;
 use wheelspread_solve::{Fleet, Gateway, Host, HostState, Operation};
 
-/// Work of an operation for which the settings name none, in seconds.
-const DEFAULT_WORK_SECONDS: f64 = 1.0;
+/// Work of an operation for which the settings name none.
+const DEFAULT_WORK: Span = Span::from_seconds(1.0);
 
 impl WeightSolver {
     pub(super) fn fleet(
@@ -98,11 +99,14 @@
 }
 
 fn solver_operation(operation: &OperationPlan, solver: &SolverPlan) -> Operation {
-    let work = solver.work.get(&operation.name);
+    let work = solver
+        .work
+        .get(&operation.name)
+        .map_or(DEFAULT_WORK, |work| work.0);
     Operation {
         name: operation.name.clone(),
         billed_value: operation.billed_value,
-        work: work.map_or(DEFAULT_WORK_SECONDS, |work| work.0.seconds()),
+        work: work.seconds(),
         holds: None,
         stays_in_zone: operation.stays_in_zone,
         least_share: solver.least_share,
--- a/crates/wheelspread/src/time.rs
+++ b/crates/wheelspread/src/time.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(i64);
 
-fn micros(seconds: f64) -> i64 {
+const fn micros(seconds: f64) -> i64 {
     // The cast saturates, and takes NaN for zero.
     (seconds * 1e6).round() as i64
 }
@@ -37,7 +37,7 @@
     pub const ZERO: Span = Span(0);
 
     /// A duration in seconds.
-    pub fn from_seconds(seconds: f64) -> Span {
+    pub const fn from_seconds(seconds: f64) -> Span {
         Span(micros(seconds))
     }
 
