--- a/crates/config-rollout/src/rollout/proposal.rs
+++ b/crates/config-rollout/src/rollout/proposal.rs
@@ -55,7 +55,7 @@
 impl fmt::Display for ProposalFinding {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ProposalFinding::InvalidValue(error) => write!(f, "{}: {}", error.field, error.text),
+            ProposalFinding::InvalidValue(error) => write!(f, "{error}"),
             ProposalFinding::UnlistedNode(node) => write!(f, "{} is not listed now", show(*node)),
             ProposalFinding::Pool(risk) => write!(f, "{risk}"),
             ProposalFinding::NotMeasured => write!(
--- a/crates/config-rollout/src/values.rs
+++ b/crates/config-rollout/src/values.rs
@@ -12,7 +12,7 @@
 use wheelspread::ids::NodeId;
 use wheelspread_config_transaction::{Change, Configuration};
 use wheelspread_controller_core::controller_core::ConfigUpdate;
-use wheelspread_controller_core::deployment::ConfigError;
+use wheelspread_controller_core::deployment::{ConfigError, ConfigErrorKind};
 use wheelspread_controller_core::{Deployment, NodeValues, Service};
 
 /// Fields that may change; `*` stands for the name of an operation. What decides whether a retry can take effect twice
@@ -47,7 +47,7 @@
 fn config_error(path: &str, text: impl Into<String>) -> ConfigError {
     ConfigError {
         field: path.to_string(),
-        text: text.into(),
+        kind: ConfigErrorKind::Other(text.into()),
     }
 }
 
@@ -204,7 +204,7 @@
     configuration: &Configuration,
 ) -> Result<ConfigUpdate, Vec<ConfigError>> {
     let mut merged = MergedValues::new(base, configuration);
-    merged.errors.extend(merged.deployment.flaws());
+    merged.errors.extend(merged.deployment.validate());
     if !merged.errors.is_empty() {
         return Err(merged.errors);
     }
@@ -221,7 +221,7 @@
     configuration: &Configuration,
 ) -> (ConfigUpdate, Vec<ConfigError>) {
     let mut merged = MergedValues::new(base, configuration);
-    let errors = merged.deployment.flaws();
+    let errors = merged.deployment.validate();
     let plan = match errors.is_empty() {
         true => merged.deployment,
         false => base.clone(),
--- a/crates/config-rollout/tests/values.rs
+++ b/crates/config-rollout/tests/values.rs
@@ -48,7 +48,7 @@
         config_update_of_valid_values(&deployment(), &configuration(path, text));
     assert_eq!((update.version, ignored), (4, errors.clone()));
     assert_eq!(update.plan, deployment());
-    errors[0].text.clone()
+    errors[0].kind.to_string()
 }
 
 #[test]
--- a/crates/controller-core/src/controller_core/endpoints.rs
+++ b/crates/controller-core/src/controller_core/endpoints.rs
@@ -2,7 +2,7 @@
 
 use super::recovery::PRUNE_AFTER_DRAIN_GRACES;
 use super::{zone_of, ConfigUpdate, ControllerCore};
-use crate::endpoint_list::EndpointSnapshot;
+use crate::endpoint_list::{EndpointSnapshot, SnapshotReadError};
 use crate::node_overrides::NodeOverrides;
 use crate::LogEvent;
 use std::collections::BTreeSet;
@@ -11,15 +11,21 @@
 use wheelspread::{EndpointEntry, EndpointListKind, Event};
 
 impl ControllerCore {
-    pub(super) fn on_endpoint_list(&mut self, now: Moment, list: Result<EndpointSnapshot, String>) {
+    pub(super) fn on_endpoint_list(
+        &mut self,
+        now: Moment,
+        list: Result<EndpointSnapshot, SnapshotReadError>,
+    ) {
         let is_first = self.schedule.start();
         // Only the first read falls back on the stored list: later ones fall back on the list in force.
         let stored = self.pending_restore.take_endpoint_list();
         if let Some(stored) = stored.filter(|_| is_first && list.is_err()) {
             self.restore_endpoint_list(now, stored);
         }
-        let outcome = self.endpoints.take(now, list, &self.plan, is_first);
-        if let Some(refusal) = outcome.refusal {
+        let outcome = self
+            .endpoints
+            .apply_snapshot(now, list, &self.plan, is_first);
+        if let Some(refusal) = outcome.rejection {
             let reason = refusal.to_string();
             self.log(LogEvent::EndpointListRejected { reason });
         }
@@ -34,8 +40,10 @@
             version: stored.version.clone(),
             nodes: stored.records.len(),
         });
-        let outcome = self.endpoints.take(now, Ok(stored), &self.plan, true);
-        self.endpoints.remember();
+        let outcome = self
+            .endpoints
+            .apply_snapshot(now, Ok(stored), &self.plan, true);
+        self.endpoints.mark_restored();
         if let Some(event) = outcome.event {
             self.accept_endpoint_list(now, &event);
         }
@@ -62,7 +70,7 @@
     }
 
     pub(super) fn set_drained_nodes(&mut self, now: Moment, drained: BTreeSet<NodeId>) {
-        let changed: BTreeSet<NodeId> = self.overrides.drain(drained).into_iter().collect();
+        let changed: BTreeSet<NodeId> = self.overrides.set_drained(drained).into_iter().collect();
         self.relist(now, |entry| changed.contains(&entry.node));
     }
 
@@ -81,8 +89,8 @@
 
     /// Lists nodes to the balancer as the configuration, the solver and a rollback have them.
     pub(super) fn list_endpoints(&mut self, now: Moment, event: Event) {
-        let event = self.overrides.put(now, event);
-        let event = self.solver.put(event);
+        let event = self.overrides.apply_to_event(now, event);
+        let event = self.solver.apply_to_event(event);
         let event = self.rollback.apply(event);
         self.handle_event(now, &event);
     }
@@ -91,7 +99,7 @@
     pub fn serving(&self) -> impl Iterator<Item = EndpointEntry> + '_ {
         self.endpoints
             .listed()
-            .map(|(_, entry)| self.overrides.over(entry))
+            .map(|(_, entry)| self.overrides.effective_entry(entry))
     }
 
     /// Listed nodes as another configuration would have them.
@@ -100,11 +108,11 @@
         overrides.set(
             update.values.clone(),
             |zone| zone_of(&update.plan, zone),
-            |cell| endpoints.cell(cell),
+            |cell| endpoints.cell_id(cell),
         );
         self.endpoints
             .listed()
-            .map(|(_, entry)| overrides.over(entry))
+            .map(|(_, entry)| overrides.effective_entry(entry))
             .collect()
     }
 }
--- a/crates/controller-core/src/controller_core/observation.rs
+++ b/crates/controller-core/src/controller_core/observation.rs
@@ -1,7 +1,7 @@
 //! What the controller core is told: the inputs of [`ControllerCore::observe`](super::ControllerCore::observe).
 
 use crate::deployment::Deployment;
-use crate::endpoint_list::EndpointSnapshot;
+use crate::endpoint_list::{EndpointSnapshot, SnapshotReadError};
 use crate::load_report::LoadReport;
 use crate::membership::{Introduction, StreamId};
 use crate::node_overrides::NodeValues;
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug)]
 pub enum Observation {
     /// The endpoint list was swapped in, or could not be read.
-    EndpointList(Result<EndpointSnapshot, String>),
+    EndpointList(Result<EndpointSnapshot, SnapshotReadError>),
     /// A proxy opened a stream of load reports.
     StreamOpened {
         /// The stream.
--- a/crates/controller-core/src/controller_core/recovery.rs
+++ b/crates/controller-core/src/controller_core/recovery.rs
@@ -61,10 +61,10 @@
         overrides.set(
             self.values.clone(),
             |zone| zone_of(plan, zone),
-            |cell| endpoints.cell(cell),
+            |cell| endpoints.cell_id(cell),
         );
-        overrides.drain(self.drained.clone());
-        overrides.leave(now, &self.migrating);
+        overrides.set_drained(self.drained.clone());
+        overrides.restore_migrations(now, &self.migrating);
         overrides
     }
 }
@@ -73,7 +73,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// Settings that are out of range or contradict each other.
-    #[error("settings that can't be: {}", .0.iter().map(|f| format!("{}: {}", f.field, f.text)).collect::<Vec<_>>().join("; "))]
+    #[error("settings that can't be: {}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))]
     InvalidSettings(Vec<ConfigError>),
     /// The balancer refuses the settings.
     #[error("the decisions can't start: {0}")]
@@ -219,7 +219,7 @@
         let ready: BTreeSet<NodeId> = self
             .serving()
             .filter(|entry| {
-                entry.status == EndpointStatus::Ready && !self.overrides.is_between(entry.node)
+                entry.status == EndpointStatus::Ready && !self.overrides.is_migrating(entry.node)
             })
             .map(|entry| entry.node)
             .collect();
--- a/crates/controller-core/src/controller_core/rounds.rs
+++ b/crates/controller-core/src/controller_core/rounds.rs
@@ -26,7 +26,7 @@
 impl ControllerCore {
     /// Runs a decision round if one is due, and appends what is to be done to `out`.
     pub fn settle(&mut self, now: Moment, out: &mut Vec<Effect>) {
-        if let Some(event) = self.endpoints.resolve(now, &self.plan) {
+        if let Some(event) = self.endpoints.resolve_doubt(now, &self.plan) {
             self.accept_endpoint_list(now, &event);
             self.schedule.request_round();
         }
@@ -82,7 +82,7 @@
 
     /// What is done once in a report period.
     fn run_period(&mut self, now: Moment) {
-        let events = self.aggregator.drain(&self.members);
+        let events = self.aggregator.take_events(&self.members);
         for event in &events {
             self.handle_event(now, event);
         }
@@ -101,10 +101,10 @@
             return;
         };
         self.solver
-            .hear(events, &self.plan, settings, &self.members, &self.endpoints);
+            .record_reports(events, &self.plan, settings, &self.members, &self.endpoints);
         match self
             .solver
-            .round(now, &self.plan, settings, &self.endpoints)
+            .solve_if_due(now, &self.plan, settings, &self.endpoints)
         {
             Some(SolverOutcome::Changed(entries)) => {
                 self.log(LogEvent::WeightsSolved {
@@ -113,7 +113,9 @@
                 let kind = EndpointListKind::Changes;
                 self.list_endpoints(now, Event::EndpointList { kind, entries });
             }
-            Some(SolverOutcome::Failed(reason)) => self.log(LogEvent::SolverFailed { reason }),
+            Some(SolverOutcome::Failed(error)) => self.log(LogEvent::SolverFailed {
+                reason: error.to_string(),
+            }),
             None => {}
         }
     }
@@ -150,7 +152,7 @@
             Action::SetTimer { after, timer } => self.schedule.set_timer(now + after, timer),
             // The list is watched: what was last accepted is what there is.
             Action::RequestEndpointList => {
-                let complete = self.endpoints.complete();
+                let complete = self.endpoints.complete_event();
                 self.list_endpoints(now, complete);
             }
             Action::Log { message: text } => self.log(LogEvent::BalancerMessage { text }),
--- a/crates/controller-core/src/controller_core/tests.rs
+++ b/crates/controller-core/src/controller_core/tests.rs
@@ -184,7 +184,7 @@
 
     /// The load report of a proxy with the files it reads: ten quotes a second, all successful.
     fn report(&mut self, stream: u64) {
-        let Some((name, _)) = self.core.members.of_stream(StreamId(stream)) else {
+        let Some((name, _)) = self.core.members.by_stream(StreamId(stream)) else {
             return;
         };
         let lines = self.nodes_of(name);
@@ -371,7 +371,7 @@
         .core
         .members
         .member("n1")
-        .is_some_and(|member| !member.joined()));
+        .is_some_and(|member| !member.is_joined()));
 }
 
 #[test]
@@ -590,7 +590,7 @@
         .core
         .members()
         .member("x1")
-        .is_some_and(Member::joined));
+        .is_some_and(Member::is_joined));
 }
 
 #[test]
--- a/crates/controller/src/routes.rs
+++ b/crates/controller/src/routes.rs
@@ -306,7 +306,7 @@
     let joined = session
         .members()
         .members()
-        .filter(|(_, member)| member.joined())
+        .filter(|(_, member)| member.is_joined())
         .count();
     let reach = session.rollout_progress();
     let under_way = rollout
@@ -328,7 +328,7 @@
         "list": session.nodes().version(),
         "nodes": { "ready": ready, "draining": draining, "cold": cold },
         "gateways": { "joined": joined, "known": session.members().members().count() },
-        "sums_heard_s": seconds_since(now, session.service_history().heard_last()),
+        "sums_heard_s": seconds_since(now, session.service_history().latest_report_at()),
         "lines_waiting": session.queued_entries(),
         "lines_waiting_at_most": session.plan().channel.lines_waiting_at_most,
         "newest_version": session.version().0,
@@ -378,8 +378,8 @@
         })
     };
     let gateway = |(name, member): (&str, &Member)| {
-        let heard = session.service_history().heard(member.id);
-        json!({ "gateway": name, "joined": member.joined(), "heard_s": seconds_since(now, heard) })
+        let heard = session.service_history().last_report_at(member.id);
+        json!({ "gateway": name, "joined": member.is_joined(), "heard_s": seconds_since(now, heard) })
     };
     json!({
         "over_s": seconds,
@@ -448,7 +448,7 @@
         let reads = session.table_status(member.id);
         let told = GatewayTold {
             gateway: name,
-            joined: member.joined(),
+            joined: member.is_joined(),
             front: match reads.transport {
                 Transport::Files => "files",
                 Transport::Stream(_) => "stream",
