--- a/crates/config-rollout/src/rollout.rs
+++ b/crates/config-rollout/src/rollout.rs
@@ -197,7 +197,7 @@
         let mut members = core.members().members();
         let has_proxies = members.any(|(_, member)| member.joined());
         // Without a proxy there is nothing to measure, so nothing is missing.
-        let evidence_until = match (core.known_until(), has_proxies) {
+        let evidence_until = match (core.reported_until(), has_proxies) {
             (Some(until), _) => until,
             (None, true) => Moment::default(),
             (None, false) => now,
--- a/crates/controller/src/drains.rs
+++ b/crates/controller/src/drains.rs
@@ -242,8 +242,8 @@
         }
         self.follow(now, 0);
         let out = self.out();
-        if out != *session.drained() {
-            session.observe(now, Observation::Drained(out));
+        if out != *session.drained_nodes() {
+            session.observe(now, Observation::DrainedNodes(out));
         }
         let grace = session.plan().rules.drain_grace;
         let going: Vec<(String, DrainState)> = self
@@ -256,17 +256,17 @@
             let Some(id) = parse_node(&name) else {
                 continue;
             };
-            let traces = session.traces(id);
+            let traces = session.drain_evidence(id);
             let evidence = Evidence {
-                named_by: traces.named_by,
-                proxies: traces.gateways,
-                attempts: traces.tries,
-                reporting_proxies: traces.heard,
+                named_by: traces.naming_proxies,
+                proxies: traces.joined_proxies,
+                attempts: traces.attempts,
+                reporting_proxies: traces.reporting_proxies,
             };
             self.book.record_evidence(now, &name, grace, evidence);
             let after = self.book.drain(&name).map(|drain| drain.state);
             if before == DrainState::Propagating && after == Some(DrainState::InForce) {
-                session.watch(now, id);
+                session.watch_drained_node(now, id);
             }
         }
         self.book.expire_withdrawn(now, grace);
--- a/crates/controller/src/service.rs
+++ b/crates/controller/src/service.rs
@@ -19,7 +19,7 @@
 use wheelspread::time::{Moment, Span};
 use wheelspread_config_rollout::{Rollout, RolloutAction, WriteError};
 use wheelspread_config_transaction::Commit;
-use wheelspread_controller_core::controller_core::ConfigUpdate;
+use wheelspread_controller_core::controller_core::{ConfigUpdate, TableWriteError};
 use wheelspread_controller_core::rollback::RollbackResult;
 use wheelspread_controller_core::{ControllerCore, Effect, LogEvent, Observation};
 use wheelspread_faults::failpoint;
@@ -141,10 +141,10 @@
         }
         state_writer::recall(&kept, reactor::wall(), &mut scan.found);
         (scan.found.configuration, scan.found.values) = (configured.version, configured.values);
-        scan.found.moving = moving;
+        scan.found.migrating = moving;
         scan.found.drained = drains.out();
         let (held, versions, leftovers) = (
-            scan.found.held.len(),
+            scan.found.tables.len(),
             scan.found.versions.len(),
             scan.leftovers,
         );
@@ -294,7 +294,7 @@
             reactor::wall(),
             session.version(),
             session.nodes(),
-            session.learnt(),
+            session.capacity_snapshots(),
         );
     }
 
@@ -340,16 +340,18 @@
 
     fn carry_out(&mut self, effect: Effect) {
         match effect {
-            Effect::Accept { stream, period } => {
+            Effect::AcceptStream { stream, period } => {
                 self.streams.send(stream, &loads::response(period))
             }
-            Effect::Close { stream, reason } => {
+            Effect::CloseStream { stream, reason } => {
                 self.streams.close(stream, Status::InvalidArgument, &reason)
             }
-            Effect::Point { proxy, set } => self.give(Job::Point { proxy, set }),
-            Effect::Send { stream, set } => self.desk.offer(&mut self.streams, stream, &set),
-            Effect::Answered { order, result } => self.answered(order, result),
-            Effect::Retire { version } => self.give(Job::Retire { version }),
+            Effect::WriteTables { proxy, set } => self.give(Job::Point { proxy, set }),
+            Effect::SendTables { stream, set } => self.desk.offer(&mut self.streams, stream, &set),
+            Effect::RollbackFinished { request, result } => {
+                self.answered(request, result.map_err(|error| error.to_string()))
+            }
+            Effect::RetireVersion { version } => self.give(Job::Retire { version }),
             Effect::Log(notice) => log::notice(&notice),
         }
     }
@@ -442,10 +444,10 @@
                 } => {
                     self.session.observe(
                         now,
-                        Observation::Pointed {
+                        Observation::TablesWritten {
                             proxy,
                             version,
-                            result,
+                            result: result.map_err(TableWriteError::new),
                         },
                     );
                 }
@@ -557,7 +559,7 @@
             nodes::read(&text, reactor::wall()).map_err(|error| error.to_string())
         });
         self.last_list = Some(text);
-        self.session.observe(now, Observation::List(list));
+        self.session.observe(now, Observation::EndpointList(list));
     }
 
     fn read_status(&mut self, now: Moment, proxy: &str) {
@@ -567,17 +569,17 @@
         match told {
             Ok(told) if told.proxy == proxy => {
                 let name = || proxy.to_string();
-                let held = Observation::Status {
+                let held = Observation::StatusReported {
                     proxy: name(),
                     version: told.version,
-                    refused: None,
+                    rejection: None,
                 };
                 self.session.observe(now, held);
                 if let Some((version, reason)) = told.refused {
-                    let refused = Observation::Status {
+                    let refused = Observation::StatusReported {
                         proxy: name(),
                         version,
-                        refused: Some(reason),
+                        rejection: Some(reason),
                     };
                     self.session.observe(now, refused);
                 }
@@ -621,8 +623,12 @@
                     );
                 }
                 self.file.deployment.channel.lines_per_second = lines_per_second;
-                self.session
-                    .observe(now, Observation::Pace { lines_per_second });
+                self.session.observe(
+                    now,
+                    Observation::PaceChanged {
+                        entries_per_second: lines_per_second,
+                    },
+                );
             }
             Err(error) => {
                 let reason = error.to_string();
@@ -644,11 +650,11 @@
                 } = done
                 {
                     let again_in = Span::ZERO;
-                    log::notice(&LogEvent::WriteFailed {
+                    log::notice(&LogEvent::TableWriteFailed {
                         proxy,
                         version,
                         reason,
-                        again_in,
+                        retry_in: again_in,
                     });
                 }
             }
