--- a/crates/controller-core/src/acknowledgement.rs
+++ b/crates/controller-core/src/acknowledgement.rs
@@ -1,7 +1,7 @@
 //! Acknowledgement barriers: the balancer sends a marker and waits until a proxy holds the tables sent before it.
 //!
 //! A file has no acknowledgement. A proxy that publishes its status says which version it holds; one that never
-//! does is assumed to hold what was written for it after [`ASSUMED_AFTER`]. A rejected version acknowledges
+//! does is assumed to hold what was written for it after a second. A rejected version acknowledges
 //! nothing.
 
 use crate::publication::Version;
--- a/crates/controller-core/src/controller_core/effect.rs
+++ b/crates/controller-core/src/controller_core/effect.rs
@@ -21,7 +21,7 @@
     CloseStream {
         /// The stream.
         stream: StreamId,
-        /// Why, as the proxy is told.
+        /// The reason, which the proxy gets.
         reason: String,
     },
     /// Write the version if it is not on the disk yet, then point the proxy's files at it.
--- a/crates/controller-core/src/controller_core/observation.rs
+++ b/crates/controller-core/src/controller_core/observation.rs
@@ -1,4 +1,4 @@
-//! What the controller core is told: the inputs of [`ControllerCore::observe`](super::ControllerCore::observe).
+//! What happened outside the core: the inputs of [`ControllerCore::observe`](super::ControllerCore::observe).
 
 use crate::deployment::Deployment;
 use crate::endpoint_list::EndpointSnapshot;
--- a/crates/controller-core/src/controller_core/tests.rs
+++ b/crates/controller-core/src/controller_core/tests.rs
@@ -5,6 +5,7 @@
 use crate::endpoint_list::{EndpointRecord, EndpointSnapshot};
 use crate::load_report::{LoadReport, NodeReport, OperationReport};
 use crate::membership::{Introduction, StreamId};
+use crate::publication::BundleId;
 use crate::rollback::{RollbackError, RollbackResult};
 use std::collections::{BTreeMap, BTreeSet};
 use wheelspread::ids::NodeId;
@@ -114,6 +115,15 @@
         self.settle();
     }
 
+    fn roll_back(&mut self, request: u64, bundle: BundleId, version: Version) {
+        let rollback = Observation::RollBack {
+            request,
+            bundle,
+            version,
+        };
+        self.core.observe(self.now, rollback);
+    }
+
     fn last_sent(&self, stream: u64) -> Option<&Arc<TableSet>> {
         self.sends
             .iter()
@@ -187,14 +197,14 @@
         let Some((name, _)) = self.core.members.of_stream(StreamId(stream)) else {
             return;
         };
-        let lines = self.nodes_of(name);
+        let ports = self.nodes_of(name);
         let each = |port: &u16| NodeReport {
             node: Some(node(*port)),
-            succeeded: 10 / lines.len().max(1) as u64 + 1,
+            succeeded: 10 / ports.len().max(1) as u64 + 1,
             in_progress: 1,
             ..NodeReport::default()
         };
-        let nodes = lines.iter().map(each).collect();
+        let nodes = ports.iter().map(each).collect();
         let quote = OperationReport {
             operation: "quote".into(),
             nodes,
@@ -215,8 +225,8 @@
 
     fn nodes_of(&self, proxy: &str) -> Vec<u16> {
         let set = self.files.get(proxy);
-        let lines = set.into_iter().flat_map(|set| &set.operations[0].entries);
-        lines.map(|line| line.node.port).collect()
+        let entries = set.into_iter().flat_map(|set| &set.operations[0].entries);
+        entries.map(|entry| entry.node.port).collect()
     }
 }
 
@@ -239,7 +249,7 @@
     assert!(harness.files["n1"]
         .operations
         .iter()
-        .all(|operation| operation.entries.iter().all(|l| !l.zone.is_empty())));
+        .all(|operation| operation.entries.iter().all(|entry| !entry.zone.is_empty())));
 }
 
 #[test]
@@ -334,11 +344,11 @@
         assert!(harness.files[proxy].version > last);
     }
     let weight = |port: u16| {
-        let lines = &harness.files["n1"].operations[0].entries;
-        lines
+        let entries = &harness.files["n1"].operations[0].entries;
+        entries
             .iter()
-            .find(|line| line.node.port == port)
-            .map_or(0.0, |line| line.weight)
+            .find(|entry| entry.node.port == port)
+            .map_or(0.0, |entry| entry.weight)
     };
     assert!(
         weight(6) < weight(8) * 0.5,
@@ -512,7 +522,7 @@
     set.operations[0]
         .entries
         .iter()
-        .map(|line| line.node.port)
+        .map(|entry| entry.node.port)
         .collect()
 }
 
@@ -620,20 +630,28 @@
     assert!(ports(harness.last_sent(9).expect("sent")).contains(&9));
 }
 
-#[test]
-fn a_rollback_goes_to_the_old_weights_without_nodes_that_drain_or_warm_up() {
+/// A node's share of the first operation's weights.
+fn weight_share(set: &TableSet, port: u16) -> f64 {
+    let entries = &set.operations[0].entries;
+    let total: f64 = entries.iter().map(|entry| entry.weight).sum();
+    entries
+        .iter()
+        .find(|entry| entry.node.port == port)
+        .map_or(0.0, |entry| entry.weight / total)
+}
+
+/// A rollback from `newer` to `old`, of the proxy that reads stream 9.
+struct Rollback {
+    harness: Harness,
+    old: Arc<TableSet>,
+    newer: Arc<TableSet>,
+}
+
+fn rolled_back() -> Rollback {
     let mut harness = started();
     harness.subscribe(9, "x1", "north", None);
     harness.pass(1.0, &[1, 2]);
     let old = harness.last_sent(9).expect("sent").clone();
-    let weight = |set: &TableSet, port: u16| {
-        let lines = &set.operations[0].entries;
-        let all: f64 = lines.iter().map(|line| line.weight).sum();
-        lines
-            .iter()
-            .find(|line| line.node.port == port)
-            .map_or(0.0, |line| line.weight / all)
-    };
     // An operator's list gives two nodes other weights; one drains, one restarts and warms up.
     let mut records: Vec<EndpointRecord> = (1..=8).map(|port| record(port, false, 500.0)).collect();
     (records[1].weight, records[3].weight) = (5.0, 0.2);
@@ -642,37 +660,44 @@
     harness.list(records);
     harness.pass(3.0, &[1, 2]);
     let newer = harness.last_sent(9).expect("sent").clone();
-    assert!(weight(&newer, 2) > 3.0 * weight(&newer, 4));
-    let rollback = Observation::RollBack {
-        request: 1,
-        bundle: old.bundle,
-        version: old.version,
-    };
-    harness.core.observe(harness.now, rollback);
+    assert!(weight_share(&newer, 2) > 3.0 * weight_share(&newer, 4));
+    harness.roll_back(1, old.bundle, old.version);
     harness.pass(20.0, &[1, 2]);
+    Rollback {
+        harness,
+        old,
+        newer,
+    }
+}
+
+#[test]
+fn a_rollback_goes_to_the_old_weights_without_nodes_that_drain_or_warm_up() {
+    let Rollback {
+        harness,
+        old,
+        newer,
+    } = rolled_back();
     let result = harness.rollbacks[0].clone().expect("the version is kept");
-    let out: Vec<(u16, &str)> = result
+    let excluded: Vec<(u16, &str)> = result
         .excluded
         .iter()
         .map(|(node, why)| (node.port, why.as_str()))
         .collect();
-    assert_eq!(out, [(6, "drains"), (8, "cold")]);
+    assert_eq!(excluded, [(6, "drains"), (8, "cold")]);
     let now = harness.last_sent(9).expect("sent");
     assert!(now.version > newer.version, "versions never fall");
-    let ratio = weight(now, 2) / weight(now, 4);
-    assert!(
-        (ratio / (weight(&old, 2) / weight(&old, 4)) - 1.0).abs() < 0.3,
-        "{ratio}"
-    );
+    let ratio = weight_share(now, 2) / weight_share(now, 4);
+    let old_ratio = weight_share(&old, 2) / weight_share(&old, 4);
+    assert!((ratio / old_ratio - 1.0).abs() < 0.3, "{ratio}");
     assert!(!ports(now).contains(&6));
-    harness.core.observe(
-        harness.now,
-        Observation::RollBack {
-            request: 2,
-            bundle: old.bundle,
-            version: Version(1 << 40),
-        },
-    );
+}
+
+#[test]
+fn an_unknown_version_is_refused_and_the_end_of_a_rollback_gives_the_listed_weights_back() {
+    let Rollback {
+        mut harness, old, ..
+    } = rolled_back();
+    harness.roll_back(2, old.bundle, Version(1 << 40));
     harness
         .core
         .observe(harness.now, Observation::EndRollback { request: 3 });
@@ -682,7 +707,7 @@
         .is_err_and(|error| error.to_string().contains("is not kept")));
     let ended = harness.last_sent(9).expect("sent");
     assert!(
-        weight(ended, 2) > 3.0 * weight(ended, 4),
+        weight_share(ended, 2) > 3.0 * weight_share(ended, 4),
         "the list's weights are back"
     );
 }
--- a/crates/controller-core/src/publication/tests.rs
+++ b/crates/controller-core/src/publication/tests.rs
@@ -60,8 +60,8 @@
         .bundle_of(ProxyId(0))
         .and_then(|id| publication.newest(id))
         .expect("bound");
-    let lines = |operation: OperationId| both.operations[usize::from(operation.0)].entries.len();
-    assert_eq!((lines(QUOTE), lines(ORDER)), (3, 2));
+    let entries = |operation: OperationId| both.operations[usize::from(operation.0)].entries.len();
+    assert_eq!((entries(QUOTE), entries(ORDER)), (3, 2));
 }
 
 #[test]
