--- a/crates/drain/src/registry.rs
+++ b/crates/drain/src/registry.rs
@@ -165,6 +165,7 @@
     ) -> Result<&Drain, DrainError> {
         let node = order.node.clone();
         if self.is_known(&order)? {
+            // Known means that the node has a drain.
             return Ok(&self.drains[&node]);
         }
         let failed_checks = order.not_overridden(failed_checks);
