--- a/crates/config-rollout/src/rollout/apply.rs
+++ b/crates/config-rollout/src/rollout/apply.rs
@@ -50,11 +50,12 @@
         let Some(Propagating { id, since }) = self.propagating.clone() else {
             return;
         };
-        let progress = core.reach();
+        let progress = core.rollout_progress();
         // A proxy that is away gets the newest tables when it comes back; it is waited for until the grace is over.
-        let is_over_for_away = progress.away == 0 || now - since >= core.plan().rules.drain_grace;
+        let is_over_for_away =
+            progress.disconnected == 0 || now - since >= core.plan().rules.drain_grace;
         let is_current = progress.configuration == self.ledger.configuration().version;
-        let is_everywhere = progress.lacking.is_empty() && progress.between == 0;
+        let is_everywhere = progress.outdated.is_empty() && progress.migrating == 0;
         if is_current && is_over_for_away && is_everywhere {
             self.propagating = None;
             let event = ChangeEvent::InForce;
--- a/crates/config-rollout/tests/kills.rs
+++ b/crates/config-rollout/tests/kills.rs
@@ -192,12 +192,12 @@
             .collect();
         let floor = Version(self.seen.keys().last().map_or(0, |last| last.0) + 100);
         let found = RecoveredState {
-            held,
+            tables: held,
             versions,
-            floor,
+            version_floor: floor,
             configuration: configured.version,
             values: configured.values,
-            moving,
+            migrating: moving,
             ..RecoveredState::default()
         };
         let session =
@@ -222,7 +222,7 @@
         };
         running
             .session
-            .observe(self.now, Observation::List(Ok(list)));
+            .observe(self.now, Observation::EndpointList(Ok(list)));
         self.controller = Some(running);
         let after = |n: usize| self.now + span(0.05 + 0.04 * n as f64);
         self.joins = proxies()
@@ -251,17 +251,17 @@
             };
             let opened = Observation::StreamOpened {
                 stream: StreamId(self.streams),
-                who,
+                introduction: who,
             };
             running.session.observe(self.now, opened);
             if let Some(set) = self.links.get(&name) {
                 let (proxy, version) = (name, set.version);
                 running.session.observe(
                     self.now,
-                    Observation::Status {
+                    Observation::StatusReported {
                         proxy,
                         version,
-                        refused: None,
+                        rejection: None,
                     },
                 );
             }
@@ -287,7 +287,7 @@
             };
             let errs = self.end == End::Broken && set.configuration == 2;
             let operations = set.operations.iter().map(|table| {
-                let count = 6 / table.lines.len().max(1) as u64;
+                let count = 6 / table.entries.len().max(1) as u64;
                 let met = |line: &wheelspread_controller_core::TableEntry| NodeReport {
                     node: Some(line.node),
                     succeeded: if errs { 0 } else { count },
@@ -296,7 +296,7 @@
                 };
                 OperationReport {
                     operation: ["quote", "tour-plan"][usize::from(table.operation.0)].to_string(),
-                    nodes: table.lines.iter().map(met).collect(),
+                    nodes: table.entries.iter().map(met).collect(),
                     ..OperationReport::default()
                 }
             });
@@ -328,7 +328,7 @@
         self.configurations.insert(set.configuration);
         for table in &set.operations {
             assert!(
-                !table.lines.is_empty(),
+                !table.entries.is_empty(),
                 "{proxy} has no line for {:?}",
                 table.operation
             );
@@ -337,7 +337,7 @@
         let names = |set: &TableSet| {
             set.operations
                 .iter()
-                .any(|t| t.lines.iter().any(|l| l.node == node(MOVED)))
+                .any(|t| t.entries.iter().any(|l| l.node == node(MOVED)))
         };
         let pools: BTreeSet<&str> = self
             .links
@@ -354,7 +354,7 @@
         let (mut effects, mut steps) = (Vec::new(), Vec::new());
         running.session.settle(self.now, &mut effects);
         for effect in effects {
-            if let Effect::Point { proxy, set } = effect {
+            if let Effect::WriteTables { proxy, set } = effect {
                 if self.point() {
                     return None;
                 }
@@ -363,7 +363,7 @@
                     return None;
                 }
                 let version = set.version;
-                let pointed = Observation::Pointed {
+                let pointed = Observation::TablesWritten {
                     proxy: proxy.clone(),
                     version,
                     result: Ok(()),
@@ -371,10 +371,10 @@
                 running.session.observe(self.now, pointed);
                 running.session.observe(
                     self.now,
-                    Observation::Status {
+                    Observation::StatusReported {
                         proxy,
                         version,
-                        refused: None,
+                        rejection: None,
                     },
                 );
             }
@@ -547,7 +547,7 @@
             let there = set
                 .operations
                 .iter()
-                .all(|t| t.lines.iter().any(|line| line.node == node(MOVED)));
+                .all(|t| t.entries.iter().any(|line| line.node == node(MOVED)));
             let pool = if self.end == End::Kept {
                 "south"
             } else {
--- a/crates/controller/src/routes.rs
+++ b/crates/controller/src/routes.rs
@@ -224,8 +224,8 @@
             let (bundle, version) = (BundleId(told.table), Version(told.version));
             session.observe(
                 now,
-                Observation::Back {
-                    order,
+                Observation::RollBack {
+                    request: order,
                     bundle,
                     version,
                 },
@@ -233,7 +233,7 @@
             return Ok(None);
         }
         ("POST", "/v1/tables/free") => {
-            session.observe(now, Observation::Free { order });
+            session.observe(now, Observation::EndRollback { request: order });
             return Ok(None);
         }
         ("POST", "/v1/drains") => {
@@ -308,7 +308,7 @@
         .members()
         .filter(|(_, member)| member.joined())
         .count();
-    let reach = session.reach();
+    let reach = session.rollout_progress();
     let under_way = rollout
         .ledger()
         .unfinished()
@@ -328,12 +328,12 @@
         "list": session.nodes().version(),
         "nodes": { "ready": ready, "draining": draining, "cold": cold },
         "gateways": { "joined": joined, "known": session.members().members().count() },
-        "sums_heard_s": seconds_since(now, session.measured().heard_last()),
-        "lines_waiting": session.lines_waiting(),
+        "sums_heard_s": seconds_since(now, session.service_history().heard_last()),
+        "lines_waiting": session.queued_entries(),
         "lines_waiting_at_most": session.plan().channel.lines_waiting_at_most,
         "newest_version": session.version().0,
         "configuration": reach.configuration,
-        "configuration_lacking": reach.lacking.len(),
+        "configuration_lacking": reach.outdated.len(),
         "change_under_way": under_way.map(|record| &record.change.id),
         "drains": drains,
         "waits_for_disk": rollout.unwritten(),
@@ -345,14 +345,14 @@
 }
 
 fn channel(session: &ControllerCore) -> Value {
-    let (messages, overtaken) = session.messages();
+    let counts = session.update_counts();
     let plan = &session.plan().channel;
     json!({
-        "lines_waiting": session.lines_waiting(),
+        "lines_waiting": session.queued_entries(),
         "lines_waiting_at_most": plan.lines_waiting_at_most,
         "lines_per_second": plan.lines_per_second,
-        "messages_sent": messages,
-        "messages_overtaken": overtaken,
+        "messages_sent": counts.sent,
+        "messages_overtaken": counts.superseded,
     })
 }
 
@@ -362,7 +362,7 @@
 fn sums(now: Moment, session: &ControllerCore) -> Value {
     let plan = session.plan();
     let (tallies, seconds) = session
-        .measured()
+        .service_history()
         .between(now - plan.sums.period * SUMS, now);
     let operation = |(at, operation): (usize, &OperationPlan)| {
         let tally = tallies.of(OperationId(at as u8));
@@ -378,7 +378,7 @@
         })
     };
     let gateway = |(name, member): (&str, &Member)| {
-        let heard = session.measured().heard(member.id);
+        let heard = session.service_history().heard(member.id);
         json!({ "gateway": name, "joined": member.joined(), "heard_s": seconds_since(now, heard) })
     };
     json!({
@@ -405,7 +405,7 @@
         };
         let cold = is_cold(now, &entry, session);
         json!({ "node": show(entry.node), "zone": zone(entry.zone), "listing": listing, "cold": cold,
-                "by_order": session.drained().contains(&entry.node), "weight": entry.weight })
+                "by_order": session.drained_nodes().contains(&entry.node), "weight": entry.weight })
     };
     json!({ "list": session.nodes().version(), "nodes": session.serving().map(node).collect::<Vec<_>>() })
 }
@@ -423,7 +423,7 @@
         EndpointStatus::Draining => "draining",
         EndpointStatus::Gone => "out",
     });
-    let named_by = desk.session.named_by(id);
+    let named_by = desk.session.proxies_naming(id);
     Ok(
         json!({ "node": text, "listing": listing, "named_by": named_by, "drain": desk.drains.book().drain(text) }),
     )
@@ -431,39 +431,39 @@
 
 /// The configuration in force, and how far the gateways have come with it.
 fn configuration(session: &ControllerCore, rollout: &Rollout) -> Value {
-    let (in_force, reach) = (rollout.ledger().configuration(), session.reach());
+    let (in_force, reach) = (rollout.ledger().configuration(), session.rollout_progress());
     json!({
         "version": in_force.version,
         "values": in_force.values,
         "told": reach.configuration,
-        "lacking": reach.lacking,
-        "away": reach.away,
-        "between_pools": reach.between,
+        "lacking": reach.outdated,
+        "away": reach.disconnected,
+        "between_pools": reach.migrating,
         "waits_for_disk": rollout.unwritten(),
     })
 }
 
 fn tables(now: Moment, session: &ControllerCore) -> Value {
     let gateway = |(name, member): (&str, &wheelspread_controller_core::membership::Member)| {
-        let reads = session.reads(member.id);
+        let reads = session.table_status(member.id);
         let told = GatewayTold {
             gateway: name,
             joined: member.joined(),
-            front: match reads.front {
+            front: match reads.transport {
                 Transport::Files => "files",
                 Transport::Stream(_) => "stream",
-                Transport::Away => "away",
+                Transport::Disconnected => "away",
             },
             table: reads.newest.map(|set| set.bundle.0),
             newest: reads.newest.map(|set| set.version.0),
-            holds: reads.holds.map(|held| held.0 .0),
-            held_for_s: reads.holds.map(|held| (now - held.1).seconds()),
-            refused: reads.refused.map(|version| version.0),
+            holds: reads.applied.map(|applied| applied.version.0),
+            held_for_s: reads.applied.map(|applied| (now - applied.since).seconds()),
+            refused: reads.rejected.map(|version| version.0),
         };
         json!(told)
     };
     let mut versions: BTreeMap<u32, Vec<u64>> = BTreeMap::new();
-    for set in session.recent() {
+    for set in session.retained_versions() {
         versions
             .entry(set.bundle.0)
             .or_default()
@@ -475,9 +475,9 @@
         .collect();
     json!({
         "list": session.nodes().version(),
-        "stepped_back_to": session.stepped_back_to().map(|version| version.0),
+        "stepped_back_to": session.rollback_target().map(|version| version.0),
         "gateways": session.members().members().map(gateway).collect::<Vec<_>>(),
         "tables": kept,
-        "lines_waiting": session.lines_waiting(),
+        "lines_waiting": session.queued_entries(),
     })
 }
