--- a/crates/config-rollout/tests/kills.rs
+++ b/crates/config-rollout/tests/kills.rs
@@ -351,92 +351,101 @@
     /// Carries out what the controller says, action by action; `None`: it was killed.
     fn turn(&mut self) -> Option<()> {
         let mut running = self.controller.take()?;
-        let (mut effects, mut steps) = (Vec::new(), Vec::new());
+        self.write_tables(&mut running)?;
+        self.carry_out_rollout(&mut running)?;
+        self.finish_writes(&mut running)?;
+        self.controller = Some(running);
+        Some(())
+    }
+
+    /// Comes by an action; `None`: the controller is killed there.
+    fn survive(&mut self) -> Option<()> {
+        match self.point() {
+            true => None,
+            false => Some(()),
+        }
+    }
+
+    /// Swaps the tables of proxies, and lets them report that they have them.
+    fn write_tables(&mut self, running: &mut Running) -> Option<()> {
+        let mut effects = Vec::new();
         running.session.settle(self.now, &mut effects);
         for effect in effects {
-            if let Effect::WriteTables { proxy, set } = effect {
-                if self.point() {
-                    return None;
-                }
-                self.swap(&proxy, &set);
-                if self.point() {
-                    return None;
-                }
-                let version = set.version;
-                let pointed = Observation::TablesWritten {
-                    proxy: proxy.clone(),
-                    version,
-                    result: Ok(()),
-                };
-                running.session.observe(self.now, pointed);
-                running.session.observe(
-                    self.now,
-                    Observation::StatusReported {
-                        proxy,
-                        version,
-                        rejection: None,
-                    },
-                );
-            }
+            let Effect::WriteTables { proxy, set } = effect else {
+                continue;
+            };
+            self.survive()?;
+            self.swap(&proxy, &set);
+            self.survive()?;
+            let version = set.version;
+            let written = Observation::TablesWritten {
+                proxy: proxy.clone(),
+                version,
+                result: Ok(()),
+            };
+            running.session.observe(self.now, written);
+            let reported = Observation::StatusReported {
+                proxy,
+                version,
+                rejection: None,
+            };
+            running.session.observe(self.now, reported);
         }
+        Some(())
+    }
+
+    fn carry_out_rollout(&mut self, running: &mut Running) -> Option<()> {
+        let mut actions = Vec::new();
         running
             .rollout
-            .settle(self.now, &running.session, &mut steps);
-        for step in steps {
-            match step {
+            .settle(self.now, &running.session, &mut actions);
+        for action in actions {
+            match action {
                 RolloutAction::Write { number, commit } => {
-                    if self.point() {
-                        return None;
-                    }
-                    running
-                        .at_disk
-                        .push((self.now + self.disk_takes, number, commit));
+                    self.survive()?;
+                    let done_at = self.now + self.disk_takes;
+                    running.at_disk.push((done_at, number, commit));
                 }
-                RolloutAction::Configure(configured) => {
-                    if self.point() {
-                        return None;
-                    }
-                    let version = configured.version;
+                RolloutAction::Configure(update) => {
+                    self.survive()?;
                     assert_eq!(
-                        self.kept.configuration.version, version,
+                        self.kept.configuration.version, update.version,
                         "seen before the disk has it"
                     );
-                    running
-                        .session
-                        .observe(self.now, Observation::ConfigUpdated(configured));
-                    if self.point() {
-                        return None;
-                    }
+                    let updated = Observation::ConfigUpdated(update);
+                    running.session.observe(self.now, updated);
+                    self.survive()?;
                 }
                 RolloutAction::Answer { request, result } => self.answered(request, result),
                 RolloutAction::Log(_) => {}
             }
         }
+        Some(())
+    }
+
+    /// Writes what the disk is through with by now, if it is not full.
+    fn finish_writes(&mut self, running: &mut Running) -> Option<()> {
         for (at, number, commit) in std::mem::take(&mut running.at_disk) {
             if at > self.now {
                 running.at_disk.push((at, number, commit));
                 continue;
             }
             if self.now < self.disk_full_until {
-                running.rollout.on_write_completed(
-                    self.now,
-                    number,
-                    Err(WriteError("the disk is full".into())),
-                );
+                let error = WriteError("the disk is full".into());
+                running
+                    .rollout
+                    .on_write_completed(self.now, number, Err(error));
                 continue;
             }
             self.kept.apply(commit);
             // On the disk, and not reported yet.
-            if self.point() {
-                return None;
-            }
+            self.survive()?;
             running.rollout.on_write_completed(self.now, number, Ok(()));
         }
-        self.controller = Some(running);
         Some(())
     }
 
-    /// The operator tells orders again until they are answered.
+    /// The operator repeats commands until they are answered.
     fn operate(&mut self) {
         let state = self.record().map(|record| record.state);
         let ask = match (self.staged, self.applied, self.undone) {
--- a/crates/drain/tests/consistency.rs
+++ b/crates/drain/tests/consistency.rs
@@ -60,23 +60,25 @@
     }
 }
 
+/// Two controllers that agree, and a third one.
+fn fleet(third: ControllerView) -> BTreeMap<String, ControllerView> {
+    let sound = controller_view(
+        "7",
+        3,
+        &[
+            ("n1", "ready", "north", false),
+            ("n2", "ready", "north", false),
+        ],
+    );
+    BTreeMap::from([
+        ("a".to_string(), sound.clone()),
+        ("b".to_string(), sound),
+        ("c".to_string(), third),
+    ])
+}
+
 #[test]
-fn disagreements_are_found_with_all_views_and_only_where_they_are() {
-    let fleet = |other: ControllerView| {
-        let sound = controller_view(
-            "7",
-            3,
-            &[
-                ("n1", "ready", "north", false),
-                ("n2", "ready", "north", false),
-            ],
-        );
-        BTreeMap::from([
-            ("a".to_string(), sound.clone()),
-            ("b".to_string(), sound),
-            ("c".to_string(), other),
-        ])
-    };
+fn controllers_with_the_same_view_do_not_disagree() {
     let alike = controller_view(
         "7",
         3,
@@ -86,6 +88,10 @@
         ],
     );
     assert_eq!(find_disagreements(&fleet(alike)), []);
+}
+
+#[test]
+fn a_node_drained_at_one_controller_is_named_with_all_views() {
     let drained = controller_view(
         "7",
         3,
@@ -101,15 +107,20 @@
     );
     assert_eq!(found[0].views["draining by order"], ["c"]);
     assert_eq!(found[0].views["ready"], ["a", "b"]);
-    let late = find_disagreements(&fleet(controller_view(
-        "6",
-        3,
-        &[("n1", "ready", "north", false)],
-    )));
+}
+
+#[test]
+fn a_missing_node_is_named_and_an_older_list_may_explain_it() {
+    let older = controller_view("6", 3, &[("n1", "ready", "north", false)]);
+    let found = find_disagreements(&fleet(older));
     assert_eq!(
-        (late.len(), late[0].kind, late[0].lists_differ),
+        (found.len(), found[0].kind, found[0].lists_differ),
         (1, DisagreementKind::Listed, true)
     );
+}
+
+#[test]
+fn another_configuration_and_another_zone_are_two_disagreements() {
     let migrated = controller_view(
         "7",
         4,
@@ -118,10 +129,8 @@
             ("n2", "ready", "north", false),
         ],
     );
-    let kinds: Vec<DisagreementKind> = find_disagreements(&fleet(migrated))
-        .iter()
-        .map(|found| found.kind)
-        .collect();
+    let found = find_disagreements(&fleet(migrated));
+    let kinds: Vec<DisagreementKind> = found.iter().map(|found| found.kind).collect();
     assert_eq!(
         kinds,
         [DisagreementKind::Configuration, DisagreementKind::Zone]
