--- a/crates/config-transaction/tests/life_cycle.rs
+++ b/crates/config-transaction/tests/life_cycle.rs
@@ -302,77 +302,152 @@
     ]
 }
 
+/// A ledger under steps in any order.
+struct Play {
+    ledger: Ledger,
+    now: Moment,
+}
+
+impl Play {
+    /// A change that sets one of few paths.
+    fn made(n: u8, key: u8, by: &str, base: u64) -> Change {
+        let path = format!("key.{key}");
+        change(
+            &format!("c{n}"),
+            by,
+            base,
+            &[(&path, Some(&format!("{n}")))],
+        )
+    }
+
+    fn event(&mut self, n: u8, event: ChangeEvent) {
+        let id = id(&format!("c{n}"));
+        drop(self.ledger.handle_event(self.now, &id, event, None));
+    }
+
+    fn wait(&mut self, seconds: f64) {
+        self.now = self.now + Span::from_seconds(seconds);
+        self.ledger.advance(self.now, self.now);
+    }
+
+    /// Takes a change from its proposal to being kept, if nothing is in the way.
+    fn keep(&mut self, n: u8, key: u8) {
+        let base = self.ledger.configuration().version;
+        let made = Play::made(n, key, "ada", base);
+        let id = made.id.clone();
+        if self.ledger.propose(self.now, made).is_ok() {
+            let _ = self
+                .ledger
+                .record_checks(self.now, &id, CheckReport::default());
+            self.event(n, ChangeEvent::Written);
+            let _ = self.ledger.apply(self.now, &id);
+            self.event(n, ChangeEvent::InForce);
+            self.wait(31.0);
+        }
+    }
+
+    fn propose(&mut self, n: u8, key: u8, old: bool) {
+        let base = self.ledger.configuration().version - u64::from(old);
+        let by = if n.is_multiple_of(2) { "ada" } else { "bob" };
+        let _ = self.ledger.propose(self.now, Play::made(n, key, by, base));
+    }
+
+    fn record_checks(&mut self, n: u8, findings: Vec<Finding>) {
+        let id = id(&format!("c{n}"));
+        let report = CheckReport(findings);
+        drop(self.ledger.record_checks(self.now, &id, report));
+    }
+
+    /// Every change that was in progress has to go on.
+    fn crash(&mut self) -> Result<(), TestCaseError> {
+        let records: Vec<ChangeRecord> = self.ledger.records().cloned().collect();
+        let configuration = self.ledger.configuration().clone();
+        let (next, actions) = Ledger::recover(self.now, configuration, records, deadlines());
+        let resumed = actions
+            .iter()
+            .filter(|action| action.effect != ChangeEffect::Write)
+            .count();
+        prop_assert_eq!(in_progress(&next), resumed, "what was in progress goes on");
+        self.ledger = next;
+        Ok(())
+    }
+
+    fn take(&mut self, step: Step) -> Result<(), TestCaseError> {
+        let name = |n: u8| id(&format!("c{n}"));
+        match step {
+            Step::Keep(n, key) => self.keep(n, key),
+            Step::Propose(n, key, old) => self.propose(n, key, old),
+            Step::Pass(n) => self.record_checks(n, vec![]),
+            Step::Fail(n) => {
+                let finding = Finding {
+                    check: "c".into(),
+                    text: "no".into(),
+                    forbids: true,
+                };
+                self.record_checks(n, vec![finding]);
+            }
+            Step::Written(n) => self.event(n, ChangeEvent::Written),
+            Step::Apply(n) => drop(self.ledger.apply(self.now, &name(n))),
+            Step::InForce(n) => self.event(n, ChangeEvent::InForce),
+            Step::Undo(n) => drop(self.ledger.undo(self.now, &name(n), "not liked")),
+            Step::Wait(tenths) => self.wait(f64::from(tenths) / 10.0),
+            Step::Crash => self.crash()?,
+        }
+        Ok(())
+    }
+}
+
+fn in_progress(ledger: &Ledger) -> usize {
+    ledger
+        .records()
+        .filter(|record| record.state.is_in_progress())
+        .count()
+}
+
+/// What the changes in force make of the first configuration, in the order in which they came into force.
+fn expected_values(ledger: &Ledger) -> BTreeMap<String, String> {
+    let is_in_force = |state| {
+        matches!(
+            state,
+            ChangeState::Applying | ChangeState::Watched | ChangeState::Kept
+        )
+    };
+    let mut in_force: Vec<&ChangeRecord> = ledger
+        .records()
+        .filter(|record| is_in_force(record.state))
+        .collect();
+    in_force.sort_by_key(|record| record.applied_version);
+    let mut values = configuration().values;
+    for record in in_force {
+        for (path, to) in &record.change.sets {
+            match to {
+                Some(value) => values.insert(path.clone(), value.clone()),
+                None => values.remove(path),
+            };
+        }
+    }
+    values
+}
+
 proptest! {
-    // Whatever two operators, the disk, the gateways and crashes do: one change is under way at most, versions
+    // Whatever two operators, the disk, the proxies and crashes do: one change is in progress at most, versions
     // never fall, and what is in force is what the changes in force make of the first configuration, in order.
     #[test]
-    fn the_configuration_is_the_result_of_the_changes_in_force_in_order(steps in prop::collection::vec(step(), 1..120)) {
-        let mut ledger = Ledger::new(configuration(), deadlines());
-        let (mut now, mut version) = (at(0.0), 7);
+    fn the_configuration_is_the_result_of_the_changes_in_force_in_order(
+        steps in prop::collection::vec(step(), 1..120),
+    ) {
+        let mut play = Play {
+            ledger: Ledger::new(configuration(), deadlines()),
+            now: at(0.0),
+        };
+        let mut version = 7;
         for step in steps {
-            let name = |n: u8| id(&format!("c{n}"));
-            match step {
-                Step::Keep(n, key) => {
-                    let base = ledger.configuration().version;
-                    let path = format!("key.{key}");
-                    let made = change(&format!("c{n}"), "ada", base, &[(&path, Some(&format!("{n}")))]);
-                    if ledger.propose(now, made).is_ok() {
-                        let _ = ledger.record_checks(now, &name(n), CheckReport::default());
-                        let _ = ledger.handle_event(now, &name(n), ChangeEvent::Written, None);
-                        let _ = ledger.apply(now, &name(n));
-                        let _ = ledger.handle_event(now, &name(n), ChangeEvent::InForce, None);
-                        now = now + Span::from_seconds(31.0);
-                        ledger.advance(now, now);
-                    }
-                }
-                Step::Propose(n, key, old) => {
-                    let base = ledger.configuration().version - u64::from(old);
-                    let by = if n % 2 == 0 { "ada" } else { "bob" };
-                    let path = format!("key.{key}");
-                    let made = change(&format!("c{n}"), by, base, &[(&path, Some(&format!("{n}")))]);
-                    let _ = ledger.propose(now, made);
-                }
-                Step::Pass(n) => drop(ledger.record_checks(now, &name(n), CheckReport::default())),
-                Step::Fail(n) => {
-                    let finding = Finding { check: "c".into(), text: "no".into(), forbids: true };
-                    let _ = ledger.record_checks(now, &name(n), CheckReport(vec![finding]));
-                }
-                Step::Written(n) => drop(ledger.handle_event(now, &name(n), ChangeEvent::Written, None)),
-                Step::Apply(n) => drop(ledger.apply(now, &name(n))),
-                Step::InForce(n) => drop(ledger.handle_event(now, &name(n), ChangeEvent::InForce, None)),
-                Step::Undo(n) => drop(ledger.undo(now, &name(n), "not liked")),
-                Step::Wait(tenths) => {
-                    now = now + Span::from_seconds(f64::from(tenths) / 10.0);
-                    ledger.advance(now, now);
-                }
-                Step::Crash => {
-                    let records: Vec<ChangeRecord> = ledger.records().cloned().collect();
-                    let (next, orders) =
-                        Ledger::recover(now, ledger.configuration().clone(), records, deadlines());
-                    let under_way = next.records().filter(|record| record.state.is_in_progress()).count();
-                    let told = orders.iter().filter(|order| order.effect != ChangeEffect::Write).count();
-                    prop_assert_eq!(under_way, told, "what was under way is taken up");
-                    ledger = next;
-                }
-            }
-            prop_assert!(ledger.records().filter(|record| record.state.is_in_progress()).count() <= 1);
-            prop_assert!(ledger.configuration().version >= version);
-            version = ledger.configuration().version;
-            let mut live: Vec<&ChangeRecord> = ledger
-                .records()
-                .filter(|r| matches!(r.state, ChangeState::Applying | ChangeState::Watched | ChangeState::Kept))
-                .collect();
-            live.sort_by_key(|record| record.applied_version);
-            let mut wanted: BTreeMap<String, String> = configuration().values;
-            for record in live {
-                for (path, to) in &record.change.sets {
-                    match to {
-                        Some(value) => wanted.insert(path.clone(), value.clone()),
-                        None => wanted.remove(path),
-                    };
-                }
-            }
-            prop_assert_eq!(&ledger.configuration().values, &wanted);
+            play.take(step)?;
+            prop_assert!(in_progress(&play.ledger) <= 1);
+            let in_force = play.ledger.configuration();
+            prop_assert!(in_force.version >= version);
+            version = in_force.version;
+            prop_assert_eq!(&in_force.values, &expected_values(&play.ledger));
         }
     }
 }
--- a/crates/config-transaction/tests/model.rs
+++ b/crates/config-transaction/tests/model.rs
@@ -311,30 +311,25 @@
         if versions.iter().collect::<BTreeSet<_>>().len() != versions.len() {
             return Some("one version was made by two changes".to_string());
         }
-        // With nothing under way and nothing at the disk, proxies hold what the changes in force say.
         if under_way == 0 && self.waits.is_empty() {
-            let kept = ledger
-                .records()
-                .filter(|record| record.state == ChangeState::Kept);
-            let mut wanted = BTreeMap::new();
-            for record in kept {
-                let set = record
-                    .change
-                    .sets
-                    .iter()
-                    .filter_map(|(path, to)| Some((path.clone(), to.clone()?)));
-                wanted.extend(set);
-            }
-            let held = self.sent.get(&self.holds);
-            if held.is_some_and(|held| held.values != wanted) {
-                return Some(format!(
-                    "proxies hold {:?}, {wanted:?} is in force",
-                    held.map(|h| &h.values)
-                ));
-            }
+            return self.differing_proxies(ledger);
         }
         None
     }
+
+    /// With nothing in progress and nothing at the disk, proxies hold what the changes in force say.
+    fn differing_proxies(&self, ledger: &Ledger) -> Option<String> {
+        let kept = ledger
+            .records()
+            .filter(|record| record.state == ChangeState::Kept);
+        let mut wanted = BTreeMap::new();
+        for record in kept {
+            let sets = record.change.sets.iter();
+            wanted.extend(sets.filter_map(|(path, to)| Some((path.clone(), to.clone()?))));
+        }
+        let held = &self.sent.get(&self.holds)?.values;
+        (*held != wanted).then(|| format!("proxies hold {held:?}, {wanted:?} is in force"))
+    }
 }
 
 /// How many states there are, and the shortest way to one that is wrong.
