--- /dev/null
+++ b/crates/controller-core/src/controller_core/tests.rs
@@ -0,0 +1,713 @@
+//! Stretches of a controller's run, played against files that are kept in memory.
+
+use super::*;
+use crate::deployment::tests::plan;
+use crate::endpoint_list::{EndpointRecord, EndpointSnapshot};
+use crate::load_report::{LoadReport, NodeReport, OperationReport};
+use crate::membership::{Introduction, StreamId};
+use crate::publication::BundleId;
+use crate::rollback::{RollbackError, RollbackResult};
+use std::collections::{BTreeMap, BTreeSet};
+use wheelspread::ids::NodeId;
+use wheelspread::time::Span;
+
+struct Harness {
+    core: ControllerCore,
+    now: Moment,
+    list_version: u64,
+    /// What each proxy is pointed at, by the effects carried out.
+    files: BTreeMap<String, Arc<TableSet>>,
+    failing: bool,
+    log: Vec<LogEvent>,
+    closed: Vec<(StreamId, String)>,
+    retired: Vec<Version>,
+    sends: Vec<(StreamId, Arc<TableSet>)>,
+    rollbacks: Vec<Result<RollbackResult, RollbackError>>,
+}
+
+fn node(port: u16) -> NodeId {
+    NodeId {
+        address: [127, 0, 0, 1],
+        port,
+    }
+}
+
+fn record(port: u16, draining: bool, age: f64) -> EndpointRecord {
+    let zone = if port.is_multiple_of(2) {
+        "north"
+    } else {
+        "south"
+    };
+    EndpointRecord {
+        node: node(port),
+        zone: zone.to_string(),
+        kind: String::new(),
+        cell: String::new(),
+        draining,
+        weight: 1.0,
+        started: Some((format!("{port}-{age}"), Span::from_seconds(age))),
+    }
+}
+
+impl Harness {
+    fn new(found: RecoveredState) -> Harness {
+        Harness::with(plan(), found)
+    }
+
+    fn with(plan: Deployment, found: RecoveredState) -> Harness {
+        let now = Moment::from_seconds(1000.0);
+        Harness {
+            core: ControllerCore::start(now, 7, plan, 0, found).expect("the plan is fine"),
+            now,
+            list_version: 0,
+            files: BTreeMap::new(),
+            failing: false,
+            log: Vec::new(),
+            closed: Vec::new(),
+            retired: Vec::new(),
+            sends: Vec::new(),
+            rollbacks: Vec::new(),
+        }
+    }
+
+    fn list(&mut self, records: Vec<EndpointRecord>) {
+        self.list_version += 1;
+        let list = EndpointSnapshot {
+            version: self.list_version.to_string(),
+            records,
+        };
+        self.core
+            .observe(self.now, Observation::EndpointList(Ok(list)));
+        self.settle();
+    }
+
+    fn join(&mut self, stream: u64, name: &str, zone: &str) {
+        let introduction = Introduction {
+            name: name.into(),
+            zone: zone.into(),
+            usual_rate: None,
+        };
+        self.core.observe(
+            self.now,
+            Observation::StreamOpened {
+                stream: StreamId(stream),
+                introduction,
+            },
+        );
+        self.settle();
+    }
+
+    fn subscribe(&mut self, stream: u64, name: &str, zone: &str, initial_version: Option<u64>) {
+        let introduction = Introduction {
+            name: name.into(),
+            zone: zone.into(),
+            usual_rate: None,
+        };
+        let initial_version = initial_version.map(Version);
+        self.core.observe(
+            self.now,
+            Observation::Subscribed {
+                stream: StreamId(stream),
+                introduction,
+                initial_version,
+            },
+        );
+        self.settle();
+    }
+
+    fn roll_back(&mut self, request: u64, bundle: BundleId, version: Version) {
+        let rollback = Observation::RollBack {
+            request,
+            bundle,
+            version,
+        };
+        self.core.observe(self.now, rollback);
+    }
+
+    fn last_sent(&self, stream: u64) -> Option<&Arc<TableSet>> {
+        self.sends
+            .iter()
+            .rev()
+            .find(|(to, _)| *to == StreamId(stream))
+            .map(|(_, set)| set)
+    }
+
+    fn settle(&mut self) {
+        let mut effects = Vec::new();
+        self.core.settle(self.now, &mut effects);
+        for effect in effects {
+            match effect {
+                Effect::WriteTables { proxy, set } => {
+                    let version = set.version;
+                    let result = if self.failing {
+                        Err(TableWriteError::new("the disk is full"))
+                    } else {
+                        Ok(())
+                    };
+                    if result.is_ok() {
+                        let before = self.files.insert(proxy.clone(), set);
+                        assert!(
+                            before.is_none_or(|before| before.version <= version),
+                            "versions never fall"
+                        );
+                    }
+                    self.core.observe(
+                        self.now,
+                        Observation::TablesWritten {
+                            proxy,
+                            version,
+                            result,
+                        },
+                    );
+                }
+                Effect::CloseStream { stream, reason } => {
+                    self.closed.push((stream, reason));
+                    self.core
+                        .observe(self.now, Observation::StreamClosed { stream });
+                }
+                Effect::Log(event) => self.log.push(event),
+                Effect::RetireVersion { version } => self.retired.push(version),
+                Effect::AcceptStream { .. } => {}
+                Effect::SendTables { stream, set } => self.sends.push((stream, set)),
+                Effect::RollbackFinished { result, .. } => self.rollbacks.push(result),
+            }
+        }
+    }
+
+    /// Lets time pass as the loop would, with a report of each joined proxy once a second.
+    fn pass(&mut self, seconds: f64, streams: &[u64]) {
+        let end = self.now + Span::from_seconds(seconds);
+        let mut next_report = self.now + Span::from_seconds(1.0);
+        while self.now < end {
+            let wake = self
+                .core
+                .wake_at(self.now)
+                .max(self.now + Span::from_seconds(0.001));
+            self.now = wake.min(next_report).min(end);
+            if self.now >= next_report {
+                next_report = next_report + Span::from_seconds(1.0);
+                streams.iter().for_each(|stream| self.report(*stream));
+            }
+            self.settle();
+        }
+    }
+
+    /// The load report of a proxy with the files it reads: ten quotes a second, all successful.
+    fn report(&mut self, stream: u64) {
+        let Some((name, _)) = self.core.members.by_stream(StreamId(stream)) else {
+            return;
+        };
+        let ports = self.nodes_of(name);
+        let each = |port: &u16| NodeReport {
+            node: Some(node(*port)),
+            succeeded: 10 / ports.len().max(1) as u64 + 1,
+            in_progress: 1,
+            ..NodeReport::default()
+        };
+        let nodes = ports.iter().map(each).collect();
+        let quote = OperationReport {
+            operation: "quote".into(),
+            nodes,
+            ..OperationReport::default()
+        };
+        let report = LoadReport {
+            over: Span::from_seconds(1.0),
+            operations: vec![quote],
+        };
+        self.core.observe(
+            self.now,
+            Observation::LoadReport {
+                stream: StreamId(stream),
+                report,
+            },
+        );
+    }
+
+    fn nodes_of(&self, proxy: &str) -> Vec<u16> {
+        let set = self.files.get(proxy);
+        let entries = set.into_iter().flat_map(|set| &set.operations[0].entries);
+        entries.map(|entry| entry.node.port).collect()
+    }
+}
+
+fn started() -> Harness {
+    let mut harness = Harness::new(RecoveredState::default());
+    harness.list((1..=8).map(|port| record(port, false, 500.0)).collect());
+    harness.join(1, "n1", "north");
+    harness.join(2, "s1", "south");
+    harness.pass(3.0, &[1, 2]);
+    harness
+}
+
+#[test]
+fn joined_proxies_are_pointed_at_tables_of_ready_nodes_at_once() {
+    let mut harness = Harness::new(RecoveredState::default());
+    harness.list((1..=8).map(|port| record(port, false, 500.0)).collect());
+    harness.join(1, "n1", "north");
+    harness.pass(0.2, &[]);
+    assert!(!harness.nodes_of("n1").is_empty());
+    assert!(harness.files["n1"]
+        .operations
+        .iter()
+        .all(|operation| operation.entries.iter().all(|entry| !entry.zone.is_empty())));
+}
+
+#[test]
+fn a_drained_node_leaves_all_files_well_within_the_grace() {
+    let mut harness = started();
+    assert!(harness.nodes_of("n1").contains(&2));
+    harness.list((1..=8).map(|port| record(port, port == 2, 500.0)).collect());
+    harness.pass(0.5, &[1, 2]);
+    for proxy in ["n1", "s1"] {
+        assert!(
+            !harness.nodes_of(proxy).contains(&2) && !harness.nodes_of(proxy).is_empty(),
+            "{proxy}"
+        );
+    }
+}
+
+#[test]
+fn files_are_written_though_the_stream_of_load_reports_breaks() {
+    let mut harness = started();
+    harness.core.observe(
+        harness.now,
+        Observation::StreamClosed {
+            stream: StreamId(1),
+        },
+    );
+    harness.list((1..=8).map(|port| record(port, port == 2, 500.0)).collect());
+    harness.pass(1.0, &[2]);
+    assert!(
+        !harness.nodes_of("n1").contains(&2),
+        "files reach a proxy whose stream is down"
+    );
+    harness.join(3, "n1", "north");
+    harness.pass(1.0, &[2, 3]);
+    assert!(!harness.nodes_of("n1").contains(&2) && !harness.nodes_of("n1").is_empty());
+}
+
+#[test]
+fn a_full_disk_delays_updates_and_loses_none() {
+    let mut harness = started();
+    harness.failing = true;
+    harness.list((1..=8).map(|port| record(port, port == 2, 500.0)).collect());
+    harness.pass(0.8, &[1, 2]);
+    let failed = |event: &&LogEvent| matches!(event, LogEvent::TableWriteFailed { reason, .. } if reason.contains("full"));
+    assert!(
+        harness.log.iter().filter(failed).count() >= 2,
+        "logged, and retried: {:?}",
+        harness.log
+    );
+    assert!(harness.nodes_of("n1").contains(&2));
+    harness.failing = false;
+    harness.pass(5.0, &[1, 2]);
+    assert!(!harness.nodes_of("n1").contains(&2) && !harness.nodes_of("s1").contains(&2));
+}
+
+#[test]
+fn a_restart_goes_on_above_the_versions_it_finds_and_names_no_former_node() {
+    let mut before = started();
+    before.join(3, "n2", "north");
+    before.pass(1.0, &[1, 2, 3]);
+    assert!(before.nodes_of("n2").contains(&2) && before.nodes_of("n2").contains(&4));
+    let tables = BTreeMap::from_iter(
+        before
+            .files
+            .iter()
+            .map(|(name, set)| (name.clone(), set.as_ref().clone())),
+    );
+    let last = tables
+        .values()
+        .map(|set| set.version)
+        .max()
+        .expect("published");
+    let versions = tables.values().map(|set| set.version).collect();
+    let mut harness = Harness::new(RecoveredState {
+        tables,
+        versions,
+        ..RecoveredState::default()
+    });
+    harness.files = before.files;
+    // While it was down node 2 drained, node 4 left and node 6 started anew.
+    let records = [1, 2, 3, 5, 6, 7, 8]
+        .map(|port| record(port, port == 2, if port == 6 { 0.5 } else { 500.0 }));
+    harness.list(records.to_vec());
+    harness.join(1, "n1", "north");
+    // n2 stays away: its old files are pruned of nodes 2 and 4 before the grace of 2 s is over.
+    harness.pass(1.0, &[1]);
+    for proxy in ["n1", "n2"] {
+        let nodes = harness.nodes_of(proxy);
+        assert!(
+            !nodes.is_empty() && !nodes.contains(&2) && !nodes.contains(&4),
+            "{proxy} holds {nodes:?}"
+        );
+        assert!(harness.files[proxy].version > last);
+    }
+    let weight = |port: u16| {
+        let entries = &harness.files["n1"].operations[0].entries;
+        entries
+            .iter()
+            .find(|entry| entry.node.port == port)
+            .map_or(0.0, |entry| entry.weight)
+    };
+    assert!(
+        weight(6) < weight(8) * 0.5,
+        "a node that just started: {} beside {}",
+        weight(6),
+        weight(8)
+    );
+}
+
+#[test]
+fn a_stream_with_an_invalid_load_report_is_closed_with_a_reason() {
+    let mut harness = started();
+    let report = LoadReport {
+        over: Span::from_seconds(-1.0),
+        operations: Vec::new(),
+    };
+    harness.core.observe(
+        harness.now,
+        Observation::LoadReport {
+            stream: StreamId(1),
+            report,
+        },
+    );
+    harness.settle();
+    assert!(harness
+        .closed
+        .iter()
+        .any(|(stream, reason)| *stream == StreamId(1) && reason.contains("-1 s")));
+    assert!(harness
+        .core
+        .members
+        .member("n1")
+        .is_some_and(|member| !member.is_joined()));
+}
+
+#[test]
+fn versions_that_no_proxy_reads_are_retired_and_those_in_use_are_not() {
+    let mut harness = started();
+    for drained in [2, 3, 4] {
+        harness.list(
+            (1..=8)
+                .map(|port| record(port, port == drained, 500.0))
+                .collect(),
+        );
+        harness.pass(3.0, &[1, 2]);
+    }
+    harness.pass(60.0, &[1, 2]);
+    assert!(!harness.retired.is_empty());
+    assert!(harness
+        .files
+        .values()
+        .all(|set| !harness.retired.contains(&set.version)));
+}
+
+#[test]
+fn a_loop_that_stalled_makes_up_for_no_rounds() {
+    let mut harness = started();
+    harness.now = harness.now + Span::from_seconds(30.0);
+    let mut turns = 0;
+    let until = harness.now + Span::from_seconds(1.0);
+    while harness.now < until {
+        harness.settle();
+        harness.now = harness
+            .core
+            .wake_at(harness.now)
+            .max(harness.now + Span::from_seconds(0.0001));
+        turns += 1;
+    }
+    assert!(turns < 200, "{turns} turns in a second");
+}
+
+#[test]
+fn the_same_observations_give_the_same_files() {
+    let files = || {
+        started()
+            .files
+            .into_iter()
+            .map(|(name, set)| (name, set.as_ref().clone()))
+            .collect::<Vec<_>>()
+    };
+    assert_eq!(files(), files());
+}
+
+/// The same fleet with capacities by kind: nodes 1 to 4 are configured with four times the capacity of 5 to 8.
+fn solving() -> Harness {
+    let mut plan = plan();
+    plan.kinds = vec!["large".to_string(), "small".to_string()];
+    plan.solver = Some(crate::deployment::SolverPlan {
+        capacities: BTreeMap::from([("large".to_string(), 4.0), ("small".to_string(), 1.0)]),
+        work: ["quote", "book"]
+            .map(|name| {
+                (
+                    name.to_string(),
+                    crate::deployment::Work(Span::from_seconds(0.1)),
+                )
+            })
+            .into(),
+        every: Span::from_seconds(1.0),
+        least_share: 0.05,
+        fill_at_most: 0.85,
+    });
+    let mut harness = Harness::with(plan, RecoveredState::default());
+    harness.list(kinds(false));
+    harness.join(1, "n1", "north");
+    harness.join(2, "s1", "south");
+    harness
+}
+
+fn kinds(drains: bool) -> Vec<EndpointRecord> {
+    let kind = |port: u16| if port <= 4 { "large" } else { "small" };
+    let of = |port: u16| EndpointRecord {
+        kind: kind(port).to_string(),
+        ..record(port, drains && port == 2, 500.0)
+    };
+    (1..=8).map(of).collect()
+}
+
+#[test]
+fn solved_weights_follow_the_configured_capacities_and_what_is_measured() {
+    let mut harness = solving();
+    harness.pass(12.0, &[1, 2]);
+    let weights = |harness: &Harness| {
+        let of = |port: u16| harness.core.solver.weight(node(port)).unwrap_or(1.0);
+        (of(2), of(6))
+    };
+    // One quote every period or so at each of them: little is measured, so the configured capacity stands.
+    let (large, small) = weights(&harness);
+    assert!(
+        (2.0..6.0).contains(&(large / small)),
+        "{large} beside {small}"
+    );
+    assert!(harness
+        .log
+        .iter()
+        .any(|event| matches!(event, LogEvent::WeightsSolved { .. })));
+    assert!(!harness.nodes_of("n1").is_empty());
+}
+
+#[test]
+fn a_solve_that_fails_leaves_the_last_weights_and_is_logged() {
+    let mut harness = solving();
+    harness.pass(6.0, &[1, 2]);
+    let before = harness.core.solver.weight(node(6));
+    // Demand that no node is left to serve can't be solved: every node drains.
+    let records = kinds(false)
+        .into_iter()
+        .map(|record| EndpointRecord {
+            draining: true,
+            ..record
+        })
+        .collect();
+    harness.list(records);
+    harness.pass(4.0, &[1, 2]);
+    let failed = |event: &LogEvent| matches!(event, LogEvent::SolverFailed { reason } if reason.contains("no capacity"));
+    assert!(harness.log.iter().any(failed));
+    assert_eq!(harness.core.solver.weight(node(6)), before);
+}
+
+#[test]
+fn with_solved_weights_a_drained_node_leaves_as_soon_as_without() {
+    let mut harness = solving();
+    harness.pass(6.0, &[1, 2]);
+    harness.list(kinds(true));
+    harness.pass(0.5, &[1, 2]);
+    assert!(!harness.nodes_of("n1").contains(&2) && !harness.nodes_of("n1").is_empty());
+}
+
+// ---- streams ----
+
+fn ports(set: &TableSet) -> Vec<u16> {
+    set.operations[0]
+        .entries
+        .iter()
+        .map(|entry| entry.node.port)
+        .collect()
+}
+
+#[test]
+fn a_proxy_that_reads_a_stream_gets_no_files_and_after_a_break_only_the_newest_tables() {
+    let mut harness = started();
+    harness.subscribe(9, "x1", "north", None);
+    harness.pass(2.0, &[1, 2]);
+    assert!(!harness.files.contains_key("x1"));
+    assert!(harness
+        .last_sent(9)
+        .is_some_and(|set| !ports(set).is_empty()));
+    let sent = harness.sends.len();
+    harness.core.observe(
+        harness.now,
+        Observation::Unsubscribed {
+            stream: StreamId(9),
+        },
+    );
+    for drains in 1..=3 {
+        harness.list(
+            (1..=8)
+                .map(|port| record(port, port <= drains, 500.0))
+                .collect(),
+        );
+        harness.pass(1.0, &[1, 2]);
+    }
+    assert_eq!(
+        harness.sends.len(),
+        sent,
+        "nothing is sent while no stream is open"
+    );
+    harness.subscribe(10, "x1", "north", Some(1));
+    // Shorter than the least time between two steps: an ordinary step may follow the newest version.
+    harness.pass(0.1, &[1, 2]);
+    let (to, set) = harness.sends.last().expect("it came back");
+    assert_eq!(*to, StreamId(10));
+    assert!(ports(set).iter().all(|port| *port > 3), "{:?}", ports(set));
+    let versions: BTreeSet<Version> = harness.sends[sent..]
+        .iter()
+        .map(|(_, set)| set.version)
+        .collect();
+    assert_eq!(versions.len(), 1);
+}
+
+#[test]
+fn versions_go_on_above_what_a_proxy_says_it_holds_unless_that_is_implausible() {
+    let mut harness = started();
+    harness.subscribe(9, "x1", "north", Some(70_000));
+    harness.subscribe(10, "x2", "south", Some(u64::MAX));
+    harness.list((1..=7).map(|port| record(port, false, 500.0)).collect());
+    harness.pass(1.0, &[1, 2]);
+    let version = harness.last_sent(9).expect("sent").version;
+    assert!(
+        version > Version(70_000) && version < Version(71_000),
+        "{version:?}"
+    );
+}
+
+#[test]
+fn a_proxy_keeps_its_stream_of_load_reports_beside_its_stream_of_tables() {
+    let mut harness = started();
+    harness.subscribe(9, "n1", "north", None);
+    harness.subscribe(10, "x1", "south", None);
+    harness.join(11, "x1", "south");
+    harness.pass(1.0, &[1, 2, 11]);
+    assert_eq!(harness.closed, [], "neither is in the other's way");
+    harness.subscribe(12, "x1", "south", None);
+    assert_eq!(
+        harness.closed[0].0,
+        StreamId(10),
+        "a second stream of tables takes the place of the first"
+    );
+    assert!(harness
+        .core
+        .members()
+        .member("x1")
+        .is_some_and(Member::is_joined));
+}
+
+#[test]
+fn paused_updates_wait_and_removals_do_not() {
+    let mut harness = started();
+    harness.subscribe(9, "x1", "north", None);
+    harness.pass(1.0, &[1, 2]);
+    let bundle = harness.last_sent(9).expect("sent").bundle;
+    let until = harness.now + Span::from_seconds(5.0);
+    harness
+        .core
+        .observe(harness.now, Observation::UpdatesPaused { bundle, until });
+    let sent = harness.sends.len();
+    let mut records: Vec<EndpointRecord> = (1..=8).map(|port| record(port, false, 500.0)).collect();
+    records.push(record(9, false, 500.0));
+    harness.list(records.clone());
+    harness.pass(2.0, &[1, 2]);
+    assert_eq!(harness.sends.len(), sent, "a node that comes can wait");
+    records[1].draining = true;
+    harness.list(records);
+    harness.pass(1.0, &[1, 2]);
+    assert!(
+        !ports(harness.last_sent(9).expect("sent")).contains(&2),
+        "a drain can't"
+    );
+    harness.pass(4.0, &[1, 2]);
+    assert!(ports(harness.last_sent(9).expect("sent")).contains(&9));
+}
+
+/// A node's share of the first operation's weights.
+fn weight_share(set: &TableSet, port: u16) -> f64 {
+    let entries = &set.operations[0].entries;
+    let total: f64 = entries.iter().map(|entry| entry.weight).sum();
+    entries
+        .iter()
+        .find(|entry| entry.node.port == port)
+        .map_or(0.0, |entry| entry.weight / total)
+}
+
+/// A rollback from `newer` to `old`, of the proxy that reads stream 9.
+struct Rollback {
+    harness: Harness,
+    old: Arc<TableSet>,
+    newer: Arc<TableSet>,
+}
+
+fn rolled_back() -> Rollback {
+    let mut harness = started();
+    harness.subscribe(9, "x1", "north", None);
+    harness.pass(1.0, &[1, 2]);
+    let old = harness.last_sent(9).expect("sent").clone();
+    // An operator's list gives two nodes other weights; one drains, one restarts and warms up.
+    let mut records: Vec<EndpointRecord> = (1..=8).map(|port| record(port, false, 500.0)).collect();
+    (records[1].weight, records[3].weight) = (5.0, 0.2);
+    records[5].draining = true;
+    records[7] = record(8, false, 0.0);
+    harness.list(records);
+    harness.pass(3.0, &[1, 2]);
+    let newer = harness.last_sent(9).expect("sent").clone();
+    assert!(weight_share(&newer, 2) > 3.0 * weight_share(&newer, 4));
+    harness.roll_back(1, old.bundle, old.version);
+    harness.pass(20.0, &[1, 2]);
+    Rollback {
+        harness,
+        old,
+        newer,
+    }
+}
+
+#[test]
+fn a_rollback_goes_to_the_old_weights_without_nodes_that_drain_or_warm_up() {
+    let Rollback {
+        harness,
+        old,
+        newer,
+    } = rolled_back();
+    let result = harness.rollbacks[0].clone().expect("the version is kept");
+    let excluded: Vec<(u16, &str)> = result
+        .excluded
+        .iter()
+        .map(|(node, why)| (node.port, why.as_str()))
+        .collect();
+    assert_eq!(excluded, [(6, "drains"), (8, "cold")]);
+    let now = harness.last_sent(9).expect("sent");
+    assert!(now.version > newer.version, "versions never fall");
+    let ratio = weight_share(now, 2) / weight_share(now, 4);
+    let old_ratio = weight_share(&old, 2) / weight_share(&old, 4);
+    assert!((ratio / old_ratio - 1.0).abs() < 0.3, "{ratio}");
+    assert!(!ports(now).contains(&6));
+}
+
+#[test]
+fn an_unknown_version_is_refused_and_the_end_of_a_rollback_gives_the_listed_weights_back() {
+    let Rollback {
+        mut harness, old, ..
+    } = rolled_back();
+    harness.roll_back(2, old.bundle, Version(1 << 40));
+    harness
+        .core
+        .observe(harness.now, Observation::EndRollback { request: 3 });
+    harness.pass(4.0, &[1, 2]);
+    assert!(harness.rollbacks[1]
+        .as_ref()
+        .is_err_and(|error| error.to_string().contains("is not kept")));
+    let ended = harness.last_sent(9).expect("sent");
+    assert!(
+        weight_share(ended, 2) > 3.0 * weight_share(ended, 4),
+        "the list's weights are back"
+    );
+}
