--- a/crates/cli/src/measure/conductor.rs
+++ b/crates/cli/src/measure/conductor.rs
@@ -244,7 +244,7 @@
                 .flatten();
             let lines: Option<Vec<NodeId>> = held.map(|held| {
                 held.orders.operations[0]
-                    .lines
+                    .entries
                     .iter()
                     .map(|line| line.node)
                     .collect()
--- a/crates/cli/src/measure/streams.rs
+++ b/crates/cli/src/measure/streams.rs
@@ -48,9 +48,9 @@
 }
 
 const ASKED: [(ResourceType, &str); 3] = [
-    (ResourceType::Endpoints, discovery::LINES_APART),
-    (ResourceType::Entries, discovery::LINE),
-    (ResourceType::Routes, discovery::OPERATIONS),
+    (ResourceType::Endpoints, discovery::LEDS_ASSIGNMENT_PREFIX),
+    (ResourceType::Entries, discovery::ENTRY_PREFIX),
+    (ResourceType::Routes, discovery::ALL_OPERATIONS),
 ];
 const NAMES: [&str; 2] = ["quote", "plan"];
 
@@ -87,13 +87,16 @@
             ClientEvent::Opened => {
                 for (at, (kind, prefix)) in ASKED.iter().enumerate() {
                     let who = (at == 0).then_some(&self.who);
-                    self.connection
-                        .send(&discovery::ask(who, None, &hello(*kind, prefix)));
+                    self.connection.send(&discovery::encode_delta_request(
+                        who,
+                        None,
+                        &hello(*kind, prefix),
+                    ));
                 }
                 Ok(false)
             }
             ClientEvent::Message { bytes } => {
-                let told = discovery::read_told(&bytes);
+                let told = discovery::decode_delta_response(&bytes);
                 let told = told.map_err(|error| DrillError::NotReady(error.to_string()))?;
                 self.bytes += bytes.len() as u64;
                 if told.resource_type == ResourceType::Entries {
@@ -102,7 +105,8 @@
                 let complete = told.resource_type == ResourceType::Routes;
                 self.complete += u64::from(complete);
                 let ask = Request::delta_ack(told.resource_type, told.nonce);
-                self.connection.send(&discovery::ask(None, None, &ask));
+                self.connection
+                    .send(&discovery::encode_delta_request(None, None, &ask));
                 Ok(complete)
             }
         }
@@ -169,7 +173,8 @@
         let socket = reactor::connect(listen.0, listen.1).map_err(io("a stream"))?;
         poll.add(&socket, Token(number as u64), Interest::Edges)
             .map_err(io("a stream"))?;
-        let connection = ClientConnection::new(begin, socket, discovery::DELTA, Limits::default());
+        let connection =
+            ClientConnection::new(begin, socket, discovery::DELTA_METHOD, Limits::default());
         let zone = ["a", "b", "c"][number % 3].to_string();
         let who = Introduction {
             name: name(number),
--- a/crates/cli/tests/changes.rs
+++ b/crates/cli/tests/changes.rs
@@ -13,7 +13,7 @@
 use wheelspread::time::Span;
 use wheelspread_controller_core::load_report::{LoadReport, NodeReport, OperationReport};
 use wheelspread_files::read_tables;
-use wheelspread_xds::{loads, tables::Orders};
+use wheelspread_xds::{loads, tables::ProxyTables};
 
 const PORTS: [u16; 6] = [9101, 9102, 9103, 9104, 9105, 9106];
 const MOVED: u16 = 9101;
@@ -40,7 +40,7 @@
     stream: Option<Client>,
     reported: Instant,
     /// What each gateway held, one after the other.
-    held: BTreeMap<&'static str, Vec<Orders>>,
+    held: BTreeMap<&'static str, Vec<ProxyTables>>,
 }
 
 fn zone_of(gateway: &str) -> &'static str {
@@ -235,7 +235,7 @@
             };
             // Of which gateways they are is told by their nodes.
             let south = told.orders.operations[0]
-                .lines
+                .entries
                 .iter()
                 .any(|line| line.node.port >= PORTS[3]);
             let gateway = if south { "s1" } else { "n1" };
@@ -247,7 +247,11 @@
     }
 }
 
-fn note(held: &mut BTreeMap<&'static str, Vec<Orders>>, name: &'static str, orders: Orders) {
+fn note(
+    held: &mut BTreeMap<&'static str, Vec<ProxyTables>>,
+    name: &'static str,
+    orders: ProxyTables,
+) {
     let all = held.entry(name).or_default();
     if all.last().is_none_or(|last| last.version != orders.version) {
         all.push(orders);
@@ -255,9 +259,9 @@
 }
 
 /// Whether tables are of the new configuration; what is of both, or of neither, is an error.
-fn is_new(gateway: &str, orders: &Orders) -> Result<bool, String> {
+fn is_new(gateway: &str, orders: &ProxyTables) -> Result<bool, String> {
     let told = &orders.operations[0];
-    let moved = told.lines.iter().any(|line| line.node.port == MOVED);
+    let moved = told.entries.iter().any(|line| line.node.port == MOVED);
     let seconds = told.timeout.map_or(0.0, |span| span.seconds());
     match (zone_of(gateway), seconds, moved) {
         (_, 3.0, moved) if moved == (zone_of(gateway) == "north") || !moved => Ok(false),
@@ -356,7 +360,7 @@
     let names = |world: &World, port: u16| {
         world.held["n1"]
             .last()
-            .is_some_and(|o| o.operations[0].lines.iter().any(|l| l.node.port == port))
+            .is_some_and(|o| o.operations[0].entries.iter().any(|l| l.node.port == port))
     };
     while names(&world, PORTS[1]) {
         world.turn();
@@ -507,7 +511,7 @@
     for (name, held) in &world.held {
         let lines = held
             .last()
-            .map_or(0, |orders| orders.operations[0].lines.len());
+            .map_or(0, |orders| orders.operations[0].entries.len());
         assert_eq!(lines, 3, "{name}");
     }
     // The same list, back again, is taken though its version is the one remembered.
--- a/crates/cli/tests/common/client.rs
+++ b/crates/cli/tests/common/client.rs
@@ -7,7 +7,7 @@
 use wheelspread_discovery::{DeltaClient, ResourceType, TypeSubscription};
 use wheelspread_grpc::{ClientConnection, ClientEvent, Limits};
 use wheelspread_reactor as reactor;
-use wheelspread_xds::{discovery, tables::Orders};
+use wheelspread_xds::{discovery, tables::ProxyTables};
 
 /// A client of lines that can be told to refuse what it gets.
 pub struct Client {
@@ -16,7 +16,7 @@
     pub reader: DeltaClient,
     pub silent: bool,
     pub refuses: bool,
-    pub orders: Option<Orders>,
+    pub orders: Option<ProxyTables>,
     pub over: Option<String>,
     pub refused: BTreeSet<Version>,
 }
@@ -26,15 +26,15 @@
         let kinds = vec![
             TypeSubscription::new(
                 ResourceType::Endpoints,
-                vec![format!("{}quote", discovery::LINES_APART)],
+                vec![format!("{}quote", discovery::LEDS_ASSIGNMENT_PREFIX)],
             ),
             TypeSubscription::new(
                 ResourceType::Entries,
-                vec![format!("{}quote/*", discovery::LINE)],
+                vec![format!("{}quote/*", discovery::ENTRY_PREFIX)],
             ),
             TypeSubscription::new(
                 ResourceType::Routes,
-                vec![discovery::OPERATIONS.to_string()],
+                vec![discovery::ALL_OPERATIONS.to_string()],
             ),
         ];
         Client {
@@ -74,8 +74,11 @@
             ClientEvent::Opened => {
                 for ask in self.reader.initial_requests() {
                     let who = std::mem::take(&mut self.silent).then_some(&self.who);
-                    self.connection
-                        .send(&discovery::ask(who, self.reader.version(), &ask));
+                    self.connection.send(&discovery::encode_delta_request(
+                        who,
+                        self.reader.version(),
+                        &ask,
+                    ));
                 }
             }
             ClientEvent::Message { bytes } => self.told(&bytes),
@@ -83,12 +86,12 @@
     }
 
     fn told(&mut self, bytes: &[u8]) {
-        let told = discovery::read_told(bytes).expect("of the published form");
+        let told = discovery::decode_delta_response(bytes).expect("of the published form");
         let (refuses, mut made) = (self.refuses, None);
         let step = self.reader.handle_response(&told, |reader, version| {
             let values = |kind| reader.resources(kind).map(|(_, bytes)| bytes);
             let lines = reader.resources(ResourceType::Entries);
-            made = discovery::orders(
+            made = discovery::decode_tables(
                 version,
                 lines,
                 values(ResourceType::Endpoints),
@@ -111,14 +114,14 @@
             self.orders = made;
         }
         self.connection
-            .send(&discovery::ask(None, None, &step.reply));
+            .send(&discovery::encode_delta_request(None, None, &step.reply));
     }
 
     pub fn ports(&self) -> Vec<u16> {
         let lines = self
             .orders
             .iter()
-            .flat_map(|orders| &orders.operations[0].lines);
+            .flat_map(|orders| &orders.operations[0].entries);
         lines.map(|line| line.node.port).collect()
     }
 
@@ -129,5 +132,10 @@
 
 pub fn connect(stage: &Stage) -> ClientConnection {
     let socket = reactor::connect(stage.listen.ip().octets(), stage.listen.port()).expect("dials");
-    ClientConnection::new(reactor::now(), socket, discovery::DELTA, Limits::default())
+    ClientConnection::new(
+        reactor::now(),
+        socket,
+        discovery::DELTA_METHOD,
+        Limits::default(),
+    )
 }
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -140,7 +140,7 @@
     pub fn held(&self, name: &str) -> Option<(u64, Vec<u16>)> {
         let held = read_tables(&self.gateway(name)).expect("whole tables at any time")?;
         let ports = held.orders.operations[0]
-            .lines
+            .entries
             .iter()
             .map(|line| line.node.port)
             .collect();
--- a/crates/cli/tests/streams.rs
+++ b/crates/cli/tests/streams.rs
@@ -247,7 +247,9 @@
         for stalled in stalled.iter_mut().filter(|stalled| stalled.silent) {
             for ask in stalled.reader.initial_requests() {
                 let who = std::mem::take(&mut stalled.silent).then_some(&stalled.who);
-                stalled.connection.send(&discovery::ask(who, None, &ask));
+                stalled
+                    .connection
+                    .send(&discovery::encode_delta_request(who, None, &ask));
             }
         }
         client.turn();
@@ -295,7 +297,7 @@
                             error: None,
                             body: mode,
                         };
-                        bad.send(&discovery::ask(None, None, &ask));
+                        bad.send(&discovery::encode_delta_request(None, None, &ask));
                     }
                 }
                 bad.turn(reactor::now());
@@ -350,7 +352,7 @@
         wheelspread_grpc::tls::client(&put("client-roots.pem", &roots.0.pem()), keys.as_ref());
     let socket = reactor::connect(stage.listen.ip().octets(), stage.listen.port()).expect("dials");
     let server = wheelspread_grpc::ServerName::try_from("conductor").expect("a name");
-    let (now, path) = (reactor::now(), discovery::DELTA);
+    let (now, path) = (reactor::now(), discovery::DELTA_METHOD);
     let plan = plan.expect("keys that fit");
     let mut client = Client::dial(stage, name, "north");
     client.connection =
--- a/crates/controller/src/front.rs
+++ b/crates/controller/src/front.rs
@@ -107,7 +107,7 @@
             .filter(|known| known.version == set.version);
         let content: Arc<Snapshot> = match known {
             Some(known) => known.clone(),
-            None => Arc::new(discovery::resources(set, &self.plan)),
+            None => Arc::new(discovery::encode_snapshot(set, &self.plan)),
         };
         self.front.offer(stream, &content);
         streams.offer(stream);
@@ -119,7 +119,7 @@
             let mut news = Vec::new();
             while let Some(answer) = self.front.next_response(now, stream, &mut news) {
                 let body = self.body(&answer);
-                let message = discovery::with_nonce(&body, &answer);
+                let message = discovery::append_nonce(&body, &answer);
                 streams.send(stream, &message);
             }
             self.told(now, session, streams, news);
@@ -128,7 +128,7 @@
 
     fn body(&mut self, answer: &Response) -> Arc<Vec<u8>> {
         let Some(shared) = answer.delta_key else {
-            return Arc::new(discovery::body(answer));
+            return Arc::new(discovery::encode_response_body(answer));
         };
         let key = (shared, answer.is_delta);
         if let Some(body) = self.bodies.get(&key) {
@@ -137,7 +137,7 @@
         if self.bodies.len() >= BODIES {
             self.bodies.pop_first();
         }
-        let body = Arc::new(discovery::body(answer));
+        let body = Arc::new(discovery::encode_response_body(answer));
         self.bodies.insert(key, body.clone());
         body
     }
--- a/crates/controller/src/streams.rs
+++ b/crates/controller/src/streams.rs
@@ -192,8 +192,8 @@
     }
 
     fn opened(&mut self, now: Moment, token: Token, key: StreamKey, path: &str) {
-        let delta = path == discovery::DELTA;
-        if delta || path == discovery::WHOLE {
+        let delta = path == discovery::DELTA_METHOD;
+        if delta || path == discovery::STATE_OF_THE_WORLD_METHOD {
             self.next_stream += 1;
             let id = StreamId(self.next_stream);
             self.ids.insert((token, key), id);
@@ -280,16 +280,16 @@
             return;
         };
         let request = if reader.delta {
-            discovery::read_delta(bytes)
+            discovery::decode_delta_request(bytes)
         } else {
-            discovery::read_whole(bytes)
+            discovery::decode_state_of_the_world_request(bytes)
         };
         let request = match request {
             Ok(request) => request,
             Err(error) => return self.close(id, Status::InvalidArgument, &error.to_string()),
         };
         if !reader.introduced {
-            let Some(who) = request.who else {
+            let Some(who) = request.introduction else {
                 return self.close(
                     id,
                     Status::InvalidArgument,
@@ -307,10 +307,10 @@
             told.push(Observation::Subscribed {
                 stream: id,
                 introduction: who,
-                initial_version: request.holds,
+                initial_version: request.held_version,
             });
         }
-        self.asks.push((id, request.ask));
+        self.asks.push((id, request.request));
     }
 
     /// What readers asked for since the last call.
--- a/crates/drill/src/gateways.rs
+++ b/crates/drill/src/gateways.rs
@@ -248,10 +248,10 @@
 
 pub fn lines(held: &Held) -> Lines {
     let line = |line: &wheelspread_controller_core::TableEntry| (show(line.node), line.weight);
-    let of = |told: &wheelspread_xds::tables::OperationOrders| {
+    let of = |told: &wheelspread_xds::tables::ProxyTable| {
         (
             told.operation.clone(),
-            told.lines.iter().map(line).collect(),
+            told.entries.iter().map(line).collect(),
         )
     };
     held.orders.operations.iter().map(of).collect()
--- a/crates/files/src/read.rs
+++ b/crates/files/src/read.rs
@@ -5,8 +5,8 @@
 use std::io::{self, Read};
 use std::path::{Path, PathBuf};
 use wheelspread_controller_core::publication::Version;
-use wheelspread_xds::tables::{self, Documents, Orders};
-use wheelspread_xds::Unreadable;
+use wheelspread_xds::tables::{self, Documents, ProxyTables};
+use wheelspread_xds::DecodeError;
 
 /// Longer documents are no tables of ours.
 pub const LONGEST: u64 = 256 << 20;
@@ -16,7 +16,7 @@
 /// Tables read whole, and what they can be known again by.
 #[derive(Clone, Debug)]
 pub struct Held {
-    pub orders: Orders,
+    pub orders: ProxyTables,
     /// Of both documents, SHA-256 in hexadecimal.
     pub hash: String,
 }
@@ -30,7 +30,7 @@
     #[error("version {}: {source}", .version.0)]
     Content {
         version: Version,
-        source: Unreadable,
+        source: DecodeError,
     },
 }
 
--- a/crates/files/src/writer/tests.rs
+++ b/crates/files/src/writer/tests.rs
@@ -67,7 +67,10 @@
     let held = read_tables(&root.gateway("g1"))
         .expect("readable")
         .expect("there");
-    (held.orders.version.0, held.orders.operations[0].lines.len())
+    (
+        held.orders.version.0,
+        held.orders.operations[0].entries.len(),
+    )
 }
 
 // Every place at which kill -9 can strike, with what the next conductor and the proxy then find.
@@ -180,9 +183,9 @@
             while !stop.load(Ordering::Relaxed) {
                 let held = read_tables(&gateway).expect("whole").expect("there");
                 let (version, operation) = (held.orders.version.0, &held.orders.operations[0]);
-                assert_eq!(operation.lines.len() as u64, version);
+                assert_eq!(operation.entries.len() as u64, version);
                 assert!(operation
-                    .lines
+                    .entries
                     .iter()
                     .all(|line| line.weight == version as f64));
                 assert!(version >= last, "{version} after {last}");
--- a/crates/proxy/src/proxy/tables.rs
+++ b/crates/proxy/src/proxy/tables.rs
@@ -10,7 +10,7 @@
 use wheelspread_files::Held;
 use wheelspread_proxy_core::{OperationTable, WeightedNode};
 use wheelspread_reactor::Poll;
-use wheelspread_xds::tables::OperationOrders;
+use wheelspread_xds::tables::ProxyTable;
 
 /// Published weights are multiples of one thousandth; the core counts in whole numbers.
 const WEIGHT_UNITS_PER_ONE: f64 = 1000.0;
@@ -89,15 +89,15 @@
     }
 }
 
-fn operation_table(orders: &OperationOrders) -> OperationTable {
+fn operation_table(orders: &ProxyTable) -> OperationTable {
     let entry = |entry: &TableEntry| WeightedNode {
         node: entry.node,
         weight: (entry.weight * WEIGHT_UNITS_PER_ONE).round() as u32,
     };
     OperationTable {
-        entries: orders.lines.iter().map(entry).collect(),
+        entries: orders.entries.iter().map(entry).collect(),
         dropped_of_million: orders.dropped_of_million,
-        rate_limit: orders.rate,
+        rate_limit: orders.rate_limit,
         retry_policy: orders.retry,
         per_attempt_timeout: orders.per_try_timeout,
         request_timeout: orders.timeout,
--- a/crates/proxy/src/table_stream.rs
+++ b/crates/proxy/src/table_stream.rs
@@ -123,7 +123,7 @@
     fn send(&mut self, request: &Request) {
         let is_first = std::mem::take(&mut self.needs_introduction);
         let introduction = is_first.then_some(&self.introduction);
-        let message = discovery::ask(introduction, self.reader.version(), request);
+        let message = discovery::encode_delta_request(introduction, self.reader.version(), request);
         if let Some(connection) = &mut self.connection {
             connection.send(&message);
         }
@@ -134,19 +134,19 @@
         bytes: &[u8],
         updates: &mut Vec<TableUpdate>,
     ) -> Result<(), StreamError> {
-        let response =
-            discovery::read_told(bytes).map_err(|error| StreamError::Message(error.to_string()))?;
+        let response = discovery::decode_delta_response(bytes)
+            .map_err(|error| StreamError::Message(error.to_string()))?;
         let mut complete_orders = None;
         let step = self.reader.handle_response(&response, |reader, version| {
             let values = |kind| reader.resources(kind).map(|(_, bytes)| bytes);
-            let orders = discovery::orders(
+            let orders = discovery::decode_tables(
                 version,
                 reader.resources(ResourceType::Entries),
                 values(ResourceType::Endpoints),
                 values(ResourceType::Routes),
             );
             complete_orders = Some(orders?);
-            Ok::<(), wheelspread_xds::Unreadable>(())
+            Ok::<(), wheelspread_xds::DecodeError>(())
         });
         // A stream that starts again rejects nothing: the same version comes whole.
         if let Some(reason) = step
@@ -192,7 +192,7 @@
     ) -> io::Result<ClientConnection> {
         let socket = reactor::connect_from(self.source, address.ip().octets(), address.port())?;
         poll.add(&socket, self.token, Interest::Edges)?;
-        tls::connect(now, socket, discovery::DELTA, self.tls.as_ref())
+        tls::connect(now, socket, discovery::DELTA_METHOD, self.tls.as_ref())
     }
 
     /// When it has to be polled at the latest.
@@ -207,16 +207,16 @@
     let operations = &config.core.operations;
     let assignments = operations
         .iter()
-        .map(|operation| format!("{}{}", discovery::LINES_APART, operation.name));
+        .map(|operation| format!("{}{}", discovery::LEDS_ASSIGNMENT_PREFIX, operation.name));
     let entries = operations
         .iter()
-        .map(|operation| format!("{}{}/*", discovery::LINE, operation.name));
+        .map(|operation| format!("{}{}/*", discovery::ENTRY_PREFIX, operation.name));
     vec![
         TypeSubscription::new(ResourceType::Endpoints, assignments.collect()),
         TypeSubscription::new(ResourceType::Entries, entries.collect()),
         TypeSubscription::new(
             ResourceType::Routes,
-            vec![discovery::OPERATIONS.to_string()],
+            vec![discovery::ALL_OPERATIONS.to_string()],
         ),
     ]
 }
--- /dev/null
+++ b/crates/xds/src/discovery/request.rs
@@ -0,0 +1,157 @@
+//! Discovery requests: decoded by a controller, encoded by a client.
+
+use super::{resource_type, type_url};
+use crate::{loads, DecodeError};
+use prost::Message;
+use wheelspread_controller_core::membership::Introduction;
+use wheelspread_controller_core::publication::Version;
+use wheelspread_discovery::{Request, RequestBody};
+use xds_api::pb::envoy::config::core::v3 as core;
+use xds_api::pb::envoy::service::discovery::v3 as discovery;
+use xds_api::pb::google::protobuf::{value, Value};
+use xds_api::pb::google::rpc;
+
+/// The field of a node's metadata with the version that it holds, where the variant has no other place for it.
+const HELD_VERSION: &str = "holds";
+/// The status code of a NACK.
+const INVALID_ARGUMENT: i32 = 3;
+/// Characters of a NACK's reason that are kept.
+const MAX_REASON_CHARS: usize = 500;
+/// What the bytes should be, in errors.
+const REQUEST: &str = "a request";
+
+/// A decoded request.
+#[derive(Debug)]
+pub struct DecodedRequest {
+    /// Who introduces itself in it.
+    pub introduction: Option<Introduction>,
+    /// What it requests, acknowledges or rejects.
+    pub request: Request,
+    /// The version that the client says it holds from another stream.
+    pub held_version: Option<Version>,
+}
+
+/// Decodes a request of the state-of-the-world variant.
+pub fn decode_state_of_the_world_request(bytes: &[u8]) -> Result<DecodedRequest, DecodeError> {
+    let message =
+        discovery::DiscoveryRequest::decode(bytes).map_err(DecodeError::message(REQUEST))?;
+    // In later requests the version acknowledges a response instead.
+    let held_version = message
+        .version_info
+        .parse()
+        .ok()
+        .map(Version)
+        .filter(|_| message.response_nonce.is_empty());
+    Ok(DecodedRequest {
+        introduction: introduction(message.node.as_ref()),
+        request: Request {
+            resource_type: resource_type(&message.type_url)?,
+            nonce: message.response_nonce,
+            error: rejection_reason(message.error_detail),
+            body: RequestBody::StateOfTheWorld {
+                names: message.resource_names,
+                version: message.version_info,
+            },
+        },
+        held_version,
+    })
+}
+
+/// Decodes a request of the incremental variant.
+pub fn decode_delta_request(bytes: &[u8]) -> Result<DecodedRequest, DecodeError> {
+    let message =
+        discovery::DeltaDiscoveryRequest::decode(bytes).map_err(DecodeError::message(REQUEST))?;
+    Ok(DecodedRequest {
+        introduction: introduction(message.node.as_ref()),
+        held_version: message.node.as_ref().and_then(held_version),
+        request: Request {
+            resource_type: resource_type(&message.type_url)?,
+            nonce: message.response_nonce,
+            error: rejection_reason(message.error_detail),
+            body: RequestBody::Delta {
+                subscribe: all_names(
+                    message.resource_names_subscribe,
+                    message.resource_locators_subscribe,
+                ),
+                unsubscribe: all_names(
+                    message.resource_names_unsubscribe,
+                    message.resource_locators_unsubscribe,
+                ),
+                initial_versions: message.initial_resource_versions.into_iter().collect(),
+            },
+        },
+    })
+}
+
+/// Some clients send the names of a collection as locators.
+fn all_names(names: Vec<String>, locators: Vec<discovery::ResourceLocator>) -> Vec<String> {
+    let located = locators.into_iter().map(|locator| locator.name);
+    names.into_iter().chain(located).collect()
+}
+
+fn introduction(node: Option<&core::Node>) -> Option<Introduction> {
+    node.filter(|node| !node.id.is_empty())
+        .map(loads::node_introduction)
+}
+
+fn held_version(node: &core::Node) -> Option<Version> {
+    match node.metadata.as_ref()?.fields.get(HELD_VERSION)?.kind {
+        Some(value::Kind::StringValue(ref version)) => version.parse().ok().map(Version),
+        _ => None,
+    }
+}
+
+fn rejection_reason(error: Option<rpc::Status>) -> Option<String> {
+    error.map(|status| status.message.chars().take(MAX_REASON_CHARS).collect())
+}
+
+/// Encodes a request of the incremental variant. The first one of a stream introduces the client, with the version that
+/// it holds.
+pub fn encode_delta_request(
+    introduction: Option<&Introduction>,
+    held_version: Option<Version>,
+    request: &Request,
+) -> Vec<u8> {
+    let (subscribe, unsubscribe, initial_versions) = match &request.body {
+        RequestBody::Delta {
+            subscribe,
+            unsubscribe,
+            initial_versions,
+        } => (
+            subscribe.clone(),
+            unsubscribe.clone(),
+            initial_versions.clone(),
+        ),
+        RequestBody::StateOfTheWorld { names, .. } => {
+            (names.clone(), Vec::new(), Default::default())
+        }
+    };
+    let error_detail = request.error.as_ref().map(|reason| rpc::Status {
+        code: INVALID_ARGUMENT,
+        message: reason.clone(),
+        ..rpc::Status::default()
+    });
+    discovery::DeltaDiscoveryRequest {
+        node: introduction.map(|introduction| introducing_node(introduction, held_version)),
+        type_url: type_url(request.resource_type),
+        resource_names_subscribe: subscribe,
+        resource_names_unsubscribe: unsubscribe,
+        initial_resource_versions: initial_versions.into_iter().collect(),
+        response_nonce: request.nonce.clone(),
+        error_detail,
+        ..discovery::DeltaDiscoveryRequest::default()
+    }
+    .encode_to_vec()
+}
+
+fn introducing_node(introduction: &Introduction, held_version: Option<Version>) -> core::Node {
+    let mut node = loads::introducing_node(introduction);
+    if let Some(version) = held_version {
+        let kind = Some(value::Kind::StringValue(version.0.to_string()));
+        let metadata = node.metadata.get_or_insert_default();
+        metadata
+            .fields
+            .extend([(HELD_VERSION.to_string(), Value { kind })]);
+    }
+    node
+}
--- a/crates/xds/src/json.rs
+++ b/crates/xds/src/json.rs
@@ -1,6 +1,6 @@
 //! Messages to and from canonical proto3 JSON, by the descriptors of the published definitions.
 
-use crate::Unreadable;
+use crate::{DecodeError, EncodeError};
 use prost::{Message, Name};
 use prost_reflect::{
     DescriptorPool, DeserializeOptions, DynamicMessage, MessageDescriptor, SerializeOptions,
@@ -11,12 +11,14 @@
 use xds_api::pb::envoy::service::discovery::v3::DiscoveryResponse;
 use xds_api::pb::google::protobuf::Any;
 
-/// The local rate limit of a route, which the crate of definitions leaves out: the fields that say how
-/// many invocations a second are let in (`local_rate_limit.proto`, fields 1 and 3).
+/// The local rate limit of a route, which the crate of definitions lacks: the fields that say how many requests a
+/// second are admitted (`local_rate_limit.proto`, fields 1 and 3).
 #[derive(Clone, PartialEq, Message)]
 pub struct LocalRateLimit {
+    /// The prefix of its metrics.
     #[prost(string, tag = "1")]
     pub stat_prefix: String,
+    /// How many requests are admitted.
     #[prost(message, optional, tag = "3")]
     pub token_bucket: Option<xds_api::pb::envoy::r#type::v3::TokenBucket>,
 }
@@ -34,7 +36,8 @@
     }
 }
 
-fn local_rate_limit() -> FileDescriptorProto {
+/// The descriptor of [`LocalRateLimit`].
+fn local_rate_limit_file() -> FileDescriptorProto {
     let field = |name: &str, number: i32, of: Type, type_name: Option<&str>| FieldDescriptorProto {
         name: Some(name.to_string()),
         number: Some(number),
@@ -70,26 +73,28 @@
 fn pool() -> &'static DescriptorPool {
     static POOL: OnceLock<DescriptorPool> = OnceLock::new();
     POOL.get_or_init(|| {
-        // Built into the program: whether they fit together is settled by the first test, not by input.
+        // Invariant: the definitions are built into the program. Whether they fit together depends on no input, so any
+        // test that writes JSON would fail first.
         let mut pool =
             DescriptorPool::decode(xds_api::FILE_DESCRIPTOR_SET).expect("the definitions decode");
-        pool.add_file_descriptor_proto(local_rate_limit())
+        pool.add_file_descriptor_proto(local_rate_limit_file())
             .expect("the added definition fits them");
         pool
     })
 }
 
 fn descriptor<T: Name>() -> MessageDescriptor {
+    // Invariant: `T` is one of the definitions in the pool, or `LocalRateLimit`, which is added to it.
     pool()
         .get_message_by_name(&T::full_name())
         .expect("a message of the definitions")
 }
 
-/// Canonical JSON: field names in lowerCamelCase, numbers as numbers where they are, 64 bits as text.
-pub fn write<T: Message + Name>(message: &T) -> Result<String, Unreadable> {
-    let named = |text: String| Unreadable::Json {
+/// Writes canonical JSON: field names in lowerCamelCase, numbers as numbers where they are, 64 bits as text.
+pub fn write<T: Message + Name>(message: &T) -> Result<String, EncodeError> {
+    let named = |reason: String| EncodeError {
         message: T::full_name(),
-        text,
+        reason,
     };
     let bytes = message.encode_to_vec();
     let dynamic = DynamicMessage::decode(descriptor::<T>(), bytes.as_slice())
@@ -106,11 +111,11 @@
     String::from_utf8(out).map_err(|e| named(e.to_string()))
 }
 
-/// Unknown fields are refused: a list with a misspelt health status must not pass for a healthy one.
-pub fn read<T: Message + Name + Default>(text: &str) -> Result<T, Unreadable> {
-    let named = |text: String| Unreadable::Json {
+/// Reads canonical JSON. Unknown fields are refused: a list with a misspelt health status must not pass for a healthy one.
+pub fn read<T: Message + Name + Default>(text: &str) -> Result<T, DecodeError> {
+    let named = |reason: String| DecodeError::Json {
         message: T::full_name(),
-        text,
+        reason,
     };
     let mut from = serde_json::Deserializer::from_str(text);
     let options = DeserializeOptions::new().deny_unknown_fields(true);
@@ -120,7 +125,7 @@
     T::decode(dynamic.encode_to_vec().as_slice()).map_err(|e| named(e.to_string()))
 }
 
-/// A response that holds resources of one kind.
+/// A response that holds resources of one type.
 pub fn response<T: Message + Name>(version: &str, resources: &[T]) -> DiscoveryResponse {
     let any = |resource: &T| Any {
         type_url: T::type_url(),
@@ -134,23 +139,21 @@
     }
 }
 
+/// The resources of a response, which must all be of one type.
 pub fn resources<T: Message + Name + Default>(
     response: &DiscoveryResponse,
-) -> Result<Vec<T>, Unreadable> {
+) -> Result<Vec<T>, DecodeError> {
     let mut found = Vec::new();
-    for (at, any) in response.resources.iter().enumerate() {
+    for (index, any) in response.resources.iter().enumerate() {
         if any.type_url != T::type_url() {
-            return Err(Unreadable::Kind {
-                at,
+            return Err(DecodeError::ResourceType {
+                index,
                 found: any.type_url.clone(),
-                wanted: T::type_url(),
+                expected: T::type_url(),
             });
         }
         let resource = T::decode(any.value.as_slice());
-        found.push(resource.map_err(|e| Unreadable::Decode {
-            at,
-            text: e.to_string(),
-        })?);
+        found.push(resource.map_err(|source| DecodeError::Resource { index, source })?);
     }
     Ok(found)
 }
--- a/crates/xds/src/loads.rs
+++ b/crates/xds/src/loads.rs
@@ -1,7 +1,10 @@
-//! Sums on the load reporting service's stream. The first request introduces the proxy (node id, zone,
-//! and in its metadata `usual_rate`); each brings counts by cluster (operation), zone and endpoint.
+//! Load reports on the load reporting service's stream.
+//!
+//! The first request introduces the proxy (node id, zone, and in its metadata `usual_rate`); each brings counts by
+//! cluster (operation), zone and endpoint.
 
-use crate::{address, content, node_id, Unreadable};
+use crate::convert::{address, duration, locality, node_id, span};
+use crate::DecodeError;
 use prost::Message;
 use std::collections::BTreeMap;
 use wheelspread::time::Span;
@@ -14,55 +17,51 @@
 
 /// The path of the stream.
 pub const METHOD: &str = "/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats";
-/// Beside a zone's counts: tries that repeated an earlier one, where a proxy tells them apart.
-const REPEATS: &str = "repeats";
-
-pub fn decode_request(bytes: &[u8]) -> Result<LoadStatsRequest, Unreadable> {
-    LoadStatsRequest::decode(bytes).map_err(|e| content("a report", e.to_string()))
+/// The metric of a zone that counts retries, where a proxy tells them from first attempts.
+const RETRIES_METRIC: &str = "repeats";
+/// The field of a node's metadata that says how many requests a second it usually forwards.
+const USUAL_RATE: &str = "usual_rate";
+/// The report interval of a response that states none.
+const DEFAULT_INTERVAL: Duration = Duration {
+    seconds: 1,
+    nanos: 0,
+};
+
+/// Decodes a request of a proxy.
+pub fn decode_request(bytes: &[u8]) -> Result<LoadStatsRequest, DecodeError> {
+    LoadStatsRequest::decode(bytes).map_err(DecodeError::message("a report"))
 }
 
-pub fn decode_response(bytes: &[u8]) -> Result<Span, Unreadable> {
-    let response =
-        LoadStatsResponse::decode(bytes).map_err(|e| content("an answer", e.to_string()))?;
-    let interval = response.load_reporting_interval.unwrap_or(Duration {
-        seconds: 1,
-        nanos: 0,
-    });
-    Ok(Span::from_seconds(
-        interval.seconds as f64 + f64::from(interval.nanos) / 1e9,
-    ))
+/// Decodes a response of a controller: the interval at which it wants reports.
+pub fn decode_response(bytes: &[u8]) -> Result<Span, DecodeError> {
+    let response = LoadStatsResponse::decode(bytes).map_err(DecodeError::message("an answer"))?;
+    let interval = response.load_reporting_interval.unwrap_or(DEFAULT_INTERVAL);
+    Ok(span(&interval))
 }
 
-/// Asks for reports of all clusters, by endpoint, at each period.
-pub fn response(period: Span) -> Vec<u8> {
-    let us = period.micros();
-    let interval = Duration {
-        seconds: us / 1_000_000,
-        nanos: (us % 1_000_000) as i32 * 1000,
-    };
+/// Encodes the response that requests reports of all clusters, by endpoint, at this interval.
+pub fn response(interval: Span) -> Vec<u8> {
     LoadStatsResponse {
         send_all_clusters: true,
-        load_reporting_interval: Some(interval),
+        load_reporting_interval: Some(duration(interval)),
         report_endpoint_granularity: true,
         ..LoadStatsResponse::default()
     }
     .encode_to_vec()
 }
 
+/// Who introduces itself in a request, if anybody does.
 pub fn introduction(request: &LoadStatsRequest) -> Option<Introduction> {
-    request.node.as_ref().map(introduced)
+    request.node.as_ref().map(node_introduction)
 }
 
 /// How a node introduces itself, on whichever stream.
-pub(crate) fn introduced(node: &core::Node) -> Introduction {
-    let told = node
+pub(crate) fn node_introduction(node: &core::Node) -> Introduction {
+    let usual_rate = node
         .metadata
         .as_ref()
-        .and_then(|told| told.fields.get("usual_rate"));
-    let usual_rate = match told.and_then(|value| value.kind.as_ref()) {
-        Some(Kind::NumberValue(rate)) => Some(*rate),
-        _ => None,
-    };
+        .and_then(|metadata| metadata.fields.get(USUAL_RATE))
+        .and_then(|value| value.kind.as_ref());
     let zone = node
         .locality
         .as_ref()
@@ -70,73 +69,72 @@
     Introduction {
         name: node.id.clone(),
         zone,
-        usual_rate,
+        usual_rate: match usual_rate {
+            Some(Kind::NumberValue(rate)) => Some(*rate),
+            _ => None,
+        },
     }
 }
 
-/// The first request of a stream, from a proxy that introduces itself.
-pub fn introduce(who: &Introduction) -> LoadStatsRequest {
-    let rate = who.usual_rate.map(|rate| {
-        (
-            "usual_rate".to_string(),
-            Value {
-                kind: Some(Kind::NumberValue(rate)),
-            },
-        )
+/// The node by which a proxy introduces itself, on whichever stream.
+pub(crate) fn introducing_node(introduction: &Introduction) -> core::Node {
+    let metadata = introduction.usual_rate.map(|rate| {
+        let kind = Some(Kind::NumberValue(rate));
+        Struct {
+            fields: [(USUAL_RATE.to_string(), Value { kind })].into(),
+        }
     });
+    core::Node {
+        id: introduction.name.clone(),
+        metadata,
+        locality: Some(locality(&introduction.zone)),
+        ..core::Node::default()
+    }
+}
+
+/// The first request of a stream, from a proxy that introduces itself.
+pub fn introduce(introduction: &Introduction) -> LoadStatsRequest {
     LoadStatsRequest {
-        node: Some(core::Node {
-            id: who.name.clone(),
-            metadata: rate.map(|rate| Struct {
-                fields: [rate].into(),
-            }),
-            locality: Some(core::Locality {
-                zone: who.zone.clone(),
-                ..core::Locality::default()
-            }),
-            ..core::Node::default()
-        }),
+        node: Some(introducing_node(introduction)),
         cluster_stats: Vec::new(),
     }
 }
 
-/// What a request tells of; `None` if it only introduces.
+/// The report of a request; `None` if it only introduces.
 pub fn report(request: &LoadStatsRequest) -> Option<LoadReport> {
     let first = request.cluster_stats.first()?;
     let over = first.load_report_interval.as_ref();
-    let over = over.map_or(0.0, |over| {
-        over.seconds as f64 + f64::from(over.nanos) / 1e9
-    });
     Some(LoadReport {
-        over: Span::from_seconds(over),
-        operations: request.cluster_stats.iter().map(operation).collect(),
+        over: over.map_or(Span::from_seconds(0.0), span),
+        operations: request.cluster_stats.iter().map(decode_cluster).collect(),
     })
 }
 
-fn operation(stats: &endpoint::ClusterStats) -> OperationReport {
-    let localities = stats.upstream_locality_stats.iter();
-    let repeats = localities
-        .clone()
+fn decode_cluster(stats: &endpoint::ClusterStats) -> OperationReport {
+    let localities = &stats.upstream_locality_stats;
+    let retries = localities
+        .iter()
         .flat_map(|locality| &locality.load_metric_stats)
-        .filter(|metric| metric.metric_name == REPEATS)
-        .map(|metric| metric.num_requests_finished_with_metric)
-        .fold(0, u64::saturating_add);
-    let endpoints = localities.flat_map(|locality| &locality.upstream_endpoint_stats);
+        .filter(|metric| metric.metric_name == RETRIES_METRIC)
+        .map(|metric| metric.num_requests_finished_with_metric);
+    let endpoints = localities
+        .iter()
+        .flat_map(|locality| &locality.upstream_endpoint_stats);
     OperationReport {
         operation: stats.cluster_name.clone(),
         rate_limited: stats.total_dropped_requests,
-        repeats,
-        nodes: endpoints.map(node).collect(),
+        repeats: retries.fold(0, u64::saturating_add),
+        nodes: endpoints.map(decode_endpoint).collect(),
     }
 }
 
-fn node(stats: &endpoint::UpstreamEndpointStats) -> NodeReport {
-    let metric = |metric: &endpoint::EndpointLoadMetricStats| {
-        let read = Metric {
-            count: metric.num_requests_finished_with_metric,
-            total: metric.total_metric_value,
+fn decode_endpoint(stats: &endpoint::UpstreamEndpointStats) -> NodeReport {
+    let metric = |stats: &endpoint::EndpointLoadMetricStats| {
+        let metric = Metric {
+            count: stats.num_requests_finished_with_metric,
+            total: stats.total_metric_value,
         };
-        (metric.metric_name.clone(), read)
+        (stats.metric_name.clone(), metric)
     };
     NodeReport {
         node: node_id(stats.address.as_ref()).ok(),
@@ -149,65 +147,61 @@
 
 /// The request that brings a report.
 pub fn request(report: &LoadReport, zone_of: impl Fn(&NodeReport) -> String) -> LoadStatsRequest {
-    let us = report.over.micros();
-    let over = Duration {
-        seconds: us / 1_000_000,
-        nanos: (us % 1_000_000) as i32 * 1000,
-    };
-    let stats = |told: &OperationReport| {
-        let mut zones: BTreeMap<String, Vec<&NodeReport>> = BTreeMap::new();
-        for node in &told.nodes {
-            zones.entry(zone_of(node)).or_default().push(node);
-        }
-        let mut repeats = told.repeats;
-        let locality = |(zone, nodes): (String, Vec<&NodeReport>)| {
-            let mine = std::mem::take(&mut repeats);
-            let metric = (mine > 0).then(|| {
-                metric_stats(
-                    REPEATS,
-                    Metric {
-                        count: mine,
-                        total: mine as f64,
-                    },
-                )
-            });
-            endpoint::UpstreamLocalityStats {
-                locality: Some(core::Locality {
-                    zone,
-                    ..core::Locality::default()
-                }),
-                total_successful_requests: nodes
-                    .iter()
-                    .map(|node| node.succeeded)
-                    .fold(0, u64::saturating_add),
-                total_error_requests: nodes
-                    .iter()
-                    .map(|node| node.errored)
-                    .fold(0, u64::saturating_add),
-                total_requests_in_progress: nodes
-                    .iter()
-                    .map(|node| node.in_progress)
-                    .fold(0, u64::saturating_add),
-                load_metric_stats: metric.into_iter().collect(),
-                upstream_endpoint_stats: nodes.into_iter().map(endpoint_stats).collect(),
-                ..endpoint::UpstreamLocalityStats::default()
-            }
-        };
-        endpoint::ClusterStats {
-            cluster_name: told.operation.clone(),
-            upstream_locality_stats: zones.into_iter().map(locality).collect(),
-            total_dropped_requests: told.rate_limited,
-            load_report_interval: Some(over),
-            ..endpoint::ClusterStats::default()
-        }
-    };
+    let interval = duration(report.over);
+    let encode = |operation| encode_operation(operation, &zone_of, interval);
     LoadStatsRequest {
         node: None,
-        cluster_stats: report.operations.iter().map(stats).collect(),
+        cluster_stats: report.operations.iter().map(encode).collect(),
     }
 }
 
-fn metric_stats(name: &str, metric: Metric) -> endpoint::EndpointLoadMetricStats {
+fn encode_operation(
+    operation: &OperationReport,
+    zone_of: impl Fn(&NodeReport) -> String,
+    interval: Duration,
+) -> endpoint::ClusterStats {
+    let mut zones: BTreeMap<String, Vec<&NodeReport>> = BTreeMap::new();
+    for node in &operation.nodes {
+        zones.entry(zone_of(node)).or_default().push(node);
+    }
+    // Retries are counted for the operation and not by zone; the first zone carries them.
+    let mut retries = operation.repeats;
+    let encode = |(zone, nodes): (String, Vec<&NodeReport>)| {
+        encode_zone(&zone, &nodes, std::mem::take(&mut retries))
+    };
+    endpoint::ClusterStats {
+        cluster_name: operation.operation.clone(),
+        upstream_locality_stats: zones.into_iter().map(encode).collect(),
+        total_dropped_requests: operation.rate_limited,
+        load_report_interval: Some(interval),
+        ..endpoint::ClusterStats::default()
+    }
+}
+
+fn encode_zone(zone: &str, nodes: &[&NodeReport], retries: u64) -> endpoint::UpstreamLocalityStats {
+    let sum = |count: fn(&NodeReport) -> u64| {
+        let counts = nodes.iter().map(|node| count(node));
+        counts.fold(0, u64::saturating_add)
+    };
+    let retries_metric = (retries > 0).then(|| {
+        let metric = Metric {
+            count: retries,
+            total: retries as f64,
+        };
+        encode_metric(RETRIES_METRIC, metric)
+    });
+    endpoint::UpstreamLocalityStats {
+        locality: Some(locality(zone)),
+        total_successful_requests: sum(|node| node.succeeded),
+        total_error_requests: sum(|node| node.errored),
+        total_requests_in_progress: sum(|node| node.in_progress),
+        load_metric_stats: retries_metric.into_iter().collect(),
+        upstream_endpoint_stats: nodes.iter().map(|node| encode_endpoint(node)).collect(),
+        ..endpoint::UpstreamLocalityStats::default()
+    }
+}
+
+fn encode_metric(name: &str, metric: Metric) -> endpoint::EndpointLoadMetricStats {
     endpoint::EndpointLoadMetricStats {
         metric_name: name.to_string(),
         num_requests_finished_with_metric: metric.count,
@@ -215,86 +209,20 @@
     }
 }
 
-fn endpoint_stats(node: &NodeReport) -> endpoint::UpstreamEndpointStats {
+fn encode_endpoint(node: &NodeReport) -> endpoint::UpstreamEndpointStats {
+    let metrics = node.metrics.iter();
     endpoint::UpstreamEndpointStats {
         address: node.node.map(address),
         total_successful_requests: node.succeeded,
         total_requests_in_progress: node.in_progress,
         total_error_requests: node.errored,
         total_issued_requests: node.succeeded.saturating_add(node.errored),
-        load_metric_stats: node
-            .metrics
-            .iter()
-            .map(|(name, metric)| metric_stats(name, *metric))
+        load_metric_stats: metrics
+            .map(|(name, metric)| encode_metric(name, *metric))
             .collect(),
         ..endpoint::UpstreamEndpointStats::default()
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-    use wheelspread::ids::NodeId;
-
-    fn node_report(port: u16, succeeded: u64, errored: u64, latency: f64) -> NodeReport {
-        NodeReport {
-            node: Some(NodeId {
-                address: [127, 0, 0, 1],
-                port,
-            }),
-            succeeded,
-            errored,
-            in_progress: 1,
-            metrics: [(
-                "latency_ms".to_string(),
-                Metric {
-                    count: succeeded,
-                    total: latency,
-                },
-            )]
-            .into(),
-        }
-    }
-
-    proptest! {
-        #[test]
-        fn a_report_survives_the_way(
-            nodes in prop::collection::vec((1u16..9000, 0u64..1000, 0u64..1000, 0.0f64..1e6), 0..30),
-            repeats in 0u64..5, us in 1i64..10_000_000,
-        ) {
-            let nodes: Vec<NodeReport> = nodes.iter().map(|n| node_report(n.0, n.1, n.2, n.3)).collect();
-            let repeats = if nodes.is_empty() { 0 } else { repeats };
-            let quote = OperationReport { operation: "quote".into(), rate_limited: 3, repeats, nodes };
-            let sent = LoadReport { over: Span::from_seconds(us as f64 / 1e6), operations: vec![quote] };
-            let bytes = request(&sent, |_| "north".to_string()).encode_to_vec();
-            prop_assert_eq!(report(&decode_request(&bytes).expect("decodes")), Some(sent));
-        }
-
-        #[test]
-        fn no_bytes_make_reading_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
-            if let Ok(request) = decode_request(&bytes) {
-                let _ = (introduction(&request), report(&request));
-            }
-            let _ = decode_response(&bytes);
-        }
-    }
-
-    #[test]
-    fn who_introduces_itself_is_known() {
-        let who = Introduction {
-            name: "g1".into(),
-            zone: "north".into(),
-            usual_rate: Some(12.5),
-        };
-        let request = introduce(&who);
-        assert_eq!(
-            (introduction(&request), report(&request)),
-            (Some(who), None)
-        );
-        assert_eq!(
-            decode_response(&response(Span::from_seconds(0.5))),
-            Ok(Span::from_seconds(0.5))
-        );
-    }
-}
+mod tests;
--- a/crates/xds/src/status.rs
+++ b/crates/xds/src/status.rs
@@ -1,7 +1,7 @@
-//! What a proxy holds, as it publishes it: a `ClientConfig` of the client status discovery service, with
-//! the version of its endpoints, or the version it refused and why.
+//! Which version a proxy holds, as it publishes it: a `ClientConfig` of the client status discovery service, with the
+//! version of its endpoints, and the version that it rejected and why.
 
-use crate::{content, json, Unreadable};
+use crate::{json, DecodeError, EncodeError, FieldError};
 use prost::Name;
 use wheelspread_controller_core::publication::Version;
 use xds_api::pb::envoy::admin::v3::{ClientResourceStatus, UpdateFailureState};
@@ -9,16 +9,19 @@
 use xds_api::pb::envoy::config::endpoint::v3::ClusterLoadAssignment;
 use xds_api::pb::envoy::service::status::v3::{client_config::GenericXdsConfig, ClientConfig};
 
+/// Which version a proxy holds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Status {
+    /// The proxy.
     pub proxy: String,
-    /// What it goes by now; 0: nothing yet.
+    /// The version in force; 0: none yet.
     pub version: Version,
-    /// What it did not take, and why.
+    /// The version that it rejected last, and why.
     pub refused: Option<(Version, String)>,
 }
 
-pub fn write(status: &Status) -> Result<String, Unreadable> {
+/// Writes a status as JSON.
+pub fn write(status: &Status) -> Result<String, EncodeError> {
     let outcome = match status.refused {
         None => ClientResourceStatus::Acked,
         Some(_) => ClientResourceStatus::Nacked,
@@ -44,51 +47,43 @@
     })
 }
 
-pub fn read(text: &str) -> Result<Status, Unreadable> {
+/// Reads a status.
+pub fn read(text: &str) -> Result<Status, DecodeError> {
     let config: ClientConfig = json::read(text)?;
     let proxy = config
         .node
         .as_ref()
         .map(|node| node.id.clone())
         .unwrap_or_default();
-    let wanted = ClusterLoadAssignment::type_url();
+    let expected_type = ClusterLoadAssignment::type_url();
     let endpoints = config
         .generic_xds_configs
         .iter()
-        .find(|config| config.type_url == wanted);
-    let endpoints = endpoints.ok_or_else(|| content("status", "it says nothing of endpoints"))?;
-    let version = |text: &str| match text {
-        "" => Ok(Version(0)),
-        text => text
-            .parse()
-            .map(Version)
-            .map_err(|_| content("status", format!("`{text}` is no version"))),
-    };
+        .find(|config| config.type_url == expected_type);
+    let endpoints =
+        endpoints.ok_or_else(|| DecodeError::field("status", FieldError::NoEndpointStatus))?;
     let refused = match &endpoints.error_state {
-        Some(failure) => Some((version(&failure.version_info)?, failure.details.clone())),
+        Some(failure) => Some((
+            parse_version(&failure.version_info)?,
+            failure.details.clone(),
+        )),
         None => None,
     };
     Ok(Status {
         proxy,
-        version: version(&endpoints.version_info)?,
+        version: parse_version(&endpoints.version_info)?,
         refused,
     })
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_status_is_read_as_published() {
-        let text = r#"{"node": {"id": "g1"}, "genericXdsConfigs": [{
-          "typeUrl": "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment",
-          "versionInfo": "41", "clientStatus": "NACKED",
-          "errorState": {"versionInfo": "42", "details": "no route"}}]}"#;
-        let status = read(text).expect("it is of the published form");
-        assert_eq!(status.version, Version(41));
-        assert_eq!(status.refused, Some((Version(42), "no route".to_string())));
-        assert_eq!(read(&write(&status).expect("written")), Ok(status));
-        assert!(read("{}").is_err() && read(&text.replace("\"41\"", "\"x\"")).is_err());
+/// An empty version is that of a proxy that holds nothing.
+fn parse_version(text: &str) -> Result<Version, DecodeError> {
+    if text.is_empty() {
+        return Ok(Version(0));
     }
+    let invalid = |_| DecodeError::field("status", FieldError::InvalidVersion(text.to_string()));
+    text.parse().map(Version).map_err(invalid)
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/xds/tests/wire_form.rs
+++ b/crates/xds/tests/wire_form.rs
@@ -100,7 +100,7 @@
 #[test_case(ResourceType::Routes, "3d108e2de1a5d0b7dfbd57f626cc2ef0"; "routes")]
 fn resources_keep_their_names_and_bytes(resource_type: ResourceType, expected: &str) {
     let set = table_set(0.75, RetryPolicy::OnceOnAnyFailure);
-    let snapshot = discovery::resources(&set, &deployment(AdmissionForm::Share));
+    let snapshot = discovery::encode_snapshot(&set, &deployment(AdmissionForm::Share));
     let found = snapshot.checksum(resource_type, |_| true);
     assert_eq!(found.to_string(), expected);
 }
@@ -118,7 +118,7 @@
         resulting_checksum: Some(Checksum(5)),
         delta_key: None,
     };
-    let message = discovery::with_nonce(&discovery::body(&response), &response);
+    let message = discovery::append_nonce(&discovery::encode_response_body(&response), &response);
     assert_eq!(checksum(message), expected);
 }
 
@@ -139,7 +139,7 @@
             initial_versions: [("quote".to_string(), "1".to_string())].into(),
         },
     };
-    let message = discovery::ask(Some(&introduction), Some(Version(7)), &request);
+    let message = discovery::encode_delta_request(Some(&introduction), Some(Version(7)), &request);
     assert_eq!(checksum(message), "b85b738f99348270e6233aeac68e905e");
 }
 
