--- /dev/null
+++ b/crates/controller/src/file/tests.rs
@@ -0,0 +1,45 @@
+//! Reading a controller's file: sound files, and faults that are named with their line.
+
+use super::*;
+use test_case::test_case;
+
+const TEXT: &str = "\
+conductor:
+  name: c0
+  listen: 127.0.0.1:0
+  tables: tables
+  list: nodes.json
+deployment:
+  zones: [north]
+  operations:
+    - name: quote
+      latency_objective: 1.2s
+      integration_timeout: 4s
+      billed_value: 2
+      repeat: idempotent
+  rules: {without_node_at_most: 2s, drain_grace: 2s, cold_start_share: 0.2, warm_after: 10s,
+          cold_overload_factor: 4, cold_overload_span: 2s}
+  channel: {lines_waiting_at_most: 1000, lines_per_second: 1000, delay_at_most: 500ms}
+";
+
+#[test]
+fn a_plain_file_is_read() {
+    let file = ControllerFile::parse(TEXT, Path::new("c.yaml")).expect("it is fine");
+    assert_eq!(
+        file.deployment.operations[0].latency_objective.seconds(),
+        1.2
+    );
+    assert_eq!(file.deployment.sums.period.seconds(), 1.0);
+}
+
+#[test_case("billed_value: 2", "billed_value: -2", "c.yaml: line 12, deployment.operations.0.billed_value"; "absurd")]
+#[test_case("billed_value: 2", "billed_valu: 2", "unknown field `billed_valu`"; "misspelt")]
+#[test_case("latency_objective: 1.2s", "latency_objective: 1.2", "a number and one of us, ms, s"; "no unit")]
+#[test_case("name: c0", "name: c0\n  number: 1", "line 3, conductor.number: 1 of 1"; "one conductor too many")]
+#[test_case("listen: 127.0.0.1:0", "listen: here", "conductor.listen"; "no address")]
+#[test_case("name: c0", "name: [c0", "at line"; "no YAML")]
+fn what_is_wrong_is_named_with_its_place(right: &str, wrong: &str, said: &str) {
+    let error = ControllerFile::parse(&TEXT.replace(right, wrong), Path::new("c.yaml"));
+    let error = error.expect_err("it is wrong").to_string();
+    assert!(error.contains(said), "{error}");
+}
