--- a/crates/controller/src/admin.rs
+++ b/crates/controller/src/admin.rs
@@ -2,8 +2,10 @@
 //! loop wait. `admin.sock` may order, for the user that the conductor runs as; `read.sock` may only ask, for
 //! all on the machine; a loopback port under mutual TLS may ask, and order for the names that are listed.
 
+pub mod routes;
+
+use crate::admin::routes::{carry_out, orders, Desk};
 use crate::file::AdministrationPlan;
-use crate::routes::{carry_out, orders, Desk};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind, Read, Write};
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -2,12 +2,11 @@
 //! session from sockets and directories and carries out what it says (`Controller`).
 
 mod admin;
+mod discovery_server;
 mod drains;
 mod file;
-mod front;
 mod locate;
 pub mod log;
-mod routes;
 mod service;
 mod state_writer;
 mod streams;
--- a/crates/controller/src/service.rs
+++ b/crates/controller/src/service.rs
@@ -1,12 +1,12 @@
 //! The loop. It waits until something is ready or due, turns that into observations, lets the session
 //! settle, and carries out what it says. The only other thread is the one that writes files.
 
+use crate::admin::routes::{self, About};
 use crate::admin::Admin;
+use crate::discovery_server::Desk;
 use crate::drains::{Drains, NUMBERS};
 use crate::file::{AdministrationPlan, ControllerFile};
-use crate::front::Desk;
 use crate::log;
-use crate::routes::{self, About};
 use crate::state_writer::{self, StateWriter};
 use crate::streams::Streams;
 use std::collections::BTreeSet;
