--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -21,7 +21,7 @@
 use clap::{CommandFactory, Parser, Subcommand};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use wheelspread_controller::{log, Controller, ControllerFile, LogPlan};
+use wheelspread_controller::{log, Controller, ControllerFile, LogSettings};
 use wheelspread_proxy::{serve, ProxyFile, Silent};
 
 /// Directs the traffic of a fleet of plain proxies.
@@ -162,7 +162,7 @@
 }
 
 fn platform(path: &Path) -> ExitCode {
-    log::start(&LogPlan::default());
+    log::start(&LogSettings::default());
     let service = match wheelspread_platform::Service::start(path) {
         Ok(service) => service,
         Err(wheelspread_platform::NoStart::Told) => return ExitCode::SUCCESS,
@@ -188,7 +188,7 @@
             return ExitCode::from(BAD_INPUT);
         }
     };
-    log::start(&LogPlan::default());
+    log::start(&LogSettings::default());
     match serve(plan, Silent) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
--- a/crates/cli/tests/changes.rs
+++ b/crates/cli/tests/changes.rs
@@ -503,7 +503,7 @@
     assert!(world
         .stage
         .log()
-        .contains("the last one that was taken stands"));
+        .contains("the last accepted one stays in force"));
     for (name, held) in &world.held {
         let lines = held
             .last()
@@ -512,7 +512,7 @@
     }
     // The same list, back again, is taken though its version is the one remembered.
     common::write(&world.stage.path("nodes.json"), &list(1));
-    while world.stage.log().matches("list taken").count() < 3 {
+    while world.stage.log().matches("endpoint list accepted").count() < 3 {
         world.turn();
         assert!(
             begin.elapsed() < Duration::from_secs(20),
--- a/crates/cli/tests/conductor.rs
+++ b/crates/cli/tests/conductor.rs
@@ -294,7 +294,7 @@
         .expect("it runs");
     let said = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(
-        !output.status.success() && said.contains("in use by another conductor"),
+        !output.status.success() && said.contains("in use by another controller"),
         "{said}"
     );
 }
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -416,7 +416,7 @@
         fleet(&path, &["drain", "127.0.0.1:9204", "--force", "pool"]).0,
         0
     );
-    assert!(stages[0].log().contains("an order overrides checks"));
+    assert!(stages[0].log().contains("drain order overrides checks"));
     for (node, said) in [
         ("nonsense", "should be an address"),
         ("127.0.0.1:7", "is not listed"),
@@ -670,7 +670,7 @@
     );
     let told = raw(&stage.path("tables/admin.sock"), "GET", "/v1/drains", "");
     assert_eq!(told.matches("\"order\"").count(), 1, "{faults}: {told}");
-    stage.pid() != first && stage.log().matches("conductor starts").count() > 2
+    stage.pid() != first && stage.log().matches("controller starting").count() > 2
 }
 
 #[test]
--- a/crates/cli/tests/streams.rs
+++ b/crates/cli/tests/streams.rs
@@ -136,7 +136,7 @@
     assert!(
         stage
             .log()
-            .contains("the last commit of the state was torn"),
+            .contains("last commit of the state was torn and is cut off"),
         "{}",
         stage.log()
     );
@@ -177,7 +177,7 @@
         }
     }
     assert!(
-        stage.log().contains("most refuse this table"),
+        stage.log().contains("table rejected by most proxies"),
         "{}",
         stage.log()
     );
@@ -410,10 +410,10 @@
     let (certificate, key) = other.issue("conductor");
     common::write(&stage.path("server.pem"), &certificate);
     stage.until("a pair that does not fit", |stage| {
-        stage.log().contains("keys not renewed")
+        stage.log().contains("TLS keys not renewed")
     });
     common::write(&stage.path("server.key"), &key);
-    stage.until("new keys", |stage| stage.log().contains("keys renewed"));
+    stage.until("new keys", |stage| stage.log().contains("TLS keys renewed"));
     let mut newer = secured(&stage, "x7", &other, Some(authority.issue("x7")));
     stage.list(&[9001, 9002], &[9001]);
     stage.until("tables by both keys", |_| {
--- /dev/null
+++ b/crates/controller/src/admin/changes.rs
@@ -0,0 +1,195 @@
+//! Changes of configuration: planned, staged, applied, undone and shown.
+
+use super::api_error::{ApiError, CHANGE_VALUE_LIMIT, NAME_LIMIT_CHARS};
+use super::request::AdminRequest;
+use super::routes::HandlerResult;
+use super::AdminContext;
+use serde::{Deserialize, Serialize};
+use serde_json::{json, Value};
+use std::cmp::Reverse;
+use std::collections::BTreeMap;
+use wheelspread::time::Moment;
+use wheelspread_config_rollout::{Rollout, RolloutCommand};
+use wheelspread_config_transaction::ledger::Record;
+use wheelspread_config_transaction::{Change, ChangeId};
+use wheelspread_controller_core::ControllerCore;
+
+/// Changes that `GET /v1/changes` lists; any other can be asked for by its id.
+const LISTED_CHANGES_LIMIT: usize = 500;
+/// The reason of an undo that gives none.
+const DEFAULT_UNDO_REASON: &str = "by order";
+
+/// A change to plan or stage. A value may be a plain number or flag; null withdraws it, so that the file's
+/// value is in force again.
+#[derive(Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+struct ChangeRequest {
+    id: String,
+    by: String,
+    /// Left out: the version in force when the change first comes.
+    #[serde(default)]
+    base: Option<u64>,
+    sets: BTreeMap<String, Value>,
+}
+
+/// A staged change to apply, or a change to undo.
+#[derive(Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+struct ChangeReference {
+    id: String,
+    #[serde(default)]
+    why: Option<String>,
+}
+
+/// The configuration in force, and how far the proxies have come with it.
+#[derive(Debug, Serialize)]
+struct ConfigurationResponse<'a> {
+    version: u64,
+    values: &'a BTreeMap<String, String>,
+    told: u64,
+    lacking: Vec<String>,
+    away: usize,
+    between_pools: usize,
+    waits_for_disk: usize,
+}
+
+/// `POST /v1/changes/plan`: what a change would do.
+pub fn plan(
+    now: Moment,
+    request: &AdminRequest,
+    order: u64,
+    context: &mut AdminContext,
+) -> HandlerResult {
+    let change = parse_change(request.json_body()?, context.rollout)?;
+    submit(now, order, RolloutCommand::Plan(change), context)
+}
+
+/// `POST /v1/changes/stage`: checks a change and keeps it ready.
+pub fn stage(
+    now: Moment,
+    request: &AdminRequest,
+    order: u64,
+    context: &mut AdminContext,
+) -> HandlerResult {
+    let change = parse_change(request.json_body()?, context.rollout)?;
+    submit(now, order, RolloutCommand::Stage(change), context)
+}
+
+/// `POST /v1/changes/apply`: puts a staged change in force.
+pub fn apply(
+    now: Moment,
+    request: &AdminRequest,
+    order: u64,
+    context: &mut AdminContext,
+) -> HandlerResult {
+    let reference: ChangeReference = request.json_body()?;
+    let command = RolloutCommand::Apply(ChangeId(reference.id));
+    submit(now, order, command, context)
+}
+
+/// `POST /v1/changes/undo`: takes a change back.
+pub fn undo(
+    now: Moment,
+    request: &AdminRequest,
+    order: u64,
+    context: &mut AdminContext,
+) -> HandlerResult {
+    let reference: ChangeReference = request.json_body()?;
+    let reason = reference
+        .why
+        .unwrap_or_else(|| DEFAULT_UNDO_REASON.to_string());
+    let command = RolloutCommand::Undo(ChangeId(reference.id), reason);
+    submit(now, order, command, context)
+}
+
+fn submit(
+    now: Moment,
+    order: u64,
+    command: RolloutCommand,
+    context: &mut AdminContext,
+) -> HandlerResult {
+    context.rollout.ask(now, order, command, context.core);
+    Ok(None)
+}
+
+fn parse_change(request: ChangeRequest, rollout: &Rollout) -> Result<Change, ApiError> {
+    check_name("id", &request.id)?;
+    check_name("by", &request.by)?;
+    let count = request.sets.len();
+    if count > CHANGE_VALUE_LIMIT {
+        return Err(ApiError::TooManyValues { count });
+    }
+    let mut sets = BTreeMap::new();
+    for (path, value) in request.sets {
+        let value = parse_value(&path, value)?;
+        sets.insert(path, value);
+    }
+    let id = ChangeId(request.id);
+    // A change that is sent again is the same change, whatever is in force by now.
+    let known_base = rollout
+        .ledger()
+        .record(&id)
+        .map(|record| record.change.base);
+    let base = request
+        .base
+        .or(known_base)
+        .unwrap_or(rollout.ledger().configuration().version);
+    Ok(Change {
+        id,
+        by: request.by,
+        base,
+        sets,
+    })
+}
+
+fn parse_value(path: &str, value: Value) -> Result<Option<String>, ApiError> {
+    match value {
+        Value::Null => Ok(None),
+        Value::String(text) => Ok(Some(text)),
+        plain @ (Value::Number(_) | Value::Bool(_)) => Ok(Some(plain.to_string())),
+        Value::Array(_) | Value::Object(_) => Err(ApiError::InvalidValue {
+            path: path.to_string(),
+        }),
+    }
+}
+
+/// Ids and names of who orders have plain characters, so that logs and shells show them as they are.
+pub fn check_name(field: &'static str, text: &str) -> Result<(), ApiError> {
+    let is_plain = |c: char| c.is_ascii_alphanumeric() || "-_.@".contains(c);
+    if !text.is_empty() && text.len() <= NAME_LIMIT_CHARS && text.chars().all(is_plain) {
+        return Ok(());
+    }
+    Err(ApiError::InvalidName { field })
+}
+
+/// `GET /v1/changes/{id}`
+pub fn show(rollout: &Rollout, id: &str) -> Result<Value, ApiError> {
+    let record = rollout.ledger().record(&ChangeId(id.to_string()));
+    match record {
+        Some(record) => Ok(json!(record)),
+        None => Err(ApiError::UnknownChange(id.to_string())),
+    }
+}
+
+/// `GET /v1/changes`: those that are still under way, then the latest in force.
+pub fn list(rollout: &Rollout) -> Value {
+    let mut records: Vec<&Record> = rollout.ledger().records().collect();
+    records.sort_by_key(|record| Reverse((!record.state.over(), record.made.max(record.unmade))));
+    records.truncate(LISTED_CHANGES_LIMIT);
+    json!(records)
+}
+
+/// `GET /v1/configuration`
+pub fn configuration(core: &ControllerCore, rollout: &Rollout) -> Value {
+    let in_force = rollout.ledger().configuration();
+    let progress = core.reach();
+    json!(ConfigurationResponse {
+        version: in_force.version,
+        values: &in_force.values,
+        told: progress.configuration,
+        lacking: progress.lacking,
+        away: progress.away,
+        between_pools: progress.between,
+        waits_for_disk: rollout.unwritten(),
+    })
+}
--- a/crates/controller/src/discovery_server.rs
+++ b/crates/controller/src/discovery_server.rs
@@ -1,5 +1,5 @@
-//! The front of streams, between the core that decides what goes to whom and the sockets: resources of a
-//! version are made once, bodies of answers that many get are encoded once.
+//! The server side of discovery (xDS) streams, between the core that decides which proxy gets which tables and
+//! the sockets: resources of a version are made once, and response bodies that many proxies get are encoded once.
 
 use crate::file::ControllerFile;
 use crate::streams::Streams;
@@ -9,219 +9,253 @@
 use wheelspread::ids::ProxyId;
 use wheelspread::time::{Moment, Span};
 use wheelspread_controller_core::membership::StreamId;
-use wheelspread_controller_core::publication::{TableSet, Version};
+use wheelspread_controller_core::publication::{BundleId, TableSet, Version};
+use wheelspread_controller_core::transport::Transport;
 use wheelspread_controller_core::{ControllerCore, Deployment, Observation};
 use wheelspread_discovery::history::Shared;
 use wheelspread_discovery::{Answer, Content, Front, News, Plan, Verdict};
 use wheelspread_grpc::Status;
 use wheelspread_xds::discovery;
 
-/// Of the longest delay of a message: how long ordinary changes wait that most refuse.
-const HOLD: f64 = 4.0;
-/// Between two looks at who is silent or had to wait, in seconds.
-const LOOK: f64 = 0.25;
-/// Bodies kept, of answers that others may get too.
-const BODIES: usize = 64;
-/// The order by which the front itself steps a table back.
-const OWN: u64 = 0;
-
-pub struct Desk {
-    front: Front,
-    plan: Deployment,
-    /// By what they share, and the form.
-    bodies: BTreeMap<(Shared, bool), Arc<Vec<u8>>>,
-    next_look: Moment,
+/// Ordinary updates of a table that most proxies reject pause for so many times the longest delay of a message.
+const REJECTED_TABLE_PAUSE_DELAYS: f64 = 4.0;
+/// Time between two looks for clients that do not acknowledge, and for those that were rate limited.
+const MAINTENANCE_INTERVAL: Span = Span::from_seconds(0.25);
+/// Encoded response bodies that are cached, because other proxies may get the same.
+const CACHED_BODIES_LIMIT: usize = 64;
+/// The order number of a rollback that no operator asked for.
+const AUTOMATIC_ROLLBACK_ORDER: u64 = 0;
+
+/// What tells encoded bodies apart: the shared content, and whether it is a delta response.
+type BodyKey = (Shared, bool);
+
+/// Discovery streams and the responses that are due on them.
+pub struct DiscoveryServer {
+    protocol: Front,
+    /// The deployment in force, which may not be the file's.
+    deployment: Deployment,
+    body_cache: BTreeMap<BodyKey, Arc<Vec<u8>>>,
+    maintenance_at: Moment,
 }
 
-impl Desk {
-    /// `deployment`: as it is in force, which may not be the file's.
-    pub fn new(file: &ControllerFile, deployment: Deployment) -> Desk {
+impl DiscoveryServer {
+    /// Limits are the file's; `deployment` is the one in force.
+    pub fn new(file: &ControllerFile, deployment: Deployment) -> DiscoveryServer {
         let streams = &file.streams;
+        let channel = &file.deployment.channel;
         let plan = Plan {
             versions: streams.versions_kept,
             changes_at_most: streams.changes_at_most,
-            window: file.deployment.channel.messages_window,
+            window: channel.messages_window,
             unanswered: streams.unanswered_at_most,
-            hold: file.deployment.channel.delay_at_most * HOLD,
+            hold: channel.delay_at_most * REJECTED_TABLE_PAUSE_DELAYS,
         };
-        Desk {
-            front: Front::new(plan),
-            plan: deployment,
-            bodies: BTreeMap::new(),
-            next_look: Moment::default(),
+        DiscoveryServer {
+            protocol: Front::new(plan),
+            deployment,
+            body_cache: BTreeMap::new(),
+            maintenance_at: Moment::default(),
         }
     }
 
-    /// Versions that are made from now on say what this has.
-    pub fn configure(&mut self, deployment: Deployment) {
-        self.plan = deployment;
+    /// Versions that are made from now on are encoded for this deployment.
+    pub fn reconfigure(&mut self, deployment: Deployment) {
+        self.deployment = deployment;
     }
 
-    /// What happened on streams goes to the session; streams of tables are opened and closed here too.
-    pub fn observe(&mut self, now: Moment, session: &mut ControllerCore, observation: Observation) {
-        let opened = match &observation {
+    /// Passes an observation to the core; discovery streams are opened and closed here too.
+    pub fn handle_observation(
+        &mut self,
+        now: Moment,
+        core: &mut ControllerCore,
+        observation: Observation,
+    ) {
+        let subscribed = match &observation {
             Observation::Subscribed { stream, who, .. } => Some((*stream, who.name.clone())),
             Observation::Unsubscribed { stream } => {
-                self.front.close(*stream);
+                self.protocol.close(*stream);
                 None
             }
             _ => None,
         };
-        session.observe(now, observation);
-        if let Some((stream, name)) = opened {
-            let reads = |id: &ProxyId| {
-                session.reads(*id).front
-                    == wheelspread_controller_core::transport::Transport::Stream(stream)
-            };
-            if let Some(id) = session
-                .members()
-                .member(&name)
-                .map(|member| member.id)
-                .filter(reads)
-            {
-                self.front.open(stream, id);
-            }
+        core.observe(now, observation);
+        if let Some((stream, name)) = subscribed {
+            self.open_stream(core, stream, &name);
         }
     }
 
-    /// The requests that came.
-    pub fn asked(&mut self, now: Moment, session: &mut ControllerCore, streams: &mut Streams) {
-        for (stream, ask) in streams.asks() {
-            let news = self.front.ask(now, stream, &ask);
-            self.told(now, session, streams, news);
-            streams.offer(stream);
+    /// Opens a stream if the core accepted the proxy on it.
+    fn open_stream(&mut self, core: &ControllerCore, stream: StreamId, proxy: &str) {
+        let Some(member) = core.members().member(proxy) else {
+            return;
+        };
+        if core.reads(member.id).front == Transport::Stream(stream) {
+            self.protocol.open(stream, member.id);
+        }
+    }
+
+    /// Handles the discovery requests that came.
+    pub fn handle_requests(
+        &mut self,
+        now: Moment,
+        core: &mut ControllerCore,
+        streams: &mut Streams,
+    ) {
+        for (stream, request) in streams.take_discovery_requests() {
+            let events = self.protocol.ask(now, stream, &request);
+            self.handle_events(now, core, streams, events);
+            streams.mark_writable(stream);
         }
     }
 
-    pub fn offer(&mut self, streams: &mut Streams, stream: StreamId, set: &TableSet) {
+    /// Offers a stream the tables of its proxy, in the place of those that were not sent yet.
+    pub fn offer_tables(&mut self, streams: &mut Streams, stream: StreamId, set: &TableSet) {
         let known = self
-            .front
+            .protocol
             .history()
             .newest(set.bundle)
             .filter(|known| known.version == set.version);
         let content: Arc<Content> = match known {
             Some(known) => known.clone(),
-            None => Arc::new(discovery::resources(set, &self.plan)),
+            None => Arc::new(discovery::resources(set, &self.deployment)),
         };
-        self.front.offer(stream, &content);
-        streams.offer(stream);
+        self.protocol.offer(stream, &content);
+        streams.mark_writable(stream);
     }
 
-    /// Sends to whoever can take something.
-    pub fn send(&mut self, now: Moment, session: &mut ControllerCore, streams: &mut Streams) {
-        for stream in streams.open() {
-            let mut news = Vec::new();
-            while let Some(answer) = self.front.next(now, stream, &mut news) {
-                let body = self.body(&answer);
+    /// Sends the responses that are due on streams that can take them.
+    pub fn send_responses(
+        &mut self,
+        now: Moment,
+        core: &mut ControllerCore,
+        streams: &mut Streams,
+    ) {
+        for stream in streams.take_writable() {
+            let mut events = Vec::new();
+            while let Some(answer) = self.protocol.next(now, stream, &mut events) {
+                let body = self.encode_body(&answer);
                 let message = discovery::with_nonce(&body, &answer);
                 streams.send(stream, &message);
             }
-            self.told(now, session, streams, news);
+            self.handle_events(now, core, streams, events);
         }
     }
 
-    fn body(&mut self, answer: &Answer) -> Arc<Vec<u8>> {
+    fn encode_body(&mut self, answer: &Answer) -> Arc<Vec<u8>> {
         let Some(shared) = answer.shared else {
             return Arc::new(discovery::body(answer));
         };
         let key = (shared, answer.delta);
-        if let Some(body) = self.bodies.get(&key) {
+        if let Some(body) = self.body_cache.get(&key) {
             return body.clone();
         }
-        if self.bodies.len() >= BODIES {
-            self.bodies.pop_first();
+        if self.body_cache.len() >= CACHED_BODIES_LIMIT {
+            self.body_cache.pop_first();
         }
         let body = Arc::new(discovery::body(answer));
-        self.bodies.insert(key, body.clone());
+        self.body_cache.insert(key, body.clone());
         body
     }
 
-    fn told(
+    fn handle_events(
         &mut self,
         now: Moment,
-        session: &mut ControllerCore,
+        core: &mut ControllerCore,
         streams: &mut Streams,
-        news: Vec<News>,
+        events: Vec<News>,
     ) {
-        for news in news {
-            match news {
-                News::Holds { proxy, version } => status(now, session, proxy, version, None),
+        for event in events {
+            match event {
+                News::Holds { proxy, version } => report_status(now, core, proxy, version, None),
                 News::Refused {
                     proxy,
                     version,
                     reason,
                     verdict,
                 } => {
-                    status(now, session, proxy, version, Some(reason));
-                    let bundle = session.reads(proxy).newest.map(|set| set.bundle);
-                    match (verdict, bundle) {
-                        (Verdict::Hold, Some(bundle)) => {
-                            let until = self.front.held_until(bundle).unwrap_or(now);
-                            session.observe(now, Observation::HeldBack { bundle, until });
-                        }
-                        (Verdict::Back(version), Some(bundle)) => {
-                            session.observe(
-                                now,
-                                Observation::Back {
-                                    order: OWN,
-                                    bundle,
-                                    version,
-                                },
-                            );
-                        }
-                        _ => {}
-                    }
+                    report_status(now, core, proxy, version, Some(reason));
+                    self.apply_verdict(now, core, proxy, verdict);
                 }
                 News::Strange { proxy, text } => {
-                    let proxy = session.members().name(proxy).unwrap_or_default();
-                    warn!(proxy, text, "not believed");
+                    let proxy = core.members().name(proxy).unwrap_or_default();
+                    warn!(proxy, text, "discovery request ignored");
                 }
                 News::End { stream, reason } => {
-                    streams.close(stream, Status::InvalidArgument, &reason)
+                    streams.close(stream, Status::InvalidArgument, &reason);
                 }
             }
         }
     }
 
-    /// Ends the streams of clients that do not answer, and looks again at those that had to wait.
-    pub fn look(&mut self, now: Moment, streams: &mut Streams) {
-        if now < self.next_look {
+    /// What the rejections of a table by several proxies ask for.
+    fn apply_verdict(
+        &self,
+        now: Moment,
+        core: &mut ControllerCore,
+        proxy: ProxyId,
+        verdict: Verdict,
+    ) {
+        let Some(bundle) = core.reads(proxy).newest.map(|set| set.bundle) else {
             return;
+        };
+        match verdict {
+            Verdict::Hold => {
+                let until = self.protocol.held_until(bundle).unwrap_or(now);
+                core.observe(now, Observation::HeldBack { bundle, until });
+            }
+            Verdict::Back(version) => roll_back(now, core, bundle, version),
+            Verdict::GoOn | Verdict::Without(_) => {}
         }
-        self.next_look = now + Span::from_seconds(LOOK);
-        for stream in self.front.silent(now) {
+    }
+
+    /// Closes the streams of clients that do not acknowledge, and lets those send again that were rate limited.
+    pub fn run_maintenance(&mut self, now: Moment, streams: &mut Streams) {
+        if now < self.maintenance_at {
+            return;
+        }
+        self.maintenance_at = now + MAINTENANCE_INTERVAL;
+        for stream in self.protocol.silent(now) {
             streams.close(
                 stream,
                 Status::DeadlineExceeded,
                 "what was sent is not answered",
             );
-            self.front.close(stream);
+            self.protocol.close(stream);
         }
-        for stream in self.front.limited() {
-            streams.offer(stream);
+        for stream in self.protocol.limited() {
+            streams.mark_writable(stream);
         }
     }
 
+    /// When [`DiscoveryServer::run_maintenance`] is due.
     pub fn wake_at(&self) -> Option<Moment> {
-        (!self.front.is_empty()).then_some(self.next_look)
+        (!self.protocol.is_empty()).then_some(self.maintenance_at)
     }
 }
 
-fn status(
+fn roll_back(now: Moment, core: &mut ControllerCore, bundle: BundleId, version: Version) {
+    let observation = Observation::Back {
+        order: AUTOMATIC_ROLLBACK_ORDER,
+        bundle,
+        version,
+    };
+    core.observe(now, observation);
+}
+
+fn report_status(
     now: Moment,
-    session: &mut ControllerCore,
+    core: &mut ControllerCore,
     proxy: ProxyId,
     version: Version,
     refused: Option<String>,
 ) {
-    if let Some(proxy) = session.members().name(proxy).map(str::to_string) {
-        session.observe(
-            now,
-            Observation::Status {
-                proxy,
-                version,
-                refused,
-            },
-        );
-    }
+    let Some(proxy) = core.members().name(proxy).map(str::to_string) else {
+        return;
+    };
+    let observation = Observation::Status {
+        proxy,
+        version,
+        refused,
+    };
+    core.observe(now, observation);
 }
--- a/crates/controller/src/drains.rs
+++ b/crates/controller/src/drains.rs
@@ -1,8 +1,10 @@
-//! Orders to drain nodes, between the book that decides which goes and the session, the disk and whoever asked.
+//! Orders to drain nodes: between the registry that decides which order is in force, the core, the disk and
+//! the operators who wait for an answer.
 
-use crate::state_writer::StateWriter;
-use std::collections::BTreeMap;
+use crate::state_writer::{StateWriteError, StateWriter};
+use std::collections::{BTreeMap, BTreeSet};
 use tracing::{info, warn};
+use wheelspread::ids::NodeId;
 use wheelspread::time::{Moment, Span};
 use wheelspread_config_rollout::fleet::against_drain;
 use wheelspread_config_rollout::values::node;
@@ -11,248 +13,310 @@
 use wheelspread_drain::book::Effect;
 use wheelspread_drain::{Book, Drain, Evidence, Order, OrderId, Refused, State, Word};
 
-/// A fact: what is kept of a node's order.
-const DRAIN: &str = "drain.";
-/// Numbers of writes that are not those of changes.
-pub const NUMBERS: u64 = 1 << 62;
-/// Of a period of sums: between two looks at who still names a drained node.
-const LOOK: f64 = 0.25;
-/// Seconds until a write is tried again that the disk refused.
-const AGAIN: f64 = 1.0;
+/// Prefix of the persisted facts that hold a node's drain.
+const DRAIN_FACT_PREFIX: &str = "drain.";
+/// Writes of drains are numbered above it, those of configuration changes below.
+pub const FIRST_WRITE_NUMBER: u64 = 1 << 62;
+/// Periods of load reports between two reviews of who still names a drained node.
+const REVIEW_PERIODS: f64 = 0.25;
+/// Time until a write that the disk refused is tried again.
+const WRITE_RETRY_DELAY: Span = Span::from_seconds(1.0);
 
-struct Writing {
+/// Why an order that was submitted is not in force.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum DrainAnswerError {
+    /// It was taken back before it was persisted.
+    #[error("it was taken back")]
+    Withdrawn,
+}
+
+/// The result of an order, for the operator who waits for it.
+pub struct DrainAnswer {
+    /// The number of the operator's order.
+    pub order: u64,
+    /// The drain as it then stands.
+    pub result: Result<Drain, DrainAnswerError>,
+}
+
+/// A drain on its way to the disk.
+struct PendingWrite {
     node: String,
-    order: Option<OrderId>,
+    /// `None` where the node's drain is deleted.
+    drain_order: Option<OrderId>,
     commit: Commit,
-    /// Callers whose answers wait for it.
-    callers: Vec<u64>,
-    again_at: Option<Moment>,
+    /// Operators' orders whose answers wait for it.
+    waiting_orders: Vec<u64>,
+    /// `None` while the state writer has it.
+    write_at: Option<Moment>,
 }
 
-/// An answer to a caller.
-pub type Told = (u64, Result<Drain, String>);
-
-pub struct Drains {
-    book: Book,
-    writing: BTreeMap<u64, Writing>,
-    next: u64,
-    look_at: Moment,
+/// Drains by order, and their writes.
+pub struct DrainOrders {
+    registry: Book,
+    pending_writes: BTreeMap<u64, PendingWrite>,
+    last_write_number: u64,
+    review_at: Moment,
     value_lost_at_most: f64,
-    told: Vec<Told>,
+    answers: Vec<DrainAnswer>,
 }
 
-impl Drains {
-    /// Takes up what an earlier run kept.
-    pub fn start(now: Moment, kept: &PersistedState, value_lost_at_most: f64) -> Drains {
-        let drains = kept
+impl DrainOrders {
+    /// Restores the drains that an earlier run persisted.
+    pub fn restore(
+        now: Moment,
+        persisted: &PersistedState,
+        value_lost_at_most: f64,
+    ) -> DrainOrders {
+        let facts = persisted
             .facts
             .iter()
-            .filter(|(name, _)| name.starts_with(DRAIN));
-        let drains = drains.filter_map(|(name, text)| match serde_json::from_str::<Drain>(text) {
+            .filter(|(name, _)| name.starts_with(DRAIN_FACT_PREFIX));
+        let drains = facts.filter_map(|(name, text)| match serde_json::from_str::<Drain>(text) {
             Ok(drain) => Some(drain),
             Err(error) => {
-                warn!(name, %error, "a drain that was kept can't be read, it is not in force");
+                warn!(name, %error, "persisted drain unreadable, it is not in force");
                 None
             }
         });
-        let book = Book::recover(now, drains);
-        Drains {
-            book,
-            writing: BTreeMap::new(),
-            next: NUMBERS,
-            look_at: now,
+        DrainOrders {
+            registry: Book::recover(now, drains),
+            pending_writes: BTreeMap::new(),
+            last_write_number: FIRST_WRITE_NUMBER,
+            review_at: now,
             value_lost_at_most,
-            told: Vec::new(),
+            answers: Vec::new(),
         }
     }
 
-    pub fn book(&self) -> &Book {
-        &self.book
+    /// All drains that are known.
+    pub fn drains(&self) -> impl Iterator<Item = &Drain> {
+        self.registry.drains()
+    }
+
+    /// The drain of a node.
+    pub fn drain(&self, node: &str) -> Option<&Drain> {
+        self.registry.drain(node)
+    }
+
+    /// Drains that are still under way or in force.
+    pub fn active_count(&self) -> usize {
+        self.drains().filter(|drain| drain.goes()).count()
     }
 
-    /// Nodes that are kept out.
-    pub fn out(&self) -> std::collections::BTreeSet<wheelspread::ids::NodeId> {
-        self.book.out().filter_map(node).collect()
+    /// Nodes that no table may name.
+    pub fn drained_nodes(&self) -> BTreeSet<NodeId> {
+        self.registry.out().filter_map(node).collect()
     }
 
-    /// Whether there is anything to look after.
+    /// When [`DrainOrders::settle`] has something to do.
     pub fn wake_at(&self) -> Option<Moment> {
-        let waits = !self.writing.is_empty() || self.book.drains().any(Drain::goes);
-        waits.then_some(self.look_at)
+        let has_work = !self.pending_writes.is_empty() || self.drains().any(Drain::goes);
+        has_work.then_some(self.review_at)
     }
 
-    /// An order comes; what came of it is told when the disk has it, or at once where nothing is new.
-    pub fn order(
+    /// Takes an operator's order. It is answered once the disk has it, or at once where nothing is new.
+    pub fn submit(
         &mut self,
         now: Moment,
-        caller: u64,
+        operator_order: u64,
         order: Order,
-        session: &ControllerCore,
+        core: &ControllerCore,
     ) -> Result<(), Refused> {
-        let named = node(&order.node).ok_or_else(|| {
+        let objections = self.check(now, &order, core)?;
+        let node = order.node.clone();
+        let drain = self.registry.order(now, order, &objections)?.clone();
+        self.carry_out_effects(now, Some(operator_order));
+        if !self.has_waiting_order(operator_order) {
+            self.answer_repeated_order(operator_order, &node, drain);
+        }
+        self.review_at = now;
+        Ok(())
+    }
+
+    /// What speaks against an order; an order may name checks that it overrides.
+    fn check(
+        &self,
+        now: Moment,
+        order: &Order,
+        core: &ControllerCore,
+    ) -> Result<Vec<String>, Refused> {
+        let id = node(&order.node).ok_or_else(|| {
             Refused::Checks(vec![format!(
                 "node: `{}` should be an address as 127.0.0.1:9000",
                 order.node
             )])
         })?;
-        let against = match order.word {
-            Word::Drain => against_drain(now, named, self.value_lost_at_most, session),
+        let objections = match order.word {
+            Word::Drain => against_drain(now, id, self.value_lost_at_most, core),
             Word::Undrain => Vec::new(),
         };
-        let (place, overrides) = (order.node.clone(), order.overrides.join(", "));
-        if !overrides.is_empty() {
-            let against = against.join("; ");
+        if !order.overrides.is_empty() {
             warn!(
-                node = place,
+                node = order.node,
                 by = order.by,
-                overrides,
-                against,
-                "an order overrides checks"
+                overrides = order.overrides.join(", "),
+                against = objections.join("; "),
+                "drain order overrides checks"
             );
         }
-        let drain = self.book.order(now, order, &against)?.clone();
-        self.follow(now, caller);
-        // Told twice, and kept since: answered as it stands.
-        if !self
-            .writing
+        Ok(objections)
+    }
+
+    fn has_waiting_order(&self, operator_order: u64) -> bool {
+        self.pending_writes
             .values()
-            .any(|writing| writing.callers.contains(&caller))
-        {
-            match self
-                .writing
-                .values_mut()
-                .find(|writing| writing.node == place)
-            {
-                Some(writing) => writing.callers.push(caller),
-                None => self.told.push((caller, Ok(drain))),
-            }
+            .any(|write| write.waiting_orders.contains(&operator_order))
+    }
+
+    /// An order that was sent again is answered as the drain stands, once that is persisted.
+    fn answer_repeated_order(&mut self, operator_order: u64, node: &str, drain: Drain) {
+        let pending = self
+            .pending_writes
+            .values_mut()
+            .find(|write| write.node == node);
+        match pending {
+            Some(write) => write.waiting_orders.push(operator_order),
+            None => self.answers.push(DrainAnswer {
+                order: operator_order,
+                result: Ok(drain),
+            }),
         }
-        self.look_at = now;
-        Ok(())
     }
 
-    fn follow(&mut self, now: Moment, caller: u64) {
-        for effect in self.book.effects() {
+    fn carry_out_effects(&mut self, now: Moment, operator_order: Option<u64>) {
+        for effect in self.registry.effects() {
             match effect {
                 Effect::Write { node, drain } => {
-                    let order = drain.as_ref().map(|drain| drain.order.id.clone());
-                    let text = drain.and_then(|drain| serde_json::to_string(&drain).ok());
-                    let facts = BTreeMap::from([(format!("{DRAIN}{node}"), text)]);
-                    let commit = Commit {
-                        facts,
-                        ..Commit::default()
-                    };
-                    let mut callers: Vec<u64> = Some(caller)
-                        .filter(|caller| *caller > 0)
-                        .into_iter()
-                        .collect();
-                    // One that failed must not be written again over a newer one.
-                    self.writing.retain(|_, writing| {
-                        let older = writing.node == node;
-                        if older {
-                            callers.append(&mut writing.callers);
-                        }
-                        !older
-                    });
-                    self.next += 1;
-                    let writing = Writing {
-                        node,
-                        order,
-                        commit,
-                        callers,
-                        again_at: Some(now),
-                    };
-                    self.writing.insert(self.next, writing);
+                    self.schedule_write(now, node, drain, operator_order);
                 }
                 Effect::Turned { node, state, order } => {
                     let (state, order) = (format!("{state:?}").to_lowercase(), order.0);
-                    info!(node, state, order, "drain");
+                    info!(node, state, order, "drain state changed");
                 }
             }
         }
     }
 
-    /// What came of a write.
-    pub fn written(&mut self, now: Moment, number: u64, result: Result<(), String>) {
-        let Some(writing) = self.writing.get_mut(&number) else {
+    fn schedule_write(
+        &mut self,
+        now: Moment,
+        node: String,
+        drain: Option<Box<Drain>>,
+        operator_order: Option<u64>,
+    ) {
+        let drain_order = drain.as_ref().map(|drain| drain.order.id.clone());
+        let text = drain.and_then(|drain| serde_json::to_string(&drain).ok());
+        let facts = BTreeMap::from([(format!("{DRAIN_FACT_PREFIX}{node}"), text)]);
+        let mut waiting_orders = Vec::from_iter(operator_order);
+        // An older write that failed must not be written again over a newer one.
+        self.pending_writes.retain(|_, write| {
+            let is_older = write.node == node;
+            if is_older {
+                waiting_orders.append(&mut write.waiting_orders);
+            }
+            !is_older
+        });
+        self.last_write_number += 1;
+        let write = PendingWrite {
+            node,
+            drain_order,
+            commit: Commit {
+                facts,
+                ..Commit::default()
+            },
+            waiting_orders,
+            write_at: Some(now),
+        };
+        self.pending_writes.insert(self.last_write_number, write);
+    }
+
+    /// Takes the result of a write.
+    pub fn written(&mut self, now: Moment, number: u64, result: Result<(), StateWriteError>) {
+        let Some(write) = self.pending_writes.get_mut(&number) else {
             return;
         };
         if result.is_err() {
-            writing.again_at = Some(now + Span::from_seconds(AGAIN));
+            write.write_at = Some(now + WRITE_RETRY_DELAY);
             return;
         }
-        let Some(writing) = self.writing.remove(&number) else {
+        let Some(write) = self.pending_writes.remove(&number) else {
             return;
         };
-        if let Some(order) = &writing.order {
-            self.book.written(now, &writing.node, order);
+        if let Some(order) = &write.drain_order {
+            self.registry.written(now, &write.node, order);
         }
-        let drain = self
-            .book
-            .drain(&writing.node)
-            .cloned()
-            .ok_or_else(|| "it was taken back".to_string());
-        self.told.extend(
-            writing
-                .callers
-                .into_iter()
-                .map(|caller| (caller, drain.clone())),
-        );
-        self.look_at = now;
+        let drain = self.registry.drain(&write.node).cloned();
+        let result = drain.ok_or(DrainAnswerError::Withdrawn);
+        let answers = write.waiting_orders.into_iter().map(|order| DrainAnswer {
+            order,
+            result: result.clone(),
+        });
+        self.answers.extend(answers);
+        self.review_at = now;
     }
 
-    /// Hands over to the disk, tells the session, looks how far drains have come; returns answers.
+    /// Hands writes to the disk, tells the core which nodes are drained and reviews how far drains have
+    /// come; returns the answers that are due.
     pub fn settle(
         &mut self,
         now: Moment,
-        session: &mut ControllerCore,
-        keeper: &mut StateWriter,
-    ) -> Vec<Told> {
-        if now < self.look_at {
-            return std::mem::take(&mut self.told);
+        core: &mut ControllerCore,
+        state_writer: &mut StateWriter,
+    ) -> Vec<DrainAnswer> {
+        if now < self.review_at {
+            return std::mem::take(&mut self.answers);
         }
-        self.look_at = now + session.plan().sums.period * LOOK;
-        let mut refused = Vec::new();
-        for (number, writing) in &mut self.writing {
-            if writing.again_at.is_some_and(|at| at <= now) {
-                writing.again_at = None;
-                if !keeper.write(*number, writing.commit.clone()) {
-                    refused.push(*number);
-                }
-            }
+        self.review_at = now + core.plan().sums.period * REVIEW_PERIODS;
+        self.submit_writes(now, state_writer);
+        self.carry_out_effects(now, None);
+        let drained = self.drained_nodes();
+        if drained != *core.drained() {
+            core.observe(now, Observation::Drained(drained));
         }
-        for number in refused {
-            self.written(now, number, Err("the state can't be written".to_string()));
+        self.review_evidence(now, core);
+        self.registry.forget(now, core.plan().rules.drain_grace);
+        self.carry_out_effects(now, None);
+        std::mem::take(&mut self.answers)
+    }
+
+    fn submit_writes(&mut self, now: Moment, state_writer: &mut StateWriter) {
+        let mut failed = Vec::new();
+        for (number, write) in &mut self.pending_writes {
+            if write.write_at.is_none_or(|at| now < at) {
+                continue;
+            }
+            write.write_at = None;
+            if let Err(error) = state_writer.write(*number, write.commit.clone()) {
+                failed.push((*number, error));
+            }
         }
-        self.follow(now, 0);
-        let out = self.out();
-        if out != *session.drained() {
-            session.observe(now, Observation::Drained(out));
+        for (number, error) in failed {
+            self.written(now, number, Err(error));
         }
-        let grace = session.plan().rules.drain_grace;
-        let going: Vec<(String, State)> = self
-            .book
+    }
+
+    /// Shows the registry which proxies still name the nodes that are being drained.
+    fn review_evidence(&mut self, now: Moment, core: &mut ControllerCore) {
+        let grace = core.plan().rules.drain_grace;
+        let active: Vec<(String, State)> = self
             .drains()
             .filter(|drain| drain.goes())
             .map(|drain| (drain.order.node.clone(), drain.state))
             .collect();
-        for (name, before) in going {
+        for (name, before) in active {
             let Some(id) = node(&name) else { continue };
-            let traces = session.traces(id);
+            let traces = core.traces(id);
             let evidence = Evidence {
                 named_by: traces.named_by,
                 gateways: traces.gateways,
                 tries: traces.tries,
                 heard: traces.heard,
             };
-            self.book.see(now, &name, grace, evidence);
-            let after = self.book.drain(&name).map(|drain| drain.state);
+            self.registry.see(now, &name, grace, evidence);
+            let after = self.registry.drain(&name).map(|drain| drain.state);
             if before == State::Telling && after == Some(State::InForce) {
-                session.watch(now, id);
+                core.watch(now, id);
             }
         }
-        self.book.forget(now, grace);
-        self.follow(now, 0);
-        std::mem::take(&mut self.told)
     }
 }
--- a/crates/controller/src/file/tests.rs
+++ b/crates/controller/src/file/tests.rs
@@ -23,8 +23,8 @@
 ";
 
 #[test]
-fn a_plain_file_is_read() {
-    let file = ControllerFile::parse(TEXT, Path::new("c.yaml")).expect("it is fine");
+fn a_sound_file_is_parsed() {
+    let file = ControllerFile::parse(TEXT, Path::new("c.yaml")).expect("a sound file");
     assert_eq!(
         file.deployment.operations[0].latency_objective.seconds(),
         1.2
@@ -32,14 +32,14 @@
     assert_eq!(file.deployment.sums.period.seconds(), 1.0);
 }
 
-#[test_case("billed_value: 2", "billed_value: -2", "c.yaml: line 12, deployment.operations.0.billed_value"; "absurd")]
+#[test_case("billed_value: 2", "billed_value: -2", "c.yaml: line 12, deployment.operations.0.billed_value"; "value that cannot be")]
 #[test_case("billed_value: 2", "billed_valu: 2", "unknown field `billed_valu`"; "misspelt")]
 #[test_case("latency_objective: 1.2s", "latency_objective: 1.2", "a number and one of us, ms, s"; "no unit")]
-#[test_case("name: c0", "name: c0\n  number: 1", "line 3, conductor.number: 1 of 1"; "one conductor too many")]
+#[test_case("name: c0", "name: c0\n  number: 1", "line 3, conductor.number: 1 of 1"; "number beyond the count of controllers")]
 #[test_case("listen: 127.0.0.1:0", "listen: here", "conductor.listen"; "no address")]
 #[test_case("name: c0", "name: [c0", "at line"; "no YAML")]
-fn what_is_wrong_is_named_with_its_place(right: &str, wrong: &str, said: &str) {
+fn an_invalid_value_is_named_with_its_place(right: &str, wrong: &str, expected: &str) {
     let error = ControllerFile::parse(&TEXT.replace(right, wrong), Path::new("c.yaml"));
-    let error = error.expect_err("it is wrong").to_string();
-    assert!(error.contains(said), "{error}");
+    let error = error.expect_err("an invalid file").to_string();
+    assert!(error.contains(expected), "{error}");
 }
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,5 +1,5 @@
-//! The conductor as it runs: what it is told by file (`ControllerFile`), and the loop that feeds the
-//! session from sockets and directories and carries out what it says (`Controller`).
+//! The controller as it runs: its file ([`ControllerFile`]), and the event loop that feeds the core from sockets
+//! and directories and carries out its effects ([`Controller`]).
 
 mod admin;
 mod discovery_server;
@@ -11,6 +11,9 @@
 mod state_writer;
 mod streams;
 
-pub use file::{ControllerFile, ControllerFileError, LogForm, LogPlan};
+pub use file::{
+    AdministrationSettings, ChangeSettings, ControllerFile, ControllerFileError,
+    ControllerSettings, LogForm, LogSettings, StreamSettings, TlsSettings,
+};
 pub use locate::line_of;
-pub use service::{Controller, Ended, StartError};
+pub use service::{Controller, ExitReason, StartError};
--- a/crates/controller/src/locate/tests.rs
+++ b/crates/controller/src/locate/tests.rs
@@ -13,6 +13,6 @@
 #[test_case("deployment.operations.1.billed_value", 11; "a later key of a later item")]
 #[test_case("deployment.rules.warm_after (seconds)", 13; "with its unit")]
 #[test_case("deployment.rules.missing", 12; "not written: the line of what it belongs to")]
-fn fields_are_found(field: &str, line: usize) {
+fn the_line_of_a_field_is_found(field: &str, line: usize) {
     assert_eq!(line_of(TEXT, field), Some(line));
 }
--- a/crates/controller/src/log.rs
+++ b/crates/controller/src/log.rs
@@ -1,62 +1,73 @@
-//! Notices as structured log lines on standard error.
+//! Log lines on standard error, and the events of the core and of the rollout as structured log lines.
 
-use crate::file::{LogForm, LogPlan};
+use crate::file::{LogForm, LogSettings};
 use tracing::{debug, info, warn};
 use tracing_subscriber::EnvFilter;
 use wheelspread_config_rollout::RolloutEvent;
 use wheelspread_controller_core::endpoint_list::show;
 use wheelspread_controller_core::LogEvent;
 
-/// Once for a program; a second call changes nothing.
-pub fn start(plan: &LogPlan) {
-    let filter = EnvFilter::try_new(&plan.level).unwrap_or_else(|_| EnvFilter::new("info"));
+/// Starts logging, once for a program; a second call changes nothing.
+pub fn start(settings: &LogSettings) {
+    let filter = EnvFilter::try_new(&settings.level).unwrap_or_else(|_| EnvFilter::new("info"));
     let lines = tracing_subscriber::fmt()
         .with_env_filter(filter)
         .with_writer(std::io::stderr);
-    let _ = match plan.form {
+    let _ = match settings.form {
         LogForm::Lines => lines.with_target(false).try_init(),
         LogForm::Json => lines.json().flatten_event(true).try_init(),
     };
 }
 
-pub fn note(note: &RolloutEvent) {
-    match note {
+/// Logs an event of the rollout of configurations.
+pub(crate) fn rollout_event(event: &RolloutEvent) {
+    match event {
         RolloutEvent::Turned { id, state, why } => {
             let (change, state) = (&id.0, format!("{state:?}").to_lowercase());
-            info!(change, state, why, "change");
+            info!(change, state, why, "configuration change state changed");
         }
         RolloutEvent::NotWritten { reason, again_in } => {
             let again_in_s = again_in.seconds();
-            warn!(reason, again_in_s, "a change waits for the disk");
+            warn!(
+                reason,
+                again_in_s, "configuration change waits for the disk"
+            );
         }
         RolloutEvent::LeftOut { field, text } => {
             warn!(
                 field,
-                text, "a value of an earlier change does not fit, left out"
-            )
+                text, "value of an earlier configuration change no longer valid, left out"
+            );
         }
     }
 }
 
-pub fn notice(notice: &LogEvent) {
-    match notice {
+/// Logs an event of the core.
+pub(crate) fn core_event(event: &LogEvent) {
+    match event {
         LogEvent::ListTaken {
             version,
             ready,
             changes,
-        } => info!(version, ready, changes, "list taken"),
-        LogEvent::ListRefused { reason } => warn!(reason, "list kept out"),
+        } => info!(version, ready, changes, "endpoint list accepted"),
+        LogEvent::ListRefused { reason } => warn!(reason, "endpoint list rejected"),
         LogEvent::Joined { proxy, zone } => info!(proxy, zone, "proxy joined"),
         LogEvent::Left { proxy } => info!(proxy, "proxy left"),
         LogEvent::Subscribed { proxy, stream } => {
-            info!(proxy, stream = stream.0, "proxy reads a stream")
+            info!(
+                proxy,
+                stream = stream.0,
+                "proxy subscribed to a discovery stream"
+            );
+        }
+        LogEvent::Unsubscribed { proxy } => {
+            info!(proxy, "proxy unsubscribed from its discovery stream");
         }
-        LogEvent::Unsubscribed { proxy } => info!(proxy, "proxy reads no stream any more"),
         LogEvent::HeldBack { bundle, wait } => {
             let wait_s = wait.seconds();
             warn!(
                 table = bundle.0,
-                wait_s, "most refuse this table, its ordinary changes wait"
+                wait_s, "table rejected by most proxies, its ordinary updates pause"
             );
         }
         LogEvent::SteppedBack {
@@ -70,12 +81,12 @@
             let left_out = left_out.collect::<Vec<_>>().join(" ");
             warn!(
                 version = version.0,
-                lines, left_out, "stepped back to an older version"
+                lines, left_out, "table rolled back to an older version"
             );
         }
-        LogEvent::Freed { nodes } => info!(nodes, "no version is stepped back to any more"),
+        LogEvent::Freed { nodes } => info!(nodes, "rollback ended"),
         LogEvent::TurnedAway { stream, reason } => {
-            warn!(stream = stream.0, reason, "stream turned away")
+            warn!(stream = stream.0, reason, "stream rejected");
         }
         LogEvent::Forgotten { proxy } => info!(proxy, "proxy forgotten"),
         LogEvent::Published {
@@ -91,11 +102,11 @@
                 configuration,
                 proxies,
                 lines,
-                "version made"
+                "table version published"
             );
         }
         LogEvent::Pointed { proxy, version } => {
-            debug!(proxy, version = version.0, "proxy pointed at version")
+            debug!(proxy, version = version.0, "tables written");
         }
         LogEvent::WriteFailed {
             proxy,
@@ -117,22 +128,30 @@
             version,
             reason,
         } => {
-            warn!(proxy, version = version.0, reason, "proxy refused tables");
+            warn!(
+                proxy,
+                version = version.0,
+                reason,
+                "tables rejected by proxy"
+            );
         }
-        LogEvent::ReportRefused { proxy, reason } => warn!(proxy, reason, "report refused"),
+        LogEvent::ReportRefused { proxy, reason } => warn!(proxy, reason, "load report rejected"),
         LogEvent::UnknownNodes { count } => {
-            warn!(count, "reports speak of nodes that are not listed")
+            warn!(count, "load reports name nodes that are not listed");
         }
-        LogEvent::ChannelFull { lines } => warn!(lines, "more lines wait than are allowed"),
+        LogEvent::ChannelFull { lines } => warn!(lines, "update queue longer than allowed"),
         LogEvent::Pruned { proxy, nodes } => {
             let nodes = nodes.join(" ");
             warn!(
                 proxy,
-                nodes, "taken out of the files of a proxy that has not come back"
+                nodes, "stale nodes removed from the files of a proxy that has not come back"
             );
         }
-        LogEvent::WeightsSolved { nodes } => debug!(nodes, "solved weights listed"),
-        LogEvent::NotSolved { reason } => warn!(reason, "weights not solved, the last ones stand"),
+        LogEvent::WeightsSolved { nodes } => debug!(nodes, "solved weights applied"),
+        LogEvent::NotSolved { reason } => warn!(
+            reason,
+            "weight solver failed, the last weights stay in force"
+        ),
         LogEvent::ConfigApplied {
             configuration,
             nodes,
@@ -143,16 +162,16 @@
         } => {
             warn!(
                 configuration,
-                reason, "configuration not taken, the one before stands"
+                reason, "configuration rejected, the one before stays in force"
             );
         }
         LogEvent::ListRemembered { version, nodes } => {
             warn!(
                 version,
-                nodes, "no list can be read, the last one that was taken stands"
+                nodes, "no endpoint list readable, the last accepted one stays in force"
             );
         }
-        LogEvent::Remark { text } => info!(text, "remark"),
-        LogEvent::NotUsed { reason } => debug!(reason, "event not used"),
+        LogEvent::Remark { text } => info!(text, "balancer message"),
+        LogEvent::NotUsed { reason } => debug!(reason, "event ignored"),
     }
 }
--- a/crates/controller/src/service.rs
+++ b/crates/controller/src/service.rs
@@ -1,694 +1,204 @@
-//! The loop. It waits until something is ready or due, turns that into observations, lets the session
-//! settle, and carries out what it says. The only other thread is the one that writes files.
-
-use crate::admin::routes::{self, About};
-use crate::admin::Admin;
-use crate::discovery_server::Desk;
-use crate::drains::{Drains, NUMBERS};
-use crate::file::{AdministrationPlan, ControllerFile};
-use crate::log;
-use crate::state_writer::{self, StateWriter};
+//! The controller's event loop. It waits until a socket is ready or a deadline is due, turns that into
+//! observations, lets the core settle and carries out its effects. One thread runs the loop; one more writes
+//! tables and one more writes the persisted state.
+//!
+//! `startup` builds a [`Controller`]; `accept`, `table_results` and `file_watch` turn readiness into
+//! observations; `effects` carries out what the core and the rollout decide; `maintenance` does what is due
+//! once a second; `tls_keys` and `reload` renew settings; `shutdown` ends the loop.
+
+mod accept;
+mod effects;
+mod file_watch;
+mod maintenance;
+mod reload;
+mod shutdown;
+mod startup;
+mod table_results;
+mod tls_keys;
+
+pub use startup::StartError;
+
+use crate::admin::{AdminContext, AdminServer, Identity};
+use crate::discovery_server::DiscoveryServer;
+use crate::drains::DrainOrders;
+use crate::file::ControllerFile;
+use crate::state_writer::StateWriter;
 use crate::streams::Streams;
 use std::collections::BTreeSet;
 use std::fs::File;
 use std::io;
-use std::net::{SocketAddrV4, TcpListener};
-use std::path::{Path, PathBuf};
-use std::sync::Arc;
-use tracing::{error, info, warn};
+use std::net::{SocketAddr, SocketAddrV4, TcpListener};
+use std::path::PathBuf;
+use tls_keys::FileContents;
 use wheelspread::time::{Moment, Span};
-use wheelspread_config_rollout::{Rollout, Step};
-use wheelspread_config_transaction::Commit;
-use wheelspread_controller_core::controller_core::ConfigUpdate;
-use wheelspread_controller_core::rollback::RollbackResult;
-use wheelspread_controller_core::{ControllerCore, Effect, LogEvent, Observation};
-use wheelspread_faults::reached;
-use wheelspread_files::{read, scan, Done, Job, Root, Writer};
-use wheelspread_grpc::tls::{BadKeys, KeyFiles};
-use wheelspread_grpc::{ServerConfig, Status};
-use wheelspread_reactor::{
-    self as reactor, Interest, Moved, Poll, Readiness, Signals, Token, Waker, Watcher,
-};
-use wheelspread_xds::{loads, nodes, status};
+use wheelspread_config_rollout::Rollout;
+use wheelspread_controller_core::ControllerCore;
+use wheelspread_files::{Root, Writer};
+use wheelspread_reactor::{self as reactor, Poll, Readiness, Signals, Token, Waker, Watcher};
 
 const LISTENER: Token = Token(0);
 const WAKER: Token = Token(1);
 const SIGNALS: Token = Token(2);
 const WATCHER: Token = Token(3);
-/// The first of the ways in for operators.
-const ADMIN: Token = Token(4);
+/// The first of the operators' listeners.
+const ADMIN_LISTENERS: Token = Token(4);
+/// The first connection of a proxy.
 const CONNECTIONS: Token = Token(100);
-/// Callers of the socket of operators, beyond any connection.
-const CALLERS: Token = Token(1 << 60);
-
-/// After an accept that failed for want of descriptors.
-const PAUSE: f64 = 0.2;
-/// Between two attempts to watch a directory that went away, and between looks at a list that may be there.
-const LOOK_AGAIN: f64 = 1.0;
-
-#[derive(Debug, thiserror::Error)]
-pub enum StartError {
-    #[error("{what}: {source}")]
-    Io { what: String, source: io::Error },
-    #[error("{0} is in use by another conductor")]
-    InUse(String),
-    #[error(transparent)]
-    State(#[from] wheelspread_store::StoreError),
-    #[error("tls: {0}")]
-    Keys(BadKeys),
-    #[error(transparent)]
-    Core(#[from] wheelspread_controller_core::StartError),
-}
+/// The first connection of an operator, beyond any connection of a proxy.
+const ADMIN_CONNECTIONS: Token = Token(1 << 60);
 
-/// Why `run` came to an end.
+/// Why [`Controller::run`] returned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
-    Told,
-}
-
-fn named(what: impl Into<String>) -> impl FnOnce(io::Error) -> StartError {
-    let what = what.into();
-    move |source| StartError::Io { what, source }
+pub enum ExitReason {
+    /// SIGTERM or SIGINT came.
+    Signal,
 }
 
+/// A controller with its sockets, files and decisions.
 pub struct Controller {
+    /// Where the file was read from, to be read again on SIGHUP.
     path: Option<PathBuf>,
     file: ControllerFile,
     poll: Poll,
     listener: TcpListener,
-    paused_until: Option<Moment>,
+    /// Set after an accept that failed for want of descriptors.
+    accept_paused_until: Option<Moment>,
     waker: Waker,
     signals: Signals,
     watcher: Watcher,
-    lost: BTreeSet<PathBuf>,
-    look_at: Moment,
+    /// Directories that could not be watched yet, or went away.
+    unwatched_directories: BTreeSet<PathBuf>,
+    maintenance_at: Moment,
     streams: Streams,
-    desk: Desk,
-    keeper: StateWriter,
+    discovery: DiscoveryServer,
+    state_writer: StateWriter,
     rollout: Rollout,
-    drains: Drains,
-    about: About,
-    /// When changes are to be looked at again, if nothing is asked meanwhile.
-    changes_at: Option<Moment>,
-    admin: Admin,
-    writer: Option<Writer>,
+    /// When the rollout is to be settled, if no request comes before.
+    rollout_at: Option<Moment>,
+    drains: DrainOrders,
+    identity: Identity,
+    admin: AdminServer,
+    /// `None` once the controller stops.
+    table_writer: Option<Writer>,
     root: Root,
-    session: ControllerCore,
-    last_list: Option<Result<String, String>>,
-    /// Of the key files, as last read.
-    last_keys: Vec<Option<Vec<u8>>>,
-    last_administration: Vec<Option<Vec<u8>>>,
-    _lock: File,
+    core: ControllerCore,
+    /// Text of the endpoint list as last read, or why it could not be read.
+    last_list_text: Option<Result<String, String>>,
+    last_tls_files: FileContents,
+    last_administration_files: FileContents,
+    /// Held for as long as the controller runs.
+    _root_lock: File,
 }
 
 impl Controller {
-    /// `path`: where the file came from, to be read again on a signal.
-    pub fn start(file: ControllerFile, path: Option<&Path>) -> Result<Controller, StartError> {
-        let place = &file.conductor;
-        let root = Root::new(&place.tables);
-        root.prepare().map_err(named(format!(
-            "the root of tables {}",
-            place.tables.display()
-        )))?;
-        let lock = lock(&root)?;
-        let poll = Poll::new().map_err(named("epoll"))?;
-        let waker = Waker::new(&poll, WAKER).map_err(named("eventfd"))?;
-        let wanted = [reactor::TERMINATE, reactor::INTERRUPT, reactor::RELOAD];
-        let signals = Signals::new(&poll, SIGNALS, &wanted).map_err(named("signals"))?;
-        let mut watcher = Watcher::new(&poll, WATCHER).map_err(named("inotify"))?;
-        let mut lost = BTreeSet::new();
-        let watched = watched(&file);
-        for directory in [watched, root.statuses()] {
-            if let Err(error) = watcher.add(&directory) {
-                warn!(directory = %directory.display(), %error, "can't be watched yet");
-                lost.insert(directory);
-            }
-        }
-        let (keeper, kept) =
-            StateWriter::start(&place.tables.join("state"), reactor::wall(), waker.clone())?;
-        let now = reactor::now();
-        let drains = Drains::start(now, &kept, file.changes.value_lost_at_most);
-        let (rollout, configured, moving) =
-            Rollout::start(now, file.deployment.clone(), file.changes.plans(), &kept);
-        let plan = configured.plan;
-        let mut scan = scan(&root, &plan).map_err(named("what lies under the root of tables"))?;
-        for text in &scan.unreadable {
-            warn!(text, "found unreadable");
-        }
-        state_writer::recall(&kept, reactor::wall(), &mut scan.found);
-        (scan.found.configuration, scan.found.values) = (configured.version, configured.values);
-        scan.found.moving = moving;
-        scan.found.drained = drains.out();
-        let (held, versions, leftovers) = (
-            scan.found.held.len(),
-            scan.found.versions.len(),
-            scan.leftovers,
-        );
-        let (name, configuration) = (&place.name, configured.version);
-        info!(
-            name,
-            configuration, held, versions, leftovers, "conductor starts"
-        );
-        let session =
-            ControllerCore::start(now, place.seed, plan.clone(), place.number, scan.found)?;
-        let writer =
-            Writer::start(root.clone(), plan.clone(), waker.clone()).map_err(named("a thread"))?;
-        let listener = reactor::listen(place.listen).map_err(named(place.listen.to_string()))?;
-        poll.add(&listener, LISTENER, Interest::Readable)
-            .map_err(named("epoll"))?;
-        let plan_of_administration = match &file.administration {
-            None => None,
-            Some(plan) => Some((plan, administration_keys(plan).map_err(StartError::Keys)?)),
-        };
-        let admin = Admin::start(&place.tables, plan_of_administration, &poll, ADMIN, CALLERS)
-            .map_err(named("the ways in for operators"))?;
-        let about = About {
-            name: place.name.clone(),
-            number: place.number,
-            started: now,
-        };
-        let streams = Streams::new(
-            CONNECTIONS,
-            place.connections_at_most,
-            file.deployment.sums.period,
-        );
-        let mut conductor = Controller {
-            path: path.map(Path::to_path_buf),
-            poll,
-            listener,
-            paused_until: None,
-            waker,
-            signals,
-            watcher,
-            lost,
-            look_at: now + Span::from_seconds(LOOK_AGAIN),
-            streams,
-            desk: Desk::new(&file, plan),
-            keeper,
-            rollout,
-            drains,
-            about,
-            changes_at: Some(now),
-            admin,
-            writer: Some(writer),
-            root,
-            session,
-            last_list: None,
-            last_keys: Vec::new(),
-            last_administration: Vec::new(),
-            _lock: lock,
-            file,
-        };
-        conductor.renew_keys().map_err(StartError::Keys)?;
-        conductor.read_list(now);
-        Ok(conductor)
-    }
-
+    /// The address that the proxies' listener is bound to.
     pub fn address(&self) -> io::Result<SocketAddrV4> {
         match self.listener.local_addr()? {
-            std::net::SocketAddr::V4(address) => Ok(address),
+            SocketAddr::V4(address) => Ok(address),
             other => Err(io::Error::other(format!("{other} is no IPv4 address"))),
         }
     }
 
-    /// Until a signal tells it to stop.
-    pub fn run(mut self) -> io::Result<Ended> {
+    /// Runs until a signal asks it to stop.
+    pub fn run(mut self) -> io::Result<ExitReason> {
         let mut ready = Vec::new();
         loop {
             let now = reactor::now();
-            self.turn(now);
-            let wait = if self.streams.stirred() {
-                Span::ZERO
-            } else {
-                self.wake_at(now) - reactor::now()
-            };
-            self.poll.wait(wait, &mut ready)?;
+            self.process_due_work(now);
+            self.poll.wait(self.poll_timeout(now), &mut ready)?;
             let now = reactor::now();
             for ready in ready.drain(..) {
-                if self.ready(now, ready)? {
-                    self.stop();
-                    return Ok(Ended::Told);
+                if let Some(reason) = self.handle_readiness(now, ready)? {
+                    self.shut_down();
+                    return Ok(reason);
                 }
             }
         }
     }
 
+    fn poll_timeout(&self, now: Moment) -> Span {
+        if self.streams.has_ready_connections() {
+            return Span::ZERO;
+        }
+        self.wake_at(now) - reactor::now()
+    }
+
     fn wake_at(&self, now: Moment) -> Moment {
-        let drains = self.drains.wake_at();
-        let others = [
-            self.desk.wake_at(),
+        let deadlines = [
+            self.discovery.wake_at(),
             self.streams.wake_at(),
-            self.paused_until,
-            Some(self.look_at),
-            self.changes_at,
-            drains,
+            self.accept_paused_until,
+            Some(self.maintenance_at),
+            self.rollout_at,
+            self.drains.wake_at(),
         ];
-        others
+        deadlines
             .into_iter()
             .flatten()
-            .fold(self.session.wake_at(now), Moment::min)
-    }
-
-    /// Settles and carries out until there is nothing more to do at once.
-    fn turn(&mut self, now: Moment) {
-        if self.paused_until.is_some_and(|until| now >= until) {
-            self.paused_until = None;
-            if let Err(error) = self.poll.add(&self.listener, LISTENER, Interest::Readable) {
-                error!(%error, "can't listen again");
-            }
-        }
-        if now >= self.look_at {
-            self.look_at = now + Span::from_seconds(LOOK_AGAIN);
-            self.look_again(now);
-            self.keep();
-            self.admin.look(now);
-        }
-        let mut told = Vec::new();
-        self.streams.turn(now, &mut told);
-        for observation in told {
-            self.desk.observe(now, &mut self.session, observation);
-        }
-        self.desk.look(now, &mut self.streams);
-        self.desk.asked(now, &mut self.session, &mut self.streams);
-        let mut effects = Vec::new();
-        self.session.settle(now, &mut effects);
-        for effect in effects {
-            self.carry_out(effect);
-        }
-        self.desk.send(now, &mut self.session, &mut self.streams);
-        if self.changes_at.is_some_and(|at| now >= at) {
-            self.changes(now);
-        }
-        for (order, result) in self.drains.settle(now, &mut self.session, &mut self.keeper) {
-            self.admin.drained(order, &result);
-        }
-    }
-
-    fn keep(&mut self) {
-        let session = &self.session;
-        self.keeper.keep(
-            reactor::wall(),
-            session.version(),
-            session.nodes(),
-            session.learnt(),
-        );
-    }
-
-    /// Carries changes of configuration on.
-    fn changes(&mut self, now: Moment) {
-        let mut steps = Vec::new();
-        self.rollout.settle(now, &self.session, &mut steps);
-        for step in steps {
-            match step {
-                Step::Write { number, commit } => self.write(now, number, commit),
-                Step::Configure(configured) => self.configure(now, *configured),
-                Step::Answer { order, result } => {
-                    let _ = reached("change.answer");
-                    self.admin.told(order, &result);
-                }
-                Step::Log(note) => log::note(&note),
-            }
-        }
-        let soon = now + self.session.plan().conductors.tick;
-        self.changes_at = self
-            .rollout
-            .wake_at(now, &self.session)
-            .map(|at| at.max(soon));
-    }
-
-    fn write(&mut self, now: Moment, number: u64, commit: Commit) {
-        if !self.keeper.write(number, commit) {
-            let reason = "the state can't be written, see the log of the start".to_string();
-            self.rollout.written(now, number, Err(reason));
-        }
-    }
-
-    /// A configuration comes into force: for the decisions, for what is written and for what is streamed.
-    fn configure(&mut self, now: Moment, configured: ConfigUpdate) {
-        let _ = reached("change.configure");
-        self.give(Job::Plan(Box::new(configured.plan.clone())));
-        self.desk.configure(configured.plan.clone());
-        self.session
-            .observe(now, Observation::ConfigUpdated(Box::new(configured)));
-        let _ = reached("change.configured");
-    }
-
-    fn carry_out(&mut self, effect: Effect) {
-        match effect {
-            Effect::Accept { stream, period } => {
-                self.streams.send(stream, &loads::response(period))
-            }
-            Effect::Close { stream, reason } => {
-                self.streams.close(stream, Status::InvalidArgument, &reason)
-            }
-            Effect::Point { proxy, set } => self.give(Job::Point { proxy, set }),
-            Effect::Send { stream, set } => self.desk.offer(&mut self.streams, stream, &set),
-            Effect::Answered { order, result } => self.answered(order, result),
-            Effect::Retire { version } => self.give(Job::Retire { version }),
-            Effect::Log(notice) => log::notice(&notice),
-        }
-    }
-
-    fn answered(&mut self, order: u64, result: Result<RollbackResult, String>) {
-        self.admin.answered(order, &result);
-        if let Err(reason) = result {
-            warn!(order, reason, "order not carried out");
-        }
-    }
-
-    fn give(&self, job: Job) {
-        if let Some(writer) = &self.writer {
-            writer.give(job);
-        }
-    }
-
-    /// `true`: told to stop.
-    fn ready(&mut self, now: Moment, ready: Readiness) -> io::Result<bool> {
+            .fold(self.core.wake_at(now), Moment::min)
+    }
+
+    /// One round of the loop, until there is nothing more to do at once.
+    fn process_due_work(&mut self, now: Moment) {
+        self.resume_accepting(now);
+        self.run_maintenance(now);
+        self.process_streams(now);
+        self.settle_core(now);
+        self.discovery
+            .send_responses(now, &mut self.core, &mut self.streams);
+        self.settle_rollout(now);
+        self.settle_drains(now);
+    }
+
+    /// Reads and writes connections that are ready, and passes on what came on their streams.
+    fn process_streams(&mut self, now: Moment) {
+        let mut observations = Vec::new();
+        self.streams.process_ready(now, &mut observations);
+        for observation in observations {
+            self.discovery
+                .handle_observation(now, &mut self.core, observation);
+        }
+        self.discovery.run_maintenance(now, &mut self.streams);
+        self.discovery
+            .handle_requests(now, &mut self.core, &mut self.streams);
+    }
+
+    /// Passes readiness to whoever owns the token; a reason means that the loop is to end.
+    fn handle_readiness(
+        &mut self,
+        now: Moment,
+        ready: Readiness,
+    ) -> io::Result<Option<ExitReason>> {
         match ready.token {
             LISTENER => self.accept(now),
-            WAKER => self.written(now),
-            WATCHER => self.moved(now)?,
-            way if self.admin.is_way(way) => self.admin.accept(&self.poll, now, way),
-            caller if caller >= CALLERS => {
-                let mut desk = routes::Desk {
-                    session: &mut self.session,
-                    rollout: &mut self.rollout,
-                    drains: &mut self.drains,
-                    about: &self.about,
-                };
-                self.admin.turn(now, caller, &mut desk);
-                self.changes_at = Some(now);
-            }
-            SIGNALS => {
-                for signal in self.signals.came() {
-                    match signal {
-                        reactor::RELOAD => self.reload(now),
-                        _ => return Ok(true),
-                    }
-                }
-            }
-            connection => self.streams.stir(connection),
-        }
-        Ok(false)
-    }
-
-    fn accept(&mut self, now: Moment) {
-        let (accepted, failed) = reactor::accept(&self.listener);
-        for socket in accepted {
-            if self.streams.full() {
-                warn!(
-                    most = self.file.conductor.connections_at_most,
-                    "connection turned away, no more are taken"
-                );
-                continue;
-            }
-            let token = self.streams.next_token();
-            match self.poll.add(&socket, token, Interest::Edges) {
-                Ok(()) => self.streams.add(now, token, socket),
-                Err(error) => warn!(%error, "connection turned away"),
-            }
-        }
-        if let Some(error) = failed {
-            warn!(%error, "can't accept, trying again shortly");
-            if self.poll.remove(&self.listener).is_ok() {
-                self.paused_until = Some(now + Span::from_seconds(PAUSE));
-            }
-        }
-    }
-
-    fn written(&mut self, now: Moment) {
-        self.waker.rest();
-        for (number, result) in self.keeper.done() {
-            if number > NUMBERS {
-                self.drains.written(now, number, result);
-                continue;
-            }
-            self.rollout.written(now, number, result);
-            self.changes_at = Some(now);
-        }
-        let done: Vec<Done> = self.writer.iter().flat_map(Writer::done).collect();
-        for done in done {
-            match done {
-                Done::Pointed {
-                    proxy,
-                    version,
-                    result,
-                } => {
-                    self.session.observe(
-                        now,
-                        Observation::Pointed {
-                            proxy,
-                            version,
-                            result,
-                        },
-                    );
-                }
-                Done::Unsynced { version } => {
-                    warn!(
-                        version = version.0,
-                        "pointed at before the disk said that it has it: it is slow"
-                    );
-                }
-                Done::NotRetired { version, reason } => {
-                    warn!(
-                        version = version.0,
-                        reason, "an old version can't be removed"
-                    );
-                }
-            }
-        }
-    }
-
-    fn moved(&mut self, now: Moment) -> io::Result<()> {
-        let watched = watched(&self.file);
-        let (mut list, mut statuses) = (false, BTreeSet::new());
-        for moved in self.watcher.moved()? {
-            match moved {
-                // What is not finished yet is nobody's.
-                Moved::Into { name, .. } if name.starts_with('.') => {}
-                Moved::Into { directory, name } if directory == self.root.statuses() => {
-                    statuses.extend(name.strip_suffix(".json").map(str::to_string));
-                }
-                Moved::Into { directory, .. } => list |= directory == watched,
-                Moved::Gone { directory } => drop(self.lost.insert(directory)),
-                Moved::Overflow => {
-                    list = true;
-                    let names = self
-                        .session
-                        .members()
-                        .members()
-                        .map(|(name, _)| name.to_string());
-                    statuses.extend(names.collect::<Vec<_>>());
-                }
-            }
-        }
-        if list {
-            self.read_list(now);
-        }
-        for proxy in statuses {
-            self.read_status(now, &proxy);
-        }
-        Ok(())
-    }
-
-    /// What inotify can't tell: directories that come back, a list that was there before the watch.
-    fn look_again(&mut self, now: Moment) {
-        for directory in std::mem::take(&mut self.lost) {
-            match self.watcher.add(&directory) {
-                Ok(()) => self.read_list(now),
-                Err(_) => drop(self.lost.insert(directory)),
-            }
-        }
-        if let Err(error) = self.renew_keys() {
-            warn!(%error, "keys not renewed, the old ones stand");
-        }
-        if self.last_list.as_ref().is_none_or(Result::is_err) {
-            self.read_list(now);
-        }
-    }
-
-    /// Takes in keys that were swapped. Those that do not fit together are left, and looked at again.
-    fn renew_keys(&mut self) -> Result<(), BadKeys> {
-        if let Some(plan) = &self.file.administration {
-            let read = contents(&[
-                Some(&plan.certificate),
-                Some(&plan.key),
-                Some(&plan.clients),
-            ]);
-            if read != self.last_administration {
-                self.last_administration = read;
-                self.admin.secure(administration_keys(plan)?);
-            }
-        }
-        let Some(tls) = &self.file.tls else {
-            return Ok(());
-        };
-        let read = contents(&[Some(&tls.certificate), Some(&tls.key), tls.clients.as_ref()]);
-        if read == self.last_keys {
-            return Ok(());
-        }
-        let renewed = !self.last_keys.is_empty();
-        self.last_keys = read;
-        let keys = KeyFiles {
-            certificate: tls.certificate.clone(),
-            key: tls.key.clone(),
-        };
-        let made = wheelspread_grpc::tls::server(&keys, tls.clients.as_deref())?;
-        self.streams.secure(made, tls.node_id_in_certificate);
-        if renewed {
-            info!("keys renewed, open streams keep theirs");
-        }
-        Ok(())
-    }
-
-    fn read_list(&mut self, now: Moment) {
-        let text = read::text(&self.file.conductor.list).map_err(|error| error.to_string());
-        // The same text again, as after a file was touched, is no news.
-        if self.last_list.as_ref() == Some(&text) {
-            return;
+            WAKER => self.handle_write_results(now),
+            WATCHER => self.handle_file_events(now)?,
+            SIGNALS => return Ok(self.handle_signals(now)),
+            token if self.admin.is_listener(token) => self.admin.accept(&self.poll, now, token),
+            token if token >= ADMIN_CONNECTIONS => self.handle_admin_connection(now, token),
+            connection => self.streams.mark_ready(connection),
         }
-        let list = text.clone().and_then(|text| {
-            nodes::read(&text, reactor::wall()).map_err(|error| error.to_string())
-        });
-        self.last_list = Some(text);
-        self.session.observe(now, Observation::List(list));
+        Ok(None)
     }
 
-    fn read_status(&mut self, now: Moment, proxy: &str) {
-        let path = self.root.status(proxy);
-        let told = read::text(&path).map_err(|error| error.to_string());
-        let told = told.and_then(|text| status::read(&text).map_err(|error| error.to_string()));
-        match told {
-            Ok(told) if told.proxy == proxy => {
-                let name = || proxy.to_string();
-                let held = Observation::Status {
-                    proxy: name(),
-                    version: told.version,
-                    refused: None,
-                };
-                self.session.observe(now, held);
-                if let Some((version, reason)) = told.refused {
-                    let refused = Observation::Status {
-                        proxy: name(),
-                        version,
-                        refused: Some(reason),
-                    };
-                    self.session.observe(now, refused);
-                }
+    fn handle_signals(&mut self, now: Moment) -> Option<ExitReason> {
+        for signal in self.signals.came() {
+            match signal {
+                reactor::RELOAD => self.reload(now),
+                _ => return Some(ExitReason::Signal),
             }
-            Ok(told) => warn!(
-                proxy,
-                names = told.proxy,
-                "a status that names another proxy"
-            ),
-            Err(reason) => warn!(proxy, reason, "a status that can't be read"),
         }
+        None
     }
 
-    /// Reads the file again. The channel's pace may change; anything else needs a restart.
-    fn reload(&mut self, now: Moment) {
-        let Some(path) = self.path.clone() else {
-            return;
+    fn handle_admin_connection(&mut self, now: Moment, token: Token) {
+        let mut context = AdminContext {
+            core: &mut self.core,
+            rollout: &mut self.rollout,
+            drains: &mut self.drains,
+            identity: &self.identity,
         };
-        match ControllerFile::read(&path) {
-            Ok(new) => {
-                let lines_per_second = new.deployment.channel.lines_per_second;
-                self.rollout.pace(lines_per_second);
-                // A change that set the pace says more than the file does.
-                let set = "channel.lines_per_second";
-                if self
-                    .rollout
-                    .ledger()
-                    .configuration()
-                    .values
-                    .contains_key(set)
-                {
-                    return warn!("file read again: {set} stands as a change has set it");
-                }
-                let mut same = self.file.deployment.clone();
-                same.channel.lines_per_second = lines_per_second;
-                if same == new.deployment {
-                    info!(lines_per_second, "file read again");
-                } else {
-                    warn!(
-                        "file read again: only channel.lines_per_second changes without a restart"
-                    );
-                }
-                self.file.deployment.channel.lines_per_second = lines_per_second;
-                self.session
-                    .observe(now, Observation::Pace { lines_per_second });
-            }
-            Err(error) => {
-                let reason = error.to_string();
-                warn!(reason, "file not read again, the old one stands");
-            }
-        }
-    }
-
-    /// What was given to be written is written; the files stay as they then are.
-    fn stop(&mut self) {
-        self.keep();
-        self.streams.stop(reactor::now());
-        if let Some(writer) = self.writer.take() {
-            for done in writer.finish() {
-                if let Done::Pointed {
-                    proxy,
-                    version,
-                    result: Err(reason),
-                } = done
-                {
-                    let again_in = Span::ZERO;
-                    log::notice(&LogEvent::WriteFailed {
-                        proxy,
-                        version,
-                        reason,
-                        again_in,
-                    });
-                }
-            }
-        }
-        info!("conductor stopped, its files stay");
-    }
-}
-
-fn watched(file: &ControllerFile) -> PathBuf {
-    let place = &file.conductor;
-    let parent = || {
-        place
-            .list
-            .parent()
-            .filter(|parent| !parent.as_os_str().is_empty())
-    };
-    place
-        .watched_directory
-        .clone()
-        .unwrap_or_else(|| parent().unwrap_or(Path::new(".")).to_path_buf())
-}
-
-fn contents(files: &[Option<&PathBuf>]) -> Vec<Option<Vec<u8>>> {
-    files
-        .iter()
-        .map(|path| path.and_then(|path| std::fs::read(path).ok()))
-        .collect()
-}
-
-fn administration_keys(plan: &AdministrationPlan) -> Result<Arc<ServerConfig>, BadKeys> {
-    let keys = KeyFiles {
-        certificate: plan.certificate.clone(),
-        key: plan.key.clone(),
-    };
-    wheelspread_grpc::tls::plain_server(&keys, &plan.clients)
-}
-
-/// Two conductors under one root would each undo what the other does.
-fn lock(root: &Root) -> Result<File, StartError> {
-    let path = root.path().join("lock");
-    let file = File::create(&path).map_err(named(path.display().to_string()))?;
-    match rustix::fs::flock(&file, rustix::fs::FlockOperation::NonBlockingLockExclusive) {
-        Ok(()) => Ok(file),
-        Err(rustix::io::Errno::WOULDBLOCK) => {
-            Err(StartError::InUse(root.path().display().to_string()))
-        }
-        Err(error) => Err(named(path.display().to_string())(error.into())),
+        self.admin.handle_ready(now, token, &mut context);
+        self.rollout_at = Some(now);
     }
 }
--- /dev/null
+++ b/crates/controller/src/service/effects.rs
@@ -0,0 +1,113 @@
+//! Carrying out what the core, the rollout of configurations and the drains decide.
+
+use super::Controller;
+use crate::log;
+use tracing::warn;
+use wheelspread::time::Moment;
+use wheelspread_config_rollout::Step;
+use wheelspread_config_transaction::Commit;
+use wheelspread_controller_core::controller_core::ConfigUpdate;
+use wheelspread_controller_core::rollback::RollbackResult;
+use wheelspread_controller_core::{Effect, Observation};
+use wheelspread_faults::reached;
+use wheelspread_files::Job;
+use wheelspread_grpc::Status;
+use wheelspread_xds::loads;
+
+impl Controller {
+    /// Lets the core decide and carries out its effects.
+    pub(super) fn settle_core(&mut self, now: Moment) {
+        let mut effects = Vec::new();
+        self.core.settle(now, &mut effects);
+        for effect in effects {
+            self.carry_out(effect);
+        }
+    }
+
+    fn carry_out(&mut self, effect: Effect) {
+        match effect {
+            Effect::Accept { stream, period } => {
+                self.streams.send(stream, &loads::response(period));
+            }
+            Effect::Close { stream, reason } => {
+                self.streams.close(stream, Status::InvalidArgument, &reason);
+            }
+            Effect::Point { proxy, set } => self.submit_write(Job::Point { proxy, set }),
+            Effect::Send { stream, set } => {
+                self.discovery.offer_tables(&mut self.streams, stream, &set);
+            }
+            Effect::Answered { order, result } => self.finish_rollback(order, result),
+            Effect::Retire { version } => self.submit_write(Job::Retire { version }),
+            Effect::Log(event) => log::core_event(&event),
+        }
+    }
+
+    fn finish_rollback(&mut self, order: u64, result: Result<RollbackResult, String>) {
+        self.admin.finish_rollback(order, &result);
+        if let Err(reason) = result {
+            warn!(order, reason, "rollback not carried out");
+        }
+    }
+
+    /// Gives the thread that writes tables its next job.
+    fn submit_write(&self, job: Job) {
+        if let Some(writer) = &self.table_writer {
+            writer.give(job);
+        }
+    }
+
+    /// Carries changes of configuration on, if that is due.
+    pub(super) fn settle_rollout(&mut self, now: Moment) {
+        if self.rollout_at.is_none_or(|at| now < at) {
+            return;
+        }
+        let mut steps = Vec::new();
+        self.rollout.settle(now, &self.core, &mut steps);
+        for step in steps {
+            self.carry_out_rollout_step(now, step);
+        }
+        let earliest = now + self.core.plan().conductors.tick;
+        self.rollout_at = self
+            .rollout
+            .wake_at(now, &self.core)
+            .map(|at| at.max(earliest));
+    }
+
+    fn carry_out_rollout_step(&mut self, now: Moment, step: Step) {
+        match step {
+            Step::Write { number, commit } => self.write_rollout_commit(now, number, commit),
+            Step::Configure(update) => self.apply_config_update(now, *update),
+            Step::Answer { order, result } => {
+                let _ = reached("change.answer");
+                self.admin.finish_change(order, &result);
+            }
+            Step::Log(event) => log::rollout_event(&event),
+        }
+    }
+
+    fn write_rollout_commit(&mut self, now: Moment, number: u64, commit: Commit) {
+        if let Err(error) = self.state_writer.write(number, commit) {
+            self.rollout.written(now, number, Err(error.to_string()));
+        }
+    }
+
+    /// A configuration comes into force: for the decisions, for what is written and for what is streamed.
+    fn apply_config_update(&mut self, now: Moment, update: ConfigUpdate) {
+        let _ = reached("change.configure");
+        self.submit_write(Job::Plan(Box::new(update.plan.clone())));
+        self.discovery.reconfigure(update.plan.clone());
+        self.core
+            .observe(now, Observation::ConfigUpdated(Box::new(update)));
+        let _ = reached("change.configured");
+    }
+
+    /// Carries drains on and answers the callers whose orders are persisted.
+    pub(super) fn settle_drains(&mut self, now: Moment) {
+        let answers = self
+            .drains
+            .settle(now, &mut self.core, &mut self.state_writer);
+        for answer in answers {
+            self.admin.finish_drain(answer.order, &answer.result);
+        }
+    }
+}
--- /dev/null
+++ b/crates/controller/src/service/file_watch.rs
@@ -0,0 +1,122 @@
+//! The watched directories: the endpoint list, and the status files of proxies.
+
+use super::Controller;
+use crate::file::ControllerFile;
+use std::collections::BTreeSet;
+use std::io;
+use std::path::{Path, PathBuf};
+use tracing::warn;
+use wheelspread::time::Moment;
+use wheelspread_controller_core::Observation;
+use wheelspread_files::read;
+use wheelspread_reactor::{self as reactor, Moved};
+use wheelspread_xds::{nodes, status};
+
+/// What a batch of file events asks to be read again.
+#[derive(Default)]
+struct ChangedFiles {
+    endpoint_list: bool,
+    /// Names of proxies whose status files were swapped in.
+    statuses: BTreeSet<String>,
+}
+
+impl Controller {
+    pub(super) fn handle_file_events(&mut self, now: Moment) -> io::Result<()> {
+        let list_directory = list_directory(&self.file);
+        let mut changed = ChangedFiles::default();
+        for event in self.watcher.moved()? {
+            self.note_file_event(event, &list_directory, &mut changed);
+        }
+        if changed.endpoint_list {
+            self.read_endpoint_list(now);
+        }
+        for proxy in changed.statuses {
+            self.read_status(now, &proxy);
+        }
+        Ok(())
+    }
+
+    fn note_file_event(&mut self, event: Moved, list_directory: &Path, changed: &mut ChangedFiles) {
+        match event {
+            // A name with a dot is a file that is still being written.
+            Moved::Into { name, .. } if name.starts_with('.') => {}
+            Moved::Into { directory, name } if directory == self.root.statuses() => {
+                let proxy = name.strip_suffix(".json").map(str::to_string);
+                changed.statuses.extend(proxy);
+            }
+            Moved::Into { directory, .. } => changed.endpoint_list |= directory == list_directory,
+            Moved::Gone { directory } => drop(self.unwatched_directories.insert(directory)),
+            // Events were lost, so everything is read again.
+            Moved::Overflow => {
+                changed.endpoint_list = true;
+                let members = self.core.members().members();
+                changed
+                    .statuses
+                    .extend(members.map(|(name, _)| name.to_string()));
+            }
+        }
+    }
+
+    /// Watches directories that went away and have come back, and reads what they hold by now.
+    pub(super) fn watch_returned_directories(&mut self, now: Moment) {
+        for directory in std::mem::take(&mut self.unwatched_directories) {
+            match self.watcher.add(&directory) {
+                Ok(()) => self.read_endpoint_list(now),
+                Err(_) => drop(self.unwatched_directories.insert(directory)),
+            }
+        }
+    }
+
+    pub(super) fn read_endpoint_list(&mut self, now: Moment) {
+        let text = read::text(&self.file.conductor.list).map_err(|error| error.to_string());
+        // The same text again, as after a file was touched, is no watch event.
+        if self.last_list_text.as_ref() == Some(&text) {
+            return;
+        }
+        let list = text.clone().and_then(|text| {
+            nodes::read(&text, reactor::wall()).map_err(|error| error.to_string())
+        });
+        self.last_list_text = Some(text);
+        self.core.observe(now, Observation::List(list));
+    }
+
+    fn read_status(&mut self, now: Moment, proxy: &str) {
+        let text = read::text(&self.root.status(proxy)).map_err(|error| error.to_string());
+        let status = text.and_then(|text| status::read(&text).map_err(|error| error.to_string()));
+        let status = match status {
+            Ok(status) if status.proxy == proxy => status,
+            Ok(status) => {
+                let names = status.proxy;
+                return warn!(proxy, names, "status file names another proxy");
+            }
+            Err(reason) => return warn!(proxy, reason, "status file cannot be read"),
+        };
+        let held = Observation::Status {
+            proxy: proxy.to_string(),
+            version: status.version,
+            refused: None,
+        };
+        self.core.observe(now, held);
+        if let Some((version, reason)) = status.refused {
+            let refused = Observation::Status {
+                proxy: proxy.to_string(),
+                version,
+                refused: Some(reason),
+            };
+            self.core.observe(now, refused);
+        }
+    }
+}
+
+/// The directory to watch for swaps of the endpoint list.
+pub(super) fn list_directory(file: &ControllerFile) -> PathBuf {
+    let settings = &file.conductor;
+    if let Some(directory) = &settings.watched_directory {
+        return directory.clone();
+    }
+    let parent = settings
+        .list
+        .parent()
+        .filter(|parent| !parent.as_os_str().is_empty());
+    parent.unwrap_or(Path::new(".")).to_path_buf()
+}
--- /dev/null
+++ b/crates/controller/src/service/maintenance.rs
@@ -0,0 +1,39 @@
+//! What is due once a second.
+
+use super::Controller;
+use tracing::warn;
+use wheelspread::time::{Moment, Span};
+use wheelspread_reactor as reactor;
+
+/// Time between two rounds of periodic maintenance.
+pub(super) const MAINTENANCE_INTERVAL: Span = Span::from_seconds(1.0);
+
+impl Controller {
+    /// Does what no event announces, once an interval.
+    pub(super) fn run_maintenance(&mut self, now: Moment) {
+        if now < self.maintenance_at {
+            return;
+        }
+        self.maintenance_at = now + MAINTENANCE_INTERVAL;
+        self.watch_returned_directories(now);
+        if let Err(error) = self.renew_tls_keys() {
+            warn!(%error, "TLS keys not renewed, the old ones stay in use");
+        }
+        // inotify does not announce a list that was there before the watch.
+        if self.last_list_text.as_ref().is_none_or(Result::is_err) {
+            self.read_endpoint_list(now);
+        }
+        self.persist_facts();
+        self.admin.close_slow_connections(now);
+    }
+
+    /// Persists versions, endpoints and capacity snapshots that have changed.
+    pub(super) fn persist_facts(&mut self) {
+        self.state_writer.persist_changes(
+            reactor::wall(),
+            self.core.version(),
+            self.core.nodes(),
+            self.core.learnt(),
+        );
+    }
+}
--- /dev/null
+++ b/crates/controller/src/service/startup.rs
@@ -0,0 +1,266 @@
+//! Start-up: the lock on the root of tables, what an earlier run left, then threads and sockets.
+
+use super::{
+    Controller, ADMIN_CONNECTIONS, ADMIN_LISTENERS, CONNECTIONS, LISTENER, SIGNALS, WAKER, WATCHER,
+};
+use crate::admin::{AdminServer, Identity};
+use crate::discovery_server::DiscoveryServer;
+use crate::drains::DrainOrders;
+use crate::file::ControllerFile;
+use crate::service::file_watch::list_directory;
+use crate::service::maintenance::MAINTENANCE_INTERVAL;
+use crate::service::tls_keys::{administration_tls, FileContents};
+use crate::state_writer::{self, StateWriter};
+use crate::streams::Streams;
+use std::collections::BTreeSet;
+use std::fs::File;
+use std::io;
+use std::path::{Path, PathBuf};
+use tracing::{info, warn};
+use wheelspread::time::Moment;
+use wheelspread_config_rollout::Rollout;
+use wheelspread_config_transaction::PersistedState;
+use wheelspread_controller_core::controller_core::RecoveredState;
+use wheelspread_controller_core::{ControllerCore, Deployment};
+use wheelspread_files::{scan, Root, Writer};
+use wheelspread_grpc::tls::BadKeys;
+use wheelspread_reactor::{self as reactor, Interest, Poll, Signals, Waker, Watcher};
+
+/// Why a controller does not start.
+#[derive(Debug, thiserror::Error)]
+pub enum StartError {
+    /// The system refused a file, a directory, a socket or a thread.
+    #[error("{resource}: {source}")]
+    Io {
+        /// What was asked of the system.
+        resource: String,
+        /// Its answer.
+        source: io::Error,
+    },
+    /// Another process holds the lock on this root of tables.
+    #[error("{0} is in use by another controller")]
+    InUse(String),
+    /// The persisted state can't be used.
+    #[error(transparent)]
+    State(#[from] wheelspread_store::StoreError),
+    /// Certificates or keys can't be used.
+    #[error("tls: {0}")]
+    Keys(BadKeys),
+    /// The core refuses the deployment.
+    #[error(transparent)]
+    Core(#[from] wheelspread_controller_core::StartError),
+}
+
+fn io_error(resource: impl Into<String>) -> impl FnOnce(io::Error) -> StartError {
+    let resource = resource.into();
+    move |source| StartError::Io { resource, source }
+}
+
+/// Where the loop's events come from, beside the sockets.
+struct EventSources {
+    poll: Poll,
+    waker: Waker,
+    signals: Signals,
+    watcher: Watcher,
+    unwatched_directories: BTreeSet<PathBuf>,
+}
+
+impl EventSources {
+    fn open(file: &ControllerFile, root: &Root) -> Result<EventSources, StartError> {
+        let poll = Poll::new().map_err(io_error("epoll"))?;
+        let waker = Waker::new(&poll, WAKER).map_err(io_error("eventfd"))?;
+        let handled = [reactor::TERMINATE, reactor::INTERRUPT, reactor::RELOAD];
+        let signals = Signals::new(&poll, SIGNALS, &handled).map_err(io_error("signals"))?;
+        let mut watcher = Watcher::new(&poll, WATCHER).map_err(io_error("inotify"))?;
+        let mut unwatched_directories = BTreeSet::new();
+        for directory in [list_directory(file), root.statuses()] {
+            if let Err(error) = watcher.add(&directory) {
+                warn!(directory = %directory.display(), %error, "directory cannot be watched yet");
+                unwatched_directories.insert(directory);
+            }
+        }
+        Ok(EventSources {
+            poll,
+            waker,
+            signals,
+            watcher,
+            unwatched_directories,
+        })
+    }
+}
+
+/// What an earlier run left, by file and by persisted state.
+struct RestoredRun {
+    drains: DrainOrders,
+    rollout: Rollout,
+    deployment: Deployment,
+    recovered: RecoveredState,
+}
+
+impl RestoredRun {
+    fn restore(
+        now: Moment,
+        file: &ControllerFile,
+        root: &Root,
+        persisted: &PersistedState,
+    ) -> Result<RestoredRun, StartError> {
+        let drains = DrainOrders::restore(now, persisted, file.changes.value_lost_at_most);
+        let (rollout, configured, moving) = Rollout::start(
+            now,
+            file.deployment.clone(),
+            file.changes.rollout_plans(),
+            persisted,
+        );
+        let deployment = configured.plan;
+        let mut scan =
+            scan(root, &deployment).map_err(io_error("what lies under the root of tables"))?;
+        for text in &scan.unreadable {
+            warn!(text, "unreadable file found under the root of tables");
+        }
+        state_writer::restore_core_state(persisted, reactor::wall(), &mut scan.found);
+        (scan.found.configuration, scan.found.values) = (configured.version, configured.values);
+        scan.found.moving = moving;
+        scan.found.drained = drains.drained_nodes();
+        info!(
+            name = file.conductor.name,
+            configuration = configured.version,
+            held = scan.found.held.len(),
+            versions = scan.found.versions.len(),
+            leftovers = scan.leftovers,
+            "controller starting"
+        );
+        Ok(RestoredRun {
+            drains,
+            rollout,
+            deployment,
+            recovered: scan.found,
+        })
+    }
+}
+
+impl Controller {
+    /// Takes the lock on the root of tables, restores what an earlier run left and opens the sockets.
+    /// `path` is where the file came from, to be read again on SIGHUP.
+    pub fn start(file: ControllerFile, path: Option<&Path>) -> Result<Controller, StartError> {
+        let root = prepare_root(&file)?;
+        let root_lock = lock_root(&root)?;
+        let sources = EventSources::open(&file, &root)?;
+        let (state_writer, persisted) = StateWriter::start(
+            &file.conductor.tables.join("state"),
+            reactor::wall(),
+            sources.waker.clone(),
+        )?;
+        let now = reactor::now();
+        let restored = RestoredRun::restore(now, &file, &root, &persisted)?;
+        let core = start_core(now, &file, &restored.deployment, restored.recovered)?;
+        let table_writer = Writer::start(
+            root.clone(),
+            restored.deployment.clone(),
+            sources.waker.clone(),
+        )
+        .map_err(io_error("a thread"))?;
+        let listener = listen(&file, &sources.poll)?;
+        let admin = start_admin(&file, &sources.poll)?;
+        let mut controller = Controller {
+            path: path.map(Path::to_path_buf),
+            poll: sources.poll,
+            listener,
+            accept_paused_until: None,
+            waker: sources.waker,
+            signals: sources.signals,
+            watcher: sources.watcher,
+            unwatched_directories: sources.unwatched_directories,
+            maintenance_at: now + MAINTENANCE_INTERVAL,
+            streams: new_streams(&file),
+            discovery: DiscoveryServer::new(&file, restored.deployment),
+            state_writer,
+            rollout: restored.rollout,
+            rollout_at: Some(now),
+            drains: restored.drains,
+            identity: Identity::new(&file, now),
+            admin,
+            table_writer: Some(table_writer),
+            root,
+            core,
+            last_list_text: None,
+            last_tls_files: FileContents::default(),
+            last_administration_files: FileContents::default(),
+            _root_lock: root_lock,
+            file,
+        };
+        controller.renew_tls_keys().map_err(StartError::Keys)?;
+        controller.read_endpoint_list(now);
+        Ok(controller)
+    }
+}
+
+fn prepare_root(file: &ControllerFile) -> Result<Root, StartError> {
+    let tables = &file.conductor.tables;
+    let root = Root::new(tables);
+    root.prepare()
+        .map_err(io_error(format!("the root of tables {}", tables.display())))?;
+    Ok(root)
+}
+
+/// Two controllers under one root would each undo what the other does.
+fn lock_root(root: &Root) -> Result<File, StartError> {
+    let path = root.path().join("lock");
+    let file = File::create(&path).map_err(io_error(path.display().to_string()))?;
+    match rustix::fs::flock(&file, rustix::fs::FlockOperation::NonBlockingLockExclusive) {
+        Ok(()) => Ok(file),
+        Err(rustix::io::Errno::WOULDBLOCK) => {
+            Err(StartError::InUse(root.path().display().to_string()))
+        }
+        Err(error) => Err(io_error(path.display().to_string())(error.into())),
+    }
+}
+
+fn start_core(
+    now: Moment,
+    file: &ControllerFile,
+    deployment: &Deployment,
+    recovered: RecoveredState,
+) -> Result<ControllerCore, StartError> {
+    let settings = &file.conductor;
+    Ok(ControllerCore::start(
+        now,
+        settings.seed,
+        deployment.clone(),
+        settings.number,
+        recovered,
+    )?)
+}
+
+fn listen(file: &ControllerFile, poll: &Poll) -> Result<std::net::TcpListener, StartError> {
+    let address = file.conductor.listen;
+    let listener = reactor::listen(address).map_err(io_error(address.to_string()))?;
+    poll.add(&listener, LISTENER, Interest::Readable)
+        .map_err(io_error("epoll"))?;
+    Ok(listener)
+}
+
+fn start_admin(file: &ControllerFile, poll: &Poll) -> Result<AdminServer, StartError> {
+    let port = match &file.administration {
+        None => None,
+        Some(settings) => {
+            let tls = administration_tls(settings).map_err(StartError::Keys)?;
+            Some((settings, tls))
+        }
+    };
+    AdminServer::start(
+        &file.conductor.tables,
+        port,
+        poll,
+        ADMIN_LISTENERS,
+        ADMIN_CONNECTIONS,
+    )
+    .map_err(io_error("the operators' listeners"))
+}
+
+fn new_streams(file: &ControllerFile) -> Streams {
+    Streams::new(
+        CONNECTIONS,
+        file.conductor.connections_at_most,
+        file.deployment.sums.period,
+    )
+}
--- /dev/null
+++ b/crates/controller/src/service/table_results.rs
@@ -0,0 +1,60 @@
+//! Results of the threads that write tables and the persisted state.
+
+use super::Controller;
+use crate::drains::FIRST_WRITE_NUMBER;
+use tracing::warn;
+use wheelspread::time::Moment;
+use wheelspread_controller_core::Observation;
+use wheelspread_files::{Done, Writer};
+
+impl Controller {
+    pub(super) fn handle_write_results(&mut self, now: Moment) {
+        self.waker.rest();
+        self.handle_state_results(now);
+        let finished: Vec<Done> = self.table_writer.iter().flat_map(Writer::done).collect();
+        for done in finished {
+            self.handle_table_result(now, done);
+        }
+    }
+
+    fn handle_state_results(&mut self, now: Moment) {
+        for written in self.state_writer.take_results() {
+            if written.number > FIRST_WRITE_NUMBER {
+                self.drains.written(now, written.number, written.result);
+                continue;
+            }
+            let result = written.result.map_err(|error| error.to_string());
+            self.rollout.written(now, written.number, result);
+            self.rollout_at = Some(now);
+        }
+    }
+
+    fn handle_table_result(&mut self, now: Moment, done: Done) {
+        match done {
+            Done::Pointed {
+                proxy,
+                version,
+                result,
+            } => {
+                let observation = Observation::Pointed {
+                    proxy,
+                    version,
+                    result,
+                };
+                self.core.observe(now, observation);
+            }
+            Done::Unsynced { version } => {
+                warn!(
+                    version = version.0,
+                    "tables published before fsync ended, the disk is slow"
+                );
+            }
+            Done::NotRetired { version, reason } => {
+                warn!(
+                    version = version.0,
+                    reason, "old table version cannot be removed"
+                );
+            }
+        }
+    }
+}
--- a/crates/controller/src/state_writer/tests.rs
+++ b/crates/controller/src/state_writer/tests.rs
@@ -1,8 +1,11 @@
-//! What the state writer keeps over restarts, and what is restored of a state file of the old names.
+//! What is persisted over restarts, and what is restored from a state file of the old names.
 
 use super::*;
-use crate::drains::Drains;
-use wheelspread::time::Moment;
+use crate::drains::DrainOrders;
+use persisted_facts::{restore_capacity_facts, restore_endpoint_records};
+use wheelspread::time::{Moment, Span};
+use wheelspread_controller_core::controller_core::RecoveredState;
+use wheelspread_controller_core::endpoint_list::EndpointSnapshot;
 use wheelspread_controller_core::Deployment;
 use wheelspread_reactor::{Poll, Token};
 
@@ -15,7 +18,7 @@
     serde_yaml_ng::from_str(text).expect("a sound plan")
 }
 
-fn held(version: &str, ports: std::ops::Range<u16>) -> EndpointList {
+fn endpoint_list(version: &str, ports: std::ops::Range<u16>) -> EndpointList {
     let record = |port| EndpointRecord {
         node: NodeId {
             address: [127, 0, 0, 1],
@@ -42,47 +45,53 @@
     nodes
 }
 
-/// One run of a conductor that holds these nodes; what the file keeps at its end, and in how many commits.
+/// One run of a controller that holds these nodes; returns what the file holds at its end.
 fn run(path: &Path, nodes: &EndpointList) -> PersistedState {
     let poll = Poll::new().expect("epoll");
     let waker = Waker::new(&poll, Token(1)).expect("eventfd");
-    let (mut keeper, _) = StateWriter::start(path, 1000.0, waker).expect("opened");
-    let learnt = nodes.listed().map(|(record, _)| CapacitySnapshot {
+    let (mut writer, _) = StateWriter::start(path, 1000.0, waker).expect("opened");
+    let capacities = nodes.listed().map(|(record, _)| CapacitySnapshot {
         node: record.node,
         capacity: 3.0,
         evidence: 5.0,
         quickest: 0.1,
     });
-    // Before it has read a list it lets go of nothing.
-    keeper.keep(
+    // Before it has read a list it deletes nothing.
+    writer.persist_changes(
         1000.0,
         Version(7),
         &EndpointList::default(),
         std::iter::empty(),
     );
-    keeper.keep(1000.0, Version(7), nodes, learnt);
-    drop(keeper);
+    writer.persist_changes(1000.0, Version(7), nodes, capacities);
+    drop(writer);
     Store::look(path).expect("there").0
 }
 
 #[test]
-fn what_has_gone_between_two_runs_is_let_go_of_and_what_is_the_same_is_not_written_again() {
+fn facts_of_removed_nodes_are_deleted_and_unchanged_facts_are_not_written_again() {
     let directory = tempfile::tempdir().expect("a directory");
     let path = directory.path().join("state");
-    let first = run(&path, &held("1", 0..4));
+    let first = run(&path, &endpoint_list("1", 0..4));
     assert_eq!(
-        (listed(&first, 1000.0).count(), learnt(&first).count()),
+        (
+            restore_endpoint_records(&first, 1000.0).count(),
+            restore_capacity_facts(&first).count()
+        ),
         (4, 4)
     );
-    let again = run(&path, &held("1", 0..4));
+    let again = run(&path, &endpoint_list("1", 0..4));
     assert_eq!(again.facts, first.facts);
-    let third = run(&path, &held("2", 0..3));
+    let third = run(&path, &endpoint_list("2", 0..3));
     assert_eq!(
-        (listed(&third, 1000.0).count(), learnt(&third).count()),
+        (
+            restore_endpoint_records(&third, 1000.0).count(),
+            restore_capacity_facts(&third).count()
+        ),
         (3, 3)
     );
     let mut found = RecoveredState::default();
-    recall(&third, 1000.0, &mut found);
+    restore_core_state(&third, 1000.0, &mut found);
     assert_eq!(
         found.list.map(|list| (list.version, list.records.len())),
         Some(("2".into(), 3))
@@ -99,7 +108,7 @@
     let path = directory.path().join("state");
     std::fs::copy(original, &path).expect("copied");
     let (store, found) = Store::open(&path).expect("it opens");
-    assert_eq!(found, File::Sound);
+    assert_eq!(found, Found::Sound);
     assert_eq!(store.bytes(), 10_940);
     store.kept().clone()
 }
@@ -133,7 +142,7 @@
     let kept = state_written_before_the_renaming();
     let wall = 1_796_234_100.0;
     let mut found = RecoveredState::default();
-    recall(&kept, wall, &mut found);
+    restore_core_state(&kept, wall, &mut found);
 
     assert_eq!(found.floor, Version(57 + 10_000));
     let list = found.list.expect("a list");
@@ -191,9 +200,8 @@
 #[test]
 fn the_drain_in_a_state_file_of_the_old_names_is_restored() {
     let kept = state_written_before_the_renaming();
-    let drains = Drains::start(Moment::default(), &kept, 0.05);
+    let drains = DrainOrders::restore(Moment::default(), &kept, 0.05);
     let drains: Vec<serde_json::Value> = drains
-        .book()
         .drains()
         .map(|drain| serde_json::to_value(drain).expect("a drain"))
         .collect();
--- a/crates/controller/src/streams.rs
+++ b/crates/controller/src/streams.rs
@@ -1,8 +1,12 @@
-//! Streams of sums and of tables: connections, who is on them, and when they have been silent for too long.
+//! gRPC streams of proxies: load reports and discovery. This module owns the connections, knows who is on each
+//! stream, and closes streams that have been silent for too long; `receive` takes what comes on them.
+
+mod receive;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::TcpStream;
 use std::sync::Arc;
+use tracing::{debug, warn};
 use wheelspread::time::{Moment, Span};
 use wheelspread_controller_core::membership::StreamId;
 use wheelspread_controller_core::Observation;
@@ -10,388 +14,329 @@
 use wheelspread_grpc::tls::speaks_for;
 use wheelspread_grpc::{Limits, ServerConfig, ServerConnection, ServerEvent, Status, StreamKey};
 use wheelspread_reactor::Token;
-use wheelspread_xds::{discovery, loads};
 
-/// Periods without a report after which a stream counts as dead; at least so many seconds.
-const SILENT: (f64, f64) = (10.0, 10.0);
+/// When a load report stream counts as dead.
+struct SilenceLimit {
+    /// Report periods without a report.
+    periods: f64,
+    /// At least so long.
+    minimum: Span,
+}
+
+const SILENCE_LIMIT: SilenceLimit = SilenceLimit {
+    periods: 10.0,
+    minimum: Span::from_seconds(10.0),
+};
 
-/// Between two looks at who is silent, in seconds: with thousands of streams it is no small matter.
-const LOOK: f64 = 0.25;
+/// Time between two looks for silent streams: with thousands of streams each look takes a while.
+const MAINTENANCE_INTERVAL: Span = Span::from_seconds(0.25);
+/// Of a name that a client claims, so many characters are shown in an error.
+const SHOWN_NAME_CHARS: usize = 100;
 
-struct Reporter {
+/// A stream on which a proxy sends load reports.
+struct ReportStream {
     connection: Token,
     key: StreamKey,
-    introduced: bool,
-    heard: Moment,
+    is_identified: bool,
+    last_report_at: Moment,
 }
 
-/// Somebody who reads tables.
-struct Reader {
+/// A stream on which a proxy reads its tables.
+struct DiscoveryStream {
     connection: Token,
     key: StreamKey,
-    delta: bool,
-    introduced: bool,
+    is_delta: bool,
+    is_identified: bool,
+}
+
+/// Keys of the listener, and what they are to prove.
+struct TlsIdentity {
+    tls: Arc<ServerConfig>,
+    /// Whether a node id has to be a name of the client's certificate.
+    checks_node_id: bool,
+}
+
+/// A name that a client may not use.
+#[derive(Debug, thiserror::Error)]
+#[error("its certificate is not one for `{shown_name}`")]
+struct IdentityError {
+    shown_name: String,
 }
 
+/// Connections of proxies and the streams on them.
 pub struct Streams {
     connections: BTreeMap<Token, ServerConnection>,
-    reporters: BTreeMap<StreamId, Reporter>,
-    readers: BTreeMap<StreamId, Reader>,
-    /// Requests of readers, for the front.
-    asks: Vec<(StreamId, Ask)>,
-    /// Readers to whom something may be sent now.
-    open: BTreeSet<StreamId>,
+    report_streams: BTreeMap<StreamId, ReportStream>,
+    discovery_streams: BTreeMap<StreamId, DiscoveryStream>,
     ids: BTreeMap<(Token, StreamKey), StreamId>,
-    next_token: u64,
-    next_stream: u64,
+    /// Requests that the discovery server has not taken yet.
+    discovery_requests: Vec<(StreamId, Ask)>,
+    /// Discovery streams to which something may be sent now.
+    writable: BTreeSet<StreamId>,
+    /// Connections that are readable, were just accepted, or were given something to send.
+    ready: Vec<Token>,
+    last_token: u64,
+    last_stream: u64,
     limits: Limits,
-    next_look: Moment,
-    tls: Option<Arc<ServerConfig>>,
-    /// Node ids have to be names of certificates.
-    named: bool,
-    silent: Span,
-    most: usize,
-    /// Connections that were given something to send, or opened, and not turned since.
-    stirred: Vec<Token>,
+    connection_limit: usize,
+    silence_limit: Span,
+    maintenance_at: Moment,
+    tls: Option<TlsIdentity>,
 }
 
 impl Streams {
-    /// Tokens from `first` on belong to connections.
-    pub fn new(first: Token, most: usize, period: Span) -> Streams {
-        let silent = (period * SILENT.0).seconds().max(SILENT.1);
+    /// Tokens above `first` belong to connections; load reports are due every `report_period`.
+    pub fn new(first: Token, connection_limit: usize, report_period: Span) -> Streams {
+        let silence_limit = report_period * SILENCE_LIMIT.periods;
         Streams {
             connections: BTreeMap::new(),
-            reporters: BTreeMap::new(),
-            readers: BTreeMap::new(),
-            asks: Vec::new(),
-            open: BTreeSet::new(),
+            report_streams: BTreeMap::new(),
+            discovery_streams: BTreeMap::new(),
             ids: BTreeMap::new(),
-            next_token: first.0,
-            next_stream: 0,
+            discovery_requests: Vec::new(),
+            writable: BTreeSet::new(),
+            ready: Vec::new(),
+            last_token: first.0,
+            last_stream: 0,
             limits: Limits::default(),
-            next_look: Moment::default(),
+            connection_limit,
+            silence_limit: silence_limit.max(SILENCE_LIMIT.minimum),
+            maintenance_at: Moment::default(),
             tls: None,
-            named: false,
-            silent: Span::from_seconds(silent),
-            most,
-            stirred: Vec::new(),
         }
     }
 
     /// Keys for connections from now on; those that are open keep theirs.
-    pub fn secure(&mut self, tls: Arc<ServerConfig>, named: bool) {
-        (self.tls, self.named) = (Some(tls), named);
+    pub fn set_tls(&mut self, tls: Arc<ServerConfig>, checks_node_id: bool) {
+        self.tls = Some(TlsIdentity {
+            tls,
+            checks_node_id,
+        });
     }
 
-    /// Why a client may not call itself by this name.
-    fn impostor(&self, token: Token, name: &str) -> Option<String> {
-        let peer = self
-            .connections
-            .get(&token)
-            .and_then(ServerConnection::peer);
-        let wrong = self.named && !peer.is_some_and(|certificate| speaks_for(certificate, name));
-        let shown: String = name.chars().take(100).collect();
-        wrong.then(|| format!("its certificate is not one for `{shown}`"))
+    /// Whether the client of a connection may use this node id.
+    fn check_node_id(&self, token: Token, name: &str) -> Result<(), IdentityError> {
+        if !self.tls.as_ref().is_some_and(|tls| tls.checks_node_id) {
+            return Ok(());
+        }
+        let connection = self.connections.get(&token);
+        let certificate = connection.and_then(ServerConnection::peer);
+        if certificate.is_some_and(|certificate| speaks_for(certificate, name)) {
+            return Ok(());
+        }
+        Err(IdentityError {
+            shown_name: name.chars().take(SHOWN_NAME_CHARS).collect(),
+        })
     }
 
-    pub fn full(&self) -> bool {
-        self.connections.len() >= self.most
+    /// Whether no more connections are accepted.
+    pub fn is_full(&self) -> bool {
+        self.connections.len() >= self.connection_limit
     }
 
+    /// A token for a new connection.
     pub fn next_token(&mut self) -> Token {
-        self.next_token += 1;
-        Token(self.next_token)
+        self.last_token += 1;
+        Token(self.last_token)
     }
 
+    /// Takes over an accepted connection.
     pub fn add(&mut self, now: Moment, token: Token, socket: TcpStream) {
         let connection = match &self.tls {
             None => ServerConnection::new(now, socket, self.limits),
-            Some(tls) => match ServerConnection::secured(now, socket, self.limits, tls.clone()) {
-                Ok(connection) => connection,
-                Err(error) => return tracing::warn!(%error, "connection turned away"),
-            },
+            Some(identity) => {
+                let tls = identity.tls.clone();
+                match ServerConnection::secured(now, socket, self.limits, tls) {
+                    Ok(connection) => connection,
+                    Err(error) => return warn!(%error, "connection rejected"),
+                }
+            }
         };
         self.connections.insert(token, connection);
-        self.stirred.push(token);
+        self.ready.push(token);
+    }
+
+    /// A connection is to be read and written in the next round.
+    pub fn mark_ready(&mut self, token: Token) {
+        self.ready.push(token);
     }
 
-    pub fn stir(&mut self, token: Token) {
-        self.stirred.push(token);
+    /// Whether a connection is to be read or written at once.
+    pub fn has_ready_connections(&self) -> bool {
+        !self.ready.is_empty()
     }
 
-    /// Lets all that were stirred read and write, and those whose time is over.
-    pub fn turn(&mut self, now: Moment, told: &mut Vec<Observation>) {
-        if now >= self.next_look {
-            self.next_look = now + Span::from_seconds(LOOK);
-            let due = self
-                .connections
-                .iter()
-                .filter(|(_, c)| c.wake_at().is_some_and(|at| at <= now));
-            let due: Vec<Token> = due.map(|(token, _)| *token).collect();
-            self.stirred.extend(due);
-            self.silence(now);
+    /// Reads and writes all connections that are ready or due.
+    pub fn process_ready(&mut self, now: Moment, observations: &mut Vec<Observation>) {
+        if now >= self.maintenance_at {
+            self.maintenance_at = now + MAINTENANCE_INTERVAL;
+            self.mark_due_connections(now);
+            self.close_silent_streams(now);
         }
-        while !self.stirred.is_empty() {
-            let mut stirred = std::mem::take(&mut self.stirred);
-            stirred.sort();
-            stirred.dedup();
-            for token in stirred {
-                self.turn_one(now, token, told);
+        while !self.ready.is_empty() {
+            let mut ready = std::mem::take(&mut self.ready);
+            ready.sort();
+            ready.dedup();
+            for token in ready {
+                self.process_connection(now, token, observations);
             }
         }
     }
 
-    fn turn_one(&mut self, now: Moment, token: Token, told: &mut Vec<Observation>) {
+    fn mark_due_connections(&mut self, now: Moment) {
+        let is_due =
+            |connection: &ServerConnection| connection.wake_at().is_some_and(|at| at <= now);
+        let due = self
+            .connections
+            .iter()
+            .filter(|(_, connection)| is_due(connection));
+        self.ready.extend(due.map(|(token, _)| *token));
+    }
+
+    fn process_connection(
+        &mut self,
+        now: Moment,
+        token: Token,
+        observations: &mut Vec<Observation>,
+    ) {
         let Some(connection) = self.connections.get_mut(&token) else {
             return;
         };
-        let (events, over) = connection.turn(now);
+        let (events, close_reason) = connection.turn(now);
         for event in events {
             match event {
-                ServerEvent::Opened { stream, path } => self.opened(now, token, stream, &path),
+                ServerEvent::Opened { stream, path } => {
+                    self.open_stream(now, token, stream, &path);
+                }
                 ServerEvent::Message { stream, bytes } => {
                     if let Some(id) = self.ids.get(&(token, stream)).copied() {
-                        self.message(now, id, &bytes, told);
+                        self.receive_message(now, id, &bytes, observations);
                     }
                 }
                 ServerEvent::Closed { stream, reason } => {
-                    let Some(id) = self.ids.remove(&(token, stream)) else {
-                        continue;
-                    };
-                    tracing::debug!(stream = id.0, reason, "stream closed");
-                    if self
-                        .reporters
-                        .remove(&id)
-                        .is_some_and(|reporter| reporter.introduced)
-                    {
-                        told.push(Observation::StreamClosed { stream: id });
-                    }
-                    self.open.remove(&id);
-                    if self
-                        .readers
-                        .remove(&id)
-                        .is_some_and(|reader| reader.introduced)
-                    {
-                        told.push(Observation::Unsubscribed { stream: id });
-                    }
+                    self.remove_stream((token, stream), &reason, observations);
                 }
             }
         }
-        // What the socket took makes room for more.
-        let of = self
-            .ids
-            .range((token, StreamKey(0))..=(token, StreamKey(u32::MAX)));
-        self.open.extend(
-            of.map(|(_, id)| *id)
-                .filter(|id| self.readers.contains_key(id)),
-        );
-        if let Some(reason) = over {
-            tracing::debug!(connection = token.0, reason, "connection over");
+        self.mark_connection_writable(token);
+        if let Some(reason) = close_reason {
+            debug!(connection = token.0, reason, "connection closed");
             self.connections.remove(&token);
         }
     }
 
-    fn opened(&mut self, now: Moment, token: Token, key: StreamKey, path: &str) {
-        let delta = path == discovery::DELTA;
-        if delta || path == discovery::WHOLE {
-            self.next_stream += 1;
-            let id = StreamId(self.next_stream);
-            self.ids.insert((token, key), id);
-            self.readers.insert(
-                id,
-                Reader {
-                    connection: token,
-                    key,
-                    delta,
-                    introduced: false,
-                },
-            );
-            return;
-        }
-        if path != loads::METHOD {
-            if let Some(connection) = self.connections.get_mut(&token) {
-                connection.close(
-                    key,
-                    Status::Unimplemented,
-                    "aggregated discovery and load reports are served here",
-                );
-                self.stirred.push(token);
-            }
-            return;
-        }
-        self.next_stream += 1;
-        let id = StreamId(self.next_stream);
-        self.ids.insert((token, key), id);
-        self.reporters.insert(
-            id,
-            Reporter {
-                connection: token,
-                key,
-                introduced: false,
-                heard: now,
-            },
-        );
-    }
-
-    fn message(&mut self, now: Moment, id: StreamId, bytes: &[u8], told: &mut Vec<Observation>) {
-        if self.readers.contains_key(&id) {
-            return self.asked(id, bytes, told);
-        }
-        let Some(reporter) = self.reporters.get_mut(&id) else {
+    fn remove_stream(
+        &mut self,
+        key: (Token, StreamKey),
+        reason: &str,
+        observations: &mut Vec<Observation>,
+    ) {
+        let Some(id) = self.ids.remove(&key) else {
             return;
         };
-        reporter.heard = now;
-        let request = match loads::decode_request(bytes) {
-            Ok(request) => request,
-            Err(error) => return self.close(id, Status::InvalidArgument, &error.to_string()),
-        };
-        if !reporter.introduced {
-            match loads::introduction(&request) {
-                Some(who) => {
-                    let token = reporter.connection;
-                    if let Some(reason) = self.impostor(token, &who.name) {
-                        return self.close(id, Status::PermissionDenied, &reason);
-                    }
-                    let Some(reporter) = self.reporters.get_mut(&id) else {
-                        return;
-                    };
-                    reporter.introduced = true;
-                    told.push(Observation::StreamOpened { stream: id, who });
-                }
-                None => {
-                    return self.close(
-                        id,
-                        Status::InvalidArgument,
-                        "the first report names no node",
-                    )
-                }
-            }
+        debug!(stream = id.0, reason, "stream closed");
+        let report_stream = self.report_streams.remove(&id);
+        if report_stream.is_some_and(|stream| stream.is_identified) {
+            observations.push(Observation::StreamClosed { stream: id });
         }
-        if let Some(report) = loads::report(&request) {
-            told.push(Observation::LoadReport { stream: id, report });
+        self.writable.remove(&id);
+        let discovery_stream = self.discovery_streams.remove(&id);
+        if discovery_stream.is_some_and(|stream| stream.is_identified) {
+            observations.push(Observation::Unsubscribed { stream: id });
         }
     }
 
-    fn asked(&mut self, id: StreamId, bytes: &[u8], told: &mut Vec<Observation>) {
-        let Some(reader) = self.readers.get_mut(&id) else {
-            return;
-        };
-        let request = if reader.delta {
-            discovery::read_delta(bytes)
-        } else {
-            discovery::read_whole(bytes)
-        };
-        let request = match request {
-            Ok(request) => request,
-            Err(error) => return self.close(id, Status::InvalidArgument, &error.to_string()),
-        };
-        if !reader.introduced {
-            let Some(who) = request.who else {
-                return self.close(
-                    id,
-                    Status::InvalidArgument,
-                    "the first request names no node",
-                );
-            };
-            let token = reader.connection;
-            if let Some(reason) = self.impostor(token, &who.name) {
-                return self.close(id, Status::PermissionDenied, &reason);
-            }
-            let Some(reader) = self.readers.get_mut(&id) else {
-                return;
-            };
-            reader.introduced = true;
-            told.push(Observation::Subscribed {
-                stream: id,
-                who,
-                brings: request.holds,
-            });
-        }
-        self.asks.push((id, request.ask));
+    /// What the socket took makes room for more on all discovery streams of the connection.
+    fn mark_connection_writable(&mut self, token: Token) {
+        let keys = (token, StreamKey(0))..=(token, StreamKey(u32::MAX));
+        let streams = self.ids.range(keys).map(|(_, id)| *id);
+        self.writable
+            .extend(streams.filter(|id| self.discovery_streams.contains_key(id)));
     }
 
-    /// What readers asked for since the last call.
-    pub fn asks(&mut self) -> Vec<(StreamId, Ask)> {
-        std::mem::take(&mut self.asks)
+    /// Discovery requests that came since the last call.
+    pub fn take_discovery_requests(&mut self) -> Vec<(StreamId, Ask)> {
+        std::mem::take(&mut self.discovery_requests)
     }
 
-    /// Something new is there for a reader.
-    pub fn offer(&mut self, id: StreamId) {
-        self.open.insert(id);
+    /// Something new is there to be sent on a discovery stream.
+    pub fn mark_writable(&mut self, id: StreamId) {
+        self.writable.insert(id);
     }
 
-    /// Readers to look after; whoever still has something unsent is told of again once it is taken.
-    pub fn open(&mut self) -> Vec<StreamId> {
-        let waits = |id: &StreamId| {
-            let reader = self.readers.get(id)?;
-            Some(self.connections.get(&reader.connection)?.queued(reader.key))
+    /// Discovery streams that can be sent something. A stream with unsent bytes comes back once they are sent.
+    pub fn take_writable(&mut self) -> Vec<StreamId> {
+        let queued_bytes = |id: &StreamId| {
+            let stream = self.discovery_streams.get(id)?;
+            let connection = self.connections.get(&stream.connection)?;
+            Some(connection.queued(stream.key))
         };
-        let open = std::mem::take(&mut self.open);
-        open.into_iter().filter(|id| waits(id) == Some(0)).collect()
+        let writable = std::mem::take(&mut self.writable);
+        writable
+            .into_iter()
+            .filter(|id| queued_bytes(id) == Some(0))
+            .collect()
     }
 
-    fn place(&self, id: StreamId) -> Option<(Token, StreamKey)> {
-        let reporter = self
-            .reporters
-            .get(&id)
-            .map(|reporter| (reporter.connection, reporter.key));
-        reporter.or_else(|| {
-            self.readers
-                .get(&id)
-                .map(|reader| (reader.connection, reader.key))
-        })
+    fn locate(&self, id: StreamId) -> Option<(Token, StreamKey)> {
+        if let Some(stream) = self.report_streams.get(&id) {
+            return Some((stream.connection, stream.key));
+        }
+        let stream = self.discovery_streams.get(&id)?;
+        Some((stream.connection, stream.key))
     }
 
-    fn silence(&mut self, now: Moment) {
-        let silent = self
-            .reporters
+    fn close_silent_streams(&mut self, now: Moment) {
+        let silent: Vec<StreamId> = self
+            .report_streams
             .iter()
-            .filter(|(_, reporter)| now - reporter.heard > self.silent);
-        for id in silent.map(|(id, _)| *id).collect::<Vec<_>>() {
-            let reason = format!("nothing came for {} s", self.silent.seconds());
+            .filter(|(_, stream)| now - stream.last_report_at > self.silence_limit)
+            .map(|(id, _)| *id)
+            .collect();
+        for id in silent {
+            let reason = format!("nothing came for {} s", self.silence_limit.seconds());
             self.close(id, Status::DeadlineExceeded, &reason);
         }
     }
 
+    /// Sends a message; a stream whose client does not read is closed.
     pub fn send(&mut self, id: StreamId, message: &[u8]) {
-        let Some((token, key)) = self.place(id) else {
+        let Some((token, key)) = self.locate(id) else {
             return;
         };
         if let Some(connection) = self.connections.get_mut(&token) {
             if !connection.send(key, message) {
                 connection.close(key, Status::ResourceExhausted, "answers are not taken");
             }
-            self.stirred.push(token);
+            self.ready.push(token);
         }
     }
 
+    /// Closes a stream; its client is sent the status and the reason.
     pub fn close(&mut self, id: StreamId, status: Status, reason: &str) {
-        let Some((token, key)) = self.place(id) else {
+        let Some((token, key)) = self.locate(id) else {
             return;
         };
         if let Some(connection) = self.connections.get_mut(&token) {
             connection.close(key, status, reason);
-            self.stirred.push(token);
+            self.ready.push(token);
         }
     }
 
-    /// Tells all proxies that this conductor goes away.
+    /// Tells all proxies that this controller goes away.
     pub fn stop(&mut self, now: Moment) {
         for id in self.ids.values().copied().collect::<Vec<_>>() {
             self.close(id, Status::Unavailable, "the conductor stops");
         }
-        self.connections
-            .values_mut()
-            .for_each(ServerConnection::stop);
-        self.stirred.extend(self.connections.keys().copied());
-        self.turn(now, &mut Vec::new());
+        for connection in self.connections.values_mut() {
+            connection.stop();
+        }
+        self.ready.extend(self.connections.keys().copied());
+        self.process_ready(now, &mut Vec::new());
     }
 
+    /// When [`Streams::process_ready`] has something to do that no readiness announces.
     pub fn wake_at(&self) -> Option<Moment> {
-        (!self.connections.is_empty()).then_some(self.next_look)
-    }
-
-    pub fn stirred(&self) -> bool {
-        !self.stirred.is_empty()
+        (!self.connections.is_empty()).then_some(self.maintenance_at)
     }
 }
--- a/crates/wheelspread/src/time.rs
+++ b/crates/wheelspread/src/time.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(i64);
 
-fn micros(seconds: f64) -> i64 {
+const fn micros(seconds: f64) -> i64 {
     // The cast saturates, and takes NaN for zero.
     (seconds * 1e6).round() as i64
 }
@@ -30,7 +30,7 @@
 impl Span {
     pub const ZERO: Span = Span(0);
 
-    pub fn from_seconds(seconds: f64) -> Span {
+    pub const fn from_seconds(seconds: f64) -> Span {
         Span(micros(seconds))
     }
 
