--- a/crates/cli/tests/changes.rs
+++ b/crates/cli/tests/changes.rs
@@ -339,7 +339,7 @@
     );
 }
 
-#[test_case("store.begin=1*off->8*return(full)->off", "a change waits for the disk"; "full for a while")]
+#[test_case("store.begin=1*off->8*return(full)->off", "configuration change waits for the disk"; "full for a while")]
 #[test_case("store.written=4*off->3*sleep(700)->off", "\"kept\""; "slow")]
 fn a_bad_disk_delays_a_change_and_no_table(faults: &str, said: &str) {
     let mut world = World::new(faults);
