--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -22,7 +22,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use wheelspread_controller::{log, Controller, ControllerFile, LogSettings};
-use wheelspread_proxy::{serve, ProxyFile, Silent};
+use wheelspread_proxy::{serve, NoObserver, ProxyConfig};
 
 /// Directs the traffic of a fleet of plain proxies.
 #[derive(Parser)]
@@ -142,7 +142,7 @@
         Err(code) => return code,
     };
     log::start(&file.log);
-    if wheelspread_faults::start() {
+    if wheelspread_faults::enable_from_environment() {
         tracing::warn!("FAILPOINTS is set: this conductor is made to go wrong");
     }
     let conductor = match Controller::start(file, Some(path)) {
@@ -181,7 +181,7 @@
 }
 
 fn proxy(path: &Path) -> ExitCode {
-    let plan = match ProxyFile::read(path) {
+    let plan = match ProxyConfig::read(path) {
         Ok(plan) => plan,
         Err(error) => {
             eprintln!("{error}");
@@ -189,7 +189,7 @@
         }
     };
     log::start(&LogSettings::default());
-    match serve(plan, Silent) {
+    match serve(plan, NoObserver) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("{}: {error}", path.display());
--- a/crates/controller/src/admin.rs
+++ b/crates/controller/src/admin.rs
@@ -30,7 +30,7 @@
 use tracing::info;
 use wheelspread::time::{Moment, Span};
 use wheelspread_config_rollout::Answer;
-use wheelspread_config_transaction::Refused;
+use wheelspread_config_transaction::ChangeError;
 use wheelspread_controller_core::rollback::RollbackResult;
 use wheelspread_drain::Drain;
 use wheelspread_grpc::ServerConfig;
@@ -148,7 +148,7 @@
     }
 
     /// Answers an order about a change of configuration.
-    pub fn finish_change(&mut self, order: u64, result: &Result<Answer, Refused>) {
+    pub fn finish_change(&mut self, order: u64, result: &Result<Answer, ChangeError>) {
         let result = match result {
             Ok(answer) => Ok(json!(answer)),
             Err(refused) => Err(ApiError::ChangeRefused(refused.clone())),
--- a/crates/controller/src/admin/api_error.rs
+++ b/crates/controller/src/admin/api_error.rs
@@ -103,10 +103,10 @@
     },
     /// The ledger refuses a change.
     #[error(transparent)]
-    ChangeRefused(#[from] wheelspread_config_transaction::Refused),
+    ChangeRefused(#[from] wheelspread_config_transaction::ChangeError),
     /// The drain is refused.
     #[error(transparent)]
-    DrainRefused(#[from] wheelspread_drain::Refused),
+    DrainRefused(#[from] wheelspread_drain::DrainError),
     /// The drain was ordered, and is not in force.
     #[error(transparent)]
     DrainNotPersisted(#[from] DrainAnswerError),
--- a/crates/controller/src/admin/changes.rs
+++ b/crates/controller/src/admin/changes.rs
@@ -10,8 +10,7 @@
 use std::collections::BTreeMap;
 use wheelspread::time::Moment;
 use wheelspread_config_rollout::{Rollout, RolloutCommand};
-use wheelspread_config_transaction::ledger::Record;
-use wheelspread_config_transaction::{Change, ChangeId};
+use wheelspread_config_transaction::{Change, ChangeId, ChangeRecord};
 use wheelspread_controller_core::ControllerCore;
 
 /// Changes that `GET /v1/changes` lists; any other can be asked for by its id.
@@ -108,7 +107,9 @@
     command: RolloutCommand,
     context: &mut AdminContext,
 ) -> HandlerResult {
-    context.rollout.ask(now, order, command, context.core);
+    context
+        .rollout
+        .handle_command(now, order, command, context.core);
     Ok(None)
 }
 
@@ -173,8 +174,13 @@
 
 /// `GET /v1/changes`: those that are still under way, then the latest in force.
 pub fn list(rollout: &Rollout) -> Value {
-    let mut records: Vec<&Record> = rollout.ledger().records().collect();
-    records.sort_by_key(|record| Reverse((!record.state.over(), record.made.max(record.unmade))));
+    let mut records: Vec<&ChangeRecord> = rollout.ledger().records().collect();
+    records.sort_by_key(|record| {
+        Reverse((
+            !record.state.is_final(),
+            record.applied_version.max(record.undone_version),
+        ))
+    });
     records.truncate(LISTED_CHANGES_LIMIT);
     json!(records)
 }
--- a/crates/controller/src/admin/drains.rs
+++ b/crates/controller/src/admin/drains.rs
@@ -10,8 +10,8 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 use wheelspread::time::Moment;
-use wheelspread_config_rollout::values::node;
-use wheelspread_drain::{Drain, Order, OrderId, Word};
+use wheelspread_config_rollout::values::parse_node;
+use wheelspread_drain::{Drain, DrainAction, DrainOrder, OrderId};
 use wheelspread_reactor as reactor;
 
 /// An order that claims a later time is refused: it would go before all others for as long.
@@ -23,7 +23,7 @@
 struct DrainRequest {
     id: String,
     node: String,
-    word: Word,
+    word: DrainAction,
     by: String,
     /// Left out: the time at which the request came.
     #[serde(default)]
@@ -55,7 +55,7 @@
     Ok(None)
 }
 
-fn parse_order(request: DrainRequest) -> Result<Order, ApiError> {
+fn parse_order(request: DrainRequest) -> Result<DrainOrder, ApiError> {
     check_name("id", &request.id)?;
     check_name("by", &request.by)?;
     let now_ms = (reactor::wall() * 1e3) as u64;
@@ -64,10 +64,10 @@
         let seconds = (given_ms - now_ms) / 1000;
         return Err(ApiError::ClockAhead { seconds });
     }
-    Ok(Order {
+    Ok(DrainOrder {
         id: OrderId(request.id),
         node: request.node,
-        word: request.word,
+        action: request.word,
         by: request.by,
         given_ms,
         overrides: request.overrides,
@@ -81,7 +81,7 @@
 
 /// `GET /v1/where/{node}`
 pub fn locate(text: &str, context: &AdminContext) -> Result<Value, ApiError> {
-    let Some(id) = node(text) else {
+    let Some(id) = parse_node(text) else {
         return Err(ApiError::InvalidNode(text.to_string()));
     };
     let entry = context.core.serving().find(|entry| entry.node == id);
--- a/crates/controller/src/admin/status.rs
+++ b/crates/controller/src/admin/status.rs
@@ -105,8 +105,8 @@
     let progress = core.reach();
     let change_under_way = rollout
         .ledger()
-        .open()
-        .find(|record| record.state.under_way());
+        .unfinished()
+        .find(|record| record.state.is_in_progress());
     json!(StatusResponse {
         interface: API_VERSION,
         program: env!("CARGO_PKG_VERSION"),
--- a/crates/controller/src/drains.rs
+++ b/crates/controller/src/drains.rs
@@ -6,12 +6,15 @@
 use tracing::{info, warn};
 use wheelspread::ids::NodeId;
 use wheelspread::time::{Moment, Span};
-use wheelspread_config_rollout::fleet::against_drain;
-use wheelspread_config_rollout::values::node;
+use wheelspread_config_rollout::pool_risk::{drain_objections, DrainObjection};
+use wheelspread_config_rollout::values::parse_node;
 use wheelspread_config_transaction::{Commit, PersistedState};
 use wheelspread_controller_core::{ControllerCore, Observation};
-use wheelspread_drain::book::Effect;
-use wheelspread_drain::{Book, Drain, Evidence, Order, OrderId, Refused, State, Word};
+use wheelspread_drain::registry::DrainEffect;
+use wheelspread_drain::{
+    describe_checks, Drain, DrainAction, DrainError, DrainOrder, DrainRegistry, DrainState,
+    Evidence, FailedCheck, OrderId,
+};
 
 /// Prefix of the persisted facts that hold a node's drain.
 const DRAIN_FACT_PREFIX: &str = "drain.";
@@ -30,6 +33,13 @@
     Withdrawn,
 }
 
+fn failed_check(objection: &DrainObjection) -> FailedCheck {
+    FailedCheck {
+        name: objection.check_name().to_string(),
+        text: objection.to_string(),
+    }
+}
+
 /// The result of an order, for the operator who waits for it.
 pub struct DrainAnswer {
     /// The number of the operator's order.
@@ -52,7 +62,7 @@
 
 /// Drains by order, and their writes.
 pub struct DrainOrders {
-    registry: Book,
+    registry: DrainRegistry,
     pending_writes: BTreeMap<u64, PendingWrite>,
     last_write_number: u64,
     review_at: Moment,
@@ -79,7 +89,7 @@
             }
         });
         DrainOrders {
-            registry: Book::recover(now, drains),
+            registry: DrainRegistry::recover(now, drains),
             pending_writes: BTreeMap::new(),
             last_write_number: FIRST_WRITE_NUMBER,
             review_at: now,
@@ -100,17 +110,20 @@
 
     /// Drains that are still under way or in force.
     pub fn active_count(&self) -> usize {
-        self.drains().filter(|drain| drain.goes()).count()
+        self.drains().filter(|drain| drain.is_active()).count()
     }
 
     /// Nodes that no table may name.
     pub fn drained_nodes(&self) -> BTreeSet<NodeId> {
-        self.registry.out().filter_map(node).collect()
+        self.registry
+            .drained_nodes()
+            .filter_map(parse_node)
+            .collect()
     }
 
     /// When [`DrainOrders::settle`] has something to do.
     pub fn wake_at(&self) -> Option<Moment> {
-        let has_work = !self.pending_writes.is_empty() || self.drains().any(Drain::goes);
+        let has_work = !self.pending_writes.is_empty() || self.drains().any(Drain::is_active);
         has_work.then_some(self.review_at)
     }
 
@@ -119,12 +132,12 @@
         &mut self,
         now: Moment,
         operator_order: u64,
-        order: Order,
+        order: DrainOrder,
         core: &ControllerCore,
-    ) -> Result<(), Refused> {
+    ) -> Result<(), DrainError> {
         let objections = self.check(now, &order, core)?;
         let node = order.node.clone();
-        let drain = self.registry.order(now, order, &objections)?.clone();
+        let drain = self.registry.submit(now, order, &objections)?.clone();
         self.carry_out_effects(now, Some(operator_order));
         if !self.has_waiting_order(operator_order) {
             self.answer_repeated_order(operator_order, &node, drain);
@@ -137,25 +150,31 @@
     fn check(
         &self,
         now: Moment,
-        order: &Order,
+        order: &DrainOrder,
         core: &ControllerCore,
-    ) -> Result<Vec<String>, Refused> {
-        let id = node(&order.node).ok_or_else(|| {
-            Refused::Checks(vec![format!(
-                "node: `{}` should be an address as 127.0.0.1:9000",
-                order.node
-            )])
+    ) -> Result<Vec<FailedCheck>, DrainError> {
+        let id = parse_node(&order.node).ok_or_else(|| {
+            DrainError::Checks(vec![FailedCheck {
+                name: "node".to_string(),
+                text: format!(
+                    "node: `{}` should be an address as 127.0.0.1:9000",
+                    order.node
+                ),
+            }])
         })?;
-        let objections = match order.word {
-            Word::Drain => against_drain(now, id, self.value_lost_at_most, core),
-            Word::Undrain => Vec::new(),
+        let objections = match order.action {
+            DrainAction::Drain => {
+                let objections = drain_objections(now, id, self.value_lost_at_most, core);
+                objections.iter().map(failed_check).collect()
+            }
+            DrainAction::Undrain => Vec::new(),
         };
         if !order.overrides.is_empty() {
             warn!(
                 node = order.node,
                 by = order.by,
                 overrides = order.overrides.join(", "),
-                against = objections.join("; "),
+                against = describe_checks(&objections),
                 "drain order overrides checks"
             );
         }
@@ -184,13 +203,13 @@
     }
 
     fn carry_out_effects(&mut self, now: Moment, operator_order: Option<u64>) {
-        for effect in self.registry.effects() {
+        for effect in self.registry.take_effects() {
             match effect {
-                Effect::Write { node, drain } => {
+                DrainEffect::Write { node, drain } => {
                     self.schedule_write(now, node, drain, operator_order);
                 }
-                Effect::Turned { node, state, order } => {
-                    let (state, order) = (format!("{state:?}").to_lowercase(), order.0);
+                DrainEffect::StateChanged { node, state, order } => {
+                    let (state, order) = (state.as_str(), order.0);
                     info!(node, state, order, "drain state changed");
                 }
             }
@@ -274,7 +293,8 @@
             core.observe(now, Observation::Drained(drained));
         }
         self.review_evidence(now, core);
-        self.registry.forget(now, core.plan().rules.drain_grace);
+        self.registry
+            .expire_withdrawn(now, core.plan().rules.drain_grace);
         self.carry_out_effects(now, None);
         std::mem::take(&mut self.answers)
     }
@@ -298,23 +318,25 @@
     /// Shows the registry which proxies still name the nodes that are being drained.
     fn review_evidence(&mut self, now: Moment, core: &mut ControllerCore) {
         let grace = core.plan().rules.drain_grace;
-        let active: Vec<(String, State)> = self
+        let active: Vec<(String, DrainState)> = self
             .drains()
-            .filter(|drain| drain.goes())
+            .filter(|drain| drain.is_active())
             .map(|drain| (drain.order.node.clone(), drain.state))
             .collect();
         for (name, before) in active {
-            let Some(id) = node(&name) else { continue };
+            let Some(id) = parse_node(&name) else {
+                continue;
+            };
             let traces = core.traces(id);
             let evidence = Evidence {
                 named_by: traces.named_by,
-                gateways: traces.gateways,
-                tries: traces.tries,
-                heard: traces.heard,
+                proxies: traces.gateways,
+                attempts: traces.tries,
+                reporting_proxies: traces.heard,
             };
-            self.registry.see(now, &name, grace, evidence);
+            self.registry.record_evidence(now, &name, grace, evidence);
             let after = self.registry.drain(&name).map(|drain| drain.state);
-            if before == State::Telling && after == Some(State::InForce) {
+            if before == DrainState::Propagating && after == Some(DrainState::InForce) {
                 core.watch(now, id);
             }
         }
--- a/crates/controller/src/file/settings.rs
+++ b/crates/controller/src/file/settings.rs
@@ -4,9 +4,9 @@
 use std::net::SocketAddrV4;
 use std::path::PathBuf;
 use wheelspread::time::Span;
-use wheelspread_config_rollout::{Conditions, Plans};
-use wheelspread_config_transaction::checks::Bounds;
-use wheelspread_config_transaction::ledger::Deadlines;
+use wheelspread_config_rollout::{Conditions, RolloutSettings};
+use wheelspread_config_transaction::checks::ChangeLimits;
+use wheelspread_config_transaction::Deadlines;
 use wheelspread_controller_core::span_format;
 
 /// Connections of proxies that are open at once, unless the file says so.
@@ -165,10 +165,10 @@
 }
 
 impl ChangeSettings {
-    /// Deadlines, bounds and conditions of the rollout.
-    pub fn rollout_plans(&self) -> Plans {
+    /// Deadlines, limits and conditions of the rollout.
+    pub fn rollout_settings(&self) -> RolloutSettings {
         let apply = self.apply_at_most;
-        Plans {
+        RolloutSettings {
             deadlines: Deadlines {
                 checks: apply,
                 write: apply * WRITE_DEADLINE_PART,
@@ -176,10 +176,10 @@
                 apply,
                 watch: self.watch,
             },
-            bounds: Bounds {
-                loses_at_most: self.value_lost_at_most,
-                cold_at_most: self.cold_work_at_most,
-                takes_at_most: apply,
+            limits: ChangeLimits {
+                value_loss_share_limit: self.value_lost_at_most,
+                warming_work_share_limit: self.cold_work_at_most,
+                propagation_time_limit: apply,
             },
             conditions: self.undo_when,
         }
--- a/crates/controller/src/log.rs
+++ b/crates/controller/src/log.rs
@@ -22,18 +22,22 @@
 /// Logs an event of the rollout of configurations.
 pub(crate) fn rollout_event(event: &RolloutEvent) {
     match event {
-        RolloutEvent::Turned { id, state, why } => {
-            let (change, state) = (&id.0, format!("{state:?}").to_lowercase());
+        RolloutEvent::StateChanged {
+            id,
+            state,
+            reason: why,
+        } => {
+            let (change, state) = (&id.0, state.as_str());
             info!(change, state, why, "configuration change state changed");
         }
-        RolloutEvent::NotWritten { reason, again_in } => {
-            let again_in_s = again_in.seconds();
+        RolloutEvent::WriteFailed { reason, retry_in } => {
+            let again_in_s = retry_in.seconds();
             warn!(
                 reason,
                 again_in_s, "configuration change waits for the disk"
             );
         }
-        RolloutEvent::LeftOut { field, text } => {
+        RolloutEvent::ValueIgnored { field, text } => {
             warn!(
                 field,
                 text, "value of an earlier configuration change no longer valid, left out"
--- a/crates/controller/src/service/effects.rs
+++ b/crates/controller/src/service/effects.rs
@@ -4,12 +4,12 @@
 use crate::log;
 use tracing::warn;
 use wheelspread::time::Moment;
-use wheelspread_config_rollout::Step;
+use wheelspread_config_rollout::{RolloutAction, WriteError};
 use wheelspread_config_transaction::Commit;
 use wheelspread_controller_core::controller_core::ConfigUpdate;
 use wheelspread_controller_core::rollback::RollbackResult;
 use wheelspread_controller_core::{Effect, Observation};
-use wheelspread_faults::reached;
+use wheelspread_faults::failpoint;
 use wheelspread_files::Job;
 use wheelspread_grpc::Status;
 use wheelspread_xds::loads;
@@ -61,10 +61,10 @@
         if self.rollout_at.is_none_or(|at| now < at) {
             return;
         }
-        let mut steps = Vec::new();
-        self.rollout.settle(now, &self.core, &mut steps);
-        for step in steps {
-            self.carry_out_rollout_step(now, step);
+        let mut actions = Vec::new();
+        self.rollout.settle(now, &self.core, &mut actions);
+        for action in actions {
+            self.carry_out_rollout_action(now, action);
         }
         let earliest = now + self.core.plan().conductors.tick;
         self.rollout_at = self
@@ -73,32 +73,35 @@
             .map(|at| at.max(earliest));
     }
 
-    fn carry_out_rollout_step(&mut self, now: Moment, step: Step) {
-        match step {
-            Step::Write { number, commit } => self.write_rollout_commit(now, number, commit),
-            Step::Configure(update) => self.apply_config_update(now, *update),
-            Step::Answer { order, result } => {
-                let _ = reached("change.answer");
-                self.admin.finish_change(order, &result);
+    fn carry_out_rollout_action(&mut self, now: Moment, action: RolloutAction) {
+        match action {
+            RolloutAction::Write { number, commit } => {
+                self.write_rollout_commit(now, number, commit);
             }
-            Step::Log(event) => log::rollout_event(&event),
+            RolloutAction::Configure(update) => self.apply_config_update(now, *update),
+            RolloutAction::Answer { request, result } => {
+                let _ = failpoint("change.answer");
+                self.admin.finish_change(request, &result);
+            }
+            RolloutAction::Log(event) => log::rollout_event(&event),
         }
     }
 
     fn write_rollout_commit(&mut self, now: Moment, number: u64, commit: Commit) {
         if let Err(error) = self.state_writer.write(number, commit) {
-            self.rollout.written(now, number, Err(error.to_string()));
+            let error = WriteError(error.to_string());
+            self.rollout.on_write_completed(now, number, Err(error));
         }
     }
 
     /// A configuration comes into force: for the decisions, for what is written and for what is streamed.
     fn apply_config_update(&mut self, now: Moment, update: ConfigUpdate) {
-        let _ = reached("change.configure");
+        let _ = failpoint("change.configure");
         self.submit_write(Job::Plan(Box::new(update.plan.clone())));
         self.discovery.reconfigure(update.plan.clone());
         self.core
             .observe(now, Observation::ConfigUpdated(Box::new(update)));
-        let _ = reached("change.configured");
+        let _ = failpoint("change.configured");
     }
 
     /// Carries drains on and answers the callers whose orders are persisted.
--- a/crates/controller/src/service/reload.rs
+++ b/crates/controller/src/service/reload.rs
@@ -29,7 +29,7 @@
 
     fn apply_reloaded_file(&mut self, now: Moment, new: &ControllerFile) {
         let lines_per_second = new.deployment.channel.lines_per_second;
-        self.rollout.pace(lines_per_second);
+        self.rollout.set_entries_per_second(lines_per_second);
         // The value of a change goes before the file's.
         let configuration = self.rollout.ledger().configuration();
         if configuration.values.contains_key(PACE_VALUE) {
--- a/crates/controller/src/service/startup.rs
+++ b/crates/controller/src/service/startup.rs
@@ -108,7 +108,7 @@
         let (rollout, configured, moving) = Rollout::start(
             now,
             file.deployment.clone(),
-            file.changes.rollout_plans(),
+            file.changes.rollout_settings(),
             persisted,
         );
         let deployment = configured.plan;
--- a/crates/controller/src/service/table_results.rs
+++ b/crates/controller/src/service/table_results.rs
@@ -4,6 +4,7 @@
 use crate::drains::FIRST_WRITE_NUMBER;
 use tracing::warn;
 use wheelspread::time::Moment;
+use wheelspread_config_rollout::WriteError;
 use wheelspread_controller_core::Observation;
 use wheelspread_files::{Done, Writer};
 
@@ -23,8 +24,10 @@
                 self.drains.written(now, written.number, written.result);
                 continue;
             }
-            let result = written.result.map_err(|error| error.to_string());
-            self.rollout.written(now, written.number, result);
+            let result = written
+                .result
+                .map_err(|error| WriteError(error.to_string()));
+            self.rollout.on_write_completed(now, written.number, result);
             self.rollout_at = Some(now);
         }
     }
--- a/crates/controller/src/state_writer.rs
+++ b/crates/controller/src/state_writer.rs
@@ -21,7 +21,7 @@
 use wheelspread_controller_core::endpoint_list::{EndpointList, EndpointRecord};
 use wheelspread_controller_core::Version;
 use wheelspread_reactor::Waker;
-use wheelspread_store::{Found, Store, StoreError};
+use wheelspread_store::{OpenOutcome, Store, StoreError};
 use writer_thread::{WriteRequest, WriterThread};
 
 /// Why a commit is not on the disk.
@@ -76,7 +76,7 @@
             endpoints: BTreeMap::new(),
             capacities: BTreeMap::new(),
         };
-        let (store, found) = match Store::open(path) {
+        let (store, outcome) = match Store::open(path) {
             Ok(opened) => opened,
             Err(error @ (StoreError::Newer { .. } | StoreError::InUse { .. })) => {
                 return Err(error)
@@ -86,8 +86,8 @@
                 return Ok((writer, PersistedState::default()));
             }
         };
-        log_opened_store(&found);
-        let persisted = store.kept().clone();
+        log_opened_store(&outcome);
+        let persisted = store.state().clone();
         writer.remember_persisted(&persisted, wall);
         let (requests_sender, requests) = channel();
         let thread = WriterThread {
@@ -238,14 +238,14 @@
     incarnation(stored) == incarnation(current) && stored_with_current_age == *current
 }
 
-fn log_opened_store(found: &Found) {
-    match found {
-        Found::Fresh => info!("no persisted state of an earlier run"),
-        Found::Sound => {}
-        Found::TornTail { bytes } => {
+fn log_opened_store(outcome: &OpenOutcome) {
+    match outcome {
+        OpenOutcome::Fresh => info!("no persisted state of an earlier run"),
+        OpenOutcome::Sound => {}
+        OpenOutcome::TornTail { bytes } => {
             warn!(bytes, "last commit of the state was torn and is cut off");
         }
-        Found::Damaged { aside, at, bytes } => {
+        OpenOutcome::Damaged { aside, at, bytes } => {
             let aside = aside.display().to_string();
             warn!(
                 aside,
--- a/crates/controller/src/state_writer/persisted_facts.rs
+++ b/crates/controller/src/state_writer/persisted_facts.rs
@@ -7,7 +7,7 @@
 use wheelspread::ids::NodeId;
 use wheelspread::time::Span;
 use wheelspread::CapacitySnapshot;
-use wheelspread_config_rollout::values::node;
+use wheelspread_config_rollout::values::parse_node;
 use wheelspread_config_transaction::PersistedState;
 use wheelspread_controller_core::controller_core::RecoveredState;
 use wheelspread_controller_core::endpoint_list::{show, EndpointRecord, EndpointSnapshot};
@@ -184,5 +184,5 @@
     persisted
         .facts
         .iter()
-        .filter_map(move |(name, text)| Some((node(name.strip_prefix(prefix)?)?, text)))
+        .filter_map(move |(name, text)| Some((parse_node(name.strip_prefix(prefix)?)?, text)))
 }
--- a/crates/controller/src/state_writer/tests.rs
+++ b/crates/controller/src/state_writer/tests.rs
@@ -65,7 +65,7 @@
     );
     writer.persist_changes(1000.0, Version(7), nodes, capacities);
     drop(writer);
-    Store::look(path).expect("there").0
+    Store::inspect(path).expect("there").state
 }
 
 #[test]
@@ -108,9 +108,9 @@
     let path = directory.path().join("state");
     std::fs::copy(original, &path).expect("copied");
     let (store, found) = Store::open(&path).expect("it opens");
-    assert_eq!(found, Found::Sound);
+    assert_eq!(found, OpenOutcome::Sound);
     assert_eq!(store.bytes(), 10_940);
-    store.kept().clone()
+    store.state().clone()
 }
 
 #[test]
--- a/crates/controller/src/state_writer/writer_thread.rs
+++ b/crates/controller/src/state_writer/writer_thread.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use tracing::warn;
 use wheelspread_config_transaction::Commit;
-use wheelspread_faults::reached;
+use wheelspread_faults::failpoint;
 use wheelspread_reactor::Waker;
 use wheelspread_store::Store;
 
@@ -73,7 +73,7 @@
             Ok(first) => {
                 for request in std::iter::once(first).chain(self.requests.try_iter()) {
                     numbers.extend(request.number);
-                    commit.join(request.commit);
+                    commit.merge(request.commit);
                 }
             }
         }
@@ -95,7 +95,7 @@
             warn!(reason, "state not written, retrying");
             unwritten.facts = facts;
         }
-        let _ = reached("store.told");
+        let _ = failpoint("store.told");
         for number in numbers {
             let result = StateWriteResult {
                 number: *number,
@@ -118,7 +118,7 @@
     }
 
     fn compact_if_long(&mut self) {
-        let grown = self.store.compacted() * COMPACTION_GROWTH_FACTOR;
+        let grown = self.store.compacted_bytes() * COMPACTION_GROWTH_FACTOR;
         if self.store.bytes() <= COMPACTION_THRESHOLD_BYTES.max(grown) {
             return;
         }
