--- a/crates/controller/src/admin.rs
+++ b/crates/controller/src/admin.rs
@@ -243,3 +243,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
