--- a/crates/controller/src/locate.rs
+++ b/crates/controller/src/locate.rs
@@ -1,73 +1,102 @@
-//! On which line of a YAML text a field stands, so that a value that can't be is named with its place.
+//! The line of a YAML text on which a field stands, so that a value that can't be is named with its place.
 
-/// The line (from 1) of a field given as `operations.1.billed_value`; where a part of the way is not
-/// written in block style, the line of the last part that is.
+/// A line that has content.
+#[derive(Clone, Copy)]
+struct Line<'a> {
+    /// Index in the text, from 0.
+    index: usize,
+    indent: usize,
+    /// Without the indent.
+    text: &'a str,
+}
+
+impl<'a> Line<'a> {
+    /// `None` for blank lines, comments and document markers.
+    fn parse(index: usize, raw: &'a str) -> Option<Line<'a>> {
+        let text = raw.trim_start();
+        let is_empty = text.is_empty() || text.starts_with('#') || text.starts_with("---");
+        (!is_empty).then(|| Line {
+            index,
+            indent: raw.len() - text.len(),
+            text,
+        })
+    }
+
+    fn is_item(&self) -> bool {
+        self.text.starts_with('-')
+    }
+
+    /// The key before the colon, without the dash of a list item.
+    fn key(&self) -> &'a str {
+        let text = self.text.trim_start_matches("- ").trim_start();
+        text.split(':').next().unwrap_or_default().trim()
+    }
+}
+
+/// The line (from 1) of a field given as `operations.1.billed_value`; where a part of the path is not written in
+/// block style, the line of the last part that is.
 pub fn line_of(text: &str, field: &str) -> Option<usize> {
     let lines: Vec<&str> = text.lines().collect();
-    let (mut from, mut to, mut found) = (0, lines.len(), None);
-    for part in field
+    let (mut start, mut end, mut found) = (0, lines.len(), None);
+    // A unit in parentheses may follow the path.
+    let parts = field
         .split([' ', '.'])
-        .take_while(|part| !part.starts_with('('))
-    {
-        let block: Vec<(usize, usize, &str)> =
-            (from..to).filter_map(|at| content(lines[at], at)).collect();
-        let Some(indent) = block.iter().map(|(_, indent, _)| *indent).min() else {
-            break;
-        };
-        let starts = |line: &&(usize, usize, &str)| line.1 == indent;
-        let place = match part.parse::<usize>() {
-            Ok(index) => block
+        .take_while(|part| !part.starts_with('('));
+    for part in parts {
+        let item_index = part.parse::<usize>().ok();
+        let block = block_lines(&lines, start, end);
+        let line = match item_index {
+            Some(index) => block.iter().filter(|line| line.is_item()).nth(index),
+            None => block
                 .iter()
-                .filter(starts)
-                .filter(|line| line.2.starts_with('-'))
-                .nth(index),
-            Err(_) => block.iter().filter(starts).find(|line| {
-                let key = line.2.trim_start_matches("- ").trim_start();
-                key.split(':')
-                    .next()
-                    .is_some_and(|key| key.trim().trim_matches(['"', '\'']) == part)
-            }),
+                .find(|line| line.key().trim_matches(['"', '\'']) == part),
         };
-        let Some((at, _, line)) = place else { break };
-        found = Some(*at + 1);
-        let item = part.parse::<usize>().is_ok();
+        let Some(line) = line else { break };
+        found = Some(line.index + 1);
+        let is_item = item_index.is_some();
         let next = block
             .iter()
-            .filter(starts)
-            .find(|other| other.0 > *at && (!item || other.2.starts_with('-')));
-        to = next.map_or(to, |next| next.0);
-        // An item's first key stands on the line of its dash; its keys are two further in.
-        from = if item && line.len() > 1 { *at } else { *at + 1 };
-        if item && line.len() > 1 {
-            let rest: Vec<usize> = (from..to).collect();
-            let key = part_after_dash(&lines, &rest, field, part);
-            if let Some(at) = key {
-                return Some(at + 1);
+            .find(|other| other.index > line.index && (!is_item || other.is_item()));
+        end = next.map_or(end, |next| next.index);
+        // An item's first key stands on the line of its dash.
+        let has_key_after_dash = is_item && line.text.len() > 1;
+        start = line.index + usize::from(!has_key_after_dash);
+        if has_key_after_dash {
+            if let Some(index) = item_key_line(&lines, start, end, field, part) {
+                return Some(index + 1);
             }
         }
     }
     found
 }
 
-/// Keys of a list's item, the first of which follows the dash.
-fn part_after_dash(lines: &[&str], rest: &[usize], field: &str, index: &str) -> Option<usize> {
-    let (_, after) = field.split_once(&format!("{index}."))?;
-    let key = after.split(['.', ' ']).next()?;
-    rest.iter().copied().find(|at| {
-        let line = lines[*at]
-            .trim_start()
-            .trim_start_matches("- ")
-            .trim_start();
-        line.split(':')
-            .next()
-            .is_some_and(|found| found.trim() == key)
-    })
+/// Lines from `start` to `end` that have the smallest indent among them.
+fn block_lines<'a>(lines: &[&'a str], start: usize, end: usize) -> Vec<Line<'a>> {
+    let content: Vec<Line> = (start..end)
+        .filter_map(|index| Line::parse(index, lines[index]))
+        .collect();
+    let indent = content.iter().map(|line| line.indent).min();
+    content
+        .into_iter()
+        .filter(|line| Some(line.indent) == indent)
+        .collect()
 }
 
-fn content(line: &str, at: usize) -> Option<(usize, usize, &str)> {
-    let plain = line.trim_start();
-    let empty = plain.is_empty() || plain.starts_with('#') || plain.starts_with("---");
-    (!empty).then(|| (at, line.len() - plain.len(), plain))
+/// The line of the key that follows a list index in the field's path, among the lines of that item.
+fn item_key_line(
+    lines: &[&str],
+    start: usize,
+    end: usize,
+    field: &str,
+    item_index: &str,
+) -> Option<usize> {
+    let (_, rest) = field.split_once(&format!("{item_index}."))?;
+    let key = rest.split(['.', ' ']).next()?;
+    (start..end).find(|index| {
+        let text = lines[*index].trim_start();
+        let text = text.trim_start_matches("- ").trim_start();
+        text.split(':').next().unwrap_or_default().trim() == key
+    })
 }
 
 #[cfg(test)]
--- a/crates/controller/src/service.rs
+++ b/crates/controller/src/service.rs
@@ -24,6 +24,7 @@
 use crate::file::ControllerFile;
 use crate::state_writer::StateWriter;
 use crate::streams::Streams;
+use file_watch::ListFile;
 use std::collections::BTreeSet;
 use std::fs::File;
 use std::io;
@@ -82,8 +83,7 @@
     table_writer: Option<Writer>,
     root: Root,
     core: ControllerCore,
-    /// Text of the endpoint list as last read, or why it could not be read.
-    last_list_text: Option<Result<String, String>>,
+    last_list_file: ListFile,
     last_tls_files: FileContents,
     last_administration_files: FileContents,
     /// Held for as long as the controller runs.
--- a/crates/controller/src/service/file_watch.rs
+++ b/crates/controller/src/service/file_watch.rs
@@ -7,11 +7,53 @@
 use std::path::{Path, PathBuf};
 use tracing::warn;
 use wheelspread::time::Moment;
+use wheelspread_controller_core::endpoint_list::EndpointSnapshot;
 use wheelspread_controller_core::Observation;
 use wheelspread_files::read;
 use wheelspread_reactor::{self as reactor, Moved};
 use wheelspread_xds::{nodes, status};
 
+/// The file of the endpoint list, as last read.
+#[derive(Debug, Default, PartialEq, Eq)]
+pub(super) enum ListFile {
+    /// Not read yet.
+    #[default]
+    Unread,
+    /// It can't be read.
+    Unreadable {
+        /// Why not.
+        reason: String,
+    },
+    /// Its text, which may be no list.
+    Text(String),
+}
+
+impl ListFile {
+    fn read(path: &Path) -> ListFile {
+        match read::text(path) {
+            Ok(text) => ListFile::Text(text),
+            Err(error) => ListFile::Unreadable {
+                reason: error.to_string(),
+            },
+        }
+    }
+
+    pub(super) fn is_readable(&self) -> bool {
+        matches!(self, ListFile::Text(_))
+    }
+
+    /// The list, or why there is none, as the core is told.
+    fn parse(&self) -> Result<EndpointSnapshot, String> {
+        match self {
+            ListFile::Unread => Err("the list is not read yet".to_string()),
+            ListFile::Unreadable { reason } => Err(reason.clone()),
+            ListFile::Text(text) => {
+                nodes::read(text, reactor::wall()).map_err(|error| error.to_string())
+            }
+        }
+    }
+}
+
 /// What a batch of file events asks to be read again.
 #[derive(Default)]
 struct ChangedFiles {
@@ -25,7 +67,7 @@
         let list_directory = list_directory(&self.file);
         let mut changed = ChangedFiles::default();
         for event in self.watcher.moved()? {
-            self.note_file_event(event, &list_directory, &mut changed);
+            self.collect_file_event(event, &list_directory, &mut changed);
         }
         if changed.endpoint_list {
             self.read_endpoint_list(now);
@@ -36,7 +78,12 @@
         Ok(())
     }
 
-    fn note_file_event(&mut self, event: Moved, list_directory: &Path, changed: &mut ChangedFiles) {
+    fn collect_file_event(
+        &mut self,
+        event: Moved,
+        list_directory: &Path,
+        changed: &mut ChangedFiles,
+    ) {
         match event {
             // A name with a dot is a file that is still being written.
             Moved::Into { name, .. } if name.starts_with('.') => {}
@@ -68,15 +115,13 @@
     }
 
     pub(super) fn read_endpoint_list(&mut self, now: Moment) {
-        let text = read::text(&self.file.conductor.list).map_err(|error| error.to_string());
+        let list_file = ListFile::read(&self.file.conductor.list);
         // The same text again, as after a file was touched, is no watch event.
-        if self.last_list_text.as_ref() == Some(&text) {
+        if list_file == self.last_list_file {
             return;
         }
-        let list = text.clone().and_then(|text| {
-            nodes::read(&text, reactor::wall()).map_err(|error| error.to_string())
-        });
-        self.last_list_text = Some(text);
+        let list = list_file.parse();
+        self.last_list_file = list_file;
         self.core.observe(now, Observation::List(list));
     }
 
--- a/crates/controller/src/service/maintenance.rs
+++ b/crates/controller/src/service/maintenance.rs
@@ -20,7 +20,7 @@
             warn!(%error, "TLS keys not renewed, the old ones stay in use");
         }
         // inotify does not announce a list that was there before the watch.
-        if self.last_list_text.as_ref().is_none_or(Result::is_err) {
+        if !self.last_list_file.is_readable() {
             self.read_endpoint_list(now);
         }
         self.persist_facts();
--- a/crates/controller/src/service/startup.rs
+++ b/crates/controller/src/service/startup.rs
@@ -7,7 +7,7 @@
 use crate::discovery_server::DiscoveryServer;
 use crate::drains::DrainOrders;
 use crate::file::ControllerFile;
-use crate::service::file_watch::list_directory;
+use crate::service::file_watch::{list_directory, ListFile};
 use crate::service::maintenance::MAINTENANCE_INTERVAL;
 use crate::service::tls_keys::{administration_tls, FileContents};
 use crate::state_writer::{self, StateWriter};
@@ -153,12 +153,7 @@
         let now = reactor::now();
         let restored = RestoredRun::restore(now, &file, &root, &persisted)?;
         let core = start_core(now, &file, &restored.deployment, restored.recovered)?;
-        let table_writer = Writer::start(
-            root.clone(),
-            restored.deployment.clone(),
-            sources.waker.clone(),
-        )
-        .map_err(io_error("a thread"))?;
+        let table_writer = start_table_writer(&root, &restored.deployment, &sources.waker)?;
         let listener = listen(&file, &sources.poll)?;
         let admin = start_admin(&file, &sources.poll)?;
         let mut controller = Controller {
@@ -182,7 +177,7 @@
             table_writer: Some(table_writer),
             root,
             core,
-            last_list_text: None,
+            last_list_file: ListFile::default(),
             last_tls_files: FileContents::default(),
             last_administration_files: FileContents::default(),
             _root_lock: root_lock,
@@ -231,6 +226,14 @@
     )?)
 }
 
+fn start_table_writer(
+    root: &Root,
+    deployment: &Deployment,
+    waker: &Waker,
+) -> Result<Writer, StartError> {
+    Writer::start(root.clone(), deployment.clone(), waker.clone()).map_err(io_error("a thread"))
+}
+
 fn listen(file: &ControllerFile, poll: &Poll) -> Result<std::net::TcpListener, StartError> {
     let address = file.conductor.listen;
     let listener = reactor::listen(address).map_err(io_error(address.to_string()))?;
