--- a/crates/controller/src/admin/changes.rs
+++ b/crates/controller/src/admin/changes.rs
@@ -45,11 +45,16 @@
 struct ConfigurationResponse<'a> {
     version: u64,
     values: &'a BTreeMap<String, String>,
-    told: u64,
-    lacking: Vec<String>,
-    away: usize,
-    between_pools: usize,
-    waits_for_disk: usize,
+    #[serde(rename = "told")]
+    published_version: u64,
+    #[serde(rename = "lacking")]
+    lagging_proxies: Vec<String>,
+    #[serde(rename = "away")]
+    absent_proxies: usize,
+    #[serde(rename = "between_pools")]
+    migrating_nodes: usize,
+    #[serde(rename = "waits_for_disk")]
+    unwritten_commits: usize,
 }
 
 /// `POST /v1/changes/plan`: what a change would do.
@@ -192,10 +197,10 @@
     json!(ConfigurationResponse {
         version: in_force.version,
         values: &in_force.values,
-        told: progress.configuration,
-        lacking: progress.lacking,
-        away: progress.away,
-        between_pools: progress.between,
-        waits_for_disk: rollout.unwritten(),
+        published_version: progress.configuration,
+        lagging_proxies: progress.lacking,
+        absent_proxies: progress.away,
+        migrating_nodes: progress.between,
+        unwritten_commits: rollout.unwritten(),
     })
 }
--- a/crates/controller/src/admin/status.rs
+++ b/crates/controller/src/admin/status.rs
@@ -17,30 +17,39 @@
 
 #[derive(Debug, Serialize)]
 struct StatusResponse<'a> {
-    interface: u32,
+    #[serde(rename = "interface")]
+    api_version: u32,
     program: &'static str,
     name: &'a str,
     number: u32,
-    up_s: f64,
+    #[serde(rename = "up_s")]
+    uptime_s: f64,
     list: &'a str,
     nodes: NodeCounts,
-    gateways: ProxyCounts,
-    sums_heard_s: Option<f64>,
-    lines_waiting: f64,
-    lines_waiting_at_most: f64,
+    #[serde(rename = "gateways")]
+    proxies: ProxyCounts,
+    #[serde(rename = "sums_heard_s")]
+    last_load_report_s: Option<f64>,
+    #[serde(rename = "lines_waiting")]
+    queued_entries: f64,
+    #[serde(rename = "lines_waiting_at_most")]
+    queued_entries_limit: f64,
     newest_version: u64,
     configuration: u64,
-    configuration_lacking: usize,
+    #[serde(rename = "configuration_lacking")]
+    lagging_proxies: usize,
     change_under_way: Option<&'a ChangeId>,
     drains: usize,
-    waits_for_disk: usize,
+    #[serde(rename = "waits_for_disk")]
+    unwritten_commits: usize,
 }
 
 #[derive(Debug, Default, Serialize)]
 struct NodeCounts {
     ready: u32,
     draining: u32,
-    cold: u32,
+    #[serde(rename = "cold")]
+    warming: u32,
 }
 
 #[derive(Debug, Serialize)]
@@ -51,36 +60,46 @@
 
 #[derive(Debug, Serialize)]
 struct ChannelResponse {
-    lines_waiting: f64,
-    lines_waiting_at_most: f64,
-    lines_per_second: f64,
+    #[serde(rename = "lines_waiting")]
+    queued_entries: f64,
+    #[serde(rename = "lines_waiting_at_most")]
+    queued_entries_limit: f64,
+    #[serde(rename = "lines_per_second")]
+    entries_per_second: f64,
     messages_sent: u64,
-    messages_overtaken: u64,
+    #[serde(rename = "messages_overtaken")]
+    messages_superseded: u64,
 }
 
 #[derive(Debug, Serialize)]
 struct LoadReportsResponse<'a> {
     over_s: f64,
     operations: Vec<OperationLoad<'a>>,
-    gateways: Vec<ProxyReports<'a>>,
+    #[serde(rename = "gateways")]
+    proxies: Vec<ProxyReports<'a>>,
 }
 
 #[derive(Debug, Serialize)]
 struct OperationLoad<'a> {
     operation: &'a str,
-    asked: f64,
+    #[serde(rename = "asked")]
+    requests: f64,
     succeeded: f64,
     rate_limited: f64,
-    tries: f64,
-    errored_tries: f64,
+    #[serde(rename = "tries")]
+    attempts: f64,
+    #[serde(rename = "errored_tries")]
+    failed_attempts: f64,
     mean_latency_ms: Option<f64>,
 }
 
 #[derive(Debug, Serialize)]
 struct ProxyReports<'a> {
-    gateway: &'a str,
+    #[serde(rename = "gateway")]
+    proxy: &'a str,
     joined: bool,
-    heard_s: Option<f64>,
+    #[serde(rename = "heard_s")]
+    last_report_s: Option<f64>,
 }
 
 #[derive(Debug, Serialize)]
@@ -94,8 +113,10 @@
     node: String,
     zone: String,
     listing: &'static str,
-    cold: bool,
-    by_order: bool,
+    #[serde(rename = "cold")]
+    is_warming: bool,
+    #[serde(rename = "by_order")]
+    is_drained_by_order: bool,
     weight: f64,
 }
 
@@ -108,26 +129,26 @@
         .unfinished()
         .find(|record| record.state.is_in_progress());
     json!(StatusResponse {
-        interface: API_VERSION,
+        api_version: API_VERSION,
         program: env!("CARGO_PKG_VERSION"),
         name: &context.identity.name,
         number: context.identity.number,
-        up_s: seconds_since(now, context.identity.started_at),
+        uptime_s: seconds_since(now, context.identity.started_at),
         list: core.nodes().version(),
         nodes: count_nodes(now, core),
-        gateways: count_proxies(core),
-        sums_heard_s: core
+        proxies: count_proxies(core),
+        last_load_report_s: core
             .measured()
             .heard_last()
             .map(|at| seconds_since(now, at)),
-        lines_waiting: core.lines_waiting(),
-        lines_waiting_at_most: core.plan().channel.lines_waiting_at_most,
+        queued_entries: core.lines_waiting(),
+        queued_entries_limit: core.plan().channel.lines_waiting_at_most,
         newest_version: core.version().0,
         configuration: progress.configuration,
-        configuration_lacking: progress.lacking.len(),
+        lagging_proxies: progress.lacking.len(),
         change_under_way: change_under_way.map(|record| &record.change.id),
         drains: context.drains.active_count(),
-        waits_for_disk: rollout.unwritten(),
+        unwritten_commits: rollout.unwritten(),
     })
 }
 
@@ -139,7 +160,7 @@
             EndpointStatus::Draining => counts.draining += 1,
             EndpointStatus::Gone => {}
         }
-        counts.cold += u32::from(is_warming(now, &entry, core));
+        counts.warming += u32::from(is_warming(now, &entry, core));
     }
     counts
 }
@@ -154,14 +175,14 @@
 
 /// `GET /v1/channel`
 pub fn update_channel(core: &ControllerCore) -> Value {
-    let (messages_sent, messages_overtaken) = core.messages();
+    let (messages_sent, messages_superseded) = core.messages();
     let settings = &core.plan().channel;
     json!(ChannelResponse {
-        lines_waiting: core.lines_waiting(),
-        lines_waiting_at_most: settings.lines_waiting_at_most,
-        lines_per_second: settings.lines_per_second,
+        queued_entries: core.lines_waiting(),
+        queued_entries_limit: settings.lines_waiting_at_most,
+        entries_per_second: settings.lines_per_second,
         messages_sent,
-        messages_overtaken,
+        messages_superseded,
     })
 }
 
@@ -174,18 +195,18 @@
         let tally = tallies.of(OperationId(at as u8));
         OperationLoad {
             operation: &operation.name,
-            asked: tally.asked,
+            requests: tally.asked,
             succeeded: tally.succeeded,
             rate_limited: tally.rate_limited,
-            tries: tally.tries,
-            errored_tries: tally.errored,
+            attempts: tally.tries,
+            failed_attempts: tally.errored,
             mean_latency_ms: (tally.timed > 0.0).then(|| tally.seconds / tally.timed * 1e3),
         }
     });
     let proxies = core.members().members().map(|(name, member)| ProxyReports {
-        gateway: name,
+        proxy: name,
         joined: member.joined(),
-        heard_s: core
+        last_report_s: core
             .measured()
             .heard(member.id)
             .map(|at| seconds_since(now, at)),
@@ -193,7 +214,7 @@
     json!(LoadReportsResponse {
         over_s: seconds,
         operations: operations.collect(),
-        gateways: proxies.collect(),
+        proxies: proxies.collect(),
     })
 }
 
@@ -213,8 +234,8 @@
         node: show(entry.node),
         zone: zone_name(core, entry.zone),
         listing: listing_name(entry.status),
-        cold: is_warming(now, entry, core),
-        by_order: core.drained().contains(&entry.node),
+        is_warming: is_warming(now, entry, core),
+        is_drained_by_order: core.drained().contains(&entry.node),
         weight: entry.weight,
     }
 }
--- a/crates/controller/src/admin/tables.rs
+++ b/crates/controller/src/admin/tables.rs
@@ -24,25 +24,34 @@
 
 #[derive(Debug, Serialize)]
 struct TablesResponse<'a> {
-    list: &'a str,
-    stepped_back_to: Option<u64>,
-    gateways: Vec<ProxyTables<'a>>,
+    #[serde(rename = "list")]
+    list_version: &'a str,
+    #[serde(rename = "stepped_back_to")]
+    rollback_target: Option<u64>,
+    #[serde(rename = "gateways")]
+    proxies: Vec<ProxyTables<'a>>,
     tables: Vec<TableVersions>,
-    lines_waiting: f64,
+    #[serde(rename = "lines_waiting")]
+    queued_entries: f64,
 }
 
 #[derive(Debug, Serialize)]
 struct ProxyTables<'a> {
-    gateway: &'a str,
+    #[serde(rename = "gateway")]
+    proxy: &'a str,
     joined: bool,
-    front: &'static str,
+    #[serde(rename = "front")]
+    transport: &'static str,
     /// The table that it reads; `None` before it was bound to one.
     table: Option<u32>,
     /// The newest version of that table.
-    newest: Option<u64>,
-    holds: Option<u64>,
+    #[serde(rename = "newest")]
+    newest_version: Option<u64>,
+    #[serde(rename = "holds")]
+    held_version: Option<u64>,
     held_for_s: Option<f64>,
-    refused: Option<u64>,
+    #[serde(rename = "refused")]
+    rejected_version: Option<u64>,
 }
 
 #[derive(Debug, Serialize)]
@@ -54,14 +63,17 @@
 #[derive(Debug, Serialize)]
 struct RollbackResponse {
     version: u64,
-    lines: usize,
-    left_out: Vec<ExcludedNode>,
+    #[serde(rename = "lines")]
+    entries: usize,
+    #[serde(rename = "left_out")]
+    excluded: Vec<ExcludedNode>,
 }
 
 #[derive(Debug, Serialize)]
 struct ExcludedNode {
     node: String,
-    why: &'static str,
+    #[serde(rename = "why")]
+    reason: &'static str,
 }
 
 /// `POST /v1/tables/back`: rolls a table back to an older version.
@@ -91,27 +103,27 @@
 pub fn rollback_body(rollback: &RollbackResult) -> Value {
     let excluded = |(node, reason): &(NodeId, ExclusionReason)| ExcludedNode {
         node: show(*node),
-        why: reason.word(),
+        reason: reason.word(),
     };
     json!(RollbackResponse {
         version: rollback.version.0,
-        lines: rollback.lines,
-        left_out: rollback.left_out.iter().map(excluded).collect(),
+        entries: rollback.lines,
+        excluded: rollback.left_out.iter().map(excluded).collect(),
     })
 }
 
 /// `GET /v1/tables`
 pub fn tables(now: Moment, core: &ControllerCore) -> Value {
     json!(TablesResponse {
-        list: core.nodes().version(),
-        stepped_back_to: core.stepped_back_to().map(|version| version.0),
-        gateways: core
+        list_version: core.nodes().version(),
+        rollback_target: core.stepped_back_to().map(|version| version.0),
+        proxies: core
             .members()
             .members()
             .map(|(name, member)| proxy_tables(now, core, name, member))
             .collect(),
         tables: retained_versions(core),
-        lines_waiting: core.lines_waiting(),
+        queued_entries: core.lines_waiting(),
     })
 }
 
@@ -123,18 +135,18 @@
 ) -> ProxyTables<'a> {
     let status = core.reads(member.id);
     ProxyTables {
-        gateway: name,
+        proxy: name,
         joined: member.joined(),
-        front: match status.front {
+        transport: match status.front {
             Transport::Files => "files",
             Transport::Stream(_) => "stream",
             Transport::Away => "away",
         },
         table: status.newest.map(|set| set.bundle.0),
-        newest: status.newest.map(|set| set.version.0),
-        holds: status.holds.map(|(version, _)| version.0),
+        newest_version: status.newest.map(|set| set.version.0),
+        held_version: status.holds.map(|(version, _)| version.0),
         held_for_s: status.holds.map(|(_, since)| (now - since).seconds()),
-        refused: status.refused.map(|version| version.0),
+        rejected_version: status.refused.map(|version| version.0),
     }
 }
 
--- a/crates/controller/src/admin/tests.rs
+++ b/crates/controller/src/admin/tests.rs
@@ -238,3 +238,23 @@
         "a body of a stated length, 65536 bytes at most, is expected"
     );
 }
+
+#[test]
+fn an_answer_to_a_rollback_names_version_entries_and_excluded_nodes() {
+    let node = wheelspread::ids::NodeId {
+        address: [127, 0, 0, 1],
+        port: 9002,
+    };
+    let body = tables::rollback_body(&RollbackResult {
+        version: wheelspread_controller_core::Version(7),
+        lines: 3,
+        left_out: vec![(
+            node,
+            wheelspread_controller_core::rollback::ExclusionReason::Draining,
+        )],
+    });
+    assert_eq!(
+        body.to_string(),
+        r#"{"left_out":[{"node":"127.0.0.1:9002","why":"drains"}],"lines":3,"version":7}"#
+    );
+}
--- a/crates/controller/src/state_writer/tests.rs
+++ b/crates/controller/src/state_writer/tests.rs
@@ -115,20 +115,20 @@
 
 #[test]
 fn the_configuration_and_its_change_in_a_state_file_of_the_old_names_are_restored() {
-    let kept = state_written_before_the_renaming();
+    let persisted = state_written_before_the_renaming();
     let values: BTreeMap<String, String> = [
         ("nodes.127.0.0.1:29002.weight", "0.5"),
         ("operations.quote.billed_value", "3"),
     ]
     .map(|(path, value)| (path.to_string(), value.to_string()))
     .into();
-    assert_eq!(kept.commits, 24);
-    assert_eq!(kept.configuration.version, 2);
-    assert_eq!(kept.configuration.values, values);
+    assert_eq!(persisted.commits, 24);
+    assert_eq!(persisted.configuration.version, 2);
+    assert_eq!(persisted.configuration.values, values);
 
-    let changes: Vec<&String> = kept.changes.keys().collect();
+    let changes: Vec<&String> = persisted.changes.keys().collect();
     assert_eq!(changes, ["spring-1"]);
-    let record = serde_json::to_value(&kept.changes["spring-1"]).expect("a record");
+    let record = serde_json::to_value(&persisted.changes["spring-1"]).expect("a record");
     assert_eq!(record["state"], "kept");
     assert_eq!(record["change"]["by"], "dispatch");
     assert_eq!(record["change"]["base"], 1);
@@ -139,10 +139,10 @@
 
 #[test]
 fn the_list_and_the_capacity_snapshots_in_a_state_file_of_the_old_names_are_restored() {
-    let kept = state_written_before_the_renaming();
+    let persisted = state_written_before_the_renaming();
     let wall = 1_796_234_100.0;
     let mut found = RecoveredState::default();
-    restore_core_state(&kept, wall, &mut found);
+    restore_core_state(&persisted, wall, &mut found);
 
     assert_eq!(found.floor, Version(57 + 10_000));
     let list = found.list.expect("a list");
@@ -199,8 +199,8 @@
 
 #[test]
 fn the_drain_in_a_state_file_of_the_old_names_is_restored() {
-    let kept = state_written_before_the_renaming();
-    let drains = DrainOrders::restore(Moment::default(), &kept, 0.05);
+    let persisted = state_written_before_the_renaming();
+    let drains = DrainOrders::restore(Moment::default(), &persisted, 0.05);
     let drains: Vec<serde_json::Value> = drains
         .drains()
         .map(|drain| serde_json::to_value(drain).expect("a drain"))
