--- a/crates/config-rollout/src/rollout/watching.rs
+++ b/crates/config-rollout/src/rollout/watching.rs
@@ -24,7 +24,7 @@
     /// Measures the service before a change.
     pub(super) fn measure_baseline(&mut self, now: Moment, core: &ControllerCore) {
         let begin = now - self.settings.deadlines.watch;
-        let (tallies, _) = core.measured().between(begin, now);
+        let (tallies, _) = core.service_history().between(begin, now);
         self.baseline = Baseline::from_tallies(&tallies, core.plan());
     }
 
@@ -55,7 +55,7 @@
         core: &ControllerCore,
     ) -> Option<BrokenCondition> {
         let deployment = core.plan();
-        let proxies = core.without_line();
+        let proxies = core.proxies_without_entries();
         self.missing_entries_since = match proxies.is_empty() {
             true => None,
             false => self.missing_entries_since.or(Some(now)),
@@ -65,7 +65,7 @@
             return Some(BrokenCondition::MissingEntries { proxies });
         }
         let begin = watched_since + stale_report_time(deployment);
-        let (tallies, _) = core.measured().between(begin, now);
+        let (tallies, _) = core.service_history().between(begin, now);
         broken_condition(
             &self.settings.conditions,
             &self.baseline,
--- a/crates/controller/src/admin.rs
+++ b/crates/controller/src/admin.rs
@@ -31,7 +31,7 @@
 use wheelspread::time::{Moment, Span};
 use wheelspread_config_rollout::Answer;
 use wheelspread_config_transaction::ChangeError;
-use wheelspread_controller_core::rollback::RollbackResult;
+use wheelspread_controller_core::rollback::{RollbackError, RollbackResult};
 use wheelspread_drain::Drain;
 use wheelspread_grpc::ServerConfig;
 use wheelspread_reactor::{Interest, Poll, Token};
@@ -139,10 +139,10 @@
     }
 
     /// Answers an order to roll back.
-    pub fn finish_rollback(&mut self, order: u64, result: &Result<RollbackResult, String>) {
+    pub fn finish_rollback(&mut self, order: u64, result: &Result<RollbackResult, RollbackError>) {
         let result = match result {
             Ok(rollback) => Ok(tables::rollback_body(rollback)),
-            Err(reason) => Err(ApiError::RollbackRefused(reason.clone())),
+            Err(error) => Err(ApiError::RollbackRefused(*error)),
         };
         self.finish_order(order, result);
     }
--- a/crates/controller/src/admin/api_error.rs
+++ b/crates/controller/src/admin/api_error.rs
@@ -2,6 +2,7 @@
 
 use super::request::BODY_LIMIT_BYTES;
 use crate::drains::DrainAnswerError;
+use wheelspread_controller_core::rollback::RollbackError;
 use wheelspread_http1::BadMessage;
 
 /// The statuses that the API answers with.
@@ -111,8 +112,8 @@
     #[error(transparent)]
     DrainNotPersisted(#[from] DrainAnswerError),
     /// The core refuses to roll back.
-    #[error("{0}")]
-    RollbackRefused(String),
+    #[error(transparent)]
+    RollbackRefused(#[from] RollbackError),
 }
 
 impl ApiError {
--- a/crates/controller/src/admin/changes.rs
+++ b/crates/controller/src/admin/changes.rs
@@ -193,14 +193,14 @@
 /// `GET /v1/configuration`
 pub fn configuration(core: &ControllerCore, rollout: &Rollout) -> Value {
     let in_force = rollout.ledger().configuration();
-    let progress = core.reach();
+    let progress = core.rollout_progress();
     json!(ConfigurationResponse {
         version: in_force.version,
         values: &in_force.values,
         published_version: progress.configuration,
-        lagging_proxies: progress.lacking,
-        absent_proxies: progress.away,
-        migrating_nodes: progress.between,
+        lagging_proxies: progress.outdated,
+        absent_proxies: progress.disconnected,
+        migrating_nodes: progress.migrating,
         unwritten_commits: rollout.unwritten(),
     })
 }
--- a/crates/controller/src/admin/drains.rs
+++ b/crates/controller/src/admin/drains.rs
@@ -88,7 +88,7 @@
     Ok(json!(NodeLocation {
         node: text,
         listing: entry.map_or("not listed", |entry| listing_name(entry.status)),
-        named_by: context.core.named_by(id),
+        named_by: context.core.proxies_naming(id),
         drain: context.drains.drain(text),
     }))
 }
--- a/crates/controller/src/admin/status.rs
+++ b/crates/controller/src/admin/status.rs
@@ -123,7 +123,7 @@
 /// `GET /v1/status`
 pub fn controller_status(now: Moment, context: &AdminContext) -> Value {
     let (core, rollout) = (&*context.core, &*context.rollout);
-    let progress = core.reach();
+    let progress = core.rollout_progress();
     let change_under_way = rollout
         .ledger()
         .unfinished()
@@ -138,14 +138,14 @@
         nodes: count_nodes(now, core),
         proxies: count_proxies(core),
         last_load_report_s: core
-            .measured()
+            .service_history()
             .heard_last()
             .map(|at| seconds_since(now, at)),
-        queued_entries: core.lines_waiting(),
+        queued_entries: core.queued_entries(),
         queued_entries_limit: core.plan().channel.lines_waiting_at_most,
         newest_version: core.version().0,
         configuration: progress.configuration,
-        lagging_proxies: progress.lacking.len(),
+        lagging_proxies: progress.outdated.len(),
         change_under_way: change_under_way.map(|record| &record.change.id),
         drains: context.drains.active_count(),
         unwritten_commits: rollout.unwritten(),
@@ -175,14 +175,14 @@
 
 /// `GET /v1/channel`
 pub fn update_channel(core: &ControllerCore) -> Value {
-    let (messages_sent, messages_superseded) = core.messages();
+    let counts = core.update_counts();
     let settings = &core.plan().channel;
     json!(ChannelResponse {
-        queued_entries: core.lines_waiting(),
+        queued_entries: core.queued_entries(),
         queued_entries_limit: settings.lines_waiting_at_most,
         entries_per_second: settings.lines_per_second,
-        messages_sent,
-        messages_superseded,
+        messages_sent: counts.sent,
+        messages_superseded: counts.superseded,
     })
 }
 
@@ -190,7 +190,7 @@
 pub fn load_reports(now: Moment, core: &ControllerCore) -> Value {
     let plan = core.plan();
     let from = now - plan.sums.period * LOAD_REPORT_PERIODS;
-    let (tallies, seconds) = core.measured().between(from, now);
+    let (tallies, seconds) = core.service_history().between(from, now);
     let operations = plan.operations.iter().enumerate().map(|(at, operation)| {
         let tally = tallies.of(OperationId(at as u8));
         OperationLoad {
@@ -207,7 +207,7 @@
         proxy: name,
         joined: member.joined(),
         last_report_s: core
-            .measured()
+            .service_history()
             .heard(member.id)
             .map(|at| seconds_since(now, at)),
     });
@@ -235,7 +235,7 @@
         zone: zone_name(core, entry.zone),
         listing: listing_name(entry.status),
         is_warming: is_warming(now, entry, core),
-        is_drained_by_order: core.drained().contains(&entry.node),
+        is_drained_by_order: core.drained_nodes().contains(&entry.node),
         weight: entry.weight,
     }
 }
--- a/crates/controller/src/admin/tables.rs
+++ b/crates/controller/src/admin/tables.rs
@@ -84,8 +84,8 @@
     context: &mut AdminContext,
 ) -> HandlerResult {
     let target: RollbackRequest = request.json_body()?;
-    let observation = Observation::Back {
-        order,
+    let observation = Observation::RollBack {
+        request: order,
         bundle: BundleId(target.table),
         version: Version(target.version),
     };
@@ -95,7 +95,9 @@
 
 /// `POST /v1/tables/free`: ends the rollback, so that weights follow the list again.
 pub fn end_rollback(now: Moment, order: u64, context: &mut AdminContext) -> HandlerResult {
-    context.core.observe(now, Observation::Free { order });
+    context
+        .core
+        .observe(now, Observation::EndRollback { request: order });
     Ok(None)
 }
 
@@ -103,12 +105,12 @@
 pub fn rollback_body(rollback: &RollbackResult) -> Value {
     let excluded = |(node, reason): &(NodeId, ExclusionReason)| ExcludedNode {
         node: show(*node),
-        reason: reason.word(),
+        reason: reason.as_str(),
     };
     json!(RollbackResponse {
         version: rollback.version.0,
-        entries: rollback.lines,
-        excluded: rollback.left_out.iter().map(excluded).collect(),
+        entries: rollback.entries,
+        excluded: rollback.excluded.iter().map(excluded).collect(),
     })
 }
 
@@ -116,14 +118,14 @@
 pub fn tables(now: Moment, core: &ControllerCore) -> Value {
     json!(TablesResponse {
         list_version: core.nodes().version(),
-        rollback_target: core.stepped_back_to().map(|version| version.0),
+        rollback_target: core.rollback_target().map(|version| version.0),
         proxies: core
             .members()
             .members()
             .map(|(name, member)| proxy_tables(now, core, name, member))
             .collect(),
         tables: retained_versions(core),
-        queued_entries: core.lines_waiting(),
+        queued_entries: core.queued_entries(),
     })
 }
 
@@ -133,27 +135,29 @@
     name: &'a str,
     member: &Member,
 ) -> ProxyTables<'a> {
-    let status = core.reads(member.id);
+    let status = core.table_status(member.id);
     ProxyTables {
         proxy: name,
         joined: member.joined(),
-        transport: match status.front {
+        transport: match status.transport {
             Transport::Files => "files",
             Transport::Stream(_) => "stream",
-            Transport::Away => "away",
+            Transport::Disconnected => "away",
         },
         table: status.newest.map(|set| set.bundle.0),
         newest_version: status.newest.map(|set| set.version.0),
-        held_version: status.holds.map(|(version, _)| version.0),
-        held_for_s: status.holds.map(|(_, since)| (now - since).seconds()),
-        rejected_version: status.refused.map(|version| version.0),
+        held_version: status.applied.map(|applied| applied.version.0),
+        held_for_s: status
+            .applied
+            .map(|applied| (now - applied.since).seconds()),
+        rejected_version: status.rejected.map(|version| version.0),
     }
 }
 
 /// Versions that a table can be rolled back to.
 fn retained_versions(core: &ControllerCore) -> Vec<TableVersions> {
     let mut versions: BTreeMap<u32, Vec<u64>> = BTreeMap::new();
-    for set in core.recent() {
+    for set in core.retained_versions() {
         versions
             .entry(set.bundle.0)
             .or_default()
--- a/crates/controller/src/admin/tests.rs
+++ b/crates/controller/src/admin/tests.rs
@@ -56,7 +56,7 @@
         let mut recovered = RecoveredState::default();
         restore_core_state(&persisted, WALL, &mut recovered);
         (recovered.configuration, recovered.values) = (update.version, update.values);
-        recovered.moving = moving;
+        recovered.migrating = moving;
         recovered.drained = drains.drained_nodes();
         let core =
             ControllerCore::start(now, 1, update.plan, 0, recovered).expect("the core starts");
@@ -74,16 +74,17 @@
 
     fn join_proxies(&mut self) {
         let unreadable = Err("no list".to_string());
-        self.core.observe(self.now, Observation::List(unreadable));
+        self.core
+            .observe(self.now, Observation::EndpointList(unreadable));
         for (stream, zone) in [(1, "north"), (2, "south")] {
-            let who = Introduction {
+            let introduction = Introduction {
                 name: format!("gateway-{zone}"),
                 zone: zone.to_string(),
                 usual_rate: Some(20.0),
             };
             let opened = Observation::StreamOpened {
                 stream: StreamId(stream),
-                who,
+                introduction,
             };
             self.core.observe(self.now, opened);
         }
@@ -247,8 +248,8 @@
     };
     let body = tables::rollback_body(&RollbackResult {
         version: wheelspread_controller_core::Version(7),
-        lines: 3,
-        left_out: vec![(
+        entries: 3,
+        excluded: vec![(
             node,
             wheelspread_controller_core::rollback::ExclusionReason::Draining,
         )],
--- a/crates/controller/src/discovery_server.rs
+++ b/crates/controller/src/discovery_server.rs
@@ -23,8 +23,8 @@
 const MAINTENANCE_INTERVAL: Span = Span::from_seconds(0.25);
 /// Encoded response bodies that are cached, because other proxies may get the same.
 const CACHED_BODIES_LIMIT: usize = 64;
-/// The order number of a rollback that no operator asked for.
-const AUTOMATIC_ROLLBACK_ORDER: u64 = 0;
+/// The request number of a rollback that no operator asked for.
+const AUTOMATIC_ROLLBACK_REQUEST: u64 = 0;
 
 /// What tells encoded bodies apart: the shared content, and whether it is a delta response.
 type BodyKey = (Shared, bool);
@@ -71,7 +71,11 @@
         observation: Observation,
     ) {
         let subscribed = match &observation {
-            Observation::Subscribed { stream, who, .. } => Some((*stream, who.name.clone())),
+            Observation::Subscribed {
+                stream,
+                introduction,
+                ..
+            } => Some((*stream, introduction.name.clone())),
             Observation::Unsubscribed { stream } => {
                 self.protocol.close(*stream);
                 None
@@ -89,7 +93,7 @@
         let Some(member) = core.members().member(proxy) else {
             return;
         };
-        if core.reads(member.id).front == Transport::Stream(stream) {
+        if core.table_status(member.id).transport == Transport::Stream(stream) {
             self.protocol.open(stream, member.id);
         }
     }
@@ -195,13 +199,13 @@
         proxy: ProxyId,
         verdict: Verdict,
     ) {
-        let Some(bundle) = core.reads(proxy).newest.map(|set| set.bundle) else {
+        let Some(bundle) = core.table_status(proxy).newest.map(|set| set.bundle) else {
             return;
         };
         match verdict {
             Verdict::Hold => {
                 let until = self.protocol.held_until(bundle).unwrap_or(now);
-                core.observe(now, Observation::HeldBack { bundle, until });
+                core.observe(now, Observation::UpdatesPaused { bundle, until });
             }
             Verdict::Back(version) => roll_back(now, core, bundle, version),
             Verdict::GoOn | Verdict::Without(_) => {}
@@ -234,8 +238,8 @@
 }
 
 fn roll_back(now: Moment, core: &mut ControllerCore, bundle: BundleId, version: Version) {
-    let observation = Observation::Back {
-        order: AUTOMATIC_ROLLBACK_ORDER,
+    let observation = Observation::RollBack {
+        request: AUTOMATIC_ROLLBACK_REQUEST,
         bundle,
         version,
     };
@@ -247,15 +251,15 @@
     core: &mut ControllerCore,
     proxy: ProxyId,
     version: Version,
-    refused: Option<String>,
+    rejection: Option<String>,
 ) {
     let Some(proxy) = core.members().name(proxy).map(str::to_string) else {
         return;
     };
-    let observation = Observation::Status {
+    let observation = Observation::StatusReported {
         proxy,
         version,
-        refused,
+        rejection,
     };
     core.observe(now, observation);
 }
--- a/crates/controller/src/drains.rs
+++ b/crates/controller/src/drains.rs
@@ -289,8 +289,8 @@
         self.submit_writes(now, state_writer);
         self.carry_out_effects(now, None);
         let drained = self.drained_nodes();
-        if drained != *core.drained() {
-            core.observe(now, Observation::Drained(drained));
+        if drained != *core.drained_nodes() {
+            core.observe(now, Observation::DrainedNodes(drained));
         }
         self.review_evidence(now, core);
         self.registry
@@ -327,17 +327,17 @@
             let Some(id) = parse_node(&name) else {
                 continue;
             };
-            let traces = core.traces(id);
+            let traces = core.drain_evidence(id);
             let evidence = Evidence {
-                named_by: traces.named_by,
-                proxies: traces.gateways,
-                attempts: traces.tries,
-                reporting_proxies: traces.heard,
+                named_by: traces.naming_proxies,
+                proxies: traces.joined_proxies,
+                attempts: traces.attempts,
+                reporting_proxies: traces.reporting_proxies,
             };
             self.registry.record_evidence(now, &name, grace, evidence);
             let after = self.registry.drain(&name).map(|drain| drain.state);
             if before == DrainState::Propagating && after == Some(DrainState::InForce) {
-                core.watch(now, id);
+                core.watch_drained_node(now, id);
             }
         }
     }
--- a/crates/controller/src/log.rs
+++ b/crates/controller/src/log.rs
@@ -49,35 +49,35 @@
 /// Logs an event of the core.
 pub(crate) fn core_event(event: &LogEvent) {
     match event {
-        LogEvent::ListTaken {
+        LogEvent::EndpointListAccepted {
             version,
             ready,
             changes,
         } => info!(version, ready, changes, "endpoint list accepted"),
-        LogEvent::ListRefused { reason } => warn!(reason, "endpoint list rejected"),
-        LogEvent::Joined { proxy, zone } => info!(proxy, zone, "proxy joined"),
-        LogEvent::Left { proxy } => info!(proxy, "proxy left"),
-        LogEvent::Subscribed { proxy, stream } => {
+        LogEvent::EndpointListRejected { reason } => warn!(reason, "endpoint list rejected"),
+        LogEvent::ProxyJoined { proxy, zone } => info!(proxy, zone, "proxy joined"),
+        LogEvent::ProxyLeft { proxy } => info!(proxy, "proxy left"),
+        LogEvent::ProxySubscribed { proxy, stream } => {
             info!(
                 proxy,
                 stream = stream.0,
                 "proxy subscribed to a discovery stream"
             );
         }
-        LogEvent::Unsubscribed { proxy } => {
+        LogEvent::ProxyUnsubscribed { proxy } => {
             info!(proxy, "proxy unsubscribed from its discovery stream");
         }
-        LogEvent::HeldBack { bundle, wait } => {
+        LogEvent::UpdatesPaused { bundle, wait } => {
             let wait_s = wait.seconds();
             warn!(
                 table = bundle.0,
                 wait_s, "table rejected by most proxies, its ordinary updates pause"
             );
         }
-        LogEvent::SteppedBack {
+        LogEvent::RolledBack {
             version,
-            lines,
-            left_out,
+            entries: lines,
+            excluded: left_out,
         } => {
             let left_out = left_out
                 .iter()
@@ -88,17 +88,17 @@
                 lines, left_out, "table rolled back to an older version"
             );
         }
-        LogEvent::Freed { nodes } => info!(nodes, "rollback ended"),
-        LogEvent::TurnedAway { stream, reason } => {
+        LogEvent::RollbackEnded { nodes } => info!(nodes, "rollback ended"),
+        LogEvent::StreamRejected { stream, reason } => {
             warn!(stream = stream.0, reason, "stream rejected");
         }
-        LogEvent::Forgotten { proxy } => info!(proxy, "proxy forgotten"),
-        LogEvent::Published {
+        LogEvent::ProxyForgotten { proxy } => info!(proxy, "proxy forgotten"),
+        LogEvent::VersionPublished {
             bundle,
             version,
             configuration,
             proxies,
-            lines,
+            entries: lines,
         } => {
             debug!(
                 bundle = bundle.0,
@@ -109,16 +109,16 @@
                 "table version published"
             );
         }
-        LogEvent::Pointed { proxy, version } => {
+        LogEvent::TablesWritten { proxy, version } => {
             debug!(proxy, version = version.0, "tables written");
         }
-        LogEvent::WriteFailed {
+        LogEvent::TableWriteFailed {
             proxy,
             version,
             reason,
-            again_in,
+            retry_in,
         } => {
-            let again_in_s = again_in.seconds();
+            let again_in_s = retry_in.seconds();
             warn!(
                 proxy,
                 version = version.0,
@@ -127,7 +127,7 @@
                 "tables not written"
             );
         }
-        LogEvent::Refused {
+        LogEvent::TablesRejected {
             proxy,
             version,
             reason,
@@ -139,12 +139,16 @@
                 "tables rejected by proxy"
             );
         }
-        LogEvent::ReportRefused { proxy, reason } => warn!(proxy, reason, "load report rejected"),
+        LogEvent::LoadReportRejected { proxy, reason } => {
+            warn!(proxy, reason, "load report rejected");
+        }
         LogEvent::UnknownNodes { count } => {
             warn!(count, "load reports name nodes that are not listed");
         }
-        LogEvent::ChannelFull { lines } => warn!(lines, "update queue longer than allowed"),
-        LogEvent::Pruned { proxy, nodes } => {
+        LogEvent::UpdateQueueFull { entries: lines } => {
+            warn!(lines, "update queue longer than allowed");
+        }
+        LogEvent::StaleEntriesPruned { proxy, nodes } => {
             let nodes = nodes.join(" ");
             warn!(
                 proxy,
@@ -152,7 +156,7 @@
             );
         }
         LogEvent::WeightsSolved { nodes } => debug!(nodes, "solved weights applied"),
-        LogEvent::NotSolved { reason } => warn!(
+        LogEvent::SolverFailed { reason } => warn!(
             reason,
             "weight solver failed, the last weights stay in force"
         ),
@@ -160,7 +164,7 @@
             configuration,
             nodes,
         } => info!(configuration, nodes, "configuration in force"),
-        LogEvent::NotConfigured {
+        LogEvent::ConfigRejected {
             configuration,
             reason,
         } => {
@@ -169,13 +173,13 @@
                 reason, "configuration rejected, the one before stays in force"
             );
         }
-        LogEvent::ListRemembered { version, nodes } => {
+        LogEvent::EndpointListRestored { version, nodes } => {
             warn!(
                 version,
                 nodes, "no endpoint list readable, the last accepted one stays in force"
             );
         }
-        LogEvent::Remark { text } => info!(text, "balancer message"),
-        LogEvent::NotUsed { reason } => debug!(reason, "event ignored"),
+        LogEvent::BalancerMessage { text } => info!(text, "balancer message"),
+        LogEvent::EventIgnored { reason } => debug!(reason, "event ignored"),
     }
 }
--- a/crates/controller/src/service/effects.rs
+++ b/crates/controller/src/service/effects.rs
@@ -7,7 +7,7 @@
 use wheelspread_config_rollout::{RolloutAction, WriteError};
 use wheelspread_config_transaction::Commit;
 use wheelspread_controller_core::controller_core::ConfigUpdate;
-use wheelspread_controller_core::rollback::RollbackResult;
+use wheelspread_controller_core::rollback::{RollbackError, RollbackResult};
 use wheelspread_controller_core::{Effect, Observation};
 use wheelspread_faults::failpoint;
 use wheelspread_files::Job;
@@ -26,25 +26,26 @@
 
     fn carry_out(&mut self, effect: Effect) {
         match effect {
-            Effect::Accept { stream, period } => {
+            Effect::AcceptStream { stream, period } => {
                 self.streams.send(stream, &loads::response(period));
             }
-            Effect::Close { stream, reason } => {
+            Effect::CloseStream { stream, reason } => {
                 self.streams.close(stream, Status::InvalidArgument, &reason);
             }
-            Effect::Point { proxy, set } => self.submit_write(Job::Point { proxy, set }),
-            Effect::Send { stream, set } => {
+            Effect::WriteTables { proxy, set } => self.submit_write(Job::Point { proxy, set }),
+            Effect::SendTables { stream, set } => {
                 self.discovery.offer_tables(&mut self.streams, stream, &set);
             }
-            Effect::Answered { order, result } => self.finish_rollback(order, result),
-            Effect::Retire { version } => self.submit_write(Job::Retire { version }),
+            Effect::RollbackFinished { request, result } => self.finish_rollback(request, result),
+            Effect::RetireVersion { version } => self.submit_write(Job::Retire { version }),
             Effect::Log(event) => log::core_event(&event),
         }
     }
 
-    fn finish_rollback(&mut self, order: u64, result: Result<RollbackResult, String>) {
+    fn finish_rollback(&mut self, order: u64, result: Result<RollbackResult, RollbackError>) {
         self.admin.finish_rollback(order, &result);
-        if let Err(reason) = result {
+        if let Err(error) = result {
+            let reason = error.to_string();
             warn!(order, reason, "rollback not carried out");
         }
     }
--- a/crates/controller/src/service/file_watch.rs
+++ b/crates/controller/src/service/file_watch.rs
@@ -122,7 +122,7 @@
         }
         let list = list_file.parse();
         self.last_list_file = list_file;
-        self.core.observe(now, Observation::List(list));
+        self.core.observe(now, Observation::EndpointList(list));
     }
 
     fn read_status(&mut self, now: Moment, proxy: &str) {
@@ -136,19 +136,19 @@
             }
             Err(reason) => return warn!(proxy, reason, "status file cannot be read"),
         };
-        let held = Observation::Status {
+        let held = Observation::StatusReported {
             proxy: proxy.to_string(),
             version: status.version,
-            refused: None,
+            rejection: None,
         };
         self.core.observe(now, held);
         if let Some((version, reason)) = status.refused {
-            let refused = Observation::Status {
+            let rejected = Observation::StatusReported {
                 proxy: proxy.to_string(),
                 version,
-                refused: Some(reason),
+                rejection: Some(reason),
             };
-            self.core.observe(now, refused);
+            self.core.observe(now, rejected);
         }
     }
 }
--- a/crates/controller/src/service/maintenance.rs
+++ b/crates/controller/src/service/maintenance.rs
@@ -33,7 +33,7 @@
             reactor::wall(),
             self.core.version(),
             self.core.nodes(),
-            self.core.learnt(),
+            self.core.capacity_snapshots(),
         );
     }
 }
--- a/crates/controller/src/service/reload.rs
+++ b/crates/controller/src/service/reload.rs
@@ -45,7 +45,11 @@
             warn!("configuration file reloaded: only {PACE_VALUE} changes without a restart");
         }
         self.file.deployment.channel.lines_per_second = lines_per_second;
-        self.core
-            .observe(now, Observation::Pace { lines_per_second });
+        self.core.observe(
+            now,
+            Observation::PaceChanged {
+                entries_per_second: lines_per_second,
+            },
+        );
     }
 }
--- a/crates/controller/src/service/shutdown.rs
+++ b/crates/controller/src/service/shutdown.rs
@@ -28,10 +28,10 @@
     else {
         return;
     };
-    log::core_event(&LogEvent::WriteFailed {
+    log::core_event(&LogEvent::TableWriteFailed {
         proxy,
         version,
         reason,
-        again_in: Span::ZERO,
+        retry_in: Span::ZERO,
     });
 }
--- a/crates/controller/src/service/startup.rs
+++ b/crates/controller/src/service/startup.rs
@@ -105,7 +105,7 @@
         persisted: &PersistedState,
     ) -> Result<RestoredRun, StartError> {
         let drains = DrainOrders::restore(now, persisted, file.changes.value_lost_at_most);
-        let (rollout, configured, moving) = Rollout::start(
+        let (rollout, configured, migrating) = Rollout::start(
             now,
             file.deployment.clone(),
             file.changes.rollout_settings(),
@@ -119,12 +119,12 @@
         }
         state_writer::restore_core_state(persisted, reactor::wall(), &mut scan.found);
         (scan.found.configuration, scan.found.values) = (configured.version, configured.values);
-        scan.found.moving = moving;
+        scan.found.migrating = migrating;
         scan.found.drained = drains.drained_nodes();
         info!(
             name = file.conductor.name,
             configuration = configured.version,
-            held = scan.found.held.len(),
+            held = scan.found.tables.len(),
             versions = scan.found.versions.len(),
             leftovers = scan.leftovers,
             "controller starting"
--- a/crates/controller/src/service/table_results.rs
+++ b/crates/controller/src/service/table_results.rs
@@ -5,6 +5,7 @@
 use tracing::warn;
 use wheelspread::time::Moment;
 use wheelspread_config_rollout::WriteError;
+use wheelspread_controller_core::controller_core::TableWriteError;
 use wheelspread_controller_core::Observation;
 use wheelspread_files::{Done, Writer};
 
@@ -39,10 +40,10 @@
                 version,
                 result,
             } => {
-                let observation = Observation::Pointed {
+                let observation = Observation::TablesWritten {
                     proxy,
                     version,
-                    result,
+                    result: result.map_err(TableWriteError::new),
                 };
                 self.core.observe(now, observation);
             }
--- a/crates/controller/src/state_writer/persisted_facts.rs
+++ b/crates/controller/src/state_writer/persisted_facts.rs
@@ -130,9 +130,9 @@
 /// Restores what the core starts with: version, endpoint list and capacity snapshots. `wall`: seconds since
 /// 1970 now.
 pub fn restore_core_state(persisted: &PersistedState, wall: f64, recovered: &mut RecoveredState) {
-    recovered.floor = restore_version_floor(persisted);
-    recovered.list = restore_endpoint_list(persisted, wall);
-    recovered.learnt = restore_capacity_facts(persisted)
+    recovered.version_floor = restore_version_floor(persisted);
+    recovered.endpoint_list = restore_endpoint_list(persisted, wall);
+    recovered.capacities = restore_capacity_facts(persisted)
         .map(|(node, fact)| fact.into_snapshot(node))
         .collect();
 }
--- a/crates/controller/src/state_writer/tests.rs
+++ b/crates/controller/src/state_writer/tests.rs
@@ -93,7 +93,9 @@
     let mut found = RecoveredState::default();
     restore_core_state(&third, 1000.0, &mut found);
     assert_eq!(
-        found.list.map(|list| (list.version, list.records.len())),
+        found
+            .endpoint_list
+            .map(|list| (list.version, list.records.len())),
         Some(("2".into(), 3))
     );
 }
@@ -144,8 +146,8 @@
     let mut found = RecoveredState::default();
     restore_core_state(&persisted, wall, &mut found);
 
-    assert_eq!(found.floor, Version(57 + 10_000));
-    let list = found.list.expect("a list");
+    assert_eq!(found.version_floor, Version(57 + 10_000));
+    let list = found.endpoint_list.expect("a list");
     assert_eq!(list.version, "1");
     let ports: Vec<u16> = list.records.iter().map(|record| record.node.port).collect();
     assert_eq!(ports, [29001, 29002, 29003, 29004, 29005]);
@@ -188,8 +190,8 @@
     ];
     // serde_json reads a number to within one unit in the last place of the text.
     let is_close = |one: f64, other: f64| (one - other).abs() <= other * f64::EPSILON;
-    assert_eq!(found.learnt.len(), expected.len());
-    for (snapshot, (port, capacity, evidence, quickest)) in found.learnt.iter().zip(expected) {
+    assert_eq!(found.capacities.len(), expected.len());
+    for (snapshot, (port, capacity, evidence, quickest)) in found.capacities.iter().zip(expected) {
         assert_eq!(snapshot.node.port, port);
         assert!(is_close(snapshot.capacity, capacity), "{snapshot:?}");
         assert!(is_close(snapshot.evidence, evidence), "{snapshot:?}");
--- a/crates/controller/src/streams/receive.rs
+++ b/crates/controller/src/streams/receive.rs
@@ -113,14 +113,17 @@
         let (connection, is_identified) = (stream.connection, stream.is_identified);
         let request = loads::decode_request(bytes).map_err(Rejection::invalid)?;
         if !is_identified {
-            let who = loads::introduction(&request)
+            let introduction = loads::introduction(&request)
                 .ok_or_else(|| Rejection::invalid("the first report names no node"))?;
-            self.check_node_id(connection, &who.name)
+            self.check_node_id(connection, &introduction.name)
                 .map_err(Rejection::denied)?;
             if let Some(stream) = self.report_streams.get_mut(&id) {
                 stream.is_identified = true;
             }
-            observations.push(Observation::StreamOpened { stream: id, who });
+            observations.push(Observation::StreamOpened {
+                stream: id,
+                introduction,
+            });
         }
         if let Some(report) = loads::report(&request) {
             observations.push(Observation::LoadReport { stream: id, report });
@@ -145,18 +148,18 @@
         };
         let request = request.map_err(Rejection::invalid)?;
         if !is_identified {
-            let who = request
+            let introduction = request
                 .who
                 .ok_or_else(|| Rejection::invalid("the first request names no node"))?;
-            self.check_node_id(connection, &who.name)
+            self.check_node_id(connection, &introduction.name)
                 .map_err(Rejection::denied)?;
             if let Some(stream) = self.discovery_streams.get_mut(&id) {
                 stream.is_identified = true;
             }
             observations.push(Observation::Subscribed {
                 stream: id,
-                who,
-                brings: request.holds,
+                introduction,
+                initial_version: request.holds,
             });
         }
         self.discovery_requests.push((id, request.ask));
