--- a/crates/config-rollout/src/rollout.rs
+++ b/crates/config-rollout/src/rollout.rs
@@ -195,7 +195,7 @@
         self.check_propagation(now, core);
         self.check_watched_change(now, core);
         let mut members = core.members().members();
-        let has_proxies = members.any(|(_, member)| member.joined());
+        let has_proxies = members.any(|(_, member)| member.is_joined());
         // Without a proxy there is nothing to measure, so nothing is missing.
         let evidence_until = match (core.reported_until(), has_proxies) {
             (Some(until), _) => until,
@@ -236,7 +236,7 @@
     fn log_ignored_values(&mut self, errors: Vec<ConfigError>) {
         let events = errors.into_iter().map(|error| RolloutEvent::ValueIgnored {
             field: error.field,
-            text: error.text,
+            text: error.kind.to_string(),
         });
         self.actions.extend(events.map(RolloutAction::Log));
     }
--- a/crates/controller-core/src/controller_core.rs
+++ b/crates/controller-core/src/controller_core.rs
@@ -244,11 +244,13 @@
     }
 
     fn joined_members(&self) -> impl Iterator<Item = (&str, &Member)> {
-        self.members.members().filter(|(_, member)| member.joined())
+        self.members
+            .members()
+            .filter(|(_, member)| member.is_joined())
     }
 
     fn is_joined(&self, proxy: ProxyId) -> bool {
-        self.members.numbered(proxy).is_some_and(Member::joined)
+        self.members.by_id(proxy).is_some_and(Member::is_joined)
     }
 
     /// The version that a proxy is known to hold.
@@ -277,11 +279,11 @@
     plan: &Deployment,
     number: u32,
 ) -> Result<Balancer, StartError> {
-    let errors = plan.flaws();
+    let errors = plan.validate();
     if !errors.is_empty() {
         return Err(StartError::InvalidSettings(errors));
     }
-    Balancer::start(now, seed, plan.facts(number, None)).map_err(StartError::Balancer)
+    Balancer::start(now, seed, plan.to_settings(number, None)).map_err(StartError::Balancer)
 }
 
 fn zone_of(plan: &Deployment, name: &str) -> Option<ZoneId> {
--- a/crates/controller/src/admin/status.rs
+++ b/crates/controller/src/admin/status.rs
@@ -139,7 +139,7 @@
         proxies: count_proxies(core),
         last_load_report_s: core
             .service_history()
-            .heard_last()
+            .latest_report_at()
             .map(|at| seconds_since(now, at)),
         queued_entries: core.queued_entries(),
         queued_entries_limit: core.plan().channel.lines_waiting_at_most,
@@ -168,7 +168,7 @@
 fn count_proxies(core: &ControllerCore) -> ProxyCounts {
     let members = || core.members().members();
     ProxyCounts {
-        joined: members().filter(|(_, member)| member.joined()).count(),
+        joined: members().filter(|(_, member)| member.is_joined()).count(),
         known: members().count(),
     }
 }
@@ -205,10 +205,10 @@
     });
     let proxies = core.members().members().map(|(name, member)| ProxyReports {
         proxy: name,
-        joined: member.joined(),
+        joined: member.is_joined(),
         last_report_s: core
             .service_history()
-            .heard(member.id)
+            .last_report_at(member.id)
             .map(|at| seconds_since(now, at)),
     });
     json!(LoadReportsResponse {
--- a/crates/controller/src/admin/tables.rs
+++ b/crates/controller/src/admin/tables.rs
@@ -138,7 +138,7 @@
     let status = core.table_status(member.id);
     ProxyTables {
         proxy: name,
-        joined: member.joined(),
+        joined: member.is_joined(),
         transport: match status.transport {
             Transport::Files => "files",
             Transport::Stream(_) => "stream",
--- a/crates/controller/src/admin/tests.rs
+++ b/crates/controller/src/admin/tests.rs
@@ -73,7 +73,8 @@
     }
 
     fn join_proxies(&mut self) {
-        let unreadable = Err("no list".to_string());
+        let unreadable =
+            Err(wheelspread_controller_core::endpoint_list::SnapshotReadError::new("no list"));
         self.core
             .observe(self.now, Observation::EndpointList(unreadable));
         for (stream, zone) in [(1, "north"), (2, "south")] {
--- a/crates/controller/src/file/validate.rs
+++ b/crates/controller/src/file/validate.rs
@@ -40,9 +40,14 @@
     }
 
     fn validate_deployment(&self) -> Vec<FieldError> {
-        let errors = self.deployment.flaws().into_iter();
+        let errors = self.deployment.validate().into_iter();
         errors
-            .map(|error| FieldError::new(format!("deployment.{}", error.field), error.text))
+            .map(|error| {
+                FieldError::new(
+                    format!("deployment.{}", error.field),
+                    error.kind.to_string(),
+                )
+            })
             .collect()
     }
 
--- a/crates/controller/src/service/file_watch.rs
+++ b/crates/controller/src/service/file_watch.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 use tracing::warn;
 use wheelspread::time::Moment;
-use wheelspread_controller_core::endpoint_list::EndpointSnapshot;
+use wheelspread_controller_core::endpoint_list::{EndpointSnapshot, SnapshotReadError};
 use wheelspread_controller_core::Observation;
 use wheelspread_files::read;
 use wheelspread_reactor::{self as reactor, Moved};
@@ -43,12 +43,12 @@
     }
 
     /// The list, or why there is none, as the core is told.
-    fn parse(&self) -> Result<EndpointSnapshot, String> {
+    fn parse(&self) -> Result<EndpointSnapshot, SnapshotReadError> {
         match self {
-            ListFile::Unread => Err("the list is not read yet".to_string()),
-            ListFile::Unreadable { reason } => Err(reason.clone()),
+            ListFile::Unread => Err(SnapshotReadError::new("the list is not read yet")),
+            ListFile::Unreadable { reason } => Err(SnapshotReadError::new(reason)),
             ListFile::Text(text) => {
-                nodes::read(text, reactor::wall()).map_err(|error| error.to_string())
+                nodes::read(text, reactor::wall()).map_err(SnapshotReadError::new)
             }
         }
     }
--- a/crates/controller/src/state_writer/tests.rs
+++ b/crates/controller/src/state_writer/tests.rs
@@ -38,8 +38,8 @@
     let mut nodes = EndpointList::default();
     assert_eq!(
         nodes
-            .take(Moment::from_seconds(1.0), Ok(list), &plan(), true)
-            .refusal,
+            .apply_snapshot(Moment::from_seconds(1.0), Ok(list), &plan(), true)
+            .rejection,
         None
     );
     nodes
