--- a/crates/cli/src/drill.rs
+++ b/crates/cli/src/drill.rs
@@ -3,7 +3,7 @@
 use clap::{Args, ValueEnum};
 use std::path::PathBuf;
 use std::process::ExitCode;
-use wheelspread_controller_core::deployment::FrontPlan;
+use wheelspread_controller_core::deployment::TableDeliveryPlan;
 use wheelspread_drill::{run, Options, Sabotage, Script, BUILT_IN};
 
 #[derive(Args)]
@@ -81,7 +81,7 @@
         }
     };
     if arguments.streams {
-        script.deployment.fronts = FrontPlan {
+        script.deployment.fronts = TableDeliveryPlan {
             files: false,
             streams: true,
         };
--- a/crates/cli/src/import.rs
+++ b/crates/cli/src/import.rs
@@ -125,7 +125,7 @@
         json!({
             "name": pool.name,
             "nodes": pool.servers.iter().map(|server| {
-                json!({ "node": wheelspread_controller_core::endpoint_list::show(server.node), "weight": server.weight,
+                json!({ "node": wheelspread_controller_core::endpoint_list::format_node(server.node), "weight": server.weight,
                         "at": server.place.to_string() })
             }).collect::<Vec<_>>(),
             "operations": pool.operations.iter().map(|operation| {
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -126,7 +126,7 @@
                 "{}: conductor {} of {}, {} zones, {} operations: nothing is wrong",
                 path.display(),
                 file.conductor.name,
-                plan.conductors.count,
+                plan.controllers.count,
                 plan.zones.len(),
                 plan.operations.len()
             );
--- a/crates/cli/src/measure/conductor.rs
+++ b/crates/cli/src/measure/conductor.rs
@@ -112,7 +112,7 @@
         ..OperationReport::default()
     };
     let report = LoadReport {
-        over: Span::from_seconds(1.0),
+        window: Span::from_seconds(1.0),
         operations: vec![met("quote"), met("plan")],
     };
     loads::request(&report, |_| String::new()).encode_to_vec()
--- a/crates/cli/tests/changes.rs
+++ b/crates/cli/tests/changes.rs
@@ -138,7 +138,7 @@
                 ..OperationReport::default()
             };
             let report = LoadReport {
-                over: Span::from_seconds(0.1),
+                window: Span::from_seconds(0.1),
                 operations: vec![quote],
             };
             let report = common::encode(&loads::request(&report, |_| String::new()));
--- a/crates/cli/tests/conductor.rs
+++ b/crates/cli/tests/conductor.rs
@@ -145,7 +145,7 @@
     let (mut stage, mut good) = joined();
     let bad_report = |operations, seconds| {
         let report = LoadReport {
-            over: Span::from_seconds(seconds),
+            window: Span::from_seconds(seconds),
             operations,
         };
         encode(&loads::request(&report, |_| "north".to_string()))
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -328,7 +328,7 @@
             ..OperationReport::default()
         };
         let report = LoadReport {
-            over,
+            window: over,
             operations: vec![operation],
         };
         let message = common::encode(&loads::request(&report, |_| "north".to_string()));
--- a/crates/config-rollout/src/measured_fleet.rs
+++ b/crates/config-rollout/src/measured_fleet.rs
@@ -6,7 +6,7 @@
 use wheelspread::ids::{NodeId, OperationId, ZoneId};
 use wheelspread::time::{Moment, Span};
 use wheelspread::{EndpointEntry, EndpointStatus};
-use wheelspread_controller_core::endpoint_list::show;
+use wheelspread_controller_core::endpoint_list::format_node;
 use wheelspread_controller_core::{ControllerCore, Deployment};
 use wheelspread_solve::{Fleet, Gateway, Host, HostState, Operation};
 
@@ -35,13 +35,14 @@
             .capacity_snapshots()
             .map(|snapshot| (snapshot.node, snapshot.capacity.exp()))
             .collect();
-        let window = Span::from_seconds(core.plan().sums.period.seconds() * DEMAND_WINDOW_PERIODS);
+        let window =
+            Span::from_seconds(core.plan().load_reports.period.seconds() * DEMAND_WINDOW_PERIODS);
         let (tallies, seconds) = core.service_history().between(now - window, now);
         let rate = |count: f64| if seconds > 0.0 { count / seconds } else { 0.0 };
         let demand = tallies
             .0
             .iter()
-            .map(|(key, tally)| (*key, rate(tally.asked)))
+            .map(|(key, tally)| (*key, rate(tally.requests)))
             .collect();
         MeasuredFleet { capacity, demand }
     }
@@ -88,7 +89,7 @@
             .iter()
             .filter(|entry| entry.status != EndpointStatus::Gone)
             .map(|entry| Host {
-                id: show(entry.node),
+                id: format_node(entry.node),
                 zone: zone_name(entry.zone, deployment),
                 kind: String::new(),
                 capacity: capacity(entry),
@@ -128,7 +129,7 @@
 
 fn host_state(now: Moment, entry: &EndpointEntry, deployment: &Deployment) -> HostState {
     match entry.status {
-        EndpointStatus::Ready if deployment.rules.is_cold(now, entry.started) => HostState::Cold,
+        EndpointStatus::Ready if deployment.rules.is_warming(now, entry.started) => HostState::Cold,
         EndpointStatus::Ready => HostState::Ready,
         _ => HostState::Draining,
     }
--- a/crates/config-rollout/src/pool_risk.rs
+++ b/crates/config-rollout/src/pool_risk.rs
@@ -6,7 +6,7 @@
 use wheelspread::ids::NodeId;
 use wheelspread::time::Moment;
 use wheelspread::{EndpointEntry, EndpointStatus};
-use wheelspread_controller_core::endpoint_list::show;
+use wheelspread_controller_core::endpoint_list::format_node;
 use wheelspread_controller_core::{ControllerCore, Deployment};
 use wheelspread_solve::solve;
 
@@ -106,7 +106,7 @@
         let name = self.check_name();
         match self {
             DrainObjection::NotListed(node) => {
-                write!(f, "{name}: {} is not listed", show(*node))
+                write!(f, "{name}: {} is not listed", format_node(*node))
             }
             DrainObjection::Pool(risk) => write!(f, "{risk}"),
             DrainObjection::ValueLost {
@@ -145,7 +145,7 @@
         let in_pool = zone.is_none_or(|zone| usize::from(entry.zone.0) == zone);
         if entry.status == EndpointStatus::Ready && in_pool {
             ready.all += 1;
-            ready.warm += usize::from(!deployment.rules.is_cold(now, entry.started));
+            ready.warm += usize::from(!deployment.rules.is_warming(now, entry.started));
         }
     }
     ready
--- a/crates/config-rollout/src/rollout.rs
+++ b/crates/config-rollout/src/rollout.rs
@@ -244,5 +244,5 @@
 
 /// How often a change in progress is checked.
 fn check_interval(deployment: &Deployment) -> Span {
-    deployment.sums.period * CHECK_INTERVAL_PERIODS
+    deployment.load_reports.period * CHECK_INTERVAL_PERIODS
 }
--- a/crates/config-rollout/src/rollout/proposal.rs
+++ b/crates/config-rollout/src/rollout/proposal.rs
@@ -15,7 +15,7 @@
 };
 use wheelspread_controller_core::controller_core::ConfigUpdate;
 use wheelspread_controller_core::deployment::ConfigError;
-use wheelspread_controller_core::endpoint_list::show;
+use wheelspread_controller_core::endpoint_list::format_node;
 use wheelspread_controller_core::ControllerCore;
 
 /// The fewest update steps of a change: removals, then additions.
@@ -56,7 +56,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ProposalFinding::InvalidValue(error) => write!(f, "{error}"),
-            ProposalFinding::UnlistedNode(node) => write!(f, "{} is not listed now", show(*node)),
+            ProposalFinding::UnlistedNode(node) => {
+                write!(f, "{} is not listed now", format_node(*node))
+            }
             ProposalFinding::Pool(risk) => write!(f, "{risk}"),
             ProposalFinding::NotMeasured => write!(
                 f,
--- a/crates/config-rollout/src/rollout/watching.rs
+++ b/crates/config-rollout/src/rollout/watching.rs
@@ -17,7 +17,7 @@
 }
 
 fn stale_report_time(deployment: &Deployment) -> Span {
-    deployment.sums.period * STALE_REPORT_PERIODS
+    deployment.load_reports.period * STALE_REPORT_PERIODS
 }
 
 impl Rollout {
--- a/crates/config-rollout/src/watch.rs
+++ b/crates/config-rollout/src/watch.rs
@@ -50,10 +50,10 @@
     fn from(tally: Tally) -> OperationService {
         let ratio = |part: f64, all: f64| if all > 0.0 { part / all } else { 0.0 };
         OperationService {
-            invocations: tally.asked,
+            invocations: tally.requests,
             succeeded: tally.succeeded,
-            errored_share: ratio(tally.errored, tally.tries),
-            latency_s: ratio(tally.seconds, tally.timed),
+            errored_share: ratio(tally.failures, tally.attempts),
+            latency_s: ratio(tally.latency_seconds, tally.timed),
         }
     }
 }
--- a/crates/config-rollout/tests/kills.rs
+++ b/crates/config-rollout/tests/kills.rs
@@ -301,7 +301,7 @@
                 }
             });
             let report = LoadReport {
-                over: span(0.2),
+                window: span(0.2),
                 operations: operations.collect(),
             };
             running
--- a/crates/controller-core/src/controller_core/recovery.rs
+++ b/crates/controller-core/src/controller_core/recovery.rs
@@ -3,7 +3,7 @@
 
 use super::{zone_of, ControllerCore};
 use crate::deployment::{ConfigError, Deployment};
-use crate::endpoint_list::{show, EndpointList, EndpointSnapshot};
+use crate::endpoint_list::{format_node, EndpointList, EndpointSnapshot};
 use crate::node_overrides::{NodeOverrides, NodeValues};
 use crate::publication::{BundleId, TableSet, Version};
 use crate::{Effect, LogEvent};
@@ -236,7 +236,7 @@
             self.stored_versions.mark_used(now, set.version);
             self.log(LogEvent::StaleEntriesPruned {
                 proxy: proxy.clone(),
-                nodes: removed.into_iter().map(show).collect(),
+                nodes: removed.into_iter().map(format_node).collect(),
             });
             let set = Arc::new(set);
             self.effects.push(Effect::WriteTables { proxy, set });
--- a/crates/controller-core/src/controller_core/reports.rs
+++ b/crates/controller-core/src/controller_core/reports.rs
@@ -58,7 +58,7 @@
         if self.endpoints.doubted_until(&self.plan).is_none() {
             return;
         }
-        let interval_start = now - report.over;
+        let interval_start = now - report.window;
         let reported = report
             .operations
             .iter()
--- a/crates/controller-core/src/controller_core/rounds.rs
+++ b/crates/controller-core/src/controller_core/rounds.rs
@@ -32,7 +32,7 @@
         }
         let acknowledgement_at = self.acknowledgements.wake_at();
         if self.schedule.is_round_due(now, acknowledgement_at) {
-            let (period, tick) = (self.plan.sums.period, self.plan.conductors.tick);
+            let (period, tick) = (self.plan.load_reports.period, self.plan.controllers.tick);
             self.schedule.start_round(now, period, tick);
             self.run_round(now);
         }
@@ -52,7 +52,9 @@
             self.endpoints.doubted_until(&self.plan),
             self.transports.wake_at(),
         ];
-        let round_at = self.schedule.wake_at(now, self.plan.sums.period, causes);
+        let round_at = self
+            .schedule
+            .wake_at(now, self.plan.load_reports.period, causes);
         let delivery_at = self.queue.wake_at(now);
         delivery_at.map_or(round_at, |at| round_at.min(at))
     }
@@ -63,7 +65,7 @@
         }
         if self
             .schedule
-            .start_period_if_due(now, self.plan.sums.period)
+            .start_period_if_due(now, self.plan.load_reports.period)
         {
             self.run_period(now);
         }
--- a/crates/controller-core/src/controller_core/streams.rs
+++ b/crates/controller-core/src/controller_core/streams.rs
@@ -25,7 +25,7 @@
         }
         self.effects.push(Effect::AcceptStream {
             stream,
-            period: self.plan.sums.period,
+            period: self.plan.load_reports.period,
         });
         self.on_joined(now, &opened, introduction);
         let member = self.members.member(&introduction.name);
--- a/crates/controller-core/src/controller_core/tests.rs
+++ b/crates/controller-core/src/controller_core/tests.rs
@@ -211,7 +211,7 @@
             ..OperationReport::default()
         };
         let report = LoadReport {
-            over: Span::from_seconds(1.0),
+            window: Span::from_seconds(1.0),
             operations: vec![quote],
         };
         self.core.observe(
@@ -362,7 +362,7 @@
 fn a_stream_with_an_invalid_load_report_is_closed_with_a_reason() {
     let mut harness = started();
     let report = LoadReport {
-        over: Span::from_seconds(-1.0),
+        window: Span::from_seconds(-1.0),
         operations: Vec::new(),
     };
     harness.core.observe(
--- a/crates/controller-core/src/deployment.rs
+++ b/crates/controller-core/src/deployment.rs
@@ -15,11 +15,11 @@
 
 pub use error::{ConfigError, ConfigErrorKind};
 pub use inputs::{ListPlan, LoadReportPlan};
-pub use operations::{OperationPlan, Repeat, RetryScope};
-pub use programs::{AdmissionForm, ControllerPlan, FrontPlan, ProxyPlan};
+pub use operations::{OperationPlan, RetryClass, RetryScope};
+pub use programs::{AdmissionForm, ControllerPlan, ProxyPlan, TableDeliveryPlan};
 pub use rules::RulePlan;
 pub use solver::{SolverPlan, Work};
-pub use update_queue::ChannelPlan;
+pub use update_queue::UpdateQueuePlan;
 pub(crate) use validation::is_plain_name;
 
 use serde::{Deserialize, Serialize};
@@ -37,20 +37,22 @@
     pub operations: Vec<OperationPlan>,
     /// The controllers.
     #[serde(default)]
-    pub conductors: ControllerPlan,
+    #[serde(rename = "conductors")]
+    pub controllers: ControllerPlan,
     /// The proxies.
     #[serde(default)]
     pub proxies: ProxyPlan,
     /// Limits of the rules.
     pub rules: RulePlan,
     /// Limits of the update queue.
-    pub channel: ChannelPlan,
+    pub channel: UpdateQueuePlan,
     /// Ways of delivering tables.
     #[serde(default)]
-    pub fronts: FrontPlan,
+    pub fronts: TableDeliveryPlan,
     /// Load reports.
     #[serde(default)]
-    pub sums: LoadReportPlan,
+    #[serde(rename = "sums")]
+    pub load_reports: LoadReportPlan,
     /// Endpoint lists.
     #[serde(default)]
     pub list: ListPlan,
--- a/crates/controller-core/src/deployment/operations.rs
+++ b/crates/controller-core/src/deployment/operations.rs
@@ -7,7 +7,7 @@
 /// Whether a second attempt of a request is safe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Repeat {
+pub enum RetryClass {
     /// A second attempt has no further effect.
     Idempotent,
     /// Nodes recognize a second attempt by its fingerprint, within a window and a scope.
@@ -16,13 +16,13 @@
     SideEffecting,
 }
 
-impl Repeat {
+impl RetryClass {
     /// The spelling of the settings.
     pub(super) fn setting(self) -> &'static str {
         match self {
-            Repeat::Idempotent => "idempotent",
-            Repeat::Fingerprinted => "fingerprinted",
-            Repeat::SideEffecting => "side-effecting",
+            RetryClass::Idempotent => "idempotent",
+            RetryClass::Fingerprinted => "fingerprinted",
+            RetryClass::SideEffecting => "side-effecting",
         }
     }
 }
@@ -68,7 +68,7 @@
     #[serde(default)]
     pub late_share: f64,
     /// Whether a second attempt is safe.
-    pub repeat: Repeat,
+    pub repeat: RetryClass,
     /// Which nodes recognize a fingerprinted request.
     #[serde(default = "default_retry_scope")]
     pub repeat_group: RetryScope,
--- a/crates/controller-core/src/deployment/programs.rs
+++ b/crates/controller-core/src/deployment/programs.rs
@@ -59,16 +59,16 @@
 /// Which ways of delivering tables are turned on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct FrontPlan {
+pub struct TableDeliveryPlan {
     /// Files that proxies watch.
     pub files: bool,
     /// Discovery streams that proxies open.
     pub streams: bool,
 }
 
-impl Default for FrontPlan {
+impl Default for TableDeliveryPlan {
     fn default() -> Self {
-        FrontPlan {
+        TableDeliveryPlan {
             files: true,
             streams: true,
         }
--- a/crates/controller-core/src/deployment/rules.rs
+++ b/crates/controller-core/src/deployment/rules.rs
@@ -28,7 +28,7 @@
 
 impl RulePlan {
     /// Whether a node that started then is still warming up; `None`: long ago.
-    pub fn is_cold(&self, now: Moment, started: Option<Moment>) -> bool {
+    pub fn is_warming(&self, now: Moment, started: Option<Moment>) -> bool {
         started.is_some_and(|at| now - at < self.warm_after)
     }
 }
--- a/crates/controller-core/src/deployment/settings.rs
+++ b/crates/controller-core/src/deployment/settings.rs
@@ -54,10 +54,10 @@
     }
 
     fn put_controller(&self, settings: &mut SettingsBuilder, number: u32, zone: Option<u16>) {
-        settings.number("conductor.count", self.conductors.count);
+        settings.number("conductor.count", self.controllers.count);
         settings.number("conductor.number", number);
-        settings.flag("conductor.joined_by_zone", self.conductors.joined_by_zone);
-        settings.span("conductor.tick", self.conductors.tick);
+        settings.flag("conductor.joined_by_zone", self.controllers.joined_by_zone);
+        settings.span("conductor.tick", self.controllers.tick);
         if let Some(zone) = zone {
             settings.number("conductor.zone", zone);
         }
@@ -87,9 +87,9 @@
     }
 
     fn put_load_reports(&self, settings: &mut SettingsBuilder) {
-        settings.span("sums.period", self.sums.period);
-        settings.count("report.field.count", self.sums.loads.len());
-        for (position, load) in self.sums.loads.iter().enumerate() {
+        settings.span("sums.period", self.load_reports.period);
+        settings.count("report.field.count", self.load_reports.loads.len());
+        for (position, load) in self.load_reports.loads.iter().enumerate() {
             settings.text(&format!("report.field.{position}"), load);
         }
     }
--- a/crates/controller-core/src/deployment/tests.rs
+++ b/crates/controller-core/src/deployment/tests.rs
@@ -2,7 +2,7 @@
 use test_case::test_case;
 use wheelspread::time::Span;
 
-fn operation(name: &str, repeat: Repeat) -> OperationPlan {
+fn operation(name: &str, repeat: RetryClass) -> OperationPlan {
     OperationPlan {
         name: name.to_string(),
         latency_objective: Span::from_seconds(1.0),
@@ -23,10 +23,10 @@
         zones: vec!["north".to_string(), "south".to_string()],
         kinds: Vec::new(),
         operations: vec![
-            operation("quote", Repeat::Idempotent),
-            operation("book", Repeat::SideEffecting),
+            operation("quote", RetryClass::Idempotent),
+            operation("book", RetryClass::SideEffecting),
         ],
-        conductors: ControllerPlan::default(),
+        controllers: ControllerPlan::default(),
         proxies: ProxyPlan {
             count: 4,
             usual_rate: 10.0,
@@ -40,7 +40,7 @@
             cold_overload_factor: 4.0,
             cold_overload_span: seconds(2.0),
         },
-        channel: ChannelPlan {
+        channel: UpdateQueuePlan {
             lines_waiting_at_most: 4000.0,
             head_lines: 6.0,
             lines_per_second: 10_000.0,
@@ -48,8 +48,8 @@
             messages_at_most: 0,
             messages_window: seconds(10.0),
         },
-        fronts: FrontPlan::default(),
-        sums: LoadReportPlan {
+        fronts: TableDeliveryPlan::default(),
+        load_reports: LoadReportPlan {
             period: seconds(1.0),
             loads: vec!["utilization".to_string()],
         },
@@ -67,9 +67,9 @@
 #[test_case(|p| p.operations[1].billed_value = f64::NAN, "operations.1.billed_value"; "no number")]
 #[test_case(|p| p.operations[0].integration_timeout = Span::from_seconds(0.1),
     "operations.0.integration_timeout"; "a timeout below the objective")]
-#[test_case(|p| p.operations[0].repeat = Repeat::Fingerprinted, "operations.0.repeat_window"; "no window")]
+#[test_case(|p| p.operations[0].repeat = RetryClass::Fingerprinted, "operations.0.repeat_window"; "no window")]
 #[test_case(|p| p.channel.lines_per_second = 0.0, "channel.lines_per_second"; "a channel that stands")]
-#[test_case(|p| p.sums.loads = vec!["mood".into()], "sums.loads"; "an unknown load")]
+#[test_case(|p| p.load_reports.loads = vec!["mood".into()], "sums.loads"; "an unknown load")]
 fn what_cannot_be_is_named_by_field(spoil: fn(&mut Deployment), field: &str) {
     let mut plan = plan();
     assert_eq!(plan.validate(), []);
@@ -88,8 +88,8 @@
     let mut plan = plan();
     plan.kinds = vec!["small".into()];
     plan.operations[0].billed_value = 2e9;
-    plan.conductors.tick = Span::ZERO;
-    plan.sums.loads = vec!["mood".into()];
+    plan.controllers.tick = Span::ZERO;
+    plan.load_reports.loads = vec!["mood".into()];
     plan.solver = Some(SolverPlan {
         capacities: [("large".to_string(), 1e9)].into(),
         work: [("quote".to_string(), Work(Span::ZERO))].into(),
--- a/crates/controller-core/src/deployment/update_queue.rs
+++ b/crates/controller-core/src/deployment/update_queue.rs
@@ -9,7 +9,7 @@
 /// What may be queued and sent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ChannelPlan {
+pub struct UpdateQueuePlan {
     /// Rule 5: entries that may be queued for proxies to take them.
     pub lines_waiting_at_most: f64,
     /// Entries that a message counts beside its own.
--- a/crates/controller-core/src/deployment/validation.rs
+++ b/crates/controller-core/src/deployment/validation.rs
@@ -1,6 +1,6 @@
 //! Checks of a deployment's settings. Every error is reported, in the order of these checks.
 
-use super::{ConfigError, ConfigErrorKind, Deployment, OperationPlan, Repeat, SolverPlan};
+use super::{ConfigError, ConfigErrorKind, Deployment, OperationPlan, RetryClass, SolverPlan};
 use std::ops::RangeInclusive;
 use wheelspread::time::Span;
 
@@ -74,7 +74,7 @@
         let mut errors = Errors::default();
         check_names(&mut errors, "zones", &self.zones);
         check_names(&mut errors, "kinds", &self.kinds);
-        check_names(&mut errors, "sums.loads", &self.sums.loads);
+        check_names(&mut errors, "sums.loads", &self.load_reports.loads);
         self.check_groups(&mut errors);
         self.check_load_metrics(&mut errors);
         self.check_operations(&mut errors);
@@ -110,7 +110,7 @@
     }
 
     fn check_load_metrics(&self, errors: &mut Errors) {
-        for name in &self.sums.loads {
+        for name in &self.load_reports.loads {
             if !LOAD_METRICS.contains(&name.as_str()) {
                 let kind = ConfigErrorKind::UnknownLoadMetric {
                     name: name.clone(),
@@ -141,7 +141,7 @@
     }
 
     fn check_programs(&self, errors: &mut Errors) {
-        let (controllers, proxies) = (&self.conductors, &self.proxies);
+        let (controllers, proxies) = (&self.controllers, &self.proxies);
         errors.check_range(
             "conductors.count",
             f64::from(controllers.count),
@@ -175,7 +175,7 @@
         if !self.fronts.files && !self.fronts.streams {
             errors.push("fronts", ConfigErrorKind::NoTableDelivery);
         }
-        errors.check_seconds("sums.period", self.sums.period, 0.05..=60.0);
+        errors.check_seconds("sums.period", self.load_reports.period, 0.05..=60.0);
         let channel = &self.channel;
         errors.check_range(
             "channel.lines_waiting_at_most",
@@ -243,7 +243,7 @@
         errors.push(field("billed_value"), kind);
     }
     let value = operation.repeat_window;
-    if operation.repeat == Repeat::Fingerprinted && value <= Span::ZERO {
+    if operation.repeat == RetryClass::Fingerprinted && value <= Span::ZERO {
         let kind = ConfigErrorKind::RetryWindowMissing { value };
         errors.push(field("repeat_window"), kind);
     }
--- a/crates/controller-core/src/drain_evidence.rs
+++ b/crates/controller-core/src/drain_evidence.rs
@@ -53,7 +53,7 @@
 
     /// Takes in a proxy's load report. An interval that began before a node was watched doesn't count for it.
     pub fn record_report(&mut self, now: Moment, proxy: ProxyId, report: &LoadReport) {
-        let interval_start = now - report.over;
+        let interval_start = now - report.window;
         for (node, watched) in &mut self.nodes {
             if interval_start < watched.since {
                 continue;
--- a/crates/controller-core/src/drain_evidence/tests.rs
+++ b/crates/controller-core/src/drain_evidence/tests.rs
@@ -29,7 +29,7 @@
         ..OperationReport::default()
     };
     let report = LoadReport {
-        over: Span::from_seconds(1.0),
+        window: Span::from_seconds(1.0),
         operations: vec![operation],
     };
     let mut evidence = DrainEvidence::default();
--- a/crates/controller-core/src/endpoint_list.rs
+++ b/crates/controller-core/src/endpoint_list.rs
@@ -87,7 +87,7 @@
 }
 
 /// A node's address as logs, the operators' API and tables write it.
-pub fn show(node: NodeId) -> String {
+pub fn format_node(node: NodeId) -> String {
     let [a, b, c, d] = node.address;
     format!("{a}.{b}.{c}.{d}:{}", node.port)
 }
--- a/crates/controller-core/src/endpoint_list/validation.rs
+++ b/crates/controller-core/src/endpoint_list/validation.rs
@@ -2,7 +2,7 @@
 //! lack too many of the ready nodes at once.
 
 use super::snapshot::{EndpointRecord, EndpointSnapshot, SnapshotReadError};
-use super::{show, EndpointTable};
+use super::{format_node, EndpointTable};
 use crate::deployment::Deployment;
 use std::collections::{BTreeMap, BTreeSet};
 use wheelspread::ids::NodeId;
@@ -90,7 +90,7 @@
     let mut seen = BTreeSet::new();
     for record in records {
         if !seen.insert(record.node) {
-            return Err(SnapshotRejection::Twice(show(record.node)));
+            return Err(SnapshotRejection::Twice(format_node(record.node)));
         }
         check_names(record, plan)?;
     }
@@ -100,13 +100,13 @@
 fn check_names(record: &EndpointRecord, plan: &Deployment) -> Result<(), SnapshotRejection> {
     if !plan.zones.contains(&record.zone) {
         return Err(SnapshotRejection::UnknownZone {
-            node: show(record.node),
+            node: format_node(record.node),
             zone: record.zone.clone(),
         });
     }
     if !record.kind.is_empty() && !plan.kinds.contains(&record.kind) {
         return Err(SnapshotRejection::UnknownKind {
-            node: show(record.node),
+            node: format_node(record.node),
             kind: record.kind.clone(),
         });
     }
--- a/crates/controller-core/src/load_report.rs
+++ b/crates/controller-core/src/load_report.rs
@@ -56,7 +56,7 @@
     /// Requests that the proxy rejected.
     pub rate_limited: u64,
     /// Attempts of `nodes` that retried an earlier one, where the proxy says so.
-    pub repeats: u64,
+    pub retries: u64,
     /// By node.
     pub nodes: Vec<NodeReport>,
 }
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadReport {
     /// The time that it covers, up to when it was made.
-    pub over: Span,
+    pub window: Span,
     /// By operation; one that is left out had no request.
     pub operations: Vec<OperationReport>,
 }
@@ -118,8 +118,8 @@
 const MAX_QUOTED_NAME_LENGTH: usize = 40;
 
 fn check(report: &LoadReport) -> Result<(), LoadReportError> {
-    let seconds = report.over.seconds();
-    if report.over <= Span::ZERO || report.over > MAX_WINDOW {
+    let seconds = report.window.seconds();
+    if report.window <= Span::ZERO || report.window > MAX_WINDOW {
         return Err(LoadReportError::Window { seconds });
     }
     if report.operations.len() > MAX_OPERATIONS {
@@ -144,7 +144,7 @@
         .iter()
         .map(|node| node.attempts() + node.in_progress as f64);
     let count = attempts.sum::<f64>() + report.rate_limited as f64;
-    let retries = report.repeats as f64;
+    let retries = report.retries as f64;
     if count > MAX_REQUESTS_PER_SECOND * seconds.max(1.0) || retries > count {
         let name = report.operation.chars().take(MAX_QUOTED_NAME_LENGTH);
         return Err(LoadReportError::Count {
--- a/crates/controller-core/src/load_report/aggregator.rs
+++ b/crates/controller-core/src/load_report/aggregator.rs
@@ -98,7 +98,7 @@
     ) -> Result<(), LoadReportError> {
         check(report)?;
         let covered = self.covered.entry(zone).or_insert(Span::ZERO);
-        *covered = *covered + report.over;
+        *covered = *covered + report.window;
         self.reporting.entry(zone).or_default().insert(proxy);
         let mut unreported: BTreeSet<OperationId> =
             (0..plan.operations.len() as u8).map(OperationId).collect();
@@ -108,15 +108,15 @@
                 continue;
             };
             unreported.remove(&operation);
-            let totals = self.add_nodes(zone, of_operation, report.over, plan, &is_known);
-            let requests = (totals.attempts - of_operation.repeats as f64).max(0.0)
+            let totals = self.add_nodes(zone, of_operation, report.window, plan, &is_known);
+            let requests = (totals.attempts - of_operation.retries as f64).max(0.0)
                 + of_operation.rate_limited as f64;
             let failures = totals.failures.min(requests);
-            self.add_offered(proxy, operation, requests, failures, report.over);
+            self.add_offered(proxy, operation, requests, failures, report.window);
         }
         // A report that leaves an operation out says that no request for it came.
         for operation in unreported {
-            self.add_offered(proxy, operation, 0.0, 0.0, report.over);
+            self.add_offered(proxy, operation, 0.0, 0.0, report.window);
         }
         Ok(())
     }
@@ -215,7 +215,7 @@
             }
             None => {}
         }
-        self.update_metrics(report, &plan.sums.loads);
+        self.update_metrics(report, &plan.load_reports.loads);
     }
 
     fn update_metrics(&mut self, report: &NodeReport, names: &[String]) {
--- a/crates/controller-core/src/load_report/tests.rs
+++ b/crates/controller-core/src/load_report/tests.rs
@@ -40,7 +40,7 @@
         ..OperationReport::default()
     };
     LoadReport {
-        over: Span::from_seconds(seconds),
+        window: Span::from_seconds(seconds),
         operations: vec![quote],
     }
 }
@@ -96,7 +96,7 @@
 fn retries_are_not_demand_and_rejected_requests_are() {
     let (mut sums, members) = (LoadAggregator::default(), members(1));
     let mut sent = report(1.0, 8, 4, 0);
-    (sent.operations[0].repeats, sent.operations[0].rate_limited) = (2, 5);
+    (sent.operations[0].retries, sent.operations[0].rate_limited) = (2, 5);
     sums.add_report(ProxyId(0), ZoneId(0), &sent, &plan(), |_| true)
         .expect("fine");
     let events = sums.take_events(&members);
@@ -108,7 +108,7 @@
 #[test_case(report(0.0, 1, 0, 0); "no span")]
 #[test_case(report(1e6, 1, 0, 0); "days")]
 #[test_case(report(1.0, u64::MAX, u64::MAX, 0); "more than can be counted")]
-#[test_case(LoadReport { operations: vec![OperationReport { repeats: 9, ..Default::default() }], ..report(1.0, 0, 0, 0) };
+#[test_case(LoadReport { operations: vec![OperationReport { retries: 9, ..Default::default() }], ..report(1.0, 0, 0, 0) };
     "more repeats than tries")]
 fn impossible_reports_change_nothing(sent: LoadReport) {
     let mut sums = LoadAggregator::default();
--- a/crates/controller-core/src/rollback.rs
+++ b/crates/controller-core/src/rollback.rs
@@ -112,7 +112,7 @@
         match self.listed.get(&node) {
             None => Some(ExclusionReason::NotListed),
             Some(entry) if entry.status != EndpointStatus::Ready => Some(ExclusionReason::Draining),
-            Some(entry) if self.rules.is_cold(now, entry.started) => {
+            Some(entry) if self.rules.is_warming(now, entry.started) => {
                 Some(ExclusionReason::WarmingUp)
             }
             Some(_) if !current_shares.contains_key(&node) => Some(ExclusionReason::KeptOut),
--- a/crates/controller-core/src/service_history.rs
+++ b/crates/controller-core/src/service_history.rs
@@ -12,46 +12,46 @@
 /// Report periods that are retained.
 const RETAINED_PERIODS: usize = 300;
 
-/// Requests, but for `tries` and `errored`, which count every attempt.
+/// Requests, but for `attempts` and `failures`, which count every attempt.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Tally {
     /// Requests that came.
-    pub asked: f64,
+    pub requests: f64,
     /// Requests that succeeded.
     pub succeeded: f64,
     /// Requests that proxies rejected.
     pub rate_limited: f64,
     /// Attempts.
-    pub tries: f64,
+    pub attempts: f64,
     /// Attempts that failed.
-    pub errored: f64,
+    pub failures: f64,
     /// How many were timed,
     pub timed: f64,
     /// and how long they took together, in seconds.
-    pub seconds: f64,
+    pub latency_seconds: f64,
 }
 
 impl AddAssign for Tally {
     fn add_assign(&mut self, more: Tally) {
-        self.asked += more.asked;
+        self.requests += more.requests;
         self.succeeded += more.succeeded;
         self.rate_limited += more.rate_limited;
-        self.tries += more.tries;
-        self.errored += more.errored;
+        self.attempts += more.attempts;
+        self.failures += more.failures;
         self.timed += more.timed;
-        self.seconds += more.seconds;
+        self.latency_seconds += more.latency_seconds;
     }
 }
 
 impl Tally {
     fn add_node(&mut self, report: &NodeReport) {
         self.succeeded += report.succeeded as f64;
-        self.errored += report.errored as f64;
-        self.tries += report.attempts();
+        self.failures += report.errored as f64;
+        self.attempts += report.attempts();
         let latency = report.metrics.get(LATENCY);
         if let Some((latency, mean)) = latency.and_then(|metric| Some((metric, metric.mean()?))) {
             self.timed += latency.count as f64;
-            self.seconds += latency.count as f64 * mean / MILLISECONDS_PER_SECOND;
+            self.latency_seconds += latency.count as f64 * mean / MILLISECONDS_PER_SECOND;
         }
     }
 
@@ -61,7 +61,7 @@
         }
         let rate_limited = report.rate_limited as f64;
         self.rate_limited += rate_limited;
-        self.asked += (self.tries - report.repeats as f64).max(0.0) + rate_limited;
+        self.requests += (self.attempts - report.retries as f64).max(0.0) + rate_limited;
     }
 }
 
--- a/crates/controller-core/src/service_history/tests.rs
+++ b/crates/controller-core/src/service_history/tests.rs
@@ -14,11 +14,11 @@
     let operation = OperationReport {
         operation: "quote".into(),
         rate_limited,
-        repeats,
+        retries: repeats,
         nodes: vec![node],
     };
     LoadReport {
-        over: Span::from_seconds(1.0),
+        window: Span::from_seconds(1.0),
         operations: vec![operation],
     }
 }
@@ -44,7 +44,7 @@
     let (before, seconds) = measured.between(at(4.9), at(9.9));
     let tally = before.of(OperationId(0));
     assert_eq!(
-        (seconds, tally.asked, tally.succeeded, tally.errored),
+        (seconds, tally.requests, tally.succeeded, tally.failures),
         (5.0, 55.0, 45.0, 5.0)
     );
     assert_eq!(
--- a/crates/controller-core/src/update_queue.rs
+++ b/crates/controller-core/src/update_queue.rs
@@ -3,7 +3,7 @@
 //! A proxy has at most one update waiting, its newest version: what is superseded is never sent, so a slow disk
 //! or a slow proxy builds up no backlog. Removals of entries go first, then proxies that hold nothing.
 
-use crate::deployment::ChannelPlan;
+use crate::deployment::UpdateQueuePlan;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use wheelspread::ids::ProxyId;
@@ -75,7 +75,7 @@
 
 impl UpdateQueue {
     /// An empty queue with the deployment's limits.
-    pub fn new(now: Moment, plan: &ChannelPlan) -> UpdateQueue {
+    pub fn new(now: Moment, plan: &UpdateQueuePlan) -> UpdateQueue {
         UpdateQueue {
             entries_per_second: plan.lines_per_second.max(MIN_ENTRIES_PER_SECOND),
             overhead_entries: plan.head_lines,
@@ -94,7 +94,7 @@
     }
 
     /// Other limits from now on; updates that were written still count.
-    pub fn reconfigure(&mut self, plan: &ChannelPlan) {
+    pub fn reconfigure(&mut self, plan: &UpdateQueuePlan) {
         self.set_pace(plan.lines_per_second);
         self.overhead_entries = plan.head_lines;
         self.max_delay = plan.delay_at_most;
--- a/crates/controller-core/src/update_queue/tests.rs
+++ b/crates/controller-core/src/update_queue/tests.rs
@@ -7,7 +7,7 @@
 }
 
 fn queue(lines_per_second: f64, messages_at_most: u32) -> UpdateQueue {
-    let plan = ChannelPlan {
+    let plan = UpdateQueuePlan {
         lines_per_second,
         messages_at_most,
         ..plan().channel
--- a/crates/controller-core/src/weight_solver.rs
+++ b/crates/controller-core/src/weight_solver.rs
@@ -7,7 +7,7 @@
 mod problem;
 
 use crate::deployment::{Deployment, SolverPlan};
-use crate::endpoint_list::{show, EndpointList};
+use crate::endpoint_list::{format_node, EndpointList};
 use crate::membership::Membership;
 use observations::{NodeObservation, Observations};
 use std::collections::BTreeMap;
@@ -201,7 +201,7 @@
 
 fn weight_of(weights: &BTreeMap<String, f64>, node: NodeId) -> Option<f64> {
     weights
-        .get(&show(node))
+        .get(&format_node(node))
         .map(|weight| weight.max(MIN_NODE_WEIGHT))
 }
 
--- a/crates/controller-core/src/weight_solver/observations.rs
+++ b/crates/controller-core/src/weight_solver/observations.rs
@@ -86,7 +86,7 @@
 
 /// The utilization among a report's load metrics; a metric that was not reported is below 0.
 fn utilization(plan: &Deployment, metrics: &[f64]) -> Option<f64> {
-    let loads = &plan.sums.loads;
+    let loads = &plan.load_reports.loads;
     let position = loads.iter().position(|name| name == UTILIZATION_METRIC)?;
     metrics.get(position).copied().filter(|value| *value >= 0.0)
 }
--- a/crates/controller-core/src/weight_solver/problem.rs
+++ b/crates/controller-core/src/weight_solver/problem.rs
@@ -3,7 +3,7 @@
 
 use super::WeightSolver;
 use crate::deployment::{Deployment, OperationPlan, SolverPlan};
-use crate::endpoint_list::{show, EndpointList, EndpointRecord};
+use crate::endpoint_list::{format_node, EndpointList, EndpointRecord};
 use std::collections::BTreeMap;
 use wheelspread::ids::{OperationId, ZoneId};
 use wheelspread::time::Span;
@@ -46,7 +46,7 @@
     fn host(&self, record: &EndpointRecord, entry: &EndpointEntry, solver: &SolverPlan) -> Host {
         let estimate = self.estimates.get(&record.node);
         Host {
-            id: show(record.node),
+            id: format_node(record.node),
             zone: record.zone.clone(),
             capacity: estimate.map_or_else(
                 || configured_capacity(solver, &record.kind),
--- a/crates/controller/src/admin/status.rs
+++ b/crates/controller/src/admin/status.rs
@@ -7,7 +7,7 @@
 use wheelspread::time::Moment;
 use wheelspread::{EndpointEntry, EndpointStatus};
 use wheelspread_config_transaction::ChangeId;
-use wheelspread_controller_core::endpoint_list::show;
+use wheelspread_controller_core::endpoint_list::format_node;
 use wheelspread_controller_core::ControllerCore;
 
 /// Version of the API; it rises when something is taken away or changes its meaning.
@@ -189,18 +189,18 @@
 /// `GET /v1/sums`
 pub fn load_reports(now: Moment, core: &ControllerCore) -> Value {
     let plan = core.plan();
-    let from = now - plan.sums.period * LOAD_REPORT_PERIODS;
+    let from = now - plan.load_reports.period * LOAD_REPORT_PERIODS;
     let (tallies, seconds) = core.service_history().between(from, now);
     let operations = plan.operations.iter().enumerate().map(|(at, operation)| {
         let tally = tallies.of(OperationId(at as u8));
         OperationLoad {
             operation: &operation.name,
-            requests: tally.asked,
+            requests: tally.requests,
             succeeded: tally.succeeded,
             rate_limited: tally.rate_limited,
-            attempts: tally.tries,
-            failed_attempts: tally.errored,
-            mean_latency_ms: (tally.timed > 0.0).then(|| tally.seconds / tally.timed * 1e3),
+            attempts: tally.attempts,
+            failed_attempts: tally.failures,
+            mean_latency_ms: (tally.timed > 0.0).then(|| tally.latency_seconds / tally.timed * 1e3),
         }
     });
     let proxies = core.members().members().map(|(name, member)| ProxyReports {
@@ -231,7 +231,7 @@
 
 fn node_status(now: Moment, core: &ControllerCore, entry: &EndpointEntry) -> NodeStatus {
     NodeStatus {
-        node: show(entry.node),
+        node: format_node(entry.node),
         zone: zone_name(core, entry.zone),
         listing: listing_name(entry.status),
         is_warming: is_warming(now, entry, core),
@@ -255,7 +255,7 @@
 }
 
 fn is_warming(now: Moment, entry: &EndpointEntry, core: &ControllerCore) -> bool {
-    entry.status == EndpointStatus::Ready && core.plan().rules.is_cold(now, entry.started)
+    entry.status == EndpointStatus::Ready && core.plan().rules.is_warming(now, entry.started)
 }
 
 /// Seconds with three decimals.
--- a/crates/controller/src/admin/tables.rs
+++ b/crates/controller/src/admin/tables.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use wheelspread::ids::NodeId;
 use wheelspread::time::Moment;
-use wheelspread_controller_core::endpoint_list::show;
+use wheelspread_controller_core::endpoint_list::format_node;
 use wheelspread_controller_core::membership::Member;
 use wheelspread_controller_core::publication::{BundleId, Version};
 use wheelspread_controller_core::rollback::{ExclusionReason, RollbackResult};
@@ -104,7 +104,7 @@
 /// The answer to an order to roll back, or to end that.
 pub fn rollback_body(rollback: &RollbackResult) -> Value {
     let excluded = |(node, reason): &(NodeId, ExclusionReason)| ExcludedNode {
-        node: show(*node),
+        node: format_node(*node),
         reason: reason.as_str(),
     };
     json!(RollbackResponse {
--- a/crates/controller/src/drains.rs
+++ b/crates/controller/src/drains.rs
@@ -285,7 +285,7 @@
         if now < self.review_at {
             return std::mem::take(&mut self.answers);
         }
-        self.review_at = now + core.plan().sums.period * REVIEW_PERIODS;
+        self.review_at = now + core.plan().load_reports.period * REVIEW_PERIODS;
         self.submit_writes(now, state_writer);
         self.carry_out_effects(now, None);
         let drained = self.drained_nodes();
--- a/crates/controller/src/file/tests.rs
+++ b/crates/controller/src/file/tests.rs
@@ -29,7 +29,7 @@
         file.deployment.operations[0].latency_objective.seconds(),
         1.2
     );
-    assert_eq!(file.deployment.sums.period.seconds(), 1.0);
+    assert_eq!(file.deployment.load_reports.period.seconds(), 1.0);
 }
 
 #[test_case("billed_value: 2", "billed_value: -2", "c.yaml: line 12, deployment.operations.0.billed_value"; "value that cannot be")]
--- a/crates/controller/src/file/validate.rs
+++ b/crates/controller/src/file/validate.rs
@@ -53,7 +53,7 @@
 
     fn validate_controller(&self) -> Vec<FieldError> {
         let mut errors = Vec::new();
-        let (number, count) = (self.conductor.number, self.deployment.conductors.count);
+        let (number, count) = (self.conductor.number, self.deployment.controllers.count);
         if number >= count {
             let message = format!("{number} of {count} conductors: they count from 0");
             errors.push(FieldError::new("conductor.number", message));
--- a/crates/controller/src/log.rs
+++ b/crates/controller/src/log.rs
@@ -4,7 +4,7 @@
 use tracing::{debug, info, warn};
 use tracing_subscriber::EnvFilter;
 use wheelspread_config_rollout::RolloutEvent;
-use wheelspread_controller_core::endpoint_list::show;
+use wheelspread_controller_core::endpoint_list::format_node;
 use wheelspread_controller_core::LogEvent;
 
 /// Starts logging, once for a program; a second call changes nothing.
@@ -81,7 +81,7 @@
         } => {
             let left_out = left_out
                 .iter()
-                .map(|(node, why)| format!("{} ({why})", show(*node)));
+                .map(|(node, why)| format!("{} ({why})", format_node(*node)));
             let left_out = left_out.collect::<Vec<_>>().join(" ");
             warn!(
                 version = version.0,
--- a/crates/controller/src/service/effects.rs
+++ b/crates/controller/src/service/effects.rs
@@ -67,7 +67,7 @@
         for action in actions {
             self.carry_out_rollout_action(now, action);
         }
-        let earliest = now + self.core.plan().conductors.tick;
+        let earliest = now + self.core.plan().controllers.tick;
         self.rollout_at = self
             .rollout
             .wake_at(now, &self.core)
--- a/crates/controller/src/service/startup.rs
+++ b/crates/controller/src/service/startup.rs
@@ -264,6 +264,6 @@
     Streams::new(
         CONNECTIONS,
         file.conductor.connections_at_most,
-        file.deployment.sums.period,
+        file.deployment.load_reports.period,
     )
 }
--- a/crates/controller/src/state_writer/persisted_facts.rs
+++ b/crates/controller/src/state_writer/persisted_facts.rs
@@ -10,7 +10,7 @@
 use wheelspread_config_rollout::values::parse_node;
 use wheelspread_config_transaction::PersistedState;
 use wheelspread_controller_core::controller_core::RecoveredState;
-use wheelspread_controller_core::endpoint_list::{show, EndpointRecord, EndpointSnapshot};
+use wheelspread_controller_core::endpoint_list::{format_node, EndpointRecord, EndpointSnapshot};
 use wheelspread_controller_core::Version;
 
 /// The fact that holds the last version published.
@@ -119,12 +119,12 @@
 
 /// The name of the fact that holds a node of the endpoint list.
 pub(super) fn endpoint_fact_name(node: NodeId) -> String {
-    format!("{ENDPOINT_FACT_PREFIX}{}", show(node))
+    format!("{ENDPOINT_FACT_PREFIX}{}", format_node(node))
 }
 
 /// The name of the fact that holds a node's capacity.
 pub(super) fn capacity_fact_name(node: NodeId) -> String {
-    format!("{CAPACITY_FACT_PREFIX}{}", show(node))
+    format!("{CAPACITY_FACT_PREFIX}{}", format_node(node))
 }
 
 /// Restores what the core starts with: version, endpoint list and capacity snapshots. `wall`: seconds since
--- a/crates/drill/src/audit.rs
+++ b/crates/drill/src/audit.rs
@@ -4,7 +4,7 @@
 use crate::script::Script;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
-use wheelspread_controller_core::deployment::{Deployment, Repeat};
+use wheelspread_controller_core::deployment::{Deployment, RetryClass};
 
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct RuleJudged {
@@ -248,7 +248,7 @@
     let binding: BTreeSet<&str> = plan
         .operations
         .iter()
-        .filter(|operation| operation.repeat != Repeat::Idempotent)
+        .filter(|operation| operation.repeat != RetryClass::Idempotent)
         .map(|operation| operation.name.as_str())
         .collect();
     for (t, record) in &records.0 {
--- a/crates/drill/src/clients.rs
+++ b/crates/drill/src/clients.rs
@@ -12,7 +12,7 @@
 use std::thread::JoinHandle;
 use wheelspread::pcg::Pcg;
 use wheelspread::time::{Moment, Span};
-use wheelspread_controller_core::deployment::Repeat;
+use wheelspread_controller_core::deployment::RetryClass;
 use wheelspread_http1::{response, Body};
 use wheelspread_reactor::{self as reactor, Interest, Poll, Token, Waker};
 
@@ -405,7 +405,7 @@
     fn end(&mut self, now: Moment, wish: Wish, outcome: ClientOutcome, unsent: bool) {
         let plan = self.plan(&wish);
         let (deadline, repeat) = (wish.arrived + plan.integration_timeout, plan.repeat);
-        let safe = unsent || repeat == Repeat::Idempotent;
+        let safe = unsent || repeat == RetryClass::Idempotent;
         let may = wish.attempt < self.script.traffic.retries && safe;
         let wait = Span::from_seconds(0.1 + 0.2 * self.chance.unit());
         if matches!(outcome, ClientOutcome::RateLimited | ClientOutcome::Errored)
--- a/crates/drill/src/gateways.rs
+++ b/crates/drill/src/gateways.rs
@@ -11,8 +11,8 @@
 use std::thread::JoinHandle;
 use wheelspread::ids::NodeId;
 use wheelspread::time::{Moment, Span};
-use wheelspread_controller_core::deployment::Repeat;
-use wheelspread_controller_core::endpoint_list::show;
+use wheelspread_controller_core::deployment::RetryClass;
+use wheelspread_controller_core::endpoint_list::format_node;
 use wheelspread_files::Held;
 use wheelspread_proxy::observer::RequestOutcome;
 use wheelspread_proxy::{
@@ -179,11 +179,11 @@
             retry_safety: match operation.repeat {
                 // A gateway that trusts its tables blindly, to see the audit find what comes of it.
                 _ if trusting => RetrySafety::Idempotent,
-                Repeat::Idempotent => RetrySafety::Idempotent,
-                Repeat::Fingerprinted => RetrySafety::Fingerprinted {
+                RetryClass::Idempotent => RetrySafety::Idempotent,
+                RetryClass::Fingerprinted => RetrySafety::Fingerprinted {
                     window: operation.repeat_window,
                 },
-                Repeat::SideEffecting => RetrySafety::SideEffecting,
+                RetryClass::SideEffecting => RetrySafety::SideEffecting,
             },
             integration_timeout: operation.integration_timeout,
         };
@@ -247,7 +247,8 @@
 }
 
 pub fn lines(held: &Held) -> Lines {
-    let line = |line: &wheelspread_controller_core::TableEntry| (show(line.node), line.weight);
+    let line =
+        |line: &wheelspread_controller_core::TableEntry| (format_node(line.node), line.weight);
     let of = |told: &wheelspread_xds::tables::OperationOrders| {
         (
             told.operation.clone(),
@@ -259,7 +260,7 @@
 
 impl RequestObserver for Seen {
     fn attempt_sent(&mut self, now: Moment, id: &str, operation: &str, node: NodeId, number: u32) {
-        let (gateway, id, node) = (self.gateway, id.to_string(), show(node));
+        let (gateway, id, node) = (self.gateway, id.to_string(), format_node(node));
         let operation = operation.to_string();
         self.recorder.note(
             now,
@@ -284,7 +285,7 @@
         let outcome = failure.map_or("succeeded".to_string(), |failure| {
             format!("{failure:?}").to_lowercase()
         });
-        let (gateway, id, node) = (self.gateway, id.to_string(), show(node));
+        let (gateway, id, node) = (self.gateway, id.to_string(), format_node(node));
         self.recorder.note(
             now,
             Record::Ended {
--- a/crates/drill/src/node.rs
+++ b/crates/drill/src/node.rs
@@ -10,7 +10,7 @@
 use std::thread::JoinHandle;
 use wheelspread::pcg::Pcg;
 use wheelspread::time::{Moment, Span};
-use wheelspread_controller_core::deployment::{Deployment, Repeat};
+use wheelspread_controller_core::deployment::{Deployment, RetryClass};
 use wheelspread_http1::{request, Body};
 use wheelspread_reactor::{self as reactor, Interest, Poll, Readiness, Token, Waker};
 use wheelspread_xds::orca;
@@ -653,7 +653,7 @@
             .iter()
             .find(|operation| operation.name == job.operation);
         let Some(plan) = plan else { return };
-        if plan.repeat == Repeat::Fingerprinted {
+        if plan.repeat == RetryClass::Fingerprinted {
             let first = *self.seen.entry(job.id.clone()).or_insert(now);
             if first != now && now - first < plan.repeat_window {
                 return;
--- a/crates/drill/src/run.rs
+++ b/crates/drill/src/run.rs
@@ -239,7 +239,7 @@
         let nodes = Nodes::start(plan_of.clone(), recorder.clone(), options.seed)
             .map_err(named("nodes"))?;
         let mut sides = Vec::new();
-        for number in 0..plan_of.conductors.count as usize {
+        for number in 0..plan_of.controllers.count as usize {
             let directory = directory.join(format!("conductor-{number}"));
             Root::new(directory.join("tables"))
                 .prepare()
@@ -390,7 +390,7 @@
                 started: self.recorder.at(now) - (wall - started),
             };
             (
-                wheelspread_controller_core::endpoint_list::show(record.node),
+                wheelspread_controller_core::endpoint_list::format_node(record.node),
                 seen,
             )
         };
--- a/crates/import/src/pools.rs
+++ b/crates/import/src/pools.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use wheelspread::ids::NodeId;
 use wheelspread::time::Span;
-use wheelspread_controller_core::deployment::Repeat;
+use wheelspread_controller_core::deployment::RetryClass;
 use wheelspread_controller_core::span_format;
 
 /// What became of a directive.
@@ -42,7 +42,7 @@
     /// As the location is written.
     pub location: String,
     pub integration_timeout: Span,
-    pub repeat: Repeat,
+    pub repeat: RetryClass,
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -560,13 +560,13 @@
 
 /// What may be repeated. The file does not say what an operation does, so nothing is repeated that it does not
 /// allow to be repeated whatever it is.
-fn repeat(next: Option<&[String]>) -> (Repeat, &'static str) {
+fn repeat(next: Option<&[String]>) -> (RetryClass, &'static str) {
     let has = |word: &str| next.is_some_and(|words| words.iter().any(|known| known == word));
     match (has("off"), has("non_idempotent")) {
-        (false, true) => (Repeat::Idempotent, "idempotent as non_idempotent says"),
-        (true, _) => (Repeat::SideEffecting, "side-effecting as off says"),
+        (false, true) => (RetryClass::Idempotent, "idempotent as non_idempotent says"),
+        (true, _) => (RetryClass::SideEffecting, "side-effecting as off says"),
         (false, false) => (
-            Repeat::SideEffecting,
+            RetryClass::SideEffecting,
             "taken to be side-effecting: make it idempotent if all of it may run again",
         ),
     }
@@ -593,7 +593,7 @@
             let timeout = operation.integration_timeout;
             let objective = timeout * 0.25;
             let repeat = match operation.repeat {
-                Repeat::Idempotent => "idempotent",
+                RetryClass::Idempotent => "idempotent",
                 _ => "side-effecting",
             };
             text.push_str(&format!(
--- a/crates/proxy-core/src/core/tests.rs
+++ b/crates/proxy-core/src/core/tests.rs
@@ -317,7 +317,7 @@
     );
     let report = core.take_load_report(at(1.0)).expect("time has passed");
     let quote = &report.operations[0];
-    assert_eq!((quote.repeats, quote.nodes.len()), (1, 2));
+    assert_eq!((quote.retries, quote.nodes.len()), (1, 2));
     let good = quote
         .nodes
         .iter()
--- a/crates/proxy-core/src/load_accounting.rs
+++ b/crates/proxy-core/src/load_accounting.rs
@@ -199,7 +199,7 @@
             operation_report(operation, &self.names[at], counts, in_flight)
         });
         Some(LoadReport {
-            over,
+            window: over,
             operations: operations.collect(),
         })
     }
@@ -226,7 +226,7 @@
     OperationReport {
         operation: name.to_string(),
         rate_limited: counts.rejected,
-        repeats: counts.retries,
+        retries: counts.retries,
         nodes: counts.nodes.into_iter().map(report).collect(),
     }
 }
--- a/crates/proxy-core/src/load_accounting/tests.rs
+++ b/crates/proxy-core/src/load_accounting/tests.rs
@@ -26,7 +26,7 @@
     let report = accounting
         .take_report(at(17.5), &in_flight)
         .expect("time has passed");
-    assert_eq!(report.over, Span::from_seconds(7.5));
+    assert_eq!(report.window, Span::from_seconds(7.5));
     let quote = &report.operations[0];
     assert_eq!(
         (quote.rate_limited, quote.nodes.len()),
--- a/crates/proxy/src/config/file.rs
+++ b/crates/proxy/src/config/file.rs
@@ -6,7 +6,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::Path;
 use wheelspread::time::Span;
-use wheelspread_controller_core::deployment::Repeat;
+use wheelspread_controller_core::deployment::RetryClass;
 use wheelspread_controller_core::span_format;
 use wheelspread_proxy_core::{
     CoreConfig, EjectionPolicy, OperationRules, RetryBudgetConfig, RetrySafety, SelectionPolicy,
@@ -42,7 +42,7 @@
     #[serde(with = "span_format")]
     integration_timeout: Span,
     #[serde(rename = "repeat")]
-    retry_safety: Repeat,
+    retry_safety: RetryClass,
     #[serde(rename = "repeat_window", default = "zero_span", with = "span_format")]
     retry_window: Span,
 }
@@ -56,11 +56,11 @@
         OperationRules {
             name: self.name.clone(),
             retry_safety: match self.retry_safety {
-                Repeat::Idempotent => RetrySafety::Idempotent,
-                Repeat::Fingerprinted => RetrySafety::Fingerprinted {
+                RetryClass::Idempotent => RetrySafety::Idempotent,
+                RetryClass::Fingerprinted => RetrySafety::Fingerprinted {
                     window: self.retry_window,
                 },
-                Repeat::SideEffecting => RetrySafety::SideEffecting,
+                RetryClass::SideEffecting => RetrySafety::SideEffecting,
             },
             integration_timeout: self.integration_timeout,
         }
--- a/crates/xds/src/discovery.rs
+++ b/crates/xds/src/discovery.rs
@@ -109,7 +109,7 @@
                     &line.host_identifier
                 {
                     if let Ok(node) = crate::node_id(host.address.as_ref()) {
-                        let node = wheelspread_controller_core::endpoint_list::show(node);
+                        let node = wheelspread_controller_core::endpoint_list::format_node(node);
                         made.put(
                             Kind::Lines,
                             &format!("{LINE}{name}/{zone}/{node}"),
@@ -166,7 +166,7 @@
             };
             let place = core::Locality {
                 sub_zone: address
-                    .map(wheelspread_controller_core::endpoint_list::show)
+                    .map(wheelspread_controller_core::endpoint_list::format_node)
                     .unwrap_or_default(),
                 ..locality.locality.clone().unwrap_or_default()
             };
--- a/crates/xds/src/loads.rs
+++ b/crates/xds/src/loads.rs
@@ -108,7 +108,7 @@
         over.seconds as f64 + f64::from(over.nanos) / 1e9
     });
     Some(LoadReport {
-        over: Span::from_seconds(over),
+        window: Span::from_seconds(over),
         operations: request.cluster_stats.iter().map(operation).collect(),
     })
 }
@@ -125,7 +125,7 @@
     OperationReport {
         operation: stats.cluster_name.clone(),
         rate_limited: stats.total_dropped_requests,
-        repeats,
+        retries: repeats,
         nodes: endpoints.map(node).collect(),
     }
 }
@@ -149,7 +149,7 @@
 
 /// The request that brings a report.
 pub fn request(report: &LoadReport, zone_of: impl Fn(&NodeReport) -> String) -> LoadStatsRequest {
-    let us = report.over.micros();
+    let us = report.window.micros();
     let over = Duration {
         seconds: us / 1_000_000,
         nanos: (us % 1_000_000) as i32 * 1000,
@@ -159,7 +159,7 @@
         for node in &told.nodes {
             zones.entry(zone_of(node)).or_default().push(node);
         }
-        let mut repeats = told.repeats;
+        let mut repeats = told.retries;
         let locality = |(zone, nodes): (String, Vec<&NodeReport>)| {
             let mine = std::mem::take(&mut repeats);
             let metric = (mine > 0).then(|| {
@@ -265,8 +265,8 @@
         ) {
             let nodes: Vec<NodeReport> = nodes.iter().map(|n| node_report(n.0, n.1, n.2, n.3)).collect();
             let repeats = if nodes.is_empty() { 0 } else { repeats };
-            let quote = OperationReport { operation: "quote".into(), rate_limited: 3, repeats, nodes };
-            let sent = LoadReport { over: Span::from_seconds(us as f64 / 1e6), operations: vec![quote] };
+            let quote = OperationReport { operation: "quote".into(), rate_limited: 3, retries: repeats, nodes };
+            let sent = LoadReport { window: Span::from_seconds(us as f64 / 1e6), operations: vec![quote] };
             let bytes = request(&sent, |_| "north".to_string()).encode_to_vec();
             prop_assert_eq!(report(&decode_request(&bytes).expect("decodes")), Some(sent));
         }
