--- a/crates/controller/src/admin/tests.rs
+++ b/crates/controller/src/admin/tests.rs
@@ -206,7 +206,7 @@
 #[test_case("POST", "/v1/changes/apply", true; "a change")]
 #[test_case("POST", "/v1/drains", true; "a drain")]
 #[test_case("DELETE", "/v1/drains", true; "another method")]
-fn orders_are_told_from_questions(method: &str, target: &str, is_order: bool) {
+fn orders_are_distinguished_from_queries(method: &str, target: &str, is_order: bool) {
     let request = AdminRequest {
         method: method.to_string(),
         target: target.to_string(),
--- a/crates/controller/src/file/validate.rs
+++ b/crates/controller/src/file/validate.rs
@@ -6,7 +6,7 @@
 
 /// The shortest span that a state of a change may have.
 const SHORTEST_CHANGE_SPAN: Span = Span::from_seconds(0.2);
-const VERSIONS_KEPT_LIMIT: usize = 1000;
+const MAX_RETAINED_VERSIONS: usize = 1000;
 
 /// A value that can't be.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -84,7 +84,7 @@
     fn validate_streams(&self) -> Vec<FieldError> {
         let settings = &self.streams;
         let mut errors = Vec::new();
-        if !(1..=VERSIONS_KEPT_LIMIT).contains(&settings.versions_kept)
+        if !(1..=MAX_RETAINED_VERSIONS).contains(&settings.versions_kept)
             || settings.changes_at_most == 0
         {
             errors.push(FieldError::new(
--- a/crates/controller/src/state_writer/tests.rs
+++ b/crates/controller/src/state_writer/tests.rs
@@ -139,6 +139,34 @@
     assert_eq!(record["findings"].as_array().map(Vec::len), Some(4));
 }
 
+/// Capacity, evidence and quickest answer (seconds) by port, as the state file has them.
+const STORED_CAPACITIES: [(u16, f64, f64, f64); 4] = [
+    (
+        29001,
+        3.057230155873882,
+        9.91643710445189,
+        0.021764226855751648,
+    ),
+    (
+        29002,
+        3.163900960756027,
+        9.357002880724885,
+        0.021764226855751648,
+    ),
+    (
+        29003,
+        3.7926316704384218,
+        10.100095724330274,
+        0.02068131696366463,
+    ),
+    (
+        29004,
+        4.420015121935379,
+        11.830905366809377,
+        0.02068131696366463,
+    ),
+];
+
 #[test]
 fn the_list_and_the_capacity_snapshots_in_a_state_file_of_the_old_names_are_restored() {
     let persisted = state_written_before_the_renaming();
@@ -162,36 +190,12 @@
     assert!((age.seconds() - 16_234_099.0).abs() < 0.01, "{age:?}");
     assert!(list.records[4].draining && list.records[4].started.is_none());
 
-    let expected = [
-        (
-            29001,
-            3.057230155873882,
-            9.91643710445189,
-            0.021764226855751648,
-        ),
-        (
-            29002,
-            3.163900960756027,
-            9.357002880724885,
-            0.021764226855751648,
-        ),
-        (
-            29003,
-            3.7926316704384218,
-            10.100095724330274,
-            0.02068131696366463,
-        ),
-        (
-            29004,
-            4.420015121935379,
-            11.830905366809377,
-            0.02068131696366463,
-        ),
-    ];
     // serde_json reads a number to within one unit in the last place of the text.
     let is_close = |one: f64, other: f64| (one - other).abs() <= other * f64::EPSILON;
-    assert_eq!(found.capacities.len(), expected.len());
-    for (snapshot, (port, capacity, evidence, quickest)) in found.capacities.iter().zip(expected) {
+    assert_eq!(found.capacities.len(), STORED_CAPACITIES.len());
+    for (snapshot, (port, capacity, evidence, quickest)) in
+        found.capacities.iter().zip(STORED_CAPACITIES)
+    {
         assert_eq!(snapshot.node.port, port);
         assert!(is_close(snapshot.capacity, capacity), "{snapshot:?}");
         assert!(is_close(snapshot.evidence, evidence), "{snapshot:?}");
