--- a/crates/wheelspread/src/capacity/learning.rs
+++ b/crates/wheelspread/src/capacity/learning.rs
@@ -226,7 +226,8 @@
                 unreported.push((*id, log_capacity));
             }
         }
-        if rates <= 0.0 || busy <= 0.0 {
+        let is_serving = rates > 0.0 && busy > 0.0;
+        if !is_serving {
             return;
         }
         let ratio = (rates * rates / busy / capacities).max(1e-9);
--- a/crates/wheelspread/src/slow_start.rs
+++ b/crates/wheelspread/src/slow_start.rs
@@ -67,7 +67,7 @@
 }
 
 /// Lowers the entries of warming nodes in `draft` until what they bring, with the attempts of proxies that are not
-/// heard, of other controllers and of retries, stays within their limits.
+/// observed, of other controllers and of retries, stays within their limits.
 pub(crate) fn limit_warming_entries(fleet: &Fleet, draft: &mut TableWeights) {
     if fleet.config.errors_until_avoided > 0.0 {
         remove_unsafe_entries(fleet, draft);
@@ -83,7 +83,8 @@
     for (id, node) in fleet.nodes.iter().filter(|(_, node)| node.is_warming()) {
         let limit = warming_limit(fleet, node);
         let limit = (limit - fleet.peers_rate(*id)).max(limit * WARMING_LIMIT.least_beside_peers);
-        if load.at(*id, draft) <= limit * WARMING_LIMIT.tolerance {
+        let is_over = load.at(*id, draft) > limit * WARMING_LIMIT.tolerance;
+        if !is_over {
             continue;
         }
         for _ in 0..WARMING_LIMIT.iterations {
--- a/crates/wheelspread/tests/action_snapshot.rs
+++ b/crates/wheelspread/tests/action_snapshot.rs
@@ -1,7 +1,7 @@
 //! Feeds the balancer three made-up event streams, each drawn from a fixed seed, and compares every action it
 //! orders with a recorded snapshot. A refactoring must leave the snapshots as they are.
 //!
-//! The streams hold joins and leaves, load reports, endpoint list changes, drains, cold nodes, lost reports, late
+//! The streams hold joins and leaves, load reports, endpoint list changes, drains, warming nodes, lost reports, late
 //! acknowledgements and a restart. Actions are written in a notation of this file, not by `Debug`, so that renaming a
 //! type does not change a snapshot.
 
@@ -57,44 +57,46 @@
     }
 }
 
+/// Settings that all three fleets share.
+const COMMON_SETTINGS: [(&str, &str); 34] = [
+    ("conductor.count", "1"),
+    ("conductor.tick", "0.05"),
+    ("operation.count", "3"),
+    ("channel.lines_waiting_at_most", "3000"),
+    ("channel.lines_per_second", "2000"),
+    ("channel.head_lines", "5"),
+    ("channel.delay_at_most", "0.5"),
+    ("channel.messages_at_most", "24"),
+    ("channel.messages_window", "10"),
+    ("proxy.errors_until_avoided", "3"),
+    ("proxy.connection_idle", "5"),
+    ("sums.period", "1"),
+    ("level.form", "share"),
+    ("price.cross_zone", "0.05"),
+    ("peers.may_tell", "false"),
+    ("rules.cold_overload_factor", "3"),
+    ("rules.cold_start_share", "0.2"),
+    ("rules.warm_after", "8"),
+    ("rules.drain_grace", "2"),
+    ("operation.0.latency_objective", "0.5"),
+    ("operation.0.integration_timeout", "2"),
+    ("operation.0.billed_value", "1"),
+    ("operation.0.repeat", "idempotent"),
+    ("operation.1.latency_objective", "1"),
+    ("operation.1.integration_timeout", "4"),
+    ("operation.1.billed_value", "3"),
+    ("operation.1.repeat", "fingerprinted"),
+    ("operation.1.repeat_group", "all"),
+    ("operation.1.repeat_window", "5"),
+    ("operation.1.stays_in_zone", "true"),
+    ("operation.2.latency_objective", "1"),
+    ("operation.2.integration_timeout", "4"),
+    ("operation.2.billed_value", "2"),
+    ("operation.2.repeat", "side-effecting"),
+];
+
 fn settings(fleet: &Fleet) -> Settings {
     let mut settings = Settings::default();
-    let common = [
-        ("conductor.count", "1"),
-        ("conductor.tick", "0.05"),
-        ("operation.count", "3"),
-        ("channel.lines_waiting_at_most", "3000"),
-        ("channel.lines_per_second", "2000"),
-        ("channel.head_lines", "5"),
-        ("channel.delay_at_most", "0.5"),
-        ("channel.messages_at_most", "24"),
-        ("channel.messages_window", "10"),
-        ("proxy.errors_until_avoided", "3"),
-        ("proxy.connection_idle", "5"),
-        ("sums.period", "1"),
-        ("level.form", "share"),
-        ("price.cross_zone", "0.05"),
-        ("peers.may_tell", "false"),
-        ("rules.cold_overload_factor", "3"),
-        ("rules.cold_start_share", "0.2"),
-        ("rules.warm_after", "8"),
-        ("rules.drain_grace", "2"),
-        ("operation.0.latency_objective", "0.5"),
-        ("operation.0.integration_timeout", "2"),
-        ("operation.0.billed_value", "1"),
-        ("operation.0.repeat", "idempotent"),
-        ("operation.1.latency_objective", "1"),
-        ("operation.1.integration_timeout", "4"),
-        ("operation.1.billed_value", "3"),
-        ("operation.1.repeat", "fingerprinted"),
-        ("operation.1.repeat_group", "all"),
-        ("operation.1.repeat_window", "5"),
-        ("operation.1.stays_in_zone", "true"),
-        ("operation.2.latency_objective", "1"),
-        ("operation.2.integration_timeout", "4"),
-        ("operation.2.billed_value", "2"),
-        ("operation.2.repeat", "side-effecting"),
-    ];
     let counts = [
         ("zone.count", fleet.zones.to_string()),
         ("proxy.count", fleet.proxies.to_string()),
@@ -104,7 +106,7 @@
         .iter()
         .enumerate()
         .map(|(at, name)| (format!("report.field.{at}"), name.to_string()));
-    let all = common
+    let all = COMMON_SETTINGS
         .iter()
         .chain(&fleet.settings)
         .map(|(name, value)| (name.to_string(), value.to_string()));
@@ -420,6 +422,15 @@
         .join("+")
 }
 
+fn describe_retry(retry: RetryPolicy) -> &'static str {
+    match retry {
+        RetryPolicy::Never => "never",
+        RetryPolicy::IfUnprocessed => "unprocessed",
+        RetryPolicy::OnceOnAnyFailure => "once",
+        RetryPolicy::TwiceOnAnyFailure => "twice",
+    }
+}
+
 /// All digits of a figure: two that differ in the last bit give different text.
 fn describe(action: &Action) -> String {
     match action {
@@ -450,12 +461,7 @@
             retry,
         } => {
             let table = table.map_or("all".to_string(), |table| format!("t{}", table.0));
-            let retry = match retry {
-                RetryPolicy::Never => "never",
-                RetryPolicy::IfUnprocessed => "unprocessed",
-                RetryPolicy::OnceOnAnyFailure => "once",
-                RetryPolicy::TwiceOnAnyFailure => "twice",
-            };
+            let retry = describe_retry(*retry);
             format!(
                 "admit {table} {} {limit:?} {retry}",
                 describe_operations(operations)
