--- a/crates/controller-core/src/controller_core/schedule.rs
+++ b/crates/controller-core/src/controller_core/schedule.rs
@@ -116,3 +116,6 @@
         at
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/controller-core/src/controller_core/tests.rs
+++ b/crates/controller-core/src/controller_core/tests.rs
@@ -304,30 +304,29 @@
     assert!(!harness.nodes_of("n1").contains(&2) && !harness.nodes_of("s1").contains(&2));
 }
 
+/// A controller that starts from the files of an earlier run.
+fn restarted(before: Harness) -> Harness {
+    let files = before.files.iter();
+    let mut harness = Harness::new(RecoveredState {
+        tables: files
+            .map(|(name, set)| (name.clone(), set.as_ref().clone()))
+            .collect(),
+        versions: before.files.values().map(|set| set.version).collect(),
+        ..RecoveredState::default()
+    });
+    harness.files = before.files;
+    harness
+}
+
 #[test]
 fn a_restart_goes_on_above_the_versions_it_finds_and_names_no_former_node() {
     let mut before = started();
     before.join(3, "n2", "north");
     before.pass(1.0, &[1, 2, 3]);
     assert!(before.nodes_of("n2").contains(&2) && before.nodes_of("n2").contains(&4));
-    let tables = BTreeMap::from_iter(
-        before
-            .files
-            .iter()
-            .map(|(name, set)| (name.clone(), set.as_ref().clone())),
-    );
-    let last = tables
-        .values()
-        .map(|set| set.version)
-        .max()
-        .expect("published");
-    let versions = tables.values().map(|set| set.version).collect();
-    let mut harness = Harness::new(RecoveredState {
-        tables,
-        versions,
-        ..RecoveredState::default()
-    });
-    harness.files = before.files;
+    let versions: BTreeSet<Version> = before.files.values().map(|set| set.version).collect();
+    let last = *versions.last().expect("published");
+    let mut harness = restarted(before);
     // While it was down node 2 drained, node 4 left and node 6 started anew.
     let records = [1, 2, 3, 5, 6, 7, 8]
         .map(|port| record(port, port == 2, if port == 6 { 0.5 } else { 500.0 }));
--- a/crates/controller-core/src/controller_core/versions.rs
+++ b/crates/controller-core/src/controller_core/versions.rs
@@ -118,3 +118,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
