--- a/crates/controller/src/log.rs
+++ b/crates/controller/src/log.rs
@@ -1,66 +1,77 @@
-//! Notices as structured log lines on standard error.
+//! Log lines on standard error, and the events of the core and of the rollout as structured log lines.
 
-use crate::file::{LogForm, LogPlan};
+use crate::file::{LogForm, LogSettings};
 use tracing::{debug, info, warn};
 use tracing_subscriber::EnvFilter;
 use wheelspread_config_rollout::RolloutEvent;
 use wheelspread_controller_core::endpoint_list::show;
 use wheelspread_controller_core::LogEvent;
 
-/// Once for a program; a second call changes nothing.
-pub fn start(plan: &LogPlan) {
-    let filter = EnvFilter::try_new(&plan.level).unwrap_or_else(|_| EnvFilter::new("info"));
+/// Starts logging, once for a program; a second call changes nothing.
+pub fn start(settings: &LogSettings) {
+    let filter = EnvFilter::try_new(&settings.level).unwrap_or_else(|_| EnvFilter::new("info"));
     let lines = tracing_subscriber::fmt()
         .with_env_filter(filter)
         .with_writer(std::io::stderr);
-    let _ = match plan.form {
+    let _ = match settings.form {
         LogForm::Lines => lines.with_target(false).try_init(),
         LogForm::Json => lines.json().flatten_event(true).try_init(),
     };
 }
 
-pub fn note(note: &RolloutEvent) {
-    match note {
+/// Logs an event of the rollout of configurations.
+pub(crate) fn rollout_event(event: &RolloutEvent) {
+    match event {
         RolloutEvent::StateChanged {
             id,
             state,
             reason: why,
         } => {
             let (change, state) = (&id.0, state.as_str());
-            info!(change, state, why, "change");
+            info!(change, state, why, "configuration change state changed");
         }
         RolloutEvent::WriteFailed { reason, retry_in } => {
             let again_in_s = retry_in.seconds();
-            warn!(reason, again_in_s, "a change waits for the disk");
+            warn!(
+                reason,
+                again_in_s, "configuration change waits for the disk"
+            );
         }
         RolloutEvent::ValueIgnored { field, text } => {
             warn!(
                 field,
-                text, "a value of an earlier change does not fit, left out"
-            )
+                text, "value of an earlier configuration change no longer valid, left out"
+            );
         }
     }
 }
 
-pub fn notice(notice: &LogEvent) {
-    match notice {
+/// Logs an event of the core.
+pub(crate) fn core_event(event: &LogEvent) {
+    match event {
         LogEvent::EndpointListAccepted {
             version,
             ready,
             changes,
-        } => info!(version, ready, changes, "list taken"),
-        LogEvent::EndpointListRejected { reason } => warn!(reason, "list kept out"),
+        } => info!(version, ready, changes, "endpoint list accepted"),
+        LogEvent::EndpointListRejected { reason } => warn!(reason, "endpoint list rejected"),
         LogEvent::ProxyJoined { proxy, zone } => info!(proxy, zone, "proxy joined"),
         LogEvent::ProxyLeft { proxy } => info!(proxy, "proxy left"),
         LogEvent::ProxySubscribed { proxy, stream } => {
-            info!(proxy, stream = stream.0, "proxy reads a stream")
+            info!(
+                proxy,
+                stream = stream.0,
+                "proxy subscribed to a discovery stream"
+            );
+        }
+        LogEvent::ProxyUnsubscribed { proxy } => {
+            info!(proxy, "proxy unsubscribed from its discovery stream");
         }
-        LogEvent::ProxyUnsubscribed { proxy } => info!(proxy, "proxy reads no stream any more"),
         LogEvent::UpdatesPaused { bundle, wait } => {
             let wait_s = wait.seconds();
             warn!(
                 table = bundle.0,
-                wait_s, "most refuse this table, its ordinary changes wait"
+                wait_s, "table rejected by most proxies, its ordinary updates pause"
             );
         }
         LogEvent::RolledBack {
@@ -74,12 +85,12 @@
             let left_out = left_out.collect::<Vec<_>>().join(" ");
             warn!(
                 version = version.0,
-                lines, left_out, "stepped back to an older version"
+                lines, left_out, "table rolled back to an older version"
             );
         }
-        LogEvent::RollbackEnded { nodes } => info!(nodes, "no version is stepped back to any more"),
+        LogEvent::RollbackEnded { nodes } => info!(nodes, "rollback ended"),
         LogEvent::StreamRejected { stream, reason } => {
-            warn!(stream = stream.0, reason, "stream turned away")
+            warn!(stream = stream.0, reason, "stream rejected");
         }
         LogEvent::ProxyForgotten { proxy } => info!(proxy, "proxy forgotten"),
         LogEvent::VersionPublished {
@@ -95,19 +106,19 @@
                 configuration,
                 proxies,
                 lines,
-                "version made"
+                "table version published"
             );
         }
         LogEvent::TablesWritten { proxy, version } => {
-            debug!(proxy, version = version.0, "proxy pointed at version")
+            debug!(proxy, version = version.0, "tables written");
         }
         LogEvent::TableWriteFailed {
             proxy,
             version,
             reason,
-            retry_in: again_in,
+            retry_in,
         } => {
-            let again_in_s = again_in.seconds();
+            let again_in_s = retry_in.seconds();
             warn!(
                 proxy,
                 version = version.0,
@@ -121,26 +132,34 @@
             version,
             reason,
         } => {
-            warn!(proxy, version = version.0, reason, "proxy refused tables");
+            warn!(
+                proxy,
+                version = version.0,
+                reason,
+                "tables rejected by proxy"
+            );
+        }
+        LogEvent::LoadReportRejected { proxy, reason } => {
+            warn!(proxy, reason, "load report rejected");
         }
-        LogEvent::LoadReportRejected { proxy, reason } => warn!(proxy, reason, "report refused"),
         LogEvent::UnknownNodes { count } => {
-            warn!(count, "reports speak of nodes that are not listed")
+            warn!(count, "load reports name nodes that are not listed");
         }
         LogEvent::UpdateQueueFull { entries: lines } => {
-            warn!(lines, "more lines wait than are allowed")
+            warn!(lines, "update queue longer than allowed");
         }
         LogEvent::StaleEntriesPruned { proxy, nodes } => {
             let nodes = nodes.join(" ");
             warn!(
                 proxy,
-                nodes, "taken out of the files of a proxy that has not come back"
+                nodes, "stale nodes removed from the files of a proxy that has not come back"
             );
         }
-        LogEvent::WeightsSolved { nodes } => debug!(nodes, "solved weights listed"),
-        LogEvent::SolverFailed { reason } => {
-            warn!(reason, "weights not solved, the last ones stand")
-        }
+        LogEvent::WeightsSolved { nodes } => debug!(nodes, "solved weights applied"),
+        LogEvent::SolverFailed { reason } => warn!(
+            reason,
+            "weight solver failed, the last weights stay in force"
+        ),
         LogEvent::ConfigApplied {
             configuration,
             nodes,
@@ -151,16 +170,16 @@
         } => {
             warn!(
                 configuration,
-                reason, "configuration not taken, the one before stands"
+                reason, "configuration rejected, the one before stays in force"
             );
         }
         LogEvent::EndpointListRestored { version, nodes } => {
             warn!(
                 version,
-                nodes, "no list can be read, the last one that was taken stands"
+                nodes, "no endpoint list readable, the last accepted one stays in force"
             );
         }
-        LogEvent::BalancerMessage { text } => info!(text, "remark"),
-        LogEvent::EventIgnored { reason } => debug!(reason, "event not used"),
+        LogEvent::BalancerMessage { text } => info!(text, "balancer message"),
+        LogEvent::EventIgnored { reason } => debug!(reason, "event ignored"),
     }
 }
