--- a/crates/xds/src/discovery/resources.rs
+++ b/crates/xds/src/discovery/resources.rs
@@ -4,7 +4,7 @@
 use crate::convert::{entry_node, locality, zone_of};
 use crate::tables;
 use prost::{Message, Name};
-use wheelspread_controller_core::endpoint_list::show;
+use wheelspread_controller_core::endpoint_list::format_node;
 use wheelspread_controller_core::publication::TableSet;
 use wheelspread_controller_core::Deployment;
 use wheelspread_discovery::{ResourceType, Snapshot};
@@ -69,7 +69,7 @@
             let Ok(node) = entry_node(entry) else {
                 continue;
             };
-            let name = format!("{ENTRY_PREFIX}{cluster}/{zone}/{}", show(node));
+            let name = format!("{ENTRY_PREFIX}{cluster}/{zone}/{}", format_node(node));
             snapshot.insert(ResourceType::Entries, &name, entry.encode_to_vec());
         }
     }
@@ -110,7 +110,7 @@
     let mut localities = Vec::new();
     for group in std::mem::take(&mut assignment.endpoints) {
         for entry in group.lb_endpoints {
-            let sub_zone = entry_node(&entry).map(show).unwrap_or_default();
+            let sub_zone = entry_node(&entry).map(format_node).unwrap_or_default();
             localities.push(endpoint::LocalityLbEndpoints {
                 locality: Some(core::Locality {
                     sub_zone,
--- a/crates/xds/src/loads.rs
+++ b/crates/xds/src/loads.rs
@@ -103,9 +103,9 @@
 /// The report of a request; `None` if it only introduces.
 pub fn report(request: &LoadStatsRequest) -> Option<LoadReport> {
     let first = request.cluster_stats.first()?;
-    let over = first.load_report_interval.as_ref();
+    let interval = first.load_report_interval.as_ref();
     Some(LoadReport {
-        over: over.map_or(Span::from_seconds(0.0), span),
+        window: interval.map_or(Span::from_seconds(0.0), span),
         operations: request.cluster_stats.iter().map(decode_cluster).collect(),
     })
 }
@@ -123,7 +123,7 @@
     OperationReport {
         operation: stats.cluster_name.clone(),
         rate_limited: stats.total_dropped_requests,
-        repeats: retries.fold(0, u64::saturating_add),
+        retries: retries.fold(0, u64::saturating_add),
         nodes: endpoints.map(decode_endpoint).collect(),
     }
 }
@@ -147,7 +147,7 @@
 
 /// The request that brings a report.
 pub fn request(report: &LoadReport, zone_of: impl Fn(&NodeReport) -> String) -> LoadStatsRequest {
-    let interval = duration(report.over);
+    let interval = duration(report.window);
     let encode = |operation| encode_operation(operation, &zone_of, interval);
     LoadStatsRequest {
         node: None,
@@ -165,7 +165,7 @@
         zones.entry(zone_of(node)).or_default().push(node);
     }
     // Retries are counted for the operation and not by zone; the first zone carries them.
-    let mut retries = operation.repeats;
+    let mut retries = operation.retries;
     let encode = |(zone, nodes): (String, Vec<&NodeReport>)| {
         encode_zone(&zone, &nodes, std::mem::take(&mut retries))
     };
--- a/crates/xds/src/loads/tests.rs
+++ b/crates/xds/src/loads/tests.rs
@@ -28,12 +28,12 @@
     #[test]
     fn a_report_is_decoded_as_it_was_encoded(
         nodes in prop::collection::vec((1u16..9000, 0u64..1000, 0u64..1000, 0.0f64..1e6), 0..30),
-        repeats in 0u64..5, us in 1i64..10_000_000,
+        retries in 0u64..5, us in 1i64..10_000_000,
     ) {
         let nodes: Vec<NodeReport> = nodes.iter().map(|n| node_report(n.0, n.1, n.2, n.3)).collect();
-        let repeats = if nodes.is_empty() { 0 } else { repeats };
-        let quote = OperationReport { operation: "quote".into(), rate_limited: 3, repeats, nodes };
-        let sent = LoadReport { over: Span::from_seconds(us as f64 / 1e6), operations: vec![quote] };
+        let retries = if nodes.is_empty() { 0 } else { retries };
+        let quote = OperationReport { operation: "quote".into(), rate_limited: 3, retries, nodes };
+        let sent = LoadReport { window: Span::from_seconds(us as f64 / 1e6), operations: vec![quote] };
         let bytes = request(&sent, |_| "north".to_string()).encode_to_vec();
         prop_assert_eq!(report(&decode_request(&bytes).expect("decodes")), Some(sent));
     }
--- a/crates/xds/tests/wire_form.rs
+++ b/crates/xds/tests/wire_form.rs
@@ -160,11 +160,11 @@
         .into(),
     };
     let report = LoadReport {
-        over: Span::from_seconds(1.25),
+        window: Span::from_seconds(1.25),
         operations: vec![OperationReport {
             operation: "quote".into(),
             rate_limited: 3,
-            repeats: 2,
+            retries: 2,
             nodes: vec![report(9001, 1), report(9002, 0)],
         }],
     };
