--- a/crates/cli/src/import.rs
+++ b/crates/cli/src/import.rs
@@ -115,7 +115,7 @@
                 path.display()
             ));
         }
-        wheelspread_files::swap::replace(&path, &text).map_err(said)?;
+        wheelspread_files::replace_file(&path, &text).map_err(said)?;
     }
     Ok(())
 }
--- a/crates/cli/src/measure/bench.rs
+++ b/crates/cli/src/measure/bench.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 use wheelspread_drill::{free_port, DrillError};
-use wheelspread_files::{swap, Root};
+use wheelspread_files::TableRoot;
 
 pub struct Bench {
     directory: TempDir,
@@ -43,8 +43,8 @@
         self.directory.path().join(name)
     }
 
-    pub fn root(&self) -> Root {
-        Root::new(self.path("tables"))
+    pub fn root(&self) -> TableRoot {
+        TableRoot::new(self.path("tables"))
     }
 
     pub fn listen(&self) -> ([u8; 4], u16) {
@@ -55,7 +55,8 @@
     pub fn swap_list(&self, version: u64, draining: &BTreeSet<usize>) -> Result<(), DrillError> {
         let text = wheelspread_xds::nodes::write(&list(version, self.nodes, draining))
             .map_err(|error| DrillError::NotReady(error.to_string()))?;
-        swap::place(&self.path("nodes.json"), &text).map_err(io("the list"))
+        wheelspread_files::replace_file_unsynced(&self.path("nodes.json"), &text)
+            .map_err(io("the list"))
     }
 
     /// Starts the conductor with what `file` makes of its address, and waits until it listens.
--- a/crates/cli/src/measure/conductor.rs
+++ b/crates/cli/src/measure/conductor.rs
@@ -148,7 +148,7 @@
         let mut watcher = Watcher::new(&poll, WATCHER).map_err(io("inotify"))?;
         let mut places: BTreeMap<PathBuf, usize> = BTreeMap::new();
         for proxy in 0..proxies {
-            let gateway = root.gateway(&name(proxy));
+            let gateway = root.proxy(&name(proxy));
             std::fs::create_dir_all(&gateway).map_err(io("a directory"))?;
             watcher.add(&gateway).map_err(io("a watch"))?;
             places.insert(gateway, proxy);
@@ -239,11 +239,11 @@
             return Err(DrillError::NotReady(text));
         }
         for zone in 0..3.min(proxies) {
-            let held = read_tables(&self.bench.root().gateway(&name(zone)))
+            let held = read_tables(&self.bench.root().proxy(&name(zone)))
                 .ok()
                 .flatten();
             let lines: Option<Vec<NodeId>> = held.map(|held| {
-                held.orders.operations[0]
+                held.tables.operations[0]
                     .entries
                     .iter()
                     .map(|line| line.node)
--- a/crates/cli/src/measure/proxy.rs
+++ b/crates/cli/src/measure/proxy.rs
@@ -14,7 +14,7 @@
 use wheelspread_controller_core::Deployment;
 use wheelspread_drill::load::{load, FastNodes, Faults, Load, Loaded};
 use wheelspread_drill::{cpu_of, free_port, DrillError};
-use wheelspread_files::{swap::Swap, Root};
+use wheelspread_files::{Swap, TableRoot};
 use wheelspread_xds::tables;
 
 /// One way from client to node.
@@ -56,7 +56,7 @@
 impl Running {
     fn start(program: &Path, nodes: &[SocketAddrV4]) -> Result<Running, DrillError> {
         let directory = tempfile::tempdir().map_err(named("a temporary directory"))?;
-        let root = Root::new(directory.path().join("tables"));
+        let root = TableRoot::new(directory.path().join("tables"));
         root.prepare().map_err(named("the root"))?;
         let plan: Deployment = serde_yaml_ng::from_str(PLAN).map_err(not_ready)?;
         let line = |address: &SocketAddrV4| TableEntry {
--- a/crates/cli/tests/changes.rs
+++ b/crates/cli/tests/changes.rs
@@ -104,7 +104,7 @@
                 .or_insert_with(|| stage.stream(name, zone_of(name)));
             stream.turn();
             if let Ok(Some(told)) = read_tables(&stage.gateway(name)) {
-                note(&mut self.held, name, told.orders);
+                note(&mut self.held, name, told.tables);
             }
         }
         let client = self
@@ -234,12 +234,12 @@
                 continue;
             };
             // Of which gateways they are is told by their nodes.
-            let south = told.orders.operations[0]
+            let south = told.tables.operations[0]
                 .entries
                 .iter()
                 .any(|line| line.node.port >= PORTS[3]);
             let gateway = if south { "s1" } else { "n1" };
-            is_new(gateway, &told.orders)
+            is_new(gateway, &told.tables)
                 .unwrap_or_else(|mix| panic!("version {:?}: {mix}", entry.path()));
             count += 1;
         }
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -10,7 +10,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::time::{Duration, Instant};
-use wheelspread_files::{read_tables, swap};
+use wheelspread_files::read_tables;
 use wheelspread_grpc::{ClientConnection, ClientEvent, Limits};
 use wheelspread_reactor as reactor;
 use wheelspread_xds::loads;
@@ -129,7 +129,7 @@
     pub fn list(&mut self, ports: &[u16], draining: &[u16]) {
         self.version += 1;
         let text = list_text(self.version, ports, draining);
-        swap::replace(&self.path("nodes.json"), &text).expect("swapped");
+        wheelspread_files::replace_file(&self.path("nodes.json"), &text).expect("swapped");
     }
 
     pub fn gateway(&self, name: &str) -> PathBuf {
@@ -139,12 +139,12 @@
     /// The ports that a gateway's tables name, with the version.
     pub fn held(&self, name: &str) -> Option<(u64, Vec<u16>)> {
         let held = read_tables(&self.gateway(name)).expect("whole tables at any time")?;
-        let ports = held.orders.operations[0]
+        let ports = held.tables.operations[0]
             .entries
             .iter()
             .map(|line| line.node.port)
             .collect();
-        Some((held.orders.version.0, ports))
+        Some((held.tables.version.0, ports))
     }
 
     pub fn until(&mut self, what: &str, mut done: impl FnMut(&mut Stage) -> bool) -> Duration {
@@ -235,5 +235,5 @@
 }
 
 pub fn write(path: &Path, text: &str) {
-    swap::replace(path, text).expect("swapped");
+    wheelspread_files::replace_file(path, text).expect("swapped");
 }
--- a/crates/cli/tests/proxy.rs
+++ b/crates/cli/tests/proxy.rs
@@ -16,7 +16,7 @@
 };
 use wheelspread_controller_core::Deployment;
 use wheelspread_drill::load::{load, FastNodes, Faults, Load, Loaded};
-use wheelspread_files::{read_tables, swap::Swap, Root};
+use wheelspread_files::{read_tables, Swap, TableRoot};
 use wheelspread_xds::{status, tables};
 
 const PLAN: &str = r#"{
@@ -45,7 +45,7 @@
     /// A proxy that goes by what is swapped into a directory; no conductor is there.
     fn new(more: &str, lines: &[(SocketAddrV4, f64)], retry: RetryPolicy) -> Stage {
         let directory = tempfile::tempdir().expect("a directory");
-        Root::new(directory.path().join("tables"))
+        TableRoot::new(directory.path().join("tables"))
             .prepare()
             .expect("made");
         let address = free();
@@ -71,8 +71,8 @@
         stage
     }
 
-    fn root(&self) -> Root {
-        Root::new(self.directory.path().join("tables"))
+    fn root(&self) -> TableRoot {
+        TableRoot::new(self.directory.path().join("tables"))
     }
 
     fn path(&self, name: &str) -> PathBuf {
@@ -367,21 +367,18 @@
     let nodes = FastNodes::start(2, false, 5).expect("nodes");
     let stage = Stage::new("", &even(&nodes), RetryPolicy::Never);
     let root = stage.root();
-    let held = read_tables(&root.gateway("g1"))
+    let held = read_tables(&root.proxy("g1"))
         .expect("whole")
         .expect("there");
     let torn = root.version(Version(7));
     std::fs::create_dir_all(&torn).expect("made");
     std::fs::write(torn.join("eds.json"), "{\"versionInfo\": \"7\", \"reso").expect("torn");
     std::fs::write(torn.join("rds.json"), "{}").expect("written");
-    std::os::unix::fs::symlink(
-        "../../versions/000000000007",
-        root.gateway("g1").join("next"),
-    )
-    .expect("made");
+    std::os::unix::fs::symlink("../../versions/000000000007", root.proxy("g1").join("next"))
+        .expect("made");
     std::fs::rename(
-        root.gateway("g1").join("next"),
-        root.gateway("g1").join("current"),
+        root.proxy("g1").join("next"),
+        root.proxy("g1").join("current"),
     )
     .expect("swapped");
     let begin = Instant::now();
@@ -391,7 +388,7 @@
         if let Some((version, reason)) = told.refused {
             assert_eq!(
                 (version, told.version),
-                (Version(7), held.orders.version),
+                (Version(7), held.tables.version),
                 "{reason}"
             );
             break;
--- a/crates/controller/src/discovery_server.rs
+++ b/crates/controller/src/discovery_server.rs
@@ -172,7 +172,7 @@
         for event in events {
             match event {
                 StreamEvent::VersionAcknowledged { proxy, version } => {
-                    report_status(now, core, proxy, version, None)
+                    report_status(now, core, proxy, version, None);
                 }
                 StreamEvent::VersionRejected {
                     proxy,
--- a/crates/controller/src/service.rs
+++ b/crates/controller/src/service.rs
@@ -34,7 +34,7 @@
 use wheelspread::time::{Moment, Span};
 use wheelspread_config_rollout::Rollout;
 use wheelspread_controller_core::ControllerCore;
-use wheelspread_files::{Root, Writer};
+use wheelspread_files::{TableRoot, TableWriter};
 use wheelspread_reactor::{self as reactor, Poll, Readiness, Signals, Token, Waker, Watcher};
 
 const LISTENER: Token = Token(0);
@@ -80,8 +80,8 @@
     identity: Identity,
     admin: AdminServer,
     /// `None` once the controller stops.
-    table_writer: Option<Writer>,
-    root: Root,
+    table_writer: Option<TableWriter>,
+    root: TableRoot,
     core: ControllerCore,
     last_list_file: ListFile,
     last_tls_files: FileContents,
--- a/crates/controller/src/service/effects.rs
+++ b/crates/controller/src/service/effects.rs
@@ -10,7 +10,7 @@
 use wheelspread_controller_core::rollback::{RollbackError, RollbackResult};
 use wheelspread_controller_core::{Effect, Observation};
 use wheelspread_faults::failpoint;
-use wheelspread_files::Job;
+use wheelspread_files::WriteJob;
 use wheelspread_grpc::Status;
 use wheelspread_xds::loads;
 
@@ -32,12 +32,14 @@
             Effect::CloseStream { stream, reason } => {
                 self.streams.close(stream, Status::InvalidArgument, &reason);
             }
-            Effect::WriteTables { proxy, set } => self.submit_write(Job::Point { proxy, set }),
+            Effect::WriteTables { proxy, set } => {
+                self.submit_write(WriteJob::Publish { proxy, set });
+            }
             Effect::SendTables { stream, set } => {
                 self.discovery.offer_tables(&mut self.streams, stream, &set);
             }
             Effect::RollbackFinished { request, result } => self.finish_rollback(request, result),
-            Effect::RetireVersion { version } => self.submit_write(Job::Retire { version }),
+            Effect::RetireVersion { version } => self.submit_write(WriteJob::Remove { version }),
             Effect::Log(event) => log::core_event(&event),
         }
     }
@@ -51,9 +53,9 @@
     }
 
     /// Gives the thread that writes tables its next job.
-    fn submit_write(&self, job: Job) {
+    fn submit_write(&self, job: WriteJob) {
         if let Some(writer) = &self.table_writer {
-            writer.give(job);
+            writer.submit(job);
         }
     }
 
@@ -98,7 +100,7 @@
     /// A configuration comes into force: for the decisions, for what is written and for what is streamed.
     fn apply_config_update(&mut self, now: Moment, update: ConfigUpdate) {
         let _ = failpoint("change.configure");
-        self.submit_write(Job::Plan(Box::new(update.plan.clone())));
+        self.submit_write(WriteJob::Reconfigure(Box::new(update.plan.clone())));
         self.discovery.reconfigure(update.plan.clone());
         self.core
             .observe(now, Observation::ConfigUpdated(Box::new(update)));
--- a/crates/controller/src/service/file_watch.rs
+++ b/crates/controller/src/service/file_watch.rs
@@ -9,7 +9,7 @@
 use wheelspread::time::Moment;
 use wheelspread_controller_core::endpoint_list::{EndpointSnapshot, SnapshotReadError};
 use wheelspread_controller_core::Observation;
-use wheelspread_files::read;
+use wheelspread_files::read_text;
 use wheelspread_reactor::{self as reactor, Moved};
 use wheelspread_xds::{nodes, status};
 
@@ -30,7 +30,7 @@
 
 impl ListFile {
     fn read(path: &Path) -> ListFile {
-        match read::text(path) {
+        match read_text(path) {
             Ok(text) => ListFile::Text(text),
             Err(error) => ListFile::Unreadable {
                 reason: error.to_string(),
@@ -126,7 +126,7 @@
     }
 
     fn read_status(&mut self, now: Moment, proxy: &str) {
-        let text = read::text(&self.root.status(proxy)).map_err(|error| error.to_string());
+        let text = read_text(&self.root.status(proxy)).map_err(|error| error.to_string());
         let status = text.and_then(|text| status::read(&text).map_err(|error| error.to_string()));
         let status = match status {
             Ok(status) if status.proxy == proxy => status,
--- a/crates/controller/src/service/shutdown.rs
+++ b/crates/controller/src/service/shutdown.rs
@@ -5,7 +5,7 @@
 use tracing::info;
 use wheelspread::time::Span;
 use wheelspread_controller_core::LogEvent;
-use wheelspread_files::Done;
+use wheelspread_files::WriteResult;
 use wheelspread_reactor as reactor;
 
 impl Controller {
@@ -19,11 +19,11 @@
     }
 }
 
-fn log_failed_write(done: Done) {
-    let Done::Pointed {
+fn log_failed_write(done: WriteResult) {
+    let WriteResult::Published {
         proxy,
         version,
-        result: Err(reason),
+        result: Err(error),
     } = done
     else {
         return;
@@ -31,7 +31,7 @@
     log::core_event(&LogEvent::TableWriteFailed {
         proxy,
         version,
-        reason,
+        reason: error.to_string(),
         retry_in: Span::ZERO,
     });
 }
--- a/crates/controller/src/service/startup.rs
+++ b/crates/controller/src/service/startup.rs
@@ -22,7 +22,7 @@
 use wheelspread_config_transaction::PersistedState;
 use wheelspread_controller_core::controller_core::RecoveredState;
 use wheelspread_controller_core::{ControllerCore, Deployment};
-use wheelspread_files::{scan, Root, Writer};
+use wheelspread_files::{scan, TableRoot, TableWriter};
 use wheelspread_grpc::tls::BadKeys;
 use wheelspread_reactor::{self as reactor, Interest, Poll, Signals, Waker, Watcher};
 
@@ -66,7 +66,7 @@
 }
 
 impl EventSources {
-    fn open(file: &ControllerFile, root: &Root) -> Result<EventSources, StartError> {
+    fn open(file: &ControllerFile, root: &TableRoot) -> Result<EventSources, StartError> {
         let poll = Poll::new().map_err(io_error("epoll"))?;
         let waker = Waker::new(&poll, WAKER).map_err(io_error("eventfd"))?;
         let handled = [reactor::TERMINATE, reactor::INTERRUPT, reactor::RELOAD];
@@ -101,7 +101,7 @@
     fn restore(
         now: Moment,
         file: &ControllerFile,
-        root: &Root,
+        root: &TableRoot,
         persisted: &PersistedState,
     ) -> Result<RestoredRun, StartError> {
         let drains = DrainOrders::restore(now, persisted, file.changes.value_lost_at_most);
@@ -114,18 +114,20 @@
         let deployment = configured.plan;
         let mut scan =
             scan(root, &deployment).map_err(io_error("what lies under the root of tables"))?;
-        for text in &scan.unreadable {
+        for tables in &scan.unreadable {
+            let text = tables.to_string();
             warn!(text, "unreadable file found under the root of tables");
         }
-        state_writer::restore_core_state(persisted, reactor::wall(), &mut scan.found);
-        (scan.found.configuration, scan.found.values) = (configured.version, configured.values);
-        scan.found.migrating = migrating;
-        scan.found.drained = drains.drained_nodes();
+        state_writer::restore_core_state(persisted, reactor::wall(), &mut scan.recovered);
+        (scan.recovered.configuration, scan.recovered.values) =
+            (configured.version, configured.values);
+        scan.recovered.migrating = migrating;
+        scan.recovered.drained = drains.drained_nodes();
         info!(
             name = file.conductor.name,
             configuration = configured.version,
-            held = scan.found.tables.len(),
-            versions = scan.found.versions.len(),
+            held = scan.recovered.tables.len(),
+            versions = scan.recovered.versions.len(),
             leftovers = scan.leftovers,
             "controller starting"
         );
@@ -133,7 +135,7 @@
             drains,
             rollout,
             deployment,
-            recovered: scan.found,
+            recovered: scan.recovered,
         })
     }
 }
@@ -189,16 +191,16 @@
     }
 }
 
-fn prepare_root(file: &ControllerFile) -> Result<Root, StartError> {
+fn prepare_root(file: &ControllerFile) -> Result<TableRoot, StartError> {
     let tables = &file.conductor.tables;
-    let root = Root::new(tables);
+    let root = TableRoot::new(tables);
     root.prepare()
         .map_err(io_error(format!("the root of tables {}", tables.display())))?;
     Ok(root)
 }
 
 /// Two controllers under one root would each undo what the other does.
-fn lock_root(root: &Root) -> Result<File, StartError> {
+fn lock_root(root: &TableRoot) -> Result<File, StartError> {
     let path = root.path().join("lock");
     let file = File::create(&path).map_err(io_error(path.display().to_string()))?;
     match rustix::fs::flock(&file, rustix::fs::FlockOperation::NonBlockingLockExclusive) {
@@ -227,11 +229,12 @@
 }
 
 fn start_table_writer(
-    root: &Root,
+    root: &TableRoot,
     deployment: &Deployment,
     waker: &Waker,
-) -> Result<Writer, StartError> {
-    Writer::start(root.clone(), deployment.clone(), waker.clone()).map_err(io_error("a thread"))
+) -> Result<TableWriter, StartError> {
+    TableWriter::start(root.clone(), deployment.clone(), waker.clone())
+        .map_err(io_error("a thread"))
 }
 
 fn listen(file: &ControllerFile, poll: &Poll) -> Result<std::net::TcpListener, StartError> {
--- a/crates/controller/src/service/table_results.rs
+++ b/crates/controller/src/service/table_results.rs
@@ -7,13 +7,17 @@
 use wheelspread_config_rollout::WriteError;
 use wheelspread_controller_core::controller_core::TableWriteError;
 use wheelspread_controller_core::Observation;
-use wheelspread_files::{Done, Writer};
+use wheelspread_files::{TableWriter, WriteResult};
 
 impl Controller {
     pub(super) fn handle_write_results(&mut self, now: Moment) {
         self.waker.rest();
         self.handle_state_results(now);
-        let finished: Vec<Done> = self.table_writer.iter().flat_map(Writer::done).collect();
+        let finished: Vec<WriteResult> = self
+            .table_writer
+            .iter()
+            .flat_map(TableWriter::results)
+            .collect();
         for done in finished {
             self.handle_table_result(now, done);
         }
@@ -33,9 +37,9 @@
         }
     }
 
-    fn handle_table_result(&mut self, now: Moment, done: Done) {
+    fn handle_table_result(&mut self, now: Moment, done: WriteResult) {
         match done {
-            Done::Pointed {
+            WriteResult::Published {
                 proxy,
                 version,
                 result,
@@ -47,16 +51,17 @@
                 };
                 self.core.observe(now, observation);
             }
-            Done::Unsynced { version } => {
+            WriteResult::PublishedUnsynced { version } => {
                 warn!(
                     version = version.0,
                     "tables published before fsync ended, the disk is slow"
                 );
             }
-            Done::NotRetired { version, reason } => {
+            WriteResult::RemovalFailed { version, error } => {
                 warn!(
                     version = version.0,
-                    reason, "old table version cannot be removed"
+                    reason = error.to_string(),
+                    "old table version cannot be removed"
                 );
             }
         }
--- a/crates/drill/src/even.rs
+++ b/crates/drill/src/even.rs
@@ -9,8 +9,7 @@
 use wheelspread_controller_core::publication::{
     BundleId, OperationTable, TableEntry, TableSet, Version,
 };
-use wheelspread_files::swap::Swap;
-use wheelspread_files::Root;
+use wheelspread_files::{Swap, TableRoot};
 use wheelspread_xds::tables;
 
 /// Which rule is broken on purpose.
@@ -38,7 +37,7 @@
 }
 
 pub struct Even {
-    root: Root,
+    root: TableRoot,
     version: u64,
     pub sabotage: Option<Sabotage>,
     /// Nodes that were listed once, for who keeps them.
@@ -46,7 +45,7 @@
 }
 
 impl Even {
-    pub fn new(root: Root, sabotage: Option<Sabotage>) -> Even {
+    pub fn new(root: TableRoot, sabotage: Option<Sabotage>) -> Even {
         Even {
             root,
             version: 0,
--- a/crates/drill/src/gateways.rs
+++ b/crates/drill/src/gateways.rs
@@ -13,7 +13,7 @@
 use wheelspread::time::{Moment, Span};
 use wheelspread_controller_core::deployment::RetryClass;
 use wheelspread_controller_core::endpoint_list::format_node;
-use wheelspread_files::Held;
+use wheelspread_files::LoadedTables;
 use wheelspread_proxy::observer::RequestOutcome;
 use wheelspread_proxy::{
     ControllerEndpoint, Proxy, ProxyConfig, RequestObserver, TableSource, Timeouts,
@@ -246,7 +246,7 @@
     streams: bool,
 }
 
-pub fn lines(held: &Held) -> Lines {
+pub fn lines(held: &LoadedTables) -> Lines {
     let line =
         |line: &wheelspread_controller_core::TableEntry| (format_node(line.node), line.weight);
     let of = |told: &wheelspread_xds::tables::ProxyTable| {
@@ -255,7 +255,7 @@
             told.entries.iter().map(line).collect(),
         )
     };
-    held.orders.operations.iter().map(of).collect()
+    held.tables.operations.iter().map(of).collect()
 }
 
 impl RequestObserver for Seen {
@@ -316,8 +316,8 @@
         );
     }
 
-    fn tables_applied(&mut self, now: Moment, held: &Held) {
-        let (version, hash) = (held.orders.version.0, held.hash.clone());
+    fn tables_applied(&mut self, now: Moment, held: &LoadedTables) {
+        let (version, hash) = (held.tables.version.0, held.hash.clone());
         let (gateway, conductor) = (self.gateway, self.conductor);
         if let Ok(mut holding) = self.holding.lock() {
             holding.insert(gateway);
--- a/crates/drill/src/run.rs
+++ b/crates/drill/src/run.rs
@@ -26,7 +26,7 @@
 use wheelspread_controller_core::endpoint_list::{EndpointRecord, EndpointSnapshot};
 use wheelspread_controller_core::span_format;
 use wheelspread_drain::{DrainAction, Outcome};
-use wheelspread_files::{swap, Root};
+use wheelspread_files::TableRoot;
 use wheelspread_fleet::{drain_order, Fleet, Line, Request};
 use wheelspread_reactor as reactor;
 
@@ -241,7 +241,7 @@
         let mut sides = Vec::new();
         for number in 0..plan_of.controllers.count as usize {
             let directory = directory.join(format!("conductor-{number}"));
-            Root::new(directory.join("tables"))
+            TableRoot::new(directory.join("tables"))
                 .prepare()
                 .map_err(named(directory.display().to_string()))?;
             sides.push(Side {
@@ -259,7 +259,7 @@
             .collect();
         let even = options.even.then(|| {
             Even::new(
-                Root::new(sides[0].directory.join("tables")),
+                TableRoot::new(sides[0].directory.join("tables")),
                 options.sabotage,
             )
         });
@@ -396,7 +396,7 @@
         };
         let nodes: BTreeMap<String, Listed> = list.records.iter().map(listed).collect();
         for (conductor, side) in self.sides.iter().enumerate() {
-            swap::replace(&side.directory.join("nodes.json"), &text)
+            wheelspread_files::replace_file(&side.directory.join("nodes.json"), &text)
                 .map_err(named("the list of nodes"))?;
             let version = list.version.parse().unwrap_or(0);
             self.recorder.note(
@@ -452,7 +452,7 @@
         });
         let text = text.map_err(|error| DrillError::NotReady(error.to_string()))?;
         let path = side.directory.join("conductor.yaml");
-        swap::replace(&path, &text).map_err(named(path.display().to_string()))?;
+        wheelspread_files::replace_file(&path, &text).map_err(named(path.display().to_string()))?;
         Ok(path)
     }
 
@@ -637,7 +637,7 @@
         let mut directories = BTreeMap::new();
         for (conductor, side) in self.sides.iter().enumerate() {
             for gateway in 0..self.script.gateways {
-                let directory = Root::new(side.directory.join("tables")).gateway(&name(gateway));
+                let directory = TableRoot::new(side.directory.join("tables")).proxy(&name(gateway));
                 std::fs::create_dir_all(&directory)
                     .map_err(named(directory.display().to_string()))?;
                 directories.insert(directory, (conductor, gateway));
--- a/crates/drill/src/watch.rs
+++ b/crates/drill/src/watch.rs
@@ -49,7 +49,7 @@
                     };
                     let record = match read_tables(&directory) {
                         Ok(Some(held)) => {
-                            let (version, hash) = (held.orders.version.0, held.hash.clone());
+                            let (version, hash) = (held.tables.version.0, held.hash.clone());
                             Record::Swapped {
                                 conductor,
                                 gateway,
--- a/crates/files/src/read.rs
+++ b/crates/files/src/read.rs
@@ -1,6 +1,6 @@
-//! Reading, as a proxy does it.
+//! Reads tables, as a proxy does.
 
-use crate::{version_of, CURRENT, EDS, RDS};
+use crate::root::{parse_version_name, CURRENT, EDS, RDS};
 use sha2::{Digest, Sha256};
 use std::io::{self, Read};
 use std::path::{Path, PathBuf};
@@ -8,28 +8,43 @@
 use wheelspread_xds::tables::{self, Documents, ProxyTables};
 use wheelspread_xds::DecodeError;
 
-/// Longer documents are no tables of ours.
-pub const LONGEST: u64 = 256 << 20;
-/// How often the link is followed anew when what it led to is gone meanwhile.
-const TRIES: usize = 4;
+/// Longer files are refused: they are no tables.
+pub const MAX_FILE_BYTES: u64 = 256 << 20;
+/// How often the link is followed again when the version that it led to is gone meanwhile.
+const MAX_LINK_READS: usize = 4;
 
-/// Tables read whole, and what they can be known again by.
+/// Tables of one version that were read completely.
 #[derive(Clone, Debug)]
-pub struct Held {
-    pub orders: ProxyTables,
-    /// Of both documents, SHA-256 in hexadecimal.
+pub struct LoadedTables {
+    /// The tables.
+    pub tables: ProxyTables,
+    /// Identifies what was read: the SHA-256 of both documents in hexadecimal, or a stream's checksums.
     pub hash: String,
 }
 
+/// Why tables or a file could not be read.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
+    /// A file could not be read.
     #[error("{path}: {source}", path = .path.display())]
-    Io { path: PathBuf, source: io::Error },
-    #[error("{path}: {text}", path = .path.display())]
-    Link { path: PathBuf, text: String },
+    Io {
+        /// The file.
+        path: PathBuf,
+        /// What the system says.
+        source: io::Error,
+    },
+    /// The link led to no version.
+    #[error("{path}: it leads nowhere", path = .path.display())]
+    DanglingLink {
+        /// The link.
+        path: PathBuf,
+    },
+    /// The documents are no tables.
     #[error("version {}: {source}", .version.0)]
     Content {
+        /// The version that the link names.
         version: Version,
+        /// What is wrong with them.
         source: DecodeError,
     },
 }
@@ -39,79 +54,83 @@
     pub fn version(&self) -> Option<Version> {
         match self {
             ReadError::Content { version, .. } => Some(*version),
-            _ => None,
+            ReadError::Io { .. } | ReadError::DanglingLink { .. } => None,
         }
     }
+
+    fn is_not_found(&self) -> bool {
+        matches!(self, ReadError::Io { source, .. } if source.kind() == io::ErrorKind::NotFound)
+    }
 }
 
-/// A file's text, no longer than `LONGEST`.
-pub fn text(path: &Path) -> Result<String, ReadError> {
-    let named = |source| ReadError::Io {
+/// The text of a file that has at most [`MAX_FILE_BYTES`].
+pub fn read_text(path: &Path) -> Result<String, ReadError> {
+    let read = || {
+        let file = std::fs::File::open(path)?;
+        let mut text = String::new();
+        let bytes = file.take(MAX_FILE_BYTES + 1).read_to_string(&mut text)?;
+        if bytes as u64 > MAX_FILE_BYTES {
+            let reason = format!("longer than {MAX_FILE_BYTES} bytes");
+            return Err(io::Error::new(io::ErrorKind::InvalidData, reason));
+        }
+        Ok(text)
+    };
+    read().map_err(|source| ReadError::Io {
         path: path.to_path_buf(),
         source,
-    };
-    let file = std::fs::File::open(path).map_err(named)?;
-    let mut text = String::new();
-    let read = file
-        .take(LONGEST + 1)
-        .read_to_string(&mut text)
-        .map_err(named)?;
-    if read as u64 > LONGEST {
-        let long = io::Error::new(
-            io::ErrorKind::InvalidData,
-            format!("longer than {LONGEST} bytes"),
-        );
-        return Err(named(long));
-    }
-    Ok(text)
+    })
 }
 
-/// What a proxy's directory holds now; `None` while nothing was swapped in.
-pub fn read_tables(gateway: &Path) -> Result<Option<Held>, ReadError> {
-    let link = gateway.join(CURRENT);
-    let mut last = None;
-    for _ in 0..TRIES {
+/// The tables that a proxy's directory leads to; `None` while no version was swapped in.
+pub fn read_tables(proxy_directory: &Path) -> Result<Option<LoadedTables>, ReadError> {
+    let link = proxy_directory.join(CURRENT);
+    let mut last_error = ReadError::DanglingLink { path: link.clone() };
+    for _ in 0..MAX_LINK_READS {
         let target = match std::fs::read_link(&link) {
             Ok(target) => target,
             Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
             Err(source) => return Err(ReadError::Io { path: link, source }),
         };
         // The link is followed once, and both documents are read from where it led.
-        let directory = gateway.join(&target);
-        let name = target
-            .file_name()
-            .map(|name| name.to_string_lossy().into_owned())
-            .unwrap_or_default();
-        let version = version_of(&name);
-        match (text(&directory.join(EDS)), text(&directory.join(RDS))) {
-            (Ok(eds), Ok(rds)) => return whole(Documents { eds, rds }, version).map(Some),
-            (Err(ReadError::Io { source, path }), _) | (_, Err(ReadError::Io { source, path }))
-                if source.kind() == io::ErrorKind::NotFound =>
-            {
-                last = Some(ReadError::Io { path, source });
-            }
-            (Err(error), _) | (_, Err(error)) => return Err(error),
+        match read_documents(&proxy_directory.join(&target)) {
+            Ok(documents) => return decode(&documents, link_version(&target)).map(Some),
+            // The version was removed after the link was read: by now the link leads to a newer one.
+            Err(error) if error.is_not_found() => last_error = error,
+            Err(error) => return Err(error),
         }
     }
-    Err(last.unwrap_or(ReadError::Link {
-        path: link,
-        text: "it leads nowhere".to_string(),
-    }))
+    Err(last_error)
+}
+
+fn read_documents(directory: &Path) -> Result<Documents, ReadError> {
+    let (eds, rds) = (
+        read_text(&directory.join(EDS)),
+        read_text(&directory.join(RDS)),
+    );
+    match (eds, rds) {
+        (Ok(eds), Ok(rds)) => Ok(Documents { eds, rds }),
+        // A document that is missing counts more than one that can't be read: the version may be on its way out.
+        (Err(error), Ok(_)) | (Ok(_), Err(error)) => Err(error),
+        (Err(eds), Err(rds)) if rds.is_not_found() && !eds.is_not_found() => Err(rds),
+        (Err(eds), Err(_)) => Err(eds),
+    }
+}
+
+fn link_version(target: &Path) -> Option<Version> {
+    parse_version_name(&target.file_name()?.to_string_lossy())
 }
 
-fn whole(documents: Documents, version: Option<Version>) -> Result<Held, ReadError> {
-    let orders = tables::read(&documents);
-    let orders = orders.map_err(|source| ReadError::Content {
+fn decode(documents: &Documents, version: Option<Version>) -> Result<LoadedTables, ReadError> {
+    let tables = tables::read(documents).map_err(|source| ReadError::Content {
         version: version.unwrap_or_default(),
         source,
     })?;
     let mut hash = Sha256::new();
     hash.update(&documents.eds);
     hash.update(&documents.rds);
-    let hash = hash
-        .finalize()
-        .iter()
-        .map(|byte| format!("{byte:02x}"))
-        .collect();
-    Ok(Held { orders, hash })
+    let digest = hash.finalize();
+    Ok(LoadedTables {
+        tables,
+        hash: digest.iter().map(|byte| format!("{byte:02x}")).collect(),
+    })
 }
--- a/crates/files/src/swap.rs
+++ b/crates/files/src/swap.rs
@@ -1,58 +1,76 @@
-//! Writing, one step at a time: a conductor may be killed between any two of them and no reader notices.
+//! Writes a version and points a proxy at it, one step at a time: a controller may be killed between any two of them
+//! and no reader notices.
 
-use crate::{name, Root, CURRENT, DRAFT, EDS, RDS};
-use rustix::io::Errno;
+use crate::io_text::describe;
+use crate::replace::write;
+use crate::root::{version_name, TableRoot, CURRENT, DRAFT_PREFIX, EDS, RDS};
 use std::fs::{self, File};
-use std::io::{self, Write};
+use std::io;
 use std::path::{Path, PathBuf};
 use wheelspread_controller_core::publication::Version;
 use wheelspread_faults::failpoint;
 use wheelspread_xds::tables::Documents;
 
-/// What is done, in this order. The order is what makes it safe: data before names, names before links.
+/// The steps of a swap. Their names are those of failpoints (`files.MakeDraft`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum SwapStep {
+    /// Creates an empty directory under a draft name.
     MakeDraft,
+    /// Writes the endpoints into it.
     WriteEndpoints,
+    /// Writes the routes into it.
     WriteRoutes,
+    /// Waits until both documents and their directory are on the disk.
     SyncDraft,
+    /// Gives the directory the version's name.
     NameVersion,
+    /// Waits until the name is on the disk.
     SyncVersions,
+    /// Creates a link to the version under a draft name.
     MakeLink,
+    /// Renames the link over the one in use.
     SwapLink,
 }
 
-pub const STEPS: &[Step] = &[
-    Step::MakeDraft,
-    Step::WriteEndpoints,
-    Step::WriteRoutes,
-    Step::SyncDraft,
-    Step::NameVersion,
-    Step::SyncVersions,
-    Step::MakeLink,
-    Step::SwapLink,
+/// All steps in order. The order is what makes a swap safe: data before names, names before links.
+pub const STEPS: &[SwapStep] = &[
+    SwapStep::MakeDraft,
+    SwapStep::WriteEndpoints,
+    SwapStep::WriteRoutes,
+    SwapStep::SyncDraft,
+    SwapStep::NameVersion,
+    SwapStep::SyncVersions,
+    SwapStep::MakeLink,
+    SwapStep::SwapLink,
 ];
 
-/// A step that failed, with what it was at.
+/// A step that failed.
 #[derive(Debug, thiserror::Error)]
-#[error("{step:?} at {path}: {text}", path = .path.display())]
-pub struct Failed {
-    pub step: Step,
+#[error("{step:?} at {path}: {reason}", path = .path.display(), reason = describe(.source))]
+pub struct SwapError {
+    /// The step.
+    pub step: SwapStep,
+    /// The file that it was at.
     pub path: PathBuf,
-    pub text: String,
+    /// What the system says.
+    pub source: io::Error,
 }
 
+/// Waits until files are on the disk, or as long as the caller wants to.
+pub(crate) type SyncFiles<'a> = dyn FnMut(Vec<File>) -> io::Result<()> + 'a;
+
 /// Writes one version and points one proxy at it.
 pub struct Swap<'a> {
-    root: &'a Root,
+    root: &'a TableRoot,
     version: Version,
     documents: &'a Documents,
     proxy: &'a str,
 }
 
 impl<'a> Swap<'a> {
+    /// A swap that has not begun.
     pub fn new(
-        root: &'a Root,
+        root: &'a TableRoot,
         version: Version,
         documents: &'a Documents,
         proxy: &'a str,
@@ -65,157 +83,94 @@
         }
     }
 
-    fn draft(&self) -> PathBuf {
-        self.root
-            .versions()
-            .join(format!("{DRAFT}{}", name(self.version)))
+    /// Carries out all steps that are still to be done: a version that is there already is only pointed at.
+    pub fn run(&self) -> Result<(), SwapError> {
+        self.run_with(&mut sync_all)
+    }
+
+    /// The same, with `sync` to decide when enough is on the disk.
+    pub(crate) fn run_with(&self, sync: &mut SyncFiles) -> Result<(), SwapError> {
+        let is_written = self.root.version(self.version).is_dir();
+        let is_due = |step: &&SwapStep| {
+            !is_written || matches!(step, SwapStep::MakeLink | SwapStep::SwapLink)
+        };
+        for step in STEPS.iter().filter(is_due) {
+            self.check_failpoint(&format!("files.{step:?}"), *step)?;
+            self.step_with(*step, sync)?;
+        }
+        self.check_failpoint("files.pointed", SwapStep::SwapLink)
+    }
+
+    /// Carries out one step.
+    pub fn step(&self, step: SwapStep) -> Result<(), SwapError> {
+        self.step_with(step, &mut sync_all)
     }
 
-    pub fn step(&self, step: Step) -> Result<(), Failed> {
+    fn step_with(&self, step: SwapStep, sync: &mut SyncFiles) -> Result<(), SwapError> {
         let draft = self.draft();
-        let gateway = self.root.gateway(self.proxy);
-        let link = gateway.join(format!("{DRAFT}{CURRENT}"));
-        let (path, result) = match step {
-            Step::MakeDraft => (draft.clone(), make_draft(&draft)),
-            Step::WriteEndpoints => (
-                draft.join(EDS),
-                write(&draft.join(EDS), &self.documents.eds),
-            ),
-            Step::WriteRoutes => (
-                draft.join(RDS),
-                write(&draft.join(RDS), &self.documents.rds),
-            ),
-            Step::SyncDraft => (
-                draft.clone(),
-                sync(&draft.join(EDS))
-                    .and(sync(&draft.join(RDS)))
-                    .and(sync(&draft)),
-            ),
-            Step::NameVersion => {
+        let (eds, rds) = (draft.join(EDS), draft.join(RDS));
+        let versions = self.root.versions();
+        let proxy_directory = self.root.proxy(self.proxy);
+        let current = proxy_directory.join(CURRENT);
+        let next_link = proxy_directory.join(format!("{DRAFT_PREFIX}{CURRENT}"));
+        let (result, path) = match step {
+            SwapStep::MakeDraft => (make_draft(&draft), draft),
+            SwapStep::WriteEndpoints => (write(&eds, &self.documents.eds), eds),
+            SwapStep::WriteRoutes => (write(&rds, &self.documents.rds), rds),
+            SwapStep::SyncDraft => (sync_paths(&[&eds, &rds, &draft], sync), eds),
+            SwapStep::NameVersion => {
                 let named = self.root.version(self.version);
-                (named.clone(), fs::rename(&draft, &named))
+                (fs::rename(&draft, &named), named)
             }
-            Step::SyncVersions => (self.root.versions(), sync(&self.root.versions())),
-            Step::MakeLink => (link.clone(), make_link(&gateway, &link, self.version)),
-            Step::SwapLink => (
-                gateway.join(CURRENT),
-                fs::rename(&link, gateway.join(CURRENT)),
+            SwapStep::SyncVersions => (sync_paths(&[&versions], sync), versions),
+            SwapStep::MakeLink => (
+                make_link(&proxy_directory, &next_link, self.version),
+                next_link,
             ),
+            SwapStep::SwapLink => (fs::rename(&next_link, &current), current),
         };
-        result.map_err(|error| Failed {
-            step,
-            path,
-            text: plain(&error),
-        })
-    }
-
-    /// All that is still to be done: a version that lies there already is only pointed at.
-    pub fn run(&self) -> Result<(), Failed> {
-        self.run_with(&mut |files| files.iter().try_for_each(File::sync_all))
+        result.map_err(|source| SwapError { step, path, source })
     }
 
-    /// The same, with `sync` to say when enough is on the disk.
-    pub fn run_with(
-        &self,
-        sync: &mut dyn FnMut(Vec<File>) -> io::Result<()>,
-    ) -> Result<(), Failed> {
-        let written = self.root.version(self.version).is_dir();
-        let skip = |step: &&Step| !written || matches!(step, Step::MakeLink | Step::SwapLink);
-        for step in STEPS.iter().filter(skip) {
-            let faulty = |error: io::Error| Failed {
-                step: *step,
-                path: self.draft(),
-                text: plain(&error),
-            };
-            failpoint(&format!("files.{step:?}")).map_err(faulty)?;
-            let paths = match step {
-                Step::SyncDraft => {
-                    vec![self.draft().join(EDS), self.draft().join(RDS), self.draft()]
-                }
-                Step::SyncVersions => vec![self.root.versions()],
-                step => {
-                    self.step(*step)?;
-                    continue;
-                }
-            };
-            let files: io::Result<Vec<File>> = paths.iter().map(File::open).collect();
-            let path = paths[0].clone();
-            files.and_then(&mut *sync).map_err(|error| Failed {
-                step: *step,
-                path,
-                text: plain(&error),
-            })?;
-        }
-        let pointed = |error: io::Error| Failed {
-            step: Step::SwapLink,
+    fn check_failpoint(&self, name: &str, step: SwapStep) -> Result<(), SwapError> {
+        failpoint(name).map_err(|source| SwapError {
+            step,
             path: self.draft(),
-            text: plain(&error),
-        };
-        failpoint("files.pointed").map_err(pointed)
+            source,
+        })
     }
-}
 
-fn make_draft(draft: &Path) -> io::Result<()> {
-    // Of an attempt that came to nothing.
-    match fs::remove_dir_all(draft) {
-        Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error),
-        _ => {}
+    fn draft(&self) -> PathBuf {
+        let name = version_name(self.version);
+        self.root.versions().join(format!("{DRAFT_PREFIX}{name}"))
     }
-    fs::create_dir(draft)
-}
-
-fn write(path: &Path, text: &str) -> io::Result<()> {
-    File::create(path)?.write_all(text.as_bytes())
-}
-
-fn sync(path: &Path) -> io::Result<()> {
-    File::open(path)?.sync_all()
 }
 
-fn make_link(gateway: &Path, link: &Path, version: Version) -> io::Result<()> {
-    match fs::remove_file(link) {
-        Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error),
-        _ => {}
-    }
-    fs::create_dir_all(gateway)?;
-    std::os::unix::fs::symlink(Path::new("../../versions").join(name(version)), link)
+fn sync_all(files: Vec<File>) -> io::Result<()> {
+    files.iter().try_for_each(File::sync_all)
 }
 
-/// Swaps a single file in, as an operator does with a list.
-pub fn replace(path: &Path, text: &str) -> io::Result<()> {
-    let draft = draft_of(path)?;
-    write(&draft, text)?;
-    sync(&draft)?;
-    fs::rename(&draft, path)
+fn sync_paths(paths: &[&Path], sync: &mut SyncFiles) -> io::Result<()> {
+    let files: io::Result<Vec<File>> = paths.iter().map(File::open).collect();
+    sync(files?)
 }
 
-/// The same for what need not outlive the machine, as a proxy's status: it does not wait for the disk.
-pub fn place(path: &Path, text: &str) -> io::Result<()> {
-    let draft = draft_of(path)?;
-    fs::write(&draft, text)?;
-    fs::rename(&draft, path)
+fn make_draft(draft: &Path) -> io::Result<()> {
+    // An earlier attempt that failed may have left one.
+    ignore_missing(fs::remove_dir_all(draft))?;
+    fs::create_dir(draft)
 }
 
-fn draft_of(path: &Path) -> io::Result<PathBuf> {
-    match (path.parent(), path.file_name()) {
-        (Some(directory), Some(file)) => {
-            Ok(directory.join(format!("{DRAFT}{}", file.to_string_lossy())))
-        }
-        _ => Err(io::Error::new(
-            io::ErrorKind::InvalidInput,
-            "a file in a directory is expected",
-        )),
-    }
+fn make_link(proxy_directory: &Path, link: &Path, version: Version) -> io::Result<()> {
+    ignore_missing(fs::remove_file(link))?;
+    fs::create_dir_all(proxy_directory)?;
+    let target = Path::new("../../versions").join(version_name(version));
+    std::os::unix::fs::symlink(target, link)
 }
 
-/// What an operator can act on.
-fn plain(error: &io::Error) -> String {
-    match error.raw_os_error().map(Errno::from_raw_os_error) {
-        Some(Errno::NOSPC) => "the disk is full".to_string(),
-        Some(Errno::DQUOT) => "the quota on this disk is used up".to_string(),
-        Some(Errno::ROFS) => "the file system is read-only".to_string(),
-        Some(Errno::ACCESS | Errno::PERM) => "this user may not write there".to_string(),
-        Some(Errno::NOENT) => "the directory is not there".to_string(),
-        _ => error.to_string(),
+fn ignore_missing(result: io::Result<()>) -> io::Result<()> {
+    match result {
+        Err(error) if error.kind() != io::ErrorKind::NotFound => Err(error),
+        _ => Ok(()),
     }
 }
--- a/crates/proxy/src/observer.rs
+++ b/crates/proxy/src/observer.rs
@@ -2,7 +2,7 @@
 
 use wheelspread::ids::NodeId;
 use wheelspread::time::Moment;
-use wheelspread_files::Held;
+use wheelspread_files::LoadedTables;
 use wheelspread_proxy_core::Failure;
 
 /// How a request ended for its client.
@@ -53,7 +53,7 @@
     fn request_finished(&mut self, _now: Moment, _id: &str, _outcome: RequestOutcome) {}
 
     /// Tables came into force.
-    fn tables_applied(&mut self, _now: Moment, _held: &Held) {}
+    fn tables_applied(&mut self, _now: Moment, _held: &LoadedTables) {}
 
     /// Tables were not taken; the last good ones stay in force.
     fn tables_rejected(&mut self, _now: Moment, _reason: &str) {}
--- a/crates/proxy/src/proxy/tables.rs
+++ b/crates/proxy/src/proxy/tables.rs
@@ -7,7 +7,7 @@
 use crate::table_files::TableUpdate;
 use wheelspread::time::Moment;
 use wheelspread_controller_core::TableEntry;
-use wheelspread_files::Held;
+use wheelspread_files::LoadedTables;
 use wheelspread_proxy_core::{OperationTable, WeightedNode};
 use wheelspread_reactor::Poll;
 use wheelspread_xds::tables::ProxyTable;
@@ -74,9 +74,9 @@
         }
     }
 
-    fn apply_tables(&mut self, poll: &Poll, now: Moment, held: &Held) {
+    fn apply_tables(&mut self, poll: &Poll, now: Moment, held: &LoadedTables) {
         let mut tables = Vec::new();
-        for orders in &held.orders.operations {
+        for orders in &held.tables.operations {
             if let Some(operation) = self.core.operation_id(&orders.operation) {
                 tables.push((operation, operation_table(orders)));
             }
--- a/crates/proxy/src/table_files.rs
+++ b/crates/proxy/src/table_files.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::time::{Duration, SystemTime};
 use wheelspread_controller_core::publication::Version;
-use wheelspread_files::{read_tables, swap, Held, ReadError, Root, CURRENT};
+use wheelspread_files::{read_tables, LoadedTables, ReadError, TableRoot, CURRENT};
 use wheelspread_reactor::{Moved, Poll, Token, Watcher};
 use wheelspread_xds::status::{self, Status};
 
@@ -15,7 +15,7 @@
 /// The table files of a proxy's controllers.
 pub struct TableFiles {
     proxy: String,
-    roots: Vec<Root>,
+    roots: Vec<TableRoot>,
     watcher: Watcher,
     /// The controller whose directory is watched.
     watched: Option<usize>,
@@ -29,7 +29,7 @@
     /// There is nothing to read.
     Unchanged,
     /// Tables to apply.
-    New(Box<Held>),
+    New(Box<LoadedTables>),
     /// What is there can't be used; with the reason.
     Rejected(String),
 }
@@ -51,7 +51,7 @@
     ) -> io::Result<TableFiles> {
         Ok(TableFiles {
             proxy: proxy.to_string(),
-            roots: roots.into_iter().map(Root::new).collect(),
+            roots: roots.into_iter().map(TableRoot::new).collect(),
             watcher: Watcher::new(poll, token)?,
             watched: None,
             version: Version(0),
@@ -60,7 +60,7 @@
     }
 
     fn directory(&self, controller: usize) -> PathBuf {
-        self.roots[controller].gateway(&self.proxy)
+        self.roots[controller].proxy(&self.proxy)
     }
 
     /// The first tables that lie under any root: a proxy that starts goes by those.
@@ -117,7 +117,7 @@
         match read_tables(&self.directory(controller)) {
             Ok(None) => TableUpdate::Unchanged,
             Ok(Some(held)) => {
-                self.version = held.orders.version;
+                self.version = held.tables.version;
                 self.publish_status(controller, None);
                 TableUpdate::New(Box::new(held))
             }
@@ -141,7 +141,7 @@
         let reason = match status::write(&status) {
             Ok(text) => {
                 let path = self.roots[controller].status(&self.proxy);
-                let Err(error) = swap::place(&path, &text) else {
+                let Err(error) = wheelspread_files::replace_file_unsynced(&path, &text) else {
                     return;
                 };
                 error.to_string()
--- a/crates/proxy/src/table_files/tests.rs
+++ b/crates/proxy/src/table_files/tests.rs
@@ -4,7 +4,7 @@
 #[test]
 fn tables_swapped_in_between_the_join_and_the_watch_are_applied() {
     let directory = tempfile::tempdir().expect("a directory");
-    let root = Root::new(directory.path());
+    let root = TableRoot::new(directory.path());
     root.prepare().expect("prepared");
     let response =
         |kind: &str| format!(r#"{{"versionInfo": "7", "typeUrl": "type.googleapis.com/{kind}"}}"#);
@@ -12,7 +12,7 @@
         eds: response("envoy.config.endpoint.v3.ClusterLoadAssignment"),
         rds: response("envoy.config.route.v3.RouteConfiguration"),
     };
-    swap::Swap::new(&root, Version(7), &documents, "g1")
+    wheelspread_files::Swap::new(&root, Version(7), &documents, "g1")
         .run()
         .expect("swapped");
     let poll = Poll::new().expect("epoll");
--- a/crates/proxy/src/table_stream.rs
+++ b/crates/proxy/src/table_stream.rs
@@ -9,7 +9,7 @@
 use wheelspread::time::{Moment, Span};
 use wheelspread_controller_core::membership::Introduction;
 use wheelspread_discovery::{DeltaClient, Request, ResourceType, TypeSubscription};
-use wheelspread_files::Held;
+use wheelspread_files::LoadedTables;
 use wheelspread_grpc::{ClientConnection, ClientEvent};
 use wheelspread_reactor::{self as reactor, Interest, Poll, Token};
 use wheelspread_xds::discovery;
@@ -158,8 +158,8 @@
             updates.push(TableUpdate::Rejected(reason));
         }
         if let (Some(orders), Some(_)) = (complete_orders, step.completed_version) {
-            updates.push(TableUpdate::New(Box::new(Held {
-                orders,
+            updates.push(TableUpdate::New(Box::new(LoadedTables {
+                tables: orders,
                 hash: self.reader.fingerprint(),
             })));
         }
