--- a/crates/controller/src/discovery_server.rs
+++ b/crates/controller/src/discovery_server.rs
@@ -49,7 +49,7 @@
             max_subscription_changes: streams.changes_at_most,
             subscription_change_window: channel.messages_window,
             ack_timeout: streams.unanswered_at_most,
-            rejection_hold: channel.delay_at_most * REJECTED_TABLE_PAUSE_DELAYS,
+            rejection_pause: channel.delay_at_most * REJECTED_TABLE_PAUSE_DELAYS,
         };
         DiscoveryServer {
             protocol: DiscoveryStreams::new(limits),
@@ -206,8 +206,8 @@
             return;
         };
         match response {
-            RejectionResponse::HoldChanges => {
-                let until = self.protocol.changes_held_until(bundle).unwrap_or(now);
+            RejectionResponse::PauseChanges => {
+                let until = self.protocol.changes_paused_until(bundle).unwrap_or(now);
                 core.observe(now, Observation::UpdatesPaused { bundle, until });
             }
             RejectionResponse::RollBack(version) => roll_back(now, core, bundle, version),
--- a/crates/controller/src/streams/receive.rs
+++ b/crates/controller/src/streams/receive.rs
@@ -159,7 +159,7 @@
             observations.push(Observation::Subscribed {
                 stream: id,
                 introduction,
-                initial_version: request.held_version,
+                initial_version: request.client_version,
             });
         }
         self.discovery_requests.push((id, request.request));
--- a/crates/discovery/src/discovery_streams.rs
+++ b/crates/discovery/src/discovery_streams.rs
@@ -25,7 +25,7 @@
     /// A response that is not acknowledged or rejected for so long ends the stream.
     pub ack_timeout: Span,
     /// How long ordinary changes of a table set wait after most clients rejected one.
-    pub rejection_hold: Span,
+    pub rejection_pause: Span,
 }
 
 /// What happened on a stream.
@@ -101,7 +101,7 @@
     pub fn new(limits: DiscoveryLimits) -> DiscoveryStreams {
         DiscoveryStreams {
             cache: SnapshotCache::new(limits.cached_versions),
-            rejections: RejectionTracker::new(limits.rejection_hold),
+            rejections: RejectionTracker::new(limits.rejection_pause),
             limits,
             streams: BTreeMap::new(),
             stale_requests: 0,
@@ -158,9 +158,9 @@
         }
     }
 
-    /// Until when ordinary changes of a table set are held, if they are.
-    pub fn changes_held_until(&self, bundle: BundleId) -> Option<Moment> {
-        self.rejections.changes_held_until(bundle)
+    /// Until when ordinary changes of a table set are paused, if they are.
+    pub fn changes_paused_until(&self, bundle: BundleId) -> Option<Moment> {
+        self.rejections.changes_paused_until(bundle)
     }
 
     /// Streams whose next response waits because subscriptions changed too often.
--- a/crates/discovery/src/rejection.rs
+++ b/crates/discovery/src/rejection.rs
@@ -2,7 +2,7 @@
 //!
 //! Rejections are counted for each table set and version. A client that rejects keeps what it held and is not waited
 //! for. One of many is likely wrong itself: the others go on without it. Where most reject, the table set is likely
-//! wrong: ordinary changes are held, and when versions go on being rejected, the last one that most acknowledged is
+//! wrong: ordinary changes are paused, and when versions go on being rejected, the last one that most acknowledged is
 //! rolled back to. What takes a node away is always sent: a drain does not wait until clients agree with a table.
 
 mod state;
@@ -23,7 +23,7 @@
     /// This client goes on alone: its stream is closed, so that it starts again with everything.
     RestartStream(ProxyId),
     /// Only what removes entries is sent for a while.
-    HoldChanges,
+    PauseChanges,
     /// The table set goes back to the last version that most acknowledged.
     RollBack(Version),
 }
@@ -34,8 +34,8 @@
 const MINORITY_REJECTIONS_UNTIL_RESTART: u32 = 5;
 /// Versions of a table set whose votes are kept.
 const VERSIONS_WITH_VOTES: usize = 16;
-/// The hold doubles so many times at most.
-const MAX_HOLD_DOUBLINGS: u32 = 6;
+/// The pause doubles so many times at most.
+const MAX_PAUSE_DOUBLINGS: u32 = 6;
 
 #[derive(Debug)]
 struct TableSetRecord {
@@ -45,7 +45,7 @@
     rejected_in_a_row: u32,
     /// The last version that counted into `rejected_in_a_row`.
     last_rejected: Version,
-    held_until: Option<Moment>,
+    paused_until: Option<Moment>,
     last_good: Option<Version>,
 }
 
@@ -56,7 +56,7 @@
             votes: BTreeMap::new(),
             rejected_in_a_row: 0,
             last_rejected: Version(0),
-            held_until: None,
+            paused_until: None,
             last_good: None,
         }
     }
@@ -84,31 +84,31 @@
         }
     }
 
-    fn apply(&mut self, now: Moment, tally: Tally, hold: Span) -> RejectionResponse {
+    fn apply(&mut self, now: Moment, tally: Tally, pause: Span) -> RejectionResponse {
         let (next, effect) = self.state.on_tally(tally);
         self.state = next;
         match effect {
             Effect::None => RejectionResponse::Continue,
             Effect::Release => {
-                self.held_until = None;
+                self.paused_until = None;
                 RejectionResponse::Continue
             }
-            Effect::Hold => {
-                self.hold(now, hold);
-                RejectionResponse::HoldChanges
+            Effect::Pause => {
+                self.pause(now, pause);
+                RejectionResponse::PauseChanges
             }
             Effect::RollBack => {
-                self.hold(now, hold);
+                self.pause(now, pause);
                 self.last_good
-                    .map_or(RejectionResponse::HoldChanges, RejectionResponse::RollBack)
+                    .map_or(RejectionResponse::PauseChanges, RejectionResponse::RollBack)
             }
         }
     }
 
-    fn hold(&mut self, now: Moment, hold: Span) {
+    fn pause(&mut self, now: Moment, pause: Span) {
         let doublings = self.rejected_in_a_row.saturating_sub(1);
-        let factor = 2u32.pow(doublings.min(MAX_HOLD_DOUBLINGS));
-        self.held_until = Some(now + hold * f64::from(factor));
+        let factor = 2u32.pow(doublings.min(MAX_PAUSE_DOUBLINGS));
+        self.paused_until = Some(now + pause * f64::from(factor));
     }
 }
 
@@ -118,16 +118,16 @@
     table_sets: BTreeMap<BundleId, TableSetRecord>,
     /// Rejections in a row with which a client was in the minority.
     minority_rejections: BTreeMap<ProxyId, u32>,
-    hold: Span,
+    pause: Span,
 }
 
 impl RejectionTracker {
-    /// `hold`: how long ordinary changes wait after most rejected one; twice as long after each further one.
-    pub fn new(hold: Span) -> RejectionTracker {
+    /// `pause`: how long ordinary changes wait after most rejected one; twice as long after each further one.
+    pub fn new(pause: Span) -> RejectionTracker {
         RejectionTracker {
             table_sets: BTreeMap::new(),
             minority_rejections: BTreeMap::new(),
-            hold,
+            pause,
         }
     }
 
@@ -152,7 +152,7 @@
         if version >= table_set.last_rejected {
             table_set.rejected_in_a_row = 0;
         }
-        table_set.apply(now, Tally::MostAcknowledge, self.hold)
+        table_set.apply(now, Tally::MostAcknowledge, self.pause)
     }
 
     /// A client rejected a version.
@@ -170,7 +170,7 @@
         votes.reject(proxy);
         if votes.most_reject() {
             let tally = table_set.count_rejected(version);
-            return table_set.apply(now, tally, self.hold);
+            return table_set.apply(now, tally, self.pause);
         }
         let rejections = self.minority_rejections.entry(proxy).or_insert(0);
         *rejections += 1;
@@ -178,12 +178,12 @@
             *rejections = 0;
             return RejectionResponse::RestartStream(proxy);
         }
-        table_set.apply(now, Tally::FewReject, self.hold)
+        table_set.apply(now, Tally::FewReject, self.pause)
     }
 
-    /// Until when ordinary changes of a table set are held, if they are.
-    pub fn changes_held_until(&self, bundle: BundleId) -> Option<Moment> {
-        self.table_sets.get(&bundle)?.held_until
+    /// Until when ordinary changes of a table set are paused, if they are.
+    pub fn changes_paused_until(&self, bundle: BundleId) -> Option<Moment> {
+        self.table_sets.get(&bundle)?.paused_until
     }
 
     /// A client's stream closed.
--- a/crates/discovery/src/rejection/state.rs
+++ b/crates/discovery/src/rejection/state.rs
@@ -6,7 +6,7 @@
     /// All changes are sent.
     Normal,
     /// Ordinary changes wait.
-    Holding,
+    Paused,
     /// An older version was rolled back to.
     RolledBack,
 }
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Effect {
     None,
-    Hold,
+    Pause,
     RollBack,
     Release,
 }
@@ -33,16 +33,16 @@
 impl RejectionState {
     /// The state after a tally, and what follows from it.
     pub(super) fn on_tally(self, tally: Tally) -> (RejectionState, Effect) {
-        use RejectionState::{Holding, Normal, RolledBack};
+        use RejectionState::{Normal, Paused, RolledBack};
         match (self, tally) {
             (state, Tally::FewReject) => (state, Effect::None),
             (Normal, Tally::MostAcknowledge) => (Normal, Effect::None),
-            (Holding | RolledBack, Tally::MostAcknowledge) => (Normal, Effect::Release),
-            (Normal | Holding, Tally::MostReject) => (Holding, Effect::Hold),
-            (Normal | Holding, Tally::MostRejectRepeatedly) => (RolledBack, Effect::RollBack),
+            (Paused | RolledBack, Tally::MostAcknowledge) => (Normal, Effect::Release),
+            (Normal | Paused, Tally::MostReject) => (Paused, Effect::Pause),
+            (Normal | Paused, Tally::MostRejectRepeatedly) => (RolledBack, Effect::RollBack),
             // What was rolled back to is rejected as well: there is nothing better.
             (RolledBack, Tally::MostReject | Tally::MostRejectRepeatedly) => {
-                (RolledBack, Effect::Hold)
+                (RolledBack, Effect::Pause)
             }
         }
     }
--- a/crates/discovery/src/response_builder.rs
+++ b/crates/discovery/src/response_builder.rs
@@ -7,7 +7,7 @@
 use crate::resource_filter::{is_pattern, ResourceFilter, WILDCARD};
 use crate::snapshot::Snapshot;
 use crate::snapshot_cache::DeltaKey;
-use crate::subscription::{HeldResources, Subscription};
+use crate::subscription::{ClientResources, Subscription};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
@@ -81,8 +81,8 @@
             return;
         }
         let held = match &self.subscription.held {
-            HeldResources::Snapshot(held) => Some(held.clone()),
-            HeldResources::Nothing | HeldResources::Declared(_) => None,
+            ClientResources::Snapshot(held) => Some(held.clone()),
+            ClientResources::Nothing | ClientResources::Declared(_) => None,
         };
         for name in std::mem::take(&mut self.removed) {
             let resource = held
--- a/crates/discovery/src/stream.rs
+++ b/crates/discovery/src/stream.rs
@@ -11,7 +11,7 @@
 use crate::response_builder::build_response;
 use crate::snapshot::Snapshot;
 use crate::snapshot_cache::SnapshotCache;
-use crate::subscription::{HeldResources, Progress, Subscription};
+use crate::subscription::{ClientResources, Progress, Subscription};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use wheelspread::rolling_window::RollingWindow;
@@ -91,7 +91,7 @@
         let mut common = None;
         let active = self.subscriptions.values().filter(|one| one.is_active());
         for subscription in active {
-            let HeldResources::Snapshot(held) = &subscription.held else {
+            let ClientResources::Snapshot(held) = &subscription.held else {
                 return None;
             };
             match common {
@@ -156,7 +156,7 @@
             }
             let (delta, key) = subscription.delta_to(&newest, cache);
             if delta.is_empty() && !must_respond(subscription, last_type) {
-                subscription.held = HeldResources::Snapshot(newest.clone());
+                subscription.held = ClientResources::Snapshot(newest.clone());
                 continue;
             }
             self.last_nonce += 1;
@@ -207,7 +207,7 @@
     let resource_type = subscription.resource_type;
     // The last type of an incremental client is answered for every version: it says that the version is complete.
     let completes_version = subscription.is_delta && resource_type == last_type;
-    let is_initial = matches!(subscription.held, HeldResources::Nothing)
+    let is_initial = matches!(subscription.held, ClientResources::Nothing)
         && (resource_type.is_complete_set() || subscription.is_delta);
     completes_version || is_initial || !subscription.pending_names.is_empty()
 }
@@ -216,7 +216,7 @@
     let Some(snapshot) = subscription.in_flight.take() else {
         return RequestOutcome::Subscribed;
     };
-    subscription.held = HeldResources::Snapshot(snapshot);
+    subscription.held = ClientResources::Snapshot(snapshot);
     RequestOutcome::Acknowledged
 }
 
--- a/crates/discovery/src/subscription.rs
+++ b/crates/discovery/src/subscription.rs
@@ -13,7 +13,7 @@
 
 /// What a client holds of a type.
 #[derive(Clone, Debug)]
-pub(crate) enum HeldResources {
+pub(crate) enum ClientResources {
     /// Nothing yet.
     Nothing,
     /// What the client declared on this stream to hold from another one: versions by name.
@@ -51,7 +51,7 @@
     pub(crate) last_nonce: u64,
     /// Sent and not acknowledged yet.
     pub(crate) in_flight: Option<Arc<Snapshot>>,
-    pub(crate) held: HeldResources,
+    pub(crate) held: ClientResources,
     pub(crate) rejected: Option<Version>,
     /// Resources that the newest snapshot lacks and that the client keeps until nothing refers to them.
     pub(crate) deferred_removals: BTreeMap<ResourceName, Option<Resource>>,
@@ -69,7 +69,7 @@
             pending_names: BTreeSet::new(),
             last_nonce: 0,
             in_flight: None,
-            held: HeldResources::Nothing,
+            held: ClientResources::Nothing,
             rejected: None,
             deferred_removals: BTreeMap::new(),
         }
@@ -89,7 +89,7 @@
     pub(crate) fn progress(&self, newest: &Snapshot) -> Progress {
         let is_newest = |snapshot: &Arc<Snapshot>| snapshot.version == newest.version;
         let is_sent = self.in_flight.as_ref().is_some_and(is_newest);
-        let is_held = matches!(&self.held, HeldResources::Snapshot(held) if is_newest(held));
+        let is_held = matches!(&self.held, ClientResources::Snapshot(held) if is_newest(held));
         let nothing_pending = self.pending_names.is_empty();
         match self.state {
             AckState::AwaitingAck if is_sent && nothing_pending => Progress::InFlight,
@@ -180,7 +180,7 @@
     fn begin_delta(&mut self, subscribe: &[String], initial_versions: &BTreeMap<String, String>) {
         self.filter.wildcard = self.resource_type.is_complete_set() && subscribe.is_empty();
         if !initial_versions.is_empty() {
-            self.held = HeldResources::Declared(initial_versions.clone());
+            self.held = ClientResources::Declared(initial_versions.clone());
         }
     }
 
@@ -222,7 +222,7 @@
     ) -> (Arc<ResourceDelta>, Option<DeltaKey>) {
         let resource_type = self.resource_type;
         let held = match &self.held {
-            HeldResources::Declared(versions) => {
+            ClientResources::Declared(versions) => {
                 let delta = ResourceDelta::from_declared_versions(
                     resource_type,
                     versions,
@@ -231,8 +231,8 @@
                 );
                 return (Arc::new(delta), None);
             }
-            HeldResources::Nothing => None,
-            HeldResources::Snapshot(held) => Some(&**held),
+            ClientResources::Nothing => None,
+            ClientResources::Snapshot(held) => Some(&**held),
         };
         let (delta, key) = cache.delta(resource_type, held, newest, &self.filter, self.fingerprint);
         (delta, Some(key))
--- a/crates/discovery/tests/streams/rejection.rs
+++ b/crates/discovery/tests/streams/rejection.rs
@@ -22,12 +22,12 @@
                 RejectionResponse::RestartStream(ProxyId(1))
             }
         );
-        assert_eq!(rejections.changes_held_until(BundleId(0)), None);
+        assert_eq!(rejections.changes_paused_until(BundleId(0)), None);
     }
 }
 
 #[test]
-fn a_table_that_most_reject_is_held_then_rolled_back_and_released_when_most_acknowledge() {
+fn a_table_that_most_reject_is_paused_then_rolled_back_and_released_when_most_acknowledge() {
     let mut rejections = RejectionTracker::new(Span::from_seconds(1.0));
     let mut all_answer = |version: u64, acknowledged: bool, now: f64| {
         let mut last = RejectionResponse::Continue;
@@ -42,7 +42,7 @@
                 response
             };
         }
-        (last, rejections.changes_held_until(BundleId(0)))
+        (last, rejections.changes_paused_until(BundleId(0)))
     };
     assert_eq!(
         all_answer(1, true, 0.0),
@@ -50,11 +50,11 @@
     );
     assert_eq!(
         all_answer(2, false, 1.0),
-        (RejectionResponse::HoldChanges, Some(at(2.0)))
+        (RejectionResponse::PauseChanges, Some(at(2.0)))
     );
     assert_eq!(
         all_answer(3, false, 2.0),
-        (RejectionResponse::HoldChanges, Some(at(4.0))),
+        (RejectionResponse::PauseChanges, Some(at(4.0))),
         "twice as long"
     );
     assert_eq!(
@@ -64,7 +64,7 @@
     // From then on each is held for longer, up to a bound, and nothing is rolled back again.
     for version in 5..40 {
         let (response, until) = all_answer(version, false, 100.0);
-        assert!(response == RejectionResponse::HoldChanges && until <= Some(at(164.0)));
+        assert!(response == RejectionResponse::PauseChanges && until <= Some(at(164.0)));
     }
     assert_eq!(
         all_answer(40, true, 200.0),
--- a/crates/discovery/tests/streams/support.rs
+++ b/crates/discovery/tests/streams/support.rs
@@ -18,7 +18,7 @@
         max_subscription_changes: 20,
         subscription_change_window: ten_seconds,
         ack_timeout: ten_seconds,
-        rejection_hold: Span::from_seconds(1.0),
+        rejection_pause: Span::from_seconds(1.0),
     }
 }
 
--- a/crates/files/src/lib.rs
+++ b/crates/files/src/lib.rs
@@ -15,7 +15,7 @@
 //! | [`swap`] | writes one version and points a proxy at it, in steps that a crash may separate |
 //! | [`writer`] | the thread that does this for a controller |
 //! | [`read`] | reads a proxy's tables |
-//! | [`scan`] | what a controller finds when it starts |
+//! | [`mod@scan`] | what a controller finds when it starts |
 //! | [`replace`] | swaps in single files |
 
 mod io_text;
--- a/crates/xds/src/discovery/request.rs
+++ b/crates/xds/src/discovery/request.rs
@@ -12,7 +12,7 @@
 use xds_api::pb::google::rpc;
 
 /// The field of a node's metadata with the version that it holds, where the variant has no other place for it.
-const HELD_VERSION: &str = "holds";
+const CLIENT_VERSION: &str = "holds";
 /// The status code of a NACK.
 const INVALID_ARGUMENT: i32 = 3;
 /// Characters of a NACK's reason that are kept.
@@ -28,7 +28,7 @@
     /// What it requests, acknowledges or rejects.
     pub request: Request,
     /// The version that the client says it holds from another stream.
-    pub held_version: Option<Version>,
+    pub client_version: Option<Version>,
 }
 
 /// Decodes a request of the state-of-the-world variant.
@@ -36,7 +36,7 @@
     let message =
         discovery::DiscoveryRequest::decode(bytes).map_err(DecodeError::message(REQUEST))?;
     // In later requests the version acknowledges a response instead.
-    let held_version = message
+    let client_version = message
         .version_info
         .parse()
         .ok()
@@ -53,7 +53,7 @@
                 version: message.version_info,
             },
         },
-        held_version,
+        client_version,
     })
 }
 
@@ -63,7 +63,7 @@
         discovery::DeltaDiscoveryRequest::decode(bytes).map_err(DecodeError::message(REQUEST))?;
     Ok(DecodedRequest {
         introduction: introduction(message.node.as_ref()),
-        held_version: message.node.as_ref().and_then(held_version),
+        client_version: message.node.as_ref().and_then(client_version),
         request: Request {
             resource_type: resource_type(&message.type_url)?,
             nonce: message.response_nonce,
@@ -94,8 +94,8 @@
         .map(loads::node_introduction)
 }
 
-fn held_version(node: &core::Node) -> Option<Version> {
-    match node.metadata.as_ref()?.fields.get(HELD_VERSION)?.kind {
+fn client_version(node: &core::Node) -> Option<Version> {
+    match node.metadata.as_ref()?.fields.get(CLIENT_VERSION)?.kind {
         Some(value::Kind::StringValue(ref version)) => version.parse().ok().map(Version),
         _ => None,
     }
@@ -109,7 +109,7 @@
 /// it holds.
 pub fn encode_delta_request(
     introduction: Option<&Introduction>,
-    held_version: Option<Version>,
+    client_version: Option<Version>,
     request: &Request,
 ) -> Vec<u8> {
     let (subscribe, unsubscribe, initial_versions) = match &request.body {
@@ -132,7 +132,7 @@
         ..rpc::Status::default()
     });
     discovery::DeltaDiscoveryRequest {
-        node: introduction.map(|introduction| introducing_node(introduction, held_version)),
+        node: introduction.map(|introduction| introducing_node(introduction, client_version)),
         type_url: type_url(request.resource_type),
         resource_names_subscribe: subscribe,
         resource_names_unsubscribe: unsubscribe,
@@ -144,14 +144,14 @@
     .encode_to_vec()
 }
 
-fn introducing_node(introduction: &Introduction, held_version: Option<Version>) -> core::Node {
+fn introducing_node(introduction: &Introduction, client_version: Option<Version>) -> core::Node {
     let mut node = loads::introducing_node(introduction);
-    if let Some(version) = held_version {
+    if let Some(version) = client_version {
         let kind = Some(value::Kind::StringValue(version.0.to_string()));
         let metadata = node.metadata.get_or_insert_default();
         metadata
             .fields
-            .extend([(HELD_VERSION.to_string(), Value { kind })]);
+            .extend([(CLIENT_VERSION.to_string(), Value { kind })]);
     }
     node
 }
