--- a/crates/discovery/tests/streams/acknowledgement.rs
+++ b/crates/discovery/tests/streams/acknowledgement.rs
@@ -1,41 +1,20 @@
 //! Order of responses, ACKs and NACKs.
 
 use super::support::*;
-use std::collections::BTreeMap;
 use test_case::test_case;
 use wheelspread::ids::ProxyId;
 use wheelspread_controller_core::membership::StreamId;
 use wheelspread_controller_core::publication::Version;
-use wheelspread_discovery::{RejectionResponse, ResourceType, Response, StreamEvent};
+use wheelspread_discovery::{RejectionResponse, ResourceType, StreamEvent};
 
 #[test]
 fn types_are_sent_in_order_and_each_is_acknowledged_by_its_nonce() {
     let mut server = TestServer::new();
     server.streams.offer(StreamId(1), &snapshot(41, &[(1, 5)]));
-    for resource_type in [ResourceType::Routes, ResourceType::Listeners] {
-        server.handle_request(state_of_the_world_request(
-            resource_type,
-            if resource_type == ResourceType::Routes {
-                &["operations"]
-            } else {
-                &[]
-            },
-            "",
-            "",
-        ));
-    }
-    server.handle_request(state_of_the_world_request(
-        ResourceType::Endpoints,
-        &["quote"],
-        "",
-        "",
-    ));
-    server.handle_request(state_of_the_world_request(
-        ResourceType::Clusters,
-        &[],
-        "",
-        "",
-    ));
+    server.subscribe_to_world(ResourceType::Routes, &["operations"]);
+    server.subscribe_to_world(ResourceType::Listeners, &[]);
+    server.subscribe_to_world(ResourceType::Endpoints, &["quote"]);
+    server.subscribe_to_world(ResourceType::Clusters, &[]);
     let responses = server.all_responses();
     let types: Vec<ResourceType> = responses
         .iter()
@@ -74,12 +53,7 @@
 #[test]
 fn a_burst_of_versions_leaves_one_response_in_flight_and_then_only_the_newest_is_sent() {
     let mut server = TestServer::new();
-    server.handle_request(delta_request(
-        ResourceType::Entries,
-        &["quote/*"],
-        "",
-        BTreeMap::new(),
-    ));
+    server.subscribe(ResourceType::Entries, &["quote/*"]);
     let mut sent = Vec::new();
     for version in 1..=1000u64 {
         server.streams.offer(
@@ -89,12 +63,7 @@
         sent.extend(server.all_responses());
     }
     assert_eq!(sent.len(), 1);
-    server.handle_request(delta_request(
-        ResourceType::Entries,
-        &[],
-        &sent[0].nonce.to_string(),
-        BTreeMap::new(),
-    ));
+    server.acknowledge(&sent[0]);
     let next = server.all_responses();
     assert_eq!(
         (next.len(), next[0].version, next[0].changed.len()),
@@ -105,30 +74,17 @@
 #[test]
 fn after_a_nack_the_next_delta_starts_from_the_version_acknowledged_before() {
     let mut server = TestServer::new();
-    server.handle_request(delta_request(
-        ResourceType::Entries,
-        &["quote/*"],
-        "",
-        BTreeMap::new(),
-    ));
-    let acknowledge = |response: &Response| {
-        delta_request(
-            ResourceType::Entries,
-            &[],
-            &response.nonce.to_string(),
-            BTreeMap::new(),
-        )
-    };
+    server.subscribe(ResourceType::Entries, &["quote/*"]);
     server
         .streams
         .offer(StreamId(1), &snapshot(1, &[(1, 1), (2, 1)]));
     let first = server.next_response().expect("everything");
-    server.handle_request(acknowledge(&first));
+    server.acknowledge(&first);
     server
         .streams
         .offer(StreamId(1), &snapshot(2, &[(1, 2), (2, 1)]));
     let second = server.next_response().expect("a delta");
-    let events = server.handle_request(with_error(acknowledge(&second), "a weight of 2"));
+    let events = server.handle_request(with_error(ack(&second), "a weight of 2"));
     let rejected = StreamEvent::VersionRejected {
         proxy: ProxyId(1),
         version: Version(2),
@@ -163,12 +119,7 @@
 fn an_unknown_nonce_acknowledges_nothing_and_after_ten_more_the_stream_is_closed(nonce: &str) {
     let mut server = TestServer::new();
     server.streams.offer(StreamId(1), &snapshot(1, &[(1, 1)]));
-    server.handle_request(state_of_the_world_request(
-        ResourceType::Clusters,
-        &[],
-        "",
-        "",
-    ));
+    server.subscribe_to_world(ResourceType::Clusters, &[]);
     let response = server.next_response().expect("clusters");
     for time in 0..12 {
         let events = server.handle_request(state_of_the_world_request(
@@ -203,12 +154,7 @@
 fn a_stale_nonce_is_ignored_in_the_state_of_the_world_variant() {
     let mut server = TestServer::new();
     server.streams.offer(StreamId(1), &snapshot(1, &[(1, 1)]));
-    server.handle_request(state_of_the_world_request(
-        ResourceType::Endpoints,
-        &["quote"],
-        "",
-        "",
-    ));
+    server.subscribe_to_world(ResourceType::Endpoints, &["quote"]);
     let first = server.next_response().expect("endpoints");
     server.handle_request(state_of_the_world_request(
         ResourceType::Endpoints,
@@ -244,12 +190,7 @@
 fn a_client_that_does_not_acknowledge_in_time_is_unresponsive() {
     let mut server = TestServer::new();
     server.streams.offer(StreamId(1), &snapshot(1, &[(1, 1)]));
-    server.handle_request(state_of_the_world_request(
-        ResourceType::Clusters,
-        &[],
-        "",
-        "",
-    ));
+    server.subscribe_to_world(ResourceType::Clusters, &[]);
     server.next_response().expect("clusters");
     assert!(server.streams.unresponsive_streams(at(9.9)).is_empty());
     assert_eq!(server.streams.unresponsive_streams(at(10.1)), [StreamId(1)]);
--- a/crates/discovery/tests/streams/consistency.rs
+++ b/crates/discovery/tests/streams/consistency.rs
@@ -2,34 +2,24 @@
 
 use super::support::*;
 use proptest::prelude::*;
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use wheelspread::ids::ProxyId;
 use wheelspread::time::Span;
 use wheelspread_controller_core::membership::StreamId;
 use wheelspread_discovery::{
-    DeltaUpdate, DiscoveryStreams, ResourceStore, ResourceType, Response, Snapshot,
+    Checksum, DeltaUpdate, DiscoveryStreams, ResourceStore, ResourceType, Response, Snapshot,
 };
 
 /// Deltas to one client that acknowledges each of these versions.
 fn deltas(versions: &[Arc<Snapshot>]) -> Vec<DeltaUpdate> {
     let mut server = TestServer::new();
-    server.handle_request(delta_request(
-        ResourceType::Entries,
-        &["quote/*"],
-        "",
-        BTreeMap::new(),
-    ));
+    server.subscribe(ResourceType::Entries, &["quote/*"]);
     let mut deltas = Vec::new();
     for version in versions {
         server.streams.offer(StreamId(1), version);
         let response = server.next_response().expect("a delta");
-        server.handle_request(delta_request(
-            ResourceType::Entries,
-            &[],
-            &response.nonce.to_string(),
-            BTreeMap::new(),
-        ));
+        server.acknowledge(&response);
         deltas.push(as_delta(&response));
     }
     deltas
@@ -99,71 +89,127 @@
     ]
 }
 
-proptest! {
-    // Whatever happens, a client holds a version that was published and verified, or nothing; and once nothing
-    // changes any more, it holds the newest.
-    #[test]
-    fn a_client_holds_only_published_versions_and_in_the_end_the_newest(actions in prop::collection::vec(action(), 1..80)) {
-        let mut server = TestServer::new();
-        let mut store = ResourceStore::default();
-        let (mut published, mut version) = (BTreeMap::new(), 0u64);
-        published.insert(store.checksum(), 0);
-        let subscribe = |server: &mut TestServer, store: &ResourceStore| {
-            server.handle_request(delta_request(ResourceType::Entries, &["quote/*"], "", store.versions()));
+/// A server and a client that applies what the server sends.
+struct Exchange {
+    server: TestServer,
+    store: ResourceStore,
+    published: BTreeSet<Checksum>,
+    version: u64,
+    newest: Option<Arc<Snapshot>>,
+    in_flight: Option<Response>,
+}
+
+impl Exchange {
+    fn new() -> Exchange {
+        let store = ResourceStore::default();
+        let mut exchange = Exchange {
+            server: TestServer::new(),
+            published: [store.checksum()].into(),
+            store,
+            version: 0,
+            newest: None,
+            in_flight: None,
         };
-        subscribe(&mut server, &store);
-        let mut newest: Option<Arc<Snapshot>> = None;
-        let mut in_flight: Option<Response> = None;
-        for action in actions.into_iter().chain([Action::Wait(60_000), Action::Publish(vec![(1, 9)])]) {
-            match action {
-                Action::Publish(entries) => {
-                    version += 1;
-                    let entries: BTreeMap<u16, u32> = entries.into_iter().collect();
-                    let entries: Vec<(u16, u32)> = entries.into_iter().collect();
-                    let made = snapshot(version, &entries);
-                    published.insert(made.checksum(ResourceType::Entries, |_| true), version);
-                    server.streams.offer(server.id, &made);
-                    newest = Some(made);
-                }
-                Action::Deliver | Action::Reject => {
-                    let Some(response) = in_flight.take() else { continue };
-                    let mut request = delta_request(ResourceType::Entries, &[], &response.nonce.to_string(), BTreeMap::new());
-                    if matches!(action, Action::Reject) {
-                        request.error = Some("rejected by the test".to_string());
-                    } else if let Err(error) = store.apply(&as_delta(&response)) {
-                        request.error = Some(error.to_string());
-                    }
-                    server.handle_request(request);
-                }
-                Action::Reconnect | Action::Restart => {
-                    server.streams.close(server.id);
-                    if matches!(action, Action::Restart) {
-                        server.streams = DiscoveryStreams::new(limits());
-                    }
-                    server.id = StreamId(server.id.0 + 1);
-                    server.streams.open(server.id, ProxyId(1));
-                    in_flight = None;
-                    if let Some(newest) = &newest {
-                        server.streams.offer(server.id, newest);
-                    }
-                    subscribe(&mut server, &store);
+        exchange.subscribe();
+        exchange
+    }
+
+    /// Also declares what the client holds from earlier streams.
+    fn subscribe(&mut self) {
+        let held = self.store.versions();
+        let request = delta_request(ResourceType::Entries, &["quote/*"], "", held);
+        self.server.handle_request(request);
+    }
+
+    fn publish(&mut self, entries: Vec<(u16, u32)>) {
+        self.version += 1;
+        let by_node: BTreeMap<u16, u32> = entries.into_iter().collect();
+        let entries: Vec<(u16, u32)> = by_node.into_iter().collect();
+        let published = snapshot(self.version, &entries);
+        self.published
+            .insert(published.checksum(ResourceType::Entries, |_| true));
+        self.server.streams.offer(self.server.id, &published);
+        self.newest = Some(published);
+    }
+
+    fn deliver(&mut self, response: &Response) {
+        let mut request = ack(response);
+        if let Err(error) = self.store.apply(&as_delta(response)) {
+            request.error = Some(error.to_string());
+        }
+        self.server.handle_request(request);
+    }
+
+    fn reconnect(&mut self) {
+        let server = &mut self.server;
+        server.streams.close(server.id);
+        server.id = StreamId(server.id.0 + 1);
+        server.streams.open(server.id, ProxyId(1));
+        self.in_flight = None;
+        if let Some(newest) = &self.newest {
+            server.streams.offer(server.id, newest);
+        }
+        self.subscribe();
+    }
+
+    fn send_wrong_nonce(&mut self, nonce: u64) {
+        let in_flight = self.in_flight.as_ref().map(|response| response.nonce);
+        if in_flight != Some(nonce) {
+            let nonce = nonce.to_string();
+            let request = delta_request(ResourceType::Entries, &[], &nonce, BTreeMap::new());
+            self.server.handle_request(request);
+        }
+    }
+
+    fn carry_out(&mut self, action: Action) {
+        match action {
+            Action::Publish(entries) => self.publish(entries),
+            Action::Deliver => {
+                if let Some(response) = self.in_flight.take() {
+                    self.deliver(&response);
                 }
-                Action::SendWrongNonce(nonce) => {
-                    let real = in_flight.as_ref().is_some_and(|response| response.nonce == nonce);
-                    if !real {
-                        server.handle_request(delta_request(ResourceType::Entries, &[], &nonce.to_string(), BTreeMap::new()));
-                    }
+            }
+            Action::Reject => {
+                if let Some(response) = self.in_flight.take() {
+                    let nack = with_error(ack(&response), "rejected by the test");
+                    self.server.handle_request(nack);
                 }
-                Action::Wait(ms) => server.now = server.now + Span::from_seconds(f64::from(ms) / 1e3),
             }
-            in_flight = in_flight.or_else(|| server.next_response());
-            prop_assert!(published.contains_key(&store.checksum()), "the client holds what was never published");
+            Action::Reconnect => self.reconnect(),
+            Action::Restart => {
+                self.server.streams = DiscoveryStreams::new(limits());
+                self.reconnect();
+            }
+            Action::SendWrongNonce(nonce) => self.send_wrong_nonce(nonce),
+            Action::Wait(ms) => {
+                self.server.now = self.server.now + Span::from_seconds(f64::from(ms) / 1e3);
+            }
+        }
+        let next = self.in_flight.take();
+        self.in_flight = next.or_else(|| self.server.next_response());
+    }
+}
+
+proptest! {
+    // Whatever happens, a client holds a version that was published and verified, or nothing; and once nothing
+    // changes any more, it holds the newest.
+    #[test]
+    fn a_client_holds_only_published_versions_and_in_the_end_the_newest(
+        actions in prop::collection::vec(action(), 1..80),
+    ) {
+        let mut exchange = Exchange::new();
+        let last = [Action::Wait(60_000), Action::Publish(vec![(1, 9)])];
+        for action in actions.into_iter().chain(last) {
+            exchange.carry_out(action);
+            let held = exchange.store.checksum();
+            prop_assert!(exchange.published.contains(&held), "the client holds what was never published");
         }
-        while let Some(response) = in_flight.take() {
-            prop_assert_eq!(store.apply(&as_delta(&response)), Ok(()));
-            server.handle_request(delta_request(ResourceType::Entries, &[], &response.nonce.to_string(), BTreeMap::new()));
-            in_flight = server.next_response();
+        while let Some(response) = exchange.in_flight.take() {
+            prop_assert_eq!(exchange.store.apply(&as_delta(&response)), Ok(()));
+            exchange.server.acknowledge(&response);
+            exchange.in_flight = exchange.server.next_response();
         }
-        prop_assert_eq!(Some(store.checksum()), newest.map(|n| n.checksum(ResourceType::Entries, |_| true)));
+        let newest = exchange.newest.map(|newest| newest.checksum(ResourceType::Entries, |_| true));
+        prop_assert_eq!(Some(exchange.store.checksum()), newest);
     }
 }
--- a/crates/discovery/tests/streams/subscription.rs
+++ b/crates/discovery/tests/streams/subscription.rs
@@ -14,12 +14,7 @@
     server
         .streams
         .offer(StreamId(1), &snapshot(1, &[(1, 1), (2, 1)]));
-    server.handle_request(delta_request(
-        ResourceType::Entries,
-        &["quote/1"],
-        "",
-        BTreeMap::new(),
-    ));
+    server.subscribe(ResourceType::Entries, &["quote/1"]);
     let first = server.next_response().expect("a line");
     server.handle_request(delta_request(
         ResourceType::Entries,
@@ -39,12 +34,7 @@
     server
         .streams
         .offer(StreamId(1), &snapshot(1, &[(1, 1), (2, 1)]));
-    server.handle_request(delta_request(
-        ResourceType::Entries,
-        &["other/1"],
-        "",
-        BTreeMap::new(),
-    ));
+    server.subscribe(ResourceType::Entries, &["other/1"]);
     let first = server.next_response().expect("that there is none");
     server.handle_request(delta_request(
         ResourceType::Entries,
@@ -54,12 +44,7 @@
     ));
     let second = server.next_response().expect("the lines");
     assert_eq!((second.changed.len(), second.removed.len()), (lines, 0));
-    server.handle_request(delta_request(
-        ResourceType::Entries,
-        &[],
-        &second.nonce.to_string(),
-        BTreeMap::new(),
-    ));
+    server.acknowledge(&second);
     assert!(server.next_response().is_none());
 }
 
@@ -74,7 +59,7 @@
         (ResourceType::Clusters, "*"),
         (ResourceType::Routes, "operations"),
     ] {
-        server.handle_request(delta_request(resource_type, &[name], "", BTreeMap::new()));
+        server.subscribe(resource_type, &[name]);
     }
     let mut kinds = Vec::new();
     for version in 2..4 {
@@ -85,12 +70,7 @@
                 response.changed.len(),
                 response.removed.len(),
             ));
-            server.handle_request(delta_request(
-                response.resource_type,
-                &[],
-                &nonces[&response.resource_type],
-                BTreeMap::new(),
-            ));
+            server.acknowledge(&response);
         }
         if version == 2 {
             let mut next = Snapshot::new(BundleId(0), Version(2));
@@ -116,12 +96,7 @@
     server
         .streams
         .offer(StreamId(1), &snapshot(1, &[(1, 1), (2, 1)]));
-    server.handle_request(delta_request(
-        ResourceType::Entries,
-        &["quote/1"],
-        "",
-        BTreeMap::new(),
-    ));
+    server.subscribe(ResourceType::Entries, &["quote/1"]);
     let mut answered = 0;
     for time in 0..2000 {
         server.now = at(f64::from(time) * 0.005);
@@ -137,12 +112,7 @@
         server.handle_request(request);
         while let Some(response) = server.next_response() {
             answered += 1;
-            server.handle_request(delta_request(
-                ResourceType::Entries,
-                &[],
-                &response.nonce.to_string(),
-                BTreeMap::new(),
-            ));
+            server.acknowledge(&response);
         }
     }
     assert!(answered <= 22, "{answered} responses in ten seconds");
--- a/crates/discovery/tests/streams/support.rs
+++ b/crates/discovery/tests/streams/support.rs
@@ -131,4 +131,25 @@
     pub fn all_responses(&mut self) -> Vec<Response> {
         std::iter::from_fn(|| self.next_response()).collect()
     }
+
+    /// Subscribes to names of a type in the incremental variant, as the first request of the type.
+    pub fn subscribe(&mut self, resource_type: ResourceType, names: &[&str]) {
+        self.handle_request(delta_request(resource_type, names, "", BTreeMap::new()));
+    }
+
+    /// Acknowledges a response of the incremental variant.
+    pub fn acknowledge(&mut self, response: &Response) {
+        self.handle_request(ack(response));
+    }
+
+    /// Requests names of a type in the state-of-the-world variant, with an empty nonce.
+    pub fn subscribe_to_world(&mut self, resource_type: ResourceType, names: &[&str]) {
+        self.handle_request(state_of_the_world_request(resource_type, names, "", ""));
+    }
+}
+
+/// The ACK of a response of the incremental variant.
+pub fn ack(response: &Response) -> Request {
+    let nonce = response.nonce.to_string();
+    delta_request(response.resource_type, &[], &nonce, BTreeMap::new())
 }
