--- a/crates/cli/src/measure.rs
+++ b/crates/cli/src/measure.rs
@@ -1,7 +1,7 @@
 //! `wheelspread measure`: figures of this machine, as ratios within one run.
 
-mod bench;
-mod conductor;
+mod controller;
+mod controller_process;
 mod fleet;
 mod proxy;
 mod state;
@@ -207,7 +207,7 @@
             m.cpu
         );
         if count <= 890 {
-            let files = conductor::measure(&program, nodes, count, rounds)
+            let files = controller::measure(&program, nodes, count, rounds)
                 .map_err(|error| format!("{nodes} nodes, {count} proxies: {error}"))?;
             say!(
                 "  files: {:.0}, {:.0}; {:.0}; CPU with sums {:.2}",
@@ -231,7 +231,7 @@
     };
     let mut all = Vec::new();
     for (nodes, proxies) in SIZES {
-        match conductor::measure(&program, nodes, proxies, rounds) {
+        match controller::measure(&program, nodes, proxies, rounds) {
             Ok(measured) => all.push(measured),
             Err(error) => {
                 eprintln!("{nodes} nodes, {proxies} proxies: {error}");
--- a/crates/cli/src/measure/conductor.rs
+++ b/crates/cli/src/measure/controller.rs
@@ -1,7 +1,7 @@
 //! How long a conductor takes from news to renamed files, and what CPU it costs, at two sizes in one run.
 //! Proxies are streams and directories only.
 
-use super::bench::{io, Bench};
+use super::controller_process::{io, Bench};
 use hdrhistogram::Histogram;
 use prost::Message;
 use serde::Serialize;
--- a/crates/cli/src/measure/bench.rs
+++ b/crates/cli/src/measure/controller_process.rs
@@ -1,6 +1,6 @@
 //! A conductor of its own that is measured, with a list of nodes that changes.
 
-use super::conductor::list;
+use super::controller::list;
 use std::collections::BTreeSet;
 use std::io;
 use std::net::{Ipv4Addr, SocketAddrV4, TcpStream};
--- a/crates/cli/src/measure/fleet.rs
+++ b/crates/cli/src/measure/fleet.rs
@@ -1,8 +1,8 @@
 //! What it costs to look after many conductors: the time of a whole answer by their number, and what being asked
 //! costs one of them.
 
-use super::bench::{io, Bench};
-use super::conductor::{self, Stage};
+use super::controller::{self, Stage};
+use super::controller_process::{io, Bench};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -85,11 +85,11 @@
     proxies: usize,
     rounds: u32,
     per_second: u32,
-) -> Result<(conductor::Measured, u64, f64), DrillError> {
+) -> Result<(controller::Measured, u64, f64), DrillError> {
     let mut stage = Stage::new(Bench::new(nodes)?, proxies)?;
     stage
         .bench
-        .start(program, |listen| conductor::file(listen, proxies))?;
+        .start(program, |listen| controller::file(listen, proxies))?;
     let line = Line::Unix(stage.bench.root().path().join("admin.sock"));
     let (over, answers, spent) = (AtomicBool::new(false), AtomicU64::new(0), AtomicU64::new(0));
     let told = std::thread::scope(|scope| {
--- a/crates/cli/src/measure/proxy.rs
+++ b/crates/cli/src/measure/proxy.rs
@@ -1,6 +1,6 @@
 //! What a proxy costs beside the same client that sends straight to the node, in one run.
 
-use super::bench::memory_of;
+use super::controller_process::memory_of;
 use std::io;
 use std::net::{SocketAddrV4, TcpStream};
 use std::path::Path;
--- a/crates/cli/src/measure/state.rs
+++ b/crates/cli/src/measure/state.rs
@@ -1,8 +1,8 @@
 //! What it costs to keep changes over crashes, and how long a conductor takes to come back: by the size of the
 //! fleet and by how many changes it remembers.
 
-use super::bench::Bench;
-use super::conductor::{file, Stage};
+use super::controller::{file, Stage};
+use super::controller_process::Bench;
 use crate::operator::call;
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
@@ -169,7 +169,7 @@
     let (_, state_bytes) = state(&root)?;
     let (listens_ms, all_pointed_ms) = start(&mut stage, program, proxies)?;
     stage.bench.kill();
-    std::fs::remove_file(root.join("state")).map_err(super::bench::io("the state"))?;
+    std::fs::remove_file(root.join("state")).map_err(super::controller_process::io("the state"))?;
     let without = start(&mut stage, program, proxies)?;
     stage.bench.swap_list(2, &BTreeSet::new())?;
     let per = |from: u64, to: u64| to.saturating_sub(from) as f64 / rounds as f64;
--- a/crates/cli/src/measure/streams.rs
+++ b/crates/cli/src/measure/streams.rs
@@ -1,8 +1,8 @@
 //! How long a change takes to be held by all clients of discovery streams, what goes over the sockets for it,
 //! and what a stream costs the conductor.
 
-use super::bench::{io, memory_of, Bench};
-use super::conductor::file;
+use super::controller::file;
+use super::controller_process::{io, memory_of, Bench};
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
