--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -107,7 +107,13 @@
         },
         Command::State(arguments) => state::state(arguments),
         Command::Tables(arguments) => tables::tables(arguments),
-        Command::Measure(arguments) => measure::measure(arguments),
+        Command::Measure(arguments) => match measure::measure(arguments) {
+            Ok(()) => ExitCode::SUCCESS,
+            Err(error) => {
+                eprintln!("{error}");
+                ExitCode::FAILURE
+            }
+        },
     }
 }
 
--- a/crates/cli/src/measure/streams.rs
+++ b/crates/cli/src/measure/streams.rs
@@ -1,26 +1,36 @@
 //! How long a change takes to be held by all clients of discovery streams, what goes over the sockets for it,
-//! and what a stream costs the conductor.
+//! and what a stream costs the controller.
 
-use super::controller::file;
-use super::controller_process::{io, memory_of, Bench};
-use hdrhistogram::Histogram;
-use serde::Serialize;
+use super::controller;
+use super::controller_process::ControllerProcess;
+use super::error::{io, not_ready, MeasureError};
+use super::fleet_config::{controller_file, draining_in_round, introduction};
+use super::sampling::{resident_kib, CpuMeter, FirstTables, Latencies};
+use super::{program, SIZES};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 use wheelspread::time::{Moment, Span};
 use wheelspread_controller_core::membership::Introduction;
 use wheelspread_discovery::{Ask, Kind, Mode};
-use wheelspread_drill::{cpu_of, gateways::name, DrillError};
 use wheelspread_grpc::{ClientConnection, ClientEvent, Limits};
 use wheelspread_reactor::{self as reactor, Interest, Poll, Token};
 use wheelspread_xds::discovery;
 
-#[derive(Clone, Debug, Serialize)]
+/// Messages to one client, on average over all.
+#[derive(Clone, Copy, Debug)]
+pub struct Traffic {
+    /// Bytes of the messages.
+    pub bytes: f64,
+    /// Entries of tables in them, changed or removed.
+    pub entries: f64,
+}
+
+/// Figures of one size.
+#[derive(Clone, Debug)]
 pub struct Measured {
-    pub nodes: usize,
-    pub streams: usize,
-    /// From a list that was swapped in to a client that has all of the version, in milliseconds.
+    /// From a swapped endpoint list to a client that has all of the version, in milliseconds: the median.
     pub list_to_held_ms_p50: f64,
+    /// The same at the 99th percentile.
     pub list_to_held_ms_p99: f64,
     /// To the last whose tables it changed, at the slowest change.
     pub list_to_all_ms: f64,
@@ -28,46 +38,63 @@
     pub all_joined_ms: f64,
     /// The same after all streams broke at once.
     pub all_again_ms: f64,
-    /// For one client: bytes of its first tables, and of one change, with the lines in each.
-    pub whole_bytes: f64,
-    pub change_bytes: f64,
-    pub whole_lines: f64,
-    pub change_lines: f64,
-    /// Of the conductor, for each stream, in KiB; and seconds of CPU a second while a list changes each second.
+    /// Traffic to one client for its first tables.
+    pub first_tables: Traffic,
+    /// Traffic to one client for one change.
+    pub change: Traffic,
+    /// Memory of the controller for each stream.
     pub memory_kib: f64,
+    /// Seconds of the controller's CPU a second while the endpoint list changes each second.
     pub cpu: f64,
 }
 
-struct Peer {
+/// A client of a discovery stream.
+struct StreamClient {
     connection: ClientConnection,
-    who: Introduction,
+    introduction: Introduction,
     bytes: u64,
-    lines: u64,
-    /// Versions of which all has come.
-    complete: u64,
+    entries: u64,
 }
 
-const ASKED: [(Kind, &str); 3] = [
+/// How long all clients together may take until they have tables.
+const JOIN_TIMEOUT: Span = Span::from_seconds(60.0);
+/// After the join, before the endpoint list changes.
+const SETTLE_TIME: Span = Span::from_seconds(3.0);
+/// Between two changes of the endpoint list.
+const ROUND_TIME: Span = Span::from_seconds(1.0);
+/// More proxies than this are not measured with files.
+const FILE_PROXIES_AT_MOST: usize = 890;
+/// What each client subscribes to: a resource type and the prefix of its names.
+const SUBSCRIPTIONS: [(Kind, &str); 3] = [
     (Kind::Endpoints, discovery::LINES_APART),
     (Kind::Lines, discovery::LINE),
     (Kind::Routes, discovery::OPERATIONS),
 ];
-const NAMES: [&str; 2] = ["quote", "plan"];
+/// The operations of the measured controller.
+const OPERATIONS: [&str; 2] = ["quote", "plan"];
+
+fn delta_request(subscribe: Vec<String>) -> Mode {
+    Mode::Delta {
+        subscribe,
+        unsubscribe: Vec::new(),
+        holds: BTreeMap::new(),
+    }
+}
 
-fn hello(kind: Kind, prefix: &str) -> Ask {
-    let names = match kind {
-        Kind::Endpoints => NAMES.iter().map(|name| format!("{prefix}{name}")).collect(),
-        Kind::Lines => NAMES
+/// The first request for a resource type.
+fn subscribe(kind: Kind, prefix: &str) -> Ask {
+    let subscribed = match kind {
+        Kind::Endpoints => OPERATIONS
+            .iter()
+            .map(|name| format!("{prefix}{name}"))
+            .collect(),
+        Kind::Lines => OPERATIONS
             .iter()
             .map(|name| format!("{prefix}{name}/*"))
             .collect(),
         _ => vec![prefix.to_string()],
     };
-    let mode = Mode::Delta {
-        subscribe: names,
-        unsubscribe: Vec::new(),
-        holds: BTreeMap::new(),
-    };
+    let mode = delta_request(subscribed);
     Ask {
         kind,
         nonce: String::new(),
@@ -76,15 +103,15 @@
     }
 }
 
-impl Peer {
-    /// `true`: it has all of another version.
-    fn turn(&mut self, now: Moment) -> Result<bool, DrillError> {
+impl StreamClient {
+    /// Reads and answers what has come; `true` if it now has all of another version.
+    fn turn(&mut self, now: Moment) -> Result<bool, MeasureError> {
         let mut complete = false;
         loop {
-            let (events, over) = self.connection.turn(now);
+            let (events, close_reason) = self.connection.turn(now);
             if events.is_empty() {
-                let ended = |reason| Err(DrillError::NotReady(format!("a stream ended: {reason}")));
-                return over.map_or(Ok(complete), ended);
+                let ended = |reason| Err(not_ready(format!("a stream ended: {reason}")));
+                return close_reason.map_or(Ok(complete), ended);
             }
             for event in events {
                 complete |= self.event(event)?;
@@ -92,50 +119,50 @@
         }
     }
 
-    fn event(&mut self, event: ClientEvent) -> Result<bool, DrillError> {
+    fn event(&mut self, event: ClientEvent) -> Result<bool, MeasureError> {
         match event {
             ClientEvent::Opened => {
-                for (at, (kind, prefix)) in ASKED.iter().enumerate() {
-                    let who = (at == 0).then_some(&self.who);
-                    self.connection
-                        .send(&discovery::ask(who, None, &hello(*kind, prefix)));
+                for (at, (kind, prefix)) in SUBSCRIPTIONS.iter().enumerate() {
+                    let introduction = (at == 0).then_some(&self.introduction);
+                    self.connection.send(&discovery::ask(
+                        introduction,
+                        None,
+                        &subscribe(*kind, prefix),
+                    ));
                 }
                 Ok(false)
             }
-            ClientEvent::Message { bytes } => {
-                let told = discovery::read_told(&bytes);
-                let told = told.map_err(|error| DrillError::NotReady(error.to_string()))?;
-                self.bytes += bytes.len() as u64;
-                if told.kind == Kind::Lines {
-                    self.lines += (told.delta.changed.len() + told.delta.removed.len()) as u64;
-                }
-                let complete = told.kind == Kind::Routes;
-                self.complete += u64::from(complete);
-                let mode = Mode::Delta {
-                    subscribe: vec![],
-                    unsubscribe: vec![],
-                    holds: BTreeMap::new(),
-                };
-                let ask = Ask {
-                    kind: told.kind,
-                    nonce: told.nonce,
-                    error: None,
-                    mode,
-                };
-                self.connection.send(&discovery::ask(None, None, &ask));
-                Ok(complete)
-            }
+            ClientEvent::Message { bytes } => self.handle_message(&bytes),
+        }
+    }
+
+    /// Counts and acknowledges a response; `true` if it is the last of its version.
+    fn handle_message(&mut self, bytes: &[u8]) -> Result<bool, MeasureError> {
+        let response = discovery::read_told(bytes).map_err(not_ready)?;
+        self.bytes += bytes.len() as u64;
+        if response.kind == Kind::Lines {
+            let delta = &response.delta;
+            self.entries += (delta.changed.len() + delta.removed.len()) as u64;
         }
+        let acknowledgement = Ask {
+            kind: response.kind,
+            nonce: response.nonce,
+            error: None,
+            mode: delta_request(Vec::new()),
+        };
+        self.connection
+            .send(&discovery::ask(None, None, &acknowledgement));
+        Ok(response.kind == Kind::Routes)
     }
 }
 
 /// Lets streams go on until `until`, or until `done` says so of one that has another version.
 fn turn(
     poll: &mut Poll,
-    peers: &mut [Peer],
+    clients: &mut [StreamClient],
     until: Moment,
     mut done: impl FnMut(usize, Moment) -> bool,
-) -> Result<(), DrillError> {
+) -> Result<(), MeasureError> {
     let mut ready = Vec::new();
     loop {
         let now = reactor::now();
@@ -145,36 +172,40 @@
         for ready in ready.drain(..) {
             let number = ready.token.0 as usize;
             let now = reactor::now();
-            if peers[number].turn(now)? && done(number, now) {
+            if clients[number].turn(now)? && done(number, now) {
                 return Ok(());
             }
         }
     }
 }
 
+/// Starts a controller of that size and changes its endpoint list once a second.
 pub fn measure(
     program: &Path,
     nodes: usize,
     streams: usize,
     rounds: u32,
-) -> Result<Measured, DrillError> {
-    let mut bench = Bench::new(nodes)?;
-    bench.start(program, |listen| {
-        file(listen, streams)
-            .replace(
-                "list: nodes.json",
-                "list: nodes.json, connections_at_most: 20000",
-            )
-            .replace(
-                "delay_at_most: 500ms",
-                "delay_at_most: 500ms, messages_at_most: 60",
-            )
-            .replace(
-                "deployment:",
-                "deployment:\n  fronts: {files: false, streams: true}",
-            )
-    })?;
-    go(&bench, nodes, streams, rounds)
+) -> Result<Measured, MeasureError> {
+    let mut controller = ControllerProcess::new(nodes)?;
+    controller.start(program, |listen| streams_file(listen, streams))?;
+    measure_running(&controller, nodes, streams, rounds)
+}
+
+/// The configuration of a controller that publishes by streams only.
+fn streams_file(listen: &str, streams: usize) -> String {
+    controller_file(listen, streams)
+        .replace(
+            "list: nodes.json",
+            "list: nodes.json, connections_at_most: 20000",
+        )
+        .replace(
+            "delay_at_most: 500ms",
+            "delay_at_most: 500ms, messages_at_most: 60",
+        )
+        .replace(
+            "deployment:",
+            "deployment:\n  fronts: {files: false, streams: true}",
+        )
 }
 
 /// Connects all at once; how long until each has tables, in milliseconds.
@@ -182,107 +213,144 @@
     poll: &mut Poll,
     listen: ([u8; 4], u16),
     streams: usize,
-) -> Result<(Vec<Peer>, f64), DrillError> {
-    let mut peers = Vec::new();
+) -> Result<(Vec<StreamClient>, f64), MeasureError> {
+    let mut clients = Vec::new();
     let begin = reactor::now();
     for number in 0..streams {
         let socket = reactor::connect(listen.0, listen.1).map_err(io("a stream"))?;
         poll.add(&socket, Token(number as u64), Interest::Edges)
             .map_err(io("a stream"))?;
-        let connection = ClientConnection::new(begin, socket, discovery::DELTA, Limits::default());
-        let zone = ["a", "b", "c"][number % 3].to_string();
-        let who = Introduction {
-            name: name(number),
-            zone,
-            usual_rate: None,
-        };
-        peers.push(Peer {
-            connection,
-            who,
+        clients.push(StreamClient {
+            connection: ClientConnection::new(begin, socket, discovery::DELTA, Limits::default()),
+            introduction: introduction(number),
             bytes: 0,
-            lines: 0,
-            complete: 0,
+            entries: 0,
         });
     }
-    let mut first = BTreeSet::new();
-    let mut last = begin;
-    turn(
-        poll,
-        &mut peers,
-        begin + Span::from_seconds(60.0),
-        |number, at| {
-            if first.insert(number) {
-                last = at;
-            }
-            first.len() == streams
-        },
-    )?;
-    if first.len() < streams {
-        return Err(DrillError::NotReady(format!(
-            "{} of {streams} clients got tables",
-            first.len()
-        )));
+    let mut first = FirstTables::since(begin);
+    turn(poll, &mut clients, begin + JOIN_TIMEOUT, |number, at| {
+        first.record(number, at) == streams
+    })?;
+    Ok((clients, first.all_joined_ms(streams, "clients")?))
+}
+
+/// What the clients received so far, each on average.
+fn mean_traffic(clients: &[StreamClient]) -> Traffic {
+    let mean = |of: fn(&StreamClient) -> u64| {
+        clients.iter().map(of).sum::<u64>() as f64 / clients.len() as f64
+    };
+    Traffic {
+        bytes: mean(|client| client.bytes),
+        entries: mean(|client| client.entries),
     }
-    Ok((peers, (last - begin).seconds() * 1e3))
 }
 
-fn go(bench: &Bench, nodes: usize, streams: usize, rounds: u32) -> Result<Measured, DrillError> {
-    let seconds = Span::from_seconds;
-    let (pid, listen) = (bench.pid(), bench.listen());
-    let empty = memory_of(pid);
-    let mut poll = Poll::new().map_err(io("epoll"))?;
-    let (mut peers, all_joined_ms) = join(&mut poll, listen, streams)?;
-    let count = |peers: &[Peer]| {
-        let sum = |of: fn(&Peer) -> u64| peers.iter().map(of).sum::<u64>() as f64 / streams as f64;
-        (sum(|peer| peer.bytes), sum(|peer| peer.lines))
+/// How long the clients take to hold a change.
+struct ChangeLatencies {
+    all: Latencies,
+    slowest_seconds: f64,
+}
+
+/// Changes the endpoint list once a second.
+fn change_list(
+    controller: &ControllerProcess,
+    poll: &mut Poll,
+    clients: &mut [StreamClient],
+    nodes: usize,
+    rounds: u32,
+) -> Result<ChangeLatencies, MeasureError> {
+    let mut latencies = ChangeLatencies {
+        all: Latencies::new()?,
+        slowest_seconds: 0.0,
     };
-    let whole = count(&peers);
-    turn(
-        &mut poll,
-        &mut peers,
-        reactor::now() + seconds(3.0),
-        |_, _| false,
-    )?;
-    let settled = count(&peers);
-    let mut times =
-        Histogram::<u64>::new(3).map_err(|error| DrillError::NotReady(error.to_string()))?;
-    let (mut slowest, cpu_before, since) = (0.0f64, cpu_of(pid), reactor::now());
     for round in 0..rounds {
-        // One node drains and the one before it comes back: lines of every table change.
         let at = reactor::now();
-        bench.swap_list(
-            u64::from(round) + 2,
-            &BTreeSet::from([(round as usize * 7) % nodes]),
-        )?;
+        controller.swap_list(u64::from(round) + 2, &draining_in_round(round, nodes))?;
         let mut seen = BTreeSet::new();
-        turn(&mut poll, &mut peers, at + seconds(1.0), |number, now| {
+        turn(poll, clients, at + ROUND_TIME, |number, now| {
             if seen.insert(number) {
-                let _ = times.record((now - at).micros().max(1) as u64);
-                slowest = slowest.max((now - at).seconds());
+                latencies.all.record(now - at);
+                latencies.slowest_seconds = latencies.slowest_seconds.max((now - at).seconds());
             }
             false
         })?;
     }
-    let spent = (reactor::now() - since).seconds();
-    let changed = count(&peers);
-    let memory_kib = (memory_of(pid) - empty) / streams as f64;
-    // All lose their streams at once and come again, saying nothing of what they hold.
-    drop(peers);
+    Ok(latencies)
+}
+
+fn measure_running(
+    controller: &ControllerProcess,
+    nodes: usize,
+    streams: usize,
+    rounds: u32,
+) -> Result<Measured, MeasureError> {
+    let (pid, listen) = (controller.pid(), controller.listen());
+    let kib_before = resident_kib(pid);
+    let mut poll = Poll::new().map_err(io("epoll"))?;
+    let (mut clients, all_joined_ms) = join(&mut poll, listen, streams)?;
+    let first_tables = mean_traffic(&clients);
+    let settled_at = reactor::now() + SETTLE_TIME;
+    turn(&mut poll, &mut clients, settled_at, |_, _| false)?;
+    let settled = mean_traffic(&clients);
+    let cpu = CpuMeter::start(pid);
+    let latencies = change_list(controller, &mut poll, &mut clients, nodes, rounds)?;
+    let seconds = cpu.elapsed_seconds();
+    let changed = mean_traffic(&clients);
+    let memory_kib = (resident_kib(pid) - kib_before) / streams as f64;
+    // All lose their streams at once and join again, without versions that they hold.
+    drop(clients);
     let (_, all_again_ms) = join(&mut poll, listen, streams)?;
-    let each = |from: f64, to: f64| (to - from) / f64::from(rounds.max(1));
+    let per_change = |from: f64, to: f64| (to - from) / f64::from(rounds.max(1));
     Ok(Measured {
-        nodes,
-        streams,
-        list_to_held_ms_p50: times.value_at_quantile(0.5) as f64 / 1e3,
-        list_to_held_ms_p99: times.value_at_quantile(0.99) as f64 / 1e3,
-        list_to_all_ms: slowest * 1e3,
+        list_to_held_ms_p50: latencies.all.milliseconds_at(0.5),
+        list_to_held_ms_p99: latencies.all.milliseconds_at(0.99),
+        list_to_all_ms: latencies.slowest_seconds * 1e3,
         all_joined_ms,
         all_again_ms,
-        whole_bytes: whole.0,
-        change_bytes: each(settled.0, changed.0),
-        whole_lines: whole.1,
-        change_lines: each(settled.1, changed.1),
+        first_tables,
+        change: Traffic {
+            bytes: per_change(settled.bytes, changed.bytes),
+            entries: per_change(settled.entries, changed.entries),
+        },
         memory_kib,
-        cpu: (cpu_of(pid) - cpu_before) / spent,
+        cpu: cpu.per_second(seconds),
     })
 }
+
+/// Measures all sizes and prints them, the small ones beside proxies that read files.
+pub fn run(rounds: u32, many: usize, last: bool) -> Result<(), MeasureError> {
+    let program = program()?;
+    say!("nodes x streams: change held by p50, p99, all (ms); joined, all again (ms); bytes and lines of a first table, of a change; KiB a stream; CPU");
+    let skipped = if last { SIZES.len() + 1 } else { 0 };
+    let sizes = SIZES.into_iter().chain([(20, 1000), (20, many)]);
+    for (nodes, count) in sizes.skip(skipped) {
+        let measured = measure(&program, nodes, count, rounds)
+            .map_err(|error| error.at_size(nodes, count, "streams"))?;
+        say!(
+            "{nodes} x {count}: {:.0}, {:.0}, {:.0}; {:.0}, {:.0}; {:.0} and {:.0}, {:.0} and {:.1}; {:.1}; {:.2}",
+            measured.list_to_held_ms_p50,
+            measured.list_to_held_ms_p99,
+            measured.list_to_all_ms,
+            measured.all_joined_ms,
+            measured.all_again_ms,
+            measured.first_tables.bytes,
+            measured.first_tables.entries,
+            measured.change.bytes,
+            measured.change.entries,
+            measured.memory_kib,
+            measured.cpu
+        );
+        if count <= FILE_PROXIES_AT_MOST {
+            let files = controller::measure(&program, nodes, count, rounds)
+                .map_err(|error| error.at_size(nodes, count, "proxies"))?;
+            say!(
+                "  files: {:.0}, {:.0}; {:.0}; CPU with sums {:.2}",
+                files.list_to_link_ms_p50,
+                files.list_to_link_ms_p99,
+                files.all_joined_ms,
+                files.cpu
+            );
+        }
+    }
+    Ok(())
+}
