--- a/crates/controller/src/admin.rs
+++ b/crates/controller/src/admin.rs
@@ -36,6 +36,8 @@
 use wheelspread_grpc::ServerConfig;
 use wheelspread_reactor::{Interest, Poll, Token};
 
+/// Longest request that is read, and longest body.
+const BODY_LIMIT_BYTES: usize = 64 << 10;
 /// Connections open at once; more are closed.
 const CONNECTION_LIMIT: usize = 64;
 /// Time for a request to come and its answer to be read.
--- a/crates/controller/src/admin/api_error.rs
+++ b/crates/controller/src/admin/api_error.rs
@@ -1,6 +1,6 @@
 //! Why a request is not served, with the HTTP status that says so.
 
-use super::request::BODY_LIMIT_BYTES;
+use super::BODY_LIMIT_BYTES;
 use crate::drains::DrainAnswerError;
 use wheelspread_controller_core::rollback::RollbackError;
 use wheelspread_http1::BadMessage;
--- a/crates/controller/src/admin/connection.rs
+++ b/crates/controller/src/admin/connection.rs
@@ -1,7 +1,8 @@
 //! One connection of an operator: bytes in, one request, bytes out.
 
 use super::api_error::{ApiError, HttpStatus};
-use super::request::{AdminRequest, BODY_LIMIT_BYTES};
+use super::request::AdminRequest;
+use super::BODY_LIMIT_BYTES;
 use serde_json::{json, Value};
 use std::io::{self, ErrorKind, Read, Write};
 use std::os::fd::{AsFd, BorrowedFd};
--- a/crates/controller/src/admin/request.rs
+++ b/crates/controller/src/admin/request.rs
@@ -1,13 +1,11 @@
 //! Parsing of an operator's request.
 
 use super::api_error::ApiError;
+use super::BODY_LIMIT_BYTES;
 use serde::Deserialize;
 use std::ops::Range;
 use wheelspread_http1::{request, Framing, Limits};
 
-/// Longest request that is read, and longest body.
-pub const BODY_LIMIT_BYTES: usize = 64 << 10;
-
 /// A complete request.
 pub struct AdminRequest {
     /// The method, as `GET`.
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -16,6 +16,7 @@
 mod table_files;
 mod table_stream;
 mod tls;
+mod token;
 mod upstream;
 mod upstream_pool;
 
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -8,17 +8,15 @@
 mod client_side;
 mod maintenance;
 mod tables;
-mod token;
 mod upstream_side;
 
-pub(crate) use token::{is_upstream_token, Source, TokenSpace};
-
 use crate::client::Client;
 use crate::config::{ProxyConfig, TableSource};
 use crate::observer::RequestObserver;
 use crate::report_stream::ReportStream;
 use crate::table_files::TableFiles;
 use crate::table_stream::TableStream;
+use crate::token::{Source, TokenSpace};
 use crate::upstream_pool::{PoolConfig, UpstreamPool};
 use slab::Slab;
 use std::io;
--- a/crates/proxy/src/proxy/client_side.rs
+++ b/crates/proxy/src/proxy/client_side.rs
@@ -1,11 +1,11 @@
 //! The client side: connections are accepted, requests are read whole and handed to the core.
 
-use super::token::Source;
 use super::Proxy;
 use crate::client::{Client, PendingRequest, Stage, MAX_UNSENT_RESPONSE_BYTES, READ_AHEAD_BYTES};
 use crate::connection::ConnectionState;
 use crate::http::{self, LocalResponse, LocalStatus};
 use crate::observer::{RequestObserver, RequestOutcome};
+use crate::token::Source;
 use crate::upstream::UpstreamConnection;
 use std::rc::Rc;
 use wheelspread::time::Moment;
--- a/crates/proxy/src/proxy/tables.rs
+++ b/crates/proxy/src/proxy/tables.rs
@@ -1,10 +1,10 @@
 //! Tables and controllers: what the report stream, the table stream and the table files tell the proxy.
 
-use super::token::Source;
 use super::Proxy;
 use crate::observer::RequestObserver;
 use crate::report_stream::ReportStreamEvent;
 use crate::table_files::TableUpdate;
+use crate::token::Source;
 use wheelspread::time::Moment;
 use wheelspread_controller_core::TableEntry;
 use wheelspread_files::Held;
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -1,6 +1,6 @@
 //! The event loop of one proxy.
 
-use crate::proxy::is_upstream_token;
+use crate::token::is_upstream_token;
 use crate::{Proxy, ProxyConfig, RequestObserver};
 use std::io;
 use tracing::info;
--- a/crates/proxy/src/upstream_pool.rs
+++ b/crates/proxy/src/upstream_pool.rs
@@ -1,7 +1,7 @@
 //! The pool of connections to nodes: idle ones are used again, new ones are opened up to a limit for each node.
 
 use crate::connection::ConnectionState;
-use crate::proxy::{Source, TokenSpace};
+use crate::token::{Source, TokenSpace};
 use crate::upstream::{Attempt, UpstreamConnection, UpstreamResponse};
 use slab::Slab;
 use std::collections::{BTreeMap, BTreeSet};
