--- /dev/null
+++ b/crates/http1/src/body/tests.rs
@@ -0,0 +1,65 @@
+use super::*;
+use proptest::prelude::*;
+use test_case::test_case;
+
+#[test_case("5\r\nhello\r\n0\r\n\r\n", 5; "one chunk")]
+#[test_case("5;name=value\r\nhello\r\n00\r\nX: y\r\nZ: 1\r\n\r\n", 5; "extensions and trailers")]
+#[test_case("A\r\n0123456789\r\n1\r\nx\r\n0\r\n\r\n", 11; "hexadecimal")]
+#[test_case("0\r\n\r\n", 0; "nothing")]
+fn chunks_are_followed_to_their_end(text: &str, carries: u64) {
+    for cut in 1..=text.len() {
+        let with_next = format!("{text}GET / HTTP/1.1");
+        let (mut body, mut taken) = (Body::new(Framing::Chunked), 0);
+        let (mut reading, mut carried) = (body, Vec::new());
+        while !body.done() {
+            let end = (taken + cut).min(with_next.len());
+            let some = &with_next.as_bytes()[taken..end];
+            taken += body.take(some).expect("fine");
+            reading.read(some, &mut carried).expect("fine");
+        }
+        assert_eq!(
+            (taken, carried.len() as u64),
+            (text.len(), carries),
+            "cut by {cut}"
+        );
+    }
+}
+
+#[test_case("\r\n", BadMessage::ChunkSize; "no size")]
+#[test_case("5\nhello", BadMessage::ChunkSize; "a bare line feed")]
+#[test_case("-5\r\n", BadMessage::ChunkSize; "a sign")]
+#[test_case("0x5\r\n", BadMessage::ChunkSize; "a prefix")]
+#[test_case("1000000000000000\r\n", BadMessage::ChunkSize; "a size that overflows")]
+#[test_case("5 \r\nhello", BadMessage::ChunkSize; "a space")]
+#[test_case("5\r\nhello!\r\n", BadMessage::ChunkEnd; "longer than it says")]
+#[test_case("0\r\nX: y\n\r\n", BadMessage::Trailer; "a bare line feed in the trailer")]
+fn chunks_that_could_be_read_in_two_ways_are_refused(text: &str, why: BadMessage) {
+    assert_eq!(Body::new(Framing::Chunked).take(text.as_bytes()), Err(why));
+}
+
+#[test]
+fn lengths_and_ends() {
+    let mut body = Body::new(Framing::Length(3));
+    assert_eq!(
+        (body.take(b"ab"), body.done(), body.ends_with_connection()),
+        (Ok(2), false, false)
+    );
+    assert_eq!((body.take(b"cde"), body.done()), (Ok(1), true));
+    let mut body = Body::new(Framing::UntilClose);
+    assert_eq!(
+        (
+            body.take(b"anything"),
+            body.done(),
+            body.ends_with_connection()
+        ),
+        (Ok(8), false, true)
+    );
+    assert!(Body::new(Framing::None).done());
+}
+
+proptest! {
+    #[test]
+    fn no_bytes_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+        let _ = Body::new(Framing::Chunked).take(&bytes);
+    }
+}
--- /dev/null
+++ b/crates/reactor/src/tests.rs
@@ -0,0 +1,45 @@
+use super::*;
+
+#[test]
+fn a_waker_wakes_and_time_passes() {
+    let mut poll = Poll::new().expect("epoll");
+    let waker = Waker::new(&poll, Token(7)).expect("eventfd");
+    let (before, mut ready) = (now(), Vec::new());
+    poll.wait(Span::from_seconds(0.02), &mut ready)
+        .expect("waits");
+    assert!(ready.is_empty() && now() - before >= Span::from_seconds(0.015));
+    let other = waker.clone();
+    let thread = std::thread::spawn(move || other.wake());
+    poll.wait(Span::from_seconds(10.0), &mut ready)
+        .expect("waits");
+    assert_eq!(ready.first().map(|ready| ready.token), Some(Token(7)));
+    waker.rest();
+    poll.wait(Span::ZERO, &mut ready).expect("waits");
+    assert!(ready.is_empty(), "it was seen");
+    thread.join().expect("it ends");
+}
+
+#[test]
+fn a_connection_that_nobody_takes_fails_and_one_that_is_taken_is_writable() {
+    let listener = listen(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0)).expect("listens");
+    let port = listener.local_addr().expect("bound").port();
+    let mut poll = Poll::new().expect("epoll");
+    let mut ready = Vec::new();
+    let stream = connect([127, 0, 0, 1], port).expect("begins");
+    poll.add(&stream, Token(1), Interest::Edges)
+        .expect("registers");
+    poll.wait(Span::from_seconds(5.0), &mut ready)
+        .expect("waits");
+    assert!(ready[0].writable && !ready[0].closed);
+    assert_eq!(accept(&listener).0.len(), 1);
+    drop(listener);
+    let failing = connect([127, 0, 0, 1], port).expect("begins");
+    poll.remove(&stream).expect("was registered");
+    poll.add(&failing, Token(2), Interest::Edges)
+        .expect("registers");
+    poll.wait(Span::from_seconds(5.0), &mut ready)
+        .expect("waits");
+    assert!(ready
+        .iter()
+        .any(|ready| ready.token == Token(2) && ready.closed));
+}
--- /dev/null
+++ b/crates/solve/src/robust/tests.rs
@@ -0,0 +1,83 @@
+use super::*;
+use crate::fleet::{Gateway, HostState, Operation};
+
+fn fleet(demand: f64) -> Fleet {
+    let host = |id: &str, capacity| Host {
+        id: id.into(),
+        zone: "a".into(),
+        capacity,
+        state: HostState::Ready,
+        price: 0.0,
+        load_at_most: None,
+        kind: String::new(),
+    };
+    Fleet {
+        hosts: vec![host("fast", 6.0), host("s1", 2.0), host("s2", 2.0)],
+        gateways: vec![Gateway {
+            id: "g".into(),
+            zone: "a".into(),
+            demand: BTreeMap::from([("quote".to_string(), demand)]),
+        }],
+        operations: vec![Operation {
+            name: "quote".into(),
+            billed_value: 2.0,
+            work: 0.1,
+            holds: None,
+            stays_in_zone: false,
+            least_share: 0.0,
+        }],
+        cross_zone_price: 0.0,
+        connection_price: 0.0,
+        crossing_seconds: 0.0,
+        fill_at_most: 0.8,
+        cold_share: 0.2,
+        steps: vec![(0.6, 0.0), (1.0, 0.01)],
+        standing: BTreeMap::new(),
+        change_price: 0.0,
+    }
+}
+
+const HALF: Wrong = Wrong {
+    least: 0.5,
+    most: 2.0,
+};
+
+#[test]
+fn with_little_to_do_nothing_is_lost_though_all_capacities_are_half() {
+    let fleet = fleet(30.0);
+    let solution = solve(&fleet, &mut || false).expect("solved");
+    let worst = guaranteed(&fleet, &solution, HALF);
+    assert!((worst.value_per_s - 60.0).abs() < 1e-9 && worst.overrun.is_empty());
+}
+
+#[test]
+fn a_kind_that_does_half_loses_half_of_what_it_was_given_and_is_named() {
+    let fleet = fleet(80.0);
+    let solution = solve(&fleet, &mut || false).expect("solved");
+    let told = served(&fleet, &solution, &|host| {
+        if host.id == "fast" {
+            0.5
+        } else {
+            1.0
+        }
+    });
+    assert_eq!(told.overrun.len(), 1);
+    assert!((told.overrun[0].1 - 2.0).abs() < 1e-6 && told.overrun[0].0 == "fast");
+    assert!(
+        (told.value_per_s - (160.0 - 48.0)).abs() < 1e-6,
+        "{}",
+        told.value_per_s
+    );
+}
+
+#[test]
+fn a_hedge_serves_no_less_in_the_worst_case_and_holds_nothing_back_for_nothing() {
+    for demand in [10.0, 40.0, 70.0, 200.0] {
+        let fleet = fleet(demand);
+        let plain = solve(&fleet, &mut || false).expect("solved");
+        let (hedged, part) = hedge(&fleet, HALF, &mut || false).expect("solved");
+        let worst = |solution: &Solution| guaranteed(&fleet, solution, HALF).value_per_s;
+        assert!(worst(&hedged) >= worst(&plain) - 1e-9, "{demand}");
+        assert!(demand > 30.0 || part == 1.0, "{demand}: {part}");
+    }
+}
