--- a/crates/config-transaction/src/checks/finding.rs
+++ b/crates/config-transaction/src/checks/finding.rs
@@ -40,7 +40,7 @@
     /// No zone would be without a host for what it asks for.
     EveryZoneHasHosts,
     /// The solver finds no weights for the fleet afterwards.
-    NoSolution(wheelspread_solve::Refused),
+    NoSolution(wheelspread_solve::SolveError),
     /// The solver finds weights only for the fleet afterwards.
     NothingServedNow {
         /// Value a second afterwards.
--- a/crates/controller/src/service.rs
+++ b/crates/controller/src/service.rs
@@ -24,7 +24,7 @@
 use wheelspread_controller_core::{ControllerCore, Effect, LogEvent, Observation};
 use wheelspread_faults::failpoint;
 use wheelspread_files::{read, scan, Done, Job, Root, Writer};
-use wheelspread_grpc::tls::{BadKeys, KeyFiles};
+use wheelspread_grpc::tls::{KeyError, KeyFiles};
 use wheelspread_grpc::{ServerConfig, Status};
 use wheelspread_reactor::{
     self as reactor, Interest, Moved, Poll, Readiness, Signals, Token, Waker, Watcher,
@@ -55,7 +55,7 @@
     #[error(transparent)]
     State(#[from] wheelspread_store::StoreError),
     #[error("tls: {0}")]
-    Keys(BadKeys),
+    Keys(KeyError),
     #[error(transparent)]
     Core(#[from] wheelspread_controller_core::StartError),
 }
@@ -387,7 +387,7 @@
                 self.changes_at = Some(now);
             }
             SIGNALS => {
-                for signal in self.signals.came() {
+                for signal in self.signals.received() {
                     match signal {
                         reactor::RELOAD => self.reload(now),
                         _ => return Ok(true),
@@ -516,7 +516,7 @@
     }
 
     /// Takes in keys that were swapped. Those that do not fit together are left, and looked at again.
-    fn renew_keys(&mut self) -> Result<(), BadKeys> {
+    fn renew_keys(&mut self) -> Result<(), KeyError> {
         if let Some(plan) = &self.file.administration {
             let read = contents(&[
                 Some(&plan.certificate),
@@ -684,7 +684,7 @@
         .collect()
 }
 
-fn administration_keys(plan: &AdministrationPlan) -> Result<Arc<ServerConfig>, BadKeys> {
+fn administration_keys(plan: &AdministrationPlan) -> Result<Arc<ServerConfig>, KeyError> {
     let keys = KeyFiles {
         certificate: plan.certificate.clone(),
         key: plan.key.clone(),
--- a/crates/fleet/src/file.rs
+++ b/crates/fleet/src/file.rs
@@ -64,7 +64,7 @@
 }
 
 #[derive(Debug, thiserror::Error)]
-pub enum BadFleet {
+pub enum FleetError {
     #[error("{path}: {text}", path = .path.display())]
     File { path: PathBuf, text: String },
     #[error("{}", .0.join("\n"))]
@@ -84,8 +84,8 @@
 const STACK: usize = 256 << 10;
 
 impl FleetFile {
-    pub fn read(path: &Path) -> Result<FleetFile, BadFleet> {
-        let bad = |text: String| BadFleet::File {
+    pub fn read(path: &Path) -> Result<FleetFile, FleetError> {
+        let bad = |text: String| FleetError::File {
             path: path.to_path_buf(),
             text,
         };
@@ -106,7 +106,7 @@
     }
 
     /// Checks the whole and looks through the directory of roots.
-    pub fn open(&self) -> Result<Fleet, BadFleet> {
+    pub fn open(&self) -> Result<Fleet, FleetError> {
         let (mut conductors, mut flaws) = (BTreeMap::new(), Vec::new());
         let secured = match &self.tls {
             None => None,
@@ -184,7 +184,7 @@
             flaws.push("within: should lie between 50ms and 10m".to_string());
         }
         if !flaws.is_empty() {
-            return Err(BadFleet::Flaws(flaws));
+            return Err(FleetError::Flaws(flaws));
         }
         let within = Duration::from_secs_f64(within);
         Ok(Fleet {
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -8,5 +8,5 @@
 mod order;
 
 pub use call::{call, Failed, Line, Request, Secured};
-pub use file::{BadFleet, Fleet, FleetFile, Place};
+pub use file::{Fleet, FleetError, FleetFile, Place};
 pub use order::{drain_order, Ordered};
--- a/crates/grpc/src/frame.rs
+++ b/crates/grpc/src/frame.rs
@@ -6,7 +6,7 @@
 pub const LONGEST_MESSAGE: usize = 4 << 20;
 
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum BadFrame {
+pub enum FrameError {
     #[error("a message of {length} bytes, {most} at most are taken")]
     TooLong { length: usize, most: usize },
     #[error("a compressed message, compression was not agreed on")]
@@ -46,18 +46,18 @@
     }
 
     /// The next whole message. A length that is too long is refused as soon as it is known.
-    pub fn take_message(&mut self) -> Result<Option<Bytes>, BadFrame> {
+    pub fn take_message(&mut self) -> Result<Option<Bytes>, FrameError> {
         let Some(head) = self.buffer.first_chunk::<HEAD>() else {
             return Ok(None);
         };
         match head[0] {
             0 => {}
-            1 => return Err(BadFrame::Compressed),
-            other => return Err(BadFrame::Flag(other)),
+            1 => return Err(FrameError::Compressed),
+            other => return Err(FrameError::Flag(other)),
         }
         let length = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize;
         if length > self.most {
-            return Err(BadFrame::TooLong {
+            return Err(FrameError::TooLong {
                 length,
                 most: self.most,
             });
--- a/crates/grpc/src/frame/tests.rs
+++ b/crates/grpc/src/frame/tests.rs
@@ -35,7 +35,7 @@
     deframer.push(&[0, 0x06, 0x40, 0, 0]);
     assert_eq!(
         deframer.take_message(),
-        Err(BadFrame::TooLong {
+        Err(FrameError::TooLong {
             length: 100 << 20,
             most: 1000
         })
--- a/crates/grpc/src/tls.rs
+++ b/crates/grpc/src/tls.rs
@@ -16,7 +16,7 @@
 }
 
 #[derive(Debug, thiserror::Error)]
-pub enum BadKeys {
+pub enum KeyError {
     #[error("{path}: {text}", path = .path.display())]
     File { path: PathBuf, text: String },
     #[error("the certificate and its key: {0}")]
@@ -29,20 +29,20 @@
 const HTTP2: &[u8] = b"h2";
 const HTTP1: &[u8] = b"http/1.1";
 
-fn file(path: &Path) -> impl Fn(rustls::pki_types::pem::Error) -> BadKeys + '_ {
-    |error| BadKeys::File {
+fn file(path: &Path) -> impl Fn(rustls::pki_types::pem::Error) -> KeyError + '_ {
+    |error| KeyError::File {
         path: path.to_path_buf(),
         text: error.to_string(),
     }
 }
 
-fn certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>, BadKeys> {
+fn certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>, KeyError> {
     let found: Result<Vec<_>, _> = CertificateDer::pem_file_iter(path)
         .map_err(file(path))?
         .collect();
     let found = found.map_err(file(path))?;
     if found.is_empty() {
-        return Err(BadKeys::File {
+        return Err(KeyError::File {
             path: path.to_path_buf(),
             text: "no certificate".to_string(),
         });
@@ -50,12 +50,12 @@
     Ok(found)
 }
 
-fn roots(path: &Path) -> Result<RootCertStore, BadKeys> {
+fn roots(path: &Path) -> Result<RootCertStore, KeyError> {
     let mut store = RootCertStore::empty();
     for certificate in certificates(path)? {
         store
             .add(certificate)
-            .map_err(|error| BadKeys::Roots(error.to_string()))?;
+            .map_err(|error| KeyError::Roots(error.to_string()))?;
     }
     Ok(store)
 }
@@ -65,10 +65,10 @@
 }
 
 /// For the side that is called. With `clients`, only those with a certificate under these roots are served.
-pub fn server(keys: &KeyFiles, clients: Option<&Path>) -> Result<Arc<ServerConfig>, BadKeys> {
+pub fn server(keys: &KeyFiles, clients: Option<&Path>) -> Result<Arc<ServerConfig>, KeyError> {
     let builder =
         ServerConfig::builder_with_provider(provider()).with_safe_default_protocol_versions();
-    let builder = builder.map_err(BadKeys::Pair)?;
+    let builder = builder.map_err(KeyError::Pair)?;
     let builder = match clients {
         None => builder.with_no_client_auth(),
         Some(path) => {
@@ -77,37 +77,37 @@
             builder.with_client_cert_verifier(
                 verifier
                     .build()
-                    .map_err(|e| BadKeys::Roots(e.to_string()))?,
+                    .map_err(|e| KeyError::Roots(e.to_string()))?,
             )
         }
     };
     let key = PrivateKeyDer::from_pem_file(&keys.key).map_err(file(&keys.key))?;
     let made = builder.with_single_cert(certificates(&keys.certificate)?, key);
-    let mut made = made.map_err(BadKeys::Pair)?;
+    let mut made = made.map_err(KeyError::Pair)?;
     made.alpn_protocols = vec![HTTP2.to_vec()];
     Ok(Arc::new(made))
 }
 
 /// The same for callers that speak HTTP/1.1.
-pub fn plain_server(keys: &KeyFiles, clients: &Path) -> Result<Arc<ServerConfig>, BadKeys> {
+pub fn plain_server(keys: &KeyFiles, clients: &Path) -> Result<Arc<ServerConfig>, KeyError> {
     let mut made = ServerConfig::clone(&*server(keys, Some(clients))?);
     made.alpn_protocols = vec![HTTP1.to_vec()];
     Ok(Arc::new(made))
 }
 
 /// For the side that calls and speaks HTTP/1.1.
-pub fn plain_client(servers: &Path, keys: &KeyFiles) -> Result<Arc<ClientConfig>, BadKeys> {
+pub fn plain_client(servers: &Path, keys: &KeyFiles) -> Result<Arc<ClientConfig>, KeyError> {
     let mut made = ClientConfig::clone(&*client(servers, Some(keys))?);
     made.alpn_protocols = vec![HTTP1.to_vec()];
     Ok(Arc::new(made))
 }
 
 /// For the side that calls: whom it believes, and by what it names itself.
-pub fn client(servers: &Path, keys: Option<&KeyFiles>) -> Result<Arc<ClientConfig>, BadKeys> {
+pub fn client(servers: &Path, keys: Option<&KeyFiles>) -> Result<Arc<ClientConfig>, KeyError> {
     let builder =
         ClientConfig::builder_with_provider(provider()).with_safe_default_protocol_versions();
     let builder = builder
-        .map_err(BadKeys::Pair)?
+        .map_err(KeyError::Pair)?
         .with_root_certificates(roots(servers)?);
     let mut made = match keys {
         None => builder.with_no_client_auth(),
@@ -115,7 +115,7 @@
             let key = PrivateKeyDer::from_pem_file(&keys.key).map_err(file(&keys.key))?;
             builder
                 .with_client_auth_cert(certificates(&keys.certificate)?, key)
-                .map_err(BadKeys::Pair)?
+                .map_err(KeyError::Pair)?
         }
     };
     made.alpn_protocols = vec![HTTP2.to_vec()];
--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -1,6 +1,6 @@
 //! Where a body ends.
 
-use crate::{BadMessage, Framing};
+use crate::{Framing, MessageError};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
@@ -63,12 +63,12 @@
     }
 
     /// How many of these bytes belong to the body.
-    pub fn take(&mut self, bytes: &[u8]) -> Result<usize, BadMessage> {
+    pub fn take(&mut self, bytes: &[u8]) -> Result<usize, MessageError> {
         self.follow(bytes, |_| {})
     }
 
     /// The same; what they carry, without what stands between chunks, is appended to `carried`.
-    pub fn read(&mut self, bytes: &[u8], carried: &mut Vec<u8>) -> Result<usize, BadMessage> {
+    pub fn read(&mut self, bytes: &[u8], carried: &mut Vec<u8>) -> Result<usize, MessageError> {
         self.follow(bytes, |some| carried.extend_from_slice(some))
     }
 
@@ -76,7 +76,7 @@
         &mut self,
         bytes: &[u8],
         mut carries: impl FnMut(&[u8]),
-    ) -> Result<usize, BadMessage> {
+    ) -> Result<usize, MessageError> {
         let mut at = 0;
         while at < bytes.len() && self.0 != State::Done {
             let left = (bytes.len() - at) as u64;
@@ -118,7 +118,7 @@
 }
 
 /// One byte of what stands between chunks.
-fn step(state: State, byte: u8) -> Result<State, BadMessage> {
+fn step(state: State, byte: u8) -> Result<State, MessageError> {
     Ok(match (state, byte) {
         (
             State::Size {
@@ -130,7 +130,7 @@
             _,
         ) if byte.is_ascii_hexdigit() => {
             if digits >= 15 {
-                return Err(BadMessage::ChunkSize);
+                return Err(MessageError::ChunkSize);
             }
             let digit = (byte as char).to_digit(16).unwrap_or(0);
             State::Size {
@@ -156,7 +156,7 @@
             _,
         ) if extension || byte == b';' => {
             if byte == b'\n' || seen >= LONGEST_LINE {
-                return Err(BadMessage::ChunkSize);
+                return Err(MessageError::ChunkSize);
             }
             State::Size {
                 digits,
@@ -169,7 +169,7 @@
         (State::SizeEnd(size), b'\n') => State::Chunk(size),
         (State::ChunkEnd, b'\r') => State::ChunkEndLine,
         (State::ChunkEndLine, b'\n') => SIZE,
-        (State::ChunkEnd | State::ChunkEndLine, _) => return Err(BadMessage::ChunkEnd),
+        (State::ChunkEnd | State::ChunkEndLine, _) => return Err(MessageError::ChunkEnd),
         (State::Trailer { seen, line }, b'\r') => State::TrailerEnd { seen, line },
         (State::Trailer { seen, line }, _) if byte != b'\n' && seen < LONGEST_LINE => {
             State::Trailer {
@@ -179,8 +179,8 @@
         }
         (State::TrailerEnd { line: 0, .. }, b'\n') => State::Done,
         (State::TrailerEnd { seen, .. }, b'\n') => State::Trailer { seen, line: 0 },
-        (State::Trailer { .. } | State::TrailerEnd { .. }, _) => return Err(BadMessage::Trailer),
-        _ => return Err(BadMessage::ChunkSize),
+        (State::Trailer { .. } | State::TrailerEnd { .. }, _) => return Err(MessageError::Trailer),
+        _ => return Err(MessageError::ChunkSize),
     })
 }
 
--- a/crates/http1/src/body/tests.rs
+++ b/crates/http1/src/body/tests.rs
@@ -25,15 +25,15 @@
     }
 }
 
-#[test_case("\r\n", BadMessage::ChunkSize; "no size")]
-#[test_case("5\nhello", BadMessage::ChunkSize; "a bare line feed")]
-#[test_case("-5\r\n", BadMessage::ChunkSize; "a sign")]
-#[test_case("0x5\r\n", BadMessage::ChunkSize; "a prefix")]
-#[test_case("1000000000000000\r\n", BadMessage::ChunkSize; "a size that overflows")]
-#[test_case("5 \r\nhello", BadMessage::ChunkSize; "a space")]
-#[test_case("5\r\nhello!\r\n", BadMessage::ChunkEnd; "longer than it says")]
-#[test_case("0\r\nX: y\n\r\n", BadMessage::Trailer; "a bare line feed in the trailer")]
-fn chunks_that_could_be_read_in_two_ways_are_refused(text: &str, why: BadMessage) {
+#[test_case("\r\n", MessageError::ChunkSize; "no size")]
+#[test_case("5\nhello", MessageError::ChunkSize; "a bare line feed")]
+#[test_case("-5\r\n", MessageError::ChunkSize; "a sign")]
+#[test_case("0x5\r\n", MessageError::ChunkSize; "a prefix")]
+#[test_case("1000000000000000\r\n", MessageError::ChunkSize; "a size that overflows")]
+#[test_case("5 \r\nhello", MessageError::ChunkSize; "a space")]
+#[test_case("5\r\nhello!\r\n", MessageError::ChunkEnd; "longer than it says")]
+#[test_case("0\r\nX: y\n\r\n", MessageError::Trailer; "a bare line feed in the trailer")]
+fn chunks_that_could_be_read_in_two_ways_are_refused(text: &str, why: MessageError) {
     assert_eq!(Body::new(Framing::Chunked).take(text.as_bytes()), Err(why));
 }
 
--- a/crates/http1/src/head.rs
+++ b/crates/http1/src/head.rs
@@ -1,6 +1,6 @@
 //! Reading heads.
 
-use crate::{BadMessage, Limits};
+use crate::{Limits, MessageError};
 use std::ops::Range;
 
 /// How the end of a message's body is known.
@@ -40,14 +40,14 @@
 const MOST_HEADERS: usize = 100;
 
 /// The end of the head, if it is there; every line of it must end properly.
-fn end(bytes: &[u8], limits: Limits) -> Result<Option<usize>, BadMessage> {
+fn end(bytes: &[u8], limits: Limits) -> Result<Option<usize>, MessageError> {
     let mut line = 0;
     for (at, byte) in bytes.iter().enumerate().take(limits.head) {
         if *byte != b'\n' {
             continue;
         }
         if at == 0 || bytes[at - 1] != b'\r' {
-            return Err(BadMessage::BareLineFeed);
+            return Err(MessageError::BareLineFeed);
         }
         // An empty line ends it; one before the request line is not taken for it.
         if at - 1 == line && line > 0 {
@@ -56,21 +56,21 @@
         line = at + 1;
     }
     if bytes.len() >= limits.head {
-        Err(BadMessage::HeadTooLong(limits.head))
+        Err(MessageError::HeadTooLong(limits.head))
     } else {
         Ok(None)
     }
 }
 
-fn syntax(error: httparse::Error, limits: Limits) -> BadMessage {
+fn syntax(error: httparse::Error, limits: Limits) -> MessageError {
     match error {
-        httparse::Error::TooManyHeaders => BadMessage::TooManyHeaders(limits.headers),
-        httparse::Error::HeaderName => BadMessage::Syntax("a header's name"),
-        httparse::Error::HeaderValue => BadMessage::Syntax("a header's value"),
-        httparse::Error::Token => BadMessage::Syntax("the first line"),
-        httparse::Error::Version => BadMessage::Syntax("the version"),
-        httparse::Error::Status => BadMessage::Syntax("the status"),
-        httparse::Error::NewLine => BadMessage::Syntax("a line's end"),
+        httparse::Error::TooManyHeaders => MessageError::TooManyHeaders(limits.headers),
+        httparse::Error::HeaderName => MessageError::Syntax("a header's name"),
+        httparse::Error::HeaderValue => MessageError::Syntax("a header's value"),
+        httparse::Error::Token => MessageError::Syntax("the first line"),
+        httparse::Error::Version => MessageError::Syntax("the version"),
+        httparse::Error::Status => MessageError::Syntax("the status"),
+        httparse::Error::NewLine => MessageError::Syntax("a line's end"),
     }
 }
 
@@ -94,7 +94,7 @@
     hosts: usize,
 }
 
-fn said(headers: &[httparse::Header]) -> Result<Said, BadMessage> {
+fn said(headers: &[httparse::Header]) -> Result<Said, MessageError> {
     let mut said = Said {
         length: None,
         chunked: false,
@@ -108,20 +108,20 @@
         if name.eq_ignore_ascii_case("content-length") {
             // Also a list of equal lengths is two: others read it otherwise.
             if said.length.is_some() {
-                return Err(BadMessage::TwoLengths);
+                return Err(MessageError::TwoLengths);
             }
             let digits =
                 !value.is_empty() && value.len() <= 18 && value.iter().all(u8::is_ascii_digit);
-            let text = std::str::from_utf8(value).map_err(|_| BadMessage::BadLength)?;
+            let text = std::str::from_utf8(value).map_err(|_| MessageError::BadLength)?;
             said.length = Some(
                 text.parse()
                     .ok()
                     .filter(|_| digits)
-                    .ok_or(BadMessage::BadLength)?,
+                    .ok_or(MessageError::BadLength)?,
             );
         } else if name.eq_ignore_ascii_case("transfer-encoding") {
             if said.chunked || !value.eq_ignore_ascii_case(b"chunked") {
-                return Err(BadMessage::Coding);
+                return Err(MessageError::Coding);
             }
             said.chunked = true;
         } else if name.eq_ignore_ascii_case("connection") {
@@ -137,13 +137,13 @@
         }
     }
     if said.chunked && said.length.is_some() {
-        return Err(BadMessage::LengthAndChunked);
+        return Err(MessageError::LengthAndChunked);
     }
     Ok(said)
 }
 
 /// Reads a request's head; `None` while it is not whole.
-pub fn request(bytes: &[u8], limits: Limits) -> Result<Option<Request>, BadMessage> {
+pub fn request(bytes: &[u8], limits: Limits) -> Result<Option<Request>, MessageError> {
     let Some(length) = end(bytes, limits)? else {
         return Ok(None);
     };
@@ -153,19 +153,19 @@
     let mut parsed = httparse::Request::new(headers);
     match parsed.parse(head) {
         Ok(httparse::Status::Complete(read)) if read == length => {}
-        Ok(_) => return Err(BadMessage::Syntax("a line's end")),
+        Ok(_) => return Err(MessageError::Syntax("a line's end")),
         Err(error) => return Err(syntax(error, limits)),
     }
     let (Some(method), Some(target), Some(version)) = (parsed.method, parsed.path, parsed.version)
     else {
-        return Err(BadMessage::Syntax("the first line"));
+        return Err(MessageError::Syntax("the first line"));
     };
     let said = said(parsed.headers)?;
     if version == 1 && said.hosts != 1 || said.hosts > 1 {
-        return Err(BadMessage::Host);
+        return Err(MessageError::Host);
     }
     if version == 0 && said.chunked {
-        return Err(BadMessage::ChunkedInOld);
+        return Err(MessageError::ChunkedInOld);
     }
     let framing = match (said.chunked, said.length) {
         (true, _) => Framing::Chunked,
@@ -197,7 +197,7 @@
     bytes: &[u8],
     to_head: bool,
     limits: Limits,
-) -> Result<Option<Response>, BadMessage> {
+) -> Result<Option<Response>, MessageError> {
     let Some(length) = end(bytes, limits)? else {
         return Ok(None);
     };
@@ -207,11 +207,11 @@
     let mut parsed = httparse::Response::new(headers);
     match parsed.parse(head) {
         Ok(httparse::Status::Complete(read)) if read == length => {}
-        Ok(_) => return Err(BadMessage::Syntax("a line's end")),
+        Ok(_) => return Err(MessageError::Syntax("a line's end")),
         Err(error) => return Err(syntax(error, limits)),
     }
     let (Some(status), Some(version)) = (parsed.code, parsed.version) else {
-        return Err(BadMessage::Syntax("the first line"));
+        return Err(MessageError::Syntax("the first line"));
     };
     let said = said(parsed.headers)?;
     let bodiless = to_head || status / 100 == 1 || status == 204 || status == 304;
--- a/crates/http1/src/head/tests.rs
+++ b/crates/http1/src/head/tests.rs
@@ -2,7 +2,7 @@
 use proptest::prelude::*;
 use test_case::test_case;
 
-fn read(text: &str) -> Result<Option<Request>, BadMessage> {
+fn read(text: &str) -> Result<Option<Request>, MessageError> {
     request(text.as_bytes(), Limits::default())
 }
 
@@ -26,21 +26,21 @@
 }
 
 #[test_case("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n",
-    BadMessage::LengthAndChunked; "both framings")]
+    MessageError::LengthAndChunked; "both framings")]
 #[test_case("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nContent-Length: 5\r\n\r\n",
-    BadMessage::TwoLengths; "two lengths, though equal")]
-#[test_case("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 5, 5\r\n\r\n", BadMessage::BadLength; "a list of lengths")]
-#[test_case("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: +5\r\n\r\n", BadMessage::BadLength; "a signed length")]
-#[test_case("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", BadMessage::Coding; "another coding")]
-#[test_case("POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n", BadMessage::ChunkedInOld; "chunked in 1.0")]
-#[test_case("GET / HTTP/1.1\nHost: a\n\n", BadMessage::BareLineFeed; "bare line feeds")]
-#[test_case("GET / HTTP/1.1\r\nHost: a\r\nX: 1\n\r\n", BadMessage::BareLineFeed; "one bare line feed")]
-#[test_case("GET / HTTP/1.1\r\nHost : a\r\n\r\n", BadMessage::Syntax("a header's name"); "a space before the colon")]
-#[test_case("GET / HTTP/1.1\r\nHost: a\r\n folded\r\n\r\n", BadMessage::Syntax("a header's name"); "a folded line")]
-#[test_case("GET / HTTP/1.1\r\n\r\n", BadMessage::Host; "no host")]
-#[test_case("GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", BadMessage::Host; "two hosts")]
-#[test_case("GET / HTTP/2.0\r\nHost: a\r\n\r\n", BadMessage::Syntax("the version"); "another version")]
-fn what_could_be_read_in_two_ways_is_refused(text: &str, why: BadMessage) {
+    MessageError::TwoLengths; "two lengths, though equal")]
+#[test_case("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 5, 5\r\n\r\n", MessageError::BadLength; "a list of lengths")]
+#[test_case("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: +5\r\n\r\n", MessageError::BadLength; "a signed length")]
+#[test_case("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", MessageError::Coding; "another coding")]
+#[test_case("POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n", MessageError::ChunkedInOld; "chunked in 1.0")]
+#[test_case("GET / HTTP/1.1\nHost: a\n\n", MessageError::BareLineFeed; "bare line feeds")]
+#[test_case("GET / HTTP/1.1\r\nHost: a\r\nX: 1\n\r\n", MessageError::BareLineFeed; "one bare line feed")]
+#[test_case("GET / HTTP/1.1\r\nHost : a\r\n\r\n", MessageError::Syntax("a header's name"); "a space before the colon")]
+#[test_case("GET / HTTP/1.1\r\nHost: a\r\n folded\r\n\r\n", MessageError::Syntax("a header's name"); "a folded line")]
+#[test_case("GET / HTTP/1.1\r\n\r\n", MessageError::Host; "no host")]
+#[test_case("GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", MessageError::Host; "two hosts")]
+#[test_case("GET / HTTP/2.0\r\nHost: a\r\n\r\n", MessageError::Syntax("the version"); "another version")]
+fn what_could_be_read_in_two_ways_is_refused(text: &str, why: MessageError) {
     assert_eq!(read(text), Err(why));
 }
 
@@ -53,10 +53,10 @@
     assert_eq!(request(&[b'a'; 99], limits), Ok(None));
     assert_eq!(
         request(&[b'a'; 100], limits),
-        Err(BadMessage::HeadTooLong(100))
+        Err(MessageError::HeadTooLong(100))
     );
     let many = b"GET / HTTP/1.1\r\nHost: a\r\nB: 1\r\nC: 2\r\n\r\n";
-    assert_eq!(request(many, limits), Err(BadMessage::TooManyHeaders(2)));
+    assert_eq!(request(many, limits), Err(MessageError::TooManyHeaders(2)));
 }
 
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n", false, Framing::Length(3), true; "a length")]
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -25,7 +25,7 @@
 
 /// Why bytes are no message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum BadMessage {
+pub enum MessageError {
     #[error("the head is longer than {0} bytes")]
     HeadTooLong(usize),
     #[error("more than {0} headers")]
--- a/crates/import/src/lib.rs
+++ b/crates/import/src/lib.rs
@@ -6,6 +6,6 @@
 pub mod parse;
 pub mod pools;
 
-pub use load::{load, BadInclude, Loaded};
-pub use parse::{parse, BadSyntax, Directive, Place};
+pub use load::{load, IncludeError, Loaded};
+pub use parse::{parse, Directive, Place, SyntaxError};
 pub use pools::{pools, Fate, Imported, Note, Operation, Pool, Server};
--- a/crates/import/src/load.rs
+++ b/crates/import/src/load.rs
@@ -1,15 +1,15 @@
 //! A configuration from its files: `include` is followed where it stands, with patterns, from the directory of
 //! the first file as nginx does it. A file that can't be read is named, and the rest goes on.
 
-use crate::parse::{parse, BadSyntax, Directive, Place};
+use crate::parse::{parse, Directive, Place, SyntaxError};
 use std::path::{Path, PathBuf};
 
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum BadInclude {
+pub enum IncludeError {
     #[error("{path}: {text}", path = .path.display())]
     Unreadable { path: PathBuf, text: String },
     #[error(transparent)]
-    Syntax(#[from] BadSyntax),
+    Syntax(#[from] SyntaxError),
 }
 
 /// What was read, with `include` replaced by what it names.
@@ -27,7 +27,7 @@
 const DEEPEST: usize = 16;
 const MOST_FILES: usize = 10_000;
 
-pub fn load(first: &Path) -> Result<Loaded, BadInclude> {
+pub fn load(first: &Path) -> Result<Loaded, IncludeError> {
     let base = first
         .parent()
         .filter(|base| !base.as_os_str().is_empty())
@@ -43,8 +43,8 @@
     base: &Path,
     depth: usize,
     loaded: &mut Loaded,
-) -> Result<Vec<Directive>, BadInclude> {
-    let text = std::fs::read(path).map_err(|error| BadInclude::Unreadable {
+) -> Result<Vec<Directive>, IncludeError> {
+    let text = std::fs::read(path).map_err(|error| IncludeError::Unreadable {
         path: path.to_path_buf(),
         text: error.to_string(),
     })?;
@@ -59,7 +59,7 @@
     base: &Path,
     depth: usize,
     loaded: &mut Loaded,
-) -> Result<Vec<Directive>, BadInclude> {
+) -> Result<Vec<Directive>, IncludeError> {
     let mut all = Vec::new();
     for mut directive in directives {
         if directive.name == "include" && directive.block.is_none() {
@@ -80,7 +80,7 @@
     depth: usize,
     loaded: &mut Loaded,
     all: &mut Vec<Directive>,
-) -> Result<(), BadInclude> {
+) -> Result<(), IncludeError> {
     let [pattern] = &directive.arguments[..] else {
         loaded
             .missing
@@ -89,11 +89,11 @@
     };
     if depth >= DEEPEST || loaded.files.len() >= MOST_FILES {
         let text = format!("files include each other more than {DEEPEST} deep, or are too many");
-        let what = BadSyntax {
+        let what = SyntaxError {
             place: Place::clone(&directive.place),
             what: text,
         };
-        return Err(BadInclude::Syntax(what));
+        return Err(IncludeError::Syntax(what));
     }
     let full = base.join(pattern);
     let found: Result<Vec<PathBuf>, String> = glob::glob(&full.to_string_lossy())
@@ -115,7 +115,7 @@
             for path in paths {
                 match read(&path, base, depth + 1, loaded) {
                     Ok(more) => all.extend(more),
-                    Err(BadInclude::Unreadable { text, .. }) => {
+                    Err(IncludeError::Unreadable { text, .. }) => {
                         loaded
                             .missing
                             .push((directive.clone(), format!("{}: {text}", path.display())));
--- a/crates/import/src/parse.rs
+++ b/crates/import/src/parse.rs
@@ -46,7 +46,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{place}: {what}")]
-pub struct BadSyntax {
+pub struct SyntaxError {
     pub place: Place,
     pub what: String,
 }
@@ -78,8 +78,8 @@
         }
     }
 
-    fn bad(&self, what: impl Into<String>) -> BadSyntax {
-        BadSyntax {
+    fn bad(&self, what: impl Into<String>) -> SyntaxError {
+        SyntaxError {
             place: self.place(),
             what: what.into(),
         }
@@ -91,7 +91,7 @@
         Some(next)
     }
 
-    fn token(&mut self) -> Result<Option<(Token, Place)>, BadSyntax> {
+    fn token(&mut self) -> Result<Option<(Token, Place)>, SyntaxError> {
         loop {
             match self.text.peek() {
                 None => return Ok(None),
@@ -117,13 +117,13 @@
         Ok(Some((token, place)))
     }
 
-    fn quoted(&mut self, quote: char) -> Result<String, BadSyntax> {
+    fn quoted(&mut self, quote: char) -> Result<String, SyntaxError> {
         let begun = self.place();
         let mut word = String::new();
         loop {
             match self.take() {
                 None => {
-                    return Err(BadSyntax {
+                    return Err(SyntaxError {
                         place: begun,
                         what: format!("a {quote} is not closed"),
                     })
@@ -168,13 +168,13 @@
     }
 
     /// Passes over a block of another language, by its braces.
-    fn foreign(&mut self) -> Result<(), BadSyntax> {
+    fn foreign(&mut self) -> Result<(), SyntaxError> {
         let begun = self.place();
         let mut open = 1;
         while open > 0 {
             match self.take() {
                 None => {
-                    return Err(BadSyntax {
+                    return Err(SyntaxError {
                         place: begun,
                         what: "a block is not closed".to_string(),
                     })
@@ -187,7 +187,11 @@
         Ok(())
     }
 
-    fn block(&mut self, depth: usize, opened: Option<&Place>) -> Result<Vec<Directive>, BadSyntax> {
+    fn block(
+        &mut self,
+        depth: usize,
+        opened: Option<&Place>,
+    ) -> Result<Vec<Directive>, SyntaxError> {
         if depth > DEEPEST {
             return Err(self.bad(format!("more than {DEEPEST} blocks within each other")));
         }
@@ -197,11 +201,11 @@
         loop {
             let Some((token, place)) = self.token()? else {
                 return match (words.first(), opened) {
-                    (Some(word), _) => Err(BadSyntax {
+                    (Some(word), _) => Err(SyntaxError {
                         place: begun,
                         what: format!("`{word}` has no ; at its end"),
                     }),
-                    (None, Some(opened)) => Err(BadSyntax {
+                    (None, Some(opened)) => Err(SyntaxError {
                         place: opened.clone(),
                         what: "a block is not closed".to_string(),
                     }),
@@ -222,10 +226,10 @@
                         .map_or("a } closes nothing".to_string(), |word| {
                             format!("`{word}` has no ; at its end")
                         });
-                    return Err(BadSyntax { place, what });
+                    return Err(SyntaxError { place, what });
                 }
                 Token::End | Token::Open if words.is_empty() => {
-                    return Err(BadSyntax {
+                    return Err(SyntaxError {
                         place,
                         what: "a directive without a name".to_string(),
                     });
@@ -253,7 +257,7 @@
     }
 }
 
-pub fn parse(text: &str, file: &Path) -> Result<Vec<Directive>, BadSyntax> {
+pub fn parse(text: &str, file: &Path) -> Result<Vec<Directive>, SyntaxError> {
     let file = Arc::new(file.to_path_buf());
     Reader {
         text: text.chars().peekable(),
--- a/crates/platform/src/exchange.rs
+++ b/crates/platform/src/exchange.rs
@@ -2,7 +2,7 @@
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddrV4, TcpStream};
-use wheelspread_http1::{response, BadMessage, Body, Limits};
+use wheelspread_http1::{response, Body, Limits, MessageError};
 use wheelspread_reactor as reactor;
 
 /// Bytes of a response's body that were received and not taken out yet.
@@ -16,7 +16,7 @@
     Io(#[from] io::Error),
     /// The response is no valid HTTP.
     #[error(transparent)]
-    Http(#[from] BadMessage),
+    Http(#[from] MessageError),
     /// The response was cut.
     #[error("the connection ended within the response")]
     Truncated,
--- a/crates/platform/src/service.rs
+++ b/crates/platform/src/service.rs
@@ -112,7 +112,7 @@
         if !ready.iter().any(|ready| ready.token == SIGNALS_TOKEN) {
             return false;
         }
-        let received = self.signals.came();
+        let received = self.signals.received();
         if received.contains(&reactor::RELOAD) {
             self.pending_reload = Some(PendingReload::first(now));
         }
--- a/crates/platform/src/service/start.rs
+++ b/crates/platform/src/service/start.rs
@@ -130,7 +130,7 @@
         retries += 1;
         poll.wait(span(BIND_RETRY_INTERVAL), &mut Vec::new())
             .map_err(io_error("epoll"))?;
-        let received = signals.came();
+        let received = signals.received();
         reload |= received.contains(&reactor::RELOAD);
         if received.iter().any(|signal| *signal != reactor::RELOAD) {
             return Err(StartError::Stopped);
--- a/crates/proxy/src/proxy/client_side.rs
+++ b/crates/proxy/src/proxy/client_side.rs
@@ -9,7 +9,7 @@
 use crate::upstream::UpstreamConnection;
 use std::rc::Rc;
 use wheelspread::time::Moment;
-use wheelspread_http1::{request, BadMessage, Body, Framing, Request};
+use wheelspread_http1::{request, Body, Framing, MessageError, Request};
 use wheelspread_proxy_core::RequestHandle;
 use wheelspread_reactor::{self as reactor, Interest, Poll};
 
@@ -107,7 +107,7 @@
         match request(input, self.limits) {
             Ok(None) => false,
             Ok(Some(head)) => self.start_body(now, slot, head),
-            Err(BadMessage::HeadTooLong(_) | BadMessage::TooManyHeaders(_)) => {
+            Err(MessageError::HeadTooLong(_) | MessageError::TooManyHeaders(_)) => {
                 self.reject_request(now, slot, LocalStatus::HeadTooLarge, "the head is too long")
             }
             Err(error) => {
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -30,7 +30,7 @@
         for event in events.drain(..) {
             if event.token != SIGNALS {
                 proxy.on_ready(&poll, now, event)?;
-            } else if !signals.came().is_empty() {
+            } else if !signals.received().is_empty() {
                 info!(name, "proxy stopped");
                 return Ok(());
             }
--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -160,7 +160,7 @@
     }
 
     /// Those that came since the last call.
-    pub fn came(&self) -> Vec<i32> {
+    pub fn received(&self) -> Vec<i32> {
         let read = |pipe: &UnixStream| matches!(io::Read::read(&mut &*pipe, &mut [0u8; 64]), Ok(count) if count > 0);
         self.pipes
             .iter()
--- a/crates/solve/src/fleet.rs
+++ b/crates/solve/src/fleet.rs
@@ -109,7 +109,7 @@
 
 /// Why there is nothing to solve.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum Refused {
+pub enum SolveError {
     #[error("no host")]
     NoHosts,
     #[error("no operation")]
@@ -153,17 +153,17 @@
 }
 
 impl Fleet {
-    pub fn check(&self) -> Result<(), Refused> {
+    pub fn check(&self) -> Result<(), SolveError> {
         if self.hosts.is_empty() {
-            return Err(Refused::NoHosts);
+            return Err(SolveError::NoHosts);
         }
         if self.operations.is_empty() {
-            return Err(Refused::NoOperations);
+            return Err(SolveError::NoOperations);
         }
         let mut seen = BTreeSet::new();
         for host in &self.hosts {
             if !seen.insert(&host.id) {
-                return Err(Refused::Twice {
+                return Err(SolveError::Twice {
                     what: "host",
                     name: host.id.clone(),
                 });
@@ -175,7 +175,7 @@
                 ("load_at_most", most),
             ] {
                 if !figure(value) {
-                    return Err(Refused::Host {
+                    return Err(SolveError::Host {
                         id: host.id.clone(),
                         field,
                         value,
@@ -188,21 +188,21 @@
         for operation in &self.operations {
             let name = || operation.name.clone();
             if !names.insert(operation.name.as_str()) {
-                return Err(Refused::Twice {
+                return Err(SolveError::Twice {
                     what: "operation",
                     name: name(),
                 });
             }
             if !figure(operation.billed_value) {
                 let value = operation.billed_value;
-                return Err(Refused::Operation {
+                return Err(SolveError::Operation {
                     name: name(),
                     field: "billed_value",
                     value,
                 });
             }
             if !(operation.work > 0.0 && operation.work <= 1e6) {
-                return Err(Refused::Operation {
+                return Err(SolveError::Operation {
                     name: name(),
                     field: "work",
                     value: operation.work,
@@ -212,7 +212,7 @@
                 .holds
                 .filter(|holds| !(*holds >= 0.0 && *holds <= 1e6))
             {
-                return Err(Refused::Operation {
+                return Err(SolveError::Operation {
                     name: name(),
                     field: "holds",
                     value,
@@ -220,7 +220,7 @@
             }
             if !(0.0..=1.0).contains(&operation.least_share) {
                 let value = operation.least_share;
-                return Err(Refused::Operation {
+                return Err(SolveError::Operation {
                     name: name(),
                     field: "least_share",
                     value,
@@ -231,20 +231,20 @@
         for gateway in &self.gateways {
             let id = || gateway.id.clone();
             if !seen.insert(&gateway.id) {
-                return Err(Refused::Twice {
+                return Err(SolveError::Twice {
                     what: "gateway",
                     name: id(),
                 });
             }
             for (operation, value) in &gateway.demand {
                 if !names.contains(operation.as_str()) {
-                    return Err(Refused::UnknownOperation {
+                    return Err(SolveError::UnknownOperation {
                         id: id(),
                         operation: operation.clone(),
                     });
                 }
                 if !figure(*value) {
-                    return Err(Refused::Demand {
+                    return Err(SolveError::Demand {
                         id: id(),
                         operation: operation.clone(),
                         value: *value,
@@ -261,15 +261,15 @@
             ("cold_share", self.cold_share, 1.0),
         ] {
             if !(value >= 0.0 && value <= most) {
-                return Err(Refused::Figure { field, value });
+                return Err(SolveError::Figure { field, value });
             }
         }
         for (id, value) in &self.standing {
             if !seen_hosts.contains(id) {
-                return Err(Refused::UnknownHost { id: id.clone() });
+                return Err(SolveError::UnknownHost { id: id.clone() });
             }
             if !figure(*value) {
-                return Err(Refused::Host {
+                return Err(SolveError::Host {
                     id: id.clone(),
                     field: "standing",
                     value: *value,
@@ -289,12 +289,12 @@
                 .last()
                 .is_some_and(|step| step.0 == 1.0 && step.1.is_finite());
         if !(rise && ends) {
-            return Err(Refused::Steps);
+            return Err(SolveError::Steps);
         }
         self.reachable()
     }
 
-    fn reachable(&self) -> Result<(), Refused> {
+    fn reachable(&self) -> Result<(), SolveError> {
         let open: BTreeSet<&str> = self
             .hosts
             .iter()
@@ -302,7 +302,7 @@
             .map(|host| host.zone.as_str())
             .collect();
         if open.is_empty() {
-            return Err(Refused::NoCapacity);
+            return Err(SolveError::NoCapacity);
         }
         for gateway in &self.gateways {
             for operation in self
@@ -313,7 +313,7 @@
                 let asked = gateway.demand.get(&operation.name).copied().unwrap_or(0.0);
                 if asked > 0.0 && !open.contains(gateway.zone.as_str()) {
                     let (zone, operation) = (gateway.zone.clone(), operation.name.clone());
-                    return Err(Refused::Stranded { zone, operation });
+                    return Err(SolveError::Stranded { zone, operation });
                 }
             }
         }
--- a/crates/solve/src/lib.rs
+++ b/crates/solve/src/lib.rs
@@ -11,5 +11,5 @@
 pub mod solution;
 pub mod steady;
 
-pub use fleet::{Fleet, Gateway, Host, HostState, Operation, Refused};
-pub use solution::{solve, Admitted, FlowTold, HostTold, Solution, Status};
+pub use fleet::{Fleet, Gateway, Host, HostState, Operation, SolveError};
+pub use solution::{solve, AdmissionResult, FlowResult, HostResult, Solution, Status};
--- a/crates/solve/src/robust.rs
+++ b/crates/solve/src/robust.rs
@@ -2,7 +2,7 @@
 //! less than it is given serves what it can, the dearest work last to be lost. `hedge` solves with a part of
 //! each capacity held back where that serves more in the worst case.
 
-use crate::fleet::{Fleet, Host, Refused};
+use crate::fleet::{Fleet, Host, SolveError};
 use crate::solution::{solve, Solution};
 use std::collections::BTreeMap;
 
@@ -78,7 +78,7 @@
     fleet: &Fleet,
     wrong: Wrong,
     over: &mut dyn FnMut() -> bool,
-) -> Result<(Solution, f64), Refused> {
+) -> Result<(Solution, f64), SolveError> {
     let mut best: Option<(f64, Solution, f64)> = None;
     for step in 0..TRIED {
         let part = 1.0 - (1.0 - wrong.least.clamp(0.05, 1.0)) * step as f64 / (TRIED - 1) as f64;
@@ -97,7 +97,7 @@
         }
     }
     best.map(|(_, solution, part)| (solution, part))
-        .ok_or(Refused::NoCapacity)
+        .ok_or(SolveError::NoCapacity)
 }
 
 #[cfg(test)]
--- a/crates/solve/src/solution.rs
+++ b/crates/solve/src/solution.rs
@@ -2,7 +2,7 @@
 //! hosts of a zone and price are one room, and what a room carries is shared among its hosts by what they
 //! can do, so that hosts that are alike are loaded alike.
 
-use crate::fleet::{Fleet, Refused};
+use crate::fleet::{Fleet, SolveError};
 use crate::flow::{best, Room, Source};
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -16,7 +16,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct HostTold {
+pub struct HostResult {
     pub id: String,
     pub zone: String,
     /// Its part of all work, times the number of hosts that carry any: 1 is an even part.
@@ -31,7 +31,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Admitted {
+pub struct AdmissionResult {
     pub id: String,
     pub operation: String,
     /// Of what it asks for.
@@ -40,7 +40,7 @@
 
 /// Invocations a second of an operation from one zone to another.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct FlowTold {
+pub struct FlowResult {
     pub operation: String,
     pub from: String,
     pub to: String,
@@ -54,9 +54,9 @@
     pub objective: f64,
     /// Billed value a second of what is let in.
     pub value_per_s: f64,
-    pub hosts: Vec<HostTold>,
-    pub gateways: Vec<Admitted>,
-    pub flows: Vec<FlowTold>,
+    pub hosts: Vec<HostResult>,
+    pub gateways: Vec<AdmissionResult>,
+    pub flows: Vec<FlowResult>,
     /// Steps of the method.
     pub paths: usize,
 }
@@ -72,7 +72,7 @@
 const FIRST: f64 = 4.0;
 
 /// Solves a fleet. `over` is asked now and then whether to stop with the best so far.
-pub fn solve(fleet: &Fleet, over: &mut dyn FnMut() -> bool) -> Result<Solution, Refused> {
+pub fn solve(fleet: &Fleet, over: &mut dyn FnMut() -> bool) -> Result<Solution, SolveError> {
     fleet.check()?;
     let mut asked: BTreeMap<(&str, usize), f64> = BTreeMap::new();
     for gateway in &fleet.gateways {
@@ -281,7 +281,7 @@
             0.0
         };
         let shadow = if room > 0.0 { price(*class) } else { 0.0 };
-        HostTold {
+        HostResult {
             id: host.id.clone(),
             zone: host.zone.clone(),
             weight: if all > 0.0 { load / all * busy } else { 0.0 },
@@ -302,7 +302,7 @@
             if gateway.demand.get(&operation.name).copied().unwrap_or(0.0) > 0.0 {
                 let key = (gateway.zone.as_str(), place);
                 let share = let_in.get(&key).copied().unwrap_or(0.0) / asked[&key].max(1e-300);
-                gateways.push(Admitted {
+                gateways.push(AdmissionResult {
                     id: gateway.id.clone(),
                     operation: operation.name.clone(),
                     admitted: share.min(1.0),
@@ -310,7 +310,7 @@
             }
         }
     }
-    let way = |((operation, from, to), invocations): (&(usize, &str, &str), &f64)| FlowTold {
+    let way = |((operation, from, to), invocations): (&(usize, &str, &str), &f64)| FlowResult {
         operation: fleet.operations[*operation].name.clone(),
         from: from.to_string(),
         to: to.to_string(),
--- a/crates/solve/tests/reference.rs
+++ b/crates/solve/tests/reference.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use test_case::test_case;
 use wheelspread_solve::flow::{best, Room, Source};
-use wheelspread_solve::{solve, Fleet, Gateway, Host, HostState, Operation, Refused, Status};
+use wheelspread_solve::{solve, Fleet, Gateway, Host, HostState, Operation, SolveError, Status};
 
 fn reference(sources: &[Source], rooms: &[Room]) -> f64 {
     let mut problem = Problem::new(OptimizationDirection::Maximize);
@@ -192,7 +192,7 @@
     let refused = solve(&stranded, &mut || false).expect_err("plans of zone b have no host");
     assert_eq!(
         refused,
-        Refused::Stranded {
+        SolveError::Stranded {
             zone: "b".into(),
             operation: "plan".into()
         }
@@ -240,7 +240,7 @@
     dear.operations[0].holds = Some(-1.0);
     assert!(matches!(
         solve(&dear, &mut || false),
-        Err(Refused::Operation { field: "holds", .. })
+        Err(SolveError::Operation { field: "holds", .. })
     ));
 }
 
