--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -1,63 +1,78 @@
-//! Where a body ends.
+//! Finds where a body ends.
 
 use crate::{Framing, MessageError};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    Counting(u64),
+    /// So many bytes of a body with a stated length are outstanding.
+    Length(u64),
     UntilClose,
-    /// Within a chunk's size line: digits so far and their value, and whether an extension has begun.
-    Size {
-        digits: u8,
-        value: u64,
-        extension: bool,
-        seen: u16,
-    },
-    SizeEnd(u64),
-    Chunk(u64),
-    ChunkEnd,
-    ChunkEndLine,
-    /// Within the trailer: bytes so far, and those of the line.
-    Trailer {
-        seen: u16,
-        line: u16,
-    },
-    TrailerEnd {
-        seen: u16,
-        line: u16,
-    },
+    ChunkSize(ChunkSize),
+    /// CR after a chunk's size was read; LF follows.
+    ChunkSizeEnd(u64),
+    /// So many bytes of a chunk's data are outstanding.
+    ChunkData(u64),
+    /// CR LF follow a chunk's data.
+    ChunkDataEnd,
+    ChunkDataEndLine,
+    Trailer(Trailer),
+    /// CR in the trailer was read; LF follows.
+    TrailerEnd(Trailer),
     Done,
 }
 
-/// Extensions and trailers are passed on, but not at any length.
-const LONGEST_LINE: u16 = 4096;
+/// A chunk's size line, as far as it was read.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct ChunkSize {
+    digits: u8,
+    value: u64,
+    /// A chunk extension has begun.
+    in_extension: bool,
+    extension_bytes: u16,
+}
 
-/// Follows a body through the bytes that carry it.
+/// The trailer section, as far as it was read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Body(State);
+struct Trailer {
+    bytes: u16,
+    line_bytes: u16,
+}
+
+/// Chunk extensions and trailers are forwarded, but not at any length.
+const MAX_EXTENSION_BYTES: u16 = 4096;
+const MAX_TRAILER_BYTES: u16 = 4096;
+
+/// More hexadecimal digits could overflow a chunk's size.
+const MAX_SIZE_DIGITS: u8 = 15;
 
-const SIZE: State = State::Size {
+const CHUNK_START: State = State::ChunkSize(ChunkSize {
     digits: 0,
     value: 0,
-    extension: false,
-    seen: 0,
-};
+    in_extension: false,
+    extension_bytes: 0,
+});
+
+/// Follows a body through the bytes that carry it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Body(State);
 
 impl Body {
+    /// A body of which nothing was read yet.
     pub fn new(framing: Framing) -> Body {
         Body(match framing {
             Framing::None => State::Done,
-            Framing::Length(length) => State::Counting(length),
-            Framing::Chunked => SIZE,
+            Framing::Length(length) => State::Length(length),
+            Framing::Chunked => CHUNK_START,
             Framing::UntilClose => State::UntilClose,
         })
     }
 
+    /// Whether the whole body was read.
     pub fn done(&self) -> bool {
         self.0 == State::Done
     }
 
-    /// The connection has ended; whether the body has, too.
+    /// Whether the body is complete if the connection ends now.
     pub fn ends_with_connection(&self) -> bool {
         matches!(self.0, State::UntilClose | State::Done)
     }
@@ -67,121 +82,111 @@
         self.follow(bytes, |_| {})
     }
 
-    /// The same; what they carry, without what stands between chunks, is appended to `carried`.
-    pub fn read(&mut self, bytes: &[u8], carried: &mut Vec<u8>) -> Result<usize, MessageError> {
-        self.follow(bytes, |some| carried.extend_from_slice(some))
+    /// As [`Body::take`]; appends the data, without chunk framing, to `content`.
+    pub fn read(&mut self, bytes: &[u8], content: &mut Vec<u8>) -> Result<usize, MessageError> {
+        self.follow(bytes, |data| content.extend_from_slice(data))
     }
 
     fn follow(
         &mut self,
         bytes: &[u8],
-        mut carries: impl FnMut(&[u8]),
+        mut on_data: impl FnMut(&[u8]),
     ) -> Result<usize, MessageError> {
         let mut at = 0;
         while at < bytes.len() && self.0 != State::Done {
-            let left = (bytes.len() - at) as u64;
-            self.0 = match self.0 {
-                State::UntilClose => {
-                    carries(&bytes[at..]);
-                    at = bytes.len();
-                    State::UntilClose
-                }
-                State::Counting(wanted) => {
-                    let taken = wanted.min(left);
-                    carries(&bytes[at..at + taken as usize]);
-                    at += taken as usize;
-                    if taken == wanted {
-                        State::Done
-                    } else {
-                        State::Counting(wanted - taken)
-                    }
-                }
-                State::Chunk(wanted) => {
-                    let taken = wanted.min(left);
-                    carries(&bytes[at..at + taken as usize]);
-                    at += taken as usize;
-                    if taken == wanted {
-                        State::ChunkEnd
-                    } else {
-                        State::Chunk(wanted - taken)
-                    }
-                }
+            let rest = &bytes[at..];
+            let (next, taken) = match self.0 {
+                State::UntilClose => (State::UntilClose, rest.len()),
+                State::Length(outstanding) => match consume(outstanding, rest) {
+                    (0, taken) => (State::Done, taken),
+                    (left, taken) => (State::Length(left), taken),
+                },
+                State::ChunkData(outstanding) => match consume(outstanding, rest) {
+                    (0, taken) => (State::ChunkDataEnd, taken),
+                    (left, taken) => (State::ChunkData(left), taken),
+                },
                 state => {
-                    let next = step(state, bytes[at])?;
+                    self.0 = next_state(state, rest[0])?;
                     at += 1;
-                    next
+                    continue;
                 }
             };
+            on_data(&rest[..taken]);
+            self.0 = next;
+            at += taken;
         }
         Ok(at)
     }
 }
 
-/// One byte of what stands between chunks.
-fn step(state: State, byte: u8) -> Result<State, MessageError> {
-    Ok(match (state, byte) {
-        (
-            State::Size {
-                digits,
-                value,
-                extension: false,
-                seen,
-            },
-            _,
-        ) if byte.is_ascii_hexdigit() => {
-            if digits >= 15 {
-                return Err(MessageError::ChunkSize);
-            }
-            let digit = (byte as char).to_digit(16).unwrap_or(0);
-            State::Size {
-                digits: digits + 1,
-                value: value * 16 + u64::from(digit),
-                extension: false,
-                seen,
-            }
-        }
-        (
-            State::Size {
-                digits: 1.., value, ..
-            },
-            b'\r',
-        ) => State::SizeEnd(value),
-        (
-            State::Size {
-                digits: digits @ 1..,
-                value,
-                extension,
-                seen,
-            },
-            _,
-        ) if extension || byte == b';' => {
-            if byte == b'\n' || seen >= LONGEST_LINE {
-                return Err(MessageError::ChunkSize);
-            }
-            State::Size {
-                digits,
-                value,
-                extension: true,
-                seen: seen + 1,
-            }
-        }
-        (State::SizeEnd(0), b'\n') => State::Trailer { seen: 0, line: 0 },
-        (State::SizeEnd(size), b'\n') => State::Chunk(size),
-        (State::ChunkEnd, b'\r') => State::ChunkEndLine,
-        (State::ChunkEndLine, b'\n') => SIZE,
-        (State::ChunkEnd | State::ChunkEndLine, _) => return Err(MessageError::ChunkEnd),
-        (State::Trailer { seen, line }, b'\r') => State::TrailerEnd { seen, line },
-        (State::Trailer { seen, line }, _) if byte != b'\n' && seen < LONGEST_LINE => {
-            State::Trailer {
-                seen: seen + 1,
-                line: line + 1,
-            }
+/// What is still outstanding after these bytes, and how many of them were taken.
+fn consume(outstanding: u64, bytes: &[u8]) -> (u64, usize) {
+    let taken = outstanding.min(bytes.len() as u64);
+    (outstanding - taken, taken as usize)
+}
+
+/// One byte of the framing around chunks.
+fn next_state(state: State, byte: u8) -> Result<State, MessageError> {
+    match (state, byte) {
+        (State::ChunkSize(size), _) => in_chunk_size(size, byte),
+        (State::ChunkSizeEnd(0), b'\n') => Ok(State::Trailer(Trailer {
+            bytes: 0,
+            line_bytes: 0,
+        })),
+        (State::ChunkSizeEnd(size), b'\n') => Ok(State::ChunkData(size)),
+        (State::ChunkDataEnd, b'\r') => Ok(State::ChunkDataEndLine),
+        (State::ChunkDataEndLine, b'\n') => Ok(CHUNK_START),
+        (State::ChunkDataEnd | State::ChunkDataEndLine, _) => Err(MessageError::ChunkEnd),
+        (State::Trailer(trailer), _) => in_trailer(trailer, byte),
+        (State::TrailerEnd(Trailer { line_bytes: 0, .. }), b'\n') => Ok(State::Done),
+        (State::TrailerEnd(Trailer { bytes, .. }), b'\n') => Ok(State::Trailer(Trailer {
+            bytes,
+            line_bytes: 0,
+        })),
+        (State::TrailerEnd(_), _) => Err(MessageError::Trailer),
+        _ => Err(MessageError::ChunkSize),
+    }
+}
+
+fn in_chunk_size(size: ChunkSize, byte: u8) -> Result<State, MessageError> {
+    if !size.in_extension && byte.is_ascii_hexdigit() {
+        if size.digits >= MAX_SIZE_DIGITS {
+            return Err(MessageError::ChunkSize);
         }
-        (State::TrailerEnd { line: 0, .. }, b'\n') => State::Done,
-        (State::TrailerEnd { seen, .. }, b'\n') => State::Trailer { seen, line: 0 },
-        (State::Trailer { .. } | State::TrailerEnd { .. }, _) => return Err(MessageError::Trailer),
-        _ => return Err(MessageError::ChunkSize),
-    })
+        let digit = (byte as char).to_digit(16).unwrap_or(0);
+        return Ok(State::ChunkSize(ChunkSize {
+            digits: size.digits + 1,
+            value: size.value * 16 + u64::from(digit),
+            ..size
+        }));
+    }
+    if size.digits == 0 {
+        return Err(MessageError::ChunkSize);
+    }
+    if byte == b'\r' {
+        return Ok(State::ChunkSizeEnd(size.value));
+    }
+    let is_extension = size.in_extension || byte == b';';
+    if !is_extension || byte == b'\n' || size.extension_bytes >= MAX_EXTENSION_BYTES {
+        return Err(MessageError::ChunkSize);
+    }
+    Ok(State::ChunkSize(ChunkSize {
+        in_extension: true,
+        extension_bytes: size.extension_bytes + 1,
+        ..size
+    }))
+}
+
+fn in_trailer(trailer: Trailer, byte: u8) -> Result<State, MessageError> {
+    match byte {
+        b'\r' => Ok(State::TrailerEnd(trailer)),
+        b'\n' => Err(MessageError::Trailer),
+        _ if trailer.bytes >= MAX_TRAILER_BYTES => Err(MessageError::Trailer),
+        _ => Ok(State::Trailer(Trailer {
+            bytes: trailer.bytes + 1,
+            line_bytes: trailer.line_bytes + 1,
+        })),
+    }
 }
 
 #[cfg(test)]
--- a/crates/http1/src/head.rs
+++ b/crates/http1/src/head.rs
@@ -1,4 +1,4 @@
-//! Reading heads.
+//! Reads the heads of requests and responses.
 
 use crate::{Limits, MessageError};
 use std::ops::Range;
@@ -6,41 +6,63 @@
 /// How the end of a message's body is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
+    /// The message has no body.
     None,
+    /// The body has this many bytes.
     Length(u64),
+    /// The body is in the chunked transfer coding.
     Chunked,
-    /// Of a response: up to the end of the connection.
+    /// The body of a response ends with the connection.
     UntilClose,
 }
 
+/// Where a header field's name and value stand in the bytes of a head.
+pub type HeaderRanges = (Range<usize>, Range<usize>);
+
 /// A request's head. Ranges are within the bytes it was read from.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
+    /// The method.
     pub method: Range<usize>,
+    /// The request target as it was sent.
     pub target: Range<usize>,
-    pub headers: Vec<(Range<usize>, Range<usize>)>,
+    /// All header fields in their order.
+    pub headers: Vec<HeaderRanges>,
+    /// How the body ends.
     pub framing: Framing,
+    /// The connection may be used for another request.
     pub keep_alive: bool,
+    /// The client waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
+    /// The method is HEAD, so the response has no body.
     pub is_head: bool,
-    /// How many bytes the head took.
+    /// The length of the head in bytes.
     pub length: usize,
 }
 
+/// A response's head. Ranges are within the bytes it was read from.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
+    /// The status code.
     pub status: u16,
-    pub headers: Vec<(Range<usize>, Range<usize>)>,
+    /// All header fields in their order.
+    pub headers: Vec<HeaderRanges>,
+    /// How the body ends.
     pub framing: Framing,
+    /// The connection may be used for another request.
     pub keep_alive: bool,
+    /// The length of the head in bytes.
     pub length: usize,
 }
 
-/// No limit goes beyond it.
-const MOST_HEADERS: usize = 100;
+/// The parser's header table; `Limits::headers` cannot exceed it.
+const MAX_HEADERS: usize = 100;
+
+/// `Content-Length` with more digits is refused; 18 digits fit a `u64`.
+const MAX_LENGTH_DIGITS: usize = 18;
 
-/// The end of the head, if it is there; every line of it must end properly.
-fn end(bytes: &[u8], limits: Limits) -> Result<Option<usize>, MessageError> {
+/// The length of a complete head; `None` while its empty line has not arrived. Every line must end with CR LF.
+fn head_length(bytes: &[u8], limits: Limits) -> Result<Option<usize>, MessageError> {
     let mut line = 0;
     for (at, byte) in bytes.iter().enumerate().take(limits.head) {
         if *byte != b'\n' {
@@ -49,7 +71,7 @@
         if at == 0 || bytes[at - 1] != b'\r' {
             return Err(MessageError::BareLineFeed);
         }
-        // An empty line ends it; one before the request line is not taken for it.
+        // An empty line ends the head, but not one before the request line.
         if at - 1 == line && line > 0 {
             return Ok(Some(at + 1));
         }
@@ -62,7 +84,7 @@
     }
 }
 
-fn syntax(error: httparse::Error, limits: Limits) -> MessageError {
+fn syntax_error(error: httparse::Error, limits: Limits) -> MessageError {
     match error {
         httparse::Error::TooManyHeaders => MessageError::TooManyHeaders(limits.headers),
         httparse::Error::HeaderName => MessageError::Syntax("a header's name"),
@@ -74,8 +96,8 @@
     }
 }
 
-/// Where a part lies in the whole it was cut from.
-fn range(whole: &[u8], part: &[u8]) -> Range<usize> {
+/// Where a part lies in the bytes that it is a slice of.
+fn range_within(whole: &[u8], part: &[u8]) -> Range<usize> {
     let start = (part.as_ptr() as usize).wrapping_sub(whole.as_ptr() as usize);
     if start <= whole.len() && start + part.len() <= whole.len() {
         start..start + part.len()
@@ -84,158 +106,167 @@
     }
 }
 
-/// What the headers say of framing and of the connection.
-struct Said {
-    length: Option<u64>,
-    chunked: bool,
-    close: bool,
-    keep_alive: bool,
+/// What the header fields say about framing and about the connection.
+#[derive(Default)]
+struct ConnectionHeaders {
+    content_length: Option<u64>,
+    is_chunked: bool,
+    has_close: bool,
+    has_keep_alive: bool,
     expects_continue: bool,
-    hosts: usize,
+    host_count: usize,
 }
 
-fn said(headers: &[httparse::Header]) -> Result<Said, MessageError> {
-    let mut said = Said {
-        length: None,
-        chunked: false,
-        close: false,
-        keep_alive: false,
-        expects_continue: false,
-        hosts: 0,
-    };
-    for header in headers {
-        let (name, value) = (header.name, header.value);
+impl ConnectionHeaders {
+    fn read(headers: &[httparse::Header]) -> Result<ConnectionHeaders, MessageError> {
+        let mut found = ConnectionHeaders::default();
+        for header in headers {
+            found.add(header.name, header.value)?;
+        }
+        if found.is_chunked && found.content_length.is_some() {
+            return Err(MessageError::LengthAndChunked);
+        }
+        Ok(found)
+    }
+
+    fn add(&mut self, name: &str, value: &[u8]) -> Result<(), MessageError> {
         if name.eq_ignore_ascii_case("content-length") {
-            // Also a list of equal lengths is two: others read it otherwise.
-            if said.length.is_some() {
+            // Equal lengths are refused too: other readers may take the list differently.
+            if self.content_length.is_some() {
                 return Err(MessageError::TwoLengths);
             }
-            let digits =
-                !value.is_empty() && value.len() <= 18 && value.iter().all(u8::is_ascii_digit);
-            let text = std::str::from_utf8(value).map_err(|_| MessageError::BadLength)?;
-            said.length = Some(
-                text.parse()
-                    .ok()
-                    .filter(|_| digits)
-                    .ok_or(MessageError::BadLength)?,
-            );
+            self.content_length = Some(content_length(value)?);
         } else if name.eq_ignore_ascii_case("transfer-encoding") {
-            if said.chunked || !value.eq_ignore_ascii_case(b"chunked") {
+            if self.is_chunked || !value.eq_ignore_ascii_case(b"chunked") {
                 return Err(MessageError::Coding);
             }
-            said.chunked = true;
+            self.is_chunked = true;
         } else if name.eq_ignore_ascii_case("connection") {
             for token in value.split(|byte| *byte == b',') {
                 let token = token.trim_ascii();
-                said.close |= token.eq_ignore_ascii_case(b"close");
-                said.keep_alive |= token.eq_ignore_ascii_case(b"keep-alive");
+                self.has_close |= token.eq_ignore_ascii_case(b"close");
+                self.has_keep_alive |= token.eq_ignore_ascii_case(b"keep-alive");
             }
         } else if name.eq_ignore_ascii_case("expect") {
-            said.expects_continue |= value.eq_ignore_ascii_case(b"100-continue");
+            self.expects_continue |= value.eq_ignore_ascii_case(b"100-continue");
         } else if name.eq_ignore_ascii_case("host") {
-            said.hosts += 1;
+            self.host_count += 1;
         }
+        Ok(())
+    }
+
+    /// HTTP/1.1 keeps a connection unless told otherwise; HTTP/1.0 closes it unless told otherwise.
+    fn keep_alive(&self, minor_version: u8) -> bool {
+        !self.has_close && (minor_version == 1 || self.has_keep_alive)
+    }
+}
+
+/// Digits only, and few enough that the number cannot overflow.
+fn content_length(value: &[u8]) -> Result<u64, MessageError> {
+    if value.is_empty() || value.len() > MAX_LENGTH_DIGITS || !value.iter().all(u8::is_ascii_digit)
+    {
+        return Err(MessageError::BadLength);
     }
-    if said.chunked && said.length.is_some() {
-        return Err(MessageError::LengthAndChunked);
+    std::str::from_utf8(value)
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .ok_or(MessageError::BadLength)
+}
+
+fn header_ranges(head: &[u8], headers: &[httparse::Header]) -> Vec<HeaderRanges> {
+    headers
+        .iter()
+        .map(|header| {
+            (
+                range_within(head, header.name.as_bytes()),
+                range_within(head, header.value),
+            )
+        })
+        .collect()
+}
+
+/// The parser has to agree with `head_length` on where the head ends.
+fn check_complete(
+    parsed: httparse::Result<usize>,
+    length: usize,
+    limits: Limits,
+) -> Result<(), MessageError> {
+    match parsed {
+        Ok(httparse::Status::Complete(read)) if read == length => Ok(()),
+        Ok(_) => Err(MessageError::Syntax("a line's end")),
+        Err(error) => Err(syntax_error(error, limits)),
     }
-    Ok(said)
 }
 
-/// Reads a request's head; `None` while it is not whole.
+/// Reads a request's head; `None` while it is incomplete.
 pub fn request(bytes: &[u8], limits: Limits) -> Result<Option<Request>, MessageError> {
-    let Some(length) = end(bytes, limits)? else {
+    let Some(length) = head_length(bytes, limits)? else {
         return Ok(None);
     };
     let head = &bytes[..length];
-    let mut room = [httparse::EMPTY_HEADER; MOST_HEADERS];
-    let headers = &mut room[..limits.headers.min(MOST_HEADERS)];
+    let mut table = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let headers = &mut table[..limits.headers.min(MAX_HEADERS)];
     let mut parsed = httparse::Request::new(headers);
-    match parsed.parse(head) {
-        Ok(httparse::Status::Complete(read)) if read == length => {}
-        Ok(_) => return Err(MessageError::Syntax("a line's end")),
-        Err(error) => return Err(syntax(error, limits)),
-    }
+    check_complete(parsed.parse(head), length, limits)?;
     let (Some(method), Some(target), Some(version)) = (parsed.method, parsed.path, parsed.version)
     else {
         return Err(MessageError::Syntax("the first line"));
     };
-    let said = said(parsed.headers)?;
-    if version == 1 && said.hosts != 1 || said.hosts > 1 {
+    let connection = ConnectionHeaders::read(parsed.headers)?;
+    if version == 1 && connection.host_count != 1 || connection.host_count > 1 {
         return Err(MessageError::Host);
     }
-    if version == 0 && said.chunked {
+    if version == 0 && connection.is_chunked {
         return Err(MessageError::ChunkedInOld);
     }
-    let framing = match (said.chunked, said.length) {
+    let framing = match (connection.is_chunked, connection.content_length) {
         (true, _) => Framing::Chunked,
-        (false, Some(0)) | (false, None) => Framing::None,
+        (false, Some(0) | None) => Framing::None,
         (false, Some(length)) => Framing::Length(length),
     };
-    let lines = parsed
-        .headers
-        .iter()
-        .map(|h| (range(head, h.name.as_bytes()), range(head, h.value)));
     Ok(Some(Request {
-        method: range(head, method.as_bytes()),
-        target: range(head, target.as_bytes()),
-        headers: lines.collect(),
+        method: range_within(head, method.as_bytes()),
+        target: range_within(head, target.as_bytes()),
+        headers: header_ranges(head, parsed.headers),
         framing,
-        keep_alive: if version == 1 {
-            !said.close
-        } else {
-            said.keep_alive && !said.close
-        },
-        expects_continue: said.expects_continue && version == 1 && framing != Framing::None,
+        keep_alive: connection.keep_alive(version),
+        expects_continue: connection.expects_continue && version == 1 && framing != Framing::None,
         is_head: method == "HEAD",
         length,
     }))
 }
 
-/// Reads a response's head; `to_head`: the request's method was HEAD.
+/// Reads a response's head; `None` while it is incomplete. `to_head`: the request's method was HEAD.
 pub fn response(
     bytes: &[u8],
     to_head: bool,
     limits: Limits,
 ) -> Result<Option<Response>, MessageError> {
-    let Some(length) = end(bytes, limits)? else {
+    let Some(length) = head_length(bytes, limits)? else {
         return Ok(None);
     };
     let head = &bytes[..length];
-    let mut room = [httparse::EMPTY_HEADER; MOST_HEADERS];
-    let headers = &mut room[..limits.headers.min(MOST_HEADERS)];
+    let mut table = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let headers = &mut table[..limits.headers.min(MAX_HEADERS)];
     let mut parsed = httparse::Response::new(headers);
-    match parsed.parse(head) {
-        Ok(httparse::Status::Complete(read)) if read == length => {}
-        Ok(_) => return Err(MessageError::Syntax("a line's end")),
-        Err(error) => return Err(syntax(error, limits)),
-    }
+    check_complete(parsed.parse(head), length, limits)?;
     let (Some(status), Some(version)) = (parsed.code, parsed.version) else {
         return Err(MessageError::Syntax("the first line"));
     };
-    let said = said(parsed.headers)?;
+    let connection = ConnectionHeaders::read(parsed.headers)?;
     let bodiless = to_head || status / 100 == 1 || status == 204 || status == 304;
-    let framing = match (bodiless, said.chunked, said.length) {
+    let framing = match (bodiless, connection.is_chunked, connection.content_length) {
         (true, ..) => Framing::None,
         (_, true, _) => Framing::Chunked,
         (_, _, Some(0)) => Framing::None,
         (_, _, Some(length)) => Framing::Length(length),
         (_, _, None) => Framing::UntilClose,
     };
-    let lines = parsed
-        .headers
-        .iter()
-        .map(|h| (range(head, h.name.as_bytes()), range(head, h.value)));
-    let keep_alive = if version == 1 {
-        !said.close
-    } else {
-        said.keep_alive && !said.close
-    };
     Ok(Some(Response {
         status,
-        headers: lines.collect(),
+        headers: header_ranges(head, parsed.headers),
         framing,
-        keep_alive: keep_alive && framing != Framing::UntilClose,
+        keep_alive: connection.keep_alive(version) && framing != Framing::UntilClose,
         length,
     }))
 }
