--- /dev/null
+++ b/crates/reactor/src/poll.rs
@@ -0,0 +1,104 @@
+//! Readiness of file descriptors, by epoll.
+
+use rustix::event::{epoll, Timespec};
+use rustix::fd::{AsFd, OwnedFd};
+use rustix::io::Errno;
+use std::io;
+use std::mem::MaybeUninit;
+use wheelspread::time::Span;
+
+/// The name under which the owner of the loop registers a file descriptor.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct Token(pub u64);
+
+/// What a registered file descriptor is ready for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Readiness {
+    /// The name it was registered under.
+    pub token: Token,
+    /// Reading does not block.
+    pub readable: bool,
+    /// Writing does not block.
+    pub writable: bool,
+    /// The peer is gone or the socket failed; reading shows which.
+    pub closed: bool,
+}
+
+/// When [`Poll::wait`] reports a file descriptor.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Interest {
+    /// Level-triggered: reported by each wait while there is something to read.
+    Readable,
+    /// Edge-triggered in both directions: reported once a change; the owner reads and writes until it would block.
+    Edges,
+}
+
+/// An epoll instance.
+#[derive(Debug)]
+pub struct Poll {
+    epoll: OwnedFd,
+}
+
+/// Events taken from the kernel in one call.
+const MAX_EVENTS_PER_WAIT: usize = 512;
+
+impl Poll {
+    /// A new epoll instance, without registrations.
+    pub fn new() -> io::Result<Poll> {
+        let epoll = epoll::create(epoll::CreateFlags::CLOEXEC)?;
+        Ok(Poll { epoll })
+    }
+
+    /// Registers a file descriptor.
+    pub fn add(&self, fd: impl AsFd, token: Token, interest: Interest) -> io::Result<()> {
+        let flags = match interest {
+            Interest::Readable => epoll::EventFlags::IN | epoll::EventFlags::RDHUP,
+            Interest::Edges => {
+                epoll::EventFlags::IN
+                    | epoll::EventFlags::OUT
+                    | epoll::EventFlags::RDHUP
+                    | epoll::EventFlags::ET
+            }
+        };
+        Ok(epoll::add(
+            &self.epoll,
+            fd,
+            epoll::EventData::new_u64(token.0),
+            flags,
+        )?)
+    }
+
+    /// Ends the registration of a file descriptor.
+    pub fn remove(&self, fd: impl AsFd) -> io::Result<()> {
+        Ok(epoll::delete(&self.epoll, fd)?)
+    }
+
+    /// Waits until something is ready or the timeout is over, and puts what is ready into `ready`. An
+    /// interruption by a signal is not an error.
+    pub fn wait(&mut self, timeout: Span, ready: &mut Vec<Readiness>) -> io::Result<()> {
+        ready.clear();
+        let micros = timeout.micros().max(0);
+        let timeout = Timespec {
+            tv_sec: micros / 1_000_000,
+            tv_nsec: (micros % 1_000_000) * 1000,
+        };
+        let mut buffer = [MaybeUninit::<epoll::Event>::uninit(); MAX_EVENTS_PER_WAIT];
+        let events = match epoll::wait(&self.epoll, &mut buffer, Some(&timeout)) {
+            Ok((events, _)) => events,
+            Err(Errno::INTR) => return Ok(()),
+            Err(error) => return Err(error.into()),
+        };
+        let broken = epoll::EventFlags::HUP | epoll::EventFlags::ERR;
+        ready.extend(events.iter().map(|event| {
+            let (flags, data) = (event.flags, event.data);
+            Readiness {
+                token: Token(data.u64()),
+                readable: flags
+                    .intersects(epoll::EventFlags::IN | epoll::EventFlags::RDHUP | broken),
+                writable: flags.intersects(epoll::EventFlags::OUT | broken),
+                closed: flags.intersects(broken),
+            }
+        }));
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/reactor/src/socket.rs
@@ -0,0 +1,78 @@
+//! TCP sockets that never block.
+
+use rustix::fd::OwnedFd;
+use rustix::io::Errno;
+use rustix::net::{AddressFamily, SocketFlags, SocketType};
+use std::io;
+use std::net::{Ipv4Addr, SocketAddrV4, TcpListener, TcpStream};
+
+/// Connections that may wait to be accepted: all proxies of a large fleet may connect at once.
+const LISTEN_BACKLOG: i32 = 4096;
+
+/// A non-blocking listener.
+pub fn listen(address: SocketAddrV4) -> io::Result<TcpListener> {
+    let socket = tcp_socket()?;
+    rustix::net::sockopt::set_socket_reuseaddr(&socket, true)?;
+    rustix::net::bind(&socket, &address)?;
+    rustix::net::listen(&socket, LISTEN_BACKLOG)?;
+    Ok(TcpListener::from(socket))
+}
+
+/// Accepts all waiting connections; also returns the error that ended it early, such as a lack of descriptors.
+pub fn accept(listener: &TcpListener) -> (Vec<TcpStream>, Option<io::Error>) {
+    accept_at_most(listener, usize::MAX)
+}
+
+/// As [`accept`], but at most `limit` connections: for a caller that has few descriptors and chooses between peers.
+pub fn accept_at_most(listener: &TcpListener, limit: usize) -> (Vec<TcpStream>, Option<io::Error>) {
+    let mut accepted = Vec::new();
+    while accepted.len() < limit {
+        match listener.accept() {
+            Ok((stream, _)) => {
+                if stream.set_nonblocking(true).is_ok() {
+                    let _ = stream.set_nodelay(true);
+                    accepted.push(stream);
+                }
+            }
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => return (accepted, None),
+            Err(error) if error.kind() == io::ErrorKind::ConnectionAborted => {}
+            Err(error) => return (accepted, Some(error)),
+        }
+    }
+    (accepted, None)
+}
+
+/// Starts to connect; the socket becomes writable once it is connected, or closed if that failed.
+pub fn connect(address: [u8; 4], port: u16) -> io::Result<TcpStream> {
+    connect_from(None, address, port)
+}
+
+/// As [`connect`], from a given source address.
+pub fn connect_from(
+    source: Option<Ipv4Addr>,
+    address: [u8; 4],
+    port: u16,
+) -> io::Result<TcpStream> {
+    let socket = tcp_socket()?;
+    if let Some(source) = source {
+        rustix::net::bind(&socket, &SocketAddrV4::new(source, 0))?;
+    }
+    match rustix::net::connect(&socket, &SocketAddrV4::new(Ipv4Addr::from(address), port)) {
+        Ok(()) | Err(Errno::INPROGRESS) => {}
+        Err(error) => return Err(error.into()),
+    }
+    let stream = TcpStream::from(socket);
+    let _ = stream.set_nodelay(true);
+    Ok(stream)
+}
+
+/// Closes with a TCP reset, so that the peer sees a failure and not an orderly end.
+pub fn reset(stream: TcpStream) {
+    let _ = rustix::net::sockopt::set_socket_linger(&stream, Some(std::time::Duration::ZERO));
+}
+
+fn tcp_socket() -> io::Result<OwnedFd> {
+    let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
+    let socket = rustix::net::socket_with(AddressFamily::INET, SocketType::STREAM, flags, None)?;
+    Ok(socket)
+}
--- a/crates/reactor/src/tests.rs
+++ b/crates/reactor/src/tests.rs
@@ -1,4 +1,6 @@
 use super::*;
+use std::net::{Ipv4Addr, SocketAddrV4};
+use wheelspread::time::Span;
 
 #[test]
 fn a_waker_wakes_and_time_passes() {
--- /dev/null
+++ b/crates/reactor/src/wake.rs
@@ -0,0 +1,86 @@
+//! What wakes a loop apart from its sockets: other threads and signals.
+
+use crate::{Interest, Poll, Token};
+use rustix::event::{eventfd, EventfdFlags};
+use rustix::fd::OwnedFd;
+use std::io;
+use std::os::unix::net::UnixStream;
+use std::sync::Arc;
+
+/// Wakes a loop from another thread.
+#[derive(Clone, Debug)]
+pub struct Waker(Arc<OwnedFd>);
+
+impl Waker {
+    /// Registers a new waker; [`Poll::wait`] reports it under `token`.
+    pub fn new(poll: &Poll, token: Token) -> io::Result<Waker> {
+        let fd = eventfd(0, EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK)?;
+        poll.add(&fd, token, Interest::Readable)?;
+        Ok(Waker(Arc::new(fd)))
+    }
+
+    /// Wakes the loop, from any thread.
+    pub fn wake(&self) {
+        // The only possible failure is a full counter, and then the loop is being woken already.
+        let _ = rustix::io::write(&*self.0, &1u64.to_ne_bytes());
+    }
+
+    /// Resets the waker once the loop has noticed it.
+    pub fn rest(&self) {
+        let _ = rustix::io::read(&*self.0, &mut [0u8; 8]);
+    }
+}
+
+/// Signals, delivered through sockets that a loop polls.
+#[derive(Debug)]
+pub struct Signals {
+    sources: Vec<SignalSource>,
+}
+
+/// SIGTERM.
+pub const TERMINATE: i32 = 15;
+/// SIGINT.
+pub const INTERRUPT: i32 = 2;
+/// SIGHUP.
+pub const RELOAD: i32 = 1;
+
+impl Signals {
+    /// Registers handlers for `signals`; [`Poll::wait`] reports them all under `token`.
+    pub fn new(poll: &Poll, token: Token, signals: &[i32]) -> io::Result<Signals> {
+        let mut sources = Vec::new();
+        for signal in signals {
+            let (receiver, sender) = UnixStream::pair()?;
+            receiver.set_nonblocking(true)?;
+            signal_hook::low_level::pipe::register(*signal, sender)?;
+            poll.add(&receiver, token, Interest::Readable)?;
+            sources.push(SignalSource {
+                signal: *signal,
+                receiver,
+            });
+        }
+        Ok(Signals { sources })
+    }
+
+    /// The signals received since the last call.
+    pub fn received(&self) -> Vec<i32> {
+        self.sources
+            .iter()
+            .filter(|source| source.drain())
+            .map(|source| source.signal)
+            .collect()
+    }
+}
+
+#[derive(Debug)]
+struct SignalSource {
+    signal: i32,
+    receiver: UnixStream,
+}
+
+impl SignalSource {
+    /// Whether the signal arrived since the last call.
+    fn drain(&self) -> bool {
+        let mut buffer = [0u8; 64];
+        matches!(io::Read::read(&mut &self.receiver, &mut buffer), Ok(count) if count > 0)
+    }
+}
--- a/crates/reactor/src/watch.rs
+++ b/crates/reactor/src/watch.rs
@@ -1,4 +1,4 @@
-//! Directories watched for names that are moved into them, as a swap by rename does.
+//! Directories watched, by inotify, for names that are moved into them, as an atomic swap by rename does.
 
 use crate::{Interest, Poll, Token};
 use rustix::fd::OwnedFd;
@@ -9,27 +9,35 @@
 use std::mem::MaybeUninit;
 use std::path::{Path, PathBuf};
 
-/// A name that was moved into, or written in, a watched directory.
+/// What happened in a watched directory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Moved {
+    /// A name was moved into the directory, or a file there was written and closed.
     Into {
+        /// The directory, as it was added.
         directory: PathBuf,
+        /// The name within it.
         name: String,
     },
-    /// So much happened that some of it was lost: look at everything.
+    /// The kernel's queue overflowed and events were lost: the owner has to read everything again.
     Overflow,
-    /// The directory itself went away.
+    /// The directory itself was removed or renamed.
     Gone {
+        /// The directory, as it was added.
         directory: PathBuf,
     },
 }
 
+/// An inotify instance with the directories that it watches.
+#[derive(Debug)]
 pub struct Watcher {
     fd: OwnedFd,
+    /// By watch descriptor.
     directories: BTreeMap<i32, PathBuf>,
 }
 
 impl Watcher {
+    /// Registers a new watcher; [`Poll::wait`] reports it under `token`.
     pub fn new(poll: &Poll, token: Token) -> io::Result<Watcher> {
         let fd = inotify::init(inotify::CreateFlags::CLOEXEC | inotify::CreateFlags::NONBLOCK)?;
         poll.add(&fd, token, Interest::Readable)?;
@@ -39,7 +47,8 @@
         })
     }
 
-    /// Names written in place are told too, when their writer closes them: not everyone swaps.
+    /// Watches a directory. Files written in place are reported too, when their writer closes them, because not
+    /// every writer swaps.
     pub fn add(&mut self, directory: &Path) -> io::Result<()> {
         let flags = inotify::WatchFlags::MOVED_TO
             | inotify::WatchFlags::CLOSE_WRITE
@@ -51,7 +60,7 @@
         Ok(())
     }
 
-    /// What happened since the last call.
+    /// The events since the last call.
     pub fn moved(&mut self) -> io::Result<Vec<Moved>> {
         let mut moved = Vec::new();
         let mut buffer = [MaybeUninit::<u8>::uninit(); 16384];
@@ -70,8 +79,8 @@
             let Some(directory) = self.directories.get(&event.wd()).cloned() else {
                 continue;
             };
-            let lost = inotify::ReadFlags::DELETE_SELF | inotify::ReadFlags::MOVE_SELF;
-            if event.events().intersects(lost) {
+            let gone = inotify::ReadFlags::DELETE_SELF | inotify::ReadFlags::MOVE_SELF;
+            if event.events().intersects(gone) {
                 moved.push(Moved::Gone { directory });
             } else if let Some(name) = event.file_name().and_then(|name| name.to_str().ok()) {
                 moved.push(Moved::Into {
--- a/crates/reactor/src/watch/tests.rs
+++ b/crates/reactor/src/watch/tests.rs
@@ -2,7 +2,7 @@
 use wheelspread::time::Span;
 
 #[test]
-fn a_rename_into_a_directory_is_told_with_its_name() {
+fn a_rename_into_a_directory_is_reported_with_its_name() {
     let directory = tempfile::tempdir().expect("a directory");
     let mut poll = Poll::new().expect("epoll");
     let mut watcher = Watcher::new(&poll, Token(3)).expect("inotify");
