--- /dev/null
+++ b/crates/grpc/src/client/keepalive.rs
@@ -0,0 +1,56 @@
+//! A client's pings: a peer that hangs keeps its connection, so only an answer shows that it is there.
+
+use crate::error::ConnectionError;
+use crate::KeepAlive;
+use h2::{Ping, PingPong};
+use std::task::{Context, Poll};
+use wheelspread::time::Moment;
+
+pub(super) struct KeepAliveState {
+    pings: Option<PingPong>,
+    ping_sent_at: Option<Moment>,
+    last_answer_at: Moment,
+}
+
+impl KeepAliveState {
+    pub fn new(now: Moment, pings: Option<PingPong>) -> KeepAliveState {
+        KeepAliveState {
+            pings,
+            ping_sent_at: None,
+            last_answer_at: now,
+        }
+    }
+
+    /// Whether anything moved.
+    pub fn step(
+        &mut self,
+        now: Moment,
+        limits: KeepAlive,
+        context: &mut Context,
+    ) -> Result<bool, ConnectionError> {
+        let Some(pings) = &mut self.pings else {
+            return Ok(false);
+        };
+        if let Some(sent_at) = self.ping_sent_at {
+            return match pings.poll_pong(context) {
+                Poll::Ready(Ok(_)) => {
+                    self.ping_sent_at = None;
+                    self.last_answer_at = now;
+                    Ok(true)
+                }
+                Poll::Ready(Err(error)) => Err(error.into()),
+                Poll::Pending if now - sent_at > limits.timeout => {
+                    let timeout = limits.timeout;
+                    Err(ConnectionError::ServerSilent { timeout })
+                }
+                Poll::Pending => Ok(false),
+            };
+        }
+        if now - self.last_answer_at < limits.interval {
+            return Ok(false);
+        }
+        pings.send_ping(Ping::opaque())?;
+        self.ping_sent_at = Some(now);
+        Ok(true)
+    }
+}
--- a/crates/grpc/src/frame.rs
+++ b/crates/grpc/src/frame.rs
@@ -1,10 +1,11 @@
-//! The length-prefixed messages of a stream, and no more memory for them than was allowed.
+//! The length-prefixed messages of a stream, in bounded memory.
 
 use bytes::{BufMut, Bytes, BytesMut};
 
-/// A report of the largest fleets is well below it.
+/// The longest message in bytes; a load report of the largest fleets is well below it.
 pub const LONGEST_MESSAGE: usize = 4 << 20;
 
+/// Why bytes are not a message.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
     #[error("a message of {length} bytes, {most} at most are taken")]
@@ -15,39 +16,43 @@
     Flag(u8),
 }
 
-const HEAD: usize = 5;
+/// The flag byte and the length of a frame.
+const HEADER_BYTES: usize = 5;
 
-/// Puts messages together from pieces.
+/// Assembles messages from pieces of a stream.
 #[derive(Debug)]
 pub struct Deframer {
     buffer: BytesMut,
-    most: usize,
+    max_message_bytes: usize,
 }
 
 impl Deframer {
-    pub fn new(most: usize) -> Deframer {
+    /// For messages of `max_message_bytes` at most.
+    pub fn new(max_message_bytes: usize) -> Deframer {
         Deframer {
             buffer: BytesMut::new(),
-            most,
+            max_message_bytes,
         }
     }
 
+    /// Adds bytes as they arrived.
     pub fn push(&mut self, piece: &[u8]) {
         self.buffer.extend_from_slice(piece);
     }
 
-    /// Whether a message has begun that is not whole yet.
+    /// Whether a message has begun that is not complete yet.
     pub fn partial(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    pub fn held(&self) -> usize {
+    /// Bytes of the message that is not complete yet.
+    pub fn buffered(&self) -> usize {
         self.buffer.len()
     }
 
-    /// The next whole message. A length that is too long is refused as soon as it is known.
+    /// The next complete message. One that is too long is refused as soon as its length is known.
     pub fn take_message(&mut self) -> Result<Option<Bytes>, FrameError> {
-        let Some(head) = self.buffer.first_chunk::<HEAD>() else {
+        let Some(head) = self.buffer.first_chunk::<HEADER_BYTES>() else {
             return Ok(None);
         };
         match head[0] {
@@ -56,22 +61,23 @@
             other => return Err(FrameError::Flag(other)),
         }
         let length = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize;
-        if length > self.most {
+        if length > self.max_message_bytes {
             return Err(FrameError::TooLong {
                 length,
-                most: self.most,
+                most: self.max_message_bytes,
             });
         }
-        if self.buffer.len() < HEAD + length {
+        if self.buffer.len() < HEADER_BYTES + length {
             return Ok(None);
         }
-        let mut message = self.buffer.split_to(HEAD + length);
-        Ok(Some(message.split_off(HEAD).freeze()))
+        let mut message = self.buffer.split_to(HEADER_BYTES + length);
+        Ok(Some(message.split_off(HEADER_BYTES).freeze()))
     }
 }
 
+/// A message with its header, uncompressed.
 pub fn frame(message: &[u8]) -> Bytes {
-    let mut out = BytesMut::with_capacity(HEAD + message.len());
+    let mut out = BytesMut::with_capacity(HEADER_BYTES + message.len());
     out.put_u8(0);
     out.put_u32(message.len() as u32);
     out.put_slice(message);
--- a/crates/grpc/src/frame/tests.rs
+++ b/crates/grpc/src/frame/tests.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn what_is_too_long_is_refused_before_it_is_held() {
+fn a_message_that_is_too_long_is_refused_before_it_is_buffered() {
     let mut deframer = Deframer::new(1000);
     deframer.push(&[0, 0x06, 0x40, 0, 0]);
     assert_eq!(
--- a/crates/grpc/src/io.rs
+++ b/crates/grpc/src/io.rs
@@ -1,4 +1,4 @@
-//! A socket that never blocks, plain or under TLS, in the shape that HTTP/2 wants to read and write.
+//! A non-blocking socket, plain or under TLS, as the HTTP/2 library reads and writes it.
 
 use rustls::pki_types::CertificateDer;
 use std::io::{ErrorKind, Read, Write};
@@ -9,24 +9,26 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// The certificate by which the peer named itself, once the handshake is through.
-pub type Peer = Arc<OnceLock<CertificateDer<'static>>>;
+/// The peer's certificate, once the handshake is complete.
+pub type PeerCertificate = Arc<OnceLock<CertificateDer<'static>>>;
 
+/// A non-blocking TCP socket, with TLS or without.
 pub struct Socket {
     tcp: TcpStream,
     tls: Option<Box<rustls::Connection>>,
-    peer: Peer,
+    peer: PeerCertificate,
 }
 
 /// `WouldBlock` is pending: the loop polls again when the socket is ready.
-fn pending<T>(result: std::io::Result<T>) -> Poll<std::io::Result<T>> {
+fn would_block_is_pending<T>(result: std::io::Result<T>) -> Poll<std::io::Result<T>> {
     match result {
         Err(error) if error.kind() == ErrorKind::WouldBlock => Poll::Pending,
         other => Poll::Ready(other),
     }
 }
 
-fn again<T>(mut call: impl FnMut() -> std::io::Result<T>) -> std::io::Result<T> {
+/// Repeats a call that a signal interrupted.
+fn retry_interrupted<T>(mut call: impl FnMut() -> std::io::Result<T>) -> std::io::Result<T> {
     loop {
         match call() {
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
@@ -36,87 +38,92 @@
 }
 
 impl Socket {
+    /// Without TLS.
     pub fn plain(tcp: TcpStream) -> Socket {
         Socket {
             tcp,
             tls: None,
-            peer: Peer::default(),
+            peer: PeerCertificate::default(),
         }
     }
 
+    /// Under TLS, whose handshake takes place with the first reads and writes.
     pub fn tls(tcp: TcpStream, tls: impl Into<rustls::Connection>) -> Socket {
         Socket {
             tcp,
             tls: Some(Box::new(tls.into())),
-            peer: Peer::default(),
+            peer: PeerCertificate::default(),
         }
     }
 
-    pub fn peer(&self) -> Peer {
+    /// The cell that gets the peer's certificate.
+    pub fn peer(&self) -> PeerCertificate {
         self.peer.clone()
     }
 
-    /// Sends what is sealed; an error of kind `WouldBlock` leaves the rest for later.
+    /// Sends encrypted bytes that wait; an error of kind `WouldBlock` leaves the rest for later.
     pub fn push(&mut self) -> std::io::Result<()> {
         let Some(tls) = &mut self.tls else {
             return Ok(());
         };
         while tls.wants_write() {
-            again(|| tls.write_tls(&mut self.tcp))?;
+            retry_interrupted(|| tls.write_tls(&mut self.tcp))?;
         }
         Ok(())
     }
 
+    /// Reads decrypted bytes; 0 is the end of the connection.
     pub fn read(&mut self, into: &mut [u8]) -> std::io::Result<usize> {
         loop {
             let Some(tls) = &mut self.tls else {
-                return again(|| self.tcp.read(into));
+                return retry_interrupted(|| self.tcp.read(into));
             };
             match tls.reader().read(into) {
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {}
-                // A peer that ends without saying so has ended.
+                // A peer that ends without a close notification has ended too.
                 Err(error) if error.kind() == ErrorKind::UnexpectedEof => return Ok(0),
                 other => return other,
             }
-            let came = again(|| tls.read_tls(&mut self.tcp));
-            if let Ok(0) = came {
-                return Ok(0);
+            match retry_interrupted(|| tls.read_tls(&mut self.tcp)) {
+                Ok(0) => return Ok(0),
+                Ok(_) => {}
+                Err(error) => return Err(self.push_failure().unwrap_or(error)),
             }
-            match came {
-                Ok(_) => {
-                    let read = tls.process_new_packets();
-                    read.map_err(|error| {
-                        // The peer is told why, as far as that goes out at once.
-                        let _ = tls.write_tls(&mut self.tcp);
-                        std::io::Error::new(ErrorKind::InvalidData, error)
-                    })?;
-                }
-                Err(error) => {
-                    let pushed = self.push();
-                    return Err(pushed
-                        .err()
-                        .filter(|e| e.kind() != ErrorKind::WouldBlock)
-                        .unwrap_or(error));
-                }
+            if let Err(error) = tls.process_new_packets() {
+                // The alert tells the peer why, as far as it goes out at once.
+                let _ = tls.write_tls(&mut self.tcp);
+                return Err(std::io::Error::new(ErrorKind::InvalidData, error));
             }
-            if let (false, Some(certificate)) = (
-                tls.is_handshaking(),
-                tls.peer_certificates().and_then(<[_]>::first),
-            ) {
-                self.peer.get_or_init(|| certificate.clone().into_owned());
-            }
-            match self.push() {
-                Err(error) if error.kind() != ErrorKind::WouldBlock => return Err(error),
-                _ => {}
+            self.record_peer_certificate();
+            if let Some(error) = self.push_failure() {
+                return Err(error);
             }
         }
     }
 
+    /// Sends encrypted bytes that wait; an error other than `WouldBlock`.
+    fn push_failure(&mut self) -> Option<std::io::Error> {
+        let pushed = self.push();
+        pushed
+            .err()
+            .filter(|error| error.kind() != ErrorKind::WouldBlock)
+    }
+
+    fn record_peer_certificate(&self) {
+        let Some(tls) = self.tls.as_ref().filter(|tls| !tls.is_handshaking()) else {
+            return;
+        };
+        if let Some(certificate) = tls.peer_certificates().and_then(<[_]>::first) {
+            self.peer.get_or_init(|| certificate.clone().into_owned());
+        }
+    }
+
+    /// Encrypts and sends bytes; how many were taken.
     pub fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         let Some(tls) = &mut self.tls else {
-            return again(|| self.tcp.write(bytes));
+            return retry_interrupted(|| self.tcp.write(bytes));
         };
-        // What it takes is bounded by itself; sealed bytes that do not go out now go with the next call.
+        // TLS bounds its own buffer; encrypted bytes that do not go out now go with the next call.
         let taken = tls.writer().write(bytes)?;
         match self.push() {
             Err(error) if error.kind() == ErrorKind::WouldBlock && taken > 0 => Ok(taken),
@@ -139,8 +146,8 @@
         _: &mut Context,
         buf: &mut ReadBuf,
     ) -> Poll<std::io::Result<()>> {
-        let room = buf.initialize_unfilled();
-        pending(self.get_mut().read(room)).map_ok(|count| buf.advance(count))
+        let unfilled = buf.initialize_unfilled();
+        would_block_is_pending(self.get_mut().read(unfilled)).map_ok(|count| buf.advance(count))
     }
 }
 
@@ -150,11 +157,11 @@
         _: &mut Context,
         bytes: &[u8],
     ) -> Poll<std::io::Result<usize>> {
-        pending(self.get_mut().write(bytes))
+        would_block_is_pending(self.get_mut().write(bytes))
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context) -> Poll<std::io::Result<()>> {
-        pending(self.get_mut().push())
+        would_block_is_pending(self.get_mut().push())
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context) -> Poll<std::io::Result<()>> {
@@ -162,7 +169,7 @@
         if let Some(tls) = &mut socket.tls {
             tls.send_close_notify();
         }
-        if pending(socket.push()).is_pending() {
+        if would_block_is_pending(socket.push()).is_pending() {
             return Poll::Pending;
         }
         match socket.tcp.shutdown(std::net::Shutdown::Write) {
--- a/crates/grpc/src/server.rs
+++ b/crates/grpc/src/server.rs
@@ -1,80 +1,92 @@
-//! The side that is called. Each stream of a connection has a key; its messages come as events.
+//! The server side. Each stream of a connection has a key; its messages come as events.
 
-use crate::frame::{frame, Deframer};
-use crate::io::{Peer, Socket};
-use crate::{Limits, Status};
+mod stream;
+
+use crate::error::ConnectionError;
+use crate::io::{PeerCertificate, Socket};
+use crate::{Limits, Status, MAX_HEADER_LIST_BYTES, MAX_STEPS_PER_TURN, STREAM_WINDOW_BYTES};
 use bytes::Bytes;
 use h2::server::{Connection, Handshake, SendResponse};
-use h2::{Ping, PingPong, RecvStream, SendStream};
-use http::{HeaderMap, HeaderValue, Method, Request, Response};
+use h2::{Ping, PingPong, RecvStream};
+use http::{HeaderMap, HeaderValue, Method, Request, Response, StatusCode};
 use std::collections::BTreeMap;
 use std::future::Future;
 use std::net::TcpStream;
 use std::pin::Pin;
 use std::sync::Arc;
 use std::task::{Context, Poll, Waker};
-use wheelspread::time::Moment;
+use std::time::Duration;
+use stream::{Stream, StreamEnd};
+use wheelspread::time::{Moment, Span};
 
-/// A stream of one connection, never used again there.
+/// A stream of one connection. A key is never used again on its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StreamKey(pub u32);
 
+/// What happened on a server's connection.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ServerEvent {
+    /// The peer opened a stream.
     Opened {
+        /// The new stream.
         stream: StreamKey,
+        /// The path of the request: the method that is called.
         path: String,
     },
+    /// The peer sent a message.
     Message {
+        /// The stream that it came on.
         stream: StreamKey,
+        /// The message without its frame.
         bytes: Bytes,
     },
-    /// The stream is over, by the peer's end, its reset, or what it did wrong.
+    /// The stream is over: the peer ended or reset it, violated a limit, or it was closed here.
     Closed {
+        /// The stream that is over.
         stream: StreamKey,
+        /// Why it is over.
         reason: String,
     },
 }
 
 enum State {
-    Shaking(Handshake<Socket, Bytes>),
+    Handshaking(Handshake<Socket, Bytes>),
     Open(Connection<Socket, Bytes>),
     Over,
 }
 
-struct Stream {
-    receive: RecvStream,
-    send: SendStream<Bytes>,
-    deframer: Deframer,
-    /// Since when a message is begun and not whole.
-    partial_since: Option<Moment>,
-    queue: std::collections::VecDeque<Bytes>,
-    queued: usize,
-    /// The peer has ended its side.
-    ended: bool,
-}
+/// The window of a connection for all its streams together.
+const CONNECTION_WINDOW_BYTES: u32 = 1 << 20;
+
+/// Streams that a peer reset, kept for frames that are still under way.
+const MAX_RESET_STREAMS: usize = 20;
+
+/// Limits are compared with `>`, so the loop wakes just after they are over.
+const WAKE_MARGIN: Duration = Duration::from_millis(1);
 
+/// A server's connection with its streams.
 pub struct ServerConnection {
     state: State,
     limits: Limits,
-    since: Moment,
+    started_at: Moment,
     streams: BTreeMap<StreamKey, Stream>,
-    next: u32,
+    next_key: u32,
     events: Vec<ServerEvent>,
-    failed: Option<String>,
-    stopping: bool,
-    peer: Peer,
+    failed: Option<ConnectionError>,
+    is_stopping: bool,
+    peer: PeerCertificate,
     pings: Option<PingPong>,
-    pinged: Option<Moment>,
-    heard: Moment,
+    ping_sent_at: Option<Moment>,
+    last_received_at: Moment,
 }
 
 impl ServerConnection {
+    /// Takes an accepted socket.
     pub fn new(now: Moment, socket: TcpStream, limits: Limits) -> ServerConnection {
-        ServerConnection::over(now, Socket::plain(socket), limits)
+        ServerConnection::on_socket(now, Socket::plain(socket), limits)
     }
 
-    /// The same under TLS.
+    /// As [`ServerConnection::new`] under TLS.
     pub fn secured(
         now: Moment,
         socket: TcpStream,
@@ -82,140 +94,126 @@
         tls: Arc<rustls::ServerConfig>,
     ) -> Result<ServerConnection, rustls::Error> {
         let tls = rustls::ServerConnection::new(tls)?;
-        Ok(ServerConnection::over(
+        Ok(ServerConnection::on_socket(
             now,
             Socket::tls(socket, tls),
             limits,
         ))
     }
 
-    /// The certificate by which the peer named itself.
+    /// The peer's certificate, once the handshake is complete.
     pub fn peer(&self) -> Option<&rustls::pki_types::CertificateDer<'static>> {
         self.peer.get()
     }
 
-    fn over(now: Moment, socket: Socket, limits: Limits) -> ServerConnection {
+    fn on_socket(now: Moment, socket: Socket, limits: Limits) -> ServerConnection {
         let peer = socket.peer();
         let handshake = h2::server::Builder::new()
-            .max_concurrent_streams(limits.streams)
-            .max_header_list_size(16 << 10)
-            .initial_window_size(256 << 10)
-            .initial_connection_window_size(1 << 20)
-            .max_concurrent_reset_streams(20)
-            .max_pending_accept_reset_streams(20)
-            .max_send_buffer_size(limits.queued)
+            .max_concurrent_streams(limits.max_streams)
+            .max_header_list_size(MAX_HEADER_LIST_BYTES)
+            .initial_window_size(STREAM_WINDOW_BYTES)
+            .initial_connection_window_size(CONNECTION_WINDOW_BYTES)
+            .max_concurrent_reset_streams(MAX_RESET_STREAMS)
+            .max_pending_accept_reset_streams(MAX_RESET_STREAMS)
+            .max_send_buffer_size(limits.max_queued_bytes)
             .handshake(socket);
         ServerConnection {
-            state: State::Shaking(handshake),
+            state: State::Handshaking(handshake),
             limits,
-            since: now,
+            started_at: now,
             streams: BTreeMap::new(),
-            next: 0,
+            next_key: 0,
             events: Vec::new(),
             failed: None,
-            stopping: false,
+            is_stopping: false,
             peer,
             pings: None,
-            pinged: None,
-            heard: now,
+            ping_sent_at: None,
+            last_received_at: now,
         }
     }
 
-    /// Reads and writes what can be. Returns what happened, and why the connection is over if it is.
+    /// Reads and writes until the socket would block. Returns the events, and why the connection is over if
+    /// it is.
     pub fn turn(&mut self, now: Moment) -> (Vec<ServerEvent>, Option<String>) {
         let mut context = Context::from_waker(Waker::noop());
-        // What one part does may let another go on, so it goes round until nothing moves.
-        for _ in 0..1000 {
-            let moved = self.connection(&mut context)
-                | self.read(now, &mut context)
-                | self.write(&mut context);
-            if !moved || self.failed.is_some() {
+        // Progress in one part may let another go on, so all are polled until nothing moves.
+        for _ in 0..MAX_STEPS_PER_TURN {
+            let has_moved = self.poll_connection(&mut context)
+                | self.read_streams(now, &mut context)
+                | self.write_streams(&mut context);
+            if !has_moved || self.failed.is_some() {
                 break;
             }
         }
-        self.ping(now, &mut context);
-        if matches!(self.state, State::Shaking(_)) && now - self.since > self.limits.patience {
-            self.failed
-                .get_or_insert("no handshake in time".to_string());
+        self.check_keepalive(now, &mut context);
+        let is_late = now - self.started_at > self.limits.progress_timeout;
+        if is_late && matches!(self.state, State::Handshaking(_)) {
+            self.failed.get_or_insert(ConnectionError::HandshakeTimeout);
         }
-        if let Some(reason) = &self.failed {
+        let failed = self.failed.as_ref().map(ToString::to_string);
+        if let Some(reason) = &failed {
             self.state = State::Over;
             for stream in std::mem::take(&mut self.streams).into_keys() {
-                self.events.push(ServerEvent::Closed {
-                    stream,
-                    reason: reason.clone(),
-                });
+                let reason = reason.clone();
+                self.events.push(ServerEvent::Closed { stream, reason });
             }
         }
-        (std::mem::take(&mut self.events), self.failed.clone())
+        (std::mem::take(&mut self.events), failed)
     }
 
-    fn connection(&mut self, context: &mut Context) -> bool {
+    /// Whether anything moved.
+    fn poll_connection(&mut self, context: &mut Context) -> bool {
         match &mut self.state {
-            State::Shaking(handshake) => match Pin::new(handshake).poll(context) {
+            State::Handshaking(handshake) => match Pin::new(handshake).poll(context) {
                 Poll::Ready(Ok(mut connection)) => {
                     self.pings = connection.ping_pong();
                     self.state = State::Open(connection);
-                    true
                 }
-                Poll::Ready(Err(error)) => {
-                    self.failed = Some(format!("handshake: {error}"));
-                    true
-                }
-                Poll::Pending => false,
+                Poll::Ready(Err(error)) => self.failed = Some(ConnectionError::Handshake(error)),
+                Poll::Pending => return false,
             },
             State::Open(connection) => match connection.poll_accept(context) {
-                Poll::Ready(Some(Ok((request, respond)))) => {
-                    self.accept(request, respond);
-                    true
-                }
-                Poll::Ready(Some(Err(error))) => {
-                    self.failed = Some(error.to_string());
-                    true
-                }
-                Poll::Ready(None) => {
-                    self.failed = Some("the peer closed the connection".to_string());
-                    true
-                }
-                Poll::Pending => false,
+                Poll::Ready(Some(Ok((request, respond)))) => self.accept(request, respond),
+                Poll::Ready(Some(Err(error))) => self.failed = Some(error.into()),
+                Poll::Ready(None) => self.failed = Some(ConnectionError::ClosedByPeer),
+                Poll::Pending => return false,
             },
-            State::Over => false,
+            State::Over => return false,
         }
+        true
     }
 
-    /// Streams of tables may be idle for hours; whether the peer is still there only an answer shows.
-    fn ping(&mut self, now: Moment, context: &mut Context) {
+    /// Table streams may be idle for hours; only an answer to a ping shows that the peer is still there.
+    fn check_keepalive(&mut self, now: Moment, context: &mut Context) {
         let Some(pings) = &mut self.pings else { return };
-        let (every, patience) = self.limits.server_ping;
-        match self.pinged {
-            Some(since) => match pings.poll_pong(context) {
-                Poll::Ready(Ok(_)) => (self.pinged, self.heard) = (None, now),
-                Poll::Ready(Err(_)) => {}
-                Poll::Pending if now - since >= patience => {
-                    self.failed.get_or_insert("no answer to a ping".to_string());
+        let limits = self.limits.server_keepalive;
+        match self.ping_sent_at {
+            Some(sent_at) => match pings.poll_pong(context) {
+                Poll::Ready(Ok(_)) => {
+                    self.ping_sent_at = None;
+                    self.last_received_at = now;
                 }
-                Poll::Pending => {}
+                Poll::Pending if now - sent_at >= limits.timeout => {
+                    self.failed.get_or_insert(ConnectionError::ClientSilent);
+                }
+                Poll::Ready(Err(_)) | Poll::Pending => {}
             },
-            None if now - self.heard >= every && pings.send_ping(Ping::opaque()).is_ok() => {
-                self.pinged = Some(now);
-                // Sent with this turn, not the next.
-                self.connection(context);
+            None if now - self.last_received_at >= limits.interval
+                && pings.send_ping(Ping::opaque()).is_ok() =>
+            {
+                self.ping_sent_at = Some(now);
+                // Polled again so that the ping goes out with this turn and not the next.
+                self.poll_connection(context);
             }
             None => {}
         }
     }
 
     fn accept(&mut self, request: Request<RecvStream>, mut respond: SendResponse<Bytes>) {
-        let grpc = |headers: &HeaderMap| {
-            let kind = headers
-                .get("content-type")
-                .and_then(|kind| kind.to_str().ok());
-            kind.is_some_and(|kind| {
-                kind == "application/grpc" || kind.starts_with("application/grpc+")
-            })
-        };
-        if request.method() != Method::POST || !grpc(request.headers()) {
-            let response = Response::builder().status(415).body(()).unwrap_or_default();
+        if request.method() != Method::POST || !is_grpc(request.headers()) {
+            let mut response = Response::new(());
+            *response.status_mut() = StatusCode::UNSUPPORTED_MEDIA_TYPE;
             let _ = respond.send_response(response, true);
             return;
         }
@@ -227,156 +225,64 @@
         let Ok(send) = respond.send_response(response, false) else {
             return;
         };
-        let stream = StreamKey(self.next);
-        self.next += 1;
-        self.streams.insert(
-            stream,
-            Stream {
-                receive: request.into_body(),
-                send,
-                deframer: Deframer::new(self.limits.longest_message),
-                partial_since: None,
-                queue: Default::default(),
-                queued: 0,
-                ended: false,
-            },
-        );
-        self.events.push(ServerEvent::Opened { stream, path });
+        let key = StreamKey(self.next_key);
+        self.next_key += 1;
+        let stream = Stream::new(request.into_body(), send, self.limits.max_message_bytes);
+        self.streams.insert(key, stream);
+        self.events.push(ServerEvent::Opened { stream: key, path });
     }
 
-    fn read(&mut self, now: Moment, context: &mut Context) -> bool {
-        let mut moved = false;
-        let mut over = Vec::new();
+    /// Whether anything moved.
+    fn read_streams(&mut self, now: Moment, context: &mut Context) -> bool {
+        let mut has_moved = false;
+        let mut ends: Vec<(StreamKey, StreamEnd)> = Vec::new();
         for (key, stream) in &mut self.streams {
-            while !stream.ended {
-                match stream.receive.poll_data(context) {
-                    Poll::Ready(Some(Ok(piece))) => {
-                        moved = true;
-                        self.heard = now;
-                        stream.deframer.push(&piece);
-                        // The window opens by what was taken in, so no more than one message waits here.
-                        let _ = stream.receive.flow_control().release_capacity(piece.len());
-                        let result = loop {
-                            match stream.deframer.take_message() {
-                                Ok(Some(bytes)) => self.events.push(ServerEvent::Message {
-                                    stream: *key,
-                                    bytes,
-                                }),
-                                Ok(None) => break Ok(()),
-                                Err(error) => break Err(error),
-                            }
-                        };
-                        stream.partial_since = stream
-                            .deframer
-                            .partial()
-                            .then(|| stream.partial_since.unwrap_or(now));
-                        if let Err(error) = result {
-                            over.push((*key, Status::ResourceExhausted, error.to_string()));
-                            break;
-                        }
-                    }
-                    Poll::Ready(Some(Err(error))) => {
-                        over.push((*key, Status::Ok, error.to_string()));
-                        break;
-                    }
-                    Poll::Ready(None) => {
-                        stream.ended = true;
-                        moved = true;
-                        let reason = if stream.deframer.partial() {
-                            "the peer ended it within a message"
-                        } else {
-                            "the peer ended it"
-                        };
-                        over.push((*key, Status::Ok, reason.to_string()));
-                    }
-                    Poll::Pending => break,
-                }
-            }
-            if stream
-                .partial_since
-                .is_some_and(|since| now - since > self.limits.patience)
-            {
-                let reason = format!(
-                    "the rest of a message did not come, {} bytes had",
-                    stream.deframer.held()
-                );
-                over.push((*key, Status::DeadlineExceeded, reason));
+            let result = stream.read(now, context, |bytes| {
+                let stream = *key;
+                self.events.push(ServerEvent::Message { stream, bytes });
+            });
+            if result.has_received {
+                self.last_received_at = now;
             }
+            has_moved |= result.has_moved;
+            ends.extend(result.end.map(|end| (*key, end)));
+            let stalled = stream.stalled(now, self.limits.progress_timeout);
+            ends.extend(stalled.map(|end| (*key, end)));
         }
-        for (key, status, reason) in over {
-            moved |= self.close(key, status, &reason);
+        for (key, end) in ends {
+            has_moved |= self.close(key, end.status, &end.reason);
         }
-        moved
+        has_moved
     }
 
-    fn write(&mut self, context: &mut Context) -> bool {
-        let mut moved = false;
+    /// Whether anything moved.
+    fn write_streams(&mut self, context: &mut Context) -> bool {
+        let mut has_moved = false;
         for stream in self.streams.values_mut() {
-            while let Some(next) = stream.queue.front() {
-                stream.send.reserve_capacity(next.len());
-                let room = stream.send.capacity();
-                if room == 0 {
-                    // Asked so that more room is told of; what is there is sent with the next turn.
-                    let _ = stream.send.poll_capacity(context);
-                    if stream.send.capacity() == 0 {
-                        break;
-                    }
-                    continue;
-                }
-                let Some(mut bytes) = stream.queue.pop_front() else {
-                    break;
-                };
-                let piece = bytes.split_to(room.min(bytes.len()));
-                stream.queued -= piece.len();
-                if !bytes.is_empty() {
-                    stream.queue.push_front(bytes);
-                }
-                moved = true;
-                if stream.send.send_data(piece, false).is_err() {
-                    stream.queue.clear();
-                    stream.queued = 0;
-                }
-            }
+            has_moved |= stream.write(context);
         }
-        moved
+        has_moved
     }
 
-    /// Queues a message. `false`: the peer takes too little, or the stream is gone.
+    /// Queues a message. `false`: the queue is full because the peer reads too slowly, or the stream is gone.
     pub fn send(&mut self, stream: StreamKey, message: &[u8]) -> bool {
-        let Some(stream) = self.streams.get_mut(&stream) else {
-            return false;
-        };
-        if stream.queued + message.len() > self.limits.queued {
-            return false;
-        }
-        let bytes = frame(message);
-        stream.queued += bytes.len();
-        stream.queue.push_back(bytes);
-        true
+        let limit = self.limits.max_queued_bytes;
+        self.streams
+            .get_mut(&stream)
+            .is_some_and(|stream| stream.send(message, limit))
     }
 
     /// Bytes that wait to be sent on a stream.
     pub fn queued(&self, stream: StreamKey) -> usize {
-        self.streams.get(&stream).map_or(0, |stream| stream.queued)
+        self.streams.get(&stream).map_or(0, Stream::queued)
     }
 
-    /// Ends a stream with a status that the peer is told.
+    /// Ends a stream with a status and a reason for the peer. `false`: the stream is gone already.
     pub fn close(&mut self, key: StreamKey, status: Status, reason: &str) -> bool {
-        let Some(mut stream) = self.streams.remove(&key) else {
+        let Some(stream) = self.streams.remove(&key) else {
             return false;
         };
-        let mut trailers = HeaderMap::new();
-        trailers.insert("grpc-status", HeaderValue::from(status.code()));
-        let plain: String = reason
-            .chars()
-            .filter(|c| (' '..='~').contains(c) && *c != '%')
-            .take(200)
-            .collect();
-        if let Ok(text) = HeaderValue::from_str(&plain) {
-            trailers.insert("grpc-message", text);
-        }
-        // What is dropped afterwards resets what the peer still sends, once the trailers are out.
-        let _ = stream.send.send_trailers(trailers);
+        stream.end(status, reason);
         self.events.push(ServerEvent::Closed {
             stream: key,
             reason: reason.to_string(),
@@ -384,33 +290,44 @@
         true
     }
 
-    /// Takes no more streams; those that are open may end by themselves.
+    /// Accepts no more streams; open streams may end by themselves.
     pub fn stop(&mut self) {
-        if let (State::Open(connection), false) = (&mut self.state, self.stopping) {
+        if let (State::Open(connection), false) = (&mut self.state, self.is_stopping) {
             connection.graceful_shutdown();
-            self.stopping = true;
+            self.is_stopping = true;
         }
     }
 
-    /// When `turn` should be called though the socket is quiet.
+    /// When `turn` should be called even though the socket is not ready.
     pub fn wake_at(&self) -> Option<Moment> {
-        let shaking = matches!(self.state, State::Shaking(_)).then_some(self.since);
+        let margin = Span::from_seconds(WAKE_MARGIN.as_secs_f64());
+        let is_handshaking = matches!(self.state, State::Handshaking(_));
+        let handshake = is_handshaking.then_some(self.started_at);
         let partial = self
             .streams
             .values()
-            .filter_map(|stream| stream.partial_since)
+            .filter_map(Stream::partial_since)
             .min();
-        let least = wheelspread::time::Span::from_seconds(0.001);
-        let own = shaking
+        let progress = handshake
             .into_iter()
             .chain(partial)
             .min()
-            .map(|since| since + self.limits.patience + least);
-        let (every, patience) = self.limits.server_ping;
+            .map(|since| since + self.limits.progress_timeout + margin);
+        let keepalive = self.limits.server_keepalive;
         let ping = self
-            .pinged
-            .map_or(self.heard + every, |since| since + patience);
-        let ping = self.pings.is_some().then_some(ping + least);
-        own.into_iter().chain(ping).min()
+            .ping_sent_at
+            .map_or(self.last_received_at + keepalive.interval, |sent_at| {
+                sent_at + keepalive.timeout
+            });
+        let ping = self.pings.is_some().then_some(ping + margin);
+        progress.into_iter().chain(ping).min()
     }
 }
+
+fn is_grpc(headers: &HeaderMap) -> bool {
+    let content_type = headers
+        .get("content-type")
+        .and_then(|value| value.to_str().ok());
+    content_type
+        .is_some_and(|kind| kind == "application/grpc" || kind.starts_with("application/grpc+"))
+}
--- a/crates/grpc/src/tls.rs
+++ b/crates/grpc/src/tls.rs
@@ -1,5 +1,6 @@
-//! Keys, certificates and roots from files, for both sides. What is read is checked as a whole, so that a
-//! certificate that was swapped in before its key is not taken.
+//! TLS keys, certificates and roots from files, for both sides.
+//!
+//! All files are read and checked together, so that a certificate that was swapped in before its key is not used.
 
 use rustls::pki_types::pem::PemObject;
 use rustls::pki_types::{CertificateDer, PrivateKeyDer, ServerName};
@@ -8,28 +9,39 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// Where one side's keys lie.
+/// The files with one side's keys.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyFiles {
+    /// The certificate chain, PEM.
     pub certificate: PathBuf,
+    /// The private key, PEM.
     pub key: PathBuf,
 }
 
+/// Why keys cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum KeyError {
+    /// A file cannot be read, or lacks what it should hold.
     #[error("{path}: {text}", path = .path.display())]
-    File { path: PathBuf, text: String },
+    File {
+        /// The file.
+        path: PathBuf,
+        /// What is wrong with it.
+        text: String,
+    },
+    /// The certificate and the key do not belong together, or are of no supported kind.
     #[error("the certificate and its key: {0}")]
     Pair(rustls::Error),
+    /// The roots cannot be used.
     #[error("the roots: {0}")]
     Roots(String),
 }
 
-/// The protocol that streams are spoken in.
+/// ALPN names.
 const HTTP2: &[u8] = b"h2";
 const HTTP1: &[u8] = b"http/1.1";
 
-fn file(path: &Path) -> impl Fn(rustls::pki_types::pem::Error) -> KeyError + '_ {
+fn file_error(path: &Path) -> impl Fn(rustls::pki_types::pem::Error) -> KeyError + '_ {
     |error| KeyError::File {
         path: path.to_path_buf(),
         text: error.to_string(),
@@ -38,9 +50,9 @@
 
 fn certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>, KeyError> {
     let found: Result<Vec<_>, _> = CertificateDer::pem_file_iter(path)
-        .map_err(file(path))?
+        .map_err(file_error(path))?
         .collect();
-    let found = found.map_err(file(path))?;
+    let found = found.map_err(file_error(path))?;
     if found.is_empty() {
         return Err(KeyError::File {
             path: path.to_path_buf(),
@@ -64,7 +76,7 @@
     Arc::new(rustls::crypto::ring::default_provider())
 }
 
-/// For the side that is called. With `clients`, only those with a certificate under these roots are served.
+/// For a gRPC server. With `clients`, only clients with a certificate under these roots are accepted.
 pub fn server(keys: &KeyFiles, clients: Option<&Path>) -> Result<Arc<ServerConfig>, KeyError> {
     let builder =
         ServerConfig::builder_with_provider(provider()).with_safe_default_protocol_versions();
@@ -81,48 +93,48 @@
             )
         }
     };
-    let key = PrivateKeyDer::from_pem_file(&keys.key).map_err(file(&keys.key))?;
-    let made = builder.with_single_cert(certificates(&keys.certificate)?, key);
-    let mut made = made.map_err(KeyError::Pair)?;
-    made.alpn_protocols = vec![HTTP2.to_vec()];
-    Ok(Arc::new(made))
+    let key = PrivateKeyDer::from_pem_file(&keys.key).map_err(file_error(&keys.key))?;
+    let config = builder.with_single_cert(certificates(&keys.certificate)?, key);
+    let mut config = config.map_err(KeyError::Pair)?;
+    config.alpn_protocols = vec![HTTP2.to_vec()];
+    Ok(Arc::new(config))
 }
 
-/// The same for callers that speak HTTP/1.1.
+/// For an HTTP/1.1 server that accepts only clients with a certificate under these roots.
 pub fn plain_server(keys: &KeyFiles, clients: &Path) -> Result<Arc<ServerConfig>, KeyError> {
-    let mut made = ServerConfig::clone(&*server(keys, Some(clients))?);
-    made.alpn_protocols = vec![HTTP1.to_vec()];
-    Ok(Arc::new(made))
+    let mut config = ServerConfig::clone(&*server(keys, Some(clients))?);
+    config.alpn_protocols = vec![HTTP1.to_vec()];
+    Ok(Arc::new(config))
 }
 
-/// For the side that calls and speaks HTTP/1.1.
+/// For an HTTP/1.1 client with a certificate of its own.
 pub fn plain_client(servers: &Path, keys: &KeyFiles) -> Result<Arc<ClientConfig>, KeyError> {
-    let mut made = ClientConfig::clone(&*client(servers, Some(keys))?);
-    made.alpn_protocols = vec![HTTP1.to_vec()];
-    Ok(Arc::new(made))
+    let mut config = ClientConfig::clone(&*client(servers, Some(keys))?);
+    config.alpn_protocols = vec![HTTP1.to_vec()];
+    Ok(Arc::new(config))
 }
 
-/// For the side that calls: whom it believes, and by what it names itself.
+/// For a gRPC client: the roots it trusts, and its own certificate if it has one.
 pub fn client(servers: &Path, keys: Option<&KeyFiles>) -> Result<Arc<ClientConfig>, KeyError> {
     let builder =
         ClientConfig::builder_with_provider(provider()).with_safe_default_protocol_versions();
     let builder = builder
         .map_err(KeyError::Pair)?
         .with_root_certificates(roots(servers)?);
-    let mut made = match keys {
+    let mut config = match keys {
         None => builder.with_no_client_auth(),
         Some(keys) => {
-            let key = PrivateKeyDer::from_pem_file(&keys.key).map_err(file(&keys.key))?;
+            let key = PrivateKeyDer::from_pem_file(&keys.key).map_err(file_error(&keys.key))?;
             builder
                 .with_client_auth_cert(certificates(&keys.certificate)?, key)
                 .map_err(KeyError::Pair)?
         }
     };
-    made.alpn_protocols = vec![HTTP2.to_vec()];
-    Ok(Arc::new(made))
+    config.alpn_protocols = vec![HTTP2.to_vec()];
+    Ok(Arc::new(config))
 }
 
-/// Whether a certificate is one for this name.
+/// Whether a certificate is valid for this name.
 pub fn speaks_for(certificate: &CertificateDer, name: &str) -> bool {
     let Ok(name) = ServerName::try_from(name) else {
         return false;
--- a/crates/grpc/tests/streams.rs
+++ b/crates/grpc/tests/streams.rs
@@ -97,7 +97,7 @@
 #[test]
 fn messages_go_both_ways_also_when_they_are_longer_than_the_window() {
     let mut stage = Stage::new(Limits {
-        queued: 4 << 20,
+        max_queued_bytes: 4 << 20,
         ..Limits::default()
     });
     let mut client = stage.client();
@@ -138,7 +138,7 @@
 #[test]
 fn a_peer_that_takes_nothing_costs_no_more_than_was_allowed() {
     let mut stage = Stage::new(Limits {
-        queued: 300_000,
+        max_queued_bytes: 300_000,
         ..Limits::default()
     });
     let _client = stage.opened();
