--- a/crates/fleet/src/call.rs
+++ b/crates/fleet/src/call.rs
@@ -1,31 +1,34 @@
-//! One request to one conductor, over by a stated time whatever the other side does: hangs half-way through an
-//! answer, accepts and never answers, answers what is no HTTP, or a gigabyte.
+//! One request to one controller, which returns by its deadline whatever the other side does: it may hang within
+//! an answer, accept and never answer, answer with something other than HTTP, or with a gigabyte.
 
-use rustix::net::{AddressFamily, SocketAddrUnix, SocketFlags, SocketType};
-use rustls::pki_types::ServerName;
+mod connection;
+
+use connection::connect;
 use serde_json::Value;
-use std::io::{self, ErrorKind, Read, Write};
-use std::net::{SocketAddrV4, TcpStream};
-use std::os::unix::net::UnixStream;
+use std::io::{self, ErrorKind};
+use std::net::SocketAddrV4;
 use std::path::PathBuf;
 use std::sync::Arc;
-use std::time::{Duration, Instant};
+use std::time::Instant;
 use wheelspread_http1::{response, Framing, Limits};
 
-/// Where a conductor can be asked.
+/// Where a controller can be called.
 #[derive(Clone, Debug)]
 pub enum Line {
     /// A socket on this machine.
     Unix(PathBuf),
-    /// A loopback port, under TLS with a certificate of ours.
+    /// A port, under TLS with a client certificate.
     Tls {
+        /// The port.
         address: SocketAddrV4,
+        /// The name in the controller's certificate.
         server_name: String,
+        /// The client's keys.
         secured: Secured,
     },
 }
 
-/// Keys of the side that calls.
+/// The client's TLS configuration, with its keys.
 #[derive(Clone)]
 pub struct Secured(pub Arc<rustls::ClientConfig>);
 
@@ -35,14 +38,19 @@
     }
 }
 
+/// A request to the operators' API.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
+    /// The HTTP method.
     pub method: &'static str,
+    /// The path with its query.
     pub target: String,
+    /// The JSON body.
     pub body: Option<Value>,
 }
 
 impl Request {
+    /// A GET request.
     pub fn get(target: impl Into<String>) -> Request {
         Request {
             method: "GET",
@@ -51,6 +59,7 @@
         }
     }
 
+    /// A POST request with a JSON body.
     pub fn post(target: impl Into<String>, body: Value) -> Request {
         Request {
             method: "POST",
@@ -58,211 +67,143 @@
             body: Some(body),
         }
     }
+
+    fn text(&self) -> String {
+        let body = self.body.as_ref().map_or(String::new(), Value::to_string);
+        format!(
+            "{} {} HTTP/1.1\r\nhost: conductor\r\ncontent-length: {}\r\n\r\n{body}",
+            self.method,
+            self.target,
+            body.len()
+        )
+    }
 }
 
-/// Why there is no answer that can be used.
+/// Why there is no usable answer.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Failed {
+    /// The connection cannot be made, or broke before anything was answered.
     #[error("nobody listens: {0}")]
     Unreachable(String),
+    /// Nothing was answered in this time.
     #[error("no answer within {0}")]
     Silent(String),
+    /// The answer ended after so many bytes, before it was complete.
     #[error("its answer stopped after {0} bytes")]
     Stopped(usize),
+    /// The answer is longer than so many MiB.
     #[error("its answer is longer than {0} MiB")]
     TooLong(usize),
+    /// The answer is not HTTP with a JSON body.
     #[error("its answer can't be read: {0}")]
     Garbage(String),
-    /// It was understood and refused.
+    /// The request was understood and refused.
     #[error("{reason}")]
-    Refused { status: u16, reason: String },
+    Refused {
+        /// The HTTP status.
+        status: u16,
+        /// The controller's reason.
+        reason: String,
+    },
+    /// The controller does not know the path, because it is older.
     #[error("it does not serve {0}: an older program")]
     Older(String),
 }
 
 impl Failed {
-    /// Whether asking again could bring something else.
+    /// Whether a retry could have another result.
     pub fn passes(&self) -> bool {
         !matches!(self, Failed::Refused { .. } | Failed::Older(_))
     }
 }
 
-const LONGEST: usize = 16 << 20;
-/// Between two attempts at a socket whose conductor does not accept.
-const AGAIN: Duration = Duration::from_millis(20);
-
-enum Wire {
-    Unix(UnixStream),
-    Tls(Box<rustls::StreamOwned<rustls::ClientConnection, TcpStream>>),
-}
-
-impl Wire {
-    fn patience(&self, left: Duration) -> io::Result<()> {
-        let left = Some(left.max(Duration::from_millis(1)));
-        match self {
-            Wire::Unix(stream) => stream
-                .set_read_timeout(left)
-                .and(stream.set_write_timeout(left)),
-            Wire::Tls(stream) => stream
-                .sock
-                .set_read_timeout(left)
-                .and(stream.sock.set_write_timeout(left)),
-        }
-    }
-
-    fn read(&mut self, into: &mut [u8]) -> io::Result<usize> {
-        match self {
-            Wire::Unix(stream) => stream.read(into),
-            Wire::Tls(stream) => stream.read(into),
-        }
-    }
-
-    fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        match self {
-            Wire::Unix(stream) => stream.write(bytes),
-            Wire::Tls(stream) => stream
-                .write(bytes)
-                .and_then(|count| stream.flush().map(|()| count)),
-        }
-    }
-}
-
-/// A Unix socket whose conductor hangs takes no more connections; connecting must not wait for it for good.
-fn unix(path: &PathBuf, until: Instant) -> Result<UnixStream, Failed> {
-    let failed =
-        |error: rustix::io::Errno| Failed::Unreachable(format!("{}: {error}", path.display()));
-    let address = SocketAddrUnix::new(path).map_err(failed)?;
-    loop {
-        let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
-        let socket = rustix::net::socket_with(AddressFamily::UNIX, SocketType::STREAM, flags, None)
-            .map_err(failed)?;
-        match rustix::net::connect(&socket, &address) {
-            Ok(()) => {
-                let stream = UnixStream::from(socket);
-                let blocking = stream.set_nonblocking(false);
-                return blocking
-                    .map(|()| stream)
-                    .map_err(|e| Failed::Unreachable(e.to_string()));
-            }
-            Err(rustix::io::Errno::AGAIN) if Instant::now() + AGAIN < until => {
-                std::thread::sleep(AGAIN)
-            }
-            Err(error) => return Err(failed(error)),
-        }
-    }
-}
+/// The longest body that is read, in bytes.
+const MAX_BODY_BYTES: usize = 16 << 20;
 
-fn connect(line: &Line, until: Instant) -> Result<Wire, Failed> {
-    let left = until
-        .saturating_duration_since(Instant::now())
-        .max(Duration::from_millis(1));
-    match line {
-        Line::Unix(path) => unix(path, until).map(Wire::Unix),
-        Line::Tls {
-            address,
-            server_name,
-            secured,
-        } => {
-            let failed = |text: String| Failed::Unreachable(format!("{address}: {text}"));
-            let socket = TcpStream::connect_timeout(&(*address).into(), left);
-            let socket = socket.map_err(|error| failed(error.to_string()))?;
-            let name = ServerName::try_from(server_name.clone())
-                .map_err(|error| failed(error.to_string()))?;
-            let tls = rustls::ClientConnection::new(secured.0.clone(), name);
-            let tls = tls.map_err(|error| failed(error.to_string()))?;
-            Ok(Wire::Tls(Box::new(rustls::StreamOwned::new(tls, socket))))
-        }
-    }
-}
+const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// Asks, and is back by `until`.
+/// Sends a request and reads the answer; returns by `until`.
 pub fn call(line: &Line, request: &Request, until: Instant) -> Result<Value, Failed> {
-    let begin = Instant::now();
-    let allowed = until.saturating_duration_since(begin).as_secs_f64();
-    let silent = || Failed::Silent(format!("{allowed:.1} s"));
-    let mut wire = connect(line, until)?;
-    let body = request
-        .body
-        .as_ref()
-        .map_or(String::new(), Value::to_string);
-    let (method, target, length) = (request.method, &request.target, body.len());
-    let text = format!(
-        "{method} {target} HTTP/1.1\r\nhost: conductor\r\ncontent-length: {length}\r\n\r\n{body}"
-    );
-    let mut out = text.as_bytes();
-    let mut answer = Vec::new();
-    let mut piece = [0; 16 << 10];
+    let allowed = until
+        .saturating_duration_since(Instant::now())
+        .as_secs_f64();
+    let mut connection = connect(line, until)?;
+    let text = request.text();
+    let mut unsent = text.as_bytes();
+    let mut received = Vec::new();
+    let mut buffer = [0; READ_BUFFER_BYTES];
     loop {
         let left = until.saturating_duration_since(Instant::now());
         if left.is_zero() {
-            return Err(if answer.is_empty() {
-                silent()
+            return Err(if received.is_empty() {
+                Failed::Silent(format!("{allowed:.1} s"))
             } else {
-                Failed::Stopped(answer.len())
+                Failed::Stopped(received.len())
             });
         }
-        wire.patience(left)
+        connection
+            .set_timeout(left)
             .map_err(|error| Failed::Unreachable(error.to_string()))?;
-        let moved = if out.is_empty() {
-            wire.read(&mut piece).map(|count| {
-                answer.extend_from_slice(&piece[..count]);
+        let progress = if unsent.is_empty() {
+            connection.read(&mut buffer).map(|count| {
+                received.extend_from_slice(&buffer[..count]);
                 count == 0
             })
         } else {
-            wire.write(out).map(|count| {
-                out = &out[count..];
+            connection.write(unsent).map(|count| {
+                unsent = &unsent[count..];
                 false
             })
         };
-        match moved {
-            Ok(ended) => {
-                if let Some(told) = read(&answer, ended, target)? {
-                    return told;
+        match progress {
+            Ok(has_ended) => {
+                if let Some(answer) = parse_answer(&received, &request.target)? {
+                    return answer;
                 }
-                if ended {
-                    return Err(Failed::Stopped(answer.len()));
+                if has_ended {
+                    return Err(Failed::Stopped(received.len()));
                 }
             }
-            Err(error) if error.kind() == ErrorKind::Interrupted => {}
-            Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
-            // What it had said before it went is read.
-            Err(error) if answer.is_empty() && out.is_empty() => {
-                return Err(Failed::Unreachable(error.to_string()));
-            }
-            Err(_) if !answer.is_empty() => return Err(Failed::Stopped(answer.len())),
+            Err(error) if is_temporary(&error) => {}
+            Err(_) if !received.is_empty() => return Err(Failed::Stopped(received.len())),
             Err(error) => return Err(Failed::Unreachable(error.to_string())),
         }
     }
 }
 
-/// An answer, once it is whole.
-fn read(bytes: &[u8], ended: bool, target: &str) -> Result<Option<Result<Value, Failed>>, Failed> {
+/// Interrupted, or a timeout, which the loop checks itself.
+fn is_temporary(error: &io::Error) -> bool {
+    matches!(
+        error.kind(),
+        ErrorKind::Interrupted | ErrorKind::WouldBlock | ErrorKind::TimedOut
+    )
+}
+
+/// An answer once it is complete: the inner result is the controller's, the outer error an answer that cannot
+/// be read.
+fn parse_answer(bytes: &[u8], target: &str) -> Result<Option<Result<Value, Failed>>, Failed> {
     let head = response(bytes, false, Limits::default());
     let Some(head) = head.map_err(|error| Failed::Garbage(error.to_string()))? else {
         return Ok(None);
     };
-    let body = &bytes[head.length..];
-    let whole = match head.framing {
-        Framing::Length(length) if length > LONGEST as u64 => {
-            return Err(Failed::TooLong(LONGEST >> 20))
+    let rest = &bytes[head.length..];
+    let body = match head.framing {
+        Framing::Length(length) if length > MAX_BODY_BYTES as u64 => {
+            return Err(Failed::TooLong(MAX_BODY_BYTES >> 20))
         }
-        Framing::Length(length) => body.get(..length as usize),
-        Framing::None => Some(&body[..0]),
+        Framing::Length(length) => rest.get(..length as usize),
+        Framing::None => Some(&rest[..0]),
         _ => return Err(Failed::Garbage("it has no stated length".to_string())),
     };
-    let Some(body) = whole else {
-        return if ended {
-            Err(Failed::Stopped(bytes.len()))
-        } else {
-            Ok(None)
-        };
+    let Some(body) = body else {
+        return Ok(None);
     };
-    let told = serde_json::from_slice::<Value>(body)
+    let value = serde_json::from_slice::<Value>(body)
         .map_err(|error| Failed::Garbage(error.to_string()))?;
     if head.status == 200 {
-        return Ok(Some(Ok(told)));
+        return Ok(Some(Ok(value)));
     }
-    let reason = told["error"]
+    let reason = value["error"]
         .as_str()
         .unwrap_or("it says no reason")
         .to_string();
--- a/crates/fleet/src/file.rs
+++ b/crates/fleet/src/file.rs
@@ -1,89 +1,152 @@
-//! Which conductors there are, from a YAML file, and asking all of them at once.
+//! The YAML file that names a fleet's controllers.
 
-use crate::call::{call, Failed, Line, Request, Secured};
+use crate::call::{Line, Secured};
+use crate::fleet::Fleet;
 use serde::Deserialize;
-use serde_json::Value;
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
-use std::sync::mpsc::channel;
-use std::time::{Duration, Instant};
+use std::time::Duration;
 use wheelspread::time::Span;
 use wheelspread_controller_core::span_format;
-use wheelspread_grpc::tls::{plain_client, KeyFiles};
+use wheelspread_grpc::tls::{plain_client, KeyError, KeyFiles};
 
-/// One conductor: its root of tables on this machine, or its port.
+/// One controller: its root of tables on this machine, or its port.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Place {
+    /// The controller's name in answers.
     pub name: String,
+    /// Its root of tables, for a controller on this machine.
     #[serde(default)]
     pub root: Option<PathBuf>,
+    /// Its port for operators, which needs keys.
     #[serde(default)]
     pub address: Option<SocketAddrV4>,
-    /// In its certificate; left out: its address.
+    /// The name in its certificate; its address by default.
     #[serde(default)]
     pub server_name: Option<String>,
 }
 
-/// Keys for ports.
+/// The keys that ports need.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetKeys {
-    /// Whom to believe.
+    /// The roots of the controllers' certificates.
     pub servers: PathBuf,
+    /// The caller's certificate.
     pub certificate: PathBuf,
+    /// The caller's private key.
     pub key: PathBuf,
 }
 
+/// The file as it is written.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetFile {
+    /// Controllers by name.
     #[serde(default)]
     pub conductors: Vec<Place>,
-    /// A directory in which each directory is a conductor's root of tables, or holds one as `tables`; its name
-    /// is the conductor's.
+    /// A directory in which each directory is a controller's root of tables, or holds one as `tables`; its name
+    /// is the controller's.
     #[serde(default)]
     pub roots: Option<PathBuf>,
+    /// Keys for controllers with an address.
     #[serde(default)]
     pub tls: Option<FleetKeys>,
-    /// For a complete answer.
-    #[serde(default = "two_seconds", with = "span_format")]
+    /// How long a complete answer may take.
+    #[serde(default = "default_answer_timeout", with = "span_format")]
     pub within: Span,
-    /// For an order to be told everywhere, again and again.
-    #[serde(default = "ten_seconds", with = "span_format")]
+    /// How long an order is retried until every controller has answered.
+    #[serde(default = "default_order_timeout", with = "span_format")]
     pub order_within: Span,
 }
 
-fn two_seconds() -> Span {
+fn default_answer_timeout() -> Span {
     Span::from_seconds(2.0)
 }
 
-fn ten_seconds() -> Span {
+fn default_order_timeout() -> Span {
     Span::from_seconds(10.0)
 }
 
+/// Why a fleet file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
+    /// The file cannot be read, or is not of its form.
     #[error("{path}: {text}", path = .path.display())]
-    File { path: PathBuf, text: String },
-    #[error("{}", .0.join("\n"))]
-    Flaws(Vec<String>),
+    File {
+        /// The file.
+        path: PathBuf,
+        /// What is wrong with it.
+        text: String,
+    },
+    /// The file's values do not make a fleet; all problems at once.
+    #[error("{}", joined(.0))]
+    Invalid(Vec<FleetProblem>),
 }
 
-/// Conductors that can be asked.
-#[derive(Clone, Debug)]
-pub struct Fleet {
-    pub conductors: BTreeMap<String, Line>,
-    pub within: Duration,
-    pub order_within: Span,
+fn joined(problems: &[FleetProblem]) -> String {
+    let lines: Vec<String> = problems.iter().map(ToString::to_string).collect();
+    lines.join("\n")
+}
+
+/// What is wrong with one value of a fleet file.
+#[derive(Debug, thiserror::Error)]
+pub enum FleetProblem {
+    /// The keys cannot be used.
+    #[error("tls: {0}")]
+    Keys(KeyError),
+    /// A controller has an address, and there are no keys.
+    #[error("conductors.{at}: an address needs the keys of `tls`")]
+    KeysMissing {
+        /// The controller's place in the file.
+        at: usize,
+    },
+    /// A controller has both a root and an address, or neither.
+    #[error("conductors.{at}: either a root or an address is expected")]
+    RootOrAddress {
+        /// The controller's place in the file.
+        at: usize,
+    },
+    /// A controller has no name.
+    #[error("conductors.{at}: a name is expected")]
+    NameMissing {
+        /// The controller's place in the file.
+        at: usize,
+    },
+    /// Two controllers have the same name.
+    #[error("conductors.{at}: `{name}` is named twice")]
+    DuplicateName {
+        /// The second controller's place in the file.
+        at: usize,
+        /// The name.
+        name: String,
+    },
+    /// The directory of roots cannot be read.
+    #[error("roots: {path}: {error}", path = .path.display())]
+    Roots {
+        /// The directory.
+        path: PathBuf,
+        /// Why it cannot be read.
+        error: std::io::Error,
+    },
+    /// There is no controller at all.
+    #[error("no conductor is named, and none was found under `roots`")]
+    NoControllers,
+    /// The time for an answer is out of range.
+    #[error("within: should lie between 50ms and 10m")]
+    AnswerTimeout,
 }
 
+/// The operators' socket in a controller's root.
 const SOCKET: &str = "admin.sock";
-/// A caller's thread needs little.
-const STACK: usize = 256 << 10;
+
+/// The times for an answer that are accepted, in seconds.
+const ANSWER_TIMEOUT_SECONDS: std::ops::RangeInclusive<f64> = 0.05..=600.0;
 
 impl FleetFile {
+    /// Reads a file; relative paths in it are taken from its directory.
     pub fn read(path: &Path) -> Result<FleetFile, FleetError> {
         let bad = |text: String| FleetError::File {
             path: path.to_path_buf(),
@@ -105,147 +168,103 @@
         Ok(file)
     }
 
-    /// Checks the whole and looks through the directory of roots.
+    /// Checks all values, finds the controllers under `roots`, and reads the keys.
     pub fn open(&self) -> Result<Fleet, FleetError> {
-        let (mut conductors, mut flaws) = (BTreeMap::new(), Vec::new());
-        let secured = match &self.tls {
-            None => None,
-            Some(tls) => {
-                let keys = KeyFiles {
-                    certificate: tls.certificate.clone(),
-                    key: tls.key.clone(),
-                };
-                match plain_client(&tls.servers, &keys) {
-                    Ok(made) => Some(Secured(made)),
-                    Err(error) => {
-                        flaws.push(format!("tls: {error}"));
-                        None
-                    }
-                }
-            }
-        };
+        let mut problems = Vec::new();
+        let mut conductors = BTreeMap::new();
+        let secured = self.client_keys(&mut problems);
         for (at, place) in self.conductors.iter().enumerate() {
-            let field = format!("conductors.{at}");
-            let line = match (&place.root, place.address, &secured) {
-                (Some(root), None, _) => Some(Line::Unix(root.join(SOCKET))),
-                (None, Some(address), Some(secured)) => {
-                    let server_name = place
-                        .server_name
-                        .clone()
-                        .unwrap_or(address.ip().to_string());
-                    Some(Line::Tls {
-                        address,
-                        server_name,
-                        secured: secured.clone(),
-                    })
-                }
-                (None, Some(_), None) if self.tls.is_some() => None,
-                (None, Some(_), None) => {
-                    flaws.push(format!("{field}: an address needs the keys of `tls`"));
-                    None
-                }
-                _ => {
-                    flaws.push(format!("{field}: either a root or an address is expected"));
+            let line = match self.endpoint(at, place, secured.as_ref()) {
+                Ok(line) => line,
+                Err(problem) => {
+                    problems.push(problem);
                     None
                 }
             };
             if place.name.is_empty() {
-                flaws.push(format!("{field}: a name is expected"));
+                problems.push(FleetProblem::NameMissing { at });
             }
-            if let Some(line) = line {
-                if conductors.insert(place.name.clone(), line).is_some() {
-                    flaws.push(format!("{field}: `{}` is named twice", place.name));
-                }
+            let Some(line) = line else { continue };
+            if conductors.insert(place.name.clone(), line).is_some() {
+                let name = place.name.clone();
+                problems.push(FleetProblem::DuplicateName { at, name });
             }
         }
-        if let Some(roots) = &self.roots {
-            match std::fs::read_dir(roots) {
-                Err(error) => flaws.push(format!("roots: {}: {error}", roots.display())),
-                Ok(entries) => {
-                    for entry in entries.flatten().filter(|entry| entry.path().is_dir()) {
-                        let inner = entry.path().join("tables");
-                        let root = if inner.is_dir() { inner } else { entry.path() };
-                        // A conductor that is down left its lock: it is one that does not answer.
-                        if root.join("lock").exists() || root.join(SOCKET).exists() {
-                            let name = entry.file_name().to_string_lossy().into_owned();
-                            conductors
-                                .entry(name)
-                                .or_insert(Line::Unix(root.join(SOCKET)));
-                        }
-                    }
-                }
+        if let Some(path) = &self.roots {
+            if let Err(error) = find_controllers(path, &mut conductors) {
+                let path = path.clone();
+                problems.push(FleetProblem::Roots { path, error });
             }
         }
-        if conductors.is_empty() && flaws.is_empty() {
-            flaws.push("no conductor is named, and none was found under `roots`".to_string());
+        if conductors.is_empty() && problems.is_empty() {
+            problems.push(FleetProblem::NoControllers);
         }
         let within = self.within.seconds();
-        if !(0.05..=600.0).contains(&within) {
-            flaws.push("within: should lie between 50ms and 10m".to_string());
+        if !ANSWER_TIMEOUT_SECONDS.contains(&within) {
+            problems.push(FleetProblem::AnswerTimeout);
         }
-        if !flaws.is_empty() {
-            return Err(FleetError::Flaws(flaws));
+        if !problems.is_empty() {
+            return Err(FleetError::Invalid(problems));
         }
-        let within = Duration::from_secs_f64(within);
         Ok(Fleet {
             conductors,
-            within,
+            within: Duration::from_secs_f64(within),
             order_within: self.order_within,
         })
     }
-}
 
-impl Fleet {
-    /// Asks all at once; an answer or why there is none, of every one of them, by the time asked for.
-    pub fn ask(
-        &self,
-        request: &Request,
-        within: Duration,
-    ) -> BTreeMap<String, Result<Value, Failed>> {
-        let names = self.conductors.keys().cloned().collect();
-        self.ask_some(&names, request, Instant::now() + within)
+    fn client_keys(&self, problems: &mut Vec<FleetProblem>) -> Option<Secured> {
+        let tls = self.tls.as_ref()?;
+        let keys = KeyFiles {
+            certificate: tls.certificate.clone(),
+            key: tls.key.clone(),
+        };
+        plain_client(&tls.servers, &keys)
+            .map(Secured)
+            .map_err(|error| problems.push(FleetProblem::Keys(error)))
+            .ok()
     }
 
-    /// The same of some of them.
-    pub fn ask_some(
+    /// Where a controller is called; `None` if that needs keys that were found unusable.
+    fn endpoint(
         &self,
-        names: &BTreeSet<String>,
-        request: &Request,
-        until: Instant,
-    ) -> BTreeMap<String, Result<Value, Failed>> {
-        let (told, answers) = channel();
-        let asked = self
-            .conductors
-            .iter()
-            .filter(|(name, _)| names.contains(*name));
-        let mut waits: BTreeSet<String> = BTreeSet::new();
-        let mut all = BTreeMap::new();
-        for (name, line) in asked {
-            let (to, who, line, request) =
-                (told.clone(), name.clone(), line.clone(), request.clone());
-            let ask = move || drop(to.send((who, call(&line, &request, until))));
-            match std::thread::Builder::new().stack_size(STACK).spawn(ask) {
-                Ok(_) => drop(waits.insert(name.clone())),
-                Err(error) => {
-                    drop(all.insert(name.clone(), Err(Failed::Unreachable(error.to_string()))))
-                }
-            }
+        at: usize,
+        place: &Place,
+        secured: Option<&Secured>,
+    ) -> Result<Option<Line>, FleetProblem> {
+        match (&place.root, place.address, secured) {
+            (Some(root), None, _) => Ok(Some(Line::Unix(root.join(SOCKET)))),
+            (None, Some(address), Some(secured)) => Ok(Some(Line::Tls {
+                address,
+                server_name: place
+                    .server_name
+                    .clone()
+                    .unwrap_or_else(|| address.ip().to_string()),
+                secured: secured.clone(),
+            })),
+            (None, Some(_), None) if self.tls.is_some() => Ok(None),
+            (None, Some(_), None) => Err(FleetProblem::KeysMissing { at }),
+            _ => Err(FleetProblem::RootOrAddress { at }),
         }
-        drop(told);
-        while !waits.is_empty() {
-            // Whoever asks ends by itself at that time; a little more is for its thread to say so.
-            let left = until.saturating_duration_since(Instant::now()) + GRACE;
-            let Ok((name, answer)) = answers.recv_timeout(left) else {
-                break;
-            };
-            waits.remove(&name);
-            all.insert(name, answer);
-        }
-        for name in waits {
-            all.insert(name, Err(Failed::Silent("the time asked for".to_string())));
-        }
-        all
     }
 }
 
-const GRACE: Duration = Duration::from_millis(50);
+/// Adds the controllers whose roots lie in a directory and that are not named already.
+fn find_controllers(
+    directory: &Path,
+    conductors: &mut BTreeMap<String, Line>,
+) -> std::io::Result<()> {
+    let entries = std::fs::read_dir(directory)?.flatten();
+    for entry in entries.filter(|entry| entry.path().is_dir()) {
+        let inner = entry.path().join("tables");
+        let root = if inner.is_dir() { inner } else { entry.path() };
+        // A controller that is down left its lock: it is listed and does not answer.
+        if root.join("lock").exists() || root.join(SOCKET).exists() {
+            let name = entry.file_name().to_string_lossy().into_owned();
+            conductors
+                .entry(name)
+                .or_insert_with(|| Line::Unix(root.join(SOCKET)));
+        }
+    }
+    Ok(())
+}
--- /dev/null
+++ b/crates/fleet/tests/file.rs
@@ -0,0 +1,63 @@
+//! Fleet files: what is accepted, and the text that names each problem.
+
+use std::path::Path;
+use test_case::test_case;
+use wheelspread_fleet::{FleetFile, Line};
+
+fn open(directory: &Path, text: &str) -> Result<wheelspread_fleet::Fleet, String> {
+    let path = directory.join("fleet.yaml");
+    std::fs::write(&path, text).expect("written");
+    let file = FleetFile::read(&path).expect("of its form");
+    file.open().map_err(|error| error.to_string())
+}
+
+#[test_case("{}", "no conductor is named, and none was found under `roots`"; "an empty file")]
+#[test_case("conductors: [{name: a}]", "conductors.0: either a root or an address is expected"; "neither root nor address")]
+#[test_case("conductors: [{name: a, root: x}, {name: b, address: \"127.0.0.1:1\"}]", "conductors.1: an address needs the keys of `tls`"; "an address without keys")]
+#[test_case("conductors: [{name: \"\", root: x}]", "conductors.0: a name is expected"; "no name")]
+#[test_case("conductors: [{name: a, root: x}, {name: a, root: y}]", "conductors.1: `a` is named twice"; "a name twice")]
+#[test_case("conductors: [{name: a, root: x}]\nwithin: 11m", "within: should lie between 50ms and 10m"; "too long a time")]
+#[test_case("conductors: [{name: \"\"}]\nwithin: 1ms", "conductors.0: either a root or an address is expected\nconductors.0: a name is expected\nwithin: should lie between 50ms and 10m"; "all problems at once")]
+fn a_file_with_a_problem_is_refused(text: &str, problem: &str) {
+    let directory = tempfile::tempdir().expect("a directory");
+    let error = open(directory.path(), text).expect_err("refused");
+    assert_eq!(error, problem);
+}
+
+#[test]
+fn a_directory_of_roots_that_is_missing_is_named() {
+    let directory = tempfile::tempdir().expect("a directory");
+    let error = open(directory.path(), "roots: missing").expect_err("refused");
+    let path = directory.path().join("missing");
+    assert!(
+        error.starts_with(&format!("roots: {}: ", path.display())),
+        "{error}"
+    );
+}
+
+#[test]
+fn controllers_are_found_by_their_lock_and_named_ones_come_first() {
+    let directory = tempfile::tempdir().expect("a directory");
+    let root = |name: &str| directory.path().join("roots").join(name);
+    for (name, tables) in [("a", "tables"), ("b", ""), ("c", "tables")] {
+        std::fs::create_dir_all(root(name).join(tables)).expect("made");
+        std::fs::write(root(name).join(tables).join("lock"), "").expect("written");
+    }
+    std::fs::create_dir_all(root("empty")).expect("made");
+    let text = "conductors: [{name: c, root: elsewhere}]\nroots: roots";
+    let fleet = open(directory.path(), text).expect("a fleet");
+    let sockets: Vec<_> = fleet
+        .conductors
+        .iter()
+        .map(|(name, line)| match line {
+            Line::Unix(path) => (name.as_str(), path.clone()),
+            Line::Tls { .. } => panic!("no keys were given"),
+        })
+        .collect();
+    let expected = [
+        ("a", root("a").join("tables/admin.sock")),
+        ("b", root("b").join("admin.sock")),
+        ("c", directory.path().join("elsewhere/admin.sock")),
+    ];
+    assert_eq!(sockets, expected);
+}
