--- a/crates/cli/src/import.rs
+++ b/crates/cli/src/import.rs
@@ -138,7 +138,7 @@
     };
     json!({
         "pools": imported.pools.iter().map(pool).collect::<Vec<_>>(),
-        "notes": imported.notes,
+        "notes": imported.outcomes,
         "directives_read": imported.read,
     })
 }
--- a/crates/import/src/load.rs
+++ b/crates/import/src/load.rs
@@ -1,13 +1,21 @@
-//! A configuration from its files: `include` is followed where it stands, with patterns, from the directory of
-//! the first file as nginx does it. A file that can't be read is named, and the rest goes on.
+//! Reads a configuration from its files. `include` is followed where it stands, with patterns, from the directory
+//! of the first file as nginx does it. An included file that cannot be read is recorded, and reading goes on.
 
 use crate::parse::{parse, Directive, Place, SyntaxError};
 use std::path::{Path, PathBuf};
 
+/// Why a configuration cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum IncludeError {
+    /// The first file cannot be read.
     #[error("{path}: {text}", path = .path.display())]
-    Unreadable { path: PathBuf, text: String },
+    Unreadable {
+        /// The file.
+        path: PathBuf,
+        /// Why it cannot be read.
+        text: String,
+    },
+    /// A file is not in nginx's notation, or files include each other too deeply.
     #[error(transparent)]
     Syntax(#[from] SyntaxError),
 }
@@ -15,18 +23,37 @@
 /// What was read, with `include` replaced by what it names.
 #[derive(Debug, Default)]
 pub struct Loaded {
+    /// All directives but the includes.
     pub directives: Vec<Directive>,
+    /// The files that were read.
     pub files: Vec<PathBuf>,
-    /// Includes that brought nothing, with the reason.
-    pub missing: Vec<(Directive, String)>,
-    /// Includes that were followed.
+    /// Includes that brought nothing.
+    pub missing: Vec<MissingInclude>,
+    /// How many includes were followed.
     pub followed: usize,
 }
 
-/// Files within files; a file that includes itself ends here.
-const DEEPEST: usize = 16;
-const MOST_FILES: usize = 10_000;
+/// An include that brought nothing.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct MissingInclude {
+    /// The include.
+    pub directive: Directive,
+    /// Why it brought nothing.
+    pub reason: String,
+}
+
+impl Loaded {
+    fn add_missing(&mut self, directive: Directive, reason: impl Into<String>) {
+        let reason = reason.into();
+        self.missing.push(MissingInclude { directive, reason });
+    }
+}
+
+/// The depth of includes at which a file that includes itself is noticed.
+const MAX_DEPTH: usize = 16;
+const MAX_FILES: usize = 10_000;
 
+/// Reads a configuration, beginning with its first file.
 pub fn load(first: &Path) -> Result<Loaded, IncludeError> {
     let base = first
         .parent()
@@ -48,12 +75,13 @@
         path: path.to_path_buf(),
         text: error.to_string(),
     })?;
-    // What is not UTF-8 can only stand in comments and strings that are not carried over.
+    // Bytes that are not UTF-8 can only stand in comments and strings that are not carried over.
     let directives = parse(&String::from_utf8_lossy(&text), path)?;
     loaded.files.push(path.to_path_buf());
     follow(directives, base, depth, loaded)
 }
 
+/// Replaces the includes among directives by what they name.
 fn follow(
     directives: Vec<Directive>,
     base: &Path,
@@ -82,48 +110,49 @@
     all: &mut Vec<Directive>,
 ) -> Result<(), IncludeError> {
     let [pattern] = &directive.arguments[..] else {
-        loaded
-            .missing
-            .push((directive, "one path is expected".to_string()));
+        loaded.add_missing(directive, "one path is expected");
         return Ok(());
     };
-    if depth >= DEEPEST || loaded.files.len() >= MOST_FILES {
-        let text = format!("files include each other more than {DEEPEST} deep, or are too many");
-        let what = SyntaxError {
+    if depth >= MAX_DEPTH || loaded.files.len() >= MAX_FILES {
+        return Err(IncludeError::Syntax(SyntaxError {
             place: Place::clone(&directive.place),
-            what: text,
-        };
-        return Err(IncludeError::Syntax(what));
+            what: format!("files include each other more than {MAX_DEPTH} deep, or are too many"),
+        }));
     }
-    let full = base.join(pattern);
-    let found: Result<Vec<PathBuf>, String> = glob::glob(&full.to_string_lossy())
-        .map_err(|error| error.to_string())
-        .map(|paths| paths.flatten().filter(|path| path.is_file()).collect());
-    match found {
-        Err(text) => loaded.missing.push((directive, text)),
-        // A pattern may match nothing; a plain name that is not there is a fault of the configuration.
-        Ok(paths) if paths.is_empty() => {
-            let text = if pattern.contains(['*', '?', '[']) {
-                "it matches no file"
-            } else {
-                "no such file"
-            };
-            loaded.missing.push((directive, text.to_string()));
+    let paths = match matching_files(&base.join(pattern)) {
+        Err(error) => {
+            loaded.add_missing(directive, error.to_string());
+            return Ok(());
         }
-        Ok(paths) => {
-            loaded.followed += 1;
-            for path in paths {
-                match read(&path, base, depth + 1, loaded) {
-                    Ok(more) => all.extend(more),
-                    Err(IncludeError::Unreadable { text, .. }) => {
-                        loaded
-                            .missing
-                            .push((directive.clone(), format!("{}: {text}", path.display())));
-                    }
-                    Err(syntax) => return Err(syntax),
-                }
+        Ok(paths) => paths,
+    };
+    if paths.is_empty() {
+        // A pattern may match nothing; a plain name of a file that does not exist is a configuration error.
+        let is_pattern = pattern.contains(['*', '?', '[']);
+        let reason = if is_pattern {
+            "it matches no file"
+        } else {
+            "no such file"
+        };
+        loaded.add_missing(directive, reason);
+        return Ok(());
+    }
+    loaded.followed += 1;
+    for path in paths {
+        match read(&path, base, depth + 1, loaded) {
+            Ok(directives) => all.extend(directives),
+            Err(IncludeError::Unreadable { text, .. }) => {
+                let reason = format!("{}: {text}", path.display());
+                loaded.add_missing(directive.clone(), reason);
             }
+            Err(error @ IncludeError::Syntax(_)) => return Err(error),
         }
     }
     Ok(())
 }
+
+/// The files that match a pattern, in alphabetical order.
+fn matching_files(pattern: &Path) -> Result<Vec<PathBuf>, glob::PatternError> {
+    let paths = glob::glob(&pattern.to_string_lossy())?;
+    Ok(paths.flatten().filter(|path| path.is_file()).collect())
+}
--- a/crates/import/src/parse.rs
+++ b/crates/import/src/parse.rs
@@ -1,13 +1,16 @@
-//! nginx's notation: words, `;` and blocks. Words may be quoted, with backslashes; `#` begins a comment where a
-//! word could begin; `${name}` belongs to its word.
+//! Parses nginx's notation: words, `;` and blocks. Words may be quoted, with backslashes; `#` starts a comment
+//! where a word could start; `${name}` belongs to its word.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
+/// Where a directive stands.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Place {
+    /// The file.
     pub file: Arc<PathBuf>,
+    /// The line, from 1.
     pub line: usize,
 }
 
@@ -17,23 +20,27 @@
     }
 }
 
-/// A name, its arguments, and what stands in its block.
+/// A directive: a name, its arguments and its block.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Directive {
+    /// The first word.
     pub name: String,
+    /// The other words.
     pub arguments: Vec<String>,
+    /// The directives in its block, if it has one.
     pub block: Option<Vec<Directive>>,
+    /// Where its name stands.
     pub place: Place,
 }
 
 impl Directive {
-    /// As it could be written on one line, without its block.
+    /// The directive on one line, without its block.
     pub fn text(&self) -> String {
         let words = std::iter::once(&self.name).chain(&self.arguments);
         words.map(String::as_str).collect::<Vec<_>>().join(" ")
     }
 
-    /// Itself and all that stand in it.
+    /// How many directives it is with all in its block.
     pub fn count(&self) -> usize {
         1 + self
             .block
@@ -44,33 +51,39 @@
     }
 }
 
+/// Text that is not in nginx's notation.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{place}: {what}")]
 pub struct SyntaxError {
+    /// Where the error is.
     pub place: Place,
+    /// What is wrong there.
     pub what: String,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Token {
     Word(String),
-    End,
-    Open,
-    Close,
+    /// `;`
+    Semicolon,
+    /// `{`
+    BlockStart,
+    /// `}`
+    BlockEnd,
 }
 
-struct Reader<'a> {
+struct Parser<'a> {
     text: std::iter::Peekable<std::str::Chars<'a>>,
     file: Arc<PathBuf>,
     line: usize,
 }
 
 /// Blocks within blocks.
-const DEEPEST: usize = 64;
+const MAX_DEPTH: usize = 64;
 /// Blocks in another language, in which braces and semicolons mean something else.
-const FOREIGN: &str = "_by_lua_block";
+const FOREIGN_BLOCK_SUFFIX: &str = "_by_lua_block";
 
-impl Reader<'_> {
+impl Parser<'_> {
     fn place(&self) -> Place {
         Place {
             file: self.file.clone(),
@@ -78,7 +91,7 @@
         }
     }
 
-    fn bad(&self, what: impl Into<String>) -> SyntaxError {
+    fn error(&self, what: impl Into<String>) -> SyntaxError {
         SyntaxError {
             place: self.place(),
             what: what.into(),
@@ -102,9 +115,9 @@
         }
         let place = self.place();
         let token = match self.text.peek().copied() {
-            Some(';') => Token::End,
-            Some('{') => Token::Open,
-            Some('}') => Token::Close,
+            Some(';') => Token::Semicolon,
+            Some('{') => Token::BlockStart,
+            Some('}') => Token::BlockEnd,
             Some(quote @ ('"' | '\'')) => {
                 self.take();
                 return self
@@ -118,17 +131,17 @@
     }
 
     fn quoted(&mut self, quote: char) -> Result<String, SyntaxError> {
-        let begun = self.place();
+        let start = self.place();
         let mut word = String::new();
         loop {
             match self.take() {
                 None => {
                     return Err(SyntaxError {
-                        place: begun,
+                        place: start,
                         what: format!("a {quote} is not closed"),
                     })
                 }
-                // What a backslash does not stand before for the notation's sake, as in patterns, keeps it.
+                // A backslash before another character, as in regular expressions, stays.
                 Some('\\') => match self.take() {
                     Some(c @ ('"' | '\'' | '\\')) => word.push(c),
                     other => word.extend(std::iter::once('\\').chain(other)),
@@ -167,15 +180,15 @@
         word
     }
 
-    /// Passes over a block of another language, by its braces.
-    fn foreign(&mut self) -> Result<(), SyntaxError> {
-        let begun = self.place();
+    /// Skips a block of another language, by its braces.
+    fn skip_foreign_block(&mut self) -> Result<(), SyntaxError> {
+        let start = self.place();
         let mut open = 1;
         while open > 0 {
             match self.take() {
                 None => {
                     return Err(SyntaxError {
-                        place: begun,
+                        place: start,
                         what: "a block is not closed".to_string(),
                     })
                 }
@@ -187,82 +200,97 @@
         Ok(())
     }
 
+    /// The directives up to the block's end; `opened`: where its brace stands, `None` for a whole file.
     fn block(
         &mut self,
         depth: usize,
         opened: Option<&Place>,
     ) -> Result<Vec<Directive>, SyntaxError> {
-        if depth > DEEPEST {
-            return Err(self.bad(format!("more than {DEEPEST} blocks within each other")));
+        if depth > MAX_DEPTH {
+            return Err(self.error(format!("more than {MAX_DEPTH} blocks within each other")));
         }
         let mut directives = Vec::new();
         let mut words: Vec<String> = Vec::new();
-        let mut begun = self.place();
-        loop {
-            let Some((token, place)) = self.token()? else {
-                return match (words.first(), opened) {
-                    (Some(word), _) => Err(SyntaxError {
-                        place: begun,
-                        what: format!("`{word}` has no ; at its end"),
-                    }),
-                    (None, Some(opened)) => Err(SyntaxError {
-                        place: opened.clone(),
-                        what: "a block is not closed".to_string(),
-                    }),
-                    (None, None) => Ok(directives),
-                };
-            };
+        let mut start = self.place();
+        while let Some((token, place)) = self.token()? {
             match token {
                 Token::Word(word) => {
                     if words.is_empty() {
-                        begun = place;
+                        start = place;
                     }
                     words.push(word);
                 }
-                Token::Close if words.is_empty() && opened.is_some() => return Ok(directives),
-                Token::Close => {
-                    let what = words
-                        .first()
-                        .map_or("a } closes nothing".to_string(), |word| {
-                            format!("`{word}` has no ; at its end")
-                        });
+                Token::BlockEnd => {
+                    return match (words.first(), opened) {
+                        (Some(word), _) => Err(unterminated(word, place)),
+                        (None, Some(_)) => Ok(directives),
+                        (None, None) => Err(SyntaxError {
+                            place,
+                            what: "a } closes nothing".to_string(),
+                        }),
+                    };
+                }
+                Token::Semicolon | Token::BlockStart if words.is_empty() => {
+                    let what = "a directive without a name".to_string();
                     return Err(SyntaxError { place, what });
                 }
-                Token::End | Token::Open if words.is_empty() => {
-                    return Err(SyntaxError {
-                        place,
-                        what: "a directive without a name".to_string(),
-                    });
+                Token::Semicolon => {
+                    directives.push(directive(std::mem::take(&mut words), None, start.clone()));
                 }
-                end => {
-                    let mut arguments = std::mem::take(&mut words);
-                    let name = arguments.remove(0);
-                    let block = match end {
-                        Token::Open if name.ends_with(FOREIGN) => {
-                            self.foreign()?;
-                            Some(Vec::new())
-                        }
-                        Token::Open => Some(self.block(depth + 1, Some(&place))?),
-                        _ => None,
-                    };
-                    directives.push(Directive {
-                        name,
-                        arguments,
-                        block,
-                        place: begun.clone(),
-                    });
+                Token::BlockStart => {
+                    let words = std::mem::take(&mut words);
+                    let block = self.inner_block(&words[0], depth, &place)?;
+                    directives.push(directive(words, Some(block), start.clone()));
                 }
             }
         }
+        match (words.first(), opened) {
+            (Some(word), _) => Err(unterminated(word, start)),
+            (None, Some(opened)) => Err(SyntaxError {
+                place: opened.clone(),
+                what: "a block is not closed".to_string(),
+            }),
+            (None, None) => Ok(directives),
+        }
     }
+
+    /// The block of a directive, after its opening brace.
+    fn inner_block(
+        &mut self,
+        name: &str,
+        depth: usize,
+        opened: &Place,
+    ) -> Result<Vec<Directive>, SyntaxError> {
+        if name.ends_with(FOREIGN_BLOCK_SUFFIX) {
+            self.skip_foreign_block()?;
+            return Ok(Vec::new());
+        }
+        self.block(depth + 1, Some(opened))
+    }
+}
+
+fn unterminated(word: &str, place: Place) -> SyntaxError {
+    let what = format!("`{word}` has no ; at its end");
+    SyntaxError { place, what }
 }
 
+/// A directive from its words, of which there is at least one.
+fn directive(mut words: Vec<String>, block: Option<Vec<Directive>>, place: Place) -> Directive {
+    let name = words.remove(0);
+    Directive {
+        name,
+        arguments: words,
+        block,
+        place,
+    }
+}
+
+/// Parses a file's text.
 pub fn parse(text: &str, file: &Path) -> Result<Vec<Directive>, SyntaxError> {
-    let file = Arc::new(file.to_path_buf());
-    Reader {
+    let mut parser = Parser {
         text: text.chars().peekable(),
-        file,
+        file: Arc::new(file.to_path_buf()),
         line: 1,
-    }
-    .block(0, None)
+    };
+    parser.block(0, None)
 }
--- a/crates/import/tests/samples.rs
+++ b/crates/import/tests/samples.rs
@@ -10,8 +10,8 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/samples")
 }
 
-/// What came of an import, in lines.
-fn told(imported: &Imported, base: &Path) -> String {
+/// What an import brought, in lines.
+fn summary(imported: &Imported, base: &Path) -> String {
     let mut text = String::new();
     let base = format!("{}/", base.display());
     for pool in &imported.pools {
@@ -43,14 +43,14 @@
             .expect("text");
         }
     }
-    for note in &imported.notes {
-        let fate = format!("{:?}", note.fate).to_lowercase();
+    for outcome in &imported.outcomes {
+        let fate = format!("{:?}", outcome.fate).to_lowercase();
         writeln!(
             text,
             "{fate}: {} {}: {}",
-            note.at.replace(&base, ""),
-            note.text,
-            note.why
+            outcome.at.replace(&base, ""),
+            outcome.text,
+            outcome.why
         )
         .expect("text");
     }
@@ -64,19 +64,19 @@
     }
 }
 
-/// Every directive that was read has a note at its place.
+/// Every directive that was read has an outcome at its place.
 fn accounted(loaded: &Loaded, imported: &Imported) {
     let mut all = Vec::new();
     each(&loaded.directives, &mut all);
-    let noted: BTreeSet<(&str, &str)> = imported
-        .notes
+    let recorded: BTreeSet<(&str, &str)> = imported
+        .outcomes
         .iter()
-        .map(|note| (note.at.as_str(), note.text.as_str()))
+        .map(|outcome| (outcome.at.as_str(), outcome.text.as_str()))
         .collect();
     for directive in &all {
         let at = directive.place.to_string();
         assert!(
-            noted.contains(&(at.as_str(), directive.text().as_str())),
+            recorded.contains(&(at.as_str(), directive.text().as_str())),
             "{at} {} was dropped",
             directive.text()
         );
@@ -96,8 +96,8 @@
     let imported = pools(&loaded);
     accounted(&loaded, &imported);
     let base = path.parent().expect("a directory");
-    let told = told(&imported, base);
-    assert_eq!(told, expected);
+    let summary = summary(&imported, base);
+    assert_eq!(summary, expected);
 }
 
 #[test_case("upstream a { server 127.0.0.1:1;", "x.conf:1: a block is not closed"; "a block without end")]
@@ -106,9 +106,9 @@
 #[test_case("a 'b;\n", "x.conf:1: a ' is not closed"; "a quote without end")]
 #[test_case("a;;", "x.conf:1: a directive without a name"; "an empty directive")]
 #[test_case("a;\ncontent_by_lua_block { t = {1; 2} ", "x.conf:2: a block is not closed"; "another language without end")]
-fn what_is_no_configuration_is_named_with_its_line(text: &str, said: &str) {
+fn what_is_no_configuration_is_named_with_its_line(text: &str, message: &str) {
     let error = parse(text, Path::new("x.conf")).expect_err("it can't be read");
-    assert_eq!(error.to_string(), said);
+    assert_eq!(error.to_string(), message);
 }
 
 #[test]
