--- a/crates/solve/src/solution.rs
+++ b/crates/solve/src/solution.rs
@@ -3,7 +3,7 @@
 //! can do, so that hosts that are alike are loaded alike.
 
 use crate::fleet::{Fleet, SolveError};
-use crate::flow::{best, Room, Source};
+use crate::flow::{maximize_gain, Sink, Source};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
@@ -110,7 +110,7 @@
     for (place, (zone, price, room)) in classes.iter().enumerate() {
         let class = zones.iter().position(|known| known == zone).unwrap_or(0);
         for part in parts(fleet, *room, fleet.carried_now(zone, *price)) {
-            rooms.push(Room {
+            rooms.push(Sink {
                 class,
                 amount: part.amount,
                 cost: part.filling * dearest + part.change + price,
@@ -164,7 +164,7 @@
             }
         }
     }
-    let flows = best(&sources, &rooms, over);
+    let flows = maximize_gain(&sources, &rooms, over);
     Ok(told(
         fleet,
         &asked,
@@ -225,7 +225,7 @@
     asked: &BTreeMap<(&str, usize), f64>,
     classes: &[(&str, f64, f64)],
     class_of: &[usize],
-    (rooms, places): (&[Room], &[usize]),
+    (rooms, places): (&[Sink], &[usize]),
     wishes: &[Wish],
     sources: &[Source],
     flows: &crate::flow::Flows,
@@ -263,7 +263,7 @@
         // The last room of a place is the one that its capacity ends in.
         let last = places.iter().rposition(|place| *place == class);
         let price = last
-            .and_then(|last| flows.room_price.get(last))
+            .and_then(|last| flows.sink_price.get(last))
             .copied()
             .unwrap_or(0.0);
         // What comes first is told apart from value.
--- a/crates/solve/tests/reference.rs
+++ b/crates/solve/tests/reference.rs
@@ -4,16 +4,16 @@
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use test_case::test_case;
-use wheelspread_solve::flow::{best, Room, Source};
+use wheelspread_solve::flow::{maximize_gain, Sink, Source};
 use wheelspread_solve::{solve, Fleet, Gateway, Host, HostState, Operation, SolveError, Status};
 
-fn reference(sources: &[Source], rooms: &[Room]) -> f64 {
+fn reference(sources: &[Source], sinks: &[Sink]) -> f64 {
     let mut problem = Problem::new(OptimizationDirection::Maximize);
-    let mut vars = vec![vec![None; rooms.len()]; sources.len()];
+    let mut vars = vec![vec![None; sinks.len()]; sources.len()];
     for (s, source) in sources.iter().enumerate() {
-        for (r, room) in rooms.iter().enumerate() {
-            if let Some(gain) = source.gains[room.class] {
-                vars[s][r] = Some(problem.add_var(gain - room.cost, (0.0, f64::INFINITY)));
+        for (r, sink) in sinks.iter().enumerate() {
+            if let Some(gain) = source.gains[sink.class] {
+                vars[s][r] = Some(problem.add_var(gain - sink.cost, (0.0, f64::INFINITY)));
             }
         }
     }
@@ -21,30 +21,30 @@
         let sum: Vec<_> = vars[s].iter().flatten().map(|var| (*var, 1.0)).collect();
         problem.add_constraint(&sum[..], ComparisonOp::Le, source.amount);
     }
-    for (r, room) in rooms.iter().enumerate() {
+    for (r, sink) in sinks.iter().enumerate() {
         let sum: Vec<_> = vars
             .iter()
             .filter_map(|of| of[r])
             .map(|var| (var, 1.0))
             .collect();
-        problem.add_constraint(&sum[..], ComparisonOp::Le, room.amount);
+        problem.add_constraint(&sum[..], ComparisonOp::Le, sink.amount);
     }
     problem.solve().expect("it has an answer").objective()
 }
 
-fn problem() -> impl Strategy<Value = (Vec<Source>, Vec<Room>)> {
-    (1usize..7, 1usize..12, 1usize..4).prop_flat_map(|(sources, rooms, classes)| {
+fn problem() -> impl Strategy<Value = (Vec<Source>, Vec<Sink>)> {
+    (1usize..7, 1usize..12, 1usize..4).prop_flat_map(|(sources, sinks, classes)| {
         let gain = prop_oneof![1 => Just(None), 5 => (-2.0f64..20.0).prop_map(Some)];
         let source = (0.0f64..50.0, prop::collection::vec(gain, classes))
             .prop_map(|(amount, gains)| Source { amount, gains });
-        let room = (0..classes, 0.0f64..30.0, 0.0f64..3.0).prop_map(|(class, amount, cost)| Room {
+        let sink = (0..classes, 0.0f64..30.0, 0.0f64..3.0).prop_map(|(class, amount, cost)| Sink {
             class,
             amount,
             cost,
         });
         (
             prop::collection::vec(source, sources),
-            prop::collection::vec(room, rooms),
+            prop::collection::vec(sink, sinks),
         )
     })
 }
@@ -53,36 +53,36 @@
     #![proptest_config(ProptestConfig::with_cases(600))]
 
     #[test]
-    fn the_objective_is_that_of_a_plain_solver_and_the_prices_prove_it((sources, rooms) in problem()) {
-        let flows = best(&sources, &rooms, &mut || false);
+    fn the_objective_is_that_of_a_plain_solver_and_the_prices_prove_it((sources, sinks) in problem()) {
+        let flows = maximize_gain(&sources, &sinks, &mut || false);
         let mut objective = 0.0;
         for (s, source) in sources.iter().enumerate() {
             prop_assert!(flows.work[s].iter().sum::<f64>() <= source.amount * (1.0 + 1e-9) + 1e-9);
-            for (r, room) in rooms.iter().enumerate() {
+            for (r, sink) in sinks.iter().enumerate() {
                 prop_assert!(flows.work[s][r] >= 0.0);
-                match source.gains[room.class] {
-                    Some(gain) => objective += flows.work[s][r] * (gain - room.cost),
+                match source.gains[sink.class] {
+                    Some(gain) => objective += flows.work[s][r] * (gain - sink.cost),
                     None => prop_assert_eq!(flows.work[s][r], 0.0),
                 }
             }
         }
-        for (r, room) in rooms.iter().enumerate() {
-            prop_assert!(flows.work.iter().map(|of| of[r]).sum::<f64>() <= room.amount * (1.0 + 1e-9) + 1e-9);
+        for (r, sink) in sinks.iter().enumerate() {
+            prop_assert!(flows.work.iter().map(|of| of[r]).sum::<f64>() <= sink.amount * (1.0 + 1e-9) + 1e-9);
         }
-        let wanted = reference(&sources, &rooms);
+        let wanted = reference(&sources, &sinks);
         prop_assert!((objective - wanted).abs() <= 1e-6 * wanted.abs().max(1.0), "{objective} for {wanted}");
         // Prices that nothing can beat, and that add up to the objective: a proof of their own.
         let mut bound = 0.0;
         for (s, source) in sources.iter().enumerate() {
             bound += source.amount * flows.source_price[s];
-            for (r, room) in rooms.iter().enumerate() {
-                if let Some(gain) = source.gains[room.class] {
-                    let priced = flows.source_price[s] + flows.room_price[r];
-                    prop_assert!(priced >= gain - room.cost - 1e-6, "{s} to {r}: {priced}");
+            for (r, sink) in sinks.iter().enumerate() {
+                if let Some(gain) = source.gains[sink.class] {
+                    let priced = flows.source_price[s] + flows.sink_price[r];
+                    prop_assert!(priced >= gain - sink.cost - 1e-6, "{s} to {r}: {priced}");
                 }
             }
         }
-        bound += rooms.iter().zip(&flows.room_price).map(|(room, price)| room.amount * price).sum::<f64>();
+        bound += sinks.iter().zip(&flows.sink_price).map(|(sink, price)| sink.amount * price).sum::<f64>();
         prop_assert!((bound - wanted).abs() <= 1e-6 * wanted.abs().max(1.0), "bound {bound} for {wanted}");
     }
 }
