--- a/crates/fleet/examples/drain.rs
+++ b/crates/fleet/examples/drain.rs
@@ -1,4 +1,4 @@
-//! Drains a node at every conductor of a fleet file and says how far that came.
+//! Drains a node at every controller of a fleet file and prints the outcome.
 //!
 //!     cargo run -p wheelspread-fleet --example drain -- fleet.yaml 127.0.0.1:9001
 
@@ -16,7 +16,7 @@
         println!("{name}: {answer:?}");
     }
     let body = drain_order(node, DrainAction::Drain, "example", &[]);
-    let told = fleet.order(&Request::post("/v1/drains", body), fleet.order_within, 1);
-    println!("{:?}: {:#?}", told.outcome, told.conductors);
+    let ordered = fleet.order(&Request::post("/v1/drains", body), fleet.order_within, 1);
+    println!("{:?}: {:#?}", ordered.outcome, ordered.conductors);
     Ok(())
 }
--- a/crates/solve/src/estimate.rs
+++ b/crates/solve/src/estimate.rs
@@ -1,69 +1,82 @@
-//! A host's capacity as it was told, corrected by what was seen. A figure may be wrong by half either way:
-//! the correction stays within that, and moves by less the less was seen.
+//! A host's stated capacity, corrected by what was observed. A stated capacity may be wrong by a factor of two
+//! either way: the correction stays about within that, and moves less the less was observed.
 
-/// What was met at a host in one period.
+/// What was observed at a host in one period.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Seen {
-    /// Seconds of work a second, by what was sent there.
+    /// Seconds of work a second that were sent there.
     pub load: f64,
-    /// Of 1, as the host tells.
+    /// The host's own figure, of 1.
     pub utilization: Option<f64>,
-    /// Of its tries.
+    /// The part of the attempts that was late or failed.
     pub late_or_errored: f64,
+    /// Attempts.
     pub tries: f64,
 }
 
+/// The estimate of a host's capacity.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
-    told: f64,
-    /// Logarithm of the correction.
-    correction: f64,
+    stated: f64,
+    /// The logarithm of the correction.
+    log_correction: f64,
 }
 
-/// A correction goes no further than a factor of two (and a little) either way.
-const FURTHEST: f64 = 0.75;
-/// Tries that weigh as much as all that was known before, at the start and later.
-const TRIES: f64 = 40.0;
-/// Of what a period says, when much was seen: so much is believed.
-const BELIEVED: f64 = 0.4;
-/// Below this utilization rounding and chance say more than load.
-const BUSY: f64 = 0.05;
-/// Of tries: with more of them late or in error, a host carries more than it can.
-const OVERRUN: f64 = 0.1;
+/// The largest logarithm of a correction: a factor of two and a little either way.
+const MAX_LOG_CORRECTION: f64 = 0.75;
+
+/// So many attempts move the estimate half as far as very many.
+const HALF_WEIGHT_ATTEMPTS: f64 = 40.0;
+
+/// The weight of one period with very many attempts.
+const MAX_PERIOD_WEIGHT: f64 = 0.4;
+
+/// Below this utilization rounding and chance say more than load; above the other it no longer rises with load.
+const MIN_UTILIZATION: f64 = 0.05;
+const MAX_UTILIZATION: f64 = 0.98;
+
+/// With more of its attempts late or failed, a host has more load than it can carry.
+const OVERRUN_FAILURES: f64 = 0.1;
 
 impl Estimate {
-    pub fn new(told: f64) -> Estimate {
+    /// The stated capacity, without a correction.
+    pub fn new(stated: f64) -> Estimate {
         Estimate {
-            told: told.max(0.0),
-            correction: 0.0,
+            stated: stated.max(0.0),
+            log_correction: 0.0,
         }
     }
 
+    /// The estimated capacity, in seconds of work a second.
     pub fn capacity(&self) -> f64 {
-        self.told * self.correction.exp()
+        self.stated * self.log_correction.exp()
     }
 
+    /// Takes in what was observed in one period.
     pub fn see(&mut self, seen: Seen) {
-        if !(self.told > 0.0 && seen.load > 0.0 && seen.tries > 0.0) {
+        if !(self.stated > 0.0 && seen.load > 0.0 && seen.tries > 0.0) {
             return;
         }
-        let by_utilization = seen
-            .utilization
-            .filter(|busy| *busy > BUSY && *busy < 0.98)
-            .map(|busy| (seen.load / busy / self.told).ln());
-        let overrun = seen.late_or_errored > OVERRUN;
-        // A host that is full, or errs, shows no more than what came through.
-        let by_errors = overrun.then(|| {
-            (seen.load * (1.0 - seen.late_or_errored) / self.told)
-                .ln()
-                .min(self.correction)
-        });
-        let Some(says) = by_utilization.filter(|_| !overrun).or(by_errors) else {
+        let Some(observed) = self.observed_log_correction(seen) else {
             return;
         };
-        let share = BELIEVED * seen.tries / (seen.tries + TRIES);
-        self.correction += share * (says - self.correction);
-        self.correction = self.correction.clamp(-FURTHEST, FURTHEST);
+        let weight = MAX_PERIOD_WEIGHT * seen.tries / (seen.tries + HALF_WEIGHT_ATTEMPTS);
+        self.log_correction += weight * (observed - self.log_correction);
+        self.log_correction = self
+            .log_correction
+            .clamp(-MAX_LOG_CORRECTION, MAX_LOG_CORRECTION);
+    }
+
+    /// The logarithm of the correction by one period alone; `None` if that says nothing of the capacity.
+    fn observed_log_correction(&self, seen: Seen) -> Option<f64> {
+        if seen.late_or_errored > OVERRUN_FAILURES {
+            // An overrun host shows no more than what it served, so the estimate never rises by it.
+            let served = seen.load * (1.0 - seen.late_or_errored);
+            return Some((served / self.stated).ln().min(self.log_correction));
+        }
+        seen.utilization
+            .filter(|utilization| *utilization > MIN_UTILIZATION && *utilization < MAX_UTILIZATION)
+            .map(|utilization| (seen.load / utilization / self.stated).ln())
     }
 }
 
--- a/crates/solve/src/fleet.rs
+++ b/crates/solve/src/fleet.rs
@@ -1,326 +1,133 @@
-//! What is solved: hosts, what is asked for, and what it costs.
+//! The input of the solver: hosts, demand and prices, as users write them.
 
+mod checks;
+
+pub use checks::SolveError;
 use serde::{Deserialize, Serialize};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 
+/// The state of a host.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum HostState {
+    /// It may be filled.
     #[default]
     Ready,
-    /// Carries a part of its capacity.
+    /// It is in slow start and may be given a part of its capacity.
     Cold,
-    /// Carries nothing.
+    /// It is given nothing.
     Draining,
 }
 
+/// A server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Host {
+    /// Its name.
     pub id: String,
+    /// Its zone.
     pub zone: String,
-    /// Hosts that are built alike; only told and asked for by it.
+    /// The machine type; used only to select hosts and in output.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub kind: String,
     /// Seconds of work a second: cores times their speed.
     pub capacity: f64,
+    /// Whether it may be filled.
     #[serde(default)]
     pub state: HostState,
-    /// Value that a second of work costs there.
+    /// The price of a second of work there, in units of value.
     #[serde(default)]
     pub price: f64,
-    /// Seconds of work a second that it is given at most, whatever it can do.
+    /// Seconds of work a second that it is given at most, whatever its capacity.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub load_at_most: Option<f64>,
 }
 
+/// A source of requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Gateway {
+    /// Its name.
     pub id: String,
+    /// Its zone.
     pub zone: String,
     /// Invocations a second, by operation.
     pub demand: BTreeMap<String, f64>,
 }
 
+/// A class of requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Operation {
+    /// Its name.
     pub name: String,
-    /// For each invocation answered within its latency objective.
+    /// The value of each invocation answered within its latency objective.
     pub billed_value: f64,
     /// Seconds of work of an invocation.
     pub work: f64,
-    /// Seconds that an invocation keeps its connection; as long as its work where it is not told.
+    /// Seconds that an invocation keeps its connection; by default as long as its work.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub holds: Option<f64>,
+    /// It may not be served in another zone.
     #[serde(default)]
     pub stays_in_zone: bool,
-    /// Of what is asked for: so much is let in before any other operation gets more.
+    /// The share of its demand that is admitted before any other operation gets more.
     #[serde(default)]
     pub least_share: f64,
 }
 
+/// A fleet to solve.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
+    /// Where work can be done.
     pub hosts: Vec<Host>,
+    /// Where requests come in.
     pub gateways: Vec<Gateway>,
+    /// What is asked for.
     pub operations: Vec<Operation>,
-    /// Value that an invocation costs which crosses zones.
+    /// The price of an invocation that crosses zones.
     #[serde(default)]
     pub cross_zone_price: f64,
-    /// Value a second that a connection in use costs.
+    /// The price of a connection in use, a second.
     #[serde(default)]
     pub connection_price: f64,
     /// Seconds longer that an invocation keeps its connection when it crosses zones.
     #[serde(default)]
     pub crossing_seconds: f64,
-    /// Of a host's capacity: with more, answers come too late.
-    #[serde(default = "fill")]
+    /// The part of its capacity that a host may be given; with more, answers come too late.
+    #[serde(default = "default_fill_at_most")]
     pub fill_at_most: f64,
-    /// Of its capacity, what a cold host may carry.
-    #[serde(default = "cold")]
+    /// The part of that for a host in slow start.
+    #[serde(default = "default_cold_share")]
     pub cold_share: f64,
-    /// Parts of `fill_at_most` up to which a host fills before it costs more to fill it further, and what
-    /// that costs, as parts of the highest value of a second of work.
-    #[serde(default = "steps")]
+    /// Pairs as they are written in a fleet file: the part of its limit up to which a host is filled, and what
+    /// filling it to there costs, as a part of the highest value of a second of work.
+    #[serde(default = "default_steps")]
     pub steps: Vec<(f64, f64)>,
     /// What hosts carry now, in seconds of work a second; used with `change_price`.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub standing: BTreeMap<String, f64>,
-    /// Value that a second of work costs which goes to a place that does not carry it now: for less than it
-    /// nothing moves.
+    /// The price of a second of work that goes to a place that does not carry it now: work moves only for a
+    /// greater gain.
     #[serde(default)]
     pub change_price: f64,
 }
 
-fn fill() -> f64 {
+fn default_fill_at_most() -> f64 {
     0.85
 }
 
-fn cold() -> f64 {
+fn default_cold_share() -> f64 {
     0.2
 }
 
-fn steps() -> Vec<(f64, f64)> {
+fn default_steps() -> Vec<(f64, f64)> {
     vec![(0.6, 0.0), (0.8, 0.01), (1.0, 0.03)]
 }
 
-/// Why there is nothing to solve.
-#[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum SolveError {
-    #[error("no host")]
-    NoHosts,
-    #[error("no operation")]
-    NoOperations,
-    #[error("{what} `{name}` is named twice")]
-    Twice { what: &'static str, name: String },
-    #[error("host `{id}`: {field} {value} should be between 0 and 1e9")]
-    Host {
-        id: String,
-        field: &'static str,
-        value: f64,
-    },
-    #[error("operation `{name}`: {field} {value} can't be")]
-    Operation {
-        name: String,
-        field: &'static str,
-        value: f64,
-    },
-    #[error("gateway `{id}`: {value} invocations a second of `{operation}`")]
-    Demand {
-        id: String,
-        operation: String,
-        value: f64,
-    },
-    #[error("gateway `{id}` asks for `{operation}`, which is no operation")]
-    UnknownOperation { id: String, operation: String },
-    #[error("standing: `{id}` is no host")]
-    UnknownHost { id: String },
-    #[error("{field}: {value} can't be")]
-    Figure { field: &'static str, value: f64 },
-    #[error("steps should rise to 1, their costs too")]
-    Steps,
-    #[error("hosts have no capacity left: all drain, or theirs is 0")]
-    NoCapacity,
-    #[error("zone `{zone}` asks for `{operation}`, which stays there, and has no host for it")]
-    Stranded { zone: String, operation: String },
-}
-
-fn figure(value: f64) -> bool {
-    (0.0..=1e9).contains(&value)
-}
-
 impl Fleet {
-    pub fn check(&self) -> Result<(), SolveError> {
-        if self.hosts.is_empty() {
-            return Err(SolveError::NoHosts);
-        }
-        if self.operations.is_empty() {
-            return Err(SolveError::NoOperations);
-        }
-        let mut seen = BTreeSet::new();
-        for host in &self.hosts {
-            if !seen.insert(&host.id) {
-                return Err(SolveError::Twice {
-                    what: "host",
-                    name: host.id.clone(),
-                });
-            }
-            let most = host.load_at_most.unwrap_or(0.0);
-            for (field, value) in [
-                ("capacity", host.capacity),
-                ("price", host.price),
-                ("load_at_most", most),
-            ] {
-                if !figure(value) {
-                    return Err(SolveError::Host {
-                        id: host.id.clone(),
-                        field,
-                        value,
-                    });
-                }
-            }
-        }
-        let seen_hosts = seen;
-        let mut names = BTreeSet::new();
-        for operation in &self.operations {
-            let name = || operation.name.clone();
-            if !names.insert(operation.name.as_str()) {
-                return Err(SolveError::Twice {
-                    what: "operation",
-                    name: name(),
-                });
-            }
-            if !figure(operation.billed_value) {
-                let value = operation.billed_value;
-                return Err(SolveError::Operation {
-                    name: name(),
-                    field: "billed_value",
-                    value,
-                });
-            }
-            if !(operation.work > 0.0 && operation.work <= 1e6) {
-                return Err(SolveError::Operation {
-                    name: name(),
-                    field: "work",
-                    value: operation.work,
-                });
-            }
-            if let Some(value) = operation
-                .holds
-                .filter(|holds| !(*holds >= 0.0 && *holds <= 1e6))
-            {
-                return Err(SolveError::Operation {
-                    name: name(),
-                    field: "holds",
-                    value,
-                });
-            }
-            if !(0.0..=1.0).contains(&operation.least_share) {
-                let value = operation.least_share;
-                return Err(SolveError::Operation {
-                    name: name(),
-                    field: "least_share",
-                    value,
-                });
-            }
-        }
-        let mut seen = BTreeSet::new();
-        for gateway in &self.gateways {
-            let id = || gateway.id.clone();
-            if !seen.insert(&gateway.id) {
-                return Err(SolveError::Twice {
-                    what: "gateway",
-                    name: id(),
-                });
-            }
-            for (operation, value) in &gateway.demand {
-                if !names.contains(operation.as_str()) {
-                    return Err(SolveError::UnknownOperation {
-                        id: id(),
-                        operation: operation.clone(),
-                    });
-                }
-                if !figure(*value) {
-                    return Err(SolveError::Demand {
-                        id: id(),
-                        operation: operation.clone(),
-                        value: *value,
-                    });
-                }
-            }
-        }
-        for (field, value, most) in [
-            ("cross_zone_price", self.cross_zone_price, 1e9),
-            ("connection_price", self.connection_price, 1e9),
-            ("crossing_seconds", self.crossing_seconds, 1e6),
-            ("change_price", self.change_price, 1e9),
-            ("fill_at_most", self.fill_at_most, 1.0),
-            ("cold_share", self.cold_share, 1.0),
-        ] {
-            if !(value >= 0.0 && value <= most) {
-                return Err(SolveError::Figure { field, value });
-            }
-        }
-        for (id, value) in &self.standing {
-            if !seen_hosts.contains(id) {
-                return Err(SolveError::UnknownHost { id: id.clone() });
-            }
-            if !figure(*value) {
-                return Err(SolveError::Host {
-                    id: id.clone(),
-                    field: "standing",
-                    value: *value,
-                });
-            }
-        }
-        let rise = self
-            .steps
-            .windows(2)
-            .all(|two| two[0].0 < two[1].0 && two[0].1 <= two[1].1);
-        let ends = self
-            .steps
-            .first()
-            .is_some_and(|step| step.0 > 0.0 && step.1 >= 0.0)
-            && self
-                .steps
-                .last()
-                .is_some_and(|step| step.0 == 1.0 && step.1.is_finite());
-        if !(rise && ends) {
-            return Err(SolveError::Steps);
-        }
-        self.reachable()
-    }
-
-    fn reachable(&self) -> Result<(), SolveError> {
-        let open: BTreeSet<&str> = self
-            .hosts
-            .iter()
-            .filter(|host| self.room(host) > 0.0)
-            .map(|host| host.zone.as_str())
-            .collect();
-        if open.is_empty() {
-            return Err(SolveError::NoCapacity);
-        }
-        for gateway in &self.gateways {
-            for operation in self
-                .operations
-                .iter()
-                .filter(|operation| operation.stays_in_zone)
-            {
-                let asked = gateway.demand.get(&operation.name).copied().unwrap_or(0.0);
-                if asked > 0.0 && !open.contains(gateway.zone.as_str()) {
-                    let (zone, operation) = (gateway.zone.clone(), operation.name.clone());
-                    return Err(SolveError::Stranded { zone, operation });
-                }
-            }
-        }
-        Ok(())
-    }
-
-    /// What the hosts of one zone and price carry now, all together, as far as they may.
+    /// What the hosts of one zone and price carry now together, each up to its limit.
     pub fn carried_now(&self, zone: &str, price: f64) -> f64 {
         let alike = self
             .hosts
@@ -337,9 +144,9 @@
             .sum()
     }
 
-    /// What an invocation costs on its way: crossing zones, and its connection while it is kept.
-    pub fn way(&self, operation: &Operation, away: bool) -> f64 {
-        let (crossing, longer) = if away {
+    /// The price of an invocation's way: crossing zones, and its connection while that is in use.
+    pub fn way(&self, operation: &Operation, crosses_zones: bool) -> f64 {
+        let (crossing, longer) = if crosses_zones {
             (self.cross_zone_price, self.crossing_seconds)
         } else {
             (0.0, 0.0)
@@ -347,7 +154,7 @@
         crossing + self.connection_price * (operation.holds.unwrap_or(operation.work) + longer)
     }
 
-    /// Seconds of work a second that a host may be given.
+    /// A host's limit: seconds of work a second that it may be given.
     pub fn room(&self, host: &Host) -> f64 {
         let part = match host.state {
             HostState::Ready => 1.0,
--- a/crates/solve/src/lib.rs
+++ b/crates/solve/src/lib.rs
@@ -1,7 +1,9 @@
-//! Target weights under each host's capacity and a cost that favours billed value. `solve` takes a fleet
-//! and gives loads, weights, admitted shares and shadow prices; `steady` keeps weights from moving for
-//! little; `Estimate` corrects capacities by what was seen. No I/O, no clock: whoever calls brings a
-//! deadline as something to ask.
+//! Target weights under each host's capacity and at a cost that favours billed value.
+//!
+//! [`solve`] takes a [`Fleet`] and returns loads, weights, admitted shares and shadow prices. [`explain`] says why a
+//! host got its weight, [`robust`] what a solution is worth if capacities are wrong, [`steady`] damps weights, and
+//! [`estimate`] corrects capacities by what was observed. There is no I/O and no clock: the caller brings its
+//! deadline as a function.
 
 pub mod estimate;
 pub mod explain;
--- a/crates/solve/src/robust.rs
+++ b/crates/solve/src/robust.rs
@@ -1,15 +1,18 @@
-//! What a solution is still worth when capacities are not what was told. Loads stand; a host that can do
-//! less than it is given serves what it can, the dearest work last to be lost. `hedge` solves with a part of
-//! each capacity held back where that serves more in the worst case.
+//! What a solution is worth when capacities are not as stated.
+//!
+//! Loads stay as solved; a host whose capacity is less than its load serves what it can, of each kind of work the
+//! same part. [`hedge`] solves with a part of each capacity held back where that serves more in the worst case.
 
 use crate::fleet::{Fleet, Host, SolveError};
 use crate::solution::{solve, Solution};
 use std::collections::BTreeMap;
 
-/// How capacities may be wrong: true ones lie between these parts of what was told.
+/// How capacities may be wrong: true ones lie between these parts of the stated ones.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Wrong {
+    /// The least part.
     pub least: f64,
+    /// The largest part.
     pub most: f64,
 }
 
@@ -18,85 +21,124 @@
 pub struct Served {
     /// Billed value a second of what is answered in time.
     pub value_per_s: f64,
-    /// Hosts that are given more than they can do in time, with by how much, worst first.
+    /// Hosts with more load than they can serve in time, and how many times as much; worst first.
     pub overrun: Vec<(String, f64)>,
 }
 
-/// Value of a second of work that a solution sends to each zone, on the mean, the cheapest first.
-fn mix(fleet: &Fleet, solution: &Solution) -> BTreeMap<String, Vec<(f64, f64)>> {
-    let mut mix: BTreeMap<String, Vec<(f64, f64)>> = BTreeMap::new();
+/// Work of one operation that a zone gets.
+struct ZoneWork {
+    /// The value of a second of work.
+    value: f64,
+    /// Seconds of work a second.
+    amount: f64,
+}
+
+fn work_by_zone(fleet: &Fleet, solution: &Solution) -> BTreeMap<String, Vec<ZoneWork>> {
+    let mut zones: BTreeMap<String, Vec<ZoneWork>> = BTreeMap::new();
     for flow in &solution.flows {
-        let told = fleet
-            .operations
-            .iter()
-            .find(|operation| operation.name == flow.operation);
-        let Some(told) = told else { continue };
-        let worth = told.billed_value / told.work;
-        mix.entry(flow.to.clone())
-            .or_default()
-            .push((worth, flow.invocations * told.work));
+        let mut operations = fleet.operations.iter();
+        let Some(operation) = operations.find(|operation| operation.name == flow.operation) else {
+            continue;
+        };
+        zones.entry(flow.to.clone()).or_default().push(ZoneWork {
+            value: operation.billed_value / operation.work,
+            amount: flow.invocations * operation.work,
+        });
     }
-    mix
+    zones
+}
+
+/// The value of a second of a zone's work, on the mean.
+fn mean_value(work: &[ZoneWork]) -> f64 {
+    let amount: f64 = work.iter().map(|work| work.amount).sum();
+    let value = work
+        .iter()
+        .map(|work| work.value * work.amount)
+        .sum::<f64>();
+    value / amount.max(SMALLEST)
 }
 
-/// What is served if each host can do `true_part` of what was told of it.
+/// What is served if each host has `true_part` of its stated capacity.
 pub fn served(fleet: &Fleet, solution: &Solution, true_part: &dyn Fn(&Host) -> f64) -> Served {
-    let mix = mix(fleet, solution);
-    let (mut value, mut overrun) = (0.0, Vec::new());
-    for (host, told) in fleet.hosts.iter().zip(&solution.hosts) {
-        let Some(parts) = mix.get(&host.zone).filter(|_| told.load > 0.0) else {
+    let zones = work_by_zone(fleet, solution);
+    let mut value_per_s = 0.0;
+    let mut overrun = Vec::new();
+    for (host, result) in fleet.hosts.iter().zip(&solution.hosts) {
+        let Some(work) = zones.get(&host.zone).filter(|_| result.load > 0.0) else {
             continue;
         };
-        // Hosts of a zone get the zone's mix; a node that is overrun is late with all of it alike.
-        let work: f64 = parts.iter().map(|part| part.1).sum();
-        let worth = parts.iter().map(|part| part.0 * part.1).sum::<f64>() / work.max(1e-300);
-        let able = host.capacity * true_part(host) * fleet.fill_at_most;
-        value += told.load.min(able) * worth;
-        if told.load > able * (1.0 + 1e-9) {
-            overrun.push((host.id.clone(), told.load / able.max(1e-300)));
+        // Each host of a zone gets the zone's mix; one that is overrun is late with all of it alike.
+        let capacity = host.capacity * true_part(host) * fleet.fill_at_most;
+        value_per_s += result.load.min(capacity) * mean_value(work);
+        if result.load > capacity * (1.0 + OVERRUN_TOLERANCE) {
+            overrun.push((host.id.clone(), result.load / capacity.max(SMALLEST)));
         }
     }
     overrun.sort_by(|a, b| b.1.total_cmp(&a.1).then_with(|| a.0.cmp(&b.0)));
     Served {
-        value_per_s: value,
+        value_per_s,
         overrun,
     }
 }
 
-/// The least that is served, whatever the capacities are within their bounds: each host may do its worst.
+/// The least that is served whatever the capacities are within their bounds: each host at its least.
 pub fn guaranteed(fleet: &Fleet, solution: &Solution, wrong: Wrong) -> Served {
     served(fleet, solution, &|_| wrong.least)
 }
 
-/// Parts of the capacities that are tried, from all of them down to what is certain.
-const TRIED: usize = 6;
+/// Parts of the capacities that `hedge` solves with, from all of them down to what is certain.
+const HEDGE_STEPS: usize = 6;
+
+/// The least part of the capacities that `hedge` solves with.
+const MIN_HEDGE_PART: f64 = 0.05;
+
+/// Loads and scores closer than this part count as equal.
+const OVERRUN_TOLERANCE: f64 = 1e-9;
+const SCORE_TOLERANCE: f64 = 1e-9;
+
+/// Keeps divisors above zero.
+const SMALLEST: f64 = 1e-300;
+
+struct Candidate {
+    score: f64,
+    solution: Solution,
+    part: f64,
+}
 
-/// The solution that serves most in the worst case, and the part of the capacities that it goes by. Where
-/// there is room for all, holding back costs nothing; where there is none, it lets in less than could be
-/// served if the figures are right: the mean of both cases decides.
+/// The solution with the best score, and the part of the capacities that it was solved with. The score is the
+/// mean of the worst case and of the stated capacities: holding back costs nothing while all demand fits, and
+/// otherwise it admits less than could be served if the capacities are right.
 pub fn hedge(
     fleet: &Fleet,
     wrong: Wrong,
-    over: &mut dyn FnMut() -> bool,
+    is_over: &mut dyn FnMut() -> bool,
 ) -> Result<(Solution, f64), SolveError> {
-    let mut best: Option<(f64, Solution, f64)> = None;
-    for step in 0..TRIED {
-        let part = 1.0 - (1.0 - wrong.least.clamp(0.05, 1.0)) * step as f64 / (TRIED - 1) as f64;
-        let mut held = fleet.clone();
-        held.hosts.iter_mut().for_each(|host| host.capacity *= part);
-        let solution = solve(&held, over)?;
+    let held_back = 1.0 - wrong.least.clamp(MIN_HEDGE_PART, 1.0);
+    let mut best: Option<Candidate> = None;
+    for step in 0..HEDGE_STEPS {
+        let part = 1.0 - held_back * step as f64 / (HEDGE_STEPS - 1) as f64;
+        let mut reduced = fleet.clone();
+        reduced
+            .hosts
+            .iter_mut()
+            .for_each(|host| host.capacity *= part);
+        let solution = solve(&reduced, is_over)?;
         let worst = guaranteed(fleet, &solution, wrong).value_per_s;
-        let right = served(fleet, &solution, &|_| 1.0).value_per_s;
-        let score = (worst + right) / 2.0;
-        // The first of equals goes by more of what was told.
-        if best
+        let as_stated = served(fleet, &solution, &|_| 1.0).value_per_s;
+        let score = (worst + as_stated) / 2.0;
+        // The first of equals uses more of the stated capacities.
+        let is_better = best
             .as_ref()
-            .is_none_or(|(known, ..)| score > known * (1.0 + 1e-9))
-        {
-            best = Some((score, solution, part));
+            .is_none_or(|best| score > best.score * (1.0 + SCORE_TOLERANCE));
+        if is_better {
+            best = Some(Candidate {
+                score,
+                solution,
+                part,
+            });
         }
     }
-    best.map(|(_, solution, part)| (solution, part))
+    best.map(|best| (best.solution, best.part))
         .ok_or(SolveError::NoCapacity)
 }
 
--- /dev/null
+++ b/crates/solve/src/solution/report.rs
@@ -0,0 +1,214 @@
+//! From flows back to hosts, gateways and zones.
+
+use super::problem::{Problem, ZoneOperation};
+use super::{AdmissionResult, FlowResult, HostResult, Solution, Status};
+use crate::fleet::Host;
+use crate::flow::Flows;
+use std::collections::BTreeMap;
+
+/// A host whose load is closer to its limit than this part of it is full.
+const FULL_TOLERANCE: f64 = 1e-9;
+
+/// Keeps divisors above zero.
+const SMALLEST: f64 = 1e-300;
+
+/// An operation's way between two zones.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Route<'a> {
+    operation: usize,
+    from: &'a str,
+    to: &'a str,
+}
+
+/// The flows, added up as the solution states them.
+pub(super) struct Report<'a> {
+    problem: &'a Problem<'a>,
+    flows: &'a Flows,
+    objective: f64,
+    value_per_s: f64,
+    /// Seconds of work a second by class of hosts.
+    carried: Vec<f64>,
+    admitted: BTreeMap<ZoneOperation<'a>, f64>,
+    /// Invocations a second.
+    routes: BTreeMap<Route<'a>, f64>,
+}
+
+impl<'a> Report<'a> {
+    pub fn new(problem: &'a Problem<'a>, flows: &'a Flows) -> Report<'a> {
+        let mut report = Report {
+            problem,
+            flows,
+            objective: 0.0,
+            value_per_s: 0.0,
+            carried: vec![0.0; problem.host_classes.len()],
+            admitted: BTreeMap::new(),
+            routes: BTreeMap::new(),
+        };
+        for source in 0..problem.sources.len() {
+            for sink in 0..problem.sinks.len() {
+                let work = flows.work[source][sink];
+                if work > 0.0 {
+                    report.add(source, sink, work);
+                }
+            }
+        }
+        report
+    }
+
+    fn add(&mut self, source: usize, sink: usize, work: f64) {
+        let problem = self.problem;
+        let demand = &problem.demands[source];
+        let operation = &problem.fleet.operations[demand.of.operation];
+        let to = &problem.sinks[sink];
+        let class = problem.class_of_sink[sink];
+        let gain = problem.sources[source].gains[to.class].unwrap_or(0.0);
+        let bonus = if demand.is_guaranteed {
+            problem.guarantee_bonus
+        } else {
+            0.0
+        };
+        self.objective += work * (gain - to.cost - bonus);
+        self.value_per_s += work / operation.work * operation.billed_value;
+        self.carried[class] += work;
+        *self.admitted.entry(demand.of).or_insert(0.0) += work;
+        let route = Route {
+            operation: demand.of.operation,
+            from: demand.of.zone,
+            to: problem.host_classes[class].zone,
+        };
+        *self.routes.entry(route).or_insert(0.0) += work / operation.work;
+    }
+
+    pub fn solution(&self) -> Solution {
+        Solution {
+            status: if self.flows.cut_short {
+                Status::CutShort
+            } else {
+                Status::Optimal
+            },
+            objective: self.objective,
+            value_per_s: self.value_per_s,
+            hosts: self.hosts(),
+            gateways: self.gateways(),
+            flows: self.zone_flows(),
+            paths: self.flows.paths,
+        }
+    }
+
+    fn hosts(&self) -> Vec<HostResult> {
+        let all: f64 = self.carried.iter().sum();
+        let hosts = || {
+            self.problem
+                .fleet
+                .hosts
+                .iter()
+                .zip(&self.problem.class_of_host)
+        };
+        let is_busy = |host: &Host, class: usize| {
+            self.problem.fleet.room(host) > 0.0 && self.carried[class] > 0.0
+        };
+        let busy = hosts().filter(|(host, class)| is_busy(host, **class));
+        let busy_count = busy.count().max(1) as f64;
+        let weight = |load: f64| {
+            if all > 0.0 {
+                load / all * busy_count
+            } else {
+                0.0
+            }
+        };
+        hosts()
+            .map(|(host, class)| self.host(host, *class, &weight))
+            .collect()
+    }
+
+    fn host(&self, host: &Host, class: usize, weight: &dyn Fn(f64) -> f64) -> HostResult {
+        let limit = self.problem.fleet.room(host);
+        let class_limit = self.problem.host_classes[class].limit;
+        let load = if class_limit > 0.0 {
+            self.carried[class] * limit / class_limit
+        } else {
+            0.0
+        };
+        let shadow_price = if limit > 0.0 {
+            self.shadow_price(class)
+        } else {
+            0.0
+        };
+        HostResult {
+            id: host.id.clone(),
+            zone: host.zone.clone(),
+            weight: weight(load),
+            load,
+            capacity: host.capacity,
+            shadow_price,
+            binds: binding_constraint(limit, load),
+        }
+    }
+
+    /// The price of the last sink of a class, in which its limit ends.
+    fn shadow_price(&self, class: usize) -> f64 {
+        let sinks = &self.problem.class_of_sink;
+        let last = sinks.iter().rposition(|of_sink| *of_sink == class);
+        let price = last
+            .and_then(|last| self.flows.sink_price.get(last))
+            .copied()
+            .unwrap_or(0.0);
+        // The bonus of guaranteed demand is no value.
+        let bonus = self.problem.guarantee_bonus;
+        if price > bonus {
+            price - bonus
+        } else {
+            price
+        }
+    }
+
+    fn gateways(&self) -> Vec<AdmissionResult> {
+        let fleet = self.problem.fleet;
+        let mut results = Vec::new();
+        for gateway in &fleet.gateways {
+            for (at, operation) in fleet.operations.iter().enumerate() {
+                let demand = gateway.demand.get(&operation.name).copied().unwrap_or(0.0);
+                if demand <= 0.0 {
+                    continue;
+                }
+                let key = ZoneOperation {
+                    zone: &gateway.zone,
+                    operation: at,
+                };
+                let admitted = self.admitted.get(&key).copied().unwrap_or(0.0);
+                let share = admitted / self.problem.work[&key].max(SMALLEST);
+                results.push(AdmissionResult {
+                    id: gateway.id.clone(),
+                    operation: operation.name.clone(),
+                    admitted: share.min(1.0),
+                });
+            }
+        }
+        results
+    }
+
+    fn zone_flows(&self) -> Vec<FlowResult> {
+        let routes = self.routes.iter();
+        routes
+            .map(|(route, invocations)| FlowResult {
+                operation: self.problem.fleet.operations[route.operation].name.clone(),
+                from: route.from.to_string(),
+                to: route.to.to_string(),
+                invocations: *invocations,
+            })
+            .collect()
+    }
+}
+
+/// What keeps a host from carrying more, as the solution states it.
+fn binding_constraint(limit: f64, load: f64) -> &'static str {
+    if limit <= 0.0 {
+        "draining or without capacity"
+    } else if load >= limit * (1.0 - FULL_TOLERANCE) {
+        "its capacity"
+    } else if load > 0.0 {
+        "nothing"
+    } else {
+        "not needed, or too dear"
+    }
+}
--- a/crates/solve/src/steady.rs
+++ b/crates/solve/src/steady.rs
@@ -1,13 +1,14 @@
-//! Weights that hold still: a solved weight is taken over when it differs enough to matter, and then in
-//! steps, so that an estimate that flutters moves no traffic and one that was wrong moves it gradually.
+//! Damping of weights: a solved weight is adopted when it differs enough to matter, and then in steps, so that a
+//! fluctuating estimate moves no traffic and a wrong one moves it gradually.
 
 use std::collections::BTreeMap;
 
+/// How strongly weights are damped.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Steadiness {
-    /// Of a weight: smaller moves are not made.
+    /// The dead band, as a part of the weight: smaller changes are not made.
     pub dead: f64,
-    /// Of a weight: no move is larger at once. A host that comes anew starts with this part of its weight.
+    /// The largest change at once, as a part of the weight. A new host starts with this part of its weight.
     pub step: f64,
 }
 
@@ -20,78 +21,39 @@
     }
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Stands {
-    Absent,
-    Present,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Wanted {
-    Gone,
-    Near,
-    Far,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Effect {
-    LeaveOut,
-    Keep,
-    Step,
-    Begin,
-}
-
-// What should carry nothing leaves at once: it may drain.
-const MOVES: &[(Stands, Wanted, Effect)] = &[
-    (Stands::Absent, Wanted::Gone, Effect::LeaveOut),
-    (Stands::Absent, Wanted::Near, Effect::Begin),
-    (Stands::Absent, Wanted::Far, Effect::Begin),
-    (Stands::Present, Wanted::Gone, Effect::LeaveOut),
-    (Stands::Present, Wanted::Near, Effect::Keep),
-    (Stands::Present, Wanted::Far, Effect::Step),
-];
-
-/// The weights to go by next, from those that stand and those that are solved.
+/// The next weights, from the current and the solved ones.
 pub fn next(
-    standing: &BTreeMap<String, f64>,
+    current: &BTreeMap<String, f64>,
     solved: &BTreeMap<String, f64>,
-    how: Steadiness,
+    steadiness: Steadiness,
 ) -> BTreeMap<String, f64> {
     let mut next = BTreeMap::new();
-    for (id, wanted) in solved {
-        let before = standing.get(id).copied().filter(|weight| *weight > 0.0);
-        let stands = if before.is_some() {
-            Stands::Present
-        } else {
-            Stands::Absent
-        };
-        let held = before.unwrap_or(0.0);
-        let near = (wanted - held).abs() <= how.dead * held.max(*wanted);
-        let input = match (*wanted > 0.0, near) {
-            (false, _) => Wanted::Gone,
-            (true, true) => Wanted::Near,
-            (true, false) => Wanted::Far,
-        };
-        let effect = MOVES
-            .iter()
-            .find(|row| (row.0, row.1) == (stands, input))
-            .map_or(Effect::Keep, |row| row.2);
-        match effect {
-            Effect::LeaveOut => {}
-            Effect::Keep => {
-                next.insert(id.clone(), held);
-            }
-            Effect::Step => {
-                let most = held * how.step;
-                next.insert(id.clone(), held + (wanted - held).clamp(-most, most));
-            }
-            Effect::Begin => {
-                next.insert(id.clone(), wanted * how.step);
-            }
+    for (id, solved) in solved {
+        let current = current.get(id).copied().filter(|weight| *weight > 0.0);
+        if let Some(weight) = next_weight(current, *solved, steadiness) {
+            next.insert(id.clone(), weight);
         }
     }
     next
 }
 
+/// `None`: the host is left out.
+fn next_weight(current: Option<f64>, solved: f64, steadiness: Steadiness) -> Option<f64> {
+    // A host that should carry nothing leaves at once: it may be draining.
+    let carries_work = solved > 0.0;
+    if !carries_work {
+        return None;
+    }
+    let Some(current) = current else {
+        return Some(solved * steadiness.step);
+    };
+    let change = solved - current;
+    if change.abs() <= steadiness.dead * current.max(solved) {
+        return Some(current);
+    }
+    let limit = current * steadiness.step;
+    Some(current + change.clamp(-limit, limit))
+}
+
 #[cfg(test)]
 mod tests;
