--- a/crates/cli/tests/changes.rs
+++ b/crates/cli/tests/changes.rs
@@ -138,7 +138,7 @@
                 ..OperationReport::default()
             };
             let report = LoadReport {
-                over: Span::from_seconds(0.1),
+                window: Span::from_seconds(0.1),
                 operations: vec![quote],
             };
             let report = common::encode(&loads::request(&report, |_| String::new()));
@@ -339,7 +339,7 @@
     );
 }
 
-#[test_case("store.begin=1*off->8*return(full)->off", "a change waits for the disk"; "full for a while")]
+#[test_case("store.begin=1*off->8*return(full)->off", "configuration change waits for the disk"; "full for a while")]
 #[test_case("store.written=4*off->3*sleep(700)->off", "\"kept\""; "slow")]
 fn a_bad_disk_delays_a_change_and_no_table(faults: &str, said: &str) {
     let mut world = World::new(faults);
@@ -503,7 +503,7 @@
     assert!(world
         .stage
         .log()
-        .contains("the last one that was taken stands"));
+        .contains("the last accepted one stays in force"));
     for (name, held) in &world.held {
         let lines = held
             .last()
@@ -512,7 +512,7 @@
     }
     // The same list, back again, is taken though its version is the one remembered.
     common::write(&world.stage.path("nodes.json"), &list(1));
-    while world.stage.log().matches("list taken").count() < 3 {
+    while world.stage.log().matches("endpoint list accepted").count() < 3 {
         world.turn();
         assert!(
             begin.elapsed() < Duration::from_secs(20),
--- a/crates/cli/tests/conductor.rs
+++ b/crates/cli/tests/conductor.rs
@@ -145,7 +145,7 @@
     let (mut stage, mut good) = joined();
     let bad_report = |operations, seconds| {
         let report = LoadReport {
-            over: Span::from_seconds(seconds),
+            window: Span::from_seconds(seconds),
             operations,
         };
         encode(&loads::request(&report, |_| "north".to_string()))
@@ -294,7 +294,7 @@
         .expect("it runs");
     let said = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(
-        !output.status.success() && said.contains("in use by another conductor"),
+        !output.status.success() && said.contains("in use by another controller"),
         "{said}"
     );
 }
--- a/crates/controller-core/src/controller_core/reports.rs
+++ b/crates/controller-core/src/controller_core/reports.rs
@@ -10,7 +10,7 @@
 
 impl ControllerCore {
     pub(super) fn on_load_report(&mut self, now: Moment, stream: StreamId, report: &LoadReport) {
-        let Some((name, member)) = self.members.of_stream(stream) else {
+        let Some((name, member)) = self.members.by_stream(stream) else {
             return;
         };
         let (name, id, zone) = (name.to_string(), member.id, member.zone);
@@ -18,7 +18,7 @@
         let endpoints = &self.endpoints;
         let result = self
             .aggregator
-            .report(id, zone, report, &self.plan, |node| {
+            .add_report(id, zone, report, &self.plan, |node| {
                 endpoints.record(node).is_some()
             });
         match result {
@@ -49,7 +49,7 @@
                 .position(|operation| operation.name == name)
                 .map(|index| OperationId(index as u8))
         };
-        self.history.hear(now, proxy, zone, report, operation_id);
+        self.history.record(now, proxy, zone, report, operation_id);
         self.evidence.record_report(now, proxy, report);
     }
 
@@ -58,7 +58,7 @@
         if self.endpoints.doubted_until(&self.plan).is_none() {
             return;
         }
-        let interval_start = now - report.over;
+        let interval_start = now - report.window;
         let reported = report
             .operations
             .iter()
@@ -67,7 +67,7 @@
             .filter(|reported| reported.succeeded > 0)
             .filter_map(|reported| reported.node)
         {
-            self.endpoints.answered(node, interval_start);
+            self.endpoints.record_answer(node, interval_start);
         }
     }
 
--- a/crates/controller-core/src/controller_core/rounds.rs
+++ b/crates/controller-core/src/controller_core/rounds.rs
@@ -26,13 +26,13 @@
 impl ControllerCore {
     /// Runs a decision round if one is due, and appends what is to be done to `out`.
     pub fn settle(&mut self, now: Moment, out: &mut Vec<Effect>) {
-        if let Some(event) = self.endpoints.resolve(now, &self.plan) {
+        if let Some(event) = self.endpoints.resolve_doubt(now, &self.plan) {
             self.accept_endpoint_list(now, &event);
             self.schedule.request_round();
         }
         let acknowledgement_at = self.acknowledgements.wake_at();
         if self.schedule.is_round_due(now, acknowledgement_at) {
-            let (period, tick) = (self.plan.sums.period, self.plan.conductors.tick);
+            let (period, tick) = (self.plan.load_reports.period, self.plan.controllers.tick);
             self.schedule.start_round(now, period, tick);
             self.run_round(now);
         }
@@ -52,7 +52,9 @@
             self.endpoints.doubted_until(&self.plan),
             self.transports.wake_at(),
         ];
-        let round_at = self.schedule.wake_at(now, self.plan.sums.period, causes);
+        let round_at = self
+            .schedule
+            .wake_at(now, self.plan.load_reports.period, causes);
         let delivery_at = self.queue.wake_at(now);
         delivery_at.map_or(round_at, |at| round_at.min(at))
     }
@@ -63,7 +65,7 @@
         }
         if self
             .schedule
-            .start_period_if_due(now, self.plan.sums.period)
+            .start_period_if_due(now, self.plan.load_reports.period)
         {
             self.run_period(now);
         }
@@ -82,7 +84,7 @@
 
     /// What is done once in a report period.
     fn run_period(&mut self, now: Moment) {
-        let events = self.aggregator.drain(&self.members);
+        let events = self.aggregator.take_events(&self.members);
         for event in &events {
             self.handle_event(now, event);
         }
@@ -101,10 +103,10 @@
             return;
         };
         self.solver
-            .hear(events, &self.plan, settings, &self.members, &self.endpoints);
+            .record_reports(events, &self.plan, settings, &self.members, &self.endpoints);
         match self
             .solver
-            .round(now, &self.plan, settings, &self.endpoints)
+            .solve_if_due(now, &self.plan, settings, &self.endpoints)
         {
             Some(SolverOutcome::Changed(entries)) => {
                 self.log(LogEvent::WeightsSolved {
@@ -113,7 +115,9 @@
                 let kind = EndpointListKind::Changes;
                 self.list_endpoints(now, Event::EndpointList { kind, entries });
             }
-            Some(SolverOutcome::Failed(reason)) => self.log(LogEvent::SolverFailed { reason }),
+            Some(SolverOutcome::Failed(error)) => self.log(LogEvent::SolverFailed {
+                reason: error.to_string(),
+            }),
             None => {}
         }
     }
@@ -150,7 +154,7 @@
             Action::SetTimer { after, timer } => self.schedule.set_timer(now + after, timer),
             // The list is watched: what was last accepted is what there is.
             Action::RequestEndpointList => {
-                let complete = self.endpoints.complete();
+                let complete = self.endpoints.complete_event();
                 self.list_endpoints(now, complete);
             }
             Action::Log { message: text } => self.log(LogEvent::BalancerMessage { text }),
--- a/crates/controller/src/drains.rs
+++ b/crates/controller/src/drains.rs
@@ -1,8 +1,10 @@
-//! Orders to drain nodes, between the registry that decides which goes and the session, the disk and whoever asked.
+//! Orders to drain nodes: between the registry that decides which order is in force, the core, the disk and
+//! the operators who wait for an answer.
 
-use crate::state_writer::StateWriter;
-use std::collections::BTreeMap;
+use crate::state_writer::{StateWriteError, StateWriter};
+use std::collections::{BTreeMap, BTreeSet};
 use tracing::{info, warn};
+use wheelspread::ids::NodeId;
 use wheelspread::time::{Moment, Span};
 use wheelspread_config_rollout::pool_risk::{drain_objections, DrainObjection};
 use wheelspread_config_rollout::values::parse_node;
@@ -14,27 +16,23 @@
     Evidence, FailedCheck, OrderId,
 };
 
-/// A fact: what is kept of a node's order.
-const DRAIN: &str = "drain.";
-/// Numbers of writes that are not those of changes.
-pub const NUMBERS: u64 = 1 << 62;
-/// Of a period of sums: between two looks at who still names a drained node.
-const LOOK: f64 = 0.25;
-/// Seconds until a write is tried again that the disk refused.
-const AGAIN: f64 = 1.0;
+/// Prefix of the persisted facts that hold a node's drain.
+const DRAIN_FACT_PREFIX: &str = "drain.";
+/// Writes of drains are numbered above it, those of configuration changes below.
+pub const FIRST_WRITE_NUMBER: u64 = 1 << 62;
+/// Periods of load reports between two reviews of who still names a drained node.
+const REVIEW_PERIODS: f64 = 0.25;
+/// Time until a write that the disk refused is tried again.
+const WRITE_RETRY_DELAY: Span = Span::from_seconds(1.0);
 
-struct Writing {
-    node: String,
-    order: Option<OrderId>,
-    commit: Commit,
-    /// Callers whose answers wait for it.
-    callers: Vec<u64>,
-    again_at: Option<Moment>,
+/// Why an order that was submitted is not in force.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum DrainAnswerError {
+    /// It was taken back before it was persisted.
+    #[error("it was taken back")]
+    Withdrawn,
 }
 
-/// An answer to a caller.
-pub type Told = (u64, Result<Drain, String>);
-
 fn failed_check(objection: &DrainObjection) -> FailedCheck {
     FailedCheck {
         name: objection.check_name().to_string(),
@@ -42,64 +40,120 @@
     }
 }
 
-pub struct Drains {
-    book: DrainRegistry,
-    writing: BTreeMap<u64, Writing>,
-    next: u64,
-    look_at: Moment,
+/// The result of an order, for the operator who waits for it.
+pub struct DrainAnswer {
+    /// The number of the operator's order.
+    pub order: u64,
+    /// The drain as it then stands.
+    pub result: Result<Drain, DrainAnswerError>,
+}
+
+/// A drain on its way to the disk.
+struct PendingWrite {
+    node: String,
+    /// `None` where the node's drain is deleted.
+    drain_order: Option<OrderId>,
+    commit: Commit,
+    /// Operators' orders whose answers wait for it.
+    waiting_orders: Vec<u64>,
+    /// `None` while the state writer has it.
+    write_at: Option<Moment>,
+}
+
+/// Drains by order, and their writes.
+pub struct DrainOrders {
+    registry: DrainRegistry,
+    pending_writes: BTreeMap<u64, PendingWrite>,
+    last_write_number: u64,
+    review_at: Moment,
     value_lost_at_most: f64,
-    told: Vec<Told>,
+    answers: Vec<DrainAnswer>,
 }
 
-impl Drains {
-    /// Takes up what an earlier run kept.
-    pub fn start(now: Moment, kept: &PersistedState, value_lost_at_most: f64) -> Drains {
-        let drains = kept
+impl DrainOrders {
+    /// Restores the drains that an earlier run persisted.
+    pub fn restore(
+        now: Moment,
+        persisted: &PersistedState,
+        value_lost_at_most: f64,
+    ) -> DrainOrders {
+        let facts = persisted
             .facts
             .iter()
-            .filter(|(name, _)| name.starts_with(DRAIN));
-        let drains = drains.filter_map(|(name, text)| match serde_json::from_str::<Drain>(text) {
+            .filter(|(name, _)| name.starts_with(DRAIN_FACT_PREFIX));
+        let drains = facts.filter_map(|(name, text)| match serde_json::from_str::<Drain>(text) {
             Ok(drain) => Some(drain),
             Err(error) => {
-                warn!(name, %error, "a drain that was kept can't be read, it is not in force");
+                warn!(name, %error, "persisted drain unreadable, it is not in force");
                 None
             }
         });
-        let book = DrainRegistry::recover(now, drains);
-        Drains {
-            book,
-            writing: BTreeMap::new(),
-            next: NUMBERS,
-            look_at: now,
+        DrainOrders {
+            registry: DrainRegistry::recover(now, drains),
+            pending_writes: BTreeMap::new(),
+            last_write_number: FIRST_WRITE_NUMBER,
+            review_at: now,
             value_lost_at_most,
-            told: Vec::new(),
+            answers: Vec::new(),
         }
     }
 
-    pub fn book(&self) -> &DrainRegistry {
-        &self.book
+    /// All drains that are known.
+    pub fn drains(&self) -> impl Iterator<Item = &Drain> {
+        self.registry.drains()
     }
 
-    /// Nodes that are kept out.
-    pub fn out(&self) -> std::collections::BTreeSet<wheelspread::ids::NodeId> {
-        self.book.drained_nodes().filter_map(parse_node).collect()
+    /// The drain of a node.
+    pub fn drain(&self, node: &str) -> Option<&Drain> {
+        self.registry.drain(node)
     }
 
-    /// Whether there is anything to look after.
+    /// Drains that are still under way or in force.
+    pub fn active_count(&self) -> usize {
+        self.drains().filter(|drain| drain.is_active()).count()
+    }
+
+    /// Nodes that no table may name.
+    pub fn drained_nodes(&self) -> BTreeSet<NodeId> {
+        self.registry
+            .drained_nodes()
+            .filter_map(parse_node)
+            .collect()
+    }
+
+    /// When [`DrainOrders::settle`] has something to do.
     pub fn wake_at(&self) -> Option<Moment> {
-        let waits = !self.writing.is_empty() || self.book.drains().any(Drain::is_active);
-        waits.then_some(self.look_at)
+        let has_work = !self.pending_writes.is_empty() || self.drains().any(Drain::is_active);
+        has_work.then_some(self.review_at)
     }
 
-    /// An order comes; what came of it is told when the disk has it, or at once where nothing is new.
-    pub fn order(
+    /// Takes an operator's order. It is answered once the disk has it, or at once where nothing is new.
+    pub fn submit(
         &mut self,
         now: Moment,
-        caller: u64,
+        operator_order: u64,
         order: DrainOrder,
-        session: &ControllerCore,
+        core: &ControllerCore,
     ) -> Result<(), DrainError> {
-        let named = parse_node(&order.node).ok_or_else(|| {
+        let objections = self.check(now, &order, core)?;
+        let node = order.node.clone();
+        let drain = self.registry.submit(now, order, &objections)?.clone();
+        self.carry_out_effects(now, Some(operator_order));
+        if !self.has_waiting_order(operator_order) {
+            self.answer_repeated_order(operator_order, &node, drain);
+        }
+        self.review_at = now;
+        Ok(())
+    }
+
+    /// What speaks against an order; an order may name checks that it overrides.
+    fn check(
+        &self,
+        now: Moment,
+        order: &DrainOrder,
+        core: &ControllerCore,
+    ) -> Result<Vec<FailedCheck>, DrainError> {
+        let id = parse_node(&order.node).ok_or_else(|| {
             DrainError::Checks(vec![FailedCheck {
                 name: "node".to_string(),
                 text: format!(
@@ -108,169 +162,183 @@
                 ),
             }])
         })?;
-        let against = match order.action {
+        let objections = match order.action {
             DrainAction::Drain => {
-                let objections = drain_objections(now, named, self.value_lost_at_most, session);
+                let objections = drain_objections(now, id, self.value_lost_at_most, core);
                 objections.iter().map(failed_check).collect()
             }
             DrainAction::Undrain => Vec::new(),
         };
-        let (place, overrides) = (order.node.clone(), order.overrides.join(", "));
-        if !overrides.is_empty() {
-            let against = describe_checks(&against);
+        if !order.overrides.is_empty() {
             warn!(
-                node = place,
+                node = order.node,
                 by = order.by,
-                overrides,
-                against,
-                "an order overrides checks"
+                overrides = order.overrides.join(", "),
+                against = describe_checks(&objections),
+                "drain order overrides checks"
             );
         }
-        let drain = self.book.submit(now, order, &against)?.clone();
-        self.follow(now, caller);
-        // Told twice, and kept since: answered as it stands.
-        if !self
-            .writing
+        Ok(objections)
+    }
+
+    fn has_waiting_order(&self, operator_order: u64) -> bool {
+        self.pending_writes
             .values()
-            .any(|writing| writing.callers.contains(&caller))
-        {
-            match self
-                .writing
-                .values_mut()
-                .find(|writing| writing.node == place)
-            {
-                Some(writing) => writing.callers.push(caller),
-                None => self.told.push((caller, Ok(drain))),
-            }
+            .any(|write| write.waiting_orders.contains(&operator_order))
+    }
+
+    /// An order that was sent again is answered as the drain stands, once that is persisted.
+    fn answer_repeated_order(&mut self, operator_order: u64, node: &str, drain: Drain) {
+        let pending = self
+            .pending_writes
+            .values_mut()
+            .find(|write| write.node == node);
+        match pending {
+            Some(write) => write.waiting_orders.push(operator_order),
+            None => self.answers.push(DrainAnswer {
+                order: operator_order,
+                result: Ok(drain),
+            }),
         }
-        self.look_at = now;
-        Ok(())
     }
 
-    fn follow(&mut self, now: Moment, caller: u64) {
-        for effect in self.book.take_effects() {
+    fn carry_out_effects(&mut self, now: Moment, operator_order: Option<u64>) {
+        for effect in self.registry.take_effects() {
             match effect {
                 DrainEffect::Write { node, drain } => {
-                    let order = drain.as_ref().map(|drain| drain.order.id.clone());
-                    let text = drain.and_then(|drain| serde_json::to_string(&drain).ok());
-                    let facts = BTreeMap::from([(format!("{DRAIN}{node}"), text)]);
-                    let commit = Commit {
-                        facts,
-                        ..Commit::default()
-                    };
-                    let mut callers: Vec<u64> = Some(caller)
-                        .filter(|caller| *caller > 0)
-                        .into_iter()
-                        .collect();
-                    // One that failed must not be written again over a newer one.
-                    self.writing.retain(|_, writing| {
-                        let older = writing.node == node;
-                        if older {
-                            callers.append(&mut writing.callers);
-                        }
-                        !older
-                    });
-                    self.next += 1;
-                    let writing = Writing {
-                        node,
-                        order,
-                        commit,
-                        callers,
-                        again_at: Some(now),
-                    };
-                    self.writing.insert(self.next, writing);
+                    self.schedule_write(now, node, drain, operator_order);
                 }
                 DrainEffect::StateChanged { node, state, order } => {
                     let (state, order) = (state.as_str(), order.0);
-                    info!(node, state, order, "drain");
+                    info!(node, state, order, "drain state changed");
                 }
             }
         }
     }
 
-    /// What came of a write.
-    pub fn written(&mut self, now: Moment, number: u64, result: Result<(), String>) {
-        let Some(writing) = self.writing.get_mut(&number) else {
+    fn schedule_write(
+        &mut self,
+        now: Moment,
+        node: String,
+        drain: Option<Box<Drain>>,
+        operator_order: Option<u64>,
+    ) {
+        let drain_order = drain.as_ref().map(|drain| drain.order.id.clone());
+        let text = drain.and_then(|drain| serde_json::to_string(&drain).ok());
+        let facts = BTreeMap::from([(format!("{DRAIN_FACT_PREFIX}{node}"), text)]);
+        let mut waiting_orders = Vec::from_iter(operator_order);
+        // An older write that failed must not be written again over a newer one.
+        self.pending_writes.retain(|_, write| {
+            let is_older = write.node == node;
+            if is_older {
+                waiting_orders.append(&mut write.waiting_orders);
+            }
+            !is_older
+        });
+        self.last_write_number += 1;
+        let write = PendingWrite {
+            node,
+            drain_order,
+            commit: Commit {
+                facts,
+                ..Commit::default()
+            },
+            waiting_orders,
+            write_at: Some(now),
+        };
+        self.pending_writes.insert(self.last_write_number, write);
+    }
+
+    /// Takes the result of a write.
+    pub fn written(&mut self, now: Moment, number: u64, result: Result<(), StateWriteError>) {
+        let Some(write) = self.pending_writes.get_mut(&number) else {
             return;
         };
         if result.is_err() {
-            writing.again_at = Some(now + Span::from_seconds(AGAIN));
+            write.write_at = Some(now + WRITE_RETRY_DELAY);
             return;
         }
-        let Some(writing) = self.writing.remove(&number) else {
+        let Some(write) = self.pending_writes.remove(&number) else {
             return;
         };
-        if let Some(order) = &writing.order {
-            self.book.written(now, &writing.node, order);
+        if let Some(order) = &write.drain_order {
+            self.registry.written(now, &write.node, order);
         }
-        let drain = self
-            .book
-            .drain(&writing.node)
-            .cloned()
-            .ok_or_else(|| "it was taken back".to_string());
-        self.told.extend(
-            writing
-                .callers
-                .into_iter()
-                .map(|caller| (caller, drain.clone())),
-        );
-        self.look_at = now;
+        let drain = self.registry.drain(&write.node).cloned();
+        let result = drain.ok_or(DrainAnswerError::Withdrawn);
+        let answers = write.waiting_orders.into_iter().map(|order| DrainAnswer {
+            order,
+            result: result.clone(),
+        });
+        self.answers.extend(answers);
+        self.review_at = now;
     }
 
-    /// Hands over to the disk, tells the session, looks how far drains have come; returns answers.
+    /// Hands writes to the disk, tells the core which nodes are drained and reviews how far drains have
+    /// come; returns the answers that are due.
     pub fn settle(
         &mut self,
         now: Moment,
-        session: &mut ControllerCore,
-        keeper: &mut StateWriter,
-    ) -> Vec<Told> {
-        if now < self.look_at {
-            return std::mem::take(&mut self.told);
+        core: &mut ControllerCore,
+        state_writer: &mut StateWriter,
+    ) -> Vec<DrainAnswer> {
+        if now < self.review_at {
+            return std::mem::take(&mut self.answers);
         }
-        self.look_at = now + session.plan().sums.period * LOOK;
-        let mut refused = Vec::new();
-        for (number, writing) in &mut self.writing {
-            if writing.again_at.is_some_and(|at| at <= now) {
-                writing.again_at = None;
-                if !keeper.write(*number, writing.commit.clone()) {
-                    refused.push(*number);
-                }
-            }
+        self.review_at = now + core.plan().load_reports.period * REVIEW_PERIODS;
+        self.submit_writes(now, state_writer);
+        self.carry_out_effects(now, None);
+        let drained = self.drained_nodes();
+        if drained != *core.drained_nodes() {
+            core.observe(now, Observation::DrainedNodes(drained));
         }
-        for number in refused {
-            self.written(now, number, Err("the state can't be written".to_string()));
+        self.review_evidence(now, core);
+        self.registry
+            .expire_withdrawn(now, core.plan().rules.drain_grace);
+        self.carry_out_effects(now, None);
+        std::mem::take(&mut self.answers)
+    }
+
+    fn submit_writes(&mut self, now: Moment, state_writer: &mut StateWriter) {
+        let mut failed = Vec::new();
+        for (number, write) in &mut self.pending_writes {
+            if write.write_at.is_none_or(|at| now < at) {
+                continue;
+            }
+            write.write_at = None;
+            if let Err(error) = state_writer.write(*number, write.commit.clone()) {
+                failed.push((*number, error));
+            }
         }
-        self.follow(now, 0);
-        let out = self.out();
-        if out != *session.drained_nodes() {
-            session.observe(now, Observation::DrainedNodes(out));
+        for (number, error) in failed {
+            self.written(now, number, Err(error));
         }
-        let grace = session.plan().rules.drain_grace;
-        let going: Vec<(String, DrainState)> = self
-            .book
+    }
+
+    /// Shows the registry which proxies still name the nodes that are being drained.
+    fn review_evidence(&mut self, now: Moment, core: &mut ControllerCore) {
+        let grace = core.plan().rules.drain_grace;
+        let active: Vec<(String, DrainState)> = self
             .drains()
             .filter(|drain| drain.is_active())
             .map(|drain| (drain.order.node.clone(), drain.state))
             .collect();
-        for (name, before) in going {
+        for (name, before) in active {
             let Some(id) = parse_node(&name) else {
                 continue;
             };
-            let traces = session.drain_evidence(id);
+            let traces = core.drain_evidence(id);
             let evidence = Evidence {
                 named_by: traces.naming_proxies,
                 proxies: traces.joined_proxies,
                 attempts: traces.attempts,
                 reporting_proxies: traces.reporting_proxies,
             };
-            self.book.record_evidence(now, &name, grace, evidence);
-            let after = self.book.drain(&name).map(|drain| drain.state);
+            self.registry.record_evidence(now, &name, grace, evidence);
+            let after = self.registry.drain(&name).map(|drain| drain.state);
             if before == DrainState::Propagating && after == Some(DrainState::InForce) {
-                session.watch_drained_node(now, id);
+                core.watch_drained_node(now, id);
             }
         }
-        self.book.expire_withdrawn(now, grace);
-        self.follow(now, 0);
-        std::mem::take(&mut self.told)
     }
 }
--- a/crates/import/src/pools.rs
+++ b/crates/import/src/pools.rs
@@ -13,7 +13,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use wheelspread::ids::NodeId;
 use wheelspread::time::Span;
-use wheelspread_controller_core::deployment::Repeat;
+use wheelspread_controller_core::deployment::RetryClass;
 
 /// What became of a directive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
@@ -61,7 +61,7 @@
     /// What a client waits at most.
     pub integration_timeout: Span,
     /// Whether a retry can take effect twice.
-    pub repeat: Repeat,
+    pub repeat: RetryClass,
 }
 
 /// A pool, made from an upstream or from a location that names a server.
--- a/crates/import/src/pools/controller_file.rs
+++ b/crates/import/src/pools/controller_file.rs
@@ -1,7 +1,7 @@
 //! Writes a pool as a controller's file.
 
 use super::{plain, Pool};
-use wheelspread_controller_core::deployment::Repeat;
+use wheelspread_controller_core::deployment::RetryClass;
 use wheelspread_controller_core::span_format;
 
 /// nginx has no latency objectives; this part of the timeout is written, to be looked at.
@@ -21,7 +21,7 @@
             let timeout = operation.integration_timeout;
             let objective = timeout * OBJECTIVE_PART_OF_TIMEOUT;
             let repeat = match operation.repeat {
-                Repeat::Idempotent => "idempotent",
+                RetryClass::Idempotent => "idempotent",
                 _ => "side-effecting",
             };
             text.push_str(&format!(
--- a/crates/import/src/pools/location.rs
+++ b/crates/import/src/pools/location.rs
@@ -5,7 +5,7 @@
 use crate::parse::Directive;
 use std::time::Duration;
 use wheelspread::time::Span;
-use wheelspread_controller_core::deployment::Repeat;
+use wheelspread_controller_core::deployment::RetryClass;
 
 /// nginx's default of `proxy_read_timeout`.
 const DEFAULT_READ_TIMEOUT: Duration = Duration::from_secs(60);
@@ -274,13 +274,13 @@
 
 /// Whether an operation may be retried. The file does not say what an operation does, so nothing is retried but
 /// what the file allows to be retried whatever it does.
-fn retry_safety(next: Option<&[String]>) -> (Repeat, &'static str) {
+fn retry_safety(next: Option<&[String]>) -> (RetryClass, &'static str) {
     let has = |word: &str| next.is_some_and(|words| words.iter().any(|known| known == word));
     match (has("off"), has("non_idempotent")) {
-        (false, true) => (Repeat::Idempotent, "idempotent as non_idempotent says"),
-        (true, _) => (Repeat::SideEffecting, "side-effecting as off says"),
+        (false, true) => (RetryClass::Idempotent, "idempotent as non_idempotent says"),
+        (true, _) => (RetryClass::SideEffecting, "side-effecting as off says"),
         (false, false) => (
-            Repeat::SideEffecting,
+            RetryClass::SideEffecting,
             "taken to be side-effecting: make it idempotent if all of it may run again",
         ),
     }
--- a/crates/solve/src/fleet.rs
+++ b/crates/solve/src/fleet.rs
@@ -2,7 +2,7 @@
 
 mod checks;
 
-pub use checks::SolveError;
+pub use checks::SolveInputError;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/crates/solve/src/fleet/checks.rs
+++ b/crates/solve/src/fleet/checks.rs
@@ -5,7 +5,7 @@
 
 /// Why a fleet cannot be solved.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum SolveError {
+pub enum SolveInputError {
     /// The fleet has no host.
     #[error("no host")]
     NoHosts,
@@ -100,12 +100,12 @@
 
 impl Fleet {
     /// Whether the fleet can be solved; otherwise the first reason why not.
-    pub fn check(&self) -> Result<(), SolveError> {
+    pub fn check(&self) -> Result<(), SolveInputError> {
         if self.hosts.is_empty() {
-            return Err(SolveError::NoHosts);
+            return Err(SolveInputError::NoHosts);
         }
         if self.operations.is_empty() {
-            return Err(SolveError::NoOperations);
+            return Err(SolveInputError::NoOperations);
         }
         let hosts = self.check_hosts()?;
         let operations = self.check_operations()?;
@@ -117,7 +117,7 @@
     }
 
     /// The names of all hosts.
-    fn check_hosts(&self) -> Result<BTreeSet<&str>, SolveError> {
+    fn check_hosts(&self) -> Result<BTreeSet<&str>, SolveInputError> {
         let mut ids = BTreeSet::new();
         for host in &self.hosts {
             if !ids.insert(host.id.as_str()) {
@@ -129,7 +129,7 @@
     }
 
     /// The names of all operations.
-    fn check_operations(&self) -> Result<BTreeSet<&str>, SolveError> {
+    fn check_operations(&self) -> Result<BTreeSet<&str>, SolveInputError> {
         let mut names = BTreeSet::new();
         for operation in &self.operations {
             if !names.insert(operation.name.as_str()) {
@@ -140,7 +140,7 @@
         Ok(names)
     }
 
-    fn check_gateways(&self, operations: &BTreeSet<&str>) -> Result<(), SolveError> {
+    fn check_gateways(&self, operations: &BTreeSet<&str>) -> Result<(), SolveInputError> {
         let mut ids = BTreeSet::new();
         for gateway in &self.gateways {
             if !ids.insert(&gateway.id) {
@@ -148,13 +148,13 @@
             }
             for (operation, value) in &gateway.demand {
                 if !operations.contains(operation.as_str()) {
-                    return Err(SolveError::UnknownOperation {
+                    return Err(SolveInputError::UnknownOperation {
                         id: gateway.id.clone(),
                         operation: operation.clone(),
                     });
                 }
                 if !is_figure(*value) {
-                    return Err(SolveError::Demand {
+                    return Err(SolveInputError::Demand {
                         id: gateway.id.clone(),
                         operation: operation.clone(),
                         value: *value,
@@ -165,7 +165,7 @@
         Ok(())
     }
 
-    fn check_figures(&self) -> Result<(), SolveError> {
+    fn check_figures(&self) -> Result<(), SolveInputError> {
         for (field, value, most) in [
             ("cross_zone_price", self.cross_zone_price, MAX_FIGURE),
             ("connection_price", self.connection_price, MAX_FIGURE),
@@ -175,16 +175,16 @@
             ("cold_share", self.cold_share, 1.0),
         ] {
             if !(0.0..=most).contains(&value) {
-                return Err(SolveError::Figure { field, value });
+                return Err(SolveInputError::Figure { field, value });
             }
         }
         Ok(())
     }
 
-    fn check_standing(&self, hosts: &BTreeSet<&str>) -> Result<(), SolveError> {
+    fn check_standing(&self, hosts: &BTreeSet<&str>) -> Result<(), SolveInputError> {
         for (id, value) in &self.standing {
             if !hosts.contains(id.as_str()) {
-                return Err(SolveError::UnknownHost { id: id.clone() });
+                return Err(SolveInputError::UnknownHost { id: id.clone() });
             }
             if !is_figure(*value) {
                 return Err(host_figure(id, "standing", *value));
@@ -194,7 +194,7 @@
     }
 
     /// Steps rise to 1, and their costs do not fall.
-    fn check_steps(&self) -> Result<(), SolveError> {
+    fn check_steps(&self) -> Result<(), SolveInputError> {
         let rises = self
             .steps
             .windows(2)
@@ -210,12 +210,12 @@
         if rises && starts && ends {
             Ok(())
         } else {
-            Err(SolveError::Steps)
+            Err(SolveInputError::Steps)
         }
     }
 
     /// There is a host that may be given something, also in each zone with demand that stays there.
-    fn check_reachable(&self) -> Result<(), SolveError> {
+    fn check_reachable(&self) -> Result<(), SolveInputError> {
         let open: BTreeSet<&str> = self
             .hosts
             .iter()
@@ -223,14 +223,14 @@
             .map(|host| host.zone.as_str())
             .collect();
         if open.is_empty() {
-            return Err(SolveError::NoCapacity);
+            return Err(SolveInputError::NoCapacity);
         }
         for gateway in &self.gateways {
             let staying = self.operations.iter().filter(|of| of.stays_in_zone);
             for operation in staying {
                 let demand = gateway.demand.get(&operation.name).copied().unwrap_or(0.0);
                 if demand > 0.0 && !open.contains(gateway.zone.as_str()) {
-                    return Err(SolveError::Stranded {
+                    return Err(SolveInputError::Stranded {
                         zone: gateway.zone.clone(),
                         operation: operation.name.clone(),
                     });
@@ -241,7 +241,7 @@
     }
 }
 
-fn check_host(host: &Host) -> Result<(), SolveError> {
+fn check_host(host: &Host) -> Result<(), SolveInputError> {
     for (field, value) in [
         ("capacity", host.capacity),
         ("price", host.price),
@@ -254,7 +254,7 @@
     Ok(())
 }
 
-fn check_operation(operation: &Operation) -> Result<(), SolveError> {
+fn check_operation(operation: &Operation) -> Result<(), SolveInputError> {
     let holds = operation.holds.unwrap_or(0.0);
     let has_work = operation.work > 0.0 && operation.work <= MAX_SECONDS;
     for (field, value, is_valid) in [
@@ -272,7 +272,7 @@
         ),
     ] {
         if !is_valid {
-            return Err(SolveError::Operation {
+            return Err(SolveInputError::Operation {
                 name: operation.name.clone(),
                 field,
                 value,
@@ -282,12 +282,12 @@
     Ok(())
 }
 
-fn named_twice(what: &'static str, name: &str) -> SolveError {
+fn named_twice(what: &'static str, name: &str) -> SolveInputError {
     let name = name.to_string();
-    SolveError::Twice { what, name }
+    SolveInputError::Twice { what, name }
 }
 
-fn host_figure(id: &str, field: &'static str, value: f64) -> SolveError {
+fn host_figure(id: &str, field: &'static str, value: f64) -> SolveInputError {
     let id = id.to_string();
-    SolveError::Host { id, field, value }
+    SolveInputError::Host { id, field, value }
 }
--- a/crates/solve/src/lib.rs
+++ b/crates/solve/src/lib.rs
@@ -13,5 +13,5 @@
 pub mod solution;
 pub mod steady;
 
-pub use fleet::{Fleet, Gateway, Host, HostState, Operation, SolveError};
+pub use fleet::{Fleet, Gateway, Host, HostState, Operation, SolveInputError};
 pub use solution::{solve, AdmissionResult, FlowResult, HostResult, Solution, Status};
--- a/crates/solve/src/robust.rs
+++ b/crates/solve/src/robust.rs
@@ -3,7 +3,7 @@
 //! Loads stay as solved; a host whose capacity is less than its load serves what it can, of each kind of work the
 //! same part. [`hedge`] solves with a part of each capacity held back where that serves more in the worst case.
 
-use crate::fleet::{Fleet, Host, SolveError};
+use crate::fleet::{Fleet, Host, SolveInputError};
 use crate::solution::{solve, Solution};
 use std::collections::BTreeMap;
 
@@ -112,7 +112,7 @@
     fleet: &Fleet,
     wrong: Wrong,
     is_over: &mut dyn FnMut() -> bool,
-) -> Result<(Solution, f64), SolveError> {
+) -> Result<(Solution, f64), SolveInputError> {
     let held_back = 1.0 - wrong.least.clamp(MIN_HEDGE_PART, 1.0);
     let mut best: Option<Candidate> = None;
     for step in 0..HEDGE_STEPS {
@@ -139,7 +139,7 @@
         }
     }
     best.map(|best| (best.solution, best.part))
-        .ok_or(SolveError::NoCapacity)
+        .ok_or(SolveInputError::NoCapacity)
 }
 
 #[cfg(test)]
--- a/crates/solve/src/solution.rs
+++ b/crates/solve/src/solution.rs
@@ -7,7 +7,7 @@
 mod problem;
 mod report;
 
-use crate::fleet::{Fleet, SolveError};
+use crate::fleet::{Fleet, SolveInputError};
 use crate::flow::maximize_gain;
 use problem::Problem;
 use report::Report;
@@ -86,7 +86,10 @@
 }
 
 /// Solves a fleet. `is_over` is called between steps and says whether to stop with the best so far.
-pub fn solve(fleet: &Fleet, is_over: &mut dyn FnMut() -> bool) -> Result<Solution, SolveError> {
+pub fn solve(
+    fleet: &Fleet,
+    is_over: &mut dyn FnMut() -> bool,
+) -> Result<Solution, SolveInputError> {
     fleet.check()?;
     let problem = Problem::new(fleet);
     let flows = maximize_gain(&problem.sources, &problem.sinks, is_over);
--- a/crates/solve/tests/reference.rs
+++ b/crates/solve/tests/reference.rs
@@ -5,7 +5,9 @@
 use std::collections::BTreeMap;
 use test_case::test_case;
 use wheelspread_solve::flow::{maximize_gain, Sink, Source};
-use wheelspread_solve::{solve, Fleet, Gateway, Host, HostState, Operation, SolveError, Status};
+use wheelspread_solve::{
+    solve, Fleet, Gateway, Host, HostState, Operation, SolveInputError, Status,
+};
 
 fn reference(sources: &[Source], sinks: &[Sink]) -> f64 {
     let mut problem = Problem::new(OptimizationDirection::Maximize);
@@ -192,7 +194,7 @@
     let refused = solve(&stranded, &mut || false).expect_err("plans of zone b have no host");
     assert_eq!(
         refused,
-        SolveError::Stranded {
+        SolveInputError::Stranded {
             zone: "b".into(),
             operation: "plan".into()
         }
@@ -240,7 +242,7 @@
     dear.operations[0].holds = Some(-1.0);
     assert!(matches!(
         solve(&dear, &mut || false),
-        Err(SolveError::Operation { field: "holds", .. })
+        Err(SolveInputError::Operation { field: "holds", .. })
     ));
 }
 
