--- a/crates/cli/src/change.rs
+++ b/crates/cli/src/change.rs
@@ -1,30 +1,33 @@
-//! `wheelspread change`: changes of configuration as transactions, at one conductor or several.
+//! `wheelspread change`: changes of configuration as transactions, at one controller or several.
 
-use crate::operator::{call, call_all, entries, shown, NOT_CARRIED_OUT, NO_CONDUCTOR};
-use crate::BAD_INPUT;
+use crate::error::error_chain;
+use crate::exit::{BAD_INPUT, CONTROLLER_UNREACHABLE, NOT_CARRIED_OUT, SUCCESS};
+use crate::operator::{call, call_all, entries, shown, Answer, CallError};
 use clap::{Args, Subcommand};
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
+use std::io;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
+/// Arguments of `wheelspread change`.
 #[derive(Args)]
 pub struct ChangeArguments {
-    /// A conductor's root of tables, in which its socket lies; several times for several conductors.
+    /// A controller's root of tables, in which its socket lies; several times for several controllers.
     #[arg(long, value_name = "ROOT", default_value = "tables", global = true)]
     at: Vec<PathBuf>,
-    /// Prints the answers as they came, one line a conductor.
+    /// Prints the answers as they came, one line a controller.
     #[arg(long, global = true)]
     json: bool,
     #[command(subcommand)]
-    what: What,
+    operation: Operation,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// Prints what a change would do, line by line, and what speaks against it; changes nothing.
+enum Operation {
+    /// Prints what a change would do, line by line, and the findings against it; changes nothing.
     Plan {
         /// YAML: id, by, base (left out: the version in force now), sets (path: value)
         file: PathBuf,
@@ -38,22 +41,23 @@
         #[arg(long)]
         wait: bool,
     },
-    /// Takes a change back, or lets go of one that is only staged.
+    /// Undoes a change, or discards one that is only staged.
     Undo {
         id: String,
-        /// Kept with the change.
+        /// Recorded with the change.
         #[arg(long, default_value = "by order")]
         why: String,
         /// Waits until it is undone.
         #[arg(long)]
         wait: bool,
     },
-    /// All changes that a conductor knows, and the configuration in force.
+    /// All changes that a controller knows, and the configuration in force.
     List,
     /// One change with everything that is known of it.
     Show { id: String },
 }
 
+/// A change as an operator writes it.
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 struct ChangeFile {
@@ -64,144 +68,197 @@
     sets: BTreeMap<String, Value>,
 }
 
-fn read(path: &Path) -> Result<Value, String> {
-    let said = |text: String| format!("{}: {text}", path.display());
-    let text = std::fs::read_to_string(path).map_err(|error| said(error.to_string()))?;
-    let file: ChangeFile =
-        serde_yaml_ng::from_str(&text).map_err(|error| said(error.to_string()))?;
+/// Why a change could not be sent.
+#[derive(Debug, thiserror::Error)]
+pub enum ChangeError {
+    /// The file of the change could not be read.
+    #[error("{}", path.display())]
+    Read {
+        /// The file.
+        path: PathBuf,
+        source: io::Error,
+    },
+    /// The file is no change.
+    #[error("{}", path.display())]
+    Parse {
+        /// The file.
+        path: PathBuf,
+        source: serde_yaml_ng::Error,
+    },
+}
+
+impl ChangeError {
+    /// What the process exits with.
+    pub fn exit_code(&self) -> u8 {
+        BAD_INPUT
+    }
+}
+
+fn read(path: &Path) -> Result<Value, ChangeError> {
+    let text = std::fs::read_to_string(path).map_err(|source| ChangeError::Read {
+        path: path.to_path_buf(),
+        source,
+    })?;
+    let file: ChangeFile = serde_yaml_ng::from_str(&text).map_err(|source| ChangeError::Parse {
+        path: path.to_path_buf(),
+        source,
+    })?;
     Ok(json!(file))
 }
 
-/// Between two looks at a change that is waited for.
-const LOOK: Duration = Duration::from_millis(100);
-/// A conductor that is away for so long while it is waited for is named and not waited for any more.
-const GONE: Duration = Duration::from_secs(10);
+/// Between two queries for a change that is waited for.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// A controller that does not answer for so long while it is waited for is reported and not waited for any more.
+const UNREACHABLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-pub fn change(arguments: ChangeArguments) -> ExitCode {
-    let (method, target, body, wait) = match &arguments.what {
-        What::Plan { file } | What::Stage { file } => {
-            let body = match read(file) {
-                Ok(body) => body,
-                Err(reason) => {
-                    eprintln!("{reason}");
-                    return ExitCode::from(BAD_INPUT);
-                }
-            };
-            let plan = matches!(arguments.what, What::Plan { .. });
-            let target = if plan {
-                "/v1/changes/plan"
-            } else {
-                "/v1/changes/stage"
-            };
-            ("POST", target.to_string(), Some(body), None)
-        }
-        What::Apply { id, wait } => (
-            "POST",
-            "/v1/changes/apply".to_string(),
-            Some(json!({ "id": id })),
-            wait.then_some(id),
-        ),
-        What::Undo { id, why, wait } => {
-            let body = json!({ "id": id, "why": why });
-            (
-                "POST",
-                "/v1/changes/undo".to_string(),
-                Some(body),
-                wait.then_some(id),
-            )
+/// A call of the operators' API.
+struct Call {
+    method: &'static str,
+    target: String,
+    body: Option<Value>,
+}
+
+impl Operation {
+    /// The call that carries it out.
+    fn call(&self) -> Result<Call, ChangeError> {
+        let post = |target: &str, body| Call {
+            method: "POST",
+            target: format!("/v1/changes/{target}"),
+            body: Some(body),
+        };
+        let get = |target: String| Call {
+            method: "GET",
+            target,
+            body: None,
+        };
+        Ok(match self {
+            Operation::Plan { file } => post("plan", read(file)?),
+            Operation::Stage { file } => post("stage", read(file)?),
+            Operation::Apply { id, .. } => post("apply", json!({ "id": id })),
+            Operation::Undo { id, why, .. } => post("undo", json!({ "id": id, "why": why })),
+            Operation::List => get("/v1/changes".to_string()),
+            Operation::Show { id } => get(format!("/v1/changes/{id}")),
+        })
+    }
+
+    /// The change whose end is waited for.
+    fn awaited_change(&self) -> Option<&str> {
+        match self {
+            Operation::Apply { id, wait: true } | Operation::Undo { id, wait: true, .. } => {
+                Some(id)
+            }
+            _ => None,
         }
-        What::List => ("GET", "/v1/changes".to_string(), None, None),
-        What::Show { id } => ("GET", format!("/v1/changes/{id}"), None, None),
-    };
+    }
+}
+
+/// Plans, stages, applies, undoes or shows changes. A controller that fails is reported beside the answers of the
+/// others; the exit code is that of the worst.
+pub fn change(arguments: &ChangeArguments) -> Result<ExitCode, ChangeError> {
+    let Call {
+        method,
+        target,
+        body,
+    } = arguments.operation.call()?;
     let mut answers = call_all(&arguments.at, method, &target, body.as_ref());
-    if let Some(id) = wait {
+    if let Some(id) = arguments.operation.awaited_change() {
         for (root, answer) in arguments.at.iter().zip(&mut answers) {
-            if matches!(answer, Ok((200, _))) {
-                *answer = until_over(root, id);
+            if answer.as_ref().is_ok_and(Answer::is_ok) {
+                *answer = wait_until_final(root, id);
             }
         }
     }
-    let mut worst = 0;
+    let mut worst = SUCCESS;
     for (root, answer) in arguments.at.iter().zip(answers) {
-        worst = worst.max(tell(&arguments, root, answer));
+        let code = match answer {
+            Ok(answer) => print_answer(arguments, root, &answer),
+            Err(error) => {
+                eprintln!("{}", error_chain(&error));
+                CONTROLLER_UNREACHABLE
+            }
+        };
+        worst = worst.max(code);
     }
-    ExitCode::from(worst)
+    Ok(ExitCode::from(worst))
 }
 
-/// Looks at a change until nothing more comes of it by itself.
-fn until_over(root: &Path, id: &str) -> Result<(u16, Value), String> {
-    let mut seen = Instant::now();
+/// Polls a change until it is kept, undone or refused.
+fn wait_until_final(root: &Path, id: &str) -> Result<Answer, CallError> {
+    let mut last_answer_at = Instant::now();
     loop {
         match call(root, "GET", &format!("/v1/changes/{id}"), None) {
-            Ok((200, told))
-                if matches!(told["state"].as_str(), Some("kept" | "undone" | "refused")) =>
-            {
-                return Ok((200, json!({ "change": told })));
+            Ok(answer) if answer.is_ok() => {
+                if is_final(&answer.body) {
+                    return Ok(Answer::ok(json!({ "change": answer.body })));
+                }
+                last_answer_at = Instant::now();
             }
-            Ok((200, _)) => seen = Instant::now(),
-            Err(_) if seen.elapsed() < GONE => {}
+            Err(_) if last_answer_at.elapsed() < UNREACHABLE_TIMEOUT => {}
             other => return other,
         }
-        std::thread::sleep(LOOK);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// Prints an answer; returns the exit code that it asks for.
-fn tell(arguments: &ChangeArguments, root: &Path, answer: Result<(u16, Value), String>) -> u8 {
+fn is_final(change: &Value) -> bool {
+    matches!(
+        change["state"].as_str(),
+        Some("kept" | "undone" | "refused")
+    )
+}
+
+/// Prints an answer; returns the exit code that follows from it.
+fn print_answer(arguments: &ChangeArguments, root: &Path, answer: &Answer) -> u8 {
     let several = arguments.at.len() > 1;
-    let head = || {
+    let head = if several {
+        format!("{}: ", root.display())
+    } else {
+        String::new()
+    };
+    let body = &answer.body;
+    if arguments.json {
         if several {
-            format!("{}: ", root.display())
+            say!(
+                "{}",
+                json!({ "at": root.display().to_string(), "answer": body })
+            );
         } else {
-            String::new()
-        }
-    };
-    let (status, told) = match answer {
-        Ok(answer) => answer,
-        Err(reason) => {
-            eprintln!("{reason}");
-            return NO_CONDUCTOR;
+            say!("{body}");
         }
-    };
-    if arguments.json {
-        let told = if several {
-            json!({ "at": root.display().to_string(), "answer": told })
+        return if answer.is_ok() {
+            SUCCESS
         } else {
-            told
+            NOT_CARRIED_OUT
         };
-        say!("{told}");
-        return if status == 200 { 0 } else { NOT_CARRIED_OUT };
     }
-    if status != 200 {
-        eprintln!(
-            "{}{}",
-            head(),
-            told["error"].as_str().unwrap_or("not carried out")
-        );
+    if !answer.is_ok() {
+        eprintln!("{head}{}", answer.refusal());
         return NOT_CARRIED_OUT;
     }
-    match &arguments.what {
-        What::Plan { .. } => plan(&head(), &told["planned"]),
-        What::List => {
-            if let Ok((200, now)) = call(root, "GET", "/v1/configuration", None) {
-                configuration(&head(), &now);
+    match &arguments.operation {
+        Operation::Plan { .. } => print_plan(&head, &body["planned"]),
+        Operation::List => {
+            match call(root, "GET", "/v1/configuration", None) {
+                Ok(now) if now.is_ok() => print_configuration(&head, &now.body),
+                _ => {}
             }
-            list(&told);
-            0
+            print_list(body);
+            SUCCESS
         }
-        What::Show { .. } => one(&head(), &told),
-        _ => one(&head(), &told["change"]),
+        Operation::Show { .. } => print_change(&head, body),
+        _ => print_change(&head, &body["change"]),
     }
 }
 
-fn findings(told: &Value) -> bool {
+/// Prints the findings of checks; returns whether one forbids the change.
+fn print_findings(findings: &Value) -> bool {
     let mut forbidden = false;
-    for finding in entries(told) {
-        let against = finding["forbids"].as_bool().unwrap_or(false);
-        forbidden |= against;
-        let mark = if against { "no" } else { "ok" };
+    for finding in entries(findings) {
+        let forbids = finding["forbids"].as_bool().unwrap_or(false);
+        forbidden |= forbids;
+        let verdict = if forbids { "no" } else { "ok" };
         say!(
-            "  {mark}  {}: {}",
+            "  {verdict}  {}: {}",
             shown(&finding["check"]),
             shown(&finding["text"])
         );
@@ -209,67 +266,67 @@
     forbidden
 }
 
-fn plan(head: &str, told: &Value) -> u8 {
-    say!("{head}against version {}", told["version"]);
-    for line in entries(&told["lines"]) {
-        let word = |value: &Value| {
+fn print_plan(head: &str, planned: &Value) -> u8 {
+    say!("{head}against version {}", planned["version"]);
+    for line in entries(&planned["lines"]) {
+        let value = |value: &Value| {
             value
                 .as_str()
                 .map_or("(as listed)".to_string(), str::to_string)
         };
-        say!("- {}: {}", shown(&line["path"]), word(&line["from"]));
-        say!("+ {}: {}", shown(&line["path"]), word(&line["to"]));
+        say!("- {}: {}", shown(&line["path"]), value(&line["from"]));
+        say!("+ {}: {}", shown(&line["path"]), value(&line["to"]));
     }
-    if findings(&told["findings"]) {
+    if print_findings(&planned["findings"]) {
         NOT_CARRIED_OUT
     } else {
-        0
+        SUCCESS
     }
 }
 
-/// A change; an undone or refused one is told by the exit code too.
-fn one(head: &str, told: &Value) -> u8 {
-    let made = told["made"]
+/// Prints a change; the exit code shows whether it is undone or refused.
+fn print_change(head: &str, change: &Value) -> u8 {
+    let made = change["made"]
         .as_u64()
         .map_or(String::new(), |version| format!(", version {version}"));
-    let back = told["unmade"].as_u64().map_or(String::new(), |version| {
+    let undone = change["unmade"].as_u64().map_or(String::new(), |version| {
         format!(", taken back as {version}")
     });
     let (id, by, state) = (
-        shown(&told["change"]["id"]),
-        shown(&told["change"]["by"]),
-        shown(&told["state"]),
+        shown(&change["change"]["id"]),
+        shown(&change["change"]["by"]),
+        shown(&change["state"]),
     );
-    say!("{head}{id} by {by}: {state}{made}{back}");
-    if let Some(why) = told["why"].as_str() {
+    say!("{head}{id} by {by}: {state}{made}{undone}");
+    if let Some(why) = change["why"].as_str() {
         say!("  {why}");
     }
-    for (path, to) in told["change"]["sets"].as_object().into_iter().flatten() {
+    for (path, to) in change["change"]["sets"].as_object().into_iter().flatten() {
         say!("  {path}: {}", to.as_str().unwrap_or("(as in the file)"));
     }
-    findings(&told["findings"]);
+    print_findings(&change["findings"]);
     if matches!(state.as_str(), "refused" | "undone" | "undoing") {
         NOT_CARRIED_OUT
     } else {
-        0
+        SUCCESS
     }
 }
 
-fn configuration(head: &str, told: &Value) {
-    let lacking = entries(&told["lacking"])
+fn print_configuration(head: &str, configuration: &Value) {
+    let lacking = entries(&configuration["lacking"])
         .map(shown)
         .collect::<Vec<_>>()
         .join(" ");
-    say!("{head}version {} in force", told["version"]);
+    say!("{head}version {} in force", configuration["version"]);
     if !lacking.is_empty() {
         say!("  not yet at {lacking}");
     }
-    for (path, value) in told["values"].as_object().into_iter().flatten() {
+    for (path, value) in configuration["values"].as_object().into_iter().flatten() {
         say!("  {path}: {}", shown(value));
     }
 }
 
-fn list(told: &Value) {
+fn print_list(changes: &Value) {
     say!(
         "{:<24}{:<16}{:<10}{:>6}{:>8}  why",
         "change",
@@ -278,16 +335,16 @@
         "base",
         "version"
     );
-    for told in entries(told) {
-        let change = &told["change"];
+    for record in entries(changes) {
+        let change = &record["change"];
         say!(
             "{:<24}{:<16}{:<10}{:>6}{:>8}  {}",
             shown(&change["id"]),
             shown(&change["by"]),
-            shown(&told["state"]),
+            shown(&record["state"]),
             shown(&change["base"]),
-            shown(&told["made"]),
-            told["why"].as_str().unwrap_or("")
+            shown(&record["made"]),
+            record["why"].as_str().unwrap_or("")
         );
     }
 }
--- a/crates/cli/src/fleet/top.rs
+++ b/crates/cli/src/fleet/top.rs
@@ -1,5 +1,5 @@
-//! A fleet in a terminal. One thread asks, the other draws what was last answered and reads keys, so that a
-//! conductor that hangs never holds up the screen.
+//! A fleet in a terminal. One thread queries, the other draws the last answers and reads keys, so that a
+//! controller that hangs never holds up the screen.
 
 use super::view::Snapshot;
 use ratatui::crossterm::event::{self, Event, KeyCode, KeyEventKind};
@@ -16,21 +16,22 @@
 /// What is shown and from which line on.
 pub struct Screen {
     snapshot: Option<Snapshot>,
-    came: Instant,
+    taken_at: Instant,
     first: usize,
-    /// Only conductors with something to look at.
-    troubled: bool,
+    /// Only controllers that did not answer or need attention.
+    only_attention: bool,
 }
 
-/// Between two looks at the keyboard.
-const KEYS: Duration = Duration::from_millis(100);
+/// How long a key is waited for between two drawings.
+const KEY_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
+/// Shows the fleet until `q` is pressed.
 pub fn run(fleet: &Fleet, every: Duration) -> io::Result<()> {
-    let (told, snapshots) = channel();
+    let (sender, snapshots) = channel();
     let fleet = fleet.clone();
     std::thread::spawn(move || loop {
         let begin = Instant::now();
-        if told.send(Snapshot::take(&fleet)).is_err() {
+        if sender.send(Snapshot::take(&fleet)).is_err() {
             return;
         }
         std::thread::sleep(every.saturating_sub(begin.elapsed()));
@@ -46,7 +47,7 @@
         if let Err(error) = terminal.draw(|frame| screen.draw(frame)) {
             break Err(error);
         }
-        match event::poll(KEYS) {
+        match event::poll(KEY_POLL_INTERVAL) {
             Err(error) => break Err(error),
             Ok(false) => {}
             Ok(true) => match event::read() {
@@ -65,24 +66,26 @@
 }
 
 impl Screen {
+    /// Nothing is known yet.
     pub fn new() -> Screen {
         Screen {
             snapshot: None,
-            came: Instant::now(),
+            taken_at: Instant::now(),
             first: 0,
-            troubled: false,
+            only_attention: false,
         }
     }
 
+    /// Takes over newer answers.
     pub fn show(&mut self, snapshot: Snapshot) {
-        (self.snapshot, self.came) = (Some(snapshot), Instant::now());
+        (self.snapshot, self.taken_at) = (Some(snapshot), Instant::now());
     }
 
-    /// `true`: it is to end.
+    /// Handles a key; `true` ends the program.
     pub fn key(&mut self, key: KeyCode) -> bool {
         match key {
             KeyCode::Char('q') | KeyCode::Esc => return true,
-            KeyCode::Char('t') => (self.troubled, self.first) = (!self.troubled, 0),
+            KeyCode::Char('t') => (self.only_attention, self.first) = (!self.only_attention, 0),
             KeyCode::Down | KeyCode::Char('j') => self.first += 1,
             KeyCode::Up | KeyCode::Char('k') => self.first = self.first.saturating_sub(1),
             KeyCode::PageDown => self.first += 15,
@@ -92,13 +95,14 @@
         false
     }
 
+    /// Draws the last answers.
     pub fn draw(&mut self, frame: &mut Frame) {
         let plain = Style::default();
         let Some(snapshot) = &self.snapshot else {
             return frame.render_widget(Paragraph::new("asking the fleet ..."), frame.area());
         };
-        let minds = snapshot.minds();
-        let below = (minds.len().min(4) + 2) as u16;
+        let disagreements = snapshot.disagreement_lines();
+        let below = (disagreements.len().min(4) + 2) as u16;
         let [head, body, foot] = Layout::vertical([
             Constraint::Length(1),
             Constraint::Min(1),
@@ -114,16 +118,24 @@
                     true,
                     Line::styled(format!("{name:<14.14}{failed}"), plain.fg(Color::Red)),
                 ),
-                Ok(told) => {
-                    let fill = told["lines_waiting"].as_f64().unwrap_or(0.0)
-                        / told["lines_waiting_at_most"]
+                Ok(answer) => {
+                    let fill = answer["lines_waiting"].as_f64().unwrap_or(0.0)
+                        / answer["lines_waiting_at_most"]
                             .as_f64()
                             .unwrap_or(1.0)
                             .max(1.0);
-                    let lacking = told["configuration_lacking"].as_u64().unwrap_or(0) > 0;
-                    let look = fill > 0.5 || lacking || told["gateways"]["joined"] == 0;
-                    let style = if look { plain.fg(Color::Yellow) } else { plain };
-                    (look, Line::styled(Snapshot::line(name, told), style))
+                    let lacking = answer["configuration_lacking"].as_u64().unwrap_or(0) > 0;
+                    let needs_attention =
+                        fill > 0.5 || lacking || answer["gateways"]["joined"] == 0;
+                    let style = if needs_attention {
+                        plain.fg(Color::Yellow)
+                    } else {
+                        plain
+                    };
+                    (
+                        needs_attention,
+                        Line::styled(Snapshot::line(name, answer), style),
+                    )
                 }
             });
         }
@@ -135,14 +147,14 @@
             .count();
         let rows: Vec<Line> = rows
             .into_iter()
-            .filter(|(look, _)| !self.troubled || *look)
+            .filter(|(needs_attention, _)| !self.only_attention || *needs_attention)
             .map(|(_, line)| line)
             .collect();
-        let room = usize::from(body.height);
-        self.first = self.first.min(rows.len().saturating_sub(room));
-        let (first, last) = (self.first, (self.first + room).min(rows.len()));
+        let height = usize::from(body.height);
+        self.first = self.first.min(rows.len().saturating_sub(height));
+        let (first, last) = (self.first, (self.first + height).min(rows.len()));
         frame.render_widget(Paragraph::new(rows[first..last].to_vec()), body);
-        let mut lines: Vec<Line> = minds
+        let mut lines: Vec<Line> = disagreements
             .iter()
             .take(4)
             .map(|text| {
@@ -152,7 +164,7 @@
                 ])
             })
             .collect();
-        let more = minds.len().saturating_sub(4);
+        let more = disagreements.len().saturating_sub(4);
         let more = if more > 0 {
             format!(", {more} more of two minds")
         } else {
@@ -162,9 +174,9 @@
             format!(
                 "{answered} of {all} answered in {:.2} s, {:.0} s ago; lines {}-{last} of {}{more}",
                 snapshot.seconds,
-                self.came.elapsed().as_secs_f64(),
+                self.taken_at.elapsed().as_secs_f64(),
                 (first + 1).min(last),
-                last.max(first) + rows_after(all, last, self.troubled)
+                last.max(first) + rows_after(all, last, self.only_attention)
             ),
             bold,
         ));
@@ -173,9 +185,9 @@
     }
 }
 
-/// Conductors below the last line that is shown; with a filter only what is shown is counted.
-fn rows_after(all: usize, last: usize, troubled: bool) -> usize {
-    if troubled {
+/// Controllers below the last line that is shown; with a filter only what is shown is counted.
+fn rows_after(all: usize, last: usize, is_filtered: bool) -> usize {
+    if is_filtered {
         0
     } else {
         all.saturating_sub(last)
--- a/crates/cli/src/import.rs
+++ b/crates/cli/src/import.rs
@@ -1,16 +1,19 @@
-//! `wheelspread import nginx`: pools of an nginx configuration as conductors' files and lists of nodes.
+//! `wheelspread import nginx`: pools of an nginx configuration as controllers' files and endpoint lists.
 
+use crate::error::error_chain;
+use crate::exit::BAD_INPUT;
 use clap::{Args, Subcommand};
 use serde_json::json;
+use std::fmt::Display;
+use std::io;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use wheelspread_controller::ControllerFile;
+use wheelspread_controller::{ControllerFile, ControllerFileError};
 use wheelspread_controller_core::endpoint_list::{EndpointRecord, EndpointSnapshot};
 use wheelspread_import::pools::plain;
 use wheelspread_import::{load, pools, Fate, Imported, Pool};
 
-use crate::BAD_INPUT;
-
+/// Arguments of `wheelspread import`.
 #[derive(Args)]
 pub struct ImportArguments {
     #[command(subcommand)]
@@ -23,27 +26,72 @@
     Nginx {
         /// The first file, as nginx.conf; `include` is followed from its directory.
         file: PathBuf,
-        /// Writes a directory for each pool, with conductor.yaml and nodes.json; left out: only says what it would.
+        /// Writes a directory for each pool, with conductor.yaml and nodes.json; left out: only reports what it would write.
         #[arg(long, value_name = "DIR")]
         out: Option<PathBuf>,
-        /// The zone that all nodes stand in, as nginx knows of none.
+        /// The zone of all nodes, as nginx has no zones.
         #[arg(long, default_value = "all")]
         zone: String,
-        /// The port of the first conductor; the others count on from it.
+        /// The port of the first controller; the others count up from it.
         #[arg(long, default_value_t = 7101)]
         port: u16,
         /// Prints pools and notes as one JSON object.
         #[arg(long)]
         json: bool,
-        /// Fails (exit 1) if anything was left or assumed.
+        /// Fails (exit 1) if anything was left out or assumed.
         #[arg(long)]
         strict: bool,
     },
 }
 
-const NOT_ALL: u8 = 1;
+/// The exit code if no pool was found, or if not all was carried over and `--strict` is given.
+const INCOMPLETE: u8 = 1;
+
+/// Why nothing, or not all, was written.
+#[derive(Debug, thiserror::Error)]
+pub enum ImportError {
+    /// The configuration can't be read.
+    #[error("{0}")]
+    Load(String),
+    /// A pool can't be written.
+    #[error("{pool}")]
+    Pool {
+        /// The pool's name.
+        pool: String,
+        source: PoolError,
+    },
+}
+
+impl ImportError {
+    /// What the process exits with.
+    pub fn exit_code(&self) -> u8 {
+        BAD_INPUT
+    }
+}
+
+/// Why the files of a pool can't be written.
+#[derive(Debug, thiserror::Error)]
+pub enum PoolError {
+    /// A controller would refuse the configuration.
+    #[error(transparent)]
+    Controller(#[from] ControllerFileError),
+    /// A controller would refuse the endpoint list.
+    #[error("{0}")]
+    EndpointList(String),
+    /// The pool's directory can't be written.
+    #[error("{}", directory.display())]
+    Write {
+        /// The pool's directory.
+        directory: PathBuf,
+        source: io::Error,
+    },
+    /// A file of an earlier import is never overwritten.
+    #[error("{} is there already, it is not written over", .0.display())]
+    Exists(PathBuf),
+}
 
-pub fn import(arguments: ImportArguments) -> ExitCode {
+/// Reads a configuration, writes a controller's files for each of its pools and prints what was carried over.
+pub fn import(arguments: ImportArguments) -> Result<ExitCode, ImportError> {
     let From::Nginx {
         file,
         out,
@@ -52,42 +100,56 @@
         json,
         strict,
     } = arguments.from;
-    let imported = match load(&file) {
-        Ok(loaded) => pools(&loaded),
-        Err(error) => {
-            eprintln!("{error}");
-            return ExitCode::from(BAD_INPUT);
-        }
-    };
+    let loaded = load(&file).map_err(|error| ImportError::Load(error_chain(&error)))?;
+    let imported = pools(&loaded);
     let zone = plain(&zone);
     for (number, pool) in imported.pools.iter().enumerate() {
         let listen = format!("127.0.0.1:{}", port.saturating_add(number as u16));
-        if let Err(text) = write(pool, &zone, &listen, out.as_deref()) {
-            eprintln!("{}: {text}", pool.name);
-            return ExitCode::from(BAD_INPUT);
-        }
+        write(pool, &zone, &listen, out.as_deref()).map_err(|source| ImportError::Pool {
+            pool: pool.name.clone(),
+            source,
+        })?;
     }
     if json {
         say!("{}", as_json(&imported));
     } else {
-        tell(&imported, out.as_deref());
+        print_report(&imported, out.as_deref());
     }
-    let not_all = imported
+    let is_incomplete = imported
         .of(Fate::Left)
         .chain(imported.of(Fate::Assumed))
         .next()
         .is_some();
-    if imported.pools.is_empty() || (strict && not_all) {
-        ExitCode::from(NOT_ALL)
+    Ok(if imported.pools.is_empty() || (strict && is_incomplete) {
+        ExitCode::from(INCOMPLETE)
     } else {
         ExitCode::SUCCESS
-    }
+    })
 }
 
-/// What is written is read again first: nothing leaves here that a conductor would not take.
-fn write(pool: &Pool, zone: &str, listen: &str, out: Option<&Path>) -> Result<(), String> {
+/// Writes the files of a pool, after they were read back as a controller reads them.
+fn write(pool: &Pool, zone: &str, listen: &str, out: Option<&Path>) -> Result<(), PoolError> {
     let file = pool.file(zone, listen);
-    ControllerFile::parse(&file, Path::new("conductor.yaml")).map_err(|error| error.to_string())?;
+    ControllerFile::parse(&file, Path::new("conductor.yaml"))?;
+    let list = endpoint_list_text(pool, zone)?;
+    let Some(out) = out else { return Ok(()) };
+    let directory = out.join(plain(&pool.name));
+    let failed = |source: io::Error| PoolError::Write {
+        directory: directory.clone(),
+        source,
+    };
+    std::fs::create_dir_all(&directory).map_err(failed)?;
+    for (name, text) in [("conductor.yaml", file), ("nodes.json", list)] {
+        let path = directory.join(name);
+        if path.exists() {
+            return Err(PoolError::Exists(path));
+        }
+        wheelspread_files::swap::replace(&path, &text).map_err(failed)?;
+    }
+    Ok(())
+}
+
+fn endpoint_list_text(pool: &Pool, zone: &str) -> Result<String, PoolError> {
     let record = |server: &wheelspread_import::Server| EndpointRecord {
         node: server.node,
         zone: zone.to_string(),
@@ -101,23 +163,10 @@
         version: "1".to_string(),
         records: pool.servers.iter().map(record).collect(),
     };
-    let text = wheelspread_xds::nodes::write(&list).map_err(|error| error.to_string())?;
-    wheelspread_xds::nodes::read(&text, 0.0).map_err(|error| error.to_string())?;
-    let Some(out) = out else { return Ok(()) };
-    let directory = out.join(plain(&pool.name));
-    let said = |error: std::io::Error| format!("{}: {error}", directory.display());
-    std::fs::create_dir_all(&directory).map_err(said)?;
-    for (name, text) in [("conductor.yaml", file), ("nodes.json", text)] {
-        let path = directory.join(name);
-        if path.exists() {
-            return Err(format!(
-                "{} is there already, it is not written over",
-                path.display()
-            ));
-        }
-        wheelspread_files::swap::replace(&path, &text).map_err(said)?;
-    }
-    Ok(())
+    let invalid = |error: &dyn Display| PoolError::EndpointList(error.to_string());
+    let text = wheelspread_xds::nodes::write(&list).map_err(|error| invalid(&error))?;
+    wheelspread_xds::nodes::read(&text, 0.0).map_err(|error| invalid(&error))?;
+    Ok(text)
 }
 
 fn as_json(imported: &Imported) -> serde_json::Value {
@@ -143,7 +192,7 @@
     })
 }
 
-fn tell(imported: &Imported, out: Option<&Path>) {
+fn print_report(imported: &Imported, out: Option<&Path>) {
     for pool in &imported.pools {
         let names: Vec<&str> = pool
             .operations
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,6 +1,6 @@
-//! The `wheelspread` program: one sub-command for each thing that it does.
+//! The `wheelspread` program: one module for each subcommand, or for a few that belong together.
 
-/// Prints a line; who stopped reading is no reason to fail.
+/// Prints a line to standard output. A reader that closed the pipe is no reason to fail.
 macro_rules! say {
     ($($text:tt)*) => {{
         use std::io::Write;
@@ -10,19 +10,22 @@
 
 mod change;
 mod drill;
+mod error;
+mod exit;
 mod fleet;
 mod import;
+mod manual;
 mod measure;
 mod operator;
+mod serve;
 mod solve;
 mod state;
 mod tables;
 
 use clap::{CommandFactory, Parser, Subcommand};
-use std::path::{Path, PathBuf};
+use error::{error_chain, CliError};
+use std::path::PathBuf;
 use std::process::ExitCode;
-use wheelspread_controller::{log, Controller, ControllerFile, LogSettings};
-use wheelspread_proxy::{serve, NoObserver, ProxyConfig};
 
 /// Directs the traffic of a fleet of plain proxies.
 #[derive(Parser)]
@@ -34,35 +37,35 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Runs a conductor until it is told to stop (SIGTERM or SIGINT).
+    /// Runs a controller until it is stopped (SIGTERM or SIGINT).
     Run {
-        /// What it is told: see docs/operating.md
+        /// The configuration: see docs/operating.md
         #[arg(required_unless_present = "platform")]
         file: Option<PathBuf>,
-        /// Runs as a conductor of a platform, by the configuration it hands out: see docs/platform.md
+        /// Runs as a controller of a platform, by the configuration that the platform hands out: see docs/platform.md
         #[arg(long, value_name = "CONFIG", conflicts_with = "file")]
         platform: Option<PathBuf>,
     },
-    /// Says what is wrong with a conductor's file, or that nothing is.
+    /// Reports what is wrong with a controller's file, or that nothing is.
     Check { file: PathBuf },
-    /// Runs a proxy that obeys published tables, until it is told to stop.
+    /// Runs a proxy that follows published tables, until it is stopped.
     Proxy {
-        /// What it is told: see docs/proxy.md
+        /// The configuration: see docs/proxy.md
         file: PathBuf,
     },
-    /// Plays a bad day on loopback and judges the five rules by what went over the sockets.
+    /// Plays a day with faults on loopback and judges the five rules by what went over the sockets.
     Drill(drill::DrillArguments),
     /// Solves weights under capacity and cost for a fleet.
     Solve(solve::SolveArguments),
-    /// Says which version each gateway of a running conductor holds, and steps back to older ones.
+    /// Shows which version each proxy of a running controller holds, and rolls back to older ones.
     Tables(tables::TablesArguments),
-    /// Plans, stages, applies and undoes changes of configuration at running conductors.
+    /// Plans, stages, applies and undoes changes of configuration at running controllers.
     Change(change::ChangeArguments),
-    /// Makes conductors' files of another program's configuration.
+    /// Converts another program's configuration into controllers' files.
     Import(import::ImportArguments),
-    /// Asks and steers many conductors from one desk.
+    /// Queries and operates many controllers at once.
     Fleet(fleet::FleetArguments),
-    /// Looks at, checks and shortens the file that keeps changes and facts over crashes.
+    /// Inspects, checks and compacts the file that persists changes and facts over crashes.
     State(state::StateArguments),
     /// Prints completions for a shell.
     Completions { shell: clap_complete::Shell },
@@ -72,134 +75,31 @@
     Measure(measure::MeasureArguments),
 }
 
-/// A file or a call that can't be carried out.
-const BAD_INPUT: u8 = 2;
-
 fn main() -> ExitCode {
-    match Cli::parse().command {
-        Command::Run {
-            platform: Some(config),
-            ..
-        } => platform(&config),
-        Command::Run { file, .. } => run(&file.unwrap_or_default()),
-        Command::Check { file } => check(&file),
-        Command::Proxy { file } => proxy(&file),
-        Command::Drill(arguments) => drill::drill(arguments),
-        Command::Solve(arguments) => solve::solve(arguments),
-        Command::Change(arguments) => change::change(arguments),
-        Command::Import(arguments) => import::import(arguments),
-        Command::Fleet(arguments) => fleet::fleet(arguments),
-        Command::Completions { shell } => {
-            clap_complete::generate(
-                shell,
-                &mut Cli::command(),
-                "wheelspread",
-                &mut std::io::stdout(),
-            );
-            ExitCode::SUCCESS
-        }
-        Command::Man { directory } => match clap_mangen::generate_to(Cli::command(), &directory) {
-            Ok(()) => ExitCode::SUCCESS,
-            Err(error) => {
-                eprintln!("{}: {error}", directory.display());
-                ExitCode::FAILURE
-            }
-        },
-        Command::State(arguments) => state::state(arguments),
-        Command::Tables(arguments) => tables::tables(arguments),
-        Command::Measure(arguments) => match measure::measure(arguments) {
-            Ok(()) => ExitCode::SUCCESS,
-            Err(error) => {
-                eprintln!("{error}");
-                ExitCode::FAILURE
-            }
-        },
-    }
-}
-
-fn read(path: &Path) -> Result<ControllerFile, ExitCode> {
-    ControllerFile::read(path).map_err(|error| {
-        eprintln!("{error}");
-        ExitCode::from(BAD_INPUT)
+    run(Cli::parse().command).unwrap_or_else(|error| {
+        eprintln!("{}", error_chain(&error));
+        error.exit_code()
     })
 }
 
-fn check(path: &Path) -> ExitCode {
-    match read(path) {
-        Ok(file) => {
-            let plan = &file.deployment;
-            say!(
-                "{}: conductor {} of {}, {} zones, {} operations: nothing is wrong",
-                path.display(),
-                file.conductor.name,
-                plan.controllers.count,
-                plan.zones.len(),
-                plan.operations.len()
-            );
-            ExitCode::SUCCESS
-        }
-        Err(code) => code,
-    }
-}
-
-fn run(path: &Path) -> ExitCode {
-    let file = match read(path) {
-        Ok(file) => file,
-        Err(code) => return code,
-    };
-    log::start(&file.log);
-    if wheelspread_faults::enable_from_environment() {
-        tracing::warn!("FAILPOINTS is set: this conductor is made to go wrong");
-    }
-    let conductor = match Controller::start(file, Some(path)) {
-        Ok(conductor) => conductor,
-        Err(error) => {
-            eprintln!("{}: {error}", path.display());
-            return ExitCode::FAILURE;
-        }
-    };
-    match conductor.run() {
-        Ok(_) => ExitCode::SUCCESS,
-        Err(error) => {
-            eprintln!("{}: {error}", path.display());
-            ExitCode::FAILURE
-        }
-    }
-}
-
-fn platform(path: &Path) -> ExitCode {
-    log::start(&LogSettings::default());
-    let service = match wheelspread_platform::Service::start(path) {
-        Ok(service) => service,
-        Err(wheelspread_platform::StartError::Stopped) => return ExitCode::SUCCESS,
-        Err(error) => {
-            eprintln!("{error}");
-            return ExitCode::from(BAD_INPUT);
-        }
-    };
-    match service.run() {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(error) => {
-            eprintln!("{}: {error}", path.display());
-            ExitCode::FAILURE
-        }
-    }
-}
-
-fn proxy(path: &Path) -> ExitCode {
-    let plan = match ProxyConfig::read(path) {
-        Ok(plan) => plan,
-        Err(error) => {
-            eprintln!("{error}");
-            return ExitCode::from(BAD_INPUT);
-        }
-    };
-    log::start(&LogSettings::default());
-    match serve(plan, NoObserver) {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(error) => {
-            eprintln!("{}: {error}", path.display());
-            ExitCode::FAILURE
-        }
+fn run(command: Command) -> Result<ExitCode, CliError> {
+    match command {
+        Command::Run { file, platform } => match platform {
+            Some(config) => serve::run_platform_controller(&config)?,
+            None => serve::run_controller(&file.unwrap_or_default())?,
+        },
+        Command::Check { file } => serve::check(&file)?,
+        Command::Proxy { file } => serve::run_proxy(&file)?,
+        Command::Drill(arguments) => return Ok(drill::drill(arguments)),
+        Command::Solve(arguments) => return Ok(solve::solve(&arguments)?),
+        Command::Tables(arguments) => tables::tables(&arguments)?,
+        Command::Change(arguments) => return Ok(change::change(&arguments)?),
+        Command::Import(arguments) => return Ok(import::import(arguments)?),
+        Command::Fleet(arguments) => return Ok(fleet::fleet(&arguments)?),
+        Command::State(arguments) => return Ok(state::state(arguments)?),
+        Command::Completions { shell } => manual::print_completions(Cli::command(), shell),
+        Command::Man { directory } => manual::write_manual(Cli::command(), &directory)?,
+        Command::Measure(arguments) => measure::measure(arguments)?,
     }
+    Ok(ExitCode::SUCCESS)
 }
--- a/crates/cli/src/measure/error.rs
+++ b/crates/cli/src/measure/error.rs
@@ -1,5 +1,6 @@
 //! Why a measurement could not be made.
 
+use crate::operator::CallError;
 use std::fmt::Display;
 use std::io;
 use wheelspread_store::StoreError;
@@ -8,10 +9,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum MeasureError {
     /// The path of the running executable is unknown, so no child process can be started.
-    #[error("this program can't be found: {0}")]
-    Executable(io::Error),
+    #[error("this program can't be found")]
+    Executable(#[source] io::Error),
     /// An operating system call on the named thing failed.
-    #[error("{what}: {source}")]
+    #[error("{what}")]
     Io {
         /// The socket, file or process in question.
         what: &'static str,
@@ -24,11 +25,14 @@
     /// A measured process did not reach the state that the measurement starts from.
     #[error("{0}")]
     NotReady(String),
-    /// A controller answered an operators' call with an error, or not at all.
+    /// A controller did not answer an operators' call.
+    #[error(transparent)]
+    Call(#[from] CallError),
+    /// A controller refused a change, or did not carry it out.
     #[error("{0}")]
-    Call(String),
+    Change(String),
     /// A measurement at one size of the fleet failed.
-    #[error("{nodes} nodes, {count} {clients}: {source}")]
+    #[error("{nodes} nodes, {count} {clients}")]
     AtSize {
         /// Nodes in the endpoint list.
         nodes: usize,
--- a/crates/cli/src/measure/state.rs
+++ b/crates/cli/src/measure/state.rs
@@ -10,7 +10,6 @@
 use crate::operator::call;
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
-use std::fmt::Display;
 use std::path::Path;
 use std::time::{Duration, Instant};
 use wheelspread_config_transaction::ChangeRecord;
@@ -132,20 +131,16 @@
 
 /// Asks the controller for a resource of the operators' API.
 fn get(root: &Path, target: &str) -> Result<Value, MeasureError> {
-    let (_, answer) = call(root, "GET", target, None).map_err(call_failed)?;
-    Ok(answer)
+    Ok(call(root, "GET", target, None)?.body)
 }
 
+/// Gives the controller an order about a change.
 fn post(root: &Path, order: &str, body: Value) -> Result<(), MeasureError> {
-    let target = format!("/v1/changes/{order}");
-    match call(root, "POST", &target, Some(body)).map_err(call_failed)? {
-        (200, _) => Ok(()),
-        (_, answer) => Err(call_failed(format!("{order}: {answer}"))),
+    let answer = call(root, "POST", &format!("/v1/changes/{order}"), Some(body))?;
+    if answer.is_ok() {
+        return Ok(());
     }
-}
-
-fn call_failed(error: impl Display) -> MeasureError {
-    MeasureError::Call(error.to_string())
+    Err(MeasureError::Change(format!("{order}: {}", answer.body)))
 }
 
 /// Stages and applies a change, and waits until every proxy has acknowledged it and it is kept.
@@ -166,8 +161,12 @@
         let change = get(root, &format!("/v1/changes/{id}"))?;
         match change["state"].as_str() {
             Some("kept") => break,
-            Some("undone" | "refused") => return Err(call_failed(&change["why"])),
-            _ if begin.elapsed() > CHANGE_TIMEOUT => return Err(call_failed("a change hangs")),
+            Some("undone" | "refused") => {
+                return Err(MeasureError::Change(change["why"].to_string()))
+            }
+            _ if begin.elapsed() > CHANGE_TIMEOUT => {
+                return Err(MeasureError::Change("a change hangs".to_string()))
+            }
             _ => {}
         }
     }
--- a/crates/cli/src/solve.rs
+++ b/crates/cli/src/solve.rs
@@ -1,13 +1,17 @@
-//! `wheelspread solve`.
+//! `wheelspread solve`: weights of a fleet under capacity and cost.
 
+use crate::exit::BAD_INPUT;
 use clap::Args;
 use serde::Serialize;
-use std::path::PathBuf;
+use serde_json::json;
+use std::fmt::Display;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 use wheelspread_solve::robust::{guaranteed, hedge, served, Wrong};
-use wheelspread_solve::{solve as solve_fleet, Fleet, Host, Solution};
+use wheelspread_solve::{solve as solve_fleet, Fleet, Host, Solution, Status};
 
+/// Arguments of `wheelspread solve`.
 #[derive(Args)]
 pub struct SolveArguments {
     /// The fleet: see docs/solver.md
@@ -17,32 +21,91 @@
     /// Why a host got its weight.
     #[arg(long, value_name = "HOST")]
     explain: Option<String>,
-    /// Capacities may be wrong by this part either way: holds back what serves more in the worst case.
+    /// Capacities may be wrong by this part either way: chooses weights that serve more in the worst case.
     #[arg(long, value_name = "PART")]
     wrong_by: Option<f64>,
-    /// What is served if hosts of a kind can do this part of what is told of them, as `large=0.5`.
+    /// What is served if hosts of a kind have this part of their stated capacity, as `large=0.5`.
     #[arg(long, value_name = "KIND=PART", value_parser = kind_part)]
     what_if: Vec<(String, f64)>,
-    /// After so many milliseconds the best so far is told.
+    /// After so many milliseconds the best solution so far is printed.
     #[arg(long, default_value_t = 1000)]
     deadline_ms: u64,
 }
 
-fn kind_part(text: &str) -> Result<(String, f64), String> {
-    let (kind, part) = text.split_once('=').ok_or("KIND=PART is expected")?;
-    let part: f64 = part.parse().map_err(|_| format!("`{part}` is no number"))?;
+/// Why a `KIND=PART` argument is invalid.
+#[derive(Debug, thiserror::Error)]
+enum KindPartError {
+    #[error("KIND=PART is expected")]
+    NoPart,
+    #[error("`{0}` is no number")]
+    NotANumber(String),
+    #[error("{0}: between 0 and 100 is possible")]
+    OutOfRange(f64),
+}
+
+fn kind_part(text: &str) -> Result<(String, f64), KindPartError> {
+    let (kind, part) = text.split_once('=').ok_or(KindPartError::NoPart)?;
+    let part: f64 = part
+        .parse()
+        .map_err(|_| KindPartError::NotANumber(part.to_string()))?;
     if (0.0..=100.0).contains(&part) {
         Ok((kind.to_string(), part))
     } else {
-        Err(format!("{part}: between 0 and 100 is possible"))
+        Err(KindPartError::OutOfRange(part))
     }
 }
 
-const BAD_INPUT: u8 = 2;
+/// The solver ran into its deadline; the best solution so far was printed.
 const CUT_SHORT: u8 = 4;
 
+/// Why there is no solution to print.
+#[derive(Debug, thiserror::Error)]
+pub enum SolveError {
+    /// The fleet can't be solved.
+    #[error("{}", fleet.display())]
+    Refused {
+        /// The file of the fleet.
+        fleet: PathBuf,
+        source: Refusal,
+    },
+    /// `--explain` names no host of the fleet.
+    #[error("`{0}` is no host of this fleet")]
+    UnknownHost(String),
+}
+
+/// Why a fleet can't be solved.
+#[derive(Debug, thiserror::Error)]
+pub enum Refusal {
+    /// The file can't be read.
+    #[error(transparent)]
+    Read(#[from] std::io::Error),
+    /// The file is no fleet.
+    #[error(transparent)]
+    Parse(#[from] serde_yaml_ng::Error),
+    /// `--wrong-by` is no part.
+    #[error("--wrong-by {0}: between 0 and 1 is possible")]
+    WrongBy(f64),
+    /// `--what-if` names a kind that no host is of.
+    #[error("no host is of kind `{0}`")]
+    UnknownKind(String),
+    /// The solver refused the fleet.
+    #[error("{0}")]
+    Solver(String),
+    /// The solution can't be written as JSON.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+}
+
+impl SolveError {
+    /// What the process exits with.
+    pub fn exit_code(&self) -> u8 {
+        BAD_INPUT
+    }
+}
+
+/// The JSON that is printed.
 #[derive(Serialize)]
-struct Told<'a> {
+struct Output<'a> {
     #[serde(flatten)]
     solution: &'a Solution,
     solve_ms: f64,
@@ -57,125 +120,112 @@
     overrun: Vec<(String, f64)>,
 }
 
-pub fn solve(arguments: SolveArguments) -> ExitCode {
-    let refuse = |text: String| {
+/// Solves a fleet and prints its weights, or why a host got its weight.
+pub fn solve(arguments: &SolveArguments) -> Result<ExitCode, SolveError> {
+    let refused = |refusal: Refusal| {
         if arguments.json {
             say!(
                 "{}",
-                serde_json::json!({ "status": "refused", "reason": text })
+                json!({ "status": "refused", "reason": refusal.to_string() })
             );
         }
-        eprintln!("{}: {text}", arguments.fleet.display());
-        ExitCode::from(BAD_INPUT)
-    };
-    let text = match std::fs::read_to_string(&arguments.fleet) {
-        Ok(text) => text,
-        Err(error) => return refuse(error.to_string()),
-    };
-    let fleet: Fleet = match serde_yaml_ng::from_str(&text) {
-        Ok(fleet) => fleet,
-        Err(error) => return refuse(error.to_string()),
-    };
-    let begin = Instant::now();
-    let deadline = begin + Duration::from_millis(arguments.deadline_ms);
-    let mut over = || Instant::now() >= deadline;
-    let solved = match arguments.wrong_by {
-        None => solve_fleet(&fleet, &mut over),
-        Some(part) if (0.0..1.0).contains(&part) => {
-            let wrong = Wrong {
-                least: 1.0 - part,
-                most: 1.0 / (1.0 - part),
-            };
-            hedge(&fleet, wrong, &mut over).map(|(solution, held)| {
-                let worst = guaranteed(&fleet, &solution, wrong);
-                eprintln!(
-                    "goes by {held:.2} of the capacities; at worst {:.3} a second is served",
-                    worst.value_per_s
-                );
-                solution
-            })
+        SolveError::Refused {
+            fleet: arguments.fleet.clone(),
+            source: refusal,
         }
-        Some(part) => return refuse(format!("--wrong-by {part}: between 0 and 1 is possible")),
-    };
-    let solution = match solved {
-        Ok(solution) => solution,
-        Err(refused) => return refuse(refused.to_string()),
     };
+    let fleet = read_fleet(&arguments.fleet).map_err(refused)?;
+    let begin = Instant::now();
+    let solution = find_solution(&fleet, arguments, begin).map_err(refused)?;
     let solve_ms = begin.elapsed().as_secs_f64() * 1e3;
     if let Some(id) = &arguments.explain {
         return explain(&fleet, &solution, id);
     }
-    if let Some((kind, _)) = arguments
-        .what_if
-        .iter()
-        .find(|(kind, _)| fleet.hosts.iter().all(|host| host.kind != *kind))
-    {
-        return refuse(format!("no host is of kind `{kind}`"));
-    }
-    let what_if = (!arguments.what_if.is_empty()).then(|| {
-        let part = |host: &Host| {
-            arguments
-                .what_if
-                .iter()
-                .find(|(kind, _)| host.kind == *kind)
-                .map_or(1.0, |(_, part)| *part)
-        };
-        let told = served(&fleet, &solution, &part);
-        WhatIf {
-            value_per_s: told.value_per_s,
-            overrun: told.overrun,
-        }
-    });
+    let what_if = what_if(&fleet, &solution, &arguments.what_if).map_err(refused)?;
     if arguments.json {
-        match serde_json::to_string(&Told {
+        let output = Output {
             solution: &solution,
             solve_ms,
             what_if,
-        }) {
-            Ok(text) => say!("{text}"),
-            Err(error) => return refuse(error.to_string()),
-        }
+        };
+        let text = serde_json::to_string(&output).map_err(|error| refused(error.into()))?;
+        say!("{text}");
     } else {
-        table(&solution, solve_ms, what_if.as_ref());
-    }
-    match solution.status {
-        wheelspread_solve::Status::Optimal => ExitCode::SUCCESS,
-        wheelspread_solve::Status::CutShort => ExitCode::from(CUT_SHORT),
+        print_table(&solution, solve_ms, what_if.as_ref());
     }
+    Ok(match solution.status {
+        Status::Optimal => ExitCode::SUCCESS,
+        Status::CutShort => ExitCode::from(CUT_SHORT),
+    })
 }
 
-fn table(solution: &Solution, solve_ms: f64, what_if: Option<&WhatIf>) {
-    say!(
-        "{:<20}{:<12}{:>8}{:>10}{:>10}{:>10}  binds",
-        "host",
-        "zone",
-        "weight",
-        "load",
-        "capacity",
-        "worth"
+fn read_fleet(path: &Path) -> Result<Fleet, Refusal> {
+    let text = std::fs::read_to_string(path)?;
+    Ok(serde_yaml_ng::from_str(&text)?)
+}
+
+/// Solves the fleet as it is stated, or hedged against wrong capacities.
+fn find_solution(
+    fleet: &Fleet,
+    arguments: &SolveArguments,
+    begin: Instant,
+) -> Result<Solution, Refusal> {
+    let deadline = begin + Duration::from_millis(arguments.deadline_ms);
+    let mut is_over = || Instant::now() >= deadline;
+    let refused = |error: &dyn Display| Refusal::Solver(error.to_string());
+    let Some(part) = arguments.wrong_by else {
+        return solve_fleet(fleet, &mut is_over).map_err(|error| refused(&error));
+    };
+    if !(0.0..1.0).contains(&part) {
+        return Err(Refusal::WrongBy(part));
+    }
+    let wrong = Wrong {
+        least: 1.0 - part,
+        most: 1.0 / (1.0 - part),
+    };
+    let (solution, held) = hedge(fleet, wrong, &mut is_over).map_err(|error| refused(&error))?;
+    let worst = guaranteed(fleet, &solution, wrong);
+    eprintln!(
+        "goes by {held:.2} of the capacities; at worst {:.3} a second is served",
+        worst.value_per_s
     );
-    for host in &solution.hosts {
-        say!(
-            "{:<20}{:<12}{:>8.3}{:>10.3}{:>10.3}{:>10.3}  {}",
-            host.id,
-            host.zone,
-            host.weight,
-            host.load,
-            host.capacity,
-            host.shadow_price,
-            host.binds
-        );
+    Ok(solution)
+}
+
+/// What is served if hosts of some kinds have a part of their capacity only; nothing if no kind is named.
+fn what_if(
+    fleet: &Fleet,
+    solution: &Solution,
+    parts: &[(String, f64)],
+) -> Result<Option<WhatIf>, Refusal> {
+    let is_unknown = |kind: &str| fleet.hosts.iter().all(|host| host.kind != kind);
+    if let Some((kind, _)) = parts.iter().find(|(kind, _)| is_unknown(kind)) {
+        return Err(Refusal::UnknownKind(kind.clone()));
     }
-    for told in solution
-        .gateways
-        .iter()
-        .filter(|told| told.admitted < 1.0 - 1e-9)
-    {
+    if parts.is_empty() {
+        return Ok(None);
+    }
+    let part_of = |host: &Host| {
+        let stated = parts.iter().find(|(kind, _)| host.kind == *kind);
+        stated.map_or(1.0, |(_, part)| *part)
+    };
+    let result = served(fleet, solution, &part_of);
+    Ok(Some(WhatIf {
+        value_per_s: result.value_per_s,
+        overrun: result.overrun,
+    }))
+}
+
+/// Prints a line for each host, rejecting proxy and overrun host, and a summary.
+fn print_table(solution: &Solution, solve_ms: f64, what_if: Option<&WhatIf>) {
+    print_hosts(solution);
+    let rejecting = solution.gateways.iter();
+    for gateway in rejecting.filter(|gateway| gateway.admitted < 1.0 - 1e-9) {
         say!(
             "{} lets in {:.3} of {}",
-            told.id,
-            told.admitted,
-            told.operation
+            gateway.id,
+            gateway.admitted,
+            gateway.operation
         );
     }
     if let Some(what_if) = what_if {
@@ -184,7 +234,7 @@
             say!("  {id} is given {times:.2} times what it can do");
         }
     }
-    let status = if solution.status == wheelspread_solve::Status::Optimal {
+    let status = if solution.status == Status::Optimal {
         "optimal"
     } else {
         "cut short"
@@ -197,30 +247,56 @@
     );
 }
 
-fn explain(fleet: &Fleet, solution: &Solution, id: &str) -> ExitCode {
-    let Some(told) = wheelspread_solve::explain::explain(fleet, solution, id) else {
-        eprintln!("`{id}` is no host of this fleet");
-        return ExitCode::from(BAD_INPUT);
+fn print_hosts(solution: &Solution) {
+    say!(
+        "{:<20}{:<12}{:>8}{:>10}{:>10}{:>10}  binds",
+        "host",
+        "zone",
+        "weight",
+        "load",
+        "capacity",
+        "worth"
+    );
+    for host in &solution.hosts {
+        say!(
+            "{:<20}{:<12}{:>8.3}{:>10.3}{:>10.3}{:>10.3}  {}",
+            host.id,
+            host.zone,
+            host.weight,
+            host.load,
+            host.capacity,
+            host.shadow_price,
+            host.binds
+        );
+    }
+}
+
+fn explain(fleet: &Fleet, solution: &Solution, id: &str) -> Result<ExitCode, SolveError> {
+    let Some(explanation) = wheelspread_solve::explain::explain(fleet, solution, id) else {
+        return Err(SolveError::UnknownHost(id.to_string()));
     };
     say!(
         "{} in {}: weight {:.3}, {:.3} of at most {:.3} seconds of work a second",
-        told.id,
-        told.zone,
-        told.weight,
-        told.load,
-        told.room
+        explanation.id,
+        explanation.zone,
+        explanation.weight,
+        explanation.load,
+        explanation.room
     );
-    told.reasons.iter().for_each(|reason| say!("  {reason}"));
+    explanation
+        .reasons
+        .iter()
+        .for_each(|reason| say!("  {reason}"));
     say!(
         "  loaded alike with: {}",
-        if told.alike.is_empty() {
+        if explanation.alike.is_empty() {
             "none".to_string()
         } else {
-            told.alike.join(", ")
+            explanation.alike.join(", ")
         }
     );
-    for (operation, from, invocations) in &told.gets {
+    for (operation, from, invocations) in &explanation.gets {
         say!("  its zone gets {invocations:.2} {operation} a second from {from}");
     }
-    ExitCode::SUCCESS
+    Ok(ExitCode::SUCCESS)
 }
