--- a/crates/cli/src/drill.rs
+++ b/crates/cli/src/drill.rs
@@ -1,4 +1,4 @@
-//! `wheelspread drill`.
+//! `wheelspread drill`: a day with faults on loopback, and its audit.
 
 use clap::{Args, ValueEnum};
 use std::path::PathBuf;
@@ -6,25 +6,26 @@
 use wheelspread_controller_core::deployment::TableDeliveryPlan;
 use wheelspread_drill::{run, Options, Sabotage, Script, BUILT_IN};
 
+/// Arguments of `wheelspread drill`.
 #[derive(Args)]
 pub struct DrillArguments {
     /// A script; without one, the bad day that the program carries with it.
     script: Option<PathBuf>,
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Plays the troubles of a day of the operators' bench.
+    /// Plays the faults of a day of the operators' bench.
     #[arg(long, value_name = "DAY.json")]
     day: Option<PathBuf>,
-    /// Plays it with a plain policy instead of conductors.
+    /// Plays it with a plain policy instead of controllers.
     #[arg(long, value_enum)]
     baseline: Option<Baseline>,
-    /// Gateways read their tables from discovery streams instead of files.
+    /// Proxies read their tables from discovery streams instead of files.
     #[arg(long, conflicts_with_all = ["baseline", "sabotage"])]
     streams: bool,
-    /// Conductors that are killed lose their state, to see what it is worth.
+    /// Controllers that are killed lose their state, to see what it is worth.
     #[arg(long)]
     forget: bool,
-    /// Keeps all that was published and a log of each gateway, node and directory.
+    /// Keeps all that was published and a log of each proxy, node and directory.
     #[arg(long, value_name = "DIR")]
     keep: Option<PathBuf>,
     /// Prints one JSON object instead of a table.
@@ -72,6 +73,7 @@
     }
 }
 
+/// Runs a drill and prints its report; the exit code shows whether all rules were kept.
 pub fn drill(arguments: DrillArguments) -> ExitCode {
     let (mut script, unknown) = match script(&arguments) {
         Ok(script) => script,
--- a/crates/cli/src/import.rs
+++ b/crates/cli/src/import.rs
@@ -8,6 +8,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
+use wheelspread::time::Span;
 use wheelspread_controller::{ControllerFile, ControllerFileError};
 use wheelspread_controller_core::endpoint_list::{EndpointRecord, EndpointSnapshot};
 use wheelspread_import::pools::plain;
@@ -182,7 +183,7 @@
                         "integration_timeout_s": operation.integration_timeout.seconds() })
             }).collect::<Vec<_>>(),
             "errors_until_avoided": pool.errors_until_avoided,
-            "connection_idle_s": pool.connection_idle.map(|idle| idle.seconds()),
+            "connection_idle_s": pool.connection_idle.map(Span::seconds),
         })
     };
     json!({
--- a/crates/cli/tests/changes.rs
+++ b/crates/cli/tests/changes.rs
@@ -258,7 +258,7 @@
 fn is_new(gateway: &str, orders: &Orders) -> Result<bool, String> {
     let told = &orders.operations[0];
     let moved = told.lines.iter().any(|line| line.node.port == MOVED);
-    let seconds = told.timeout.map_or(0.0, |span| span.seconds());
+    let seconds = told.timeout.map_or(0.0, wheelspread::time::Span::seconds);
     match (zone_of(gateway), seconds, moved) {
         (_, 3.0, moved) if moved == (zone_of(gateway) == "north") || !moved => Ok(false),
         ("north", 2.5, false) | ("south", 2.5, _) => Ok(true),
--- a/crates/cli/tests/conductor.rs
+++ b/crates/cli/tests/conductor.rs
@@ -180,7 +180,7 @@
     ] {
         let mut stream = stage.stream(name, "north");
         if raw {
-            stream.connection.send_raw(&message)
+            stream.connection.send_raw(&message);
         } else {
             stream.connection.send(&message);
         }
