--- a/crates/cli/src/fleet/top/tests.rs
+++ b/crates/cli/src/fleet/top/tests.rs
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn thirty_conductors_are_readable_at_80_by_24_and_the_rest_is_a_key_away() {
+fn thirty_controllers_are_readable_at_80_by_24_and_the_rest_is_a_key_away() {
     let mut screen = Screen::new();
     assert!(drawn(&mut screen)[0].contains("asking"));
     screen.show(snapshot(30));
--- a/crates/cli/tests/changes.rs
+++ b/crates/cli/tests/changes.rs
@@ -321,7 +321,7 @@
 }
 
 #[test]
-fn killed_at_each_place_by_name_no_gateway_ever_holds_a_mix() {
+fn no_proxy_holds_a_mixed_configuration_when_the_controller_is_killed_at_any_failpoint() {
     let mut cases = vec![(String::new(), false), (String::new(), true)];
     for point in wheelspread_faults::NAMES {
         // The first time, and later times, which fall into the change and into its undo.
@@ -341,7 +341,7 @@
 
 #[test_case("store.begin=1*off->8*return(full)->off", "configuration change waits for the disk"; "full for a while")]
 #[test_case("store.written=4*off->3*sleep(700)->off", "\"kept\""; "slow")]
-fn a_bad_disk_delays_a_change_and_no_table(faults: &str, said: &str) {
+fn a_failing_disk_delays_a_change_but_no_table_update(faults: &str, said: &str) {
     let mut world = World::new(faults);
     world.staged();
     world.insist(&["apply", "spring"]);
@@ -370,7 +370,7 @@
 }
 
 #[test]
-fn a_conflict_names_both_operators_and_a_plan_prints_each_line() {
+fn a_conflict_names_both_operators_and_a_plan_prints_each_setting() {
     let mut world = World::new("");
     let other = world.stage.path("other.yaml");
     let text = "{id: summer, by: bob, base: 1, sets: {operations.quote.integration_timeout: 4s}}";
@@ -439,7 +439,7 @@
 }
 
 #[test]
-fn one_of_three_conductors_is_away_and_gets_the_change_when_it_is_told_again() {
+fn a_controller_that_was_unreachable_takes_the_change_when_it_is_sent_again() {
     let mut worlds = [World::new(""), World::new(""), World::new("")];
     let file = worlds[0].stage.path("change.yaml").display().to_string();
     worlds[2].stage.kill();
@@ -479,7 +479,7 @@
 }
 
 #[test]
-fn a_list_that_is_gone_after_a_kill_is_remembered() {
+fn the_endpoint_list_survives_a_crash_and_the_loss_of_its_file() {
     let mut world = World::new("");
     while world.held.len() < 3 {
         world.turn();
--- a/crates/cli/tests/controller.rs
+++ b/crates/cli/tests/controller.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn lists_that_cannot_be_right_are_kept_out_and_named() {
+fn invalid_endpoint_lists_are_rejected_with_a_reason() {
     let (mut stage, mut stream) = joined();
     let list = stage.path("nodes.json");
     let whole = list_text(7, &PORTS, &[]);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_swapped_directory_is_seen_as_well_as_a_swapped_file() {
+fn a_swapped_directory_is_detected_like_a_swapped_file() {
     let mut stage = Stage::new();
     for (name, text) in [
         ("a", list_text(1, &PORTS, &[])),
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn killed_while_it_writes_it_leaves_whole_tables_and_goes_on_after_its_versions() {
+fn a_crash_while_tables_are_written_leaves_complete_tables_and_rising_versions() {
     let (mut stage, mut stream) = joined();
     for round in 0..8u16 {
         let last = stage.held("g1").expect("held").0;
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_proxy_that_does_not_come_back_after_a_restart_loses_the_nodes_that_left() {
+fn tables_of_a_proxy_absent_after_a_restart_drop_the_removed_nodes() {
     let (mut stage, stream) = joined();
     stage.kill();
     drop(stream);
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn streams_that_misbehave_are_closed_with_a_reason_and_cost_nobody_else() {
+fn invalid_load_report_streams_are_closed_with_a_reason_and_affect_no_other() {
     let (mut stage, mut good) = joined();
     let bad_report = |operations, seconds| {
         let report = LoadReport {
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn a_directory_that_cannot_be_written_is_named_and_tried_again() {
+fn an_unwritable_table_directory_is_logged_and_retried() {
     let mut stage = Stage::new();
     stage.list(&PORTS, &[]);
     std::fs::create_dir_all(stage.path("tables/gateways")).expect("made");
@@ -262,7 +262,7 @@
 }
 
 #[test]
-fn told_to_stop_it_says_so_to_proxies_and_leaves_the_last_good_files() {
+fn a_graceful_shutdown_notifies_proxies_and_leaves_the_last_tables() {
     let (mut stage, mut stream) = joined();
     let before = stage.held("g1");
     let status = stage.terminate();
@@ -279,7 +279,7 @@
 }
 
 #[test]
-fn a_second_conductor_on_the_same_root_is_refused() {
+fn a_second_controller_on_the_same_root_is_refused() {
     let (stage, _stream) = joined();
     let text = std::fs::read_to_string(stage.path("conductor.yaml")).expect("there");
     std::fs::write(
@@ -300,7 +300,7 @@
 }
 
 #[test]
-fn a_file_that_cannot_be_is_named_with_its_line_and_exits_with_2() {
+fn an_invalid_configuration_is_reported_with_its_line_and_exit_code_2() {
     let stage = Stage::new();
     let path = stage.path("conductor.yaml");
     let text = std::fs::read_to_string(&path).expect("there");
--- a/crates/cli/tests/drills.rs
+++ b/crates/cli/tests/drills.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_short_bad_day_keeps_all_rules() {
+fn a_short_drill_keeps_all_rules() {
     let report = play(SHORT, None);
     assert!(report.verdict.kept(), "{}", report.table());
     assert!(
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_short_bad_day_over_streams_keeps_all_rules() {
+fn a_short_drill_over_streams_keeps_all_rules() {
     let text = SHORT.replace(
         "\ndeployment:\n",
         "\ndeployment:\n  fronts: {files: false, streams: true}\n",
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn two_gateways_restarted_at_once_under_load_while_a_release_runs() {
+fn two_proxies_restarted_under_load_during_a_rolling_update_keep_all_rules() {
     let troubles = "troubles:
   - {kind: deploy, at: 1s, for: 4s, part: 0.6, size: 0.2, extra: 1}
   - {kind: balancer_crash, at: 2s, for: 700ms, part: 0.34, whom: gateway}
@@ -85,7 +85,7 @@
 #[test_case(Sabotage::KeepDrained, 3, 90; "a drained node that is kept")]
 #[test_case(Sabotage::FloodCold, 4, 400; "a cold node that is flooded")]
 #[test_case(Sabotage::Overfill, 5, 90; "a channel that is overfilled")]
-fn a_sabotaged_day_breaks_its_rule_and_no_other(sabotage: Sabotage, rule: u8, rate: u32) {
+fn each_sabotage_breaks_its_rule_and_no_other(sabotage: Sabotage, rule: u8, rate: u32) {
     let report = play(
         &quiet().replace("rate: 90", &format!("rate: {rate}")),
         Some(sabotage),
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn thirty_conductors_of_which_five_hang_and_three_are_down_answer_in_the_time_asked_for() {
+fn thirty_controllers_answer_within_the_deadline_while_five_hang_and_three_are_down() {
     let _alone = MACHINE.write().unwrap_or_else(PoisonError::into_inner);
     let mut stages = started(30);
     let names: Vec<String> = (0..30).map(|n| format!("c{n:02}")).collect();
@@ -262,7 +262,7 @@
 #[test_case(Manner::Gigabyte, "can't be read"; "answers a head without end")]
 #[test_case(Manner::SaysAGigabyte, "longer than 16 MiB"; "answers a gigabyte")]
 #[test_case(Manner::Older, "an older program"; "serves an older interface")]
-fn one_that_misbehaves_is_named_and_holds_nobody_up(manner: Manner, said: &str) {
+fn a_faulty_controller_is_reported_and_delays_no_other(manner: Manner, said: &str) {
     let _shared = MACHINE.read().unwrap_or_else(PoisonError::into_inner);
     let mut sound = Stage::new();
     sound.list(&PORTS, &[]);
@@ -337,7 +337,7 @@
 }
 
 #[test]
-fn a_drain_is_waited_for_until_gateways_say_that_nothing_goes_there() {
+fn waiting_for_a_drain_ends_when_load_reports_show_no_traffic_to_the_node() {
     let mut stages = started(1);
     let stage = &mut stages[0];
     let directory = tempfile::tempdir().expect("a directory");
@@ -395,7 +395,7 @@
 }
 
 #[test]
-fn what_would_empty_a_pool_is_refused_until_it_is_named_and_then_logged() {
+fn a_drain_that_would_empty_a_pool_is_refused_unless_forced_and_then_audited() {
     let stages = started(1);
     let directory = tempfile::tempdir().expect("a directory");
     let path = file(directory.path(), &[("c0", stages[0].path("tables"))]);
@@ -427,7 +427,7 @@
 }
 
 #[test]
-fn the_later_of_two_orders_goes_at_every_conductor_though_one_was_away_between_them() {
+fn the_later_of_two_orders_wins_at_every_controller_though_one_was_unreachable_between_them() {
     let mut stages = started(3);
     let directory = tempfile::tempdir().expect("a directory");
     let roots: Vec<(&str, PathBuf)> = ["c0", "c1", "c2"]
@@ -505,7 +505,7 @@
 }
 
 #[test]
-fn who_may_only_ask_can_not_order() {
+fn a_client_with_read_access_can_not_give_orders() {
     let mut stage = Stage::new();
     let (authority, port) = (
         Authority::new(),
@@ -565,7 +565,7 @@
 #[test_case("{roots: nowhere}", "nowhere"; "no directory")]
 #[test_case("{conductor: []}", "unknown field"; "misspelt")]
 #[test_case("{conductors: [{name: a, root: x}], within: 1}", "is no span of time"; "no unit")]
-fn a_fleet_file_that_can_not_be_is_named(text: &str, said: &str) {
+fn an_invalid_fleet_file_is_rejected_with_a_reason(text: &str, said: &str) {
     let directory = tempfile::tempdir().expect("a directory");
     let path = directory.path().join("fleet.yaml");
     std::fs::write(&path, text).expect("written");
@@ -575,7 +575,7 @@
 }
 
 #[test]
-fn a_directory_of_roots_is_a_fleet_and_who_is_down_is_part_of_it() {
+fn a_directory_of_roots_is_a_fleet_that_includes_unreachable_controllers() {
     let mut stages = started(2);
     let directory = tempfile::tempdir().expect("a directory");
     let roots = directory.path().join("roots");
@@ -674,7 +674,7 @@
 }
 
 #[test]
-fn no_order_is_lost_or_stands_twice_wherever_conductor_and_tool_are_killed() {
+fn no_order_is_lost_or_duplicated_wherever_controller_and_client_are_killed() {
     let mut cases = Vec::new();
     for point in [
         "store.begin",
--- a/crates/cli/tests/import.rs
+++ b/crates/cli/tests/import.rs
@@ -26,7 +26,7 @@
 #[test_case("plain.conf", &["quotes"]; "one pool")]
 #[test_case("odd.conf", &["odd", "127-0-0-1-9300"]; "odd places")]
 #[test_case("included/main.conf", &["a", "b"]; "included files")]
-fn what_is_written_is_a_file_that_a_conductor_takes(name: &str, pools: &[&str]) {
+fn imported_files_are_valid_controller_configurations(name: &str, pools: &[&str]) {
     let directory = tempfile::tempdir().expect("a directory");
     let out = directory.path().join("out").display().to_string();
     let (code, told) = run(&[
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn what_can_not_be_read_is_named_and_nothing_is_written() {
+fn an_unreadable_configuration_is_reported_and_nothing_is_written() {
     let directory = tempfile::tempdir().expect("a directory");
     let path = directory.path().join("nginx.conf");
     let out = directory.path().join("out");
--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_proxy_is_served_through_changes_of_the_list_and_a_move_of_discovery() {
+fn a_proxy_is_served_through_endpoint_list_changes_and_a_new_discovery_address() {
     let first = Agent::start(objects(&["s1", "s2", "s3"]));
     let mut platform = Platform::start(first.address, 64);
     let mut unidentified = Peer::dial(platform.listen);
--- a/crates/cli/tests/proxy.rs
+++ b/crates/cli/tests/proxy.rs
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn a_table_that_changes_under_load_fails_no_invocation_and_is_left_at_once() {
+fn a_table_change_under_load_fails_no_request_and_takes_effect_at_once() {
     let nodes = FastNodes::start(4, false, 1).expect("nodes");
     let mut stage = Stage::new("", &even(&nodes), RetryPolicy::IfUnprocessed);
     let address = stage.address;
@@ -264,7 +264,7 @@
 }
 
 #[test]
-fn what_has_effects_is_never_repeated_after_it_may_have_run() {
+fn side_effecting_requests_are_never_retried_after_they_may_have_executed() {
     let nodes = FastNodes::start(4, true, 5).expect("nodes");
     let faults = Faults {
         reset: 0.02,
@@ -298,7 +298,7 @@
 }
 
 #[test]
-fn a_node_whose_answers_vanish_is_shunned_and_comes_back_by_trial() {
+fn a_node_that_stops_answering_is_ejected_and_returns_after_probation() {
     let nodes = FastNodes::start(3, false, 5).expect("nodes");
     nodes.set_faults(
         0,
@@ -323,7 +323,7 @@
 }
 
 #[test]
-fn nodes_that_refuse_connections_weights_of_nothing_and_a_thousand_lines() {
+fn requests_succeed_beside_refusing_nodes_zero_weights_and_a_thousand_entries() {
     let nodes = FastNodes::start(2, false, 5).expect("nodes");
     let mut lines = even(&nodes);
     let dead: Vec<_> = (0..1000)
@@ -363,7 +363,7 @@
 }
 
 #[test]
-fn half_a_table_is_never_gone_by_and_is_told() {
+fn an_incomplete_table_is_rejected_and_reported() {
     let nodes = FastNodes::start(2, false, 5).expect("nodes");
     let stage = Stage::new("", &even(&nodes), RetryPolicy::Never);
     let root = stage.root();
@@ -411,7 +411,7 @@
 #[test_case("POST /quote HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", 400; "a bad chunk")]
 #[test_case("GET /nothing HTTP/1.1\r\nHost: a\r\n\r\n", 404; "no such operation")]
 #[test_case("POST /quote HTTP/1.1\r\nHost: a\r\nContent-Length: 99999999\r\n\r\n", 413; "a body too long")]
-fn what_is_not_taken_is_answered_and_closed(text: &str, status: u16) {
+fn unsupported_requests_are_answered_and_the_connection_closed(text: &str, status: u16) {
     let nodes = FastNodes::start(1, false, 5).expect("nodes");
     let stage = Stage::new("", &even(&nodes), RetryPolicy::Never);
     // A request that would be smuggled behind it must not reach the node.
@@ -458,7 +458,7 @@
 }
 
 #[test]
-fn bodies_go_through_whole_in_both_directions_and_connections_are_used_again() {
+fn bodies_are_forwarded_complete_in_both_directions_and_connections_are_reused() {
     let (listener, stage) = by_hand(RetryPolicy::Never);
     let mut client = stage.client();
     client
@@ -513,7 +513,7 @@
 }
 
 #[test]
-fn a_pooled_connection_closed_under_an_invocation_is_told_from_one_that_took_it() {
+fn a_pooled_connection_closed_under_a_request_is_distinguished_from_one_that_took_it() {
     let (listener, stage) = by_hand(RetryPolicy::IfUnprocessed);
     let ask = |client: &mut TcpStream| {
         client
@@ -547,7 +547,7 @@
 }
 
 #[test]
-fn a_client_that_goes_away_frees_its_node_and_a_slow_node_is_given_up_in_time() {
+fn a_disconnected_client_frees_its_node_and_a_slow_node_times_out() {
     let (listener, stage) = by_hand(RetryPolicy::Never);
     let mut client = stage.client();
     client
--- a/crates/cli/tests/solve.rs
+++ b/crates/cli/tests/solve.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_fleet_is_solved_for_programs_and_for_people() {
+fn a_fleet_is_solved_with_json_and_text_output() {
     let output = solve(&["--json"]);
     assert!(output.status.success());
     let told: serde_json::Value = serde_json::from_slice(&output.stdout).expect("one JSON object");
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn what_cannot_be_solved_says_why_and_exits_with_2() {
+fn an_unsolvable_fleet_is_refused_with_a_reason_and_exit_code_2() {
     let directory = tempfile::tempdir().expect("a directory");
     let path = directory.path().join("fleet.yaml");
     for (text, reason) in [
--- a/crates/cli/tests/streams.rs
+++ b/crates/cli/tests/streams.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_client_follows_drains_and_restarts_and_operators_see_and_step_back_what_it_holds() {
+fn a_stream_client_follows_drains_and_restarts_and_operators_inspect_and_roll_back_its_tables() {
     let mut stage = started(&[9001, 9002, 9003]);
     let mut client = Client::dial(&stage, "x1", "north");
     stage.until("tables", |_| {
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_killed_conductor_goes_on_above_its_versions_though_nobody_tells_it_of_them() {
+fn a_restarted_controller_continues_above_its_persisted_versions() {
     let mut stage = started(&[9001, 9002]);
     let mut client = Client::dial(&stage, "x1", "north");
     stage.until("tables", |_| {
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn what_all_refuse_is_known_held_back_and_stops_nobody_from_draining() {
+fn a_table_rejected_by_all_clients_is_held_back_and_blocks_no_drain() {
     let mut stage = started(&[9001, 9002, 9003, 9004]);
     let mut clients: Vec<Client> = (0..4)
         .map(|n| Client::dial(&stage, &format!("x{n}"), "north"))
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn clients_that_stop_reading_cost_bounded_memory_and_nobody_elses_time() {
+fn stalled_clients_cost_bounded_memory_and_delay_no_other() {
     let ports: Vec<u16> = (10_000..10_400).collect();
     let mut stage = Stage::new();
     let file = std::fs::read_to_string(stage.path("conductor.yaml")).expect("written");
@@ -269,7 +269,7 @@
 }
 
 #[test]
-fn frames_and_messages_that_are_nothing_end_their_stream_and_no_other() {
+fn invalid_frames_and_messages_end_only_their_own_stream() {
     let mut stage = started(&[9001, 9002]);
     let mut client = Client::dial(&stage, "x1", "north");
     let mut bad: Vec<ClientConnection> = (0..4).map(|_| connect(&stage)).collect();
@@ -360,7 +360,7 @@
 }
 
 #[test]
-fn streams_are_for_those_with_a_key_and_keys_are_renewed_under_open_streams() {
+fn streams_require_a_client_key_and_keys_are_rotated_under_open_streams() {
     let (authority, other) = (Authority::new(), Authority::new());
     let mut stage = Stage::new();
     let keys = |stage: &Stage, (certificate, key): (String, String)| {
@@ -425,7 +425,7 @@
 }
 
 #[test]
-fn a_proxy_of_ours_reads_its_tables_under_tls_and_answers_by_them() {
+fn the_proxy_reads_its_tables_over_tls_and_forwards_by_them() {
     let authority = Authority::new();
     let mut stage = Stage::new();
     let put = |stage: &Stage, name: &str, text: &str| common::write(&stage.path(name), text);
