--- a/crates/cli/tests/changes.rs
+++ b/crates/cli/tests/changes.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::client::Client;
-use common::{Stage, Stream, PROGRAM};
+use common::{run_to_end, Stage, Stream, PROGRAM};
 use std::collections::BTreeMap;
 use std::process::Command;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -274,12 +274,7 @@
     for stage in stages {
         command.arg("--at").arg(stage.path("tables"));
     }
-    let output = command.args(arguments).output().expect("it runs");
-    let text = [output.stdout, output.stderr].concat();
-    (
-        output.status.code().unwrap_or(-1),
-        String::from_utf8_lossy(&text).into_owned(),
-    )
+    run_to_end(command.args(arguments))
 }
 
 /// Plays a change with a fault; returns whether the conductor was killed.
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A conductor process on a directory of its own, and streams of sums as proxies open them.
+//! A controller process on a directory of its own, and load report streams as proxies open them.
 
 #![allow(dead_code)] // each test binary uses its part
 
@@ -17,6 +17,7 @@
 
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_wheelspread");
 
+/// A controller with its files; it is killed when this is dropped.
 pub struct Stage {
     pub directory: tempfile::TempDir,
     pub listen: SocketAddrV4,
@@ -71,7 +72,7 @@
         self.start_with("");
     }
 
-    /// `faults`: places where it is made to go wrong.
+    /// Starts it with failpoints, as `FAILPOINTS` takes them, and waits until it listens.
     pub fn start_with(&mut self, faults: &str) {
         let log = File::options()
             .create(true)
@@ -101,12 +102,14 @@
         self.child.as_ref().expect("it runs").id()
     }
 
+    /// Kills it as a crash would.
     pub fn kill(&mut self) {
         let mut child = self.child.take().expect("it runs");
         child.kill().expect("killed");
         child.wait().expect("gone");
     }
 
+    /// Asks it to stop (SIGTERM) and waits until it has ended.
     pub fn terminate(&mut self) -> ExitStatus {
         let mut child = self.child.take().expect("it runs");
         let pid = rustix_pid(child.id());
@@ -125,7 +128,7 @@
         std::fs::read_to_string(self.path("log")).unwrap_or_default()
     }
 
-    /// Swaps a list in: ports, and those of them that drain.
+    /// Swaps an endpoint list in: ports, and those of them that drain.
     pub fn list(&mut self, ports: &[u16], draining: &[u16]) {
         self.version += 1;
         let text = list_text(self.version, ports, draining);
@@ -136,7 +139,7 @@
         self.path("tables").join("gateways").join(name)
     }
 
-    /// The ports that a gateway's tables name, with the version.
+    /// The version of a proxy's tables and the ports that they name.
     pub fn held(&self, name: &str) -> Option<(u64, Vec<u16>)> {
         let held = read_tables(&self.gateway(name)).expect("whole tables at any time")?;
         let ports = held.orders.operations[0]
@@ -147,6 +150,7 @@
         Some((held.orders.version.0, ports))
     }
 
+    /// Waits for a condition, and fails with the log if it does not come within 15 s.
     pub fn until(&mut self, what: &str, mut done: impl FnMut(&mut Stage) -> bool) -> Duration {
         let begin = Instant::now();
         while !done(self) {
@@ -160,6 +164,7 @@
         begin.elapsed()
     }
 
+    /// Opens the load report stream of a proxy.
     pub fn stream(&self, name: &str, zone: &str) -> Stream {
         let socket =
             reactor::connect(self.listen.ip().octets(), self.listen.port()).expect("dials");
@@ -180,6 +185,24 @@
     }
 }
 
+/// Runs a command to its end; its exit code, and what it wrote to both streams.
+pub fn run_to_end(command: &mut Command) -> (i32, String) {
+    let output = command.output().expect("it runs");
+    let text = [output.stdout, output.stderr].concat();
+    (
+        output.status.code().unwrap_or(-1),
+        String::from_utf8_lossy(&text).into_owned(),
+    )
+}
+
+/// Resident memory of a process in KiB; an unreadable figure fails the test.
+pub fn resident_kib(pid: u32) -> u64 {
+    let status = std::fs::read_to_string(format!("/proc/{pid}/status")).expect("it runs");
+    let line = status.lines().find(|line| line.starts_with("VmRSS:"));
+    let kib = line.and_then(|line| line.split_whitespace().nth(1));
+    kib.and_then(|kib| kib.parse().ok()).expect("a figure")
+}
+
 pub fn encode(message: &impl prost::Message) -> Vec<u8> {
     message.encode_to_vec()
 }
@@ -197,6 +220,7 @@
     }
 }
 
+/// The load report stream of a proxy.
 pub struct Stream {
     pub connection: ClientConnection,
     pub accepted: bool,
--- a/crates/cli/tests/controller.rs
+++ b/crates/cli/tests/controller.rs
@@ -1,8 +1,8 @@
-//! A conductor process under what goes wrong around it: lists, kills, streams, directories, signals.
+//! A controller process under faults around it: endpoint lists, kills, streams, directories, signals.
 
 mod common;
 
-use common::{encode, list_text, write, Stage, PROGRAM};
+use common::{encode, list_text, resident_kib, write, Stage, PROGRAM};
 use std::io::Write;
 use std::net::TcpStream;
 use std::process::Command;
@@ -226,20 +226,8 @@
         stage.held("g1").is_some_and(|held| !held.1.contains(&9005))
     });
     assert!(good.over.is_none() && stage.runs());
-    let status = std::fs::read_to_string(format!("/proc/{}/status", stage.pid())).expect("it runs");
-    let kilobytes = status
-        .lines()
-        .find_map(|line| line.strip_prefix("VmRSS:"))
-        .and_then(|line| {
-            line.trim()
-                .split(' ')
-                .next()
-                .and_then(|number| number.parse::<u64>().ok())
-        });
-    assert!(
-        kilobytes.is_some_and(|kilobytes| kilobytes < 120_000),
-        "{kilobytes:?} kB"
-    );
+    let kib = resident_kib(stage.pid());
+    assert!(kib < 120_000, "{kib} KiB");
 }
 
 #[test]
--- a/crates/cli/tests/drills.rs
+++ b/crates/cli/tests/drills.rs
@@ -1,4 +1,4 @@
-//! Short drills with real conductor processes, and sabotaged ones, each of which must be found to break
+//! Short drills with real controller processes, and sabotaged ones, each of which must be found to break
 //! its rule and no other.
 
 use std::path::PathBuf;
@@ -22,9 +22,8 @@
     run(&script, options).expect("it can be played")
 }
 
-#[test]
-fn a_short_drill_keeps_all_rules() {
-    let report = play(SHORT, None);
+/// All rules were put to the test and kept, and most requests were served.
+fn assert_all_rules_checked_and_kept(report: &Report) {
     assert!(report.verdict.kept(), "{}", report.table());
     assert!(
         report.verdict.rules.iter().all(|rule| rule.checked > 0),
@@ -32,6 +31,12 @@
         report.table()
     );
     assert!(report.verdict.service > 0.9, "{}", report.table());
+}
+
+#[test]
+fn a_short_drill_keeps_all_rules() {
+    let report = play(SHORT, None);
+    assert_all_rules_checked_and_kept(&report);
     assert_eq!(report.troubles.len(), 4);
 }
 
@@ -42,13 +47,7 @@
         "\ndeployment:\n  fronts: {files: false, streams: true}\n",
     );
     let report = play(&text, None);
-    assert!(report.verdict.kept(), "{}", report.table());
-    assert!(
-        report.verdict.rules.iter().all(|rule| rule.checked > 0),
-        "{}",
-        report.table()
-    );
-    assert!(report.verdict.service > 0.9, "{}", report.table());
+    assert_all_rules_checked_and_kept(&report);
     assert!(
         report.table_swaps > 50,
         "they came over streams: {}",
@@ -64,7 +63,10 @@
   - {kind: answer_lost, at: 3s, for: 3s, part: 0.2, size: 0.5}
 ";
     let report = play(
-        &format!("{}{troubles}", quiet().replace("length: 7s", "length: 9s")),
+        &format!(
+            "{}{troubles}",
+            script_without_faults().replace("length: 7s", "length: 9s")
+        ),
         None,
     );
     assert!(report.verdict.kept(), "{}", report.table());
@@ -72,7 +74,8 @@
     assert!(report.verdict.service > 0.8, "{}", report.table());
 }
 
-fn quiet() -> String {
+/// The short day without its faults.
+fn script_without_faults() -> String {
     SHORT
         .split("troubles:")
         .next()
@@ -87,7 +90,7 @@
 #[test_case(Sabotage::Overfill, 5, 90; "a channel that is overfilled")]
 fn each_sabotage_breaks_its_rule_and_no_other(sabotage: Sabotage, rule: u8, rate: u32) {
     let report = play(
-        &quiet().replace("rate: 90", &format!("rate: {rate}")),
+        &script_without_faults().replace("rate: 90", &format!("rate: {rate}")),
         Some(sabotage),
     );
     let broken: Vec<u8> = report
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -1,10 +1,10 @@
-//! Many conductors from one desk: some hang, some are down, some answer what is no answer; orders reach a part,
-//! cross each other, and meet restarts.
+//! `wheelspread fleet`: controllers that hang, are down or give invalid answers; orders that reach a part of the
+//! fleet, cross each other, and meet restarts.
 
 mod common;
 
 use common::keys::Authority;
-use common::{Stage, Stream, PROGRAM};
+use common::{run_to_end, Stage, Stream, PROGRAM};
 use serde_json::Value;
 use std::io::{Read, Write};
 use std::os::unix::net::{UnixListener, UnixStream};
@@ -25,18 +25,9 @@
 
 fn fleet(file: &Path, arguments: &[&str]) -> (i32, String, Duration) {
     let begin = Instant::now();
-    let output = Command::new(PROGRAM)
-        .arg("fleet")
-        .arg(file)
-        .args(arguments)
-        .output()
-        .expect("it runs");
-    let text = [output.stdout, output.stderr].concat();
-    (
-        output.status.code().unwrap_or(-1),
-        String::from_utf8_lossy(&text).into_owned(),
-        begin.elapsed(),
-    )
+    let mut command = Command::new(PROGRAM);
+    let (code, text) = run_to_end(command.arg("fleet").arg(file).args(arguments));
+    (code, text, begin.elapsed())
 }
 
 fn json(file: &Path, arguments: &[&str]) -> (i32, Value, Duration) {
--- a/crates/cli/tests/import.rs
+++ b/crates/cli/tests/import.rs
@@ -1,21 +1,14 @@
-//! What is made of an nginx configuration is taken by a conductor, and nothing is written over.
+//! `wheelspread import nginx`: a controller takes what it writes, and nothing is overwritten.
 
+mod common;
+
+use common::{run_to_end, PROGRAM};
 use std::path::Path;
 use std::process::Command;
 use test_case::test_case;
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_wheelspread");
-
 fn run(arguments: &[&str]) -> (i32, String) {
-    let output = Command::new(PROGRAM)
-        .args(arguments)
-        .output()
-        .expect("it runs");
-    let text = [output.stdout, output.stderr].concat();
-    (
-        output.status.code().unwrap_or(-1),
-        String::from_utf8_lossy(&text).into_owned(),
-    )
+    run_to_end(Command::new(PROGRAM).args(arguments))
 }
 
 fn sample(name: &str) -> String {
--- a/crates/cli/tests/streams.rs
+++ b/crates/cli/tests/streams.rs
@@ -4,7 +4,7 @@
 
 use common::client::{connect, Client};
 use common::keys::Authority;
-use common::{Stage, PROGRAM};
+use common::{resident_kib, run_to_end, Stage, PROGRAM};
 use std::process::Command;
 use std::time::{Duration, Instant};
 use wheelspread_discovery::Kind;
@@ -19,12 +19,7 @@
         .arg("--at")
         .arg(stage.path("tables"))
         .args(arguments);
-    let output = command.output().expect("it runs");
-    let text = [output.stdout, output.stderr].concat();
-    (
-        output.status.code().unwrap_or(-1),
-        String::from_utf8_lossy(&text).into_owned(),
-    )
+    run_to_end(&mut command)
 }
 
 fn started(ports: &[u16]) -> Stage {
@@ -206,18 +201,6 @@
     assert!(took < Duration::from_secs(2), "{took:?}");
 }
 
-fn memory(pid: u32) -> u64 {
-    let text = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
-    let line = text
-        .lines()
-        .find(|line| line.starts_with("VmRSS:"))
-        .unwrap_or("");
-    line.split_whitespace()
-        .nth(1)
-        .and_then(|kib| kib.parse().ok())
-        .unwrap_or(0)
-}
-
 #[test]
 fn stalled_clients_cost_bounded_memory_and_delay_no_other() {
     let ports: Vec<u16> = (10_000..10_400).collect();
@@ -253,7 +236,7 @@
         client.turn();
         client.ports().len() == 400
     });
-    let before = memory(stage.pid());
+    let before = resident_kib(stage.pid());
     let mut slowest = Duration::ZERO;
     for round in 1..=12 {
         stage.list(&ports, &ports[..round]);
@@ -263,7 +246,7 @@
         });
         slowest = slowest.max(took);
     }
-    let grown = memory(stage.pid()).saturating_sub(before);
+    let grown = resident_kib(stage.pid()).saturating_sub(before);
     assert!(slowest < Duration::from_secs(2), "{slowest:?}");
     assert!(grown < 60 << 10, "{grown} KiB more");
 }
