--- a/crates/cli/tests/changes.rs
+++ b/crates/cli/tests/changes.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::client::Client;
-use common::{Stage, Stream, PROGRAM};
+use common::{run_to_end, Stage, Stream, PROGRAM};
 use std::collections::BTreeMap;
 use std::process::Command;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -258,7 +258,7 @@
 fn is_new(gateway: &str, orders: &Orders) -> Result<bool, String> {
     let told = &orders.operations[0];
     let moved = told.lines.iter().any(|line| line.node.port == MOVED);
-    let seconds = told.timeout.map_or(0.0, |span| span.seconds());
+    let seconds = told.timeout.map_or(0.0, wheelspread::time::Span::seconds);
     match (zone_of(gateway), seconds, moved) {
         (_, 3.0, moved) if moved == (zone_of(gateway) == "north") || !moved => Ok(false),
         ("north", 2.5, false) | ("south", 2.5, _) => Ok(true),
@@ -274,12 +274,7 @@
     for stage in stages {
         command.arg("--at").arg(stage.path("tables"));
     }
-    let output = command.args(arguments).output().expect("it runs");
-    let text = [output.stdout, output.stderr].concat();
-    (
-        output.status.code().unwrap_or(-1),
-        String::from_utf8_lossy(&text).into_owned(),
-    )
+    run_to_end(command.args(arguments))
 }
 
 /// Plays a change with a fault; returns whether the conductor was killed.
@@ -321,7 +316,7 @@
 }
 
 #[test]
-fn killed_at_each_place_by_name_no_gateway_ever_holds_a_mix() {
+fn no_proxy_holds_a_mixed_configuration_when_the_controller_is_killed_at_any_failpoint() {
     let mut cases = vec![(String::new(), false), (String::new(), true)];
     for point in wheelspread_faults::NAMES {
         // The first time, and later times, which fall into the change and into its undo.
@@ -341,7 +336,7 @@
 
 #[test_case("store.begin=1*off->8*return(full)->off", "configuration change waits for the disk"; "full for a while")]
 #[test_case("store.written=4*off->3*sleep(700)->off", "\"kept\""; "slow")]
-fn a_bad_disk_delays_a_change_and_no_table(faults: &str, said: &str) {
+fn a_failing_disk_delays_a_change_but_no_table_update(faults: &str, said: &str) {
     let mut world = World::new(faults);
     world.staged();
     world.insist(&["apply", "spring"]);
@@ -370,7 +365,7 @@
 }
 
 #[test]
-fn a_conflict_names_both_operators_and_a_plan_prints_each_line() {
+fn a_conflict_names_both_operators_and_a_plan_prints_each_setting() {
     let mut world = World::new("");
     let other = world.stage.path("other.yaml");
     let text = "{id: summer, by: bob, base: 1, sets: {operations.quote.integration_timeout: 4s}}";
@@ -439,7 +434,7 @@
 }
 
 #[test]
-fn one_of_three_conductors_is_away_and_gets_the_change_when_it_is_told_again() {
+fn a_controller_that_was_unreachable_takes_the_change_when_it_is_sent_again() {
     let mut worlds = [World::new(""), World::new(""), World::new("")];
     let file = worlds[0].stage.path("change.yaml").display().to_string();
     worlds[2].stage.kill();
@@ -479,7 +474,7 @@
 }
 
 #[test]
-fn a_list_that_is_gone_after_a_kill_is_remembered() {
+fn the_endpoint_list_survives_a_crash_and_the_loss_of_its_file() {
     let mut world = World::new("");
     while world.held.len() < 3 {
         world.turn();
