--- a/crates/fleet/src/call/connection.rs
+++ b/crates/fleet/src/call/connection.rs
@@ -36,6 +36,7 @@
         }
     }
 
+    /// Reads decrypted bytes; 0 is the end of the connection.
     pub fn read(&mut self, into: &mut [u8]) -> io::Result<usize> {
         match self {
             Connection::Unix(stream) => stream.read(into),
@@ -43,6 +44,7 @@
         }
     }
 
+    /// Writes bytes; how many were taken.
     pub fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         match self {
             Connection::Unix(stream) => stream.write(bytes),
--- a/crates/grpc/src/client/keepalive.rs
+++ b/crates/grpc/src/client/keepalive.rs
@@ -13,6 +13,7 @@
 }
 
 impl KeepAliveState {
+    /// `pings`: the connection's pings, which exist once.
     pub fn new(now: Moment, pings: Option<PingPong>) -> KeepAliveState {
         KeepAliveState {
             pings,
--- a/crates/grpc/src/client/stream.rs
+++ b/crates/grpc/src/client/stream.rs
@@ -22,6 +22,7 @@
 }
 
 impl Stream {
+    /// A stream whose response has not arrived.
     pub fn new(
         send: SendStream<Bytes>,
         response: ResponseFuture,
--- a/crates/grpc/src/send_queue.rs
+++ b/crates/grpc/src/send_queue.rs
@@ -15,6 +15,7 @@
         self.bytes
     }
 
+    /// Appends a frame.
     pub fn push(&mut self, frame: Bytes) {
         self.bytes += frame.len();
         self.frames.push_back(frame);
@@ -36,6 +37,7 @@
         Some(piece)
     }
 
+    /// Drops all frames.
     pub fn clear(&mut self) {
         self.frames.clear();
         self.bytes = 0;
--- a/crates/grpc/src/server/stream.rs
+++ b/crates/grpc/src/server/stream.rs
@@ -40,6 +40,7 @@
 }
 
 impl Stream {
+    /// A stream that was just accepted.
     pub fn new(receive: RecvStream, send: SendStream<Bytes>, max_message_bytes: usize) -> Stream {
         Stream {
             receive,
@@ -131,6 +132,7 @@
         })
     }
 
+    /// Since when a message has begun that is not complete.
     pub fn partial_since(&self) -> Option<Moment> {
         self.partial_since
     }
@@ -144,6 +146,7 @@
         true
     }
 
+    /// Bytes that wait to be sent.
     pub fn queued(&self) -> usize {
         self.queue.bytes()
     }
--- a/crates/import/src/parse.rs
+++ b/crates/import/src/parse.rs
@@ -186,12 +186,7 @@
         let mut open = 1;
         while open > 0 {
             match self.take() {
-                None => {
-                    return Err(SyntaxError {
-                        place: start,
-                        what: "a block is not closed".to_string(),
-                    })
-                }
+                None => return Err(unclosed_block(start)),
                 Some('{') => open += 1,
                 Some('}') => open -= 1,
                 Some(_) => {}
@@ -246,10 +241,7 @@
         }
         match (words.first(), opened) {
             (Some(word), _) => Err(unterminated(word, start)),
-            (None, Some(opened)) => Err(SyntaxError {
-                place: opened.clone(),
-                what: "a block is not closed".to_string(),
-            }),
+            (None, Some(opened)) => Err(unclosed_block(opened.clone())),
             (None, None) => Ok(directives),
         }
     }
@@ -269,6 +261,11 @@
     }
 }
 
+fn unclosed_block(place: Place) -> SyntaxError {
+    let what = "a block is not closed".to_string();
+    SyntaxError { place, what }
+}
+
 fn unterminated(word: &str, place: Place) -> SyntaxError {
     let what = format!("`{word}` has no ; at its end");
     SyntaxError { place, what }
--- a/crates/solve/src/solution/problem.rs
+++ b/crates/solve/src/solution/problem.rs
@@ -53,7 +53,7 @@
     pub fn new(fleet: &'a Fleet) -> Problem<'a> {
         let mut problem = Problem {
             fleet,
-            work: work_asked(fleet),
+            work: demanded_work(fleet),
             host_classes: Vec::new(),
             class_of_host: Vec::new(),
             sinks: Vec::new(),
@@ -133,7 +133,7 @@
     }
 }
 
-fn work_asked(fleet: &Fleet) -> BTreeMap<ZoneOperation<'_>, f64> {
+fn demanded_work(fleet: &Fleet) -> BTreeMap<ZoneOperation<'_>, f64> {
     let mut work = BTreeMap::new();
     for gateway in &fleet.gateways {
         for (at, operation) in fleet.operations.iter().enumerate() {
--- a/crates/solve/src/solution/report.rs
+++ b/crates/solve/src/solution/report.rs
@@ -34,6 +34,7 @@
 }
 
 impl<'a> Report<'a> {
+    /// Adds up the flows of a problem.
     pub fn new(problem: &'a Problem<'a>, flows: &'a Flows) -> Report<'a> {
         let mut report = Report {
             problem,
@@ -79,6 +80,7 @@
         *self.routes.entry(route).or_insert(0.0) += work / operation.work;
     }
 
+    /// The result as users read it.
     pub fn solution(&self) -> Solution {
         Solution {
             status: if self.flows.cut_short {
--- a/crates/solve/tests/reference.rs
+++ b/crates/solve/tests/reference.rs
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn with_room_for_all_hosts_that_are_alike_are_loaded_alike_and_nothing_crosses() {
+fn with_enough_capacity_equal_hosts_get_equal_loads_and_nothing_crosses_zones() {
     let fleet = fleet(10.0, 10.0);
     let solution = solve(&fleet, &mut || false).expect("it can be solved");
     assert!(solution.gateways.iter().all(|told| told.admitted == 1.0));
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn a_zone_that_is_lost_sends_what_may_cross_and_is_told_of_what_may_not() {
+fn a_zone_without_hosts_sends_what_may_cross_and_names_what_may_not() {
     let mut lost = fleet(20.0, 0.0);
     lost.hosts.truncate(2);
     assert!((admitted(&lost, "g2", "quote") - 1.0).abs() < 1e-9);
@@ -211,7 +211,7 @@
 
 #[test_case(0.0, true; "for nothing the dearer one goes first")]
 #[test_case(1.5, false; "a quote that keeps a connection of 1.5 for a second is worth less than a plan")]
-fn what_keeps_connections_is_worth_less(price: f64, quotes_first: bool) {
+fn an_operation_that_holds_connections_yields_less(price: f64, quotes_first: bool) {
     let fleet = holding(price, 0.0);
     assert_eq!(
         admitted(&fleet, "g1", "plan") < 0.5,
@@ -247,7 +247,7 @@
 }
 
 #[test]
-fn cold_hosts_carry_their_part_and_draining_ones_nothing() {
+fn warming_hosts_carry_their_share_and_draining_hosts_nothing() {
     let mut cold = fleet(30.0, 10.0);
     cold.hosts[0].state = HostState::Cold;
     cold.hosts[3].state = HostState::Draining;
@@ -314,7 +314,7 @@
 }
 
 #[test]
-fn demand_that_doubles_half_the_hosts_cold_and_all_slow_together_are_answered_by_value() {
+fn doubled_demand_with_warming_and_slow_hosts_is_admitted_by_value() {
     let served = |fleet: &Fleet| {
         solve(fleet, &mut || false)
             .expect("it can be solved")
