--- a/crates/drill/src/lib.rs
+++ b/crates/drill/src/lib.rs
@@ -7,6 +7,7 @@
 mod even;
 pub mod gateways;
 pub mod load;
+mod machine;
 mod node;
 mod records;
 mod run;
@@ -16,6 +17,7 @@
 
 pub use audit::{judge, Judged, RuleJudged, Verdict};
 pub use even::Sabotage;
+pub use machine::{cpu_of, free_port, own_port};
 pub use records::{Record, Records};
-pub use run::{cpu_of, free_port, own_port, run, DrillError, Options, Report};
+pub use run::{run, DrillError, Options, Report};
 pub use script::{Script, Trouble, TroubleKind, BUILT_IN};
--- /dev/null
+++ b/crates/drill/src/run/collection.rs
@@ -0,0 +1,90 @@
+//! The end of a drill: everything stops, the records are collected, kept and judged.
+
+use super::{named, Drill, DrillError, Report, TroubleTold};
+use crate::audit::{drained, judge};
+use crate::machine::cpu_of;
+use crate::records::{Record, Records};
+use rustix::process::Signal;
+use std::sync::mpsc::Receiver;
+
+impl Drill<'_> {
+    pub(super) fn finish(mut self, from: Receiver<(f64, Record)>) -> Result<Report, DrillError> {
+        (self.options.progress)("waiting for what is under way");
+        self.clients = None;
+        let mut stopping = Vec::new();
+        for number in 0..self.sides.len() {
+            self.signal(number, Signal::CONT);
+            self.signal(number, Signal::TERM);
+            stopping.extend(self.sides[number].child.take());
+        }
+        for mut child in stopping {
+            self.cpu += cpu_of(child.id());
+            child.wait().map_err(named("a conductor"))?;
+        }
+        let Drill {
+            script,
+            options,
+            nodes,
+            gateways,
+            wires,
+            slowed,
+            directory,
+            recorder,
+            begin,
+            cpu,
+            ..
+        } = self;
+        drop((nodes, gateways, wires));
+        let begin = recorder.at(begin);
+        drop(recorder);
+        let mut records = Records(from.try_iter().collect());
+        records.0.sort_by(|a, b| a.0.total_cmp(&b.0));
+        if options.keep.is_some() {
+            records
+                .keep(&directory.join("records"))
+                .map_err(named("the records"))?;
+        }
+        let verdict = judge(&records, &script, &slowed);
+        let drain_orders_s = drained(&records).into_iter().map(round).collect();
+        let told = records.0.iter().filter_map(|(_, record)| match record {
+            Record::Changed { taken, .. } => Some(*taken),
+            _ => None,
+        });
+        let changes_told = told.fold((0, 0), |(all, took), taken| {
+            (all + 1, took + usize::from(taken))
+        });
+        let trouble = |(t, record): &(f64, Record)| match record {
+            Record::Trouble {
+                kind,
+                injected,
+                span,
+            } => Some(TroubleTold {
+                kind: kind.clone(),
+                at_s: round(t - begin),
+                for_s: round(*span),
+                injected: *injected,
+            }),
+            _ => None,
+        };
+        let swaps = records
+            .0
+            .iter()
+            .filter(|(_, record)| matches!(record, Record::Swapped { .. }))
+            .count();
+        Ok(Report {
+            drill: script.name.clone(),
+            seed: options.seed,
+            baseline: options.even.then(|| "even".to_string()),
+            troubles: records.0.iter().filter_map(trouble).collect(),
+            table_swaps: swaps as u64,
+            conductor_cpu_s: round(cpu),
+            drain_orders_s,
+            changes_told,
+            verdict,
+        })
+    }
+}
+
+fn round(value: f64) -> f64 {
+    (value * 1000.0).round() / 1000.0
+}
--- /dev/null
+++ b/crates/drill/src/run/report.rs
@@ -0,0 +1,132 @@
+//! The report of a drill, as data and as a person reads it.
+
+use crate::audit::Verdict;
+use serde::Serialize;
+use wheelspread::time::Span;
+use wheelspread_controller_core::span_format;
+
+#[derive(Clone, Debug, Serialize)]
+pub struct TroubleTold {
+    pub kind: String,
+    pub at_s: f64,
+    pub for_s: f64,
+    pub injected: bool,
+}
+
+#[derive(Clone, Debug, Serialize)]
+pub struct Report {
+    pub drill: String,
+    pub seed: u64,
+    pub baseline: Option<String>,
+    #[serde(flatten)]
+    pub verdict: Verdict,
+    pub troubles: Vec<TroubleTold>,
+    pub table_swaps: u64,
+    pub conductor_cpu_s: f64,
+    /// From orders to drain to the last try there, by conductor and node.
+    pub drain_orders_s: Vec<f64>,
+    /// Changes and undoes that were told to conductors, and how many took them.
+    pub changes_told: (usize, usize),
+}
+
+impl Report {
+    /// As a person reads it.
+    pub fn table(&self) -> String {
+        let mut out = String::new();
+        let mut line = |text: String| {
+            out.push_str(&text);
+            out.push('\n');
+        };
+        line(format!(
+            "drill {} (seed {}){}",
+            self.drill,
+            self.seed,
+            if self.baseline.is_some() {
+                ", even weights"
+            } else {
+                ""
+            }
+        ));
+        line(format!(
+            "{:<44}{:>10}{:>10}{:>10}{:>12}  at",
+            "rule", "checked", "broken", "worst", "allowed"
+        ));
+        let names = [
+            "1 no gateway without a node (s)",
+            "2 no effect twice (effects of one invocation)",
+            "3 nothing sent to a node that leaves (s)",
+            "4 no cold node pushed over (x its capacity)",
+            "5 short channel (lines, messages)",
+        ];
+        for (rule, name) in self.verdict.rules.iter().zip(names) {
+            let worst = &rule.worst;
+            line(format!(
+                "{name:<44}{:>10}{:>10}{:>10.2}{:>12.2}  {:.1} s {}",
+                rule.checked, rule.broken, worst.value, worst.allowed, worst.at_s, worst.who
+            ));
+        }
+        let count = &self.verdict.invocations;
+        line(format!(
+            "invocations: {} offered, {} succeeded, {} late, {} rate-limited, {} errored",
+            count.offered, count.succeeded, count.late, count.rate_limited, count.errored
+        ));
+        let each: Vec<String> = self
+            .verdict
+            .service_by_operation
+            .iter()
+            .map(|(name, part)| format!("{name} {part:.3}"))
+            .collect();
+        line(format!(
+            "service: {:.3} ({})",
+            self.verdict.service,
+            each.join(", ")
+        ));
+        line(format!(
+            "effects twice: {}; tables half read: {}; repeats: {:.1}% of first tries; tables swapped: {}",
+            self.verdict.effects_twice,
+            self.verdict.half_read_tables,
+            self.verdict.repeats * 100.0,
+            self.table_swaps
+        ));
+        let troubles: Vec<String> = self
+            .troubles
+            .iter()
+            .map(|told| {
+                format!(
+                    "{} {:.0} s{}",
+                    told.kind,
+                    told.at_s,
+                    if told.injected { "" } else { " (not injected)" }
+                )
+            })
+            .collect();
+        line(format!("troubles: {}", troubles.join(", ")));
+        let seconds = |span: f64| span_format::write(Span::from_seconds(span));
+        if let (Some(middle), Some(last)) = (
+            self.drain_orders_s.get(self.drain_orders_s.len() / 2),
+            self.drain_orders_s.last(),
+        ) {
+            line(format!(
+                "drains by order: {} by conductor and node, last try after {middle:.2} s in the middle, {last:.2} s at most",
+                self.drain_orders_s.len()
+            ));
+        }
+        if self.changes_told.0 > 0 {
+            let (told, took) = self.changes_told;
+            line(format!("changes and undoes told: {told}, taken: {took}"));
+        }
+        line(format!(
+            "CPU of conductors: {}",
+            seconds((self.conductor_cpu_s * 1000.0).round() / 1000.0)
+        ));
+        line(
+            (if self.verdict.kept() {
+                "all rules held"
+            } else {
+                "A RULE WAS BROKEN"
+            })
+            .to_string(),
+        );
+        out
+    }
+}
