--- /dev/null
+++ b/crates/drill/src/audit/drained_node.rs
@@ -0,0 +1,130 @@
+//! Rule 3: nothing is sent to a node that drains or is gone; and how long drains by order took.
+
+use super::joined::Joined;
+use super::verdict::RuleJudged;
+use super::Slowed;
+use crate::records::{Record, Records};
+use std::collections::{BTreeMap, BTreeSet};
+use wheelspread_controller_core::deployment::Deployment;
+
+/// Rule 3: how long after its conductor was told that a node drains or is gone a joined gateway sent there.
+pub(super) fn third(records: &Records, plan: &Deployment, slowed: &[Slowed]) -> RuleJudged {
+    let mut judged = RuleJudged::new(3);
+    let grace = plan.rules.drain_grace.seconds();
+    let mut joined = Joined::default();
+    let mut closed: BTreeMap<(usize, String), f64> = BTreeMap::new();
+    let mut known: BTreeMap<usize, BTreeSet<String>> = BTreeMap::new();
+    let mut ordered: BTreeMap<(usize, String), f64> = BTreeMap::new();
+    for (t, record) in &records.0 {
+        joined.follow(*t, record);
+        match record {
+            // An order is kept over kills.
+            Record::Ordered {
+                conductor,
+                node,
+                out: true,
+                ..
+            } => {
+                ordered.entry((*conductor, node.clone())).or_insert(*t);
+            }
+            Record::Ordered {
+                conductor,
+                node,
+                out: false,
+                ..
+            } => {
+                ordered.remove(&(*conductor, node.clone()));
+            }
+            Record::Listed {
+                conductor, nodes, ..
+            } => {
+                let known = known.entry(*conductor).or_default();
+                known.extend(nodes.keys().cloned());
+                for node in known.iter() {
+                    let key = (*conductor, node.clone());
+                    match nodes.get(node).is_some_and(|listed| !listed.draining) {
+                        true => drop(closed.remove(&key)),
+                        false => drop(closed.entry(key).or_insert(*t)),
+                    }
+                }
+            }
+            Record::Sent { gateway, node, .. } => {
+                let Some((conductor, since)) = joined.0.get(gateway) else {
+                    continue;
+                };
+                let key = (*conductor, node.clone());
+                let told = [closed.get(&key), ordered.get(&key)]
+                    .into_iter()
+                    .flatten()
+                    .copied();
+                let Some(told) = told.reduce(f64::min) else {
+                    judged.checked += 1;
+                    continue;
+                };
+                let from = told.max(*since);
+                let stretch = slowed
+                    .iter()
+                    .filter(|slow| from <= slow.to && *t >= slow.from);
+                let factor = stretch.map(|slow| slow.factor).fold(1.0, f64::max);
+                judged.look(t - from, grace * factor, *t, || {
+                    format!("gateway {gateway} to {node}")
+                });
+            }
+            _ => {}
+        }
+    }
+    judged
+}
+
+/// Seconds from an order to drain until the last try of a gateway that was joined to the conductor which took
+/// it, one figure for each conductor and node; 0: none came after it.
+pub fn drained(records: &Records) -> Vec<f64> {
+    // The answer to an order comes after the order was given: tries between the two count.
+    let mut spans: BTreeMap<(usize, String), Vec<(f64, f64)>> = BTreeMap::new();
+    for (t, record) in &records.0 {
+        let Record::Ordered {
+            conductor,
+            node,
+            out,
+            asked,
+        } = record
+        else {
+            continue;
+        };
+        let spans = spans.entry((*conductor, node.clone())).or_default();
+        match (out, spans.last_mut()) {
+            // Ordered again while it is in force, it goes on.
+            (true, Some((_, end))) if end.is_infinite() => {}
+            (true, _) => spans.push((*asked, f64::INFINITY)),
+            (false, Some(last)) => last.1 = last.1.min(*t),
+            (false, None) => {}
+        }
+    }
+    let mut joined = Joined::default();
+    let mut last: BTreeMap<(usize, String, usize), f64> = BTreeMap::new();
+    for (t, record) in &records.0 {
+        joined.follow(*t, record);
+        let Record::Sent { gateway, node, .. } = record else {
+            continue;
+        };
+        let Some((conductor, _)) = joined.0.get(gateway) else {
+            continue;
+        };
+        let key = (*conductor, node.clone());
+        let within = |span: &(f64, f64)| *t >= span.0 && *t < span.1;
+        if let Some(number) = spans
+            .get(&key)
+            .and_then(|spans| spans.iter().position(within))
+        {
+            last.insert((key.0, key.1.clone(), number), t - spans[&key][number].0);
+        }
+    }
+    let each = spans
+        .iter()
+        .flat_map(|(key, spans)| (0..spans.len()).map(|n| (key.0, key.1.clone(), n)));
+    let mut done: Vec<f64> = each
+        .map(|key| last.get(&key).copied().unwrap_or(0.0))
+        .collect();
+    done.sort_by(f64::total_cmp);
+    done
+}
--- /dev/null
+++ b/crates/drill/src/audit/joined.rs
@@ -0,0 +1,18 @@
+//! Which controller each proxy is joined to, as the records show it.
+
+use crate::records::Record;
+use std::collections::BTreeMap;
+
+/// Which conductor each gateway is joined to at the moment, and since when.
+#[derive(Default)]
+pub(super) struct Joined(pub(super) BTreeMap<usize, (usize, f64)>);
+
+impl Joined {
+    pub(super) fn follow(&mut self, t: f64, record: &Record) {
+        match record {
+            Record::Joined { gateway, conductor } => drop(self.0.insert(*gateway, (*conductor, t))),
+            Record::Left { gateway } | Record::Died { gateway } => drop(self.0.remove(gateway)),
+            _ => {}
+        }
+    }
+}
--- /dev/null
+++ b/crates/drill/src/audit/repeated_effects.rs
@@ -0,0 +1,32 @@
+//! Rule 2: no invocation takes effect twice through a retry.
+
+use super::verdict::RuleJudged;
+use crate::records::{Record, Records};
+use std::collections::{BTreeMap, BTreeSet};
+use wheelspread_controller_core::deployment::{Deployment, Repeat};
+
+/// Rule 2: effects that a gateway's repeats brought about twice.
+pub(super) fn second(records: &Records, plan: &Deployment) -> (u64, RuleJudged) {
+    let mut judged = RuleJudged::new(2);
+    let mut effects: BTreeMap<&str, u64> = BTreeMap::new();
+    let binding: BTreeSet<&str> = plan
+        .operations
+        .iter()
+        .filter(|operation| operation.repeat != Repeat::Idempotent)
+        .map(|operation| operation.name.as_str())
+        .collect();
+    for (t, record) in &records.0 {
+        let Record::Effect { id, operation, .. } = record else {
+            continue;
+        };
+        if binding.contains(operation.as_str()) && !id.is_empty() {
+            let count = effects.entry(id).or_insert(0);
+            *count += 1;
+            judged.look(*count as f64, 1.0, *t, || format!("{operation} {id}"));
+        }
+    }
+    (
+        effects.values().filter(|count| **count > 1).count() as u64,
+        judged,
+    )
+}
--- /dev/null
+++ b/crates/drill/src/audit/service.rs
@@ -0,0 +1,51 @@
+//! The service that clients got: billed value won over the value asked for.
+
+use super::verdict::Invocations;
+use crate::records::{ClientOutcome, Record, Records};
+use std::collections::BTreeMap;
+use wheelspread_controller_core::deployment::Deployment;
+
+pub(super) fn service(
+    records: &Records,
+    plan: &Deployment,
+) -> (Invocations, f64, BTreeMap<String, f64>) {
+    let mut count = Invocations::default();
+    let mut sums: BTreeMap<String, (f64, f64)> = BTreeMap::new();
+    for (_, record) in &records.0 {
+        let Record::Done {
+            operation,
+            latency,
+            outcome,
+            ..
+        } = record
+        else {
+            continue;
+        };
+        let Some(told) = plan.operations.iter().find(|told| told.name == *operation) else {
+            continue;
+        };
+        count.offered += 1;
+        let sum = sums.entry(operation.clone()).or_insert((0.0, 0.0));
+        sum.1 += told.billed_value;
+        match outcome {
+            ClientOutcome::Succeeded if *latency <= told.latency_objective.seconds() => {
+                count.succeeded += 1;
+                sum.0 += told.billed_value;
+            }
+            ClientOutcome::Succeeded => {
+                count.late += 1;
+                sum.0 += told.billed_value * told.late_share;
+            }
+            ClientOutcome::RateLimited => count.rate_limited += 1,
+            ClientOutcome::Errored | ClientOutcome::GivenUp => count.errored += 1,
+        }
+    }
+    let (won, asked) = sums
+        .values()
+        .fold((0.0, 0.0), |all, one| (all.0 + one.0, all.1 + one.1));
+    let each = sums
+        .iter()
+        .map(|(name, (won, asked))| (name.clone(), won / asked.max(1e-9)))
+        .collect();
+    (count, won / f64::max(asked, 1e-9), each)
+}
