--- a/crates/drill/src/clients.rs
+++ b/crates/drill/src/clients.rs
@@ -4,17 +4,16 @@
 use crate::node::gateway_address;
 use crate::records::{ClientOutcome, Record, Recorder};
 use crate::script::Script;
+use crate::worker::{Inbox, Worker, WorkerCommand, INBOX};
 use slab::Slab;
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
-use std::sync::mpsc::{channel, Receiver, Sender};
-use std::thread::JoinHandle;
 use wheelspread::pcg::Pcg;
 use wheelspread::time::{Moment, Span};
 use wheelspread_controller_core::deployment::Repeat;
 use wheelspread_http1::{response, Body};
-use wheelspread_reactor::{self as reactor, Interest, Poll, Token, Waker};
+use wheelspread_reactor::{self as reactor, Interest, Poll, Token};
 
 pub enum ClientOrder {
     /// Times the usual rate, of all gateways or of some.
@@ -31,13 +30,13 @@
     Finish,
 }
 
-pub struct Clients {
-    pub orders: Sender<ClientOrder>,
-    waker: Waker,
-    thread: Option<JoinHandle<()>>,
+impl WorkerCommand for ClientOrder {
+    const STOP: ClientOrder = ClientOrder::Finish;
 }
 
-const WAKER: Token = Token(u64::MAX);
+pub struct Clients {
+    worker: Worker<ClientOrder>,
+}
 
 impl Clients {
     pub fn start(
@@ -47,53 +46,37 @@
         recorder: Recorder,
         seed: u64,
     ) -> std::io::Result<Clients> {
-        let poll = Poll::new()?;
-        let waker = Waker::new(&poll, WAKER)?;
-        let (orders, from) = channel();
-        let mut crowd = Crowd {
-            script: script.clone(),
-            recorder,
-            chance: Pcg::new(seed),
-            poll,
-            waker: waker.clone(),
-            orders: from,
-            gateways: rates
-                .iter()
-                .zip(addresses)
-                .map(|(rate, at)| Gateway {
-                    at,
-                    usual: *rate,
-                    factor: 1.0,
-                })
-                .collect(),
-            asked: Slab::new(),
-            idle: BTreeMap::new(),
-            due: BTreeMap::new(),
-            next: 0,
-            finishing: false,
-        };
-        let thread = std::thread::Builder::new()
-            .name("clients".to_string())
-            .spawn(move || crowd.run())?;
-        Ok(Clients {
-            orders,
-            waker,
-            thread: Some(thread),
-        })
+        let script = script.clone();
+        let gateways = rates
+            .iter()
+            .zip(addresses)
+            .map(|(rate, at)| Gateway {
+                at,
+                usual: *rate,
+                factor: 1.0,
+            })
+            .collect();
+        let worker = Worker::spawn("clients", Poll::new()?, move |poll, inbox| {
+            let mut crowd = Crowd {
+                script,
+                recorder,
+                chance: Pcg::new(seed),
+                poll,
+                inbox,
+                gateways,
+                asked: Slab::new(),
+                idle: BTreeMap::new(),
+                due: BTreeMap::new(),
+                next: 0,
+                finishing: false,
+            };
+            crowd.run();
+        })?;
+        Ok(Clients { worker })
     }
 
     pub fn order(&self, order: ClientOrder) {
-        let _ = self.orders.send(order);
-        self.waker.wake();
-    }
-}
-
-impl Drop for Clients {
-    fn drop(&mut self) {
-        self.order(ClientOrder::Finish);
-        if let Some(thread) = self.thread.take() {
-            let _ = thread.join();
-        }
+        self.worker.send(order);
     }
 }
 
@@ -133,8 +116,7 @@
     recorder: Recorder,
     chance: Pcg,
     poll: Poll,
-    waker: Waker,
-    orders: Receiver<ClientOrder>,
+    inbox: Inbox<ClientOrder>,
     gateways: Vec<Gateway>,
     asked: Slab<Asked>,
     idle: BTreeMap<usize, Vec<usize>>,
@@ -171,9 +153,8 @@
             }
             let now = reactor::now();
             for ready in ready.drain(..) {
-                if ready.token == WAKER {
-                    self.waker.rest();
-                    while let Ok(order) = self.orders.try_recv() {
+                if ready.token == INBOX {
+                    for order in self.inbox.take() {
                         self.obey(order);
                     }
                 } else {
--- a/crates/drill/src/gateways.rs
+++ b/crates/drill/src/gateways.rs
@@ -3,12 +3,12 @@
 use crate::node::gateway_address;
 use crate::records::{Lines, Record, Recorder};
 use crate::script::Script;
+use crate::worker::{Inbox, Worker, WorkerCommand, INBOX};
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::path::PathBuf;
-use std::sync::mpsc::{channel, Receiver, Sender};
+use std::sync::mpsc::{channel, Sender};
 use std::sync::{Arc, Mutex};
-use std::thread::JoinHandle;
 use wheelspread::ids::NodeId;
 use wheelspread::time::{Moment, Span};
 use wheelspread_controller_core::deployment::Repeat;
@@ -22,7 +22,7 @@
     CoreConfig, EjectionPolicy, Failure, OperationRules, RetryBudgetConfig, RetrySafety,
     SelectionPolicy,
 };
-use wheelspread_reactor::{self as reactor, Poll, Token, Waker};
+use wheelspread_reactor::{self as reactor, Poll};
 
 pub enum GatewayOrder {
     Die(usize),
@@ -31,36 +31,26 @@
     End,
 }
 
+impl WorkerCommand for GatewayOrder {
+    const STOP: GatewayOrder = GatewayOrder::End;
+}
+
 /// Gateways that hold tables.
 type Holding = Arc<Mutex<BTreeSet<usize>>>;
 
 pub struct Gateways {
     holding: Holding,
-    orders: Sender<GatewayOrder>,
-    waker: Waker,
-    thread: Option<JoinHandle<()>>,
+    worker: Worker<GatewayOrder>,
 }
 
-const WAKER: Token = Token(u64::MAX);
-
 impl Gateways {
     pub fn start(recorder: Recorder, joined_always: bool) -> std::io::Result<Gateways> {
-        let poll = Poll::new()?;
-        let waker = Waker::new(&poll, WAKER)?;
-        let (orders, from) = channel();
-        let rest = waker.clone();
         let holding = Holding::default();
         let held = holding.clone();
-        let run = move || run(poll, rest, from, recorder, joined_always, held);
-        let thread = std::thread::Builder::new()
-            .name("gateways".to_string())
-            .spawn(run)?;
-        Ok(Gateways {
-            holding,
-            orders,
-            waker,
-            thread: Some(thread),
-        })
+        let worker = Worker::spawn("gateways", Poll::new()?, move |poll, inbox| {
+            run(poll, inbox, recorder, joined_always, held);
+        })?;
+        Ok(Gateways { holding, worker })
     }
 
     /// Whether a gateway ever held tables.
@@ -71,8 +61,7 @@
     }
 
     pub fn order(&self, order: GatewayOrder) {
-        let _ = self.orders.send(order);
-        self.waker.wake();
+        self.worker.send(order);
     }
 
     pub fn add(&self, plan: ProxyConfig, number: usize) -> Option<SocketAddr> {
@@ -82,19 +71,9 @@
     }
 }
 
-impl Drop for Gateways {
-    fn drop(&mut self) {
-        self.order(GatewayOrder::End);
-        if let Some(thread) = self.thread.take() {
-            let _ = thread.join();
-        }
-    }
-}
-
 fn run(
     mut poll: Poll,
-    waker: Waker,
-    orders: Receiver<GatewayOrder>,
+    inbox: Inbox<GatewayOrder>,
     recorder: Recorder,
     joined_always: bool,
     holding: Holding,
@@ -113,7 +92,7 @@
         }
         let now = reactor::now();
         for ready in ready.drain(..) {
-            if ready.token != WAKER {
+            if ready.token != INBOX {
                 let number = (ready.token.0 >> 32) as usize;
                 if let Some(proxy) = proxies.get_mut(number).and_then(Option::as_mut) {
                     // A watch that fails shows as tables that are never taken.
@@ -121,8 +100,7 @@
                 }
                 continue;
             }
-            waker.rest();
-            while let Ok(order) = orders.try_recv() {
+            for order in inbox.take() {
                 match order {
                     GatewayOrder::End => return,
                     GatewayOrder::Die(gateway) => {
--- a/crates/drill/src/lib.rs
+++ b/crates/drill/src/lib.rs
@@ -14,6 +14,7 @@
 mod script;
 mod watch;
 mod wire;
+mod worker;
 
 pub use audit::{judge, Judged, RuleJudged, Verdict};
 pub use even::Sabotage;
--- a/crates/drill/src/node.rs
+++ b/crates/drill/src/node.rs
@@ -2,17 +2,17 @@
 //! everything that can go wrong with them or on the way to them.
 
 use crate::records::{Record, Recorder};
+use crate::worker::{Inbox, Worker, WorkerCommand, INBOX};
 use slab::Slab;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, SocketAddrV4, TcpListener, TcpStream};
-use std::sync::mpsc::{channel, Receiver, Sender};
-use std::thread::JoinHandle;
+use std::sync::mpsc::{channel, Sender};
 use wheelspread::pcg::Pcg;
 use wheelspread::time::{Moment, Span};
 use wheelspread_controller_core::deployment::{Deployment, Repeat};
 use wheelspread_http1::{request, Body};
-use wheelspread_reactor::{self as reactor, Interest, Poll, Readiness, Token, Waker};
+use wheelspread_reactor::{self as reactor, Interest, Poll, Readiness, Token};
 use wheelspread_xds::orca;
 
 #[derive(Clone, Debug)]
@@ -57,31 +57,24 @@
     End,
 }
 
+impl WorkerCommand for NodeOrder {
+    const STOP: NodeOrder = NodeOrder::End;
+}
+
 pub struct Nodes {
-    orders: Sender<NodeOrder>,
-    waker: Waker,
-    thread: Option<JoinHandle<()>>,
+    worker: Worker<NodeOrder>,
 }
 
 impl Nodes {
     pub fn start(plan: Deployment, recorder: Recorder, seed: u64) -> std::io::Result<Nodes> {
-        let poll = Poll::new()?;
-        let waker = Waker::new(&poll, WAKER)?;
-        let (orders, from) = channel();
-        let world = World::new(plan, recorder, seed, poll, waker.clone(), from);
-        let thread = std::thread::Builder::new()
-            .name("nodes".to_string())
-            .spawn(move || world.run())?;
-        Ok(Nodes {
-            orders,
-            waker,
-            thread: Some(thread),
-        })
+        let worker = Worker::spawn("nodes", Poll::new()?, move |poll, inbox| {
+            World::new(plan, recorder, seed, poll, inbox).run();
+        })?;
+        Ok(Nodes { worker })
     }
 
     pub fn order(&self, order: NodeOrder) {
-        let _ = self.orders.send(order);
-        self.waker.wake();
+        self.worker.send(order);
     }
 
     pub fn add(&self, spec: NodeSpec) -> Option<(NodeKey, SocketAddrV4)> {
@@ -91,15 +84,6 @@
     }
 }
 
-impl Drop for Nodes {
-    fn drop(&mut self) {
-        self.order(NodeOrder::End);
-        if let Some(thread) = self.thread.take() {
-            let _ = thread.join();
-        }
-    }
-}
-
 /// Gateways call from addresses of their own, which tell zone and number.
 pub fn gateway_address(zone: usize, gateway: usize) -> Ipv4Addr {
     Ipv4Addr::new(
@@ -123,7 +107,6 @@
     }
 }
 
-const WAKER: Token = Token(u64::MAX);
 /// How far back utilization looks.
 const UTILIZATION: f64 = 0.5;
 
@@ -183,8 +166,7 @@
     recorder: Recorder,
     chance: Pcg,
     poll: Poll,
-    waker: Waker,
-    orders: Receiver<NodeOrder>,
+    inbox: Inbox<NodeOrder>,
     nodes: Vec<Node>,
     due: BTreeMap<(Moment, u64), Due>,
     next: u64,
@@ -202,16 +184,14 @@
         recorder: Recorder,
         seed: u64,
         poll: Poll,
-        waker: Waker,
-        orders: Receiver<NodeOrder>,
+        inbox: Inbox<NodeOrder>,
     ) -> World {
         World {
             plan,
             recorder,
             chance: Pcg::new(seed),
             poll,
-            waker,
-            orders,
+            inbox,
             nodes: Vec::new(),
             due: BTreeMap::new(),
             next: 0,
@@ -240,9 +220,8 @@
             }
             let now = reactor::now();
             for ready in ready.drain(..) {
-                if ready.token == WAKER {
-                    self.waker.rest();
-                    while let Ok(order) = self.orders.try_recv() {
+                if ready.token == INBOX {
+                    for order in self.inbox.take() {
                         if matches!(order, NodeOrder::End) {
                             return;
                         }
--- /dev/null
+++ b/crates/drill/src/script/tests.rs
@@ -0,0 +1,30 @@
+//! Scripts and days of the operators' bench.
+
+use super::*;
+
+#[test]
+fn the_built_in_day_is_fine_and_a_day_of_the_bench_is_scaled_to_it() {
+    let script = Script::parse(BUILT_IN).expect("it is fine");
+    let day = r#"{"length": 100000000, "servers": [1,2,3,4], "troubles": [
+        {"kind": "vanish", "at": 50000000, "len": 10000000, "on": [2], "size": 0},
+        {"kind": "meteor", "at": 1, "len": 1}]}"#;
+    let length = script.length.seconds();
+    let (script, unknown) = script.with_day(day).expect("it is a day");
+    assert_eq!(
+        (unknown, script.troubles.len()),
+        (vec!["meteor".to_string()], 1)
+    );
+    let trouble = &script.troubles[0];
+    assert_eq!((trouble.kind, trouble.part), (TroubleKind::Vanish, 0.25));
+    assert!((trouble.at.seconds() - length / 2.0).abs() < 1e-6);
+}
+
+#[test]
+fn a_script_that_cannot_be_is_named() {
+    let wrong = BUILT_IN
+        .replace("gateways: ", "gateways: 9")
+        .replace("kind: deploy", "kind: earthquake");
+    assert!(Script::parse(&wrong).is_err_and(|error| error.contains("earthquake")));
+    let wrong = BUILT_IN.replace("rate: ", "rate: -");
+    assert!(Script::parse(&wrong).is_err_and(|error| error.contains("traffic: rate")));
+}
--- a/crates/drill/src/wire.rs
+++ b/crates/drill/src/wire.rs
@@ -2,14 +2,13 @@
 //! goes up late, or let nobody through.
 
 use crate::node::gateway_of;
+use crate::worker::{Inbox, Worker, WorkerCommand, INBOX};
 use slab::Slab;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, TcpListener, TcpStream};
-use std::sync::mpsc::{channel, Receiver, Sender};
-use std::thread::JoinHandle;
 use wheelspread::time::{Moment, Span};
-use wheelspread_reactor::{self as reactor, Interest, Poll, Token, Waker};
+use wheelspread_reactor::{self as reactor, Interest, Poll, Token};
 
 pub enum WireOrder {
     /// Breaks the streams of these gateways.
@@ -23,21 +22,21 @@
     End,
 }
 
+impl WorkerCommand for WireOrder {
+    const STOP: WireOrder = WireOrder::End;
+}
+
 pub struct Wires {
     pub ports: Vec<SocketAddrV4>,
-    orders: Sender<WireOrder>,
-    waker: Waker,
-    thread: Option<JoinHandle<()>>,
+    worker: Worker<WireOrder>,
 }
 
-const WAKER: Token = Token(u64::MAX);
 const LISTENERS: u64 = 1 << 40;
 
 impl Wires {
     /// A port for each conductor that is passed on to where that one listens.
     pub fn start(conductors: Vec<SocketAddrV4>) -> std::io::Result<Wires> {
         let poll = Poll::new()?;
-        let waker = Waker::new(&poll, WAKER)?;
         let (mut listeners, mut ports) = (Vec::new(), Vec::new());
         for (number, to) in conductors.iter().enumerate() {
             let listener = reactor::listen(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0))?;
@@ -51,40 +50,23 @@
             }
             listeners.push((listener, *to));
         }
-        let (orders, from) = channel();
-        let mut relay = Relay {
-            poll,
-            waker: waker.clone(),
-            orders: from,
-            listeners,
-            streams: Slab::new(),
-            refused: BTreeSet::new(),
-            held: BTreeSet::new(),
-            late: Span::ZERO,
-        };
-        let thread = std::thread::Builder::new()
-            .name("wires".to_string())
-            .spawn(move || relay.run())?;
-        Ok(Wires {
-            ports,
-            orders,
-            waker,
-            thread: Some(thread),
-        })
+        let worker = Worker::spawn("wires", poll, move |poll, inbox| {
+            let mut relay = Relay {
+                poll,
+                inbox,
+                listeners,
+                streams: Slab::new(),
+                refused: BTreeSet::new(),
+                held: BTreeSet::new(),
+                late: Span::ZERO,
+            };
+            relay.run();
+        })?;
+        Ok(Wires { ports, worker })
     }
 
     pub fn order(&self, order: WireOrder) {
-        let _ = self.orders.send(order);
-        self.waker.wake();
-    }
-}
-
-impl Drop for Wires {
-    fn drop(&mut self) {
-        self.order(WireOrder::End);
-        if let Some(thread) = self.thread.take() {
-            let _ = thread.join();
-        }
+        self.worker.send(order);
     }
 }
 
@@ -98,8 +80,7 @@
 
 struct Relay {
     poll: Poll,
-    waker: Waker,
-    orders: Receiver<WireOrder>,
+    inbox: Inbox<WireOrder>,
     listeners: Vec<(TcpListener, SocketAddrV4)>,
     streams: Slab<Stream>,
     refused: BTreeSet<usize>,
@@ -133,9 +114,8 @@
                 .collect();
             for ready in ready.drain(..) {
                 match ready.token {
-                    WAKER => {
-                        self.waker.rest();
-                        while let Ok(order) = self.orders.try_recv() {
+                    INBOX => {
+                        for order in self.inbox.take() {
                             if matches!(order, WireOrder::End) {
                                 return;
                             }
