--- a/crates/cli/src/measure/conductor.rs
+++ b/crates/cli/src/measure/conductor.rs
@@ -14,7 +14,7 @@
     LoadReport, Metric, NodeReport, OperationReport, LATENCY, UTILIZATION,
 };
 use wheelspread_controller_core::membership::Introduction;
-use wheelspread_drill::{cpu_of, gateways::name, DrillError};
+use wheelspread_drill::{cpu_of, proxies::proxy_name, DrillError};
 use wheelspread_files::{read_tables, CURRENT};
 use wheelspread_grpc::{ClientConnection, ClientEvent, Limits};
 use wheelspread_reactor::{self as reactor, Interest, Moved, Poll, Token, Watcher};
@@ -148,7 +148,7 @@
         let mut watcher = Watcher::new(&poll, WATCHER).map_err(io("inotify"))?;
         let mut places: BTreeMap<PathBuf, usize> = BTreeMap::new();
         for proxy in 0..proxies {
-            let gateway = root.gateway(&name(proxy));
+            let gateway = root.gateway(&proxy_name(proxy));
             std::fs::create_dir_all(&gateway).map_err(io("a directory"))?;
             watcher.add(&gateway).map_err(io("a watch"))?;
             places.insert(gateway, proxy);
@@ -215,7 +215,7 @@
             let mut connection =
                 ClientConnection::new(begin, socket, loads::METHOD, Limits::default());
             let who = Introduction {
-                name: name(proxy),
+                name: proxy_name(proxy),
                 zone: ZONES[proxy % 3].to_string(),
                 usual_rate: None,
             };
@@ -239,7 +239,7 @@
             return Err(DrillError::NotReady(text));
         }
         for zone in 0..3.min(proxies) {
-            let held = read_tables(&self.bench.root().gateway(&name(zone)))
+            let held = read_tables(&self.bench.root().gateway(&proxy_name(zone)))
                 .ok()
                 .flatten();
             let lines: Option<Vec<NodeId>> = held.map(|held| {
--- a/crates/cli/tests/drills.rs
+++ b/crates/cli/tests/drills.rs
@@ -32,7 +32,7 @@
         report.table()
     );
     assert!(report.verdict.service > 0.9, "{}", report.table());
-    assert_eq!(report.troubles.len(), 4);
+    assert_eq!(report.faults.len(), 4);
 }
 
 #[test]
--- a/crates/drill/src/audit.rs
+++ b/crates/drill/src/audit.rs
@@ -22,7 +22,7 @@
 use crate::script::Script;
 use std::collections::BTreeMap;
 
-/// How long each rule's limit is stretched while a conductor's channel is slowed, as it is told the limit
+/// How long each rule's limit is stretched while a controller's channel is slowed, as it is told the limit
 /// for its usual pace.
 pub struct Slowed {
     pub from: f64,
@@ -70,25 +70,25 @@
     }
 }
 
-/// Tables that a gateway held under a name by which another held something else.
+/// Tables that a proxy held under a name by which another held something else.
 fn misnamed(records: &Records) -> u64 {
     let mut names: BTreeMap<(usize, u64), &str> = BTreeMap::new();
     let (mut joined, mut misnamed) = (Joined::default(), 0);
     for (t, record) in &records.0 {
         joined.follow(*t, record);
         if let Record::Tables {
-            gateway,
-            conductor,
+            proxy,
+            controller,
             version,
             hash,
             ..
         } = record
         {
-            // Before it joined a gateway goes by what lies there, of whichever conductor.
-            if joined.0.get(gateway).is_none_or(|(to, _)| to != conductor) {
+            // Before it joined a proxy goes by what lies there, of whichever controller.
+            if joined.0.get(proxy).is_none_or(|(to, _)| to != controller) {
                 continue;
             }
-            misnamed += u64::from(*names.entry((*conductor, *version)).or_insert(hash) != hash);
+            misnamed += u64::from(*names.entry((*controller, *version)).or_insert(hash) != hash);
         }
     }
     misnamed
--- a/crates/drill/src/audit/drained_node.rs
+++ b/crates/drill/src/audit/drained_node.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use wheelspread_controller_core::deployment::Deployment;
 
-/// Rule 3: how long after its conductor was told that a node drains or is gone a joined gateway sent there.
+/// Rule 3: how long after its controller was told that a node drains or is gone a joined proxy sent there.
 pub(super) fn third(records: &Records, plan: &Deployment, slowed: &[Slowed]) -> RuleJudged {
     let mut judged = RuleJudged::new(3);
     let grace = plan.rules.drain_grace.seconds();
@@ -20,39 +20,39 @@
         match record {
             // An order is kept over kills.
             Record::Ordered {
-                conductor,
+                controller,
                 node,
                 out: true,
                 ..
             } => {
-                ordered.entry((*conductor, node.clone())).or_insert(*t);
+                ordered.entry((*controller, node.clone())).or_insert(*t);
             }
             Record::Ordered {
-                conductor,
+                controller,
                 node,
                 out: false,
                 ..
             } => {
-                ordered.remove(&(*conductor, node.clone()));
+                ordered.remove(&(*controller, node.clone()));
             }
             Record::Listed {
-                conductor, nodes, ..
+                controller, nodes, ..
             } => {
-                let known = known.entry(*conductor).or_default();
+                let known = known.entry(*controller).or_default();
                 known.extend(nodes.keys().cloned());
                 for node in known.iter() {
-                    let key = (*conductor, node.clone());
+                    let key = (*controller, node.clone());
                     match nodes.get(node).is_some_and(|listed| !listed.draining) {
                         true => drop(closed.remove(&key)),
                         false => drop(closed.entry(key).or_insert(*t)),
                     }
                 }
             }
-            Record::Sent { gateway, node, .. } => {
-                let Some((conductor, since)) = joined.0.get(gateway) else {
+            Record::Sent { proxy, node, .. } => {
+                let Some((controller, since)) = joined.0.get(proxy) else {
                     continue;
                 };
-                let key = (*conductor, node.clone());
+                let key = (*controller, node.clone());
                 let told = [closed.get(&key), ordered.get(&key)]
                     .into_iter()
                     .flatten()
@@ -67,7 +67,7 @@
                     .filter(|slow| from <= slow.to && *t >= slow.from);
                 let factor = stretch.map(|slow| slow.factor).fold(1.0, f64::max);
                 judged.look(t - from, grace * factor, *t, || {
-                    format!("gateway {gateway} to {node}")
+                    format!("gateway {proxy} to {node}")
                 });
             }
             _ => {}
@@ -76,14 +76,14 @@
     judged
 }
 
-/// Seconds from an order to drain until the last try of a gateway that was joined to the conductor which took
-/// it, one figure for each conductor and node; 0: none came after it.
+/// Seconds from an order to drain until the last try of a proxy that was joined to the controller which took
+/// it, one figure for each controller and node; 0: none came after it.
 pub fn drained(records: &Records) -> Vec<f64> {
     // The answer to an order comes after the order was given: tries between the two count.
     let mut spans: BTreeMap<(usize, String), Vec<(f64, f64)>> = BTreeMap::new();
     for (t, record) in &records.0 {
         let Record::Ordered {
-            conductor,
+            controller,
             node,
             out,
             asked,
@@ -91,7 +91,7 @@
         else {
             continue;
         };
-        let spans = spans.entry((*conductor, node.clone())).or_default();
+        let spans = spans.entry((*controller, node.clone())).or_default();
         match (out, spans.last_mut()) {
             // Ordered again while it is in force, it goes on.
             (true, Some((_, end))) if end.is_infinite() => {}
@@ -104,13 +104,13 @@
     let mut last: BTreeMap<(usize, String, usize), f64> = BTreeMap::new();
     for (t, record) in &records.0 {
         joined.follow(*t, record);
-        let Record::Sent { gateway, node, .. } = record else {
+        let Record::Sent { proxy, node, .. } = record else {
             continue;
         };
-        let Some((conductor, _)) = joined.0.get(gateway) else {
+        let Some((controller, _)) = joined.0.get(proxy) else {
             continue;
         };
-        let key = (*conductor, node.clone());
+        let key = (*controller, node.clone());
         let within = |span: &(f64, f64)| *t >= span.0 && *t < span.1;
         if let Some(number) = spans
             .get(&key)
--- a/crates/drill/src/audit/joined.rs
+++ b/crates/drill/src/audit/joined.rs
@@ -3,15 +3,15 @@
 use crate::records::Record;
 use std::collections::BTreeMap;
 
-/// Which conductor each gateway is joined to at the moment, and since when.
+/// Which controller each proxy is joined to at the moment, and since when.
 #[derive(Default)]
 pub(super) struct Joined(pub(super) BTreeMap<usize, (usize, f64)>);
 
 impl Joined {
     pub(super) fn follow(&mut self, t: f64, record: &Record) {
         match record {
-            Record::Joined { gateway, conductor } => drop(self.0.insert(*gateway, (*conductor, t))),
-            Record::Left { gateway } | Record::Died { gateway } => drop(self.0.remove(gateway)),
+            Record::Joined { proxy, controller } => drop(self.0.insert(*proxy, (*controller, t))),
+            Record::Left { proxy } | Record::Died { proxy } => drop(self.0.remove(proxy)),
             _ => {}
         }
     }
--- a/crates/drill/src/audit/repeated_effects.rs
+++ b/crates/drill/src/audit/repeated_effects.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use wheelspread_controller_core::deployment::{Deployment, Repeat};
 
-/// Rule 2: effects that a gateway's repeats brought about twice.
+/// Rule 2: effects that a proxy's repeats brought about twice.
 pub(super) fn second(records: &Records, plan: &Deployment) -> (u64, RuleJudged) {
     let mut judged = RuleJudged::new(2);
     let mut effects: BTreeMap<&str, u64> = BTreeMap::new();
--- a/crates/drill/src/audit/slow_start_overload.rs
+++ b/crates/drill/src/audit/slow_start_overload.rs
@@ -57,7 +57,7 @@
                     * (rules.cold_start_share + (1.0 - rules.cold_start_share) * risen)
                     * span;
                 let sum: f64 = came.iter().map(|(_, work)| work).sum();
-                let allowed = rules.cold_overload_factor * crate::node::SLACK;
+                let allowed = rules.cold_overload_factor * crate::stand_in_server::SLACK;
                 judged.look(sum / able, allowed, *t, || node.clone());
             }
             Record::Fell { node } => {
--- a/crates/drill/src/audit/update_queue.rs
+++ b/crates/drill/src/audit/update_queue.rs
@@ -6,8 +6,8 @@
 use std::collections::BTreeMap;
 use wheelspread_controller_core::deployment::Deployment;
 
-/// Rule 5: lines that were swapped in and not taken yet, over all gateways of a conductor, and messages to
-/// one gateway in the window.
+/// Rule 5: lines that were swapped in and not taken yet, over all proxies of a controller, and messages to
+/// one proxy in the window.
 pub(super) fn fifth(records: &Records, plan: &Deployment) -> RuleJudged {
     let mut judged = RuleJudged::new(5);
     let channel = &plan.channel;
@@ -23,36 +23,36 @@
         joined.follow(*t, record);
         match record {
             Record::Tables {
-                gateway,
-                conductor,
+                proxy,
+                controller,
                 version,
                 lines,
                 ..
             } => {
-                holds.insert((*conductor, *gateway), (*version, lines.clone()));
+                holds.insert((*controller, *proxy), (*version, lines.clone()));
                 if waiting
-                    .get(&(*conductor, *gateway))
+                    .get(&(*controller, *proxy))
                     .is_some_and(|waits| waits.0 <= *version)
                 {
-                    waiting.remove(&(*conductor, *gateway));
+                    waiting.remove(&(*controller, *proxy));
                 }
             }
-            // A conductor that died has no channel; a gateway that died takes nothing.
-            Record::Died { gateway } | Record::Left { gateway } => {
-                waiting.retain(|key, _| key.1 != *gateway)
+            // A controller that died has no channel; a proxy that died takes nothing.
+            Record::Died { proxy } | Record::Left { proxy } => {
+                waiting.retain(|key, _| key.1 != *proxy)
             }
             // Others still swap files in for it, which it does not read.
             Record::Swapped {
-                conductor, gateway, ..
-            } if joined.0.get(gateway).is_none_or(|(to, _)| to != conductor) => {}
+                controller, proxy, ..
+            } if joined.0.get(proxy).is_none_or(|(to, _)| to != controller) => {}
             Record::Swapped {
-                conductor,
-                gateway,
+                controller,
+                proxy,
                 version,
                 lines,
                 ..
             } => {
-                let key = (*conductor, *gateway);
+                let key = (*controller, *proxy);
                 let held = holds.get(&key).filter(|held| held.0 < *version);
                 if held.is_some() || !holds.contains_key(&key) {
                     let apart = lines_apart(held.map(|held| &held.1), lines) + channel.head_lines;
@@ -60,17 +60,17 @@
                 }
                 let sum: f64 = waiting
                     .iter()
-                    .filter(|(key, _)| key.0 == *conductor)
+                    .filter(|(key, _)| key.0 == *controller)
                     .map(|(_, w)| w.1)
                     .sum();
                 judged.look(sum, channel.lines_waiting_at_most, *t, || {
-                    format!("lines at conductor {conductor}")
+                    format!("lines at conductor {controller}")
                 });
                 if cap > 0.0 {
                     let times = messages.entry(key).or_default();
                     times.push(*t);
                     times.retain(|at| t - at < window);
-                    let who = || format!("messages of conductor {conductor} to gateway {gateway}");
+                    let who = || format!("messages of conductor {controller} to gateway {proxy}");
                     judged.look(times.len() as f64, cap, *t, who);
                 }
             }
--- a/crates/drill/src/audit/without_node.rs
+++ b/crates/drill/src/audit/without_node.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use wheelspread_controller_core::deployment::Deployment;
 
-/// Rule 1: how long a joined gateway lacked a line for an operation while its conductor's list showed an
+/// Rule 1: how long a joined proxy lacked a line for an operation while its controller's list showed an
 /// open node ready that was no longer cold.
 pub(super) fn first(records: &Records, plan: &Deployment) -> RuleJudged {
     let mut judged = RuleJudged::new(1);
@@ -21,35 +21,35 @@
         joined.follow(*t, record);
         match record {
             Record::Listed {
-                conductor, nodes, ..
-            } => drop(lists.insert(*conductor, nodes.clone())),
-            Record::Tables { gateway, lines, .. } => drop(tables.insert(*gateway, lines.clone())),
-            Record::Died { gateway } => drop(tables.remove(gateway)),
-            Record::Came { gateway, .. } => drop(zones.entry(*gateway).or_insert(0)),
+                controller, nodes, ..
+            } => drop(lists.insert(*controller, nodes.clone())),
+            Record::Tables { proxy, lines, .. } => drop(tables.insert(*proxy, lines.clone())),
+            Record::Died { proxy } => drop(tables.remove(proxy)),
+            Record::Came { proxy, .. } => drop(zones.entry(*proxy).or_insert(0)),
             Record::Joined { .. } | Record::Left { .. } | Record::Swapped { .. } => {}
             _ => continue,
         }
-        for (gateway, (conductor, _)) in &joined.0 {
+        for (proxy, (controller, _)) in &joined.0 {
             for operation in &plan.operations {
                 let has = tables
-                    .get(gateway)
+                    .get(proxy)
                     .and_then(|lines| lines.get(&operation.name));
                 let has = has.is_some_and(|lines| lines.iter().any(|(_, weight)| *weight > 0.0));
-                let zone = gateway % plan.zones.len();
+                let zone = proxy % plan.zones.len();
                 let open = |listed: &Listed| {
                     !listed.draining
                         && t - listed.started >= warm
                         && (!operation.stays_in_zone || listed.zone == zone)
                 };
                 let could = lists
-                    .get(conductor)
+                    .get(controller)
                     .is_some_and(|list| list.values().any(open));
-                let key = (*gateway, operation.name.clone());
+                let key = (*proxy, operation.name.clone());
                 match lacking.get(&key) {
                     None if !has && could => drop(lacking.insert(key, *t)),
                     Some(since) if has || !could => {
                         judged.look(t - since, allowed, *since, || {
-                            format!("gateway {gateway}, {}", operation.name)
+                            format!("gateway {proxy}, {}", operation.name)
                         });
                         lacking.remove(&key);
                     }
@@ -58,12 +58,12 @@
             }
         }
         // Who left or died is not looked at until it joins again.
-        lacking.retain(|(gateway, _), _| joined.0.contains_key(gateway));
+        lacking.retain(|(proxy, _), _| joined.0.contains_key(proxy));
     }
     let end = records.0.last().map_or(0.0, |(t, _)| *t);
-    for ((gateway, operation), since) in lacking {
+    for ((proxy, operation), since) in lacking {
         judged.look(end - since, allowed, since, || {
-            format!("gateway {gateway}, {operation}, to the end")
+            format!("gateway {proxy}, {operation}, to the end")
         });
     }
     judged.checked = judged
--- a/crates/drill/src/clients.rs
+++ b/crates/drill/src/client_population.rs
@@ -1,9 +1,9 @@
 //! Stand-in clients: invocations that come by chance and don't wait for each other, with a patience of
 //! their own and, where it is safe, another attempt.
 
-use crate::node::gateway_address;
 use crate::records::{ClientOutcome, Record, Recorder};
 use crate::script::Script;
+use crate::stand_in_server::proxy_address;
 use crate::worker::{Inbox, Worker, WorkerCommand, INBOX};
 use slab::Slab;
 use std::collections::BTreeMap;
@@ -15,55 +15,55 @@
 use wheelspread_http1::{response, Body};
 use wheelspread_reactor::{self as reactor, Interest, Poll, Token};
 
-pub enum ClientOrder {
-    /// Times the usual rate, of all gateways or of some.
+pub enum ClientCommand {
+    /// Times the usual rate, of all proxies or of some.
     Rate {
-        gateways: Option<Vec<usize>>,
+        proxies: Option<Vec<usize>>,
         factor: f64,
     },
-    /// A gateway listens somewhere else, or not at all.
+    /// A proxy listens somewhere else, or not at all.
     At {
-        gateway: usize,
+        proxy: usize,
         address: Option<SocketAddr>,
     },
     /// No new invocations; ends when those under way are done.
     Finish,
 }
 
-impl WorkerCommand for ClientOrder {
-    const STOP: ClientOrder = ClientOrder::Finish;
+impl WorkerCommand for ClientCommand {
+    const STOP: ClientCommand = ClientCommand::Finish;
 }
 
-pub struct Clients {
-    worker: Worker<ClientOrder>,
+pub struct ClientPopulation {
+    worker: Worker<ClientCommand>,
 }
 
-impl Clients {
+impl ClientPopulation {
     pub fn start(
         script: &Script,
         rates: Vec<f64>,
         addresses: Vec<Option<SocketAddr>>,
         recorder: Recorder,
         seed: u64,
-    ) -> std::io::Result<Clients> {
+    ) -> std::io::Result<ClientPopulation> {
         let script = script.clone();
-        let gateways = rates
+        let proxies = rates
             .iter()
             .zip(addresses)
-            .map(|(rate, at)| Gateway {
+            .map(|(rate, at)| ProxyTarget {
                 at,
                 usual: *rate,
                 factor: 1.0,
             })
             .collect();
         let worker = Worker::spawn("clients", Poll::new()?, move |poll, inbox| {
-            let mut crowd = Crowd {
+            let mut crowd = PopulationLoop {
                 script,
                 recorder,
                 chance: Pcg::new(seed),
                 poll,
                 inbox,
-                gateways,
+                proxies,
                 asked: Slab::new(),
                 idle: BTreeMap::new(),
                 due: BTreeMap::new(),
@@ -72,15 +72,15 @@
             };
             crowd.run();
         })?;
-        Ok(Clients { worker })
+        Ok(ClientPopulation { worker })
     }
 
-    pub fn order(&self, order: ClientOrder) {
-        self.worker.send(order);
+    pub fn send(&self, command: ClientCommand) {
+        self.worker.send(command);
     }
 }
 
-struct Gateway {
+struct ProxyTarget {
     at: Option<SocketAddr>,
     usual: f64,
     factor: f64,
@@ -88,7 +88,7 @@
 
 #[derive(Clone)]
 struct Wish {
-    gateway: usize,
+    proxy: usize,
     id: String,
     operation: usize,
     work: f64,
@@ -98,7 +98,7 @@
 
 struct Asked {
     socket: TcpStream,
-    gateway: usize,
+    proxy: usize,
     wish: Option<Wish>,
     output: Vec<u8>,
     input: Vec<u8>,
@@ -106,18 +106,18 @@
 }
 
 enum Due {
-    Arrival { gateway: usize },
+    Arrival { proxy: usize },
     Again(Wish),
     Patience { slot: usize, use_number: u64 },
 }
 
-struct Crowd {
+struct PopulationLoop {
     script: Script,
     recorder: Recorder,
     chance: Pcg,
     poll: Poll,
-    inbox: Inbox<ClientOrder>,
-    gateways: Vec<Gateway>,
+    inbox: Inbox<ClientCommand>,
+    proxies: Vec<ProxyTarget>,
     asked: Slab<Asked>,
     idle: BTreeMap<usize, Vec<usize>>,
     due: BTreeMap<(Moment, u64), Due>,
@@ -125,16 +125,16 @@
     finishing: bool,
 }
 
-impl Crowd {
+impl PopulationLoop {
     fn run(&mut self) {
         let now = reactor::now();
-        (0..self.gateways.len()).for_each(|gateway| self.expect(now, gateway));
+        (0..self.proxies.len()).for_each(|proxy| self.expect(now, proxy));
         let mut ready = Vec::new();
         loop {
             let now = reactor::now();
             while let Some(entry) = self.due.first_entry().filter(|entry| entry.key().0 <= now) {
                 match entry.remove() {
-                    Due::Arrival { gateway } => self.arrive(now, gateway),
+                    Due::Arrival { proxy } => self.arrive(now, proxy),
                     Due::Again(wish) => self.ask(now, wish),
                     Due::Patience { slot, use_number } => self.give_up(now, slot, use_number),
                 }
@@ -155,7 +155,7 @@
             for ready in ready.drain(..) {
                 if ready.token == INBOX {
                     for order in self.inbox.take() {
-                        self.obey(order);
+                        self.execute(order);
                     }
                 } else {
                     self.turn(now, ready.token.0 as usize);
@@ -164,17 +164,17 @@
         }
     }
 
-    fn obey(&mut self, order: ClientOrder) {
+    fn execute(&mut self, order: ClientCommand) {
         match order {
-            ClientOrder::Rate { gateways, factor } => {
-                for (number, gateway) in self.gateways.iter_mut().enumerate() {
-                    if gateways.as_ref().is_none_or(|some| some.contains(&number)) {
-                        gateway.factor = factor;
+            ClientCommand::Rate { proxies, factor } => {
+                for (number, proxy) in self.proxies.iter_mut().enumerate() {
+                    if proxies.as_ref().is_none_or(|some| some.contains(&number)) {
+                        proxy.factor = factor;
                     }
                 }
             }
-            ClientOrder::At { gateway, address } => self.gateways[gateway].at = address,
-            ClientOrder::Finish => self.finishing = true,
+            ClientCommand::At { proxy, address } => self.proxies[proxy].at = address,
+            ClientCommand::Finish => self.finishing = true,
         }
     }
 
@@ -187,8 +187,8 @@
         -(1.0 - self.chance.unit()).ln()
     }
 
-    fn expect(&mut self, now: Moment, gateway: usize) {
-        let rate = self.gateways[gateway].usual * self.gateways[gateway].factor;
+    fn expect(&mut self, now: Moment, proxy: usize) {
+        let rate = self.proxies[proxy].usual * self.proxies[proxy].factor;
         let wait = if rate > 0.0 {
             self.exponential() / rate
         } else {
@@ -196,16 +196,16 @@
         };
         self.later(
             now + Span::from_seconds(wait.min(5.0)),
-            Due::Arrival { gateway },
+            Due::Arrival { proxy },
         );
     }
 
-    fn arrive(&mut self, now: Moment, gateway: usize) {
+    fn arrive(&mut self, now: Moment, proxy: usize) {
         if self.finishing {
             return;
         }
-        self.expect(now, gateway);
-        if self.gateways[gateway].usual <= 0.0 {
+        self.expect(now, proxy);
+        if self.proxies[proxy].usual <= 0.0 {
             return;
         }
         let shares: f64 = self
@@ -232,7 +232,7 @@
         self.ask(
             now,
             Wish {
-                gateway,
+                proxy,
                 id,
                 operation: chosen,
                 work,
@@ -259,8 +259,8 @@
             "POST /{name} HTTP/1.1\r\nHost: drill\r\nx-request-id: {}.{}\r\nx-work: {:.5}\r\nContent-Length: 0\r\n\r\n",
             wish.id, wish.attempt, wish.work
         );
-        let gateway = wish.gateway;
-        let Some(slot) = self.line(gateway) else {
+        let proxy = wish.proxy;
+        let Some(slot) = self.line(proxy) else {
             return self.end(now, wish, ClientOutcome::Errored, false);
         };
         self.next += 1;
@@ -272,9 +272,9 @@
         self.turn(now, slot);
     }
 
-    fn line(&mut self, gateway: usize) -> Option<usize> {
-        let address = self.gateways[gateway].at?;
-        while let Some(slot) = self.idle.get_mut(&gateway).and_then(Vec::pop) {
+    fn line(&mut self, proxy: usize) -> Option<usize> {
+        let address = self.proxies[proxy].at?;
+        while let Some(slot) = self.idle.get_mut(&proxy).and_then(Vec::pop) {
             let here = self
                 .asked
                 .get(slot)
@@ -288,11 +288,11 @@
         let SocketAddr::V4(v4) = address else {
             return None;
         };
-        let source = gateway_address(200, gateway);
+        let source = proxy_address(200, proxy);
         let socket = reactor::connect_from(Some(source), v4.ip().octets(), v4.port()).ok()?;
         let asked = Asked {
             socket,
-            gateway,
+            proxy,
             wish: None,
             output: Vec::new(),
             input: Vec::new(),
@@ -343,8 +343,8 @@
                 asked.input.drain(..length);
                 let wish = asked.wish.take();
                 if keep_alive && !over {
-                    let gateway = asked.gateway;
-                    self.idle.entry(gateway).or_default().push(slot);
+                    let proxy = asked.proxy;
+                    self.idle.entry(proxy).or_default().push(slot);
                 } else {
                     self.asked.remove(slot);
                 }
@@ -402,12 +402,12 @@
             );
         }
         let operation = self.script.traffic.operations[wish.operation].name.clone();
-        let (gateway, id, attempt) = (wish.gateway, wish.id, wish.attempt);
+        let (proxy, id, attempt) = (wish.proxy, wish.id, wish.attempt);
         let latency = (now - wish.arrived).seconds();
         self.recorder.note(
             now,
             Record::Done {
-                gateway,
+                proxy,
                 id,
                 operation,
                 attempt,
--- a/crates/drill/src/even.rs
+++ b/crates/drill/src/even.rs
@@ -1,7 +1,7 @@
 //! The baseline: even weights over the listed nodes, written at once whenever the list changes. It also
 //! breaks a rule on purpose, so that the audit can be seen to find it.
 
-use crate::gateways::name;
+use crate::proxies::proxy_name;
 use crate::script::Script;
 use std::net::SocketAddrV4;
 use wheelspread::ids::{NodeId, OperationId, TableId};
@@ -16,7 +16,7 @@
 /// Which rule is broken on purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sabotage {
-    /// One gateway is given a table without lines.
+    /// One proxy is given a table without lines.
     EmptyTable,
     /// What has effects is repeated after any failure.
     Repeat,
@@ -37,7 +37,7 @@
     pub cold: bool,
 }
 
-pub struct Even {
+pub struct EvenPublisher {
     root: Root,
     version: u64,
     pub sabotage: Option<Sabotage>,
@@ -45,9 +45,9 @@
     kept: Vec<ListedNode>,
 }
 
-impl Even {
-    pub fn new(root: Root, sabotage: Option<Sabotage>) -> Even {
-        Even {
+impl EvenPublisher {
+    pub fn new(root: Root, sabotage: Option<Sabotage>) -> EvenPublisher {
+        EvenPublisher {
             root,
             version: 0,
             sabotage,
@@ -74,17 +74,17 @@
         };
         let flood =
             self.sabotage == Some(Sabotage::FloodCold) && nodes.iter().any(|node| node.cold);
-        for (gateway, zone) in zones.iter().enumerate() {
-            // One gateway is enough to be written to too often.
+        for (proxy, zone) in zones.iter().enumerate() {
+            // One proxy is enough to be written to too often.
             if self.sabotage == Some(Sabotage::Overfill)
-                && gateway > 0
+                && proxy > 0
                 && self.version >= zones.len() as u64
             {
                 break;
             }
             self.version += 1;
             let empty = self.sabotage == Some(Sabotage::EmptyTable)
-                && gateway == 0
+                && proxy == 0
                 && self.version > zones.len() as u64;
             let table = |(at, operation): (
                 usize,
@@ -124,14 +124,14 @@
                 .map(table)
                 .collect();
             let set = TableSet {
-                bundle: BundleId(gateway as u32),
+                bundle: BundleId(proxy as u32),
                 version: Version(self.version),
                 configuration: 0,
                 operations,
             };
             let documents =
                 tables::write(&set, &script.deployment).map_err(|error| error.to_string())?;
-            Swap::new(&self.root, set.version, &documents, &name(gateway))
+            Swap::new(&self.root, set.version, &documents, &proxy_name(proxy))
                 .run()
                 .map_err(|error| error.to_string())?;
         }
--- a/crates/drill/src/machine.rs
+++ b/crates/drill/src/machine.rs
@@ -14,9 +14,9 @@
     }
 }
 
-/// A place to listen for a conductor that starts later. Each process has a loopback address of its own and
+/// A place to listen for a controller that starts later. Each process has a loopback address of its own and
 /// names no port twice: on the common address a drill beside this one, or any connection that was dialled
-/// meanwhile, took the port now and then, and the conductor could not start.
+/// meanwhile, took the port now and then, and the controller could not start.
 pub fn own_port() -> io::Result<SocketAddrV4> {
     static NAMED: Mutex<BTreeSet<u16>> = Mutex::new(BTreeSet::new());
     let [_, high, middle, low] = std::process::id().to_be_bytes();
--- a/crates/drill/src/wire.rs
+++ b/crates/drill/src/network.rs
@@ -1,7 +1,7 @@
-//! The network between gateways and conductors, as a relay that can lose streams, hold them up, make what
+//! The network between proxies and controllers, as a relay that can lose streams, hold them up, make what
 //! goes up late, or let nobody through.
 
-use crate::node::gateway_of;
+use crate::stand_in_server::proxy_of;
 use crate::worker::{Inbox, Worker, WorkerCommand, INBOX};
 use slab::Slab;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -10,35 +10,35 @@
 use wheelspread::time::{Moment, Span};
 use wheelspread_reactor::{self as reactor, Interest, Poll, Token};
 
-pub enum WireOrder {
-    /// Breaks the streams of these gateways.
+pub enum NetworkCommand {
+    /// Breaks the streams of these proxies.
     Break(BTreeSet<usize>),
-    /// These gateways reach no conductor: what they have breaks, what they try comes to nothing.
+    /// These proxies reach no controller: what they have breaks, what they try comes to nothing.
     Refuse(BTreeSet<usize>),
-    /// Nothing passes for these gateways, and nothing breaks.
+    /// Nothing passes for these proxies, and nothing breaks.
     Hold(BTreeSet<usize>),
     /// Seconds that sums take longer.
     Late(f64),
     End,
 }
 
-impl WorkerCommand for WireOrder {
-    const STOP: WireOrder = WireOrder::End;
+impl WorkerCommand for NetworkCommand {
+    const STOP: NetworkCommand = NetworkCommand::End;
 }
 
-pub struct Wires {
+pub struct Network {
     pub ports: Vec<SocketAddrV4>,
-    worker: Worker<WireOrder>,
+    worker: Worker<NetworkCommand>,
 }
 
 const LISTENERS: u64 = 1 << 40;
 
-impl Wires {
-    /// A port for each conductor that is passed on to where that one listens.
-    pub fn start(conductors: Vec<SocketAddrV4>) -> std::io::Result<Wires> {
+impl Network {
+    /// A port for each controller that is passed on to where that one listens.
+    pub fn start(controllers: Vec<SocketAddrV4>) -> std::io::Result<Network> {
         let poll = Poll::new()?;
         let (mut listeners, mut ports) = (Vec::new(), Vec::new());
-        for (number, to) in conductors.iter().enumerate() {
+        for (number, to) in controllers.iter().enumerate() {
             let listener = reactor::listen(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0))?;
             poll.add(
                 &listener,
@@ -51,7 +51,7 @@
             listeners.push((listener, *to));
         }
         let worker = Worker::spawn("wires", poll, move |poll, inbox| {
-            let mut relay = Relay {
+            let mut relay = NetworkLoop {
                 poll,
                 inbox,
                 listeners,
@@ -62,25 +62,25 @@
             };
             relay.run();
         })?;
-        Ok(Wires { ports, worker })
+        Ok(Network { ports, worker })
     }
 
-    pub fn order(&self, order: WireOrder) {
-        self.worker.send(order);
+    pub fn send(&self, command: NetworkCommand) {
+        self.worker.send(command);
     }
 }
 
 struct Stream {
-    gateway: usize,
+    proxy: usize,
     below: TcpStream,
     above: TcpStream,
     up: VecDeque<(Moment, Vec<u8>)>,
     down: Vec<u8>,
 }
 
-struct Relay {
+struct NetworkLoop {
     poll: Poll,
-    inbox: Inbox<WireOrder>,
+    inbox: Inbox<NetworkCommand>,
     listeners: Vec<(TcpListener, SocketAddrV4)>,
     streams: Slab<Stream>,
     refused: BTreeSet<usize>,
@@ -88,7 +88,7 @@
     late: Span,
 }
 
-impl Relay {
+impl NetworkLoop {
     fn run(&mut self) {
         let mut ready = Vec::new();
         loop {
@@ -116,10 +116,10 @@
                 match ready.token {
                     INBOX => {
                         for order in self.inbox.take() {
-                            if matches!(order, WireOrder::End) {
+                            if matches!(order, NetworkCommand::End) {
                                 return;
                             }
-                            self.obey(order);
+                            self.execute(order);
                         }
                         touched.extend(self.streams.iter().map(|(slot, _)| slot));
                     }
@@ -133,24 +133,24 @@
         }
     }
 
-    fn obey(&mut self, order: WireOrder) {
+    fn execute(&mut self, order: NetworkCommand) {
         match order {
-            WireOrder::Break(gateways) => self.cut(&gateways),
-            WireOrder::Refuse(gateways) => {
-                self.cut(&gateways);
-                self.refused = gateways;
+            NetworkCommand::Break(proxies) => self.cut(&proxies),
+            NetworkCommand::Refuse(proxies) => {
+                self.cut(&proxies);
+                self.refused = proxies;
             }
-            WireOrder::Hold(gateways) => self.held = gateways,
-            WireOrder::Late(seconds) => self.late = Span::from_seconds(seconds),
-            WireOrder::End => {}
+            NetworkCommand::Hold(proxies) => self.held = proxies,
+            NetworkCommand::Late(seconds) => self.late = Span::from_seconds(seconds),
+            NetworkCommand::End => {}
         }
     }
 
-    fn cut(&mut self, gateways: &BTreeSet<usize>) {
+    fn cut(&mut self, proxies: &BTreeSet<usize>) {
         let cut: Vec<usize> = self
             .streams
             .iter()
-            .filter(|(_, s)| gateways.contains(&s.gateway))
+            .filter(|(_, s)| proxies.contains(&s.proxy))
             .map(|(slot, _)| slot)
             .collect();
         for slot in cut {
@@ -163,17 +163,17 @@
     fn accept(&mut self, number: usize) {
         let (listener, to) = &self.listeners[number];
         for below in reactor::accept(listener).0 {
-            let gateway = below.peer_addr().map(|peer| gateway_of(peer.ip()).1);
+            let proxy = below.peer_addr().map(|peer| proxy_of(peer.ip()).1);
             let above = reactor::connect(to.ip().octets(), to.port());
-            let (Ok(gateway), Ok(above)) = (gateway, above) else {
+            let (Ok(proxy), Ok(above)) = (proxy, above) else {
                 continue;
             };
-            if self.refused.contains(&gateway) {
+            if self.refused.contains(&proxy) {
                 reactor::reset(below);
                 continue;
             }
             let slot = self.streams.insert(Stream {
-                gateway,
+                proxy,
                 below,
                 above,
                 up: VecDeque::new(),
@@ -196,7 +196,7 @@
         let Some(stream) = self.streams.get_mut(slot) else {
             return;
         };
-        if self.held.contains(&stream.gateway) {
+        if self.held.contains(&stream.proxy) {
             return;
         }
         let mut came = Vec::new();
@@ -252,10 +252,10 @@
 }
 
 /// By zone, for cuts.
-pub fn gateways_in(zones: &BTreeMap<usize, usize>, zone: usize) -> BTreeSet<usize> {
+pub fn proxies_in(zones: &BTreeMap<usize, usize>, zone: usize) -> BTreeSet<usize> {
     zones
         .iter()
         .filter(|(_, at)| **at == zone)
-        .map(|(gateway, _)| *gateway)
+        .map(|(proxy, _)| *proxy)
         .collect()
 }
--- a/crates/drill/src/gateways.rs
+++ b/crates/drill/src/proxies.rs
@@ -1,8 +1,8 @@
-//! The gateways of a drill: real proxies, several on one loop, and what they did written down.
+//! The proxies of a drill: real proxies, several on one loop, and what they did written down.
 
-use crate::node::gateway_address;
 use crate::records::{Lines, Record, Recorder};
 use crate::script::Script;
+use crate::stand_in_server::proxy_address;
 use crate::worker::{Inbox, Worker, WorkerCommand, INBOX};
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
@@ -24,56 +24,56 @@
 };
 use wheelspread_reactor::{self as reactor, Poll};
 
-pub enum GatewayOrder {
+pub enum ProxyCommand {
     Die(usize),
     /// It comes back, on a new port, knowing nothing; the address is told.
     Start(Box<ProxyConfig>, usize, Sender<Option<SocketAddr>>),
     End,
 }
 
-impl WorkerCommand for GatewayOrder {
-    const STOP: GatewayOrder = GatewayOrder::End;
+impl WorkerCommand for ProxyCommand {
+    const STOP: ProxyCommand = ProxyCommand::End;
 }
 
-/// Gateways that hold tables.
+/// Proxies that hold tables.
 type Holding = Arc<Mutex<BTreeSet<usize>>>;
 
-pub struct Gateways {
+pub struct Proxies {
     holding: Holding,
-    worker: Worker<GatewayOrder>,
+    worker: Worker<ProxyCommand>,
 }
 
-impl Gateways {
-    pub fn start(recorder: Recorder, joined_always: bool) -> std::io::Result<Gateways> {
+impl Proxies {
+    pub fn start(recorder: Recorder, joined_always: bool) -> std::io::Result<Proxies> {
         let holding = Holding::default();
         let held = holding.clone();
         let worker = Worker::spawn("gateways", Poll::new()?, move |poll, inbox| {
             run(poll, inbox, recorder, joined_always, held);
         })?;
-        Ok(Gateways { holding, worker })
+        Ok(Proxies { holding, worker })
     }
 
-    /// Whether a gateway ever held tables.
-    pub fn held(&self, gateway: usize) -> bool {
+    /// Whether a proxy ever held tables.
+    pub fn held(&self, proxy: usize) -> bool {
         self.holding
             .lock()
-            .is_ok_and(|holding| holding.contains(&gateway))
+            .is_ok_and(|holding| holding.contains(&proxy))
     }
 
-    pub fn order(&self, order: GatewayOrder) {
-        self.worker.send(order);
+    pub fn send(&self, command: ProxyCommand) {
+        self.worker.send(command);
     }
 
     pub fn add(&self, plan: ProxyConfig, number: usize) -> Option<SocketAddr> {
         let (tell, told) = channel();
-        self.order(GatewayOrder::Start(Box::new(plan), number, tell));
+        self.send(ProxyCommand::Start(Box::new(plan), number, tell));
         told.recv().ok().flatten()
     }
 }
 
 fn run(
     mut poll: Poll,
-    inbox: Inbox<GatewayOrder>,
+    inbox: Inbox<ProxyCommand>,
     recorder: Recorder,
     joined_always: bool,
     holding: Holding,
@@ -102,35 +102,35 @@
             }
             for order in inbox.take() {
                 match order {
-                    GatewayOrder::End => return,
-                    GatewayOrder::Die(gateway) => {
-                        proxies[gateway] = None;
-                        recorder.note(now, Record::Died { gateway });
+                    ProxyCommand::End => return,
+                    ProxyCommand::Die(proxy) => {
+                        proxies[proxy] = None;
+                        recorder.note(now, Record::Died { proxy });
                     }
-                    GatewayOrder::Start(plan, gateway, tell) => {
-                        if proxies.len() <= gateway {
-                            proxies.resize_with(gateway + 1, || None);
+                    ProxyCommand::Start(plan, proxy, tell) => {
+                        if proxies.len() <= proxy {
+                            proxies.resize_with(proxy + 1, || None);
                         }
                         let streams = plan.table_source == TableSource::Stream;
                         let seen = Seen {
                             recorder: recorder.clone(),
                             holding: holding.clone(),
-                            gateway,
-                            conductor: 0,
+                            proxy,
+                            controller: 0,
                             streams,
                         };
                         if joined_always {
                             recorder.note(
                                 now,
                                 Record::Joined {
-                                    gateway,
-                                    conductor: 0,
+                                    proxy,
+                                    controller: 0,
                                 },
                             );
                         }
-                        let started = Proxy::start(&poll, now, gateway as u32, *plan, seen).ok();
+                        let started = Proxy::start(&poll, now, proxy as u32, *plan, seen).ok();
                         let _ = tell.send(started.as_ref().and_then(|proxy| proxy.address().ok()));
-                        proxies[gateway] = started;
+                        proxies[proxy] = started;
                     }
                 }
             }
@@ -138,24 +138,24 @@
     }
 }
 
-/// Gateways as the script has them, calling from addresses that tell who they are.
+/// Proxies as the script has them, calling from addresses that tell who they are.
 pub fn plan(
     script: &Script,
-    gateway: usize,
+    proxy: usize,
     zone: usize,
-    sides: &[(SocketAddrV4, PathBuf)],
+    endpoints: &[(SocketAddrV4, PathBuf)],
     seed: u64,
     trusting: bool,
     follows: bool,
 ) -> ProxyConfig {
     let deployment = &script.deployment;
-    let count = sides.len();
-    let conductors = (0..count).map(|at| &sides[(gateway + at) % count]);
+    let count = endpoints.len();
+    let controllers = (0..count).map(|at| &endpoints[(proxy + at) % count]);
     let rules =
         |operation: &wheelspread_controller_core::deployment::OperationPlan| OperationRules {
             name: operation.name.clone(),
             retry_safety: match operation.repeat {
-                // A gateway that trusts its tables blindly, to see the audit find what comes of it.
+                // A proxy that trusts its tables blindly, to see the audit find what comes of it.
                 _ if trusting => RetrySafety::Idempotent,
                 Repeat::Idempotent => RetrySafety::Idempotent,
                 Repeat::Fingerprinted => RetrySafety::Fingerprinted {
@@ -166,13 +166,13 @@
             integration_timeout: operation.integration_timeout,
         };
     ProxyConfig {
-        name: name(gateway),
+        name: proxy_name(proxy),
         zone: deployment.zones[zone].clone(),
         listen: SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0),
-        source: Some(gateway_address(zone, gateway)),
+        source: Some(proxy_address(zone, proxy)),
         usual_rate: None,
-        seed: seed.wrapping_add(gateway as u64),
-        controllers: conductors
+        seed: seed.wrapping_add(proxy as u64),
+        controllers: controllers
             .map(|(reports, tables)| ControllerEndpoint {
                 reports: *reports,
                 tables: tables.clone(),
@@ -211,16 +211,16 @@
     }
 }
 
-pub fn name(gateway: usize) -> String {
-    format!("gateway-{gateway:03}")
+pub fn proxy_name(proxy: usize) -> String {
+    format!("gateway-{proxy:03}")
 }
 
-/// Writes down what one gateway does.
+/// Writes down what one proxy does.
 struct Seen {
     recorder: Recorder,
     holding: Holding,
-    gateway: usize,
-    conductor: usize,
+    proxy: usize,
+    controller: usize,
     streams: bool,
 }
 
@@ -237,12 +237,12 @@
 
 impl RequestObserver for Seen {
     fn attempt_sent(&mut self, now: Moment, id: &str, operation: &str, node: NodeId, number: u32) {
-        let (gateway, id, node) = (self.gateway, id.to_string(), show(node));
+        let (proxy, id, node) = (self.proxy, id.to_string(), show(node));
         let operation = operation.to_string();
         self.recorder.note(
             now,
             Record::Sent {
-                gateway,
+                proxy,
                 id,
                 operation,
                 node,
@@ -262,11 +262,11 @@
         let outcome = failure.map_or("succeeded".to_string(), |failure| {
             format!("{failure:?}").to_lowercase()
         });
-        let (gateway, id, node) = (self.gateway, id.to_string(), show(node));
+        let (proxy, id, node) = (self.proxy, id.to_string(), show(node));
         self.recorder.note(
             now,
             Record::Ended {
-                gateway,
+                proxy,
                 id,
                 node,
                 number,
@@ -286,7 +286,7 @@
         self.recorder.note(
             now,
             Record::Answered {
-                gateway: self.gateway,
+                proxy: self.proxy,
                 id: id.to_string(),
                 outcome,
             },
@@ -295,9 +295,9 @@
 
     fn tables_applied(&mut self, now: Moment, held: &Held) {
         let (version, hash) = (held.orders.version.0, held.hash.clone());
-        let (gateway, conductor) = (self.gateway, self.conductor);
+        let (proxy, controller) = (self.proxy, self.controller);
         if let Ok(mut holding) = self.holding.lock() {
-            holding.insert(gateway);
+            holding.insert(proxy);
         }
         if self.streams {
             // No directory shows what was sent: what came over its stream does.
@@ -305,8 +305,8 @@
             self.recorder.note(
                 now,
                 Record::Swapped {
-                    conductor,
-                    gateway,
+                    controller,
+                    proxy,
                     version,
                     hash,
                     lines,
@@ -316,8 +316,8 @@
         self.recorder.note(
             now,
             Record::Tables {
-                gateway,
-                conductor,
+                proxy,
+                controller,
                 version,
                 hash,
                 lines: lines(held),
@@ -329,30 +329,25 @@
         self.recorder.note(
             now,
             Record::TablesRefused {
-                gateway: self.gateway,
+                proxy: self.proxy,
                 reason: reason.to_string(),
             },
         );
     }
 
-    fn controller_joined(&mut self, now: Moment, conductor: usize, of: usize) {
-        // Told by its place among the proxy's own conductors, which begin with its usual one.
-        self.conductor = (self.gateway + conductor) % of;
+    fn controller_joined(&mut self, now: Moment, controller: usize, of: usize) {
+        // Told by its place among the proxy's own controllers, which begin with its usual one.
+        self.controller = (self.proxy + controller) % of;
         self.recorder.note(
             now,
             Record::Joined {
-                gateway: self.gateway,
-                conductor: self.conductor,
+                proxy: self.proxy,
+                controller: self.controller,
             },
         );
     }
 
     fn controller_left(&mut self, now: Moment, _reason: &str) {
-        self.recorder.note(
-            now,
-            Record::Left {
-                gateway: self.gateway,
-            },
-        );
+        self.recorder.note(now, Record::Left { proxy: self.proxy });
     }
 }
--- a/crates/drill/src/records.rs
+++ b/crates/drill/src/records.rs
@@ -13,44 +13,54 @@
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum Record {
-    // ---- gateways ----
+    // ---- proxies ----
     Joined {
-        gateway: usize,
-        conductor: usize,
+        #[serde(rename = "gateway")]
+        proxy: usize,
+        #[serde(rename = "conductor")]
+        controller: usize,
     },
     Left {
-        gateway: usize,
+        #[serde(rename = "gateway")]
+        proxy: usize,
     },
     Died {
-        gateway: usize,
+        #[serde(rename = "gateway")]
+        proxy: usize,
     },
     Tables {
-        gateway: usize,
-        conductor: usize,
+        #[serde(rename = "gateway")]
+        proxy: usize,
+        #[serde(rename = "conductor")]
+        controller: usize,
         version: u64,
         hash: String,
         lines: Lines,
     },
     TablesRefused {
-        gateway: usize,
+        #[serde(rename = "gateway")]
+        proxy: usize,
         reason: String,
     },
     Sent {
-        gateway: usize,
+        #[serde(rename = "gateway")]
+        proxy: usize,
         id: String,
         operation: String,
         node: String,
         number: u32,
     },
     Ended {
-        gateway: usize,
+        #[serde(rename = "gateway")]
+        proxy: usize,
         id: String,
         node: String,
         number: u32,
         outcome: String,
     },
     Answered {
-        gateway: usize,
+        #[serde(rename = "gateway")]
+        proxy: usize,
         id: String,
         outcome: String,
     },
@@ -64,7 +74,8 @@
     },
     Came {
         node: String,
-        gateway: usize,
+        #[serde(rename = "gateway")]
+        proxy: usize,
         id: String,
         operation: String,
         work: f64,
@@ -82,25 +93,31 @@
     },
     // ---- what the directories and lists showed ----
     Swapped {
-        conductor: usize,
-        gateway: usize,
+        #[serde(rename = "conductor")]
+        controller: usize,
+        #[serde(rename = "gateway")]
+        proxy: usize,
         version: u64,
         hash: String,
         lines: Lines,
     },
     SwapUnreadable {
-        conductor: usize,
-        gateway: usize,
+        #[serde(rename = "conductor")]
+        controller: usize,
+        #[serde(rename = "gateway")]
+        proxy: usize,
         reason: String,
     },
     Listed {
-        conductor: usize,
+        #[serde(rename = "conductor")]
+        controller: usize,
         version: u64,
         nodes: BTreeMap<String, Listed>,
     },
     // ---- clients ----
     Done {
-        gateway: usize,
+        #[serde(rename = "gateway")]
+        proxy: usize,
         id: String,
         operation: String,
         attempt: u32,
@@ -108,27 +125,34 @@
         outcome: ClientOutcome,
     },
     // ---- the drill ----
-    Trouble {
+    #[serde(rename = "trouble")]
+    Fault {
         kind: String,
         injected: bool,
         span: f64,
     },
-    ConductorStarted {
-        conductor: usize,
+    #[serde(rename = "conductor_started")]
+    ControllerStarted {
+        #[serde(rename = "conductor")]
+        controller: usize,
     },
-    ConductorKilled {
-        conductor: usize,
+    #[serde(rename = "conductor_killed")]
+    ControllerKilled {
+        #[serde(rename = "conductor")]
+        controller: usize,
     },
-    /// A conductor took an order to drain a node, or to take that back; `asked`: when it was given.
+    /// A controller took an order to drain a node, or to take that back; `asked`: when it was given.
     Ordered {
-        conductor: usize,
+        #[serde(rename = "conductor")]
+        controller: usize,
         node: String,
         out: bool,
         asked: f64,
     },
-    /// A conductor answered to a change of configuration that was told to it, or to its undo.
+    /// A controller answered to a change of configuration that was told to it, or to its undo.
     Changed {
-        conductor: usize,
+        #[serde(rename = "conductor")]
+        controller: usize,
         change: String,
         undo: bool,
         taken: bool,
@@ -157,26 +181,23 @@
     fn log(&self) -> String {
         use Record::*;
         match self {
-            Joined { gateway, .. }
-            | Left { gateway }
-            | Died { gateway }
-            | Tables { gateway, .. } => {
-                format!("gateway-{gateway:03}")
+            Joined { proxy, .. } | Left { proxy } | Died { proxy } | Tables { proxy, .. } => {
+                format!("gateway-{proxy:03}")
             }
-            TablesRefused { gateway, .. } | Sent { gateway, .. } => format!("gateway-{gateway:03}"),
-            Ended { gateway, .. } | Answered { gateway, .. } => format!("gateway-{gateway:03}"),
+            TablesRefused { proxy, .. } | Sent { proxy, .. } => format!("gateway-{proxy:03}"),
+            Ended { proxy, .. } | Answered { proxy, .. } => format!("gateway-{proxy:03}"),
             Started { node, .. } | Came { node, .. } | Effect { node, .. } => {
                 format!("node-{}", plain(node))
             }
             Fell { node } | Ceased { node } => format!("node-{}", plain(node)),
-            Swapped { conductor, .. } | SwapUnreadable { conductor, .. } => {
-                format!("directory-{conductor}")
+            Swapped { controller, .. } | SwapUnreadable { controller, .. } => {
+                format!("directory-{controller}")
             }
-            Listed { conductor, .. } => format!("list-{conductor}"),
+            Listed { controller, .. } => format!("list-{controller}"),
             Done { .. } => "clients".to_string(),
-            Trouble { .. }
-            | ConductorStarted { .. }
-            | ConductorKilled { .. }
+            Fault { .. }
+            | ControllerStarted { .. }
+            | ControllerKilled { .. }
             | Changed { .. }
             | Ordered { .. } => "drill".to_string(),
         }
@@ -192,7 +213,7 @@
 pub struct Records(pub Vec<(f64, Record)>);
 
 impl Records {
-    /// A log for each gateway, node, directory and list, one JSON object a line.
+    /// A log for each proxy, node, directory and list, one JSON object a line.
     pub fn keep(&self, directory: &Path) -> io::Result<()> {
         std::fs::create_dir_all(directory)?;
         let mut logs: BTreeMap<String, Vec<u8>> = BTreeMap::new();
@@ -242,3 +263,6 @@
         let _ = self.to.send((self.at(now), record));
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/drill/src/run.rs
+++ b/crates/drill/src/run.rs
@@ -1,4 +1,4 @@
-//! Plays a script: starts everything, injects the troubles at their times, ends everything, and judges.
+//! Plays a script: starts everything, injects the faults at their times, ends everything, and judges.
 
 mod collection;
 mod controllers;
@@ -9,19 +9,19 @@
 mod setup;
 mod step;
 
-use self::controllers::Side;
+use self::controllers::ControllerProcess;
 use self::fleet::FleetNode;
-pub use self::report::{Report, TroubleTold};
+pub use self::report::{FaultReport, Report};
 use self::step::Step;
 use crate::audit::Slowed;
-use crate::clients::Clients;
-use crate::even::{Even, Sabotage};
-use crate::gateways::Gateways;
+use crate::client_population::ClientPopulation;
+use crate::even::{EvenPublisher, Sabotage};
 use crate::machine::own_port;
-use crate::node::Nodes;
+use crate::network::Network;
+use crate::proxies::Proxies;
 use crate::records::Recorder;
 use crate::script::Script;
-use crate::wire::Wires;
+use crate::stand_in_server::StandInServers;
 use std::collections::BTreeMap;
 use std::io;
 use std::path::PathBuf;
@@ -39,16 +39,16 @@
 }
 
 pub struct Options<'a> {
-    /// The program whose `run` is a conductor.
+    /// The program whose `run` is a controller.
     pub program: PathBuf,
     pub seed: u64,
-    /// Even weights instead of conductors.
+    /// Even weights instead of controllers.
     pub even: bool,
     pub sabotage: Option<Sabotage>,
     pub keep: Option<PathBuf>,
-    /// Conductors that are killed lose what they kept: they start as if they had never run.
+    /// Controllers that are killed lose what they kept: they start as if they had never run.
     pub forget: bool,
-    /// Kinds of trouble that were asked for and can't be injected, to be told.
+    /// Kinds of fault that were asked for and can't be injected, to be told.
     pub not_injected: Vec<String>,
     pub progress: &'a mut dyn FnMut(&str),
 }
@@ -65,16 +65,16 @@
     recorder: Recorder,
     directory: PathBuf,
     begin: Moment,
-    nodes: Nodes,
+    nodes: StandInServers,
     fleet: Vec<FleetNode>,
-    sides: Vec<Side>,
-    wires: Wires,
-    gateways: Gateways,
+    controllers: Vec<ControllerProcess>,
+    network: Network,
+    proxies: Proxies,
     zones: Vec<usize>,
-    /// What usually comes to each gateway, a second.
+    /// What usually comes to each proxy, a second.
     usual: Vec<f64>,
-    clients: Option<Clients>,
-    even: Option<Even>,
+    clients: Option<ClientPopulation>,
+    even: Option<EvenPublisher>,
     steps: BTreeMap<(Moment, u64), Step>,
     next: u64,
     list_version: u64,
@@ -104,30 +104,29 @@
         recorder: Recorder,
     ) -> Result<Drill<'a>, DrillError> {
         let plan_of = &script.deployment;
-        let nodes = Nodes::start(plan_of.clone(), recorder.clone(), options.seed)
+        let nodes = StandInServers::start(plan_of.clone(), recorder.clone(), options.seed)
             .map_err(named("nodes"))?;
-        let mut sides = Vec::new();
+        let mut controllers = Vec::new();
         for number in 0..plan_of.conductors.count as usize {
             let directory = directory.join(format!("conductor-{number}"));
             Root::new(directory.join("tables"))
                 .prepare()
                 .map_err(named(directory.display().to_string()))?;
-            sides.push(Side {
+            controllers.push(ControllerProcess {
                 directory,
                 listen: own_port().map_err(named("a free port"))?,
                 child: None,
             });
         }
-        let wires =
-            Wires::start(sides.iter().map(|side| side.listen).collect()).map_err(named("wires"))?;
-        let gateways =
-            Gateways::start(recorder.clone(), options.even).map_err(named("gateways"))?;
-        let zones = (0..script.gateways)
-            .map(|gateway| gateway % plan_of.zones.len())
+        let network = Network::start(controllers.iter().map(|process| process.listen).collect())
+            .map_err(named("wires"))?;
+        let proxies = Proxies::start(recorder.clone(), options.even).map_err(named("gateways"))?;
+        let zones = (0..script.proxies)
+            .map(|proxy| proxy % plan_of.zones.len())
             .collect();
         let even = options.even.then(|| {
-            Even::new(
-                Root::new(sides[0].directory.join("tables")),
+            EvenPublisher::new(
+                Root::new(controllers[0].directory.join("tables")),
                 options.sabotage,
             )
         });
@@ -145,9 +144,9 @@
             recorder,
             directory,
             nodes,
-            sides,
-            wires,
-            gateways,
+            controllers,
+            network,
+            proxies,
             zones,
             usual: Vec::new(),
             even,
--- a/crates/drill/src/run/collection.rs
+++ b/crates/drill/src/run/collection.rs
@@ -1,6 +1,6 @@
 //! The end of a drill: everything stops, the records are collected, kept and judged.
 
-use super::{named, Drill, DrillError, Report, TroubleTold};
+use super::{named, Drill, DrillError, FaultReport, Report};
 use crate::audit::{drained, judge};
 use crate::machine::cpu_of;
 use crate::records::{Record, Records};
@@ -12,10 +12,10 @@
         (self.options.progress)("waiting for what is under way");
         self.clients = None;
         let mut stopping = Vec::new();
-        for number in 0..self.sides.len() {
+        for number in 0..self.controllers.len() {
             self.signal(number, Signal::CONT);
             self.signal(number, Signal::TERM);
-            stopping.extend(self.sides[number].child.take());
+            stopping.extend(self.controllers[number].child.take());
         }
         for mut child in stopping {
             self.cpu += cpu_of(child.id());
@@ -25,8 +25,8 @@
             script,
             options,
             nodes,
-            gateways,
-            wires,
+            proxies,
+            network,
             slowed,
             directory,
             recorder,
@@ -34,7 +34,7 @@
             cpu,
             ..
         } = self;
-        drop((nodes, gateways, wires));
+        drop((nodes, proxies, network));
         let begin = recorder.at(begin);
         drop(recorder);
         let mut records = Records(from.try_iter().collect());
@@ -53,12 +53,12 @@
         let changes_told = told.fold((0, 0), |(all, took), taken| {
             (all + 1, took + usize::from(taken))
         });
-        let trouble = |(t, record): &(f64, Record)| match record {
-            Record::Trouble {
+        let fault = |(t, record): &(f64, Record)| match record {
+            Record::Fault {
                 kind,
                 injected,
                 span,
-            } => Some(TroubleTold {
+            } => Some(FaultReport {
                 kind: kind.clone(),
                 at_s: round(t - begin),
                 for_s: round(*span),
@@ -75,9 +75,9 @@
             drill: script.name.clone(),
             seed: options.seed,
             baseline: options.even.then(|| "even".to_string()),
-            troubles: records.0.iter().filter_map(trouble).collect(),
+            faults: records.0.iter().filter_map(fault).collect(),
             table_swaps: swaps as u64,
-            conductor_cpu_s: round(cpu),
+            controller_cpu_s: round(cpu),
             drain_orders_s,
             changes_told,
             verdict,
--- a/crates/drill/src/run/controllers.rs
+++ b/crates/drill/src/run/controllers.rs
@@ -17,14 +17,14 @@
 use wheelspread_fleet::{drain_order, Fleet, Line, Request};
 use wheelspread_reactor as reactor;
 
-pub(super) struct Side {
+pub(super) struct ControllerProcess {
     pub(super) directory: PathBuf,
     pub(super) listen: SocketAddrV4,
     pub(super) child: Option<Child>,
 }
 
-impl Drop for Side {
-    /// A drill that comes to nothing leaves no conductor behind.
+impl Drop for ControllerProcess {
+    /// A drill that comes to nothing leaves no controller behind.
     fn drop(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -39,7 +39,7 @@
         number: usize,
         lines_per_second: f64,
     ) -> Result<PathBuf, DrillError> {
-        let side = &self.sides[number];
+        let process = &self.controllers[number];
         let mut deployment = self.script.deployment.clone();
         deployment.channel.lines_per_second = lines_per_second;
         #[derive(Serialize)]
@@ -53,7 +53,8 @@
         }
         #[derive(Serialize)]
         struct File<'a> {
-            conductor: Place<'a>,
+            #[serde(rename = "conductor")]
+            controller: Place<'a>,
             log: BTreeMap<&'a str, &'a str>,
             deployment: wheelspread_controller_core::Deployment,
         }
@@ -61,28 +62,28 @@
             name: format!("conductor-{number}"),
             number,
             seed: self.options.seed + number as u64,
-            listen: side.listen.to_string(),
+            listen: process.listen.to_string(),
             tables: "tables",
             list: "nodes.json",
         };
         let log = BTreeMap::from([("level", "debug"), ("form", "json")]);
         let text = serde_yaml_ng::to_string(&File {
-            conductor: place,
+            controller: place,
             log,
             deployment,
         });
         let text = text.map_err(|error| DrillError::NotReady(error.to_string()))?;
-        let path = side.directory.join("conductor.yaml");
+        let path = process.directory.join("conductor.yaml");
         swap::replace(&path, &text).map_err(named(path.display().to_string()))?;
         Ok(path)
     }
 
-    pub(super) fn start_conductor(&mut self, number: usize) -> Result<(), DrillError> {
+    pub(super) fn start_controller(&mut self, number: usize) -> Result<(), DrillError> {
         if self.even.is_some() {
             return Ok(());
         }
         let path = self.write_file(number, self.script.deployment.channel.lines_per_second)?;
-        let log = self.sides[number].directory.join("log.jsonl");
+        let log = self.controllers[number].directory.join("log.jsonl");
         let log = File::options()
             .create(true)
             .append(true)
@@ -96,30 +97,31 @@
             .stderr(log)
             .spawn()
             .map_err(named(self.options.program.display().to_string()))?;
-        self.sides[number].child = Some(child);
+        self.controllers[number].child = Some(child);
         self.recorder.note(
             reactor::now(),
-            Record::ConductorStarted { conductor: number },
+            Record::ControllerStarted { controller: number },
         );
         Ok(())
     }
 
-    pub(super) fn kill_conductor(&mut self, number: usize) {
-        if let Some(mut child) = self.sides[number].child.take() {
+    pub(super) fn kill_controller(&mut self, number: usize) {
+        if let Some(mut child) = self.controllers[number].child.take() {
             self.cpu += cpu_of(child.id());
             let _ = child.kill();
             let _ = child.wait();
             if self.options.forget {
-                let _ = std::fs::remove_file(self.sides[number].directory.join("tables/state"));
+                let _ =
+                    std::fs::remove_file(self.controllers[number].directory.join("tables/state"));
             }
             self.recorder.note(
                 reactor::now(),
-                Record::ConductorKilled { conductor: number },
+                Record::ControllerKilled { controller: number },
             );
         }
     }
 
-    /// As an operator's tool does it, at each conductor by itself.
+    /// As an operator's tool does it, at each controller by itself.
     pub(super) fn order(&self, node: String, word: DrainAction, within: Span) {
         let now = reactor::now();
         let asked = self.recorder.at(now);
@@ -130,10 +132,10 @@
         self.tell(
             vec![Request::post("/v1/drains", body)],
             within,
-            move |conductor, taken| {
+            move |controller, taken| {
                 let node = node.clone();
                 taken.then_some(Record::Ordered {
-                    conductor,
+                    controller,
                     node,
                     out,
                     asked,
@@ -163,9 +165,9 @@
             ],
         };
         let change = id.to_string();
-        self.tell(requests, within, move |conductor, taken| {
+        self.tell(requests, within, move |controller, taken| {
             Some(Record::Changed {
-                conductor,
+                controller,
                 change: change.clone(),
                 undo,
                 taken,
@@ -173,15 +175,15 @@
         });
     }
 
-    /// Tells each conductor by itself, one request after the other, each again where it failed.
+    /// Tells each controller by itself, one request after the other, each again where it failed.
     fn tell(
         &self,
         requests: Vec<Request>,
         within: Span,
         record: impl Fn(usize, bool) -> Option<Record> + Clone + Send + 'static,
     ) {
-        for (number, side) in self.sides.iter().enumerate() {
-            let line = Line::Unix(side.directory.join("tables").join("admin.sock"));
+        for (number, process) in self.controllers.iter().enumerate() {
+            let line = Line::Unix(process.directory.join("tables").join("admin.sock"));
             let fleet = Fleet {
                 conductors: BTreeMap::from([(number.to_string(), line)]),
                 within: Duration::from_millis(500),
@@ -202,7 +204,7 @@
     }
 
     pub(super) fn signal(&self, number: usize, signal: Signal) {
-        let pid = self.sides[number]
+        let pid = self.controllers[number]
             .child
             .as_ref()
             .and_then(|child| Pid::from_raw(child.id() as i32));
--- a/crates/drill/src/run/execution.rs
+++ b/crates/drill/src/run/execution.rs
@@ -1,9 +1,9 @@
 //! Execution of the plan: each step at its time, until the drill's end.
 
 use super::{Drill, DrillError, Step};
-use crate::clients::ClientOrder;
-use crate::gateways::GatewayOrder;
-use crate::node::{NodeOrder, NodeSpec};
+use crate::client_population::ClientCommand;
+use crate::proxies::ProxyCommand;
+use crate::stand_in_server::{NodeCommand, NodeSpec};
 use rustix::process::Signal;
 use wheelspread::time::{Moment, Span};
 use wheelspread_reactor as reactor;
@@ -49,28 +49,27 @@
     fn take(&mut self, step: Step) -> Result<(), DrillError> {
         match step {
             Step::Tell(kind) => (self.options.progress)(&format!("trouble: {kind}")),
-            Step::Orders(orders) => orders.into_iter().for_each(|order| self.nodes.order(order)),
-            Step::Wire(order) => self.wires.order(order),
-            Step::Rate { gateways, factor } => {
+            Step::Orders(orders) => orders.into_iter().for_each(|order| self.nodes.send(order)),
+            Step::Wire(order) => self.network.send(order),
+            Step::Rate { proxies, factor } => {
                 self.clients.iter().for_each(|clients| {
-                    clients.order(ClientOrder::Rate {
-                        gateways: gateways.clone(),
+                    clients.send(ClientCommand::Rate {
+                        proxies: proxies.clone(),
                         factor,
                     })
                 });
             }
             Step::Shift { from, to, part } => {
                 let zones = self.script.deployment.zones.len();
-                let of = |zone: usize| {
-                    (0..self.usual.len()).filter(move |gateway| gateway % zones == zone)
-                };
-                let sum = |zone: usize| of(zone).map(|gateway| self.usual[gateway]).sum::<f64>();
+                let of =
+                    |zone: usize| (0..self.usual.len()).filter(move |proxy| proxy % zones == zone);
+                let sum = |zone: usize| of(zone).map(|proxy| self.usual[proxy]).sum::<f64>();
                 let (lost, gained) = (1.0 - part, 1.0 + part * sum(from) / sum(to).max(1e-9));
                 for (zone, factor) in [(from, lost), (to, gained)] {
-                    let gateways: Vec<usize> = of(zone).collect();
+                    let proxies: Vec<usize> = of(zone).collect();
                     if let Some(clients) = &self.clients {
-                        clients.order(ClientOrder::Rate {
-                            gateways: Some(gateways),
+                        clients.send(ClientCommand::Rate {
+                            proxies: Some(proxies),
                             factor,
                         });
                     }
@@ -91,7 +90,7 @@
                     if std::mem::replace(&mut self.fleet[node].gone, true) {
                         continue;
                     }
-                    self.nodes.order(NodeOrder::Stop(self.fleet[node].key));
+                    self.nodes.send(NodeCommand::Stop(self.fleet[node].key));
                     let spec = NodeSpec {
                         cold: true,
                         ..self.fleet[node].spec.clone()
@@ -118,7 +117,7 @@
                 {
                     self.fleet[node].silent = true;
                     self.nodes
-                        .order(NodeOrder::Silent(self.fleet[node].key, true));
+                        .send(NodeCommand::Silent(self.fleet[node].key, true));
                 }
             }
             Step::Return(struck) => {
@@ -126,21 +125,21 @@
                     let known = &mut self.fleet[node];
                     if std::mem::take(&mut known.silent) && !known.gone {
                         known.started = reactor::now();
-                        self.nodes.order(NodeOrder::Silent(known.key, false));
+                        self.nodes.send(NodeCommand::Silent(known.key, false));
                     }
                 }
                 self.list_changes();
             }
             Step::ListDelay(delay) => self.list_delay = delay,
             Step::Publish(list, plain) => self.publish(&list, &plain)?,
-            Step::KillConductors(some) => some
+            Step::KillControllers(some) => some
                 .into_iter()
-                .for_each(|number| self.kill_conductor(number)),
-            Step::StartConductors(some) => some
+                .for_each(|number| self.kill_controller(number)),
+            Step::StartControllers(some) => some
                 .into_iter()
-                .try_for_each(|number| self.start_conductor(number))?,
+                .try_for_each(|number| self.start_controller(number))?,
             Step::Pace { factor } => {
-                for number in 0..self.sides.len() {
+                for number in 0..self.controllers.len() {
                     self.write_file(
                         number,
                         self.script.deployment.channel.lines_per_second / factor,
@@ -172,21 +171,19 @@
                 undo,
                 within,
             } => self.change(&id, &nodes, undo, within),
-            Step::KillGateways(some) => {
-                for gateway in some {
-                    self.gateways.order(GatewayOrder::Die(gateway));
-                    let gone = || ClientOrder::At {
-                        gateway,
+            Step::KillProxies(some) => {
+                for proxy in some {
+                    self.proxies.send(ProxyCommand::Die(proxy));
+                    let gone = || ClientCommand::At {
+                        proxy,
                         address: None,
                     };
-                    self.clients
-                        .iter()
-                        .for_each(|clients| clients.order(gone()));
+                    self.clients.iter().for_each(|clients| clients.send(gone()));
                 }
             }
-            Step::StartGateways(some) => some
+            Step::StartProxies(some) => some
                 .into_iter()
-                .try_for_each(|gateway| self.start_gateway(gateway))?,
+                .try_for_each(|proxy| self.start_proxy(proxy))?,
             Step::Swarm { until } => {
                 let (_, plain) = self.list();
                 if let Some(even) = &mut self.even {
--- a/crates/drill/src/run/fleet.rs
+++ b/crates/drill/src/run/fleet.rs
@@ -2,8 +2,8 @@
 
 use super::{named, Drill, DrillError, Step};
 use crate::even::ListedNode;
-use crate::node::{NodeKey, NodeSpec};
 use crate::records::{Listed, Record};
+use crate::stand_in_server::{NodeKey, NodeSpec};
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 use wheelspread::ids::NodeId;
@@ -96,7 +96,7 @@
         (list, plain.collect())
     }
 
-    /// The list as it is now, to be seen by conductors after its delay.
+    /// The list as it is now, to be seen by controllers after its delay.
     pub(super) fn list_changes(&mut self) {
         let (list, plain) = self.list();
         self.at(reactor::now() + self.list_delay, Step::Publish(list, plain));
@@ -132,14 +132,14 @@
             )
         };
         let nodes: BTreeMap<String, Listed> = list.records.iter().map(listed).collect();
-        for (conductor, side) in self.sides.iter().enumerate() {
-            swap::replace(&side.directory.join("nodes.json"), &text)
+        for (controller, process) in self.controllers.iter().enumerate() {
+            swap::replace(&process.directory.join("nodes.json"), &text)
                 .map_err(named("the list of nodes"))?;
             let version = list.version.parse().unwrap_or(0);
             self.recorder.note(
                 reactor::now(),
                 Record::Listed {
-                    conductor,
+                    controller,
                     version,
                     nodes: nodes.clone(),
                 },
--- a/crates/drill/src/run/report.rs
+++ b/crates/drill/src/run/report.rs
@@ -6,7 +6,7 @@
 use wheelspread_controller_core::span_format;
 
 #[derive(Clone, Debug, Serialize)]
-pub struct TroubleTold {
+pub struct FaultReport {
     pub kind: String,
     pub at_s: f64,
     pub for_s: f64,
@@ -20,12 +20,14 @@
     pub baseline: Option<String>,
     #[serde(flatten)]
     pub verdict: Verdict,
-    pub troubles: Vec<TroubleTold>,
+    #[serde(rename = "troubles")]
+    pub faults: Vec<FaultReport>,
     pub table_swaps: u64,
-    pub conductor_cpu_s: f64,
-    /// From orders to drain to the last try there, by conductor and node.
+    #[serde(rename = "conductor_cpu_s")]
+    pub controller_cpu_s: f64,
+    /// From orders to drain to the last try there, by controller and node.
     pub drain_orders_s: Vec<f64>,
-    /// Changes and undoes that were told to conductors, and how many took them.
+    /// Changes and undoes that were told to controllers, and how many took them.
     pub changes_told: (usize, usize),
 }
 
@@ -88,8 +90,8 @@
             self.verdict.repeats * 100.0,
             self.table_swaps
         ));
-        let troubles: Vec<String> = self
-            .troubles
+        let faults: Vec<String> = self
+            .faults
             .iter()
             .map(|told| {
                 format!(
@@ -100,7 +102,7 @@
                 )
             })
             .collect();
-        line(format!("troubles: {}", troubles.join(", ")));
+        line(format!("troubles: {}", faults.join(", ")));
         let seconds = |span: f64| span_format::write(Span::from_seconds(span));
         if let (Some(middle), Some(last)) = (
             self.drain_orders_s.get(self.drain_orders_s.len() / 2),
@@ -117,7 +119,7 @@
         }
         line(format!(
             "CPU of conductors: {}",
-            seconds((self.conductor_cpu_s * 1000.0).round() / 1000.0)
+            seconds((self.controller_cpu_s * 1000.0).round() / 1000.0)
         ));
         line(
             (if self.verdict.kept() {
@@ -130,3 +132,6 @@
         out
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/drill/src/run/setup.rs
+++ b/crates/drill/src/run/setup.rs
@@ -1,9 +1,9 @@
 //! Set-up of a drill: nodes, controllers, proxies and clients start, and the first tables are awaited.
 
 use super::{named, Drill, DrillError};
-use crate::clients::{ClientOrder, Clients};
+use crate::client_population::{ClientCommand, ClientPopulation};
 use crate::even::Sabotage;
-use crate::gateways::{name, plan};
+use crate::proxies::{plan, proxy_name};
 use crate::records::Record;
 use crate::watch::Watch;
 use std::collections::BTreeMap;
@@ -14,35 +14,39 @@
 use wheelspread_reactor as reactor;
 
 impl Drill<'_> {
-    fn add_gateway(&mut self, gateway: usize) -> Result<std::net::SocketAddr, DrillError> {
-        let sides: Vec<(SocketAddrV4, PathBuf)> = self
-            .wires
+    fn add_proxy(&mut self, proxy: usize) -> Result<std::net::SocketAddr, DrillError> {
+        let controllers: Vec<(SocketAddrV4, PathBuf)> = self
+            .network
             .ports
             .iter()
-            .zip(&self.sides)
-            .map(|(port, side)| (*port, side.directory.join("tables")))
+            .zip(&self.controllers)
+            .map(|(port, process)| (*port, process.directory.join("tables")))
             .collect();
         let (seed, even) = (self.options.seed, self.even.is_some());
         let trusting = self.options.sabotage == Some(Sabotage::Repeat);
-        let sides = if even { &sides[..1] } else { &sides[..] };
+        let controllers = if even {
+            &controllers[..1]
+        } else {
+            &controllers[..]
+        };
         let plan = plan(
             &self.script,
-            gateway,
-            self.zones[gateway],
-            sides,
+            proxy,
+            self.zones[proxy],
+            controllers,
             seed,
             trusting,
             even,
         );
-        let address = self.gateways.add(plan, gateway);
-        address.ok_or_else(|| DrillError::NotReady(format!("gateway {gateway} does not start")))
+        let address = self.proxies.add(plan, proxy);
+        address.ok_or_else(|| DrillError::NotReady(format!("gateway {proxy} does not start")))
     }
 
-    pub(super) fn start_gateway(&mut self, gateway: usize) -> Result<(), DrillError> {
-        let address = Some(self.add_gateway(gateway)?);
+    pub(super) fn start_proxy(&mut self, proxy: usize) -> Result<(), DrillError> {
+        let address = Some(self.add_proxy(proxy)?);
         self.clients
             .iter()
-            .for_each(|clients| clients.order(ClientOrder::At { gateway, address }));
+            .for_each(|clients| clients.send(ClientCommand::At { proxy, address }));
         Ok(())
     }
 
@@ -50,29 +54,30 @@
         self.first_nodes();
         let (list, plain) = self.list();
         let mut directories = BTreeMap::new();
-        for (conductor, side) in self.sides.iter().enumerate() {
-            for gateway in 0..self.script.gateways {
-                let directory = Root::new(side.directory.join("tables")).gateway(&name(gateway));
+        for (controller, process) in self.controllers.iter().enumerate() {
+            for proxy in 0..self.script.proxies {
+                let directory =
+                    Root::new(process.directory.join("tables")).gateway(&proxy_name(proxy));
                 std::fs::create_dir_all(&directory)
                     .map_err(named(directory.display().to_string()))?;
-                directories.insert(directory, (conductor, gateway));
+                directories.insert(directory, (controller, proxy));
             }
         }
         let watch =
             Watch::start(directories.clone(), self.recorder.clone()).map_err(named("a watch"))?;
         self.publish(&list, &plain)?;
-        for number in 0..self.sides.len() {
-            self.start_conductor(number)?;
+        for number in 0..self.controllers.len() {
+            self.start_controller(number)?;
         }
         let mut addresses = Vec::new();
-        for gateway in 0..self.script.gateways {
-            addresses.push(Some(self.add_gateway(gateway)?));
+        for proxy in 0..self.script.proxies {
+            addresses.push(Some(self.add_proxy(proxy)?));
         }
         self.wait_for_tables(&directories)?;
         self.begin = reactor::now() + Span::from_seconds(0.2);
         let rates = self.rates();
         self.usual = rates.clone();
-        let clients = Clients::start(
+        let clients = ClientPopulation::start(
             &self.script,
             rates,
             addresses,
@@ -80,13 +85,13 @@
             self.options.seed ^ 0x5eed,
         );
         self.clients = Some(clients.map_err(named("clients"))?);
-        for trouble in self.script.troubles.clone() {
-            self.plan_trouble(&trouble);
+        for fault in self.script.faults.clone() {
+            self.plan_fault(&fault);
         }
         for kind in self.options.not_injected.clone() {
             self.recorder.note(
                 self.begin,
-                Record::Trouble {
+                Record::Fault {
                     kind,
                     injected: false,
                     span: 0.0,
@@ -103,7 +108,7 @@
 
     fn rates(&mut self) -> Vec<f64> {
         let spread = self.script.traffic.spread;
-        let weights: Vec<f64> = (0..self.script.gateways)
+        let weights: Vec<f64> = (0..self.script.proxies)
             .map(|_| spread.powf(self.chance.unit()))
             .collect();
         let sum: f64 = weights.iter().sum();
@@ -118,24 +123,24 @@
         directories: &BTreeMap<PathBuf, (usize, usize)>,
     ) -> Result<(), DrillError> {
         let deadline = reactor::now() + Span::from_seconds(8.0);
-        let preferred = |(_, (conductor, gateway)): &(&PathBuf, &(usize, usize))| {
+        let preferred = |(_, (controller, proxy)): &(&PathBuf, &(usize, usize))| {
             let usual = if self.even.is_some() {
                 0
             } else {
-                gateway % self.sides.len()
+                proxy % self.controllers.len()
             };
-            *conductor == usual
+            *controller == usual
         };
-        for (directory, (_, gateway)) in directories.iter().filter(preferred) {
+        for (directory, (_, proxy)) in directories.iter().filter(preferred) {
             let streams = !self.script.deployment.fronts.files;
             let waits = || match streams {
-                true => !self.gateways.held(*gateway),
+                true => !self.proxies.held(*proxy),
                 false => !directory.join(wheelspread_files::CURRENT).exists(),
             };
             while waits() {
                 if reactor::now() > deadline {
                     let text = format!(
-                        "gateway {gateway} got no tables within 8 s; see the logs under --keep"
+                        "gateway {proxy} got no tables within 8 s; see the logs under --keep"
                     );
                     return Err(DrillError::NotReady(text));
                 }
--- a/crates/drill/src/run/step.rs
+++ b/crates/drill/src/run/step.rs
@@ -1,21 +1,21 @@
 //! The steps of a drill's plan.
 
 use crate::even::ListedNode;
-use crate::node::NodeOrder;
-use crate::wire::WireOrder;
+use crate::network::NetworkCommand;
+use crate::stand_in_server::NodeCommand;
 use wheelspread::time::{Moment, Span};
 use wheelspread_controller_core::endpoint_list::EndpointSnapshot;
 use wheelspread_drain::DrainAction;
 
 /// What is to be done at a time.
 pub(super) enum Step {
-    Orders(Vec<NodeOrder>),
-    Wire(WireOrder),
+    Orders(Vec<NodeCommand>),
+    Wire(NetworkCommand),
     Rate {
-        gateways: Option<Vec<usize>>,
+        proxies: Option<Vec<usize>>,
         factor: f64,
     },
-    /// A part of what comes to a zone's gateways comes to another zone's from then on.
+    /// A part of what comes to a zone's proxies comes to another zone's from then on.
     Shift {
         from: usize,
         to: usize,
@@ -35,13 +35,13 @@
     Return(Vec<usize>),
     ListDelay(Span),
     Publish(EndpointSnapshot, Vec<ListedNode>),
-    KillConductors(Vec<usize>),
-    StartConductors(Vec<usize>),
+    KillControllers(Vec<usize>),
+    StartControllers(Vec<usize>),
     Pace {
         factor: f64,
     },
     Stall(Vec<usize>, bool),
-    /// Told to all conductors, again where it failed, until this long after.
+    /// Told to all controllers, again where it failed, until this long after.
     Order {
         nodes: Vec<usize>,
         word: DrainAction,
@@ -54,8 +54,8 @@
         undo: bool,
         within: Span,
     },
-    KillGateways(Vec<usize>),
-    StartGateways(Vec<usize>),
+    KillProxies(Vec<usize>),
+    StartProxies(Vec<usize>),
     Swarm {
         until: Moment,
     },
--- a/crates/drill/src/script.rs
+++ b/crates/drill/src/script.rs
@@ -1,5 +1,5 @@
-//! What a drill plays: fleet, traffic, troubles. Scripts are YAML; a day of the operators' bench is read
-//! for its troubles, which are played at the same parts of the drill, scaled to its fleet.
+//! What a drill plays: fleet, traffic, faults. Scripts are YAML; a day of the operators' bench is read
+//! for its faults, which are played at the same parts of the drill, scaled to its fleet.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -11,7 +11,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum TroubleKind {
+pub enum FaultKind {
     AnswerLost,
     BalancerCrash,
     BalancerStall,
@@ -40,8 +40,8 @@
 
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Trouble {
-    pub kind: TroubleKind,
+pub struct Fault {
+    pub kind: FaultKind,
     #[serde(with = "span_format")]
     pub at: Span,
     #[serde(default = "moment", rename = "for", with = "span_format")]
@@ -54,7 +54,7 @@
     pub size: f64,
     #[serde(default)]
     pub extra: f64,
-    /// `conductor` or `gateway`, for what can strike both.
+    /// `conductor` (a controller) or `gateway` (a proxy), for what can strike both.
     #[serde(default)]
     pub whom: Option<String>,
 }
@@ -105,13 +105,13 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TrafficPlan {
-    /// First tries a second, over all gateways.
+    /// First tries a second, over all proxies.
     pub rate: f64,
     pub operations: Vec<OperationTraffic>,
     /// Times that a client comes again after a failure.
     #[serde(default)]
     pub retries: u32,
-    /// How unequal gateways are: the largest over the smallest.
+    /// How unequal proxies are: the largest over the smallest.
     #[serde(default = "one")]
     pub spread: f64,
 }
@@ -122,15 +122,16 @@
     pub name: String,
     #[serde(with = "span_format")]
     pub length: Span,
-    pub gateways: usize,
+    #[serde(rename = "gateways")]
+    pub proxies: usize,
     pub nodes: NodePlan,
     pub traffic: TrafficPlan,
     pub deployment: Deployment,
     /// How late the list of nodes is.
     #[serde(default = "list_delay", with = "span_format")]
     pub list_delay: Span,
-    #[serde(default)]
-    pub troubles: Vec<Trouble>,
+    #[serde(default, rename = "troubles")]
+    pub faults: Vec<Fault>,
 }
 
 fn list_delay() -> Span {
@@ -165,10 +166,10 @@
         if !(2.0..=3600.0).contains(&self.length.seconds()) {
             wrong("length: between 2s and 1h is possible".to_string());
         }
-        if self.gateways == 0 || self.gateways > 200 {
+        if self.proxies == 0 || self.proxies > 200 {
             wrong(format!(
                 "gateways: {}, between 1 and 200 are possible on one machine",
-                self.gateways
+                self.proxies
             ));
         }
         let count: usize = self.nodes.kinds.iter().map(|kind| kind.count).sum();
@@ -222,10 +223,10 @@
                     .to_string(),
             );
         }
-        for (at, trouble) in self.troubles.iter().enumerate() {
-            if trouble.at > self.length
-                || !(0.0..=1.0).contains(&trouble.part)
-                || !trouble.size.is_finite()
+        for (at, fault) in self.faults.iter().enumerate() {
+            if fault.at > self.length
+                || !(0.0..=1.0).contains(&fault.part)
+                || !fault.size.is_finite()
             {
                 wrong(format!(
                     "troubles.{at}: it should begin within the drill and strike a part between 0 and 1"
@@ -235,7 +236,7 @@
         flaws
     }
 
-    /// The same fleet with the troubles of a day. What can't be injected is named.
+    /// The same fleet with the faults of a day. What can't be injected is named.
     pub fn with_day(mut self, text: &str) -> Result<(Script, Vec<String>), String> {
         let day: Value =
             serde_json::from_str(text).map_err(|error| format!("the day is no JSON: {error}"))?;
@@ -243,7 +244,7 @@
         let length = number(&day, "length")
             .filter(|length| *length > 0.0)
             .ok_or("the day has no length")?;
-        let troubles = day
+        let faults = day
             .get("troubles")
             .and_then(Value::as_array)
             .ok_or("the day has no troubles")?;
@@ -256,10 +257,10 @@
         let (servers, balancers) = (many("servers"), many("balancers"));
         let scale = self.length.seconds() / length;
         let mut unknown = Vec::new();
-        self.troubles.clear();
-        for told in troubles {
+        self.faults.clear();
+        for told in faults {
             let kind = told.get("kind").and_then(Value::as_str).unwrap_or("");
-            let Ok(known) = serde_json::from_value::<TroubleKind>(Value::String(kind.to_string()))
+            let Ok(known) = serde_json::from_value::<FaultKind>(Value::String(kind.to_string()))
             else {
                 unknown.push(kind.to_string());
                 continue;
@@ -275,7 +276,7 @@
                 .sum();
             let struck = count(told.get("on")).max(stepped) as f64;
             let whole = match known {
-                TroubleKind::BalancerCrash | TroubleKind::CounterDown | TroubleKind::HotCaller => {
+                FaultKind::BalancerCrash | FaultKind::CounterDown | FaultKind::HotCaller => {
                     balancers
                 }
                 _ => servers,
@@ -287,7 +288,7 @@
             };
             let size = number(told, "size").unwrap_or(1.0);
             // A share of streams is told as size there; late reports come later by seconds.
-            self.troubles.push(Trouble {
+            self.faults.push(Fault {
                 kind: known,
                 at: Span::from_seconds(number(told, "at").unwrap_or(0.0) * scale),
                 span: Span::from_seconds(number(told, "len").unwrap_or(0.0) * scale),
--- a/crates/drill/src/script/tests.rs
+++ b/crates/drill/src/script/tests.rs
@@ -11,12 +11,12 @@
     let length = script.length.seconds();
     let (script, unknown) = script.with_day(day).expect("it is a day");
     assert_eq!(
-        (unknown, script.troubles.len()),
+        (unknown, script.faults.len()),
         (vec!["meteor".to_string()], 1)
     );
-    let trouble = &script.troubles[0];
-    assert_eq!((trouble.kind, trouble.part), (TroubleKind::Vanish, 0.25));
-    assert!((trouble.at.seconds() - length / 2.0).abs() < 1e-6);
+    let fault = &script.faults[0];
+    assert_eq!((fault.kind, fault.part), (FaultKind::Vanish, 0.25));
+    assert!((fault.at.seconds() - length / 2.0).abs() < 1e-6);
 }
 
 #[test]
--- a/crates/drill/src/node.rs
+++ b/crates/drill/src/stand_in_server.rs
@@ -30,7 +30,7 @@
 /// A node's number in its thread.
 pub type NodeKey = usize;
 
-pub enum NodeOrder {
+pub enum NodeCommand {
     Start(NodeSpec, Sender<(NodeKey, SocketAddrV4)>),
     /// The process ends.
     Stop(NodeKey),
@@ -43,10 +43,10 @@
     Connections(NodeKey, usize),
     /// Times the work that everything takes.
     Slow(f64),
-    /// What gateways of these numbers meet at nodes of a kind: slower by a factor, or refused.
+    /// What proxies of these numbers meet at nodes of a kind: slower by a factor, or refused.
     OneSided {
         kind: usize,
-        gateways: BTreeSet<usize>,
+        proxies: BTreeSet<usize>,
         slow: f64,
         refuse: bool,
     },
@@ -57,44 +57,48 @@
     End,
 }
 
-impl WorkerCommand for NodeOrder {
-    const STOP: NodeOrder = NodeOrder::End;
+impl WorkerCommand for NodeCommand {
+    const STOP: NodeCommand = NodeCommand::End;
 }
 
-pub struct Nodes {
-    worker: Worker<NodeOrder>,
+pub struct StandInServers {
+    worker: Worker<NodeCommand>,
 }
 
-impl Nodes {
-    pub fn start(plan: Deployment, recorder: Recorder, seed: u64) -> std::io::Result<Nodes> {
+impl StandInServers {
+    pub fn start(
+        plan: Deployment,
+        recorder: Recorder,
+        seed: u64,
+    ) -> std::io::Result<StandInServers> {
         let worker = Worker::spawn("nodes", Poll::new()?, move |poll, inbox| {
-            World::new(plan, recorder, seed, poll, inbox).run();
+            ServerLoop::new(plan, recorder, seed, poll, inbox).run();
         })?;
-        Ok(Nodes { worker })
+        Ok(StandInServers { worker })
     }
 
-    pub fn order(&self, order: NodeOrder) {
-        self.worker.send(order);
+    pub fn send(&self, command: NodeCommand) {
+        self.worker.send(command);
     }
 
     pub fn add(&self, spec: NodeSpec) -> Option<(NodeKey, SocketAddrV4)> {
         let (tell, told) = channel();
-        self.order(NodeOrder::Start(spec, tell));
+        self.send(NodeCommand::Start(spec, tell));
         told.recv().ok()
     }
 }
 
-/// Gateways call from addresses of their own, which tell zone and number.
-pub fn gateway_address(zone: usize, gateway: usize) -> Ipv4Addr {
+/// Proxies call from addresses of their own, which tell zone and number.
+pub fn proxy_address(zone: usize, proxy: usize) -> Ipv4Addr {
     Ipv4Addr::new(
         127,
         1 + zone as u8,
-        (gateway / 250) as u8,
-        (1 + gateway % 250) as u8,
+        (proxy / 250) as u8,
+        (1 + proxy % 250) as u8,
     )
 }
 
-pub fn gateway_of(address: IpAddr) -> (usize, usize) {
+pub fn proxy_of(address: IpAddr) -> (usize, usize) {
     match address {
         IpAddr::V4(v4) => {
             let [_, zone, high, low] = v4.octets();
@@ -113,7 +117,7 @@
 struct Call {
     socket: TcpStream,
     zone: usize,
-    gateway: usize,
+    proxy: usize,
     input: Vec<u8>,
     output: Vec<u8>,
     busy: bool,
@@ -161,12 +165,12 @@
     },
 }
 
-struct World {
+struct ServerLoop {
     plan: Deployment,
     recorder: Recorder,
     chance: Pcg,
     poll: Poll,
-    inbox: Inbox<NodeOrder>,
+    inbox: Inbox<NodeCommand>,
     nodes: Vec<Node>,
     due: BTreeMap<(Moment, u64), Due>,
     next: u64,
@@ -178,15 +182,15 @@
     seen: HashMap<String, Moment>,
 }
 
-impl World {
+impl ServerLoop {
     fn new(
         plan: Deployment,
         recorder: Recorder,
         seed: u64,
         poll: Poll,
-        inbox: Inbox<NodeOrder>,
-    ) -> World {
-        World {
+        inbox: Inbox<NodeCommand>,
+    ) -> ServerLoop {
+        ServerLoop {
             plan,
             recorder,
             chance: Pcg::new(seed),
@@ -222,10 +226,10 @@
             for ready in ready.drain(..) {
                 if ready.token == INBOX {
                     for order in self.inbox.take() {
-                        if matches!(order, NodeOrder::End) {
+                        if matches!(order, NodeCommand::End) {
                             return;
                         }
-                        self.obey(now, order);
+                        self.execute(now, order);
                     }
                     continue;
                 }
@@ -241,14 +245,14 @@
         }
     }
 
-    fn obey(&mut self, now: Moment, order: NodeOrder) {
+    fn execute(&mut self, now: Moment, order: NodeCommand) {
         match order {
-            NodeOrder::Start(spec, tell) => {
+            NodeCommand::Start(spec, tell) => {
                 if let Some(told) = self.start(now, spec) {
                     let _ = tell.send(told);
                 }
             }
-            NodeOrder::Stop(key) => {
+            NodeCommand::Stop(key) => {
                 self.recorder.note(
                     now,
                     Record::Ceased {
@@ -257,27 +261,27 @@
                 );
                 self.close(key);
             }
-            NodeOrder::Silent(key, true) => self.nodes[key].silent = true,
-            NodeOrder::Silent(key, false) => self.come_back(now, key),
-            NodeOrder::Errors(key, share) => self.nodes[key].errors = share,
-            NodeOrder::AnswersLost(key, share) => self.nodes[key].lost = share,
-            NodeOrder::Connections(key, most) => {
+            NodeCommand::Silent(key, true) => self.nodes[key].silent = true,
+            NodeCommand::Silent(key, false) => self.come_back(now, key),
+            NodeCommand::Errors(key, share) => self.nodes[key].errors = share,
+            NodeCommand::AnswersLost(key, share) => self.nodes[key].lost = share,
+            NodeCommand::Connections(key, most) => {
                 let node = &mut self.nodes[key];
                 node.connections = most;
                 let over: Vec<usize> = node.calls.iter().map(|(slot, _)| slot).skip(most).collect();
                 over.into_iter()
                     .for_each(|slot| reactor::reset(node.calls.remove(slot).socket));
             }
-            NodeOrder::Slow(factor) => self.slow = factor,
-            NodeOrder::OneSided {
+            NodeCommand::Slow(factor) => self.slow = factor,
+            NodeCommand::OneSided {
                 kind,
-                gateways,
+                proxies,
                 slow,
                 refuse,
             } => {
-                self.one_sided = (!gateways.is_empty()).then_some((kind, gateways, slow, refuse));
+                self.one_sided = (!proxies.is_empty()).then_some((kind, proxies, slow, refuse));
             }
-            NodeOrder::Cut(zone) => {
+            NodeCommand::Cut(zone) => {
                 self.cut = zone;
                 // What was held back on the way comes through.
                 for key in 0..self.nodes.len() {
@@ -288,8 +292,8 @@
                         .for_each(|call| self.call_ready(now, key, call));
                 }
             }
-            NodeOrder::SlowLink(seconds) => self.slow_link = seconds,
-            NodeOrder::End => {}
+            NodeCommand::SlowLink(seconds) => self.slow_link = seconds,
+            NodeCommand::End => {}
         }
     }
 
@@ -375,15 +379,15 @@
             return;
         };
         for socket in reactor::accept(listener).0 {
-            let peer = socket.peer_addr().map(|peer| gateway_of(peer.ip()));
-            let (Ok((zone, gateway)), true) = (peer, node.calls.len() < node.connections) else {
+            let peer = socket.peer_addr().map(|peer| proxy_of(peer.ip()));
+            let (Ok((zone, proxy)), true) = (peer, node.calls.len() < node.connections) else {
                 reactor::reset(socket);
                 continue;
             };
             let call = Call {
                 socket,
                 zone,
-                gateway,
+                proxy,
                 input: Vec::new(),
                 output: Vec::new(),
                 busy: false,
@@ -474,7 +478,7 @@
             operation,
             work: header("x-work").parse().unwrap_or(0.01),
         };
-        let (gateway, end) = (call.gateway, head.length + taken);
+        let (proxy, end) = (call.proxy, head.length + taken);
         call.input.drain(..end);
         call.busy = true;
         let node = self.nodes[key].name.clone();
@@ -483,16 +487,16 @@
             now,
             Record::Came {
                 node,
-                gateway,
+                proxy,
                 id,
                 operation,
                 work: job.work,
             },
         );
-        self.came(now, key, gateway, job);
+        self.came(now, key, proxy, job);
     }
 
-    fn came(&mut self, now: Moment, key: NodeKey, gateway: usize, job: Job) {
+    fn came(&mut self, now: Moment, key: NodeKey, proxy: usize, job: Job) {
         if self.pushed_over(now, key, job.work) {
             self.recorder.note(
                 now,
@@ -503,8 +507,8 @@
             return self.close(key);
         }
         let (mut extra, mut refuse) = (1.0, false);
-        if let Some((kind, gateways, slow, refuses)) = &self.one_sided {
-            if *kind == self.nodes[key].spec.kind && gateways.contains(&gateway) {
+        if let Some((kind, proxies, slow, refuses)) = &self.one_sided {
+            if *kind == self.nodes[key].spec.kind && proxies.contains(&proxy) {
                 (extra, refuse) = (*slow, *refuses);
             }
         }
--- a/crates/drill/src/watch.rs
+++ b/crates/drill/src/watch.rs
@@ -1,6 +1,6 @@
 //! Looks at the directories as any reader would, and writes down each swap and what then lay there.
 
-use crate::gateways::lines;
+use crate::proxies::lines;
 use crate::records::{Record, Recorder};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -17,7 +17,7 @@
 }
 
 impl Watch {
-    /// `directories`: by path, whose they are: conductor and gateway.
+    /// `directories`: by path, whose they are: controller and proxy.
     pub fn start(
         directories: BTreeMap<PathBuf, (usize, usize)>,
         recorder: Recorder,
@@ -40,7 +40,7 @@
                     let Moved::Into { directory, name } = moved else {
                         continue;
                     };
-                    let Some((conductor, gateway)) = directories
+                    let Some((controller, proxy)) = directories
                         .get(&directory)
                         .copied()
                         .filter(|_| name == CURRENT)
@@ -51,21 +51,21 @@
                         Ok(Some(held)) => {
                             let (version, hash) = (held.orders.version.0, held.hash.clone());
                             Record::Swapped {
-                                conductor,
-                                gateway,
+                                controller,
+                                proxy,
                                 version,
                                 hash,
                                 lines: lines(&held),
                             }
                         }
                         Ok(None) => Record::SwapUnreadable {
-                            conductor,
-                            gateway,
+                            controller,
+                            proxy,
                             reason: "nothing there".to_string(),
                         },
                         Err(error) => Record::SwapUnreadable {
-                            conductor,
-                            gateway,
+                            controller,
+                            proxy,
                             reason: error.to_string(),
                         },
                     };
