--- a/crates/cli/src/drill.rs
+++ b/crates/cli/src/drill.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 use wheelspread_controller_core::deployment::FrontPlan;
-use wheelspread_drill::{run, Options, Sabotage, Script, BUILT_IN};
+use wheelspread_drill::{run, DayScript, Options, Sabotage, Script, ScriptError, BUILT_IN};
 
 #[derive(Args)]
 pub struct DrillArguments {
@@ -55,25 +55,31 @@
 /// The drill could not be played, which says nothing of the rules.
 const NOT_PLAYED: u8 = 3;
 
-fn script(arguments: &DrillArguments) -> Result<(Script, Vec<String>), String> {
+fn script(arguments: &DrillArguments) -> Result<DayScript, ScriptError> {
     let script = match &arguments.script {
         Some(path) => Script::read(path)?,
         None => Script::parse(BUILT_IN)?,
     };
     match &arguments.day {
         Some(path) => {
-            let text = std::fs::read_to_string(path)
-                .map_err(|error| format!("{}: {error}", path.display()))?;
-            script
-                .with_day(&text)
-                .map_err(|error| format!("{}: {error}", path.display()))
+            let text = std::fs::read_to_string(path).map_err(|source| ScriptError::Unreadable {
+                path: path.clone(),
+                source,
+            })?;
+            script.with_day(&text).map_err(|error| error.in_file(path))
         }
-        None => Ok((script, Vec::new())),
+        None => Ok(DayScript {
+            script,
+            not_injected: Vec::new(),
+        }),
     }
 }
 
 pub fn drill(arguments: DrillArguments) -> ExitCode {
-    let (mut script, unknown) = match script(&arguments) {
+    let DayScript {
+        mut script,
+        not_injected,
+    } = match script(&arguments) {
         Ok(script) => script,
         Err(error) => {
             eprintln!("{error}");
@@ -93,7 +99,7 @@
             return ExitCode::from(NOT_PLAYED);
         }
     };
-    for kind in &unknown {
+    for kind in &not_injected {
         eprintln!("not injected, as it can't be here: {kind}");
     }
     let sabotage = arguments.sabotage.map(|broken| match broken {
@@ -111,7 +117,7 @@
         sabotage,
         forget: arguments.forget,
         keep: arguments.keep.clone(),
-        not_injected: unknown,
+        not_injected,
         progress: &mut progress,
     };
     let report = match run(&script, options) {
--- a/crates/drill/src/even.rs
+++ b/crates/drill/src/even.rs
@@ -1,6 +1,7 @@
 //! The baseline: even weights over the listed nodes, written at once whenever the list changes. It also
 //! breaks a rule on purpose, so that the audit can be seen to find it.
 
+use crate::error::PublishError;
 use crate::proxies::proxy_name;
 use crate::script::Script;
 use std::net::SocketAddrV4;
@@ -60,7 +61,7 @@
         script: &Script,
         listed: &[ListedNode],
         zones: &[usize],
-    ) -> Result<(), String> {
+    ) -> Result<(), PublishError> {
         let keep = self.sabotage == Some(Sabotage::KeepDrained);
         if keep {
             let new = listed
@@ -129,11 +130,8 @@
                 configuration: 0,
                 operations,
             };
-            let documents =
-                tables::write(&set, &script.deployment).map_err(|error| error.to_string())?;
-            Swap::new(&self.root, set.version, &documents, &proxy_name(proxy))
-                .run()
-                .map_err(|error| error.to_string())?;
+            let documents = tables::write(&set, &script.deployment)?;
+            Swap::new(&self.root, set.version, &documents, &proxy_name(proxy)).run()?;
         }
         Ok(())
     }
--- a/crates/drill/src/lib.rs
+++ b/crates/drill/src/lib.rs
@@ -4,6 +4,7 @@
 
 mod audit;
 mod client_population;
+mod error;
 mod even;
 pub mod load;
 mod machine;
@@ -17,8 +18,9 @@
 mod worker;
 
 pub use audit::{judge, Judged, RuleJudged, Verdict};
+pub use error::{DrillError, PublishError, ScriptError};
 pub use even::Sabotage;
 pub use machine::{cpu_of, free_port, own_port};
 pub use records::{Record, Records};
-pub use run::{run, DrillError, Options, Report};
-pub use script::{Fault, FaultKind, Script, BUILT_IN};
+pub use run::{run, Options, Report};
+pub use script::{DayScript, Fault, FaultKind, Script, BUILT_IN};
--- a/crates/drill/src/run.rs
+++ b/crates/drill/src/run.rs
@@ -15,6 +15,7 @@
 use self::step::Step;
 use crate::audit::Slowed;
 use crate::client_population::ClientPopulation;
+use crate::error::DrillError;
 use crate::even::{EvenPublisher, Sabotage};
 use crate::machine::own_port;
 use crate::network::Network;
@@ -30,14 +31,6 @@
 use wheelspread_files::Root;
 use wheelspread_reactor as reactor;
 
-#[derive(Debug, thiserror::Error)]
-pub enum DrillError {
-    #[error("{what}: {source}")]
-    Io { what: String, source: io::Error },
-    #[error("{0}")]
-    NotReady(String),
-}
-
 pub struct Options<'a> {
     /// The program whose `run` is a controller.
     pub program: PathBuf,
--- a/crates/drill/src/run/controllers.rs
+++ b/crates/drill/src/run/controllers.rs
@@ -72,7 +72,7 @@
             log,
             deployment,
         });
-        let text = text.map_err(|error| DrillError::NotReady(error.to_string()))?;
+        let text = text.map_err(DrillError::Configuration)?;
         let path = process.directory.join("conductor.yaml");
         swap::replace(&path, &text).map_err(named(path.display().to_string()))?;
         Ok(path)
--- a/crates/drill/src/run/execution.rs
+++ b/crates/drill/src/run/execution.rs
@@ -6,9 +6,14 @@
 use crate::stand_in_server::{NodeCommand, NodeSpec};
 use rustix::process::Signal;
 use wheelspread::time::{Moment, Span};
+use wheelspread_drain::DrainAction;
 use wheelspread_reactor as reactor;
 
+/// How often a sabotaged run swaps tables when it writes too often.
+const REPUBLISH_INTERVAL_SECONDS: f64 = 0.05;
+
 impl Drill<'_> {
+    /// Schedules a step. Steps of one time are taken in the order of their scheduling.
     pub(super) fn at(&mut self, at: Moment, step: Step) {
         self.next += 1;
         self.steps.insert((at, self.next), step);
@@ -48,155 +53,175 @@
 
     fn take(&mut self, step: Step) -> Result<(), DrillError> {
         match step {
-            Step::Tell(kind) => (self.options.progress)(&format!("trouble: {kind}")),
-            Step::Orders(orders) => orders.into_iter().for_each(|order| self.nodes.send(order)),
-            Step::Wire(order) => self.network.send(order),
-            Step::Rate { proxies, factor } => {
-                self.clients.iter().for_each(|clients| {
-                    clients.send(ClientCommand::Rate {
-                        proxies: proxies.clone(),
-                        factor,
-                    })
-                });
-            }
-            Step::Shift { from, to, part } => {
-                let zones = self.script.deployment.zones.len();
-                let of =
-                    |zone: usize| (0..self.usual.len()).filter(move |proxy| proxy % zones == zone);
-                let sum = |zone: usize| of(zone).map(|proxy| self.usual[proxy]).sum::<f64>();
-                let (lost, gained) = (1.0 - part, 1.0 + part * sum(from) / sum(to).max(1e-9));
-                for (zone, factor) in [(from, lost), (to, gained)] {
-                    let proxies: Vec<usize> = of(zone).collect();
-                    if let Some(clients) = &self.clients {
-                        clients.send(ClientCommand::Rate {
-                            proxies: Some(proxies),
-                            factor,
-                        });
-                    }
-                }
-            }
-            Step::Batch { out, drain } => {
-                let out: Vec<usize> = out
-                    .into_iter()
-                    .filter(|node| !self.fleet[*node].gone)
-                    .collect();
-                out.iter()
-                    .for_each(|node| self.fleet[*node].draining = true);
-                self.list_changes();
-                self.at(reactor::now() + drain, Step::Swap { out });
-            }
-            Step::Swap { out } => {
-                for node in out {
-                    if std::mem::replace(&mut self.fleet[node].gone, true) {
-                        continue;
-                    }
-                    self.nodes.send(NodeCommand::Stop(self.fleet[node].key));
-                    let spec = NodeSpec {
-                        cold: true,
-                        ..self.fleet[node].spec.clone()
-                    };
-                    self.add_node(spec);
-                }
-                self.list_changes();
-            }
-            Step::Come { count } => {
-                for number in 0..count {
-                    let spec = NodeSpec {
-                        cold: true,
-                        ..self.fleet[number % self.fleet.len()].spec.clone()
-                    };
-                    self.add_node(spec);
+            Step::Announce(kind) => (self.options.progress)(&format!("trouble: {kind}")),
+            Step::Nodes(commands) => {
+                for command in commands {
+                    self.nodes.send(command);
                 }
-                self.list_changes();
             }
-            Step::Vanish(struck) => {
-                for node in struck
-                    .into_iter()
-                    .filter(|node| !self.fleet[*node].gone)
-                    .collect::<Vec<_>>()
-                {
-                    self.fleet[node].silent = true;
-                    self.nodes
-                        .send(NodeCommand::Silent(self.fleet[node].key, true));
+            Step::Network(command) => self.network.send(command),
+            Step::Rate { proxies, factor } => self.set_rate(proxies, factor),
+            Step::ShiftTraffic { from, to, part } => self.shift_traffic(from, to, part),
+            Step::DrainBatch { out, drain } => self.drain_batch(out, drain),
+            Step::ReplaceNodes { out } => self.replace_nodes(out),
+            Step::AddNodes { count } => self.add_nodes(count),
+            Step::SilenceNodes(nodes) => self.silence_nodes(nodes),
+            Step::RestoreNodes(nodes) => self.restore_nodes(nodes),
+            Step::SetListDelay(delay) => self.list_delay = delay,
+            Step::PublishList(list, plain) => self.publish(&list, &plain)?,
+            Step::KillControllers(numbers) => {
+                for number in numbers {
+                    self.kill_controller(number);
                 }
             }
-            Step::Return(struck) => {
-                for node in struck {
-                    let known = &mut self.fleet[node];
-                    if std::mem::take(&mut known.silent) && !known.gone {
-                        known.started = reactor::now();
-                        self.nodes.send(NodeCommand::Silent(known.key, false));
-                    }
+            Step::StartControllers(numbers) => {
+                for number in numbers {
+                    self.start_controller(number)?;
                 }
-                self.list_changes();
             }
-            Step::ListDelay(delay) => self.list_delay = delay,
-            Step::Publish(list, plain) => self.publish(&list, &plain)?,
-            Step::KillControllers(some) => some
-                .into_iter()
-                .for_each(|number| self.kill_controller(number)),
-            Step::StartControllers(some) => some
-                .into_iter()
-                .try_for_each(|number| self.start_controller(number))?,
-            Step::Pace { factor } => {
-                for number in 0..self.controllers.len() {
-                    self.write_file(
-                        number,
-                        self.script.deployment.channel.lines_per_second / factor,
-                    )?;
-                    self.signal(number, Signal::HUP);
-                }
-            }
-            Step::Stall(some, on) => {
-                let signal = if on { Signal::STOP } else { Signal::CONT };
-                some.into_iter()
-                    .for_each(|number| self.signal(number, signal));
-            }
-            Step::Order {
+            Step::PauseControllers(numbers) => self.signal_all(numbers, Signal::STOP),
+            Step::ResumeControllers(numbers) => self.signal_all(numbers, Signal::CONT),
+            Step::SlowChannel { factor } => self.slow_channel(factor)?,
+            Step::OrderDrain {
                 nodes,
-                word,
+                action,
                 within,
-            } => {
-                for node in nodes
-                    .into_iter()
-                    .filter(|node| !self.fleet[*node].gone)
-                    .collect::<Vec<_>>()
-                {
-                    self.order(self.fleet[node].address.to_string(), word, within);
-                }
-            }
-            Step::Change {
+            } => self.order_drains(nodes, action, within),
+            Step::ChangeZones {
                 id,
                 nodes,
                 undo,
                 within,
             } => self.change(&id, &nodes, undo, within),
-            Step::KillProxies(some) => {
-                for proxy in some {
-                    self.proxies.send(ProxyCommand::Die(proxy));
-                    let gone = || ClientCommand::At {
-                        proxy,
-                        address: None,
-                    };
-                    self.clients.iter().for_each(|clients| clients.send(gone()));
+            Step::KillProxies(proxies) => self.kill_proxies(proxies),
+            Step::StartProxies(proxies) => {
+                for proxy in proxies {
+                    self.start_proxy(proxy)?;
                 }
             }
-            Step::StartProxies(some) => some
-                .into_iter()
-                .try_for_each(|proxy| self.start_proxy(proxy))?,
-            Step::Swarm { until } => {
-                let (_, plain) = self.list();
-                if let Some(even) = &mut self.even {
-                    even.publish(&self.script, &plain, &self.zones)
-                        .map_err(DrillError::NotReady)?;
-                }
-                if reactor::now() < until {
-                    self.at(
-                        reactor::now() + Span::from_seconds(0.05),
-                        Step::Swarm { until },
-                    );
-                }
+            Step::RepublishUntil(until) => self.republish(until)?,
+        }
+        Ok(())
+    }
+
+    fn set_rate(&self, proxies: Option<Vec<usize>>, factor: f64) {
+        if let Some(clients) = &self.clients {
+            clients.send(ClientCommand::Rate { proxies, factor });
+        }
+    }
+
+    fn shift_traffic(&self, from: usize, to: usize, part: f64) {
+        let zones = self.script.deployment.zones.len();
+        let of = |zone: usize| (0..self.usual.len()).filter(move |proxy| proxy % zones == zone);
+        let sum = |zone: usize| of(zone).map(|proxy| self.usual[proxy]).sum::<f64>();
+        let (lost, gained) = (1.0 - part, 1.0 + part * sum(from) / sum(to).max(1e-9));
+        for (zone, factor) in [(from, lost), (to, gained)] {
+            self.set_rate(Some(of(zone).collect()), factor);
+        }
+    }
+
+    fn drain_batch(&mut self, out: Vec<usize>, drain: Span) {
+        let out = self.still_there(out);
+        for node in &out {
+            self.fleet[*node].draining = true;
+        }
+        self.list_changes();
+        self.at(reactor::now() + drain, Step::ReplaceNodes { out });
+    }
+
+    fn replace_nodes(&mut self, out: Vec<usize>) {
+        for node in out {
+            if std::mem::replace(&mut self.fleet[node].gone, true) {
+                continue;
             }
+            self.nodes.send(NodeCommand::Stop(self.fleet[node].key));
+            self.add_cold_node_like(node);
+        }
+        self.list_changes();
+    }
+
+    fn add_nodes(&mut self, count: usize) {
+        for number in 0..count {
+            // The fleet grows with each: the numbers wrap at its length by then.
+            self.add_cold_node_like(number % self.fleet.len());
+        }
+        self.list_changes();
+    }
+
+    fn add_cold_node_like(&mut self, node: usize) {
+        let spec = NodeSpec {
+            cold: true,
+            ..self.fleet[node].spec.clone()
+        };
+        self.add_node(spec);
+    }
+
+    fn silence_nodes(&mut self, nodes: Vec<usize>) {
+        for node in self.still_there(nodes) {
+            let known = &mut self.fleet[node];
+            known.silent = true;
+            self.nodes.send(NodeCommand::Silent(known.key, true));
+        }
+    }
+
+    fn restore_nodes(&mut self, nodes: Vec<usize>) {
+        for node in nodes {
+            let known = &mut self.fleet[node];
+            if std::mem::take(&mut known.silent) && !known.gone {
+                known.started = reactor::now();
+                self.nodes.send(NodeCommand::Silent(known.key, false));
+            }
+        }
+        self.list_changes();
+    }
+
+    fn still_there(&self, mut nodes: Vec<usize>) -> Vec<usize> {
+        nodes.retain(|node| !self.fleet[*node].gone);
+        nodes
+    }
+
+    fn signal_all(&self, numbers: Vec<usize>, signal: Signal) {
+        for number in numbers {
+            self.signal(number, signal);
+        }
+    }
+
+    fn slow_channel(&self, factor: f64) -> Result<(), DrillError> {
+        let usual = self.script.deployment.channel.lines_per_second;
+        for number in 0..self.controllers.len() {
+            self.write_file(number, usual / factor)?;
+            self.signal(number, Signal::HUP);
+        }
+        Ok(())
+    }
+
+    fn order_drains(&self, nodes: Vec<usize>, action: DrainAction, within: Span) {
+        for node in self.still_there(nodes) {
+            self.order(self.fleet[node].address.to_string(), action, within);
+        }
+    }
+
+    fn kill_proxies(&self, proxies: Vec<usize>) {
+        for proxy in proxies {
+            self.proxies.send(ProxyCommand::Die(proxy));
+            if let Some(clients) = &self.clients {
+                clients.send(ClientCommand::At {
+                    proxy,
+                    address: None,
+                });
+            }
+        }
+    }
+
+    fn republish(&mut self, until: Moment) -> Result<(), DrillError> {
+        let (_, plain) = self.list();
+        if let Some(even) = &mut self.even {
+            even.publish(&self.script, &plain, &self.zones)?;
+        }
+        let now = reactor::now();
+        if now < until {
+            let next = now + Span::from_seconds(REPUBLISH_INTERVAL_SECONDS);
+            self.at(next, Step::RepublishUntil(until));
         }
         Ok(())
     }
--- /dev/null
+++ b/crates/drill/src/run/fault_plan/nodes.rs
@@ -0,0 +1,150 @@
+//! Faults of nodes, and planned work on them.
+
+use super::sampling::count_of;
+use super::{Drill, FaultWindow, Step};
+use crate::script::Fault;
+use crate::stand_in_server::{NodeCommand, NodeKey};
+use std::collections::BTreeSet;
+use wheelspread::time::Span;
+use wheelspread_drain::DrainAction;
+
+/// The part of a fault's span in which operators' orders are retried; the rest is for their effect.
+const ORDER_SPAN_PART: f64 = 0.9;
+/// How long taking a drained node back is retried.
+const UNDRAIN_RETRY_SECONDS: f64 = 5.0;
+/// How long the undo of a configuration change is retried.
+const UNDO_RETRY_SECONDS: f64 = 8.0;
+
+/// The same command for each node.
+fn for_each(keys: &[NodeKey], command: impl Fn(NodeKey) -> NodeCommand) -> Step {
+    Step::Nodes(keys.iter().map(|key| command(*key)).collect())
+}
+
+impl Drill<'_> {
+    pub(super) fn plan_deploy(&mut self, fault: &Fault, window: FaultWindow) {
+        let all = self.sample_nodes(fault.part);
+        let batch = count_of(self.fleet.len(), fault.size);
+        let batches: Vec<Vec<usize>> = all.chunks(batch).map(<[usize]>::to_vec).collect();
+        let every = fault.span * (1.0 / batches.len().max(1) as f64);
+        let drain = Span::from_seconds(fault.extra.clamp(0.5, 10.0));
+        for (number, out) in batches.into_iter().enumerate() {
+            let at = window.begin + every * number as f64;
+            self.at(at, Step::DrainBatch { out, drain });
+        }
+    }
+
+    pub(super) fn plan_drain_order(&mut self, fault: &Fault, window: FaultWindow) {
+        let nodes = self.sample_nodes(fault.part);
+        let drain = Step::OrderDrain {
+            nodes: nodes.clone(),
+            action: DrainAction::Drain,
+            within: fault.span * ORDER_SPAN_PART,
+        };
+        let undrain = Step::OrderDrain {
+            nodes,
+            action: DrainAction::Undrain,
+            within: Span::from_seconds(UNDRAIN_RETRY_SECONDS),
+        };
+        self.between(window, drain, undrain);
+    }
+
+    pub(super) fn plan_change(&mut self, fault: &Fault, window: FaultWindow) {
+        let nodes = self.sample_nodes(fault.part);
+        let id = format!("moved-at-{}", fault.at.seconds());
+        let change = |undo, within| Step::ChangeZones {
+            id: id.clone(),
+            nodes: nodes.clone(),
+            undo,
+            within,
+        };
+        let apply = change(false, fault.span * ORDER_SPAN_PART);
+        let undo = change(true, Span::from_seconds(UNDO_RETRY_SECONDS));
+        self.between(window, apply, undo);
+    }
+
+    pub(super) fn plan_vanish(&mut self, fault: &Fault, window: FaultWindow) {
+        let nodes = self.sample_nodes(fault.part);
+        let silence = Step::SilenceNodes(nodes.clone());
+        self.between(window, silence, Step::RestoreNodes(nodes));
+    }
+
+    pub(super) fn plan_flapping(&mut self, fault: &Fault, window: FaultWindow) {
+        let nodes = self.sample_nodes(fault.part);
+        let every = fault.span * (1.0 / nodes.len().max(1) as f64);
+        for (number, node) in nodes.into_iter().enumerate() {
+            let silent = window.begin + every * number as f64;
+            let back = window.begin + every * (number as f64 + 0.8);
+            self.at(silent, Step::SilenceNodes(vec![node]));
+            self.at(back, Step::RestoreNodes(vec![node]));
+        }
+    }
+
+    pub(super) fn plan_fast_errors(&mut self, fault: &Fault, window: FaultWindow) {
+        let keys = self.sample_node_keys(fault.part);
+        let on = for_each(&keys, |key| NodeCommand::Errors(key, fault.size));
+        let off = for_each(&keys, |key| NodeCommand::Errors(key, 0.0));
+        self.between(window, on, off);
+    }
+
+    pub(super) fn plan_lost_answers(&mut self, fault: &Fault, window: FaultWindow) {
+        let keys = self.sample_node_keys(fault.part);
+        let on = for_each(&keys, |key| NodeCommand::AnswersLost(key, fault.size));
+        let off = for_each(&keys, |key| NodeCommand::AnswersLost(key, 0.0));
+        self.between(window, on, off);
+    }
+
+    pub(super) fn plan_connection_squeeze(&mut self, fault: &Fault, window: FaultWindow) {
+        let keys = self.sample_node_keys(fault.part);
+        let usual = self.script.nodes.connections;
+        // As many connections as a fifth of the size says, four at least.
+        let few = ((usual as f64 * fault.size.clamp(0.02, 1.0) * 0.2) as usize).max(4);
+        let on = for_each(&keys, |key| NodeCommand::Connections(key, few));
+        let off = for_each(&keys, |key| NodeCommand::Connections(key, usual));
+        self.between(window, on, off);
+    }
+
+    /// Nodes of one kind are slow for the proxies of the first controller.
+    pub(super) fn plan_one_sided(&mut self, fault: &Fault, window: FaultWindow) {
+        let count = self.controllers.len();
+        let proxies: BTreeSet<usize> = (0..self.script.proxies)
+            .filter(|at| at % count == 0)
+            .collect();
+        let kind = usize::from(self.script.nodes.kinds.len() > 1 && fault.part < 0.5);
+        let one_sided = |proxies, slow| {
+            Step::Nodes(vec![NodeCommand::OneSided {
+                kind,
+                proxies,
+                slow,
+                refuse: false,
+            }])
+        };
+        let slow = 1.0 + 3.0 * fault.size.clamp(0.0, 2.0);
+        let on = one_sided(proxies, slow);
+        self.between(window, on, one_sided(BTreeSet::new(), 1.0));
+    }
+
+    pub(super) fn plan_shared_slowness(&mut self, fault: &Fault, window: FaultWindow) {
+        let slow = |factor| Step::Nodes(vec![NodeCommand::Slow(factor)]);
+        self.between(window, slow(fault.size.max(1.0)), slow(1.0));
+    }
+
+    pub(super) fn plan_slow_link(&mut self, fault: &Fault, window: FaultWindow) {
+        let slow = |seconds| Step::Nodes(vec![NodeCommand::SlowLink(seconds)]);
+        self.between(window, slow(fault.size.clamp(0.0, 0.4)), slow(0.0));
+    }
+
+    pub(super) fn plan_preemption(&mut self, fault: &Fault, window: FaultWindow) {
+        let nodes = self.sample_nodes(fault.part);
+        let every = fault.span * (1.0 / nodes.len().max(1) as f64);
+        for (number, node) in nodes.into_iter().enumerate() {
+            let at = window.begin + every * number as f64;
+            self.at(at, Step::ReplaceNodes { out: vec![node] });
+        }
+    }
+
+    pub(super) fn plan_growth(&mut self, fault: &Fault, window: FaultWindow) {
+        let part = fault.part.min(fault.size.max(0.05));
+        let count = count_of(self.fleet.len(), part);
+        self.at(window.begin, Step::AddNodes { count });
+    }
+}
--- a/crates/drill/src/run/fleet.rs
+++ b/crates/drill/src/run/fleet.rs
@@ -99,7 +99,10 @@
     /// The list as it is now, to be seen by controllers after its delay.
     pub(super) fn list_changes(&mut self) {
         let (list, plain) = self.list();
-        self.at(reactor::now() + self.list_delay, Step::Publish(list, plain));
+        self.at(
+            reactor::now() + self.list_delay,
+            Step::PublishList(list, plain),
+        );
     }
 
     pub(super) fn publish(
@@ -107,8 +110,7 @@
         list: &EndpointSnapshot,
         plain: &[ListedNode],
     ) -> Result<(), DrillError> {
-        let text = wheelspread_xds::nodes::write(list)
-            .map_err(|error| DrillError::NotReady(format!("the list of nodes: {error}")))?;
+        let text = wheelspread_xds::nodes::write(list).map_err(DrillError::EndpointList)?;
         let now = reactor::now();
         let zones = &self.script.deployment.zones;
         let wall = reactor::wall();
@@ -146,8 +148,7 @@
             );
         }
         if let Some(even) = &mut self.even {
-            even.publish(&self.script, plain, &self.zones)
-                .map_err(DrillError::NotReady)?;
+            even.publish(&self.script, plain, &self.zones)?;
         }
         Ok(())
     }
--- a/crates/drill/src/run/setup.rs
+++ b/crates/drill/src/run/setup.rs
@@ -13,6 +13,9 @@
 use wheelspread_files::Root;
 use wheelspread_reactor as reactor;
 
+/// How long the first tables are awaited.
+const FIRST_TABLES_TIMEOUT_SECONDS: f64 = 8.0;
+
 impl Drill<'_> {
     fn add_proxy(&mut self, proxy: usize) -> Result<std::net::SocketAddr, DrillError> {
         let controllers: Vec<(SocketAddrV4, PathBuf)> = self
@@ -39,7 +42,7 @@
             even,
         );
         let address = self.proxies.add(plan, proxy);
-        address.ok_or_else(|| DrillError::NotReady(format!("gateway {proxy} does not start")))
+        address.ok_or(DrillError::ProxyNotStarted { proxy })
     }
 
     pub(super) fn start_proxy(&mut self, proxy: usize) -> Result<(), DrillError> {
@@ -122,7 +125,7 @@
         &self,
         directories: &BTreeMap<PathBuf, (usize, usize)>,
     ) -> Result<(), DrillError> {
-        let deadline = reactor::now() + Span::from_seconds(8.0);
+        let deadline = reactor::now() + Span::from_seconds(FIRST_TABLES_TIMEOUT_SECONDS);
         let preferred = |(_, (controller, proxy)): &(&PathBuf, &(usize, usize))| {
             let usual = if self.even.is_some() {
                 0
@@ -139,10 +142,10 @@
             };
             while waits() {
                 if reactor::now() > deadline {
-                    let text = format!(
-                        "gateway {proxy} got no tables within 8 s; see the logs under --keep"
-                    );
-                    return Err(DrillError::NotReady(text));
+                    return Err(DrillError::NoTables {
+                        proxy: *proxy,
+                        within_seconds: FIRST_TABLES_TIMEOUT_SECONDS,
+                    });
                 }
                 std::thread::sleep(std::time::Duration::from_millis(10));
             }
--- a/crates/drill/src/script.rs
+++ b/crates/drill/src/script.rs
@@ -1,6 +1,7 @@
 //! What a drill plays: fleet, traffic, faults. Scripts are YAML; a day of the operators' bench is read
 //! for its faults, which are played at the same parts of the drill, scaled to its fleet.
 
+use crate::error::ScriptError;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::path::Path;
@@ -38,6 +39,15 @@
     ZoneCut,
 }
 
+impl FaultKind {
+    /// The kind as scripts and records spell it.
+    pub fn name(self) -> String {
+        let kind = serde_json::to_value(self).ok();
+        kind.and_then(|kind| kind.as_str().map(str::to_string))
+            .unwrap_or_default()
+    }
+}
+
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
@@ -138,21 +148,34 @@
     Span::from_seconds(0.8)
 }
 
+/// A script with the faults of a day in place of its own.
+#[derive(Clone, Debug)]
+pub struct DayScript {
+    /// The script with the day's faults.
+    pub script: Script,
+    /// Kinds of fault in the day that can't be injected here.
+    pub not_injected: Vec<String>,
+}
+
 impl Script {
-    pub fn parse(text: &str) -> Result<Script, String> {
-        let script: Script = serde_yaml_ng::from_str(text).map_err(|error| error.to_string())?;
+    /// Reads a script and checks its values.
+    pub fn parse(text: &str) -> Result<Script, ScriptError> {
+        let script: Script = serde_yaml_ng::from_str(text)?;
         let flaws = script.flaws();
         if flaws.is_empty() {
             Ok(script)
         } else {
-            Err(flaws.join("\n"))
+            Err(ScriptError::Invalid(flaws))
         }
     }
 
-    pub fn read(path: &Path) -> Result<Script, String> {
-        let text = std::fs::read_to_string(path)
-            .map_err(|error| format!("{}: {error}", path.display()))?;
-        Script::parse(&text).map_err(|error| format!("{}: {error}", path.display()))
+    /// Reads the script of this path.
+    pub fn read(path: &Path) -> Result<Script, ScriptError> {
+        let text = std::fs::read_to_string(path).map_err(|source| ScriptError::Unreadable {
+            path: path.to_path_buf(),
+            source,
+        })?;
+        Script::parse(&text).map_err(|error| error.in_file(path))
     }
 
     fn flaws(&self) -> Vec<String> {
@@ -237,17 +260,16 @@
     }
 
     /// The same fleet with the faults of a day. What can't be injected is named.
-    pub fn with_day(mut self, text: &str) -> Result<(Script, Vec<String>), String> {
-        let day: Value =
-            serde_json::from_str(text).map_err(|error| format!("the day is no JSON: {error}"))?;
+    pub fn with_day(mut self, text: &str) -> Result<DayScript, ScriptError> {
+        let day: Value = serde_json::from_str(text).map_err(ScriptError::DayIsNoJson)?;
         let number = |value: &Value, name: &str| value.get(name).and_then(Value::as_f64);
         let length = number(&day, "length")
             .filter(|length| *length > 0.0)
-            .ok_or("the day has no length")?;
+            .ok_or(ScriptError::DayLacks { field: "length" })?;
         let faults = day
             .get("troubles")
             .and_then(Value::as_array)
-            .ok_or("the day has no troubles")?;
+            .ok_or(ScriptError::DayLacks { field: "troubles" })?;
         let many = |name: &str| {
             day.get(name)
                 .and_then(Value::as_array)
@@ -299,7 +321,10 @@
             });
         }
         self.name = format!("{} with the troubles of a day", self.name);
-        Ok((self, unknown))
+        Ok(DayScript {
+            script: self,
+            not_injected: unknown,
+        })
     }
 }
 
--- a/crates/drill/src/script/tests.rs
+++ b/crates/drill/src/script/tests.rs
@@ -9,9 +9,12 @@
         {"kind": "vanish", "at": 50000000, "len": 10000000, "on": [2], "size": 0},
         {"kind": "meteor", "at": 1, "len": 1}]}"#;
     let length = script.length.seconds();
-    let (script, unknown) = script.with_day(day).expect("it is a day");
+    let DayScript {
+        script,
+        not_injected,
+    } = script.with_day(day).expect("it is a day");
     assert_eq!(
-        (unknown, script.faults.len()),
+        (not_injected, script.faults.len()),
         (vec!["meteor".to_string()], 1)
     );
     let fault = &script.faults[0];
@@ -24,7 +27,7 @@
     let wrong = BUILT_IN
         .replace("gateways: ", "gateways: 9")
         .replace("kind: deploy", "kind: earthquake");
-    assert!(Script::parse(&wrong).is_err_and(|error| error.contains("earthquake")));
+    assert!(Script::parse(&wrong).is_err_and(|error| error.to_string().contains("earthquake")));
     let wrong = BUILT_IN.replace("rate: ", "rate: -");
-    assert!(Script::parse(&wrong).is_err_and(|error| error.contains("traffic: rate")));
+    assert!(Script::parse(&wrong).is_err_and(|error| error.to_string().contains("traffic: rate")));
 }
