--- a/crates/controller-core/src/controller_core/configuration.rs
+++ b/crates/controller-core/src/controller_core/configuration.rs
@@ -51,7 +51,10 @@
             plan,
             values,
         } = update;
-        if let Err(error) = self.balancer.reconfigure(plan.facts(self.number, None)) {
+        if let Err(error) = self
+            .balancer
+            .reconfigure(plan.to_settings(self.number, None))
+        {
             return self.log(LogEvent::ConfigRejected {
                 configuration: version,
                 reason: error.to_string(),
@@ -63,7 +66,7 @@
         let changed = self.overrides.set(
             values,
             |zone| zone_of(plan, zone),
-            |cell| endpoints.cell(cell),
+            |cell| endpoints.cell_id(cell),
         );
         self.configuration = ConfigurationInForce {
             version,
@@ -80,7 +83,7 @@
 
     /// Nodes that no proxy of their old pool names any more are listed in the new one.
     pub(super) fn finish_migrations(&mut self, now: Moment) {
-        if self.overrides.between() == 0 {
+        if self.overrides.migration_count() == 0 {
             return;
         }
         let (publication, acknowledgements) = (&self.publication, &self.acknowledgements);
@@ -102,7 +105,7 @@
             |node: NodeId| may_be_unknown || readers.iter().any(|reader| reader.may_name(node));
         let arrived: BTreeSet<NodeId> = self
             .overrides
-            .arrived(now, grace, may_be_named)
+            .complete_migrations(now, grace, may_be_named)
             .into_iter()
             .collect();
         if !arrived.is_empty() {
@@ -121,12 +124,16 @@
             .filter(|(_, member)| is_outdated(member))
             .map(|(name, _)| name.to_string())
             .collect();
-        let absent = self.members.members().filter(|(_, m)| !m.joined()).count();
+        let absent = self
+            .members
+            .members()
+            .filter(|(_, m)| !m.is_joined())
+            .count();
         RolloutProgress {
             configuration: self.configuration.version,
             outdated,
             disconnected: self.unclaimed.len() + absent,
-            migrating: self.overrides.between(),
+            migrating: self.overrides.migration_count(),
         }
     }
 
--- a/crates/controller-core/src/controller_core/streams.rs
+++ b/crates/controller-core/src/controller_core/streams.rs
@@ -1,7 +1,7 @@
 //! Streams: load reports and tables, and the proxies that join and leave with them.
 
 use super::ControllerCore;
-use crate::membership::{Introduction, Member, Opened, StreamId};
+use crate::membership::{Introduction, Member, OpenedStream, StreamId};
 use crate::publication::Version;
 use crate::{Effect, LogEvent};
 use std::sync::Arc;
@@ -25,7 +25,7 @@
         }
         self.effects.push(Effect::AcceptStream {
             stream,
-            period: self.plan.sums.period,
+            period: self.plan.load_reports.period,
         });
         self.on_joined(now, &opened, introduction);
         let member = self.members.member(&introduction.name);
@@ -38,7 +38,7 @@
     pub(super) fn on_stream_closed(&mut self, now: Moment, stream: StreamId) {
         let member = self
             .members
-            .of_stream(stream)
+            .by_stream(stream)
             .map(|(name, member)| (name.to_string(), member.id));
         let left = self.members.close(now, stream);
         let (Some((proxy, id)), Some(event)) = (member, left) else {
@@ -108,7 +108,7 @@
         now: Moment,
         stream: StreamId,
         introduction: &Introduction,
-    ) -> Option<Opened> {
+    ) -> Option<OpenedStream> {
         match self.members.open(now, stream, introduction, &self.plan) {
             Ok(opened) => Some(opened),
             Err(error) => {
@@ -123,7 +123,7 @@
         }
     }
 
-    fn on_joined(&mut self, now: Moment, opened: &Opened, introduction: &Introduction) {
+    fn on_joined(&mut self, now: Moment, opened: &OpenedStream, introduction: &Introduction) {
         for event in &opened.events {
             self.handle_event(now, event);
         }
--- /dev/null
+++ b/crates/controller-core/src/deployment/tests.rs
@@ -0,0 +1,113 @@
+use super::*;
+use test_case::test_case;
+use wheelspread::time::Span;
+
+fn operation(name: &str, repeat: RetryClass) -> OperationPlan {
+    OperationPlan {
+        name: name.to_string(),
+        latency_objective: Span::from_seconds(1.0),
+        integration_timeout: Span::from_seconds(3.0),
+        billed_value: 1.0,
+        late_share: 0.0,
+        repeat,
+        repeat_group: RetryScope::All,
+        repeat_window: Span::ZERO,
+        stays_in_zone: false,
+    }
+}
+
+/// Two zones, a quote that may go anywhere and a booking that has effects.
+pub(crate) fn plan() -> Deployment {
+    let seconds = Span::from_seconds;
+    Deployment {
+        zones: vec!["north".to_string(), "south".to_string()],
+        kinds: Vec::new(),
+        operations: vec![
+            operation("quote", RetryClass::Idempotent),
+            operation("book", RetryClass::SideEffecting),
+        ],
+        controllers: ControllerPlan::default(),
+        proxies: ProxyPlan {
+            count: 4,
+            usual_rate: 10.0,
+            ..ProxyPlan::default()
+        },
+        rules: RulePlan {
+            without_node_at_most: seconds(2.0),
+            drain_grace: seconds(2.0),
+            cold_start_share: 0.2,
+            warm_after: seconds(10.0),
+            cold_overload_factor: 4.0,
+            cold_overload_span: seconds(2.0),
+        },
+        channel: UpdateQueuePlan {
+            lines_waiting_at_most: 4000.0,
+            head_lines: 6.0,
+            lines_per_second: 10_000.0,
+            delay_at_most: seconds(0.5),
+            messages_at_most: 0,
+            messages_window: seconds(10.0),
+        },
+        fronts: TableDeliveryPlan::default(),
+        load_reports: LoadReportPlan {
+            period: seconds(1.0),
+            loads: vec!["utilization".to_string()],
+        },
+        list: ListPlan::default(),
+        admission: AdmissionForm::Share,
+        cross_zone_price: 0.02,
+        first_wait: 1.0,
+        solver: None,
+    }
+}
+
+#[test_case(|p| p.zones.clear(), "zones"; "no zone")]
+#[test_case(|p| p.zones[1] = "north".into(), "zones.1"; "a zone twice")]
+#[test_case(|p| p.zones[0] = "../north".into(), "zones.0"; "a zone that would leave the directory")]
+#[test_case(|p| p.operations[1].billed_value = f64::NAN, "operations.1.billed_value"; "no number")]
+#[test_case(|p| p.operations[0].integration_timeout = Span::from_seconds(0.1),
+    "operations.0.integration_timeout"; "a timeout below the objective")]
+#[test_case(|p| p.operations[0].repeat = RetryClass::Fingerprinted, "operations.0.repeat_window"; "no window")]
+#[test_case(|p| p.channel.lines_per_second = 0.0, "channel.lines_per_second"; "a channel that stands")]
+#[test_case(|p| p.load_reports.loads = vec!["mood".into()], "sums.loads"; "an unknown load")]
+fn what_cannot_be_is_named_by_field(spoil: fn(&mut Deployment), field: &str) {
+    let mut plan = plan();
+    assert_eq!(plan.validate(), []);
+    spoil(&mut plan);
+    assert_eq!(
+        plan.validate()
+            .iter()
+            .map(|error| error.field.as_str())
+            .collect::<Vec<_>>(),
+        [field]
+    );
+}
+
+#[test]
+fn errors_name_the_field_the_value_and_the_limit() {
+    let mut plan = plan();
+    plan.kinds = vec!["small".into()];
+    plan.operations[0].billed_value = 2e9;
+    plan.controllers.tick = Span::ZERO;
+    plan.load_reports.loads = vec!["mood".into()];
+    plan.solver = Some(SolverPlan {
+        capacities: [("large".to_string(), 1e9)].into(),
+        work: [("quote".to_string(), Work(Span::ZERO))].into(),
+        every: Span::from_seconds(2.0),
+        least_share: 0.05,
+        fill_at_most: 0.85,
+    });
+    let errors: Vec<String> = plan.validate().iter().map(ToString::to_string).collect();
+    assert_eq!(
+        errors,
+        [
+            "sums.loads: `mood` is no load that nodes tell of: utilization, queue are",
+            "operations.0.billed_value: 2000000000 should be above 0, 1e9 at most",
+            "conductors.tick (seconds): 0 should lie between 0.001 and 1",
+            "solver.capacities: kind `small` has none",
+            "solver.work: operation `book` has none",
+            "solver.capacities.large: 1000000000 should lie between 0.001 and 1000000",
+            "solver.work.quote (seconds): 0 should lie between 0.000001 and 3600",
+        ]
+    );
+}
--- a/crates/controller-core/src/node_overrides.rs
+++ b/crates/controller-core/src/node_overrides.rs
@@ -1,106 +1,121 @@
-//! What changes of configuration say of single nodes, put over what the list says: another pool (the zone
-//! whose tables it serves in), another cell, another weight, or out of service. The list stays the word on
-//! who is there: nothing here brings back a node that it drains or lacks.
+//! What configuration changes say of single nodes, put over what the endpoint list says: another pool (the
+//! zone whose tables it serves in), another cell, another weight, or out of service. The list stays the
+//! authority on who is there: nothing here brings back a node that it drains or lacks.
 //!
-//! A node that moves from one pool to another leaves the first everywhere before it is in the second
-//! anywhere: no two gateways ever find it in both.
+//! A node that migrates from one pool to another leaves the first everywhere before it is in the second
+//! anywhere: no two proxies ever find it in both.
 
 use std::collections::{BTreeMap, BTreeSet};
 use wheelspread::ids::{CellId, NodeId, ZoneId};
 use wheelspread::time::{Moment, Span};
 use wheelspread::{EndpointEntry, EndpointStatus, Event};
 
+/// How a configuration takes a node out of service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Service {
-    /// Finishes what it has.
+    /// It finishes what it has.
     Draining,
+    /// It is treated as gone.
     Out,
 }
 
 /// What a configuration says of one node; left out: what the list says.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NodeValues {
+    /// Name of the zone whose tables it serves in.
     pub zone: Option<String>,
+    /// Name of its cell.
     pub cell: Option<String>,
+    /// Its weight.
     pub weight: Option<f64>,
+    /// Whether it is out of service.
     pub service: Option<Service>,
 }
 
-/// The same with names looked up.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct Place {
+/// The values of one node, with their names looked up.
+#[derive(Clone, Debug, PartialEq)]
+struct NodeOverride {
+    values: NodeValues,
     zone: Option<ZoneId>,
     cell: Option<CellId>,
 }
 
-/// Where a node is, as the module was told.
+/// Where a node is, as the balancer was notified.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum At {
+enum Placement {
     Pool(ZoneId),
-    /// Between two pools, since then.
-    Between(Moment),
+    /// It has left one pool and is not in the next.
+    Migrating {
+        since: Moment,
+    },
 }
 
+/// The overrides in force, and the nodes that migrate because of them.
 #[derive(Clone, Debug, Default)]
 pub struct NodeOverrides {
-    values: BTreeMap<NodeId, (NodeValues, Place)>,
-    /// Drained by order.
+    overrides: BTreeMap<NodeId, NodeOverride>,
+    /// Drained by an operator's order.
     drained: BTreeSet<NodeId>,
-    at: BTreeMap<NodeId, At>,
+    placements: BTreeMap<NodeId, Placement>,
 }
 
 impl NodeOverrides {
-    /// Takes over other values; returns the nodes that either speaks of.
+    /// Puts other values in force; returns the nodes for which they differ. `zone_id` and `cell_id` look
+    /// names up.
     pub fn set(
         &mut self,
         values: BTreeMap<NodeId, NodeValues>,
-        mut zone: impl FnMut(&str) -> Option<ZoneId>,
-        mut cell: impl FnMut(&str) -> CellId,
+        mut zone_id: impl FnMut(&str) -> Option<ZoneId>,
+        mut cell_id: impl FnMut(&str) -> CellId,
     ) -> Vec<NodeId> {
-        let mut spoken: Vec<NodeId> = self.values.keys().chain(values.keys()).copied().collect();
-        spoken.sort();
-        spoken.dedup();
-        let before = std::mem::take(&mut self.values);
+        let before = std::mem::take(&mut self.overrides);
         for (node, values) in values {
-            let place = Place {
-                zone: values.zone.as_deref().and_then(&mut zone),
-                cell: values.cell.as_deref().map(&mut cell),
-            };
-            self.values.insert(node, (values, place));
+            let zone = values.zone.as_deref().and_then(&mut zone_id);
+            let cell = values.cell.as_deref().map(&mut cell_id);
+            let of_node = NodeOverride { values, zone, cell };
+            self.overrides.insert(node, of_node);
         }
-        spoken.retain(|node| before.get(node) != self.values.get(node));
-        spoken
-    }
-
-    /// Nodes that orders drain; returns those for which that has changed.
-    pub fn drain(&mut self, nodes: BTreeSet<NodeId>) -> Vec<NodeId> {
+        let nodes: BTreeSet<NodeId> = before
+            .keys()
+            .chain(self.overrides.keys())
+            .copied()
+            .collect();
+        nodes
+            .into_iter()
+            .filter(|node| before.get(node) != self.overrides.get(node))
+            .collect()
+    }
+
+    /// Sets the nodes that operators drain; returns those for which that has changed.
+    pub fn set_drained(&mut self, nodes: BTreeSet<NodeId>) -> Vec<NodeId> {
         let changed = self.drained.symmetric_difference(&nodes).copied().collect();
         self.drained = nodes;
         changed
     }
 
+    /// Nodes that operators drain.
     pub fn drained(&self) -> &BTreeSet<NodeId> {
         &self.drained
     }
 
     /// The zone whose tables a node serves in, where that is not the list's.
     pub fn zone(&self, node: NodeId) -> Option<&str> {
-        self.values.get(&node)?.0.zone.as_deref()
+        self.overrides.get(&node)?.values.zone.as_deref()
     }
 
-    /// An entry of the list as it goes by the configuration, wherever the node is on its way.
-    pub fn over(&self, entry: &EndpointEntry) -> EndpointEntry {
+    /// An entry of the list with the overrides applied, wherever a migration has come to.
+    pub fn effective_entry(&self, entry: &EndpointEntry) -> EndpointEntry {
         let mut entry = entry.clone();
         if entry.status == EndpointStatus::Ready && self.drained.contains(&entry.node) {
             entry.status = EndpointStatus::Draining;
         }
-        let Some((values, place)) = self.values.get(&entry.node) else {
+        let Some(of_node) = self.overrides.get(&entry.node) else {
             return entry;
         };
-        entry.zone = place.zone.unwrap_or(entry.zone);
-        entry.cell = place.cell.unwrap_or(entry.cell);
-        entry.weight = values.weight.unwrap_or(entry.weight);
-        entry.status = match (values.service, entry.status) {
+        entry.zone = of_node.zone.unwrap_or(entry.zone);
+        entry.cell = of_node.cell.unwrap_or(entry.cell);
+        entry.weight = of_node.values.weight.unwrap_or(entry.weight);
+        entry.status = match (of_node.values.service, entry.status) {
             (Some(Service::Out), _) => EndpointStatus::Gone,
             (Some(Service::Draining), EndpointStatus::Ready) => EndpointStatus::Draining,
             (_, status) => status,
@@ -108,205 +123,87 @@
         entry
     }
 
-    /// What the module is told in the place of the list.
-    pub fn put(&mut self, now: Moment, mut event: Event) -> Event {
+    /// The event that the balancer gets in the place of the list's: a node that changes pools is gone until
+    /// its migration is complete.
+    pub fn apply_to_event(&mut self, now: Moment, mut event: Event) -> Event {
         if let Event::EndpointList { entries, .. } = &mut event {
             for entry in entries {
-                *entry = self.over(entry);
-                if entry.status == EndpointStatus::Gone {
-                    self.at.remove(&entry.node);
-                    continue;
-                }
-                match self.at.get(&entry.node).copied() {
-                    Some(At::Pool(zone)) if zone != entry.zone => {
-                        self.at.insert(entry.node, At::Between(now));
-                        (entry.status, entry.zone) = (EndpointStatus::Gone, zone);
-                    }
-                    Some(At::Between(_)) => entry.status = EndpointStatus::Gone,
-                    _ => drop(self.at.insert(entry.node, At::Pool(entry.zone))),
-                }
+                *entry = self.effective_entry(entry);
+                self.place(now, entry);
             }
         }
         event
     }
 
-    /// A conductor that starts in the middle of a move does not know who still holds what.
-    pub fn leave(&mut self, now: Moment, nodes: &[NodeId]) {
-        self.at
-            .extend(nodes.iter().map(|node| (*node, At::Between(now))));
+    /// Follows a node's placement, and lists it as gone while it migrates.
+    fn place(&mut self, now: Moment, entry: &mut EndpointEntry) {
+        if entry.status == EndpointStatus::Gone {
+            self.placements.remove(&entry.node);
+            return;
+        }
+        match self.placements.get(&entry.node).copied() {
+            Some(Placement::Pool(zone)) if zone != entry.zone => {
+                let migrating = Placement::Migrating { since: now };
+                self.placements.insert(entry.node, migrating);
+                (entry.status, entry.zone) = (EndpointStatus::Gone, zone);
+            }
+            Some(Placement::Migrating { .. }) => entry.status = EndpointStatus::Gone,
+            Some(Placement::Pool(_)) | None => {
+                self.placements
+                    .insert(entry.node, Placement::Pool(entry.zone));
+            }
+        }
+    }
+
+    /// A controller that starts in the middle of migrations does not know who still holds what: they begin
+    /// anew.
+    pub fn restore_migrations(&mut self, now: Moment, nodes: &[NodeId]) {
+        let migrating = Placement::Migrating { since: now };
+        self.placements
+            .extend(nodes.iter().map(|node| (*node, migrating)));
     }
 
-    pub fn is_between(&self, node: NodeId) -> bool {
-        matches!(self.at.get(&node), Some(At::Between(_)))
+    /// Whether a node has left one pool and is not in the next.
+    pub fn is_migrating(&self, node: NodeId) -> bool {
+        matches!(
+            self.placements.get(&node),
+            Some(Placement::Migrating { .. })
+        )
     }
 
-    /// Nodes on their way from one pool to another.
-    pub fn between(&self) -> usize {
-        self.at
+    /// How many nodes migrate.
+    pub fn migration_count(&self) -> usize {
+        self.placements
             .values()
-            .filter(|at| matches!(at, At::Between(_)))
+            .filter(|placement| matches!(placement, Placement::Migrating { .. }))
             .count()
     }
 
-    /// Nodes that may be listed in their new pool: no gateway names them any more, or none may after `grace`.
-    pub fn arrived(
+    /// Ends migrations, and returns their nodes, which may be listed in their new pools: no proxy's table
+    /// names them any more, or none may after `grace`.
+    pub fn complete_migrations(
         &mut self,
         now: Moment,
         grace: Span,
-        named: impl Fn(NodeId) -> bool,
+        is_named: impl Fn(NodeId) -> bool,
     ) -> Vec<NodeId> {
-        let over = |node: NodeId, since: Moment| now - since >= grace || !named(node);
-        let there = self.at.iter().filter_map(|(node, at)| match at {
-            At::Between(since) if now > *since && over(*node, *since) => Some(*node),
-            _ => None,
-        });
-        let there: Vec<NodeId> = there.collect();
-        self.at.retain(|node, _| !there.contains(node));
-        there
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use wheelspread::ids::KindId;
-    use wheelspread::EndpointListKind;
-
-    const NODE: NodeId = NodeId {
-        address: [127, 0, 0, 1],
-        port: 9,
-    };
-
-    fn at(seconds: f64) -> Moment {
-        Moment::from_seconds(seconds)
-    }
-
-    fn listed(zone: u16, status: EndpointStatus) -> Event {
-        let (zone, kind, cell) = (ZoneId(zone), KindId(0), CellId(0));
-        let entry = EndpointEntry {
-            node: NODE,
-            zone,
-            kind,
-            cell,
-            status,
-            weight: 1.0,
-            started: None,
-        };
-        Event::EndpointList {
-            kind: EndpointListKind::Changes,
-            entries: vec![entry],
-        }
-    }
-
-    fn told(event: &Event) -> (u16, EndpointStatus) {
-        let Event::EndpointList { entries, .. } = event else {
-            panic!("{event:?}")
-        };
-        (entries[0].zone.0, entries[0].status)
-    }
-
-    fn south() -> BTreeMap<NodeId, NodeValues> {
-        BTreeMap::from([(
-            NODE,
-            NodeValues {
-                zone: Some("1".into()),
-                ..NodeValues::default()
-            },
-        )])
-    }
-
-    fn set(overlay: &mut NodeOverrides, values: BTreeMap<NodeId, NodeValues>) -> Vec<NodeId> {
-        overlay.set(values, |zone| zone.parse().ok().map(ZoneId), |_| CellId(7))
-    }
-
-    #[test]
-    fn a_node_is_in_no_pool_between_two_and_comes_back_whatever_happens_on_the_way() {
-        let mut overlay = NodeOverrides::default();
-        assert_eq!(
-            told(&overlay.put(at(0.0), listed(0, EndpointStatus::Ready))),
-            (0, EndpointStatus::Ready)
-        );
-        assert_eq!(set(&mut overlay, south()), [NODE]);
-        assert_eq!(
-            told(&overlay.put(at(1.0), listed(0, EndpointStatus::Ready))),
-            (0, EndpointStatus::Gone)
-        );
-        // A list that comes meanwhile does not bring it in early.
-        assert_eq!(
-            told(&overlay.put(at(1.1), listed(0, EndpointStatus::Ready))),
-            (1, EndpointStatus::Gone)
-        );
-        assert_eq!(
-            overlay.arrived(at(1.2), Span::from_seconds(2.0), |_| true),
-            []
-        );
-        // Undone on the way: it goes back where it was, and not before its time either.
-        set(&mut overlay, BTreeMap::new());
-        assert_eq!(
-            told(&overlay.put(at(1.3), listed(0, EndpointStatus::Ready))),
-            (0, EndpointStatus::Gone)
-        );
-        assert_eq!(
-            overlay.arrived(at(1.4), Span::from_seconds(2.0), |_| false),
-            [NODE]
-        );
-        assert_eq!(
-            told(&overlay.put(at(1.4), listed(0, EndpointStatus::Ready))),
-            (0, EndpointStatus::Ready)
-        );
-        assert_eq!(overlay.between(), 0);
-    }
-
-    #[test]
-    fn after_the_grace_nobody_is_waited_for() {
-        let mut overlay = NodeOverrides::default();
-        overlay.put(at(0.0), listed(0, EndpointStatus::Ready));
-        set(&mut overlay, south());
-        overlay.put(at(1.0), listed(0, EndpointStatus::Ready));
-        assert_eq!(
-            overlay.arrived(at(2.9), Span::from_seconds(2.0), |_| true),
-            []
-        );
-        assert_eq!(
-            overlay.arrived(at(3.0), Span::from_seconds(2.0), |_| true),
-            [NODE]
-        );
-        assert_eq!(
-            told(&overlay.put(at(3.0), listed(0, EndpointStatus::Ready))),
-            (1, EndpointStatus::Ready)
-        );
-    }
-
-    #[test]
-    fn the_list_is_not_overruled_on_who_drains_or_is_gone() {
-        let mut overlay = NodeOverrides::default();
-        set(&mut overlay, south());
-        for status in [EndpointStatus::Draining, EndpointStatus::Gone] {
-            assert_eq!(told(&overlay.put(at(0.0), listed(1, status))), (1, status));
+        let is_complete =
+            |node: NodeId, since: Moment| now > since && (now - since >= grace || !is_named(node));
+        let mut complete = Vec::new();
+        for (node, placement) in &self.placements {
+            match placement {
+                Placement::Migrating { since } if is_complete(*node, *since) => {
+                    complete.push(*node);
+                }
+                Placement::Migrating { .. } | Placement::Pool(_) => {}
+            }
         }
-        let service = |service| {
-            BTreeMap::from([(
-                NODE,
-                NodeValues {
-                    service,
-                    ..NodeValues::default()
-                },
-            )])
-        };
-        for (word, status) in [
-            (Some(Service::Draining), EndpointStatus::Draining),
-            (Some(Service::Out), EndpointStatus::Gone),
-        ] {
-            set(&mut overlay, service(word));
-            assert_eq!(
-                told(&overlay.put(at(1.0), listed(1, EndpointStatus::Ready))),
-                (1, status)
-            );
+        for node in &complete {
+            self.placements.remove(node);
         }
-        assert_eq!(
-            set(&mut overlay, service(Some(Service::Out))),
-            [],
-            "what stays as it is is no news"
-        );
+        complete
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/drill/src/audit/repeated_effects.rs
+++ b/crates/drill/src/audit/repeated_effects.rs
@@ -3,7 +3,7 @@
 use super::verdict::RuleJudged;
 use crate::records::{Record, Records};
 use std::collections::{BTreeMap, BTreeSet};
-use wheelspread_controller_core::deployment::{Deployment, Repeat};
+use wheelspread_controller_core::deployment::{Deployment, RetryClass};
 
 /// Rule 2: effects that a proxy's repeats brought about twice.
 pub(super) fn second(records: &Records, plan: &Deployment) -> (u64, RuleJudged) {
@@ -12,7 +12,7 @@
     let binding: BTreeSet<&str> = plan
         .operations
         .iter()
-        .filter(|operation| operation.repeat != Repeat::Idempotent)
+        .filter(|operation| operation.repeat != RetryClass::Idempotent)
         .map(|operation| operation.name.as_str())
         .collect();
     for (t, record) in &records.0 {
--- a/crates/drill/src/run.rs
+++ b/crates/drill/src/run.rs
@@ -100,7 +100,7 @@
         let nodes = StandInServers::start(plan_of.clone(), recorder.clone(), options.seed)
             .map_err(named("nodes"))?;
         let mut controllers = Vec::new();
-        for number in 0..plan_of.conductors.count as usize {
+        for number in 0..plan_of.controllers.count as usize {
             let directory = directory.join(format!("conductor-{number}"));
             Root::new(directory.join("tables"))
                 .prepare()
--- a/crates/drill/src/run/fleet.rs
+++ b/crates/drill/src/run/fleet.rs
@@ -129,7 +129,7 @@
                 started: self.recorder.at(now) - (wall - started),
             };
             (
-                wheelspread_controller_core::endpoint_list::show(record.node),
+                wheelspread_controller_core::endpoint_list::format_node(record.node),
                 seen,
             )
         };
--- a/crates/drill/src/stand_in_server.rs
+++ b/crates/drill/src/stand_in_server.rs
@@ -10,7 +10,7 @@
 use std::sync::mpsc::{channel, Sender};
 use wheelspread::pcg::Pcg;
 use wheelspread::time::{Moment, Span};
-use wheelspread_controller_core::deployment::{Deployment, Repeat};
+use wheelspread_controller_core::deployment::{Deployment, RetryClass};
 use wheelspread_http1::{request, Body};
 use wheelspread_reactor::{self as reactor, Interest, Poll, Readiness, Token};
 use wheelspread_xds::orca;
@@ -636,7 +636,7 @@
             .iter()
             .find(|operation| operation.name == job.operation);
         let Some(plan) = plan else { return };
-        if plan.repeat == Repeat::Fingerprinted {
+        if plan.repeat == RetryClass::Fingerprinted {
             let first = *self.seen.entry(job.id.clone()).or_insert(now);
             if first != now && now - first < plan.repeat_window {
                 return;
