--- /dev/null
+++ b/crates/drill/src/stand_in_server/state.rs
@@ -0,0 +1,58 @@
+//! The state of the stand-in servers and what they have scheduled.
+
+use super::{NodeKey, NodeSpec};
+use slab::Slab;
+use std::collections::VecDeque;
+use std::net::{SocketAddrV4, TcpListener, TcpStream};
+use wheelspread::time::Moment;
+
+pub(super) struct Call {
+    pub(super) socket: TcpStream,
+    pub(super) zone: usize,
+    pub(super) proxy: usize,
+    pub(super) input: Vec<u8>,
+    pub(super) output: Vec<u8>,
+    pub(super) busy: bool,
+}
+
+pub(super) struct Job {
+    pub(super) call: usize,
+    pub(super) id: String,
+    pub(super) operation: String,
+    pub(super) work: f64,
+}
+
+pub(super) struct Node {
+    pub(super) spec: NodeSpec,
+    pub(super) name: String,
+    pub(super) address: SocketAddrV4,
+    pub(super) listener: Option<TcpListener>,
+    pub(super) calls: Slab<Call>,
+    pub(super) started: Moment,
+    pub(super) generation: u32,
+    pub(super) silent: bool,
+    pub(super) down: bool,
+    pub(super) errors: f64,
+    pub(super) lost: f64,
+    pub(super) connections: usize,
+    pub(super) running: usize,
+    pub(super) waiting: VecDeque<Job>,
+    /// What came lately, to see whether a cold one is pushed over.
+    pub(super) came: VecDeque<(Moment, f64)>,
+    pub(super) busy: f64,
+    pub(super) busy_at: Moment,
+}
+
+pub(super) enum Due {
+    Done {
+        node: NodeKey,
+        generation: u32,
+        job: Job,
+    },
+    Answer {
+        node: NodeKey,
+        generation: u32,
+        call: usize,
+        bytes: Vec<u8>,
+    },
+}
