--- a/crates/cli/src/drill.rs
+++ b/crates/cli/src/drill.rs
@@ -138,7 +138,7 @@
     } else {
         say!("{}", report.table().trim_end());
     }
-    if report.verdict.kept() {
+    if report.verdict.all_rules_hold() {
         ExitCode::SUCCESS
     } else {
         ExitCode::from(RULE_BROKEN)
--- a/crates/cli/src/measure/conductor.rs
+++ b/crates/cli/src/measure/conductor.rs
@@ -14,7 +14,7 @@
     LoadReport, Metric, NodeReport, OperationReport, LATENCY, UTILIZATION,
 };
 use wheelspread_controller_core::membership::Introduction;
-use wheelspread_drill::{cpu_of, proxies::proxy_name, DrillError};
+use wheelspread_drill::{cpu_of, proxy_name, DrillError};
 use wheelspread_files::{read_tables, CURRENT};
 use wheelspread_grpc::{ClientConnection, ClientEvent, Limits};
 use wheelspread_reactor::{self as reactor, Interest, Moved, Poll, Token, Watcher};
--- a/crates/cli/src/measure/streams.rs
+++ b/crates/cli/src/measure/streams.rs
@@ -10,7 +10,7 @@
 use wheelspread::time::{Moment, Span};
 use wheelspread_controller_core::membership::Introduction;
 use wheelspread_discovery::{Ask, Kind, Mode};
-use wheelspread_drill::{cpu_of, proxies::proxy_name, DrillError};
+use wheelspread_drill::{cpu_of, proxy_name, DrillError};
 use wheelspread_grpc::{ClientConnection, ClientEvent, Limits};
 use wheelspread_reactor::{self as reactor, Interest, Poll, Token};
 use wheelspread_xds::discovery;
--- a/crates/cli/tests/drills.rs
+++ b/crates/cli/tests/drills.rs
@@ -25,7 +25,7 @@
 #[test]
 fn a_short_bad_day_keeps_all_rules() {
     let report = play(SHORT, None);
-    assert!(report.verdict.kept(), "{}", report.table());
+    assert!(report.verdict.all_rules_hold(), "{}", report.table());
     assert!(
         report.verdict.rules.iter().all(|rule| rule.checked > 0),
         "{}",
@@ -42,7 +42,7 @@
         "\ndeployment:\n  fronts: {files: false, streams: true}\n",
     );
     let report = play(&text, None);
-    assert!(report.verdict.kept(), "{}", report.table());
+    assert!(report.verdict.all_rules_hold(), "{}", report.table());
     assert!(
         report.verdict.rules.iter().all(|rule| rule.checked > 0),
         "{}",
@@ -67,7 +67,7 @@
         &format!("{}{troubles}", quiet().replace("length: 7s", "length: 9s")),
         None,
     );
-    assert!(report.verdict.kept(), "{}", report.table());
+    assert!(report.verdict.all_rules_hold(), "{}", report.table());
     // Whom a dead gateway had taken in is lost; the others go on.
     assert!(report.verdict.service > 0.8, "{}", report.table());
 }
@@ -98,5 +98,5 @@
         .map(|judged| judged.rule)
         .collect();
     assert_eq!(broken, [rule], "{}", report.table());
-    assert!(!report.verdict.kept());
+    assert!(!report.verdict.all_rules_hold());
 }
--- a/crates/drill/src/audit.rs
+++ b/crates/drill/src/audit.rs
@@ -9,15 +9,15 @@
 mod verdict;
 mod without_node;
 
-pub use self::drained_node::drained;
-use self::drained_node::third;
+pub use self::drained_node::drain_order_times;
+use self::drained_node::judge_sends_to_drained_nodes;
 use self::joined::Joined;
-use self::repeated_effects::second;
-use self::service::service;
-use self::slow_start_overload::fourth;
-use self::update_queue::fifth;
+use self::repeated_effects::judge_repeated_effects;
+use self::service::rate_service;
+use self::slow_start_overload::judge_slow_start_overload;
+use self::update_queue::judge_update_queue;
 pub use self::verdict::{Judged, RuleJudged, Verdict};
-use self::without_node::first;
+use self::without_node::judge_time_without_node;
 use crate::records::{Record, Records};
 use crate::script::Script;
 use std::collections::BTreeMap;
@@ -32,8 +32,8 @@
 
 pub fn judge(records: &Records, script: &Script, slowed: &[Slowed]) -> Verdict {
     let plan = &script.deployment;
-    let (effects_twice, second) = second(records, plan);
-    let (invocations, service, service_by_operation) = service(records, plan);
+    let (effects_twice, repeated_effects) = judge_repeated_effects(records, plan);
+    let (invocations, service, service_by_operation) = rate_service(records, plan);
     let half_read = |record: &Record| {
         matches!(
             record,
@@ -50,11 +50,11 @@
     };
     Verdict {
         rules: vec![
-            first(records, plan).done(),
-            second.done(),
-            third(records, plan, slowed).done(),
-            fourth(records, plan).done(),
-            fifth(records, plan).done(),
+            judge_time_without_node(records, plan).finish(),
+            repeated_effects.finish(),
+            judge_sends_to_drained_nodes(records, plan, slowed).finish(),
+            judge_slow_start_overload(records, plan).finish(),
+            judge_update_queue(records, plan).finish(),
         ],
         invocations,
         service,
@@ -65,15 +65,15 @@
             .iter()
             .filter(|(_, record)| half_read(record))
             .count() as u64
-            + misnamed(records),
+            + count_conflicting_versions(records),
         repeats: sent(false) / sent(true).max(1.0),
     }
 }
 
 /// Tables that a proxy held under a name by which another held something else.
-fn misnamed(records: &Records) -> u64 {
+fn count_conflicting_versions(records: &Records) -> u64 {
     let mut names: BTreeMap<(usize, u64), &str> = BTreeMap::new();
-    let (mut joined, mut misnamed) = (Joined::default(), 0);
+    let (mut joined, mut conflicting) = (Joined::default(), 0);
     for (t, record) in &records.0 {
         joined.follow(*t, record);
         if let Record::Tables {
@@ -88,8 +88,8 @@
             if joined.0.get(proxy).is_none_or(|(to, _)| to != controller) {
                 continue;
             }
-            misnamed += u64::from(*names.entry((*controller, *version)).or_insert(hash) != hash);
+            conflicting += u64::from(*names.entry((*controller, *version)).or_insert(hash) != hash);
         }
     }
-    misnamed
+    conflicting
 }
--- a/crates/drill/src/audit/drained_node.rs
+++ b/crates/drill/src/audit/drained_node.rs
@@ -8,7 +8,11 @@
 use wheelspread_controller_core::deployment::Deployment;
 
 /// Rule 3: how long after its controller was told that a node drains or is gone a joined proxy sent there.
-pub(super) fn third(records: &Records, plan: &Deployment, slowed: &[Slowed]) -> RuleJudged {
+pub(super) fn judge_sends_to_drained_nodes(
+    records: &Records,
+    plan: &Deployment,
+    slowed: &[Slowed],
+) -> RuleJudged {
     let mut judged = RuleJudged::new(3);
     let grace = plan.rules.drain_grace.seconds();
     let mut joined = Joined::default();
@@ -66,7 +70,7 @@
                     .iter()
                     .filter(|slow| from <= slow.to && *t >= slow.from);
                 let factor = stretch.map(|slow| slow.factor).fold(1.0, f64::max);
-                judged.look(t - from, grace * factor, *t, || {
+                judged.check(t - from, grace * factor, *t, || {
                     format!("gateway {proxy} to {node}")
                 });
             }
@@ -78,7 +82,7 @@
 
 /// Seconds from an order to drain until the last try of a proxy that was joined to the controller which took
 /// it, one figure for each controller and node; 0: none came after it.
-pub fn drained(records: &Records) -> Vec<f64> {
+pub fn drain_order_times(records: &Records) -> Vec<f64> {
     // The answer to an order comes after the order was given: tries between the two count.
     let mut spans: BTreeMap<(usize, String), Vec<(f64, f64)>> = BTreeMap::new();
     for (t, record) in &records.0 {
--- a/crates/drill/src/audit/repeated_effects.rs
+++ b/crates/drill/src/audit/repeated_effects.rs
@@ -6,7 +6,7 @@
 use wheelspread_controller_core::deployment::{Deployment, RetryClass};
 
 /// Rule 2: effects that a proxy's repeats brought about twice.
-pub(super) fn second(records: &Records, plan: &Deployment) -> (u64, RuleJudged) {
+pub(super) fn judge_repeated_effects(records: &Records, plan: &Deployment) -> (u64, RuleJudged) {
     let mut judged = RuleJudged::new(2);
     let mut effects: BTreeMap<&str, u64> = BTreeMap::new();
     let binding: BTreeSet<&str> = plan
@@ -22,7 +22,7 @@
         if binding.contains(operation.as_str()) && !id.is_empty() {
             let count = effects.entry(id).or_insert(0);
             *count += 1;
-            judged.look(*count as f64, 1.0, *t, || format!("{operation} {id}"));
+            judged.check(*count as f64, 1.0, *t, || format!("{operation} {id}"));
         }
     }
     (
--- a/crates/drill/src/audit/service.rs
+++ b/crates/drill/src/audit/service.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use wheelspread_controller_core::deployment::Deployment;
 
-pub(super) fn service(
+pub(super) fn rate_service(
     records: &Records,
     plan: &Deployment,
 ) -> (Invocations, f64, BTreeMap<String, f64>) {
--- a/crates/drill/src/audit/slow_start_overload.rs
+++ b/crates/drill/src/audit/slow_start_overload.rs
@@ -13,7 +13,7 @@
 }
 
 /// Rule 4: what came to a cold node over what it could do, at most, in any window of the stated span.
-pub(super) fn fourth(records: &Records, plan: &Deployment) -> RuleJudged {
+pub(super) fn judge_slow_start_overload(records: &Records, plan: &Deployment) -> RuleJudged {
     let mut judged = RuleJudged::new(4);
     let rules = &plan.rules;
     let (span, warm) = (
@@ -58,10 +58,10 @@
                     * span;
                 let sum: f64 = came.iter().map(|(_, work)| work).sum();
                 let allowed = rules.cold_overload_factor * crate::stand_in_server::SLACK;
-                judged.look(sum / able, allowed, *t, || node.clone());
+                judged.check(sum / able, allowed, *t, || node.clone());
             }
             Record::Fell { node } => {
-                judged.look(f64::INFINITY, 0.0, *t, || format!("{node} fell over"))
+                judged.check(f64::INFINITY, 0.0, *t, || format!("{node} fell over"))
             }
             _ => {}
         }
--- a/crates/drill/src/audit/update_queue.rs
+++ b/crates/drill/src/audit/update_queue.rs
@@ -8,7 +8,7 @@
 
 /// Rule 5: lines that were swapped in and not taken yet, over all proxies of a controller, and messages to
 /// one proxy in the window.
-pub(super) fn fifth(records: &Records, plan: &Deployment) -> RuleJudged {
+pub(super) fn judge_update_queue(records: &Records, plan: &Deployment) -> RuleJudged {
     let mut judged = RuleJudged::new(5);
     let channel = &plan.channel;
     let (cap, window) = (
@@ -63,7 +63,7 @@
                     .filter(|(key, _)| key.0 == *controller)
                     .map(|(_, w)| w.1)
                     .sum();
-                judged.look(sum, channel.lines_waiting_at_most, *t, || {
+                judged.check(sum, channel.lines_waiting_at_most, *t, || {
                     format!("lines at conductor {controller}")
                 });
                 if cap > 0.0 {
@@ -71,7 +71,7 @@
                     times.push(*t);
                     times.retain(|at| t - at < window);
                     let who = || format!("messages of conductor {controller} to gateway {proxy}");
-                    judged.look(times.len() as f64, cap, *t, who);
+                    judged.check(times.len() as f64, cap, *t, who);
                 }
             }
             _ => {}
--- a/crates/drill/src/audit/verdict.rs
+++ b/crates/drill/src/audit/verdict.rs
@@ -44,7 +44,7 @@
 }
 
 impl Verdict {
-    pub fn kept(&self) -> bool {
+    pub fn all_rules_hold(&self) -> bool {
         self.rules.iter().all(|rule| rule.broken == 0) && self.half_read_tables == 0
     }
 }
@@ -62,7 +62,13 @@
         }
     }
 
-    pub(super) fn look(&mut self, value: f64, allowed: f64, at: f64, who: impl FnOnce() -> String) {
+    pub(super) fn check(
+        &mut self,
+        value: f64,
+        allowed: f64,
+        at: f64,
+        who: impl FnOnce() -> String,
+    ) {
         self.checked += 1;
         self.broken += u64::from(value > allowed);
         // The nearest to what is allowed, or the furthest beyond it.
@@ -78,7 +84,7 @@
         }
     }
 
-    pub(super) fn done(mut self) -> RuleJudged {
+    pub(super) fn finish(mut self) -> RuleJudged {
         if self.worst.value == f64::NEG_INFINITY {
             self.worst.value = 0.0;
         }
--- a/crates/drill/src/audit/without_node.rs
+++ b/crates/drill/src/audit/without_node.rs
@@ -8,7 +8,7 @@
 
 /// Rule 1: how long a joined proxy lacked a line for an operation while its controller's list showed an
 /// open node ready that was no longer cold.
-pub(super) fn first(records: &Records, plan: &Deployment) -> RuleJudged {
+pub(super) fn judge_time_without_node(records: &Records, plan: &Deployment) -> RuleJudged {
     let mut judged = RuleJudged::new(1);
     let allowed = plan.rules.without_node_at_most.seconds();
     let warm = plan.rules.warm_after.seconds();
@@ -48,7 +48,7 @@
                 match lacking.get(&key) {
                     None if !has && could => drop(lacking.insert(key, *t)),
                     Some(since) if has || !could => {
-                        judged.look(t - since, allowed, *since, || {
+                        judged.check(t - since, allowed, *since, || {
                             format!("gateway {proxy}, {}", operation.name)
                         });
                         lacking.remove(&key);
@@ -62,7 +62,7 @@
     }
     let end = records.0.last().map_or(0.0, |(t, _)| *t);
     for ((proxy, operation), since) in lacking {
-        judged.look(end - since, allowed, since, || {
+        judged.check(end - since, allowed, since, || {
             format!("gateway {proxy}, {operation}, to the end")
         });
     }
--- a/crates/drill/src/run/collection.rs
+++ b/crates/drill/src/run/collection.rs
@@ -1,7 +1,7 @@
 //! The end of a drill: everything stops, the records are collected, kept and judged.
 
 use super::{named, Drill, DrillError, FaultReport, Report};
-use crate::audit::{drained, judge};
+use crate::audit::{drain_order_times, judge};
 use crate::machine::cpu_of;
 use crate::records::{Record, Records};
 use rustix::process::Signal;
@@ -45,7 +45,7 @@
                 .map_err(named("the records"))?;
         }
         let verdict = judge(&records, &script, &slowed);
-        let drain_orders_s = drained(&records).into_iter().map(round).collect();
+        let drain_orders_s = drain_order_times(&records).into_iter().map(round).collect();
         let told = records.0.iter().filter_map(|(_, record)| match record {
             Record::Changed { taken, .. } => Some(*taken),
             _ => None,
--- a/crates/drill/src/run/report.rs
+++ b/crates/drill/src/run/report.rs
@@ -122,7 +122,7 @@
             seconds((self.controller_cpu_s * 1000.0).round() / 1000.0)
         ));
         line(
-            (if self.verdict.kept() {
+            (if self.verdict.all_rules_hold() {
                 "all rules held"
             } else {
                 "A RULE WAS BROKEN"
--- a/crates/drill/src/stand_in_server/event_loop.rs
+++ b/crates/drill/src/stand_in_server/event_loop.rs
@@ -1,10 +1,10 @@
 //! The event loop of the stand-in servers: commands, connections, work that is due.
 
-use super::state::{Due, Node};
+use super::state::{Due, Node, OneSidedFault};
 use super::NodeCommand;
 use crate::records::{Record, Recorder};
 use crate::worker::{Inbox, INBOX};
-use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::collections::{BTreeMap, HashMap};
 use wheelspread::pcg::Pcg;
 use wheelspread::time::{Moment, Span};
 use wheelspread_controller_core::deployment::Deployment;
@@ -20,7 +20,7 @@
     pub(super) due: BTreeMap<(Moment, u64), Due>,
     pub(super) next: u64,
     pub(super) slow: f64,
-    pub(super) one_sided: Option<(usize, BTreeSet<usize>, f64, bool)>,
+    pub(super) one_sided: Option<OneSidedFault>,
     pub(super) cut: Option<usize>,
     pub(super) slow_link: f64,
     /// When a fingerprint was first seen, for nodes that drop repeats together.
@@ -124,7 +124,12 @@
                 slow,
                 refuse,
             } => {
-                self.one_sided = (!proxies.is_empty()).then_some((kind, proxies, slow, refuse));
+                self.one_sided = (!proxies.is_empty()).then_some(OneSidedFault {
+                    kind,
+                    proxies,
+                    slow,
+                    refuse,
+                });
             }
             NodeCommand::Cut(zone) => {
                 self.cut = zone;
--- a/crates/drill/src/stand_in_server/state.rs
+++ b/crates/drill/src/stand_in_server/state.rs
@@ -2,7 +2,7 @@
 
 use super::{NodeKey, NodeSpec};
 use slab::Slab;
-use std::collections::VecDeque;
+use std::collections::{BTreeSet, VecDeque};
 use std::net::{SocketAddrV4, TcpListener, TcpStream};
 use wheelspread::time::Moment;
 
@@ -56,3 +56,12 @@
         bytes: Vec<u8>,
     },
 }
+
+/// What proxies of these numbers meet at nodes of a kind: slower work, or refusal.
+pub(super) struct OneSidedFault {
+    pub(super) kind: usize,
+    pub(super) proxies: BTreeSet<usize>,
+    /// Times the work that everything takes.
+    pub(super) slow: f64,
+    pub(super) refuse: bool,
+}
--- a/crates/drill/src/stand_in_server/work.rs
+++ b/crates/drill/src/stand_in_server/work.rs
@@ -26,9 +26,9 @@
             return self.close(key);
         }
         let (mut extra, mut refuse) = (1.0, false);
-        if let Some((kind, proxies, slow, refuses)) = &self.one_sided {
-            if *kind == self.nodes[key].spec.kind && proxies.contains(&proxy) {
-                (extra, refuse) = (*slow, *refuses);
+        if let Some(fault) = &self.one_sided {
+            if fault.kind == self.nodes[key].spec.kind && fault.proxies.contains(&proxy) {
+                (extra, refuse) = (fault.slow, fault.refuse);
             }
         }
         let errs = self.nodes[key].errors > 0.0 && self.chance.unit() < self.nodes[key].errors;
