--- a/crates/drill/src/audit.rs
+++ b/crates/drill/src/audit.rs
@@ -25,11 +25,15 @@
 /// How long each rule's limit is stretched while a controller's channel is slowed, as it is told the limit
 /// for its usual pace.
 pub struct Slowed {
+    /// Seconds since the drill began.
     pub from: f64,
+    /// Seconds since the drill began.
     pub to: f64,
+    /// By which the limit is stretched.
     pub factor: f64,
 }
 
+/// Judges the five rules over a drill's records. `slowed` names when the rules allow more time.
 pub fn judge(records: &Records, script: &Script, slowed: &[Slowed]) -> Verdict {
     let plan = &script.deployment;
     let (effects_twice, repeated_effects) = judge_repeated_effects(records, plan);
--- a/crates/drill/src/audit/slow_start_overload.rs
+++ b/crates/drill/src/audit/slow_start_overload.rs
@@ -61,7 +61,7 @@
                 judged.check(sum / able, allowed, *t, || node.clone());
             }
             Record::Fell { node } => {
-                judged.check(f64::INFINITY, 0.0, *t, || format!("{node} fell over"))
+                judged.check(f64::INFINITY, 0.0, *t, || format!("{node} fell over"));
             }
             _ => {}
         }
--- a/crates/drill/src/audit/update_queue.rs
+++ b/crates/drill/src/audit/update_queue.rs
@@ -39,7 +39,7 @@
             }
             // A controller that died has no channel; a proxy that died takes nothing.
             Record::Died { proxy } | Record::Left { proxy } => {
-                waiting.retain(|key, _| key.1 != *proxy)
+                waiting.retain(|key, _| key.1 != *proxy);
             }
             // Others still swap files in for it, which it does not read.
             Record::Swapped {
--- a/crates/drill/src/audit/verdict.rs
+++ b/crates/drill/src/audit/verdict.rs
@@ -3,47 +3,68 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
+/// What the records say of one rule.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct RuleJudged {
+    /// The rule's number, 1 to 5.
     pub rule: u8,
     /// How many things were looked at.
     pub checked: u64,
+    /// How many of them were beyond what is allowed.
     pub broken: u64,
     /// The worst of them, broken or not, beside what is allowed.
     pub worst: Judged,
 }
 
+/// One thing that a rule was checked on.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Judged {
+    /// What was measured, in the rule's own unit.
     pub value: f64,
+    /// What the rule allows, in the same unit.
     pub allowed: f64,
+    /// Seconds since the drill began.
     pub at_s: f64,
+    /// Whom it concerns, as a person reads it.
     pub who: String,
 }
 
+/// How the clients' invocations ended.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Invocations {
+    /// All that were counted.
     pub offered: u64,
+    /// Answered within the latency objective.
     pub succeeded: u64,
+    /// Rejected by the rate limit.
     pub rate_limited: u64,
+    /// Failed, or given up.
     pub errored: u64,
+    /// Answered after the latency objective.
     pub late: u64,
 }
 
+/// All that the audit says of a drill.
 #[derive(Clone, Debug, Serialize)]
 pub struct Verdict {
+    /// One entry a rule, in the order of their numbers.
     pub rules: Vec<RuleJudged>,
+    /// How the clients' invocations ended.
     pub invocations: Invocations,
     /// Billed value within the latency objective over the value asked for.
     pub service: f64,
+    /// The same for each operation.
     pub service_by_operation: BTreeMap<String, f64>,
+    /// Invocations with more than one effect.
     pub effects_twice: u64,
+    /// Documents that a reader could not read as a whole, and versions that name two things.
     pub half_read_tables: u64,
     /// Tries more than the first, over first tries.
     pub repeats: f64,
 }
 
 impl Verdict {
+    /// Whether no rule was broken and no table was half read.
     pub fn all_rules_hold(&self) -> bool {
         self.rules.iter().all(|rule| rule.broken == 0) && self.half_read_tables == 0
     }
--- a/crates/drill/src/load.rs
+++ b/crates/drill/src/load.rs
@@ -37,9 +37,13 @@
     pub effects: HashMap<u64, u32>,
 }
 
+/// Stand-in servers that answer at once, for measurements of proxies.
 pub struct FastNodes {
+    /// Where each of them listens.
     pub addresses: Vec<SocketAddrV4>,
+    /// What they have executed so far.
     pub met: Arc<Mutex<Met>>,
+    /// The faults of each.
     pub faults: Arc<Mutex<Vec<Faults>>>,
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
@@ -51,6 +55,7 @@
 const LISTENERS: u64 = 1 << 40;
 
 impl FastNodes {
+    /// Starts this many. With `keep_ids` executions are counted by invocation too.
     pub fn start(count: usize, keep_ids: bool, seed: u64) -> std::io::Result<FastNodes> {
         let mut poll = Poll::new()?;
         let (mut listeners, mut addresses) = (Vec::new(), Vec::new());
@@ -107,12 +112,14 @@
         })
     }
 
+    /// Sets the faults of one node from now on.
     pub fn set_faults(&self, node: usize, faults: Faults) {
         if let Ok(mut all) = self.faults.lock() {
             all[node] = faults;
         }
     }
 
+    /// A copy of what they have executed so far.
     pub fn seen(&self) -> Met {
         self.met.lock().map(|met| met.clone()).unwrap_or_default()
     }
@@ -222,34 +229,45 @@
 /// What a client saw.
 #[derive(Clone, Debug)]
 pub struct Loaded {
+    /// Answers by HTTP status.
     pub answers: BTreeMap<u16, u64>,
     /// Ended without an answer.
     pub broken: u64,
+    /// Latencies in microseconds.
     pub micros: Histogram<u64>,
+    /// How long the load lasted.
     pub seconds: f64,
 }
 
 impl Loaded {
+    /// All answers.
     pub fn total(&self) -> u64 {
         self.answers.values().sum::<u64>() + self.broken
     }
 
+    /// Answers a second.
     pub fn per_second(&self) -> f64 {
         self.answers.get(&200).copied().unwrap_or(0) as f64 / self.seconds.max(1e-9)
     }
 
+    /// The latency at this quantile, in milliseconds.
     pub fn ms(&self, quantile: f64) -> f64 {
         self.micros.value_at_quantile(quantile) as f64 / 1e3
     }
 }
 
+/// A load to be put on a proxy.
 #[derive(Clone, Copy, Debug)]
 pub struct Load<'a> {
+    /// Where the proxy listens.
     pub target: SocketAddrV4,
+    /// The operation that is invoked.
     pub operation: &'a str,
+    /// Connections that are open at once.
     pub connections: usize,
     /// Ends after so many invocations, or after so long.
     pub invocations: u64,
+    /// The longest time that the load lasts.
     pub at_most: Span,
     /// The first id.
     pub from: u64,
--- a/crates/drill/src/proxies.rs
+++ b/crates/drill/src/proxies.rs
@@ -24,10 +24,13 @@
 };
 use wheelspread_reactor::{self as reactor, Poll};
 
+/// What the proxies' thread is told.
 pub enum ProxyCommand {
+    /// The proxy of this number ends without notice.
     Die(usize),
     /// It comes back, on a new port, knowing nothing; the address is told.
     Start(Box<ProxyConfig>, usize, Sender<Option<SocketAddr>>),
+    /// The thread ends.
     End,
 }
 
@@ -38,12 +41,14 @@
 /// Proxies that hold tables.
 type Holding = Arc<Mutex<BTreeSet<usize>>>;
 
+/// The handle of the thread in which all proxies of a drill run.
 pub struct Proxies {
     holding: Holding,
     worker: Worker<ProxyCommand>,
 }
 
 impl Proxies {
+    /// Starts the thread without proxies. `joined_always`: there is no controller to join.
     pub fn start(recorder: Recorder, joined_always: bool) -> std::io::Result<Proxies> {
         let holding = Holding::default();
         let held = holding.clone();
@@ -60,10 +65,12 @@
             .is_ok_and(|holding| holding.contains(&proxy))
     }
 
+    /// Sends a command to the thread.
     pub fn send(&self, command: ProxyCommand) {
         self.worker.send(command);
     }
 
+    /// Starts a proxy and waits for its address; none: it did not start.
     pub fn add(&self, plan: ProxyConfig, number: usize) -> Option<SocketAddr> {
         let (tell, told) = channel();
         self.send(ProxyCommand::Start(Box::new(plan), number, tell));
@@ -211,6 +218,7 @@
     }
 }
 
+/// The name of a proxy by its number, as controllers and directories know it.
 pub fn proxy_name(proxy: usize) -> String {
     format!("gateway-{proxy:03}")
 }
@@ -224,6 +232,7 @@
     streams: bool,
 }
 
+/// The entries of tables that a reader holds.
 pub fn lines(held: &Held) -> Lines {
     let line =
         |line: &wheelspread_controller_core::TableEntry| (format_node(line.node), line.weight);
--- a/crates/drill/src/run.rs
+++ b/crates/drill/src/run.rs
@@ -31,18 +31,23 @@
 use wheelspread_files::Root;
 use wheelspread_reactor as reactor;
 
+/// How a script is played.
 pub struct Options<'a> {
     /// The program whose `run` is a controller.
     pub program: PathBuf,
+    /// Seeds all random draws.
     pub seed: u64,
     /// Even weights instead of controllers.
     pub even: bool,
+    /// A rule to be broken on purpose.
     pub sabotage: Option<Sabotage>,
+    /// Where all that was published and the records are kept; none: nowhere.
     pub keep: Option<PathBuf>,
     /// Controllers that are killed lose what they kept: they start as if they had never run.
     pub forget: bool,
     /// Kinds of fault that were asked for and can't be injected, to be told.
     pub not_injected: Vec<String>,
+    /// Told of each step that a person waits for.
     pub progress: &'a mut dyn FnMut(&str),
 }
 
@@ -76,6 +81,7 @@
     cpu: f64,
 }
 
+/// Plays a script and judges its records.
 pub fn run(script: &Script, options: Options) -> Result<Report, DrillError> {
     let temporary = tempfile::tempdir().map_err(named("a temporary directory"))?;
     let directory = options
--- a/crates/drill/src/run/report.rs
+++ b/crates/drill/src/run/report.rs
@@ -5,24 +5,37 @@
 use wheelspread::time::Span;
 use wheelspread_controller_core::span_format;
 
+/// A fault as it was played.
 #[derive(Clone, Debug, Serialize)]
 pub struct FaultReport {
+    /// The kind as scripts spell it.
     pub kind: String,
+    /// Seconds since the script's beginning.
     pub at_s: f64,
+    /// How long it lasted.
     pub for_s: f64,
+    /// Whether it could be injected here.
     pub injected: bool,
 }
 
+/// The result of a drill.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
+    /// The script's name.
     pub drill: String,
+    /// The seed that was played.
     pub seed: u64,
+    /// The plain policy that stood in for controllers, if any.
     pub baseline: Option<String>,
+    /// The judgement of the rules.
     #[serde(flatten)]
     pub verdict: Verdict,
+    /// The faults in the order of their beginning.
     #[serde(rename = "troubles")]
     pub faults: Vec<FaultReport>,
+    /// Tables that were published.
     pub table_swaps: u64,
+    /// CPU seconds of all controllers.
     #[serde(rename = "conductor_cpu_s")]
     pub controller_cpu_s: f64,
     /// From orders to drain to the last try there, by controller and node.
--- a/crates/drill/src/script.rs
+++ b/crates/drill/src/script.rs
@@ -8,34 +8,60 @@
 use wheelspread::time::Span;
 use wheelspread_controller_core::{span_format, Deployment};
 
+/// The bad day that is played without a script.
 pub const BUILT_IN: &str = include_str!("../days/bad-day.yaml");
 
+/// The kinds of fault; `docs/drills.md` describes each.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
+    /// A share of the answers is lost after the work.
     AnswerLost,
+    /// Controllers, or proxies, are killed and started again.
     BalancerCrash,
+    /// Controllers are stopped and go on later.
     BalancerStall,
+    /// Nodes move to another zone by a change of configuration, and back.
     Change,
+    /// Nodes accept few connections.
     ConnSqueeze,
+    /// Proxies reach no controller.
     CounterDown,
+    /// Batches of nodes drain, end and come again cold.
     Deploy,
+    /// Nodes are drained by order and taken back.
     DrainOrder,
+    /// A share of the requests fails at once.
     FastErrors,
+    /// Nodes fall silent and come back by turns.
     Flapping,
+    /// Nodes are added, cold.
     Grow,
+    /// More traffic comes to some proxies.
     HotCaller,
+    /// The list of nodes is later still.
     LateList,
+    /// Nodes of one kind are slow for the proxies of one controller.
     OneSided,
+    /// The pace of the update channel falls.
     OriginSlow,
+    /// More traffic comes to all proxies.
     Overload,
+    /// Nodes end without a drain and are replaced.
     Preempt,
+    /// Streams of load reports break.
     Reconnect,
+    /// Load reports take longer.
     ReportLate,
+    /// All work takes longer.
     SharedSlow,
+    /// Traffic of one zone comes to another, for good.
     Shift,
+    /// Answers take longer on their way.
     SlowLink,
+    /// Nodes fall silent and come back cold.
     Vanish,
+    /// No byte passes between one zone and the others.
     ZoneCut,
 }
 
@@ -48,12 +74,16 @@
     }
 }
 
+/// A fault of a script.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
+    /// What happens.
     pub kind: FaultKind,
+    /// When it begins, from the script's beginning.
     #[serde(with = "span_format")]
     pub at: Span,
+    /// How long it lasts.
     #[serde(default = "moment", rename = "for", with = "span_format")]
     pub span: Span,
     /// Of those that it can strike.
@@ -62,6 +92,7 @@
     /// How hard: a factor, a share or seconds, by kind.
     #[serde(default = "one")]
     pub size: f64,
+    /// A further figure, by kind.
     #[serde(default)]
     pub extra: f64,
     /// `conductor` (a controller) or `gateway` (a proxy), for what can strike both.
@@ -77,12 +108,17 @@
     1.0
 }
 
+/// Nodes of one kind.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeKind {
+    /// The kind's name, one of the deployment's.
     pub name: String,
+    /// How many there are.
     pub count: usize,
+    /// How many requests one executes at once.
     pub cores: u32,
+    /// How fast a core works; 1 is the usual.
     pub speed: f64,
     /// Nodes are faster or slower than their kind by up to this part, at random.
     #[serde(default = "tenth")]
@@ -93,30 +129,38 @@
     0.1
 }
 
+/// The fleet at the beginning.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodePlan {
+    /// The kinds and how many there are of each.
     pub kinds: Vec<NodeKind>,
     /// Invocations that may wait at a node; it turns away more.
     pub queue: usize,
+    /// Connections that a node accepts at once.
     pub connections: usize,
 }
 
+/// The traffic of one operation.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperationTraffic {
+    /// The operation's name, one of the deployment's.
     pub name: String,
+    /// Its part of the traffic, beside the others' shares.
     pub share: f64,
     /// Mean work, at a core of speed 1.
     #[serde(with = "span_format")]
     pub work: Span,
 }
 
+/// What clients ask for.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TrafficPlan {
     /// First tries a second, over all proxies.
     pub rate: f64,
+    /// The traffic of each operation.
     pub operations: Vec<OperationTraffic>,
     /// Times that a client comes again after a failure.
     #[serde(default)]
@@ -126,20 +170,28 @@
     pub spread: f64,
 }
 
+/// What a drill plays.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Script {
+    /// The script's name, for the report.
     pub name: String,
+    /// How long it lasts.
     #[serde(with = "span_format")]
     pub length: Span,
+    /// How many proxies there are.
     #[serde(rename = "gateways")]
     pub proxies: usize,
+    /// The fleet at the beginning.
     pub nodes: NodePlan,
+    /// What clients ask for.
     pub traffic: TrafficPlan,
+    /// The deployment that controllers are told.
     pub deployment: Deployment,
     /// How late the list of nodes is.
     #[serde(default = "list_delay", with = "span_format")]
     pub list_delay: Span,
+    /// The faults, each at its time.
     #[serde(default, rename = "troubles")]
     pub faults: Vec<Fault>,
 }
