--- a/crates/drill/src/run/collection.rs
+++ b/crates/drill/src/run/collection.rs
@@ -1,5 +1,6 @@
 //! The end of a drill: everything stops, the records are collected, kept and judged.
 
+use super::report::round_to_millis;
 use super::{named, Drill, DrillError, FaultReport, Report};
 use crate::audit::{drain_order_times, judge};
 use crate::machine::cpu_of;
@@ -8,19 +9,11 @@
 use std::sync::mpsc::Receiver;
 
 impl Drill<'_> {
+    /// Stops everything, collects the records, and judges them.
     pub(super) fn finish(mut self, from: Receiver<(f64, Record)>) -> Result<Report, DrillError> {
         (self.options.progress)("waiting for what is under way");
         self.clients = None;
-        let mut stopping = Vec::new();
-        for number in 0..self.controllers.len() {
-            self.signal(number, Signal::CONT);
-            self.signal(number, Signal::TERM);
-            stopping.extend(self.controllers[number].child.take());
-        }
-        for mut child in stopping {
-            self.cpu += cpu_of(child.id());
-            child.wait().map_err(named("a conductor"))?;
-        }
+        self.stop_controllers()?;
         let Drill {
             script,
             options,
@@ -44,47 +37,67 @@
                 .keep(&directory.join("records"))
                 .map_err(named("the records"))?;
         }
-        let verdict = judge(&records, &script, &slowed);
-        let drain_orders_s = drain_order_times(&records).into_iter().map(round).collect();
-        let told = records.0.iter().filter_map(|(_, record)| match record {
-            Record::Changed { taken, .. } => Some(*taken),
-            _ => None,
-        });
-        let changes_told = told.fold((0, 0), |(all, took), taken| {
-            (all + 1, took + usize::from(taken))
-        });
-        let fault = |(t, record): &(f64, Record)| match record {
-            Record::Fault {
-                kind,
-                injected,
-                span,
-            } => Some(FaultReport {
-                kind: kind.clone(),
-                at_s: round(t - begin),
-                for_s: round(*span),
-                injected: *injected,
-            }),
-            _ => None,
-        };
-        let swaps = records
-            .0
-            .iter()
-            .filter(|(_, record)| matches!(record, Record::Swapped { .. }))
-            .count();
+        let drains = drain_order_times(&records);
         Ok(Report {
             drill: script.name.clone(),
             seed: options.seed,
             baseline: options.even.then(|| "even".to_string()),
-            faults: records.0.iter().filter_map(fault).collect(),
-            table_swaps: swaps as u64,
-            controller_cpu_s: round(cpu),
-            drain_orders_s,
-            changes_told,
-            verdict,
+            verdict: judge(&records, &script, &slowed),
+            faults: fault_reports(&records, begin),
+            table_swaps: count_swaps(&records),
+            controller_cpu_s: round_to_millis(cpu),
+            drain_orders_s: drains.into_iter().map(round_to_millis).collect(),
+            changes_told: count_changes(&records),
         })
     }
+
+    /// Ends the controllers in an orderly way and adds up their CPU time.
+    fn stop_controllers(&mut self) -> Result<(), DrillError> {
+        let mut stopping = Vec::new();
+        for number in 0..self.controllers.len() {
+            // A controller that is stopped by a fault would not see the request to end.
+            self.signal(number, Signal::CONT);
+            self.signal(number, Signal::TERM);
+            stopping.extend(self.controllers[number].child.take());
+        }
+        for mut child in stopping {
+            self.cpu += cpu_of(child.id());
+            child.wait().map_err(named("a conductor"))?;
+        }
+        Ok(())
+    }
+}
+
+fn fault_reports(records: &Records, begin: f64) -> Vec<FaultReport> {
+    let report = |(t, record): &(f64, Record)| match record {
+        Record::Fault {
+            kind,
+            injected,
+            span,
+        } => Some(FaultReport {
+            kind: kind.clone(),
+            at_s: round_to_millis(t - begin),
+            for_s: round_to_millis(*span),
+            injected: *injected,
+        }),
+        _ => None,
+    };
+    records.0.iter().filter_map(report).collect()
+}
+
+fn count_swaps(records: &Records) -> u64 {
+    let is_swap = |record: &Record| matches!(record, Record::Swapped { .. });
+    let swaps = records.0.iter().filter(|(_, record)| is_swap(record));
+    swaps.count() as u64
 }
 
-fn round(value: f64) -> f64 {
-    (value * 1000.0).round() / 1000.0
+/// How many changes and undoes controllers answered, and how many of them they took.
+fn count_changes(records: &Records) -> (usize, usize) {
+    let answers = records.0.iter().filter_map(|(_, record)| match record {
+        Record::Changed { taken, .. } => Some(*taken),
+        _ => None,
+    });
+    answers.fold((0, 0), |(all, took), taken| {
+        (all + 1, took + usize::from(taken))
+    })
 }
--- a/crates/drill/src/run/report.rs
+++ b/crates/drill/src/run/report.rs
@@ -1,6 +1,6 @@
 //! The report of a drill, as data and as a person reads it.
 
-use crate::audit::Verdict;
+use crate::audit::{RuleJudged, Verdict};
 use serde::Serialize;
 use wheelspread::time::Span;
 use wheelspread_controller_core::span_format;
@@ -44,106 +44,118 @@
     pub changes_told: (usize, usize),
 }
 
+/// The rules as the table names them, in the order of their numbers.
+const RULE_NAMES: [&str; 5] = [
+    "1 no gateway without a node (s)",
+    "2 no effect twice (effects of one invocation)",
+    "3 nothing sent to a node that leaves (s)",
+    "4 no cold node pushed over (x its capacity)",
+    "5 short channel (lines, messages)",
+];
+
 impl Report {
     /// As a person reads it.
     pub fn table(&self) -> String {
-        let mut out = String::new();
-        let mut line = |text: String| {
-            out.push_str(&text);
-            out.push('\n');
+        let mut lines = vec![self.title()];
+        lines.extend(self.rule_lines());
+        lines.extend(self.service_lines());
+        lines.push(self.fault_line());
+        lines.extend(self.drain_line());
+        lines.extend(self.change_line());
+        let cpu = Span::from_seconds(round_to_millis(self.controller_cpu_s));
+        lines.push(format!("CPU of conductors: {}", span_format::write(cpu)));
+        let held = self.verdict.all_rules_hold();
+        let judgement = if held {
+            "all rules held"
+        } else {
+            "A RULE WAS BROKEN"
         };
-        line(format!(
-            "drill {} (seed {}){}",
-            self.drill,
-            self.seed,
-            if self.baseline.is_some() {
-                ", even weights"
-            } else {
-                ""
-            }
-        ));
-        line(format!(
+        lines.push(judgement.to_string());
+        lines.iter().map(|line| format!("{line}\n")).collect()
+    }
+
+    fn title(&self) -> String {
+        let even = if self.baseline.is_some() {
+            ", even weights"
+        } else {
+            ""
+        };
+        format!("drill {} (seed {}){even}", self.drill, self.seed)
+    }
+
+    fn rule_lines(&self) -> Vec<String> {
+        let head = format!(
             "{:<44}{:>10}{:>10}{:>10}{:>12}  at",
             "rule", "checked", "broken", "worst", "allowed"
-        ));
-        let names = [
-            "1 no gateway without a node (s)",
-            "2 no effect twice (effects of one invocation)",
-            "3 nothing sent to a node that leaves (s)",
-            "4 no cold node pushed over (x its capacity)",
-            "5 short channel (lines, messages)",
-        ];
-        for (rule, name) in self.verdict.rules.iter().zip(names) {
+        );
+        let rules = self.verdict.rules.iter().zip(RULE_NAMES);
+        let line = |(rule, name): (&RuleJudged, &str)| {
             let worst = &rule.worst;
-            line(format!(
+            format!(
                 "{name:<44}{:>10}{:>10}{:>10.2}{:>12.2}  {:.1} s {}",
                 rule.checked, rule.broken, worst.value, worst.allowed, worst.at_s, worst.who
-            ));
-        }
+            )
+        };
+        std::iter::once(head).chain(rules.map(line)).collect()
+    }
+
+    fn service_lines(&self) -> Vec<String> {
         let count = &self.verdict.invocations;
-        line(format!(
-            "invocations: {} offered, {} succeeded, {} late, {} rate-limited, {} errored",
-            count.offered, count.succeeded, count.late, count.rate_limited, count.errored
-        ));
-        let each: Vec<String> = self
-            .verdict
-            .service_by_operation
-            .iter()
-            .map(|(name, part)| format!("{name} {part:.3}"))
+        let operations = self.verdict.service_by_operation.iter();
+        let operations: Vec<String> = operations
+            .map(|(name, service)| format!("{name} {service:.3}"))
             .collect();
-        line(format!(
-            "service: {:.3} ({})",
-            self.verdict.service,
-            each.join(", ")
-        ));
-        line(format!(
-            "effects twice: {}; tables half read: {}; repeats: {:.1}% of first tries; tables swapped: {}",
-            self.verdict.effects_twice,
-            self.verdict.half_read_tables,
-            self.verdict.repeats * 100.0,
-            self.table_swaps
-        ));
-        let faults: Vec<String> = self
-            .faults
-            .iter()
-            .map(|told| {
-                format!(
-                    "{} {:.0} s{}",
-                    told.kind,
-                    told.at_s,
-                    if told.injected { "" } else { " (not injected)" }
-                )
-            })
-            .collect();
-        line(format!("troubles: {}", faults.join(", ")));
-        let seconds = |span: f64| span_format::write(Span::from_seconds(span));
-        if let (Some(middle), Some(last)) = (
-            self.drain_orders_s.get(self.drain_orders_s.len() / 2),
-            self.drain_orders_s.last(),
-        ) {
-            line(format!(
-                "drains by order: {} by conductor and node, last try after {middle:.2} s in the middle, {last:.2} s at most",
-                self.drain_orders_s.len()
-            ));
-        }
-        if self.changes_told.0 > 0 {
-            let (told, took) = self.changes_told;
-            line(format!("changes and undoes told: {told}, taken: {took}"));
-        }
-        line(format!(
-            "CPU of conductors: {}",
-            seconds((self.controller_cpu_s * 1000.0).round() / 1000.0)
-        ));
-        line(
-            (if self.verdict.all_rules_hold() {
-                "all rules held"
+        vec![
+            format!(
+                "invocations: {} offered, {} succeeded, {} late, {} rate-limited, {} errored",
+                count.offered, count.succeeded, count.late, count.rate_limited, count.errored
+            ),
+            format!(
+                "service: {:.3} ({})",
+                self.verdict.service,
+                operations.join(", ")
+            ),
+            format!(
+                "effects twice: {}; tables half read: {}; repeats: {:.1}% of first tries; tables swapped: {}",
+                self.verdict.effects_twice,
+                self.verdict.half_read_tables,
+                self.verdict.repeats * 100.0,
+                self.table_swaps
+            ),
+        ]
+    }
+
+    fn fault_line(&self) -> String {
+        let text = |fault: &FaultReport| {
+            let missing = if fault.injected {
+                ""
             } else {
-                "A RULE WAS BROKEN"
-            })
-            .to_string(),
-        );
-        out
+                " (not injected)"
+            };
+            format!("{} {:.0} s{missing}", fault.kind, fault.at_s)
+        };
+        let faults: Vec<String> = self.faults.iter().map(text).collect();
+        format!("troubles: {}", faults.join(", "))
     }
+
+    fn drain_line(&self) -> Option<String> {
+        let count = self.drain_orders_s.len();
+        let middle = self.drain_orders_s.get(count / 2)?;
+        let last = self.drain_orders_s.last()?;
+        Some(format!(
+            "drains by order: {count} by conductor and node, last try after {middle:.2} s in the middle, {last:.2} s at most"
+        ))
+    }
+
+    fn change_line(&self) -> Option<String> {
+        let (told, took) = self.changes_told;
+        (told > 0).then(|| format!("changes and undoes told: {told}, taken: {took}"))
+    }
+}
+
+/// Figures of a report are seconds with three decimals.
+pub(super) fn round_to_millis(seconds: f64) -> f64 {
+    (seconds * 1000.0).round() / 1000.0
 }
 
 #[cfg(test)]
