--- a/crates/drill/src/client_population.rs
+++ b/crates/drill/src/client_population.rs
@@ -64,7 +64,7 @@
                 poll,
                 inbox,
                 proxies,
-                asked: Slab::new(),
+                connections: Slab::new(),
                 idle: BTreeMap::new(),
                 due: BTreeMap::new(),
                 next: 0,
@@ -87,7 +87,7 @@
 }
 
 #[derive(Clone)]
-struct Wish {
+struct Invocation {
     proxy: usize,
     id: String,
     operation: usize,
@@ -96,10 +96,10 @@
     attempt: u32,
 }
 
-struct Asked {
+struct Connection {
     socket: TcpStream,
     proxy: usize,
-    wish: Option<Wish>,
+    invocation: Option<Invocation>,
     output: Vec<u8>,
     input: Vec<u8>,
     use_number: u64,
@@ -107,8 +107,8 @@
 
 enum Due {
     Arrival { proxy: usize },
-    Again(Wish),
-    Patience { slot: usize, use_number: u64 },
+    Retry(Invocation),
+    Timeout { slot: usize, use_number: u64 },
 }
 
 struct PopulationLoop {
@@ -118,7 +118,7 @@
     poll: Poll,
     inbox: Inbox<ClientCommand>,
     proxies: Vec<ProxyTarget>,
-    asked: Slab<Asked>,
+    connections: Slab<Connection>,
     idle: BTreeMap<usize, Vec<usize>>,
     due: BTreeMap<(Moment, u64), Due>,
     next: u64,
@@ -128,19 +128,22 @@
 impl PopulationLoop {
     fn run(&mut self) {
         let now = reactor::now();
-        (0..self.proxies.len()).for_each(|proxy| self.expect(now, proxy));
+        (0..self.proxies.len()).for_each(|proxy| self.schedule_arrival(now, proxy));
         let mut ready = Vec::new();
         loop {
             let now = reactor::now();
             while let Some(entry) = self.due.first_entry().filter(|entry| entry.key().0 <= now) {
                 match entry.remove() {
                     Due::Arrival { proxy } => self.arrive(now, proxy),
-                    Due::Again(wish) => self.ask(now, wish),
-                    Due::Patience { slot, use_number } => self.give_up(now, slot, use_number),
+                    Due::Retry(invocation) => self.invoke(now, invocation),
+                    Due::Timeout { slot, use_number } => self.on_timeout(now, slot, use_number),
                 }
             }
-            let busy = self.asked.iter().any(|(_, asked)| asked.wish.is_some());
-            let again = self.due.values().any(|due| matches!(due, Due::Again(_)));
+            let busy = self
+                .connections
+                .iter()
+                .any(|(_, connection)| connection.invocation.is_some());
+            let again = self.due.values().any(|due| matches!(due, Due::Retry(_)));
             if self.finishing && !busy && !again {
                 return;
             }
@@ -158,7 +161,7 @@
                         self.execute(order);
                     }
                 } else {
-                    self.turn(now, ready.token.0 as usize);
+                    self.on_ready(now, ready.token.0 as usize);
                 }
             }
         }
@@ -187,7 +190,7 @@
         -(1.0 - self.chance.unit()).ln()
     }
 
-    fn expect(&mut self, now: Moment, proxy: usize) {
+    fn schedule_arrival(&mut self, now: Moment, proxy: usize) {
         let rate = self.proxies[proxy].usual * self.proxies[proxy].factor;
         let wait = if rate > 0.0 {
             self.exponential() / rate
@@ -204,7 +207,7 @@
         if self.finishing {
             return;
         }
-        self.expect(now, proxy);
+        self.schedule_arrival(now, proxy);
         if self.proxies[proxy].usual <= 0.0 {
             return;
         }
@@ -229,9 +232,9 @@
         let work = mean * (0.5 + 0.5 * self.exponential().min(6.0));
         self.next += 1;
         let id = format!("{:x}-{:x}", self.next, self.chance.draw());
-        self.ask(
+        self.invoke(
             now,
-            Wish {
+            Invocation {
                 proxy,
                 id,
                 operation: chosen,
@@ -242,8 +245,11 @@
         );
     }
 
-    fn plan(&self, wish: &Wish) -> &wheelspread_controller_core::deployment::OperationPlan {
-        let name = &self.script.traffic.operations[wish.operation].name;
+    fn plan(
+        &self,
+        invocation: &Invocation,
+    ) -> &wheelspread_controller_core::deployment::OperationPlan {
+        let name = &self.script.traffic.operations[invocation.operation].name;
         let plans = &self.script.deployment.operations;
         plans
             .iter()
@@ -251,57 +257,60 @@
             .unwrap_or(&plans[0])
     }
 
-    fn ask(&mut self, now: Moment, wish: Wish) {
-        let deadline = wish.arrived + self.plan(&wish).integration_timeout;
-        let name = &self.script.traffic.operations[wish.operation].name;
+    fn invoke(&mut self, now: Moment, invocation: Invocation) {
+        let deadline = invocation.arrived + self.plan(&invocation).integration_timeout;
+        let name = &self.script.traffic.operations[invocation.operation].name;
         // Attempts of the client's own are invocations of their own: only the proxy repeats one.
         let output = format!(
             "POST /{name} HTTP/1.1\r\nHost: drill\r\nx-request-id: {}.{}\r\nx-work: {:.5}\r\nContent-Length: 0\r\n\r\n",
-            wish.id, wish.attempt, wish.work
+            invocation.id, invocation.attempt, invocation.work
         );
-        let proxy = wish.proxy;
-        let Some(slot) = self.line(proxy) else {
-            return self.end(now, wish, ClientOutcome::Errored, false);
+        let proxy = invocation.proxy;
+        let Some(slot) = self.connection_to(proxy) else {
+            return self.end(now, invocation, ClientOutcome::Errored, false);
         };
         self.next += 1;
         let use_number = self.next;
-        let asked = &mut self.asked[slot];
-        (asked.wish, asked.output, asked.use_number) =
-            (Some(wish), output.into_bytes(), use_number);
-        self.later(deadline, Due::Patience { slot, use_number });
-        self.turn(now, slot);
+        let connection = &mut self.connections[slot];
+        (
+            connection.invocation,
+            connection.output,
+            connection.use_number,
+        ) = (Some(invocation), output.into_bytes(), use_number);
+        self.later(deadline, Due::Timeout { slot, use_number });
+        self.on_ready(now, slot);
     }
 
-    fn line(&mut self, proxy: usize) -> Option<usize> {
+    fn connection_to(&mut self, proxy: usize) -> Option<usize> {
         let address = self.proxies[proxy].at?;
         while let Some(slot) = self.idle.get_mut(&proxy).and_then(Vec::pop) {
             let here = self
-                .asked
+                .connections
                 .get(slot)
-                .and_then(|asked| asked.socket.peer_addr().ok())
+                .and_then(|connection| connection.socket.peer_addr().ok())
                 == Some(address);
             if here {
                 return Some(slot);
             }
-            self.asked.try_remove(slot);
+            self.connections.try_remove(slot);
         }
         let SocketAddr::V4(v4) = address else {
             return None;
         };
         let source = proxy_address(200, proxy);
         let socket = reactor::connect_from(Some(source), v4.ip().octets(), v4.port()).ok()?;
-        let asked = Asked {
+        let connection = Connection {
             socket,
             proxy,
-            wish: None,
+            invocation: None,
             output: Vec::new(),
             input: Vec::new(),
             use_number: 0,
         };
-        let slot = self.asked.insert(asked);
+        let slot = self.connections.insert(connection);
         self.poll
             .add(
-                &self.asked[slot].socket,
+                &self.connections[slot].socket,
                 Token(slot as u64),
                 Interest::Edges,
             )
@@ -309,30 +318,30 @@
         Some(slot)
     }
 
-    fn turn(&mut self, now: Moment, slot: usize) {
-        let Some(asked) = self.asked.get_mut(slot) else {
+    fn on_ready(&mut self, now: Moment, slot: usize) {
+        let Some(connection) = self.connections.get_mut(slot) else {
             return;
         };
-        while !asked.output.is_empty() {
-            match asked.socket.write(&asked.output) {
-                Ok(count) if count > 0 => drop(asked.output.drain(..count)),
+        while !connection.output.is_empty() {
+            match connection.socket.write(&connection.output) {
+                Ok(count) if count > 0 => drop(connection.output.drain(..count)),
                 _ => break,
             }
         }
         let mut piece = [0u8; 4096];
         let over = loop {
-            match asked.socket.read(&mut piece) {
+            match connection.socket.read(&mut piece) {
                 Ok(0) => break true,
-                Ok(count) => asked.input.extend_from_slice(&piece[..count]),
+                Ok(count) => connection.input.extend_from_slice(&piece[..count]),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => break false,
                 Err(error) if error.kind() == ErrorKind::NotConnected => break false,
                 Err(_) => break true,
             }
         };
-        let status = match response(&asked.input, false, Default::default()) {
+        let status = match response(&connection.input, false, Default::default()) {
             Ok(Some(head)) => {
                 let mut body = Body::new(head.framing);
-                let taken = body.take(&asked.input[head.length..]).unwrap_or(0);
+                let taken = body.take(&connection.input[head.length..]).unwrap_or(0);
                 body.done()
                     .then_some((head.status, head.length + taken, head.keep_alive))
             }
@@ -340,13 +349,13 @@
         };
         match (status, over) {
             (Some((status, length, keep_alive)), _) => {
-                asked.input.drain(..length);
-                let wish = asked.wish.take();
+                connection.input.drain(..length);
+                let invocation = connection.invocation.take();
                 if keep_alive && !over {
-                    let proxy = asked.proxy;
+                    let proxy = connection.proxy;
                     self.idle.entry(proxy).or_default().push(slot);
                 } else {
-                    self.asked.remove(slot);
+                    self.connections.remove(slot);
                 }
                 let outcome = match status {
                     200..=299 => ClientOutcome::Succeeded,
@@ -355,39 +364,38 @@
                 };
                 // The proxy said itself that it sent nothing.
                 let unsent = matches!(status, 429 | 503);
-                wish.into_iter()
-                    .for_each(|wish| self.end(now, wish, outcome, unsent));
+                invocation
+                    .into_iter()
+                    .for_each(|invocation| self.end(now, invocation, outcome, unsent));
             }
             (None, true) => {
-                let asked = self.asked.remove(slot);
-                asked
-                    .wish
-                    .into_iter()
-                    .for_each(|wish| self.end(now, wish, ClientOutcome::Errored, false));
+                let connection = self.connections.remove(slot);
+                connection.invocation.into_iter().for_each(|invocation| {
+                    self.end(now, invocation, ClientOutcome::Errored, false);
+                });
             }
             (None, false) => {}
         }
     }
 
-    fn give_up(&mut self, now: Moment, slot: usize, use_number: u64) {
-        let waits = self
-            .asked
-            .get(slot)
-            .is_some_and(|asked| asked.use_number == use_number && asked.wish.is_some());
+    fn on_timeout(&mut self, now: Moment, slot: usize, use_number: u64) {
+        let waits = self.connections.get(slot).is_some_and(|connection| {
+            connection.use_number == use_number && connection.invocation.is_some()
+        });
         if waits {
-            let asked = self.asked.remove(slot);
-            asked
-                .wish
+            let connection = self.connections.remove(slot);
+            connection
+                .invocation
                 .into_iter()
-                .for_each(|wish| self.end(now, wish, ClientOutcome::GivenUp, false));
+                .for_each(|invocation| self.end(now, invocation, ClientOutcome::GivenUp, false));
         }
     }
 
-    fn end(&mut self, now: Moment, wish: Wish, outcome: ClientOutcome, unsent: bool) {
-        let plan = self.plan(&wish);
-        let (deadline, repeat) = (wish.arrived + plan.integration_timeout, plan.repeat);
+    fn end(&mut self, now: Moment, invocation: Invocation, outcome: ClientOutcome, unsent: bool) {
+        let plan = self.plan(&invocation);
+        let (deadline, repeat) = (invocation.arrived + plan.integration_timeout, plan.repeat);
         let safe = unsent || repeat == RetryClass::Idempotent;
-        let may = wish.attempt < self.script.traffic.retries && safe;
+        let may = invocation.attempt < self.script.traffic.retries && safe;
         let wait = Span::from_seconds(0.1 + 0.2 * self.chance.unit());
         if matches!(outcome, ClientOutcome::RateLimited | ClientOutcome::Errored)
             && may
@@ -395,15 +403,17 @@
         {
             return self.later(
                 now + wait,
-                Due::Again(Wish {
-                    attempt: wish.attempt + 1,
-                    ..wish
+                Due::Retry(Invocation {
+                    attempt: invocation.attempt + 1,
+                    ..invocation
                 }),
             );
         }
-        let operation = self.script.traffic.operations[wish.operation].name.clone();
-        let (proxy, id, attempt) = (wish.proxy, wish.id, wish.attempt);
-        let latency = (now - wish.arrived).seconds();
+        let operation = self.script.traffic.operations[invocation.operation]
+            .name
+            .clone();
+        let (proxy, id, attempt) = (invocation.proxy, invocation.id, invocation.attempt);
+        let latency = (now - invocation.arrived).seconds();
         self.recorder.note(
             now,
             Record::Done {
--- a/crates/drill/src/stand_in_server/connections.rs
+++ b/crates/drill/src/stand_in_server/connections.rs
@@ -2,7 +2,7 @@
 
 use super::address::proxy_of;
 use super::event_loop::ServerLoop;
-use super::state::{Call, Due, Job};
+use super::state::{Connection, Due, Job};
 use super::NodeKey;
 use crate::records::Record;
 use std::io::{ErrorKind, Read, Write};
@@ -18,11 +18,12 @@
         };
         for socket in reactor::accept(listener).0 {
             let peer = socket.peer_addr().map(|peer| proxy_of(peer.ip()));
-            let (Ok((zone, proxy)), true) = (peer, node.calls.len() < node.connections) else {
+            let (Ok((zone, proxy)), true) = (peer, node.connections.len() < node.max_connections)
+            else {
                 reactor::reset(socket);
                 continue;
             };
-            let call = Call {
+            let connection = Connection {
                 socket,
                 zone,
                 proxy,
@@ -30,20 +31,24 @@
                 output: Vec::new(),
                 busy: false,
             };
-            let slot = node.calls.insert(call);
+            let slot = node.connections.insert(connection);
             let token = Token((key as u64) << 32 | (slot as u64 + 1));
             if self
                 .poll
-                .add(&node.calls[slot].socket, token, Interest::Edges)
+                .add(&node.connections[slot].socket, token, Interest::Edges)
                 .is_err()
             {
-                node.calls.remove(slot);
+                node.connections.remove(slot);
             }
         }
-        let calls: Vec<usize> = self.nodes[key].calls.iter().map(|(slot, _)| slot).collect();
-        calls
+        let connections: Vec<usize> = self.nodes[key]
+            .connections
+            .iter()
+            .map(|(slot, _)| slot)
+            .collect();
+        connections
             .into_iter()
-            .for_each(|call| self.call_ready(now, key, call));
+            .for_each(|connection| self.on_ready(now, key, connection));
     }
 
     pub(super) fn passes(&self, key: NodeKey, zone: usize) -> bool {
@@ -51,56 +56,56 @@
             .is_none_or(|cut| (self.nodes[key].spec.zone == cut) == (zone == cut))
     }
 
-    pub(super) fn call_ready(&mut self, now: Moment, key: NodeKey, slot: usize) {
-        let Some(call) = self.nodes[key].calls.get(slot) else {
+    pub(super) fn on_ready(&mut self, now: Moment, key: NodeKey, slot: usize) {
+        let Some(connection) = self.nodes[key].connections.get(slot) else {
             return;
         };
-        if self.nodes[key].silent || !self.passes(key, call.zone) {
+        if self.nodes[key].silent || !self.passes(key, connection.zone) {
             return;
         }
-        let call = &mut self.nodes[key].calls[slot];
+        let connection = &mut self.nodes[key].connections[slot];
         let mut piece = [0u8; 4096];
         let over = loop {
-            match call.socket.read(&mut piece) {
+            match connection.socket.read(&mut piece) {
                 Ok(0) => break true,
-                Ok(count) => call.input.extend_from_slice(&piece[..count]),
+                Ok(count) => connection.input.extend_from_slice(&piece[..count]),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => break false,
                 Err(_) => break true,
             }
         };
-        while !call.output.is_empty() {
-            match call.socket.write(&call.output) {
-                Ok(count) if count > 0 => drop(call.output.drain(..count)),
+        while !connection.output.is_empty() {
+            match connection.socket.write(&connection.output) {
+                Ok(count) if count > 0 => drop(connection.output.drain(..count)),
                 _ => break,
             }
         }
         if over {
             // Work that has begun goes on.
-            self.nodes[key].calls.remove(slot);
+            self.nodes[key].connections.remove(slot);
             return;
         }
-        if !call.busy {
-            self.take(now, key, slot);
+        if !connection.busy {
+            self.take_request(now, key, slot);
         }
     }
 
     /// Takes the next request of a connection, if it is here as a whole.
-    pub(super) fn take(&mut self, now: Moment, key: NodeKey, slot: usize) {
-        let Some(call) = self.nodes[key].calls.get_mut(slot) else {
+    pub(super) fn take_request(&mut self, now: Moment, key: NodeKey, slot: usize) {
+        let Some(connection) = self.nodes[key].connections.get_mut(slot) else {
             return;
         };
-        let Ok(Some(head)) = request(&call.input, Default::default()) else {
+        let Ok(Some(head)) = request(&connection.input, Default::default()) else {
             return;
         };
         let mut body = Body::new(head.framing);
-        let Ok(taken) = body.take(&call.input[head.length..]) else {
+        let Ok(taken) = body.take(&connection.input[head.length..]) else {
             return;
         };
         if !body.done() {
             return;
         }
         let text = |range: &std::ops::Range<usize>| {
-            String::from_utf8_lossy(&call.input[range.clone()]).into_owned()
+            String::from_utf8_lossy(&connection.input[range.clone()]).into_owned()
         };
         let header = |name: &str| {
             let found = head
@@ -111,14 +116,14 @@
         };
         let operation = text(&head.target).trim_start_matches('/').to_string();
         let job = Job {
-            call: slot,
+            connection: slot,
             id: header("x-request-id"),
             operation,
             work: header("x-work").parse().unwrap_or(0.01),
         };
-        let (proxy, end) = (call.proxy, head.length + taken);
-        call.input.drain(..end);
-        call.busy = true;
+        let (proxy, end) = (connection.proxy, head.length + taken);
+        connection.input.drain(..end);
+        connection.busy = true;
         let node = self.nodes[key].name.clone();
         let (id, operation) = (job.id.clone(), job.operation.clone());
         self.recorder.note(
@@ -131,10 +136,10 @@
                 work: job.work,
             },
         );
-        self.came(now, key, proxy, job);
+        self.admit_request(now, key, proxy, job);
     }
 
-    pub(super) fn answer(&mut self, now: Moment, key: NodeKey, call: usize, bytes: Vec<u8>) {
+    pub(super) fn answer(&mut self, now: Moment, key: NodeKey, connection: usize, bytes: Vec<u8>) {
         let generation = self.nodes[key].generation;
         if self.slow_link > 0.0 {
             let at = now + Span::from_seconds(self.slow_link);
@@ -143,21 +148,25 @@
                 Due::Answer {
                     node: key,
                     generation,
-                    call,
+                    connection,
                     bytes,
                 },
             );
         }
-        self.send(now, key, call, bytes);
+        self.send(now, key, connection, bytes);
     }
 
     pub(super) fn send(&mut self, now: Moment, key: NodeKey, slot: usize, bytes: Vec<u8>) {
         // A slot that was given to another connection meanwhile is not busy with this.
-        let Some(call) = self.nodes[key].calls.get_mut(slot).filter(|call| call.busy) else {
+        let Some(connection) = self.nodes[key]
+            .connections
+            .get_mut(slot)
+            .filter(|connection| connection.busy)
+        else {
             return;
         };
-        call.output.extend_from_slice(&bytes);
-        call.busy = false;
-        self.call_ready(now, key, slot);
+        connection.output.extend_from_slice(&bytes);
+        connection.busy = false;
+        self.on_ready(now, key, slot);
     }
 }
--- a/crates/drill/src/stand_in_server/event_loop.rs
+++ b/crates/drill/src/stand_in_server/event_loop.rs
@@ -58,7 +58,7 @@
             let now = reactor::now();
             while let Some(entry) = self.due.first_entry().filter(|entry| entry.key().0 <= now) {
                 let due = entry.remove();
-                self.happen(now, due);
+                self.on_due(now, due);
             }
             let wait = self
                 .due
@@ -84,7 +84,7 @@
                 );
                 match slot.checked_sub(1) {
                     None => self.accept(now, key),
-                    Some(call) => self.call_ready(now, key, call),
+                    Some(connection) => self.on_ready(now, key, connection),
                 }
             }
         }
@@ -112,10 +112,15 @@
             NodeCommand::AnswersLost(key, share) => self.nodes[key].lost = share,
             NodeCommand::Connections(key, most) => {
                 let node = &mut self.nodes[key];
-                node.connections = most;
-                let over: Vec<usize> = node.calls.iter().map(|(slot, _)| slot).skip(most).collect();
+                node.max_connections = most;
+                let over: Vec<usize> = node
+                    .connections
+                    .iter()
+                    .map(|(slot, _)| slot)
+                    .skip(most)
+                    .collect();
                 over.into_iter()
-                    .for_each(|slot| reactor::reset(node.calls.remove(slot).socket));
+                    .for_each(|slot| reactor::reset(node.connections.remove(slot).socket));
             }
             NodeCommand::Slow(factor) => self.slow = factor,
             NodeCommand::OneSided {
@@ -135,11 +140,14 @@
                 self.cut = zone;
                 // What was held back on the way comes through.
                 for key in 0..self.nodes.len() {
-                    let calls: Vec<usize> =
-                        self.nodes[key].calls.iter().map(|(slot, _)| slot).collect();
-                    calls
+                    let connections: Vec<usize> = self.nodes[key]
+                        .connections
+                        .iter()
+                        .map(|(slot, _)| slot)
+                        .collect();
+                    connections
                         .into_iter()
-                        .for_each(|call| self.call_ready(now, key, call));
+                        .for_each(|connection| self.on_ready(now, key, connection));
                 }
             }
             NodeCommand::SlowLink(seconds) => self.slow_link = seconds,
@@ -152,15 +160,15 @@
         self.due.insert((at, self.next), due);
     }
 
-    pub(super) fn happen(&mut self, now: Moment, due: Due) {
+    pub(super) fn on_due(&mut self, now: Moment, due: Due) {
         match due {
             Due::Answer {
                 node,
                 generation,
-                call,
+                connection,
                 bytes,
             } if self.nodes[node].generation == generation => {
-                self.send(now, node, call, bytes);
+                self.send(now, node, connection, bytes);
             }
             Due::Done {
                 node: key,
@@ -172,15 +180,15 @@
                 if let Some(next) = self.nodes[key].waiting.pop_front() {
                     self.begin(now, key, next);
                 }
-                self.take_effect(now, key, &job);
+                self.record_effect(now, key, &job);
                 if self.nodes[key].lost > 0.0 && self.chance.unit() < self.nodes[key].lost {
                     return; // it ran, and nobody hears of it
                 }
                 let bytes = format!(
                     "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n{}\r\nok",
-                    self.loads(now, key)
+                    self.load_header(now, key)
                 );
-                self.answer(now, key, job.call, bytes.into_bytes());
+                self.answer(now, key, job.connection, bytes.into_bytes());
             }
             _ => {}
         }
--- a/crates/drill/src/stand_in_server/lifecycle.rs
+++ b/crates/drill/src/stand_in_server/lifecycle.rs
@@ -21,19 +21,19 @@
             .add(&listener, Token((key as u64) << 32), Interest::Readable)
             .ok()?;
         let long_ago = now - self.plan.rules.warm_after * 10.0;
-        let connections = spec.connections;
+        let max_connections = spec.connections;
         let node = Node {
             name: address.to_string(),
             address,
             listener: Some(listener),
-            calls: Slab::new(),
+            connections: Slab::new(),
             started: if spec.cold { now } else { long_ago },
             generation: 0,
             silent: false,
             down: false,
             errors: 0.0,
             lost: 0.0,
-            connections,
+            max_connections,
             running: 0,
             waiting: VecDeque::new(),
             came: VecDeque::new(),
@@ -41,12 +41,12 @@
             busy_at: now,
             spec,
         };
-        self.note_start(now, &node, node.spec.cold);
+        self.record_start(now, &node, node.spec.cold);
         self.nodes.push(node);
         Some((key, address))
     }
 
-    pub(super) fn note_start(&self, now: Moment, node: &Node, cold: bool) {
+    pub(super) fn record_start(&self, now: Moment, node: &Node, cold: bool) {
         self.recorder.note(
             now,
             Record::Started {
@@ -64,8 +64,8 @@
         (node.listener, node.down) = (None, true);
         node.generation += 1;
         (node.running, node.waiting) = (0, VecDeque::new());
-        for call in std::mem::take(&mut node.calls) {
-            reactor::reset(call.1.socket);
+        for connection in std::mem::take(&mut node.connections) {
+            reactor::reset(connection.1.socket);
         }
     }
 
@@ -84,6 +84,6 @@
         (node.listener, node.down, node.silent, node.started) = (Some(listener), false, false, now);
         node.came.clear();
         let node = &self.nodes[key];
-        self.note_start(now, node, true);
+        self.record_start(now, node, true);
     }
 }
--- a/crates/drill/src/stand_in_server/state.rs
+++ b/crates/drill/src/stand_in_server/state.rs
@@ -6,7 +6,7 @@
 use std::net::{SocketAddrV4, TcpListener, TcpStream};
 use wheelspread::time::Moment;
 
-pub(super) struct Call {
+pub(super) struct Connection {
     pub(super) socket: TcpStream,
     pub(super) zone: usize,
     pub(super) proxy: usize,
@@ -16,7 +16,7 @@
 }
 
 pub(super) struct Job {
-    pub(super) call: usize,
+    pub(super) connection: usize,
     pub(super) id: String,
     pub(super) operation: String,
     pub(super) work: f64,
@@ -27,14 +27,14 @@
     pub(super) name: String,
     pub(super) address: SocketAddrV4,
     pub(super) listener: Option<TcpListener>,
-    pub(super) calls: Slab<Call>,
+    pub(super) connections: Slab<Connection>,
     pub(super) started: Moment,
     pub(super) generation: u32,
     pub(super) silent: bool,
     pub(super) down: bool,
     pub(super) errors: f64,
     pub(super) lost: f64,
-    pub(super) connections: usize,
+    pub(super) max_connections: usize,
     pub(super) running: usize,
     pub(super) waiting: VecDeque<Job>,
     /// What came lately, to see whether a cold one is pushed over.
@@ -52,7 +52,7 @@
     Answer {
         node: NodeKey,
         generation: u32,
-        call: usize,
+        connection: usize,
         bytes: Vec<u8>,
     },
 }
--- a/crates/drill/src/stand_in_server/work.rs
+++ b/crates/drill/src/stand_in_server/work.rs
@@ -15,8 +15,8 @@
 pub const SLACK: f64 = 1.1;
 
 impl ServerLoop {
-    pub(super) fn came(&mut self, now: Moment, key: NodeKey, proxy: usize, job: Job) {
-        if self.pushed_over(now, key, job.work) {
+    pub(super) fn admit_request(&mut self, now: Moment, key: NodeKey, proxy: usize, job: Job) {
+        if self.is_overloaded_while_cold(now, key, job.work) {
             self.recorder.note(
                 now,
                 Record::Fell {
@@ -38,9 +38,9 @@
             let again = if errs { "" } else { "Retry-After: 1\r\n" };
             let bytes = format!(
                 "HTTP/1.1 {status}\r\nContent-Length: 0\r\n{again}{}\r\n",
-                self.loads(now, key)
+                self.load_header(now, key)
             );
-            return self.answer(now, key, job.call, bytes.into_bytes());
+            return self.answer(now, key, job.connection, bytes.into_bytes());
         }
         let job = Job {
             work: job.work * extra,
@@ -59,7 +59,12 @@
         rules.cold_start_share + (1.0 - rules.cold_start_share) * risen
     }
 
-    pub(super) fn pushed_over(&mut self, now: Moment, key: NodeKey, work: f64) -> bool {
+    pub(super) fn is_overloaded_while_cold(
+        &mut self,
+        now: Moment,
+        key: NodeKey,
+        work: f64,
+    ) -> bool {
         let warmth = self.warmth(now, key);
         let rules = &self.plan.rules;
         let (span, factor) = (rules.cold_overload_span, rules.cold_overload_factor);
@@ -99,7 +104,7 @@
         (node.busy, node.busy_at) = (node.busy * keep + share * (1.0 - keep), now);
     }
 
-    pub(super) fn loads(&mut self, now: Moment, key: NodeKey) -> String {
+    pub(super) fn load_header(&mut self, now: Moment, key: NodeKey) -> String {
         self.count_busy(now, key);
         let node = &self.nodes[key];
         let figures = [
@@ -109,7 +114,7 @@
         format!("{}: {}\r\n", orca::HEADER, orca::write(&figures))
     }
 
-    pub(super) fn take_effect(&mut self, now: Moment, key: NodeKey, job: &Job) {
+    pub(super) fn record_effect(&mut self, now: Moment, key: NodeKey, job: &Job) {
         let plan = self
             .plan
             .operations
