--- a/crates/drill/src/audit/drained_node.rs
+++ b/crates/drill/src/audit/drained_node.rs
@@ -3,7 +3,7 @@
 use super::joined::Joined;
 use super::verdict::RuleJudged;
 use super::Slowed;
-use crate::records::{Record, Records};
+use crate::records::{Listed, Record, Records};
 use std::collections::{BTreeMap, BTreeSet};
 use wheelspread_controller_core::deployment::Deployment;
 
@@ -16,68 +16,83 @@
     let mut judged = RuleJudged::new(3);
     let grace = plan.rules.drain_grace.seconds();
     let mut joined = Joined::default();
-    let mut closed: BTreeMap<(usize, String), f64> = BTreeMap::new();
-    let mut known: BTreeMap<usize, BTreeSet<String>> = BTreeMap::new();
-    let mut ordered: BTreeMap<(usize, String), f64> = BTreeMap::new();
+    let mut closed = ClosedNodes::default();
     for (t, record) in &records.0 {
         joined.follow(*t, record);
+        closed.follow(*t, record);
+        let Record::Sent { proxy, node, .. } = record else {
+            continue;
+        };
+        let Some((controller, since)) = joined.0.get(proxy) else {
+            continue;
+        };
+        let Some(told) = closed.told_at(*controller, node) else {
+            judged.checked += 1;
+            continue;
+        };
+        let from = told.max(*since);
+        let stretch = slowed
+            .iter()
+            .filter(|slow| from <= slow.to && *t >= slow.from);
+        let factor = stretch.map(|slow| slow.factor).fold(1.0, f64::max);
+        judged.check(t - from, grace * factor, *t, || {
+            format!("gateway {proxy} to {node}")
+        });
+    }
+    judged
+}
+
+/// Since when each controller knows that a node is not to be used, by controller and node.
+#[derive(Default)]
+struct ClosedNodes {
+    /// By the list: it drains there or is gone from it.
+    by_list: BTreeMap<(usize, String), f64>,
+    /// By an operator's order.
+    by_order: BTreeMap<(usize, String), f64>,
+    /// All nodes that a controller's list ever had.
+    listed: BTreeMap<usize, BTreeSet<String>>,
+}
+
+impl ClosedNodes {
+    fn follow(&mut self, t: f64, record: &Record) {
         match record {
             // An order is kept over kills.
             Record::Ordered {
                 controller,
                 node,
-                out: true,
+                out,
                 ..
             } => {
-                ordered.entry((*controller, node.clone())).or_insert(*t);
-            }
-            Record::Ordered {
-                controller,
-                node,
-                out: false,
-                ..
-            } => {
-                ordered.remove(&(*controller, node.clone()));
+                let key = (*controller, node.clone());
+                match out {
+                    true => drop(self.by_order.entry(key).or_insert(t)),
+                    false => drop(self.by_order.remove(&key)),
+                }
             }
             Record::Listed {
                 controller, nodes, ..
-            } => {
-                let known = known.entry(*controller).or_default();
-                known.extend(nodes.keys().cloned());
-                for node in known.iter() {
-                    let key = (*controller, node.clone());
-                    match nodes.get(node).is_some_and(|listed| !listed.draining) {
-                        true => drop(closed.remove(&key)),
-                        false => drop(closed.entry(key).or_insert(*t)),
-                    }
-                }
-            }
-            Record::Sent { proxy, node, .. } => {
-                let Some((controller, since)) = joined.0.get(proxy) else {
-                    continue;
-                };
-                let key = (*controller, node.clone());
-                let told = [closed.get(&key), ordered.get(&key)]
-                    .into_iter()
-                    .flatten()
-                    .copied();
-                let Some(told) = told.reduce(f64::min) else {
-                    judged.checked += 1;
-                    continue;
-                };
-                let from = told.max(*since);
-                let stretch = slowed
-                    .iter()
-                    .filter(|slow| from <= slow.to && *t >= slow.from);
-                let factor = stretch.map(|slow| slow.factor).fold(1.0, f64::max);
-                judged.check(t - from, grace * factor, *t, || {
-                    format!("gateway {proxy} to {node}")
-                });
-            }
+            } => self.follow_list(t, *controller, nodes),
             _ => {}
         }
     }
-    judged
+
+    fn follow_list(&mut self, t: f64, controller: usize, nodes: &BTreeMap<String, Listed>) {
+        let known = self.listed.entry(controller).or_default();
+        known.extend(nodes.keys().cloned());
+        for node in known.iter() {
+            let key = (controller, node.clone());
+            match nodes.get(node).is_some_and(|listed| !listed.draining) {
+                true => drop(self.by_list.remove(&key)),
+                false => drop(self.by_list.entry(key).or_insert(t)),
+            }
+        }
+    }
+
+    fn told_at(&self, controller: usize, node: &str) -> Option<f64> {
+        let key = (controller, node.to_string());
+        let told = [self.by_list.get(&key), self.by_order.get(&key)];
+        told.into_iter().flatten().copied().reduce(f64::min)
+    }
 }
 
 /// Seconds from an order to drain until the last try of a proxy that was joined to the controller which took
--- a/crates/drill/src/audit/update_queue.rs
+++ b/crates/drill/src/audit/update_queue.rs
@@ -6,21 +6,75 @@
 use std::collections::BTreeMap;
 use wheelspread_controller_core::deployment::Deployment;
 
-/// Rule 5: lines that were swapped in and not taken yet, over all proxies of a controller, and messages to
+/// Rule 5: entries that were swapped in and not taken yet, over all proxies of a controller, and messages to
 /// one proxy in the window.
 pub(super) fn judge_update_queue(records: &Records, plan: &Deployment) -> RuleJudged {
     let mut judged = RuleJudged::new(5);
     let channel = &plan.channel;
-    let (cap, window) = (
-        f64::from(channel.messages_at_most),
-        channel.messages_window.seconds(),
-    );
+    let most_messages = f64::from(channel.messages_at_most);
+    let window = channel.messages_window.seconds();
     let mut joined = Joined::default();
-    let mut holds: BTreeMap<(usize, usize), (u64, Lines)> = BTreeMap::new();
-    let mut waiting: BTreeMap<(usize, usize), (u64, f64)> = BTreeMap::new();
-    let mut messages: BTreeMap<(usize, usize), Vec<f64>> = BTreeMap::new();
+    let mut queue = UpdateQueue::default();
+    let mut messages: BTreeMap<Link, Vec<f64>> = BTreeMap::new();
     for (t, record) in &records.0 {
         joined.follow(*t, record);
+        queue.follow(record);
+        let Record::Swapped {
+            controller,
+            proxy,
+            version,
+            lines,
+            ..
+        } = record
+        else {
+            continue;
+        };
+        // Others still swap files in for it, which it does not read.
+        if joined.0.get(proxy).is_none_or(|(to, _)| to != controller) {
+            continue;
+        }
+        let link = (*controller, *proxy);
+        queue.swapped(link, *version, lines, channel.head_lines);
+        let queued = queue.queued_at(*controller);
+        judged.check(queued, channel.lines_waiting_at_most, *t, || {
+            format!("lines at conductor {controller}")
+        });
+        if most_messages > 0.0 {
+            let times = messages.entry(link).or_default();
+            times.push(*t);
+            times.retain(|at| t - at < window);
+            let who = || format!("messages of conductor {controller} to gateway {proxy}");
+            judged.check(times.len() as f64, most_messages, *t, who);
+        }
+    }
+    judged
+}
+
+/// A controller and a proxy, by their numbers.
+type Link = (usize, usize);
+
+/// Tables that a proxy has taken.
+struct TakenTables {
+    version: u64,
+    lines: Lines,
+}
+
+/// Tables that were swapped in and not taken yet.
+struct QueuedTables {
+    version: u64,
+    /// Entries that differ from what the proxy has, heads included.
+    entries: f64,
+}
+
+/// What each controller has published that its proxies have not taken yet.
+#[derive(Default)]
+struct UpdateQueue {
+    taken: BTreeMap<Link, TakenTables>,
+    queued: BTreeMap<Link, QueuedTables>,
+}
+
+impl UpdateQueue {
+    fn follow(&mut self, record: &Record) {
         match record {
             Record::Tables {
                 proxy,
@@ -29,57 +83,39 @@
                 lines,
                 ..
             } => {
-                holds.insert((*controller, *proxy), (*version, lines.clone()));
-                if waiting
-                    .get(&(*controller, *proxy))
-                    .is_some_and(|waits| waits.0 <= *version)
-                {
-                    waiting.remove(&(*controller, *proxy));
+                let (link, version) = ((*controller, *proxy), *version);
+                let lines = lines.clone();
+                self.taken.insert(link, TakenTables { version, lines });
+                let queued = self.queued.get(&link);
+                if queued.is_some_and(|queued| queued.version <= version) {
+                    self.queued.remove(&link);
                 }
             }
             // A controller that died has no channel; a proxy that died takes nothing.
             Record::Died { proxy } | Record::Left { proxy } => {
-                waiting.retain(|key, _| key.1 != *proxy);
-            }
-            // Others still swap files in for it, which it does not read.
-            Record::Swapped {
-                controller, proxy, ..
-            } if joined.0.get(proxy).is_none_or(|(to, _)| to != controller) => {}
-            Record::Swapped {
-                controller,
-                proxy,
-                version,
-                lines,
-                ..
-            } => {
-                let key = (*controller, *proxy);
-                let held = holds.get(&key).filter(|held| held.0 < *version);
-                if held.is_some() || !holds.contains_key(&key) {
-                    let apart = lines_apart(held.map(|held| &held.1), lines) + channel.head_lines;
-                    waiting.insert(key, (*version, apart));
-                }
-                let sum: f64 = waiting
-                    .iter()
-                    .filter(|(key, _)| key.0 == *controller)
-                    .map(|(_, w)| w.1)
-                    .sum();
-                judged.check(sum, channel.lines_waiting_at_most, *t, || {
-                    format!("lines at conductor {controller}")
-                });
-                if cap > 0.0 {
-                    let times = messages.entry(key).or_default();
-                    times.push(*t);
-                    times.retain(|at| t - at < window);
-                    let who = || format!("messages of conductor {controller} to gateway {proxy}");
-                    judged.check(times.len() as f64, cap, *t, who);
-                }
+                self.queued.retain(|link, _| link.1 != *proxy);
             }
             _ => {}
         }
     }
-    judged
+
+    /// Takes note of a swap, unless the proxy has this version or a later one already.
+    fn swapped(&mut self, link: Link, version: u64, lines: &Lines, head_entries: f64) {
+        let taken = self.taken.get(&link);
+        if taken.is_some_and(|taken| taken.version >= version) {
+            return;
+        }
+        let entries = lines_apart(taken.map(|taken| &taken.lines), lines) + head_entries;
+        self.queued.insert(link, QueuedTables { version, entries });
+    }
+
+    fn queued_at(&self, controller: usize) -> f64 {
+        let queued = self.queued.iter().filter(|(link, _)| link.0 == controller);
+        queued.map(|(_, queued)| queued.entries).sum()
+    }
 }
 
+/// How many entries differ between two tables.
 fn lines_apart(from: Option<&Lines>, to: &Lines) -> f64 {
     let mut apart = 0;
     for (operation, lines) in to {
