--- a/crates/controller-core/src/weight_solver.rs
+++ b/crates/controller-core/src/weight_solver.rs
@@ -16,7 +16,7 @@
 use wheelspread::{EndpointEntry, EndpointStatus, Event};
 use wheelspread_solve::estimate::{Estimate, Seen};
 use wheelspread_solve::steady::{next, Steadiness};
-use wheelspread_solve::{solve, Fleet, Host, Refused, Solution, Status};
+use wheelspread_solve::{solve, Fleet, Host, Solution, SolveInputError, Status};
 
 /// Steps of one solve: far more than the largest fleets take, so that the loop is never held up for long.
 const MAX_SOLVER_STEPS: usize = 50_000;
@@ -46,7 +46,7 @@
     StepLimit,
     /// The fleet can't be solved as it is.
     #[error(transparent)]
-    Refused(#[from] Refused),
+    Refused(#[from] SolveInputError),
 }
 
 /// What a solve came to.
--- a/crates/controller/src/service.rs
+++ b/crates/controller/src/service.rs
@@ -182,7 +182,7 @@
     }
 
     fn handle_signals(&mut self, now: Moment) -> Option<ExitReason> {
-        for signal in self.signals.came() {
+        for signal in self.signals.received() {
             match signal {
                 reactor::RELOAD => self.reload(now),
                 _ => return Some(ExitReason::Signal),
--- a/crates/controller/src/service/tls_keys.rs
+++ b/crates/controller/src/service/tls_keys.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::sync::Arc;
 use tracing::info;
-use wheelspread_grpc::tls::{self, BadKeys, KeyFiles};
+use wheelspread_grpc::tls::{self, KeyError, KeyFiles};
 use wheelspread_grpc::ServerConfig;
 
 /// Contents of a group of key files as last read; a file that can't be read has none.
@@ -26,12 +26,12 @@
 impl Controller {
     /// Takes in keys that were swapped. Keys that do not fit together leave the old ones in use until the
     /// files change again.
-    pub(super) fn renew_tls_keys(&mut self) -> Result<(), BadKeys> {
+    pub(super) fn renew_tls_keys(&mut self) -> Result<(), KeyError> {
         self.renew_administration_keys()?;
         self.renew_stream_keys()
     }
 
-    fn renew_administration_keys(&mut self) -> Result<(), BadKeys> {
+    fn renew_administration_keys(&mut self) -> Result<(), KeyError> {
         let Some(settings) = &self.file.administration else {
             return Ok(());
         };
@@ -47,7 +47,7 @@
         Ok(())
     }
 
-    fn renew_stream_keys(&mut self) -> Result<(), BadKeys> {
+    fn renew_stream_keys(&mut self) -> Result<(), KeyError> {
         let Some(settings) = &self.file.tls else {
             return Ok(());
         };
@@ -70,7 +70,7 @@
     }
 }
 
-fn stream_tls(settings: &TlsSettings) -> Result<Arc<ServerConfig>, BadKeys> {
+fn stream_tls(settings: &TlsSettings) -> Result<Arc<ServerConfig>, KeyError> {
     let keys = KeyFiles {
         certificate: settings.certificate.clone(),
         key: settings.key.clone(),
@@ -81,7 +81,7 @@
 /// The operators' port: callers need a certificate of the given roots.
 pub(super) fn administration_tls(
     settings: &AdministrationSettings,
-) -> Result<Arc<ServerConfig>, BadKeys> {
+) -> Result<Arc<ServerConfig>, KeyError> {
     let keys = KeyFiles {
         certificate: settings.certificate.clone(),
         key: settings.key.clone(),
--- a/crates/drill/src/error.rs
+++ b/crates/drill/src/error.rs
@@ -5,7 +5,7 @@
 use wheelspread_files::swap::Failed;
 use wheelspread_xds::Unreadable;
 
-/// Why a drill, or a measurement on its stand-ins, could not be played. It says nothing of the rules.
+/// Why a drill could not be played. It says nothing of the rules.
 #[derive(Debug, thiserror::Error)]
 pub enum DrillError {
     /// The machine refused something.
@@ -39,9 +39,6 @@
         /// How long they were awaited.
         within_seconds: f64,
     },
-    /// A measurement's own set-up failed.
-    #[error("{0}")]
-    NotReady(String),
 }
 
 /// Why the even publisher could not publish a table.
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -1,6 +1,6 @@
 //! The event loop of one proxy.
 
-use crate::proxy::is_upstream_token;
+use crate::token::is_upstream_token;
 use crate::{Proxy, ProxyConfig, RequestObserver};
 use std::io;
 use tracing::info;
@@ -30,7 +30,7 @@
         for event in events.drain(..) {
             if event.token != SIGNALS {
                 proxy.on_ready(&poll, now, event)?;
-            } else if !signals.came().is_empty() {
+            } else if !signals.received().is_empty() {
                 info!(name, "proxy stopped");
                 return Ok(());
             }
