--- a/crates/cli/src/measure/file_proxies.rs
+++ b/crates/cli/src/measure/file_proxies.rs
@@ -12,7 +12,7 @@
 use wheelspread_controller_core::load_report::{
     LoadReport, Metric, NodeReport, OperationReport, LATENCY, UTILIZATION,
 };
-use wheelspread_drill::gateways::name;
+use wheelspread_drill::proxy_name;
 use wheelspread_files::{read_tables, CURRENT};
 use wheelspread_grpc::{ClientConnection, ClientEvent, Limits};
 use wheelspread_reactor::{self as reactor, Interest, Moved, Poll, Token, Watcher};
@@ -90,7 +90,7 @@
         let mut watcher = Watcher::new(&poll, WATCHER).map_err(io("inotify"))?;
         let mut directories: BTreeMap<PathBuf, usize> = BTreeMap::new();
         for proxy in 0..proxies {
-            let gateway = root.gateway(&name(proxy));
+            let gateway = root.gateway(&proxy_name(proxy));
             std::fs::create_dir_all(&gateway).map_err(io("a directory"))?;
             watcher.add(&gateway).map_err(io("a watch"))?;
             directories.insert(gateway, proxy);
@@ -177,7 +177,7 @@
     /// Reports follow the nodes in each zone's first tables.
     fn prepare_reports(&mut self, proxies: usize) {
         for zone in 0..ZONES.len().min(proxies) {
-            let tables = read_tables(&self.controller.root().gateway(&name(zone)))
+            let tables = read_tables(&self.controller.root().gateway(&proxy_name(zone)))
                 .ok()
                 .flatten();
             let nodes: Option<Vec<NodeId>> = tables.map(|tables| {
--- a/crates/cli/src/measure/fleet_config.rs
+++ b/crates/cli/src/measure/fleet_config.rs
@@ -4,7 +4,7 @@
 use wheelspread::ids::NodeId;
 use wheelspread_controller_core::endpoint_list::{EndpointRecord, EndpointSnapshot};
 use wheelspread_controller_core::membership::Introduction;
-use wheelspread_drill::gateways::name;
+use wheelspread_drill::proxy_name;
 
 /// The zones of the measured fleet; nodes and proxies are spread over them in turn.
 pub const ZONES: [&str; 3] = ["a", "b", "c"];
@@ -63,7 +63,7 @@
 /// How a proxy introduces itself to the controller.
 pub fn introduction(proxy: usize) -> Introduction {
     Introduction {
-        name: name(proxy),
+        name: proxy_name(proxy),
         zone: ZONES[zone_of(proxy)].to_string(),
         usual_rate: None,
     }
