--- a/crates/cli/src/fleet/top.rs
+++ b/crates/cli/src/fleet/top.rs
@@ -8,10 +8,11 @@
 use ratatui::text::{Line, Span};
 use ratatui::widgets::Paragraph;
 use ratatui::Frame;
+use serde_json::Value;
 use std::io;
 use std::sync::mpsc::{channel, TryRecvError};
 use std::time::{Duration, Instant};
-use wheelspread_fleet::Fleet;
+use wheelspread_fleet::{Failed, Fleet};
 
 /// What is shown and from which line on.
 pub struct Screen {
@@ -97,94 +98,111 @@
 
     /// Draws the last answers.
     pub fn draw(&mut self, frame: &mut Frame) {
-        let plain = Style::default();
         let Some(snapshot) = &self.snapshot else {
             return frame.render_widget(Paragraph::new("asking the fleet ..."), frame.area());
         };
         let disagreements = snapshot.disagreement_lines();
-        let below = (disagreements.len().min(4) + 2) as u16;
+        let shown_disagreements = disagreements.len().min(MAX_DISAGREEMENTS);
         let [head, body, foot] = Layout::vertical([
             Constraint::Length(1),
             Constraint::Min(1),
-            Constraint::Length(below),
+            Constraint::Length((shown_disagreements + 2) as u16),
         ])
         .areas(frame.area());
-        let bold = plain.add_modifier(Modifier::BOLD);
+        let bold = Style::default().add_modifier(Modifier::BOLD);
         frame.render_widget(Line::styled(Snapshot::HEAD, bold), head);
-        let mut rows: Vec<(bool, Line)> = Vec::new();
-        for (name, answer) in &snapshot.status {
-            rows.push(match answer {
-                Err(failed) => (
-                    true,
-                    Line::styled(format!("{name:<14.14}{failed}"), plain.fg(Color::Red)),
-                ),
-                Ok(answer) => {
-                    let fill = answer["lines_waiting"].as_f64().unwrap_or(0.0)
-                        / answer["lines_waiting_at_most"]
-                            .as_f64()
-                            .unwrap_or(1.0)
-                            .max(1.0);
-                    let lacking = answer["configuration_lacking"].as_u64().unwrap_or(0) > 0;
-                    let needs_attention =
-                        fill > 0.5 || lacking || answer["gateways"]["joined"] == 0;
-                    let style = if needs_attention {
-                        plain.fg(Color::Yellow)
-                    } else {
-                        plain
-                    };
-                    (
-                        needs_attention,
-                        Line::styled(Snapshot::line(name, answer), style),
-                    )
-                }
-            });
-        }
-        let all = rows.len();
-        let answered = snapshot
-            .status
-            .values()
-            .filter(|answer| answer.is_ok())
-            .count();
-        let rows: Vec<Line> = rows
+        let all = snapshot.status.len();
+        let rows: Vec<Line> = rows(snapshot)
             .into_iter()
-            .filter(|(needs_attention, _)| !self.only_attention || *needs_attention)
-            .map(|(_, line)| line)
+            .filter(|row| !self.only_attention || row.needs_attention)
+            .map(|row| row.line)
             .collect();
         let height = usize::from(body.height);
         self.first = self.first.min(rows.len().saturating_sub(height));
         let (first, last) = (self.first, (self.first + height).min(rows.len()));
         frame.render_widget(Paragraph::new(rows[first..last].to_vec()), body);
-        let mut lines: Vec<Line> = disagreements
-            .iter()
-            .take(4)
-            .map(|text| {
-                Line::from(vec![
-                    Span::styled("two minds: ", plain.fg(Color::Red)),
-                    text.clone().into(),
-                ])
-            })
-            .collect();
-        let more = disagreements.len().saturating_sub(4);
-        let more = if more > 0 {
-            format!(", {more} more of two minds")
-        } else {
-            String::new()
-        };
-        lines.push(Line::styled(
-            format!(
-                "{answered} of {all} answered in {:.2} s, {:.0} s ago; lines {}-{last} of {}{more}",
-                snapshot.seconds,
-                self.taken_at.elapsed().as_secs_f64(),
-                (first + 1).min(last),
-                last.max(first) + rows_after(all, last, self.only_attention)
-            ),
-            bold,
-        ));
+        let answered = snapshot.status.values().filter(|answer| answer.is_ok());
+        let summary = format!(
+            "{} of {all} answered in {:.2} s, {:.0} s ago; lines {}-{last} of {}{}",
+            answered.count(),
+            snapshot.seconds,
+            self.taken_at.elapsed().as_secs_f64(),
+            (first + 1).min(last),
+            last.max(first) + rows_after(all, last, self.only_attention),
+            further_disagreements(&disagreements)
+        );
+        let mut lines = disagreement_lines(&disagreements);
+        lines.push(Line::styled(summary, bold));
         lines.push(Line::from("q ends  t troubled only  up/down scroll"));
         frame.render_widget(Paragraph::new(lines), foot);
     }
 }
 
+/// Disagreements that are shown below the controllers; further ones are counted.
+const MAX_DISAGREEMENTS: usize = 4;
+/// A controller whose update queue is fuller than this needs attention.
+const ATTENTION_QUEUE_FILL: f64 = 0.5;
+
+/// A controller's line on the screen.
+struct Row {
+    needs_attention: bool,
+    line: Line<'static>,
+}
+
+fn rows(snapshot: &Snapshot) -> Vec<Row> {
+    let row = |(name, answer): (&String, &Result<Value, Failed>)| match answer {
+        Err(failed) => Row {
+            needs_attention: true,
+            line: Line::styled(format!("{name:<14.14}{failed}"), color(Color::Red)),
+        },
+        Ok(status) => {
+            let needs_attention = needs_attention(status);
+            let style = if needs_attention {
+                color(Color::Yellow)
+            } else {
+                Style::default()
+            };
+            Row {
+                needs_attention,
+                line: Line::styled(Snapshot::line(name, status), style),
+            }
+        }
+    };
+    snapshot.status.iter().map(row).collect()
+}
+
+fn color(color: Color) -> Style {
+    Style::default().fg(color)
+}
+
+/// Whether a controller's queue is filling, a change is not everywhere yet, or no proxy is joined.
+fn needs_attention(status: &Value) -> bool {
+    let waiting = status["lines_waiting"].as_f64().unwrap_or(0.0);
+    let limit = status["lines_waiting_at_most"].as_f64().unwrap_or(1.0);
+    let lacking = status["configuration_lacking"].as_u64().unwrap_or(0);
+    waiting / limit.max(1.0) > ATTENTION_QUEUE_FILL
+        || lacking > 0
+        || status["gateways"]["joined"] == 0
+}
+
+fn disagreement_lines(disagreements: &[String]) -> Vec<Line<'static>> {
+    let line = |text: &String| {
+        Line::from(vec![
+            Span::styled("two minds: ", color(Color::Red)),
+            text.clone().into(),
+        ])
+    };
+    let shown = disagreements.iter().take(MAX_DISAGREEMENTS);
+    shown.map(line).collect()
+}
+
+fn further_disagreements(disagreements: &[String]) -> String {
+    match disagreements.len().saturating_sub(MAX_DISAGREEMENTS) {
+        0 => String::new(),
+        more => format!(", {more} more of two minds"),
+    }
+}
+
 /// Controllers below the last line that is shown; with a filter only what is shown is counted.
 fn rows_after(all: usize, last: usize, is_filtered: bool) -> usize {
     if is_filtered {
