--- a/crates/controller/src/admin/api_error.rs
+++ b/crates/controller/src/admin/api_error.rs
@@ -3,7 +3,7 @@
 use super::BODY_LIMIT_BYTES;
 use crate::drains::DrainAnswerError;
 use wheelspread_controller_core::rollback::RollbackError;
-use wheelspread_http1::BadMessage;
+use wheelspread_http1::MessageError;
 
 /// The statuses that the API answers with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -54,7 +54,7 @@
 pub enum ApiError {
     /// The head of the request can't be parsed.
     #[error(transparent)]
-    Head(#[from] BadMessage),
+    Head(#[from] MessageError),
     /// The body is chunked or too long.
     #[error("a body of a stated length, {BODY_LIMIT_BYTES} bytes at most, is expected")]
     BodyFraming,
--- a/crates/controller/src/service/startup.rs
+++ b/crates/controller/src/service/startup.rs
@@ -23,7 +23,7 @@
 use wheelspread_controller_core::controller_core::RecoveredState;
 use wheelspread_controller_core::{ControllerCore, Deployment};
 use wheelspread_files::{scan, Root, Writer};
-use wheelspread_grpc::tls::BadKeys;
+use wheelspread_grpc::tls::KeyError;
 use wheelspread_reactor::{self as reactor, Interest, Poll, Signals, Waker, Watcher};
 
 /// Why a controller does not start.
@@ -45,7 +45,7 @@
     State(#[from] wheelspread_store::StoreError),
     /// Certificates or keys can't be used.
     #[error("tls: {0}")]
-    Keys(BadKeys),
+    Keys(KeyError),
     /// The core refuses the deployment.
     #[error(transparent)]
     Core(#[from] wheelspread_controller_core::StartError),
