--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -4,7 +4,6 @@
 mod top;
 mod view;
 
-use crate::error::error_chain;
 use crate::exit::{BAD_INPUT, CONTROLLER_UNREACHABLE, SUCCESS};
 use clap::{Args, Subcommand};
 use serde_json::{json, Value};
@@ -17,7 +16,7 @@
 use wheelspread::time::Span;
 use wheelspread_controller_core::span_format;
 use wheelspread_drain::DrainAction;
-use wheelspread_fleet::{Failed, Fleet, FleetFile, Request};
+use wheelspread_fleet::{Failed, Fleet, FleetError, FleetFile, Request};
 
 /// Arguments of `wheelspread fleet`.
 ///
@@ -79,8 +78,8 @@
 #[derive(Debug, thiserror::Error)]
 pub enum FleetCommandError {
     /// The fleet file can't be read or is invalid.
-    #[error("{0}")]
-    File(String),
+    #[error(transparent)]
+    File(#[from] FleetError),
     /// The terminal can't be used.
     #[error("the terminal")]
     Terminal(#[from] io::Error),
@@ -95,8 +94,7 @@
 
 /// Queries or orders all controllers of a fleet.
 pub fn fleet(arguments: &FleetArguments) -> Result<ExitCode, FleetCommandError> {
-    let opened = FleetFile::read(&arguments.fleet).and_then(|file| file.open());
-    let mut fleet = opened.map_err(|error| FleetCommandError::File(error_chain(&error)))?;
+    let mut fleet = FleetFile::read(&arguments.fleet)?.open()?;
     if let Some(within) = arguments.within {
         fleet.within = Duration::from_secs_f64(within.seconds().max(MIN_ANSWER_SECONDS));
     }
--- a/crates/cli/src/import.rs
+++ b/crates/cli/src/import.rs
@@ -1,6 +1,5 @@
 //! `wheelspread import nginx`: pools of an nginx configuration as controllers' files and endpoint lists.
 
-use crate::error::error_chain;
 use crate::exit::BAD_INPUT;
 use clap::{Args, Subcommand};
 use serde_json::json;
@@ -12,7 +11,7 @@
 use wheelspread_controller::{ControllerFile, ControllerFileError};
 use wheelspread_controller_core::endpoint_list::{EndpointRecord, EndpointSnapshot};
 use wheelspread_import::pools::plain;
-use wheelspread_import::{load, pools, Fate, Imported, Pool};
+use wheelspread_import::{load, pools, Fate, Imported, IncludeError, Pool};
 
 /// Arguments of `wheelspread import`.
 #[derive(Args)]
@@ -52,8 +51,8 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ImportError {
     /// The configuration can't be read.
-    #[error("{0}")]
-    Load(String),
+    #[error(transparent)]
+    Load(#[from] IncludeError),
     /// A pool can't be written.
     #[error("{pool}")]
     Pool {
@@ -101,7 +100,7 @@
         json,
         strict,
     } = arguments.from;
-    let loaded = load(&file).map_err(|error| ImportError::Load(error_chain(&error)))?;
+    let loaded = load(&file)?;
     let imported = pools(&loaded);
     let zone = plain(&zone);
     for (number, pool) in imported.pools.iter().enumerate() {
--- a/crates/cli/src/solve.rs
+++ b/crates/cli/src/solve.rs
@@ -4,12 +4,11 @@
 use clap::Args;
 use serde::Serialize;
 use serde_json::json;
-use std::fmt::Display;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 use wheelspread_solve::robust::{guaranteed, hedge, served, Wrong};
-use wheelspread_solve::{solve as solve_fleet, Fleet, Host, Solution, Status};
+use wheelspread_solve::{solve as solve_fleet, Fleet, Host, Solution, SolveInputError, Status};
 
 /// Arguments of `wheelspread solve`.
 #[derive(Args)]
@@ -89,8 +88,8 @@
     #[error("no host is of kind `{0}`")]
     UnknownKind(String),
     /// The solver refused the fleet.
-    #[error("{0}")]
-    Solver(String),
+    #[error(transparent)]
+    Solver(#[from] SolveInputError),
     /// The solution can't be written as JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
@@ -172,9 +171,8 @@
 ) -> Result<Solution, Refusal> {
     let deadline = begin + Duration::from_millis(arguments.deadline_ms);
     let mut is_over = || Instant::now() >= deadline;
-    let refused = |error: &dyn Display| Refusal::Solver(error.to_string());
     let Some(part) = arguments.wrong_by else {
-        return solve_fleet(fleet, &mut is_over).map_err(|error| refused(&error));
+        return Ok(solve_fleet(fleet, &mut is_over)?);
     };
     if !(0.0..1.0).contains(&part) {
         return Err(Refusal::WrongBy(part));
@@ -183,7 +181,7 @@
         least: 1.0 - part,
         most: 1.0 / (1.0 - part),
     };
-    let (solution, held) = hedge(fleet, wrong, &mut is_over).map_err(|error| refused(&error))?;
+    let (solution, held) = hedge(fleet, wrong, &mut is_over)?;
     let worst = guaranteed(fleet, &solution, wrong);
     eprintln!(
         "goes by {held:.2} of the capacities; at worst {:.3} a second is served",
