--- a/crates/cli/tests/drills.rs
+++ b/crates/cli/tests/drills.rs
@@ -24,7 +24,7 @@
 
 /// All rules were put to the test and kept, and most requests were served.
 fn assert_all_rules_checked_and_kept(report: &Report) {
-    assert!(report.verdict.kept(), "{}", report.table());
+    assert!(report.verdict.all_rules_hold(), "{}", report.table());
     assert!(
         report.verdict.rules.iter().all(|rule| rule.checked > 0),
         "{}",
@@ -37,7 +37,7 @@
 fn a_short_drill_keeps_all_rules() {
     let report = play(SHORT, None);
     assert_all_rules_checked_and_kept(&report);
-    assert_eq!(report.troubles.len(), 4);
+    assert_eq!(report.faults.len(), 4);
 }
 
 #[test]
@@ -69,7 +69,7 @@
         ),
         None,
     );
-    assert!(report.verdict.kept(), "{}", report.table());
+    assert!(report.verdict.all_rules_hold(), "{}", report.table());
     // Whom a dead gateway had taken in is lost; the others go on.
     assert!(report.verdict.service > 0.8, "{}", report.table());
 }
@@ -101,5 +101,5 @@
         .map(|judged| judged.rule)
         .collect();
     assert_eq!(broken, [rule], "{}", report.table());
-    assert!(!report.verdict.kept());
+    assert!(!report.verdict.all_rules_hold());
 }
--- a/crates/drill/src/lib.rs
+++ b/crates/drill/src/lib.rs
@@ -1,21 +1,27 @@
-//! Drills: a fleet of stand-ins on loopback, real conductors, a script of troubles, and afterwards the
-//! five rules judged by what went over sockets and into directories. Nothing that a conductor says of
+//! Drills: a fleet of stand-ins on loopback, real controllers, a script of faults, and afterwards the
+//! five rules judged by what went over sockets and into directories. Nothing that a controller says of
 //! itself is used.
 
 mod audit;
-mod clients;
+mod client_population;
+mod error;
 mod even;
-pub mod gateways;
 pub mod load;
-mod node;
+mod machine;
+mod network;
+mod proxies;
 mod records;
 mod run;
 mod script;
+mod stand_in_server;
 mod watch;
-mod wire;
+mod worker;
 
 pub use audit::{judge, Judged, RuleJudged, Verdict};
+pub use error::{DrillError, PublishError, ScriptError};
 pub use even::Sabotage;
+pub use machine::{cpu_of, free_port, own_port};
+pub use proxies::proxy_name;
 pub use records::{Record, Records};
-pub use run::{cpu_of, free_port, own_port, run, DrillError, Options, Report};
-pub use script::{Script, Trouble, TroubleKind, BUILT_IN};
+pub use run::{run, Options, Report};
+pub use script::{DayScript, Fault, FaultKind, Script, BUILT_IN};
