--- a/crates/cli/src/measure/state.rs
+++ b/crates/cli/src/measure/state.rs
@@ -63,7 +63,7 @@
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A change that was applied and kept.
-fn kept_change(number: usize) -> ChangeRecord {
+fn applied_change(number: usize) -> ChangeRecord {
     let path = format!(
         "nodes.127.0.{}.{}:9000.weight",
         1 + number % 250,
@@ -95,7 +95,7 @@
         version: changes as u64 + 1,
         values: BTreeMap::new(),
     };
-    let changes = (0..changes).map(kept_change).collect();
+    let changes = (0..changes).map(applied_change).collect();
     store.commit(Commit {
         configuration: Some(configuration),
         changes,
--- a/crates/cli/tests/proxy.rs
+++ b/crates/cli/tests/proxy.rs
@@ -176,7 +176,7 @@
     }
 }
 
-fn even(nodes: &FastNodes) -> Vec<(SocketAddrV4, f64)> {
+fn equal_weights(nodes: &FastNodes) -> Vec<(SocketAddrV4, f64)> {
     nodes
         .addresses
         .iter()
@@ -225,7 +225,7 @@
 #[test]
 fn a_table_change_under_load_fails_no_request_and_takes_effect_at_once() {
     let nodes = FastNodes::start(4, false, 1).expect("nodes");
-    let mut stage = Stage::new("", &even(&nodes), RetryPolicy::IfUnprocessed);
+    let mut stage = Stage::new("", &equal_weights(&nodes), RetryPolicy::IfUnprocessed);
     let address = stage.address;
     let under_load = std::thread::spawn(move || {
         let at_most = Span::from_seconds(60.0);
@@ -240,7 +240,11 @@
         load(wish).expect("all have an end")
     });
     for round in 0..20 {
-        let lines: Vec<_> = even(&nodes).into_iter().skip(round % 3).take(2).collect();
+        let lines: Vec<_> = equal_weights(&nodes)
+            .into_iter()
+            .skip(round % 3)
+            .take(2)
+            .collect();
         stage.publish(&lines, RetryPolicy::IfUnprocessed, None);
         std::thread::sleep(Duration::from_millis(15));
     }
@@ -251,7 +255,11 @@
         "{:?}",
         loaded.answers
     );
-    stage.publish(&even(&nodes)[..1], RetryPolicy::IfUnprocessed, None);
+    stage.publish(
+        &equal_weights(&nodes)[..1],
+        RetryPolicy::IfUnprocessed,
+        None,
+    );
     stage.wait();
     let before = nodes.seen().executed;
     stage.load("quote", 8, 1000, 0);
@@ -277,7 +285,7 @@
     // Tables order repeats after any failure, as for another operation: the proxy knows better.
     let stage = Stage::new(
         "avoid: {after_errors: 0}",
-        &even(&nodes),
+        &equal_weights(&nodes),
         RetryPolicy::TwiceOnAnyFailure,
     );
     let loaded = stage.load("book", 64, 30_000, 0);
@@ -309,7 +317,7 @@
     );
     let stage = Stage::new(
         "avoid: {after_errors: 3, span: 700ms}",
-        &even(&nodes),
+        &equal_weights(&nodes),
         RetryPolicy::OnceOnAnyFailure,
     );
     stage.load("quote", 4, 2000, 0);
@@ -325,7 +333,7 @@
 #[test]
 fn requests_succeed_beside_refusing_nodes_zero_weights_and_a_thousand_entries() {
     let nodes = FastNodes::start(2, false, 5).expect("nodes");
-    let mut lines = even(&nodes);
+    let mut lines = equal_weights(&nodes);
     let dead: Vec<_> = (0..1000)
         .map(|_| (SocketAddrV4::new(Ipv4Addr::new(127, 9, 9, 9), 9), 0.002))
         .collect();
@@ -353,7 +361,7 @@
         .talk(b"GET /quote HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
         .starts_with("HTTP/1.1 503"));
     // A level of nothing turns away at once and says when to come again.
-    stage.publish(&even(&nodes), RetryPolicy::Never, Some(0.0));
+    stage.publish(&equal_weights(&nodes), RetryPolicy::Never, Some(0.0));
     stage.wait();
     let answer = stage.talk(b"GET /quote HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
     assert!(
@@ -365,7 +373,7 @@
 #[test]
 fn an_incomplete_table_is_rejected_and_reported() {
     let nodes = FastNodes::start(2, false, 5).expect("nodes");
-    let stage = Stage::new("", &even(&nodes), RetryPolicy::Never);
+    let stage = Stage::new("", &equal_weights(&nodes), RetryPolicy::Never);
     let root = stage.root();
     let held = read_tables(&root.gateway("g1"))
         .expect("whole")
@@ -413,7 +421,7 @@
 #[test_case("POST /quote HTTP/1.1\r\nHost: a\r\nContent-Length: 99999999\r\n\r\n", 413; "a body too long")]
 fn unsupported_requests_are_answered_and_the_connection_closed(text: &str, status: u16) {
     let nodes = FastNodes::start(1, false, 5).expect("nodes");
-    let stage = Stage::new("", &even(&nodes), RetryPolicy::Never);
+    let stage = Stage::new("", &equal_weights(&nodes), RetryPolicy::Never);
     // A request that would be smuggled behind it must not reach the node.
     let answer = stage.talk(format!("{text}GET /quote HTTP/1.1\r\nHost: b\r\n\r\n").as_bytes());
     assert!(
