--- a/crates/drill/src/client_population.rs
+++ b/crates/drill/src/client_population.rs
@@ -1,19 +1,20 @@
 //! Stand-in clients: invocations that come by chance and don't wait for each other, with a patience of
 //! their own and, where it is safe, another attempt.
 
+mod connections;
+mod state;
+
+use self::state::{Connection, Due, Invocation, ProxyTarget};
 use crate::records::{ClientOutcome, Record, Recorder};
 use crate::script::Script;
-use crate::stand_in_server::proxy_address;
 use crate::worker::{Inbox, Worker, WorkerCommand, INBOX};
 use slab::Slab;
 use std::collections::BTreeMap;
-use std::io::{ErrorKind, Read, Write};
-use std::net::{SocketAddr, TcpStream};
+use std::net::SocketAddr;
 use wheelspread::pcg::Pcg;
 use wheelspread::time::{Moment, Span};
 use wheelspread_controller_core::deployment::RetryClass;
-use wheelspread_http1::{response, Body};
-use wheelspread_reactor::{self as reactor, Interest, Poll, Token};
+use wheelspread_reactor::{self as reactor, Poll};
 
 pub enum ClientCommand {
     /// Times the usual rate, of all proxies or of some.
@@ -80,37 +81,6 @@
     }
 }
 
-struct ProxyTarget {
-    at: Option<SocketAddr>,
-    usual: f64,
-    factor: f64,
-}
-
-#[derive(Clone)]
-struct Invocation {
-    proxy: usize,
-    id: String,
-    operation: usize,
-    work: f64,
-    arrived: Moment,
-    attempt: u32,
-}
-
-struct Connection {
-    socket: TcpStream,
-    proxy: usize,
-    invocation: Option<Invocation>,
-    output: Vec<u8>,
-    input: Vec<u8>,
-    use_number: u64,
-}
-
-enum Due {
-    Arrival { proxy: usize },
-    Retry(Invocation),
-    Timeout { slot: usize, use_number: u64 },
-}
-
 struct PopulationLoop {
     script: Script,
     recorder: Recorder,
@@ -257,140 +227,6 @@
             .unwrap_or(&plans[0])
     }
 
-    fn invoke(&mut self, now: Moment, invocation: Invocation) {
-        let deadline = invocation.arrived + self.plan(&invocation).integration_timeout;
-        let name = &self.script.traffic.operations[invocation.operation].name;
-        // Attempts of the client's own are invocations of their own: only the proxy repeats one.
-        let output = format!(
-            "POST /{name} HTTP/1.1\r\nHost: drill\r\nx-request-id: {}.{}\r\nx-work: {:.5}\r\nContent-Length: 0\r\n\r\n",
-            invocation.id, invocation.attempt, invocation.work
-        );
-        let proxy = invocation.proxy;
-        let Some(slot) = self.connection_to(proxy) else {
-            return self.end(now, invocation, ClientOutcome::Errored, false);
-        };
-        self.next += 1;
-        let use_number = self.next;
-        let connection = &mut self.connections[slot];
-        (
-            connection.invocation,
-            connection.output,
-            connection.use_number,
-        ) = (Some(invocation), output.into_bytes(), use_number);
-        self.later(deadline, Due::Timeout { slot, use_number });
-        self.on_ready(now, slot);
-    }
-
-    fn connection_to(&mut self, proxy: usize) -> Option<usize> {
-        let address = self.proxies[proxy].at?;
-        while let Some(slot) = self.idle.get_mut(&proxy).and_then(Vec::pop) {
-            let here = self
-                .connections
-                .get(slot)
-                .and_then(|connection| connection.socket.peer_addr().ok())
-                == Some(address);
-            if here {
-                return Some(slot);
-            }
-            self.connections.try_remove(slot);
-        }
-        let SocketAddr::V4(v4) = address else {
-            return None;
-        };
-        let source = proxy_address(200, proxy);
-        let socket = reactor::connect_from(Some(source), v4.ip().octets(), v4.port()).ok()?;
-        let connection = Connection {
-            socket,
-            proxy,
-            invocation: None,
-            output: Vec::new(),
-            input: Vec::new(),
-            use_number: 0,
-        };
-        let slot = self.connections.insert(connection);
-        self.poll
-            .add(
-                &self.connections[slot].socket,
-                Token(slot as u64),
-                Interest::Edges,
-            )
-            .ok()?;
-        Some(slot)
-    }
-
-    fn on_ready(&mut self, now: Moment, slot: usize) {
-        let Some(connection) = self.connections.get_mut(slot) else {
-            return;
-        };
-        while !connection.output.is_empty() {
-            match connection.socket.write(&connection.output) {
-                Ok(count) if count > 0 => drop(connection.output.drain(..count)),
-                _ => break,
-            }
-        }
-        let mut piece = [0u8; 4096];
-        let over = loop {
-            match connection.socket.read(&mut piece) {
-                Ok(0) => break true,
-                Ok(count) => connection.input.extend_from_slice(&piece[..count]),
-                Err(error) if error.kind() == ErrorKind::WouldBlock => break false,
-                Err(error) if error.kind() == ErrorKind::NotConnected => break false,
-                Err(_) => break true,
-            }
-        };
-        let status = match response(&connection.input, false, Default::default()) {
-            Ok(Some(head)) => {
-                let mut body = Body::new(head.framing);
-                let taken = body.take(&connection.input[head.length..]).unwrap_or(0);
-                body.done()
-                    .then_some((head.status, head.length + taken, head.keep_alive))
-            }
-            _ => None,
-        };
-        match (status, over) {
-            (Some((status, length, keep_alive)), _) => {
-                connection.input.drain(..length);
-                let invocation = connection.invocation.take();
-                if keep_alive && !over {
-                    let proxy = connection.proxy;
-                    self.idle.entry(proxy).or_default().push(slot);
-                } else {
-                    self.connections.remove(slot);
-                }
-                let outcome = match status {
-                    200..=299 => ClientOutcome::Succeeded,
-                    429 => ClientOutcome::RateLimited,
-                    _ => ClientOutcome::Errored,
-                };
-                // The proxy said itself that it sent nothing.
-                let unsent = matches!(status, 429 | 503);
-                invocation
-                    .into_iter()
-                    .for_each(|invocation| self.end(now, invocation, outcome, unsent));
-            }
-            (None, true) => {
-                let connection = self.connections.remove(slot);
-                connection.invocation.into_iter().for_each(|invocation| {
-                    self.end(now, invocation, ClientOutcome::Errored, false);
-                });
-            }
-            (None, false) => {}
-        }
-    }
-
-    fn on_timeout(&mut self, now: Moment, slot: usize, use_number: u64) {
-        let waits = self.connections.get(slot).is_some_and(|connection| {
-            connection.use_number == use_number && connection.invocation.is_some()
-        });
-        if waits {
-            let connection = self.connections.remove(slot);
-            connection
-                .invocation
-                .into_iter()
-                .for_each(|invocation| self.end(now, invocation, ClientOutcome::GivenUp, false));
-        }
-    }
-
     fn end(&mut self, now: Moment, invocation: Invocation, outcome: ClientOutcome, unsent: bool) {
         let plan = self.plan(&invocation);
         let (deadline, repeat) = (invocation.arrived + plan.integration_timeout, plan.repeat);
