--- a/crates/drill/src/script.rs
+++ b/crates/drill/src/script.rs
@@ -213,11 +213,11 @@
     /// Reads a script and checks its values.
     pub fn parse(text: &str) -> Result<Script, ScriptError> {
         let script: Script = serde_yaml_ng::from_str(text)?;
-        let flaws = script.flaws();
-        if flaws.is_empty() {
+        let errors = script.validate();
+        if errors.is_empty() {
             Ok(script)
         } else {
-            Err(ScriptError::Invalid(flaws))
+            Err(ScriptError::Invalid(errors))
         }
     }
 
@@ -230,85 +230,89 @@
         Script::parse(&text).map_err(|error| error.in_file(path))
     }
 
-    fn flaws(&self) -> Vec<String> {
-        let mut flaws: Vec<String> = self
+    /// Texts of all values that are not possible.
+    fn validate(&self) -> Vec<String> {
+        let mut errors: Vec<String> = self
             .deployment
             .validate()
             .iter()
-            .map(|flaw| format!("deployment.{}: {}", flaw.field, flaw.kind))
+            .map(|error| format!("deployment.{}: {}", error.field, error.kind))
             .collect();
-        let mut wrong = |text: String| flaws.push(text);
+        self.validate_size(&mut errors);
+        for kind in &self.nodes.kinds {
+            self.validate_node_kind(kind, &mut errors);
+        }
+        self.validate_traffic(&mut errors);
+        self.validate_faults(&mut errors);
+        errors
+    }
+
+    fn validate_size(&self, errors: &mut Vec<String>) {
         if !(2.0..=3600.0).contains(&self.length.seconds()) {
-            wrong("length: between 2s and 1h is possible".to_string());
+            errors.push("length: between 2s and 1h is possible".to_string());
         }
         if self.proxies == 0 || self.proxies > 200 {
-            wrong(format!(
+            errors.push(format!(
                 "gateways: {}, between 1 and 200 are possible on one machine",
                 self.proxies
             ));
         }
         let count: usize = self.nodes.kinds.iter().map(|kind| kind.count).sum();
         if count == 0 || count > 400 {
-            wrong(format!(
+            errors.push(format!(
                 "nodes.kinds: {count} nodes, between 1 and 400 are possible"
             ));
         }
-        for kind in &self.nodes.kinds {
-            if !self.deployment.kinds.contains(&kind.name) {
-                wrong(format!(
-                    "nodes.kinds: `{}` is not one of deployment.kinds",
-                    kind.name
-                ));
-            }
-            if !(0.0..1.0).contains(&kind.speed_spread) {
-                wrong(format!(
-                    "nodes.kinds: the speed_spread of `{}` should lie between 0 and 1",
-                    kind.name
-                ));
-            }
-            if kind.cores == 0 || !(0.01..=100.0).contains(&kind.speed) {
-                wrong(format!(
-                    "nodes.kinds: `{}` needs cores and a speed between 0.01 and 100",
-                    kind.name
-                ));
-            }
+    }
+
+    fn validate_node_kind(&self, kind: &NodeKind, errors: &mut Vec<String>) {
+        let name = &kind.name;
+        if !self.deployment.kinds.contains(name) {
+            errors.push(format!(
+                "nodes.kinds: `{name}` is not one of deployment.kinds"
+            ));
         }
-        let named = |name: &String| {
-            self.deployment
-                .operations
-                .iter()
-                .any(|operation| operation.name == *name)
-        };
-        for operation in self
-            .traffic
-            .operations
-            .iter()
-            .filter(|operation| !named(&operation.name))
-        {
-            wrong(format!(
-                "traffic.operations: `{}` is not one of deployment.operations",
-                operation.name
+        if !(0.0..1.0).contains(&kind.speed_spread) {
+            errors.push(format!(
+                "nodes.kinds: the speed_spread of `{name}` should lie between 0 and 1"
             ));
         }
-        if !(0.0..=20_000.0).contains(&self.traffic.rate)
-            || !(1.0..=1000.0).contains(&self.traffic.spread)
-        {
-            wrong(
+        if kind.cores == 0 || !(0.01..=100.0).contains(&kind.speed) {
+            errors.push(format!(
+                "nodes.kinds: `{name}` needs cores and a speed between 0.01 and 100"
+            ));
+        }
+    }
+
+    fn validate_traffic(&self, errors: &mut Vec<String>) {
+        let traffic = &self.traffic;
+        for OperationTraffic { name, .. } in &traffic.operations {
+            let mut known = self.deployment.operations.iter();
+            if !known.any(|operation| operation.name == *name) {
+                errors.push(format!(
+                    "traffic.operations: `{name}` is not one of deployment.operations"
+                ));
+            }
+        }
+        if !(0.0..=20_000.0).contains(&traffic.rate) || !(1.0..=1000.0).contains(&traffic.spread) {
+            errors.push(
                 "traffic: rate should lie between 0 and 20000, spread between 1 and 1000"
                     .to_string(),
             );
         }
+    }
+
+    fn validate_faults(&self, errors: &mut Vec<String>) {
         for (at, fault) in self.faults.iter().enumerate() {
             if fault.at > self.length
                 || !(0.0..=1.0).contains(&fault.part)
                 || !fault.size.is_finite()
             {
-                wrong(format!(
+                errors.push(format!(
                     "troubles.{at}: it should begin within the drill and strike a part between 0 and 1"
                 ));
             }
         }
-        flaws
     }
 
     /// The same fleet with the faults of a day. What can't be injected is named.
