--- a/crates/cli/src/change.rs
+++ b/crates/cli/src/change.rs
@@ -1,6 +1,6 @@
 //! `wheelspread change`: changes of configuration as transactions, at one controller or several.
 
-use crate::error::error_chain;
+use crate::error_chain::error_chain;
 use crate::exit::{BAD_INPUT, CONTROLLER_UNREACHABLE, NOT_CARRIED_OUT, SUCCESS};
 use crate::operator::{call, call_all, entries, shown, Answer, CallError};
 use clap::{Args, Subcommand};
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -11,6 +11,7 @@
 mod change;
 mod drill;
 mod error;
+mod error_chain;
 mod exit;
 mod fleet;
 mod import;
@@ -23,7 +24,8 @@
 mod tables;
 
 use clap::{CommandFactory, Parser, Subcommand};
-use error::{error_chain, CliError};
+use error::CliError;
+use error_chain::error_chain;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
