--- a/crates/drill/src/lib.rs
+++ b/crates/drill/src/lib.rs
@@ -5,7 +5,7 @@
 mod audit;
 mod client_population;
 mod error;
-mod even;
+mod even_publisher;
 pub mod load;
 mod machine;
 mod network;
@@ -19,7 +19,7 @@
 
 pub use audit::{judge, Judged, RuleJudged, Verdict};
 pub use error::{DrillError, PublishError, ScriptError};
-pub use even::Sabotage;
+pub use even_publisher::Sabotage;
 pub use machine::{cpu_of, free_port, own_port};
 pub use proxies::proxy_name;
 pub use records::{Record, Records};
--- a/crates/drill/src/run.rs
+++ b/crates/drill/src/run.rs
@@ -16,7 +16,7 @@
 use crate::audit::Slowed;
 use crate::client_population::ClientPopulation;
 use crate::error::DrillError;
-use crate::even::{EvenPublisher, Sabotage};
+use crate::even_publisher::{EvenPublisher, Sabotage};
 use crate::machine::own_port;
 use crate::network::Network;
 use crate::proxies::Proxies;
--- a/crates/drill/src/run/fault_plan.rs
+++ b/crates/drill/src/run/fault_plan.rs
@@ -6,7 +6,7 @@
 mod traffic;
 
 use super::{Drill, Step};
-use crate::even::Sabotage;
+use crate::even_publisher::Sabotage;
 use crate::records::Record;
 use crate::script::{Fault, FaultKind};
 use crate::stand_in_server::{NodeCommand, NodeKey};
--- a/crates/drill/src/run/fleet.rs
+++ b/crates/drill/src/run/fleet.rs
@@ -1,7 +1,7 @@
 //! The stand-in nodes of a drill and the endpoint list that names them.
 
 use super::{named, Drill, DrillError, Step};
-use crate::even::ListedNode;
+use crate::even_publisher::ListedNode;
 use crate::records::{Listed, Record};
 use crate::stand_in_server::{NodeKey, NodeSpec};
 use std::collections::BTreeMap;
--- a/crates/drill/src/run/setup.rs
+++ b/crates/drill/src/run/setup.rs
@@ -2,7 +2,7 @@
 
 use super::{named, Drill, DrillError};
 use crate::client_population::{ClientCommand, ClientPopulation};
-use crate::even::Sabotage;
+use crate::even_publisher::Sabotage;
 use crate::proxies::{plan, proxy_name};
 use crate::records::Record;
 use crate::watch::Watch;
--- a/crates/drill/src/run/step.rs
+++ b/crates/drill/src/run/step.rs
@@ -1,6 +1,6 @@
 //! The steps of a drill's plan.
 
-use crate::even::ListedNode;
+use crate::even_publisher::ListedNode;
 use crate::network::NetworkCommand;
 use crate::stand_in_server::NodeCommand;
 use wheelspread::time::{Moment, Span};
