--- a/crates/drill/src/audit/slow_start_overload.rs
+++ b/crates/drill/src/audit/slow_start_overload.rs
@@ -6,7 +6,7 @@
 use wheelspread_controller_core::deployment::Deployment;
 
 /// A node since its start, with what came to it lately.
-struct Cold {
+struct WarmingNode {
     started: f64,
     capacity: f64,
     came: Vec<(f64, f64)>,
@@ -20,7 +20,7 @@
         rules.cold_overload_span.seconds(),
         rules.warm_after.seconds(),
     );
-    let mut cold: BTreeMap<&str, Cold> = BTreeMap::new();
+    let mut cold: BTreeMap<&str, WarmingNode> = BTreeMap::new();
     for (t, record) in &records.0 {
         match record {
             Record::Started {
@@ -31,7 +31,7 @@
             } => {
                 cold.insert(
                     node,
-                    Cold {
+                    WarmingNode {
                         started: *t,
                         capacity: *capacity,
                         came: Vec::new(),
@@ -39,7 +39,7 @@
                 );
             }
             Record::Came { node, work, .. } => {
-                let Some(Cold {
+                let Some(WarmingNode {
                     started,
                     capacity,
                     came,
--- a/crates/drill/src/load.rs
+++ b/crates/drill/src/load.rs
@@ -28,9 +28,9 @@
     pub close: f64,
 }
 
-/// What the nodes met.
+/// What the nodes executed.
 #[derive(Clone, Debug, Default)]
-pub struct Met {
+pub struct ExecutionCounts {
     /// By node, how often an invocation was executed there.
     pub executed: Vec<u64>,
     /// By invocation, how often it was executed, if ids are kept.
@@ -42,7 +42,7 @@
     /// Where each of them listens.
     pub addresses: Vec<SocketAddrV4>,
     /// What they have executed so far.
-    pub met: Arc<Mutex<Met>>,
+    pub met: Arc<Mutex<ExecutionCounts>>,
     /// The faults of each.
     pub faults: Arc<Mutex<Vec<Faults>>>,
     stop: Arc<AtomicBool>,
@@ -71,7 +71,7 @@
             }
             listeners.push(listener);
         }
-        let met = Arc::new(Mutex::new(Met {
+        let met = Arc::new(Mutex::new(ExecutionCounts {
             executed: vec![0; count],
             effects: HashMap::new(),
         }));
@@ -79,7 +79,7 @@
         let stop = Arc::new(AtomicBool::new(false));
         let (told, book, wrong) = (stop.clone(), met.clone(), faults.clone());
         let run = move || {
-            let mut nodes = Desk {
+            let mut nodes = NodeLoop {
                 listeners,
                 calls: Slab::new(),
                 book,
@@ -120,7 +120,7 @@
     }
 
     /// A copy of what they have executed so far.
-    pub fn seen(&self) -> Met {
+    pub fn seen(&self) -> ExecutionCounts {
         self.met.lock().map(|met| met.clone()).unwrap_or_default()
     }
 }
@@ -134,16 +134,16 @@
     }
 }
 
-struct Desk {
+struct NodeLoop {
     listeners: Vec<TcpListener>,
     calls: Slab<(usize, TcpStream, Vec<u8>)>,
-    book: Arc<Mutex<Met>>,
+    book: Arc<Mutex<ExecutionCounts>>,
     wrong: Arc<Mutex<Vec<Faults>>>,
     keep_ids: bool,
     chance: Pcg,
 }
 
-impl Desk {
+impl NodeLoop {
     fn accept(&mut self, poll: &Poll, number: usize) {
         for socket in reactor::accept(&self.listeners[number]).0 {
             let slot = self.calls.insert((number, socket, Vec::new()));
@@ -273,7 +273,7 @@
     pub from: u64,
 }
 
-struct Line {
+struct ClientConnection {
     socket: TcpStream,
     input: Vec<u8>,
     since: Moment,
@@ -291,7 +291,7 @@
         seconds: 0.0,
     };
     let begin = reactor::now();
-    let mut lines: Vec<Option<Line>> = (0..load.connections).map(|_| None).collect();
+    let mut lines: Vec<Option<ClientConnection>> = (0..load.connections).map(|_| None).collect();
     let (mut sent, mut open) = (0, 0);
     let mut ready = Vec::new();
     let mut free: Vec<usize> = (0..load.connections).collect();
@@ -308,7 +308,7 @@
             if fresh {
                 let socket = reactor::connect(load.target.ip().octets(), load.target.port())?;
                 poll.add(&socket, Token(slot as u64), Interest::Edges)?;
-                lines[slot] = Some(Line {
+                lines[slot] = Some(ClientConnection {
                     socket,
                     input: Vec::new(),
                     since: now,
@@ -358,7 +358,7 @@
                     Err(_) => break true,
                 }
             };
-            let answered = whole(&line.input);
+            let answered = complete_response(&line.input);
             if let (Some((status, closes)), true) = (answered, line.open) {
                 *loaded.answers.entry(status).or_insert(0) += 1;
                 let _ = loaded
@@ -383,7 +383,7 @@
     }
 }
 
-fn write(line: &mut Line, load: &Load, sent: &mut u64) {
+fn write(line: &mut ClientConnection, load: &Load, sent: &mut u64) {
     let id = load.from + *sent;
     *sent += 1;
     let text = format!(
@@ -394,8 +394,8 @@
     let _ = line.socket.write(text.as_bytes());
 }
 
-/// The status of an answer that is here as a whole, and whether the connection ends with it.
-fn whole(input: &[u8]) -> Option<(u16, bool)> {
+/// The status of an answer that has arrived completely, and whether the connection ends with it.
+fn complete_response(input: &[u8]) -> Option<(u16, bool)> {
     let end = input.windows(4).position(|four| four == b"\r\n\r\n")?;
     let head = std::str::from_utf8(&input[..end]).ok()?;
     let status = head.get(9..12)?.parse().ok()?;
--- a/crates/drill/src/run/execution.rs
+++ b/crates/drill/src/run/execution.rs
@@ -10,7 +10,7 @@
 use wheelspread_reactor as reactor;
 
 /// How often a sabotaged run swaps tables when it writes too often.
-const REPUBLISH_INTERVAL_SECONDS: f64 = 0.05;
+const REPUBLISH_INTERVAL: Span = Span::from_seconds(0.05);
 
 impl Drill<'_> {
     /// Schedules a step. Steps of one time are taken in the order of their scheduling.
@@ -220,7 +220,7 @@
         }
         let now = reactor::now();
         if now < until {
-            let next = now + Span::from_seconds(REPUBLISH_INTERVAL_SECONDS);
+            let next = now + REPUBLISH_INTERVAL;
             self.at(next, Step::RepublishUntil(until));
         }
         Ok(())
--- a/crates/drill/src/run/fault_plan/nodes.rs
+++ b/crates/drill/src/run/fault_plan/nodes.rs
@@ -11,9 +11,9 @@
 /// The part of a fault's span in which operators' orders are retried; the rest is for their effect.
 const ORDER_SPAN_PART: f64 = 0.9;
 /// How long taking a drained node back is retried.
-const UNDRAIN_RETRY_SECONDS: f64 = 5.0;
+const UNDRAIN_RETRY: Span = Span::from_seconds(5.0);
 /// How long the undo of a configuration change is retried.
-const UNDO_RETRY_SECONDS: f64 = 8.0;
+const UNDO_RETRY: Span = Span::from_seconds(8.0);
 
 /// The same command for each node.
 fn for_each(keys: &[NodeKey], command: impl Fn(NodeKey) -> NodeCommand) -> Step {
@@ -43,7 +43,7 @@
         let undrain = Step::OrderDrain {
             nodes,
             action: DrainAction::Undrain,
-            within: Span::from_seconds(UNDRAIN_RETRY_SECONDS),
+            within: UNDRAIN_RETRY,
         };
         self.between(window, drain, undrain);
     }
@@ -58,7 +58,7 @@
             within,
         };
         let apply = change(false, fault.span * ORDER_SPAN_PART);
-        let undo = change(true, Span::from_seconds(UNDO_RETRY_SECONDS));
+        let undo = change(true, UNDO_RETRY);
         self.between(window, apply, undo);
     }
 
--- a/crates/drill/src/run/setup.rs
+++ b/crates/drill/src/run/setup.rs
@@ -14,7 +14,7 @@
 use wheelspread_reactor as reactor;
 
 /// How long the first tables are awaited.
-const FIRST_TABLES_TIMEOUT_SECONDS: f64 = 8.0;
+const FIRST_TABLES_TIMEOUT: Span = Span::from_seconds(8.0);
 
 impl Drill<'_> {
     fn add_proxy(&mut self, proxy: usize) -> Result<std::net::SocketAddr, DrillError> {
@@ -125,7 +125,7 @@
         &self,
         directories: &BTreeMap<PathBuf, (usize, usize)>,
     ) -> Result<(), DrillError> {
-        let deadline = reactor::now() + Span::from_seconds(FIRST_TABLES_TIMEOUT_SECONDS);
+        let deadline = reactor::now() + FIRST_TABLES_TIMEOUT;
         let preferred = |(_, (controller, proxy)): &(&PathBuf, &(usize, usize))| {
             let usual = if self.even.is_some() {
                 0
@@ -144,7 +144,7 @@
                 if reactor::now() > deadline {
                     return Err(DrillError::NoTables {
                         proxy: *proxy,
-                        within_seconds: FIRST_TABLES_TIMEOUT_SECONDS,
+                        within_seconds: FIRST_TABLES_TIMEOUT.seconds(),
                     });
                 }
                 std::thread::sleep(std::time::Duration::from_millis(10));
--- a/crates/proxy-core/src/admission.rs
+++ b/crates/proxy-core/src/admission.rs
@@ -7,7 +7,7 @@
 
 /// Seconds after which a request that was rejected by the ratio may come again: any wait will do, since it is
 /// drawn anew each time.
-const RATIO_RETRY_AFTER_SECONDS: f64 = 1.0;
+const RATIO_RETRY_AFTER: Span = Span::from_seconds(1.0);
 /// Bounds of the wait for the next token that a client gets, in seconds.
 const MIN_TOKEN_WAIT_SECONDS: f64 = 0.001;
 const MAX_TOKEN_WAIT_SECONDS: f64 = 60.0;
@@ -104,7 +104,7 @@
         let drawn = (u64::from(random.draw()) * u64::from(MILLION)) >> 32;
         if drawn < u64::from(self.dropped_of_million) {
             return Err(Rejected {
-                retry_after: Span::from_seconds(RATIO_RETRY_AFTER_SECONDS),
+                retry_after: RATIO_RETRY_AFTER,
             });
         }
         let Some(bucket) = &mut self.bucket else {
--- a/crates/proxy-core/src/core/transitions.rs
+++ b/crates/proxy-core/src/core/transitions.rs
@@ -7,8 +7,8 @@
 use wheelspread::ids::NodeId;
 use wheelspread::time::{Moment, Span};
 
-/// Seconds after which a request that was given up by a new table may come again.
-const SHED_RETRY_AFTER_SECONDS: f64 = 1.0;
+/// Time after which a request that a new table rejects may be retried.
+const SHED_RETRY_AFTER: Span = Span::from_seconds(1.0);
 
 /// What happens to a request. The attempt that ended, if any, is removed from all counts already.
 #[derive(Clone, Copy, Debug)]
@@ -86,7 +86,7 @@
             }
             RequestInput::Shed => {
                 self.cancel_attempt(slot);
-                let retry_after = Span::from_seconds(SHED_RETRY_AFTER_SECONDS);
+                let retry_after = SHED_RETRY_AFTER;
                 Action::AbandonAndRespond(ClientResponse::RateLimited { retry_after })
             }
             RequestInput::ClientGone => Action::AbandonAndRespond(ClientResponse::ClientGone),
--- a/crates/proxy/src/proxy/maintenance.rs
+++ b/crates/proxy/src/proxy/maintenance.rs
@@ -9,13 +9,13 @@
 use wheelspread_proxy_core::Failure;
 use wheelspread_reactor::Poll;
 
-/// Seconds between two rounds of maintenance. A `Span` has no constant constructor.
-const MAINTENANCE_INTERVAL_SECONDS: f64 = 0.25;
+/// Time between two rounds of maintenance.
+const MAINTENANCE_INTERVAL: Span = Span::from_seconds(0.25);
 
 impl<W: RequestObserver> Proxy<W> {
     /// Polls both streams and closes what timed out.
     pub(super) fn run_maintenance(&mut self, poll: &Poll, now: Moment) {
-        self.next_maintenance = now + Span::from_seconds(MAINTENANCE_INTERVAL_SECONDS);
+        self.next_maintenance = now + MAINTENANCE_INTERVAL;
         self.poll_report_stream(poll, now);
         self.poll_table_stream(poll, now);
         self.close_timed_out_upstreams(poll, now);
--- a/crates/proxy/src/report_stream.rs
+++ b/crates/proxy/src/report_stream.rs
@@ -15,8 +15,8 @@
 use wheelspread_reactor::{self as reactor, Interest, Poll, Token};
 use wheelspread_xds::loads;
 
-/// Seconds between two looks at an open stream: its pings need them.
-const KEEPALIVE_INTERVAL_SECONDS: f64 = 0.5;
+/// Time between two polls of an open stream: its pings need them.
+const KEEPALIVE_INTERVAL: Span = Span::from_seconds(0.5);
 /// The next report comes this part of a period after a late one at the earliest.
 const MIN_PART_OF_PERIOD: f64 = 0.5;
 
@@ -234,7 +234,7 @@
 
     /// When it has to be polled at the latest.
     pub fn next_wakeup(&self, now: Moment) -> Moment {
-        let keepalive = now + Span::from_seconds(KEEPALIVE_INTERVAL_SECONDS);
+        let keepalive = now + KEEPALIVE_INTERVAL;
         match &self.state {
             State::Waiting => self.dialer.next_dial_at().unwrap_or(now),
             State::Dialing(_) => keepalive,
--- a/crates/proxy/src/table_stream.rs
+++ b/crates/proxy/src/table_stream.rs
@@ -14,8 +14,8 @@
 use wheelspread_reactor::{self as reactor, Interest, Poll, Token};
 use wheelspread_xds::discovery;
 
-/// Seconds between two looks at an open stream: its pings need them.
-const KEEPALIVE_INTERVAL_SECONDS: f64 = 0.5;
+/// Time between two polls of an open stream: its pings need them.
+const KEEPALIVE_INTERVAL: Span = Span::from_seconds(0.5);
 
 /// Why a stream closed.
 #[derive(Debug, thiserror::Error)]
@@ -197,7 +197,7 @@
 
     /// When it has to be polled at the latest.
     pub fn next_wakeup(&self, now: Moment) -> Moment {
-        let keepalive = now + Span::from_seconds(KEEPALIVE_INTERVAL_SECONDS);
+        let keepalive = now + KEEPALIVE_INTERVAL;
         self.dial_at.unwrap_or(keepalive)
     }
 }
