--- a/crates/config-rollout/src/rollout.rs
+++ b/crates/config-rollout/src/rollout.rs
@@ -497,9 +497,9 @@
         };
         let reach = session.rollout_progress();
         // Who is away takes the newest when it comes back; until the grace is over it is waited for.
-        let here = reach.away == 0 || now - since >= session.plan().rules.drain_grace;
+        let here = reach.disconnected == 0 || now - since >= session.plan().rules.drain_grace;
         let there = reach.configuration == self.ledger.configuration().version;
-        if there && here && reach.lacking.is_empty() && reach.between == 0 {
+        if there && here && reach.outdated.is_empty() && reach.migrating == 0 {
             self.forced = None;
             let orders = self
                 .ledger
--- a/crates/controller-core/src/acknowledgement.rs
+++ b/crates/controller-core/src/acknowledgement.rs
@@ -1,132 +1,165 @@
-//! Answers to the module's marks. A file has no acknowledgement: a proxy that publishes its status says
-//! which version it holds; one that never does is taken to hold what it was pointed at after the wait
-//! that the design gives an answer. What a status refuses is no answer.
+//! Acknowledgement barriers: the balancer sends a marker and waits until a proxy holds the tables sent before it.
+//!
+//! A file has no acknowledgement. A proxy that publishes its status says which version it holds; one that never
+//! does is assumed to hold what was written for it after [`ASSUMED_AFTER`]. A rejected version acknowledges
+//! nothing.
 
 use crate::publication::Version;
 use std::collections::{BTreeMap, VecDeque};
+use std::time::Duration;
 use wheelspread::ids::{MarkerId, ProxyId};
 use wheelspread::time::{Moment, Span};
 use wheelspread::Event;
 
-/// The design's wait for answers, in seconds.
-const ASSUMED: f64 = 1.0;
-/// Markers that wait for one proxy; the balancer lets go of older ones by itself.
-const MOST: usize = 64;
+/// The design's wait for an acknowledgement (DESIGN-wheelspread.md).
+const ASSUMED_AFTER: Duration = Duration::from_secs(1);
+/// Markers that wait for one proxy; the balancer gives up older ones by itself.
+const MAX_PENDING_MARKERS: usize = 64;
+
+/// A version that a proxy holds.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct HeldVersion {
+    /// The version.
+    pub version: Version,
+    /// Since when it is known.
+    pub since: Moment,
+}
 
 #[derive(Clone, Debug)]
-struct Asked {
-    mark: MarkerId,
+struct PendingMarker {
+    marker: MarkerId,
     version: Version,
-    at: Moment,
+    sent_at: Moment,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Answers {
-    asked: VecDeque<Asked>,
-    pointed: Option<(Version, Moment)>,
-    /// The newest version that its status said it holds; `None` while it published none.
-    told: Option<Version>,
-    since: Option<Moment>,
-    refused: Option<Version>,
-    /// It reads a stream, whose silence and refusals the design's wait ends.
-    streams: bool,
+struct ProxyAcknowledgements {
+    pending: VecDeque<PendingMarker>,
+    /// What was last delivered to it.
+    delivered: Option<HeldVersion>,
+    /// The newest version that it said it holds; `None` while it never published a status.
+    reported: Option<Version>,
+    reported_at: Option<Moment>,
+    rejected: Option<Version>,
+    /// It reads a stream, where silence and rejections are waited for no longer than a silent file reader.
+    reads_stream: bool,
+}
+
+impl ProxyAcknowledgements {
+    /// The delivered version, if it is assumed to be held. A proxy that is silent, or rejects for good, holds up
+    /// nobody else: after the wait the balancer goes on without it.
+    fn assumed(&self, now: Moment) -> Option<Version> {
+        let delivered = self.delivered?;
+        let speaks = self.reported.is_some() || self.rejected >= Some(delivered.version);
+        let is_overdue = now - delivered.since >= assumed_after();
+        (is_overdue && (self.reads_stream || !speaks)).then_some(delivered.version)
+    }
+
+    /// When its delivered version may be assumed to be held, if a marker waits for that.
+    fn wake_at(&self) -> Option<Moment> {
+        let is_waiting = (self.reported.is_none() || self.reads_stream) && !self.pending.is_empty();
+        self.delivered
+            .filter(|_| is_waiting)
+            .map(|delivered| delivered.since + assumed_after())
+    }
 }
 
+fn assumed_after() -> Span {
+    Span::from_seconds(ASSUMED_AFTER.as_secs_f64())
+}
+
+/// The markers that wait for each proxy, and what each is known to hold.
 #[derive(Clone, Debug, Default)]
 pub struct Acknowledgements {
-    proxies: BTreeMap<ProxyId, Answers>,
+    proxies: BTreeMap<ProxyId, ProxyAcknowledgements>,
 }
 
 impl Acknowledgements {
-    /// The module wants to know when the proxy holds `version`.
-    pub fn ask(&mut self, now: Moment, proxy: ProxyId, mark: MarkerId, version: Version) {
-        let answers = self.proxies.entry(proxy).or_default();
-        if answers.asked.len() >= MOST {
-            answers.asked.pop_front();
+    /// The balancer wants to know when the proxy holds `version`.
+    pub fn request(&mut self, now: Moment, proxy: ProxyId, marker: MarkerId, version: Version) {
+        let pending = &mut self.proxies.entry(proxy).or_default().pending;
+        if pending.len() >= MAX_PENDING_MARKERS {
+            pending.pop_front();
         }
-        answers.asked.push_back(Asked {
-            mark,
+        pending.push_back(PendingMarker {
+            marker,
             version,
-            at: now,
+            sent_at: now,
         });
     }
 
-    pub fn pointed(&mut self, now: Moment, proxy: ProxyId, version: Version) {
-        self.proxies.entry(proxy).or_default().pointed = Some((version, now));
+    /// A version was written for the proxy, or sent to it.
+    pub fn on_delivered(&mut self, now: Moment, proxy: ProxyId, version: Version) {
+        self.proxies.entry(proxy).or_default().delivered = Some(HeldVersion {
+            version,
+            since: now,
+        });
     }
 
-    pub fn told(&mut self, now: Moment, proxy: ProxyId, version: Version) {
-        let answers = self.proxies.entry(proxy).or_default();
-        if answers.told < Some(version) {
-            (answers.told, answers.since) = (Some(version), Some(now));
+    /// The proxy said that it holds a version.
+    pub fn on_reported(&mut self, now: Moment, proxy: ProxyId, version: Version) {
+        let state = self.proxies.entry(proxy).or_default();
+        if state.reported < Some(version) {
+            (state.reported, state.reported_at) = (Some(version), Some(now));
         }
     }
 
-    /// It reads a stream from now on.
-    pub fn streams(&mut self, proxy: ProxyId) {
-        let answers = self.proxies.entry(proxy).or_default();
-        (answers.streams, answers.told) = (true, answers.told.max(Some(Version(0))));
+    /// The proxy said that it rejects a version.
+    pub fn on_rejected(&mut self, proxy: ProxyId, version: Version) {
+        self.proxies.entry(proxy).or_default().rejected = Some(version);
     }
 
-    /// The version that a proxy holds by its own word, or that it was pointed at, and since when.
-    pub fn holds(&self, proxy: ProxyId) -> Option<(Version, Moment)> {
-        let answers = self.proxies.get(&proxy)?;
-        match (answers.told, answers.since) {
-            (Some(version), Some(since)) => Some((version, since)),
-            _ => answers.pointed.filter(|_| !answers.streams),
-        }
+    /// The proxy reads a stream from now on: it says by itself what it holds.
+    pub fn on_subscribed(&mut self, proxy: ProxyId) {
+        let state = self.proxies.entry(proxy).or_default();
+        state.reads_stream = true;
+        state.reported = state.reported.max(Some(Version(0)));
     }
 
-    pub fn refused(&mut self, proxy: ProxyId, version: Version) {
-        self.proxies.entry(proxy).or_default().refused = Some(version);
+    /// The version that a proxy said it holds or, if it never did, that was written for it.
+    pub fn held(&self, proxy: ProxyId) -> Option<HeldVersion> {
+        let state = self.proxies.get(&proxy)?;
+        match (state.reported, state.reported_at) {
+            (Some(version), Some(since)) => Some(HeldVersion { version, since }),
+            _ => state.delivered.filter(|_| !state.reads_stream),
+        }
     }
 
-    pub fn refused_version(&self, proxy: ProxyId) -> Option<Version> {
-        self.proxies.get(&proxy)?.refused
+    /// The last version that a proxy rejected.
+    pub fn rejected(&self, proxy: ProxyId) -> Option<Version> {
+        self.proxies.get(&proxy)?.rejected
     }
 
-    /// Its stream broke: what it was asked stays unanswered, and a status must be told anew.
+    /// The proxy's stream broke: its markers stay unacknowledged, and it has to report a status anew.
     pub fn forget(&mut self, proxy: ProxyId) {
         self.proxies.remove(&proxy);
     }
 
-    /// Markers acknowledged by now, in the order asked.
-    pub fn answered(&mut self, now: Moment) -> Vec<Event> {
+    /// Markers that are acknowledged by now, in the order in which they were sent to each proxy.
+    pub fn take_acknowledged(&mut self, now: Moment) -> Vec<Event> {
         let mut events = Vec::new();
-        for (proxy, answers) in &mut self.proxies {
-            // One who is silent, or refuses for good, holds up nobody else: after the wait it is gone on without.
-            let assumed = |(version, at): (Version, Moment)| {
-                let speaks = answers.told.is_some() || answers.refused >= Some(version);
-                let passed = now - at >= Span::from_seconds(ASSUMED);
-                (passed && (answers.streams || !speaks)).then_some(version)
-            };
-            let holds = answers.told.max(answers.pointed.and_then(assumed));
-            while let Some(asked) = answers
-                .asked
-                .front()
-                .filter(|asked| Some(asked.version) <= holds)
+        for (proxy, state) in &mut self.proxies {
+            let held = state.reported.max(state.assumed(now));
+            while let Some(pending) = state
+                .pending
+                .pop_front_if(|pending| Some(pending.version) <= held)
             {
                 events.push(Event::MarkerAcknowledged {
                     proxy: *proxy,
-                    marker: asked.mark,
-                    latency: now - asked.at,
+                    marker: pending.marker,
+                    latency: now - pending.sent_at,
                 });
-                answers.asked.pop_front();
             }
         }
         events
     }
 
-    /// When an answer may next be assumed.
+    /// When a version may next be assumed to be held.
     pub fn wake_at(&self) -> Option<Moment> {
-        let due = |answers: &Answers| {
-            let waits = (answers.told.is_none() || answers.streams) && !answers.asked.is_empty();
-            answers
-                .pointed
-                .filter(|_| waits)
-                .map(|(_, at)| at + Span::from_seconds(ASSUMED))
-        };
-        self.proxies.values().filter_map(due).min()
+        self.proxies
+            .values()
+            .filter_map(ProxyAcknowledgements::wake_at)
+            .min()
     }
 }
 
--- /dev/null
+++ b/crates/controller-core/src/controller_core/endpoints.rs
@@ -0,0 +1,110 @@
+//! Endpoint lists: accepting them, and listing nodes to the balancer as overrides, solver and rollback have them.
+
+use super::recovery::PRUNE_AFTER_DRAIN_GRACES;
+use super::{zone_of, ConfigUpdate, ControllerCore};
+use crate::endpoint_list::EndpointSnapshot;
+use crate::node_overrides::NodeOverrides;
+use crate::LogEvent;
+use std::collections::BTreeSet;
+use wheelspread::ids::NodeId;
+use wheelspread::time::Moment;
+use wheelspread::{EndpointEntry, EndpointListKind, Event};
+
+impl ControllerCore {
+    pub(super) fn on_endpoint_list(&mut self, now: Moment, list: Result<EndpointSnapshot, String>) {
+        let is_first = self.schedule.start();
+        // Only the first read falls back on the stored list: later ones fall back on the list in force.
+        let stored = self.pending_restore.take_endpoint_list();
+        if let Some(stored) = stored.filter(|_| is_first && list.is_err()) {
+            self.restore_endpoint_list(now, stored);
+        }
+        let outcome = self.endpoints.take(now, list, &self.plan, is_first);
+        if let Some(refusal) = outcome.refusal {
+            let reason = refusal.to_string();
+            self.log(LogEvent::EndpointListRejected { reason });
+        }
+        if let Some(event) = outcome.event {
+            self.accept_endpoint_list(now, &event);
+        }
+    }
+
+    /// No list can be read at the start: the last one accepted before the restart is in force.
+    fn restore_endpoint_list(&mut self, now: Moment, stored: EndpointSnapshot) {
+        self.log(LogEvent::EndpointListRestored {
+            version: stored.version.clone(),
+            nodes: stored.records.len(),
+        });
+        let outcome = self.endpoints.take(now, Ok(stored), &self.plan, true);
+        self.endpoints.remember();
+        if let Some(event) = outcome.event {
+            self.accept_endpoint_list(now, &event);
+        }
+    }
+
+    pub(super) fn accept_endpoint_list(&mut self, now: Moment, event: &Event) {
+        let Event::EndpointList { entries, .. } = event else {
+            return;
+        };
+        self.list_endpoints(now, event.clone());
+        // The balancer knows the nodes only now.
+        let capacities = self.pending_restore.take_capacities();
+        if !capacities.is_empty() {
+            self.balancer.restore_capacities(&capacities);
+        }
+        let records = self.endpoints.listed().map(|(record, _)| record);
+        self.log(LogEvent::EndpointListAccepted {
+            version: self.endpoints.version().to_string(),
+            ready: records.filter(|record| !record.draining).count(),
+            changes: entries.len(),
+        });
+        let prune_at = now + self.plan.rules.drain_grace * PRUNE_AFTER_DRAIN_GRACES;
+        self.unclaimed.schedule_pruning(prune_at);
+    }
+
+    pub(super) fn set_drained_nodes(&mut self, now: Moment, drained: BTreeSet<NodeId>) {
+        let changed: BTreeSet<NodeId> = self.overrides.drain(drained).into_iter().collect();
+        self.relist(now, |entry| changed.contains(&entry.node));
+    }
+
+    /// Lists some nodes to the balancer again, after something that overrides the list has changed.
+    pub(super) fn relist(&mut self, now: Moment, is_changed: impl Fn(&EndpointEntry) -> bool) {
+        let entries = self
+            .endpoints
+            .listed()
+            .map(|(_, entry)| entry)
+            .filter(|entry| is_changed(entry))
+            .cloned()
+            .collect();
+        let kind = EndpointListKind::Changes;
+        self.list_endpoints(now, Event::EndpointList { kind, entries });
+    }
+
+    /// Lists nodes to the balancer as the configuration, the solver and a rollback have them.
+    pub(super) fn list_endpoints(&mut self, now: Moment, event: Event) {
+        let event = self.overrides.put(now, event);
+        let event = self.solver.put(event);
+        let event = self.rollback.apply(event);
+        self.handle_event(now, &event);
+    }
+
+    /// Listed nodes as the configuration has them.
+    pub fn serving(&self) -> impl Iterator<Item = EndpointEntry> + '_ {
+        self.endpoints
+            .listed()
+            .map(|(_, entry)| self.overrides.over(entry))
+    }
+
+    /// Listed nodes as another configuration would have them.
+    pub fn serving_with(&self, update: &ConfigUpdate) -> Vec<EndpointEntry> {
+        let (mut overrides, mut endpoints) = (NodeOverrides::default(), self.endpoints.clone());
+        overrides.set(
+            update.values.clone(),
+            |zone| zone_of(&update.plan, zone),
+            |cell| endpoints.cell(cell),
+        );
+        self.endpoints
+            .listed()
+            .map(|(_, entry)| overrides.over(entry))
+            .collect()
+    }
+}
--- /dev/null
+++ b/crates/controller-core/src/controller_core/rollbacks.rs
@@ -0,0 +1,81 @@
+//! Rollback of a table to an older version, and its end.
+
+use super::ControllerCore;
+use crate::publication::{BundleId, TableSet, Version};
+use crate::rollback::{RollbackError, RollbackRequest, RollbackResult};
+use crate::LogEvent;
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+use wheelspread::ids::NodeId;
+use wheelspread::time::Moment;
+use wheelspread::{EndpointEntry, EndpointStatus};
+
+impl ControllerCore {
+    /// The version that tables are rolled back to.
+    pub fn rollback_target(&self) -> Option<Version> {
+        self.rollback.target()
+    }
+
+    pub(super) fn roll_back(
+        &mut self,
+        now: Moment,
+        bundle: BundleId,
+        version: Version,
+    ) -> Result<RollbackResult, RollbackError> {
+        let target = self
+            .retained_versions
+            .get(version)
+            .filter(|set| set.bundle == bundle)
+            .cloned()
+            .ok_or(RollbackError::VersionNotRetained(version))?;
+        let result = self.step_towards(now, &target)?;
+        let excluded = result.excluded.iter();
+        self.log(LogEvent::RolledBack {
+            version,
+            entries: result.entries,
+            excluded: excluded.map(|(node, why)| (*node, why.as_str())).collect(),
+        });
+        Ok(result)
+    }
+
+    /// Works out the listed weights that lead to the target, and lists all ready nodes with them.
+    fn step_towards(
+        &mut self,
+        now: Moment,
+        target: &Arc<TableSet>,
+    ) -> Result<RollbackResult, RollbackError> {
+        let newest = self.publication.newest(target.bundle);
+        let current = newest.cloned().ok_or(RollbackError::NeverPublished)?;
+        let listed: BTreeMap<NodeId, EndpointEntry> =
+            self.serving().map(|entry| (entry.node, entry)).collect();
+        let request = RollbackRequest {
+            target,
+            current: &current,
+            listed: &listed,
+            rules: &self.plan.rules,
+        };
+        let result = self.rollback.step(now, &request);
+        self.relist(now, |entry| entry.status == EndpointStatus::Ready);
+        Ok(result)
+    }
+
+    /// The balancer combines listed weights with what it knows of nodes: the rest is corrected now and then.
+    pub(super) fn correct_rollback(&mut self, now: Moment) {
+        if let Some(target) = self.rollback.due_correction(now) {
+            // A table that is not published any more is not corrected.
+            let _ = self.step_towards(now, &target);
+        }
+    }
+
+    pub(super) fn end_rollback(&mut self, now: Moment) -> Result<RollbackResult, RollbackError> {
+        let version = self.rollback.target().ok_or(RollbackError::NotRolledBack)?;
+        let nodes: BTreeSet<NodeId> = self.rollback.end().into_iter().collect();
+        self.relist(now, |entry| nodes.contains(&entry.node));
+        self.log(LogEvent::RollbackEnded { nodes: nodes.len() });
+        Ok(RollbackResult {
+            version,
+            entries: nodes.len(),
+            excluded: Vec::new(),
+        })
+    }
+}
--- a/crates/controller-core/src/drain_evidence.rs
+++ b/crates/controller-core/src/drain_evidence.rs
@@ -1,5 +1,5 @@
-//! What gateways tell of nodes that should get nothing any more: who has reported since a moment, and how often
-//! they tried such a node in spans that began after it.
+//! Evidence that a drained node gets no requests any more: which proxies have reported since it was watched, and
+//! how many requests they sent it in report intervals that began after that.
 
 use crate::load_report::LoadReport;
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,67 +7,76 @@
 use wheelspread::time::Moment;
 
 #[derive(Clone, Debug, Default)]
-struct Watched {
+struct WatchedNode {
     since: Moment,
-    tries: u64,
-    heard: BTreeSet<ProxyId>,
+    attempts: u64,
+    reporting_proxies: BTreeSet<ProxyId>,
 }
 
+/// The nodes that are watched, and what proxies reported of them.
 #[derive(Clone, Debug, Default)]
 pub struct DrainEvidence {
-    nodes: BTreeMap<NodeId, Watched>,
+    nodes: BTreeMap<NodeId, WatchedNode>,
 }
 
-/// What is known of a node that should get nothing.
+/// What is known of a node that should get no requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EvidenceSummary {
-    /// Joined gateways that hold a table which names it, or of which it is not known what they hold.
-    pub named_by: usize,
-    pub gateways: usize,
-    pub tries: u64,
-    pub heard: usize,
+    /// Joined proxies that hold a table which names it, or of which it is not known what they hold.
+    pub naming_proxies: usize,
+    /// Proxies that are joined.
+    pub joined_proxies: usize,
+    /// Requests that were sent to it since it is watched.
+    pub attempts: u64,
+    /// Proxies whose reports cover an interval since it is watched.
+    pub reporting_proxies: usize,
+}
+
+/// What load reports say of a watched node.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ReportedTraffic {
+    /// Requests that were sent to it.
+    pub attempts: u64,
+    /// Proxies that reported.
+    pub reporting_proxies: usize,
 }
 
 impl DrainEvidence {
-    /// From now on tries at the node count.
+    /// Requests to the node count from now on; what was counted before is dropped.
     pub fn watch(&mut self, now: Moment, node: NodeId) {
-        self.nodes.insert(
-            node,
-            Watched {
-                since: now,
-                ..Watched::default()
-            },
-        );
-    }
-
-    pub fn leave(&mut self, node: NodeId) {
-        self.nodes.remove(&node);
+        let watched = WatchedNode {
+            since: now,
+            ..WatchedNode::default()
+        };
+        self.nodes.insert(node, watched);
     }
 
-    pub fn hear(&mut self, now: Moment, proxy: ProxyId, report: &LoadReport) {
-        let began = now - report.over;
-        for (node, watched) in self
-            .nodes
-            .iter_mut()
-            .filter(|(_, watched)| began >= watched.since)
-        {
-            watched.heard.insert(proxy);
-            let met = report
+    /// Takes in a proxy's load report. An interval that began before a node was watched doesn't count for it.
+    pub fn record_report(&mut self, now: Moment, proxy: ProxyId, report: &LoadReport) {
+        let interval_start = now - report.over;
+        for (node, watched) in &mut self.nodes {
+            if interval_start < watched.since {
+                continue;
+            }
+            watched.reporting_proxies.insert(proxy);
+            watched.attempts += report
                 .operations
                 .iter()
-                .flat_map(|operation| &operation.nodes);
-            let met = met.filter(|met| met.node == Some(*node));
-            watched.tries += met
-                .map(|met| met.succeeded.saturating_add(met.errored))
+                .flat_map(|operation| &operation.nodes)
+                .filter(|reported| reported.node == Some(*node))
+                .map(|reported| reported.succeeded.saturating_add(reported.errored))
                 .sum::<u64>();
         }
     }
 
-    /// Tries there since, and how many gateways were heard.
-    pub fn of(&self, node: NodeId) -> (u64, usize) {
+    /// What was reported of a node since it is watched.
+    pub fn reported_traffic(&self, node: NodeId) -> ReportedTraffic {
         self.nodes
             .get(&node)
-            .map_or((0, 0), |watched| (watched.tries, watched.heard.len()))
+            .map_or_else(ReportedTraffic::default, |watched| ReportedTraffic {
+                attempts: watched.attempts,
+                reporting_proxies: watched.reporting_proxies.len(),
+            })
     }
 }
 
--- a/crates/controller-core/src/lib.rs
+++ b/crates/controller-core/src/lib.rs
@@ -1,7 +1,9 @@
-//! A conductor without its sockets: `ControllerCore` is told what was observed (a list swapped in, a stream of
-//! sums opened, a file written) and says what to do (write a version, point a proxy at it, close a
-//! stream). The module in `wheelspread` decides; the session feeds it and carries out what it orders.
-//! Nothing here reads a clock, a file or a socket, so a test plays whole days in a loop.
+//! A controller without its sockets, disk and clock.
+//!
+//! [`ControllerCore`] is told what was observed (an endpoint list swapped in, a stream of load reports opened, a
+//! file written) and says what to do (write a version, point a proxy at it, close a stream). The balancer in
+//! `wheelspread` decides; the core feeds it and turns its actions into published tables. Nothing here reads a
+//! clock, a file or a socket, so a test plays whole days in a loop.
 
 pub mod acknowledgement;
 pub mod controller_core;
--- a/crates/controller-core/src/update_queue.rs
+++ b/crates/controller-core/src/update_queue.rs
@@ -1,228 +1,265 @@
-//! The channel's ledger: what waits for which proxy, whose turn it is, and at what pace. A proxy has at
-//! most one message waiting, the newest version: what is overtaken is never sent, so a slow channel or a
-//! slow proxy costs no queue. Lines taken away go first, then proxies that hold nothing.
+//! The queue of table updates: what waits for which proxy, whose turn it is, and at what pace.
+//!
+//! A proxy has at most one update waiting, its newest version: what is superseded is never sent, so a slow disk
+//! or a slow proxy builds up no backlog. Removals of entries go first, then proxies that hold nothing.
 
 use crate::deployment::ChannelPlan;
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 use wheelspread::ids::ProxyId;
 use wheelspread::ring::Ring;
 use wheelspread::time::{Moment, Span};
 
+/// Buckets of the window in which updates to one proxy are counted; two more are kept, so that an update
+/// counts until it is surely outside.
+const WINDOW_BUCKETS: usize = 20;
+const SPARE_BUCKETS: usize = 2;
+/// The queue writes so far ahead of its pace, and saves up no more idle time than this.
+const MAX_WRITE_AHEAD: Duration = Duration::from_millis(100);
+/// The first wait after a failed write, as a multiple of the longest delay of an update; it doubles with each
+/// further failure.
+const FIRST_BACKOFF_DELAYS: f64 = 0.5;
+const MAX_BACKOFF_DOUBLINGS: u32 = 5;
+const MIN_ENTRIES_PER_SECOND: f64 = 1.0;
+
+/// In which order updates go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Urgency {
-    /// Takes a node away, as when it drains.
+    /// It takes a node away, as when it drains.
     Removal,
-    /// The proxy holds nothing of ours yet.
-    Empty,
-    Change,
+    /// The proxy holds no tables of this controller yet.
+    FirstTables,
+    /// An ordinary update.
+    Update,
     /// The proxy's stream broke; it still reads what is swapped in.
-    Away,
+    Disconnected,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Waiting {
-    since: Moment,
+struct QueuedUpdate {
+    queued_at: Moment,
     not_before: Moment,
-    lines: f64,
+    entries: f64,
     urgency: Urgency,
 }
 
-#[derive(Clone, Debug)]
-struct Flight {
-    lines: f64,
+/// How many updates went out.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct UpdateCounts {
+    /// Updates that were sent to proxies.
+    pub sent: u64,
+    /// Updates that a newer one replaced while they waited.
+    pub superseded: u64,
 }
 
-/// Buckets of the window in which messages to one proxy are counted; two more than it, so that a
-/// message counts until it is surely outside.
-const BUCKETS: usize = 20;
-/// Of a second's lines: so much may be on its way to the disk before the next is sent.
-const AHEAD: f64 = 0.1;
-/// To the longest delay of a message: the first wait after a write failed; then twice that, and so on.
-const AFTER_FAILURE: f64 = 0.5;
-const DOUBLINGS: u32 = 5;
-
+/// The updates that wait and those being written.
 #[derive(Clone, Debug)]
 pub struct UpdateQueue {
-    lines_per_second: f64,
-    head: f64,
-    most_messages: f64,
+    entries_per_second: f64,
+    /// Counted for each update on top of its entries.
+    overhead_entries: f64,
+    /// In the window, to one proxy; 0: no limit.
+    max_updates: f64,
     window: Span,
-    delay: Span,
-    most_waiting: f64,
-    waiting: BTreeMap<ProxyId, Waiting>,
+    max_delay: Span,
+    max_queued_entries: f64,
+    queued: BTreeMap<ProxyId, QueuedUpdate>,
     turns: BTreeSet<(Urgency, Moment, ProxyId)>,
-    in_flight: BTreeMap<ProxyId, Flight>,
+    /// Entries that are being written, overhead included.
+    in_flight: BTreeMap<ProxyId, f64>,
     failures: BTreeMap<ProxyId, u32>,
     written: BTreeMap<ProxyId, Ring<f64>>,
     free_at: Moment,
-    pub messages: u64,
-    pub overtaken: u64,
+    counts: UpdateCounts,
 }
 
 impl UpdateQueue {
+    /// An empty queue with the deployment's limits.
     pub fn new(now: Moment, plan: &ChannelPlan) -> UpdateQueue {
         UpdateQueue {
-            lines_per_second: plan.lines_per_second.max(1.0),
-            head: plan.head_lines,
-            most_messages: f64::from(plan.messages_at_most),
+            entries_per_second: plan.lines_per_second.max(MIN_ENTRIES_PER_SECOND),
+            overhead_entries: plan.head_lines,
+            max_updates: f64::from(plan.messages_at_most),
             window: plan.messages_window,
-            delay: plan.delay_at_most,
-            most_waiting: plan.lines_waiting_at_most,
-            waiting: BTreeMap::new(),
+            max_delay: plan.delay_at_most,
+            max_queued_entries: plan.lines_waiting_at_most,
+            queued: BTreeMap::new(),
             turns: BTreeSet::new(),
             in_flight: BTreeMap::new(),
             failures: BTreeMap::new(),
             written: BTreeMap::new(),
             free_at: now,
-            messages: 0,
-            overtaken: 0,
+            counts: UpdateCounts::default(),
         }
     }
 
-    /// Other limits, from now on; what was written counts on.
-    pub fn set_plan(&mut self, plan: &ChannelPlan) {
+    /// Other limits from now on; updates that were written still count.
+    pub fn reconfigure(&mut self, plan: &ChannelPlan) {
         self.set_pace(plan.lines_per_second);
-        (self.head, self.delay, self.most_waiting) = (
-            plan.head_lines,
-            plan.delay_at_most,
-            plan.lines_waiting_at_most,
-        );
-        self.most_messages = f64::from(plan.messages_at_most);
+        self.overhead_entries = plan.head_lines;
+        self.max_delay = plan.delay_at_most;
+        self.max_queued_entries = plan.lines_waiting_at_most;
+        self.max_updates = f64::from(plan.messages_at_most);
     }
 
-    /// A new pace, as when settings are read again.
-    pub fn set_pace(&mut self, lines_per_second: f64) {
-        self.lines_per_second = lines_per_second.max(1.0);
+    /// Another pace, as when settings are read again.
+    pub fn set_pace(&mut self, entries_per_second: f64) {
+        self.entries_per_second = entries_per_second.max(MIN_ENTRIES_PER_SECOND);
     }
 
-    /// What waits here and on its way to the disk, heads included.
-    pub fn lines_waiting(&self) -> f64 {
-        let flying: f64 = self.in_flight.values().map(|flight| flight.lines).sum();
-        // Adding to 0 keeps the sum of nothing from being -0.
-        0.0 + self
-            .waiting
+    /// Entries that wait or are being written, overhead included.
+    pub fn queued_entries(&self) -> f64 {
+        let queued: f64 = self
+            .queued
             .values()
-            .map(|waiting| waiting.lines + self.head)
-            .sum::<f64>()
-            + flying
+            .map(|update| update.entries + self.overhead_entries)
+            .sum();
+        // Adding to 0 keeps the sum of nothing from being -0.
+        0.0 + queued + self.entries_in_flight()
     }
 
-    pub fn full(&self) -> bool {
-        self.lines_waiting() > self.most_waiting
+    fn entries_in_flight(&self) -> f64 {
+        self.in_flight.values().sum()
     }
 
-    /// A message for a proxy, in the place of one that still waits.
-    pub fn offer(&mut self, now: Moment, proxy: ProxyId, lines: f64, urgency: Urgency) {
-        let before = self.withhold(proxy);
-        self.overtaken += u64::from(before.is_some());
-        // What is more urgent stays so, and its turn is that of the first: nobody starves by news.
-        let waiting = Waiting {
-            since: before.map_or(now, |before| before.since),
-            not_before: before.map_or(now, |before| before.not_before),
-            lines,
-            urgency: before.map_or(urgency, |before| before.urgency.min(urgency)),
-        };
-        self.put(proxy, waiting);
+    /// Whether more entries wait than the deployment allows.
+    pub fn is_over_limit(&self) -> bool {
+        self.queued_entries() > self.max_queued_entries
+    }
+
+    /// How many updates went out until now.
+    pub fn counts(&self) -> UpdateCounts {
+        self.counts
+    }
+
+    /// Queues an update for a proxy, in the place of one that still waits.
+    pub fn offer(&mut self, now: Moment, proxy: ProxyId, entries: f64, urgency: Urgency) {
+        let replaced = self.remove(proxy);
+        self.counts.superseded += u64::from(replaced.is_some());
+        self.insert(
+            proxy,
+            QueuedUpdate {
+                // The turn is that of the first update: a proxy isn't starved by newer ones.
+                queued_at: replaced.map_or(now, |replaced| replaced.queued_at),
+                not_before: replaced.map_or(now, |replaced| replaced.not_before),
+                entries,
+                // What was more urgent stays so.
+                urgency: replaced.map_or(urgency, |replaced| replaced.urgency.min(urgency)),
+            },
+        );
     }
 
-    fn put(&mut self, proxy: ProxyId, waiting: Waiting) {
-        self.turns.insert((waiting.urgency, waiting.since, proxy));
-        self.waiting.insert(proxy, waiting);
+    fn insert(&mut self, proxy: ProxyId, update: QueuedUpdate) {
+        self.turns.insert((update.urgency, update.queued_at, proxy));
+        self.queued.insert(proxy, update);
     }
 
-    fn withhold(&mut self, proxy: ProxyId) -> Option<Waiting> {
-        let waiting = self.waiting.remove(&proxy)?;
-        self.turns.remove(&(waiting.urgency, waiting.since, proxy));
-        Some(waiting)
+    fn remove(&mut self, proxy: ProxyId) -> Option<QueuedUpdate> {
+        let update = self.queued.remove(&proxy)?;
+        self.turns
+            .remove(&(update.urgency, update.queued_at, proxy));
+        Some(update)
     }
 
-    /// What waits for this proxy is not sent; what was sent to it still counts.
-    pub fn drop_message(&mut self, proxy: ProxyId) {
-        self.withhold(proxy);
+    /// Drops what waits for a proxy or is being written for it; updates that it got still count.
+    pub fn drop_updates(&mut self, proxy: ProxyId) {
+        self.remove(proxy);
         self.in_flight.remove(&proxy);
     }
 
-    /// Nothing need be sent to this proxy any more.
-    pub fn drop_proxy(&mut self, proxy: ProxyId) {
-        self.withhold(proxy);
+    /// Nothing is known of a proxy any more and nothing waits for it.
+    pub fn forget(&mut self, proxy: ProxyId) {
+        self.remove(proxy);
         self.written.remove(&proxy);
         self.failures.remove(&proxy);
     }
 
-    /// Whose message goes now. It counts as written; `done` or `failed` must follow.
+    /// The proxy whose update goes now. It counts as written; [`UpdateQueue::on_written`] or
+    /// [`UpdateQueue::on_write_failed`] must follow.
     pub fn next(&mut self, now: Moment) -> Option<ProxyId> {
-        let ahead = Span::from_seconds(AHEAD);
-        let flying: f64 = self.in_flight.values().map(|flight| flight.lines).sum();
-        if self.free_at > now || flying > self.lines_per_second * AHEAD + self.head {
+        let ahead = MAX_WRITE_AHEAD.as_secs_f64();
+        let max_in_flight = self.entries_per_second * ahead + self.overhead_entries;
+        if self.free_at > now || self.entries_in_flight() > max_in_flight {
             return None;
         }
-        let may = |(_, _, proxy): &&(Urgency, Moment, ProxyId)| {
-            let waiting = &self.waiting[proxy];
-            waiting.not_before <= now
-                && !self.in_flight.contains_key(proxy)
-                && self.may_write(now, *proxy)
-        };
-        let proxy = self.turns.iter().find(may)?.2;
-        let waiting = self.withhold(proxy)?;
-        let lines = waiting.lines + self.head;
-        // Idle time is not saved up beyond a tenth of a second.
-        self.free_at =
-            self.free_at.max(now - ahead) + Span::from_seconds(lines / self.lines_per_second);
-        self.in_flight.insert(proxy, Flight { lines });
-        let bucket = Span::from_seconds(self.window.seconds() / BUCKETS as f64);
+        let (_, _, proxy) = *self
+            .turns
+            .iter()
+            .find(|(_, _, proxy)| self.may_go(now, *proxy))?;
+        let update = self.remove(proxy)?;
+        let entries = update.entries + self.overhead_entries;
+        self.free_at = self.free_at.max(now - Span::from_seconds(ahead))
+            + Span::from_seconds(entries / self.entries_per_second);
+        self.in_flight.insert(proxy, entries);
+        self.count_written(now, proxy);
+        Some(proxy)
+    }
+
+    fn may_go(&self, now: Moment, proxy: ProxyId) -> bool {
+        self.queued
+            .get(&proxy)
+            .is_some_and(|update| update.not_before <= now)
+            && !self.in_flight.contains_key(&proxy)
+            && self.is_below_update_cap(now, proxy)
+    }
+
+    fn count_written(&mut self, now: Moment, proxy: ProxyId) {
+        let bucket = Span::from_seconds(self.window.seconds() / WINDOW_BUCKETS as f64);
         self.written
             .entry(proxy)
-            .or_insert_with(|| Ring::new(bucket, BUCKETS + 2))
+            .or_insert_with(|| Ring::new(bucket, WINDOW_BUCKETS + SPARE_BUCKETS))
             .add(now, 1.0);
-        self.messages += 1;
-        Some(proxy)
+        self.counts.sent += 1;
     }
 
-    fn may_write(&self, now: Moment, proxy: ProxyId) -> bool {
+    fn is_below_update_cap(&self, now: Moment, proxy: ProxyId) -> bool {
         let written = self.written.get(&proxy).map_or(0.0, |ring| ring.whole(now));
-        self.most_messages <= 0.0 || written + 1.0 <= self.most_messages
+        self.max_updates <= 0.0 || written + 1.0 <= self.max_updates
     }
 
-    pub fn done(&mut self, proxy: ProxyId) {
+    /// The update was written for the proxy, or sent to it.
+    pub fn on_written(&mut self, proxy: ProxyId) {
         self.in_flight.remove(&proxy);
         self.failures.remove(&proxy);
     }
 
-    /// The write failed: it is tried again after a wait that doubles. A newer message, if one has come
-    /// meanwhile, waits as long and goes in its place.
-    pub fn failed(&mut self, now: Moment, proxy: ProxyId, urgency: Urgency) -> Span {
-        let lines = self
+    /// The write failed: it is retried after a backoff, which is returned. A newer update that came meanwhile
+    /// waits as long and goes in its place.
+    pub fn on_write_failed(&mut self, now: Moment, proxy: ProxyId, urgency: Urgency) -> Span {
+        let entries = self
             .in_flight
             .remove(&proxy)
-            .map_or(0.0, |flight| flight.lines - self.head);
+            .map_or(0.0, |entries| entries - self.overhead_entries);
         let failures = self.failures.entry(proxy).or_insert(0);
-        let wait = self.delay * AFTER_FAILURE * f64::from(2u32.pow((*failures).min(DOUBLINGS)));
+        let doublings = (*failures).min(MAX_BACKOFF_DOUBLINGS);
+        let backoff = self.max_delay * FIRST_BACKOFF_DELAYS * f64::from(2u32.pow(doublings));
         *failures += 1;
-        let before = self.withhold(proxy);
-        let waiting = Waiting {
-            since: before.map_or(now, |before| before.since),
-            not_before: now + wait,
-            lines: before.map_or(lines, |before| before.lines),
-            urgency: before.map_or(urgency, |before| before.urgency.min(urgency)),
-        };
-        self.put(proxy, waiting);
-        wait
-    }
-
-    /// When `next` should be asked again; `None` while nothing waits, or only for `done`.
+        let newer = self.remove(proxy);
+        self.insert(
+            proxy,
+            QueuedUpdate {
+                queued_at: newer.map_or(now, |newer| newer.queued_at),
+                not_before: now + backoff,
+                entries: newer.map_or(entries, |newer| newer.entries),
+                urgency: newer.map_or(urgency, |newer| newer.urgency.min(urgency)),
+            },
+        );
+        backoff
+    }
+
+    /// When [`UpdateQueue::next`] should be called again; `None` while nothing waits, or only for a write.
     pub fn wake_at(&self, now: Moment) -> Option<Moment> {
-        let due = |(proxy, waiting): (&ProxyId, &Waiting)| {
-            let capped = !self.may_write(now, *proxy);
-            let free = if capped {
-                now + self.window * (1.0 / BUCKETS as f64)
-            } else {
-                now
-            };
-            (!self.in_flight.contains_key(proxy)).then_some(free.max(waiting.not_before))
-        };
-        self.waiting
+        self.queued
             .iter()
-            .filter_map(due)
+            .filter(|(proxy, _)| !self.in_flight.contains_key(proxy))
+            .map(|(proxy, update)| {
+                let free = if self.is_below_update_cap(now, *proxy) {
+                    now
+                } else {
+                    now + self.window * (1.0 / WINDOW_BUCKETS as f64)
+                };
+                free.max(update.not_before)
+            })
             .min()
             .map(|at| at.max(self.free_at))
     }
--- a/crates/controller/src/admin.rs
+++ b/crates/controller/src/admin.rs
@@ -277,11 +277,10 @@
 
     /// What came of an order to step back.
     pub fn answered(&mut self, order: u64, result: &Result<RollbackResult, String>) {
-        let out =
-            |(node, why): &(_, ExclusionReason)| json!({ "node": show(*node), "why": why.word() });
+        let out = |(node, why): &(_, ExclusionReason)| json!({ "node": show(*node), "why": why.as_str() });
         let body = result.as_ref().map(|stepped| {
-            let left_out: Vec<Value> = stepped.left_out.iter().map(out).collect();
-            json!({ "version": stepped.version.0, "lines": stepped.lines, "left_out": left_out })
+            let left_out: Vec<Value> = stepped.excluded.iter().map(out).collect();
+            json!({ "version": stepped.version.0, "lines": stepped.entries, "left_out": left_out })
         });
         self.end(order, body.map_err(String::clone));
     }
--- a/crates/controller/src/drains.rs
+++ b/crates/controller/src/drains.rs
@@ -240,10 +240,10 @@
             let Some(id) = node(&name) else { continue };
             let traces = session.drain_evidence(id);
             let evidence = Evidence {
-                named_by: traces.named_by,
-                gateways: traces.gateways,
-                tries: traces.tries,
-                heard: traces.heard,
+                named_by: traces.naming_proxies,
+                gateways: traces.joined_proxies,
+                tries: traces.attempts,
+                heard: traces.reporting_proxies,
             };
             self.book.see(now, &name, grace, evidence);
             let after = self.book.drain(&name).map(|drain| drain.state);
--- a/crates/controller/src/front.rs
+++ b/crates/controller/src/front.rs
@@ -60,7 +60,11 @@
     /// What happened on streams goes to the session; streams of tables are opened and closed here too.
     pub fn observe(&mut self, now: Moment, session: &mut ControllerCore, observation: Observation) {
         let opened = match &observation {
-            Observation::Subscribed { stream, who, .. } => Some((*stream, who.name.clone())),
+            Observation::Subscribed {
+                stream,
+                introduction: who,
+                ..
+            } => Some((*stream, who.name.clone())),
             Observation::Unsubscribed { stream } => {
                 self.front.close(*stream);
                 None
@@ -70,7 +74,7 @@
         session.observe(now, observation);
         if let Some((stream, name)) = opened {
             let reads = |id: &ProxyId| {
-                session.table_status(*id).front
+                session.table_status(*id).transport
                     == wheelspread_controller_core::transport::Transport::Stream(stream)
             };
             if let Some(id) = session
@@ -163,7 +167,7 @@
                             session.observe(
                                 now,
                                 Observation::RollBack {
-                                    order: OWN,
+                                    request: OWN,
                                     bundle,
                                     version,
                                 },
@@ -220,7 +224,7 @@
             Observation::StatusReported {
                 proxy,
                 version,
-                refused,
+                rejection: refused,
             },
         );
     }
--- a/crates/controller/src/log.rs
+++ b/crates/controller/src/log.rs
@@ -61,8 +61,8 @@
         }
         LogEvent::RolledBack {
             version,
-            lines,
-            left_out,
+            entries: lines,
+            excluded: left_out,
         } => {
             let left_out = left_out
                 .iter()
@@ -83,7 +83,7 @@
             version,
             configuration,
             proxies,
-            lines,
+            entries: lines,
         } => {
             debug!(
                 bundle = bundle.0,
@@ -101,7 +101,7 @@
             proxy,
             version,
             reason,
-            again_in,
+            retry_in: again_in,
         } => {
             let again_in_s = again_in.seconds();
             warn!(
@@ -123,7 +123,9 @@
         LogEvent::UnknownNodes { count } => {
             warn!(count, "reports speak of nodes that are not listed")
         }
-        LogEvent::UpdateQueueFull { lines } => warn!(lines, "more lines wait than are allowed"),
+        LogEvent::UpdateQueueFull { entries: lines } => {
+            warn!(lines, "more lines wait than are allowed")
+        }
         LogEvent::StaleEntriesPruned { proxy, nodes } => {
             let nodes = nodes.join(" ");
             warn!(
--- a/crates/controller/src/routes.rs
+++ b/crates/controller/src/routes.rs
@@ -225,7 +225,7 @@
             session.observe(
                 now,
                 Observation::RollBack {
-                    order,
+                    request: order,
                     bundle,
                     version,
                 },
@@ -233,7 +233,7 @@
             return Ok(None);
         }
         ("POST", "/v1/tables/free") => {
-            session.observe(now, Observation::EndRollback { order });
+            session.observe(now, Observation::EndRollback { request: order });
             return Ok(None);
         }
         ("POST", "/v1/drains") => {
@@ -330,7 +330,7 @@
         "lines_waiting_at_most": session.plan().channel.lines_waiting_at_most,
         "newest_version": session.version().0,
         "configuration": reach.configuration,
-        "configuration_lacking": reach.lacking.len(),
+        "configuration_lacking": reach.outdated.len(),
         "change_under_way": under_way.map(|record| &record.change.id),
         "drains": drains,
         "waits_for_disk": rollout.unwritten(),
@@ -342,14 +342,14 @@
 }
 
 fn channel(session: &ControllerCore) -> Value {
-    let (messages, overtaken) = session.messages();
+    let counts = session.update_counts();
     let plan = &session.plan().channel;
     json!({
         "lines_waiting": session.queued_entries(),
         "lines_waiting_at_most": plan.lines_waiting_at_most,
         "lines_per_second": plan.lines_per_second,
-        "messages_sent": messages,
-        "messages_overtaken": overtaken,
+        "messages_sent": counts.sent,
+        "messages_overtaken": counts.superseded,
     })
 }
 
@@ -433,9 +433,9 @@
         "version": in_force.version,
         "values": in_force.values,
         "told": reach.configuration,
-        "lacking": reach.lacking,
-        "away": reach.away,
-        "between_pools": reach.between,
+        "lacking": reach.outdated,
+        "away": reach.disconnected,
+        "between_pools": reach.migrating,
         "waits_for_disk": rollout.unwritten(),
     })
 }
@@ -446,16 +446,16 @@
         let told = GatewayTold {
             gateway: name,
             joined: member.joined(),
-            front: match reads.front {
+            front: match reads.transport {
                 Transport::Files => "files",
                 Transport::Stream(_) => "stream",
-                Transport::Away => "away",
+                Transport::Disconnected => "away",
             },
             table: reads.newest.map(|set| set.bundle.0),
             newest: reads.newest.map(|set| set.version.0),
-            holds: reads.holds.map(|held| held.0 .0),
-            held_for_s: reads.holds.map(|held| (now - held.1).seconds()),
-            refused: reads.refused.map(|version| version.0),
+            holds: reads.held.map(|held| held.version.0),
+            held_for_s: reads.held.map(|held| (now - held.since).seconds()),
+            refused: reads.rejected.map(|version| version.0),
         };
         json!(told)
     };
--- a/crates/controller/src/service.rs
+++ b/crates/controller/src/service.rs
@@ -19,7 +19,7 @@
 use wheelspread::time::{Moment, Span};
 use wheelspread_config_rollout::{Rollout, Step};
 use wheelspread_config_transaction::Commit;
-use wheelspread_controller_core::controller_core::ConfigUpdate;
+use wheelspread_controller_core::controller_core::{ConfigUpdate, TableWriteError};
 use wheelspread_controller_core::rollback::RollbackResult;
 use wheelspread_controller_core::{ControllerCore, Effect, LogEvent, Observation};
 use wheelspread_faults::reached;
@@ -137,10 +137,10 @@
         }
         state_writer::recall(&kept, reactor::wall(), &mut scan.found);
         (scan.found.configuration, scan.found.values) = (configured.version, configured.values);
-        scan.found.moving = moving;
+        scan.found.migrating = moving;
         scan.found.drained = drains.out();
         let (held, versions, leftovers) = (
-            scan.found.held.len(),
+            scan.found.tables.len(),
             scan.found.versions.len(),
             scan.leftovers,
         );
@@ -343,7 +343,9 @@
             }
             Effect::WriteTables { proxy, set } => self.give(Job::Point { proxy, set }),
             Effect::SendTables { stream, set } => self.desk.offer(&mut self.streams, stream, &set),
-            Effect::RollbackFinished { order, result } => self.answered(order, result),
+            Effect::RollbackFinished { request, result } => {
+                self.answered(request, result.map_err(|error| error.to_string()))
+            }
             Effect::RetireVersion { version } => self.give(Job::Retire { version }),
             Effect::Log(notice) => log::notice(&notice),
         }
@@ -439,7 +441,7 @@
                         Observation::TablesWritten {
                             proxy,
                             version,
-                            result,
+                            result: result.map_err(TableWriteError::new),
                         },
                     );
                 }
@@ -564,14 +566,14 @@
                 let held = Observation::StatusReported {
                     proxy: name(),
                     version: told.version,
-                    refused: None,
+                    rejection: None,
                 };
                 self.session.observe(now, held);
                 if let Some((version, reason)) = told.refused {
                     let refused = Observation::StatusReported {
                         proxy: name(),
                         version,
-                        refused: Some(reason),
+                        rejection: Some(reason),
                     };
                     self.session.observe(now, refused);
                 }
@@ -646,7 +648,7 @@
                         proxy,
                         version,
                         reason,
-                        again_in,
+                        retry_in: again_in,
                     });
                 }
             }
--- a/crates/controller/src/state_writer.rs
+++ b/crates/controller/src/state_writer.rs
@@ -239,10 +239,10 @@
 /// What a session that starts is told of the time before; `wall` as now.
 pub fn recall(kept: &PersistedState, wall: f64, found: &mut RecoveredState) {
     let last = kept.facts.get(VERSION).and_then(|last| last.parse().ok());
-    found.floor = last.map_or(Version(0), |last: u64| Version(last.saturating_add(MARGIN)));
+    found.version_floor = last.map_or(Version(0), |last: u64| Version(last.saturating_add(MARGIN)));
     let records: Vec<EndpointRecord> = listed(kept, wall).collect();
     if let Some(version) = kept.facts.get(LIST).filter(|_| !records.is_empty()) {
-        found.list = Some(EndpointSnapshot {
+        found.endpoint_list = Some(EndpointSnapshot {
             version: version.clone(),
             records,
         });
@@ -260,7 +260,7 @@
             quickest: quickest_s,
         }
     });
-    found.learnt = learnt.collect();
+    found.capacities = learnt.collect();
 }
 
 /// Settings of nodes under a prefix.
@@ -450,7 +450,9 @@
         let mut found = RecoveredState::default();
         recall(&third, 1000.0, &mut found);
         assert_eq!(
-            found.list.map(|list| (list.version, list.records.len())),
+            found
+                .endpoint_list
+                .map(|list| (list.version, list.records.len())),
             Some(("2".into(), 3))
         );
     }
--- a/crates/controller/src/streams.rs
+++ b/crates/controller/src/streams.rs
@@ -256,7 +256,10 @@
                         return;
                     };
                     reporter.introduced = true;
-                    told.push(Observation::StreamOpened { stream: id, who });
+                    told.push(Observation::StreamOpened {
+                        stream: id,
+                        introduction: who,
+                    });
                 }
                 None => {
                     return self.close(
@@ -303,8 +306,8 @@
             reader.introduced = true;
             told.push(Observation::Subscribed {
                 stream: id,
-                who,
-                brings: request.holds,
+                introduction: who,
+                held_version: request.holds,
             });
         }
         self.asks.push((id, request.ask));
--- a/crates/files/src/scan.rs
+++ b/crates/files/src/scan.rs
@@ -46,7 +46,7 @@
         match read_tables(&directory) {
             Ok(Some(held)) => {
                 scan.found
-                    .held
+                    .tables
                     .insert(proxy, tables::recover(held.orders, plan));
             }
             Ok(None) => {}
