--- a/crates/wheelspread/src/admission.rs
+++ b/crates/wheelspread/src/admission.rs
@@ -11,52 +11,52 @@
 use crate::lifecycle::Node;
 use crate::retry_policy::retry_policy;
 use crate::slow_start::warming_limit;
-use crate::tables::{AdmissionOrder, DemandClass, Table};
+use crate::tables::{AdmissionPolicy, DemandClass, Table};
 use crate::time::Moment;
 use crate::update_plan::AdmissionCut;
 use std::collections::BTreeMap;
 
 /// What admission aims at under overload.
-struct CapacityTarget {
+struct CapacityTargetRatios {
     /// Of the estimated capacity.
-    of_capacity: f64,
+    capacity_ratio: f64,
     /// Of the most that a node was lately seen to serve: it can do that again.
-    of_recent_peak: f64,
+    recent_peak_ratio: f64,
 }
 
-const CAPACITY_TARGET: CapacityTarget = CapacityTarget {
-    of_capacity: 0.77,
-    of_recent_peak: 0.95,
+const CAPACITY_TARGET_RATIOS: CapacityTargetRatios = CapacityTargetRatios {
+    capacity_ratio: 0.77,
+    recent_peak_ratio: 0.95,
 };
 
 /// How admission follows failures.
-struct Easing {
+struct CapacityFactor {
     /// Each cut, to what was aimed at before.
-    cut: f64,
-    least: f64,
+    decrease: f64,
+    floor: f64,
     /// Each return, while the fleet is not overrun.
-    recovery: f64,
+    increase: f64,
     /// Report cycles between two cuts: each waits for reports from after it.
-    cut_cycles: f64,
+    decrease_interval_cycles: f64,
 }
 
-const EASING: Easing = Easing {
-    cut: 0.85,
-    least: 0.8,
-    recovery: 0.06,
-    cut_cycles: 3.0,
+const CAPACITY_FACTOR: CapacityFactor = CapacityFactor {
+    decrease: 0.85,
+    floor: 0.8,
+    increase: 0.06,
+    decrease_interval_cycles: 3.0,
 };
 
 /// Of an operation's traffic: what is left before the next operation is cut, in two rounds.
-const LEAST_RATIOS: [f64; 2] = [0.3, 0.02];
+const MIN_RATIOS: [f64; 2] = [0.3, 0.02];
 /// An admission ratio's return each time: to the ratio and this much more, at most.
-const RETURN_STEP: f64 = 0.08;
-const RETURN_OFFSET: f64 = 0.2;
+const RECOVERY_STEP: f64 = 0.08;
+const RECOVERY_OFFSET: f64 = 0.2;
 /// Of an operation's traffic: larger ratios admit all.
-const ADMIT_ALL: f64 = 0.97;
+const ADMIT_ALL_RATIO: f64 = 0.97;
 /// A rate at each proxy that admits all.
 const UNLIMITED_RATE: f64 = 1e6;
-const LEAST_RATE: f64 = 0.1;
+const MIN_RATE: f64 = 0.1;
 
 /// The admission ratios that were decided.
 #[derive(Clone, Debug)]
@@ -66,8 +66,8 @@
     /// What the last resort of an update plan takes off a table.
     cut: Option<AdmissionCut>,
     /// To the capacity that is aimed at: lower while failures go on.
-    easing: f64,
-    last_eased_at: Moment,
+    capacity_factor: f64,
+    last_decrease_at: Moment,
     load: FleetLoad,
     /// When the fleet was last anything but calm.
     last_busy_at: Moment,
@@ -79,8 +79,8 @@
         Admission {
             ratios: BTreeMap::new(),
             cut: None,
-            easing: 1.0,
-            last_eased_at: now,
+            capacity_factor: 1.0,
+            last_decrease_at: now,
             load: FleetLoad::Usual,
             last_busy_at: now,
         }
@@ -106,28 +106,28 @@
     pub fn update(&mut self, fleet: &Fleet) {
         self.update_load(fleet);
         let demand = fleet.demand_by_class();
-        let wanted = self.ratios_by_value(fleet, demand.values().sum());
+        let target_ratios = self.ratios_by_value(fleet, demand.values().sum());
         for (id, table) in &fleet.tables {
-            let local_limit = local_limit(fleet, table, &demand);
+            let zone_limit = zone_limit(fleet, table, &demand);
             let warming_limit = warming_ratio(fleet, table);
-            let is_tight = local_limit.is_some() || self.is_strained();
+            let is_limited = zone_limit.is_some() || self.is_strained();
             for operation in table.operations() {
                 let before = self.ratio(*id, *operation);
-                let most = before + RETURN_STEP * (before + RETURN_OFFSET).min(1.0);
-                let mut ratio = wanted[operation];
-                if let Some(limit) = local_limit.filter(|limit| *limit > 0.0) {
+                let recovered = before + RECOVERY_STEP * (before + RECOVERY_OFFSET).min(1.0);
+                let mut ratio = target_ratios[operation];
+                if let Some(limit) = zone_limit.filter(|limit| *limit > 0.0) {
                     ratio = ratio.min(limit);
                 }
-                ratio = if is_tight {
-                    ratio.min(most)
+                ratio = if is_limited {
+                    ratio.min(recovered)
                 } else {
-                    ratio.max(most)
+                    ratio.max(recovered)
                 };
                 if let Some(limit) = warming_limit {
                     ratio = ratio.min(limit);
                 }
                 self.ratios
-                    .insert((*id, *operation), ratio.clamp(LEAST_RATIOS[1], 1.0));
+                    .insert((*id, *operation), ratio.clamp(MIN_RATIOS[1], 1.0));
             }
         }
     }
@@ -139,10 +139,11 @@
     fn update_load(&mut self, fleet: &Fleet) {
         let (now, cycle, load) = (fleet.now, fleet.timing.cycle(), measured_load(fleet));
         if load < 1.0 {
-            self.easing = (self.easing + EASING.recovery).min(1.0);
-        } else if now - self.last_eased_at > cycle * EASING.cut_cycles {
-            self.easing = (self.easing * EASING.cut).max(EASING.least);
-            self.last_eased_at = now;
+            self.capacity_factor = (self.capacity_factor + CAPACITY_FACTOR.increase).min(1.0);
+        } else if now - self.last_decrease_at > cycle * CAPACITY_FACTOR.decrease_interval_cycles {
+            self.capacity_factor =
+                (self.capacity_factor * CAPACITY_FACTOR.decrease).max(CAPACITY_FACTOR.floor);
+            self.last_decrease_at = now;
         }
         let has_been_calm = now - self.last_busy_at > cycle * LOAD_THRESHOLDS.calm_cycles;
         self.load = if load >= LOAD_THRESHOLDS.strained {
@@ -160,11 +161,11 @@
     /// Ratios by operation that leave no more than the nodes can serve: the cheapest are cut first.
     fn ratios_by_value(&self, fleet: &Fleet, demand: f64) -> BTreeMap<OperationId, f64> {
         let usable = |node: &Node| {
-            let peak = node.load.recent_peak() * CAPACITY_TARGET.of_recent_peak;
+            let peak = node.load.recent_peak() * CAPACITY_TARGET_RATIOS.recent_peak_ratio;
             fleet.capacity_of(node).max(peak)
         };
         let capacity: f64 = fleet.nodes.open().map(|(_, node)| usable(node)).sum();
-        let target = CAPACITY_TARGET.of_capacity * self.easing * capacity;
+        let target = CAPACITY_TARGET_RATIOS.capacity_ratio * self.capacity_factor * capacity;
         let mut excess = (demand - target).max(0.0);
         let scale = demand / fleet.members.total_demand().max(1e-6);
         let operations = fleet.config.operations.iter();
@@ -174,12 +175,12 @@
         by_value.sort_by(|a, b| a.0.total_cmp(&b.0));
         let mut ratios: BTreeMap<OperationId, f64> =
             by_value.iter().map(|(_, id)| (*id, 1.0)).collect();
-        for least in LEAST_RATIOS {
+        for floor in MIN_RATIOS {
             for (_, id) in &by_value {
                 let proxies = fleet.members.proxies().values();
                 let own_demand = proxies.map(|proxy| proxy.demand(&[*id])).sum::<f64>();
                 let offered = own_demand * scale;
-                let cut = excess.min(offered * (ratios[id] - least).max(0.0));
+                let cut = excess.min(offered * (ratios[id] - floor).max(0.0));
                 excess -= cut;
                 if let Some(ratio) = ratios.get_mut(id) {
                     *ratio -= cut / offered.max(1e-6);
@@ -190,19 +191,19 @@
     }
 
     /// What is to be published for an operation of a table.
-    pub fn order(&self, fleet: &Fleet, table: TableId, operation: OperationId) -> AdmissionOrder {
+    pub fn policy(&self, fleet: &Fleet, table: TableId, operation: OperationId) -> AdmissionPolicy {
         let cut = self.cut.filter(|cut| cut.table == table);
-        let ratio = self.ratio(table, operation) * cut.map_or(1.0, |cut| cut.admitted);
-        let known = &fleet.config.operations[usize::from(operation.0)];
-        AdmissionOrder {
-            limit: limit_for(fleet, &fleet.tables[&table], operation, ratio),
-            retry: retry_policy(known, self.load),
+        let ratio = self.ratio(table, operation) * cut.map_or(1.0, |cut| cut.admitted_ratio);
+        let configured = &fleet.config.operations[usize::from(operation.0)];
+        AdmissionPolicy {
+            limit: admission_limit(fleet, &fleet.tables[&table], operation, ratio),
+            retry: retry_policy(configured, self.load),
         }
     }
 }
 
 /// Where requests may not leave a zone whose nodes are strained: the ratio that these can serve.
-fn local_limit(fleet: &Fleet, table: &Table, demand: &BTreeMap<DemandClass, f64>) -> Option<f64> {
+fn zone_limit(fleet: &Fleet, table: &Table, demand: &BTreeMap<DemandClass, f64>) -> Option<f64> {
     let zone = table.zone();
     let is_strained = |zone: ZoneId| {
         mean_utilization(fleet, |node| node.zone() == zone) >= LOAD_THRESHOLDS.strained
@@ -229,8 +230,8 @@
 
 /// An admission ratio as the settings want it said. As a rate at each proxy it is the one rate under which the
 /// table's proxies, unequal in size, admit that ratio together.
-fn limit_for(fleet: &Fleet, table: &Table, operation: OperationId, ratio: f64) -> f64 {
-    match (fleet.config.admission_as_share, ratio > ADMIT_ALL) {
+fn admission_limit(fleet: &Fleet, table: &Table, operation: OperationId, ratio: f64) -> f64 {
+    match (fleet.config.admission_as_share, ratio > ADMIT_ALL_RATIO) {
         (true, true) => 1.0,
         (true, false) => ratio,
         (false, true) => UNLIMITED_RATE,
@@ -249,12 +250,12 @@
 /// The one rate under which proxies of such demands, unequal in size, admit a ratio of them together.
 fn common_rate_limit(mut demand: Vec<f64>, ratio: f64) -> Option<f64> {
     demand.sort_by(f64::total_cmp);
-    let (mut left, mut count) = (demand.iter().sum::<f64>() * ratio, demand.len());
+    let (mut remaining_rate, mut count) = (demand.iter().sum::<f64>() * ratio, demand.len());
     for rate in demand {
-        if rate * count as f64 >= left {
-            return Some((left / count as f64).max(LEAST_RATE));
+        if rate * count as f64 >= remaining_rate {
+            return Some((remaining_rate / count as f64).max(MIN_RATE));
         }
-        (left, count) = (left - rate, count - 1);
+        (remaining_rate, count) = (remaining_rate - rate, count - 1);
     }
     None
 }
--- a/crates/wheelspread/src/balancer.rs
+++ b/crates/wheelspread/src/balancer.rs
@@ -17,15 +17,15 @@
 use crate::pacing::Pacing;
 use crate::pcg::Pcg;
 use crate::publication::{
-    apply_urgent_changes, bind_joined, publish_admission, publish_weights, published_weights,
-    send_marker,
+    apply_urgent_changes, bind_joined_proxies, publish_admission, publish_weights,
+    published_weights, send_marker,
 };
 use crate::report_timing::REPORT_MEMORY;
 use crate::settings::Settings;
 use crate::shares::TableWeights;
 use crate::slow_start::limit_warming_entries;
 use crate::subset::divide_large_zones;
-use crate::tables::empty_demand;
+use crate::tables::zero_demand;
 use crate::time::{Moment, Span};
 use crate::update_plan::plan_step;
 use crate::Action;
@@ -34,11 +34,11 @@
 mod tests;
 
 /// Report periods between two decision rounds, at their usual pace.
-const ROUND_PERIODS: f64 = 0.25;
+const ROUND_INTERVAL_PERIODS: f64 = 0.25;
 /// The same where joins or changes of the endpoint list bring a round forward.
-const HURRIED_ROUND_PERIODS: f64 = 0.05;
+const MIN_ROUND_INTERVAL_PERIODS: f64 = 0.05;
 /// Of the memory of averages: that of demand.
-const DEMAND_MEMORY: f64 = REPORT_MEMORY.average_cycles / 3.0;
+const DEMAND_AVERAGING_CYCLES: f64 = REPORT_MEMORY.average_cycles / 3.0;
 
 /// All that one controller's balancer knows and has decided.
 pub struct Balancer {
@@ -48,16 +48,16 @@
     pacing: Pacing,
     rounds: Rounds,
     /// Whether the endpoint list or health has changed since the last step.
-    is_step_wanted: bool,
+    is_step_requested: bool,
     /// Whether the endpoint list has changed since the last publication.
-    is_publication_wanted: bool,
+    is_publication_requested: bool,
 }
 
 /// When decisions are made.
 struct Rounds {
-    timers: u64,
-    next_at: Moment,
-    last_at: Moment,
+    last_timer: u64,
+    next_round_at: Moment,
+    last_round_at: Moment,
 }
 
 impl Balancer {
@@ -69,12 +69,12 @@
             admission: Admission::new(now),
             pacing: Pacing::default(),
             rounds: Rounds {
-                timers: 0,
-                next_at: now,
-                last_at: Moment::default(),
+                last_timer: 0,
+                next_round_at: now,
+                last_round_at: Moment::default(),
             },
-            is_step_wanted: true,
-            is_publication_wanted: true,
+            is_step_requested: true,
+            is_publication_requested: true,
         })
     }
 
@@ -86,7 +86,7 @@
         }
         self.fleet.timing.set_period(config.report_period);
         self.fleet.config = config;
-        self.want_update();
+        self.request_update();
         Ok(())
     }
 
@@ -136,7 +136,7 @@
                 self.pacing.on_acknowledged(*proxy, *marker);
             }
             Event::PeerGossip { from, payload } => {
-                let classes: Vec<_> = empty_demand(&self.fleet.tables).into_keys().collect();
+                let classes: Vec<_> = zero_demand(&self.fleet.tables).into_keys().collect();
                 self.fleet
                     .gossip
                     .on_message(*from, payload, &classes, now)?;
@@ -171,12 +171,12 @@
         if measurements != Measurements::Keep {
             self.fleet.outliers.forget_node(id);
         }
-        self.want_update();
+        self.request_update();
     }
 
-    fn want_update(&mut self) {
-        self.is_step_wanted = true;
-        self.is_publication_wanted = true;
+    fn request_update(&mut self) {
+        self.is_step_requested = true;
+        self.is_publication_requested = true;
     }
 
     fn on_load_report(&mut self, event: &Event) -> Result<(), EventError> {
@@ -208,7 +208,7 @@
     ) -> Result<(), EventError> {
         let fleet = &mut self.fleet;
         fleet.timing.on_report(fleet.now, window);
-        let memory = fleet.timing.cycle() * DEMAND_MEMORY;
+        let memory = fleet.timing.cycle() * DEMAND_AVERAGING_CYCLES;
         let demand = fleet.members.demand_mut(proxy, operation)?;
         demand.add(
             requests,
@@ -243,24 +243,33 @@
         apply_urgent_changes(&self.fleet, targets, &mut draft);
 
         let may_update = self.pacing.may_update(&self.fleet);
-        let may_order = may_update && self.pacing.may_order(&self.fleet, self.is_step_wanted);
-        let is_step = may_order && self.pacing.may_step(&self.fleet);
-        if is_step {
+        let may_publish_paced = may_update
+            && self
+                .pacing
+                .may_publish_paced(&self.fleet, self.is_step_requested);
+        let should_step = may_publish_paced && self.pacing.may_step(&self.fleet);
+        if should_step {
             let cut = plan_step(&self.fleet, targets, &mut draft);
             self.admission.set_cut(cut);
-            self.is_step_wanted = false;
+            self.is_step_requested = false;
         }
         limit_warming_entries(&self.fleet, &mut draft);
 
         // Each by itself, limits of warming nodes once took all the messages allowed and no step went out for 12 s.
         let mut changed = Default::default();
         if may_update {
-            let is_wanted = std::mem::take(&mut self.is_publication_wanted) || may_order;
-            let may_lower = is_wanted && self.pacing.may_limit_warming(&self.fleet);
-            changed = publish_weights(&mut self.fleet, &self.pacing, &draft, may_lower, out);
+            let is_due = std::mem::take(&mut self.is_publication_requested) || may_publish_paced;
+            let may_adjust_weights = is_due && self.pacing.may_limit_warming(&self.fleet);
+            changed = publish_weights(
+                &mut self.fleet,
+                &self.pacing,
+                &draft,
+                may_adjust_weights,
+                out,
+            );
         }
-        if may_order {
-            self.pacing.on_orders(now);
+        if may_publish_paced {
+            self.pacing.on_paced_publication(now);
             if self
                 .pacing
                 .take_admission_due(self.fleet.timing.period(), now)
@@ -272,13 +281,13 @@
         if !changed.is_empty() {
             self.pacing.on_update(now);
         }
-        let bindings = bind_joined(&mut self.fleet, &self.pacing, &changed, out);
+        let bindings = bind_joined_proxies(&mut self.fleet, &self.pacing, &changed, out);
         send_marker(
             &mut self.fleet,
             &mut self.pacing,
             &changed,
             &bindings,
-            is_step,
+            should_step,
             out,
         );
     }
@@ -286,41 +295,42 @@
     /// Whether a round is due, by its timer or because something cannot wait; sets the next timer.
     fn begin_round(&mut self, out: &mut Vec<Action>) -> bool {
         let (now, period) = (self.fleet.now, self.fleet.timing.period());
-        if self.rounds.timers == 0 {
+        if self.rounds.last_timer == 0 {
             // After a restart the first endpoint list is a stale one.
             out.push(Action::RequestEndpointList);
         }
-        if now >= self.rounds.next_at {
-            let after = (period * ROUND_PERIODS).max(self.fleet.config.tick);
-            self.rounds.next_at = now + after;
-            self.rounds.timers += 1;
+        if now >= self.rounds.next_round_at {
+            let after = (period * ROUND_INTERVAL_PERIODS).max(self.fleet.config.tick);
+            self.rounds.next_round_at = now + after;
+            self.rounds.last_timer += 1;
             out.push(Action::SetTimer {
                 after,
-                timer: TimerId(self.rounds.timers),
+                timer: TimerId(self.rounds.last_timer),
             });
         } else {
-            let is_too_early = now - self.rounds.last_at < period * HURRIED_ROUND_PERIODS;
-            if is_too_early || !self.cannot_wait() {
+            let is_too_early =
+                now - self.rounds.last_round_at < period * MIN_ROUND_INTERVAL_PERIODS;
+            if is_too_early || !self.has_urgent_work() {
                 return false;
             }
         }
-        self.rounds.last_at = now;
+        self.rounds.last_round_at = now;
         true
     }
 
-    fn cannot_wait(&self) -> bool {
+    fn has_urgent_work(&self) -> bool {
         !self.fleet.members.unbound().is_empty()
-            || (self.is_publication_wanted && self.pacing.may_update(&self.fleet))
+            || (self.is_publication_requested && self.pacing.may_update(&self.fleet))
     }
 
     fn update_estimates(&mut self) {
-        self.pacing.forget_old(self.fleet.now);
+        self.pacing.drop_expired(self.fleet.now);
         self.fleet.forget_departed();
         self.fleet.update_kind_means();
         self.fleet.learn_capacity(self.admission.is_strained());
         self.fleet.update_kind_means();
         if self.fleet.detect_outliers(&mut self.random) {
-            self.is_step_wanted = true;
+            self.is_step_requested = true;
         }
     }
 
--- a/crates/wheelspread/src/balancer/tests.rs
+++ b/crates/wheelspread/src/balancer/tests.rs
@@ -20,58 +20,62 @@
 mod expectation;
 mod stage;
 
-use stage::{number, Stage};
+use stage::{number, ScenarioRunner};
 use test_case::test_case;
 
 /// Commands that are due, with their times in seconds.
 type Timeline<'a> = Vec<(f64, Vec<&'a str>)>;
 
 /// Plays events in the order of their times; an expectation stands after what is written before it.
-fn play(text: &str) {
-    let mut stage = Stage::default();
-    stage.set_defaults();
+fn run(scenario_text: &str) {
+    let mut runner = ScenarioRunner::default();
+    runner.set_defaults();
     let mut timeline = Timeline::new();
-    for line in text.lines() {
+    for line in scenario_text.lines() {
         let code = line.split('#').next().unwrap_or("");
         let words: Vec<&str> = code.split_whitespace().collect();
         match words.as_slice() {
             [] => {}
-            ["set", name, value] => stage.set(name, value),
-            ["unset", name] => stage.unset(name),
-            ["operation", rest @ ..] => stage.add_operation(rest),
-            ["start"] => stage.try_start(),
-            ["alone", rest @ ..] => {
-                play_timeline(&mut stage, &mut timeline);
-                stage.command(rest);
+            ["set", name, value] => runner.set(name, value),
+            ["unset", name] => runner.unset(name),
+            ["operation", arguments @ ..] => runner.add_operation(arguments),
+            ["start"] => runner.try_start(),
+            ["alone", arguments @ ..] => {
+                run_timeline(&mut runner, &mut timeline);
+                runner.command(arguments);
             }
-            ["expect", rest @ ..] => {
-                play_timeline(&mut stage, &mut timeline);
-                assert!(stage.meets(rest), "{line}\n{}", stage.describe());
+            ["expect", arguments @ ..] => {
+                run_timeline(&mut runner, &mut timeline);
+                assert!(
+                    runner.expectation_holds(arguments),
+                    "{line}\n{}",
+                    runner.describe()
+                );
             }
-            [time, rest @ ..] => schedule(&mut timeline, time, rest),
+            [time, arguments @ ..] => schedule(&mut timeline, time, arguments),
         }
     }
-    play_timeline(&mut stage, &mut timeline);
+    run_timeline(&mut runner, &mut timeline);
 }
 
 fn schedule<'a>(timeline: &mut Timeline<'a>, time: &str, command: &[&'a str]) {
-    let Some((from, until)) = time.split_once("..") else {
+    let Some((from, end_and_interval)) = time.split_once("..") else {
         return timeline.push((number(time), command.to_vec()));
     };
-    let (to, every) = until.split_once('/').expect("FROM..TO/EVERY");
+    let (to, every) = end_and_interval.split_once('/').expect("FROM..TO/EVERY");
     let count = ((number(to) - number(from)) / number(every) + 1e-9) as usize;
     let times = (0..=count).map(|n| number(from) + n as f64 * number(every));
     timeline.extend(times.map(|time| (time, command.to_vec())));
 }
 
-fn play_timeline(stage: &mut Stage, timeline: &mut Timeline) {
+fn run_timeline(runner: &mut ScenarioRunner, timeline: &mut Timeline) {
     timeline.sort_by(|a, b| a.0.total_cmp(&b.0));
-    for at in 0..timeline.len() {
-        let (time, command) = &timeline[at];
-        stage.set_time(*time);
-        stage.command(command);
-        if timeline.get(at + 1).is_none_or(|next| next.0 > *time) {
-            stage.decide();
+    for index in 0..timeline.len() {
+        let (time, command) = &timeline[index];
+        runner.set_time(*time);
+        runner.command(command);
+        if timeline.get(index + 1).is_none_or(|next| next.0 > *time) {
+            runner.decide();
         }
     }
     timeline.clear();
@@ -119,6 +123,6 @@
 #[test_case(include_str!("../../scenarios/messages_before_restart_count.txt"); "messages from before a restart count")]
 #[test_case(include_str!("../../scenarios/consecutive_joins_move_no_subset.txt"); "consecutive joins move no subset's table")]
 #[test_case(include_str!("../../scenarios/unacknowledged_markers_delay_no_join.txt"); "markers that are never acknowledged delay no join")]
-fn scenario(text: &str) {
-    play(text);
+fn scenario(scenario_text: &str) {
+    run(scenario_text);
 }
--- a/crates/wheelspread/src/balancer/tests/expectation.rs
+++ b/crates/wheelspread/src/balancer/tests/expectation.rs
@@ -1,6 +1,6 @@
 //! The expectations of scenarios.
 
-use super::stage::{node, number, proxy, table, zone, Stage};
+use super::stage::{node, number, proxy, table, zone, ScenarioRunner};
 use crate::ids::{NodeId, ProxyId};
 use crate::shares::shares;
 
@@ -9,9 +9,9 @@
     value >= number(low) - 1e-6 && value <= number(high) + 1e-6
 }
 
-impl Stage {
+impl ScenarioRunner {
     /// Whether an expectation holds.
-    pub fn meets(&self, words: &[&str]) -> bool {
+    pub fn expectation_holds(&self, words: &[&str]) -> bool {
         match words {
             [t, name, "absent"] => self.share(t, name).is_none(),
             [t, name, "present"] => self.share(t, name).is_some(),
@@ -27,15 +27,15 @@
             }
             ["cut", t, range] => self.balancer.as_ref().is_some_and(|balancer| {
                 let cut = balancer.admission.cut();
-                cut.is_some_and(|cut| cut.table == table(t) && is_within(cut.admitted, range))
+                cut.is_some_and(|cut| cut.table == table(t) && is_within(cut.admitted_ratio, range))
             }),
             ["no", "cut"] => self
                 .balancer
                 .as_ref()
                 .is_some_and(|balancer| balancer.admission.cut().is_none()),
             ["messages", p, "within", span, range] => {
-                let most = self.most_messages(proxy(p), number(span));
-                is_within(most as f64, range)
+                let max_count = self.max_messages(proxy(p), number(span));
+                is_within(max_count as f64, range)
             }
             ["changes", "since", time, range] => {
                 let changed = self.changed.iter();
@@ -61,7 +61,7 @@
     }
 
     /// The most messages to a proxy within a time, in seconds.
-    fn most_messages(&self, id: ProxyId, span: f64) -> usize {
+    fn max_messages(&self, id: ProxyId, span: f64) -> usize {
         let own = self.messages.iter().filter(|message| message.1 == id);
         let times: Vec<f64> = own.map(|message| message.0).collect();
         let within = |from: &f64| {
--- a/crates/wheelspread/src/balancer/tests/stage.rs
+++ b/crates/wheelspread/src/balancer/tests/stage.rs
@@ -11,12 +11,12 @@
 use crate::{Action, EndpointEntry, EndpointListKind, EndpointStatus, Event, RetryPolicy};
 use std::collections::{BTreeMap, BTreeSet};
 
-const EPOCH: f64 = 1000.0;
+const START_SECONDS: f64 = 1000.0;
 const SEED: u64 = 7;
 
 /// What a scenario has done so far.
 #[derive(Default)]
-pub(super) struct Stage {
+pub(super) struct ScenarioRunner {
     settings: Settings,
     operations: usize,
     pub balancer: Option<Balancer>,
@@ -60,7 +60,7 @@
     TableId(number(text) as u16)
 }
 
-fn pair<'a>(words: &[&'a str], key: &str) -> Option<&'a str> {
+fn value_of<'a>(words: &[&'a str], key: &str) -> Option<&'a str> {
     words
         .iter()
         .find_map(|word| word.strip_prefix(key)?.strip_prefix('='))
@@ -77,7 +77,7 @@
 }
 
 /// Settings.
-impl Stage {
+impl ScenarioRunner {
     pub fn set(&mut self, name: &str, value: &str) {
         let value = match (value.parse::<f64>(), value) {
             (Ok(value), _) => SettingValue::Number(value),
@@ -100,9 +100,9 @@
     }
 
     pub fn add_operation(&mut self, words: &[&str]) {
-        let at = self.operations;
+        let index = self.operations;
         self.operations += 1;
-        for (key, usual) in [
+        for (key, default) in [
             ("latency_objective", "1"),
             ("integration_timeout", "4"),
             ("billed_value", "1"),
@@ -111,21 +111,21 @@
             ("repeat_window", "5"),
             ("stays_in_zone", "false"),
         ] {
-            let value = pair(words, key).unwrap_or(usual);
-            self.set(&format!("operation.{at}.{key}"), value);
+            let value = value_of(words, key).unwrap_or(default);
+            self.set(&format!("operation.{index}.{key}"), value);
         }
         self.set("operation.count", &self.operations.to_string());
     }
 }
 
 /// The balancer and its clock.
-impl Stage {
+impl ScenarioRunner {
     pub fn set_time(&mut self, seconds: f64) {
         self.now = seconds;
     }
 
     fn moment(&self) -> Moment {
-        Moment::from_seconds(EPOCH + self.now)
+        Moment::from_seconds(START_SECONDS + self.now)
     }
 
     /// Starts the balancer where the settings allow it; the error is kept.
@@ -133,7 +133,11 @@
         if self.operations == 0 {
             self.add_operation(&[]);
         }
-        let start = Balancer::start(Moment::from_seconds(EPOCH), SEED, self.settings.clone());
+        let start = Balancer::start(
+            Moment::from_seconds(START_SECONDS),
+            SEED,
+            self.settings.clone(),
+        );
         self.balancer = start.map_err(|error| self.error = error.to_string()).ok();
     }
 
@@ -157,7 +161,7 @@
 }
 
 /// Commands.
-impl Stage {
+impl ScenarioRunner {
     pub fn command(&mut self, words: &[&str]) {
         match words {
             ["join" | "leave", names, rest @ ..] if names.contains(',') => {
@@ -258,8 +262,8 @@
                 _ => EndpointStatus::Ready,
             },
             weight: find('w').unwrap_or(1.0),
-            started: pair(&words, "age")
-                .map(|age| Moment::from_seconds(EPOCH + self.now - number(age))),
+            started: value_of(&words, "age")
+                .map(|age| Moment::from_seconds(START_SECONDS + self.now - number(age))),
         }
     }
 
@@ -281,9 +285,10 @@
     }
 
     fn load_report(&mut self, in_zone: &str, name: &str, rest: &[&str]) {
-        let get =
-            |key: &str, usual: f64| pair(rest, key).map_or(usual, |text| text.parse().expect(text));
-        let utilization = pair(rest, "utilization").map(|text| text.parse().expect(text));
+        let get = |key: &str, default: f64| {
+            value_of(rest, key).map_or(default, |text| text.parse().expect(text))
+        };
+        let utilization = value_of(rest, "utilization").map(|text| text.parse().expect(text));
         self.event(&Event::NodeLoadReport {
             zone: zone(in_zone),
             node: node(name),
@@ -339,19 +344,19 @@
 }
 
 /// Actions.
-impl Stage {
+impl ScenarioRunner {
     /// A decision round: takes in the actions and notes which proxies get a message.
     pub fn decide(&mut self) {
         let mut actions = Vec::new();
         let now = self.moment();
         self.balancer().decide(now, &mut actions);
-        let mut touched = BTreeSet::new();
+        let mut changed_tables = BTreeSet::new();
         for action in &actions {
-            touched.extend(self.apply(action));
+            changed_tables.extend(self.apply(action));
         }
         let bound = self.bound.iter();
         let mut receivers: BTreeSet<ProxyId> = bound
-            .filter(|(_, table)| touched.contains(table))
+            .filter(|(_, table)| changed_tables.contains(table))
             .map(|(proxy, _)| *proxy)
             .collect();
         for action in &actions {
--- a/crates/wheelspread/src/fleet.rs
+++ b/crates/wheelspread/src/fleet.rs
@@ -9,7 +9,7 @@
 use crate::outlier::{DetectionInput, Outliers};
 use crate::pcg::Pcg;
 use crate::report_timing::ReportTiming;
-use crate::tables::{empty_demand, undivided_tables, DemandClass, Table, Tables};
+use crate::tables::{undivided_tables, zero_demand, DemandClass, Table, Tables};
 use crate::time::Moment;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -118,7 +118,7 @@
     }
 
     fn own_demand(&self, counts: impl Fn(&Proxy) -> bool) -> BTreeMap<DemandClass, f64> {
-        let mut sums = empty_demand(&self.tables);
+        let mut sums = zero_demand(&self.tables);
         for proxy in self
             .members
             .proxies()
@@ -151,7 +151,7 @@
     /// Reads new load reports into the capacity estimates. Reports that show only a part of what nodes get, as
     /// while many proxies have left, teach nothing.
     pub fn learn_capacity(&mut self, is_strained: bool) {
-        let unreported = self.members.demand_of(|proxy| !proxy.has_joined())
+        let unreported = self.members.demand_where(|proxy| !proxy.has_joined())
             / self.members.total_demand().max(1e-6);
         let is_partial = self.config.controllers <= 1.0 && unreported > UNREPORTED_DEMAND;
         if !self.capacity.take_new_reports() || is_partial {
--- a/crates/wheelspread/src/flows.rs
+++ b/crates/wheelspread/src/flows.rs
@@ -37,14 +37,14 @@
 
 /// Whether `from` waits for `to`, directly or through others.
 pub(crate) fn is_waiting_for(waits: &WaitGraph, from: TableId, to: TableId) -> bool {
-    let mut seen = BTreeSet::new();
-    let mut next: Vec<TableId> = waits.get(&from).into_iter().flatten().copied().collect();
-    while let Some(table) = next.pop() {
+    let mut visited = BTreeSet::new();
+    let mut pending: Vec<TableId> = waits.get(&from).into_iter().flatten().copied().collect();
+    while let Some(table) = pending.pop() {
         if table == to {
             return true;
         }
-        if seen.insert(table) {
-            next.extend(waits.get(&table).into_iter().flatten());
+        if visited.insert(table) {
+            pending.extend(waits.get(&table).into_iter().flatten());
         }
     }
     false
--- a/crates/wheelspread/src/gossip.rs
+++ b/crates/wheelspread/src/gossip.rs
@@ -8,14 +8,14 @@
 use std::collections::BTreeMap;
 
 /// How long gossip stands and how often it is sent, in report periods.
-struct GossipTiming {
-    stands: f64,
-    between: f64,
+struct GossipPeriods {
+    validity: f64,
+    interval: f64,
 }
 
-const GOSSIP_TIMING: GossipTiming = GossipTiming {
-    stands: 12.0,
-    between: 2.0,
+const GOSSIP_PERIODS: GossipPeriods = GossipPeriods {
+    validity: 12.0,
+    interval: 2.0,
 };
 /// Longest message, in bytes.
 const MAX_MESSAGE_LENGTH: usize = 256;
@@ -24,7 +24,7 @@
 const DEMAND_LENGTH: usize = 4;
 const NODE_LENGTH: usize = 8;
 /// Rates of nodes are sent in parts of a request per second.
-const RATE_STEPS: f64 = 64.0;
+const RATE_SCALE: f64 = 64.0;
 const MAX_U16: f64 = 65535.0;
 
 /// What one peer reported; what a message does not name stands as it was reported before.
@@ -65,7 +65,7 @@
 
     /// What was received before that moment no longer counts.
     pub fn valid_since(period: Span, now: Moment) -> Moment {
-        now - period * GOSSIP_TIMING.stands
+        now - period * GOSSIP_PERIODS.validity
     }
 
     /// Takes in a message. `classes` are the classes of demand that have tables, in their order.
@@ -80,14 +80,14 @@
         let unreadable = EventError::UnreadableGossip {
             length: payload.len(),
         };
-        view.read(payload, classes, now).ok_or(unreadable)
+        view.decode(payload, classes, now).ok_or(unreadable)
     }
 
     /// Whether a message is due; it then counts as sent.
     pub fn take_due(&mut self, config: &Config, now: Moment) -> bool {
         let has_peers = config.gossip_enabled && config.controllers > 1.0;
         let is_due =
-            has_peers && now - self.last_sent_at >= config.report_period * GOSSIP_TIMING.between;
+            has_peers && now - self.last_sent_at >= config.report_period * GOSSIP_PERIODS.interval;
         if is_due {
             self.last_sent_at = now;
         }
@@ -110,8 +110,8 @@
 
     /// Requests per second that a node serves for peers' proxies, as reported since `since`.
     pub fn rate(&self, id: NodeId, since: Moment) -> f64 {
-        let reported = self.peers.values().filter_map(|peer| peer.rates.get(&id));
-        reported
+        let peer_rates = self.peers.values().filter_map(|peer| peer.rates.get(&id));
+        peer_rates
             .filter(|(_, reported_at)| *reported_at >= since)
             .map(|(rate, _)| rate)
             .sum()
@@ -127,9 +127,10 @@
 impl LocalView {
     /// The view in as many messages as it takes.
     pub fn messages(&self) -> Vec<Vec<u8>> {
-        let head = PROXIES_LENGTH + DEMAND_LENGTH * self.demand.len();
-        let nodes = (MAX_MESSAGE_LENGTH.saturating_sub(head) / NODE_LENGTH).max(1);
-        let chunks = self.rates.chunks(nodes);
+        let header_length = PROXIES_LENGTH + DEMAND_LENGTH * self.demand.len();
+        let nodes_per_message =
+            (MAX_MESSAGE_LENGTH.saturating_sub(header_length) / NODE_LENGTH).max(1);
+        let chunks = self.rates.chunks(nodes_per_message);
         chunks.map(|rates| self.message(rates)).collect()
     }
 
@@ -144,31 +145,32 @@
         for (id, rate) in rates {
             bytes.extend(id.address);
             bytes.extend(id.port.to_le_bytes());
-            bytes.extend(((rate * RATE_STEPS).min(MAX_U16) as u16).to_le_bytes());
+            bytes.extend(((rate * RATE_SCALE).min(MAX_U16) as u16).to_le_bytes());
         }
         bytes
     }
 }
 
 impl PeerView {
-    fn read(&mut self, bytes: &[u8], classes: &[DemandClass], now: Moment) -> Option<()> {
-        let head = PROXIES_LENGTH + DEMAND_LENGTH * classes.len();
-        if bytes.len() < head || !(bytes.len() - head).is_multiple_of(NODE_LENGTH) {
+    fn decode(&mut self, bytes: &[u8], classes: &[DemandClass], now: Moment) -> Option<()> {
+        let header_length = PROXIES_LENGTH + DEMAND_LENGTH * classes.len();
+        if bytes.len() < header_length || !(bytes.len() - header_length).is_multiple_of(NODE_LENGTH)
+        {
             return None;
         }
         self.last_message_at = now;
         self.proxies = f64::from(u16::from_le_bytes([bytes[0], bytes[1]]));
         let demands = bytes[PROXIES_LENGTH..].chunks_exact(DEMAND_LENGTH);
-        for (class, four) in classes.iter().zip(demands) {
-            let demand = f64::from(f32::from_le_bytes(four.try_into().ok()?));
+        for (class, demand_bytes) in classes.iter().zip(demands) {
+            let demand = f64::from(f32::from_le_bytes(demand_bytes.try_into().ok()?));
             if demand.is_finite() && demand >= 0.0 {
                 self.demand.insert(*class, demand);
             }
         }
-        for node in bytes[head..].chunks_exact(NODE_LENGTH) {
+        for node in bytes[header_length..].chunks_exact(NODE_LENGTH) {
             let address = node[..4].try_into().ok()?;
             let port = u16::from_le_bytes([node[4], node[5]]);
-            let rate = f64::from(u16::from_le_bytes([node[6], node[7]])) / RATE_STEPS;
+            let rate = f64::from(u16::from_le_bytes([node[6], node[7]])) / RATE_SCALE;
             self.rates.insert(NodeId { address, port }, (rate, now));
         }
         Some(())
--- a/crates/wheelspread/src/locality.rs
+++ b/crates/wheelspread/src/locality.rs
@@ -7,29 +7,29 @@
 
 use crate::fleet::Fleet;
 use crate::ids::{NodeId, ZoneId};
-use crate::shares::{hash_position, shares, NodeWeights, TableWeights};
+use crate::shares::{node_order_key, shares, NodeWeights, TableWeights};
 use crate::subset::{subset_ranges, SubsetRange};
 use crate::tables::{DemandClass, Table};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Up to what utilization traffic stays in its zone.
-struct ComfortableLoad {
+struct LocalUtilizationLimit {
     /// Of the zone's capacity.
     base: f64,
     /// More of it, by the price of crossing zones.
-    by_price: f64,
+    per_cross_zone_price: f64,
     /// More than the utilization of the fleet.
-    over_fleet: f64,
+    above_fleet_utilization: f64,
 }
 
-const COMFORTABLE_LOAD: ComfortableLoad = ComfortableLoad {
+const LOCAL_UTILIZATION_LIMIT: LocalUtilizationLimit = LocalUtilizationLimit {
     base: 0.6,
-    by_price: 3.0,
-    over_fleet: 0.08,
+    per_cross_zone_price: 3.0,
+    above_fleet_utilization: 0.08,
 };
 
 /// Of a table's traffic: smaller entries are left out.
-pub(crate) const LEAST_SHARE: f64 = 0.002;
+pub(crate) const MIN_SHARE: f64 = 0.002;
 
 /// An open node in the row.
 struct Candidate {
@@ -51,11 +51,11 @@
 
 /// The nodes, what each zone can use of them, and how far each zone's demand exceeds what is comfortable.
 struct Placement {
-    row: Vec<Candidate>,
+    candidates: Vec<Candidate>,
     /// By zone of the proxies, what each candidate can serve for them.
-    usable: BTreeMap<ZoneId, Vec<f64>>,
+    usable_capacity: BTreeMap<ZoneId, Vec<f64>>,
     /// The same by zone of the proxies and zone of the nodes, summed.
-    between: BTreeMap<(ZoneId, ZoneId), f64>,
+    capacity_between: BTreeMap<(ZoneId, ZoneId), f64>,
     demand: BTreeMap<DemandClass, f64>,
     /// By zone, the demand over the comfortable load; below 0: headroom.
     excess: BTreeMap<ZoneId, f64>,
@@ -64,41 +64,46 @@
 /// How a table's traffic divides between its own zone and the others.
 struct Spillover {
     /// Part that leaves the zone.
-    away: f64,
+    remote_share: f64,
     /// By other zone, the headroom and the capacity there.
-    reachable: BTreeMap<ZoneId, Reachable>,
-    total: Reachable,
+    remote_zones: BTreeMap<ZoneId, RemoteZone>,
+    total: RemoteZone,
 }
 
 #[derive(Clone, Copy, Default)]
-struct Reachable {
+struct RemoteZone {
     headroom: f64,
     capacity: f64,
 }
 
 impl Placement {
     fn new(fleet: &Fleet) -> Placement {
-        let row = node_row(fleet);
+        let candidates = ordered_candidates(fleet);
         let table_zones = fleet.tables.values().map(Table::zone);
-        let zones: BTreeSet<ZoneId> = row.iter().map(|c| c.zone).chain(table_zones).collect();
-        let usable = |from: ZoneId| {
-            let shares = row
+        let zones: BTreeSet<ZoneId> = candidates
+            .iter()
+            .map(|c| c.zone)
+            .chain(table_zones)
+            .collect();
+        let usable_capacity = |from: ZoneId| {
+            let shares = candidates
                 .iter()
                 .map(|c| c.capacity * fleet.usable_share(from, c.node));
             (from, shares.collect())
         };
-        let usable: BTreeMap<ZoneId, Vec<f64>> = zones.iter().map(|zone| usable(*zone)).collect();
-        let mut between: BTreeMap<(ZoneId, ZoneId), f64> = BTreeMap::new();
-        for (from, capacities) in &usable {
-            between.extend(zones.iter().map(|at| ((*from, *at), 0.0)));
-            for (candidate, capacity) in row.iter().zip(capacities) {
-                *between.entry((*from, candidate.zone)).or_default() += capacity;
+        let usable_capacity: BTreeMap<ZoneId, Vec<f64>> =
+            zones.iter().map(|zone| usable_capacity(*zone)).collect();
+        let mut capacity_between: BTreeMap<(ZoneId, ZoneId), f64> = BTreeMap::new();
+        for (from, capacities) in &usable_capacity {
+            capacity_between.extend(zones.iter().map(|node_zone| ((*from, *node_zone), 0.0)));
+            for (candidate, capacity) in candidates.iter().zip(capacities) {
+                *capacity_between.entry((*from, candidate.zone)).or_default() += capacity;
             }
         }
         let mut placement = Placement {
-            row,
-            usable,
-            between,
+            candidates,
+            usable_capacity,
+            capacity_between,
             demand: fleet.demand_by_class(),
             excess: BTreeMap::new(),
         };
@@ -107,13 +112,17 @@
     }
 
     fn zone_excess(&self, zones: &BTreeSet<ZoneId>, price: f64) -> BTreeMap<ZoneId, f64> {
-        let home: f64 = zones.iter().map(|zone| self.between[&(*zone, *zone)]).sum();
-        let fleet_load = self.demand.values().sum::<f64>() / home.max(1e-6);
-        let comfortable = (COMFORTABLE_LOAD.base + COMFORTABLE_LOAD.by_price * price)
-            .max(fleet_load + COMFORTABLE_LOAD.over_fleet);
+        let local_capacity: f64 = zones
+            .iter()
+            .map(|zone| self.capacity_between[&(*zone, *zone)])
+            .sum();
+        let fleet_utilization = self.demand.values().sum::<f64>() / local_capacity.max(1e-6);
+        let max_local_utilization = (LOCAL_UTILIZATION_LIMIT.base
+            + LOCAL_UTILIZATION_LIMIT.per_cross_zone_price * price)
+            .max(fleet_utilization + LOCAL_UTILIZATION_LIMIT.above_fleet_utilization);
         let excess = |zone: ZoneId| {
             self.demand_at(zone, false) + self.demand_at(zone, true)
-                - comfortable * self.between[&(zone, zone)]
+                - max_local_utilization * self.capacity_between[&(zone, zone)]
         };
         zones.iter().map(|zone| (*zone, excess(*zone))).collect()
     }
@@ -127,63 +136,76 @@
     }
 
     fn spillover(&self, table: &Table) -> Spillover {
-        let at = table.zone();
-        let others = self.excess.iter().filter(|(zone, _)| **zone != at);
-        let reachable: BTreeMap<ZoneId, Reachable> = others
+        let table_zone = table.zone();
+        let others = self.excess.iter().filter(|(zone, _)| **zone != table_zone);
+        let remote_zones: BTreeMap<ZoneId, RemoteZone> = others
             .map(|(zone, excess)| {
                 let headroom = (-excess).max(0.0);
                 (
                     *zone,
-                    Reachable {
+                    RemoteZone {
                         headroom,
-                        capacity: self.between[&(at, *zone)],
+                        capacity: self.capacity_between[&(table_zone, *zone)],
                     },
                 )
             })
             .collect();
-        let total = reachable
+        let total = remote_zones
             .values()
-            .fold(Reachable::default(), |sum, zone| Reachable {
+            .fold(RemoteZone::default(), |sum, zone| RemoteZone {
                 headroom: sum.headroom + zone.headroom,
                 capacity: sum.capacity + zone.capacity,
             });
-        let is_bound_to_zone = table.class().stays_in_zone || total.capacity <= 0.0;
-        let away = match (is_bound_to_zone, self.between[&(at, at)] > 0.0) {
+        let is_local_only = table.class().stays_in_zone || total.capacity <= 0.0;
+        let remote_share = match (
+            is_local_only,
+            self.capacity_between[&(table_zone, table_zone)] > 0.0,
+        ) {
             (true, _) => 0.0,
             (false, false) => 1.0,
-            (false, true) => {
-                (self.excess[&at] / self.demand_at(at, false).max(1e-6)).clamp(0.0, 1.0)
-            }
+            (false, true) => (self.excess[&table_zone]
+                / self.demand_at(table_zone, false).max(1e-6))
+            .clamp(0.0, 1.0),
         };
         Spillover {
-            away,
-            reachable,
+            remote_share,
+            remote_zones,
             total,
         }
     }
 
     /// Shares of one table's traffic, by the range of the row that its subset uses.
     fn table_shares(&self, table: &Table, range: SubsetRange) -> NodeWeights {
-        let at = table.zone();
+        let table_zone = table.zone();
         let spillover = self.spillover(table);
-        let mut filled = BTreeMap::<ZoneId, f64>::new();
+        let mut assigned_capacity = BTreeMap::<ZoneId, f64>::new();
         let mut entries = NodeWeights::new();
-        for (candidate, usable) in self.row.iter().zip(&self.usable[&at]) {
-            let whole = self.between[&(at, candidate.zone)].max(1e-6);
-            let position = filled.entry(candidate.zone).or_default();
-            let (from, to) = (*position / whole, (*position + usable) / whole);
-            *position += usable;
+        for (candidate, usable_capacity) in self
+            .candidates
+            .iter()
+            .zip(&self.usable_capacity[&table_zone])
+        {
+            let zone_capacity = self.capacity_between[&(table_zone, candidate.zone)].max(1e-6);
+            let position = assigned_capacity.entry(candidate.zone).or_default();
+            let (from, to) = (
+                *position / zone_capacity,
+                (*position + usable_capacity) / zone_capacity,
+            );
+            *position += usable_capacity;
             let overlap = (to.min(range.until) - from.max(range.from)).max(0.0);
-            let within = overlap / (range.until - range.from);
-            let share = within * spillover.share_of(candidate.zone);
-            if share > LEAST_SHARE {
+            let range_share = overlap / (range.until - range.from);
+            let share = range_share * spillover.share_of(candidate.zone);
+            if share > MIN_SHARE {
                 entries.insert(candidate.node, share);
             }
         }
         if entries.is_empty() {
             // No table may be left without a node: with no healthy one, any open one will do.
             let stays = table.class().stays_in_zone;
-            let allowed = self.row.iter().filter(|c| !stays || c.zone == at);
+            let allowed = self
+                .candidates
+                .iter()
+                .filter(|c| !stays || c.zone == table_zone);
             entries = allowed.map(|c| (c.node, c.capacity.max(1e-6))).collect();
         }
         shares(&entries)
@@ -193,24 +215,24 @@
 impl Spillover {
     /// Part of the table's traffic that goes to a zone; the table's own is none of the others.
     fn share_of(&self, zone: ZoneId) -> f64 {
-        match self.reachable.get(&zone) {
-            None => 1.0 - self.away,
+        match self.remote_zones.get(&zone) {
+            None => 1.0 - self.remote_share,
             Some(zone) if self.total.headroom > 0.0 => {
-                self.away * zone.headroom / self.total.headroom
+                self.remote_share * zone.headroom / self.total.headroom
             }
-            Some(zone) => self.away * zone.capacity / self.total.capacity.max(1e-6),
+            Some(zone) => self.remote_share * zone.capacity / self.total.capacity.max(1e-6),
         }
     }
 }
 
 /// All open nodes, by zone and then in an order by chance that stays the same.
-fn node_row(fleet: &Fleet) -> Vec<Candidate> {
+fn ordered_candidates(fleet: &Fleet) -> Vec<Candidate> {
     let open = fleet.nodes.open().map(|(id, node)| Candidate {
         node: *id,
         zone: node.zone(),
         capacity: fleet.effective_capacity_of(node),
     });
-    let mut row: Vec<Candidate> = open.collect();
-    row.sort_by_key(|candidate| (candidate.zone, hash_position(candidate.node)));
-    row
+    let mut candidates: Vec<Candidate> = open.collect();
+    candidates.sort_by_key(|candidate| (candidate.zone, node_order_key(candidate.node)));
+    candidates
 }
--- a/crates/wheelspread/src/membership.rs
+++ b/crates/wheelspread/src/membership.rs
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Of a proxy's message cap: assumed to have been used before a restart.
-const ASSUMED_USE_BEFORE_RESTART: f64 = 0.35;
+const ASSUMED_CAP_RATIO_BEFORE_RESTART: f64 = 0.35;
 /// Buckets in which the message window is counted, and how many are kept: two more than the window has, so that
 /// a message counts until it is surely outside.
 const MESSAGE_BUCKETS: f64 = 20.0;
@@ -24,7 +24,7 @@
     zone: ZoneId,
     has_joined: bool,
     is_bound: bool,
-    changed_at: Moment,
+    joined_or_left_at: Moment,
     demand: BTreeMap<OperationId, ReportedRate>,
     /// Messages that were sent to it.
     messages: RollingWindow<f64>,
@@ -94,14 +94,14 @@
                 Some(known.demand).filter(|demand| !demand.is_empty()),
                 known.messages,
             ),
-            None => (None, self.first_messages(fresh, config, now)),
+            None => (None, self.initial_messages(fresh, config, now)),
         };
         let demand = demand.unwrap_or_else(|| assumed_demand(usual_rate, config));
         let proxy = Proxy {
             zone,
             has_joined: true,
             is_bound: false,
-            changed_at: now,
+            joined_or_left_at: now,
             demand,
             messages,
         };
@@ -111,14 +111,14 @@
 
     /// Messages count on whatever connection they went, and from before a restart too: who holds a table may
     /// have it from this controller.
-    fn first_messages(&self, fresh: bool, config: &Config, now: Moment) -> RollingWindow<f64> {
+    fn initial_messages(&self, fresh: bool, config: &Config, now: Moment) -> RollingWindow<f64> {
         let window = config.message_window.max(Span::from_seconds(1.0));
         let bucket = window * (1.0 / MESSAGE_BUCKETS);
         let mut messages = RollingWindow::new(bucket, RETAINED_MESSAGE_BUCKETS);
         if !fresh && now - self.started_at < window {
             messages.add(
                 self.started_at,
-                ASSUMED_USE_BEFORE_RESTART * config.message_cap,
+                ASSUMED_CAP_RATIO_BEFORE_RESTART * config.message_cap,
             );
         }
         messages
@@ -130,7 +130,7 @@
             .proxies
             .get_mut(&id)
             .ok_or(EventError::NeverJoined(id))?;
-        (proxy.has_joined, proxy.is_bound, proxy.changed_at) = (false, false, now);
+        (proxy.has_joined, proxy.is_bound, proxy.joined_or_left_at) = (false, false, now);
         self.unbound.remove(&id);
         Ok(())
     }
@@ -151,7 +151,7 @@
     /// Drops proxies that left long ago.
     pub fn forget_departed(&mut self, is_recent: impl Fn(Moment) -> bool) {
         self.proxies
-            .retain(|_, proxy| proxy.has_joined || is_recent(proxy.changed_at));
+            .retain(|_, proxy| proxy.has_joined || is_recent(proxy.joined_or_left_at));
     }
 
     /// All proxies, by number.
@@ -165,8 +165,8 @@
     }
 
     /// Requests per second that come to some proxies.
-    pub fn demand_of(&self, counts: impl Fn(&Proxy) -> bool) -> f64 {
-        let counted = self.proxies.values().filter(|proxy| counts(proxy));
+    pub fn demand_where(&self, is_counted: impl Fn(&Proxy) -> bool) -> f64 {
+        let counted = self.proxies.values().filter(|proxy| is_counted(proxy));
         counted
             .flat_map(|proxy| proxy.demand.values())
             .filter_map(ReportedRate::get)
@@ -175,7 +175,7 @@
 
     /// Requests per second that come to all proxies.
     pub fn total_demand(&self) -> f64 {
-        self.demand_of(|_| true)
+        self.demand_where(|_| true)
     }
 
     /// Proxies that wait to be bound.
@@ -185,9 +185,9 @@
 
     /// Binds proxies of a zone again: which tables serve them has changed.
     pub fn rebind_zone(&mut self, zone: ZoneId) {
-        let bound = |proxy: &Proxy| proxy.has_joined && proxy.zone == zone && proxy.is_bound;
-        let again = self.proxies.iter().filter(|(_, proxy)| bound(proxy));
-        self.unbound.extend(again.map(|(id, _)| *id));
+        let is_affected = |proxy: &Proxy| proxy.has_joined && proxy.zone == zone && proxy.is_bound;
+        let to_rebind = self.proxies.iter().filter(|(_, proxy)| is_affected(proxy));
+        self.unbound.extend(to_rebind.map(|(id, _)| *id));
     }
 
     /// Proxies were bound.
@@ -204,7 +204,7 @@
     }
 
     /// The most messages that a joined proxy was sent within the window.
-    pub fn most_messages(&self, now: Moment) -> f64 {
+    pub fn max_messages(&self, now: Moment) -> f64 {
         self.joined()
             .map(|(_, proxy)| proxy.messages.total(now))
             .fold(0.0, f64::max)
@@ -213,12 +213,15 @@
 
 /// The usual rate, spread evenly over the operations.
 fn assumed_demand(usual_rate: f64, config: &Config) -> BTreeMap<OperationId, ReportedRate> {
-    let usual = if usual_rate.is_finite() {
+    let finite_rate = if usual_rate.is_finite() {
         usual_rate.max(0.0)
     } else {
         0.0
     };
-    let part = ReportedRate::assumed(usual / config.operations.len().max(1) as f64);
+    let rate_per_operation =
+        ReportedRate::assumed(finite_rate / config.operations.len().max(1) as f64);
     let operations = config.operations.iter();
-    operations.map(|operation| (operation.id, part)).collect()
+    operations
+        .map(|operation| (operation.id, rate_per_operation))
+        .collect()
 }
--- a/crates/wheelspread/src/publication.rs
+++ b/crates/wheelspread/src/publication.rs
@@ -8,16 +8,16 @@
 use crate::pacing::Pacing;
 use crate::shares::{NodeWeights, TableWeights};
 use crate::tables::Table;
-use crate::update_plan::{FIRST_WEIGHT_SUM, SMALL_ENTRY};
+use crate::update_plan::{INITIAL_WEIGHT_SUM, SMALL_ENTRY_RATIO};
 use crate::Action;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// To an entry's weight: smaller changes are not sent.
-const LEAST_WEIGHT_CHANGE: f64 = 0.06;
+const MIN_WEIGHT_CHANGE_RATIO: f64 = 0.06;
 /// To an admission limit: smaller changes are not sent.
-const LEAST_LIMIT_CHANGE: f64 = 0.04;
+const MIN_LIMIT_CHANGE_RATIO: f64 = 0.04;
 /// Of what a table's target gives ready nodes: with less it is taken whole.
-const LEAST_REMAINING_SHARE: f64 = 0.35;
+const MIN_REMAINING_RATIO: f64 = 0.35;
 
 /// How many entries of each table go out in this round, admission limits included.
 pub(crate) type ChangedEntries = BTreeMap<TableId, usize>;
@@ -43,13 +43,13 @@
         entries.retain(|node, _| fleet.nodes.is_open(node));
         let is_ready = |node: &&NodeId| fleet.nodes.get(node).is_some_and(Node::is_ready);
         let share = |node: &NodeId| target.get(node).copied().unwrap_or(0.0);
-        let meant: f64 = target.keys().filter(is_ready).map(share).sum();
-        let kept =
+        let ready_share: f64 = target.keys().filter(is_ready).map(share).sum();
+        let remaining_share =
             |entries: &NodeWeights| -> f64 { entries.keys().filter(is_ready).map(share).sum() };
-        if entries.is_empty() || kept(entries) < meant * LEAST_REMAINING_SHARE {
+        if entries.is_empty() || remaining_share(entries) < ready_share * MIN_REMAINING_RATIO {
             let weights = target
                 .iter()
-                .map(|(node, share)| (*node, share * FIRST_WEIGHT_SUM));
+                .map(|(node, share)| (*node, share * INITIAL_WEIGHT_SUM));
             *entries = weights.collect();
         }
     }
@@ -68,7 +68,7 @@
     fleet: &mut Fleet,
     pacing: &Pacing,
     draft: &TableWeights,
-    may_lower: bool,
+    may_adjust_weights: bool,
     out: &mut Vec<Action>,
 ) -> ChangedEntries {
     let mut headroom = pacing.publication_headroom(fleet);
@@ -77,11 +77,11 @@
         let Some(table) = fleet.tables.get(id) else {
             continue;
         };
-        let mut changes = entry_changes(table, goal, may_lower);
+        let mut changes = entry_changes(table, goal, may_adjust_weights);
         if changes.is_empty() {
             continue;
         }
-        keep_what_fits(fleet, table, &mut changes, &mut headroom);
+        retain_changes_within_headroom(fleet, table, &mut changes, &mut headroom);
         let Some(table) = fleet.tables.get_mut(id) else {
             continue;
         };
@@ -98,7 +98,7 @@
     changed
 }
 
-fn entry_changes(table: &Table, goal: &NodeWeights, may_lower: bool) -> Vec<EntryChange> {
+fn entry_changes(table: &Table, goal: &NodeWeights, may_adjust_weights: bool) -> Vec<EntryChange> {
     let mean = goal.values().sum::<f64>() / goal.len().max(1) as f64;
     let nodes: BTreeSet<NodeId> = table.entries().keys().chain(goal.keys()).copied().collect();
     let change = |node: NodeId| {
@@ -106,22 +106,23 @@
         let new = goal
             .get(&node)
             .map_or(0.0, |weight| f64::from(*weight as f32));
-        let least = LEAST_WEIGHT_CHANGE * new.max(old).max(SMALL_ENTRY * mean);
-        let moves = (new - old).abs() > least;
-        let is_due = new != old && (new == 0.0 || (moves && (may_lower || old == 0.0)));
+        let min_change = MIN_WEIGHT_CHANGE_RATIO * new.max(old).max(SMALL_ENTRY_RATIO * mean);
+        let is_large_enough = (new - old).abs() > min_change;
+        let is_due =
+            new != old && (new == 0.0 || (is_large_enough && (may_adjust_weights || old == 0.0)));
         is_due.then_some(EntryChange { node, old, new })
     };
     nodes.into_iter().filter_map(change).collect()
 }
 
 /// Drops changes that the queue has no headroom for; takes the others off the headroom.
-fn keep_what_fits(
+fn retain_changes_within_headroom(
     fleet: &Fleet,
     table: &Table,
     changes: &mut Vec<EntryChange>,
     headroom: &mut f64,
 ) {
-    let users = fleet
+    let proxy_count = fleet
         .proxies_of(table)
         .filter(|(_, proxy)| proxy.is_bound())
         .count() as f64;
@@ -129,17 +130,17 @@
         .entries()
         .keys()
         .any(|node| fleet.nodes.get(node).is_some_and(Node::is_ready));
-    *headroom -= users * fleet.config.message_entries(0);
-    let is_tight = *headroom < users * changes.len() as f64 && has_ready;
+    *headroom -= proxy_count * fleet.config.message_entries(0);
+    let lacks_headroom = *headroom < proxy_count * changes.len() as f64 && has_ready;
     changes.retain(|change| {
-        let gains = change.new > change.old;
+        let raises_weight = change.new > change.old;
         let lowers_warming = fleet.nodes.is_warming(&change.node) && change.new < change.old;
-        let goes = !is_tight
+        let is_sent = !lacks_headroom
             || !fleet.nodes.is_open(&change.node)
             || lowers_warming
-            || (gains && *headroom >= users);
-        *headroom -= if goes { users } else { 0.0 };
-        goes
+            || (raises_weight && *headroom >= proxy_count);
+        *headroom -= if is_sent { proxy_count } else { 0.0 };
+        is_sent
     });
 }
 
@@ -155,22 +156,22 @@
         .flat_map(|(id, table)| table.operations().iter().map(|operation| (*id, *operation)))
         .collect();
     for (id, operation) in all {
-        let order = admission.order(fleet, id, operation);
+        let policy = admission.policy(fleet, id, operation);
         let Some(table) = fleet.tables.get_mut(&id) else {
             continue;
         };
-        let is_near =
-            |old: f64| (old - order.limit).abs() <= LEAST_LIMIT_CHANGE * old.max(order.limit);
+        let is_small_change =
+            |old: f64| (old - policy.limit).abs() <= MIN_LIMIT_CHANGE_RATIO * old.max(policy.limit);
         let published = table.admission(operation);
-        if published.is_some_and(|old| is_near(old.limit) && old.retry == order.retry) {
+        if published.is_some_and(|old| is_small_change(old.limit) && old.retry == policy.retry) {
             continue;
         }
-        table.set_admission(operation, order);
+        table.set_admission(operation, policy);
         out.push(Action::SetAdmission {
             table: Some(id),
             operations: vec![operation],
-            limit: order.limit,
-            retry: order.retry,
+            limit: policy.limit,
+            retry: policy.retry,
         });
         *changed.entry(id).or_default() += 1;
     }
@@ -183,7 +184,7 @@
 }
 
 /// Binds proxies that have joined, at once; only a queue near its limit makes some wait.
-pub(crate) fn bind_joined(
+pub(crate) fn bind_joined_proxies(
     fleet: &mut Fleet,
     pacing: &Pacing,
     changed: &ChangedEntries,
@@ -224,7 +225,7 @@
 
 /// Who gets a message by the entries changed in tables, and how many entries that makes, heads included.
 fn receivers(fleet: &Fleet, changed: &ChangedEntries) -> (BTreeSet<ProxyId>, f64) {
-    let (mut to, mut sum) = (BTreeSet::new(), 0.0);
+    let (mut recipients, mut sum) = (BTreeSet::new(), 0.0);
     let proxies = fleet.members.proxies().iter();
     for (id, proxy) in proxies.filter(|(_, proxy)| proxy.is_bound()) {
         let tables = fleet.tables.iter();
@@ -232,10 +233,10 @@
         let count: usize = own.filter_map(|(id, _)| changed.get(id)).sum();
         if count > 0 {
             sum += fleet.config.message_entries(count);
-            to.insert(*id);
+            recipients.insert(*id);
         }
     }
-    (to, sum)
+    (recipients, sum)
 }
 
 /// Notes this round's messages and asks for their acknowledgement.
@@ -247,11 +248,11 @@
     is_step: bool,
     out: &mut Vec<Action>,
 ) {
-    let (mut to, entries) = receivers(fleet, changed);
-    to.extend(&bindings.proxies);
-    fleet.members.on_message_sent(&to, fleet.now);
-    if !to.is_empty() {
-        let marker = pacing.on_sent(fleet.now, to, entries + bindings.entries, is_step);
+    let (mut recipients, entries) = receivers(fleet, changed);
+    recipients.extend(&bindings.proxies);
+    fleet.members.on_message_sent(&recipients, fleet.now);
+    if !recipients.is_empty() {
+        let marker = pacing.on_sent(fleet.now, recipients, entries + bindings.entries, is_step);
         out.push(Action::SendMarker {
             marker,
             to_all: false,
--- a/crates/wheelspread/src/shares.rs
+++ b/crates/wheelspread/src/shares.rs
@@ -28,6 +28,6 @@
 }
 
 /// A random number that is always the same for a node; it orders the nodes of a zone.
-pub(crate) fn hash_position(id: NodeId) -> u32 {
+pub(crate) fn node_order_key(id: NodeId) -> u32 {
     Pcg::new(u64::from(u32::from_le_bytes(id.address)) << 16 | u64::from(id.port)).draw()
 }
--- a/crates/wheelspread/src/subset.rs
+++ b/crates/wheelspread/src/subset.rs
@@ -6,22 +6,22 @@
 use std::collections::BTreeMap;
 
 /// When a zone is divided into subsets.
-struct Subsetting {
+struct SubsetRules {
     /// Uses of an entry within the time after which a proxy closes an idle connection.
-    uses_while_idle: f64,
+    min_uses_per_idle_timeout: f64,
     /// Least nodes of a subset.
-    least_nodes: f64,
+    min_nodes: f64,
     /// Tables for each proxy, at most.
-    tables_per_proxy: f64,
+    max_tables_per_proxy: f64,
     /// Tables in all zones, at most.
-    most_tables: f64,
+    max_tables: f64,
 }
 
-const SUBSETTING: Subsetting = Subsetting {
-    uses_while_idle: 10.0,
-    least_nodes: 6.0,
-    tables_per_proxy: 0.2,
-    most_tables: 3e4,
+const SUBSET_RULES: SubsetRules = SubsetRules {
+    min_uses_per_idle_timeout: 10.0,
+    min_nodes: 6.0,
+    max_tables_per_proxy: 0.2,
+    max_tables: 3e4,
 };
 
 /// Part of a zone's row of nodes, which has length 1.
@@ -91,12 +91,13 @@
     }
     let demand = fleet
         .members
-        .demand_of(|proxy| proxy.has_joined() && proxy.zone() == zone);
-    let uses = demand / proxies.max(1.0) * fleet.config.connection_idle.seconds();
-    let most = expected_proxies * SUBSETTING.tables_per_proxy / tables.max(1) as f64;
-    let least_nodes = (uses / SUBSETTING.uses_while_idle).max(SUBSETTING.least_nodes);
-    let subsets = (nodes / least_nodes).min(most);
-    Some(subsets.clamp(1.0, SUBSETTING.most_tables / zones as f64) as u16)
+        .demand_where(|proxy| proxy.has_joined() && proxy.zone() == zone);
+    let uses_per_idle_timeout = demand / proxies.max(1.0) * fleet.config.connection_idle.seconds();
+    let max_subsets = expected_proxies * SUBSET_RULES.max_tables_per_proxy / tables.max(1) as f64;
+    let min_nodes = (uses_per_idle_timeout / SUBSET_RULES.min_uses_per_idle_timeout)
+        .max(SUBSET_RULES.min_nodes);
+    let subsets = (nodes / min_nodes).min(max_subsets);
+    Some(subsets.clamp(1.0, SUBSET_RULES.max_tables / zones as f64) as u16)
 }
 
 /// Replaces a table by one for each subset.
@@ -112,23 +113,23 @@
 /// count alike in each subset: by the first few alone, every join moved all ranges.
 pub(crate) fn subset_ranges(fleet: &Fleet) -> BTreeMap<(ZoneId, u16), SubsetRange> {
     let demand = demand_by_subset(fleet);
-    let of_zone = |zone: ZoneId| {
+    let zone_demand = |zone: ZoneId| {
         demand
             .range((zone, 0)..=(zone, u16::MAX))
             .map(|(_, sum)| sum)
     };
-    let before = |zone: ZoneId, subset: u16| {
+    let demand_before = |zone: ZoneId, subset: u16| {
         let earlier = demand.range((zone, 0)..(zone, subset));
         earlier.map(|(_, sum)| sum).sum::<f64>()
     };
     let range = |(zone, subset): (ZoneId, u16)| {
-        let all: f64 = of_zone(zone).sum();
-        let from = before(zone, subset) / all;
+        let total: f64 = zone_demand(zone).sum();
+        let from = demand_before(zone, subset) / total;
         (
             (zone, subset),
             SubsetRange {
                 from,
-                until: before(zone, subset + 1) / all,
+                until: demand_before(zone, subset + 1) / total,
             },
         )
     };
@@ -147,12 +148,13 @@
             .proxies()
             .values()
             .filter(|proxy| proxy.zone() == zone);
-        let known = own.count() as f64;
-        let own_demand = fleet.members.demand_of(|proxy| proxy.zone() == zone);
-        let missing = (expected - known).max(0.0) * own_demand / known.max(1.0);
+        let known_proxies = own.count() as f64;
+        let own_demand = fleet.members.demand_where(|proxy| proxy.zone() == zone);
+        let expected_demand =
+            (expected - known_proxies).max(0.0) * own_demand / known_proxies.max(1.0);
         let subsets = demand.range((zone, 0)..=(zone, u16::MAX)).count().max(1) as f64;
         for (_, sum) in demand.range_mut((zone, 0)..=(zone, u16::MAX)) {
-            *sum += missing / subsets;
+            *sum += expected_demand / subsets;
         }
     }
     demand
--- a/crates/wheelspread/src/tables.rs
+++ b/crates/wheelspread/src/tables.rs
@@ -15,7 +15,7 @@
 
 /// An admission limit and a retry policy as they were published.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct AdmissionOrder {
+pub(crate) struct AdmissionPolicy {
     /// A share of the requests, or a rate at each proxy, as the settings say.
     pub limit: f64,
     pub retry: RetryPolicy,
@@ -32,7 +32,7 @@
     operations: Vec<OperationId>,
     /// Weights as published; no entry has weight 0.
     entries: NodeWeights,
-    admission: BTreeMap<OperationId, AdmissionOrder>,
+    admission: BTreeMap<OperationId, AdmissionPolicy>,
 }
 
 impl Table {
@@ -62,7 +62,7 @@
     }
 
     /// The admission order as published; `None`: all is admitted.
-    pub fn admission(&self, operation: OperationId) -> Option<&AdmissionOrder> {
+    pub fn admission(&self, operation: OperationId) -> Option<&AdmissionPolicy> {
         self.admission.get(&operation)
     }
 
@@ -81,7 +81,7 @@
     }
 
     /// Publishes an admission order.
-    pub fn set_admission(&mut self, operation: OperationId, order: AdmissionOrder) {
+    pub fn set_admission(&mut self, operation: OperationId, order: AdmissionPolicy) {
         self.admission.insert(operation, order);
     }
 
@@ -123,12 +123,12 @@
 pub(crate) fn undivided_tables(operations: &[Operation], zones: u16) -> Tables {
     let mut tables = BTreeMap::new();
     for (zone, stays_in_zone) in (0..zones).flat_map(|zone| [(zone, false), (zone, true)]) {
-        let own: Vec<OperationId> = operations
+        let served: Vec<OperationId> = operations
             .iter()
             .filter(|operation| operation.stays_in_zone == stays_in_zone)
             .map(|operation| operation.id)
             .collect();
-        if !own.is_empty() {
+        if !served.is_empty() {
             let table = Table {
                 class: DemandClass {
                     zone: ZoneId(zone),
@@ -136,7 +136,7 @@
                 },
                 subset: 0,
                 subsets: 0,
-                operations: own,
+                operations: served,
                 entries: NodeWeights::new(),
                 admission: BTreeMap::new(),
             };
@@ -152,6 +152,6 @@
 }
 
 /// The classes of demand that have tables, each with a sum of 0.
-pub(crate) fn empty_demand(tables: &Tables) -> BTreeMap<DemandClass, f64> {
+pub(crate) fn zero_demand(tables: &Tables) -> BTreeMap<DemandClass, f64> {
     tables.values().map(|table| (table.class, 0.0)).collect()
 }
--- a/crates/wheelspread/src/update_plan.rs
+++ b/crates/wheelspread/src/update_plan.rs
@@ -11,49 +11,49 @@
 use crate::flows::{is_waiting_for, node_flow, WaitGraph};
 use crate::ids::{NodeId, TableId};
 use crate::lifecycle::Node;
-use crate::locality::LEAST_SHARE;
+use crate::locality::MIN_SHARE;
 use crate::shares::{shares, weight_of, NodeWeights, TableWeights};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The load that a node may get.
-struct NodeLimit {
+struct NodeLimitFactors {
     /// To its part of the traffic by listed weight.
-    to_even_part: f64,
+    even_share: f64,
     /// To that, while it warms up.
     warming: f64,
     /// To the most that it served while latency held.
-    to_peak: f64,
+    peak: f64,
 }
 
-const NODE_LIMIT: NodeLimit = NodeLimit {
-    to_even_part: 1.5,
+const NODE_LIMIT_FACTORS: NodeLimitFactors = NodeLimitFactors {
+    even_share: 1.5,
     warming: 0.5,
-    to_peak: 1.25,
+    peak: 1.25,
 };
 
 /// To an entry's weight: changes from there on start a step by themselves.
-const STEP_THRESHOLD: f64 = 0.12;
+const MIN_STEP_CHANGE_RATIO: f64 = 0.12;
 /// To a table's mean weight: entries below it count as that large when changes are compared.
-pub(crate) const SMALL_ENTRY: f64 = 0.3;
+pub(crate) const SMALL_ENTRY_RATIO: f64 = 0.3;
 /// Sum of the weights of a table that is written for the first time.
-pub(crate) const FIRST_WEIGHT_SUM: f64 = 100.0;
+pub(crate) const INITIAL_WEIGHT_SUM: f64 = 100.0;
 /// Least load that counts as one.
-const LEAST_LOAD: f64 = 1e-9;
+const MIN_LOAD: f64 = 1e-9;
 
 /// The greedy step and the admission cut.
-struct LastResort {
+struct DeadlockLimits {
     /// Of the load that a table moves: smaller greedy steps are not sent.
-    least_shift: f64,
+    min_shift_ratio: f64,
     /// Of the load that a table moves: what an admission cut is to make headroom for.
-    wanted_headroom: f64,
+    headroom_ratio: f64,
     /// Of a table's traffic: what is left after a cut, at least.
-    least_admitted: f64,
+    min_admitted_ratio: f64,
 }
 
-const LAST_RESORT: LastResort = LastResort {
-    least_shift: 0.01,
-    wanted_headroom: 0.1,
-    least_admitted: 0.5,
+const DEADLOCK_LIMITS: DeadlockLimits = DeadlockLimits {
+    min_shift_ratio: 0.01,
+    headroom_ratio: 0.1,
+    min_admitted_ratio: 0.5,
 };
 
 /// What the last resort leaves of a table's traffic while a step has no headroom.
@@ -61,7 +61,7 @@
 pub(crate) struct AdmissionCut {
     pub table: TableId,
     /// Part of the table's traffic that is still admitted.
-    pub admitted: f64,
+    pub admitted_ratio: f64,
 }
 
 /// One step of the way from what `draft` says to `targets`, written into `draft`. Returns the admission cut that
@@ -73,16 +73,16 @@
 ) -> Option<AdmissionCut> {
     let mut plan = Plan::new(fleet, targets, draft);
     let moving = tables_needing_a_step(fleet, targets, draft);
-    plan.find_additions(&moving);
-    let waits = plan.waits(&moving);
-    let mut publish: BTreeMap<TableId, f64> = unblocked_tables(&waits);
-    let deadlocked = deadlocked_tables(&moving, &waits);
+    plan.compute_additions(&moving);
+    let wait_graph = plan.wait_graph(&moving);
+    let mut publish: BTreeMap<TableId, f64> = unblocked_tables(&wait_graph);
+    let deadlocked = deadlocked_tables(&moving, &wait_graph);
     let mut cut = None;
     if !plan.complete_moves(&deadlocked, &mut publish) {
         cut = plan.greedy_step(fleet, &deadlocked, &mut publish);
     }
-    for (table, part) in publish {
-        plan.write(table, part, draft);
+    for (table, ratio) in publish {
+        plan.write_weights(table, ratio, draft);
     }
     cut
 }
@@ -105,15 +105,15 @@
 /// How far a table can move now.
 struct Shift {
     /// The load that it moves in all.
-    moved: f64,
+    moved_load: f64,
     /// The least headroom on its new nodes, and where that is; `None`: it adds to no node at risk.
-    tightest: Option<(f64, NodeId)>,
+    min_headroom: Option<(f64, NodeId)>,
 }
 
 impl Shift {
-    fn possible(&self) -> f64 {
-        self.tightest
-            .map_or(0.0, |(headroom, _)| self.moved.min(headroom))
+    fn possible_load(&self) -> f64 {
+        self.min_headroom
+            .map_or(0.0, |(headroom, _)| self.moved_load.min(headroom))
     }
 }
 
@@ -135,9 +135,13 @@
             additions: BTreeMap::new(),
         };
         let demand = fleet.demand_by_class().values().sum::<f64>();
-        let even_part = demand / fleet.nodes.open_weight().max(1e-6);
+        let rate_per_weight = demand / fleet.nodes.open_weight().max(1e-6);
         for (id, node) in fleet.nodes.iter() {
-            plan.assess_node(*id, node_limit(node, even_part), fleet.peers_rate(*id));
+            plan.assess_node(
+                *id,
+                node_limit(node, rate_per_weight),
+                fleet.peers_rate(*id),
+            );
         }
         plan
     }
@@ -155,40 +159,43 @@
             self.at_risk.insert(id);
         } else if flow.arriving > 0.0 && flow.arriving + staying > limit {
             // A weight that alone overfills the node rises in steps within the headroom.
-            let part = (headroom.max(0.0) / flow.arriving).min(1.0);
+            let ratio = (headroom.max(0.0) / flow.arriving).min(1.0);
             for (table, loads) in &mut self.goal {
                 let before = weight_of(&self.published, *table, id);
                 if let Some(after) = loads.get_mut(&id) {
-                    *after = after.min(before + (*after - before).max(0.0) * part);
+                    *after = after.min(before + (*after - before).max(0.0) * ratio);
                 }
             }
         }
     }
 
-    fn find_additions(&mut self, moving: &[TableId]) {
-        let added = |table: TableId| {
-            let more = self.at_risk.iter().map(|node| {
+    fn compute_additions(&mut self, moving: &[TableId]) {
+        let additions_of = |table: TableId| {
+            let added = self.at_risk.iter().map(|node| {
                 let before = weight_of(&self.published, table, *node);
                 (*node, weight_of(&self.goal, table, *node) - before)
             });
-            (table, more.filter(|(_, more)| *more > LEAST_LOAD).collect())
+            (
+                table,
+                added.filter(|(_, added)| *added > MIN_LOAD).collect(),
+            )
         };
-        self.additions = moving.iter().map(|table| added(*table)).collect();
+        self.additions = moving.iter().map(|table| additions_of(*table)).collect();
     }
 
-    fn takes_load_off(&self, table: TableId, node: NodeId) -> bool {
-        weight_of(&self.published, table, node) > weight_of(&self.target, table, node) + LEAST_LOAD
+    fn removes_load_from(&self, table: TableId, node: NodeId) -> bool {
+        weight_of(&self.published, table, node) > weight_of(&self.target, table, node) + MIN_LOAD
     }
 
     /// Removals before additions: who adds to a node at risk waits for those that take load off it.
-    fn waits(&self, moving: &[TableId]) -> WaitGraph {
+    fn wait_graph(&self, moving: &[TableId]) -> WaitGraph {
         let waits_for = |table: &TableId| {
             let others = moving.iter().copied().filter(|other| other != table);
             let awaited = others.filter(|other| {
                 let additions = &self.additions[table];
                 additions
                     .iter()
-                    .any(|(node, _)| self.takes_load_off(*other, *node))
+                    .any(|(node, _)| self.removes_load_from(*other, *node))
             });
             (*table, awaited.collect())
         };
@@ -201,33 +208,36 @@
         deadlocked: &[TableId],
         publish: &mut BTreeMap<TableId, f64>,
     ) -> bool {
-        let mut any = false;
+        let mut any_published = false;
         for table in deadlocked {
             let additions = &self.additions[table];
             if additions
                 .iter()
-                .all(|(node, more)| *more <= self.headroom[node])
+                .all(|(node, added)| *added <= self.headroom[node])
             {
-                for (node, more) in additions {
-                    *self.headroom.entry(*node).or_default() -= more;
+                for (node, added) in additions {
+                    *self.headroom.entry(*node).or_default() -= added;
                 }
                 publish.insert(*table, 1.0);
-                any = true;
+                any_published = true;
             }
         }
-        any
+        any_published
     }
 
     fn shift(&self, table: TableId) -> Shift {
-        let moved = self.published[&table]
+        let moved_load = self.published[&table]
             .iter()
             .map(|(node, load)| (load - weight_of(&self.goal, table, *node)).max(0.0))
             .sum();
-        let tightest = self.additions[&table]
+        let min_headroom = self.additions[&table]
             .iter()
             .map(|(node, _)| (self.headroom[node], *node))
             .min_by(|a, b| a.0.total_cmp(&b.0));
-        Shift { moved, tightest }
+        Shift {
+            moved_load,
+            min_headroom,
+        }
     }
 
     /// Moves a part of the table that can shift most. With no headroom at all, the table that brings most to the
@@ -239,61 +249,63 @@
         publish: &mut BTreeMap<TableId, f64>,
     ) -> Option<AdmissionCut> {
         let shifts = deadlocked.iter().map(|table| (*table, self.shift(*table)));
-        let (table, shift) = shifts.max_by(|a, b| a.1.possible().total_cmp(&b.1.possible()))?;
-        let possible = shift.possible();
-        if possible > shift.moved * LAST_RESORT.least_shift {
-            publish.insert(table, (possible / shift.moved).min(1.0));
+        let (table, shift) =
+            shifts.max_by(|a, b| a.1.possible_load().total_cmp(&b.1.possible_load()))?;
+        let possible_load = shift.possible_load();
+        if possible_load > shift.moved_load * DEADLOCK_LIMITS.min_shift_ratio {
+            publish.insert(table, (possible_load / shift.moved_load).min(1.0));
             return None;
         }
-        let (headroom, node) = shift.tightest?;
+        let (headroom, node) = shift.min_headroom?;
         let arriving = |table: &TableId| weight_of(&self.target, *table, node);
-        let largest = *fleet
+        let largest_table = *fleet
             .tables
             .keys()
             .max_by(|a, b| arriving(a).total_cmp(&arriving(b)))?;
-        let traffic = fleet.admitted_rate(&fleet.tables[&largest]).max(1e-6);
-        let shortfall = LAST_RESORT.wanted_headroom * shift.moved - headroom;
-        let admitted = (1.0 - shortfall / traffic).clamp(LAST_RESORT.least_admitted, 1.0);
+        let traffic = fleet.admitted_rate(&fleet.tables[&largest_table]).max(1e-6);
+        let shortfall = DEADLOCK_LIMITS.headroom_ratio * shift.moved_load - headroom;
+        let admitted_ratio =
+            (1.0 - shortfall / traffic).clamp(DEADLOCK_LIMITS.min_admitted_ratio, 1.0);
         Some(AdmissionCut {
-            table: largest,
-            admitted,
+            table: largest_table,
+            admitted_ratio,
         })
     }
 
     /// Writes a table's move, or a part of it, as weights.
-    fn write(&self, table: TableId, part: f64, draft: &mut TableWeights) {
-        let moved = |node: &NodeId| {
+    fn write_weights(&self, table: TableId, ratio: f64, draft: &mut TableWeights) {
+        let moved_entry = |node: &NodeId| {
             let before = weight_of(&self.published, table, *node);
             (
                 *node,
-                before + part * (weight_of(&self.goal, table, *node) - before),
+                before + ratio * (weight_of(&self.goal, table, *node) - before),
             )
         };
         let nodes = self.goal[&table]
             .keys()
             .chain(self.published[&table].keys());
-        let goal: NodeWeights = nodes.map(moved).collect();
+        let goal: NodeWeights = nodes.map(moved_entry).collect();
         let published_sum = draft[&table].values().sum::<f64>();
         let sum = if published_sum > 0.0 {
             published_sum.clamp(1.0, 1e6)
         } else {
-            FIRST_WEIGHT_SUM
+            INITIAL_WEIGHT_SUM
         };
         let mut entries = scaled(&shares(&goal), sum);
-        entries.retain(|_, weight| *weight > sum * LEAST_SHARE * 0.05);
+        entries.retain(|_, weight| *weight > sum * MIN_SHARE * 0.05);
         draft.insert(table, entries);
     }
 }
 
 /// The load that a node may get: a part of traffic by listed weight, or the most it served while latency held.
-fn node_limit(node: &Node, even_part: f64) -> f64 {
+fn node_limit(node: &Node, rate_per_weight: f64) -> f64 {
     let warming = if node.is_warming() {
-        NODE_LIMIT.warming
+        NODE_LIMIT_FACTORS.warming
     } else {
         1.0
     };
-    (even_part * node.weight() * NODE_LIMIT.to_even_part * warming)
-        .max(node.load.peak_within_objective() * NODE_LIMIT.to_peak)
+    (rate_per_weight * node.weight() * NODE_LIMIT_FACTORS.even_share * warming)
+        .max(node.load.peak_within_objective() * NODE_LIMIT_FACTORS.peak)
 }
 
 fn scaled(shares: &NodeWeights, sum: f64) -> NodeWeights {
@@ -321,19 +333,20 @@
     target.keys().chain(published.keys()).any(|node| {
         let old = published.get(node).copied().unwrap_or(0.0);
         let new = target.get(node).copied().unwrap_or(0.0);
-        let moves = (old - new).abs() > STEP_THRESHOLD * old.max(new).max(SMALL_ENTRY * mean);
-        moves || (old > 0.0) != (new > 0.0)
+        let is_large_change =
+            (old - new).abs() > MIN_STEP_CHANGE_RATIO * old.max(new).max(SMALL_ENTRY_RATIO * mean);
+        is_large_change || (old > 0.0) != (new > 0.0)
     })
 }
 
 /// Tables that wait for nobody, each to be published whole.
-fn unblocked_tables(waits: &WaitGraph) -> BTreeMap<TableId, f64> {
-    let unblocked = waits.iter().filter(|(_, awaited)| awaited.is_empty());
+fn unblocked_tables(wait_graph: &WaitGraph) -> BTreeMap<TableId, f64> {
+    let unblocked = wait_graph.iter().filter(|(_, awaited)| awaited.is_empty());
     unblocked.map(|(table, _)| (*table, 1.0)).collect()
 }
 
 /// Tables that wait, through others, for themselves.
-fn deadlocked_tables(moving: &[TableId], waits: &WaitGraph) -> Vec<TableId> {
-    let is_deadlocked = |table: &TableId| is_waiting_for(waits, *table, *table);
+fn deadlocked_tables(moving: &[TableId], wait_graph: &WaitGraph) -> Vec<TableId> {
+    let is_deadlocked = |table: &TableId| is_waiting_for(wait_graph, *table, *table);
     moving.iter().copied().filter(is_deadlocked).collect()
 }
--- a/crates/wheelspread/tests/action_snapshot.rs
+++ b/crates/wheelspread/tests/action_snapshot.rs
@@ -16,10 +16,10 @@
 
 const START_SECONDS: f64 = 5000.0;
 const STEP_SECONDS: f64 = 0.1;
-const STEPS: usize = 500;
+const STEP_COUNT: usize = 500;
 const RESTART_AT_STEP: usize = 380;
 
-struct Fleet {
+struct FleetSpec {
     settings: Vec<(&'static str, &'static str)>,
     zones: u16,
     nodes: u8,
@@ -33,18 +33,18 @@
 }
 
 struct World {
-    fleet: Fleet,
+    fleet: FleetSpec,
     random: Pcg,
     balancer: Balancer,
     step: usize,
-    nodes: BTreeMap<u8, Member>,
+    nodes: BTreeMap<u8, SimulatedNode>,
     joined: BTreeSet<u16>,
     /// Markers that wait for an answer, by the step in which it comes.
-    unanswered: Vec<(usize, MarkerId)>,
+    pending_markers: Vec<(usize, MarkerId)>,
     log: String,
 }
 
-struct Member {
+struct SimulatedNode {
     status: EndpointStatus,
     started: Option<Moment>,
     failing: bool,
@@ -95,7 +95,7 @@
     ("operation.2.repeat", "side-effecting"),
 ];
 
-fn settings(fleet: &Fleet) -> Settings {
+fn settings(fleet: &FleetSpec) -> Settings {
     let mut settings = Settings::default();
     let counts = [
         ("zone.count", fleet.zones.to_string()),
@@ -105,7 +105,7 @@
         .reports
         .iter()
         .enumerate()
-        .map(|(at, name)| (format!("report.field.{at}"), name.to_string()));
+        .map(|(index, name)| (format!("report.field.{index}"), name.to_string()));
     let all = COMMON_SETTINGS
         .iter()
         .chain(&fleet.settings)
@@ -126,14 +126,14 @@
 }
 
 impl World {
-    fn new(fleet: Fleet, seed: u64) -> World {
+    fn new(fleet: FleetSpec, seed: u64) -> World {
         let now = Moment::from_seconds(START_SECONDS);
         let balancer =
             Balancer::start(now, seed, settings(&fleet)).expect("the settings are complete");
-        let warm = |number| {
+        let ready_node = |number| {
             (
                 number,
-                Member {
+                SimulatedNode {
                     status: EndpointStatus::Ready,
                     started: None,
                     failing: false,
@@ -144,9 +144,9 @@
             random: Pcg::new(seed),
             balancer,
             step: 0,
-            nodes: (0..fleet.nodes).map(warm).collect(),
+            nodes: (0..fleet.nodes).map(ready_node).collect(),
             joined: BTreeSet::new(),
-            unanswered: Vec::new(),
+            pending_markers: Vec::new(),
             log: String::new(),
             fleet,
         }
@@ -156,8 +156,8 @@
         Moment::from_seconds(START_SECONDS + self.step as f64 * STEP_SECONDS)
     }
 
-    fn chance(&mut self, part: f64) -> bool {
-        self.random.unit() < part
+    fn chance(&mut self, probability: f64) -> bool {
+        self.random.unit() < probability
     }
 
     fn zone_of_node(&self, number: u8) -> ZoneId {
@@ -179,15 +179,15 @@
     }
 
     fn entry(&self, number: u8) -> EndpointEntry {
-        let member = &self.nodes[&number];
+        let node = &self.nodes[&number];
         EndpointEntry {
             node: node_id(number),
             zone: self.zone_of_node(number),
             kind: KindId(number % 2),
             cell: CellId(u16::from(number % 4)),
-            status: member.status,
+            status: node.status,
             weight: 1.0 + f64::from(number % 2),
-            started: member.started,
+            started: node.started,
         }
     }
 
@@ -208,11 +208,11 @@
         });
     }
 
-    fn membership(&mut self) {
+    fn update_membership(&mut self) {
         match self.step {
             0 => {
-                let all: Vec<u8> = self.nodes.keys().copied().collect();
-                self.publish_list(EndpointListKind::Complete, &all);
+                let numbers: Vec<u8> = self.nodes.keys().copied().collect();
+                self.publish_list(EndpointListKind::Complete, &numbers);
             }
             RESTART_AT_STEP => self.restart(),
             _ => {}
@@ -234,76 +234,78 @@
 
     fn restart(&mut self) {
         let seed = u64::from(self.random.draw());
-        let learnt: Vec<_> = self.balancer.capacity_snapshots().collect();
+        let snapshots: Vec<_> = self.balancer.capacity_snapshots().collect();
         self.balancer = Balancer::start(self.now(), seed, settings(&self.fleet))
             .expect("the settings are complete");
-        self.unanswered.clear();
-        let all: Vec<u8> = self.nodes.keys().copied().collect();
-        self.publish_list(EndpointListKind::Cached, &all);
-        self.balancer.restore_capacities(&learnt);
+        self.pending_markers.clear();
+        let numbers: Vec<u8> = self.nodes.keys().copied().collect();
+        self.publish_list(EndpointListKind::Cached, &numbers);
+        self.balancer.restore_capacities(&snapshots);
         for proxy in std::mem::take(&mut self.joined) {
             self.join(proxy, false);
         }
     }
 
     /// One of several things happens to a node: it drains, goes, starts anew, or begins or ends to fail.
-    fn node_changes(&mut self) {
+    fn change_one_node(&mut self) {
         if self.step < 60 || !self.chance(0.05) {
             return;
         }
         let number = self.random.draw() as u8 % self.fleet.nodes;
         let (choice, now) = (self.random.draw() % 4, self.now());
-        let Some(member) = self.nodes.get_mut(&number) else {
+        let Some(node) = self.nodes.get_mut(&number) else {
             return;
         };
-        match (choice, member.status) {
-            (0, EndpointStatus::Ready) => member.status = EndpointStatus::Draining,
-            (1, EndpointStatus::Draining) => member.status = EndpointStatus::Gone,
+        match (choice, node.status) {
+            (0, EndpointStatus::Ready) => node.status = EndpointStatus::Draining,
+            (1, EndpointStatus::Draining) => node.status = EndpointStatus::Gone,
             (_, EndpointStatus::Draining | EndpointStatus::Gone) => {
-                (member.status, member.started, member.failing) =
+                (node.status, node.started, node.failing) =
                     (EndpointStatus::Ready, Some(now), false);
             }
-            (2, EndpointStatus::Ready) => member.failing = !member.failing,
+            (2, EndpointStatus::Ready) => node.failing = !node.failing,
             _ => return,
         }
         self.publish_list(EndpointListKind::Changes, &[number]);
     }
 
-    fn reports(&mut self) {
+    fn send_reports(&mut self) {
         if self.step % 10 != 7 {
             return;
         }
         // More is asked for in the middle of the stream than all nodes together can serve.
-        let surge = if (200..300).contains(&self.step) {
+        let demand_factor = if (200..300).contains(&self.step) {
             2.5
         } else {
             1.0
         };
         for proxy in self.joined.clone() {
             for operation in 0..3 {
-                let count = self.fleet.proxy_rate * surge * (0.2 + 0.2 * self.random.unit());
+                let count =
+                    self.fleet.proxy_rate * demand_factor * (0.2 + 0.2 * self.random.unit());
                 let (proxy, operation) = (ProxyId(proxy), OperationId(operation));
-                let over = Span::from_seconds(1.0);
+                let report_window = Span::from_seconds(1.0);
                 self.handle(&Event::DemandReport {
                     proxy,
                     operation,
                     requests: count,
                     failures: 0.0,
-                    window: over,
+                    window: report_window,
                 });
             }
         }
         let ready = self
             .nodes
             .iter()
-            .filter(|(_, member)| member.status == EndpointStatus::Ready);
+            .filter(|(_, node)| node.status == EndpointStatus::Ready);
         let ready: Vec<(u8, bool)> = ready
-            .map(|(number, member)| (*number, member.failing))
+            .map(|(number, node)| (*number, node.failing))
             .collect();
-        let asked =
-            self.joined.len() as f64 * self.fleet.proxy_rate * surge / ready.len().max(1) as f64;
+        let requested_rate = self.joined.len() as f64 * self.fleet.proxy_rate * demand_factor
+            / ready.len().max(1) as f64;
         for (number, failing) in ready {
-            let busy = asked / self.fleet.node_rate * (0.8 + 0.4 * self.random.unit());
+            let utilization =
+                requested_rate / self.fleet.node_rate * (0.8 + 0.4 * self.random.unit());
             for zone in 0..self.fleet.zones {
                 if self.chance(0.1) {
                     continue;
@@ -311,41 +313,48 @@
                 self.node_report(
                     number,
                     ZoneId(zone),
-                    asked / f64::from(self.fleet.zones),
-                    busy,
+                    requested_rate / f64::from(self.fleet.zones),
+                    utilization,
                     failing,
                 );
             }
         }
     }
 
-    fn node_report(&mut self, number: u8, zone: ZoneId, asked: f64, busy: f64, failing: bool) {
-        let tries = (asked * (0.8 + 0.4 * self.random.unit())).round();
-        let part = if failing {
+    fn node_report(
+        &mut self,
+        number: u8,
+        zone: ZoneId,
+        requested_rate: f64,
+        utilization: f64,
+        failing: bool,
+    ) {
+        let attempt_count = (requested_rate * (0.8 + 0.4 * self.random.unit())).round();
+        let failure_ratio = if failing {
             0.95
         } else {
-            (busy - 1.0).clamp(0.0, 0.6)
+            (utilization - 1.0).clamp(0.0, 0.6)
         };
-        let time = 0.02 + 0.08 * busy.min(3.0) * self.random.unit();
+        let latency_seconds = 0.02 + 0.08 * utilization.min(3.0) * self.random.unit();
         let value = |name: &&str| {
             if *name == "queue" {
-                (busy - 0.6).max(0.0) * 10.0
+                (utilization - 0.6).max(0.0) * 10.0
             } else {
-                busy.min(1.0)
+                utilization.min(1.0)
             }
         };
         self.handle(&Event::NodeLoadReport {
             zone,
             node: node_id(number),
-            attempts: tries,
-            failures: (tries * part).floor(),
-            mean_latency: Span::from_seconds(time),
+            attempts: attempt_count,
+            failures: (attempt_count * failure_ratio).floor(),
+            mean_latency: Span::from_seconds(latency_seconds),
             window: Span::from_seconds(1.0),
             metrics: self.fleet.reports.iter().map(value).collect(),
         });
     }
 
-    fn gossip(&mut self) {
+    fn send_gossip(&mut self) {
         if !self.fleet.peers || self.step % 20 != 11 {
             return;
         }
@@ -367,15 +376,18 @@
 
     fn acknowledge(&mut self) {
         let step = self.step;
-        let (due, later) = self.unanswered.drain(..).partition(|(at, _)| *at <= step);
-        self.unanswered = later;
+        let (due, later) = self
+            .pending_markers
+            .drain(..)
+            .partition(|(due_step, _)| *due_step <= step);
+        self.pending_markers = later;
         let due: Vec<(usize, MarkerId)> = due;
-        for (_, mark) in due {
+        for (_, marker_id) in due {
             for proxy in self.joined.clone() {
                 if !self.chance(0.05) {
                     self.handle(&Event::MarkerAcknowledged {
                         proxy: ProxyId(proxy),
-                        marker: mark,
+                        marker: marker_id,
                         latency: Span::from_seconds(0.2),
                     });
                 }
@@ -388,20 +400,24 @@
         let now = self.now();
         self.balancer.decide(now, &mut actions);
         for action in &actions {
-            if let Action::SendMarker { marker: mark, .. } = action {
-                let wait = 1 + self.random.draw() as usize % 6;
-                self.unanswered.push((self.step + wait, *mark));
+            if let Action::SendMarker {
+                marker: marker_id, ..
+            } = action
+            {
+                let delay_steps = 1 + self.random.draw() as usize % 6;
+                self.pending_markers
+                    .push((self.step + delay_steps, *marker_id));
             }
             writeln!(self.log, "{} {}", self.step, describe(action)).expect("a string takes all");
         }
     }
 
     fn play(mut self) -> String {
-        while self.step < STEPS {
-            self.membership();
-            self.node_changes();
-            self.reports();
-            self.gossip();
+        while self.step < STEP_COUNT {
+            self.update_membership();
+            self.change_one_node();
+            self.send_reports();
+            self.send_gossip();
             self.acknowledge();
             self.decide();
             self.step += 1;
@@ -485,7 +501,7 @@
 
 #[test]
 fn actions_of_a_single_controller_stay_the_same() {
-    let fleet = Fleet {
+    let fleet = FleetSpec {
         settings: vec![],
         zones: 2,
         nodes: 10,
@@ -500,7 +516,7 @@
 
 #[test]
 fn actions_of_a_controller_with_peers_stay_the_same() {
-    let fleet = Fleet {
+    let fleet = FleetSpec {
         settings: vec![
             ("conductor.count", "2"),
             ("peers.may_tell", "true"),
@@ -519,7 +535,7 @@
 
 #[test]
 fn actions_with_subsets_and_a_tight_queue_stay_the_same() {
-    let fleet = Fleet {
+    let fleet = FleetSpec {
         settings: vec![
             ("channel.lines_waiting_at_most", "400"),
             ("channel.messages_at_most", "12"),
