--- a/crates/wheelspread/src/action.rs
+++ b/crates/wheelspread/src/action.rs
@@ -1,9 +1,9 @@
-//! Output of the balancer: what a controller is to publish, send or schedule.
+//! Output of the balancer: what the controller is to publish, send or schedule.
 
 use crate::ids::*;
 use crate::time::Span;
 
-/// When a proxy retries a request at another node.
+/// When a proxy retries a failed request at another node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryPolicy {
     /// Never.
@@ -16,7 +16,7 @@
     TwiceOnAnyFailure,
 }
 
-/// An order to the host of the balancer.
+/// An instruction to the host of the balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Sets a node's weight in a table; 0 removes the entry.
@@ -39,35 +39,36 @@
         proxy: ProxyId,
         /// The table.
         table: TableId,
-        /// The operations it serves; empty: all of them.
+        /// The operations that the table serves for the proxy; empty: all operations.
         operations: Vec<OperationId>,
     },
-    /// Sets how much proxies admit and when they retry.
+    /// Sets the admission limit and the retry policy of operations.
     SetAdmission {
-        /// The table whose proxies are meant; `None`: all joined proxies.
+        /// The table whose proxies are affected; `None`: all joined proxies.
         table: Option<TableId>,
-        /// The operations that are meant.
+        /// The affected operations.
         operations: Vec<OperationId>,
-        /// A share of the requests, or a rate at each proxy, as the settings say.
+        /// A ratio of the requests, or a rate limit per proxy in requests per second, depending on the settings.
         limit: f64,
-        /// When to retry.
+        /// The retry policy.
         retry: RetryPolicy,
     },
-    /// Makes all proxies avoid a node, or use it again.
+    /// Ejects a node at all proxies, or ends its ejection.
     EjectNode {
         /// The node.
         node: NodeId,
-        /// Whether it is to be avoided.
+        /// Whether the node is ejected.
         ejected: bool,
     },
-    /// Asks proxies to acknowledge everything that was sent before.
+    /// Asks proxies to acknowledge everything that was sent before the marker.
     SendMarker {
         /// The version marker to acknowledge.
         marker: MarkerId,
-        /// Whether every joined proxy is asked, not only those that are sent something now.
+        /// Whether every joined proxy is asked to acknowledge, not only the proxies that are sent something in
+        /// this round.
         to_all: bool,
     },
-    /// Orders a health check.
+    /// Requests a health check of a node.
     ProbeNode {
         /// The node.
         node: NodeId,
@@ -79,16 +80,16 @@
         /// The message.
         payload: Vec<u8>,
     },
-    /// Asks for a `TimerFired` event.
+    /// Requests a `TimerFired` event.
     SetTimer {
-        /// How long from now.
+        /// Time from now until the timer fires.
         after: Span,
         /// The timer.
         timer: TimerId,
     },
-    /// Asks for a complete endpoint list.
+    /// Requests a complete endpoint list.
     RequestEndpointList,
-    /// Begins or ends watching the endpoint list.
+    /// Starts or stops watching the endpoint list.
     WatchEndpoints {
         /// Whether to watch.
         enabled: bool,
--- a/crates/wheelspread/src/admission.rs
+++ b/crates/wheelspread/src/admission.rs
@@ -1,9 +1,10 @@
-//! Admission under overload: what is asked beyond capacity is rejected at the proxies, the operations of least
-//! billed value first.
+//! Admission under overload: demand beyond the capacity target is rejected at the proxies, starting with the
+//! operations of the lowest billed value.
 //!
-//! Covers overload, lost nodes, and whatever slows all nodes at once. Harm: an estimate too low rejects too much,
-//! so nothing is cut unless measured load or failures confirm it, and never below what nodes were lately seen to
-//! serve; the easing factor follows the failures rather than the estimate.
+//! This covers overload, lost nodes and anything that slows down all nodes at once. A capacity estimate that is
+//! too low would reject too many requests. Therefore admission is cut only if measured load or failures confirm
+//! the overload, and never below the rate that nodes recently served. A separate capacity factor follows the
+//! failures, not the estimate.
 
 use crate::fleet::Fleet;
 use crate::fleet_load::{mean_utilization, measured_load, FleetLoad, LOAD_THRESHOLDS};
@@ -16,11 +17,12 @@
 use crate::update_plan::AdmissionCut;
 use std::collections::BTreeMap;
 
-/// What admission aims at under overload.
+/// Ratios that make up the capacity target, the demand that is admitted under overload.
 struct CapacityTargetRatios {
-    /// Of the estimated capacity.
+    /// Ratio of the estimated capacity.
     capacity_ratio: f64,
-    /// Of the most that a node was lately seen to serve: it can do that again.
+    /// Ratio of the highest rate that a node recently served. A node can serve this rate again, even if the
+    /// estimate is lower.
     recent_peak_ratio: f64,
 }
 
@@ -29,14 +31,16 @@
     recent_peak_ratio: 0.95,
 };
 
-/// How admission follows failures.
+/// How the factor of the capacity target follows failures.
 struct CapacityFactor {
-    /// Each cut, to what was aimed at before.
+    /// Multiplier of each decrease.
     decrease: f64,
+    /// Minimum value of the factor.
     floor: f64,
-    /// Each return, while the fleet is not overrun.
+    /// Increment in each admission update while the measured load is below 1.
     increase: f64,
-    /// Report cycles between two cuts: each waits for reports from after it.
+    /// Minimum interval between two decreases, in report cycles, so that reports show the effect of one decrease
+    /// before the next.
     decrease_interval_cycles: f64,
 }
 
@@ -47,34 +51,37 @@
     decrease_interval_cycles: 3.0,
 };
 
-/// Of an operation's traffic: what is left before the next operation is cut, in two rounds.
+/// Minimum admission ratio of an operation, in two passes: every operation is cut to the first ratio before any is
+/// cut to the second.
 const MIN_RATIOS: [f64; 2] = [0.3, 0.02];
-/// An admission ratio's return each time: to the ratio and this much more, at most.
+/// Recovery of an admission ratio in one update: the ratio increases by this step times the sum of the ratio and
+/// the offset, where that sum counts as at most 1.
 const RECOVERY_STEP: f64 = 0.08;
 const RECOVERY_OFFSET: f64 = 0.2;
-/// Of an operation's traffic: larger ratios admit all.
+/// Admission ratio above which all requests of an operation are admitted.
 const ADMIT_ALL_RATIO: f64 = 0.97;
-/// A rate at each proxy that admits all.
+/// Admission limit of each proxy that admits all requests, in requests per second.
 const UNLIMITED_RATE: f64 = 1e6;
+/// Minimum admission limit of each proxy, in requests per second.
 const MIN_RATE: f64 = 0.1;
 
-/// The admission ratios that were decided.
+/// Current admission ratios and the state from which they are updated.
 #[derive(Clone, Debug)]
 pub(crate) struct Admission {
-    /// Part of the requests that is admitted, by table and operation.
+    /// Ratio of the requests that is admitted, by table and operation.
     ratios: BTreeMap<(TableId, OperationId), f64>,
-    /// What the last resort of an update plan takes off a table.
+    /// Admission cut of the latest update plan.
     cut: Option<AdmissionCut>,
-    /// To the capacity that is aimed at: lower while failures go on.
+    /// Factor of the capacity target; decreases while failures continue.
     capacity_factor: f64,
     last_decrease_at: Moment,
     load: FleetLoad,
-    /// When the fleet was last anything but calm.
+    /// Last time at which the measured load was at or above the `calm` threshold.
     last_busy_at: Moment,
 }
 
 impl Admission {
-    /// Everything is admitted.
+    /// Starts with all requests admitted.
     pub fn new(now: Moment) -> Admission {
         Admission {
             ratios: BTreeMap::new(),
@@ -86,23 +93,23 @@
         }
     }
 
-    /// Whether the fleet is overloaded.
+    /// Whether the measured load was at or above the `strained` threshold in the last update.
     pub fn is_strained(&self) -> bool {
         self.load == FleetLoad::Strained
     }
 
-    /// The last resort of the latest update plan; `None`: it had headroom.
+    /// Sets the admission cut of the latest update plan; `None`: the plan had headroom.
     pub fn set_cut(&mut self, cut: Option<AdmissionCut>) {
         self.cut = cut;
     }
 
-    /// What was last set.
+    /// The current admission cut.
     #[cfg(test)]
     pub fn cut(&self) -> Option<AdmissionCut> {
         self.cut
     }
 
-    /// Decides the admission ratios of all tables.
+    /// Updates the admission ratios of all tables.
     pub fn update(&mut self, fleet: &Fleet) {
         self.update_load(fleet);
         let demand = fleet.demand_by_class();
@@ -158,7 +165,8 @@
         }
     }
 
-    /// Ratios by operation that leave no more than the nodes can serve: the cheapest are cut first.
+    /// Admission ratios by operation that reduce the demand to the capacity target. Operations of the lowest
+    /// billed value are cut first.
     fn ratios_by_value(&self, fleet: &Fleet, demand: f64) -> BTreeMap<OperationId, f64> {
         let usable = |node: &Node| {
             let peak = node.load.recent_peak() * CAPACITY_TARGET_RATIOS.recent_peak_ratio;
@@ -190,7 +198,7 @@
         ratios
     }
 
-    /// What is to be published for an operation of a table.
+    /// The admission limit and the retry policy to publish for an operation of a table.
     pub fn policy(&self, fleet: &Fleet, table: TableId, operation: OperationId) -> AdmissionPolicy {
         let cut = self.cut.filter(|cut| cut.table == table);
         let ratio = self.ratio(table, operation) * cut.map_or(1.0, |cut| cut.admitted_ratio);
@@ -202,7 +210,8 @@
     }
 }
 
-/// Where requests may not leave a zone whose nodes are strained: the ratio that these can serve.
+/// For a table whose requests stay in its zone: the admission ratio that the nodes of the zone can serve, while
+/// the utilization of the zone is high.
 fn zone_limit(fleet: &Fleet, table: &Table, demand: &BTreeMap<DemandClass, f64>) -> Option<f64> {
     let zone = table.zone();
     let is_strained = |zone: ZoneId| {
@@ -216,7 +225,7 @@
     Some(capacity / demand[&table.class()].max(1e-6))
 }
 
-/// Where a table has entries of warming nodes only: the ratio that these may take.
+/// For a table that has only entries of warming nodes: the admission ratio that these nodes can take together.
 fn warming_ratio(fleet: &Fleet, table: &Table) -> Option<f64> {
     if table.entries().is_empty() {
         return None;
@@ -228,8 +237,8 @@
     Some(sum / fleet.demand_of(table).max(1e-6))
 }
 
-/// An admission ratio as the settings want it said. As a rate at each proxy it is the one rate under which the
-/// table's proxies, unequal in size, admit that ratio together.
+/// Converts an admission ratio to the form that the settings require: a ratio, or a rate limit that is the same
+/// for all joined proxies of the table.
 fn admission_limit(fleet: &Fleet, table: &Table, operation: OperationId, ratio: f64) -> f64 {
     match (fleet.config.admission_as_share, ratio > ADMIT_ALL_RATIO) {
         (true, true) => 1.0,
@@ -247,7 +256,8 @@
     }
 }
 
-/// The one rate under which proxies of such demands, unequal in size, admit a ratio of them together.
+/// The common rate limit under which proxies with the given, unequal demand together admit `ratio` of the total
+/// demand; `None` if no limit is needed.
 fn common_rate_limit(mut demand: Vec<f64>, ratio: f64) -> Option<f64> {
     demand.sort_by(f64::total_cmp);
     let (mut remaining_rate, mut count) = (demand.iter().sum::<f64>() * ratio, demand.len());
--- a/crates/wheelspread/src/balancer.rs
+++ b/crates/wheelspread/src/balancer.rs
@@ -1,7 +1,8 @@
-//! The balancer: takes in events and decides, once a moment, what a controller is to publish.
+//! The balancer: handles events and decides in each decision round what the controller publishes.
 //!
-//! The ordinary path is a target ([`crate::locality`]), an order of the way there ([`crate::update_plan`]) and its
-//! pace ([`crate::pacing`]). What cannot wait for a step, such as drains, is published outside of it.
+//! A normal update has three stages: the target weights ([`crate::locality`]), the order in which tables move
+//! towards them ([`crate::update_plan`]) and the rate at which updates are sent ([`crate::pacing`]). Urgent
+//! changes, such as the removal of draining nodes, are published without waiting for an update step.
 //! `docs/design.md` explains the design.
 
 use crate::admission::Admission;
@@ -33,35 +34,37 @@
 #[cfg(test)]
 mod tests;
 
-/// Report periods between two decision rounds, at their usual pace.
+/// Interval between two regular decision rounds, in report periods.
 const ROUND_INTERVAL_PERIODS: f64 = 0.25;
-/// The same where joins or changes of the endpoint list bring a round forward.
+/// Minimum interval between two decision rounds, in report periods, when a join or a change of the endpoint list
+/// triggers a round before its timer.
 const MIN_ROUND_INTERVAL_PERIODS: f64 = 0.05;
-/// Of the memory of averages: that of demand.
+/// Time constant of the demand average, in report cycles: a third of that of other averages.
 const DEMAND_AVERAGING_CYCLES: f64 = REPORT_MEMORY.average_cycles / 3.0;
 
-/// All that one controller's balancer knows and has decided.
+/// State and decisions of one controller's balancer.
 pub struct Balancer {
     fleet: Fleet,
     random: Pcg,
     admission: Admission,
     pacing: Pacing,
     rounds: Rounds,
-    /// Whether the endpoint list or health has changed since the last step.
+    /// Whether the endpoint list or the health of a node has changed since the last update step.
     is_step_requested: bool,
     /// Whether the endpoint list has changed since the last publication.
     is_publication_requested: bool,
 }
 
-/// When decisions are made.
+/// Timing of the decision rounds.
 struct Rounds {
+    /// Number of timers set so far, which is also the ID of the last one.
     last_timer: u64,
     next_round_at: Moment,
     last_round_at: Moment,
 }
 
 impl Balancer {
-    /// Starts without knowing anything of the fleet. `seed` feeds the balancer's random numbers.
+    /// Starts with an empty fleet. `seed` initializes the random number generator.
     pub fn start(now: Moment, seed: u64, settings: Settings) -> Result<Balancer, ConfigError> {
         Ok(Balancer {
             fleet: Fleet::new(now, Config::read(&settings)?),
@@ -78,7 +81,8 @@
         })
     }
 
-    /// Other settings for the same zones and operations, from now on.
+    /// Replaces the settings from now on. Fails if the zones, the operations, or whether an operation stays in its
+    /// zone differ from the current settings.
     pub fn reconfigure(&mut self, settings: Settings) -> Result<(), ConfigError> {
         let config = Config::read(&settings)?;
         if !config.has_same_topology(&self.fleet.config) {
@@ -90,19 +94,20 @@
         Ok(())
     }
 
-    /// Takes over what was known of nodes before a restart, for those in the endpoint list.
+    /// Restores capacity snapshots that were taken before a restart. Snapshots of nodes that are not in the
+    /// endpoint list are ignored.
     pub fn restore_capacities(&mut self, snapshots: &[CapacitySnapshot]) {
         self.fleet
             .capacity
             .restore(&mut self.fleet.nodes, snapshots);
     }
 
-    /// What is known of ready nodes, to be restored after a restart.
+    /// Capacity snapshots of the ready nodes, to be restored after a restart.
     pub fn capacity_snapshots(&self) -> impl Iterator<Item = CapacitySnapshot> + '_ {
         self.fleet.capacity.snapshots(&self.fleet.nodes)
     }
 
-    /// Takes in an event; one that cannot be handled changes no estimate.
+    /// Handles an event. An event that is rejected with an error changes no estimate.
     pub fn handle_event(&mut self, now: Moment, event: &Event) -> Result<(), EventError> {
         self.fleet.now = now;
         event.check()?;
@@ -141,7 +146,8 @@
                     .gossip
                     .on_message(*from, payload, &classes, now)?;
             }
-            // Timers only begin a round; sites with slices and health checks are not decided yet.
+            // A timer only triggers a decision round. Slices of a site and health checks do not influence
+            // decisions yet.
             Event::TimerFired { .. }
             | Event::SliceDemandReport { .. }
             | Event::SliceOwnership { .. }
@@ -208,19 +214,20 @@
     ) -> Result<(), EventError> {
         let fleet = &mut self.fleet;
         fleet.timing.on_report(fleet.now, window);
-        let memory = fleet.timing.cycle() * DEMAND_AVERAGING_CYCLES;
+        let averaging_time = fleet.timing.cycle() * DEMAND_AVERAGING_CYCLES;
         let demand = fleet.members.demand_mut(proxy, operation)?;
         demand.add(
             requests,
             window,
-            memory,
+            averaging_time,
             fleet.now,
             fleet.timing.previous_at(),
         );
         Ok(())
     }
 
-    /// One decision round, to be called after the events of a moment: writes the actions that are due.
+    /// Runs a decision round if one is due and appends the resulting actions to `out`. To be called once after all
+    /// events of a moment.
     pub fn decide(&mut self, now: Moment, out: &mut Vec<Action>) {
         self.fleet.now = now;
         for id in self.fleet.nodes.warmed_up(self.fleet.config.warm_up, now) {
@@ -236,7 +243,7 @@
         self.send_gossip(out);
     }
 
-    /// Publishes what cannot wait, and a step towards the targets where the pace allows one.
+    /// Publishes urgent changes, and an update step towards `targets` when pacing allows one.
     fn publish(&mut self, targets: &TableWeights, out: &mut Vec<Action>) {
         let now = self.fleet.now;
         let mut draft = published_weights(&self.fleet);
@@ -255,7 +262,8 @@
         }
         limit_warming_entries(&self.fleet, &mut draft);
 
-        // Each by itself, limits of warming nodes once took all the messages allowed and no step went out for 12 s.
+        // Lowered weights of warming nodes are sent together with other changes. When each was sent on its own,
+        // they used up the whole message cap and no update step was sent for 12 s.
         let mut changed = Default::default();
         if may_update {
             let is_due = std::mem::take(&mut self.is_publication_requested) || may_publish_paced;
@@ -292,11 +300,12 @@
         );
     }
 
-    /// Whether a round is due, by its timer or because something cannot wait; sets the next timer.
+    /// Whether a decision round is due, by its timer or because urgent work is pending. Sets the next timer when
+    /// the timer is due.
     fn begin_round(&mut self, out: &mut Vec<Action>) -> bool {
         let (now, period) = (self.fleet.now, self.fleet.timing.period());
         if self.rounds.last_timer == 0 {
-            // After a restart the first endpoint list is a stale one.
+            // After a restart, the first endpoint list is a cached list that may be stale.
             out.push(Action::RequestEndpointList);
         }
         if now >= self.rounds.next_round_at {
@@ -334,7 +343,8 @@
         }
     }
 
-    /// Tells the other controllers what comes to the proxies here and what each node serves of it.
+    /// Sends the demand of the joined proxies and the rate that each node serves for them to the other
+    /// controllers, when gossip is due.
     fn send_gossip(&mut self, out: &mut Vec<Action>) {
         if self
             .fleet
--- a/crates/wheelspread/src/balancer/tests/expectation.rs
+++ b/crates/wheelspread/src/balancer/tests/expectation.rs
@@ -1,4 +1,4 @@
-//! The expectations of scenarios.
+//! Checks of the `expect` lines of scenarios.
 
 use super::stage::{node, number, proxy, table, zone, ScenarioRunner};
 use crate::ids::{NodeId, ProxyId};
@@ -45,7 +45,7 @@
             ["subsets", z, count] => self.used_tables(z) as f64 == number(count),
             ["disjoint", t, u] => {
                 let shared = |name: &&NodeId| self.tables[&table(u)].contains_key(name);
-                self.tables[&table(t)].keys().filter(shared).count() <= 1 // one at the border
+                self.tables[&table(t)].keys().filter(shared).count() <= 1 // the node at the border of two ranges
             }
             ["forgotten", name] => self.has_forgotten(node(name)),
             ["error", rest @ ..] => self.error.contains(&rest.join(" ")),
@@ -60,7 +60,7 @@
         shares(&entries).get(&node(name)).copied()
     }
 
-    /// The most messages to a proxy within a time, in seconds.
+    /// Maximum number of messages to a proxy within any interval of `span` seconds.
     fn max_messages(&self, id: ProxyId, span: f64) -> usize {
         let own = self.messages.iter().filter(|message| message.1 == id);
         let times: Vec<f64> = own.map(|message| message.0).collect();
--- a/crates/wheelspread/src/balancer/tests/stage.rs
+++ b/crates/wheelspread/src/balancer/tests/stage.rs
@@ -1,4 +1,4 @@
-//! A balancer on a stage: turns the commands of a scenario into events and keeps what the actions order.
+//! Runs a balancer in a scenario: turns commands into events and records the resulting actions.
 
 use super::super::Balancer;
 use crate::ids::*;
@@ -14,7 +14,7 @@
 const START_SECONDS: f64 = 1000.0;
 const SEED: u64 = 7;
 
-/// What a scenario has done so far.
+/// State of a running scenario.
 #[derive(Default)]
 pub(super) struct ScenarioRunner {
     settings: Settings,
@@ -22,13 +22,13 @@
     pub balancer: Option<Balancer>,
     now: f64,
     pub tables: TableWeights,
-    /// Limits and retry policies, by table and operation.
+    /// Admission limits and retry policies, by table and operation.
     pub admission: BTreeMap<(u16, u8), (f64, RetryPolicy)>,
     pub bound: BTreeSet<(ProxyId, TableId)>,
     joined: BTreeSet<ProxyId>,
-    /// Messages to proxies, in order.
+    /// Messages to proxies in the order of sending: time in seconds and receiver.
     pub messages: Vec<(f64, ProxyId)>,
-    /// Entries changed, by moment, in order.
+    /// Changed entries in the order of sending: time in seconds, table and node.
     pub changed: Vec<(f64, TableId, NodeId)>,
     marker: Option<MarkerId>,
     pub error: String,
@@ -66,7 +66,7 @@
         .find_map(|word| word.strip_prefix(key)?.strip_prefix('='))
 }
 
-/// `NODE=WEIGHT` words.
+/// Parses `NODE=WEIGHT` words.
 fn weights(words: &[&str]) -> NodeWeights {
     let pairs = words
         .iter()
@@ -76,7 +76,7 @@
         .collect()
 }
 
-/// Settings.
+/// Settings of the balancer.
 impl ScenarioRunner {
     pub fn set(&mut self, name: &str, value: &str) {
         let value = match (value.parse::<f64>(), value) {
@@ -128,7 +128,7 @@
         Moment::from_seconds(START_SECONDS + self.now)
     }
 
-    /// Starts the balancer where the settings allow it; the error is kept.
+    /// Starts the balancer; an error in the settings is recorded.
     pub fn try_start(&mut self) {
         if self.operations == 0 {
             self.add_operation(&[]);
@@ -160,7 +160,7 @@
     }
 }
 
-/// Commands.
+/// Commands of the scenario notation.
 impl ScenarioRunner {
     pub fn command(&mut self, words: &[&str]) {
         match words {
@@ -176,7 +176,7 @@
             }
             ["list", entries @ ..] => self.endpoint_list(EndpointListKind::Complete, entries),
             ["change", entries @ ..] => self.endpoint_list(EndpointListKind::Changes, entries),
-            // `holds`: a table that was ordered before.
+            // `holds`: the proxy already holds a published table.
             ["join", id, zone, rate, holds @ ..] => self.join(id, zone, rate, holds.is_empty()),
             ["leave", id] => self.leave(proxy(id)),
             ["report", zone, name, rest @ ..] => self.load_report(zone, name, rest),
@@ -191,7 +191,7 @@
         }
     }
 
-    /// What the host of the balancer does, and single steps of the update plan.
+    /// Commands for the host of the balancer and for single steps of the update plan.
     fn host_command(&mut self, words: &[&str]) {
         match words {
             ["restart"] => {
@@ -207,7 +207,7 @@
                     .err()
                     .map_or(String::new(), |error| error.to_string());
             }
-            // Node, requests per second, evidence.
+            // Arguments: node, requests per second, evidence.
             ["restore", name, rate, evidence] => {
                 let snapshot = CapacitySnapshot {
                     node: node(name),
@@ -324,7 +324,7 @@
         }
     }
 
-    /// One step of the update plan, which the tables then take as published.
+    /// Runs one step of the update plan and takes its result as published.
     fn plan(&mut self) {
         let mut target = self.target.clone();
         let balancer = self.balancer();
@@ -343,9 +343,9 @@
     }
 }
 
-/// Actions.
+/// Actions of the balancer.
 impl ScenarioRunner {
-    /// A decision round: takes in the actions and notes which proxies get a message.
+    /// Runs a decision round, applies its actions and records which proxies get a message.
     pub fn decide(&mut self) {
         let mut actions = Vec::new();
         let now = self.moment();
@@ -371,7 +371,7 @@
         self.messages.extend(joined.map(|proxy| (self.now, proxy)));
     }
 
-    /// Applies an action; says which table it changed.
+    /// Applies an action; returns the table that it changed.
     fn apply(&mut self, action: &Action) -> Option<TableId> {
         match action {
             Action::SetWeight {
--- a/crates/wheelspread/src/flows.rs
+++ b/crates/wheelspread/src/flows.rs
@@ -4,18 +4,18 @@
 use crate::shares::{weight_of, TableWeights};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Load of one node over all tables, from one set of loads to the next.
+/// Change of the load of one node, summed over all tables.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct NodeFlow {
-    /// What tables take away.
+    /// Load that tables remove.
     pub leaving: f64,
-    /// What tables add.
+    /// Load that tables add.
     pub arriving: f64,
-    /// What is there before and after.
+    /// Load that remains unchanged.
     pub staying: f64,
 }
 
-/// Sums what leaves a node, arrives and stays.
+/// Computes the change of the load of a node from the old to the new loads by table.
 pub(crate) fn node_flow(old: &TableWeights, new: &TableWeights, node: NodeId) -> NodeFlow {
     let mut flow = NodeFlow {
         leaving: 0.0,
@@ -32,19 +32,24 @@
     flow
 }
 
-/// For each table, those that it waits for.
+/// For each table, the tables that it waits for.
 pub(crate) type WaitGraph = BTreeMap<TableId, BTreeSet<TableId>>;
 
-/// Whether `from` waits for `to`, directly or through others.
-pub(crate) fn is_waiting_for(waits: &WaitGraph, from: TableId, to: TableId) -> bool {
+/// Whether `from` waits for `to`, directly or through other tables.
+pub(crate) fn is_waiting_for(wait_graph: &WaitGraph, from: TableId, to: TableId) -> bool {
     let mut visited = BTreeSet::new();
-    let mut pending: Vec<TableId> = waits.get(&from).into_iter().flatten().copied().collect();
+    let mut pending: Vec<TableId> = wait_graph
+        .get(&from)
+        .into_iter()
+        .flatten()
+        .copied()
+        .collect();
     while let Some(table) = pending.pop() {
         if table == to {
             return true;
         }
         if visited.insert(table) {
-            pending.extend(waits.get(&table).into_iter().flatten());
+            pending.extend(wait_graph.get(&table).into_iter().flatten());
         }
     }
     false
--- a/crates/wheelspread/src/gossip.rs
+++ b/crates/wheelspread/src/gossip.rs
@@ -1,4 +1,5 @@
-//! Gossip between controllers: what comes to each one's proxies and what nodes serve of it.
+//! Peer gossip between controllers: the demand of the proxies of each controller and the rates that nodes serve
+//! for them.
 
 use crate::config::Config;
 use crate::error::EventError;
@@ -7,7 +8,7 @@
 use crate::time::{Moment, Span};
 use std::collections::BTreeMap;
 
-/// How long gossip stands and how often it is sent, in report periods.
+/// How long received gossip is valid and how often gossip is sent, in report periods.
 struct GossipPeriods {
     validity: f64,
     interval: f64,
@@ -17,45 +18,46 @@
     validity: 12.0,
     interval: 2.0,
 };
-/// Longest message, in bytes.
+/// Maximum length of a message, in bytes.
 const MAX_MESSAGE_LENGTH: usize = 256;
-/// Bytes of a message: the number of proxies, the demand of one class, the rate of one node.
+/// Lengths in bytes of the parts of a message: the number of proxies, the demand of one class, the rate of one
+/// node.
 const PROXIES_LENGTH: usize = 2;
 const DEMAND_LENGTH: usize = 4;
 const NODE_LENGTH: usize = 8;
-/// Rates of nodes are sent in parts of a request per second.
+/// Rates of nodes are sent as integers in units of 1 / RATE_SCALE requests per second.
 const RATE_SCALE: f64 = 64.0;
 const MAX_U16: f64 = 65535.0;
 
-/// What one peer reported; what a message does not name stands as it was reported before.
+/// Last report of one peer. Values that a message does not contain keep the previously reported value.
 #[derive(Clone, Debug, Default)]
 struct PeerView {
     last_message_at: Moment,
     proxies: f64,
     demand: BTreeMap<DemandClass, f64>,
-    /// Requests per second that a node serves for the peer's proxies, and when that was reported.
+    /// Requests per second that each node serves for the peer's proxies, and when this rate was reported.
     rates: BTreeMap<NodeId, (f64, Moment)>,
 }
 
-/// What all peers reported.
+/// Last reports of all peers.
 #[derive(Clone, Debug)]
 pub(crate) struct Gossip {
     peers: BTreeMap<PeerId, PeerView>,
     last_sent_at: Moment,
 }
 
-/// What this controller reports to its peers.
+/// Values that this controller reports to its peers.
 pub(crate) struct LocalView {
-    /// Proxies that have joined here.
+    /// Number of proxies that have joined this controller.
     pub proxies: usize,
-    /// Their requests per second, in the order of the classes of demand.
+    /// Requests per second that these proxies receive, in the order of the demand classes.
     pub demand: Vec<f64>,
-    /// Requests per second that each open node serves of them.
+    /// Requests per second that each open node serves for these proxies.
     pub rates: Vec<(NodeId, f64)>,
 }
 
 impl Gossip {
-    /// Nothing was received yet.
+    /// Starts without reports of peers.
     pub fn new(now: Moment) -> Gossip {
         Gossip {
             peers: BTreeMap::new(),
@@ -63,12 +65,12 @@
         }
     }
 
-    /// What was received before that moment no longer counts.
+    /// The start of the validity period: gossip received earlier is ignored.
     pub fn valid_since(period: Span, now: Moment) -> Moment {
         now - period * GOSSIP_PERIODS.validity
     }
 
-    /// Takes in a message. `classes` are the classes of demand that have tables, in their order.
+    /// Handles a message. `classes` are the demand classes that have tables, in their order.
     pub fn on_message(
         &mut self,
         from: PeerId,
@@ -83,7 +85,7 @@
         view.decode(payload, classes, now).ok_or(unreadable)
     }
 
-    /// Whether a message is due; it then counts as sent.
+    /// Whether a message is due. If it is due, it is recorded as sent.
     pub fn take_due(&mut self, config: &Config, now: Moment) -> bool {
         let has_peers = config.gossip_enabled && config.controllers > 1.0;
         let is_due =
@@ -94,12 +96,12 @@
         is_due
     }
 
-    /// Proxies that have joined peers, by messages since `since`.
+    /// Number of proxies that have joined the peers heard since `since`.
     pub fn proxies(&self, since: Moment) -> f64 {
         self.recent(since).map(|peer| peer.proxies).sum()
     }
 
-    /// Adds the demand that peers reported since `since`.
+    /// Adds the demand reported by the peers heard since `since`.
     pub fn add_demand(&self, sums: &mut BTreeMap<DemandClass, f64>, since: Moment) {
         for peer in self.recent(since) {
             for (class, sum) in sums.iter_mut() {
@@ -108,7 +110,7 @@
         }
     }
 
-    /// Requests per second that a node serves for peers' proxies, as reported since `since`.
+    /// Requests per second that a node serves for proxies of peers, by reports since `since`.
     pub fn rate(&self, id: NodeId, since: Moment) -> f64 {
         let peer_rates = self.peers.values().filter_map(|peer| peer.rates.get(&id));
         peer_rates
@@ -125,7 +127,7 @@
 }
 
 impl LocalView {
-    /// The view in as many messages as it takes.
+    /// The messages that carry this view, split so that each stays within the maximum length.
     pub fn messages(&self) -> Vec<Vec<u8>> {
         let header_length = PROXIES_LENGTH + DEMAND_LENGTH * self.demand.len();
         let nodes_per_message =
--- a/crates/wheelspread/src/locality.rs
+++ b/crates/wheelspread/src/locality.rs
@@ -1,9 +1,10 @@
-//! Target weights: where each table's traffic should go.
+//! Target weights: the share of each table's traffic that each node should get.
 //!
-//! Traffic stays in its zone up to a comfortable part of the zone's capacity, or somewhat above the fleet's
-//! part; the rest goes where there is headroom. A zone's nodes stand in a row, in a random order that stays the
-//! same, so that neighbours differ in kind and cell; each subset of its proxies uses the range of the row that
-//! its part of the demand fills.
+//! Traffic stays in its zone up to a utilization limit. The limit is a fixed ratio, raised by the price of
+//! cross-zone traffic, or slightly more than the utilization of the fleet, whichever is higher. The rest goes to
+//! zones with headroom. The nodes of a zone are listed in a stable pseudorandom order, so that neighbors differ in
+//! kind and cell. Each subset of the proxies of a zone uses a contiguous range of this list, in proportion to its
+//! part of the demand.
 
 use crate::fleet::Fleet;
 use crate::ids::{NodeId, ZoneId};
@@ -12,13 +13,14 @@
 use crate::tables::{DemandClass, Table};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Up to what utilization traffic stays in its zone.
+/// Parameters of the utilization up to which traffic stays in its zone.
 struct LocalUtilizationLimit {
-    /// Of the zone's capacity.
+    /// Base limit, as a ratio of the zone's capacity.
     base: f64,
-    /// More of it, by the price of crossing zones.
+    /// Increase of the base limit per unit of the price of cross-zone traffic.
     per_cross_zone_price: f64,
-    /// More than the utilization of the fleet.
+    /// Difference to the utilization of the fleet: the limit is at least the utilization of the fleet plus this
+    /// value.
     above_fleet_utilization: f64,
 }
 
@@ -28,17 +30,17 @@
     above_fleet_utilization: 0.08,
 };
 
-/// Of a table's traffic: smaller entries are left out.
+/// Minimum share of a table's traffic; smaller entries are left out.
 pub(crate) const MIN_SHARE: f64 = 0.002;
 
-/// An open node in the row.
+/// An open node in the ordered list.
 struct Candidate {
     node: NodeId,
     zone: ZoneId,
     capacity: f64,
 }
 
-/// Shares of each table's traffic by node.
+/// The target share of each node in the traffic of each table.
 pub(crate) fn target_shares(fleet: &Fleet) -> TableWeights {
     let placement = Placement::new(fleet);
     let ranges = subset_ranges(fleet);
@@ -49,24 +51,26 @@
     targets.collect()
 }
 
-/// The nodes, what each zone can use of them, and how far each zone's demand exceeds what is comfortable.
+/// The open nodes, the capacity that each zone can use of them, and the demand of each zone beyond its utilization
+/// limit.
 struct Placement {
     candidates: Vec<Candidate>,
-    /// By zone of the proxies, what each candidate can serve for them.
+    /// By zone of the proxies, the capacity of each candidate that the proxies can use.
     usable_capacity: BTreeMap<ZoneId, Vec<f64>>,
-    /// The same by zone of the proxies and zone of the nodes, summed.
+    /// The same capacity, summed by zone of the proxies and zone of the nodes.
     capacity_between: BTreeMap<(ZoneId, ZoneId), f64>,
     demand: BTreeMap<DemandClass, f64>,
-    /// By zone, the demand over the comfortable load; below 0: headroom.
+    /// By zone, the demand beyond the utilization limit; a negative value is headroom.
     excess: BTreeMap<ZoneId, f64>,
 }
 
-/// How a table's traffic divides between its own zone and the others.
+/// Division of a table's traffic between its own zone and the other zones.
 struct Spillover {
-    /// Part that leaves the zone.
+    /// Share of the traffic that leaves the zone.
     remote_share: f64,
-    /// By other zone, the headroom and the capacity there.
+    /// Headroom and capacity of each other zone.
     remote_zones: BTreeMap<ZoneId, RemoteZone>,
+    /// Sums over the other zones.
     total: RemoteZone,
 }
 
@@ -174,7 +178,8 @@
         }
     }
 
-    /// Shares of one table's traffic, by the range of the row that its subset uses.
+    /// The target share of each node in one table's traffic. `range` is the part of the ordered node list that the
+    /// table's subset uses.
     fn table_shares(&self, table: &Table, range: SubsetRange) -> NodeWeights {
         let table_zone = table.zone();
         let spillover = self.spillover(table);
@@ -200,7 +205,8 @@
             }
         }
         if entries.is_empty() {
-            // No table may be left without a node: with no healthy one, any open one will do.
+            // A table must not be empty: without a usable node, all open nodes that the table may use get an
+            // entry.
             let stays = table.class().stays_in_zone;
             let allowed = self
                 .candidates
@@ -213,7 +219,7 @@
 }
 
 impl Spillover {
-    /// Part of the table's traffic that goes to a zone; the table's own is none of the others.
+    /// Share of the table's traffic that goes to a zone. The table's own zone is not among the remote zones.
     fn share_of(&self, zone: ZoneId) -> f64 {
         match self.remote_zones.get(&zone) {
             None => 1.0 - self.remote_share,
@@ -225,7 +231,7 @@
     }
 }
 
-/// All open nodes, by zone and then in an order by chance that stays the same.
+/// All open nodes, ordered by zone and then in a stable pseudorandom order.
 fn ordered_candidates(fleet: &Fleet) -> Vec<Candidate> {
     let open = fleet.nodes.open().map(|(id, node)| Candidate {
         node: *id,
--- a/crates/wheelspread/src/membership.rs
+++ b/crates/wheelspread/src/membership.rs
@@ -1,7 +1,8 @@
-//! The proxies: who has joined, what comes to each, and who still waits to be bound to its tables.
+//! The proxies: which have joined, the demand of each, and which still wait to be bound to their tables.
 //!
-//! A proxy that left goes on sending, so its demand counts for some time. After a restart of the controller, a
-//! proxy that holds a table is assumed to have been sent a part of its message cap by the previous process.
+//! A proxy that has left goes on sending requests, so its demand still counts for some time. After a restart of
+//! the controller, a proxy that already holds a table is assumed to have been sent a part of its message cap by
+//! the previous process.
 
 use crate::config::Config;
 use crate::error::EventError;
@@ -11,47 +12,50 @@
 use crate::time::{Moment, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Of a proxy's message cap: assumed to have been used before a restart.
+/// Ratio of the message cap that the previous process is assumed to have used before a restart.
 const ASSUMED_CAP_RATIO_BEFORE_RESTART: f64 = 0.35;
-/// Buckets in which the message window is counted, and how many are kept: two more than the window has, so that
-/// a message counts until it is surely outside.
+/// Number of buckets that the message window is divided into, and number of buckets that are kept. Two more are
+/// kept, so that a message counts until it is certainly outside the window.
 const MESSAGE_BUCKETS: f64 = 20.0;
 const RETAINED_MESSAGE_BUCKETS: usize = 22;
 
-/// A proxy that has joined at some time.
+/// A proxy that is joined or has been joined before.
 #[derive(Clone, Debug)]
 pub(crate) struct Proxy {
     zone: ZoneId,
     has_joined: bool,
     is_bound: bool,
+    /// When the proxy last joined or left.
     joined_or_left_at: Moment,
+    /// Requests per second by operation.
     demand: BTreeMap<OperationId, ReportedRate>,
-    /// Messages that were sent to it.
+    /// Messages sent to the proxy within the message window.
     messages: RollingWindow<f64>,
 }
 
 impl Proxy {
-    /// Its zone.
+    /// The zone of the proxy.
     pub fn zone(&self) -> ZoneId {
         self.zone
     }
 
-    /// Whether it is connected.
+    /// Whether the proxy is connected.
     pub fn has_joined(&self) -> bool {
         self.has_joined
     }
 
-    /// Whether it was sent the tables that it uses.
+    /// Whether the proxy was sent the tables that it uses.
     pub fn is_bound(&self) -> bool {
         self.is_bound
     }
 
-    /// Requests per second that come to it for one operation; `None`: not known.
+    /// Requests per second that the proxy receives for one operation; `None`: unknown.
     pub fn demand_for(&self, operation: OperationId) -> Option<f64> {
         self.demand.get(&operation).and_then(ReportedRate::get)
     }
 
-    /// Requests per second that come to it for some operations.
+    /// Requests per second that the proxy receives for the given operations; operations of unknown demand count as
+    /// 0.
     pub fn demand(&self, operations: &[OperationId]) -> f64 {
         operations
             .iter()
@@ -60,17 +64,18 @@
     }
 }
 
-/// All proxies that are known.
+/// All known proxies.
 #[derive(Clone, Debug)]
 pub(crate) struct Membership {
     started_at: Moment,
     proxies: BTreeMap<ProxyId, Proxy>,
-    /// Proxies that have joined and are not bound yet, or not to the tables that serve them by now.
+    /// Joined proxies that are not bound yet, or that must be bound again because the tables that serve them
+    /// changed.
     unbound: BTreeSet<ProxyId>,
 }
 
 impl Membership {
-    /// Nobody has joined yet.
+    /// Starts without proxies.
     pub fn new(started_at: Moment) -> Membership {
         Membership {
             started_at,
@@ -79,7 +84,7 @@
         }
     }
 
-    /// A proxy has joined. `fresh`: it holds no table that a controller ordered.
+    /// Records that a proxy has joined. `fresh`: it holds no table that a controller published.
     pub fn on_joined(
         &mut self,
         id: ProxyId,
@@ -109,8 +114,9 @@
         self.unbound.insert(id);
     }
 
-    /// Messages count on whatever connection they went, and from before a restart too: who holds a table may
-    /// have it from this controller.
+    /// The messages that a new proxy is assumed to have been sent. Messages count for a proxy across its
+    /// connections and across a restart of the controller: a proxy that already holds a table may have got it from
+    /// the previous process.
     fn initial_messages(&self, fresh: bool, config: &Config, now: Moment) -> RollingWindow<f64> {
         let window = config.message_window.max(Span::from_seconds(1.0));
         let bucket = window * (1.0 / MESSAGE_BUCKETS);
@@ -124,7 +130,7 @@
         messages
     }
 
-    /// A proxy has left.
+    /// Records that a proxy has left.
     pub fn on_left(&mut self, id: ProxyId, now: Moment) -> Result<(), EventError> {
         let proxy = self
             .proxies
@@ -135,7 +141,7 @@
         Ok(())
     }
 
-    /// The rate that reports say of one operation at a proxy, to add a report to.
+    /// The reported demand of one operation at a proxy, to which a report can be added.
     pub fn demand_mut(
         &mut self,
         id: ProxyId,
@@ -148,23 +154,23 @@
         Ok(proxy.demand.entry(operation).or_default())
     }
 
-    /// Drops proxies that left long ago.
+    /// Drops proxies that have left and whose leaving is no longer recent.
     pub fn forget_departed(&mut self, is_recent: impl Fn(Moment) -> bool) {
         self.proxies
             .retain(|_, proxy| proxy.has_joined || is_recent(proxy.joined_or_left_at));
     }
 
-    /// All proxies, by number.
+    /// All known proxies, by ID.
     pub fn proxies(&self) -> &BTreeMap<ProxyId, Proxy> {
         &self.proxies
     }
 
-    /// The proxies that are connected.
+    /// The joined proxies.
     pub fn joined(&self) -> impl Iterator<Item = (&ProxyId, &Proxy)> {
         self.proxies.iter().filter(|(_, proxy)| proxy.has_joined)
     }
 
-    /// Requests per second that come to some proxies.
+    /// Requests per second that the selected proxies receive.
     pub fn demand_where(&self, is_counted: impl Fn(&Proxy) -> bool) -> f64 {
         let counted = self.proxies.values().filter(|proxy| is_counted(proxy));
         counted
@@ -173,29 +179,29 @@
             .sum()
     }
 
-    /// Requests per second that come to all proxies.
+    /// Requests per second that all known proxies receive.
     pub fn total_demand(&self) -> f64 {
         self.demand_where(|_| true)
     }
 
-    /// Proxies that wait to be bound.
+    /// Joined proxies that wait to be bound.
     pub fn unbound(&self) -> &BTreeSet<ProxyId> {
         &self.unbound
     }
 
-    /// Binds proxies of a zone again: which tables serve them has changed.
+    /// Marks the bound proxies of a zone to be bound again, because the tables that serve them have changed.
     pub fn rebind_zone(&mut self, zone: ZoneId) {
         let is_affected = |proxy: &Proxy| proxy.has_joined && proxy.zone == zone && proxy.is_bound;
         let to_rebind = self.proxies.iter().filter(|(_, proxy)| is_affected(proxy));
         self.unbound.extend(to_rebind.map(|(id, _)| *id));
     }
 
-    /// Proxies were bound.
+    /// Removes proxies that were bound from the waiting ones.
     pub fn on_bound(&mut self, ids: &BTreeSet<ProxyId>) {
         self.unbound.retain(|id| !ids.contains(id));
     }
 
-    /// A message goes to each of these proxies; whoever gets one knows its tables.
+    /// Records a message to each of these proxies. A proxy that gets a message counts as bound.
     pub fn on_message_sent(&mut self, ids: &BTreeSet<ProxyId>, now: Moment) {
         for (_, proxy) in self.proxies.iter_mut().filter(|(id, _)| ids.contains(id)) {
             proxy.is_bound = true;
@@ -203,7 +209,7 @@
         }
     }
 
-    /// The most messages that a joined proxy was sent within the window.
+    /// Maximum number of messages that any joined proxy was sent within the message window.
     pub fn max_messages(&self, now: Moment) -> f64 {
         self.joined()
             .map(|(_, proxy)| proxy.messages.total(now))
@@ -211,7 +217,7 @@
     }
 }
 
-/// The usual rate, spread evenly over the operations.
+/// The usual rate of a proxy, spread evenly over the operations; a rate that is not finite counts as 0.
 fn assumed_demand(usual_rate: f64, config: &Config) -> BTreeMap<OperationId, ReportedRate> {
     let finite_rate = if usual_rate.is_finite() {
         usual_rate.max(0.0)
--- a/crates/wheelspread/src/pacing.rs
+++ b/crates/wheelspread/src/pacing.rs
@@ -1,7 +1,7 @@
 //! Pacing of updates: the update queue to the proxies, message caps, and acknowledgement barriers.
 //!
-//! Everything a controller sends goes through one ordered queue that holds a limited number of entries, and each
-//! proxy may be sent a limited number of messages within a window.
+//! All messages of a controller pass through one ordered queue that holds a limited number of entries. Each proxy
+//! may be sent a limited number of messages, the message cap, within a sliding window.
 
 use crate::config::Config;
 use crate::fleet::Fleet;
@@ -9,11 +9,11 @@
 use crate::time::{Moment, Span};
 use std::collections::{BTreeSet, VecDeque};
 
-/// When the next step may follow.
+/// When an acknowledgement barrier lets the next update step pass.
 struct BarrierRule {
-    /// Of the proxies asked: so many must have acknowledged the last step.
+    /// Minimum ratio of the proxies of the last step that must have acknowledged its version marker.
     min_acknowledged_ratio: f64,
-    /// Seconds after which the next step goes out all the same.
+    /// Time after which the next step is sent without these acknowledgements.
     timeout_seconds: f64,
 }
 
@@ -22,15 +22,15 @@
     timeout_seconds: 1.0,
 };
 
-/// Of a proxy's message cap, for each sort of update.
+/// Ratios of the message cap of a proxy, by kind of update.
 struct MessageCapRatios {
-    /// Steps and admission ratios, at their usual pace.
+    /// Update steps and admission limits: the ratio from which the normal spacing of steps is computed.
     paced_steps: f64,
-    /// The same up to that, whatever the pace.
+    /// Update steps and admission limits: no more are sent above this ratio, whatever the spacing.
     max_paced_steps: f64,
-    /// Steps after the endpoint list or health has changed.
+    /// Steps that are sent early because the endpoint list or the health of a node has changed.
     early_steps: f64,
-    /// Lowered entries of warming nodes.
+    /// Changed weights of existing entries, such as lowered weights of warming nodes.
     warming_limits: f64,
 }
 
@@ -41,13 +41,14 @@
     warming_limits: 0.8,
 };
 
-/// Of the entries that the update queue may hold.
+/// Ratios of the capacity of the update queue, in entries.
 struct QueueRatios {
-    /// At most, before a step; and what one publication may add while proxies wait to be bound.
+    /// Maximum fill level at which a step may be published; also the maximum including a publication while proxies
+    /// wait to be bound.
     before_step: f64,
-    /// At most, with what is published.
+    /// Maximum fill level including a publication.
     publication: f64,
-    /// At most, with what joining proxies are sent.
+    /// Maximum fill level including the tables for joining proxies.
     joins: f64,
 }
 
@@ -57,16 +58,16 @@
     joins: 0.7,
 };
 
-/// Report periods between two hurried steps.
+/// Interval between two early steps, in report periods.
 const EARLY_STEP_PERIODS: f64 = 0.2;
-/// Of a drain's grace: what cannot wait waits no longer for the message cap's sake.
+/// Maximum time that an urgent change is held back to save messages, as a ratio of the grace period of a drain.
 const MAX_URGENT_SPACING_RATIO: f64 = 0.4;
-/// Seconds after which an update is no longer waited for.
+/// Age at which a message round is no longer tracked, acknowledged or not.
 const BARRIER_LIFETIME_SECONDS: f64 = 20.0;
-/// Marker numbers are reused after so many.
+/// Number of distinct version markers; numbers are reused after that.
 const MARKER_COUNT: u32 = 65536;
 
-/// One message round on its way, and who has not acknowledged it.
+/// One round of messages to proxies, and the proxies that have not acknowledged it.
 #[derive(Clone, Debug)]
 struct AckBarrier {
     marker: MarkerId,
@@ -78,7 +79,8 @@
 }
 
 impl AckBarrier {
-    /// Entries that may still be queued, by the proxies that have not acknowledged.
+    /// Estimate of the entries that are still queued: the ratio of the proxies that have not acknowledged, times
+    /// all entries.
     fn remaining_entries(&self) -> f64 {
         self.entry_count * self.unacknowledged.len() as f64 / self.proxy_count.max(1) as f64
     }
@@ -91,26 +93,27 @@
     }
 }
 
-/// What was sent, and when.
+/// Message rounds in flight and the times of the last updates.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Pacing {
     barriers: VecDeque<AckBarrier>,
     last_marker: u32,
+    /// When update steps or admission limits were last sent.
     last_paced_at: Option<Moment>,
-    /// When entries or admission ratios were last sent to proxies that were bound before.
+    /// When entries or admission limits were last sent to proxies that were already bound.
     last_update_at: Option<Moment>,
     last_admission_at: Option<Moment>,
 }
 
 impl Pacing {
-    /// A proxy has applied everything up to a marker.
+    /// Handles the acknowledgement of a version marker: the proxy has applied everything sent before it.
     pub fn on_acknowledged(&mut self, proxy: ProxyId, marker: MarkerId) {
         let position = self
             .barriers
             .iter()
             .position(|barrier| barrier.marker == marker);
         if let Some(position) = position {
-            // The queue is in order: what was sent before this message has left it.
+            // The queue is ordered: everything sent before this message has left the queue.
             self.barriers[position].unacknowledged.remove(&proxy);
             for earlier in self.barriers.iter_mut().take(position) {
                 earlier.entry_count = 0.0;
@@ -118,21 +121,22 @@
         }
     }
 
-    /// Nobody waits for a proxy that has left.
+    /// Stops waiting for acknowledgements of a proxy that has left.
     pub fn on_left(&mut self, proxy: ProxyId) {
         for barrier in &mut self.barriers {
             barrier.unacknowledged.remove(&proxy);
         }
     }
 
-    /// Drops updates that are no longer waited for.
+    /// Drops message rounds that are too old to be tracked.
     pub fn drop_expired(&mut self, now: Moment) {
         let lifetime = Span::from_seconds(BARRIER_LIFETIME_SECONDS);
         self.barriers
             .retain(|barrier| now - barrier.sent_at < lifetime);
     }
 
-    /// Entries that may still wait in the queue, by acknowledgements: a slow queue shows in them at once.
+    /// Estimate of the entries in the update queue, computed from missing acknowledgements, so that a slow queue
+    /// is noticed at once.
     pub fn queued_entries(&self) -> f64 {
         self.queued_entries_since(Moment::default())
     }
@@ -145,8 +149,9 @@
         barriers.map(AckBarrier::remaining_entries).sum()
     }
 
-    /// The same for those who wait to be bound: a full queue at its pace has been empty twice since what is older.
-    /// Where nobody acknowledges at all, a proxy would wait for an entry as long as for an acknowledgement.
+    /// The same estimate for binding proxies, without the rounds that are older than twice the time in which a
+    /// full queue empties at its configured rate. If no proxy ever acknowledges, a joining proxy would otherwise
+    /// wait for its table until these rounds expire.
     pub fn queued_entries_for_joins(&self, config: &Config, now: Moment) -> f64 {
         let entries_per_second = config.queue_entries_per_second;
         if entries_per_second <= 0.0 {
@@ -157,8 +162,9 @@
         self.queued_entries_since(now - flush_time * 2.0)
     }
 
-    /// Whether anything may be sent. Drained nodes leave at once, but where one after another drains, each by
-    /// itself took more messages than a proxy may get.
+    /// Whether any update may be sent. Draining nodes are removed from tables at once, but a minimum spacing
+    /// applies: when nodes drained one after another, each removal took a message of its own and the message cap
+    /// was exceeded.
     pub fn may_update(&self, fleet: &Fleet) -> bool {
         let spacing = min_urgent_spacing(fleet);
         has_message_budget(fleet, 1.0)
@@ -167,8 +173,8 @@
                 .is_none_or(|at| fleet.now - at >= spacing)
     }
 
-    /// Whether steps and admission ratios may be sent. They share one pace: on their own, admission ratios once
-    /// took all the messages allowed under strain and no step went out for 20 s.
+    /// Whether update steps and admission limits may be sent. Both share one spacing: when admission limits had
+    /// their own, they used up the message cap under high load and no step was sent for 20 s.
     pub fn may_publish_paced(&self, fleet: &Fleet, is_step_requested: bool) -> bool {
         let is_early =
             is_step_requested && has_message_budget(fleet, MESSAGE_CAP_RATIOS.early_steps);
@@ -183,19 +189,21 @@
             && has_message_budget(fleet, MESSAGE_CAP_RATIOS.max_paced_steps)
     }
 
-    /// Whether the last step has arrived, or was sent long enough ago, and the queue is nearly empty.
+    /// Whether the barrier of the last step has been passed, by acknowledgements or by its timeout, and the queue
+    /// is nearly empty.
     pub fn may_step(&self, fleet: &Fleet) -> bool {
         let last = self.barriers.iter().rev().find(|barrier| barrier.is_step);
         last.is_none_or(|barrier| barrier.is_passed(fleet.now))
             && self.queued_entries() <= QUEUE_RATIOS.before_step * fleet.config.queue_capacity
     }
 
-    /// Whether entries of warming nodes may be lowered by themselves.
+    /// Whether the message cap leaves room to change the weights of existing entries, such as those of warming
+    /// nodes.
     pub fn may_limit_warming(&self, fleet: &Fleet) -> bool {
         has_message_budget(fleet, MESSAGE_CAP_RATIOS.warming_limits)
     }
 
-    /// Entries that may be published now.
+    /// How many entries may be published now; below 0 if the queue is too full.
     pub fn publication_headroom(&self, fleet: &Fleet) -> f64 {
         let ratio = if fleet.members.unbound().is_empty() {
             QUEUE_RATIOS.publication
@@ -205,22 +213,22 @@
         fleet.config.queue_capacity * ratio - self.queued_entries()
     }
 
-    /// Entries that the queue may hold with what joining proxies are sent.
+    /// Maximum entries in the queue including the tables for joining proxies.
     pub fn join_limit(config: &Config) -> f64 {
         config.queue_capacity * QUEUE_RATIOS.joins
     }
 
-    /// Steps and admission ratios are sent now.
+    /// Records that update steps and admission limits are sent now.
     pub fn on_paced_publication(&mut self, now: Moment) {
         self.last_paced_at = Some(now);
     }
 
-    /// Something is sent now to proxies that were bound before.
+    /// Records that an update is sent now to proxies that were already bound.
     pub fn on_update(&mut self, now: Moment) {
         self.last_update_at = Some(now);
     }
 
-    /// Whether admission ratios are due, once a report period; they then count as sent.
+    /// Whether admission limits are due, once per report period. If they are due, they are recorded as sent.
     pub fn take_admission_due(&mut self, period: Span, now: Moment) -> bool {
         let is_due = self.last_admission_at.is_none_or(|at| now - at >= period);
         if is_due {
@@ -229,7 +237,7 @@
         is_due
     }
 
-    /// Notes a message round; returns the marker that the proxies are to acknowledge.
+    /// Records a round of messages. Returns the version marker that its proxies are to acknowledge.
     pub fn on_sent(
         &mut self,
         now: Moment,
@@ -252,14 +260,15 @@
     }
 }
 
-/// Whether every joined proxy may still be sent a message, within a part of what its cap allows.
+/// Whether every joined proxy may be sent one more message within the given ratio of the message cap.
 fn has_message_budget(fleet: &Fleet, ratio: f64) -> bool {
     let cap = fleet.config.message_cap;
     cap <= 0.0 || fleet.members.max_messages(fleet.now) + 1.0 <= cap * ratio
 }
 
-/// The least time between two messages of what cannot wait, so that it never takes the whole cap: hardly any
-/// while little was sent, more the nearer the cap, up to a part of the time that a drain has.
+/// Minimum interval between two urgent updates, so that they never use up the message cap. It is close to 0 while
+/// few messages were sent, grows as the cap comes nearer, and is bounded by a ratio of the grace period of a
+/// drain.
 fn min_urgent_spacing(fleet: &Fleet) -> Span {
     let (cap, grace) = (fleet.config.message_cap, fleet.config.drain_grace.seconds());
     if cap <= 0.0 {
@@ -274,7 +283,7 @@
     })
 }
 
-/// The least time between two steps that keep to their part of the cap.
+/// Minimum interval between two regular steps: a report period, or longer if the message cap requires it.
 fn min_step_spacing(fleet: &Fleet) -> Span {
     let cap = fleet.config.message_cap;
     let spacing = if cap > 0.0 {
--- a/crates/wheelspread/src/publication.rs
+++ b/crates/wheelspread/src/publication.rs
@@ -1,5 +1,5 @@
-//! Publishes decisions: the entries and admission ratios by which they differ from what stands, bindings of proxies
-//! that join, and the marker after each message round.
+//! Publishes decisions: changed entries and admission limits, bindings of joining proxies, and the version marker
+//! after each round of messages.
 
 use crate::admission::Admission;
 use crate::fleet::Fleet;
@@ -12,17 +12,18 @@
 use crate::Action;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// To an entry's weight: smaller changes are not sent.
+/// Minimum change of an entry's weight that is sent, as a ratio of the larger weight.
 const MIN_WEIGHT_CHANGE_RATIO: f64 = 0.06;
-/// To an admission limit: smaller changes are not sent.
+/// Minimum change of an admission limit that is sent, as a ratio of the larger limit.
 const MIN_LIMIT_CHANGE_RATIO: f64 = 0.04;
-/// Of what a table's target gives ready nodes: with less it is taken whole.
+/// If the ready nodes that still have an entry get less than this ratio of the target share of all ready nodes,
+/// the table takes its complete target at once.
 const MIN_REMAINING_RATIO: f64 = 0.35;
 
-/// How many entries of each table go out in this round, admission limits included.
+/// Number of entries and admission limits per table that are sent in this round.
 pub(crate) type ChangedEntries = BTreeMap<TableId, usize>;
 
-/// Entries as they stand at the proxies.
+/// The published weights of all tables.
 pub(crate) fn published_weights(fleet: &Fleet) -> TableWeights {
     let tables = fleet.tables.iter();
     tables
@@ -30,9 +31,9 @@
         .collect()
 }
 
-/// Draining and gone nodes leave at once. A table whose ready entries are then meant to carry only a small part of
-/// its traffic takes its whole target at once: the few entries left would be
-/// overloaded, and warming nodes among them pushed over.
+/// Removes draining and gone nodes at once. A table without entries, or whose remaining ready entries are to carry
+/// only a small part of its traffic, takes its complete target at once: otherwise the few remaining entries would
+/// be overloaded, and with them the warming nodes.
 pub(crate) fn apply_urgent_changes(
     fleet: &Fleet,
     targets: &TableWeights,
@@ -62,8 +63,10 @@
     new: f64,
 }
 
-/// Sends the entries by which `draft` differs from what stands, a weight only when it moved enough. Where the queue
-/// lacks headroom, entries that lose weight wait, lest a table run empty, but for what the rules demand.
+/// Sends the entries by which `draft` differs from the published weights. A weight is sent only if it changed
+/// enough; without `may_adjust_weights`, only added and removed entries are sent. If the queue lacks headroom,
+/// entries that lose weight wait, so that no table runs empty. Removals of nodes that are no longer open and
+/// lowered weights of warming nodes are sent all the same.
 pub(crate) fn publish_weights(
     fleet: &mut Fleet,
     pacing: &Pacing,
@@ -115,7 +118,8 @@
     nodes.into_iter().filter_map(change).collect()
 }
 
-/// Drops changes that the queue has no headroom for; takes the others off the headroom.
+/// Keeps the changes that fit into the headroom of the queue, and reduces the headroom by them. Changes that must
+/// not wait are always kept.
 fn retain_changes_within_headroom(
     fleet: &Fleet,
     table: &Table,
@@ -144,7 +148,7 @@
     });
 }
 
-/// Sends the admission limits and retry policies that changed enough.
+/// Sends the admission limits that changed enough and the retry policies that changed.
 pub(crate) fn publish_admission(
     fleet: &mut Fleet,
     admission: &Admission,
@@ -177,13 +181,14 @@
     }
 }
 
-/// Proxies that are bound in this round, and the entries that they are sent.
+/// Proxies that are bound in this round, and the number of entries that they are sent.
 pub(crate) struct Bindings {
     pub proxies: BTreeSet<ProxyId>,
     pub entries: f64,
 }
 
-/// Binds proxies that have joined, at once; only a queue near its limit makes some wait.
+/// Binds joined proxies at once. Proxies wait only while their tables would exceed the part of the update queue
+/// that joins may fill.
 pub(crate) fn bind_joined_proxies(
     fleet: &mut Fleet,
     pacing: &Pacing,
@@ -199,7 +204,8 @@
         };
         let serves = |table: &&Table| table.serves(*id, proxy.zone());
         let own = || fleet.tables.values().filter(serves);
-        // A table without entries is bound beside others: to hear of nodes that come, and hold none that went.
+        // A table without entries is bound too if another table of the proxy has entries, so that the proxy gets
+        // nodes that come later and drops entries of nodes that are gone.
         let is_empty = own().all(|table| table.entries().is_empty());
         let count = own().map(Table::message_entries).sum();
         let entries = fleet.config.message_entries(count);
@@ -223,7 +229,8 @@
     }
 }
 
-/// Who gets a message by the entries changed in tables, and how many entries that makes, heads included.
+/// The proxies that get a message because of the changed tables, and the number of entries in these messages,
+/// including the overhead of each message.
 fn receivers(fleet: &Fleet, changed: &ChangedEntries) -> (BTreeSet<ProxyId>, f64) {
     let (mut recipients, mut sum) = (BTreeSet::new(), 0.0);
     let proxies = fleet.members.proxies().iter();
@@ -239,7 +246,7 @@
     (recipients, sum)
 }
 
-/// Notes this round's messages and asks for their acknowledgement.
+/// Records the messages of this round and asks their receivers for an acknowledgement.
 pub(crate) fn send_marker(
     fleet: &mut Fleet,
     pacing: &mut Pacing,
--- a/crates/wheelspread/src/retry_policy.rs
+++ b/crates/wheelspread/src/retry_policy.rs
@@ -1,11 +1,13 @@
-//! When proxies may retry: after any failure only where a retry cannot take effect twice (rule 2).
+//! Retry policies. A retry after any failure is allowed only for operations whose requests cannot take effect
+//! twice.
 
 use crate::action::RetryPolicy;
 use crate::config::{Operation, RetrySafety};
 use crate::fleet_load::FleetLoad;
 
-/// The retry policy of an operation. Requests that may be retried are given up early, work is done twice only
-/// while nodes are calm; under strain any retry is load.
+/// The retry policy of an operation at the current load. Proxies give up an attempt early if it may be retried, so
+/// the first attempt may still be running when the retry starts. This duplicate work is accepted only while the
+/// fleet is calm; while it is strained, any retry adds load and none is allowed.
 pub(crate) fn retry_policy(operation: &Operation, load: FleetLoad) -> RetryPolicy {
     match (can_retry_safely(operation), load) {
         (true, FleetLoad::Calm) => RetryPolicy::OnceOnAnyFailure,
@@ -15,7 +17,8 @@
     }
 }
 
-/// Whether a retry cannot take effect twice.
+/// Whether a retry cannot take effect twice: the operation is idempotent, or every node recognizes a repeated
+/// request for longer than the request's time-out.
 fn can_retry_safely(operation: &Operation) -> bool {
     match operation.retry_safety {
         RetrySafety::Idempotent => true,
--- a/crates/wheelspread/src/shares.rs
+++ b/crates/wheelspread/src/shares.rs
@@ -1,4 +1,4 @@
-//! Weights of nodes, and shares made of them. Pure functions.
+//! Node weights and the shares computed from them. Pure functions.
 
 use crate::ids::{NodeId, TableId};
 use crate::pcg::Pcg;
@@ -6,10 +6,10 @@
 
 /// Weights, shares or rates by node.
 pub(crate) type NodeWeights = BTreeMap<NodeId, f64>;
-/// The same of each table.
+/// Weights, shares or rates by table and node.
 pub(crate) type TableWeights = BTreeMap<TableId, NodeWeights>;
 
-/// The weights divided by their sum.
+/// The weights divided by their sum; all 0 if the sum is 0.
 pub(crate) fn shares(weights: &NodeWeights) -> NodeWeights {
     let sum: f64 = weights.values().sum();
     weights
@@ -18,7 +18,7 @@
         .collect()
 }
 
-/// What a table gives a node; 0 without an entry.
+/// The weight of a node in a table; 0 without an entry.
 pub(crate) fn weight_of(weights: &TableWeights, table: TableId, node: NodeId) -> f64 {
     weights
         .get(&table)
@@ -27,7 +27,7 @@
         .unwrap_or(0.0)
 }
 
-/// A random number that is always the same for a node; it orders the nodes of a zone.
+/// A pseudorandom number that is always the same for a node; it determines the order of the nodes of a zone.
 pub(crate) fn node_order_key(id: NodeId) -> u32 {
     Pcg::new(u64::from(u32::from_le_bytes(id.address)) << 16 | u64::from(id.port)).draw()
 }
--- a/crates/wheelspread/src/subset.rs
+++ b/crates/wheelspread/src/subset.rs
@@ -1,19 +1,21 @@
-//! Subsets of large zones: each part of a zone's proxies uses a table of its own over a part of the zone's nodes.
+//! Subsets of large zones: each subset of a zone's proxies has its own table, which covers a part of the zone's
+//! nodes.
 
 use crate::fleet::Fleet;
 use crate::ids::{TableId, ZoneId};
 use crate::tables::zones_of;
 use std::collections::BTreeMap;
 
-/// When a zone is divided into subsets.
+/// Bounds for the number of subsets of a zone.
 struct SubsetRules {
-    /// Uses of an entry within the time after which a proxy closes an idle connection.
+    /// Minimum mean number of requests that a proxy sends to each entry of its table within the idle timeout of
+    /// its connections.
     min_uses_per_idle_timeout: f64,
-    /// Least nodes of a subset.
+    /// Minimum number of nodes per subset.
     min_nodes: f64,
-    /// Tables for each proxy, at most.
+    /// Maximum number of tables per proxy.
     max_tables_per_proxy: f64,
-    /// Tables in all zones, at most.
+    /// Maximum number of tables in all zones together.
     max_tables: f64,
 }
 
@@ -24,14 +26,15 @@
     max_tables: 3e4,
 };
 
-/// Part of a zone's row of nodes, which has length 1.
+/// A range of the ordered node list of a zone. Positions in the list are scaled to the range from 0 to 1, by
+/// capacity.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SubsetRange {
     pub from: f64,
     pub until: f64,
 }
 
-/// How many proxies of a zone are likely to join here in all.
+/// Number of proxies per zone that are expected to join this controller.
 fn expected_proxies(fleet: &Fleet) -> f64 {
     let zones = zones_of(&fleet.tables).len().max(1) as f64;
     let controllers = if fleet.config.proxies_join_by_zone {
@@ -42,8 +45,9 @@
     fleet.config.proxies / (zones * controllers)
 }
 
-/// Divides a zone's proxies into subsets with tables of their own over as many parts of its nodes, where one
-/// table's entries would hardly be used before connections close. Fixed once proxies have joined.
+/// Divides the proxies of a zone into subsets if a single table would have so many entries that a proxy's idle
+/// connections would be closed before they are reused. Each subset gets its own table over a part of the zone's
+/// nodes. The division of a zone is fixed once it has nodes and joined proxies.
 pub(crate) fn divide_large_zones(fleet: &mut Fleet) {
     let zones = zones_of(&fleet.tables);
     let expected = expected_proxies(fleet);
@@ -64,14 +68,14 @@
         for id in undivided {
             split_table(fleet, id, subsets, zones.len());
         }
-        // Proxies that were bound while there was no subset yet are bound again, each to its own.
+        // Proxies that were bound before the zone was divided are bound again, each to the table of its subset.
         if subsets > 1 {
             fleet.members.rebind_zone(*zone);
         }
     }
 }
 
-/// Into how many subsets a zone is divided; `None` while it has no nodes or no proxies.
+/// The number of subsets of a zone; `None` while the zone has no open nodes or no joined proxies.
 fn subset_count(
     fleet: &Fleet,
     zone: ZoneId,
@@ -100,7 +104,7 @@
     Some(subsets.clamp(1.0, SUBSET_RULES.max_tables / zones as f64) as u16)
 }
 
-/// Replaces a table by one for each subset.
+/// Replaces a table by one table per subset.
 fn split_table(fleet: &mut Fleet, id: TableId, subsets: u16, zones: usize) {
     for subset in 0..subsets {
         let table = fleet.tables[&id].for_subset(subset, subsets);
@@ -109,8 +113,9 @@
     }
 }
 
-/// For each subset of a zone's proxies, the part of the row that its demand fills. Proxies that are still to come
-/// count alike in each subset: by the first few alone, every join moved all ranges.
+/// The range of the node list for each subset, in proportion to its demand. Proxies that are expected but have not
+/// joined yet count equally for all subsets: when only the first few joined proxies counted, every join moved all
+/// ranges.
 pub(crate) fn subset_ranges(fleet: &Fleet) -> BTreeMap<(ZoneId, u16), SubsetRange> {
     let demand = demand_by_subset(fleet);
     let zone_demand = |zone: ZoneId| {
--- a/crates/wheelspread/src/tables.rs
+++ b/crates/wheelspread/src/tables.rs
@@ -1,4 +1,4 @@
-//! The weighted tables as they stand at the proxies.
+//! The published weighted tables.
 
 use crate::action::RetryPolicy;
 use crate::config::Operation;
@@ -6,72 +6,72 @@
 use crate::shares::NodeWeights;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a table's requests have in common: where they come from, and whether they may leave that zone.
+/// Common properties of the requests of a table: the zone of the proxies and whether requests may leave that zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct DemandClass {
     pub zone: ZoneId,
     pub stays_in_zone: bool,
 }
 
-/// An admission limit and a retry policy as they were published.
+/// A published admission limit and retry policy.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct AdmissionPolicy {
-    /// A share of the requests, or a rate at each proxy, as the settings say.
+    /// A ratio of the requests, or a rate limit per proxy in requests per second, depending on the settings.
     pub limit: f64,
     pub retry: RetryPolicy,
 }
 
-/// One table, which the proxies of a zone or of a subset of it share.
+/// A table that the proxies of a zone, or of a subset of a zone, share.
 #[derive(Clone, Debug)]
 pub(crate) struct Table {
     class: DemandClass,
-    /// Which subset of the zone's proxies uses it.
+    /// Index of the subset of the zone's proxies that uses the table.
     subset: u16,
-    /// Of how many; 0 while the zone is undivided.
+    /// Number of subsets of the zone; 0 while the zone is undivided.
     subsets: u16,
     operations: Vec<OperationId>,
-    /// Weights as published; no entry has weight 0.
+    /// Published weights; no entry has weight 0.
     entries: NodeWeights,
     admission: BTreeMap<OperationId, AdmissionPolicy>,
 }
 
 impl Table {
-    /// Where its requests come from, and whether they may leave that zone.
+    /// The zone of the requests and whether they may leave it.
     pub fn class(&self) -> DemandClass {
         self.class
     }
 
-    /// Which subset of the zone's proxies uses it.
+    /// Index of the subset of the zone's proxies that uses the table.
     pub fn subset(&self) -> u16 {
         self.subset
     }
 
-    /// Whether it was decided into how many subsets its zone is divided.
+    /// Whether the number of subsets of its zone has been decided.
     pub fn is_divided(&self) -> bool {
         self.subsets > 0
     }
 
-    /// The operations it serves.
+    /// The operations that the table serves.
     pub fn operations(&self) -> &[OperationId] {
         &self.operations
     }
 
-    /// Weights as published.
+    /// The published weights.
     pub fn entries(&self) -> &NodeWeights {
         &self.entries
     }
 
-    /// The admission order as published; `None`: all is admitted.
+    /// The published admission limit and retry policy of an operation; `None`: all requests are admitted.
     pub fn admission(&self, operation: OperationId) -> Option<&AdmissionPolicy> {
         self.admission.get(&operation)
     }
 
-    /// Entries of a message that holds the whole table.
+    /// Number of entries in a message that holds the whole table.
     pub fn message_entries(&self) -> usize {
         1 + self.entries.len() + self.admission.len()
     }
 
-    /// Publishes a weight; 0 removes the entry.
+    /// Sets a published weight; 0 removes the entry.
     pub fn set_weight(&mut self, node: NodeId, weight: f64) {
         if weight > 0.0 {
             self.entries.insert(node, weight);
@@ -80,12 +80,12 @@
         }
     }
 
-    /// Publishes an admission order.
-    pub fn set_admission(&mut self, operation: OperationId, order: AdmissionPolicy) {
-        self.admission.insert(operation, order);
+    /// Sets the published admission limit and retry policy of an operation.
+    pub fn set_admission(&mut self, operation: OperationId, policy: AdmissionPolicy) {
+        self.admission.insert(operation, policy);
     }
 
-    /// The table of one of so many subsets; the first keeps what was published.
+    /// The table for one of `subsets` subsets. The first one keeps the published entries; the others start empty.
     pub fn for_subset(&self, subset: u16, subsets: u16) -> Table {
         let mut table = Table {
             subset,
@@ -99,18 +99,18 @@
         table
     }
 
-    /// Takes entries as published.
+    /// Replaces the published entries.
     #[cfg(test)]
     pub fn set_entries(&mut self, entries: NodeWeights) {
         self.entries = entries;
     }
 
-    /// The zone of its proxies.
+    /// The zone of the proxies that use the table.
     pub fn zone(&self) -> ZoneId {
         self.class.zone
     }
 
-    /// Whether a proxy of that zone uses it.
+    /// Whether a proxy in the given zone uses this table.
     pub fn serves(&self, proxy: ProxyId, zone: ZoneId) -> bool {
         zone == self.class.zone && proxy.0 % self.subsets.max(1) == self.subset
     }
@@ -119,7 +119,8 @@
 /// All tables.
 pub(crate) type Tables = BTreeMap<TableId, Table>;
 
-/// One table for each zone, or two where some operations stay in their zone and some don't.
+/// The initial tables: per zone one table for operations that may leave the zone and one for operations that stay
+/// in it, as far as there are such operations.
 pub(crate) fn undivided_tables(operations: &[Operation], zones: u16) -> Tables {
     let mut tables = BTreeMap::new();
     for (zone, stays_in_zone) in (0..zones).flat_map(|zone| [(zone, false), (zone, true)]) {
@@ -151,7 +152,7 @@
     tables.values().map(Table::zone).collect()
 }
 
-/// The classes of demand that have tables, each with a sum of 0.
+/// The demand classes that have tables, each with demand 0.
 pub(crate) fn zero_demand(tables: &Tables) -> BTreeMap<DemandClass, f64> {
     tables.values().map(|table| (table.class, 0.0)).collect()
 }
--- a/crates/wheelspread/src/update_plan.rs
+++ b/crates/wheelspread/src/update_plan.rs
@@ -1,11 +1,13 @@
 //! The order of weight updates, after Cupid: W. Wang, W. He, J. Su, Y. Chen, "Cupid: Congestion-free Consistent
 //! Data Plane Update In Software Defined Networks".
 //!
-//! Cupid orders flow-table updates so that no link is overloaded in mid-move. Here nodes stand for links and
-//! tables for flows. A node is at risk when what leaves or what arrives fits beside what stays, but not both. A
-//! table that adds to a node at risk waits for those that take load off it. Tables that wait for nobody are
-//! published whole; tables that wait for each other are published whole where headroom allows, else the one
-//! that can shift most makes a part of its move; with no headroom at all, admission is cut.
+//! Cupid orders flow-table updates so that no link is overloaded during a move. Here, nodes take the place of
+//! links and tables the place of flows. A node is at risk when its limit holds the staying load together with
+//! either the leaving or the arriving load, but not with both. A table that adds load to an at-risk node waits for
+//! the tables that remove load from it. Tables that wait for no other table are published completely. Of the
+//! tables that wait for each other, those whose complete move fits into the headroom are published completely; if
+//! there is none, the table that can shift the most load makes a greedy step. If there is no headroom at all, the
+//! admission of one table is cut.
 
 use crate::fleet::Fleet;
 use crate::flows::{is_waiting_for, node_flow, WaitGraph};
@@ -15,13 +17,14 @@
 use crate::shares::{shares, weight_of, NodeWeights, TableWeights};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The load that a node may get.
+/// Factors for the load limit of a node. The limit is the larger one of its load by listed weight and its peak
+/// rate, each multiplied by its factors.
 struct NodeLimitFactors {
-    /// To its part of the traffic by listed weight.
+    /// Factor of the load that the node gets when all demand is spread by listed weight.
     even_share: f64,
-    /// To that, while it warms up.
+    /// Additional factor of the same load while the node is warming.
     warming: f64,
-    /// To the most that it served while latency held.
+    /// Factor of the highest rate at which the node's latency stayed within the objective.
     peak: f64,
 }
 
@@ -31,22 +34,24 @@
     peak: 1.25,
 };
 
-/// To an entry's weight: changes from there on start a step by themselves.
+/// Change of an entry's weight above which a step is needed, as a ratio of the larger weight.
 const MIN_STEP_CHANGE_RATIO: f64 = 0.12;
-/// To a table's mean weight: entries below it count as that large when changes are compared.
+/// Ratio of a table's mean weight. An entry with a smaller weight counts as this large when changes are compared,
+/// so that small entries do not cause updates.
 pub(crate) const SMALL_ENTRY_RATIO: f64 = 0.3;
-/// Sum of the weights of a table that is written for the first time.
+/// Sum of the weights of a table that had no entries before.
 pub(crate) const INITIAL_WEIGHT_SUM: f64 = 100.0;
-/// Least load that counts as one.
+/// Changes of load below this rate, in requests per second, are ignored.
 const MIN_LOAD: f64 = 1e-9;
 
-/// The greedy step and the admission cut.
+/// Bounds of the greedy step and of the admission cut, which resolve a deadlock of tables.
 struct DeadlockLimits {
-    /// Of the load that a table moves: smaller greedy steps are not sent.
+    /// Minimum size of a greedy step, as a ratio of the load that the table's complete move shifts.
     min_shift_ratio: f64,
-    /// Of the load that a table moves: what an admission cut is to make headroom for.
+    /// Headroom that an admission cut is to create, as a ratio of the load that the blocked table's complete move
+    /// shifts.
     headroom_ratio: f64,
-    /// Of a table's traffic: what is left after a cut, at least.
+    /// Minimum ratio of a table's traffic that a cut leaves admitted.
     min_admitted_ratio: f64,
 }
 
@@ -56,16 +61,16 @@
     min_admitted_ratio: 0.5,
 };
 
-/// What the last resort leaves of a table's traffic while a step has no headroom.
+/// A reduction of one table's admitted traffic, applied while no deadlocked table has headroom to move.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct AdmissionCut {
     pub table: TableId,
-    /// Part of the table's traffic that is still admitted.
+    /// Ratio of the traffic that stays admitted.
     pub admitted_ratio: f64,
 }
 
-/// One step of the way from what `draft` says to `targets`, written into `draft`. Returns the admission cut that
-/// is needed while the step has no headroom.
+/// Plans one update step from the weights in `draft` towards `targets` and writes the new weights into `draft`.
+/// Returns the admission cut that is needed if no deadlocked table has headroom to move.
 pub(crate) fn plan_step(
     fleet: &Fleet,
     targets: &TableWeights,
@@ -75,38 +80,40 @@
     let moving = tables_needing_a_step(fleet, targets, draft);
     plan.compute_additions(&moving);
     let wait_graph = plan.wait_graph(&moving);
-    let mut publish: BTreeMap<TableId, f64> = unblocked_tables(&wait_graph);
+    let mut move_ratios: BTreeMap<TableId, f64> = unblocked_tables(&wait_graph);
     let deadlocked = deadlocked_tables(&moving, &wait_graph);
     let mut cut = None;
-    if !plan.complete_moves(&deadlocked, &mut publish) {
-        cut = plan.greedy_step(fleet, &deadlocked, &mut publish);
+    if !plan.complete_moves(&deadlocked, &mut move_ratios) {
+        cut = plan.greedy_step(fleet, &deadlocked, &mut move_ratios);
     }
-    for (table, ratio) in publish {
+    for (table, ratio) in move_ratios {
         plan.write_weights(table, ratio, draft);
     }
     cut
 }
 
-/// The loads of one step.
+/// The loads, in requests per second, from which one update step is planned.
 struct Plan {
-    /// Load by table and node, as published.
+    /// Load by table and node with the published weights.
     published: TableWeights,
-    /// The same by the targets.
+    /// Load by table and node with the target weights.
     target: TableWeights,
-    /// The target, less what would overfill a node by itself.
+    /// The target load, reduced at nodes whose limit is exceeded by the arriving and staying load alone.
     goal: TableWeights,
-    /// Nodes that must lose load before they get new load.
+    /// Nodes that must lose load before they can take the arriving load.
     at_risk: BTreeSet<NodeId>,
+    /// Load that each node can take in addition before anything leaves it; below 0 if it is over its limit.
     headroom: NodeWeights,
-    /// By table, what it adds to nodes at risk.
+    /// By table, the load that it adds to each at-risk node.
     additions: BTreeMap<TableId, Vec<(NodeId, f64)>>,
 }
 
-/// How far a table can move now.
+/// The part of a table's move that is possible in this step.
 struct Shift {
-    /// The load that it moves in all.
+    /// Load that the complete move takes off the previous nodes.
     moved_load: f64,
-    /// The least headroom on its new nodes, and where that is; `None`: it adds to no node at risk.
+    /// The minimum headroom of the at-risk nodes to which the table adds load, and that node; `None`: there is no
+    /// such node.
     min_headroom: Option<(f64, NodeId)>,
 }
 
@@ -146,7 +153,7 @@
         plan
     }
 
-    /// Sums what leaves a node, arrives and stays: whether it is at risk, and its headroom.
+    /// Computes the headroom of a node from its leaving, arriving and staying load, and whether it is at risk.
     fn assess_node(&mut self, id: NodeId, limit: f64, peers_rate: f64) {
         let flow = node_flow(&self.published, &self.target, id);
         let staying = flow.staying + peers_rate;
@@ -158,7 +165,8 @@
         {
             self.at_risk.insert(id);
         } else if flow.arriving > 0.0 && flow.arriving + staying > limit {
-            // A weight that alone overfills the node rises in steps within the headroom.
+            // The arriving and staying load alone exceed the limit: the weight increases in steps within the
+            // headroom.
             let ratio = (headroom.max(0.0) / flow.arriving).min(1.0);
             for (table, loads) in &mut self.goal {
                 let before = weight_of(&self.published, *table, id);
@@ -187,7 +195,8 @@
         weight_of(&self.published, table, node) > weight_of(&self.target, table, node) + MIN_LOAD
     }
 
-    /// Removals before additions: who adds to a node at risk waits for those that take load off it.
+    /// Removals come before additions: a table that adds load to an at-risk node waits for every table that
+    /// removes load from it.
     fn wait_graph(&self, moving: &[TableId]) -> WaitGraph {
         let waits_for = |table: &TableId| {
             let others = moving.iter().copied().filter(|other| other != table);
@@ -202,11 +211,12 @@
         moving.iter().map(waits_for).collect()
     }
 
-    /// Publishes tables that wait for each other whole where headroom takes all they add; whether any was.
+    /// Publishes each deadlocked table completely if the headroom takes all load that it adds. Returns whether any
+    /// table was published.
     fn complete_moves(
         &mut self,
         deadlocked: &[TableId],
-        publish: &mut BTreeMap<TableId, f64>,
+        move_ratios: &mut BTreeMap<TableId, f64>,
     ) -> bool {
         let mut any_published = false;
         for table in deadlocked {
@@ -218,7 +228,7 @@
                 for (node, added) in additions {
                     *self.headroom.entry(*node).or_default() -= added;
                 }
-                publish.insert(*table, 1.0);
+                move_ratios.insert(*table, 1.0);
                 any_published = true;
             }
         }
@@ -240,20 +250,20 @@
         }
     }
 
-    /// Moves a part of the table that can shift most. With no headroom at all, the table that brings most to the
-    /// blocked node has its admission cut by the shortfall.
+    /// Publishes a part of the move of the table that can shift the most load. With no headroom at all, cuts the
+    /// admission of the table with the highest target load on the blocked node by the shortfall.
     fn greedy_step(
         &self,
         fleet: &Fleet,
         deadlocked: &[TableId],
-        publish: &mut BTreeMap<TableId, f64>,
+        move_ratios: &mut BTreeMap<TableId, f64>,
     ) -> Option<AdmissionCut> {
         let shifts = deadlocked.iter().map(|table| (*table, self.shift(*table)));
         let (table, shift) =
             shifts.max_by(|a, b| a.1.possible_load().total_cmp(&b.1.possible_load()))?;
         let possible_load = shift.possible_load();
         if possible_load > shift.moved_load * DEADLOCK_LIMITS.min_shift_ratio {
-            publish.insert(table, (possible_load / shift.moved_load).min(1.0));
+            move_ratios.insert(table, (possible_load / shift.moved_load).min(1.0));
             return None;
         }
         let (headroom, node) = shift.min_headroom?;
@@ -272,7 +282,8 @@
         })
     }
 
-    /// Writes a table's move, or a part of it, as weights.
+    /// Writes the weights of a table into `draft` after the given ratio of its move; a ratio of 1 is the complete
+    /// move.
     fn write_weights(&self, table: TableId, ratio: f64, draft: &mut TableWeights) {
         let moved_entry = |node: &NodeId| {
             let before = weight_of(&self.published, table, *node);
@@ -297,7 +308,8 @@
     }
 }
 
-/// The load that a node may get: a part of traffic by listed weight, or the most it served while latency held.
+/// The load limit of a node, in requests per second: a multiple of its load by listed weight or of the highest
+/// rate at which its latency stayed within the objective, whichever is higher.
 fn node_limit(node: &Node, rate_per_weight: f64) -> f64 {
     let warming = if node.is_warming() {
         NODE_LIMIT_FACTORS.warming
@@ -326,7 +338,7 @@
         .collect()
 }
 
-/// Whether an entry's move, or an entry more or less, is large enough for a step.
+/// Whether any entry is added or removed, or changes its share enough for an update step.
 fn needs_a_step(entries: &NodeWeights, target: &NodeWeights) -> bool {
     let published = shares(entries);
     let mean = 1.0 / target.len().max(1) as f64;
@@ -339,13 +351,13 @@
     })
 }
 
-/// Tables that wait for nobody, each to be published whole.
+/// Tables that wait for no other table, each with the ratio 1 of its move.
 fn unblocked_tables(wait_graph: &WaitGraph) -> BTreeMap<TableId, f64> {
     let unblocked = wait_graph.iter().filter(|(_, awaited)| awaited.is_empty());
     unblocked.map(|(table, _)| (*table, 1.0)).collect()
 }
 
-/// Tables that wait, through others, for themselves.
+/// Tables that wait for themselves, directly or through other tables.
 fn deadlocked_tables(moving: &[TableId], wait_graph: &WaitGraph) -> Vec<TableId> {
     let is_deadlocked = |table: &TableId| is_waiting_for(wait_graph, *table, *table);
     moving.iter().copied().filter(is_deadlocked).collect()
--- a/crates/wheelspread/tests/action_snapshot.rs
+++ b/crates/wheelspread/tests/action_snapshot.rs
@@ -1,9 +1,9 @@
-//! Feeds the balancer three made-up event streams, each drawn from a fixed seed, and compares every action it
-//! orders with a recorded snapshot. A refactoring must leave the snapshots as they are.
+//! Runs the balancer on three generated event streams with fixed seeds and compares all actions with recorded
+//! snapshots. A refactoring must not change the snapshots.
 //!
-//! The streams hold joins and leaves, load reports, endpoint list changes, drains, warming nodes, lost reports, late
-//! acknowledgements and a restart. Actions are written in a notation of this file, not by `Debug`, so that renaming a
-//! type does not change a snapshot.
+//! The streams contain joins and leaves, load reports, endpoint list changes, drains, warming nodes, lost reports,
+//! late acknowledgements and a restart. The actions are written in a notation of this file, not with `Debug`, so
+//! that renaming a type does not change a snapshot.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -24,9 +24,9 @@
     zones: u16,
     nodes: u8,
     proxies: u16,
-    /// Requests a second that come to one proxy.
+    /// Requests per second that one proxy receives.
     proxy_rate: f64,
-    /// Requests a second that one node can serve.
+    /// Requests per second that one node can serve.
     node_rate: f64,
     reports: &'static [&'static str],
     peers: bool,
@@ -39,7 +39,7 @@
     step: usize,
     nodes: BTreeMap<u8, SimulatedNode>,
     joined: BTreeSet<u16>,
-    /// Markers that wait for an answer, by the step in which it comes.
+    /// Markers that are not acknowledged yet, with the step in which the acknowledgements follow.
     pending_markers: Vec<(usize, MarkerId)>,
     log: String,
 }
@@ -57,7 +57,7 @@
     }
 }
 
-/// Settings that all three fleets share.
+/// Settings of all three fleets.
 const COMMON_SETTINGS: [(&str, &str); 34] = [
     ("conductor.count", "1"),
     ("conductor.tick", "0.05"),
@@ -174,7 +174,7 @@
                 self.step,
                 error.len().min(1)
             )
-            .expect("a string takes all");
+            .expect("writing to a string succeeds");
         }
     }
 
@@ -246,7 +246,7 @@
         }
     }
 
-    /// One of several things happens to a node: it drains, goes, starts anew, or begins or ends to fail.
+    /// Changes a random node: it drains, is gone, restarts, or starts or stops failing.
     fn change_one_node(&mut self) {
         if self.step < 60 || !self.chance(0.05) {
             return;
@@ -273,7 +273,7 @@
         if self.step % 10 != 7 {
             return;
         }
-        // More is asked for in the middle of the stream than all nodes together can serve.
+        // In the middle of the stream, demand exceeds the capacity of all nodes together.
         let demand_factor = if (200..300).contains(&self.step) {
             2.5
         } else {
@@ -358,7 +358,8 @@
         if !self.fleet.peers || self.step % 20 != 11 {
             return;
         }
-        // The head is two bytes of proxies and four for each sort of table; then eight for each node.
+        // The message begins with two bytes for the number of proxies and four bytes for each demand class; eight
+        // bytes for each node follow.
         let mut bytes = vec![4, 0];
         for _ in 0..2 * self.fleet.zones {
             bytes.extend((30.0f32 + self.random.unit() as f32).to_le_bytes());
@@ -408,7 +409,8 @@
                 self.pending_markers
                     .push((self.step + delay_steps, *marker_id));
             }
-            writeln!(self.log, "{} {}", self.step, describe(action)).expect("a string takes all");
+            writeln!(self.log, "{} {}", self.step, describe(action))
+                .expect("writing to a string succeeds");
         }
     }
 
@@ -447,7 +449,8 @@
     }
 }
 
-/// All digits of a figure: two that differ in the last bit give different text.
+/// Writes an action. Numbers are written with all digits, so that two values that differ in the last bit give
+/// different text.
 fn describe(action: &Action) -> String {
     match action {
         Action::SetWeight {
