--- a/crates/wheelspread/src/balancer/tests/stage.rs
+++ b/crates/wheelspread/src/balancer/tests/stage.rs
@@ -285,9 +285,8 @@
     }
 
     fn load_report(&mut self, in_zone: &str, name: &str, rest: &[&str]) {
-        let get = |key: &str, default: f64| {
-            value_of(rest, key).map_or(default, |text| text.parse().expect(text))
-        };
+        let get =
+            |key: &str, default: f64| value_of(rest, key).map_or(default, |s| s.parse().expect(s));
         let utilization = value_of(rest, "utilization").map(|text| text.parse().expect(text));
         self.event(&Event::NodeLoadReport {
             zone: zone(in_zone),
--- a/crates/wheelspread/src/locality.rs
+++ b/crates/wheelspread/src/locality.rs
@@ -140,8 +140,8 @@
     }
 
     fn spillover(&self, table: &Table) -> Spillover {
-        let table_zone = table.zone();
-        let others = self.excess.iter().filter(|(zone, _)| **zone != table_zone);
+        let own_zone = table.zone();
+        let others = self.excess.iter().filter(|(zone, _)| **zone != own_zone);
         let remote_zones: BTreeMap<ZoneId, RemoteZone> = others
             .map(|(zone, excess)| {
                 let headroom = (-excess).max(0.0);
@@ -149,7 +149,7 @@
                     *zone,
                     RemoteZone {
                         headroom,
-                        capacity: self.capacity_between[&(table_zone, *zone)],
+                        capacity: self.capacity_between[&(own_zone, *zone)],
                     },
                 )
             })
@@ -163,13 +163,13 @@
         let is_local_only = table.class().stays_in_zone || total.capacity <= 0.0;
         let remote_share = match (
             is_local_only,
-            self.capacity_between[&(table_zone, table_zone)] > 0.0,
+            self.capacity_between[&(own_zone, own_zone)] > 0.0,
         ) {
             (true, _) => 0.0,
             (false, false) => 1.0,
-            (false, true) => (self.excess[&table_zone]
-                / self.demand_at(table_zone, false).max(1e-6))
-            .clamp(0.0, 1.0),
+            (false, true) => {
+                (self.excess[&own_zone] / self.demand_at(own_zone, false).max(1e-6)).clamp(0.0, 1.0)
+            }
         };
         Spillover {
             remote_share,
@@ -181,16 +181,14 @@
     /// The target share of each node in one table's traffic. `range` is the part of the ordered node list that the
     /// table's subset uses.
     fn table_shares(&self, table: &Table, range: SubsetRange) -> NodeWeights {
-        let table_zone = table.zone();
+        let own_zone = table.zone();
         let spillover = self.spillover(table);
         let mut assigned_capacity = BTreeMap::<ZoneId, f64>::new();
         let mut entries = NodeWeights::new();
-        for (candidate, usable_capacity) in self
-            .candidates
-            .iter()
-            .zip(&self.usable_capacity[&table_zone])
+        for (candidate, usable_capacity) in
+            self.candidates.iter().zip(&self.usable_capacity[&own_zone])
         {
-            let zone_capacity = self.capacity_between[&(table_zone, candidate.zone)].max(1e-6);
+            let zone_capacity = self.capacity_between[&(own_zone, candidate.zone)].max(1e-6);
             let position = assigned_capacity.entry(candidate.zone).or_default();
             let (from, to) = (
                 *position / zone_capacity,
@@ -211,7 +209,7 @@
             let allowed = self
                 .candidates
                 .iter()
-                .filter(|c| !stays || c.zone == table_zone);
+                .filter(|c| !stays || c.zone == own_zone);
             entries = allowed.map(|c| (c.node, c.capacity.max(1e-6))).collect();
         }
         shares(&entries)
--- a/crates/wheelspread/src/publication.rs
+++ b/crates/wheelspread/src/publication.rs
@@ -66,7 +66,7 @@
 /// Sends the entries by which `draft` differs from the published weights. A weight is sent only if it changed
 /// enough; without `may_adjust_weights`, only added and removed entries are sent. If the queue lacks headroom,
 /// entries that lose weight wait, so that no table runs empty. Removals of nodes that are no longer open and
-/// lowered weights of warming nodes are sent all the same.
+/// lowered weights of warming nodes never wait: the rules for drains and warming nodes come first.
 pub(crate) fn publish_weights(
     fleet: &mut Fleet,
     pacing: &Pacing,
