--- a/crates/wheelspread/src/admission.rs
+++ b/crates/wheelspread/src/admission.rs
@@ -19,10 +19,10 @@
 
 /// Ratios that make up the capacity target, the demand that is admitted under overload.
 struct CapacityTargetRatios {
-    /// Ratio of the estimated capacity.
+    /// Ratio of the summed capacity of all open nodes.
     capacity_ratio: f64,
-    /// Ratio of the highest rate that a node recently served. A node can serve this rate again, even if the
-    /// estimate is lower.
+    /// The capacity of a node counts as at least this ratio of the highest rate that it recently served: the node
+    /// can serve that rate again, even if the estimate is lower.
     recent_peak_ratio: f64,
 }
 
