--- a/crates/wheelspread/src/admission.rs
+++ b/crates/wheelspread/src/admission.rs
@@ -1,9 +1,10 @@
-//! Admission under overload: what is asked beyond capacity is rejected at the proxies, the operations of least
-//! billed value first.
+//! Admission under overload: demand beyond the capacity target is rejected at the proxies, starting with the
+//! operations of the lowest billed value.
 //!
-//! Covers overload, lost nodes, and whatever slows all nodes at once. Harm: an estimate too low rejects too much,
-//! so nothing is cut unless measured load or failures confirm it, and never below what nodes were lately seen to
-//! serve; the easing factor follows the failures rather than the estimate.
+//! This covers overload, lost nodes and anything that slows down all nodes at once. A capacity estimate that is
+//! too low would reject too many requests. Therefore admission is cut only if measured load or failures confirm
+//! the overload, and never below the rate that nodes recently served. A separate capacity factor follows the
+//! failures, not the estimate.
 
 use crate::fleet::Fleet;
 use crate::fleet_load::{mean_utilization, measured_load, FleetLoad, LOAD_THRESHOLDS};
@@ -11,123 +12,129 @@
 use crate::lifecycle::Node;
 use crate::retry_policy::retry_policy;
 use crate::slow_start::warming_limit;
-use crate::tables::{AdmissionOrder, DemandClass, Table};
+use crate::tables::{AdmissionPolicy, DemandClass, Table};
 use crate::time::Moment;
 use crate::update_plan::AdmissionCut;
 use std::collections::BTreeMap;
 
-/// What admission aims at under overload.
-struct CapacityTarget {
-    /// Of the estimated capacity.
-    of_capacity: f64,
-    /// Of the most that a node was lately seen to serve: it can do that again.
-    of_recent_peak: f64,
+/// Ratios that make up the capacity target, the demand that is admitted under overload.
+struct CapacityTargetRatios {
+    /// Ratio of the summed capacity of all open nodes.
+    capacity_ratio: f64,
+    /// The capacity of a node counts as at least this ratio of the highest rate that it recently served: the node
+    /// can serve that rate again, even if the estimate is lower.
+    recent_peak_ratio: f64,
 }
 
-const CAPACITY_TARGET: CapacityTarget = CapacityTarget {
-    of_capacity: 0.77,
-    of_recent_peak: 0.95,
+const CAPACITY_TARGET_RATIOS: CapacityTargetRatios = CapacityTargetRatios {
+    capacity_ratio: 0.77,
+    recent_peak_ratio: 0.95,
 };
 
-/// How admission follows failures.
-struct Easing {
-    /// Each cut, to what was aimed at before.
-    cut: f64,
-    least: f64,
-    /// Each return, while the fleet is not overrun.
-    recovery: f64,
-    /// Report cycles between two cuts: each waits for reports from after it.
-    cut_cycles: f64,
+/// How the factor of the capacity target follows failures.
+struct CapacityFactor {
+    /// Multiplier of each decrease.
+    decrease: f64,
+    /// Minimum value of the factor.
+    floor: f64,
+    /// Increment in each admission update while the measured load is below 1.
+    increase: f64,
+    /// Minimum interval between two decreases, in report cycles, so that reports show the effect of one decrease
+    /// before the next.
+    decrease_interval_cycles: f64,
 }
 
-const EASING: Easing = Easing {
-    cut: 0.85,
-    least: 0.8,
-    recovery: 0.06,
-    cut_cycles: 3.0,
+const CAPACITY_FACTOR: CapacityFactor = CapacityFactor {
+    decrease: 0.85,
+    floor: 0.8,
+    increase: 0.06,
+    decrease_interval_cycles: 3.0,
 };
 
-/// Of an operation's traffic: what is left before the next operation is cut, in two rounds.
-const LEAST_RATIOS: [f64; 2] = [0.3, 0.02];
-/// An admission ratio's return each time: to the ratio and this much more, at most.
-const RETURN_STEP: f64 = 0.08;
-const RETURN_OFFSET: f64 = 0.2;
-/// Of an operation's traffic: larger ratios admit all.
-const ADMIT_ALL: f64 = 0.97;
-/// A rate at each proxy that admits all.
+/// Minimum admission ratio of an operation, in two passes: every operation is cut to the first ratio before any is
+/// cut to the second.
+const MIN_RATIOS: [f64; 2] = [0.3, 0.02];
+/// Recovery of an admission ratio in one update: the ratio increases by this step times the sum of the ratio and
+/// the offset, where that sum counts as at most 1.
+const RECOVERY_STEP: f64 = 0.08;
+const RECOVERY_OFFSET: f64 = 0.2;
+/// Admission ratio above which all requests of an operation are admitted.
+const ADMIT_ALL_RATIO: f64 = 0.97;
+/// Admission limit of each proxy that admits all requests, in requests per second.
 const UNLIMITED_RATE: f64 = 1e6;
-const LEAST_RATE: f64 = 0.1;
+/// Minimum admission limit of each proxy, in requests per second.
+const MIN_RATE: f64 = 0.1;
 
-/// The admission ratios that were decided.
+/// Current admission ratios and the state from which they are updated.
 #[derive(Clone, Debug)]
 pub(crate) struct Admission {
-    /// Part of the requests that is admitted, by table and operation.
+    /// Ratio of the requests that is admitted, by table and operation.
     ratios: BTreeMap<(TableId, OperationId), f64>,
-    /// What the last resort of an update plan takes off a table.
+    /// Admission cut of the latest update plan.
     cut: Option<AdmissionCut>,
-    /// To the capacity that is aimed at: lower while failures go on.
-    easing: f64,
-    last_eased_at: Moment,
+    /// Factor of the capacity target; decreases while failures continue.
+    capacity_factor: f64,
+    last_decrease_at: Moment,
     load: FleetLoad,
-    /// When the fleet was last anything but calm.
+    /// Last time at which the measured load was at or above the `calm` threshold.
     last_busy_at: Moment,
 }
 
 impl Admission {
-    /// Everything is admitted.
+    /// Starts with all requests admitted.
     pub fn new(now: Moment) -> Admission {
         Admission {
             ratios: BTreeMap::new(),
             cut: None,
-            easing: 1.0,
-            last_eased_at: now,
+            capacity_factor: 1.0,
+            last_decrease_at: now,
             load: FleetLoad::Usual,
             last_busy_at: now,
         }
     }
 
-    /// Whether the fleet is overloaded.
+    /// Whether the measured load was at or above the `strained` threshold in the last update.
     pub fn is_strained(&self) -> bool {
         self.load == FleetLoad::Strained
     }
 
-    /// The last resort of the latest update plan; `None`: it had headroom.
+    /// Sets the admission cut of the latest update plan; `None`: the plan had headroom.
     pub fn set_cut(&mut self, cut: Option<AdmissionCut>) {
         self.cut = cut;
     }
 
-    /// What was last set.
+    /// The current admission cut.
     #[cfg(test)]
     pub fn cut(&self) -> Option<AdmissionCut> {
         self.cut
     }
 
-    /// Decides the admission ratios of all tables.
+    /// Updates the admission ratios of all tables.
     pub fn update(&mut self, fleet: &Fleet) {
         self.update_load(fleet);
         let demand = fleet.demand_by_class();
-        let wanted = self.ratios_by_value(fleet, demand.values().sum());
+        let target_ratios = self.ratios_by_value(fleet, demand.values().sum());
         for (id, table) in &fleet.tables {
-            let local_limit = local_limit(fleet, table, &demand);
+            let zone_limit = zone_limit(fleet, table, &demand);
             let warming_limit = warming_ratio(fleet, table);
-            let is_tight = local_limit.is_some() || self.is_strained();
+            let is_limited = zone_limit.is_some() || self.is_strained();
             for operation in table.operations() {
                 let before = self.ratio(*id, *operation);
-                let most = before + RETURN_STEP * (before + RETURN_OFFSET).min(1.0);
-                let mut ratio = wanted[operation];
-                if let Some(limit) = local_limit.filter(|limit| *limit > 0.0) {
+                let recovered = before + RECOVERY_STEP * (before + RECOVERY_OFFSET).min(1.0);
+                let mut ratio = target_ratios[operation];
+                if let Some(limit) = zone_limit.filter(|limit| *limit > 0.0) {
                     ratio = ratio.min(limit);
                 }
-                ratio = if is_tight {
-                    ratio.min(most)
+                ratio = if is_limited {
+                    ratio.min(recovered)
                 } else {
-                    ratio.max(most)
+                    ratio.max(recovered)
                 };
                 if let Some(limit) = warming_limit {
                     ratio = ratio.min(limit);
                 }
                 self.ratios
-                    .insert((*id, *operation), ratio.clamp(LEAST_RATIOS[1], 1.0));
+                    .insert((*id, *operation), ratio.clamp(MIN_RATIOS[1], 1.0));
             }
         }
     }
@@ -139,10 +146,11 @@
     fn update_load(&mut self, fleet: &Fleet) {
         let (now, cycle, load) = (fleet.now, fleet.timing.cycle(), measured_load(fleet));
         if load < 1.0 {
-            self.easing = (self.easing + EASING.recovery).min(1.0);
-        } else if now - self.last_eased_at > cycle * EASING.cut_cycles {
-            self.easing = (self.easing * EASING.cut).max(EASING.least);
-            self.last_eased_at = now;
+            self.capacity_factor = (self.capacity_factor + CAPACITY_FACTOR.increase).min(1.0);
+        } else if now - self.last_decrease_at > cycle * CAPACITY_FACTOR.decrease_interval_cycles {
+            self.capacity_factor =
+                (self.capacity_factor * CAPACITY_FACTOR.decrease).max(CAPACITY_FACTOR.floor);
+            self.last_decrease_at = now;
         }
         let has_been_calm = now - self.last_busy_at > cycle * LOAD_THRESHOLDS.calm_cycles;
         self.load = if load >= LOAD_THRESHOLDS.strained {
@@ -157,14 +165,15 @@
         }
     }
 
-    /// Ratios by operation that leave no more than the nodes can serve: the cheapest are cut first.
+    /// Admission ratios by operation that reduce the demand to the capacity target. Operations of the lowest
+    /// billed value are cut first.
     fn ratios_by_value(&self, fleet: &Fleet, demand: f64) -> BTreeMap<OperationId, f64> {
         let usable = |node: &Node| {
-            let peak = node.load.recent_peak() * CAPACITY_TARGET.of_recent_peak;
+            let peak = node.load.recent_peak() * CAPACITY_TARGET_RATIOS.recent_peak_ratio;
             fleet.capacity_of(node).max(peak)
         };
         let capacity: f64 = fleet.nodes.open().map(|(_, node)| usable(node)).sum();
-        let target = CAPACITY_TARGET.of_capacity * self.easing * capacity;
+        let target = CAPACITY_TARGET_RATIOS.capacity_ratio * self.capacity_factor * capacity;
         let mut excess = (demand - target).max(0.0);
         let scale = demand / fleet.members.total_demand().max(1e-6);
         let operations = fleet.config.operations.iter();
@@ -174,12 +183,12 @@
         by_value.sort_by(|a, b| a.0.total_cmp(&b.0));
         let mut ratios: BTreeMap<OperationId, f64> =
             by_value.iter().map(|(_, id)| (*id, 1.0)).collect();
-        for least in LEAST_RATIOS {
+        for floor in MIN_RATIOS {
             for (_, id) in &by_value {
                 let proxies = fleet.members.proxies().values();
                 let own_demand = proxies.map(|proxy| proxy.demand(&[*id])).sum::<f64>();
                 let offered = own_demand * scale;
-                let cut = excess.min(offered * (ratios[id] - least).max(0.0));
+                let cut = excess.min(offered * (ratios[id] - floor).max(0.0));
                 excess -= cut;
                 if let Some(ratio) = ratios.get_mut(id) {
                     *ratio -= cut / offered.max(1e-6);
@@ -189,20 +198,21 @@
         ratios
     }
 
-    /// What is to be published for an operation of a table.
-    pub fn order(&self, fleet: &Fleet, table: TableId, operation: OperationId) -> AdmissionOrder {
+    /// The admission limit and the retry policy to publish for an operation of a table.
+    pub fn policy(&self, fleet: &Fleet, table: TableId, operation: OperationId) -> AdmissionPolicy {
         let cut = self.cut.filter(|cut| cut.table == table);
-        let ratio = self.ratio(table, operation) * cut.map_or(1.0, |cut| cut.admitted);
-        let known = &fleet.config.operations[usize::from(operation.0)];
-        AdmissionOrder {
-            limit: limit_for(fleet, &fleet.tables[&table], operation, ratio),
-            retry: retry_policy(known, self.load),
+        let ratio = self.ratio(table, operation) * cut.map_or(1.0, |cut| cut.admitted_ratio);
+        let configured = &fleet.config.operations[usize::from(operation.0)];
+        AdmissionPolicy {
+            limit: admission_limit(fleet, &fleet.tables[&table], operation, ratio),
+            retry: retry_policy(configured, self.load),
         }
     }
 }
 
-/// Where requests may not leave a zone whose nodes are strained: the ratio that these can serve.
-fn local_limit(fleet: &Fleet, table: &Table, demand: &BTreeMap<DemandClass, f64>) -> Option<f64> {
+/// For a table whose requests stay in its zone: the admission ratio that the nodes of the zone can serve, while
+/// the utilization of the zone is high.
+fn zone_limit(fleet: &Fleet, table: &Table, demand: &BTreeMap<DemandClass, f64>) -> Option<f64> {
     let zone = table.zone();
     let is_strained = |zone: ZoneId| {
         mean_utilization(fleet, |node| node.zone() == zone) >= LOAD_THRESHOLDS.strained
@@ -215,7 +225,7 @@
     Some(capacity / demand[&table.class()].max(1e-6))
 }
 
-/// Where a table has entries of warming nodes only: the ratio that these may take.
+/// For a table that has only entries of warming nodes: the admission ratio that these nodes can take together.
 fn warming_ratio(fleet: &Fleet, table: &Table) -> Option<f64> {
     if table.entries().is_empty() {
         return None;
@@ -227,10 +237,10 @@
     Some(sum / fleet.demand_of(table).max(1e-6))
 }
 
-/// An admission ratio as the settings want it said. As a rate at each proxy it is the one rate under which the
-/// table's proxies, unequal in size, admit that ratio together.
-fn limit_for(fleet: &Fleet, table: &Table, operation: OperationId, ratio: f64) -> f64 {
-    match (fleet.config.admission_as_share, ratio > ADMIT_ALL) {
+/// Converts an admission ratio to the form that the settings require: a ratio, or a rate limit that is the same
+/// for all joined proxies of the table.
+fn admission_limit(fleet: &Fleet, table: &Table, operation: OperationId, ratio: f64) -> f64 {
+    match (fleet.config.admission_as_share, ratio > ADMIT_ALL_RATIO) {
         (true, true) => 1.0,
         (true, false) => ratio,
         (false, true) => UNLIMITED_RATE,
@@ -246,15 +256,16 @@
     }
 }
 
-/// The one rate under which proxies of such demands, unequal in size, admit a ratio of them together.
+/// The common rate limit under which proxies with the given, unequal demand together admit `ratio` of the total
+/// demand; `None` if no limit is needed.
 fn common_rate_limit(mut demand: Vec<f64>, ratio: f64) -> Option<f64> {
     demand.sort_by(f64::total_cmp);
-    let (mut left, mut count) = (demand.iter().sum::<f64>() * ratio, demand.len());
+    let (mut remaining_rate, mut count) = (demand.iter().sum::<f64>() * ratio, demand.len());
     for rate in demand {
-        if rate * count as f64 >= left {
-            return Some((left / count as f64).max(LEAST_RATE));
+        if rate * count as f64 >= remaining_rate {
+            return Some((remaining_rate / count as f64).max(MIN_RATE));
         }
-        (left, count) = (left - rate, count - 1);
+        (remaining_rate, count) = (remaining_rate - rate, count - 1);
     }
     None
 }
--- a/crates/wheelspread/src/balancer.rs
+++ b/crates/wheelspread/src/balancer.rs
@@ -1,7 +1,8 @@
-//! The balancer: takes in events and decides, once a moment, what a controller is to publish.
+//! The balancer: handles events and decides in each decision round what the controller publishes.
 //!
-//! The ordinary path is a target ([`crate::locality`]), an order of the way there ([`crate::update_plan`]) and its
-//! pace ([`crate::pacing`]). What cannot wait for a step, such as drains, is published outside of it.
+//! A normal update has three stages: the target weights ([`crate::locality`]), the order in which tables move
+//! towards them ([`crate::update_plan`]) and the rate at which updates are sent ([`crate::pacing`]). Urgent
+//! changes, such as the removal of draining nodes, are published without waiting for an update step.
 //! `docs/design.md` explains the design.
 
 use crate::admission::Admission;
@@ -17,15 +18,15 @@
 use crate::pacing::Pacing;
 use crate::pcg::Pcg;
 use crate::publication::{
-    apply_urgent_changes, bind_joined, publish_admission, publish_weights, published_weights,
-    send_marker,
+    apply_urgent_changes, bind_joined_proxies, publish_admission, publish_weights,
+    published_weights, send_marker,
 };
 use crate::report_timing::REPORT_MEMORY;
 use crate::settings::Settings;
 use crate::shares::TableWeights;
 use crate::slow_start::limit_warming_entries;
 use crate::subset::divide_large_zones;
-use crate::tables::empty_demand;
+use crate::tables::zero_demand;
 use crate::time::{Moment, Span};
 use crate::update_plan::plan_step;
 use crate::Action;
@@ -33,35 +34,37 @@
 #[cfg(test)]
 mod tests;
 
-/// Report periods between two decision rounds, at their usual pace.
-const ROUND_PERIODS: f64 = 0.25;
-/// The same where joins or changes of the endpoint list bring a round forward.
-const HURRIED_ROUND_PERIODS: f64 = 0.05;
-/// Of the memory of averages: that of demand.
-const DEMAND_MEMORY: f64 = REPORT_MEMORY.average_cycles / 3.0;
+/// Interval between two regular decision rounds, in report periods.
+const ROUND_INTERVAL_PERIODS: f64 = 0.25;
+/// Minimum interval between two decision rounds, in report periods, when a join or a change of the endpoint list
+/// triggers a round before its timer.
+const MIN_ROUND_INTERVAL_PERIODS: f64 = 0.05;
+/// Time constant of the demand average, in report cycles: a third of that of other averages.
+const DEMAND_AVERAGING_CYCLES: f64 = REPORT_MEMORY.average_cycles / 3.0;
 
-/// All that one controller's balancer knows and has decided.
+/// State and decisions of one controller's balancer.
 pub struct Balancer {
     fleet: Fleet,
     random: Pcg,
     admission: Admission,
     pacing: Pacing,
     rounds: Rounds,
-    /// Whether the endpoint list or health has changed since the last step.
-    is_step_wanted: bool,
+    /// Whether the endpoint list or the health of a node has changed since the last update step.
+    is_step_requested: bool,
     /// Whether the endpoint list has changed since the last publication.
-    is_publication_wanted: bool,
+    is_publication_requested: bool,
 }
 
-/// When decisions are made.
+/// Timing of the decision rounds.
 struct Rounds {
-    timers: u64,
-    next_at: Moment,
-    last_at: Moment,
+    /// Number of timers set so far, which is also the ID of the last one.
+    last_timer: u64,
+    next_round_at: Moment,
+    last_round_at: Moment,
 }
 
 impl Balancer {
-    /// Starts without knowing anything of the fleet. `seed` feeds the balancer's random numbers.
+    /// Starts with an empty fleet. `seed` initializes the random number generator.
     pub fn start(now: Moment, seed: u64, settings: Settings) -> Result<Balancer, ConfigError> {
         Ok(Balancer {
             fleet: Fleet::new(now, Config::read(&settings)?),
@@ -69,16 +72,17 @@
             admission: Admission::new(now),
             pacing: Pacing::default(),
             rounds: Rounds {
-                timers: 0,
-                next_at: now,
-                last_at: Moment::default(),
+                last_timer: 0,
+                next_round_at: now,
+                last_round_at: Moment::default(),
             },
-            is_step_wanted: true,
-            is_publication_wanted: true,
+            is_step_requested: true,
+            is_publication_requested: true,
         })
     }
 
-    /// Other settings for the same zones and operations, from now on.
+    /// Replaces the settings from now on. Fails if the zones, the operations, or whether an operation stays in its
+    /// zone differ from the current settings.
     pub fn reconfigure(&mut self, settings: Settings) -> Result<(), ConfigError> {
         let config = Config::read(&settings)?;
         if !config.has_same_topology(&self.fleet.config) {
@@ -86,23 +90,24 @@
         }
         self.fleet.timing.set_period(config.report_period);
         self.fleet.config = config;
-        self.want_update();
+        self.request_update();
         Ok(())
     }
 
-    /// Takes over what was known of nodes before a restart, for those in the endpoint list.
+    /// Restores capacity snapshots that were taken before a restart. Snapshots of nodes that are not in the
+    /// endpoint list are ignored.
     pub fn restore_capacities(&mut self, snapshots: &[CapacitySnapshot]) {
         self.fleet
             .capacity
             .restore(&mut self.fleet.nodes, snapshots);
     }
 
-    /// What is known of ready nodes, to be restored after a restart.
+    /// Capacity snapshots of the ready nodes, to be restored after a restart.
     pub fn capacity_snapshots(&self) -> impl Iterator<Item = CapacitySnapshot> + '_ {
         self.fleet.capacity.snapshots(&self.fleet.nodes)
     }
 
-    /// Takes in an event; one that cannot be handled changes no estimate.
+    /// Handles an event. An event that is rejected with an error changes no estimate.
     pub fn handle_event(&mut self, now: Moment, event: &Event) -> Result<(), EventError> {
         self.fleet.now = now;
         event.check()?;
@@ -136,12 +141,13 @@
                 self.pacing.on_acknowledged(*proxy, *marker);
             }
             Event::PeerGossip { from, payload } => {
-                let classes: Vec<_> = empty_demand(&self.fleet.tables).into_keys().collect();
+                let classes: Vec<_> = zero_demand(&self.fleet.tables).into_keys().collect();
                 self.fleet
                     .gossip
                     .on_message(*from, payload, &classes, now)?;
             }
-            // Timers only begin a round; sites with slices and health checks are not decided yet.
+            // A timer only triggers a decision round. Slices of a site and health checks do not influence
+            // decisions yet.
             Event::TimerFired { .. }
             | Event::SliceDemandReport { .. }
             | Event::SliceOwnership { .. }
@@ -171,12 +177,12 @@
         if measurements != Measurements::Keep {
             self.fleet.outliers.forget_node(id);
         }
-        self.want_update();
+        self.request_update();
     }
 
-    fn want_update(&mut self) {
-        self.is_step_wanted = true;
-        self.is_publication_wanted = true;
+    fn request_update(&mut self) {
+        self.is_step_requested = true;
+        self.is_publication_requested = true;
     }
 
     fn on_load_report(&mut self, event: &Event) -> Result<(), EventError> {
@@ -208,19 +214,20 @@
     ) -> Result<(), EventError> {
         let fleet = &mut self.fleet;
         fleet.timing.on_report(fleet.now, window);
-        let memory = fleet.timing.cycle() * DEMAND_MEMORY;
+        let averaging_time = fleet.timing.cycle() * DEMAND_AVERAGING_CYCLES;
         let demand = fleet.members.demand_mut(proxy, operation)?;
         demand.add(
             requests,
             window,
-            memory,
+            averaging_time,
             fleet.now,
             fleet.timing.previous_at(),
         );
         Ok(())
     }
 
-    /// One decision round, to be called after the events of a moment: writes the actions that are due.
+    /// Runs a decision round if one is due and appends the resulting actions to `out`. To be called once after all
+    /// events of a moment.
     pub fn decide(&mut self, now: Moment, out: &mut Vec<Action>) {
         self.fleet.now = now;
         for id in self.fleet.nodes.warmed_up(self.fleet.config.warm_up, now) {
@@ -236,31 +243,41 @@
         self.send_gossip(out);
     }
 
-    /// Publishes what cannot wait, and a step towards the targets where the pace allows one.
+    /// Publishes urgent changes, and an update step towards `targets` when pacing allows one.
     fn publish(&mut self, targets: &TableWeights, out: &mut Vec<Action>) {
         let now = self.fleet.now;
         let mut draft = published_weights(&self.fleet);
         apply_urgent_changes(&self.fleet, targets, &mut draft);
 
         let may_update = self.pacing.may_update(&self.fleet);
-        let may_order = may_update && self.pacing.may_order(&self.fleet, self.is_step_wanted);
-        let is_step = may_order && self.pacing.may_step(&self.fleet);
-        if is_step {
+        let may_publish_paced = may_update
+            && self
+                .pacing
+                .may_publish_paced(&self.fleet, self.is_step_requested);
+        let should_step = may_publish_paced && self.pacing.may_step(&self.fleet);
+        if should_step {
             let cut = plan_step(&self.fleet, targets, &mut draft);
             self.admission.set_cut(cut);
-            self.is_step_wanted = false;
+            self.is_step_requested = false;
         }
         limit_warming_entries(&self.fleet, &mut draft);
 
-        // Each by itself, limits of warming nodes once took all the messages allowed and no step went out for 12 s.
+        // Lowered weights of warming nodes are sent together with other changes. When each was sent on its own,
+        // they used up the whole message cap and no update step was sent for 12 s.
         let mut changed = Default::default();
         if may_update {
-            let is_wanted = std::mem::take(&mut self.is_publication_wanted) || may_order;
-            let may_lower = is_wanted && self.pacing.may_limit_warming(&self.fleet);
-            changed = publish_weights(&mut self.fleet, &self.pacing, &draft, may_lower, out);
+            let is_due = std::mem::take(&mut self.is_publication_requested) || may_publish_paced;
+            let may_adjust_weights = is_due && self.pacing.may_limit_warming(&self.fleet);
+            changed = publish_weights(
+                &mut self.fleet,
+                &self.pacing,
+                &draft,
+                may_adjust_weights,
+                out,
+            );
         }
-        if may_order {
-            self.pacing.on_orders(now);
+        if may_publish_paced {
+            self.pacing.on_paced_publication(now);
             if self
                 .pacing
                 .take_admission_due(self.fleet.timing.period(), now)
@@ -272,59 +289,62 @@
         if !changed.is_empty() {
             self.pacing.on_update(now);
         }
-        let bindings = bind_joined(&mut self.fleet, &self.pacing, &changed, out);
+        let bindings = bind_joined_proxies(&mut self.fleet, &self.pacing, &changed, out);
         send_marker(
             &mut self.fleet,
             &mut self.pacing,
             &changed,
             &bindings,
-            is_step,
+            should_step,
             out,
         );
     }
 
-    /// Whether a round is due, by its timer or because something cannot wait; sets the next timer.
+    /// Whether a decision round is due, by its timer or because urgent work is pending. Sets the next timer when
+    /// the timer is due.
     fn begin_round(&mut self, out: &mut Vec<Action>) -> bool {
         let (now, period) = (self.fleet.now, self.fleet.timing.period());
-        if self.rounds.timers == 0 {
-            // After a restart the first endpoint list is a stale one.
+        if self.rounds.last_timer == 0 {
+            // After a restart, the first endpoint list is a cached list that may be stale.
             out.push(Action::RequestEndpointList);
         }
-        if now >= self.rounds.next_at {
-            let after = (period * ROUND_PERIODS).max(self.fleet.config.tick);
-            self.rounds.next_at = now + after;
-            self.rounds.timers += 1;
+        if now >= self.rounds.next_round_at {
+            let after = (period * ROUND_INTERVAL_PERIODS).max(self.fleet.config.tick);
+            self.rounds.next_round_at = now + after;
+            self.rounds.last_timer += 1;
             out.push(Action::SetTimer {
                 after,
-                timer: TimerId(self.rounds.timers),
+                timer: TimerId(self.rounds.last_timer),
             });
         } else {
-            let is_too_early = now - self.rounds.last_at < period * HURRIED_ROUND_PERIODS;
-            if is_too_early || !self.cannot_wait() {
+            let is_too_early =
+                now - self.rounds.last_round_at < period * MIN_ROUND_INTERVAL_PERIODS;
+            if is_too_early || !self.has_urgent_work() {
                 return false;
             }
         }
-        self.rounds.last_at = now;
+        self.rounds.last_round_at = now;
         true
     }
 
-    fn cannot_wait(&self) -> bool {
+    fn has_urgent_work(&self) -> bool {
         !self.fleet.members.unbound().is_empty()
-            || (self.is_publication_wanted && self.pacing.may_update(&self.fleet))
+            || (self.is_publication_requested && self.pacing.may_update(&self.fleet))
     }
 
     fn update_estimates(&mut self) {
-        self.pacing.forget_old(self.fleet.now);
+        self.pacing.drop_expired(self.fleet.now);
         self.fleet.forget_departed();
         self.fleet.update_kind_means();
         self.fleet.learn_capacity(self.admission.is_strained());
         self.fleet.update_kind_means();
         if self.fleet.detect_outliers(&mut self.random) {
-            self.is_step_wanted = true;
+            self.is_step_requested = true;
         }
     }
 
-    /// Tells the other controllers what comes to the proxies here and what each node serves of it.
+    /// Sends the demand of the joined proxies and the rate that each node serves for them to the other
+    /// controllers, when gossip is due.
     fn send_gossip(&mut self, out: &mut Vec<Action>) {
         if self
             .fleet
--- a/crates/wheelspread/src/balancer/tests/expectation.rs
+++ b/crates/wheelspread/src/balancer/tests/expectation.rs
@@ -1,6 +1,6 @@
-//! The expectations of scenarios.
+//! Checks of the `expect` lines of scenarios.
 
-use super::stage::{node, number, proxy, table, zone, Stage};
+use super::stage::{node, number, proxy, table, zone, ScenarioRunner};
 use crate::ids::{NodeId, ProxyId};
 use crate::shares::shares;
 
@@ -9,9 +9,9 @@
     value >= number(low) - 1e-6 && value <= number(high) + 1e-6
 }
 
-impl Stage {
+impl ScenarioRunner {
     /// Whether an expectation holds.
-    pub fn meets(&self, words: &[&str]) -> bool {
+    pub fn expectation_holds(&self, words: &[&str]) -> bool {
         match words {
             [t, name, "absent"] => self.share(t, name).is_none(),
             [t, name, "present"] => self.share(t, name).is_some(),
@@ -27,15 +27,15 @@
             }
             ["cut", t, range] => self.balancer.as_ref().is_some_and(|balancer| {
                 let cut = balancer.admission.cut();
-                cut.is_some_and(|cut| cut.table == table(t) && is_within(cut.admitted, range))
+                cut.is_some_and(|cut| cut.table == table(t) && is_within(cut.admitted_ratio, range))
             }),
             ["no", "cut"] => self
                 .balancer
                 .as_ref()
                 .is_some_and(|balancer| balancer.admission.cut().is_none()),
             ["messages", p, "within", span, range] => {
-                let most = self.most_messages(proxy(p), number(span));
-                is_within(most as f64, range)
+                let max_count = self.max_messages(proxy(p), number(span));
+                is_within(max_count as f64, range)
             }
             ["changes", "since", time, range] => {
                 let changed = self.changed.iter();
@@ -45,7 +45,7 @@
             ["subsets", z, count] => self.used_tables(z) as f64 == number(count),
             ["disjoint", t, u] => {
                 let shared = |name: &&NodeId| self.tables[&table(u)].contains_key(name);
-                self.tables[&table(t)].keys().filter(shared).count() <= 1 // one at the border
+                self.tables[&table(t)].keys().filter(shared).count() <= 1 // the node at the border of two ranges
             }
             ["forgotten", name] => self.has_forgotten(node(name)),
             ["error", rest @ ..] => self.error.contains(&rest.join(" ")),
@@ -60,8 +60,8 @@
         shares(&entries).get(&node(name)).copied()
     }
 
-    /// The most messages to a proxy within a time, in seconds.
-    fn most_messages(&self, id: ProxyId, span: f64) -> usize {
+    /// Maximum number of messages to a proxy within any interval of `span` seconds.
+    fn max_messages(&self, id: ProxyId, span: f64) -> usize {
         let own = self.messages.iter().filter(|message| message.1 == id);
         let times: Vec<f64> = own.map(|message| message.0).collect();
         let within = |from: &f64| {
--- a/crates/wheelspread/src/balancer/tests/stage.rs
+++ b/crates/wheelspread/src/balancer/tests/stage.rs
@@ -1,4 +1,4 @@
-//! A balancer on a stage: turns the commands of a scenario into events and keeps what the actions order.
+//! Runs a balancer in a scenario: turns commands into events and records the resulting actions.
 
 use super::super::Balancer;
 use crate::ids::*;
@@ -11,24 +11,24 @@
 use crate::{Action, EndpointEntry, EndpointListKind, EndpointStatus, Event, RetryPolicy};
 use std::collections::{BTreeMap, BTreeSet};
 
-const EPOCH: f64 = 1000.0;
+const START_SECONDS: f64 = 1000.0;
 const SEED: u64 = 7;
 
-/// What a scenario has done so far.
+/// State of a running scenario.
 #[derive(Default)]
-pub(super) struct Stage {
+pub(super) struct ScenarioRunner {
     settings: Settings,
     operations: usize,
     pub balancer: Option<Balancer>,
     now: f64,
     pub tables: TableWeights,
-    /// Limits and retry policies, by table and operation.
+    /// Admission limits and retry policies, by table and operation.
     pub admission: BTreeMap<(u16, u8), (f64, RetryPolicy)>,
     pub bound: BTreeSet<(ProxyId, TableId)>,
     joined: BTreeSet<ProxyId>,
-    /// Messages to proxies, in order.
+    /// Messages to proxies in the order of sending: time in seconds and receiver.
     pub messages: Vec<(f64, ProxyId)>,
-    /// Entries changed, by moment, in order.
+    /// Changed entries in the order of sending: time in seconds, table and node.
     pub changed: Vec<(f64, TableId, NodeId)>,
     marker: Option<MarkerId>,
     pub error: String,
@@ -60,13 +60,13 @@
     TableId(number(text) as u16)
 }
 
-fn pair<'a>(words: &[&'a str], key: &str) -> Option<&'a str> {
+fn value_of<'a>(words: &[&'a str], key: &str) -> Option<&'a str> {
     words
         .iter()
         .find_map(|word| word.strip_prefix(key)?.strip_prefix('='))
 }
 
-/// `NODE=WEIGHT` words.
+/// Parses `NODE=WEIGHT` words.
 fn weights(words: &[&str]) -> NodeWeights {
     let pairs = words
         .iter()
@@ -76,8 +76,8 @@
         .collect()
 }
 
-/// Settings.
-impl Stage {
+/// Settings of the balancer.
+impl ScenarioRunner {
     pub fn set(&mut self, name: &str, value: &str) {
         let value = match (value.parse::<f64>(), value) {
             (Ok(value), _) => SettingValue::Number(value),
@@ -100,9 +100,9 @@
     }
 
     pub fn add_operation(&mut self, words: &[&str]) {
-        let at = self.operations;
+        let index = self.operations;
         self.operations += 1;
-        for (key, usual) in [
+        for (key, default) in [
             ("latency_objective", "1"),
             ("integration_timeout", "4"),
             ("billed_value", "1"),
@@ -111,29 +111,33 @@
             ("repeat_window", "5"),
             ("stays_in_zone", "false"),
         ] {
-            let value = pair(words, key).unwrap_or(usual);
-            self.set(&format!("operation.{at}.{key}"), value);
+            let value = value_of(words, key).unwrap_or(default);
+            self.set(&format!("operation.{index}.{key}"), value);
         }
         self.set("operation.count", &self.operations.to_string());
     }
 }
 
 /// The balancer and its clock.
-impl Stage {
+impl ScenarioRunner {
     pub fn set_time(&mut self, seconds: f64) {
         self.now = seconds;
     }
 
     fn moment(&self) -> Moment {
-        Moment::from_seconds(EPOCH + self.now)
+        Moment::from_seconds(START_SECONDS + self.now)
     }
 
-    /// Starts the balancer where the settings allow it; the error is kept.
+    /// Starts the balancer; an error in the settings is recorded.
     pub fn try_start(&mut self) {
         if self.operations == 0 {
             self.add_operation(&[]);
         }
-        let start = Balancer::start(Moment::from_seconds(EPOCH), SEED, self.settings.clone());
+        let start = Balancer::start(
+            Moment::from_seconds(START_SECONDS),
+            SEED,
+            self.settings.clone(),
+        );
         self.balancer = start.map_err(|error| self.error = error.to_string()).ok();
     }
 
@@ -156,8 +160,8 @@
     }
 }
 
-/// Commands.
-impl Stage {
+/// Commands of the scenario notation.
+impl ScenarioRunner {
     pub fn command(&mut self, words: &[&str]) {
         match words {
             ["join" | "leave", names, rest @ ..] if names.contains(',') => {
@@ -172,7 +176,7 @@
             }
             ["list", entries @ ..] => self.endpoint_list(EndpointListKind::Complete, entries),
             ["change", entries @ ..] => self.endpoint_list(EndpointListKind::Changes, entries),
-            // `holds`: a table that was ordered before.
+            // `holds`: the proxy already holds a published table.
             ["join", id, zone, rate, holds @ ..] => self.join(id, zone, rate, holds.is_empty()),
             ["leave", id] => self.leave(proxy(id)),
             ["report", zone, name, rest @ ..] => self.load_report(zone, name, rest),
@@ -187,7 +191,7 @@
         }
     }
 
-    /// What the host of the balancer does, and single steps of the update plan.
+    /// Commands for the host of the balancer and for single steps of the update plan.
     fn host_command(&mut self, words: &[&str]) {
         match words {
             ["restart"] => {
@@ -203,7 +207,7 @@
                     .err()
                     .map_or(String::new(), |error| error.to_string());
             }
-            // Node, requests per second, evidence.
+            // Arguments: node, requests per second, evidence.
             ["restore", name, rate, evidence] => {
                 let snapshot = CapacitySnapshot {
                     node: node(name),
@@ -258,8 +262,8 @@
                 _ => EndpointStatus::Ready,
             },
             weight: find('w').unwrap_or(1.0),
-            started: pair(&words, "age")
-                .map(|age| Moment::from_seconds(EPOCH + self.now - number(age))),
+            started: value_of(&words, "age")
+                .map(|age| Moment::from_seconds(START_SECONDS + self.now - number(age))),
         }
     }
 
@@ -282,8 +286,8 @@
 
     fn load_report(&mut self, in_zone: &str, name: &str, rest: &[&str]) {
         let get =
-            |key: &str, usual: f64| pair(rest, key).map_or(usual, |text| text.parse().expect(text));
-        let utilization = pair(rest, "utilization").map(|text| text.parse().expect(text));
+            |key: &str, default: f64| value_of(rest, key).map_or(default, |s| s.parse().expect(s));
+        let utilization = value_of(rest, "utilization").map(|text| text.parse().expect(text));
         self.event(&Event::NodeLoadReport {
             zone: zone(in_zone),
             node: node(name),
@@ -319,7 +323,7 @@
         }
     }
 
-    /// One step of the update plan, which the tables then take as published.
+    /// Runs one step of the update plan and takes its result as published.
     fn plan(&mut self) {
         let mut target = self.target.clone();
         let balancer = self.balancer();
@@ -338,20 +342,20 @@
     }
 }
 
-/// Actions.
-impl Stage {
-    /// A decision round: takes in the actions and notes which proxies get a message.
+/// Actions of the balancer.
+impl ScenarioRunner {
+    /// Runs a decision round, applies its actions and records which proxies get a message.
     pub fn decide(&mut self) {
         let mut actions = Vec::new();
         let now = self.moment();
         self.balancer().decide(now, &mut actions);
-        let mut touched = BTreeSet::new();
+        let mut changed_tables = BTreeSet::new();
         for action in &actions {
-            touched.extend(self.apply(action));
+            changed_tables.extend(self.apply(action));
         }
         let bound = self.bound.iter();
         let mut receivers: BTreeSet<ProxyId> = bound
-            .filter(|(_, table)| touched.contains(table))
+            .filter(|(_, table)| changed_tables.contains(table))
             .map(|(proxy, _)| *proxy)
             .collect();
         for action in &actions {
@@ -366,7 +370,7 @@
         self.messages.extend(joined.map(|proxy| (self.now, proxy)));
     }
 
-    /// Applies an action; says which table it changed.
+    /// Applies an action; returns the table that it changed.
     fn apply(&mut self, action: &Action) -> Option<TableId> {
         match action {
             Action::SetWeight {
--- a/crates/wheelspread/src/subset.rs
+++ b/crates/wheelspread/src/subset.rs
@@ -1,37 +1,40 @@
-//! Subsets of large zones: each part of a zone's proxies uses a table of its own over a part of the zone's nodes.
+//! Subsets of large zones: each subset of a zone's proxies has its own table, which covers a part of the zone's
+//! nodes.
 
 use crate::fleet::Fleet;
 use crate::ids::{TableId, ZoneId};
 use crate::tables::zones_of;
 use std::collections::BTreeMap;
 
-/// When a zone is divided into subsets.
-struct Subsetting {
-    /// Uses of an entry within the time after which a proxy closes an idle connection.
-    uses_while_idle: f64,
-    /// Least nodes of a subset.
-    least_nodes: f64,
-    /// Tables for each proxy, at most.
-    tables_per_proxy: f64,
-    /// Tables in all zones, at most.
-    most_tables: f64,
+/// Bounds for the number of subsets of a zone.
+struct SubsetRules {
+    /// Minimum mean number of requests that a proxy sends to each entry of its table within the idle timeout of
+    /// its connections.
+    min_uses_per_idle_timeout: f64,
+    /// Minimum number of nodes per subset.
+    min_nodes: f64,
+    /// Maximum number of tables per proxy.
+    max_tables_per_proxy: f64,
+    /// Maximum number of tables in all zones together.
+    max_tables: f64,
 }
 
-const SUBSETTING: Subsetting = Subsetting {
-    uses_while_idle: 10.0,
-    least_nodes: 6.0,
-    tables_per_proxy: 0.2,
-    most_tables: 3e4,
+const SUBSET_RULES: SubsetRules = SubsetRules {
+    min_uses_per_idle_timeout: 10.0,
+    min_nodes: 6.0,
+    max_tables_per_proxy: 0.2,
+    max_tables: 3e4,
 };
 
-/// Part of a zone's row of nodes, which has length 1.
+/// A range of the ordered node list of a zone. Positions in the list are scaled to the range from 0 to 1, by
+/// capacity.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SubsetRange {
     pub from: f64,
     pub until: f64,
 }
 
-/// How many proxies of a zone are likely to join here in all.
+/// Number of proxies per zone that are expected to join this controller.
 fn expected_proxies(fleet: &Fleet) -> f64 {
     let zones = zones_of(&fleet.tables).len().max(1) as f64;
     let controllers = if fleet.config.proxies_join_by_zone {
@@ -42,8 +45,9 @@
     fleet.config.proxies / (zones * controllers)
 }
 
-/// Divides a zone's proxies into subsets with tables of their own over as many parts of its nodes, where one
-/// table's entries would hardly be used before connections close. Fixed once proxies have joined.
+/// Divides the proxies of a zone into subsets if a single table would have so many entries that a proxy's idle
+/// connections would be closed before they are reused. Each subset gets its own table over a part of the zone's
+/// nodes. The division of a zone is fixed once it has nodes and joined proxies.
 pub(crate) fn divide_large_zones(fleet: &mut Fleet) {
     let zones = zones_of(&fleet.tables);
     let expected = expected_proxies(fleet);
@@ -64,14 +68,14 @@
         for id in undivided {
             split_table(fleet, id, subsets, zones.len());
         }
-        // Proxies that were bound while there was no subset yet are bound again, each to its own.
+        // Proxies that were bound before the zone was divided are bound again, each to the table of its subset.
         if subsets > 1 {
             fleet.members.rebind_zone(*zone);
         }
     }
 }
 
-/// Into how many subsets a zone is divided; `None` while it has no nodes or no proxies.
+/// The number of subsets of a zone; `None` while the zone has no open nodes or no joined proxies.
 fn subset_count(
     fleet: &Fleet,
     zone: ZoneId,
@@ -91,15 +95,16 @@
     }
     let demand = fleet
         .members
-        .demand_of(|proxy| proxy.has_joined() && proxy.zone() == zone);
-    let uses = demand / proxies.max(1.0) * fleet.config.connection_idle.seconds();
-    let most = expected_proxies * SUBSETTING.tables_per_proxy / tables.max(1) as f64;
-    let least_nodes = (uses / SUBSETTING.uses_while_idle).max(SUBSETTING.least_nodes);
-    let subsets = (nodes / least_nodes).min(most);
-    Some(subsets.clamp(1.0, SUBSETTING.most_tables / zones as f64) as u16)
+        .demand_where(|proxy| proxy.has_joined() && proxy.zone() == zone);
+    let uses_per_idle_timeout = demand / proxies.max(1.0) * fleet.config.connection_idle.seconds();
+    let max_subsets = expected_proxies * SUBSET_RULES.max_tables_per_proxy / tables.max(1) as f64;
+    let min_nodes = (uses_per_idle_timeout / SUBSET_RULES.min_uses_per_idle_timeout)
+        .max(SUBSET_RULES.min_nodes);
+    let subsets = (nodes / min_nodes).min(max_subsets);
+    Some(subsets.clamp(1.0, SUBSET_RULES.max_tables / zones as f64) as u16)
 }
 
-/// Replaces a table by one for each subset.
+/// Replaces a table by one table per subset.
 fn split_table(fleet: &mut Fleet, id: TableId, subsets: u16, zones: usize) {
     for subset in 0..subsets {
         let table = fleet.tables[&id].for_subset(subset, subsets);
@@ -108,27 +113,28 @@
     }
 }
 
-/// For each subset of a zone's proxies, the part of the row that its demand fills. Proxies that are still to come
-/// count alike in each subset: by the first few alone, every join moved all ranges.
+/// The range of the node list for each subset, in proportion to its demand. Proxies that are expected but have not
+/// joined yet count equally for all subsets: when only the first few joined proxies counted, every join moved all
+/// ranges.
 pub(crate) fn subset_ranges(fleet: &Fleet) -> BTreeMap<(ZoneId, u16), SubsetRange> {
     let demand = demand_by_subset(fleet);
-    let of_zone = |zone: ZoneId| {
+    let zone_demand = |zone: ZoneId| {
         demand
             .range((zone, 0)..=(zone, u16::MAX))
             .map(|(_, sum)| sum)
     };
-    let before = |zone: ZoneId, subset: u16| {
+    let demand_before = |zone: ZoneId, subset: u16| {
         let earlier = demand.range((zone, 0)..(zone, subset));
         earlier.map(|(_, sum)| sum).sum::<f64>()
     };
     let range = |(zone, subset): (ZoneId, u16)| {
-        let all: f64 = of_zone(zone).sum();
-        let from = before(zone, subset) / all;
+        let total: f64 = zone_demand(zone).sum();
+        let from = demand_before(zone, subset) / total;
         (
             (zone, subset),
             SubsetRange {
                 from,
-                until: before(zone, subset + 1) / all,
+                until: demand_before(zone, subset + 1) / total,
             },
         )
     };
@@ -147,12 +153,13 @@
             .proxies()
             .values()
             .filter(|proxy| proxy.zone() == zone);
-        let known = own.count() as f64;
-        let own_demand = fleet.members.demand_of(|proxy| proxy.zone() == zone);
-        let missing = (expected - known).max(0.0) * own_demand / known.max(1.0);
+        let known_proxies = own.count() as f64;
+        let own_demand = fleet.members.demand_where(|proxy| proxy.zone() == zone);
+        let expected_demand =
+            (expected - known_proxies).max(0.0) * own_demand / known_proxies.max(1.0);
         let subsets = demand.range((zone, 0)..=(zone, u16::MAX)).count().max(1) as f64;
         for (_, sum) in demand.range_mut((zone, 0)..=(zone, u16::MAX)) {
-            *sum += missing / subsets;
+            *sum += expected_demand / subsets;
         }
     }
     demand
