--- a/crates/platform-core/src/controller_core.rs
+++ b/crates/platform-core/src/controller_core.rs
@@ -74,8 +74,8 @@
     message_limits: MessageLimits,
     tick: Span,
     /// The longest delay of a message to a proxy.
-    message_delay: Span,
-    warm_up: Span,
+    max_message_delay: Span,
+    warming_duration: Span,
 }
 
 impl CoreSettings {
@@ -89,11 +89,13 @@
         CoreSettings {
             message_limits: MessageLimits {
                 proxy_count: proxy_count.clamp(0.0, f64::from(u16::MAX)) as u16,
-                attempt_duration: Span::from_seconds(longest_deadline * ATTEMPT_DURATION_FACTOR),
+                max_attempt_duration: Span::from_seconds(
+                    longest_deadline * ATTEMPT_DURATION_FACTOR,
+                ),
             },
             tick: span("conductor.tick"),
-            message_delay: span("channel.delay_at_most"),
-            warm_up: span("rules.warm_after"),
+            max_message_delay: span("channel.delay_at_most"),
+            warming_duration: span("rules.warm_after"),
         }
     }
 }
@@ -280,7 +282,7 @@
     fn run_maintenance(&mut self, now: Moment) {
         self.close_silent_streams(now);
         self.next_maintenance_at = now + span(MAINTENANCE_INTERVAL);
-        let retention = self.settings.warm_up * NAME_RETENTION_FACTOR;
+        let retention = self.settings.warming_duration * NAME_RETENTION_FACTOR;
         let publication = &self.publication;
         self.membership
             .forget_unlisted(now, retention, |node| publication.uses_node(node));
--- a/crates/platform-core/src/controller_core/messages.rs
+++ b/crates/platform-core/src/controller_core/messages.rs
@@ -41,11 +41,11 @@
                 MessageOutcome::Consumed
             }
             (HandshakeAction::Close, Err(error)) => {
-                MessageOutcome::Close(RejectReason::Unreadable(error))
+                MessageOutcome::Close(RejectReason::InvalidMessage(error))
             }
             (HandshakeAction::Close, Ok(_)) => MessageOutcome::Close(RejectReason::NotAllowed),
             (_, Err(error)) => {
-                self.report(Diagnostic::UnreadableMessage(error));
+                self.report(Diagnostic::InvalidMessage(error));
                 MessageOutcome::Consumed
             }
             (_, Ok(_)) => {
--- a/crates/platform-core/src/controller_core/silence.rs
+++ b/crates/platform-core/src/controller_core/silence.rs
@@ -29,7 +29,7 @@
 };
 
 /// Acknowledgements are recent for so many buckets.
-const LATENCY_BUCKETS: usize = 10;
+const LATENCY_BUCKET_COUNT: usize = 10;
 const LATENCY_BUCKET: Duration = Duration::from_secs(1);
 
 /// The slowest acknowledgement of a bucket.
@@ -37,8 +37,8 @@
 struct SlowestLatency(Span);
 
 impl std::ops::AddAssign for SlowestLatency {
-    fn add_assign(&mut self, more: SlowestLatency) {
-        self.0 = self.0.max(more.0);
+    fn add_assign(&mut self, other: SlowestLatency) {
+        self.0 = self.0.max(other.0);
     }
 }
 
@@ -47,7 +47,10 @@
 
 impl LatencyHistory {
     pub(super) fn new() -> LatencyHistory {
-        LatencyHistory(RollingWindow::new(span(LATENCY_BUCKET), LATENCY_BUCKETS))
+        LatencyHistory(RollingWindow::new(
+            span(LATENCY_BUCKET),
+            LATENCY_BUCKET_COUNT,
+        ))
     }
 
     pub(super) fn record(&mut self, now: Moment, latency: Span) {
@@ -68,7 +71,7 @@
         }
         let limit = span(SILENCE_LIMIT.base)
             + self.acknowledgement_latency.slowest(now) * SILENCE_LIMIT.acknowledgement_latencies
-            + self.settings.message_delay * SILENCE_LIMIT.message_delays;
+            + self.settings.max_message_delay * SILENCE_LIMIT.message_delays;
         let silent = |(proxy, stream): (&ProxyId, &Stream)| {
             let sent_at = self.publication.oldest_unacknowledged(*proxy)?;
             let is_silent = now - sent_at > limit && now - stream.last_message_at > limit;
--- a/crates/platform-core/src/endpoint_list.rs
+++ b/crates/platform-core/src/endpoint_list.rs
@@ -38,7 +38,7 @@
     /// The valid entries.
     pub entries: Vec<ListedEndpoint>,
     /// Why other entries were rejected.
-    pub rejected: Vec<EntryError>,
+    pub entry_errors: Vec<EntryError>,
     /// The names of rejected entries, of those that have one.
     pub rejected_names: Vec<String>,
 }
@@ -112,14 +112,14 @@
             version,
             is_complete,
             entries: Vec::new(),
-            rejected: Vec::new(),
+            entry_errors: Vec::new(),
             rejected_names: Vec::new(),
         };
         for endpoint in endpoints {
             match ListedEndpoint::parse(endpoint, names) {
                 Ok(entry) => list.entries.push(entry),
                 Err(error) => {
-                    list.rejected.push(error);
+                    list.entry_errors.push(error);
                     list.rejected_names
                         .extend(endpoint["name"].as_str().map(str::to_string));
                 }
@@ -151,7 +151,7 @@
         self.entry[field].as_str().ok_or_else(missing)
     }
 
-    fn position(&self, field: &'static str, known: &[String]) -> Result<usize, EntryError> {
+    fn index_of(&self, field: &'static str, known: &[String]) -> Result<usize, EntryError> {
         let text = self.text(field)?;
         let unknown = || EntryError::UnknownName {
             node: self.node.to_string(),
@@ -208,8 +208,8 @@
             name: node.to_string(),
             status: fields.status()?,
             address: fields.address()?,
-            zone: ZoneId(fields.position("zone", &names.zones)? as u16),
-            kind: KindId(fields.position("type", &names.kinds)? as u8),
+            zone: ZoneId(fields.index_of("zone", &names.zones)? as u16),
+            kind: KindId(fields.index_of("type", &names.kinds)? as u8),
             cell: fields.cell(),
             weight: entry["weight"].as_f64().unwrap_or(1.0),
             started: fields.started(),
@@ -252,7 +252,7 @@
     }
 
     /// The complete list was read beside the watch, before the watch brought anything.
-    pub fn complete_list_read(&mut self, list: &EndpointList) {
+    pub fn record_complete_list(&mut self, list: &EndpointList) {
         if !self.has_received {
             self.version = Some(list.version);
         }
--- a/crates/platform-core/src/handshake.rs
+++ b/crates/platform-core/src/handshake.rs
@@ -73,11 +73,11 @@
 }
 
 /// A proxy speaks for itself alone.
-fn proxy_action(own: ProxyId, message: Option<&Message>) -> HandshakeAction {
+fn proxy_action(stream_proxy: ProxyId, message: Option<&Message>) -> HandshakeAction {
     match message {
         Some(Message::Ping) => HandshakeAction::AnswerPing,
         Some(Message::Acknowledgement { proxy, .. } | Message::DemandReport { proxy, .. })
-            if *proxy == own =>
+            if *proxy == stream_proxy =>
         {
             HandshakeAction::Process
         }
--- a/crates/platform-core/src/message.rs
+++ b/crates/platform-core/src/message.rs
@@ -60,7 +60,7 @@
 pub enum MessageError {
     /// The strings are no kind followed by pairs of name and value, or no UTF-8.
     #[error("a message without a kind, or a name without a value")]
-    Shape,
+    Malformed,
     /// The kind of message is unknown.
     #[error("`{0}` is no message to a controller")]
     UnknownKind(String),
@@ -89,7 +89,7 @@
     /// Proxies are numbered from 0 to one less than this.
     pub proxy_count: u16,
     /// No attempt takes longer.
-    pub attempt_duration: Span,
+    pub max_attempt_duration: Span,
 }
 
 /// The longest window of a report, and the longest latency of an acknowledgement: both are held back while
@@ -103,12 +103,12 @@
 /// Any other metric of a load report.
 const METRIC_MAX: f64 = 1e6;
 /// Marker ids on the wire are below this.
-const MARKER_LIMIT: u32 = 65536;
+const MARKER_ID_LIMIT: u32 = 65536;
 /// Characters of a bad value that go into an error.
-const QUOTED_CHARS: usize = 40;
+const ERROR_VALUE_CHARS_MAX: usize = 40;
 
-fn quoted(text: &str) -> String {
-    text.chars().take(QUOTED_CHARS).collect()
+fn truncated(text: &str) -> String {
+    text.chars().take(ERROR_VALUE_CHARS_MAX).collect()
 }
 
 /// The fields of a message by name.
@@ -117,12 +117,12 @@
 impl<'a> Fields<'a> {
     fn from_pairs(strings: &[&'a str]) -> Result<Fields<'a>, MessageError> {
         if !strings.len().is_multiple_of(2) {
-            return Err(MessageError::Shape);
+            return Err(MessageError::Malformed);
         }
         let mut fields = BTreeMap::new();
         for pair in strings.chunks_exact(2) {
             if fields.insert(pair[0], pair[1]).is_some() {
-                return Err(MessageError::DuplicateField(quoted(pair[0])));
+                return Err(MessageError::DuplicateField(truncated(pair[0])));
             }
         }
         Ok(Fields(fields))
@@ -143,7 +143,7 @@
         let text = self.text(name)?;
         let invalid = || MessageError::InvalidValue {
             field: name,
-            value: quoted(text),
+            value: truncated(text),
         };
         text.parse().ok().filter(is_valid).ok_or_else(invalid)
     }
@@ -164,7 +164,7 @@
     }
 
     /// The position of a named thing in the settings' list of such names.
-    fn position(&self, name: &'static str, known: &[String]) -> Result<usize, MessageError> {
+    fn index_of(&self, name: &'static str, known: &[String]) -> Result<usize, MessageError> {
         let text = self.text(name)?;
         known
             .iter()
@@ -173,7 +173,7 @@
     }
 
     fn zone(&self, names: &Names) -> Result<ZoneId, MessageError> {
-        Ok(ZoneId(self.position("az", &names.zones)? as u16))
+        Ok(ZoneId(self.index_of("az", &names.zones)? as u16))
     }
 
     fn proxy(&self, limits: &MessageLimits) -> Result<ProxyId, MessageError> {
@@ -196,10 +196,10 @@
 ) -> Result<Message, MessageError> {
     let texts: Vec<&str> = strings
         .iter()
-        .map(|string| std::str::from_utf8(string).map_err(|_| MessageError::Shape))
+        .map(|string| std::str::from_utf8(string).map_err(|_| MessageError::Malformed))
         .collect::<Result<_, _>>()?;
     let Some((kind, pairs)) = texts.split_first() else {
-        return Err(MessageError::Shape);
+        return Err(MessageError::Malformed);
     };
     let fields = Fields::from_pairs(pairs)?;
     match *kind {
@@ -211,7 +211,7 @@
         "applied" => parse_acknowledgement(&fields, limits),
         "heard" => parse_node_load_report(&fields, names, limits),
         "usage" => parse_demand_report(&fields, names, limits),
-        other => Err(MessageError::UnknownKind(quoted(other))),
+        other => Err(MessageError::UnknownKind(truncated(other))),
     }
 }
 
@@ -231,7 +231,7 @@
 fn parse_acknowledgement(fields: &Fields, limits: &MessageLimits) -> Result<Message, MessageError> {
     Ok(Message::Acknowledgement {
         proxy: fields.proxy(limits)?,
-        marker: MarkerId(fields.parse("version", |marker: &u32| *marker < MARKER_LIMIT)?),
+        marker: MarkerId(fields.parse("version", |marker: &u32| *marker < MARKER_ID_LIMIT)?),
         latency: fields.span("lag_ms", Span::from_seconds(REPORT_WINDOW_MAX_SECONDS))?,
     })
 }
@@ -246,7 +246,7 @@
     let failures = fields.count("bad", attempts)?;
     // Where no attempt succeeded there is no mean latency to report.
     let mean_latency = if fields.0.contains_key("avg") || failures < attempts {
-        fields.span("avg", limits.attempt_duration)?
+        fields.span("avg", limits.max_attempt_duration)?
     } else {
         Span::ZERO
     };
@@ -274,7 +274,7 @@
     let requests = fields.count("n", RATE_MAX * window.seconds())?;
     Ok(Message::DemandReport {
         proxy: fields.proxy(limits)?,
-        operation: OperationId(fields.position("kind", &names.operations)? as u8),
+        operation: OperationId(fields.index_of("kind", &names.operations)? as u8),
         requests,
         failures: fields.count("bad", requests)?,
         window,
@@ -290,10 +290,10 @@
 ) -> Result<Vec<f64>, MessageError> {
     let mut metrics = vec![f64::NAN; names.metrics.len()];
     for pair in text.trim().split(',').filter(|pair| !pair.is_empty()) {
-        let (name, value) = pair.split_once(separator).ok_or(MessageError::Shape)?;
+        let (name, value) = pair.split_once(separator).ok_or(MessageError::Malformed)?;
         let invalid = || MessageError::InvalidValue {
             field: "report",
-            value: quoted(pair),
+            value: truncated(pair),
         };
         let metric = metric_name(name);
         let max = if metric == "utilization" {
@@ -306,8 +306,8 @@
             .ok()
             .filter(|value| (0.0..=max).contains(value))
             .ok_or_else(invalid)?;
-        let position = names.metrics.iter().position(|known| known == metric);
-        metrics[position.ok_or_else(|| MessageError::UnknownName(quoted(name)))?] = value;
+        let index = names.metrics.iter().position(|known| known == metric);
+        metrics[index.ok_or_else(|| MessageError::UnknownName(truncated(name)))?] = value;
     }
     Ok(metrics)
 }
--- a/crates/platform-core/src/output.rs
+++ b/crates/platform-core/src/output.rs
@@ -25,7 +25,7 @@
 pub enum RejectReason {
     /// An unidentified connection sent a message that can't be read.
     #[error("{0}")]
-    Unreadable(MessageError),
+    InvalidMessage(MessageError),
     /// The handshake does not allow the message on this connection.
     #[error("message not allowed on this connection")]
     NotAllowed,
@@ -83,7 +83,7 @@
     EventRejected(EventError),
     /// A message that can't be read, on a connection that goes on.
     #[error("message ignored: {0}")]
-    UnreadableMessage(MessageError),
+    InvalidMessage(MessageError),
     /// A readable message that the handshake does not allow, on a connection that goes on.
     #[error("message ignored: not allowed on this connection")]
     MessageNotAllowed,
--- a/crates/platform-core/src/publication.rs
+++ b/crates/platform-core/src/publication.rs
@@ -52,10 +52,10 @@
     /// `None` for a table is the setting for all proxies.
     admission: BTreeSet<(Option<TableId>, OperationId)>,
     cleared: BTreeSet<TableId>,
-    bound: BTreeMap<ProxyId, BTreeSet<TableId>>,
+    newly_bound: BTreeMap<ProxyId, BTreeSet<TableId>>,
     marker: Option<PendingMarker>,
     /// Whether anything was ordered at all: if not, no stream needs to be visited.
-    is_any: bool,
+    has_changes: bool,
 }
 
 /// What a message depends on beside the pending changes: proxies with the same key share one message.
@@ -80,7 +80,7 @@
 pub struct Publication {
     operations: Vec<String>,
     tables: BTreeMap<TableId, WeightTable>,
-    admission_for_all: BTreeMap<OperationId, AdmissionSetting>,
+    global_admission: BTreeMap<OperationId, AdmissionSetting>,
     ejected: BTreeSet<NodeId>,
     /// Ejected once and readmitted: proxies keep ejections over a change of streams.
     readmitted: BTreeSet<NodeId>,
@@ -114,7 +114,7 @@
     /// A proxy's stream has ended.
     pub fn remove_stream(&mut self, proxy: ProxyId) {
         self.streams.remove(&proxy);
-        self.changes.bound.remove(&proxy);
+        self.changes.newly_bound.remove(&proxy);
     }
 
     /// Takes an acknowledgement. It covers all markers before it: they are returned in order, the named one
@@ -124,10 +124,10 @@
             return Vec::new();
         };
         let is_named = |sent: &OutstandingMarker| sent.marker == marker;
-        let Some(position) = stream.outstanding.iter().position(is_named) else {
+        let Some(index) = stream.outstanding.iter().position(is_named) else {
             return Vec::new();
         };
-        let covered = stream.outstanding.drain(..=position);
+        let covered = stream.outstanding.drain(..=index);
         covered.map(|sent| sent.marker).collect()
     }
 
@@ -155,7 +155,7 @@
     fn expand_operations(&self, operations: &[OperationId]) -> Vec<OperationId> {
         match operations {
             [] => (0..self.operations.len())
-                .map(|position| OperationId(position as u8))
+                .map(|index| OperationId(index as u8))
                 .collect(),
             named => named.to_vec(),
         }
@@ -199,7 +199,7 @@
             }
             _ => return ActionTarget::Other,
         }
-        self.changes.is_any = true;
+        self.changes.has_changes = true;
         ActionTarget::Proxies
     }
 
@@ -221,7 +221,11 @@
             stream
                 .bindings
                 .extend(named.into_iter().map(|operation| (operation, table)));
-            self.changes.bound.entry(proxy).or_default().insert(table);
+            self.changes
+                .newly_bound
+                .entry(proxy)
+                .or_default()
+                .insert(table);
         }
     }
 
@@ -234,7 +238,7 @@
         let named = self.expand_operations(operations);
         let settings = match table {
             Some(table) => &mut self.tables.entry(table).or_default().admission,
-            None => &mut self.admission_for_all,
+            None => &mut self.global_admission,
         };
         settings.extend(named.iter().map(|operation| (*operation, setting)));
         self.changes
@@ -243,13 +247,13 @@
     }
 
     fn set_ejected(&mut self, node: NodeId, is_ejected: bool) {
-        let (into, from) = if is_ejected {
+        let (added_to, removed_from) = if is_ejected {
             (&mut self.ejected, &mut self.readmitted)
         } else {
             (&mut self.readmitted, &mut self.ejected)
         };
-        from.remove(&node);
-        into.insert(node);
+        removed_from.remove(&node);
+        added_to.insert(node);
     }
 
     /// The messages for all recorded changes, as bytes to write.
@@ -259,7 +263,7 @@
         membership: &Membership,
     ) -> Vec<(ProxyId, Rc<[u8]>)> {
         let changes = std::mem::take(&mut self.changes);
-        if !changes.is_any {
+        if !changes.has_changes {
             return Vec::new();
         }
         let mut composed: BTreeMap<MessageKey, Option<Rc<[u8]>>> = BTreeMap::new();
@@ -277,7 +281,7 @@
                 }
             };
             let Some(message) = message else { continue };
-            self.expect_acknowledgement(proxy, changes.marker, now);
+            self.add_outstanding_marker(proxy, changes.marker, now);
             messages.push((proxy, message));
         }
         messages
@@ -285,7 +289,7 @@
 
     /// What this proxy's message depends on. Its ejections are taken as sent.
     fn message_key(&mut self, proxy: ProxyId, changes: &PendingChanges) -> Option<MessageKey> {
-        let newly_bound = changes.bound.get(&proxy).cloned().unwrap_or_default();
+        let newly_bound = changes.newly_bound.get(&proxy).cloned().unwrap_or_default();
         let EjectionChanges { eject, readmit } =
             self.ejection_changes(proxy, !newly_bound.is_empty());
         let stream = self.streams.get_mut(&proxy)?;
@@ -301,7 +305,7 @@
         })
     }
 
-    fn expect_acknowledgement(
+    fn add_outstanding_marker(
         &mut self,
         proxy: ProxyId,
         marker: Option<PendingMarker>,
--- a/crates/platform-core/src/publication/admission.rs
+++ b/crates/platform-core/src/publication/admission.rs
@@ -15,15 +15,15 @@
     /// Combines a table's own setting with the one for all proxies: the lower limit holds, and the table's own
     /// retry policy.
     pub fn combine(
-        own: Option<AdmissionSetting>,
-        for_all: Option<AdmissionSetting>,
+        table_setting: Option<AdmissionSetting>,
+        global_setting: Option<AdmissionSetting>,
     ) -> Option<AdmissionSetting> {
-        match (own, for_all) {
-            (Some(own), Some(for_all)) => Some(AdmissionSetting {
-                limit: own.limit.min(for_all.limit),
-                retry: own.retry,
+        match (table_setting, global_setting) {
+            (Some(table_setting), Some(global_setting)) => Some(AdmissionSetting {
+                limit: table_setting.limit.min(global_setting.limit),
+                retry: table_setting.retry,
             }),
-            (own, for_all) => own.or(for_all),
+            (table_setting, global_setting) => table_setting.or(global_setting),
         }
     }
 
--- a/crates/platform-core/src/publication/update_message.rs
+++ b/crates/platform-core/src/publication/update_message.rs
@@ -60,8 +60,8 @@
 
 fn encode(parts: Vec<UpdatePart>) -> Rc<[u8]> {
     let (mut bytes, count) = (Vec::new(), parts.len());
-    for (position, part) in parts.into_iter().enumerate() {
-        let strings = part.into_strings(position + 1 < count);
+    for (index, part) in parts.into_iter().enumerate() {
+        let strings = part.into_strings(index + 1 < count);
         wheelspread_resp::encode(&strings, &mut bytes);
     }
     bytes.into()
@@ -128,17 +128,17 @@
                 || changes.admission.contains(&(None, *operation))
         };
         let setting = |operation: OperationId| {
-            let own = table.admission.get(&operation).copied();
-            let for_all = self.admission_for_all.get(&operation).copied();
-            AdmissionSetting::combine(own, for_all)
+            let table_setting = table.admission.get(&operation).copied();
+            let global_setting = self.global_admission.get(&operation).copied();
+            AdmissionSetting::combine(table_setting, global_setting)
         };
-        let weights_at = parts.len();
+        let weights_index = parts.len();
         let weights = self.weight_part(changes, id, table, &operations, is_whole, membership);
         let has_weights = weights.is_some();
         parts.extend(weights);
         let changed = operations.iter().copied().filter(is_changed);
         self.push_admission_parts(changed, setting, parts);
-        if let [weights, admission] = &mut parts[weights_at..] {
+        if let [weights, admission] = &mut parts[weights_index..] {
             if has_weights && admission.has_operations_of(weights) {
                 weights.admission = admission.admission;
                 parts.pop();
@@ -191,7 +191,7 @@
             .filter(|(table, _)| table.is_none())
             .map(|(_, operation)| *operation)
             .filter(|operation| !key.bindings.contains_key(operation));
-        let setting = |operation| self.admission_for_all.get(&operation).copied();
+        let setting = |operation| self.global_admission.get(&operation).copied();
         self.push_admission_parts(unbound, setting, parts);
     }
 
--- a/crates/platform-core/src/tests/endpoint_lists.rs
+++ b/crates/platform-core/src/tests/endpoint_lists.rs
@@ -37,7 +37,7 @@
         "changes of nothing"
     );
     let first = first_list();
-    assert_eq!((first.entries.len(), first.rejected.len()), (1, 2));
+    assert_eq!((first.entries.len(), first.entry_errors.len()), (1, 2));
     assert_eq!(first.entries[0].started, Some(Moment::from_seconds(5.0)));
     assert!(membership.apply(&first, SourceId(1), now).is_some());
     assert_eq!(
--- a/crates/platform-core/src/tests/messages.rs
+++ b/crates/platform-core/src/tests/messages.rs
@@ -7,7 +7,7 @@
 
 const LIMITS: MessageLimits = MessageLimits {
     proxy_count: 8,
-    attempt_duration: Span::ZERO,
+    max_attempt_duration: Span::ZERO,
 };
 
 #[test_case("joined sidecar 8 az a share 1 standing 1", "sidecar"; "an unknown proxy")]
--- a/crates/platform-core/src/tests/scenarios.rs
+++ b/crates/platform-core/src/tests/scenarios.rs
@@ -24,7 +24,7 @@
 
 const FIRST_SOURCE: SourceId = SourceId(1);
 
-struct Player {
+struct ScenarioRunner {
     core: ControllerCore,
     /// Seconds.
     now: f64,
@@ -51,9 +51,9 @@
     ConnectionId(parse(word))
 }
 
-impl Player {
-    fn new() -> Player {
-        Player {
+impl ScenarioRunner {
+    fn new() -> ScenarioRunner {
+        ScenarioRunner {
             core: core(),
             now: START_SECONDS,
             last_outcome: MessageOutcome::Consumed,
@@ -64,7 +64,7 @@
         }
     }
 
-    fn play(&mut self, step: &Step) {
+    fn run_step(&mut self, step: &Step) {
         self.now = START_SECONDS + step.time;
         let now = Moment::from_seconds(self.now);
         match &step.words[..] {
@@ -141,13 +141,16 @@
             ["outcome", expected] => assert_eq!(self.outcome(), *expected, "{line}"),
             ["received", key, words @ ..] => {
                 let received = self.take_received(key);
-                let has_come = received.iter().any(|text| contains_words(text, words));
-                assert!(has_come, "{line}\nbut {received:#?}");
+                let has_arrived = received.iter().any(|text| contains_words(text, words));
+                assert!(has_arrived, "{line}\nbut {received:#?}");
             }
             ["not-received", key, words @ ..] => {
                 let received = self.take_received(key);
-                let is_meant = |text: &String| words.is_empty() || contains_words(text, words);
-                assert!(!received.iter().any(is_meant), "{line}\nbut {received:#?}");
+                let is_unexpected = |text: &String| words.is_empty() || contains_words(text, words);
+                assert!(
+                    !received.iter().any(is_unexpected),
+                    "{line}\nbut {received:#?}"
+                );
             }
             ["closed", key] => assert!(self.is_closed(key), "{line}\nbut {:?}", self.closed),
             ["open", key] => assert!(!self.is_closed(key), "{line}\nbut {:?}", self.closed),
@@ -173,10 +176,10 @@
         self.closed.contains(&connection(key))
     }
 
-    fn play_all(&mut self, steps: &mut Vec<Step>) {
+    fn run_steps(&mut self, steps: &mut Vec<Step>) {
         steps.sort_by(|a, b| a.time.total_cmp(&b.time));
         for step in steps.drain(..) {
-            self.play(&step);
+            self.run_step(&step);
         }
     }
 }
@@ -184,12 +187,12 @@
 /// The steps of a line, one for each time that it names.
 fn expand<'a>(time: &str, words: &[&'a str]) -> Vec<Step<'a>> {
     let (from, to) = time.split_once("..").unwrap_or((time, time));
-    let (to, every) = to.split_once('/').unwrap_or((to, "1"));
-    let (from, to, every): (f64, f64, f64) = (parse(from), parse(to), parse(every));
-    let count = ((to - from) / every).round() as usize;
+    let (to, interval) = to.split_once('/').unwrap_or((to, "1"));
+    let (from, to, interval): (f64, f64, f64) = (parse(from), parse(to), parse(interval));
+    let count = ((to - from) / interval).round() as usize;
     (0..=count)
-        .map(|position| Step {
-            time: from + every * position as f64,
+        .map(|index| Step {
+            time: from + interval * index as f64,
             words: words.to_vec(),
         })
         .collect()
@@ -203,8 +206,8 @@
 #[test_case(include_str!("../../scenarios/crossing.txt"); "two streams of one proxy cross")]
 #[test_case(include_str!("../../scenarios/sources.txt"); "discovery that moves or restarts its versions")]
 #[test_case(include_str!("../../scenarios/lists.txt"); "lists that come late or twice")]
-fn the_script_plays(script: &str) {
-    let mut player = Player::new();
+fn scenario_meets_its_expectations(script: &str) {
+    let mut runner = ScenarioRunner::new();
     let mut steps = Vec::new();
     for line in script.lines() {
         let line = line.split('#').next().unwrap_or("").trim();
@@ -212,11 +215,11 @@
         match words.split_first() {
             None => {}
             Some((&"expect", rest)) => {
-                player.play_all(&mut steps);
-                player.expect(line, rest);
+                runner.run_steps(&mut steps);
+                runner.expect(line, rest);
             }
             Some((time, rest)) => steps.extend(expand(time, rest)),
         }
     }
-    player.play_all(&mut steps);
+    runner.run_steps(&mut steps);
 }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -23,9 +23,9 @@
     /// Bytes of memory that it may take.
     pub memory_limit: usize,
     /// The endpoint list as this controller had it last.
-    pub known_list: Option<EndpointList>,
+    pub cached_list: Option<EndpointList>,
     /// What of that list can't be used: the start goes on without it.
-    pub known_list_errors: Vec<KnownListError>,
+    pub cached_list_errors: Vec<CachedListError>,
     /// The balancer's settings.
     pub settings: Settings,
     /// The names that messages use.
@@ -34,7 +34,7 @@
 
 /// What of the known endpoint list can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum KnownListError {
+pub enum CachedListError {
     /// Nothing of it.
     #[error(transparent)]
     List(#[from] ListError),
@@ -100,15 +100,15 @@
 }
 
 /// Descriptors, where the file does not limit them.
-const SOCKETS_DEFAULT: u64 = 1024;
+const SOCKET_LIMIT_DEFAULT: u64 = 1024;
 /// Fewer descriptors would leave none for connections.
-const SOCKETS_MIN: u64 = 48;
-const SOCKETS_MAX: u64 = 1 << 20;
+const SOCKET_LIMIT_MIN: u64 = 48;
+const SOCKET_LIMIT_MAX: u64 = 1 << 20;
 /// Memory, where the file does not limit it.
 const MEMORY_MEGABYTES_DEFAULT: f64 = 1024.0;
 const MEMORY_MEGABYTES_MIN: f64 = 8.0;
 const MEMORY_MEGABYTES_MAX: f64 = 1e6;
-const BYTES_IN_MEGABYTE: f64 = 1e6;
+const BYTES_PER_MEGABYTE: f64 = 1e6;
 
 /// A field that can't be used, before the file's path is known.
 struct FieldError {
@@ -148,7 +148,7 @@
 
     fn from_json(value: &Value) -> Result<PlatformConfig, FieldError> {
         let names = Names::from_wire(&value["settings"]);
-        let (known_list, known_list_errors) = known_list(&value["known"], &names);
+        let (cached_list, cached_list_errors) = cached_list(&value["known"], &names);
         let seed = text(value, "seed")?;
         Ok(PlatformConfig {
             name: text(value, "name")?.to_string(),
@@ -157,21 +157,21 @@
             seed: hexadecimal("seed", seed)?,
             socket_limit: socket_limit(&value["limits"]),
             memory_limit: memory_limit(&value["limits"]),
-            known_list,
-            known_list_errors,
+            cached_list,
+            cached_list_errors,
             settings: from_wire(&value["settings"]),
             names,
         })
     }
 }
 
-fn known_list(value: &Value, names: &Names) -> (Option<EndpointList>, Vec<KnownListError>) {
+fn cached_list(value: &Value, names: &Names) -> (Option<EndpointList>, Vec<CachedListError>) {
     if value.is_null() {
         return (None, Vec::new());
     }
     match EndpointList::parse(value, names) {
         Ok(list) => {
-            let errors = list.rejected.iter().cloned().map(Into::into).collect();
+            let errors = list.entry_errors.iter().cloned().map(Into::into).collect();
             (Some(list), errors)
         }
         Err(error) => (None, vec![error.into()]),
@@ -201,8 +201,8 @@
 }
 
 fn socket_limit(limits: &Value) -> usize {
-    let sockets = limits["sockets"].as_u64().unwrap_or(SOCKETS_DEFAULT);
-    sockets.clamp(SOCKETS_MIN, SOCKETS_MAX) as usize
+    let sockets = limits["sockets"].as_u64().unwrap_or(SOCKET_LIMIT_DEFAULT);
+    sockets.clamp(SOCKET_LIMIT_MIN, SOCKET_LIMIT_MAX) as usize
 }
 
 fn memory_limit(limits: &Value) -> usize {
@@ -210,5 +210,5 @@
         .as_f64()
         .unwrap_or(MEMORY_MEGABYTES_DEFAULT)
         .clamp(MEMORY_MEGABYTES_MIN, MEMORY_MEGABYTES_MAX);
-    (megabytes * BYTES_IN_MEGABYTE) as usize
+    (megabytes * BYTES_PER_MEGABYTE) as usize
 }
--- a/crates/platform/src/connection.rs
+++ b/crates/platform/src/connection.rs
@@ -18,7 +18,7 @@
     strings: 64,
 };
 /// What is read of one connection before the others have their turn.
-const READ_TURN_BYTES: usize = 256 << 10;
+const READ_BYTES_PER_ITERATION_MAX: usize = 256 << 10;
 /// What may wait for a peer that does not read.
 const UNREAD_OUTPUT_BYTES_MAX: usize = 128 << 10;
 
@@ -49,7 +49,7 @@
     Rejected(RejectReason),
     /// The bytes are no message.
     #[error(transparent)]
-    Unreadable(#[from] DecodeError),
+    Decode(#[from] DecodeError),
     /// More output waits than the bound.
     #[error("the peer does not read what it is sent")]
     UnreadOutput,
@@ -60,7 +60,7 @@
     pub fn read_close_reason(&self) -> CloseReason {
         match self {
             ConnectionError::PeerClosed | ConnectionError::Io(_) => CloseReason::PeerClosed,
-            ConnectionError::Unreadable(_) => CloseReason::Unreadable,
+            ConnectionError::Decode(_) => CloseReason::Unreadable,
             ConnectionError::Rejected(_) => CloseReason::Rejected,
             ConnectionError::UnreadOutput => CloseReason::PingFlood,
         }
@@ -73,7 +73,7 @@
             ConnectionError::PeerClosed
             | ConnectionError::Io(_)
             | ConnectionError::Rejected(_)
-            | ConnectionError::Unreadable(_) => CloseReason::WriteFailed,
+            | ConnectionError::Decode(_) => CloseReason::WriteFailed,
         }
     }
 }
@@ -106,7 +106,7 @@
         F: FnMut(&mut Connection) -> Result<(), ConnectionError>,
     {
         let mut total = 0;
-        while total < READ_TURN_BYTES {
+        while total < READ_BYTES_PER_ITERATION_MAX {
             match self.stream.read(scratch) {
                 Ok(0) => return Err(ConnectionError::PeerClosed),
                 Ok(count) => {
--- a/crates/platform/src/exchange.rs
+++ b/crates/platform/src/exchange.rs
@@ -39,7 +39,7 @@
     /// The body received so far; the owner takes it out.
     pub body: Vec<u8>,
     /// How much of the body was searched for the end of a line.
-    searched: usize,
+    searched_bytes: usize,
     /// All bytes received, head included.
     pub received_bytes: u64,
 }
@@ -66,7 +66,7 @@
             body_decoder: None,
             status: 0,
             body: Vec::new(),
-            searched: 0,
+            searched_bytes: 0,
             received_bytes: 0,
         })
     }
@@ -109,8 +109,8 @@
 
     /// The end of the connection completes only a body that is delimited by it.
     fn finish_at_end(&self) -> Result<bool, ExchangeError> {
-        let ends_here = self.body_decoder.as_ref();
-        if ends_here.is_some_and(Body::ends_with_connection) {
+        let decoder = self.body_decoder.as_ref();
+        if decoder.is_some_and(Body::ends_with_connection) {
             Ok(true)
         } else {
             Err(ExchangeError::Truncated)
@@ -139,17 +139,17 @@
     /// Takes the complete lines out of the body, empty ones left out. No byte is searched twice: a long list
     /// may come in pieces of a byte.
     pub fn take_lines(&mut self) -> Vec<Vec<u8>> {
-        let unsearched = self.searched.min(self.body.len());
+        let unsearched = self.searched_bytes.min(self.body.len());
         let last_end = self.body[unsearched..]
             .iter()
             .rposition(|byte| *byte == b'\n')
             .map(|position| unsearched + position);
         let Some(last_end) = last_end else {
-            self.searched = self.body.len();
+            self.searched_bytes = self.body.len();
             return Vec::new();
         };
         let rest = self.body.split_off(last_end + 1);
-        self.searched = rest.len();
+        self.searched_bytes = rest.len();
         let complete = std::mem::replace(&mut self.body, rest);
         complete
             .split(|byte| *byte == b'\n')
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -18,5 +18,5 @@
 mod exchange;
 mod service;
 
-pub use config::{ConfigError, FieldProblem, KnownListError, PlatformConfig};
+pub use config::{CachedListError, ConfigError, FieldProblem, PlatformConfig};
 pub use service::{Service, StartError};
--- a/crates/platform/src/service.rs
+++ b/crates/platform/src/service.rs
@@ -86,7 +86,7 @@
             }
             self.run_maintenance(now);
             for output in self.core.decide(now) {
-                self.carry_out(now, output);
+                self.execute_output(now, output);
             }
         }
     }
@@ -100,7 +100,7 @@
     }
 
     fn wake_at(&self) -> Moment {
-        let reload_at = self.pending_reload.map(|reload| reload.at);
+        let reload_at = self.pending_reload.map(|reload| reload.due_at);
         [reload_at, self.listener.resume_at]
             .into_iter()
             .flatten()
@@ -146,7 +146,7 @@
         self.last_token
     }
 
-    fn carry_out(&mut self, now: Moment, output: Output) {
+    fn execute_output(&mut self, now: Moment, output: Output) {
         match output {
             Output::Write { connection, bytes } => self.write(now, connection, &bytes),
             Output::Close { connection, cause } => {
--- a/crates/platform/src/service/connection_table.rs
+++ b/crates/platform/src/service/connection_table.rs
@@ -66,7 +66,7 @@
     }
 
     /// Runs something on a connection that may change its buffers; `None` where there is no such connection.
-    pub(super) fn with<T>(
+    pub(super) fn update<T>(
         &mut self,
         id: ConnectionId,
         run: impl FnOnce(&mut Connection) -> T,
@@ -112,7 +112,7 @@
     }
 
     /// The connection whose buffers take the most memory.
-    pub(super) fn largest(&self) -> Option<ConnectionId> {
+    pub(super) fn with_largest_buffers(&self) -> Option<ConnectionId> {
         self.connections
             .iter()
             .max_by_key(|(_, connection)| connection.buffer_bytes())
--- a/crates/platform/src/service/connections.rs
+++ b/crates/platform/src/service/connections.rs
@@ -46,7 +46,7 @@
     pub(super) fn read(&mut self, now: Moment, id: ConnectionId) {
         let (core, scratch) = (&mut self.core, &mut self.scratch);
         let mut effects = ReadEffects::default();
-        let result = self.connections.with(id, |connection| {
+        let result = self.connections.update(id, |connection| {
             connection.read(scratch, |connection| {
                 process_messages(now, id, connection, core, &mut effects)
             })
@@ -68,12 +68,12 @@
     pub(super) fn write(&mut self, now: Moment, id: ConnectionId, bytes: &[u8]) {
         let result = self
             .connections
-            .with(id, |connection| connection.write(bytes));
+            .update(id, |connection| connection.write(bytes));
         self.close_failed_write(now, id, result);
     }
 
     fn flush(&mut self, now: Moment, id: ConnectionId) {
-        let result = self.connections.with(id, Connection::flush);
+        let result = self.connections.update(id, Connection::flush);
         self.close_failed_write(now, id, result);
     }
 
--- a/crates/platform/src/service/discovery.rs
+++ b/crates/platform/src/service/discovery.rs
@@ -10,14 +10,14 @@
 use wheelspread_platform_core::{EndpointList, SourceId, CONFIGURED_SOURCE};
 
 /// Time from the end of a watch to the next one, at first; it doubles up to the maximum.
-const REDIAL_BACKOFF_MIN: Duration = Duration::from_millis(50);
-const REDIAL_BACKOFF_MAX: Duration = Duration::from_secs(1);
+const WATCH_BACKOFF_MIN: Duration = Duration::from_millis(50);
+const WATCH_BACKOFF_MAX: Duration = Duration::from_secs(1);
 const MEMBERS_PATH: &str = "/catalog/members";
 
 /// What the client knows beside its exchanges.
 pub(super) struct DiscoveryState {
     /// When the next watch may be opened.
-    dial_at: Moment,
+    next_watch_at: Moment,
     backoff: Duration,
     pub(super) newest_source: SourceId,
     /// Discovery has started its versions again: changes mean nothing before the complete list is read.
@@ -27,25 +27,25 @@
 impl DiscoveryState {
     pub(super) fn new(now: Moment) -> DiscoveryState {
         DiscoveryState {
-            dial_at: now,
-            backoff: REDIAL_BACKOFF_MIN,
+            next_watch_at: now,
+            backoff: WATCH_BACKOFF_MIN,
             newest_source: CONFIGURED_SOURCE,
             awaits_complete_list: false,
         }
     }
 
     fn back_off(&mut self, now: Moment) {
-        self.dial_at = now + span(self.backoff);
-        self.backoff = (self.backoff * 2).min(REDIAL_BACKOFF_MAX);
+        self.next_watch_at = now + span(self.backoff);
+        self.backoff = (self.backoff * 2).min(WATCH_BACKOFF_MAX);
     }
 
     fn reset_backoff(&mut self) {
-        self.backoff = REDIAL_BACKOFF_MIN;
+        self.backoff = WATCH_BACKOFF_MIN;
     }
 
     /// The complete list of a source was read, or can't be: the watch may be opened, from whatever version is
     /// in force.
-    fn complete_list_ended(&mut self, source: SourceId) {
+    fn finish_complete_list(&mut self, source: SourceId) {
         if source == self.newest_source {
             self.awaits_complete_list = false;
         }
@@ -58,7 +58,7 @@
         let address = self.config.discovery;
         let is_current =
             |open: &OpenExchange| open.purpose == Purpose::Watch && open.address == address;
-        if now < self.discovery.dial_at
+        if now < self.discovery.next_watch_at
             || self.discovery.awaits_complete_list
             || self.exchanges.values().any(is_current)
         {
@@ -75,8 +75,8 @@
 
     /// The configuration names another address. Its versions may be others, so the complete list is read beside
     /// the watch.
-    pub(super) fn move_discovery(&mut self, now: Moment) {
-        self.discovery.dial_at = now;
+    pub(super) fn change_discovery_address(&mut self, now: Moment) {
+        self.discovery.next_watch_at = now;
         self.discovery.reset_backoff();
         self.discovery.awaits_complete_list = false;
         self.maintain_watch(now);
@@ -106,15 +106,15 @@
                 .values_mut()
                 .find(|other| other.purpose == Purpose::Watch && other.source == open.source);
             if let Some(watch) = watch {
-                watch.position.complete_list_read(&list);
+                watch.position.record_complete_list(&list);
             }
         }
-        self.discovery.complete_list_ended(open.source);
+        self.discovery.finish_complete_list(open.source);
     }
 
     pub(super) fn handle_complete_list_failure(&mut self, now: Moment, source: SourceId) {
         self.core.handle_endpoint_list_unavailable(now);
-        self.discovery.complete_list_ended(source);
+        self.discovery.finish_complete_list(source);
     }
 
     /// Whether all objects continue from those before them on this watch.
@@ -147,7 +147,7 @@
     }
 
     /// A watch has gone back to lower versions: changes by them mean nothing before the complete list is read.
-    pub(super) fn restart_versions(&mut self, now: Moment, id: ExchangeId) {
+    pub(super) fn handle_version_restart(&mut self, now: Moment, id: ExchangeId) {
         info!("discovery restarted its versions, reading the complete endpoint list");
         self.exchanges.remove(&id);
         self.discovery.newest_source = self.discovery.newest_source.next();
@@ -164,7 +164,7 @@
     fn parse_list(&self, text: &[u8]) -> Option<EndpointList> {
         match EndpointList::parse_json(text, self.core.names()) {
             Ok(list) => {
-                for error in &list.rejected {
+                for error in &list.entry_errors {
                     warn!(%error, "endpoint list entry rejected");
                 }
                 Some(list)
--- a/crates/platform/src/service/exchanges.rs
+++ b/crates/platform/src/service/exchanges.rs
@@ -118,7 +118,7 @@
             let has_ended = !matches!(progress, Ok(false));
             let lines = take_watch_lines(&mut open.exchange, has_ended);
             if !self.handle_watch_lines(now, id, &lines) {
-                return self.restart_versions(now, id);
+                return self.handle_version_restart(now, id);
             }
         } else {
             is_refused_watch = is_watch && open.exchange.status != 0;
--- a/crates/platform/src/service/listener.rs
+++ b/crates/platform/src/service/listener.rs
@@ -14,7 +14,7 @@
 /// Descriptors that are not for connections: the loop's own and those of exchanges.
 const RESERVED_DESCRIPTORS: usize = 28;
 /// Connections that are accepted in one turn.
-const ACCEPTS_PER_TURN_MAX: usize = 64;
+const ACCEPTS_PER_ITERATION_MAX: usize = 64;
 /// No connection is evicted within this time: proxies that come in hundreds need it to send their first
 /// message. Peers that wait to be accepted lose nothing.
 const EVICTION_GRACE: Duration = Duration::from_millis(100);
@@ -44,10 +44,10 @@
 
     /// Accepts as many as there is room for when every unidentified connection has been evicted.
     pub(super) fn accept(&mut self, now: Moment) {
-        let room = self
+        let free_slots = self
             .connection_limit()
             .saturating_sub(self.connections.identified_count());
-        for _ in 0..room.clamp(1, ACCEPTS_PER_TURN_MAX) {
+        for _ in 0..free_slots.clamp(1, ACCEPTS_PER_ITERATION_MAX) {
             if !self.accept_one(now) {
                 return;
             }
--- a/crates/platform/src/service/maintenance.rs
+++ b/crates/platform/src/service/maintenance.rs
@@ -9,7 +9,7 @@
 /// Time within which a connection has to identify itself.
 const IDENTIFICATION_TIMEOUT: Duration = Duration::from_millis(1600);
 /// The share of the memory limit that buffers of connections may take together.
-const BUFFER_MEMORY_SHARE: f64 = 0.25;
+const BUFFER_MEMORY_RATIO: f64 = 0.25;
 
 impl Service {
     pub(super) fn run_maintenance(&mut self, now: Moment) {
@@ -41,11 +41,11 @@
 
     /// Peers that read slowly may take memory, but not all of it.
     fn limit_buffers(&mut self, now: Moment) {
-        let max = self.config.memory_limit as f64 * BUFFER_MEMORY_SHARE;
+        let max = self.config.memory_limit as f64 * BUFFER_MEMORY_RATIO;
         if self.connections.buffer_bytes() as f64 <= max {
             return;
         }
-        if let Some(id) = self.connections.largest() {
+        if let Some(id) = self.connections.with_largest_buffers() {
             self.close(now, id, CloseReason::BuffersFull, &"buffers are full");
         }
     }
--- a/crates/platform/src/service/reload.rs
+++ b/crates/platform/src/service/reload.rs
@@ -15,14 +15,14 @@
 /// A configuration that is to be read.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PendingReload {
-    pub(super) at: Moment,
+    pub(super) due_at: Moment,
     retries: u32,
 }
 
 impl PendingReload {
     pub(super) fn first(now: Moment) -> PendingReload {
         PendingReload {
-            at: now,
+            due_at: now,
             retries: 0,
         }
     }
@@ -30,7 +30,7 @@
     /// The next attempt, if there is to be one.
     fn next(self) -> Option<PendingReload> {
         (self.retries < RELOAD_RETRIES).then(|| PendingReload {
-            at: self.at + span(RELOAD_RETRY_INTERVAL),
+            due_at: self.due_at + span(RELOAD_RETRY_INTERVAL),
             retries: self.retries + 1,
         })
     }
@@ -48,7 +48,7 @@
 impl Service {
     /// Reads the configuration again if that is due. The old one stays in force until the new one can be used.
     pub(super) fn reload_if_due(&mut self, now: Moment) {
-        let Some(reload) = self.pending_reload.filter(|reload| now >= reload.at) else {
+        let Some(reload) = self.pending_reload.filter(|reload| now >= reload.due_at) else {
             return;
         };
         match self.read_configuration() {
@@ -74,11 +74,11 @@
 
     fn apply_configuration(&mut self, now: Moment, config: PlatformConfig) {
         info!(discovery = %config.discovery, "configuration reloaded");
-        let has_moved = config.discovery != self.config.discovery;
+        let has_address_changed = config.discovery != self.config.discovery;
         self.config = config;
         self.pending_reload = None;
-        if has_moved {
-            self.move_discovery(now);
+        if has_address_changed {
+            self.change_discovery_address(now);
         }
     }
 }
--- a/crates/platform/src/service/start.rs
+++ b/crates/platform/src/service/start.rs
@@ -60,7 +60,10 @@
         let clock = Clock::start();
         let now = clock.now();
         let core = start_core(now, &config)?;
-        let Bound { listener, reload } = bind_with_retry(&mut poll, &signals, config.listen)?;
+        let BoundListener {
+            listener,
+            reload_requested,
+        } = bind_with_retry(&mut poll, &signals, config.listen)?;
         poll.add(&listener, LISTENER_TOKEN, Interest::Readable)
             .map_err(io_error("epoll"))?;
         info!(
@@ -82,7 +85,7 @@
             exchanges: BTreeMap::new(),
             last_token: LAST_RESERVED_TOKEN,
             discovery: DiscoveryState::new(now),
-            pending_reload: reload.then(|| PendingReload::first(now)),
+            pending_reload: reload_requested.then(|| PendingReload::first(now)),
             report: StatusReport::new(now),
             scratch: vec![0; SCRATCH_BYTES],
         })
@@ -93,19 +96,19 @@
 fn start_core(now: Moment, config: &PlatformConfig) -> Result<ControllerCore, StartError> {
     let (settings, names) = (config.settings.clone(), config.names.clone());
     let mut core = ControllerCore::start(now, config.seed, settings, names)?;
-    for error in &config.known_list_errors {
+    for error in &config.cached_list_errors {
         warn!(%error, "known endpoint list: entry rejected");
     }
-    if let Some(known) = &config.known_list {
+    if let Some(known) = &config.cached_list {
         core.handle_endpoint_list(now, known, CONFIGURED_SOURCE);
     }
     Ok(core)
 }
 
-struct Bound {
+struct BoundListener {
     listener: TcpListener,
     /// A reload was asked for meanwhile.
-    reload: bool,
+    reload_requested: bool,
 }
 
 /// Listens at the address. The controller before this one may still be ending, and holds it until it has.
@@ -113,12 +116,17 @@
     poll: &mut Poll,
     signals: &Signals,
     address: SocketAddrV4,
-) -> Result<Bound, StartError> {
-    let mut reload = false;
+) -> Result<BoundListener, StartError> {
+    let mut reload_requested = false;
     let mut retries = 0;
     loop {
         let error = match reactor::listen(address) {
-            Ok(listener) => return Ok(Bound { listener, reload }),
+            Ok(listener) => {
+                return Ok(BoundListener {
+                    listener,
+                    reload_requested,
+                })
+            }
             Err(error) => error,
         };
         if error.kind() != io::ErrorKind::AddrInUse || retries >= BIND_RETRIES {
@@ -131,7 +139,7 @@
         poll.wait(span(BIND_RETRY_INTERVAL), &mut Vec::new())
             .map_err(io_error("epoll"))?;
         let received = signals.received();
-        reload |= received.contains(&reactor::RELOAD);
+        reload_requested |= received.contains(&reactor::RELOAD);
         if received.iter().any(|signal| *signal != reactor::RELOAD) {
             return Err(StartError::Stopped);
         }
--- a/crates/platform/tests/config.rs
+++ b/crates/platform/tests/config.rs
@@ -38,7 +38,7 @@
     );
     let config = read(FINE).expect("fine");
     assert_eq!(
-        (config.seed, config.known_list, config.socket_limit),
+        (config.seed, config.cached_list, config.socket_limit),
         (255, None, 1024)
     );
 }
@@ -54,14 +54,14 @@
     let list = format!(r#"{{"index": 4, "snapshot": true, "endpoints": [{spoilt}, {node}, 7]}}"#);
     let config = read(&known(&list)).expect("fine");
     let names: Vec<String> = config
-        .known_list
+        .cached_list
         .expect("a list")
         .entries
         .into_iter()
         .map(|e| e.name)
         .collect();
     assert_eq!(
-        (names, config.known_list_errors.len()),
+        (names, config.cached_list_errors.len()),
         (vec!["x".to_string()], 2)
     );
     for none in [
@@ -72,7 +72,7 @@
     ] {
         let config = read(&known(none)).expect("fine");
         assert_eq!(
-            (config.known_list, config.known_list_errors.len()),
+            (config.cached_list, config.cached_list_errors.len()),
             (None, 1),
             "{none}"
         );
