--- a/crates/platform-core/examples/load.rs
+++ b/crates/platform-core/examples/load.rs
@@ -1,6 +1,6 @@
-//! What the protocol state of a controller on a platform costs: CPU seconds for each second that passes, by how
-//! many proxies have joined. Proxies, nodes and load reports are synthetic; there are no sockets, and no clock
-//! but the CPU's.
+//! Measures the CPU time of a platform controller's protocol state per simulated second, for a given number of
+//! proxies and nodes. Proxies, nodes and load reports are synthetic; there are no sockets, time is simulated, and
+//! only the process's CPU clock is read.
 //!
 //!     cargo run --release -p wheelspread-platform-core --example load -- PROXIES NODES SECONDS
 
@@ -10,17 +10,17 @@
 use wheelspread_settings::{from_wire, Names};
 
 const START_SECONDS: f64 = 1.0e9;
-/// Seconds between two wake-ups, as messages come.
+/// Simulated seconds between two wake-ups of the core.
 const WAKE_INTERVAL_SECONDS: f64 = 0.002;
 const WAKES_PER_SECOND: usize = 500;
 const ZONES: [&str; 2] = ["a", "b"];
 const KINDS: [&str; 2] = ["k", "l"];
 const OPERATIONS: [&str; 2] = ["lookup", "order"];
-/// Collectors come first, a connection for each zone.
+/// Connection ids below this are for collectors, one for each zone.
 const FIRST_PROXY_CONNECTION: usize = 10;
 const SOURCE: SourceId = SourceId(1);
 
-fn settings_of(proxies: usize) -> Value {
+fn platform_settings(proxies: usize) -> Value {
     json!({"az": 0, "me": 0, "peers_total": 5, "discovery": "push", "tick": 0.001,
         "zones": ZONES, "kinds": KINDS,
         "classes": [
@@ -44,19 +44,19 @@
     time.tv_sec as f64 + time.tv_nsec as f64 / 1e9
 }
 
-/// The part of `count` things whose turn is at this wake-up, once a second each.
+/// The indices below `count` that are due at this wake-up. Each index is due once per second.
 fn due(count: usize, wake: usize) -> std::ops::Range<usize> {
     let phase = wake % WAKES_PER_SECOND;
     (count * phase / WAKES_PER_SECOND)..(count * (phase + 1) / WAKES_PER_SECOND)
 }
 
-/// An acknowledgement that is sent at the next wake-up.
+/// An acknowledgement to send at the next wake-up.
 struct DueAcknowledgement {
     connection: usize,
     marker: String,
 }
 
-/// What was measured.
+/// The measured totals.
 #[derive(Default)]
 struct Totals {
     messages: usize,
@@ -75,7 +75,7 @@
 
 impl Load {
     fn start(proxies: usize, nodes: usize) -> Load {
-        let value = settings_of(proxies);
+        let value = platform_settings(proxies);
         let start = Moment::from_seconds(START_SECONDS);
         let core = ControllerCore::start(start, 7, from_wire(&value), Names::from_wire(&value))
             .expect("the settings are valid");
@@ -117,8 +117,8 @@
             .handle_endpoint_list(Moment::from_seconds(now), &list, SOURCE);
     }
 
-    /// Once a second each proxy reports its demand and each zone's collector each node, and one node drains;
-    /// acknowledgements come with the next wake-up.
+    /// Runs one wake-up. Once per second each proxy sends demand reports, each collector sends a load report for
+    /// each node, and one node drains. Markers are acknowledged at the next wake-up.
     fn wake(&mut self, wake: usize) {
         let now = START_SECONDS + wake as f64 * WAKE_INTERVAL_SECONDS;
         self.report_demand(now, wake);
@@ -182,7 +182,7 @@
     }
 }
 
-/// The marker of a message, if it has one.
+/// The version marker of a message, if it has one.
 fn marker_of(bytes: &[u8]) -> Option<String> {
     let text = String::from_utf8_lossy(bytes);
     let after = text.split("stamp\r\n").nth(1)?;
@@ -195,7 +195,7 @@
         .filter_map(|word| word.parse().ok())
         .collect();
     let [proxies, nodes, seconds] = arguments[..] else {
-        eprintln!("load PROXIES NODES SECONDS");
+        eprintln!("usage: load PROXIES NODES SECONDS");
         std::process::exit(2);
     };
     let mut load = Load::start(proxies, nodes);
@@ -203,12 +203,12 @@
     for wake in 0..(seconds as f64 / WAKE_INTERVAL_SECONDS) as usize {
         load.wake(wake);
     }
-    let spent = cpu_seconds() - before;
+    let cpu_total = cpu_seconds() - before;
     let totals = load.totals;
     println!(
-        "{proxies} proxies, {nodes} nodes: {:.4} s of CPU a second, {:.4} of it to settle, {:.1} us a wake-up; \
+        "{proxies} proxies, {nodes} nodes: {:.4} s of CPU per second, {:.4} s of it in decide(), {:.1} us per wake-up; \
          {} messages, {} bytes",
-        spent / seconds as f64,
+        cpu_total / seconds as f64,
         totals.decide_seconds / seconds as f64,
         totals.decide_seconds / totals.wakes as f64 * 1e6,
         totals.messages,
--- a/crates/platform-core/src/controller_core.rs
+++ b/crates/platform-core/src/controller_core.rs
@@ -1,5 +1,5 @@
-//! Feeds the balancer: messages and endpoint lists become events, its actions become messages and outputs.
-//! One decision round serves everything received since the last one, at most one round in each tick.
+//! Passes messages and endpoint lists to the balancer as events, and turns its actions into messages and outputs.
+//! A decision round covers all events since the previous round; there is at most one round per tick.
 
 mod messages;
 mod silence;
@@ -20,14 +20,14 @@
 use wheelspread::{Action, Balancer, ConfigError, EndpointListKind, Event};
 use wheelspread_settings::Names;
 
-/// Time between two searches for silent streams and for names that are no longer used.
+/// Interval between two searches for silent streams and unused node names.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(250);
-/// How long a name that is not in use is remembered, as a multiple of the time in which nodes warm up.
+/// How long the name of an unlisted, unused node is kept, as a multiple of the duration of slow start.
 const NAME_RETENTION_FACTOR: f64 = 10.0;
-/// The longest attempt that a report may tell of, as a multiple of the longest deadline: the mean latency
-/// carries noise, and an attempt may outlast its client.
+/// The largest mean latency that a load report may have, as a multiple of the longest request deadline. It is above
+/// 1 because the mean latency contains noise, and an attempt may continue after its client has given up.
 const ATTEMPT_DURATION_FACTOR: f64 = 4.0;
-/// Deadlines shorter than this don't lower that bound.
+/// The lower bound of the longest request deadline in that limit.
 const DEADLINE_MIN_SECONDS: f64 = 1.0;
 const OPERATIONS_MAX: usize = 16;
 
@@ -39,27 +39,27 @@
     Settings(#[from] ConfigError),
 }
 
-/// Why new settings are not taken.
+/// Why new settings are rejected.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ReconfigureError {
-    /// They name other zones, kinds, operations or metrics.
-    #[error("zones, kinds, operations and reports stay what they are while this runs")]
+    /// The names of zones, kinds, operations or metrics differ from those in force.
+    #[error("zones, kinds, operations and metrics can't be changed while the controller runs")]
     NamesChanged,
     /// The balancer does not accept the settings.
     #[error(transparent)]
     Settings(#[from] ConfigError),
 }
 
-/// What a health check brought.
+/// The result of a health check.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HealthCheckResult {
     /// The node that was checked.
     pub node: NodeId,
-    /// Whether it answered that it serves.
+    /// Whether the node answered with success.
     pub succeeded: bool,
-    /// How long the answer took.
+    /// The time from the request to its response or failure.
     pub latency: Span,
-    /// Its load metrics in the order of the settings; empty where there are none.
+    /// The node's load metrics in the order of the settings; empty if it reported none.
     pub metrics: Vec<f64>,
 }
 
@@ -69,11 +69,11 @@
     last_message_at: Moment,
 }
 
-/// What the settings give for this crate.
+/// The values that this crate takes from the settings.
 struct CoreSettings {
     message_limits: MessageLimits,
     tick: Span,
-    /// The longest delay of a message to a proxy.
+    /// The longest delay of a message to a proxy, from the settings.
     max_message_delay: Span,
     warming_duration: Span,
 }
@@ -100,8 +100,8 @@
     }
 }
 
-/// The protocol state of one controller. The owner of the sockets passes in what it receives, and calls
-/// [`ControllerCore::decide`] afterwards and at [`ControllerCore::wake_at`].
+/// The protocol state of one controller. The caller, which owns the sockets, passes in received messages and lists,
+/// and calls [`ControllerCore::decide`] afterwards and at the time of [`ControllerCore::wake_at`].
 pub struct ControllerCore {
     balancer: Balancer,
     names: Names,
@@ -114,7 +114,7 @@
     newest_connections: BTreeMap<ProxyId, ConnectionId>,
     timers: BTreeSet<(Moment, TimerId)>,
     acknowledgement_latency: LatencyHistory,
-    /// Events have come since the last decision round.
+    /// Whether events have arrived since the last decision round.
     has_new_events: bool,
     last_round_at: Option<Moment>,
     next_maintenance_at: Moment,
@@ -122,7 +122,7 @@
 }
 
 impl ControllerCore {
-    /// Starts with the balancer's settings and the names that messages use.
+    /// Starts with the balancer's settings, and the names that messages use for zones, operations and metrics.
     pub fn start(
         now: Moment,
         seed: u64,
@@ -149,7 +149,7 @@
         })
     }
 
-    /// Takes other settings. Zones, kinds, operations and metrics stay what they are.
+    /// Replaces the settings. The names of zones, kinds, operations and metrics must be the same as before.
     pub fn reconfigure(
         &mut self,
         settings: Settings,
@@ -165,22 +165,22 @@
         Ok(())
     }
 
-    /// The names that messages use.
+    /// The names that messages use for zones, operations and metrics.
     pub fn names(&self) -> &Names {
         &self.names
     }
 
-    /// How many proxies have joined.
+    /// The number of proxies that have joined.
     pub fn proxy_count(&self) -> usize {
         self.streams.len()
     }
 
-    /// The version of the endpoint list in force.
+    /// The version of the current endpoint list.
     pub fn endpoint_list_version(&self) -> Option<u64> {
         self.membership.version()
     }
 
-    /// Takes an endpoint list. Whether it is newer than the one in force.
+    /// Applies an endpoint list. Returns `false` if it was ignored because it is older than the current list.
     pub fn handle_endpoint_list(
         &mut self,
         now: Moment,
@@ -194,7 +194,7 @@
         true
     }
 
-    /// The complete endpoint list was asked for and could not be read.
+    /// Handles a failed request for the complete endpoint list.
     pub fn handle_endpoint_list_unavailable(&mut self, now: Moment) {
         let event = Event::EndpointList {
             kind: EndpointListKind::Unavailable,
@@ -203,7 +203,7 @@
         self.handle_event(now, &event);
     }
 
-    /// A health check has ended.
+    /// Handles the result of a health check.
     pub fn handle_health_check(&mut self, now: Moment, result: HealthCheckResult) {
         let event = Event::ProbeCompleted {
             node: result.node,
@@ -225,20 +225,20 @@
         self.outputs.push(Output::Diagnostic(diagnostic));
     }
 
-    /// Closes a connection from this side. Until its owner has closed it, it is ignored.
+    /// Closes a connection. Its messages are ignored until the caller has closed the socket.
     fn close(&mut self, now: Moment, connection: ConnectionId, cause: CloseCause) {
         self.outputs.push(Output::Close { connection, cause });
         self.end_stream(now, connection);
         self.peers.insert(connection, Peer::Closing);
     }
 
-    /// A connection has been closed, by whichever side.
+    /// Handles the end of a connection that either side has closed.
     pub fn handle_connection_closed(&mut self, now: Moment, connection: ConnectionId) {
         self.end_stream(now, connection);
         self.peers.remove(&connection);
     }
 
-    /// The proxy leaves, where this connection is its stream.
+    /// Removes the proxy if this connection is its current stream.
     fn end_stream(&mut self, now: Moment, connection: ConnectionId) {
         let Some(Peer::Proxy(proxy)) = self.peers.get(&connection).copied() else {
             return;
@@ -251,8 +251,8 @@
         }
     }
 
-    /// A collector that a newer one of its zone has replaced, if there is one. This happens after a silent
-    /// break of its connection, which nothing else shows.
+    /// A collector's connection whose zone has a newer collector connection, if there is one. The older connection
+    /// remains when it broke without being closed, which is detected in no other way.
     pub fn redundant_collector(&self) -> Option<ConnectionId> {
         let has_newer = |connection: &ConnectionId, zone: ZoneId| {
             self.peers
@@ -267,7 +267,7 @@
         self.peers.iter().find_map(redundant)
     }
 
-    /// Runs what is due - maintenance, timers, a decision round - and returns what is to be done.
+    /// Runs maintenance, timers and a decision round as far as they are due, and returns the outputs to carry out.
     pub fn decide(&mut self, now: Moment) -> Vec<Output> {
         if now >= self.next_maintenance_at {
             self.run_maintenance(now);
@@ -335,14 +335,14 @@
                 }
             }
             Action::Log { message } => self.report(Diagnostic::Balancer(message.clone())),
-            // Changes of the endpoint list come without being asked for, and controllers have no way to reach
-            // each other on a platform.
+            // The caller always watches the endpoint list, and on a platform controllers can't send messages to
+            // each other.
             Action::WatchEndpoints { .. } | Action::SendGossip { .. } => {}
             _ => {}
         }
     }
 
-    /// When [`ControllerCore::decide`] is to be called again if nothing is received.
+    /// When [`ControllerCore::decide`] must be called next if nothing is received before.
     pub fn wake_at(&self) -> Moment {
         let next_timer = self
             .timers
@@ -357,7 +357,7 @@
     }
 }
 
-/// A duration on the balancer's clock.
+/// Converts a duration to the balancer's type.
 fn span(duration: Duration) -> Span {
     Span::from_seconds(duration.as_secs_f64())
 }
--- a/crates/platform-core/src/controller_core/messages.rs
+++ b/crates/platform-core/src/controller_core/messages.rs
@@ -1,4 +1,4 @@
-//! Received messages: the handshake, and reports as events of the balancer.
+//! Handling of received messages: the handshake, and conversion of reports and acknowledgements to events.
 
 use super::{ControllerCore, Stream};
 use crate::handshake::{self, HandshakeAction, Peer};
@@ -10,7 +10,7 @@
 use wheelspread::Event;
 
 impl ControllerCore {
-    /// Takes one message of a connection.
+    /// Handles one message received on a connection.
     pub fn handle_message(
         &mut self,
         now: Moment,
@@ -69,13 +69,13 @@
         join: ProxyJoin,
     ) -> MessageOutcome {
         let proxy = join.proxy;
-        // Connections are numbered as they were accepted: the proxy has given this one up for a newer one.
+        // Connection ids ascend in the order of acceptance, so the proxy has already replaced this connection.
         let is_newer = |newest: &ConnectionId| *newest > connection;
         if self.newest_connections.get(&proxy).is_some_and(is_newer) {
             return MessageOutcome::Close(RejectReason::NewerStream);
         }
         if let Some(old) = self.streams.get(&proxy).map(|stream| stream.connection) {
-            // A new stream may come before the end of the old one is seen.
+            // The proxy may join on a new stream before the end of the old one is detected.
             self.close(now, old, CloseCause::NewerStream);
         }
         let stream = Stream {
--- a/crates/platform-core/src/controller_core/silence.rs
+++ b/crates/platform-core/src/controller_core/silence.rs
@@ -1,7 +1,7 @@
-//! Detection of streams that have fallen silent.
+//! Detection of silent streams.
 //!
-//! A machine that vanishes sends no end of its connections, and what waits for its acknowledgements would hold
-//! up the messages to all other proxies.
+//! A machine that fails without closing its connections leaves acknowledgements missing. Update steps that wait for
+//! them would delay the messages to all other proxies.
 
 use super::{span, ControllerCore, Stream};
 use crate::output::CloseCause;
@@ -11,14 +11,14 @@
 use wheelspread::rolling_window::RollingWindow;
 use wheelspread::time::{Moment, Span};
 
-/// A stream is silent when a marker is unacknowledged, and nothing else has come, for the sum of these. A
-/// stream that is only slow must not be closed: its proxy would go on by the tables it holds, and the time
-/// limits of drains with it.
+/// A stream is silent when its oldest unacknowledged marker and its last message are both older than the sum of
+/// these terms. A stream that is only slow must not be closed: its proxy would continue with the tables it holds,
+/// and could send requests to draining nodes past the time limits of their drains.
 struct SilenceLimit {
     base: Duration,
-    /// Multiple of the longest delay of a message.
+    /// Factor of the longest delay of a message to a proxy.
     message_delays: f64,
-    /// Multiple of the slowest recent acknowledgement.
+    /// Factor of the slowest recent acknowledgement.
     acknowledgement_latencies: f64,
 }
 
@@ -28,11 +28,11 @@
     acknowledgement_latencies: 2.0,
 };
 
-/// Acknowledgements are recent for so many buckets.
+/// Acknowledgements count as recent for this many buckets.
 const LATENCY_BUCKET_COUNT: usize = 10;
 const LATENCY_BUCKET: Duration = Duration::from_secs(1);
 
-/// The slowest acknowledgement of a bucket.
+/// The latency of the slowest acknowledgement in a bucket.
 #[derive(Clone, Copy, Debug, Default)]
 struct SlowestLatency(Span);
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// How long recent acknowledgements took.
+/// Latencies of recent acknowledgements.
 pub(super) struct LatencyHistory(RollingWindow<SlowestLatency>);
 
 impl LatencyHistory {
@@ -63,8 +63,8 @@
 }
 
 impl ControllerCore {
-    /// Streams that have fallen silent. Their owner reads them once more before the next decision round: an
-    /// acknowledgement that has come and was not read yet is not late.
+    /// The connections of silent streams; none between two maintenance runs. The caller must read them once more
+    /// before calling [`ControllerCore::decide`], since an acknowledgement may have arrived without being read yet.
     pub fn silent_connections(&self, now: Moment) -> Vec<ConnectionId> {
         if now < self.next_maintenance_at {
             return Vec::new();
--- a/crates/platform-core/src/endpoint_list.rs
+++ b/crates/platform-core/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists as discovery sends them, and how far a watch on them has come.
+//! Parsing of endpoint lists from discovery, and the version that a watch on them has reached.
 
 use serde_json::Value;
 use std::net::SocketAddrV4;
@@ -7,50 +7,50 @@
 use wheelspread::EndpointStatus;
 use wheelspread_settings::Names;
 
-/// One node as discovery lists it.
+/// One valid endpoint entry.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedEndpoint {
-    /// The same at every controller.
+    /// The node's name, which is the same at every controller.
     pub name: String,
-    /// Where the node listens, as seen from this controller.
+    /// The address at which this controller reaches the node.
     pub address: SocketAddrV4,
     /// The node's zone.
     pub zone: ZoneId,
-    /// Its type of machine.
+    /// The node's machine type.
     pub kind: KindId,
-    /// Its group.
+    /// The node's cell.
     pub cell: CellId,
-    /// Whether it takes requests.
+    /// Whether the node is ready, draining or gone.
     pub status: EndpointStatus,
-    /// Its nominal weight.
+    /// The node's nominal weight.
     pub weight: f64,
-    /// When it last started, unless that is long ago.
+    /// When the node last started; `None` if the entry has no positive start time, as for a start long ago.
     pub started: Option<Moment>,
 }
 
-/// One object of discovery: a complete list, or the entries that have changed.
+/// One JSON object from discovery: a complete list, or only the changed entries.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointList {
-    /// Discovery's count of changes.
+    /// The version of the list, which discovery increments with each change.
     pub version: u64,
-    /// Whether nodes that are not in it are gone.
+    /// Whether this is a complete list: nodes that are not in it are gone.
     pub is_complete: bool,
     /// The valid entries.
     pub entries: Vec<ListedEndpoint>,
-    /// Why other entries were rejected.
+    /// The errors of the rejected entries.
     pub entry_errors: Vec<EntryError>,
-    /// The names of rejected entries, of those that have one.
+    /// The names of the rejected entries that have one.
     pub rejected_names: Vec<String>,
 }
 
-/// Why an endpoint list is rejected whole.
+/// Why an endpoint list is rejected as a whole.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ListError {
-    /// The text is no JSON.
-    #[error("the endpoint list is no JSON: {0}")]
+    /// The text is not valid JSON.
+    #[error("the endpoint list is not valid JSON: {0}")]
     Syntax(String),
     /// A field of the list is missing or has the wrong type.
-    #[error("a list without its `{0}`")]
+    #[error("field `{0}` of the endpoint list is missing or has the wrong type")]
     MissingField(&'static str),
 }
 
@@ -58,36 +58,36 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EntryError {
     /// The entry has no name.
-    #[error("a node without a name")]
+    #[error("endpoint entry without a name")]
     Unnamed,
-    /// A field is missing or is no text.
-    #[error("{node} has no `{field}`")]
+    /// A field is missing or is not a string.
+    #[error("node {node}: field `{field}` is missing or not a string")]
     MissingField {
         /// The node's name.
         node: String,
         /// The field.
         field: &'static str,
     },
-    /// A field names something that the settings don't.
-    #[error("{node} has a `{field}` that the settings don't name: {value}")]
+    /// A field has a value that is not in the settings.
+    #[error("node {node}: `{field}` has the value `{value}`, which is not in the settings")]
     UnknownName {
         /// The node's name.
         node: String,
         /// The field.
         field: &'static str,
-        /// Its value.
+        /// The value of the field.
         value: String,
     },
     /// The status is unknown.
-    #[error("{node} has an unknown `status`: {status}")]
+    #[error("node {node}: unknown `status` `{status}`")]
     UnknownStatus {
         /// The node's name.
         node: String,
         /// The status.
         status: String,
     },
-    /// The address can't be read.
-    #[error("{node} has no address in {address}")]
+    /// The address can't be parsed.
+    #[error("node {node}: `{address}` is not an IPv4 address with a port")]
     InvalidAddress {
         /// The node's name.
         node: String,
@@ -97,7 +97,7 @@
 }
 
 impl EndpointList {
-    /// Reads a list. An invalid entry is left out alone.
+    /// Parses a list. Invalid entries are left out, the others are kept.
     pub fn parse(value: &Value, names: &Names) -> Result<EndpointList, ListError> {
         let version = value["index"]
             .as_u64()
@@ -128,7 +128,7 @@
         Ok(list)
     }
 
-    /// Reads a list from JSON text.
+    /// Parses a list from JSON text.
     pub fn parse_json(text: &[u8], names: &Names) -> Result<EndpointList, ListError> {
         let value = serde_json::from_slice(text)
             .map_err(|error: serde_json::Error| ListError::Syntax(error.to_string()))?;
@@ -136,7 +136,7 @@
     }
 }
 
-/// The text fields of an entry, with the node's name for errors.
+/// An endpoint entry in JSON, with the node's name for errors.
 struct EntryFields<'a> {
     node: &'a str,
     entry: &'a Value,
@@ -217,8 +217,9 @@
     }
 }
 
-/// Identifies one watch of discovery, or the configuration. Ids ascend in the order in which the watches
-/// were opened: a later one knows better, also where discovery has started its versions again.
+/// Identifies one watch of discovery, or the configuration, as the source of a list. Ids ascend in the order in
+/// which the watches were opened. The later source takes precedence, even with lower versions: discovery may
+/// have restarted its version count.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SourceId(pub u64);
 
@@ -229,13 +230,14 @@
     }
 }
 
-/// The list in the configuration, from before the start: whatever discovery sends is newer.
+/// The source of the cached list in the configuration, which is older than any list from discovery.
 pub const CONFIGURED_SOURCE: SourceId = SourceId(0);
 
-/// How far a watch has come.
+/// The version that a watch has reached.
 ///
-/// Discovery that has started its versions again answers a watch from a version it never had with nothing
-/// until its own count gets there. Versions that go down on a watch show it; then the complete list must be read.
+/// When discovery has restarted its version count, a watch from a version beyond the new count brings no changes
+/// until the count reaches that version. A version lower than the one before shows the restart; the complete list
+/// must then be read.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WatchPosition {
     version: Option<u64>,
@@ -243,7 +245,7 @@
 }
 
 impl WatchPosition {
-    /// A watch that was opened from this version; `None` asks for the whole list.
+    /// The position of a watch opened from this version; `None` requests the complete list first.
     pub fn starting_at(version: Option<u64>) -> WatchPosition {
         WatchPosition {
             version,
@@ -251,15 +253,15 @@
         }
     }
 
-    /// The complete list was read beside the watch, before the watch brought anything.
+    /// Continues from a complete list that was read outside the watch, unless the watch has already received a list.
     pub fn record_complete_list(&mut self, list: &EndpointList) {
         if !self.has_received {
             self.version = Some(list.version);
         }
     }
 
-    /// Advances to a list that the watch has brought. Whether the list continues from the position before;
-    /// the first one may be a complete list of any version.
+    /// Advances to a list received on the watch. Returns whether the list continues from the previous position; the
+    /// first list of a watch may be a complete list of any version.
     pub fn advance(&mut self, list: &EndpointList) -> bool {
         let continues = self.version.is_none_or(|version| list.version >= version)
             || (list.is_complete && !self.has_received);
--- a/crates/platform-core/src/handshake.rs
+++ b/crates/platform-core/src/handshake.rs
@@ -1,40 +1,40 @@
-//! What a connection may send, by who is at its other end.
+//! Which messages each kind of peer may send on its connection.
 
 use crate::message::Message;
 use wheelspread::ids::{ProxyId, ZoneId};
 
-/// Who is at the other end of a connection.
+/// The peer of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Peer {
-    /// It has not identified itself yet.
+    /// The peer has not identified itself yet.
     Unidentified,
-    /// The collector of a zone, which passes on reports.
+    /// The collector of a zone, which forwards reports.
     Collector(ZoneId),
     /// A proxy that has joined: this connection is its stream.
     Proxy(ProxyId),
-    /// It is being closed from this side. Whatever it still sends is ignored: as an unidentified connection
-    /// it could join again by bytes that were in flight.
+    /// This controller is closing the connection. Messages that still arrive are ignored: if the connection
+    /// counted as unidentified, a join that was in flight would register the proxy again.
     Closing,
 }
 
-/// How a message is treated.
+/// How a message is handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HandshakeAction {
-    /// Answered at once.
+    /// The ping is answered immediately.
     AnswerPing,
-    /// The connection becomes a collector.
+    /// The connection is registered as a collector's.
     RegisterCollector,
     /// The connection becomes a proxy's stream.
     JoinProxy,
-    /// A report or an acknowledgement goes to the balancer.
+    /// The report or acknowledgement is passed to the balancer.
     Process,
-    /// The message is dropped; those after it count.
+    /// The message is dropped; later messages of the connection are handled.
     Ignore,
     /// The connection is closed.
     Close,
 }
 
-/// How a message of this peer is treated; `None` is a message that can't be read.
+/// How a message of this peer is handled. `None` is an invalid message.
 pub fn action_for(peer: Peer, message: Option<&Message>) -> HandshakeAction {
     match peer {
         Peer::Unidentified => unidentified_action(message),
@@ -44,7 +44,8 @@
     }
 }
 
-/// Anything but a ping, a collector's greeting or a join shows that no proxy and no collector is there.
+/// Any message other than a ping, a collector's hello or a join shows that the peer is neither a proxy nor a
+/// collector, so the connection is closed.
 fn unidentified_action(message: Option<&Message>) -> HandshakeAction {
     match message {
         Some(Message::Ping) => HandshakeAction::AnswerPing,
@@ -72,7 +73,7 @@
     }
 }
 
-/// A proxy speaks for itself alone.
+/// On a proxy's stream only acknowledgements and demand reports of the same proxy are processed.
 fn proxy_action(stream_proxy: ProxyId, message: Option<&Message>) -> HandshakeAction {
     match message {
         Some(Message::Ping) => HandshakeAction::AnswerPing,
--- a/crates/platform-core/src/lib.rs
+++ b/crates/platform-core/src/lib.rs
@@ -1,16 +1,17 @@
-//! The protocol state of a controller on a platform, without sockets and without a clock.
+//! The protocol state of a controller on a platform. It opens no sockets and reads no clock: the caller passes in
+//! received messages and the current time, and carries out the returned outputs.
 //!
 //! | module | owns |
 //! | --- | --- |
 //! | `message` | parsing of messages from proxies and collectors |
-//! | `handshake` | what a connection may send, by who is at its other end |
-//! | `endpoint_list` | endpoint lists as discovery sends them, and how far a watch has come |
+//! | `handshake` | which messages each kind of peer may send |
+//! | `endpoint_list` | parsing of endpoint lists from discovery, and the version that a watch has reached |
 //! | `membership` | nodes by name and by id |
-//! | `publication` | the balancer's tables, and what each proxy's stream was sent of them |
-//! | `controller_core` | feeds the balancer with all of it and turns its actions into outputs |
+//! | `publication` | the balancer's tables, and the part of them that was sent on each proxy's stream |
+//! | `controller_core` | passes events to the balancer and turns its actions into outputs |
 //!
-//! Weights, admission ratios, health, retries and pacing are decided by the balancer (`wheelspread`). Here its
-//! events and actions only change their form.
+//! Weights, admission ratios, health, retries and pacing are decided by the balancer (`wheelspread`). This crate
+//! only converts messages to events, and actions to messages.
 
 mod controller_core;
 mod endpoint_list;
@@ -29,7 +30,6 @@
 pub use message::{parse_load_metrics, MessageError};
 pub use output::{CloseCause, Diagnostic, MessageOutcome, Output, RejectReason};
 
-/// Identifies a connection between this crate and the owner of the sockets. Ids ascend in the order in which
-/// the connections were accepted.
+/// Identifies a connection. The caller assigns the ids, in ascending order of acceptance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
--- a/crates/platform-core/src/membership.rs
+++ b/crates/platform-core/src/membership.rs
@@ -1,7 +1,7 @@
-//! Nodes by the names that the platform gives them, as the endpoint list in force has them.
+//! Nodes by the names that the platform assigns, according to the current endpoint list.
 //!
-//! A node's id is made of its name, so it is the same at every controller and after every start, as the
-//! balancer expects.
+//! A node's id is a hash of its name: the balancer requires that the id is the same at every controller and
+//! after every restart.
 
 use crate::endpoint_list::{EndpointList, ListedEndpoint, SourceId, CONFIGURED_SOURCE};
 use std::collections::BTreeMap;
@@ -13,14 +13,14 @@
 
 #[derive(Clone, Debug)]
 struct KnownNode {
-    /// As it was listed last.
+    /// The latest endpoint entry.
     endpoint: ListedEndpoint,
     listed: bool,
-    /// Since when it is listed, or is not.
+    /// The time of the latest endpoint entry, or of the complete list that no longer had the node.
     since: Moment,
 }
 
-/// Which list is in force.
+/// The source and version of the current list.
 #[derive(Clone, Copy, Debug)]
 struct ListPosition {
     source: SourceId,
@@ -37,7 +37,7 @@
 }
 
 impl Membership {
-    /// The version of the list in force.
+    /// The version of the current list.
     pub fn version(&self) -> Option<u64> {
         self.current.map(|current| current.version)
     }
@@ -49,17 +49,17 @@
             .map(|known| known.endpoint.name.as_str())
     }
 
-    /// Where the node was listed last.
+    /// The address in the node's latest endpoint entry.
     pub fn address(&self, id: NodeId) -> Option<SocketAddrV4> {
         self.nodes.get(&id).map(|known| known.endpoint.address)
     }
 
-    /// The id of a name that a list has named.
+    /// The id of a node by its name, unless it was forgotten.
     pub fn id(&self, name: &str) -> Option<NodeId> {
         self.ids.get(name).copied()
     }
 
-    /// The balancer's event for a list, or nothing where the list is older than the one in force.
+    /// Applies a list and returns the event for the balancer; `None` if the list is older than the current one.
     pub fn apply(&mut self, list: &EndpointList, source: SourceId, now: Moment) -> Option<Event> {
         if !self.is_newer(list, source) {
             return None;
@@ -87,19 +87,20 @@
         Some(Event::EndpointList { kind, entries })
     }
 
-    /// A watch opened before the one in force has been left, and counts no more. One opened later is believed
-    /// in its complete list whatever the version, since discovery may have started its versions again.
+    /// Lists of a watch older than the current one's are ignored, since that watch was replaced. The complete list
+    /// of a newer watch is accepted with any version, since discovery may have restarted its version count.
     fn is_newer(&self, list: &EndpointList, source: SourceId) -> bool {
         let Some(current) = self.current else {
             return list.is_complete;
         };
-        // A complete list of the same version may repair what a lost change left out.
+        // A complete list of the same version is accepted too, since it includes changes that were lost on the watch.
         let newer_version =
             list.version > current.version || (list.is_complete && list.version == current.version);
         source >= current.source && (newer_version || (list.is_complete && source > current.source))
     }
 
-    /// An entry that can't be read loses only itself: its node stays what it was listed as.
+    /// The previous entries of listed nodes whose entry in `list` was rejected. An invalid entry neither changes
+    /// nor removes its node.
     fn retained_endpoints(&self, list: &EndpointList) -> Vec<ListedEndpoint> {
         let is_absent = |name: &&String| !list.entries.iter().any(|entry| entry.name == **name);
         let listed_node = |name: &String| {
@@ -141,7 +142,7 @@
         id
     }
 
-    /// The id of a new name; two names with the same hash get neighbouring ids.
+    /// The id of a new name. If another node has the same hash, the next free port number is used.
     fn new_id(&self, name: &str) -> NodeId {
         let [a, b, c, d, e, f, ..] = xxh3_64(name.as_bytes()).to_le_bytes();
         let mut id = NodeId {
@@ -154,8 +155,8 @@
         id
     }
 
-    /// Forgets nodes that are long gone and not in use: a fleet that is replaced again and again would fill
-    /// the memory with names.
+    /// Removes nodes that have been unlisted for at least `retention` and are not in use. Without this, repeated
+    /// replacement of the fleet would let the number of stored names grow without bound.
     pub fn forget_unlisted(
         &mut self,
         now: Moment,
--- a/crates/platform-core/src/message.rs
+++ b/crates/platform-core/src/message.rs
@@ -1,7 +1,7 @@
 //! Parsing of messages from proxies and collectors.
 //!
-//! A message that lacks a field, or holds a value that can't be, is rejected whole: half of a report would
-//! be taken for a complete one.
+//! A message with a missing field or an invalid value is rejected as a whole, since a part of a report would be
+//! processed like a complete report.
 
 use std::collections::BTreeMap;
 use std::str::FromStr;
@@ -9,22 +9,22 @@
 use wheelspread::time::Span;
 use wheelspread_settings::{metric_name, Names};
 
-/// A parsed message. The words on the wire are in docs/platform.md.
+/// A parsed message. docs/platform.md describes the wire format.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
-    /// Asks whether the controller is alive.
+    /// A check whether the controller is alive, answered with `pong`.
     Ping,
     /// The first message of a collector.
     CollectorHello { zone: ZoneId },
-    /// The first message on a proxy's stream.
+    /// The first message of a proxy; its connection becomes the proxy's stream.
     ProxyJoin(ProxyJoin),
-    /// A proxy has applied everything up to a version marker.
+    /// A proxy has applied all updates up to a version marker.
     Acknowledgement {
         proxy: ProxyId,
         marker: MarkerId,
         latency: Span,
     },
-    /// What the proxies of a zone observed at a node.
+    /// Attempts that the proxies of a zone sent to a node within a window.
     NodeLoadReport {
         zone: ZoneId,
         node: String,
@@ -34,7 +34,7 @@
         window: Span,
         metrics: Vec<f64>,
     },
-    /// What came to a proxy.
+    /// Requests of an operation that a proxy received within a window.
     DemandReport {
         proxy: ProxyId,
         operation: OperationId,
@@ -44,67 +44,67 @@
     },
 }
 
-/// A proxy that joins.
+/// The fields of a proxy's join.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ProxyJoin {
     pub proxy: ProxyId,
     pub zone: ZoneId,
-    /// Requests a second, roughly.
+    /// The approximate requests per second that the proxy receives.
     pub usual_rate: f64,
-    /// It holds no table that a controller has published.
+    /// The proxy holds no table published by a controller.
     pub fresh: bool,
 }
 
 /// Why a message is rejected.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum MessageError {
-    /// The strings are no kind followed by pairs of name and value, or no UTF-8.
-    #[error("a message without a kind, or a name without a value")]
+    /// The strings are not a kind followed by pairs of name and value, or are not UTF-8.
+    #[error("malformed message: invalid UTF-8, no message kind, or a name without a value")]
     Malformed,
     /// The kind of message is unknown.
-    #[error("`{0}` is no message to a controller")]
+    #[error("unknown message kind `{0}`")]
     UnknownKind(String),
     /// A field appears more than once.
-    #[error("`{0}` is named twice")]
+    #[error("field `{0}` is given twice")]
     DuplicateField(String),
     /// A field is missing.
-    #[error("`{0}` is missing")]
+    #[error("field `{0}` is missing")]
     MissingField(&'static str),
-    /// A value can't be read, or is out of range.
-    #[error("`{value}` can't be the `{field}`")]
+    /// A value can't be parsed, or is out of range.
+    #[error("invalid value `{value}` of field `{field}`")]
     InvalidValue {
         /// The field on the wire.
         field: &'static str,
-        /// The beginning of its value.
+        /// The first characters of its value.
         value: String,
     },
-    /// A zone, an operation or a metric that the settings don't name.
-    #[error("`{0}` names nothing that there is")]
+    /// A zone, an operation or a metric is not in the settings.
+    #[error("`{0}` is not a zone, operation or metric in the settings")]
     UnknownName(String),
 }
 
-/// Limits of values, as the settings give them.
+/// Limits of field values, derived from the settings.
 #[derive(Clone, Debug)]
 pub struct MessageLimits {
-    /// Proxies are numbered from 0 to one less than this.
+    /// Proxy ids on the wire are below this.
     pub proxy_count: u16,
-    /// No attempt takes longer.
+    /// The largest mean latency that a node's load report may have.
     pub max_attempt_duration: Span,
 }
 
-/// The longest window of a report, and the longest latency of an acknowledgement: both are held back while
-/// a zone is cut off.
+/// The longest window of a report, and the longest latency of an acknowledgement. Both grow while a zone is
+/// disconnected, as its reports and acknowledgements are sent only afterwards.
 const REPORT_WINDOW_MAX_SECONDS: f64 = 600.0;
 const REPORT_WINDOW_MIN_MILLIS: f64 = 1.0;
-/// Requests or attempts a second that one report may tell of.
+/// The largest rate of requests or attempts per second in one report.
 const RATE_MAX: f64 = 1e6;
-/// The utilization of cores that are all busy, with the noise of its measurement.
+/// The largest valid utilization: 1 when all cores are busy, with a margin for measurement noise.
 const UTILIZATION_MAX: f64 = 2.0;
-/// Any other metric of a load report.
+/// The largest value of any other metric of a load report.
 const METRIC_MAX: f64 = 1e6;
 /// Marker ids on the wire are below this.
 const MARKER_ID_LIMIT: u32 = 65536;
-/// Characters of a bad value that go into an error.
+/// Characters of an invalid value that are copied into an error.
 const ERROR_VALUE_CHARS_MAX: usize = 40;
 
 fn truncated(text: &str) -> String {
@@ -157,13 +157,13 @@
             .map(|count| count as f64)
     }
 
-    /// Durations are in milliseconds on the wire.
+    /// Parses a duration, which is in milliseconds on the wire.
     fn span(&self, name: &'static str, max: Span) -> Result<Span, MessageError> {
         let millis = self.number(name, 0.0, max.seconds() * 1e3)?;
         Ok(Span::from_seconds(millis / 1e3))
     }
 
-    /// The position of a named thing in the settings' list of such names.
+    /// The index of the field's value in a list of names from the settings.
     fn index_of(&self, name: &'static str, known: &[String]) -> Result<usize, MessageError> {
         let text = self.text(name)?;
         known
@@ -244,7 +244,7 @@
     let window = fields.window()?;
     let attempts = fields.count("n", RATE_MAX * window.seconds())?;
     let failures = fields.count("bad", attempts)?;
-    // Where no attempt succeeded there is no mean latency to report.
+    // A report without successful attempts needs no mean latency.
     let mean_latency = if fields.0.contains_key("avg") || failures < attempts {
         fields.span("avg", limits.max_attempt_duration)?
     } else {
@@ -281,8 +281,8 @@
     })
 }
 
-/// Parses a node's load metrics (`NAME:VALUE,..`, with `separator` in place of the colon) into the order in
-/// which the settings list them. A metric that the text does not name is `NaN`.
+/// Parses a node's load metrics, `NAME:VALUE,..` with `separator` in place of the colon. The result is in the
+/// order of the metrics in the settings; a metric missing from the text is `NaN`.
 pub fn parse_load_metrics(
     text: &str,
     separator: char,
--- a/crates/platform-core/src/output.rs
+++ b/crates/platform-core/src/output.rs
@@ -1,4 +1,4 @@
-//! What the core hands to the owner of the sockets.
+//! Outputs of the core, which the caller carries out on its sockets.
 
 use crate::message::MessageError;
 use crate::ConnectionId;
@@ -10,92 +10,94 @@
 /// The immediate effect of one received message.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MessageOutcome {
-    /// Processed or ignored; nothing is to be done on the connection.
+    /// The message was processed or ignored; the connection needs no action.
     Consumed,
     /// The connection has identified itself as a proxy or a collector.
     Identified,
-    /// A `ping` that is to be answered by `pong`.
+    /// The caller must answer the `ping` with `pong`.
     Pong,
-    /// The connection is to be closed.
+    /// The caller must close the connection.
     Close(RejectReason),
 }
 
-/// Why a message closes its connection.
+/// Why a message causes its connection to be closed.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum RejectReason {
-    /// An unidentified connection sent a message that can't be read.
+    /// An unidentified connection sent an invalid message.
     #[error("{0}")]
     InvalidMessage(MessageError),
     /// The handshake does not allow the message on this connection.
     #[error("message not allowed on this connection")]
     NotAllowed,
     /// The proxy has joined on a connection that was accepted later.
-    #[error("its proxy has a newer stream")]
+    #[error("the proxy has joined on a newer connection")]
     NewerStream,
 }
 
-/// Why the core closes a connection of its own accord.
+/// Why the core closes a connection without a message on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CloseCause {
     /// The proxy has joined on a newer stream.
-    #[error("its proxy has a newer stream")]
+    #[error("the proxy has joined on a newer connection")]
     NewerStream,
-    /// The stream leaves markers unacknowledged and sends nothing.
-    #[error("the stream has fallen silent")]
+    /// Within the silence limit the stream neither acknowledged its oldest outstanding marker nor sent a message.
+    #[error(
+        "the stream has an unacknowledged marker and sent no message within the silence limit"
+    )]
     Silent,
 }
 
-/// What is to be done outside.
+/// An action for the caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Send these bytes.
     Write {
         /// The proxy's stream.
         connection: ConnectionId,
-        /// One message in all its parts; streams that get the same message share it.
+        /// All parts of one message. Streams that are sent the same message share the bytes.
         bytes: Rc<[u8]>,
     },
     /// Close this connection.
     Close {
-        /// The connection; whatever it still sends is ignored.
+        /// The connection. Messages that it still sends are ignored.
         connection: ConnectionId,
         /// Why it is closed.
         cause: CloseCause,
     },
-    /// Ask discovery for the complete endpoint list.
+    /// Request the complete endpoint list from discovery.
     RequestEndpointList,
     /// Send a health check to a node.
     HealthCheck {
         /// The node to check.
         node: NodeId,
-        /// Where it listens.
+        /// The address at which the node listens.
         address: SocketAddrV4,
     },
-    /// Something worth a log line.
+    /// An event for the log.
     Diagnostic(Diagnostic),
 }
 
-/// Something that was ignored, or that the balancer reports.
+/// A rejected event, an ignored message, or a log message of the balancer.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Diagnostic {
     /// The balancer did not accept an event.
     #[error("event rejected: {0}")]
     EventRejected(EventError),
-    /// A message that can't be read, on a connection that goes on.
+    /// An invalid message was ignored; its connection stays open.
     #[error("message ignored: {0}")]
     InvalidMessage(MessageError),
-    /// A readable message that the handshake does not allow, on a connection that goes on.
+    /// A valid message that the handshake does not allow was ignored; its connection stays open.
     #[error("message ignored: not allowed on this connection")]
     MessageNotAllowed,
-    /// A load report of a node that no endpoint list has named.
-    #[error("load report of an unknown node {0}")]
+    /// A load report names a node that is in no endpoint list.
+    #[error("load report ignored: unknown node {0}")]
     UnknownNode(String),
-    /// An acknowledgement of a marker that the proxy was not sent, or has acknowledged before.
-    #[error("{proxy:?} acknowledges {marker:?}, which is not outstanding")]
+    /// A proxy acknowledged a marker that it was not sent, or that it had acknowledged before.
+    #[error("{proxy:?} acknowledged {marker:?}, which is not outstanding")]
     UnknownMarker {
-        /// Who acknowledges.
+        /// The proxy.
         proxy: ProxyId,
-        /// The marker it names.
+        /// The acknowledged marker.
         marker: MarkerId,
     },
     /// A log message of the balancer.
--- a/crates/platform-core/src/publication.rs
+++ b/crates/platform-core/src/publication.rs
@@ -1,7 +1,7 @@
-//! The balancer's tables, and what each proxy's stream was sent of them.
+//! The balancer's tables, and the part of them that was sent on each proxy's stream.
 //!
-//! All changes of one decision round become one message for each proxy that they concern: whole tables where
-//! the proxy was bound anew, the changed entries otherwise. `update_message` composes the messages.
+//! All changes of one decision round become one message for each affected proxy: complete tables if the proxy
+//! was bound to them in this round, the changed entries otherwise. `update_message` composes the messages.
 
 mod admission;
 mod update_message;
@@ -14,7 +14,7 @@
 use wheelspread::time::Moment;
 use wheelspread::Action;
 
-/// A table as the balancer has ordered it so far.
+/// A table with all of the balancer's changes so far.
 #[derive(Clone, Debug, Default)]
 struct WeightTable {
     weights: BTreeMap<NodeId, f64>,
@@ -28,72 +28,74 @@
     sent_at: Moment,
 }
 
-/// What one stream was sent.
+/// The bindings, ejections and outstanding markers that were sent on one stream.
 #[derive(Clone, Debug, Default)]
 struct StreamState {
     bindings: BTreeMap<OperationId, TableId>,
     ejected: BTreeSet<NodeId>,
-    /// In the order in which they were sent.
+    /// Ordered by the time of sending.
     outstanding: VecDeque<OutstandingMarker>,
 }
 
-/// The marker of the next messages.
+/// The version marker to send with the next messages.
 #[derive(Clone, Copy, Debug)]
 struct PendingMarker {
     marker: MarkerId,
-    /// Also to proxies that the changes do not concern.
+    /// Also send the marker to proxies that no change affects.
     to_all: bool,
 }
 
-/// What was ordered since the last messages.
+/// The changes recorded since the last messages were composed.
 #[derive(Clone, Debug, Default)]
 struct PendingChanges {
     weights: BTreeMap<TableId, BTreeSet<NodeId>>,
-    /// `None` for a table is the setting for all proxies.
+    /// A table of `None` stands for the admission setting for all proxies.
     admission: BTreeSet<(Option<TableId>, OperationId)>,
     cleared: BTreeSet<TableId>,
     newly_bound: BTreeMap<ProxyId, BTreeSet<TableId>>,
     marker: Option<PendingMarker>,
-    /// Whether anything was ordered at all: if not, no stream needs to be visited.
+    /// Whether any change was recorded. If not, `take_messages` skips the pass over all streams.
     has_changes: bool,
 }
 
-/// What a message depends on beside the pending changes: proxies with the same key share one message.
+/// The per-proxy state that a message depends on, beside the pending changes. Proxies with equal keys share one
+/// message.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct MessageKey {
     bindings: BTreeMap<OperationId, TableId>,
-    /// Tables that are to be sent whole.
+    /// Tables to send complete.
     newly_bound: BTreeSet<TableId>,
     eject: Vec<NodeId>,
     readmit: Vec<NodeId>,
 }
 
-/// Nodes whose ejection a proxy is to be told of.
+/// Nodes that a message tells a proxy to eject or to readmit.
 #[derive(Debug, Default)]
 struct EjectionChanges {
     eject: Vec<NodeId>,
     readmit: Vec<NodeId>,
 }
 
-/// The published state.
+/// The tables, admission settings and ejections to publish, and the state of each stream.
 #[derive(Clone, Debug, Default)]
 pub struct Publication {
     operations: Vec<String>,
     tables: BTreeMap<TableId, WeightTable>,
     global_admission: BTreeMap<OperationId, AdmissionSetting>,
     ejected: BTreeSet<NodeId>,
-    /// Ejected once and readmitted: proxies keep ejections over a change of streams.
+    /// Nodes that were ejected and then readmitted. Proxies keep ejections when they change streams, so a new
+    /// stream is told of these nodes.
     readmitted: BTreeSet<NodeId>,
     streams: BTreeMap<ProxyId, StreamState>,
     changes: PendingChanges,
 }
 
-/// Whether an action of the balancer is part of what proxies are sent.
+/// Whether an action of the balancer changes the messages to proxies.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ActionTarget {
     /// The action was recorded for the next messages.
     Proxies,
-    /// It is for somebody else, and nothing was recorded.
+    /// The action is not for proxies, and nothing was recorded.
     Other,
 }
 
@@ -106,19 +108,19 @@
         }
     }
 
-    /// A proxy has a new stream, on which nothing was sent.
+    /// Adds a proxy's new stream, on which nothing was sent yet.
     pub fn add_stream(&mut self, proxy: ProxyId) {
         self.streams.insert(proxy, StreamState::default());
     }
 
-    /// A proxy's stream has ended.
+    /// Removes a proxy's stream that has ended.
     pub fn remove_stream(&mut self, proxy: ProxyId) {
         self.streams.remove(&proxy);
         self.changes.newly_bound.remove(&proxy);
     }
 
-    /// Takes an acknowledgement. It covers all markers before it: they are returned in order, the named one
-    /// last; none, where the named one is not outstanding.
+    /// Processes an acknowledgement, which covers the marker and all markers sent before it. Returns the covered
+    /// markers in the order of sending; none if the marker is not outstanding.
     pub fn acknowledge(&mut self, proxy: ProxyId, marker: MarkerId) -> Vec<MarkerId> {
         let Some(stream) = self.streams.get_mut(&proxy) else {
             return Vec::new();
@@ -131,15 +133,15 @@
         covered.map(|sent| sent.marker).collect()
     }
 
-    /// When the oldest marker was sent that a proxy has not acknowledged.
+    /// The time at which the proxy's oldest outstanding marker was sent.
     pub fn oldest_unacknowledged(&self, proxy: ProxyId) -> Option<Moment> {
         let stream = self.streams.get(&proxy)?;
         stream.outstanding.front().map(|sent| sent.sent_at)
     }
 
-    /// Whether a message may still have to name the node.
+    /// Whether a later message may contain the node's name.
     pub fn uses_node(&self, node: NodeId) -> bool {
-        // A proxy that has ejected a node can only be told by its name to readmit it.
+        // Readmission on a proxy that has ejected the node needs the name.
         self.ejected.contains(&node)
             || self
                 .tables
@@ -151,7 +153,7 @@
                 .any(|stream| stream.ejected.contains(&node))
     }
 
-    /// The operations that an action names; an empty list names all.
+    /// The operations of an action; an empty list stands for all operations.
     fn expand_operations(&self, operations: &[OperationId]) -> Vec<OperationId> {
         match operations {
             [] => (0..self.operations.len())
@@ -205,7 +207,7 @@
 
     fn set_weight(&mut self, table: TableId, node: NodeId, weight: f64) {
         let weights = &mut self.tables.entry(table).or_default().weights;
-        // Held as exactly as it is sent; a weight that is 0 on the wire is no entry.
+        // Stored with the precision of the wire; an entry whose weight is 0 on the wire is removed.
         let sent_weight = f64::from(weight as f32);
         if sent_weight > 0.0 {
             weights.insert(node, sent_weight);
@@ -256,7 +258,7 @@
         added_to.insert(node);
     }
 
-    /// The messages for all recorded changes, as bytes to write.
+    /// Takes all recorded changes and returns the encoded message for each affected proxy.
     pub fn take_messages(
         &mut self,
         now: Moment,
@@ -287,7 +289,7 @@
         messages
     }
 
-    /// What this proxy's message depends on. Its ejections are taken as sent.
+    /// The message key of a proxy. The ejections in the key are recorded as sent.
     fn message_key(&mut self, proxy: ProxyId, changes: &PendingChanges) -> Option<MessageKey> {
         let newly_bound = changes.newly_bound.get(&proxy).cloned().unwrap_or_default();
         let EjectionChanges { eject, readmit } =
@@ -319,7 +321,7 @@
         }
     }
 
-    /// Nodes that a proxy is to eject or to readmit, beyond what its stream was sent.
+    /// Nodes that a proxy must eject or readmit, and was not told so on its stream yet.
     fn ejection_changes(&self, proxy: ProxyId, is_newly_bound: bool) -> EjectionChanges {
         let Some(stream) = self
             .streams
--- a/crates/platform-core/src/publication/admission.rs
+++ b/crates/platform-core/src/publication/admission.rs
@@ -2,17 +2,17 @@
 
 use wheelspread::RetryPolicy;
 
-/// How much of an operation a proxy admits, and how it retries.
+/// How many requests of an operation a proxy admits, and its retry policy.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionSetting {
     /// The admission ratio or rate.
     pub limit: f64,
-    /// Which failed attempts it retries.
+    /// Which failed attempts the proxy retries.
     pub retry: RetryPolicy,
 }
 
 impl AdmissionSetting {
-    /// Combines a table's own setting with the one for all proxies: the lower limit holds, and the table's own
+    /// Combines a table's setting with the setting for all proxies: the lower limit applies, with the table's
     /// retry policy.
     pub fn combine(
         table_setting: Option<AdmissionSetting>,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// The retry policy on the wire.
+    /// The number of the retry policy on the wire.
     pub fn retry_code(&self) -> u8 {
         match self.retry {
             RetryPolicy::Never => 0,
--- a/crates/platform-core/src/publication/update_message.rs
+++ b/crates/platform-core/src/publication/update_message.rs
@@ -1,4 +1,4 @@
-//! Composition of `update` messages (docs/platform.md has their fields).
+//! Composition of `update` messages. docs/platform.md describes their fields.
 
 use super::{AdmissionSetting, MessageKey, PendingChanges, Publication, WeightTable};
 use crate::membership::Membership;
@@ -7,12 +7,12 @@
 use std::rc::Rc;
 use wheelspread::ids::{MarkerId, NodeId, OperationId, TableId};
 
-/// One part of a message, in the order of its fields on the wire.
+/// One part of an `update` message. The fields are in their order on the wire.
 #[derive(Debug, Default)]
 struct UpdatePart {
-    /// The operations that it is meant for; all, if not said.
+    /// The operations to which the part applies; `None` stands for all.
     operations: Option<String>,
-    /// The weights are the whole table.
+    /// The weights replace the whole table.
     replace: bool,
     /// `NODE:WEIGHT,..`
     weights: Option<String>,
@@ -23,7 +23,7 @@
 }
 
 impl UpdatePart {
-    /// Whether all of this part's operations are those of the other.
+    /// Whether this part applies to the operations of the other part, or to all operations.
     fn has_operations_of(&self, other: &UpdatePart) -> bool {
         self.operations.is_none() || self.operations == other.operations
     }
@@ -76,7 +76,7 @@
 }
 
 impl Publication {
-    /// The message for proxies with this key; `None` where nothing concerns them.
+    /// The message for proxies with this key; `None` if no change affects them.
     pub(super) fn compose(
         &self,
         changes: &PendingChanges,
@@ -104,7 +104,8 @@
         Some(encode(parts))
     }
 
-    /// The parts of one table. One admission setting for all its operations goes with the weights.
+    /// Appends the parts of one table. A single admission setting for all its operations is sent in the same part
+    /// as the weights.
     fn push_table_parts(
         &self,
         changes: &PendingChanges,
@@ -146,7 +147,7 @@
         }
     }
 
-    /// The table's weights, whole or as far as they have changed.
+    /// The part with the table's weights: all of them, or only the changed ones.
     fn weight_part(
         &self,
         changes: &PendingChanges,
@@ -178,7 +179,7 @@
         })
     }
 
-    /// Admission for all proxies also reaches operations that have no table here.
+    /// Appends changes of the admission setting for all proxies, for operations that are bound to no table.
     fn push_unbound_admission(
         &self,
         changes: &PendingChanges,
@@ -195,7 +196,7 @@
         self.push_admission_parts(unbound, setting, parts);
     }
 
-    /// One part for each distinct setting, with the operations that get it.
+    /// Appends one part for each distinct setting, with the operations that have it.
     fn push_admission_parts(
         &self,
         operations: impl Iterator<Item = OperationId>,
@@ -219,7 +220,7 @@
         }));
     }
 
-    /// The operations' names as a part says them; `None` stands for all.
+    /// The operations' names in the wire format; `None` stands for all operations.
     fn operation_names(&self, operations: &[OperationId]) -> Option<String> {
         if operations.len() == self.operations.len() {
             return None;
@@ -233,7 +234,7 @@
     }
 }
 
-/// `None` where no node has a name.
+/// The weights in the wire format, without nodes whose name is unknown; `None` if none remains.
 fn join_weights(
     weights: impl Iterator<Item = (NodeId, f64)>,
     membership: &Membership,
@@ -244,7 +245,7 @@
             continue;
         };
         let comma = if text.is_empty() { "" } else { "," };
-        // Writing to a string does not fail.
+        // Writing to a `String` can't fail.
         let _ = write!(text, "{comma}{name}:{}", weight as f32);
     }
     (!text.is_empty()).then_some(text)
--- a/crates/platform-core/src/tests.rs
+++ b/crates/platform-core/src/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the protocol state, with what they share: settings, and messages as words.
+//! Tests of the protocol state, with shared settings and helpers for messages as space-separated words.
 
 mod endpoint_lists;
 mod messages;
@@ -13,8 +13,8 @@
 
 const START_SECONDS: f64 = 1000.0;
 
-/// Settings as a platform hands them out.
-fn settings_of() -> Value {
+/// Settings in a platform's format.
+fn platform_settings() -> Value {
     json!({"az": 0, "me": 0, "peers_total": 2, "discovery": "push", "tick": 0.005,
         "zones": ["a", "b"], "kinds": ["k"],
         "classes": [
@@ -30,7 +30,7 @@
 }
 
 fn core() -> ControllerCore {
-    let value = settings_of();
+    let value = platform_settings();
     ControllerCore::start(
         Moment::from_seconds(START_SECONDS),
         7,
@@ -40,7 +40,7 @@
     .expect("fine")
 }
 
-/// The messages in these bytes, each as its words.
+/// Decodes the messages in these bytes, each as space-separated words.
 fn decode_messages(bytes: &[u8]) -> Vec<String> {
     let mut decoder = Decoder::new(Limits {
         message_bytes: 1 << 20,
@@ -58,11 +58,11 @@
     texts
 }
 
-/// Whether a message has these words one after the other. `*` stands for any word; of a list, only the items
-/// that are named need be there.
+/// Whether a message contains these words in sequence. `*` matches any word. A word that is a comma-separated list
+/// matches a list with at least these items.
 fn contains_words(text: &str, words: &[&str]) -> bool {
     let actual: Vec<&str> = text.split(' ').collect();
-    // `NAME:*` is an entry of that node, whatever its weight.
+    // `NAME:*` matches an entry of that node with any weight.
     let is_item = |actual: &str, word: &str| match word.strip_suffix('*') {
         Some(head) if head.ends_with(':') => actual.starts_with(head),
         _ => actual == word,
@@ -79,7 +79,7 @@
 }
 
 fn names() -> Names {
-    Names::from_wire(&settings_of())
+    Names::from_wire(&platform_settings())
 }
 
 /// An entry of an endpoint list.
--- a/crates/platform-core/src/tests/endpoint_lists.rs
+++ b/crates/platform-core/src/tests/endpoint_lists.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists that come late, twice or from another count, and what connections the core gives up.
+//! Endpoint lists that arrive late, repeatedly or after a restart of discovery's version count; redundant collectors.
 
 use super::{core, endpoint, names, START_SECONDS};
 use crate::membership::Membership;
@@ -27,14 +27,14 @@
 }
 
 #[test]
-fn a_late_list_changes_nothing_and_an_invalid_entry_spoils_no_other() {
+fn outdated_lists_are_ignored_and_an_invalid_entry_does_not_affect_valid_ones() {
     let mut membership = Membership::default();
     let now = Moment::default();
     let changes = list(4, false, &[entry("x", "a", "Ready")]);
     assert_eq!(
         membership.apply(&changes, SourceId(1), now),
         None,
-        "changes of nothing"
+        "changes before the first complete list"
     );
     let first = first_list();
     assert_eq!((first.entries.len(), first.entry_errors.len()), (1, 2));
@@ -43,12 +43,12 @@
     assert_eq!(
         membership.apply(&list(3, true, &[]), SourceId(1), now),
         None,
-        "a list from before"
+        "a complete list with a lower version"
     );
     assert_eq!(
         membership.apply(&changes, SourceId(1), now),
         None,
-        "changes that were in the complete list"
+        "changes that the complete list already contains"
     );
 }
 
@@ -71,10 +71,10 @@
     membership.forget_unlisted(later, Span::from_seconds(160.0), |_| false);
     assert!(
         membership.id("x").is_some(),
-        "a late load report may still name it"
+        "a late load report may still contain the name"
     );
     membership.forget_unlisted(later, Span::from_seconds(60.0), |_| true);
-    assert!(membership.id("x").is_some(), "a table uses it");
+    assert!(membership.id("x").is_some(), "a table uses the node");
     membership.forget_unlisted(later, Span::from_seconds(60.0), |_| false);
     assert_eq!(membership.id("x"), None);
 }
@@ -82,22 +82,22 @@
 #[test]
 fn a_watch_with_lower_versions_than_before_does_not_continue() {
     let list = |version: u64, complete: bool| list(version, complete, &[]);
-    let mut place = WatchPosition::starting_at(Some(40));
-    assert!(place.advance(&list(40, false)), "nothing new");
-    assert!(place.advance(&list(41, false)) && !place.advance(&list(6, false)));
-    let mut place = WatchPosition::starting_at(Some(40));
+    let mut position = WatchPosition::starting_at(Some(40));
+    assert!(position.advance(&list(40, false)), "the same version");
+    assert!(position.advance(&list(41, false)) && !position.advance(&list(6, false)));
+    let mut position = WatchPosition::starting_at(Some(40));
     assert!(
-        !place.advance(&list(6, false)),
+        !position.advance(&list(6, false)),
         "changes after version 40 can't have version 6"
     );
-    let mut place = WatchPosition::starting_at(Some(40));
+    let mut position = WatchPosition::starting_at(Some(40));
     assert!(
-        place.advance(&list(6, true)),
-        "the complete list of restarted versions"
+        position.advance(&list(6, true)),
+        "the first list may be a complete one with a lower version"
     );
     assert!(
-        place.advance(&list(7, false)) && !place.advance(&list(5, true)),
-        "a complete list from before"
+        position.advance(&list(7, false)) && !position.advance(&list(5, true)),
+        "a later complete list with a lower version"
     );
     assert!(WatchPosition::starting_at(None).advance(&list(2, false)));
 }
@@ -106,16 +106,19 @@
 fn a_collector_is_redundant_once_its_zone_has_a_newer_one() {
     let mut core = core();
     let now = Moment::from_seconds(START_SECONDS);
-    let mut collect = |at: u64, zone: &str| {
+    let mut connect_collector = |id: u64, zone: &str| {
         let strings = ["collector", "az", zone].map(str::as_bytes);
         assert_eq!(
-            core.handle_message(now, ConnectionId(at), &strings),
+            core.handle_message(now, ConnectionId(id), &strings),
             MessageOutcome::Identified
         );
         core.redundant_collector()
     };
-    assert_eq!((collect(5, "a"), collect(6, "b")), (None, None));
-    assert_eq!(collect(7, "a"), Some(ConnectionId(5)));
+    assert_eq!(
+        (connect_collector(5, "a"), connect_collector(6, "b")),
+        (None, None)
+    );
+    assert_eq!(connect_collector(7, "a"), Some(ConnectionId(5)));
     core.handle_connection_closed(now, ConnectionId(5));
     assert_eq!(core.redundant_collector(), None);
 }
--- a/crates/platform-core/src/tests/publication.rs
+++ b/crates/platform-core/src/tests/publication.rs
@@ -1,4 +1,4 @@
-//! What streams are sent of the balancer's tables.
+//! The messages that publication composes from the balancer's actions.
 
 use super::{contains_words, decode_messages, endpoint, names};
 use crate::membership::Membership;
@@ -24,7 +24,7 @@
     (publication, membership, ids)
 }
 
-/// The messages that these actions make.
+/// The messages that result from these actions.
 fn publish(
     publication: &mut Publication,
     membership: &Membership,
@@ -74,7 +74,7 @@
     }
 }
 
-/// Table 3 with both nodes, bound to the proxy for all operations, with marker 9.
+/// Actions that fill table 3 with both nodes, bind the proxy to it for all operations and send marker 9.
 fn first_table([x, y]: [NodeId; 2]) -> [Action; 4] {
     [
         weight(3, x, 1.5),
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_table_is_sent_complete_once_and_then_by_its_changes() {
+fn a_table_is_sent_complete_when_bound_and_then_only_its_changes() {
     let (mut publication, membership, nodes) = publication();
     let messages = publish(&mut publication, &membership, &first_table(nodes));
     let complete = "update replace 1 rows x:1.5,y:0.1 stamp 9";
@@ -98,7 +98,7 @@
     );
     let other_table = [weight(4, nodes[0], 2.0), marker(11, false)];
     let messages = publish(&mut publication, &membership, &other_table);
-    assert_eq!(messages.len(), 0, "another table");
+    assert_eq!(messages.len(), 0, "the proxy is not bound to table 4");
     let cleared = [Action::ClearTable { table: TableId(3) }];
     assert_eq!(
         publish(&mut publication, &membership, &cleared),
@@ -121,7 +121,7 @@
     assert_eq!(
         publication.acknowledge(ProxyId(0), MarkerId(11)),
         [],
-        "a marker that was never sent"
+        "a marker that was not sent"
     );
     assert_eq!(
         publish(&mut publication, &membership, &[marker(12, true)]),
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn one_admission_setting_goes_with_the_weights_and_several_go_apart() {
+fn one_admission_setting_is_sent_with_the_weights_and_several_in_separate_parts() {
     let (mut publication, membership, [x, _]) = publication();
     let usual = RetryPolicy::IfUnprocessed;
     let same = [
@@ -148,7 +148,7 @@
         &[admission(Some(0), &[1], 0.5, RetryPolicy::Never)],
     );
     assert_eq!(one, ["update for order gate 0.5 again 0"]);
-    // For all proxies: the lower limit, and the table's own retry policy.
+    // With a setting for all proxies, the lower limit and the table's retry policy apply.
     let all = publish(
         &mut publication,
         &membership,
@@ -169,12 +169,12 @@
     assert_eq!(
         again[..2],
         parts,
-        "the setting for all is in every complete table"
+        "the setting for all proxies is sent with every complete table"
     );
 }
 
 #[test]
-fn ejections_reach_proxies_that_hold_the_node_and_are_reverted() {
+fn ejections_are_sent_to_proxies_whose_table_has_the_node_and_are_reverted() {
     let (mut publication, membership, [x, y]) = publication();
     publish(
         &mut publication,
@@ -185,7 +185,7 @@
     assert_eq!(
         publish(&mut publication, &membership, &[eject(y, true)]).len(),
         0,
-        "the proxy does not hold the node"
+        "the proxy's table does not have the node"
     );
     assert_eq!(
         publish(&mut publication, &membership, &[weight(0, y, 1.0)]),
@@ -195,7 +195,7 @@
         publish(&mut publication, &membership, &[eject(y, false)]),
         ["update undrop y"]
     );
-    // A proxy keeps ejections over a change of streams.
+    // A proxy keeps its ejections when it changes streams, so a new stream repeats the readmission.
     publication.remove_stream(ProxyId(0));
     publication.add_stream(ProxyId(0));
     let messages = publish(&mut publication, &membership, &[bind(0, &[])]);
--- a/crates/platform-core/src/tests/scenarios.rs
+++ b/crates/platform-core/src/tests/scenarios.rs
@@ -1,19 +1,20 @@
-//! Plays the scripts in `scenarios/`. A script has a line for each step, `#` begins a comment:
+//! Runs the scripts in `scenarios/`. A script has one step per line; `#` begins a comment:
 //!
-//!     TIME list VERSION NAME:ZONE[:STATUS][:AGE] ..    the complete list; `change` for changes of it
-//!     TIME source N                                    lists come from this source from now on, at first from 1
-//!     TIME connection KEY WORDS ..                     a message on this connection
-//!     TIME acknowledge KEY                             it acknowledges the newest marker it was sent
+//!     TIME list VERSION NAME:ZONE[:STATUS][:AGE] ..    a complete endpoint list; `change` for changes of it
+//!     TIME source N                                    the source of the lists that follow, initially 1
+//!     TIME connection KEY WORDS ..                     a message received on this connection
+//!     TIME acknowledge KEY                             acknowledges the newest marker sent on the connection
 //!     TIME end KEY                                     the connection ends
-//!     TIME idle                                        nothing happens
-//!     expect outcome consumed|identified|pong|close    of the last message
-//!     expect received KEY WORDS ..                     in what it was sent since the last such expectation
-//!     expect not-received KEY [WORDS ..]               it was sent nothing, or nothing with these words in it
-//!     expect closed KEY                                the core has closed the connection; `open` for not
-//!     expect proxies N                                 so many proxies have joined
+//!     TIME idle                                        no input; the core only decides
+//!     expect outcome consumed|identified|pong|close    the outcome of the last message
+//!     expect received KEY WORDS ..                     a message with these words was sent on the connection
+//!     expect not-received KEY [WORDS ..]               no message, or none with these words, was sent on it
+//!     expect closed KEY                                the core has closed the connection; `open` for not closed
+//!     expect proxies N                                 N proxies have joined
 //!
-//! After each step the core decides. `FROM..TO/EVERY` repeats a step; between two expectations steps are
-//! played in the order of their times.
+//! `received` and `not-received` cover the messages since the previous such expectation on the connection. The core
+//! decides after each step. `FROM..TO/INTERVAL` as TIME repeats a step, every second without an INTERVAL. The
+//! steps between two expectations run in the order of their times.
 
 use super::{contains_words, core, decode_messages, endpoint, START_SECONDS};
 use crate::{ConnectionId, ControllerCore, EndpointList, MessageOutcome, Output, SourceId};
@@ -26,10 +27,10 @@
 
 struct ScenarioRunner {
     core: ControllerCore,
-    /// Seconds.
+    /// The current time in seconds.
     now: f64,
     last_outcome: MessageOutcome,
-    /// Messages by connection since the last expectation on them.
+    /// The messages sent on each connection since the last expectation on them.
     received: BTreeMap<ConnectionId, Vec<String>>,
     newest_markers: BTreeMap<ConnectionId, String>,
     closed: Vec<ConnectionId>,
@@ -44,7 +45,7 @@
 
 fn parse<T: std::str::FromStr>(word: &str) -> T {
     word.parse()
-        .unwrap_or_else(|_| panic!("{word} can't be read"))
+        .unwrap_or_else(|_| panic!("{word} can't be parsed"))
 }
 
 fn connection(word: &str) -> ConnectionId {
@@ -75,7 +76,7 @@
             ["acknowledge", key] => self.acknowledge(connection(key)),
             ["end", key] => self.core.handle_connection_closed(now, connection(key)),
             ["idle"] => {}
-            other => panic!("no such step: {other:?}"),
+            other => panic!("unknown step: {other:?}"),
         }
         for output in self.core.decide(now) {
             self.record(output);
@@ -109,7 +110,7 @@
         self.last_outcome = self.core.handle_message(now, connection, &strings);
     }
 
-    /// The last digit of a connection is its proxy.
+    /// Acknowledges the newest marker. The last digit of the connection id is the proxy id.
     fn acknowledge(&mut self, connection: ConnectionId) {
         let marker = self.newest_markers.get(&connection).cloned();
         let marker = marker.expect("the connection was sent a marker");
@@ -155,7 +156,7 @@
             ["closed", key] => assert!(self.is_closed(key), "{line}\nbut {:?}", self.closed),
             ["open", key] => assert!(!self.is_closed(key), "{line}\nbut {:?}", self.closed),
             ["proxies", count] => assert_eq!(self.core.proxy_count().to_string(), *count, "{line}"),
-            other => panic!("no such expectation: {other:?}"),
+            other => panic!("unknown expectation: {other:?}"),
         }
     }
 
@@ -184,7 +185,7 @@
     }
 }
 
-/// The steps of a line, one for each time that it names.
+/// The steps of a line, one for each time in its range.
 fn expand<'a>(time: &str, words: &[&'a str]) -> Vec<Step<'a>> {
     let (from, to) = time.split_once("..").unwrap_or((time, time));
     let (to, interval) = to.split_once('/').unwrap_or((to, "1"));
@@ -198,14 +199,14 @@
         .collect()
 }
 
-#[test_case(include_str!("../../scenarios/join.txt"); "joins and changes")]
-#[test_case(include_str!("../../scenarios/handshake.txt"); "what each peer may send")]
-#[test_case(include_str!("../../scenarios/spoilt.txt"); "invalid reports and acknowledgements")]
-#[test_case(include_str!("../../scenarios/streams.txt"); "streams that break and come back")]
-#[test_case(include_str!("../../scenarios/silent.txt"); "streams that fall silent")]
-#[test_case(include_str!("../../scenarios/crossing.txt"); "two streams of one proxy cross")]
-#[test_case(include_str!("../../scenarios/sources.txt"); "discovery that moves or restarts its versions")]
-#[test_case(include_str!("../../scenarios/lists.txt"); "lists that come late or twice")]
+#[test_case(include_str!("../../scenarios/join.txt"); "a join is sent the complete table and then changes")]
+#[test_case(include_str!("../../scenarios/handshake.txt"); "messages that each kind of peer may send")]
+#[test_case(include_str!("../../scenarios/spoilt.txt"); "invalid reports and acknowledgements are ignored")]
+#[test_case(include_str!("../../scenarios/streams.txt"); "proxies whose streams end join again")]
+#[test_case(include_str!("../../scenarios/silent.txt"); "silent streams are closed")]
+#[test_case(include_str!("../../scenarios/crossing.txt"); "a newer stream of a proxy replaces the older one")]
+#[test_case(include_str!("../../scenarios/sources.txt"); "discovery that changes its address or restarts its versions")]
+#[test_case(include_str!("../../scenarios/lists.txt"); "lists that arrive late or repeatedly")]
 fn scenario_meets_its_expectations(script: &str) {
     let mut runner = ScenarioRunner::new();
     let mut steps = Vec::new();
