--- a/crates/platform-core/src/controller_core.rs
+++ b/crates/platform-core/src/controller_core.rs
@@ -122,7 +122,8 @@
 }
 
 impl ControllerCore {
-    /// Starts with the balancer's settings, and the names that messages use for zones, operations and metrics.
+    /// Starts with the balancer's settings, and the names of zones, kinds, operations and metrics in messages and
+    /// endpoint lists.
     pub fn start(
         now: Moment,
         seed: u64,
@@ -165,7 +166,7 @@
         Ok(())
     }
 
-    /// The names that messages use for zones, operations and metrics.
+    /// The names of zones, kinds, operations and metrics in messages and endpoint lists.
     pub fn names(&self) -> &Names {
         &self.names
     }
--- a/crates/platform-core/src/tests.rs
+++ b/crates/platform-core/src/tests.rs
@@ -37,7 +37,7 @@
         from_wire(&value),
         Names::from_wire(&value),
     )
-    .expect("fine")
+    .expect("the settings are valid")
 }
 
 /// Decodes the messages in these bytes, each as space-separated words.
@@ -48,7 +48,10 @@
     });
     decoder.feed(bytes);
     let mut texts = Vec::new();
-    while let Some(strings) = decoder.next_message().expect("messages") {
+    while let Some(strings) = decoder
+        .next_message()
+        .expect("the bytes are valid messages")
+    {
         let words: Vec<_> = strings
             .iter()
             .map(|string| String::from_utf8_lossy(string))
--- a/crates/platform-core/src/tests/endpoint_lists.rs
+++ b/crates/platform-core/src/tests/endpoint_lists.rs
@@ -9,7 +9,7 @@
 
 fn list(version: u64, complete: bool, entries: &[Value]) -> EndpointList {
     let value = json!({"index": version, "snapshot": complete, "endpoints": entries});
-    EndpointList::parse(&value, &names()).expect("a list")
+    EndpointList::parse(&value, &names()).expect("the list is valid")
 }
 
 fn entry(name: &str, zone: &str, status: &str) -> Value {
--- a/crates/platform-core/src/tests/publication.rs
+++ b/crates/platform-core/src/tests/publication.rs
@@ -17,7 +17,11 @@
         &json!({"index": 1, "snapshot": true, "endpoints": entries}),
         &names(),
     );
-    membership.apply(&list.expect("a list"), CONFIGURED_SOURCE, Moment::default());
+    membership.apply(
+        &list.expect("the list is valid"),
+        CONFIGURED_SOURCE,
+        Moment::default(),
+    );
     let ids = ["x", "y"].map(|name| membership.id(name).expect("listed"));
     let mut publication = Publication::new(&names().operations);
     publication.add_stream(ProxyId(0));
--- a/crates/platform-core/src/tests/scenarios.rs
+++ b/crates/platform-core/src/tests/scenarios.rs
@@ -87,7 +87,7 @@
         let entries: Vec<Value> = entries.iter().map(|entry| self.entry(entry)).collect();
         let version: u64 = parse(version);
         let value = json!({"index": version, "snapshot": complete, "endpoints": entries});
-        let list = EndpointList::parse(&value, self.core.names()).expect("a list");
+        let list = EndpointList::parse(&value, self.core.names()).expect("the list is valid");
         let now = Moment::from_seconds(self.now);
         self.core.handle_endpoint_list(now, &list, self.source);
     }
--- a/crates/platform/src/clock.rs
+++ b/crates/platform/src/clock.rs
@@ -1,11 +1,11 @@
-//! The service's clock: seconds since 1970 at the start, and evenly from there whatever is done to the
-//! machine's time afterwards. Discovery dates the starts of nodes by the same epoch.
+//! The service's clock. It starts at the wall clock's seconds since 1970 and advances with the monotonic clock, so
+//! later changes of the system time do not affect it. Discovery gives the start times of nodes from the same epoch.
 
 use std::time::Duration;
 use wheelspread::time::{Moment, Span};
 use wheelspread_reactor as reactor;
 
-/// Counts from the wall clock at its start by the monotonic clock.
+/// The wall clock time at the start, plus the monotonic time since then.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started_at: Moment,
@@ -27,7 +27,7 @@
     }
 }
 
-/// A duration on this clock.
+/// Converts a duration to the type of this clock.
 pub fn span(duration: Duration) -> Span {
     Span::from_seconds(duration.as_secs_f64())
 }
--- a/crates/platform/src/close_reason.rs
+++ b/crates/platform/src/close_reason.rs
@@ -1,53 +1,55 @@
-//! Why a connection at the controller's address is closed, and what closing it still has to do
+//! Reasons for closing a connection of a proxy or a collector, and the close obligations of each reason
 //! (docs/connection-closing.md).
 
 /// Why a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The peer closed or reset it, and everything it sent was read.
+    /// The peer closed or reset the connection, and everything it sent was read.
     PeerClosed,
-    /// A write failed: what the peer had sent before is still to be read.
+    /// A write failed; messages that the peer had sent before must still be read.
     WriteFailed,
-    /// The peer sends what is no message.
+    /// The received bytes are not a message.
     Unreadable,
-    /// The peer leaves unread what it is sent.
+    /// The peer does not read, and the output waiting for it exceeds the limit.
     UnreadOutput,
-    /// The peer sent what the handshake does not allow.
+    /// The core rejected a message, which is invalid or not allowed on this connection.
     Rejected,
-    /// A newer connection has taken its place, or its stream fell silent.
+    /// A newer connection has replaced this one, or its stream is silent.
     Replaced,
     /// The peer did not identify itself in time.
     IdentificationTimeout,
-    /// Descriptors are short.
+    /// The descriptor limit is reached, and the peer has not identified itself.
     Evicted,
-    /// All buffers together hold too much, and this one the most.
+    /// The buffers of all connections exceed their limit, and those of this connection are the largest.
     BuffersFull,
-    /// The peer sends pings without end and does not read the answers.
+    /// The peer keeps sending pings and does not read the answers.
     PingFlood,
 }
 
-/// Whether a connection is read once more before it is closed.
+/// Whether a connection is read a last time before it is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalRead {
-    /// Everything was read, or nothing it sent counts.
+    /// No final read: everything was read, or unread messages are to be ignored.
     Skip,
-    /// What it sent counts, and it is closed. A reason that reading itself finds must not ask for this.
+    /// Unread messages are processed, then the connection is closed. Reasons detected by a read must not use this,
+    /// since closing would then read again without end.
     Process,
-    /// It stays open if it has identified itself by now: it was only not read in time.
+    /// Unread messages are processed, and the connection stays open if one of them identifies the peer: it had
+    /// arrived in time and was only not read yet.
     KeepIfIdentified,
 }
 
-/// What closing a connection has to do.
+/// The steps that closing a connection requires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CloseObligations {
-    /// Whether it is read once more first.
+    /// Whether the connection is read a last time first.
     pub final_read: FinalRead,
-    /// Close by a reset, so that the peer does not wait for the rest of a message that was cut.
+    /// Close with a reset, so that the peer does not wait for the rest of a truncated message.
     pub reset: bool,
 }
 
 impl CloseReason {
-    /// What closing for this reason has to do.
+    /// The steps that closing for this reason requires.
     pub fn obligations(self) -> CloseObligations {
         CloseObligations {
             final_read: self.final_read(),
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration that a platform hands to a controller, as one JSON file.
+//! A controller's configuration on a platform, read from one JSON file.
 
 use serde_json::Value;
 use std::net::SocketAddrV4;
@@ -12,38 +12,38 @@
 pub struct PlatformConfig {
     /// The controller's name, for the log.
     pub name: String,
-    /// Where proxies and collectors connect.
+    /// The address at which proxies and collectors connect.
     pub listen: SocketAddrV4,
-    /// Where discovery answers.
+    /// The address of discovery.
     pub discovery: SocketAddrV4,
     /// The seed of the balancer's random choices.
     pub seed: u64,
-    /// Descriptors that the controller may hold.
+    /// The number of file descriptors that the controller may hold.
     pub socket_limit: usize,
-    /// Bytes of memory that it may take.
+    /// The memory limit of the controller in bytes.
     pub memory_limit: usize,
-    /// The endpoint list as this controller had it last.
+    /// The cached list: the latest endpoint list that this controller had before the start (`known`).
     pub cached_list: Option<EndpointList>,
-    /// What of that list can't be used: the start goes on without it.
+    /// Errors of the cached list. The controller starts without its invalid parts.
     pub cached_list_errors: Vec<CachedListError>,
     /// The balancer's settings.
     pub settings: Settings,
-    /// The names that messages use.
+    /// The names of zones, kinds, operations and metrics in messages and endpoint lists.
     pub names: Names,
 }
 
-/// What of the known endpoint list can't be used.
+/// Why the cached list, or an entry of it, is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CachedListError {
-    /// Nothing of it.
+    /// The list is rejected as a whole.
     #[error(transparent)]
     List(#[from] ListError),
-    /// One entry.
+    /// One entry is rejected.
     #[error(transparent)]
     Entry(#[from] EntryError),
 }
 
-/// Why a configuration can't be used.
+/// Why a configuration is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The file can't be read.
@@ -51,18 +51,18 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The error of the operating system.
         error: std::io::Error,
     },
-    /// The file is no JSON.
-    #[error("{path} is no JSON: {error}")]
+    /// The file is not valid JSON.
+    #[error("{path} is not valid JSON: {error}")]
     Syntax {
         /// The file.
         path: PathBuf,
-        /// Where and why.
+        /// The error, with its line and column.
         error: serde_json::Error,
     },
-    /// A field outside the settings can't be used.
+    /// A field outside the settings is missing or invalid.
     #[error("{path}: `{field}` {problem}")]
     Field {
         /// The file.
@@ -72,12 +72,12 @@
         /// What is wrong with it.
         problem: FieldProblem,
     },
-    /// A setting can't be used.
+    /// A setting is invalid.
     #[error("{path}: in the settings, {error}")]
     Setting {
         /// The file.
         path: PathBuf,
-        /// Which one, and why.
+        /// The setting and what is wrong with it.
         error: wheelspread_settings::ConfigError,
     },
 }
@@ -85,32 +85,32 @@
 /// What is wrong with a field.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FieldProblem {
-    /// It is not there.
-    #[error("is missing")]
+    /// The field is missing or not a string.
+    #[error("is missing or not a string")]
     Missing,
-    /// The settings are not there.
-    #[error("are missing")]
+    /// The settings are missing or not an object.
+    #[error("is missing or not an object")]
     SettingsMissing,
-    /// It is no IPv4 address with a port.
-    #[error("is no address: {0}")]
+    /// The value is not an IPv4 address with a port.
+    #[error("is not an IPv4 address with a port: {0}")]
     InvalidAddress(String),
-    /// It is no hexadecimal number.
-    #[error("is no number: {0}")]
+    /// The value is not a hexadecimal number of at most 64 bits.
+    #[error("is not a hexadecimal number of at most 64 bits: {0}")]
     InvalidNumber(String),
 }
 
-/// Descriptors, where the file does not limit them.
+/// The descriptor limit if the file gives none.
 const SOCKET_LIMIT_DEFAULT: u64 = 1024;
-/// Fewer descriptors would leave none for connections.
+/// A lower limit would leave too few descriptors for connections, after those of the event loop and HTTP exchanges.
 const SOCKET_LIMIT_MIN: u64 = 48;
 const SOCKET_LIMIT_MAX: u64 = 1 << 20;
-/// Memory, where the file does not limit it.
+/// The memory limit if the file gives none.
 const MEMORY_MEGABYTES_DEFAULT: f64 = 1024.0;
 const MEMORY_MEGABYTES_MIN: f64 = 8.0;
 const MEMORY_MEGABYTES_MAX: f64 = 1e6;
 const BYTES_PER_MEGABYTE: f64 = 1e6;
 
-/// A field that can't be used, before the file's path is known.
+/// A missing or invalid field, without the file's path.
 struct FieldError {
     field: &'static str,
     problem: FieldProblem,
--- a/crates/platform/src/connection.rs
+++ b/crates/platform/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection at the controller's address: bytes in, messages out of them, bytes back.
+//! One connection of a proxy or a collector: reading, decoding, buffering and writing.
 
 use crate::close_reason::CloseReason;
 use std::io::{self, ErrorKind, Read, Write};
@@ -17,28 +17,29 @@
     message_bytes: 1 << 20,
     strings: 64,
 };
-/// What is read of one connection before the others have their turn.
+/// Bytes that are read from one connection in an iteration of the event loop, so that other connections are not
+/// delayed. The limit is checked between reads.
 const READ_BYTES_PER_ITERATION_MAX: usize = 256 << 10;
-/// What may wait for a peer that does not read.
+/// Bytes of output that may wait for a peer that does not read.
 const UNREAD_OUTPUT_BYTES_MAX: usize = 128 << 10;
 
 /// A connection with its buffers.
 pub struct Connection {
     /// The socket.
     pub stream: TcpStream,
-    /// Decodes what was read.
+    /// Decodes the received bytes.
     pub decoder: Decoder,
-    /// When it was accepted.
+    /// When the connection was accepted.
     pub accepted_at: Moment,
     output: Vec<u8>,
-    /// How much of the output has been written.
+    /// Bytes of the output that have been written.
     written: usize,
 }
 
-/// Why a connection can't go on.
+/// Why a connection must be closed.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectionError {
-    /// The peer closed it.
+    /// The peer closed the connection.
     #[error("closed by the peer")]
     PeerClosed,
     /// The socket failed, or the peer reset it.
@@ -47,16 +48,16 @@
     /// The core rejected a message.
     #[error("message rejected: {0}")]
     Rejected(RejectReason),
-    /// The bytes are no message.
+    /// The received bytes are not a message.
     #[error(transparent)]
     Decode(#[from] DecodeError),
-    /// More output waits than the bound.
-    #[error("the peer does not read what it is sent")]
+    /// The peer does not read, and the waiting output exceeds the limit.
+    #[error("the peer does not read, and the waiting output exceeds the limit")]
     UnreadOutput,
 }
 
 impl ConnectionError {
-    /// The close reason for an error that reading has found.
+    /// The close reason for an error detected while reading.
     pub fn read_close_reason(&self) -> CloseReason {
         match self {
             ConnectionError::PeerClosed | ConnectionError::Io(_) => CloseReason::PeerClosed,
@@ -66,7 +67,7 @@
         }
     }
 
-    /// The close reason for an error that writing has found.
+    /// The close reason for an error detected while writing.
     pub fn write_close_reason(&self) -> CloseReason {
         match self {
             ConnectionError::UnreadOutput => CloseReason::UnreadOutput,
@@ -79,7 +80,7 @@
 }
 
 impl Connection {
-    /// A connection that was just accepted.
+    /// A newly accepted connection.
     pub fn new(stream: TcpStream, now: Moment) -> Connection {
         Connection {
             stream,
@@ -90,13 +91,13 @@
         }
     }
 
-    /// The peer has identified itself: larger messages are read from now on.
+    /// Applies the larger message limits of an identified peer.
     pub fn mark_identified(&mut self) {
         self.decoder.set_limits(IDENTIFIED_LIMITS);
     }
 
-    /// Reads what has come, up to one turn's worth, and feeds the decoder. `process_messages` takes the whole
-    /// messages out after each piece. Whether there may be more to read.
+    /// Reads available bytes, up to the limit of one event loop iteration, and feeds the decoder. `process_messages`
+    /// is called after each read to take out the complete messages. Returns whether there may be more to read.
     pub fn read<F>(
         &mut self,
         scratch: &mut [u8],
@@ -125,7 +126,8 @@
         Ok(true)
     }
 
-    /// Writes these bytes behind what waits. What the kernel does not take at once is buffered, within bounds.
+    /// Appends bytes to the output and flushes it. Bytes that the kernel does not accept yet stay buffered, up to a
+    /// limit.
     pub fn write(&mut self, bytes: &[u8]) -> Result<(), ConnectionError> {
         self.output.extend_from_slice(bytes);
         self.flush()?;
@@ -135,7 +137,7 @@
         Ok(())
     }
 
-    /// Writes what waits, as far as the kernel takes it.
+    /// Writes as much of the waiting output as the kernel accepts.
     pub fn flush(&mut self) -> Result<(), ConnectionError> {
         while self.written < self.output.len() {
             match self.stream.write(&self.output[self.written..]) {
@@ -155,7 +157,7 @@
         Ok(())
     }
 
-    /// Bytes of memory that its buffers take.
+    /// Bytes of memory allocated for this connection's buffers.
     pub fn buffer_bytes(&self) -> usize {
         self.output.capacity() + self.decoder.buffer_bytes()
     }
--- a/crates/platform/src/exchange.rs
+++ b/crates/platform/src/exchange.rs
@@ -1,11 +1,11 @@
-//! One HTTP request to discovery or a node, and its response piece by piece.
+//! One HTTP request to discovery or a node, and its response, which is received incrementally.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddrV4, TcpStream};
 use wheelspread_http1::{response, Body, Limits, MessageError};
 use wheelspread_reactor as reactor;
 
-/// Bytes of a response's body that were received and not taken out yet.
+/// Limit of the bytes of a response body that were received and not taken out yet.
 const BODY_BYTES_MAX: usize = 4 << 20;
 
 /// Why an exchange has failed.
@@ -14,37 +14,37 @@
     /// The socket failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The response is no valid HTTP.
+    /// The response is not valid HTTP.
     #[error(transparent)]
     Http(#[from] MessageError),
-    /// The response was cut.
-    #[error("the connection ended within the response")]
+    /// The connection was closed before the response was complete.
+    #[error("the connection was closed before the response was complete")]
     Truncated,
-    /// More of the body came than the bound.
-    #[error("a response of more than {0} bytes")]
+    /// More of the body is buffered than the limit.
+    #[error("the response body exceeds {0} bytes")]
     TooLong(usize),
 }
 
-/// A request that was sent, or is being sent, and its response.
+/// A request and its response, each of which may be incomplete.
 pub struct Exchange {
     /// The socket.
     pub stream: TcpStream,
     request: Vec<u8>,
     sent: usize,
-    /// What has come of the response's head, until it is complete.
+    /// The received part of the response's head, until it is complete.
     head: Vec<u8>,
     body_decoder: Option<Body>,
     /// The response's status; 0 before its head is complete.
     pub status: u16,
-    /// The body received so far; the owner takes it out.
+    /// The received part of the body. The caller takes bytes out.
     pub body: Vec<u8>,
-    /// How much of the body was searched for the end of a line.
+    /// Bytes of the body that were already searched for the end of a line.
     searched_bytes: usize,
-    /// All bytes received, head included.
+    /// All received bytes, including the head.
     pub received_bytes: u64,
 }
 
-/// A socket that takes or brings nothing now. One that is not connected yet does neither.
+/// Whether the socket can't be written or read now. This includes a socket that is not connected yet.
 fn is_not_ready(error: &io::Error) -> bool {
     matches!(
         error.kind(),
@@ -53,7 +53,7 @@
 }
 
 impl Exchange {
-    /// Connects and prepares a GET request.
+    /// Begins to connect, and prepares a GET request.
     pub fn get(address: SocketAddrV4, target: &str) -> io::Result<Exchange> {
         let stream = reactor::connect(address.ip().octets(), address.port())?;
         let request =
@@ -71,7 +71,7 @@
         })
     }
 
-    /// Writes and reads what it can. Whether the response is complete.
+    /// Writes and reads without blocking. Returns whether the response is complete.
     pub fn progress(&mut self, scratch: &mut [u8]) -> Result<bool, ExchangeError> {
         self.send()?;
         self.receive(scratch)
@@ -107,7 +107,7 @@
         }
     }
 
-    /// The end of the connection completes only a body that is delimited by it.
+    /// The end of the connection completes only a body whose length is given by it; any other response is truncated.
     fn finish_at_end(&self) -> Result<bool, ExchangeError> {
         let decoder = self.body_decoder.as_ref();
         if decoder.is_some_and(Body::ends_with_connection) {
@@ -136,8 +136,8 @@
         Ok(self.body_decoder.as_ref().is_some_and(Body::done))
     }
 
-    /// Takes the complete lines out of the body, empty ones left out. No byte is searched twice: a long list
-    /// may come in pieces of a byte.
+    /// Takes the complete lines out of the body, without empty ones. No byte is searched twice, since a long list may
+    /// arrive in reads of single bytes.
     pub fn take_lines(&mut self) -> Vec<Vec<u8>> {
         let unsearched = self.searched_bytes.min(self.body.len());
         let last_end = self.body[unsearched..]
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,15 +1,16 @@
-//! The controller on a platform, which talks to it by messages on plain TCP connections (docs/platform.md).
+//! The controller on a platform. Proxies and collectors exchange messages with it on plain TCP connections
+//! (docs/platform.md).
 //!
 //! | module | owns |
 //! | --- | --- |
 //! | `config` | the configuration file |
 //! | `connection` | one connection of a proxy or a collector: reading, buffering, writing |
 //! | `exchange` | one HTTP request to discovery or a node |
-//! | `close_reason` | why connections are closed, and what closing still has to do |
-//! | `service` | the event loop over all of them |
+//! | `close_reason` | why connections are closed, and the close obligations of each reason |
+//! | `service` | the event loop over connections and exchanges |
 //!
-//! Limits of buffers, descriptors and waiting times are kept here. Everything else is decided beneath
-//! `wheelspread-platform-core`.
+//! This crate enforces the limits of buffers, descriptors and waiting times. All other decisions are made in
+//! `wheelspread-platform-core` and the balancer.
 
 mod clock;
 mod close_reason;
--- a/crates/platform/src/service.rs
+++ b/crates/platform/src/service.rs
@@ -1,16 +1,16 @@
-//! The event loop: receives from everything that is ready, lets the core decide once, and carries out its outputs.
+//! The event loop. Each iteration reads all ready sockets, calls the core's `decide` once and carries out its outputs.
 //!
-//! | module | job |
+//! | module | contents |
 //! | --- | --- |
-//! | `start` | reading the configuration, taking the address |
+//! | `start` | reading the configuration, binding the listen address |
 //! | `listener` | accepting and evicting connections |
-//! | `connection_table` | the connections, and their buffers in sum |
+//! | `connection_table` | the connections, and the total size of their buffers |
 //! | `connections` | reading, writing and closing connections |
 //! | `exchanges` | HTTP requests and their time limits |
 //! | `discovery` | the watch on the endpoint list, and reading the complete list |
 //! | `health_checks` | health checks of nodes |
-//! | `reload` | taking a new configuration |
-//! | `maintenance` | what is due by time |
+//! | `reload` | reloading the configuration |
+//! | `maintenance` | time limits and periodic tasks |
 //! | `report` | the status line in the log |
 
 mod connection_table;
@@ -44,9 +44,9 @@
 
 const LISTENER_TOKEN: Token = Token(0);
 const SIGNALS_TOKEN: Token = Token(1);
-/// Tokens above this are connections and exchanges.
+/// Tokens above this belong to connections and exchanges.
 const LAST_RESERVED_TOKEN: u64 = 16;
-/// Bytes that are read from a socket at a time.
+/// Size of the buffer for one read from a socket.
 const SCRATCH_BYTES: usize = 64 << 10;
 
 /// A controller on a platform.
@@ -80,7 +80,7 @@
             }
             self.continue_reads(now);
             self.handle_sockets(now, &ready);
-            // Connections that were accepted earlier have been read before new ones evict them.
+            // Accepting may evict connections, so those accepted earlier are read first.
             if ready.iter().any(|ready| ready.token == LISTENER_TOKEN) {
                 self.accept(now);
             }
@@ -107,7 +107,7 @@
             .fold(self.core.wake_at().min(self.report.next_at), Moment::min)
     }
 
-    /// Whether the program is to stop.
+    /// Handles received signals. Returns whether the service must stop.
     fn handle_signals(&mut self, now: Moment, ready: &[Readiness]) -> bool {
         if !ready.iter().any(|ready| ready.token == SIGNALS_TOKEN) {
             return false;
@@ -119,8 +119,8 @@
         received.iter().any(|signal| *signal != reactor::RELOAD)
     }
 
-    /// Output that waits is flushed as far as it goes; a message that is cut takes no effect. Connections that
-    /// were not accepted are refused as the listener closes with the program.
+    /// Flushes waiting output as far as possible; a truncated message has no effect at its receiver. Connections that
+    /// were not accepted yet are refused when the process exits and the listener closes.
     fn shut_down(mut self) {
         info!("shutting down");
         self.connections.flush_all();
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Connections and exchanges share one sequence of tokens.
+    /// The next token of the sequence that connections and exchanges share.
     fn next_token(&mut self) -> u64 {
         self.last_token += 1;
         self.last_token
--- a/crates/platform/src/service/connection_table.rs
+++ b/crates/platform/src/service/connection_table.rs
@@ -1,5 +1,5 @@
-//! The connections of proxies, collectors and peers that have not identified themselves. What all of them
-//! hold in memory is counted along, so that no pass over all connections is needed.
+//! The connections of proxies, collectors and unidentified peers. The total size of their buffers is updated with
+//! each change, so that reading it needs no pass over all connections.
 
 use crate::connection::Connection;
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,11 +15,11 @@
 #[derive(Default)]
 pub(super) struct ConnectionTable {
     connections: BTreeMap<ConnectionId, Connection>,
-    /// Those that have not identified themselves, the oldest first.
+    /// Connections whose peers have not identified themselves, the oldest first.
     unidentified: BTreeSet<ConnectionId>,
-    /// Bytes of memory that the buffers of all connections take.
+    /// Bytes of memory allocated for the buffers of all connections.
     buffer_bytes: usize,
-    /// Those that may have more to read than their turn allowed.
+    /// Connections whose last read ended at the limit per iteration, and which may have more to read.
     more_to_read: BTreeSet<ConnectionId>,
 }
 
@@ -44,7 +44,7 @@
         self.unidentified.contains(&id)
     }
 
-    /// A new connection, which has not identified itself.
+    /// Adds a new, unidentified connection.
     pub(super) fn insert(&mut self, id: ConnectionId, connection: Connection) {
         self.connections.insert(id, connection);
         self.unidentified.insert(id);
@@ -65,7 +65,8 @@
         self.unidentified.remove(&id);
     }
 
-    /// Runs something on a connection that may change its buffers; `None` where there is no such connection.
+    /// Runs a function that may change a connection's buffers, and updates their total size; `None` if there is no
+    /// such connection.
     pub(super) fn update<T>(
         &mut self,
         id: ConnectionId,
@@ -90,14 +91,14 @@
         std::mem::take(&mut self.more_to_read)
     }
 
-    /// The connection that has been unidentified for longest, and when it was accepted.
+    /// The unidentified connection that was accepted first, and when it was accepted.
     pub(super) fn oldest_unidentified(&self) -> Option<(ConnectionId, Moment)> {
         let id = *self.unidentified.first()?;
         let connection = self.connections.get(&id)?;
         Some((id, connection.accepted_at))
     }
 
-    /// Unidentified connections that were accepted before this moment.
+    /// Unidentified connections that were accepted before this time.
     pub(super) fn unidentified_before(&self, moment: Moment) -> Vec<ConnectionId> {
         let is_older = |id: &ConnectionId| {
             self.connections
@@ -111,7 +112,7 @@
             .collect()
     }
 
-    /// The connection whose buffers take the most memory.
+    /// The connection with the largest buffers.
     pub(super) fn with_largest_buffers(&self) -> Option<ConnectionId> {
         self.connections
             .iter()
@@ -119,10 +120,10 @@
             .map(|(id, _)| *id)
     }
 
-    /// Flushes what waits on all connections, as far as it goes.
+    /// Flushes the waiting output of all connections as far as possible.
     pub(super) fn flush_all(&mut self) {
         for connection in self.connections.values_mut() {
-            // The program ends; what can't be written now is lost in any case.
+            // The process is about to exit, so output that can't be written now is lost and errors are ignored.
             _ = connection.flush();
         }
     }
--- a/crates/platform/src/service/connections.rs
+++ b/crates/platform/src/service/connections.rs
@@ -9,10 +9,10 @@
 use wheelspread_platform_core::{ConnectionId, ControllerCore, MessageOutcome};
 use wheelspread_reactor::{self as reactor, Readiness};
 
-/// `pong` as a message.
+/// An encoded `pong` message.
 const PONG: &[u8] = b"*1\r\n$4\r\npong\r\n";
 
-/// What one reading of a connection has brought beside its messages.
+/// Effects of the messages in one read that the service handles itself.
 #[derive(Default)]
 struct ReadEffects {
     identified: bool,
@@ -26,7 +26,7 @@
         id: ConnectionId,
         ready: &Readiness,
     ) {
-        // What the peer sent before it closed counts, so it is read before a write can fail.
+        // Messages that the peer sent before closing must be processed, so they are read before a write can fail.
         if ready.readable || ready.closed {
             self.read(now, id);
         }
@@ -35,14 +35,14 @@
         }
     }
 
-    /// Reads on where a turn ended before everything was read.
+    /// Continues reads that ended at the limit per iteration.
     pub(super) fn continue_reads(&mut self, now: Moment) {
         for id in self.connections.take_more_to_read() {
             self.read(now, id);
         }
     }
 
-    /// Reads one turn's worth of messages, and closes the connection where it can't go on.
+    /// Reads and processes messages up to the limit per iteration, and closes the connection on an error.
     pub(super) fn read(&mut self, now: Moment, id: ConnectionId) {
         let (core, scratch) = (&mut self.core, &mut self.scratch);
         let mut effects = ReadEffects::default();
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Writes bytes behind what waits.
+    /// Appends bytes to the connection's output and flushes it.
     pub(super) fn write(&mut self, now: Moment, id: ConnectionId, bytes: &[u8]) {
         let result = self
             .connections
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Closes a connection whose place a newer one has taken, or whose stream fell silent.
+    /// Closes a connection that was replaced by a newer one, or whose stream is silent.
     pub(super) fn close_replaced(
         &mut self,
         now: Moment,
@@ -98,7 +98,7 @@
         self.close(now, id, CloseReason::Replaced, cause)
     }
 
-    /// Closes a connection and does what the reason obliges to. Whether it is closed.
+    /// Fulfils the close obligations of the reason and closes the connection. Returns whether it is closed.
     pub(super) fn close(
         &mut self,
         now: Moment,
@@ -116,7 +116,7 @@
             return !self.connections.contains(id);
         }
         self.core.handle_connection_closed(now, id);
-        // The final read may have closed it.
+        // The final read may have closed the connection.
         let Some(removed) = self.connections.remove(id) else {
             return true;
         };
@@ -160,8 +160,8 @@
     Ok(())
 }
 
-/// Where the peer has closed already, the messages it sent still count: reading finds its end, so only a
-/// peer that does not read its answers is an error here.
+/// Only a peer that does not read its answers is an error here. Other write errors are ignored: messages that the peer
+/// sent before closing must still be processed, and the read then detects the end of the connection.
 fn send_pong(connection: &mut Connection) -> Result<(), ConnectionError> {
     match connection.write(PONG) {
         Err(ConnectionError::UnreadOutput) => Err(ConnectionError::UnreadOutput),
--- a/crates/platform/src/service/discovery.rs
+++ b/crates/platform/src/service/discovery.rs
@@ -1,4 +1,4 @@
-//! The client of discovery: a watch on the endpoint list, and the complete list where it is needed.
+//! The discovery client: a watch on the endpoint list, and requests for the complete list when needed.
 
 use super::exchanges::{ExchangeId, OpenExchange, Purpose};
 use super::Service;
@@ -9,18 +9,20 @@
 use wheelspread::time::Moment;
 use wheelspread_platform_core::{EndpointList, SourceId, CONFIGURED_SOURCE};
 
-/// Time from the end of a watch to the next one, at first; it doubles up to the maximum.
+/// Backoff between watches: it starts at the minimum, doubles with each use up to the maximum, and is reset when a
+/// watch receives a list.
 const WATCH_BACKOFF_MIN: Duration = Duration::from_millis(50);
 const WATCH_BACKOFF_MAX: Duration = Duration::from_secs(1);
 const MEMBERS_PATH: &str = "/catalog/members";
 
-/// What the client knows beside its exchanges.
+/// The client's state other than its open exchanges.
 pub(super) struct DiscoveryState {
     /// When the next watch may be opened.
     next_watch_at: Moment,
     backoff: Duration,
     pub(super) newest_source: SourceId,
-    /// Discovery has started its versions again: changes mean nothing before the complete list is read.
+    /// Discovery has restarted its version count: no watch is opened before the complete list is read, since changes
+    /// can't be applied without it.
     awaits_complete_list: bool,
 }
 
@@ -43,8 +45,8 @@
         self.backoff = WATCH_BACKOFF_MIN;
     }
 
-    /// The complete list of a source was read, or can't be: the watch may be opened, from whatever version is
-    /// in force.
+    /// The request for the complete list of a source has succeeded or failed. In both cases the next watch may be
+    /// opened, from the current version.
     fn finish_complete_list(&mut self, source: SourceId) {
         if source == self.newest_source {
             self.awaits_complete_list = false;
@@ -53,7 +55,7 @@
 }
 
 impl Service {
-    /// Opens a watch if there is none at the address in force.
+    /// Opens a watch if there is none at the configured address and the backoff has passed.
     pub(super) fn maintain_watch(&mut self, now: Moment) {
         let address = self.config.discovery;
         let is_current =
@@ -73,8 +75,8 @@
         self.open_exchange(now, address, &target, Purpose::Watch);
     }
 
-    /// The configuration names another address. Its versions may be others, so the complete list is read beside
-    /// the watch.
+    /// Handles a new discovery address in the configuration. Its versions may be unrelated to those of the previous
+    /// address, so the complete list is requested in addition to the watch.
     pub(super) fn change_discovery_address(&mut self, now: Moment) {
         self.discovery.next_watch_at = now;
         self.discovery.reset_backoff();
@@ -83,7 +85,7 @@
         self.request_complete_list(now);
     }
 
-    /// Whether the request was opened.
+    /// Requests the complete list. Returns whether the request was opened.
     pub(super) fn request_complete_list(&mut self, now: Moment) -> bool {
         let is_open = self.open_exchange(
             now,
@@ -100,7 +102,7 @@
     pub(super) fn handle_complete_list(&mut self, now: Moment, open: &OpenExchange) {
         if let Some(list) = self.parse_list(&open.exchange.body) {
             self.handle_list(now, &list, open.source);
-            // The watch beside it continues from here.
+            // The watch of the same source continues from the version of this list.
             let watch = self
                 .exchanges
                 .values_mut()
@@ -117,7 +119,7 @@
         self.discovery.finish_complete_list(source);
     }
 
-    /// Whether all objects continue from those before them on this watch.
+    /// Handles the lists received on a watch. Returns whether each continues from the one before it.
     pub(super) fn handle_watch_lines(
         &mut self,
         now: Moment,
@@ -138,7 +140,7 @@
         };
         let source = open.source;
         if !open.position.advance(&list) {
-            // A watch at an address that was left changes nothing any more.
+            // A restart of versions at a previous address is of no interest.
             return open.address != self.config.discovery;
         }
         self.discovery.reset_backoff();
@@ -146,7 +148,8 @@
         true
     }
 
-    /// A watch has gone back to lower versions: changes by them mean nothing before the complete list is read.
+    /// Handles a version on a watch that is lower than the one before. The changes that follow can't be applied before
+    /// the complete list is read, so the watch is closed and the list requested.
     pub(super) fn handle_version_restart(&mut self, now: Moment, id: ExchangeId) {
         info!("discovery restarted its versions, reading the complete endpoint list");
         self.exchanges.remove(&id);
@@ -154,7 +157,8 @@
         self.discovery.awaits_complete_list = self.request_complete_list(now);
     }
 
-    /// The end of a watch at an address that was left holds up no other.
+    /// Begins the backoff after the end of a watch. The end of a watch at a previous address does not delay the next
+    /// watch at the current one.
     pub(super) fn handle_watch_end(&mut self, now: Moment, address: SocketAddrV4) {
         if address == self.config.discovery {
             self.discovery.back_off(now);
@@ -170,7 +174,7 @@
                 Some(list)
             }
             Err(error) => {
-                warn!(%error, "endpoint list can't be read");
+                warn!(%error, "endpoint list rejected");
                 None
             }
         }
--- a/crates/platform/src/service/exchanges.rs
+++ b/crates/platform/src/service/exchanges.rs
@@ -1,4 +1,4 @@
-//! HTTP exchanges with discovery and nodes: opening, progress, end and time limits.
+//! HTTP exchanges with discovery and nodes: opening, progress, completion, failure and time limits.
 
 use super::Service;
 use crate::clock::span;
@@ -11,39 +11,39 @@
 use wheelspread_platform_core::{SourceId, WatchPosition};
 use wheelspread_reactor::{Interest, Token};
 
-/// Exchanges at a time.
+/// Limit of concurrent exchanges.
 const EXCHANGES_MAX: usize = 12;
-/// Exchanges at a time before no more health checks are opened: some must be left for the endpoint list.
+/// Limit of concurrent exchanges for opening a health check. It leaves some exchanges for the endpoint list.
 const EXCHANGES_MAX_FOR_HEALTH_CHECKS: usize = EXCHANGES_MAX - 4;
-/// Time for an answer of discovery.
+/// Time limit for a complete list, and for the head of the response to a watch.
 const LIST_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time without a byte on a watch, which brings at least an empty line every 2 s.
+/// Time limit without a received byte on a watch. Discovery sends at least an empty line every 2 s.
 const WATCH_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_secs(2);
 const STATUS_OK: u16 = 200;
 
-/// Identifies an exchange. It shares its sequence of numbers with connections.
+/// Identifies an exchange. Exchanges and connections share one sequence of tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ExchangeId(pub(super) u64);
 
-/// What an exchange is for.
+/// The purpose of an exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Purpose {
-    /// The complete endpoint list, once.
+    /// A single request for the complete endpoint list.
     CompleteList,
-    /// Changes of the endpoint list.
+    /// A watch on changes of the endpoint list.
     Watch,
     HealthCheck(NodeId),
 }
 
-/// An exchange that has not ended.
+/// An exchange that is not complete yet.
 pub(super) struct OpenExchange {
     pub(super) exchange: Exchange,
     pub(super) purpose: Purpose,
     pub(super) opened_at: Moment,
     pub(super) last_received_at: Moment,
     pub(super) address: SocketAddrV4,
-    /// The watch that was the newest when this was opened.
+    /// The newest watch at the time when the exchange was opened.
     pub(super) source: SourceId,
     pub(super) position: WatchPosition,
 }
@@ -65,7 +65,7 @@
 }
 
 impl Service {
-    /// Whether the exchange was opened.
+    /// Opens an exchange unless the limit for its purpose is reached. Returns whether it was opened.
     pub(super) fn open_exchange(
         &mut self,
         now: Moment,
@@ -102,7 +102,7 @@
         opened.is_ok()
     }
 
-    /// Sends and receives what is possible, and handles what has come.
+    /// Sends and receives without blocking, and handles the received part of the response.
     pub(super) fn progress_exchange(&mut self, now: Moment, id: ExchangeId) {
         let Some(open) = self.exchanges.get_mut(&id) else {
             return;
@@ -124,7 +124,7 @@
             is_refused_watch = is_watch && open.exchange.status != 0;
         }
         match progress {
-            // Another answer to a watch than the list may go on without end.
+            // A watch whose response status is not 200 is closed at once: its response may never end.
             Ok(_) if is_refused_watch => self.fail_exchange(now, id),
             Ok(false) => {}
             Ok(true) => self.complete_exchange(now, id),
@@ -174,7 +174,7 @@
             .map(|(id, _)| *id)
             .collect();
         for id in expired {
-            // What has come and was not read yet is not late.
+            // The response may have arrived in time without being read yet.
             self.progress_exchange(now, id);
             if self.exchanges.get(&id).is_some_and(has_timed_out) {
                 debug!("exchange timed out");
@@ -184,8 +184,8 @@
     }
 }
 
-/// The complete objects of a watch. The last one may end with the response, without the end of its line; one
-/// that was cut is no JSON.
+/// Takes the complete lines received on a watch. When the response has ended, its last line may have no line end; a
+/// truncated line is rejected later as invalid JSON.
 fn take_watch_lines(exchange: &mut Exchange, has_ended: bool) -> Vec<Vec<u8>> {
     let mut lines = exchange.take_lines();
     if has_ended && !exchange.body.is_empty() {
--- a/crates/platform/src/service/health_checks.rs
+++ b/crates/platform/src/service/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks of nodes, as the balancer orders them.
+//! Health checks of nodes, requested by the balancer.
 
 use super::exchanges::{OpenExchange, Purpose};
 use super::Service;
@@ -7,9 +7,9 @@
 use wheelspread::time::{Moment, Span};
 use wheelspread_platform_core::{parse_load_metrics, HealthCheckResult};
 
-/// Answers whether the node serves.
+/// The node answers with success if it serves requests.
 const PING_PATH: &str = "/ping";
-/// Answers the same, with a load report as its body.
+/// Like [`PING_PATH`], with the node's load metrics in the response body.
 const LOAD_PATH: &str = "/_load";
 
 impl Service {
--- a/crates/platform/src/service/listener.rs
+++ b/crates/platform/src/service/listener.rs
@@ -1,4 +1,4 @@
-//! Accepting connections, and making room for them.
+//! Accepting connections, and evicting unidentified ones when the descriptor limit is reached.
 
 use super::{Service, LISTENER_TOKEN};
 use crate::clock::span;
@@ -11,18 +11,18 @@
 use wheelspread_platform_core::ConnectionId;
 use wheelspread_reactor::{self as reactor, Interest, Token};
 
-/// Descriptors that are not for connections: the loop's own and those of exchanges.
+/// Descriptors reserved for the event loop and for exchanges.
 const RESERVED_DESCRIPTORS: usize = 28;
-/// Connections that are accepted in one turn.
+/// Limit of connections accepted in one iteration of the event loop.
 const ACCEPTS_PER_ITERATION_MAX: usize = 64;
-/// No connection is evicted within this time: proxies that come in hundreds need it to send their first
-/// message. Peers that wait to be accepted lose nothing.
+/// Minimum age of a connection before it can be evicted. When hundreds of proxies connect at once, each needs this
+/// time to send its first message. Peers waiting to be accepted are not disconnected by the delay.
 const EVICTION_GRACE: Duration = Duration::from_millis(100);
 
 /// The listening socket.
 pub(super) struct Listener {
     socket: TcpListener,
-    /// Accepting is paused until then: there is no descriptor for a peer that waits.
+    /// Accepting is paused until this time, since there is no descriptor for another connection.
     pub(super) resume_at: Option<Moment>,
 }
 
@@ -42,7 +42,7 @@
             .saturating_sub(RESERVED_DESCRIPTORS)
     }
 
-    /// Accepts as many as there is room for when every unidentified connection has been evicted.
+    /// Accepts connections, at most as many as would fit if every unidentified connection were evicted.
     pub(super) fn accept(&mut self, now: Moment) {
         let free_slots = self
             .connection_limit()
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Whether another peer may wait to be accepted.
+    /// Accepts one connection. Returns whether another peer may be waiting.
     fn accept_one(&mut self, now: Moment) -> bool {
         if self.connections.len() >= self.connection_limit() && !self.evict(now) {
             return self.reject_one(now);
@@ -77,16 +77,16 @@
     fn add_connection(&mut self, now: Moment, stream: TcpStream) {
         let id = ConnectionId(self.next_token());
         if let Err(error) = self.poll.add(&stream, Token(id.0), Interest::Edges) {
-            warn!(%error, "connection can't be polled");
+            warn!(%error, "connection can't be added to epoll, closing it");
             return;
         }
         self.connections.insert(id, Connection::new(stream, now));
         self.read(now, id);
     }
 
-    /// There is no descriptor for the next peer. It waits for an unidentified connection to become evictable;
-    /// if all are held by proxies and collectors it is disconnected, so that it goes to another controller.
-    /// Whether another peer may wait.
+    /// Handles a waiting peer for which there is no descriptor. If there are unidentified connections, the peer waits
+    /// until the oldest can be evicted. If all connections belong to proxies and collectors, the peer is disconnected,
+    /// so that it connects to another controller. Returns whether another peer may be waiting.
     fn reject_one(&mut self, now: Moment) -> bool {
         if let Some((_, accepted_at)) = self.connections.oldest_unidentified() {
             self.pause_listener(accepted_at + span(EVICTION_GRACE));
@@ -100,7 +100,8 @@
         !rejected.is_empty()
     }
 
-    /// Peers that wait to be accepted can wait; readiness of the listener in every turn would take all the time.
+    /// Stops polling the listener until this time. Otherwise the listener would be ready in every iteration while peers
+    /// wait, and the event loop would never block.
     fn pause_listener(&mut self, until: Moment) {
         match self.poll.remove(&self.listener.socket) {
             Ok(()) => self.listener.resume_at = Some(until),
@@ -115,23 +116,28 @@
         let socket = &self.listener.socket;
         match self.poll.add(socket, LISTENER_TOKEN, Interest::Readable) {
             Ok(()) => self.listener.resume_at = None,
-            Err(error) => warn!(%error, "listener can't be polled"),
+            Err(error) => warn!(%error, "listener can't be added to epoll"),
         }
     }
 
-    /// Closes the oldest unidentified connection, or else a collector that a newer one of its zone has
-    /// replaced. Whether there is room for one more.
+    /// Closes the oldest unidentified connection, or else a collector connection that a newer one of its zone has
+    /// replaced. Returns whether a connection was closed.
     fn evict(&mut self, now: Moment) -> bool {
         while let Some((id, accepted_at)) = self.connections.oldest_unidentified() {
             if now - accepted_at < span(EVICTION_GRACE) {
                 break;
             }
-            // It stays if its final read has identified it; then the next one is tried.
-            if self.close(now, id, CloseReason::Evicted, &"descriptors are short") {
+            // A connection whose final read identifies the peer stays open; then the next one is tried.
+            if self.close(
+                now,
+                id,
+                CloseReason::Evicted,
+                &"the descriptor limit is reached",
+            ) {
                 return true;
             }
         }
         let redundant = self.core.redundant_collector();
-        redundant.is_some_and(|id| self.close_replaced(now, id, &"its zone has a newer collector"))
+        redundant.is_some_and(|id| self.close_replaced(now, id, &"the zone has a newer collector"))
     }
 }
--- a/crates/platform/src/service/maintenance.rs
+++ b/crates/platform/src/service/maintenance.rs
@@ -1,4 +1,4 @@
-//! What is due by time. It runs in every turn of the loop.
+//! Time limits and periodic tasks. They are checked in every iteration of the event loop.
 
 use super::Service;
 use crate::clock::span;
@@ -6,9 +6,9 @@
 use std::time::Duration;
 use wheelspread::time::Moment;
 
-/// Time within which a connection has to identify itself.
+/// Time limit for a peer to identify itself after its connection was accepted.
 const IDENTIFICATION_TIMEOUT: Duration = Duration::from_millis(1600);
-/// The share of the memory limit that buffers of connections may take together.
+/// The ratio of the memory limit that the buffers of all connections may use.
 const BUFFER_MEMORY_RATIO: f64 = 0.25;
 
 impl Service {
@@ -27,26 +27,32 @@
         let accepted_before = now - span(IDENTIFICATION_TIMEOUT);
         for id in self.connections.unidentified_before(accepted_before) {
             let reason = CloseReason::IdentificationTimeout;
-            self.close(now, id, reason, &"not identified in time");
+            self.close(now, id, reason, &"the peer did not identify itself in time");
         }
     }
 
-    /// Streams that the core is about to close for their silence are read once more: an acknowledgement that
-    /// has come and was not read yet is not late.
+    /// Reads the silent streams that the core is about to close, since an acknowledgement may have arrived without
+    /// being read yet.
     fn read_silent(&mut self, now: Moment) {
         for id in self.core.silent_connections(now) {
             self.read(now, id);
         }
     }
 
-    /// Peers that read slowly may take memory, but not all of it.
+    /// Closes the connection with the largest buffers if all buffers together exceed their limit, so that peers that
+    /// read slowly can't use up the memory.
     fn limit_buffers(&mut self, now: Moment) {
         let max = self.config.memory_limit as f64 * BUFFER_MEMORY_RATIO;
         if self.connections.buffer_bytes() as f64 <= max {
             return;
         }
         if let Some(id) = self.connections.with_largest_buffers() {
-            self.close(now, id, CloseReason::BuffersFull, &"buffers are full");
+            self.close(
+                now,
+                id,
+                CloseReason::BuffersFull,
+                &"the buffers of all connections exceed their limit",
+            );
         }
     }
 }
--- a/crates/platform/src/service/reload.rs
+++ b/crates/platform/src/service/reload.rs
@@ -1,4 +1,4 @@
-//! Taking a new configuration while the service runs.
+//! Reloading the configuration while the service runs.
 
 use super::Service;
 use crate::clock::span;
@@ -8,11 +8,11 @@
 use wheelspread::time::Moment;
 use wheelspread_platform_core::ReconfigureError;
 
-/// Time between two attempts to read a file that may be half written.
+/// Interval between attempts to read the file, which may be only partly written.
 const RELOAD_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 const RELOAD_RETRIES: u32 = 50;
 
-/// A configuration that is to be read.
+/// A requested reload of the configuration.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PendingReload {
     pub(super) due_at: Moment,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// The next attempt, if there is to be one.
+    /// The next attempt; `None` after the last one.
     fn next(self) -> Option<PendingReload> {
         (self.retries < RELOAD_RETRIES).then(|| PendingReload {
             due_at: self.due_at + span(RELOAD_RETRY_INTERVAL),
@@ -36,7 +36,7 @@
     }
 }
 
-/// Why a configuration is not taken.
+/// Why a new configuration is rejected.
 #[derive(Debug, thiserror::Error)]
 enum ReloadError {
     #[error(transparent)]
@@ -46,7 +46,8 @@
 }
 
 impl Service {
-    /// Reads the configuration again if that is due. The old one stays in force until the new one can be used.
+    /// Reloads the configuration if an attempt is due. The previous configuration stays in force until the new one is
+    /// valid.
     pub(super) fn reload_if_due(&mut self, now: Moment) {
         let Some(reload) = self.pending_reload.filter(|reload| now >= reload.due_at) else {
             return;
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Reads the file, and passes its settings to the core.
+    /// Reads the file and applies its settings to the core.
     fn read_configuration(&mut self) -> Result<PlatformConfig, ReloadError> {
         let config = PlatformConfig::read(&self.config_path)?;
         self.core
--- a/crates/platform/src/service/report.rs
+++ b/crates/platform/src/service/report.rs
@@ -6,14 +6,14 @@
 use tracing::info;
 use wheelspread::time::Moment;
 
-/// Time between two status lines.
+/// Interval between two status lines.
 const REPORT_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Counted since the last status line.
+/// Counters since the last status line.
 #[derive(Default)]
 pub(super) struct Counters {
     pub(super) unidentified_closed: u64,
-    /// Messages that were rejected or ignored, and what else the core reported.
+    /// Rejected messages, and the diagnostics of the core.
     pub(super) diagnostics: u64,
     pub(super) streams_lost: u64,
 }
@@ -28,7 +28,7 @@
     }
 }
 
-/// When the next status line is due, and what it counts.
+/// The time of the next status line, and its counters.
 pub(super) struct StatusReport {
     pub(super) next_at: Moment,
     pub(super) counters: Counters,
--- a/crates/platform/tests/config.rs
+++ b/crates/platform/tests/config.rs
@@ -1,22 +1,22 @@
-//! The configuration that a platform hands out, right and wrong.
+//! Reading of valid and invalid platform configurations.
 
 use wheelspread_platform::{ConfigError, PlatformConfig};
 
-const FINE: &str = r#"{"name": "n1", "listen": "127.0.0.1:9000", "discovery": "127.0.0.1:8500", "seed": "ff",
+const VALID: &str = r#"{"name": "n1", "listen": "127.0.0.1:9000", "discovery": "127.0.0.1:8500", "seed": "ff",
     "settings": {"peers_total": 1, "zones": ["a"], "kinds": ["k"],
         "classes": [{"name": "lookup", "aim": 1, "deadline": 3, "idempotency": "read_like"}],
         "rules": {"overload_factor": 4, "start_capacity": 0.2, "warm_after": 10},
         "extra": {"backlog": 9000, "head": 4, "period": 1, "proxy_count": 8, "push_delay_max": 0.5}}}"#;
 
-/// The configuration in this text, or its error without the path.
+/// Reads the configuration in this text; the error comes without the path.
 fn read(text: &str) -> Result<PlatformConfig, String> {
-    let directory = tempfile::tempdir().expect("a directory");
+    let directory = tempfile::tempdir().expect("create a temporary directory");
     let path = directory.path().join("config.json");
-    std::fs::write(&path, text).expect("written");
+    std::fs::write(&path, text).expect("write the file");
     PlatformConfig::read(&path).map_err(|error: ConfigError| {
         let text = error.to_string();
         text.split_once(".json: ")
-            .map_or(text.clone(), |(_, why)| why.to_string())
+            .map_or(text.clone(), |(_, error)| error.to_string())
     })
 }
 
@@ -24,19 +24,19 @@
 fn an_error_names_the_field_and_what_is_wrong_with_it() {
     assert_eq!(
         read("{}").map(drop),
-        Err("`settings` are missing".to_string())
+        Err("`settings` is missing or not an object".to_string())
     );
-    let bad = FINE.replace("127.0.0.1:8500", "nowhere");
+    let invalid = VALID.replace("127.0.0.1:8500", "nowhere");
     assert_eq!(
-        read(&bad).map(drop),
-        Err("`discovery` is no address: nowhere".to_string())
+        read(&invalid).map(drop),
+        Err("`discovery` is not an IPv4 address with a port: nowhere".to_string())
     );
-    let bad = FINE.replace("\"backlog\": 9000, ", "");
+    let invalid = VALID.replace("\"backlog\": 9000, ", "");
     assert_eq!(
-        read(&bad).map(drop),
+        read(&invalid).map(drop),
         Err("in the settings, `extra.backlog` is missing".to_string())
     );
-    let config = read(FINE).expect("fine");
+    let config = read(VALID).expect("the configuration is valid");
     assert_eq!(
         (config.seed, config.cached_list, config.socket_limit),
         (255, None, 1024)
@@ -44,37 +44,39 @@
 }
 
 #[test]
-fn an_invalid_known_list_does_not_keep_a_controller_from_starting() {
-    let known =
-        |known: &str| FINE.replace("\"settings\"", &format!("\"known\": {known}, \"settings\""));
-    let node =
+fn invalid_parts_of_the_cached_list_are_ignored_and_reported() {
+    let config_with_known =
+        |known: &str| VALID.replace("\"settings\"", &format!("\"known\": {known}, \"settings\""));
+    let valid_node =
         r#"{"name": "x", "address": "127.0.0.9:80", "zone": "a", "type": "k", "status": "Ready"}"#;
-    let spoilt =
+    let invalid_node =
         r#"{"name": "y", "address": "nowhere", "zone": "a", "type": "k", "status": "Ready"}"#;
-    let list = format!(r#"{{"index": 4, "snapshot": true, "endpoints": [{spoilt}, {node}, 7]}}"#);
-    let config = read(&known(&list)).expect("fine");
+    let list = format!(
+        r#"{{"index": 4, "snapshot": true, "endpoints": [{invalid_node}, {valid_node}, 7]}}"#
+    );
+    let config = read(&config_with_known(&list)).expect("the configuration is valid");
     let names: Vec<String> = config
         .cached_list
         .expect("a list")
         .entries
         .into_iter()
-        .map(|e| e.name)
+        .map(|entry| entry.name)
         .collect();
     assert_eq!(
         (names, config.cached_list_errors.len()),
         (vec!["x".to_string()], 2)
     );
-    for none in [
+    for invalid_list in [
         "{}",
         "[]",
         "\"old\"",
         r#"{"index": -1, "snapshot": true, "endpoints": []}"#,
     ] {
-        let config = read(&known(none)).expect("fine");
+        let config = read(&config_with_known(invalid_list)).expect("the configuration is valid");
         assert_eq!(
             (config.cached_list, config.cached_list_errors.len()),
             (None, 1),
-            "{none}"
+            "{invalid_list}"
         );
     }
 }
