--- a/crates/platform-core/src/publication/admission.rs
+++ b/crates/platform-core/src/publication/admission.rs
@@ -2,32 +2,32 @@
 
 use wheelspread::RetryPolicy;
 
-/// How much of an operation a proxy admits, and how it retries.
+/// How many requests of an operation a proxy admits, and its retry policy.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionSetting {
     /// The admission ratio or rate.
     pub limit: f64,
-    /// Which failed attempts it retries.
+    /// Which failed attempts the proxy retries.
     pub retry: RetryPolicy,
 }
 
 impl AdmissionSetting {
-    /// Combines a table's own setting with the one for all proxies: the lower limit holds, and the table's own
+    /// Combines a table's setting with the setting for all proxies: the lower limit applies, with the table's
     /// retry policy.
     pub fn combine(
-        own: Option<AdmissionSetting>,
-        for_all: Option<AdmissionSetting>,
+        table_setting: Option<AdmissionSetting>,
+        global_setting: Option<AdmissionSetting>,
     ) -> Option<AdmissionSetting> {
-        match (own, for_all) {
-            (Some(own), Some(for_all)) => Some(AdmissionSetting {
-                limit: own.limit.min(for_all.limit),
-                retry: own.retry,
+        match (table_setting, global_setting) {
+            (Some(table_setting), Some(global_setting)) => Some(AdmissionSetting {
+                limit: table_setting.limit.min(global_setting.limit),
+                retry: table_setting.retry,
             }),
-            (own, for_all) => own.or(for_all),
+            (table_setting, global_setting) => table_setting.or(global_setting),
         }
     }
 
-    /// The retry policy on the wire.
+    /// The number of the retry policy on the wire.
     pub fn retry_code(&self) -> u8 {
         match self.retry {
             RetryPolicy::Never => 0,
