--- a/crates/config-rollout/src/measured_fleet.rs
+++ b/crates/config-rollout/src/measured_fleet.rs
@@ -33,7 +33,7 @@
     pub fn from_core(now: Moment, core: &ControllerCore) -> MeasuredFleet {
         let capacity = core
             .capacity_snapshots()
-            .map(|snapshot| (snapshot.node, snapshot.capacity.exp()))
+            .map(|snapshot| (snapshot.node, snapshot.log_capacity.exp()))
             .collect();
         let window =
             Span::from_seconds(core.plan().load_reports.period.seconds() * DEMAND_WINDOW_PERIODS);
--- a/crates/controller-core/src/membership.rs
+++ b/crates/controller-core/src/membership.rs
@@ -145,7 +145,7 @@
             proxy: id,
             zone,
             usual_rate: usual_rate(who, plan),
-            fresh: known.is_none(),
+            holds_no_table: known.is_none(),
         };
         let events = match superseded {
             // The break of the old stream was not seen yet.
--- a/crates/controller-core/src/service_history.rs
+++ b/crates/controller-core/src/service_history.rs
@@ -149,7 +149,7 @@
         let periods = (to - from).micros() / self.period.micros().max(1);
         let count = periods.clamp(0, RETAINED_PERIODS as i64) as usize;
         let seconds = self.period.seconds() * count as f64;
-        (self.window.last(to, count), seconds)
+        (self.window.sum_last(to, count), seconds)
     }
 
     /// Up to when all of these proxies that report have reported. Some never do, as clients that only read
--- a/crates/controller/src/state_writer.rs
+++ b/crates/controller/src/state_writer.rs
@@ -200,7 +200,7 @@
         capacities: impl Iterator<Item = CapacitySnapshot>,
         facts: &mut FactChanges,
     ) {
-        for snapshot in capacities.filter(CapacitySnapshot::sound) {
+        for snapshot in capacities.filter(CapacitySnapshot::is_valid) {
             let fact = CapacityFact::new(&snapshot);
             let stored = self.capacities.get(&snapshot.node);
             if stored.is_some_and(|stored| stored.is_close_to(&fact)) {
--- a/crates/controller/src/state_writer/persisted_facts.rs
+++ b/crates/controller/src/state_writer/persisted_facts.rs
@@ -94,18 +94,18 @@
 impl CapacityFact {
     pub(super) fn new(snapshot: &CapacitySnapshot) -> CapacityFact {
         CapacityFact {
-            capacity: snapshot.capacity,
+            capacity: snapshot.log_capacity,
             evidence: snapshot.evidence,
-            quickest_s: snapshot.quickest,
+            quickest_s: snapshot.kind_base_latency,
         }
     }
 
     fn into_snapshot(self, node: NodeId) -> CapacitySnapshot {
         CapacitySnapshot {
             node,
-            capacity: self.capacity,
+            log_capacity: self.capacity,
             evidence: self.evidence,
-            quickest: self.quickest_s,
+            kind_base_latency: self.quickest_s,
         }
     }
 
--- a/crates/controller/src/state_writer/tests.rs
+++ b/crates/controller/src/state_writer/tests.rs
@@ -52,9 +52,9 @@
     let (mut writer, _) = StateWriter::start(path, 1000.0, waker).expect("opened");
     let capacities = nodes.listed().map(|(record, _)| CapacitySnapshot {
         node: record.node,
-        capacity: 3.0,
+        log_capacity: 3.0,
         evidence: 5.0,
-        quickest: 0.1,
+        kind_base_latency: 0.1,
     });
     // Before it has read a list it deletes nothing.
     writer.persist_changes(
@@ -197,9 +197,12 @@
         found.capacities.iter().zip(STORED_CAPACITIES)
     {
         assert_eq!(snapshot.node.port, port);
-        assert!(is_close(snapshot.capacity, capacity), "{snapshot:?}");
+        assert!(is_close(snapshot.log_capacity, capacity), "{snapshot:?}");
         assert!(is_close(snapshot.evidence, evidence), "{snapshot:?}");
-        assert!(is_close(snapshot.quickest, quickest), "{snapshot:?}");
+        assert!(
+            is_close(snapshot.kind_base_latency, quickest),
+            "{snapshot:?}"
+        );
     }
 }
 
--- a/crates/platform-core/src/controller_core/messages.rs
+++ b/crates/platform-core/src/controller_core/messages.rs
@@ -90,7 +90,7 @@
             proxy,
             zone: join.zone,
             usual_rate: join.usual_rate,
-            fresh: join.fresh,
+            holds_no_table: join.fresh,
         };
         self.handle_event(now, &event);
         MessageOutcome::Identified
--- a/crates/wheelspread-adapter/src/decode.rs
+++ b/crates/wheelspread-adapter/src/decode.rs
@@ -213,7 +213,7 @@
             proxy: reader.read_proxy()?,
             zone: reader.read_zone()?,
             usual_rate: reader.read_f32()?,
-            fresh: reader.read_flag()?,
+            holds_no_table: reader.read_flag()?,
         }),
         event::PROBE_COMPLETED => Ok(Event::ProbeCompleted {
             node: reader.read_node()?,
--- a/crates/wheelspread/src/balancer.rs
+++ b/crates/wheelspread/src/balancer.rs
@@ -112,11 +112,18 @@
                 proxy,
                 zone,
                 usual_rate,
-                fresh,
+                holds_no_table,
             } => {
                 let fleet = &mut self.fleet;
                 let members = &mut fleet.members;
-                members.on_joined(*proxy, *zone, *usual_rate, *fresh, &fleet.config, now);
+                members.on_joined(
+                    *proxy,
+                    *zone,
+                    *usual_rate,
+                    *holds_no_table,
+                    &fleet.config,
+                    now,
+                );
             }
             Event::ProxyLeft { proxy } => {
                 self.fleet.members.on_left(*proxy, now)?;
--- a/crates/wheelspread/src/balancer/tests/stage.rs
+++ b/crates/wheelspread/src/balancer/tests/stage.rs
@@ -207,9 +207,9 @@
             ["restore", name, rate, evidence] => {
                 let snapshot = CapacitySnapshot {
                     node: node(name),
-                    capacity: number(rate).ln(),
+                    log_capacity: number(rate).ln(),
                     evidence: number(evidence),
-                    quickest: 0.1,
+                    kind_base_latency: 0.1,
                 };
                 self.balancer().restore_capacities(&[snapshot]);
             }
@@ -263,7 +263,7 @@
         }
     }
 
-    fn join(&mut self, id: &str, in_zone: &str, rate: &str, fresh: bool) {
+    fn join(&mut self, id: &str, in_zone: &str, rate: &str, holds_no_table: bool) {
         let id = proxy(id);
         self.joined.insert(id);
         self.bound.retain(|(bound, _)| *bound != id);
@@ -271,7 +271,7 @@
             proxy: id,
             zone: zone(in_zone),
             usual_rate: number(rate),
-            fresh,
+            holds_no_table,
         });
     }
 
--- a/crates/wheelspread/src/capacity.rs
+++ b/crates/wheelspread/src/capacity.rs
@@ -77,20 +77,20 @@
     /// The node.
     pub node: NodeId,
     /// Logarithm of the requests per second that it can serve.
-    pub capacity: f64,
+    pub log_capacity: f64,
     /// Report periods that the capacity rests on.
     pub evidence: f64,
     /// The shortest mean latency of its kind, in seconds.
-    pub quickest: f64,
+    pub kind_base_latency: f64,
 }
 
 impl CapacitySnapshot {
     /// Whether all figures are usable.
-    pub fn sound(&self) -> bool {
-        self.capacity.is_finite()
+    pub fn is_valid(&self) -> bool {
+        self.log_capacity.is_finite()
             && self.evidence.is_finite()
             && self.evidence >= 0.0
-            && self.quickest > 0.0
+            && self.kind_base_latency > 0.0
     }
 }
 
@@ -129,7 +129,7 @@
     /// Takes over what was known before a restart, for ready nodes without reports: at less evidence than
     /// it had then.
     pub fn restore(&mut self, nodes: &mut Nodes, snapshots: &[CapacitySnapshot]) {
-        for snapshot in snapshots.iter().filter(|snapshot| snapshot.sound()) {
+        for snapshot in snapshots.iter().filter(|snapshot| snapshot.is_valid()) {
             let Some(node) = nodes
                 .get_mut(&snapshot.node)
                 .filter(|node| node.is_ready() && node.load.evidence() <= 0.0)
@@ -137,10 +137,10 @@
                 continue;
             };
             node.load
-                .restore(snapshot.capacity, snapshot.evidence * RESTORED_EVIDENCE);
+                .restore(snapshot.log_capacity, snapshot.evidence * RESTORED_EVIDENCE);
             self.quickest
                 .entry(node.kind())
-                .or_insert(snapshot.quickest);
+                .or_insert(snapshot.kind_base_latency);
         }
     }
 
@@ -155,9 +155,9 @@
         known.filter_map(|(id, node)| {
             Some(CapacitySnapshot {
                 node: *id,
-                capacity: node.load.log_capacity()?,
+                log_capacity: node.load.log_capacity()?,
                 evidence: node.load.evidence(),
-                quickest: *self.quickest.get(&node.kind())?,
+                kind_base_latency: *self.quickest.get(&node.kind())?,
             })
         })
     }
--- a/crates/wheelspread/src/event.rs
+++ b/crates/wheelspread/src/event.rs
@@ -66,7 +66,7 @@
         /// A rough figure of the requests that usually come to it, per second.
         usual_rate: f64,
         /// Whether it holds no table that a controller ordered.
-        fresh: bool,
+        holds_no_table: bool,
     },
     /// A proxy has left.
     ProxyLeft {
--- a/crates/wheelspread/src/outlier.rs
+++ b/crates/wheelspread/src/outlier.rs
@@ -117,7 +117,7 @@
 
     /// Attempts and failures of the last so many buckets.
     pub fn recent(&self, now: Moment, buckets: usize) -> AttemptStats {
-        self.window.last(now, buckets)
+        self.window.sum_last(now, buckets)
     }
 }
 
--- a/crates/wheelspread/src/rolling_window.rs
+++ b/crates/wheelspread/src/rolling_window.rs
@@ -38,7 +38,7 @@
     }
 
     /// The sum of the bucket of `now` and the `count - 1` before it.
-    pub fn last(&self, now: Moment, count: usize) -> T {
+    pub fn sum_last(&self, now: Moment, count: usize) -> T {
         let current = self.bucket_number(now);
         let mut sum = T::default();
         for (number, value) in &self.buckets {
@@ -51,6 +51,6 @@
 
     /// The sum of every bucket still held at `now`.
     pub fn total(&self, now: Moment) -> T {
-        self.last(now, self.buckets.len())
+        self.sum_last(now, self.buckets.len())
     }
 }
--- a/crates/wheelspread/tests/action_snapshot.rs
+++ b/crates/wheelspread/tests/action_snapshot.rs
@@ -196,7 +196,7 @@
         self.handle(&Event::EndpointList { kind, entries });
     }
 
-    fn join(&mut self, proxy: u16, fresh: bool) {
+    fn join(&mut self, proxy: u16, holds_no_table: bool) {
         self.joined.insert(proxy);
         let zone = ZoneId(proxy % self.fleet.zones);
         let usual_rate = self.fleet.proxy_rate * (0.8 + 0.4 * self.random.unit());
@@ -204,7 +204,7 @@
             proxy: ProxyId(proxy),
             zone,
             usual_rate,
-            fresh,
+            holds_no_table,
         });
     }
 
