--- a/crates/wheelspread/src/admission.rs
+++ b/crates/wheelspread/src/admission.rs
@@ -81,14 +81,14 @@
             cut: None,
             easing: 1.0,
             last_eased_at: now,
-            load: FleetLoad::Usual,
+            load: FleetLoad::Normal,
             last_busy_at: now,
         }
     }
 
     /// Whether the fleet is overloaded.
     pub fn is_strained(&self) -> bool {
-        self.load == FleetLoad::Strained
+        self.load == FleetLoad::Overloaded
     }
 
     /// The last resort of the latest update plan; `None`: it had headroom.
@@ -144,15 +144,15 @@
             self.easing = (self.easing * EASING.cut).max(EASING.least);
             self.last_eased_at = now;
         }
-        let has_been_calm = now - self.last_busy_at > cycle * LOAD_THRESHOLDS.calm_cycles;
-        self.load = if load >= LOAD_THRESHOLDS.strained {
-            FleetLoad::Strained
-        } else if load < LOAD_THRESHOLDS.calm && has_been_calm {
-            FleetLoad::Calm
+        let has_been_calm = now - self.last_busy_at > cycle * LOAD_THRESHOLDS.low_cycles;
+        self.load = if load >= LOAD_THRESHOLDS.overload {
+            FleetLoad::Overloaded
+        } else if load < LOAD_THRESHOLDS.low && has_been_calm {
+            FleetLoad::Low
         } else {
-            FleetLoad::Usual
+            FleetLoad::Normal
         };
-        if load >= LOAD_THRESHOLDS.calm {
+        if load >= LOAD_THRESHOLDS.low {
             self.last_busy_at = now;
         }
     }
@@ -205,7 +205,7 @@
 fn local_limit(fleet: &Fleet, table: &Table, demand: &BTreeMap<DemandClass, f64>) -> Option<f64> {
     let zone = table.zone();
     let is_strained = |zone: ZoneId| {
-        mean_utilization(fleet, |node| node.zone() == zone) >= LOAD_THRESHOLDS.strained
+        mean_utilization(fleet, |node| node.zone() == zone) >= LOAD_THRESHOLDS.overload
     };
     if !table.class().stays_in_zone || !is_strained(zone) {
         return None;
--- a/crates/wheelspread/src/balancer.rs
+++ b/crates/wheelspread/src/balancer.rs
@@ -20,7 +20,7 @@
     apply_urgent_changes, bind_joined, publish_admission, publish_weights, published_weights,
     send_marker,
 };
-use crate::report_timing::REPORT_MEMORY;
+use crate::report_timing::REPORT_RETENTION;
 use crate::settings::Settings;
 use crate::shares::TableWeights;
 use crate::slow_start::limit_warming_entries;
@@ -38,7 +38,7 @@
 /// The same where joins or changes of the endpoint list bring a round forward.
 const HURRIED_ROUND_PERIODS: f64 = 0.05;
 /// Of the memory of averages: that of demand.
-const DEMAND_MEMORY: f64 = REPORT_MEMORY.average_cycles / 3.0;
+const DEMAND_MEMORY: f64 = REPORT_RETENTION.time_constant_cycles / 3.0;
 
 /// All that one controller's balancer knows and has decided.
 pub struct Balancer {
@@ -176,7 +176,7 @@
             return;
         };
         if measurements != Measurements::Keep {
-            self.fleet.outliers.forget_node(id);
+            self.fleet.outliers.remove_node(id);
         }
         self.want_update();
     }
@@ -198,7 +198,7 @@
         fleet.timing.on_report(fleet.now, report.window);
         fleet.timing.on_load_report(fleet.now);
         node.load
-            .on_report(&report, &fleet.config, fleet.timing.memory());
+            .on_report(&report, &fleet.config, fleet.timing.time_constant());
         fleet
             .outliers
             .on_load_report(&report, &fleet.timing, fleet.now);
@@ -322,7 +322,7 @@
 
     fn update_estimates(&mut self) {
         self.pacing.forget_old(self.fleet.now);
-        self.fleet.forget_departed();
+        self.fleet.remove_departed();
         self.fleet.update_kind_means();
         self.fleet.learn_capacity(self.admission.is_strained());
         self.fleet.update_kind_means();
--- a/crates/wheelspread/src/balancer/tests/stage.rs
+++ b/crates/wheelspread/src/balancer/tests/stage.rs
@@ -216,7 +216,7 @@
             ["peak", name, rate] => {
                 let nodes = &mut self.balancer().fleet.nodes;
                 if let Some(node) = nodes.get_mut(&node(name)) {
-                    node.load.raise_peak_within_objective(number(rate));
+                    node.load.record_rate_within_objective(number(rate));
                 }
             }
             ["entries", id, entries @ ..] => {
--- a/crates/wheelspread/src/capacity.rs
+++ b/crates/wheelspread/src/capacity.rs
@@ -16,44 +16,44 @@
 /// Report periods that the mean of a node's kind counts beside the node's own reports.
 const PRIOR_PERIODS: f64 = 3.0;
 /// Of the evidence from before a restart.
-const RESTORED_EVIDENCE: f64 = 0.5;
+const RESTORED_EVIDENCE_RATIO: f64 = 0.5;
 /// Utilization that is assumed before anything was reported.
 pub(crate) const ASSUMED_UTILIZATION: f64 = 0.6;
 
 /// A range of ratios.
 struct RatioRange {
-    least: f64,
-    most: f64,
+    min_ratio: f64,
+    max_ratio: f64,
 }
 
 /// A node's own estimate, to that of its kind.
 const ESTIMATE_RANGE: RatioRange = RatioRange {
-    least: 0.1,
-    most: 10.0,
+    min_ratio: 0.1,
+    max_ratio: 10.0,
 };
 /// What latency may tell of a kind's speed, to that of the fleet.
-const KIND_SPEED: RatioRange = RatioRange {
-    least: 0.5,
-    most: 1.6,
+const KIND_SPEED_RANGE: RatioRange = RatioRange {
+    min_ratio: 0.5,
+    max_ratio: 1.6,
 };
 
 /// Utilization by latency, in the shape of a queue before a few cores.
 struct QueueShape {
     /// Waiting time at the quickest, to the service time.
-    least_wait: f64,
+    min_wait_ratio: f64,
     factor: f64,
     exponent: f64,
     /// The most utilization without a queue.
-    without_queue: f64,
+    max_without_queue: f64,
     /// More of it for each request that waits.
     per_waiting_request: f64,
 }
 
 const QUEUE_SHAPE: QueueShape = QueueShape {
-    least_wait: 0.12,
+    min_wait_ratio: 0.12,
     factor: 3.4,
     exponent: 0.65,
-    without_queue: 0.66,
+    max_without_queue: 0.66,
     per_waiting_request: 0.3,
 };
 
@@ -61,14 +61,14 @@
 struct LatencyFactor {
     /// Power of the fleet's latency by the node's.
     exponent: f64,
-    least: f64,
-    most: f64,
+    min_ratio: f64,
+    max_ratio: f64,
 }
 
 const LATENCY_FACTOR: LatencyFactor = LatencyFactor {
     exponent: 0.3,
-    least: 0.4,
-    most: 1.25,
+    min_ratio: 0.4,
+    max_ratio: 1.25,
 };
 
 /// What is kept of a node over a restart.
@@ -107,10 +107,10 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CapacityModel {
     /// The shortest mean latency that each kind has shown, in seconds.
-    quickest: BTreeMap<KindId, f64>,
+    base_latency: BTreeMap<KindId, f64>,
     kinds: BTreeMap<KindId, KindMeans>,
     /// The fleet's mean latency in seconds.
-    usual_latency: f64,
+    fleet_latency: f64,
     /// Whether reports came that were not learnt from.
     has_new_reports: bool,
 }
@@ -136,9 +136,11 @@
             else {
                 continue;
             };
-            node.load
-                .restore(snapshot.log_capacity, snapshot.evidence * RESTORED_EVIDENCE);
-            self.quickest
+            node.load.restore(
+                snapshot.log_capacity,
+                snapshot.evidence * RESTORED_EVIDENCE_RATIO,
+            );
+            self.base_latency
                 .entry(node.kind())
                 .or_insert(snapshot.kind_base_latency);
         }
@@ -157,7 +159,7 @@
                 node: *id,
                 log_capacity: node.load.log_capacity()?,
                 evidence: node.load.evidence(),
-                kind_base_latency: *self.quickest.get(&node.kind())?,
+                kind_base_latency: *self.base_latency.get(&node.kind())?,
             })
         })
     }
@@ -168,11 +170,12 @@
     /// is too late.
     pub fn utilization(&self, node: &Node) -> Option<f64> {
         node.load.utilization().or_else(|| {
-            let quickest = self.quickest.get(&node.kind())?;
-            let wait = (node.load.latency()? / quickest - 1.0).max(0.0) + QUEUE_SHAPE.least_wait;
+            let base_latency = self.base_latency.get(&node.kind())?;
+            let wait =
+                (node.load.latency()? / base_latency - 1.0).max(0.0) + QUEUE_SHAPE.min_wait_ratio;
             let load = QUEUE_SHAPE.factor * wait.powf(QUEUE_SHAPE.exponent);
             let limit = node.load.queue_length().map_or(1.0, |length| {
-                QUEUE_SHAPE.without_queue + QUEUE_SHAPE.per_waiting_request * length
+                QUEUE_SHAPE.max_without_queue + QUEUE_SHAPE.per_waiting_request * length
             });
             Some((load / (1.0 + load)).min(limit))
         })
@@ -197,10 +200,11 @@
         let prior = self.prior(node, config, now);
         let own = node.load.log_capacity().unwrap_or(prior.ln());
         let evidence = node.load.evidence();
-        let mixed = (own * evidence + prior.ln() * PRIOR_PERIODS) / (evidence + PRIOR_PERIODS);
-        mixed
-            .exp()
-            .clamp(prior * ESTIMATE_RANGE.least, prior * ESTIMATE_RANGE.most)
+        let blended = (own * evidence + prior.ln() * PRIOR_PERIODS) / (evidence + PRIOR_PERIODS);
+        blended.exp().clamp(
+            prior * ESTIMATE_RANGE.min_ratio,
+            prior * ESTIMATE_RANGE.max_ratio,
+        )
     }
 
     /// The same, less where requests take longer than the fleet's do: at equal utilization a slow node
@@ -208,21 +212,23 @@
     pub fn effective_capacity(&self, node: &Node, config: &Config, now: Moment) -> f64 {
         let factor = match (node.load.utilization(), node.load.latency()) {
             (Some(_), Some(latency)) => {
-                (self.usual_latency / latency).powf(LATENCY_FACTOR.exponent)
+                (self.fleet_latency / latency).powf(LATENCY_FACTOR.exponent)
             }
             _ => 1.0,
         };
-        self.capacity(node, config, now) * factor.clamp(LATENCY_FACTOR.least, LATENCY_FACTOR.most)
+        self.capacity(node, config, now)
+            * factor.clamp(LATENCY_FACTOR.min_ratio, LATENCY_FACTOR.max_ratio)
     }
 
     /// What a node is assumed to serve before its own reports tell.
     fn prior(&self, node: &Node, config: &Config, now: Moment) -> f64 {
-        (self.nominal_capacity(node) * node.capacity_share(config, now)).max(1e-3)
+        (self.nominal_capacity(node) * node.capacity_ratio(config, now)).max(1e-3)
     }
 
     /// Once a round: by kind, what a ready node serves and was seen to serve for each unit of listed weight.
     pub fn update_kind_means(&mut self, nodes: &Nodes, demand: f64) {
-        let blind = demand.max(1.0) / ASSUMED_UTILIZATION / nodes.open_weight().max(1e-6);
+        let assumed_capacity =
+            demand.max(1.0) / ASSUMED_UTILIZATION / nodes.open_weight().max(1e-6);
         let estimate = |node: &Node| {
             let known = node.load.evidence() > PRIOR_PERIODS;
             node.load.log_capacity().filter(|_| known).map(f64::exp)
@@ -232,7 +238,7 @@
         let means = |kind: KindId| {
             let capacity = self
                 .mean_per_weight(nodes, kind, estimate)
-                .unwrap_or_else(|| blind * self.relative_speed(nodes, kind));
+                .unwrap_or_else(|| assumed_capacity * self.relative_speed(nodes, kind));
             let observed_peak = self.mean_per_weight(nodes, kind, peak);
             (
                 kind,
@@ -243,7 +249,7 @@
             )
         };
         self.kinds = kinds.into_iter().map(means).collect();
-        self.usual_latency = mean_latency(nodes, |_| true).unwrap_or(1.0);
+        self.fleet_latency = mean_latency(nodes, |_| true).unwrap_or(1.0);
     }
 
     /// How much quicker a kind is than the fleet, by the latency of its ready nodes: what it is taken for while
@@ -251,7 +257,7 @@
     fn relative_speed(&self, nodes: &Nodes, kind: KindId) -> f64 {
         let own = mean_latency(nodes, |node| node.kind() == kind && node.is_ready());
         own.map_or(1.0, |own| {
-            (self.usual_latency / own).clamp(KIND_SPEED.least, KIND_SPEED.most)
+            (self.fleet_latency / own).clamp(KIND_SPEED_RANGE.min_ratio, KIND_SPEED_RANGE.max_ratio)
         })
     }
 
@@ -260,14 +266,15 @@
         &self,
         nodes: &Nodes,
         kind: KindId,
-        figure: impl Fn(&Node) -> Option<f64>,
+        value: impl Fn(&Node) -> Option<f64>,
     ) -> Option<f64> {
         let mean = |counts: &dyn Fn(&Node) -> bool| {
             let ready = nodes
                 .values()
                 .filter(|node| node.is_ready() && counts(node));
-            let known = ready.filter_map(|node| Some((figure(node)?, node.weight())));
-            let (sum, weights) = known.fold((0.0, 0.0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
+            let known = ready.filter_map(|node| Some((value(node)?, node.weight())));
+            let (sum, weights) =
+                known.fold((0.0, 0.0), |sum, item| (sum.0 + item.0, sum.1 + item.1));
             (weights > 0.0).then(|| sum / weights)
         };
         let of_fleet = || Some(mean(&|_| true)? * self.relative_speed(nodes, kind));
--- a/crates/wheelspread/src/config.rs
+++ b/crates/wheelspread/src/config.rs
@@ -35,7 +35,7 @@
     /// `report.field.N` that is `queue`.
     pub queue_metric: Option<usize>,
     /// `conductor.count`
-    pub controllers: f64,
+    pub controller_count: f64,
     /// `conductor.tick`: least time between two decision rounds.
     pub tick: Span,
     /// `conductor.joined_by_zone`: proxies join the controller of their zone.
@@ -43,7 +43,7 @@
     /// `peers.may_tell`: controllers may send gossip to each other.
     pub gossip_enabled: bool,
     /// `proxy.count`: proxies of the whole fleet.
-    pub proxies: f64,
+    pub proxy_count: f64,
     /// `proxy.errors_until_avoided`: errors in a row after which a proxy avoids a node; 0: never.
     pub errors_until_avoided: f64,
     /// `proxy.connection_idle`: after that time a proxy closes an unused connection.
@@ -65,7 +65,7 @@
     /// `rules.warm_after`: time after its start for which a node warms up.
     pub warm_up: Span,
     /// `rules.cold_start_share`: share of its capacity that a node has when it starts.
-    pub warm_up_start_share: f64,
+    pub warm_up_start_ratio: f64,
     /// `rules.cold_overload_factor`: times its capacity that pushes a node over while it warms up.
     pub warm_up_overload_factor: f64,
     /// `rules.drain_grace`: how long a draining node goes on serving; 0: not known.
@@ -88,17 +88,17 @@
         let span = |name: &str| Span::from_seconds(number(name));
         let operation_count = settings.number("operation.count")?;
         let operations = (0..operation_count.clamp(0.0, MAX_OPERATIONS) as u8)
-            .map(|at| Operation::read(settings, at))
+            .map(|index| Operation::read(settings, index))
             .collect::<Result<Vec<_>, _>>()?;
         Ok(Config {
             report_period: Span::from_seconds(number("sums.period").clamp(0.05, 60.0)),
-            utilization_metric: metric_position(settings, "utilization"),
-            queue_metric: metric_position(settings, "queue"),
-            controllers: number("conductor.count"),
+            utilization_metric: metric_index(settings, "utilization"),
+            queue_metric: metric_index(settings, "queue"),
+            controller_count: number("conductor.count"),
             tick: span("conductor.tick"),
             proxies_join_by_zone: settings.flag_or("conductor.joined_by_zone", false),
             gossip_enabled: settings.flag_or("peers.may_tell", false),
-            proxies: number("proxy.count"),
+            proxy_count: number("proxy.count"),
             errors_until_avoided: number("proxy.errors_until_avoided"),
             connection_idle: span("proxy.connection_idle"),
             admission_as_share: settings
@@ -111,7 +111,7 @@
             message_cap: number("channel.messages_at_most"),
             message_window: span("channel.messages_window"),
             warm_up: span("rules.warm_after"),
-            warm_up_start_share: number("rules.cold_start_share").clamp(0.01, 1.0),
+            warm_up_start_ratio: number("rules.cold_start_share").clamp(0.01, 1.0),
             warm_up_overload_factor: number("rules.cold_overload_factor").max(0.0),
             drain_grace: span("rules.drain_grace"),
             cross_zone_price: number("price.cross_zone"),
@@ -130,7 +130,7 @@
     }
 
     /// How many zones there are.
-    pub fn zones(&self) -> u16 {
+    pub fn zone_count(&self) -> u16 {
         self.zone_count.clamp(0.0, MAX_ZONES) as u16
     }
 
@@ -150,12 +150,12 @@
 }
 
 /// The place of a metric in load reports, by the settings `report.field.N`.
-fn metric_position(settings: &Settings, metric: &str) -> Option<usize> {
-    let positions = settings.0.keys().filter_map(|name| {
-        let position: usize = name.strip_prefix("report.field.")?.parse().ok()?;
-        (settings.text(name).ok()? == metric).then_some(position)
+fn metric_index(settings: &Settings, metric: &str) -> Option<usize> {
+    let indices = settings.0.keys().filter_map(|name| {
+        let index: usize = name.strip_prefix("report.field.")?.parse().ok()?;
+        (settings.text(name).ok()? == metric).then_some(index)
     });
-    positions.min()
+    indices.min()
 }
 
 /// The settings of one operation.
@@ -188,11 +188,11 @@
 }
 
 impl Operation {
-    fn read(settings: &Settings, at: u8) -> Result<Operation, ConfigError> {
-        let name = |part: &str| format!("operation.{at}.{part}");
+    fn read(settings: &Settings, index: u8) -> Result<Operation, ConfigError> {
+        let name = |part: &str| format!("operation.{index}.{part}");
         let span = |part: &str| settings.number(&name(part)).map(Span::from_seconds);
         Ok(Operation {
-            id: OperationId(at),
+            id: OperationId(index),
             latency_objective: span("latency_objective")?,
             timeout: span("integration_timeout")?,
             billed_value: settings.number_or(&name("billed_value"), 1.0),
--- a/crates/wheelspread/src/fleet.rs
+++ b/crates/wheelspread/src/fleet.rs
@@ -14,7 +14,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Share of all demand at proxies that have left: with more of it, load reports teach no capacity.
-const UNREPORTED_DEMAND: f64 = 0.15;
+const MAX_UNREPORTED_DEMAND_RATIO: f64 = 0.15;
 
 /// Everything that is known at one moment.
 pub(crate) struct Fleet {
@@ -38,7 +38,7 @@
             capacity: CapacityModel::default(),
             outliers: Outliers::default(),
             members: Membership::new(now),
-            tables: undivided_tables(&config.operations, config.zones()),
+            tables: undivided_tables(&config.operations, config.zone_count()),
             gossip: Gossip::new(now),
             timing: ReportTiming::new(now, config.report_period),
             config,
@@ -62,8 +62,8 @@
     }
 
     /// The part of a node's capacity that a zone should use.
-    pub fn usable_share(&self, zone: ZoneId, id: NodeId) -> f64 {
-        self.outliers.usable_share(id, zone, &self.timing, self.now)
+    pub fn usable_ratio(&self, zone: ZoneId, id: NodeId) -> f64 {
+        self.outliers.usable_ratio(id, zone, &self.timing, self.now)
     }
 
     /// Requests per second that a node serves for peers' proxies.
@@ -96,8 +96,8 @@
         {
             for operation in table.operations() {
                 let demand = proxy.demand_for(*operation).unwrap_or(0.0);
-                let order = table.admission(*operation);
-                let limit = order.map_or(f64::INFINITY, |order| order.limit);
+                let admission = table.admission(*operation);
+                let limit = admission.map_or(f64::INFINITY, |admission| admission.limit);
                 sum += if self.config.admission_as_share {
                     demand * limit.min(1.0)
                 } else {
@@ -111,19 +111,19 @@
     /// Demand by zone and by whether it stays there: of own proxies, of those out of a single controller's
     /// reach, and of those that peers reported.
     pub fn demand_by_class(&self) -> BTreeMap<DemandClass, f64> {
-        let is_alone = self.config.controllers <= 1.0;
-        let mut sums = self.own_demand(|proxy| proxy.has_joined() || is_alone);
+        let is_single_controller = self.config.controller_count <= 1.0;
+        let mut sums = self.own_demand(|proxy| proxy.has_joined() || is_single_controller);
         self.gossip.add_demand(&mut sums, self.gossip_since());
         sums
     }
 
-    fn own_demand(&self, counts: impl Fn(&Proxy) -> bool) -> BTreeMap<DemandClass, f64> {
+    fn own_demand(&self, is_included: impl Fn(&Proxy) -> bool) -> BTreeMap<DemandClass, f64> {
         let mut sums = empty_demand(&self.tables);
         for proxy in self
             .members
             .proxies()
             .values()
-            .filter(|proxy| counts(proxy))
+            .filter(|proxy| is_included(proxy))
         {
             for operation in &self.config.operations {
                 let class = DemandClass {
@@ -150,17 +150,18 @@
 
     /// Reads new load reports into the capacity estimates. Reports that show only a part of what nodes get, as
     /// while many proxies have left, teach nothing.
-    pub fn learn_capacity(&mut self, is_strained: bool) {
-        let unreported = self.members.demand_of(|proxy| !proxy.has_joined())
+    pub fn learn_capacity(&mut self, is_overloaded: bool) {
+        let unreported_ratio = self.members.demand_of(|proxy| !proxy.has_joined())
             / self.members.total_demand().max(1e-6);
-        let is_partial = self.config.controllers <= 1.0 && unreported > UNREPORTED_DEMAND;
+        let is_partial =
+            self.config.controller_count <= 1.0 && unreported_ratio > MAX_UNREPORTED_DEMAND_RATIO;
         if !self.capacity.take_new_reports() || is_partial {
             return;
         }
         let input = LearningInput {
-            memory: self.timing.memory(),
+            time_constant: self.timing.time_constant(),
             objective: self.config.shortest_objective(),
-            is_strained,
+            is_overloaded,
             now: self.now,
         };
         let (own_since, gossip_since) = (self.timing.rates_valid_since(), self.gossip_since());
@@ -189,17 +190,17 @@
     }
 
     /// Drops nodes, paths and proxies that have been away for long.
-    pub fn forget_departed(&mut self) {
-        const WARM_UPS_REMEMBERED: f64 = 10.0;
-        let (now, long) = (self.now, self.config.warm_up * WARM_UPS_REMEMBERED);
-        let is_recent = |at: Moment| now - at < long;
+    pub fn remove_departed(&mut self) {
+        const RETENTION_WARM_UPS: f64 = 10.0;
+        let (now, retention) = (self.now, self.config.warm_up * RETENTION_WARM_UPS);
+        let is_recent = |at: Moment| now - at < retention;
         let entries = self
             .tables
             .values()
             .flat_map(|table| table.entries().keys());
-        let held: BTreeSet<NodeId> = entries.copied().collect();
-        self.nodes.forget_unlisted(&held, is_recent);
-        self.outliers.forget_unknown(&self.nodes);
+        let held_nodes: BTreeSet<NodeId> = entries.copied().collect();
+        self.nodes.remove_unlisted(&held_nodes, is_recent);
+        self.outliers.remove_unknown(&self.nodes);
         self.members.forget_departed(is_recent);
     }
 }
--- a/crates/wheelspread/src/fleet_load.rs
+++ b/crates/wheelspread/src/fleet_load.rs
@@ -7,61 +7,61 @@
 /// Measured load, of 1, and what follows from it.
 pub(crate) struct LoadThresholds {
     /// Cuts from there on.
-    pub strained: f64,
+    pub overload: f64,
     /// Calm below, after some report cycles.
-    pub calm: f64,
-    pub calm_cycles: f64,
+    pub low: f64,
+    pub low_cycles: f64,
     /// Failures by attempts at busy nodes: with more, the fleet is overrun whatever else is measured.
-    failure_share: f64,
+    overload_failure_ratio: f64,
     /// Report cycles over which those are counted.
     failure_cycles: f64,
 }
 
 pub(crate) const LOAD_THRESHOLDS: LoadThresholds = LoadThresholds {
-    strained: 0.72,
-    calm: 0.6,
-    calm_cycles: 8.0,
-    failure_share: 0.06,
+    overload: 0.72,
+    low: 0.6,
+    low_cycles: 8.0,
+    overload_failure_ratio: 0.06,
     failure_cycles: 2.0,
 };
 
 /// How busy the fleet is as a whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FleetLoad {
-    Calm,
-    Usual,
-    Strained,
+    Low,
+    Normal,
+    Overloaded,
 }
 
 /// Mean utilization of all open nodes, by the attempts they get, of 1; full when many attempts fail at nodes that
 /// are busy or report nothing. Failures elsewhere are not the load's: to admit less mends none.
 pub(crate) fn measured_load(fleet: &Fleet) -> f64 {
-    let buckets = fleet.timing.buckets(LOAD_THRESHOLDS.failure_cycles);
-    let (mut attempts, mut overrun) = (0.0, 0.0);
+    let bucket_count = fleet.timing.bucket_count(LOAD_THRESHOLDS.failure_cycles);
+    let (mut attempts, mut overload_failures) = (0.0, 0.0);
     for (node, path) in open_paths(fleet) {
-        let recent = path.recent(fleet.now, buckets);
+        let recent = path.recent(fleet.now, bucket_count);
         attempts += recent.attempts;
         let utilization = fleet.capacity.utilization(node);
-        if utilization.is_none_or(|utilization| utilization >= LOAD_THRESHOLDS.calm) {
-            overrun += recent.failures;
+        if utilization.is_none_or(|utilization| utilization >= LOAD_THRESHOLDS.low) {
+            overload_failures += recent.failures;
         }
     }
-    if overrun > attempts * LOAD_THRESHOLDS.failure_share {
+    if overload_failures > attempts * LOAD_THRESHOLDS.overload_failure_ratio {
         1.0
     } else {
         mean_utilization(fleet, |_| true)
     }
 }
 
-pub(crate) fn mean_utilization(fleet: &Fleet, counts: impl Fn(&Node) -> bool) -> f64 {
-    let (mut sum, mut rates) = (0.0, 0.0);
-    for (node, path) in open_paths(fleet).filter(|(node, _)| counts(node)) {
+pub(crate) fn mean_utilization(fleet: &Fleet, is_included: impl Fn(&Node) -> bool) -> f64 {
+    let (mut sum, mut rate_sum) = (0.0, 0.0);
+    for (node, path) in open_paths(fleet).filter(|(node, _)| is_included(node)) {
         if let Some(utilization) = fleet.capacity.utilization(node) {
             let rate = path.attempt_rate().unwrap_or(0.0);
-            (sum, rates) = (sum + rate * utilization, rates + rate);
+            (sum, rate_sum) = (sum + rate * utilization, rate_sum + rate);
         }
     }
-    sum / rates.max(1e-6)
+    sum / rate_sum.max(1e-6)
 }
 
 fn open_paths(fleet: &Fleet) -> impl Iterator<Item = (&Node, &Path)> {
--- a/crates/wheelspread/src/gossip.rs
+++ b/crates/wheelspread/src/gossip.rs
@@ -85,7 +85,7 @@
 
     /// Whether a message is due; it then counts as sent.
     pub fn take_due(&mut self, config: &Config, now: Moment) -> bool {
-        let has_peers = config.gossip_enabled && config.controllers > 1.0;
+        let has_peers = config.gossip_enabled && config.controller_count > 1.0;
         let is_due =
             has_peers && now - self.last_sent_at >= config.report_period * GOSSIP_TIMING.between;
         if is_due {
--- a/crates/wheelspread/src/lifecycle.rs
+++ b/crates/wheelspread/src/lifecycle.rs
@@ -46,22 +46,22 @@
     /// All of them.
     Keep,
     /// The node's own; what zones observed there is forgotten.
-    ForgetPaths,
+    DiscardPaths,
     /// None: a restarted process is another one.
-    ForgetAll,
+    DiscardAll,
 }
 
 /// The next state; `None` where the input changes nothing.
 fn transition(state: Lifecycle, input: LifecycleInput) -> Option<(Lifecycle, Measurements)> {
     use Lifecycle::{Draining, Ready, Unlisted, WarmingUp};
-    use Measurements::{ForgetAll, ForgetPaths, Keep};
+    use Measurements::{DiscardAll, DiscardPaths, Keep};
     match (input, state) {
-        (LifecycleInput::ListedReady, Unlisted | Draining) => Some((Ready, ForgetPaths)),
+        (LifecycleInput::ListedReady, Unlisted | Draining) => Some((Ready, DiscardPaths)),
         (LifecycleInput::ListedReady, WarmingUp | Ready) => None,
-        (LifecycleInput::Restarted, _) => Some((WarmingUp, ForgetAll)),
+        (LifecycleInput::Restarted, _) => Some((WarmingUp, DiscardAll)),
         (LifecycleInput::ListedDraining, Unlisted | WarmingUp | Ready) => Some((Draining, Keep)),
         (LifecycleInput::ListedDraining, Draining) => None,
-        (LifecycleInput::Removed, WarmingUp | Ready | Draining) => Some((Unlisted, ForgetPaths)),
+        (LifecycleInput::Removed, WarmingUp | Ready | Draining) => Some((Unlisted, DiscardPaths)),
         (LifecycleInput::Removed, Unlisted) => None,
         (LifecycleInput::WarmedUp, WarmingUp) => Some((Ready, Keep)),
         (LifecycleInput::WarmedUp, Unlisted | Ready | Draining) => None,
@@ -126,14 +126,14 @@
 
     /// Age, as a part of the time to warm up; 1 at most.
     fn warm_up_progress(&self, warm_up: Span, now: Moment) -> f64 {
-        let whole = warm_up.seconds().max(1e-3);
+        let total = warm_up.seconds().max(1e-3);
         self.started
-            .map_or(1.0, |at| ((now - at).seconds().max(0.0) / whole).min(1.0))
+            .map_or(1.0, |at| ((now - at).seconds().max(0.0) / total).min(1.0))
     }
 
     /// The least share of its capacity that it has by now.
-    pub fn capacity_share(&self, config: &Config, now: Moment) -> f64 {
-        let start = config.warm_up_start_share;
+    pub fn capacity_ratio(&self, config: &Config, now: Moment) -> f64 {
+        let start = config.warm_up_start_ratio;
         if self.is_warming() {
             start + (1.0 - start) * self.warm_up_progress(config.warm_up, now)
         } else {
@@ -157,9 +157,9 @@
         now: Moment,
     ) -> LifecycleInput {
         let known = self.by_id.get(&entry.node);
-        let is_young = entry.started.is_some_and(|at| now - at < warm_up);
-        let is_restart =
-            is_young && known.is_none_or(|node| node.started != entry.started || !node.is_open());
+        let is_recent_start = entry.started.is_some_and(|at| now - at < warm_up);
+        let is_restart = is_recent_start
+            && known.is_none_or(|node| node.started != entry.started || !node.is_open());
         let node = self
             .by_id
             .entry(entry.node)
@@ -188,8 +188,8 @@
         let node = self.by_id.get_mut(&id)?;
         let (state, measurements) = transition(node.state, input)?;
         (node.state, node.changed_at) = (state, now);
-        if measurements == Measurements::ForgetAll {
-            node.load.forget();
+        if measurements == Measurements::DiscardAll {
+            node.load.reset();
         }
         Some(measurements)
     }
@@ -213,7 +213,7 @@
     }
 
     /// Drops nodes that left the list before `changed_before` and that no table holds.
-    pub fn forget_unlisted(&mut self, held: &BTreeSet<NodeId>, is_recent: impl Fn(Moment) -> bool) {
+    pub fn remove_unlisted(&mut self, held: &BTreeSet<NodeId>, is_recent: impl Fn(Moment) -> bool) {
         self.by_id.retain(|id, node| {
             node.state != Lifecycle::Unlisted || held.contains(id) || is_recent(node.changed_at)
         });
--- a/crates/wheelspread/src/lifecycle/tests.rs
+++ b/crates/wheelspread/src/lifecycle/tests.rs
@@ -1,23 +1,23 @@
 use super::transition;
 use super::Lifecycle::{self, Draining, Ready, Unlisted, WarmingUp};
 use super::LifecycleInput::{self, ListedDraining, ListedReady, Removed, Restarted, WarmedUp};
-use super::Measurements::{self, ForgetAll, ForgetPaths, Keep};
+use super::Measurements::{self, DiscardAll, DiscardPaths, Keep};
 
 /// Every transition there is.
 const TRANSITIONS: [(Lifecycle, LifecycleInput, Lifecycle, Measurements); 13] = [
-    (Unlisted, ListedReady, Ready, ForgetPaths),
-    (Unlisted, Restarted, WarmingUp, ForgetAll),
+    (Unlisted, ListedReady, Ready, DiscardPaths),
+    (Unlisted, Restarted, WarmingUp, DiscardAll),
     (Unlisted, ListedDraining, Draining, Keep),
-    (WarmingUp, Restarted, WarmingUp, ForgetAll),
+    (WarmingUp, Restarted, WarmingUp, DiscardAll),
     (WarmingUp, WarmedUp, Ready, Keep),
     (WarmingUp, ListedDraining, Draining, Keep),
-    (WarmingUp, Removed, Unlisted, ForgetPaths),
-    (Ready, Restarted, WarmingUp, ForgetAll),
+    (WarmingUp, Removed, Unlisted, DiscardPaths),
+    (Ready, Restarted, WarmingUp, DiscardAll),
     (Ready, ListedDraining, Draining, Keep),
-    (Ready, Removed, Unlisted, ForgetPaths),
-    (Draining, ListedReady, Ready, ForgetPaths),
-    (Draining, Restarted, WarmingUp, ForgetAll),
-    (Draining, Removed, Unlisted, ForgetPaths),
+    (Ready, Removed, Unlisted, DiscardPaths),
+    (Draining, ListedReady, Ready, DiscardPaths),
+    (Draining, Restarted, WarmingUp, DiscardAll),
+    (Draining, Removed, Unlisted, DiscardPaths),
 ];
 
 #[test]
--- a/crates/wheelspread/src/locality.rs
+++ b/crates/wheelspread/src/locality.rs
@@ -84,7 +84,7 @@
         let usable = |from: ZoneId| {
             let shares = row
                 .iter()
-                .map(|c| c.capacity * fleet.usable_share(from, c.node));
+                .map(|c| c.capacity * fleet.usable_ratio(from, c.node));
             (from, shares.collect())
         };
         let usable: BTreeMap<ZoneId, Vec<f64>> = zones.iter().map(|zone| usable(*zone)).collect();
--- a/crates/wheelspread/src/node_load.rs
+++ b/crates/wheelspread/src/node_load.rs
@@ -54,8 +54,8 @@
         self.mean_latency.seconds().clamp(0.0, MAX_LATENCY_SECONDS)
     }
 
-    fn metric(&self, position: Option<usize>) -> Option<f64> {
-        let value = self.metrics.get(position?).copied()?;
+    fn metric(&self, index: Option<usize>) -> Option<f64> {
+        let value = self.metrics.get(index?).copied()?;
         (value >= 0.0).then_some(value)
     }
 }
@@ -79,10 +79,10 @@
 const MAX_LATENCY_SECONDS: f64 = 60.0;
 const MAX_QUEUE_LENGTH: f64 = 1e3;
 /// Requests beside which a report's own weigh in the mean latency.
-const LATENCY_HALF_WEIGHT: f64 = 2.0;
+const LATENCY_HALF_WEIGHT_REQUESTS: f64 = 2.0;
 /// Of the memory of averages: that of latency, and of the node's own metrics.
-const LATENCY_MEMORY: f64 = 0.3;
-const METRIC_MEMORY: f64 = 0.5;
+const LATENCY_TIME_CONSTANT_RATIO: f64 = 0.3;
+const METRIC_TIME_CONSTANT_RATIO: f64 = 0.5;
 
 /// Measurements and the capacity estimate of one node.
 #[derive(Clone, Debug, Default)]
@@ -101,29 +101,36 @@
     /// The highest rate that lately succeeded; fades.
     recent_peak: f64,
     /// The reports that the capacity estimate has not used yet, and the longest time that one covers.
-    unlearned: AttemptStats,
-    unlearned_window: Span,
+    pending: AttemptStats,
+    max_pending_window: Span,
 }
 
 impl NodeLoad {
     /// Takes in a report; `memory` is the time constant of averages.
-    pub fn on_report(&mut self, report: &LoadReport, config: &Config, memory: Span) {
+    pub fn on_report(&mut self, report: &LoadReport, config: &Config, time_constant: Span) {
         let (successes, seconds) = (report.successes(), report.latency_seconds());
         if successes > 0.0 && seconds > 0.0 {
-            let covers = report.window * (successes / (successes + LATENCY_HALF_WEIGHT));
-            self.latency.add(seconds, covers, memory * LATENCY_MEMORY);
+            let covered = report.window * (successes / (successes + LATENCY_HALF_WEIGHT_REQUESTS));
+            self.latency.add(
+                seconds,
+                covered,
+                time_constant * LATENCY_TIME_CONSTANT_RATIO,
+            );
         }
-        let metric_memory = memory * METRIC_MEMORY;
+        let metric_time_constant = time_constant * METRIC_TIME_CONSTANT_RATIO;
         if let Some(utilization) = report.metric(config.utilization_metric) {
             self.utilization
-                .add(utilization.min(1.0), report.window, metric_memory);
+                .add(utilization.min(1.0), report.window, metric_time_constant);
         }
         if let Some(length) = report.metric(config.queue_metric) {
-            self.queue_length
-                .add(length.min(MAX_QUEUE_LENGTH), report.window, metric_memory);
+            self.queue_length.add(
+                length.min(MAX_QUEUE_LENGTH),
+                report.window,
+                metric_time_constant,
+            );
         }
-        self.unlearned_window = self.unlearned_window.max(report.window);
-        self.unlearned += AttemptStats {
+        self.max_pending_window = self.max_pending_window.max(report.window);
+        self.pending += AttemptStats {
             attempts: report.attempts,
             failures: report.failures,
             seconds: successes * seconds,
@@ -131,17 +138,17 @@
     }
 
     /// Forgets what was measured: a restarted process is another one.
-    pub fn forget(&mut self) {
+    pub fn reset(&mut self) {
         *self = NodeLoad {
-            unlearned: self.unlearned,
-            unlearned_window: self.unlearned_window,
+            pending: self.pending,
+            max_pending_window: self.max_pending_window,
             ..NodeLoad::default()
         };
     }
 
     /// Takes over an estimate from before a restart of the balancer.
     pub fn restore(&mut self, log_capacity: f64, evidence: f64) {
-        self.capacity = DecayingAverage::at(log_capacity);
+        self.capacity = DecayingAverage::with_value(log_capacity);
         self.evidence = evidence;
     }
 
@@ -181,20 +188,20 @@
     }
 
     /// Reports that were not learnt from yet.
-    pub fn unlearned(&self) -> AttemptStats {
-        self.unlearned
+    pub fn pending(&self) -> AttemptStats {
+        self.pending
     }
 
     /// The same, taken out, with the longest time that one of them covers.
-    pub fn take_unlearned(&mut self) -> (AttemptStats, Span) {
+    pub fn take_pending(&mut self) -> (AttemptStats, Span) {
         (
-            std::mem::take(&mut self.unlearned),
-            std::mem::take(&mut self.unlearned_window),
+            std::mem::take(&mut self.pending),
+            std::mem::take(&mut self.max_pending_window),
         )
     }
 
     /// Lets evidence and the recent peak fade; the peak is at least the rate of now.
-    pub fn fade(&mut self, evidence_factor: f64, rate: f64) {
+    pub fn decay(&mut self, evidence_factor: f64, rate: f64) {
         self.evidence *= evidence_factor;
         self.recent_peak = (self.recent_peak * evidence_factor.sqrt()).max(rate);
     }
@@ -205,17 +212,17 @@
     }
 
     /// Takes in a measured capacity.
-    pub fn add_capacity(&mut self, log_capacity: f64, covers: Span, memory: Span) {
-        self.capacity.add(log_capacity, covers, memory);
+    pub fn add_capacity_sample(&mut self, log_capacity: f64, covered: Span, time_constant: Span) {
+        self.capacity.add(log_capacity, covered, time_constant);
     }
 
     /// Moves the estimate.
     pub fn set_capacity(&mut self, log_capacity: f64) {
-        self.capacity = DecayingAverage::at(log_capacity);
+        self.capacity = DecayingAverage::with_value(log_capacity);
     }
 
     /// A rate was served while latency was well below the objective.
-    pub fn raise_peak_within_objective(&mut self, rate: f64) {
+    pub fn record_rate_within_objective(&mut self, rate: f64) {
         self.peak_within_objective = self.peak_within_objective.max(rate);
     }
 }
--- a/crates/wheelspread/src/outlier.rs
+++ b/crates/wheelspread/src/outlier.rs
@@ -33,49 +33,49 @@
 }
 
 /// What counts as failing.
-struct Detection {
+struct DetectionThresholds {
     /// Report cycles that are looked at.
     cycles: f64,
     /// Failures by attempts, from where a node is an outlier.
-    failure_share: f64,
+    min_failure_ratio: f64,
     /// Failures by attempts at the zone's other nodes: with more, the node is not to blame.
-    others_failure_share: f64,
+    max_others_failure_ratio: f64,
     /// Least number of failures, or of successes on probation.
-    least_attempts: f64,
+    min_attempts: f64,
     /// Of the latency objective: failures of a node slower than that are its load's.
-    overload_latency: f64,
+    overload_latency_ratio: f64,
     /// Of the open nodes: with so many ejected or failing, no single node is to blame.
-    most_ejected: f64,
+    max_ejected_ratio: f64,
 }
 
-const DETECTION: Detection = Detection {
+const DETECTION_THRESHOLDS: DetectionThresholds = DetectionThresholds {
     cycles: 5.0,
-    failure_share: 0.8,
-    others_failure_share: 0.4,
-    least_attempts: 3.0,
-    overload_latency: 0.7,
-    most_ejected: 0.34,
+    min_failure_ratio: 0.8,
+    max_others_failure_ratio: 0.4,
+    min_attempts: 3.0,
+    overload_latency_ratio: 0.7,
+    max_ejected_ratio: 0.34,
 };
 
 /// How long a node stays ejected.
 struct EjectionTime {
     /// To a report cycle and the longest delay of the channel.
-    first: f64,
+    first_ratio: f64,
     /// Growth after each probation that failed.
     growth: f64,
     /// The most, to the first.
-    most: f64,
+    max_ratio: f64,
 }
 
 const EJECTION_TIME: EjectionTime = EjectionTime {
-    first: 4.0,
+    first_ratio: 4.0,
     growth: 1.5,
-    most: 4.0,
+    max_ratio: 4.0,
 };
 
 /// To the capacity that is usable at a healthy node.
-const PROBATION_SHARE: f64 = 0.2;
-const LEAST_HEALTHY_SHARE: f64 = 0.05;
+const PROBATION_RATIO: f64 = 0.2;
+const MIN_HEALTHY_RATIO: f64 = 0.05;
 /// Buckets of the window of attempts, a report period each.
 const WINDOW_BUCKETS: usize = 24;
 
@@ -116,8 +116,8 @@
     }
 
     /// Attempts and failures of the last so many buckets.
-    pub fn recent(&self, now: Moment, buckets: usize) -> AttemptStats {
-        self.window.sum_last(now, buckets)
+    pub fn recent(&self, now: Moment, bucket_count: usize) -> AttemptStats {
+        self.window.sum_last(now, bucket_count)
     }
 }
 
@@ -148,20 +148,30 @@
 impl Outliers {
     /// Takes in a node's load report.
     pub fn on_load_report(&mut self, report: &LoadReport, timing: &ReportTiming, now: Moment) {
-        let (period, memory) = (timing.period(), timing.memory());
+        let (period, time_constant) = (timing.period(), timing.time_constant());
         let previous_at = timing.previous_at();
         let path = self
             .paths
             .entry((report.node, report.zone))
             .or_insert_with(|| Path::new(now, period));
-        path.attempts
-            .add(report.attempts, report.window, memory, now, previous_at);
-        path.successes
-            .add(report.successes(), report.window, memory, now, previous_at);
+        path.attempts.add(
+            report.attempts,
+            report.window,
+            time_constant,
+            now,
+            previous_at,
+        );
+        path.successes.add(
+            report.successes(),
+            report.window,
+            time_constant,
+            now,
+            previous_at,
+        );
         path.last_report_at = now;
         // Evidence is as old as its window: reports from before probation began say nothing of it.
-        let began = now - report.window - period * 0.5;
-        if path.state != HealthState::Probation || began > path.since {
+        let window_start = now - report.window - period * 0.5;
+        if path.state != HealthState::Probation || window_start > path.since {
             let recent = AttemptStats {
                 attempts: report.attempts,
                 failures: report.failures,
@@ -172,12 +182,12 @@
     }
 
     /// Forgets what was observed at a node.
-    pub fn forget_node(&mut self, id: NodeId) {
+    pub fn remove_node(&mut self, id: NodeId) {
         self.paths.retain(|key, _| key.0 != id);
     }
 
     /// Forgets nodes that are no longer known: reports that come late leave a path at a node that is long gone.
-    pub fn forget_unknown(&mut self, nodes: &Nodes) {
+    pub fn remove_unknown(&mut self, nodes: &Nodes) {
         self.paths.retain(|(node, _), _| nodes.contains(node));
     }
 
@@ -188,18 +198,19 @@
 
     /// What a node is seen to serve for own proxies, by reports since `since`.
     pub fn success_rate(&self, id: NodeId, since: Moment) -> f64 {
-        let own = self.paths.range((id, ZoneId(0))..=(id, ZoneId(u16::MAX)));
-        own.filter(|(_, path)| path.last_report_at >= since)
+        let zone_paths = self.paths.range((id, ZoneId(0))..=(id, ZoneId(u16::MAX)));
+        zone_paths
+            .filter(|(_, path)| path.last_report_at >= since)
             .filter_map(|(_, path)| path.successes.get())
             .sum()
     }
 
     /// Attempts and failures of the last so many buckets, everywhere.
-    pub fn recent(&self, now: Moment, buckets: usize) -> AttemptStats {
+    pub fn recent(&self, now: Moment, bucket_count: usize) -> AttemptStats {
         let mut sum = AttemptStats::default();
         self.paths
             .values()
-            .for_each(|path| sum += path.recent(now, buckets));
+            .for_each(|path| sum += path.recent(now, bucket_count));
         sum
     }
 
@@ -210,14 +221,15 @@
     ///
     /// Returns whether any state changed.
     pub fn detect_outliers(&mut self, input: &DetectionInput, random: &mut Pcg) -> bool {
-        let first = (input.timing.cycle() + input.max_queue_delay) * EJECTION_TIME.first;
-        let buckets = input.timing.buckets(DETECTION.cycles);
+        let first = (input.timing.cycle() + input.max_queue_delay) * EJECTION_TIME.first_ratio;
+        let bucket_count = input.timing.bucket_count(DETECTION_THRESHOLDS.cycles);
         let open_nodes = input.nodes.open().count() as f64;
-        let mut zones = self.zone_health(input.now, buckets);
+        let mut zones = self.zone_health(input.now, bucket_count);
         let mut has_changed = false;
         for key in self.paths.keys().copied().collect::<Vec<_>>() {
             let (path, zone) = (&self.paths[&key], zones[&key.1]);
-            let Some(health) = path.health_input(key.0, zone, buckets, open_nodes, input) else {
+            let Some(health) = path.health_input(key.0, zone, bucket_count, open_nodes, input)
+            else {
                 continue;
             };
             let Some(state) = next_state(path.state, health) else {
@@ -226,20 +238,20 @@
             let ejected_for = match (path.state, state) {
                 (HealthState::Healthy, HealthState::Ejected) => first * (0.9 + 0.2 * random.unit()),
                 (HealthState::Probation, HealthState::Ejected) => {
-                    (path.ejected_for * EJECTION_TIME.growth).min(first * EJECTION_TIME.most)
+                    (path.ejected_for * EJECTION_TIME.growth).min(first * EJECTION_TIME.max_ratio)
                 }
                 _ => path.ejected_for,
             };
             if let Some(zone) = zones.get_mut(&key.1) {
                 zone.ejected += usize::from(state == HealthState::Ejected);
             }
-            let fresh = Path::new(input.now, input.timing.period());
+            let new_path = Path::new(input.now, input.timing.period());
             self.paths.insert(
                 key,
                 Path {
                     state,
                     ejected_for,
-                    ..fresh
+                    ..new_path
                 },
             );
             has_changed = true;
@@ -247,11 +259,11 @@
         has_changed
     }
 
-    fn zone_health(&self, now: Moment, buckets: usize) -> BTreeMap<ZoneId, ZoneHealth> {
+    fn zone_health(&self, now: Moment, bucket_count: usize) -> BTreeMap<ZoneId, ZoneHealth> {
         let mut zones = BTreeMap::<ZoneId, ZoneHealth>::new();
         for ((_, zone), path) in &self.paths {
             let sum = zones.entry(*zone).or_default();
-            sum.recent += path.recent(now, buckets);
+            sum.recent += path.recent(now, bucket_count);
             sum.ejected += usize::from(path.state == HealthState::Ejected);
         }
         zones
@@ -259,7 +271,7 @@
 
     /// The part of a node's capacity that a zone should use. A node that fails in part gets less, by the root
     /// of what works: an attempt that fails is retried, but a node that is avoided overloads the others.
-    pub fn usable_share(
+    pub fn usable_ratio(
         &self,
         id: NodeId,
         zone: ZoneId,
@@ -271,11 +283,11 @@
         };
         match path.state {
             HealthState::Healthy => {
-                let recent = path.recent(now, timing.buckets(DETECTION.cycles));
-                let failing = (recent.failures - 1.0).max(0.0) / (recent.attempts + 2.0);
-                (1.0 - failing).sqrt().max(LEAST_HEALTHY_SHARE)
+                let recent = path.recent(now, timing.bucket_count(DETECTION_THRESHOLDS.cycles));
+                let failure_ratio = (recent.failures - 1.0).max(0.0) / (recent.attempts + 2.0);
+                (1.0 - failure_ratio).sqrt().max(MIN_HEALTHY_RATIO)
             }
-            HealthState::Probation => PROBATION_SHARE,
+            HealthState::Probation => PROBATION_RATIO,
             HealthState::Ejected => 0.0,
         }
     }
@@ -287,34 +299,37 @@
         &self,
         node: NodeId,
         zone: ZoneHealth,
-        buckets: usize,
+        bucket_count: usize,
         open_nodes: f64,
         input: &DetectionInput,
     ) -> Option<HealthInput> {
-        let recent = self.recent(input.now, buckets);
-        let others = (zone.recent.failures - recent.failures)
+        let recent = self.recent(input.now, bucket_count);
+        let others_failure_ratio = (zone.recent.failures - recent.failures)
             / (zone.recent.attempts - recent.attempts).max(1.0);
         let successes = recent.attempts - recent.failures;
         let latency = input.nodes.get(&node).and_then(|node| node.load.latency());
-        let is_overloaded = successes >= DETECTION.least_attempts
-            && latency.unwrap_or(0.0) > input.objective * DETECTION.overload_latency;
-        let is_failing = others < DETECTION.others_failure_share
-            && recent.failures > recent.attempts * DETECTION.failure_share;
-        let too_many = (zone.ejected + 1) as f64 >= open_nodes * DETECTION.most_ejected;
+        let is_overloaded = successes >= DETECTION_THRESHOLDS.min_attempts
+            && latency.unwrap_or(0.0)
+                > input.objective * DETECTION_THRESHOLDS.overload_latency_ratio;
+        let is_failing = others_failure_ratio < DETECTION_THRESHOLDS.max_others_failure_ratio
+            && recent.failures > recent.attempts * DETECTION_THRESHOLDS.min_failure_ratio;
+        let is_ejection_limit_reached =
+            (zone.ejected + 1) as f64 >= open_nodes * DETECTION_THRESHOLDS.max_ejected_ratio;
         match self.state {
-            HealthState::Healthy if is_overloaded || too_many => None,
-            HealthState::Healthy => (is_failing && recent.failures >= DETECTION.least_attempts)
+            HealthState::Healthy if is_overloaded || is_ejection_limit_reached => None,
+            HealthState::Healthy => (is_failing
+                && recent.failures >= DETECTION_THRESHOLDS.min_attempts)
                 .then_some(HealthInput::Failing),
             HealthState::Ejected => {
                 (input.now - self.since > self.ejected_for).then_some(HealthInput::EjectionOver)
             }
             HealthState::Probation
-                if is_failing && recent.failures >= DETECTION.least_attempts - 1.0 =>
+                if is_failing && recent.failures >= DETECTION_THRESHOLDS.min_attempts - 1.0 =>
             {
                 Some(HealthInput::Failing)
             }
             HealthState::Probation => {
-                (successes >= DETECTION.least_attempts).then_some(HealthInput::Working)
+                (successes >= DETECTION_THRESHOLDS.min_attempts).then_some(HealthInput::Working)
             }
         }
     }
--- a/crates/wheelspread/src/rates.rs
+++ b/crates/wheelspread/src/rates.rs
@@ -8,16 +8,16 @@
 
 impl DecayingAverage {
     /// An average that stands at a value.
-    pub fn at(value: f64) -> DecayingAverage {
+    pub fn with_value(value: f64) -> DecayingAverage {
         DecayingAverage(Some(value))
     }
 
     /// Takes in a sample that covers some time; `memory` is the time constant of the decay.
-    pub fn add(&mut self, sample: f64, covers: Span, memory: Span) {
-        let keep = (-covers.seconds().max(0.0) / memory.seconds().max(1e-6)).exp();
+    pub fn add(&mut self, sample: f64, covered: Span, time_constant: Span) {
+        let old_weight = (-covered.seconds().max(0.0) / time_constant.seconds().max(1e-6)).exp();
         self.0 = Some(
             self.0
-                .map_or(sample, |old| old * keep + sample * (1.0 - keep)),
+                .map_or(sample, |old| old * old_weight + sample * (1.0 - old_weight)),
         );
     }
 
@@ -39,7 +39,7 @@
     /// A rate that is assumed before the first report.
     pub fn assumed(rate: f64) -> ReportedRate {
         ReportedRate {
-            rate: DecayingAverage::at(rate),
+            rate: DecayingAverage::with_value(rate),
             covered_until: None,
         }
     }
@@ -50,15 +50,16 @@
         &mut self,
         count: f64,
         window: Span,
-        memory: Span,
+        time_constant: Span,
         now: Moment,
         previous_report_at: Moment,
     ) {
         if let Some(until) = self.covered_until {
             let silence = (now - until - window).min(previous_report_at - until);
-            self.rate.add(0.0, silence, memory);
+            self.rate.add(0.0, silence, time_constant);
         }
-        self.rate.add(count / window.seconds(), window, memory);
+        self.rate
+            .add(count / window.seconds(), window, time_constant);
         self.covered_until = Some(now);
     }
 
--- a/crates/wheelspread/src/report_timing.rs
+++ b/crates/wheelspread/src/report_timing.rs
@@ -4,20 +4,20 @@
 use crate::time::{Moment, Span};
 
 /// How long reported figures count, in report cycles.
-pub(crate) struct ReportMemory {
+pub(crate) struct ReportRetention {
     /// Time constant of averages.
-    pub average_cycles: f64,
+    pub time_constant_cycles: f64,
     /// How long the rate of a path stands that no report speaks of.
-    pub rate_cycles: f64,
+    pub rate_validity_cycles: f64,
 }
 
-pub(crate) const REPORT_MEMORY: ReportMemory = ReportMemory {
-    average_cycles: 4.0,
-    rate_cycles: 3.0,
+pub(crate) const REPORT_RETENTION: ReportRetention = ReportRetention {
+    time_constant_cycles: 4.0,
+    rate_validity_cycles: 3.0,
 };
 
-const WINDOW_SAMPLE: f64 = 1.0;
-const WINDOW_MEMORY: f64 = 300.0;
+const WINDOW_SAMPLE_SECONDS: f64 = 1.0;
+const WINDOW_TIME_CONSTANT_SECONDS: f64 = 300.0;
 
 /// When reports came.
 #[derive(Clone, Debug)]
@@ -56,8 +56,8 @@
         }
         self.window.add(
             window.seconds(),
-            Span::from_seconds(WINDOW_SAMPLE),
-            Span::from_seconds(WINDOW_MEMORY),
+            Span::from_seconds(WINDOW_SAMPLE_SECONDS),
+            Span::from_seconds(WINDOW_TIME_CONSTANT_SECONDS),
         );
     }
 
@@ -78,13 +78,13 @@
     }
 
     /// The same, several times, in buckets of a period each.
-    pub fn buckets(&self, cycles: f64) -> usize {
+    pub fn bucket_count(&self, cycles: f64) -> usize {
         (self.cycle().seconds() / self.period.seconds() * cycles).round() as usize
     }
 
     /// The time constant of averages.
-    pub fn memory(&self) -> Span {
-        self.cycle() * REPORT_MEMORY.average_cycles
+    pub fn time_constant(&self) -> Span {
+        self.cycle() * REPORT_RETENTION.time_constant_cycles
     }
 
     /// When any report came before those of this moment.
@@ -94,11 +94,11 @@
 
     /// Rates of paths without a report since then no longer stand.
     pub fn rates_valid_since(&self) -> Moment {
-        self.last_at - self.cycle() * REPORT_MEMORY.rate_cycles
+        self.last_at - self.cycle() * REPORT_RETENTION.rate_validity_cycles
     }
 
     /// Whether no load report, or only reports younger than `since`, came since the start.
-    pub fn is_blind(&self, since: Moment) -> bool {
+    pub fn lacks_load_reports_before(&self, since: Moment) -> bool {
         self.first_load_report_at.is_none_or(|first| first > since)
     }
 }
--- a/crates/wheelspread/src/retry_policy.rs
+++ b/crates/wheelspread/src/retry_policy.rs
@@ -8,10 +8,10 @@
 /// while nodes are calm; under strain any retry is load.
 pub(crate) fn retry_policy(operation: &Operation, load: FleetLoad) -> RetryPolicy {
     match (can_retry_safely(operation), load) {
-        (true, FleetLoad::Calm) => RetryPolicy::OnceOnAnyFailure,
-        (true, FleetLoad::Usual) => RetryPolicy::IfUnprocessed,
-        (false, FleetLoad::Calm | FleetLoad::Usual) => RetryPolicy::IfUnprocessed,
-        (_, FleetLoad::Strained) => RetryPolicy::Never,
+        (true, FleetLoad::Low) => RetryPolicy::OnceOnAnyFailure,
+        (true, FleetLoad::Normal) => RetryPolicy::IfUnprocessed,
+        (false, FleetLoad::Low | FleetLoad::Normal) => RetryPolicy::IfUnprocessed,
+        (_, FleetLoad::Overloaded) => RetryPolicy::Never,
     }
 }
 
--- a/crates/wheelspread/src/rolling_window.rs
+++ b/crates/wheelspread/src/rolling_window.rs
@@ -27,8 +27,8 @@
     /// Adds a value to the bucket of `at`; a value older than the window is dropped.
     pub fn add(&mut self, at: Moment, value: T) {
         let number = self.bucket_number(at);
-        let place = number.rem_euclid(self.buckets.len() as i64) as usize;
-        let bucket = &mut self.buckets[place];
+        let index = number.rem_euclid(self.buckets.len() as i64) as usize;
+        let bucket = &mut self.buckets[index];
         if bucket.0 < number {
             *bucket = (number, T::default());
         }
--- a/crates/wheelspread/src/settings.rs
+++ b/crates/wheelspread/src/settings.rs
@@ -14,7 +14,7 @@
     pub fn number(&self, name: &str) -> Result<f64, ConfigError> {
         match self.0.get(name) {
             Some(SettingValue::Number(value)) if value.is_finite() => Ok(*value),
-            other => Err(unexpected(name, "number", other)),
+            other => Err(type_error(name, "number", other)),
         }
     }
 
@@ -30,7 +30,7 @@
     pub fn text(&self, name: &str) -> Result<&str, ConfigError> {
         match self.0.get(name) {
             Some(SettingValue::Text(value)) => Ok(value),
-            other => Err(unexpected(name, "text", other)),
+            other => Err(type_error(name, "text", other)),
         }
     }
 
@@ -43,7 +43,7 @@
     }
 }
 
-fn unexpected(name: &str, expected: &'static str, found: Option<&SettingValue>) -> ConfigError {
+fn type_error(name: &str, expected: &'static str, found: Option<&SettingValue>) -> ConfigError {
     let name = name.to_string();
     match found {
         Some(found) => ConfigError::WrongType {
--- a/crates/wheelspread/src/subset.rs
+++ b/crates/wheelspread/src/subset.rs
@@ -37,9 +37,9 @@
     let controllers = if fleet.config.proxies_join_by_zone {
         1.0
     } else {
-        fleet.config.controllers.max(1.0)
+        fleet.config.controller_count.max(1.0)
     };
-    fleet.config.proxies / (zones * controllers)
+    fleet.config.proxy_count / (zones * controllers)
 }
 
 /// Divides a zone's proxies into subsets with tables of their own over as many parts of its nodes, where one
