--- a/crates/wheelspread/src/capacity.rs
+++ b/crates/wheelspread/src/capacity.rs
@@ -1,7 +1,7 @@
-//! Capacity estimates: how much each node can serve, and how busy it is.
+//! Capacity estimates: how many requests per second each node can serve, and its utilization.
 //!
-//! Where nodes report utilization, capacity is what succeeds at full utilization. Where they don't, kinds of
-//! node and single nodes are compared by their latency, in small steps.
+//! For nodes that report utilization, capacity is the rate of successes divided by the utilization. For other nodes,
+//! latencies are compared between kinds and between the nodes of a kind, and the estimates move in small steps.
 
 mod learning;
 
@@ -13,11 +13,11 @@
 use crate::time::Moment;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Report periods that the mean of a node's kind counts beside the node's own reports.
+/// Weight of the prior (the mean of a node's kind) against the node's own reports, in report periods.
 const PRIOR_PERIODS: f64 = 3.0;
-/// Of the evidence from before a restart.
+/// Ratio of the evidence from before a restart that still counts after it.
 const RESTORED_EVIDENCE_RATIO: f64 = 0.5;
-/// Utilization that is assumed before anything was reported.
+/// Utilization that is assumed before the first report.
 pub(crate) const ASSUMED_UTILIZATION: f64 = 0.6;
 
 /// A range of ratios.
@@ -26,26 +26,27 @@
     max_ratio: f64,
 }
 
-/// A node's own estimate, to that of its kind.
+/// Bounds of a node's capacity estimate, as ratios of the estimate for its kind.
 const ESTIMATE_RANGE: RatioRange = RatioRange {
     min_ratio: 0.1,
     max_ratio: 10.0,
 };
-/// What latency may tell of a kind's speed, to that of the fleet.
+/// Bounds of a kind's relative speed by latency, as ratios of the fleet's speed.
 const KIND_SPEED_RANGE: RatioRange = RatioRange {
     min_ratio: 0.5,
     max_ratio: 1.6,
 };
 
-/// Utilization by latency, in the shape of a queue before a few cores.
+/// Utilization as a function of latency, modelled on a queue in front of a few cores: with `load = factor *
+/// wait^exponent`, utilization is `load / (1 + load)`.
 struct QueueShape {
-    /// Waiting time at the quickest, to the service time.
+    /// Waiting time at base latency, as a ratio of base latency.
     min_wait_ratio: f64,
     factor: f64,
     exponent: f64,
-    /// The most utilization without a queue.
+    /// Maximum utilization while no request waits.
     max_without_queue: f64,
-    /// More of it for each request that waits.
+    /// Increase of that maximum for each waiting request.
     per_waiting_request: f64,
 }
 
@@ -57,9 +58,9 @@
     per_waiting_request: 0.3,
 };
 
-/// What a node's latency changes of its effective capacity.
+/// The factor by which a node's latency changes its effective capacity.
 struct LatencyFactor {
-    /// Power of the fleet's latency by the node's.
+    /// Exponent of the ratio of the fleet's mean latency to the node's.
     exponent: f64,
     min_ratio: f64,
     max_ratio: f64,
@@ -71,21 +72,21 @@
     max_ratio: 1.25,
 };
 
-/// What is kept of a node over a restart.
+/// The capacity estimate of a node, kept over a restart.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CapacitySnapshot {
     /// The node.
     pub node: NodeId,
-    /// Logarithm of the requests per second that it can serve.
+    /// Natural logarithm of the requests per second that the node can serve.
     pub log_capacity: f64,
-    /// Report periods that the capacity rests on.
+    /// Report periods on which the capacity estimate is based.
     pub evidence: f64,
-    /// The shortest mean latency of its kind, in seconds.
+    /// Base latency of the node's kind, in seconds: the shortest that the kind has shown.
     pub kind_base_latency: f64,
 }
 
 impl CapacitySnapshot {
-    /// Whether all figures are usable.
+    /// Whether all values are usable: finite, evidence not negative, base latency above 0.
     pub fn is_valid(&self) -> bool {
         self.log_capacity.is_finite()
             && self.evidence.is_finite()
@@ -94,40 +95,40 @@
     }
 }
 
-/// What the fleet shows of a kind of node, for each unit of listed weight.
+/// Means over a kind of node, per unit of listed weight.
 #[derive(Clone, Copy, Debug)]
 struct KindMeans {
     /// Requests per second that a ready node can serve.
     capacity: f64,
-    /// The most that a ready node was seen to serve.
+    /// Peak observed rate of a ready node, in requests per second.
     observed_peak: Option<f64>,
 }
 
-/// What is known of kinds of node, and of the fleet's latency.
+/// Capacity and latency of each kind of node, and the fleet's latency.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CapacityModel {
-    /// The shortest mean latency that each kind has shown, in seconds.
+    /// Base latency of each kind, in seconds: the lowest median of its nodes' mean latencies.
     base_latency: BTreeMap<KindId, f64>,
     kinds: BTreeMap<KindId, KindMeans>,
-    /// The fleet's mean latency in seconds.
+    /// The fleet's mean latency, in seconds.
     fleet_latency: f64,
-    /// Whether reports came that were not learnt from.
+    /// Whether load reports arrived that the estimates do not use yet.
     has_new_reports: bool,
 }
 
 impl CapacityModel {
-    /// A load report came.
+    /// Records that a load report arrived.
     pub fn on_load_report(&mut self) {
         self.has_new_reports = true;
     }
 
-    /// Whether reports came since this was last asked.
+    /// Whether load reports arrived since the last call.
     pub fn take_new_reports(&mut self) -> bool {
         std::mem::take(&mut self.has_new_reports)
     }
 
-    /// Takes over what was known before a restart, for ready nodes without reports: at less evidence than
-    /// it had then.
+    /// Restores estimates from before a restart for ready nodes without evidence of their own. Their evidence is
+    /// reduced by `RESTORED_EVIDENCE_RATIO`.
     pub fn restore(&mut self, nodes: &mut Nodes, snapshots: &[CapacitySnapshot]) {
         for snapshot in snapshots.iter().filter(|snapshot| snapshot.is_valid()) {
             let Some(node) = nodes
@@ -146,7 +147,7 @@
         }
     }
 
-    /// What is known of ready nodes.
+    /// The estimates of ready nodes that have evidence.
     pub fn snapshots<'a>(
         &'a self,
         nodes: &'a Nodes,
@@ -164,10 +165,10 @@
         })
     }
 
-    /// How busy a node is, of 1. Where reports don't say, from how much longer its requests take than those
-    /// of its kind did at their quickest, as far as the queue that it reports allows: time lost on the way is
-    /// not its load, and an admission cut for it never ends. Queues alone don't serve: they stay empty until it
-    /// is too late.
+    /// Utilization of a node; 1 is full. If the node does not report it, it is estimated from the ratio of the
+    /// node's latency to the base latency of its kind, up to a limit that depends on the reported queue length.
+    /// Without that limit network delay would count as load, and an admission cut made for it would never end. Queue
+    /// length alone is not used, since queues stay empty until the node is about to be overloaded.
     pub fn utilization(&self, node: &Node) -> Option<f64> {
         node.load.utilization().or_else(|| {
             let base_latency = self.base_latency.get(&node.kind())?;
@@ -181,7 +182,7 @@
         })
     }
 
-    /// Requests per second that a ready node of this kind and listed weight can serve.
+    /// Nominal capacity: requests per second that a ready node of this kind and listed weight can serve.
     pub fn nominal_capacity(&self, node: &Node) -> f64 {
         node.weight()
             * self
@@ -190,12 +191,13 @@
                 .map_or(0.0, |kind| kind.capacity)
     }
 
-    /// The most that ready nodes of a kind were seen to serve, for each unit of listed weight.
+    /// Peak observed rate of a kind's ready nodes, in requests per second per unit of listed weight.
     pub fn observed_peak(&self, kind: KindId) -> Option<f64> {
         self.kinds.get(&kind).and_then(|means| means.observed_peak)
     }
 
-    /// Requests per second that a node can serve now.
+    /// Requests per second that a node can serve now: the geometric mean of the node's estimate and its prior, weighted
+    /// by evidence.
     pub fn capacity(&self, node: &Node, config: &Config, now: Moment) -> f64 {
         let prior = self.prior(node, config, now);
         let own = node.load.log_capacity().unwrap_or(prior.ln());
@@ -207,8 +209,8 @@
         )
     }
 
-    /// The same, less where requests take longer than the fleet's do: at equal utilization a slow node
-    /// misses the latency objective before a quick one does.
+    /// The capacity of a node, reduced if its requests take longer than the fleet's mean and raised if they take less:
+    /// at equal utilization a slow node misses the latency objective before a fast one does.
     pub fn effective_capacity(&self, node: &Node, config: &Config, now: Moment) -> f64 {
         let factor = match (node.load.utilization(), node.load.latency()) {
             (Some(_), Some(latency)) => {
@@ -220,12 +222,13 @@
             * factor.clamp(LATENCY_FACTOR.min_ratio, LATENCY_FACTOR.max_ratio)
     }
 
-    /// What a node is assumed to serve before its own reports tell.
+    /// The prior: capacity that is assumed before the node's own reports provide evidence.
     fn prior(&self, node: &Node, config: &Config, now: Moment) -> f64 {
         (self.nominal_capacity(node) * node.capacity_ratio(config, now)).max(1e-3)
     }
 
-    /// Once a round: by kind, what a ready node serves and was seen to serve for each unit of listed weight.
+    /// Updates the capacity and peak observed rate of each kind, per unit of listed weight, and the fleet's mean
+    /// latency.
     pub fn update_kind_means(&mut self, nodes: &Nodes, demand: f64) {
         let assumed_capacity =
             demand.max(1.0) / ASSUMED_UTILIZATION / nodes.open_weight().max(1e-6);
@@ -252,8 +255,8 @@
         self.fleet_latency = mean_latency(nodes, |_| true).unwrap_or(1.0);
     }
 
-    /// How much quicker a kind is than the fleet, by the latency of its ready nodes: what it is taken for while
-    /// nothing better is known of it. Listed weights may tell of size and not of speed.
+    /// Speed of a kind as a ratio of the fleet's, from the latency of the kind's ready nodes. Used while no ready node
+    /// of the kind has an estimate, as listed weights may describe the size of a node and not its speed.
     fn relative_speed(&self, nodes: &Nodes, kind: KindId) -> f64 {
         let own = mean_latency(nodes, |node| node.kind() == kind && node.is_ready());
         own.map_or(1.0, |own| {
@@ -261,7 +264,8 @@
         })
     }
 
-    /// A figure for each unit of listed weight, over the ready nodes of a kind, else of the fleet.
+    /// The mean of a value per unit of listed weight over the ready nodes of a kind. If none of them has the value,
+    /// the mean over the fleet times the kind's relative speed.
     fn mean_per_weight(
         &self,
         nodes: &Nodes,
@@ -282,7 +286,7 @@
     }
 }
 
-/// The mean latency at some nodes (geometric, by what they serve).
+/// Geometric mean latency of the included nodes, weighted by their recent peak rate.
 fn mean_latency(nodes: &Nodes, counts: impl Fn(&Node) -> bool) -> Option<f64> {
     let own = nodes.values().filter(|node| counts(node));
     let known = own.filter_map(|node| {
--- a/crates/wheelspread/src/capacity/learning.rs
+++ b/crates/wheelspread/src/capacity/learning.rs
@@ -1,4 +1,4 @@
-//! How load reports change the capacity estimates.
+//! Updates of the capacity estimates from load reports.
 
 use super::{CapacityModel, PRIOR_PERIODS};
 use crate::config::Config;
@@ -9,29 +9,31 @@
 use crate::time::{Moment, Span};
 use std::collections::BTreeMap;
 
-/// How capacity follows from load reports.
+/// Parameters of the capacity updates. Each `_step` is the ratio of the named distance between logarithms that one
+/// update covers.
 struct LearningParameters {
-    /// Attempts in a report that weigh as half a full period.
+    /// Attempts at which an update has half of its full weight.
     half_weight_attempts: f64,
-    /// Report periods that teach no capacity yet: the first reports speak of the time before.
+    /// Evidence, in report periods, up to which reported utilization is not used: the first reports describe the time
+    /// before the node's current load.
     min_evidence: f64,
-    /// Least reported utilization that says something of capacity.
+    /// Utilization up to which the capacity cannot be derived from it.
     min_utilization: f64,
-    /// Each period, of a kind's distance in latency to the fleet.
+    /// Distance of a kind's latency to the fleet's.
     kind_step: f64,
-    /// Each period, of a node's distance in latency to its kind.
+    /// Distance of a node's latency to its kind's.
     node_step: f64,
-    /// Each period, of an estimate's distance to that of its kind.
+    /// Distance of a node's estimate to its prior.
     prior_step: f64,
-    /// Each period, of the fleet's distance to the rate that its latency suggests.
+    /// Distance of the summed estimates to the total capacity that the utilization by latency suggests.
     scale_step: f64,
-    /// Failures by attempts: with more, a node shows its queue and not its capacity.
+    /// Ratio of failures to attempts above which a node's rate may reflect its queue instead of its capacity.
     min_failure_ratio: f64,
-    /// Failures by attempts, to those of the fleet: with more, the node itself is too slow.
+    /// The node's failure ratio, as a multiple of the fleet's, from which the node itself is too slow.
     max_relative_failure_ratio: f64,
-    /// Latency objectives that a failure counts.
+    /// Latency that each failure counts as, in latency objectives.
     failure_latency_ratio: f64,
-    /// Of the latency objective: while latency is below it, the rate counts as served well.
+    /// Latency, as a ratio of the latency objective, below which a rate counts as served within the objective.
     met_latency_ratio: f64,
 }
 
@@ -49,24 +51,24 @@
     met_latency_ratio: 0.5,
 };
 
-/// Each period, the factor by which the quickest latency of a kind is forgotten.
+/// The factor by which the base latency of a kind grows at each update, unless its median latency is lower.
 const BASE_LATENCY_GROWTH: f64 = 1.003;
 
-/// What a learning step goes by, beside the nodes.
+/// Input of an update, in addition to the nodes.
 pub(crate) struct LearningInput {
-    /// Time constant of averages.
+    /// The common time constant of averages.
     pub time_constant: Span,
     /// The shortest latency objective, in seconds.
     pub objective: f64,
-    /// Whether the fleet is overloaded: latency then tells of queues, not of speed.
+    /// Whether the fleet is overloaded: latency then reflects queues and not the speed of nodes.
     pub is_overloaded: bool,
     pub now: Moment,
 }
 
-/// Attempts and the latency that they add up to, over some nodes.
+/// Sums of attempts and of relative latency over a set of nodes.
 #[derive(Clone, Copy, Default)]
 struct LatencySum {
-    /// Sum of attempts times the logarithm of the node's relative latency.
+    /// Sum over the nodes of attempts times the logarithm of the relative latency.
     weighted: f64,
     attempts: f64,
 }
@@ -77,17 +79,17 @@
     }
 }
 
-/// The relative latencies of one learning step.
+/// The relative latencies in one update, as natural logarithms.
 struct LatencyComparison {
     by_node: BTreeMap<NodeId, f64>,
     by_kind: BTreeMap<KindId, LatencySum>,
     fleet: LatencySum,
-    /// Failures by attempts, of the fleet.
+    /// The fleet's ratio of failures to attempts.
     failure_ratio: f64,
 }
 
 impl CapacityModel {
-    /// Reads new load reports into the estimates. `rate_at` is what a node is seen to serve.
+    /// Updates the estimates from new load reports. `rate_at` is the observed rate of successes per second at a node.
     pub fn learn(
         &mut self,
         nodes: &mut Nodes,
@@ -104,7 +106,8 @@
         self.scale_unreported(nodes, rate_at);
     }
 
-    /// The shortest mean latency of each kind; forgotten slowly, as what all nodes depend on may change.
+    /// Updates the base latency of each kind: the minimum of the median over its ready nodes. It grows slowly, as the
+    /// latency of services on which all nodes depend may change.
     fn update_base_latencies(&mut self, nodes: &Nodes) {
         let mut latencies: BTreeMap<KindId, Vec<f64>> = BTreeMap::new();
         let known = |node: &&Node| node.is_ready() && node.load.evidence() >= PRIOR_PERIODS;
@@ -121,13 +124,15 @@
         }
     }
 
+    /// Computes the relative latency of each node: its mean latency, with failures counted as latency, divided by the
+    /// square root of its kind's base latency (or of the objective, if that is unknown).
     fn compare_latencies(&self, nodes: &Nodes, objective: f64) -> LatencyComparison {
         let relative = |node: &Node| {
             let base_latency = self.base_latency.get(&node.kind()).copied();
             let base = base_latency.unwrap_or(objective).sqrt();
             let new = node.load.pending();
             let total_seconds =
-                new.seconds + new.failures * objective * LEARNING.failure_latency_ratio;
+                new.success_seconds + new.failures * objective * LEARNING.failure_latency_ratio;
             (total_seconds / new.attempts.max(1.0) / base)
                 .max(1e-6)
                 .ln()
@@ -161,8 +166,8 @@
         }
     }
 
-    /// Little evidence weighs little, and old evidence fades, so a node that gets next to nothing because it
-    /// was slow once is tried again.
+    /// Updates the estimate of one node. Reports of few attempts have little weight and old evidence decays, so a node
+    /// that was slow once and now gets few requests moves back towards its prior and gets more again.
     fn learn_node(
         &self,
         nodes: &mut Nodes,
@@ -215,8 +220,8 @@
         }
     }
 
-    /// Without utilization a node's estimate only compares it with the others; all of them together are held
-    /// against what the fleet serves and how much longer that takes than at its quickest.
+    /// Scales the estimates of nodes that do not report utilization. Each estimate only compares a node with the
+    /// others, so their sum is moved towards the capacity that the served rate and the utilization by latency suggest.
     fn scale_unreported(&self, nodes: &mut Nodes, rate_at: impl Fn(NodeId) -> f64) {
         let (mut rate_sum, mut weighted_utilization, mut capacity_sum) = (0.0, 0.0, 0.0);
         let mut unreported = Vec::new();
@@ -249,8 +254,8 @@
 }
 
 impl LatencyComparison {
-    /// How far latency moves an estimate: a kind is told from others before a node is from its kind; under
-    /// strain by queues only.
+    /// The change of a node's log capacity by latency. Kinds are separated faster than the nodes of a kind. While the
+    /// fleet is overloaded, kinds are not compared, since latency then reflects queues.
     fn step(&self, kind: KindId, latency: f64, weight: f64, is_overloaded: bool) -> f64 {
         let kind_step = if is_overloaded {
             0.0
@@ -265,9 +270,10 @@
         kind_step * kind_distance + LEARNING.node_step * node_distance
     }
 
-    /// Whether a node's failures are those of an overloaded fleet: its rate then shows its queue and not its
-    /// capacity. With no estimate at all, as after a start in the middle of an overload, its queue must do. A node
-    /// that fails far more than the fleet is itself too slow for what it gets, and must show that.
+    /// Whether a node's failures are due to overload of the whole fleet. Its rate of successes then reflects its queue
+    /// and not its capacity, and must not lower the estimate. False for a node without an estimate, as after a start
+    /// during an overload: a rate that reflects the queue is better than no estimate. Also false for a node that fails
+    /// far more often than the fleet: it is too slow for its load, and its estimate must follow.
     fn fails_from_fleet_overload(&self, new: AttemptStats, load: &NodeLoad) -> bool {
         let failure_ratio = new.failures / new.attempts;
         failure_ratio > LEARNING.min_failure_ratio
--- a/crates/wheelspread/src/config.rs
+++ b/crates/wheelspread/src/config.rs
@@ -1,11 +1,11 @@
-//! The settings that decisions use, read once at start and at each reconfiguration.
+//! Typed settings for the balancer's decisions, read at start and at each reconfiguration.
 
 use crate::error::ConfigError;
 use crate::ids::OperationId;
 use crate::settings::Settings;
 use crate::time::Span;
 
-/// Settings without which nothing can be decided. The others have defaults.
+/// Settings that must be present. All others have defaults.
 const REQUIRED: [&str; 11] = [
     "conductor.count",
     "zone.count",
@@ -20,66 +20,68 @@
     "rules.warm_after",
 ];
 
+/// Larger settings of `operation.count` are lowered to this.
 const MAX_OPERATIONS: f64 = 16.0;
+/// Larger settings of `zone.count` are lowered to this.
 const MAX_ZONES: f64 = 250.0;
-/// Longest latency objective that counts, in seconds.
+/// Upper bound of the shortest latency objective, in seconds.
 const MAX_OBJECTIVE_SECONDS: f64 = 60.0;
 
 /// Typed settings of one deployment.
 #[derive(Clone, Debug)]
 pub(crate) struct Config {
-    /// `sums.period`: time between two load reports.
+    /// `sums.period`: time between two load reports, limited to 0.05 s to 60 s.
     pub report_period: Span,
-    /// `report.field.N` that is `utilization`: its place among a node's own metrics.
+    /// The N of the setting `report.field.N` whose value is `utilization`: its index among a node's own metrics.
     pub utilization_metric: Option<usize>,
-    /// `report.field.N` that is `queue`.
+    /// The same for the value `queue`.
     pub queue_metric: Option<usize>,
-    /// `conductor.count`
+    /// `conductor.count`: controllers in the deployment.
     pub controller_count: f64,
-    /// `conductor.tick`: least time between two decision rounds.
+    /// `conductor.tick`: minimum time between two timer-driven decision rounds.
     pub tick: Span,
-    /// `conductor.joined_by_zone`: proxies join the controller of their zone.
+    /// `conductor.joined_by_zone`: whether proxies join the controller of their zone.
     pub proxies_join_by_zone: bool,
-    /// `peers.may_tell`: controllers may send gossip to each other.
+    /// `peers.may_tell`: whether controllers may send gossip to each other.
     pub gossip_enabled: bool,
-    /// `proxy.count`: proxies of the whole fleet.
+    /// `proxy.count`: proxies in the whole fleet.
     pub proxy_count: f64,
-    /// `proxy.errors_until_avoided`: errors in a row after which a proxy avoids a node; 0: never.
+    /// `proxy.errors_until_avoided`: consecutive errors after which a proxy avoids a node; 0 means never.
     pub errors_until_avoided: f64,
-    /// `proxy.connection_idle`: after that time a proxy closes an unused connection.
+    /// `proxy.connection_idle`: idle time after which a proxy closes a connection.
     pub connection_idle: Span,
-    /// `level.form` is `share`: admission limits are shares, not rates at each proxy.
+    /// Whether `level.form` is `share`: admission limits are ratios of the requests, not rates at each proxy.
     pub admission_as_share: bool,
-    /// `channel.lines_waiting_at_most`: entries that the update queue holds.
+    /// `channel.lines_waiting_at_most`: maximum entries in the update queue.
     pub queue_capacity: f64,
-    /// `channel.lines_per_second`: pace at which the update queue empties; 0: not known.
+    /// `channel.lines_per_second`: entries per second that leave the update queue; 0 means unknown.
     pub queue_entries_per_second: f64,
-    /// `channel.head_lines`: entries that each message costs beside those it carries.
+    /// `channel.head_lines`: queue entries that each message takes in addition to those it carries.
     pub message_overhead: f64,
-    /// `channel.delay_at_most`: longest time on the way to a proxy.
+    /// `channel.delay_at_most`: maximum time until an update reaches a proxy.
     pub max_queue_delay: Span,
-    /// `channel.messages_at_most`: messages to one proxy within the window; 0: no cap.
+    /// `channel.messages_at_most`: maximum messages to one proxy within the message window; 0 means no cap.
     pub message_cap: f64,
-    /// `channel.messages_window`: the time for which that cap holds.
+    /// `channel.messages_window`: the window of the message cap.
     pub message_window: Span,
-    /// `rules.warm_after`: time after its start for which a node warms up.
+    /// `rules.warm_after`: time that a node takes to warm up after its start.
     pub warm_up: Span,
-    /// `rules.cold_start_share`: share of its capacity that a node has when it starts.
+    /// `rules.cold_start_share`: ratio of its full capacity that a node has when it starts, limited to 0.01 to 1.
     pub warm_up_start_ratio: f64,
-    /// `rules.cold_overload_factor`: times its capacity that pushes a node over while it warms up.
+    /// `rules.cold_overload_factor`: load, as a multiple of its current capacity, that overloads a warming node.
     pub warm_up_overload_factor: f64,
-    /// `rules.drain_grace`: how long a draining node goes on serving; 0: not known.
+    /// `rules.drain_grace`: grace period during which a draining node still serves; 0 means unknown.
     pub drain_grace: Span,
-    /// `price.cross_zone`: price of a request that crosses zones.
+    /// `price.cross_zone`: cost of a request that crosses zones.
     pub cross_zone_price: f64,
-    /// The operations, by their number.
+    /// The operations, in the order of their ids.
     pub operations: Vec<Operation>,
     zone_count: f64,
     operation_count: f64,
 }
 
 impl Config {
-    /// Reads all settings; names the first one that is missing or of another type.
+    /// Reads all settings. The error names the first one that is missing or has the wrong type.
     pub fn read(settings: &Settings) -> Result<Config, ConfigError> {
         for name in REQUIRED {
             settings.number(name)?;
@@ -121,7 +123,8 @@
         })
     }
 
-    /// Whether tables built for `other` serve this configuration too.
+    /// Whether tables built for `other` are also valid for this configuration: the zones, the operations and which
+    /// operations stay in their zone must be the same.
     pub fn has_same_topology(&self, other: &Config) -> bool {
         let pairs = || self.operations.iter().zip(&other.operations);
         self.zone_count == other.zone_count
@@ -129,17 +132,17 @@
             && pairs().all(|(a, b)| a.stays_in_zone == b.stays_in_zone)
     }
 
-    /// How many zones there are.
+    /// The number of zones, limited to `MAX_ZONES`.
     pub fn zone_count(&self) -> u16 {
         self.zone_count.clamp(0.0, MAX_ZONES) as u16
     }
 
-    /// Entries that a message takes in the queue: those it carries, its head and a marker.
+    /// Queue entries that a message takes: those that it carries, its overhead and a version marker.
     pub fn message_entries(&self, carried: usize) -> f64 {
         carried as f64 + self.message_overhead + 1.0
     }
 
-    /// The shortest latency objective, in seconds.
+    /// The shortest latency objective of all operations in seconds, at most `MAX_OBJECTIVE_SECONDS`.
     pub fn shortest_objective(&self) -> f64 {
         self.operations
             .iter()
@@ -149,7 +152,7 @@
     }
 }
 
-/// The place of a metric in load reports, by the settings `report.field.N`.
+/// The index of a metric in load reports, from the settings `report.field.N`; the lowest if several name the metric.
 fn metric_index(settings: &Settings, metric: &str) -> Option<usize> {
     let indices = settings.0.keys().filter_map(|name| {
         let index: usize = name.strip_prefix("report.field.")?.parse().ok()?;
@@ -163,27 +166,27 @@
 pub(crate) struct Operation {
     pub id: OperationId,
     pub latency_objective: Span,
-    /// Time after which a node gives up a request of this operation.
+    /// Time after which a node abandons a request of this operation.
     pub timeout: Span,
-    /// What one request is billed with: under overload the cheapest are rejected first.
+    /// Billed value of one request: under overload the requests of the lowest value are rejected first.
     pub billed_value: f64,
     pub retry_safety: RetrySafety,
-    /// Whether all nodes together recognize a retry, not only some of them.
+    /// Whether every node recognizes a retry of a request that any other node processed, not only nodes of one group.
     pub recognized_by_all_nodes: bool,
-    /// How long nodes recognize a retry.
+    /// How long after the first attempt nodes recognize a retry.
     pub recognized_for: Span,
-    /// Whether its requests may not leave their zone.
+    /// Whether requests of this operation must not leave their zone.
     pub stays_in_zone: bool,
 }
 
-/// What a retry of a request may do.
+/// The effect of retrying a request that was already processed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RetrySafety {
-    /// The same as the first attempt alone.
+    /// None: the result is the same as after one attempt.
     Idempotent,
-    /// The same, as long as nodes recognize the request by its fingerprint.
+    /// None, as long as nodes recognize the request by its fingerprint.
     Fingerprinted,
-    /// Its work twice.
+    /// The request takes effect twice.
     SideEffecting,
 }
 
--- a/crates/wheelspread/src/error.rs
+++ b/crates/wheelspread/src/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with the balancer's settings and events.
+//! Errors in the balancer's settings and events.
 
 use crate::ids::{NodeId, ProxyId};
 use crate::setting_value::SettingValue;
@@ -7,61 +7,67 @@
 /// The settings do not allow the balancer to start or to be reconfigured.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum ConfigError {
-    /// A setting that is needed is not there.
+    /// A required setting is missing.
     #[error("setting {name} is missing")]
     Missing {
         /// The setting.
         name: String,
     },
-    /// A setting has a value of another type.
+    /// A setting has a value of the wrong type.
     #[error("setting {name} should be a {expected}, it is {found:?}")]
     WrongType {
         /// The setting.
         name: String,
-        /// The type it should have.
+        /// The type that the setting must have.
         expected: &'static str,
         /// The value that was found.
         found: SettingValue,
     },
-    /// The zones, or the operations, differ from those that the balancer was started with.
-    #[error("zones and operations stay what they are while this runs")]
+    /// The zones, the operations, or which operations stay in their zone differ from the running configuration.
+    #[error("zones and operations cannot be changed while the balancer runs")]
     TopologyChanged,
 }
 
-/// An event that cannot be handled. It changes no estimate.
+/// An event that cannot be handled. Such an event changes no estimate.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum EventError {
-    /// A node's load report whose figures contradict each other.
-    #[error("load report of {attempts} attempts, {failures} failed, over {window_seconds} s")]
+    /// A node's load report with more failures than attempts, or with an invalid window.
+    #[error(
+        "load report of {attempts} attempts, {failures} failed, over {window_seconds} s is invalid: \
+         failures must not exceed attempts, and the window must be above 0 s and below 3600 s"
+    )]
     InvalidLoadReport {
         /// Reported attempts.
         attempts: f64,
         /// Reported failures.
         failures: f64,
-        /// Time that the report covers, in seconds.
+        /// Length of time that the report covers, in seconds.
         window_seconds: f64,
     },
-    /// A proxy's demand report with an impossible figure.
-    #[error("demand report of {requests} requests over {window_seconds} s")]
+    /// A proxy's demand report with an invalid request count or window.
+    #[error(
+        "demand report of {requests} requests over {window_seconds} s is invalid: \
+         requests must be at least 0, and the window must be above 0 s and below 3600 s"
+    )]
     InvalidDemandReport {
         /// Reported requests.
         requests: f64,
-        /// Time that the report covers, in seconds.
+        /// Length of time that the report covers, in seconds.
         window_seconds: f64,
     },
-    /// A load report for a node that is in no endpoint list.
+    /// A load report for a node that was in no endpoint list.
     #[error("load report for unknown node {0:?}")]
     UnknownNode(NodeId),
     /// A demand report from a proxy that never joined.
     #[error("demand report from unknown proxy {0:?}")]
     UnknownProxy(ProxyId),
-    /// A proxy left that never joined.
+    /// A proxy that never joined has left.
     #[error("{0:?} left but never joined")]
     NeverJoined(ProxyId),
-    /// Gossip whose length fits no message.
-    #[error("unreadable gossip of {length} bytes")]
+    /// Gossip from a peer whose length does not match the message format.
+    #[error("gossip of {length} bytes does not match the message format")]
     UnreadableGossip {
-        /// Its length in bytes.
+        /// Length of the message in bytes.
         length: usize,
     },
 }
--- a/crates/wheelspread/src/event.rs
+++ b/crates/wheelspread/src/event.rs
@@ -1,30 +1,30 @@
-//! Input of the balancer: events about endpoints, proxies, load and peers.
+//! The balancer's input: events about endpoints, proxies, load and peer controllers.
 
 use crate::error::EventError;
 use crate::ids::*;
 use crate::time::{Moment, Span};
 
-/// What the endpoint list says of a node.
+/// A node's status in an endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointStatus {
-    /// It takes new requests.
+    /// The node takes new requests.
     Ready,
-    /// It finishes what it has and is to get nothing new.
+    /// The node finishes the requests in flight and must get no new ones.
     Draining,
-    /// It is no longer there.
+    /// The node no longer exists.
     Gone,
 }
 
-/// Where an endpoint list comes from and what it covers.
+/// The source of an endpoint list and the entries that it covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointListKind {
-    /// A complete list that was cached before a restart and may be stale.
+    /// A complete list that was cached before a restart; may be stale.
     Cached,
     /// Only the entries that changed.
     Changes,
     /// A complete list.
     Complete,
-    /// The list was requested and could not be read.
+    /// The list was requested but could not be read; there are no entries.
     Unavailable,
 }
 
@@ -33,24 +33,24 @@
 pub struct EndpointEntry {
     /// The node's address.
     pub node: NodeId,
-    /// The zone it runs in.
+    /// The zone in which the node runs.
     pub zone: ZoneId,
-    /// The machine type.
+    /// The node's machine type.
     pub kind: KindId,
-    /// The failure domain within the zone.
+    /// The node's failure domain within the zone.
     pub cell: CellId,
-    /// Whether it is ready, draining or gone.
+    /// Whether the node is ready, draining or gone.
     pub status: EndpointStatus,
-    /// The weight it is listed with.
+    /// The node's listed weight; a value that is not finite or not above 0 counts as 1.
     pub weight: f64,
-    /// When it last started; `None`: long ago.
+    /// When the node's process last started; `None` if it started long ago.
     pub started: Option<Moment>,
 }
 
-/// Something that happened. Rates are per second.
+/// An event for the balancer. Rates are per second.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// An endpoint list or its changes.
+    /// An endpoint list, or changes to it.
     EndpointList {
         /// What the entries cover.
         kind: EndpointListKind,
@@ -63,9 +63,9 @@
         proxy: ProxyId,
         /// Its zone.
         zone: ZoneId,
-        /// A rough figure of the requests that usually come to it, per second.
+        /// A rough estimate of the requests per second that the proxy receives, used as its initial demand.
         usual_rate: f64,
-        /// Whether it holds no table that a controller ordered.
+        /// Whether the proxy holds no table from any controller.
         holds_no_table: bool,
     },
     /// A proxy has left.
@@ -73,57 +73,57 @@
         /// The proxy.
         proxy: ProxyId,
     },
-    /// What the proxies of a zone observed at a node.
+    /// Load of a node as observed by the proxies of one zone.
     NodeLoadReport {
         /// The zone of the proxies.
         zone: ZoneId,
         /// The node.
         node: NodeId,
-        /// Requests that were sent to it.
+        /// Attempts sent to the node.
         attempts: f64,
-        /// How many of them failed.
+        /// Attempts that failed.
         failures: f64,
-        /// The mean time of the others.
+        /// Mean latency of the attempts that succeeded.
         mean_latency: Span,
-        /// The time that the report covers.
+        /// The length of time that the report covers.
         window: Span,
-        /// The node's own metrics, in the order that the settings name; a value below 0 is not known.
+        /// The node's own metrics, in the order of the settings `report.field.N`; a value below 0 means unknown.
         metrics: Vec<f64>,
     },
-    /// Requests that came to a proxy for one operation.
+    /// Requests that a proxy received for one operation.
     DemandReport {
         /// The proxy.
         proxy: ProxyId,
         /// The operation.
         operation: OperationId,
-        /// Requests that came.
+        /// Requests received.
         requests: f64,
-        /// How many of them were admitted and failed.
+        /// Requests that were admitted and failed.
         failures: f64,
-        /// The time that the report covers.
+        /// The length of time that the report covers.
         window: Span,
     },
-    /// Requests that came for one slice and operation.
+    /// Requests received for one slice and operation.
     SliceDemandReport {
         /// The slice.
         slice: SliceId,
         /// The operation.
         operation: OperationId,
-        /// Requests that came.
+        /// Requests received.
         requests: f64,
-        /// How many of them were admitted and failed.
+        /// Requests that were admitted and failed.
         failures: f64,
-        /// The time that the report covers.
+        /// The length of time that the report covers.
         window: Span,
     },
-    /// A slice was assigned to this controller, or taken from it.
+    /// A slice was assigned to this controller or withdrawn from it.
     SliceOwnership {
         /// The slice.
         slice: SliceId,
-        /// Whether this controller owns it now.
+        /// Whether this controller now owns the slice.
         owned: bool,
     },
-    /// A node's weight for a slice, as found at a proxy.
+    /// A node's weight for a slice, as read from a proxy.
     SliceAssignment {
         /// The slice.
         slice: SliceId,
@@ -132,34 +132,34 @@
         /// Its weight.
         weight: f64,
     },
-    /// A proxy has applied everything up to a version marker.
+    /// A proxy has applied all updates up to a version marker.
     MarkerAcknowledged {
         /// The proxy.
         proxy: ProxyId,
-        /// The marker.
+        /// The version marker.
         marker: MarkerId,
-        /// How long that took.
+        /// Time from sending the marker to its acknowledgement.
         latency: Span,
     },
-    /// A health check that was ordered has ended.
+    /// A requested health check has ended.
     ProbeCompleted {
         /// The node.
         node: NodeId,
-        /// Whether it answered that it is healthy.
+        /// Whether the node reported itself healthy.
         succeeded: bool,
-        /// How long the answer took.
+        /// Latency of the node's response.
         latency: Span,
-        /// The node's own metrics, as in a load report.
+        /// The node's own metrics, in the same order as in a load report.
         metrics: Vec<f64>,
     },
     /// Gossip from another controller.
     PeerGossip {
-        /// The controller.
+        /// The sending controller.
         from: PeerId,
-        /// The message, in the form that `SendGossip` carries.
+        /// The message, encoded as in `SendGossip`.
         payload: Vec<u8>,
     },
-    /// A timer that was set has fired.
+    /// A requested timer has fired.
     TimerFired {
         /// The timer.
         timer: TimerId,
@@ -167,7 +167,7 @@
 }
 
 impl Event {
-    /// Checks the figures of an event; one that fails must change nothing.
+    /// Checks the values of an event. An event that fails the check must change no state.
     pub fn check(&self) -> Result<(), EventError> {
         let is_valid = |window: &Span| *window > Span::ZERO && window.seconds() < 3600.0;
         match self {
--- a/crates/wheelspread/src/fleet.rs
+++ b/crates/wheelspread/src/fleet.rs
@@ -1,4 +1,4 @@
-//! What is known of the fleet, for the modules that decide: each part is owned by the module that keeps it.
+//! The state of the fleet on which decisions are based. Each part is kept by a module of its own.
 
 use crate::capacity::{CapacityModel, LearningInput};
 use crate::config::Config;
@@ -13,10 +13,11 @@
 use crate::time::Moment;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Share of all demand at proxies that have left: with more of it, load reports teach no capacity.
+/// Maximum ratio of all demand that may belong to proxies that have left; above it, capacity estimates ignore load
+/// reports.
 const MAX_UNREPORTED_DEMAND_RATIO: f64 = 0.15;
 
-/// Everything that is known at one moment.
+/// The state of the fleet at one point in time.
 pub(crate) struct Fleet {
     pub now: Moment,
     pub config: Config,
@@ -30,7 +31,7 @@
 }
 
 impl Fleet {
-    /// Nothing is known yet.
+    /// The state before the first event.
     pub fn new(now: Moment, config: Config) -> Fleet {
         Fleet {
             now,
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Gossip from before that moment no longer stands.
+    /// The time since which gossip is valid; older gossip is ignored.
     pub fn gossip_since(&self) -> Moment {
         Gossip::valid_since(self.timing.period(), self.now)
     }
@@ -55,23 +56,24 @@
         self.capacity.capacity(node, &self.config, self.now)
     }
 
-    /// The same, less where its latency is longer than the fleet's.
+    /// The node's capacity, adjusted by how its latency compares with the fleet's mean; see
+    /// [`CapacityModel::effective_capacity`].
     pub fn effective_capacity_of(&self, node: &Node) -> f64 {
         self.capacity
             .effective_capacity(node, &self.config, self.now)
     }
 
-    /// The part of a node's capacity that a zone should use.
+    /// The ratio of a node's capacity that a zone should use.
     pub fn usable_ratio(&self, zone: ZoneId, id: NodeId) -> f64 {
         self.outliers.usable_ratio(id, zone, &self.timing, self.now)
     }
 
-    /// Requests per second that a node serves for peers' proxies.
+    /// Requests per second that a node serves for the proxies of peer controllers.
     pub fn peers_rate(&self, id: NodeId) -> f64 {
         self.gossip.rate(id, self.gossip_since())
     }
 
-    /// The proxies that use a table, joined or not.
+    /// The proxies that use a table, including those that have left.
     pub fn proxies_of<'a>(
         &'a self,
         table: &'a Table,
@@ -80,7 +82,7 @@
         proxies.filter(|(id, proxy)| table.serves(**id, proxy.zone()))
     }
 
-    /// Requests per second that come to the proxies of a table, admitted or not.
+    /// Requests per second that the proxies of a table receive, including rejected ones.
     pub fn demand_of(&self, table: &Table) -> f64 {
         self.proxies_of(table)
             .map(|(_, proxy)| proxy.demand(table.operations()))
@@ -108,8 +110,9 @@
         sum
     }
 
-    /// Demand by zone and by whether it stays there: of own proxies, of those out of a single controller's
-    /// reach, and of those that peers reported.
+    /// Demand by zone and by whether it must stay in its zone: of the proxies that have joined this controller and of
+    /// those that peers reported. A single controller also counts proxies that have left, since no other controller
+    /// reports their demand.
     pub fn demand_by_class(&self) -> BTreeMap<DemandClass, f64> {
         let is_single_controller = self.config.controller_count <= 1.0;
         let mut sums = self.own_demand(|proxy| proxy.has_joined() || is_single_controller);
@@ -137,7 +140,7 @@
         sums
     }
 
-    /// What peers are to know.
+    /// The view of the fleet that this controller sends to its peers.
     pub fn local_view(&self) -> LocalView {
         let since = self.timing.rates_valid_since();
         let rate = |id: NodeId| (id, self.outliers.success_rate(id, since));
@@ -148,8 +151,8 @@
         }
     }
 
-    /// Reads new load reports into the capacity estimates. Reports that show only a part of what nodes get, as
-    /// while many proxies have left, teach nothing.
+    /// Updates the capacity estimates from new load reports. A single controller ignores reports while proxies that
+    /// have left account for too much of the demand, since they then show only a part of the nodes' load.
     pub fn learn_capacity(&mut self, is_overloaded: bool) {
         let unreported_ratio = self.members.demand_of(|proxy| !proxy.has_joined())
             / self.members.total_demand().max(1e-6);
@@ -171,13 +174,13 @@
             .learn(&mut self.nodes, &self.config, &input, rate_at);
     }
 
-    /// Updates what kinds of node are seen to serve.
+    /// Updates the capacity and the peak observed rate of each kind of node.
     pub fn update_kind_means(&mut self) {
         let demand = self.members.total_demand();
         self.capacity.update_kind_means(&self.nodes, demand);
     }
 
-    /// Ejects outliers and puts them on probation; whether any node's health changed.
+    /// Runs outlier detection; returns whether any node's health state changed.
     pub fn detect_outliers(&mut self, random: &mut Pcg) -> bool {
         let input = DetectionInput {
             nodes: &self.nodes,
@@ -189,7 +192,7 @@
         self.outliers.detect_outliers(&input, random)
     }
 
-    /// Drops nodes, paths and proxies that have been away for long.
+    /// Removes nodes, paths and proxies that left more than `RETENTION_WARM_UPS` warm-up times ago.
     pub fn remove_departed(&mut self) {
         const RETENTION_WARM_UPS: f64 = 10.0;
         let (now, retention) = (self.now, self.config.warm_up * RETENTION_WARM_UPS);
--- a/crates/wheelspread/src/fleet_load.rs
+++ b/crates/wheelspread/src/fleet_load.rs
@@ -1,19 +1,21 @@
-//! How busy the fleet is, as load reports measure it.
+//! The load of the whole fleet, measured by load reports.
 
 use crate::fleet::Fleet;
 use crate::lifecycle::Node;
 use crate::outlier::Path;
 
-/// Measured load, of 1, and what follows from it.
+/// Thresholds of the measured load; a load of 1 is full utilization.
 pub(crate) struct LoadThresholds {
-    /// Cuts from there on.
+    /// Load from which the fleet is overloaded and admission is cut.
     pub overload: f64,
-    /// Calm below, after some report cycles.
+    /// Load below which the fleet's load is low, once it has been so for `low_cycles`.
     pub low: f64,
+    /// Report cycles for which the load must have been below `low`.
     pub low_cycles: f64,
-    /// Failures by attempts at busy nodes: with more, the fleet is overrun whatever else is measured.
+    /// Ratio of failures at busy nodes to all attempts, above which the fleet counts as fully loaded whatever its
+    /// utilization.
     overload_failure_ratio: f64,
-    /// Report cycles over which those are counted.
+    /// Report cycles over which failures and attempts are counted.
     failure_cycles: f64,
 }
 
@@ -25,7 +27,7 @@
     failure_cycles: 2.0,
 };
 
-/// How busy the fleet is as a whole.
+/// The load level of the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FleetLoad {
     Low,
@@ -33,8 +35,9 @@
     Overloaded,
 }
 
-/// Mean utilization of all open nodes, by the attempts they get, of 1; full when many attempts fail at nodes that
-/// are busy or report nothing. Failures elsewhere are not the load's: to admit less mends none.
+/// Mean utilization of the nodes that take new requests, weighted by their attempts per second. The result is 1 when
+/// many attempts fail at nodes that are busy or whose utilization is unknown. Failures at other nodes are not caused
+/// by load, so admitting fewer requests would not prevent them.
 pub(crate) fn measured_load(fleet: &Fleet) -> f64 {
     let bucket_count = fleet.timing.bucket_count(LOAD_THRESHOLDS.failure_cycles);
     let (mut attempts, mut overload_failures) = (0.0, 0.0);
@@ -53,6 +56,8 @@
     }
 }
 
+/// Mean utilization of the included nodes that take new requests, weighted by their attempts per second; 0 if none is
+/// known.
 pub(crate) fn mean_utilization(fleet: &Fleet, is_included: impl Fn(&Node) -> bool) -> f64 {
     let (mut sum, mut rate_sum) = (0.0, 0.0);
     for (node, path) in open_paths(fleet).filter(|(node, _)| is_included(node)) {
@@ -64,6 +69,7 @@
     sum / rate_sum.max(1e-6)
 }
 
+/// The paths to nodes that take new requests.
 fn open_paths(fleet: &Fleet) -> impl Iterator<Item = (&Node, &Path)> {
     fleet.outliers.paths().filter_map(|((id, _), path)| {
         let node = fleet.nodes.get(id).filter(|node| node.is_open())?;
--- a/crates/wheelspread/src/ids.rs
+++ b/crates/wheelspread/src/ids.rs
@@ -1,9 +1,9 @@
-//! One type for each kind of identifier, so that they cannot be mixed up.
+//! Identifiers. Each has its own type, so that the compiler rejects one used in place of another.
 
 /// The address of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NodeId {
-    /// IPv4 address, in the order in which it is written.
+    /// IPv4 address, most significant byte first.
     pub address: [u8; 4],
     /// TCP port.
     pub port: u16,
@@ -20,9 +20,9 @@
 number_id!(
     /// A proxy.
     ProxyId(u16),
-    /// A weighted table that proxies share.
+    /// A weighted table that several proxies use.
     TableId(u16),
-    /// A slice of the key space, at sites that have slices.
+    /// A slice of the key space, in deployments that divide it into slices.
     SliceId(u16),
     /// A zone.
     ZoneId(u16),
@@ -30,12 +30,12 @@
     CellId(u16),
     /// A machine type.
     KindId(u8),
-    /// An operation that requests call.
+    /// An operation: the type of a request.
     OperationId(u8),
     /// Another controller.
     PeerId(u32),
     /// A version marker.
     MarkerId(u32),
-    /// A timer that the host was asked to set.
+    /// A timer that the balancer requested from its host.
     TimerId(u64),
 );
--- a/crates/wheelspread/src/lib.rs
+++ b/crates/wheelspread/src/lib.rs
@@ -1,8 +1,8 @@
-//! A traffic director for fleets of plain proxies: decides the weighted tables, admission limits and retry policies
-//! that a controller publishes, without I/O.
+//! The decision core of a traffic director for fleets of proxies: decides the weighted tables, admission limits and
+//! retry policies that a controller publishes. The crate does no I/O.
 //!
-//! A host calls [`Balancer::start`], [`Balancer::handle_event`] for each [`Event`] of a moment and
-//! [`Balancer::decide`] once at its end, and carries out the [`Action`]s it gets.
+//! A host calls [`Balancer::start`] once. For each point in time it calls [`Balancer::handle_event`] for every
+//! [`Event`] of that time, then [`Balancer::decide`] once, and carries out the returned [`Action`]s.
 
 mod action;
 mod admission;
--- a/crates/wheelspread/src/lifecycle.rs
+++ b/crates/wheelspread/src/lifecycle.rs
@@ -1,6 +1,6 @@
-//! The lifecycle of nodes, by the endpoint list and the clock.
+//! The lifecycle of nodes, driven by the endpoint list and the clock.
 //!
-//! Tables drop nodes that take no new requests at once; all other changes follow in steps.
+//! Nodes that take no new requests are removed from tables at once. All other changes of tables are made in steps.
 
 use crate::config::Config;
 use crate::ids::{KindId, NodeId, ZoneId};
@@ -12,42 +12,42 @@
 #[cfg(test)]
 mod tests;
 
-/// Where a node stands in its life.
+/// A node's lifecycle state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Lifecycle {
-    /// Not in the endpoint list, or no longer.
+    /// Not in the endpoint list.
     Unlisted,
-    /// Started a short while ago: it has only a part of its capacity.
+    /// Started recently: has only a part of its full capacity.
     WarmingUp,
     /// Takes new requests at full capacity.
     Ready,
-    /// Finishes what it has.
+    /// Finishes the requests in flight and takes no new ones.
     Draining,
 }
 
-/// What the endpoint list or the clock says of a node.
+/// An input of the lifecycle, from the endpoint list or the clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LifecycleInput {
-    /// Listed as ready, and not restarted.
+    /// Listed as ready without a recent restart.
     ListedReady,
-    /// Listed as ready, by a process that started a short while ago.
+    /// Listed as ready with a process that started recently.
     Restarted,
     /// Listed as draining.
     ListedDraining,
-    /// Gone, or missing from a complete list.
+    /// Listed as gone, or missing from a complete list.
     Removed,
-    /// The time to warm up is over.
+    /// The warm-up time has passed.
     WarmedUp,
 }
 
-/// Which measurements of a node a transition keeps.
+/// The measurements of a node that a transition keeps or discards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Measurements {
-    /// All of them.
+    /// Keeps all measurements.
     Keep,
-    /// The node's own; what zones observed there is forgotten.
+    /// Keeps the node's load; discards what zones observed at the node.
     DiscardPaths,
-    /// None: a restarted process is another one.
+    /// Discards all: measurements of the old process do not apply to a restarted one.
     DiscardAll,
 }
 
@@ -68,7 +68,7 @@
     }
 }
 
-/// A node that was in an endpoint list.
+/// A node that is or was in an endpoint list.
 #[derive(Clone, Debug)]
 pub(crate) struct Node {
     zone: ZoneId,
@@ -76,8 +76,9 @@
     weight: f64,
     started: Option<Moment>,
     state: Lifecycle,
+    /// Time of the last change of `state`.
     changed_at: Moment,
-    /// What load reports say of it.
+    /// The node's load by its load reports.
     pub load: NodeLoad,
 }
 
@@ -94,44 +95,44 @@
         }
     }
 
-    /// Its zone.
+    /// The node's zone.
     pub fn zone(&self) -> ZoneId {
         self.zone
     }
 
-    /// Its machine type.
+    /// The node's machine type.
     pub fn kind(&self) -> KindId {
         self.kind
     }
 
-    /// The weight it is listed with.
+    /// The node's listed weight; 1 if the listed value was not finite or not above 0.
     pub fn weight(&self) -> f64 {
         self.weight
     }
 
-    /// Whether it takes new requests at full capacity.
+    /// Whether the node takes new requests at full capacity.
     pub fn is_ready(&self) -> bool {
         self.state == Lifecycle::Ready
     }
 
-    /// Whether it warms up.
+    /// Whether the node is warming up.
     pub fn is_warming(&self) -> bool {
         self.state == Lifecycle::WarmingUp
     }
 
-    /// Whether it takes new requests.
+    /// Whether the node takes new requests: warming or ready.
     pub fn is_open(&self) -> bool {
         matches!(self.state, Lifecycle::WarmingUp | Lifecycle::Ready)
     }
 
-    /// Age, as a part of the time to warm up; 1 at most.
+    /// The node's age as a ratio of the warm-up time, at most 1.
     fn warm_up_progress(&self, warm_up: Span, now: Moment) -> f64 {
         let total = warm_up.seconds().max(1e-3);
         self.started
             .map_or(1.0, |at| ((now - at).seconds().max(0.0) / total).min(1.0))
     }
 
-    /// The least share of its capacity that it has by now.
+    /// The minimum ratio of its full capacity that the node has at `now`.
     pub fn capacity_ratio(&self, config: &Config, now: Moment) -> f64 {
         let start = config.warm_up_start_ratio;
         if self.is_warming() {
@@ -142,14 +143,14 @@
     }
 }
 
-/// The nodes that were listed, by address.
+/// All nodes that are or were in an endpoint list, by address.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Nodes {
     by_id: BTreeMap<NodeId, Node>,
 }
 
 impl Nodes {
-    /// Takes in one entry of an endpoint list; says what that means for the node's lifecycle.
+    /// Updates a node from an entry of an endpoint list; returns the input for the node's lifecycle.
     pub fn on_entry(
         &mut self,
         entry: &EndpointEntry,
@@ -178,7 +179,7 @@
         }
     }
 
-    /// Moves a node to its next state; says which measurements count on, or `None` if nothing changed.
+    /// Moves a node to its next state; returns which measurements to keep, or `None` if the state did not change.
     pub fn apply(
         &mut self,
         id: NodeId,
@@ -194,7 +195,7 @@
         Some(measurements)
     }
 
-    /// Nodes that a complete list no longer names.
+    /// Known nodes that are missing from a complete list.
     pub fn missing_from(&self, entries: &[EndpointEntry]) -> Vec<NodeId> {
         let listed: BTreeSet<NodeId> = entries.iter().map(|entry| entry.node).collect();
         self.by_id
@@ -204,7 +205,7 @@
             .collect()
     }
 
-    /// Nodes that have had the time to warm up.
+    /// Warming nodes whose warm-up time has passed.
     pub fn warmed_up(&self, warm_up: Span, now: Moment) -> Vec<NodeId> {
         self.iter()
             .filter(|(_, node)| node.is_warming() && node.warm_up_progress(warm_up, now) >= 1.0)
@@ -212,24 +213,24 @@
             .collect()
     }
 
-    /// Drops nodes that left the list before `changed_before` and that no table holds.
+    /// Removes unlisted nodes whose last change of state is not recent. Nodes in `held`, those with table entries, stay.
     pub fn remove_unlisted(&mut self, held: &BTreeSet<NodeId>, is_recent: impl Fn(Moment) -> bool) {
         self.by_id.retain(|id, node| {
             node.state != Lifecycle::Unlisted || held.contains(id) || is_recent(node.changed_at)
         });
     }
 
-    /// The node of that address.
+    /// The node with address `id`.
     pub fn get(&self, id: &NodeId) -> Option<&Node> {
         self.by_id.get(id)
     }
 
-    /// The same, to change its load.
+    /// Mutable access to the node with address `id`, to update its load.
     pub fn get_mut(&mut self, id: &NodeId) -> Option<&mut Node> {
         self.by_id.get_mut(id)
     }
 
-    /// Whether the node was ever listed.
+    /// Whether the node is known: it is or was listed and has not been removed.
     pub fn contains(&self, id: &NodeId) -> bool {
         self.by_id.contains_key(id)
     }
@@ -254,7 +255,7 @@
         self.open().map(|(id, _)| *id).collect()
     }
 
-    /// Listed weights of the nodes that take new requests, summed.
+    /// Sum of the listed weights of the nodes that take new requests.
     pub fn open_weight(&self) -> f64 {
         self.open().map(|(_, node)| node.weight).sum()
     }
@@ -264,7 +265,7 @@
         self.by_id.get(id).is_some_and(Node::is_open)
     }
 
-    /// Whether a node warms up.
+    /// Whether a node is warming up.
     pub fn is_warming(&self, id: &NodeId) -> bool {
         self.by_id.get(id).is_some_and(Node::is_warming)
     }
--- a/crates/wheelspread/src/lifecycle/tests.rs
+++ b/crates/wheelspread/src/lifecycle/tests.rs
@@ -3,7 +3,7 @@
 use super::LifecycleInput::{self, ListedDraining, ListedReady, Removed, Restarted, WarmedUp};
 use super::Measurements::{self, DiscardAll, DiscardPaths, Keep};
 
-/// Every transition there is.
+/// All valid transitions: state, input, next state, and the measurements that are kept.
 const TRANSITIONS: [(Lifecycle, LifecycleInput, Lifecycle, Measurements); 13] = [
     (Unlisted, ListedReady, Ready, DiscardPaths),
     (Unlisted, Restarted, WarmingUp, DiscardAll),
--- a/crates/wheelspread/src/node_load.rs
+++ b/crates/wheelspread/src/node_load.rs
@@ -1,4 +1,4 @@
-//! What load reports say of one node.
+//! The load of one node, measured by its load reports.
 
 use crate::config::Config;
 use crate::event::Event;
@@ -7,7 +7,7 @@
 use crate::time::Span;
 use std::ops::AddAssign;
 
-/// A node's load report, as the proxies of one zone and the node itself gave it.
+/// A load report of one node: observations of one zone's proxies and the node's own metrics.
 pub(crate) struct LoadReport<'a> {
     pub zone: ZoneId,
     pub node: NodeId,
@@ -15,12 +15,12 @@
     pub failures: f64,
     pub mean_latency: Span,
     pub window: Span,
-    /// The node's own metrics, in the order of the settings; below 0: not known.
+    /// The node's own metrics, in the order of the settings; a value below 0 means unknown.
     pub metrics: &'a [f64],
 }
 
 impl LoadReport<'_> {
-    /// The report in an event, if it is one.
+    /// The load report in an event; `None` for other events.
     pub fn from_event(event: &Event) -> Option<LoadReport<'_>> {
         let Event::NodeLoadReport {
             zone,
@@ -60,53 +60,58 @@
     }
 }
 
-/// Attempts, how many of them failed, and the seconds that the others took together.
+/// Counts of attempts and failures, and the summed latency of the successful attempts.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct AttemptStats {
     pub attempts: f64,
     pub failures: f64,
-    pub seconds: f64,
+    /// Summed latency of the successful attempts, in seconds.
+    pub success_seconds: f64,
 }
 
 impl AddAssign for AttemptStats {
     fn add_assign(&mut self, more: AttemptStats) {
         self.attempts += more.attempts;
         self.failures += more.failures;
-        self.seconds += more.seconds;
+        self.success_seconds += more.success_seconds;
     }
 }
 
+/// Reported latencies above this are lowered to it.
 const MAX_LATENCY_SECONDS: f64 = 60.0;
+/// Reported queue lengths above this are lowered to it.
 const MAX_QUEUE_LENGTH: f64 = 1e3;
-/// Requests beside which a report's own weigh in the mean latency.
+/// Successes in a report at which the report has half the weight of its window in the mean latency.
 const LATENCY_HALF_WEIGHT_REQUESTS: f64 = 2.0;
-/// Of the memory of averages: that of latency, and of the node's own metrics.
+/// Time constant of the mean latency, as a ratio of the common time constant.
 const LATENCY_TIME_CONSTANT_RATIO: f64 = 0.3;
+/// Time constant of the node's own metrics, as a ratio of the common time constant.
 const METRIC_TIME_CONSTANT_RATIO: f64 = 0.5;
 
 /// Measurements and the capacity estimate of one node.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct NodeLoad {
     utilization: DecayingAverage,
-    /// Requests that wait there, as the node says.
+    /// Requests waiting at the node, as the node reports.
     queue_length: DecayingAverage,
-    /// Seconds that a request takes.
+    /// Mean latency of successful requests, in seconds.
     latency: DecayingAverage,
-    /// Logarithm of the requests per second that it can serve.
+    /// Natural logarithm of the requests per second that the node can serve.
     capacity: DecayingAverage,
-    /// Report periods that the capacity rests on; fades.
+    /// Report periods on which the capacity estimate is based; decays.
     evidence: f64,
-    /// The highest rate at which latency stayed well below the objective.
+    /// The highest rate, in requests per second, at which latency stayed well below the objective.
     peak_within_objective: f64,
-    /// The highest rate that lately succeeded; fades.
+    /// The highest recent rate of successes per second; decays.
     recent_peak: f64,
-    /// The reports that the capacity estimate has not used yet, and the longest time that one covers.
+    /// Sum of the reports that the capacity estimate has not used yet.
     pending: AttemptStats,
+    /// The longest window of those reports.
     max_pending_window: Span,
 }
 
 impl NodeLoad {
-    /// Takes in a report; `memory` is the time constant of averages.
+    /// Adds a load report. `time_constant` is the common time constant of averages.
     pub fn on_report(&mut self, report: &LoadReport, config: &Config, time_constant: Span) {
         let (successes, seconds) = (report.successes(), report.latency_seconds());
         if successes > 0.0 && seconds > 0.0 {
@@ -133,11 +138,12 @@
         self.pending += AttemptStats {
             attempts: report.attempts,
             failures: report.failures,
-            seconds: successes * seconds,
+            success_seconds: successes * seconds,
         };
     }
 
-    /// Forgets what was measured: a restarted process is another one.
+    /// Discards all measurements but the pending reports: measurements of the old process do not apply to a restarted
+    /// one.
     pub fn reset(&mut self) {
         *self = NodeLoad {
             pending: self.pending,
@@ -146,53 +152,53 @@
         };
     }
 
-    /// Takes over an estimate from before a restart of the balancer.
+    /// Sets the capacity estimate to one from before a restart of the balancer.
     pub fn restore(&mut self, log_capacity: f64, evidence: f64) {
         self.capacity = DecayingAverage::with_value(log_capacity);
         self.evidence = evidence;
     }
 
-    /// Reported utilization, of 1.
+    /// Mean reported utilization; 1 is full.
     pub fn utilization(&self) -> Option<f64> {
         self.utilization.get()
     }
 
-    /// Reported length of the queue.
+    /// Mean reported number of waiting requests.
     pub fn queue_length(&self) -> Option<f64> {
         self.queue_length.get()
     }
 
-    /// Mean latency in seconds.
+    /// Mean latency of successful requests, in seconds.
     pub fn latency(&self) -> Option<f64> {
         self.latency.get()
     }
 
-    /// Logarithm of the estimated requests per second.
+    /// Natural logarithm of the estimated capacity in requests per second.
     pub fn log_capacity(&self) -> Option<f64> {
         self.capacity.get()
     }
 
-    /// Report periods that the estimate rests on.
+    /// Report periods on which the capacity estimate is based.
     pub fn evidence(&self) -> f64 {
         self.evidence
     }
 
-    /// The highest rate that lately succeeded.
+    /// The highest recent rate of successes per second.
     pub fn recent_peak(&self) -> f64 {
         self.recent_peak
     }
 
-    /// The highest rate at which latency stayed well below the objective.
+    /// The highest rate, in requests per second, at which latency stayed well below the objective.
     pub fn peak_within_objective(&self) -> f64 {
         self.peak_within_objective
     }
 
-    /// Reports that were not learnt from yet.
+    /// Sum of the reports that the capacity estimate has not used yet.
     pub fn pending(&self) -> AttemptStats {
         self.pending
     }
 
-    /// The same, taken out, with the longest time that one of them covers.
+    /// Takes the pending reports; returns their sum and their longest window.
     pub fn take_pending(&mut self) -> (AttemptStats, Span) {
         (
             std::mem::take(&mut self.pending),
@@ -200,28 +206,29 @@
         )
     }
 
-    /// Lets evidence and the recent peak fade; the peak is at least the rate of now.
+    /// Multiplies the evidence by `evidence_factor` and the recent peak by its square root. The peak stays at least
+    /// `rate`, the current rate.
     pub fn decay(&mut self, evidence_factor: f64, rate: f64) {
         self.evidence *= evidence_factor;
         self.recent_peak = (self.recent_peak * evidence_factor.sqrt()).max(rate);
     }
 
-    /// The estimate rests on more reports.
+    /// Adds report periods to the evidence.
     pub fn add_evidence(&mut self, periods: f64) {
         self.evidence += periods;
     }
 
-    /// Takes in a measured capacity.
+    /// Adds a measured capacity to the average. `covered` is the length of time that the measurement covers.
     pub fn add_capacity_sample(&mut self, log_capacity: f64, covered: Span, time_constant: Span) {
         self.capacity.add(log_capacity, covered, time_constant);
     }
 
-    /// Moves the estimate.
+    /// Replaces the capacity estimate.
     pub fn set_capacity(&mut self, log_capacity: f64) {
         self.capacity = DecayingAverage::with_value(log_capacity);
     }
 
-    /// A rate was served while latency was well below the objective.
+    /// Records a rate that was served while latency was well below the objective.
     pub fn record_rate_within_objective(&mut self, rate: f64) {
         self.peak_within_objective = self.peak_within_objective.max(rate);
     }
--- a/crates/wheelspread/src/outlier.rs
+++ b/crates/wheelspread/src/outlier.rs
@@ -1,4 +1,4 @@
-//! Outlier detection: takes a node out of a zone's tables while most attempts from that zone fail there.
+//! Outlier detection: ejects a node from a zone's tables while most attempts from that zone to the node fail.
 
 use crate::ids::{NodeId, ZoneId};
 use crate::lifecycle::Nodes;
@@ -13,18 +13,18 @@
 #[cfg(test)]
 mod tests;
 
-/// How a zone's proxies find a node.
+/// The health of a node as observed from one zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HealthState {
-    /// It gets its share.
+    /// The node gets its normal share of traffic.
     Healthy,
-    /// It is out of the zone's tables.
+    /// The node has no entries in the zone's tables.
     Ejected,
-    /// It gets a small share, to see whether it works again.
+    /// The node gets a small share of traffic, to find out whether it has recovered.
     Probation,
 }
 
-/// What recent attempts and the clock say of an outlier.
+/// An input of the health state, from recent attempts or the clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum HealthInput {
     Failing,
@@ -32,19 +32,20 @@
     EjectionOver,
 }
 
-/// What counts as failing.
+/// Thresholds of outlier detection.
 struct DetectionThresholds {
-    /// Report cycles that are looked at.
+    /// Report cycles over which attempts are counted.
     cycles: f64,
-    /// Failures by attempts, from where a node is an outlier.
+    /// Ratio of failures to attempts above which a node is an outlier.
     min_failure_ratio: f64,
-    /// Failures by attempts at the zone's other nodes: with more, the node is not to blame.
+    /// Ratio of failures to attempts at the zone's other nodes from which the cause is not the single node.
     max_others_failure_ratio: f64,
-    /// Least number of failures, or of successes on probation.
+    /// Minimum failures for an ejection (on probation one less), and minimum successes to end probation.
     min_attempts: f64,
-    /// Of the latency objective: failures of a node slower than that are its load's.
+    /// Latency, as a ratio of the latency objective, above which a node's failures are caused by its load.
     overload_latency_ratio: f64,
-    /// Of the open nodes: with so many ejected or failing, no single node is to blame.
+    /// Ratio of the nodes that take new requests. An ejection that would reach it is not made: when so many fail, the
+    /// cause is not a single node.
     max_ejected_ratio: f64,
 }
 
@@ -59,11 +60,11 @@
 
 /// How long a node stays ejected.
 struct EjectionTime {
-    /// To a report cycle and the longest delay of the channel.
+    /// The first ejection, as a ratio of a report cycle plus the channel's maximum delay. Varied by up to 10 %.
     first_ratio: f64,
-    /// Growth after each probation that failed.
+    /// Factor of the duration after each failed probation.
     growth: f64,
-    /// The most, to the first.
+    /// Maximum duration, as a ratio of the first.
     max_ratio: f64,
 }
 
@@ -73,18 +74,20 @@
     max_ratio: 4.0,
 };
 
-/// To the capacity that is usable at a healthy node.
+/// Ratio of a node's capacity that is used during probation.
 const PROBATION_RATIO: f64 = 0.2;
+/// Minimum ratio of a node's capacity that is used while the node counts as healthy.
 const MIN_HEALTHY_RATIO: f64 = 0.05;
-/// Buckets of the window of attempts, a report period each.
+/// Buckets in the window of attempts; each is a report period wide.
 const WINDOW_BUCKETS: usize = 24;
 
-/// What the proxies of one zone observe at one node.
+/// A path: what the proxies of one zone observe at one node.
 #[derive(Clone, Debug)]
 pub(crate) struct Path {
     state: HealthState,
-    /// When the state began.
+    /// Start of the current state.
     since: Moment,
+    /// Duration of the current or latest ejection.
     ejected_for: Span,
     attempts: ReportedRate,
     successes: ReportedRate,
@@ -105,48 +108,48 @@
         }
     }
 
-    /// Attempts per second.
+    /// Attempts per second; `None` before the first report.
     pub fn attempt_rate(&self) -> Option<f64> {
         self.attempts.get()
     }
 
-    /// When it was last reported.
+    /// Time of the latest load report for this path.
     pub fn last_report_at(&self) -> Moment {
         self.last_report_at
     }
 
-    /// Attempts and failures of the last so many buckets.
+    /// Attempts and failures in the last `bucket_count` buckets.
     pub fn recent(&self, now: Moment, bucket_count: usize) -> AttemptStats {
         self.window.sum_last(now, bucket_count)
     }
 }
 
-/// What a zone's proxies observed lately, over all nodes.
+/// Recent observations of a zone's proxies, summed over all nodes.
 #[derive(Clone, Copy, Default)]
 struct ZoneHealth {
     recent: AttemptStats,
     ejected: usize,
 }
 
-/// What detection goes by, beside the paths.
+/// Input of outlier detection, in addition to the paths.
 pub(crate) struct DetectionInput<'a> {
     pub nodes: &'a Nodes,
     pub timing: &'a ReportTiming,
-    /// Longest time on the way to a proxy.
+    /// Maximum time until an update reaches a proxy.
     pub max_queue_delay: Span,
     /// The shortest latency objective, in seconds.
     pub objective: f64,
     pub now: Moment,
 }
 
-/// Everything that zones observe at nodes, and the health that follows from it.
+/// All paths, with the health states that follow from their observations.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Outliers {
     paths: BTreeMap<(NodeId, ZoneId), Path>,
 }
 
 impl Outliers {
-    /// Takes in a node's load report.
+    /// Adds a node's load report to its path.
     pub fn on_load_report(&mut self, report: &LoadReport, timing: &ReportTiming, now: Moment) {
         let (period, time_constant) = (timing.period(), timing.time_constant());
         let previous_at = timing.previous_at();
@@ -169,24 +172,24 @@
             previous_at,
         );
         path.last_report_at = now;
-        // Evidence is as old as its window: reports from before probation began say nothing of it.
+        // A report whose window began before probation covers attempts from before it and is not counted.
         let window_start = now - report.window - period * 0.5;
         if path.state != HealthState::Probation || window_start > path.since {
             let recent = AttemptStats {
                 attempts: report.attempts,
                 failures: report.failures,
-                seconds: 0.0,
+                success_seconds: 0.0,
             };
             path.window.add(now, recent);
         }
     }
 
-    /// Forgets what was observed at a node.
+    /// Removes all paths to a node.
     pub fn remove_node(&mut self, id: NodeId) {
         self.paths.retain(|key, _| key.0 != id);
     }
 
-    /// Forgets nodes that are no longer known: reports that come late leave a path at a node that is long gone.
+    /// Removes paths to unknown nodes: a late report can leave a path to a node that was removed.
     pub fn remove_unknown(&mut self, nodes: &Nodes) {
         self.paths.retain(|(node, _), _| nodes.contains(node));
     }
@@ -196,7 +199,7 @@
         self.paths.iter()
     }
 
-    /// What a node is seen to serve for own proxies, by reports since `since`.
+    /// Successes per second at a node for this controller's proxies, over the paths that were reported since `since`.
     pub fn success_rate(&self, id: NodeId, since: Moment) -> f64 {
         let zone_paths = self.paths.range((id, ZoneId(0))..=(id, ZoneId(u16::MAX)));
         zone_paths
@@ -205,7 +208,7 @@
             .sum()
     }
 
-    /// Attempts and failures of the last so many buckets, everywhere.
+    /// Attempts and failures in the last `bucket_count` buckets, over all paths.
     pub fn recent(&self, now: Moment, bucket_count: usize) -> AttemptStats {
         let mut sum = AttemptStats::default();
         self.paths
@@ -214,10 +217,11 @@
         sum
     }
 
-    /// Ejects a node from a zone's tables when most attempts fail there and not elsewhere, whatever the cause
-    /// (silent, failing fast, cut off from this zone only). When many nodes fail alike none is to blame and
-    /// none is ejected; nor is one that answers slowly, as its failures are its load's and its weight falls
-    /// instead. Harm: the others carry more, which the bound on ejected nodes keeps small.
+    /// Ejects a node from a zone's tables when most attempts to it fail and most attempts to other nodes do not,
+    /// whatever the cause: no response, fast failures, or a network partition between this zone and the node. When many
+    /// nodes fail, none is ejected, as the cause is not a single node. A node that responds slowly is not ejected
+    /// either: its failures are caused by its load, and its weight is reduced instead. Each ejection raises the load of
+    /// the other nodes; the maximum ratio of ejected nodes limits that.
     ///
     /// Returns whether any state changed.
     pub fn detect_outliers(&mut self, input: &DetectionInput, random: &mut Pcg) -> bool {
@@ -269,8 +273,8 @@
         zones
     }
 
-    /// The part of a node's capacity that a zone should use. A node that fails in part gets less, by the root
-    /// of what works: an attempt that fails is retried, but a node that is avoided overloads the others.
+    /// The ratio of a node's capacity that a zone should use. For a node that fails some attempts it is the square root
+    /// of the ratio of successes: failed attempts are retried, while avoiding the node would overload the others.
     pub fn usable_ratio(
         &self,
         id: NodeId,
@@ -294,7 +298,7 @@
 }
 
 impl Path {
-    /// What this path's recent attempts say; `None`: nothing new.
+    /// The input that follows from this path's recent attempts and the clock; `None` if the state must not change.
     fn health_input(
         &self,
         node: NodeId,
--- a/crates/wheelspread/src/outlier/tests.rs
+++ b/crates/wheelspread/src/outlier/tests.rs
@@ -2,7 +2,7 @@
 use super::HealthInput::{self, EjectionOver, Failing, Working};
 use super::HealthState::{self, Ejected, Healthy, Probation};
 
-/// Every transition there is.
+/// All valid transitions: state, input, next state.
 const TRANSITIONS: [(HealthState, HealthInput, HealthState); 4] = [
     (Healthy, Failing, Ejected),
     (Ejected, EjectionOver, Probation),
--- a/crates/wheelspread/src/pcg.rs
+++ b/crates/wheelspread/src/pcg.rs
@@ -1,6 +1,6 @@
-//! A permuted congruential generator (PCG-XSH-RR 64/32), started from the seed an instance is given.
+//! A permuted congruential generator (PCG-XSH-RR 64/32) with an explicit seed.
 
-/// The state of one generator; equal seeds give equal draws.
+/// The state of one generator. Equal seeds give equal sequences.
 #[derive(Clone, Debug)]
 pub struct Pcg(u64);
 
@@ -22,7 +22,7 @@
         ((((old >> 18) ^ old) >> 27) as u32).rotate_right((old >> 59) as u32)
     }
 
-    /// A number drawn evenly from 0 up to, but not including, 1.
+    /// A random number, uniformly distributed in [0, 1).
     pub fn unit(&mut self) -> f64 {
         f64::from(self.draw()) / 4294967296.0
     }
--- a/crates/wheelspread/src/rates.rs
+++ b/crates/wheelspread/src/rates.rs
@@ -1,4 +1,4 @@
-//! Averages over reported figures: they forget by the time that samples cover, not by their number.
+//! Averages of reported values. Old samples decay by the length of time that later samples cover, not by their count.
 
 use crate::time::{Moment, Span};
 
@@ -7,12 +7,12 @@
 pub(crate) struct DecayingAverage(Option<f64>);
 
 impl DecayingAverage {
-    /// An average that stands at a value.
+    /// An average with an initial value.
     pub fn with_value(value: f64) -> DecayingAverage {
         DecayingAverage(Some(value))
     }
 
-    /// Takes in a sample that covers some time; `memory` is the time constant of the decay.
+    /// Adds a sample that covers `covered` of time. `time_constant` is the time constant of the decay.
     pub fn add(&mut self, sample: f64, covered: Span, time_constant: Span) {
         let old_weight = (-covered.seconds().max(0.0) / time_constant.seconds().max(1e-6)).exp();
         self.0 = Some(
@@ -21,14 +21,14 @@
         );
     }
 
-    /// The average, if there was a sample.
+    /// The average; `None` before the first sample.
     pub fn get(&self) -> Option<f64> {
         self.0
     }
 }
 
-/// A rate made of reports that come only when there is something to report: time that no report covers
-/// was silence, up to when other reports came.
+/// An average rate from reports that are sent only when there is something to report. Time without a report counts
+/// as rate 0, but only up to the time of the latest earlier report of any kind.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ReportedRate {
     rate: DecayingAverage,
@@ -36,7 +36,7 @@
 }
 
 impl ReportedRate {
-    /// A rate that is assumed before the first report.
+    /// A rate with an assumed value before the first report.
     pub fn assumed(rate: f64) -> ReportedRate {
         ReportedRate {
             rate: DecayingAverage::with_value(rate),
@@ -44,8 +44,8 @@
         }
     }
 
-    /// Takes in a report of `count` within `window` up to now. `previous_report_at` is when any report
-    /// came before those of this moment.
+    /// Adds a report of `count` events within the `window` that ends at `now`. `previous_report_at` is the time of the
+    /// latest report of any kind before `now`.
     pub fn add(
         &mut self,
         count: f64,
@@ -63,7 +63,7 @@
         self.covered_until = Some(now);
     }
 
-    /// The rate, per second.
+    /// The mean rate per second; `None` before the first report.
     pub fn get(&self) -> Option<f64> {
         self.rate.get()
     }
--- a/crates/wheelspread/src/report_timing.rs
+++ b/crates/wheelspread/src/report_timing.rs
@@ -1,13 +1,13 @@
-//! When load reports come and how much time they cover.
+//! The timing of reports: when they arrive and how much time they cover.
 
 use crate::rates::DecayingAverage;
 use crate::time::{Moment, Span};
 
-/// How long reported figures count, in report cycles.
+/// How long reported values count, in report cycles.
 pub(crate) struct ReportRetention {
     /// Time constant of averages.
     pub time_constant_cycles: f64,
-    /// How long the rate of a path stands that no report speaks of.
+    /// How long the rate of a path stays valid without a report.
     pub rate_validity_cycles: f64,
 }
 
@@ -16,24 +16,27 @@
     rate_validity_cycles: 3.0,
 };
 
+/// Time by which each report advances the average of report windows, in seconds.
 const WINDOW_SAMPLE_SECONDS: f64 = 1.0;
+/// Time constant of the average of report windows, in seconds.
 const WINDOW_TIME_CONSTANT_SECONDS: f64 = 300.0;
 
-/// When reports came.
+/// Arrival times of reports, and the time that a report covers.
 #[derive(Clone, Debug)]
 pub(crate) struct ReportTiming {
     period: Span,
+    /// Time of the latest report.
     last_at: Moment,
-    /// When reports came before those of `last_at`.
+    /// Time of the latest report before `last_at`.
     previous_at: Moment,
-    /// The usual time that a report covers.
+    /// The mean time that a report covers, in seconds.
     window: DecayingAverage,
-    /// When the first load report of a node came since the start.
+    /// Time of a node's first load report since the start of the balancer.
     first_load_report_at: Option<Moment>,
 }
 
 impl ReportTiming {
-    /// Nothing has come yet.
+    /// The state before the first report.
     pub fn new(now: Moment, period: Span) -> ReportTiming {
         ReportTiming {
             period,
@@ -44,12 +47,12 @@
         }
     }
 
-    /// Another report period holds from now on.
+    /// Changes the report period.
     pub fn set_period(&mut self, period: Span) {
         self.period = period;
     }
 
-    /// A report over such a window came now.
+    /// Records a report that arrived at `now` and covers `window`.
     pub fn on_report(&mut self, now: Moment, window: Span) {
         if now > self.last_at {
             (self.previous_at, self.last_at) = (self.last_at, now);
@@ -61,43 +64,44 @@
         );
     }
 
-    /// A node's load report came now.
+    /// Records a node's load report that arrived at `now`.
     pub fn on_load_report(&mut self, now: Moment) {
         self.first_load_report_at.get_or_insert(now);
     }
 
-    /// Time between two reports.
+    /// The report period: time between two reports.
     pub fn period(&self) -> Span {
         self.period
     }
 
-    /// How long a whole set of reports takes to come: a period, or more where the channel limits entries.
+    /// The report cycle: the time in which a whole set of reports arrives. It is the report period, or longer where
+    /// the channel limits the entries of a report.
     pub fn cycle(&self) -> Span {
         self.period
             .max(Span::from_seconds(self.window.get().unwrap_or(0.0)))
     }
 
-    /// The same, several times, in buckets of a period each.
+    /// The length of `cycles` report cycles, in buckets of a report period each.
     pub fn bucket_count(&self, cycles: f64) -> usize {
         (self.cycle().seconds() / self.period.seconds() * cycles).round() as usize
     }
 
-    /// The time constant of averages.
+    /// The common time constant of averages.
     pub fn time_constant(&self) -> Span {
         self.cycle() * REPORT_RETENTION.time_constant_cycles
     }
 
-    /// When any report came before those of this moment.
+    /// Time of the latest report before the most recent ones.
     pub fn previous_at(&self) -> Moment {
         self.previous_at
     }
 
-    /// Rates of paths without a report since then no longer stand.
+    /// The time since which a path must have been reported for its rate to be valid.
     pub fn rates_valid_since(&self) -> Moment {
         self.last_at - self.cycle() * REPORT_RETENTION.rate_validity_cycles
     }
 
-    /// Whether no load report, or only reports younger than `since`, came since the start.
+    /// Whether no load report arrived at or before `since`, counted from the start of the balancer.
     pub fn lacks_load_reports_before(&self, since: Moment) -> bool {
         self.first_load_report_at.is_none_or(|first| first > since)
     }
--- a/crates/wheelspread/src/rolling_window.rs
+++ b/crates/wheelspread/src/rolling_window.rs
@@ -1,18 +1,18 @@
-//! Sums over the most recent time, in a ring of buckets of fixed width.
+//! Sums over a recent period of time, in a ring of buckets of fixed width.
 
 use crate::time::{Moment, Span};
 use std::ops::AddAssign;
 
-/// Values added up by the bucket of time in which they came.
+/// Values summed by time bucket.
 #[derive(Clone, Debug)]
 pub struct RollingWindow<T> {
     bucket_micros: i64,
-    /// The number of the bucket that a place holds, counted from time 0, and its sum.
+    /// Each ring slot's bucket number, counted from time 0, and the sum of that bucket.
     buckets: Vec<(i64, T)>,
 }
 
 impl<T: Default + Clone + AddAssign> RollingWindow<T> {
-    /// A window of `buckets` buckets, each of the given width.
+    /// A window of `buckets` buckets of width `bucket_width`; at least one bucket of at least 1 µs.
     pub fn new(bucket_width: Span, buckets: usize) -> RollingWindow<T> {
         RollingWindow {
             bucket_micros: bucket_width.micros().max(1),
@@ -37,7 +37,7 @@
         }
     }
 
-    /// The sum of the bucket of `now` and the `count - 1` before it.
+    /// The sum of the bucket of `now` and the `count - 1` buckets before it.
     pub fn sum_last(&self, now: Moment, count: usize) -> T {
         let current = self.bucket_number(now);
         let mut sum = T::default();
@@ -49,7 +49,7 @@
         sum
     }
 
-    /// The sum of every bucket still held at `now`.
+    /// The sum of all buckets in the window that ends at `now`.
     pub fn total(&self, now: Moment) -> T {
         self.sum_last(now, self.buckets.len())
     }
--- a/crates/wheelspread/src/setting_value.rs
+++ b/crates/wheelspread/src/setting_value.rs
@@ -7,6 +7,6 @@
     Number(f64),
     /// A text.
     Text(String),
-    /// Yes or no.
+    /// A Boolean value.
     Flag(bool),
 }
--- a/crates/wheelspread/src/settings.rs
+++ b/crates/wheelspread/src/settings.rs
@@ -1,5 +1,5 @@
-//! Settings as they arrive: a plain map of names to values. Lists are spelt with their position,
-//! as in `operation.0.latency_objective`, and with their length under the list's own name.
+//! Untyped settings: a map of names to values. An element of a list has its index in the name, as in
+//! `operation.0.latency_objective`; the length of the list is a setting of its own, as in `operation.count`.
 
 use crate::error::ConfigError;
 pub use crate::setting_value::SettingValue;
@@ -10,7 +10,7 @@
 pub struct Settings(pub BTreeMap<String, SettingValue>);
 
 impl Settings {
-    /// The number of that name; it must be finite.
+    /// The value of a required number; it must be finite.
     pub fn number(&self, name: &str) -> Result<f64, ConfigError> {
         match self.0.get(name) {
             Some(SettingValue::Number(value)) if value.is_finite() => Ok(*value),
@@ -18,7 +18,7 @@
         }
     }
 
-    /// The number of that name, or a default where there is none.
+    /// The value of a number, or `default` if it is missing, not finite or of another type.
     pub fn number_or(&self, name: &str, default: f64) -> f64 {
         match self.0.get(name) {
             Some(SettingValue::Number(value)) if value.is_finite() => *value,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// The text of that name.
+    /// The value of a required text.
     pub fn text(&self, name: &str) -> Result<&str, ConfigError> {
         match self.0.get(name) {
             Some(SettingValue::Text(value)) => Ok(value),
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The flag of that name, or a default where there is none.
+    /// The value of a flag, or `default` if it is missing or of another type.
     pub fn flag_or(&self, name: &str, default: bool) -> bool {
         match self.0.get(name) {
             Some(SettingValue::Flag(value)) => *value,
--- a/crates/wheelspread/src/slow_start.rs
+++ b/crates/wheelspread/src/slow_start.rs
@@ -1,6 +1,6 @@
-//! Slow start: keeps nodes that warm up below the load that would push them over.
+//! Slow start: keeps the load of warming nodes below the load that would overload them.
 //!
-//! Limits go by what ready nodes of the same kind are seen to serve, never by an estimate of what they could.
+//! Limits are based on the peak observed rate of ready nodes of the same kind, not on capacity estimates.
 
 use crate::capacity::ASSUMED_UTILIZATION;
 use crate::fleet::Fleet;
@@ -9,16 +9,17 @@
 use crate::shares::{NodeWeights, TableWeights};
 use std::collections::BTreeMap;
 
-/// How far a warming node is kept from being pushed over.
+/// Parameters of the load limit of warming nodes.
 struct WarmingLimit {
-    /// To the root of the factor that pushes it over.
+    /// Factor on the square root of the overload factor from the settings.
     overload_factor_ratio: f64,
-    /// To the limit: entries are lowered only when the load is over that, as each lowering costs every proxy a
-    /// message.
+    /// Entries are lowered only when the load exceeds the limit by this factor, as each change costs a message to every
+    /// proxy.
     tolerance: f64,
-    /// To the limit: the least that is left where peers' proxies bring load too.
+    /// Minimum ratio of the limit that remains for this controller's proxies beside the load of peers' proxies.
     min_ratio_beside_peers: f64,
-    /// How often entries are lowered: each time the rest of the table gains.
+    /// How often entries are lowered in a row. Lowering one entry shifts load to the other entries of the table, so one
+    /// pass does not reach the limit.
     iterations: usize,
     min_weight: f64,
 }
@@ -31,15 +32,17 @@
     min_weight: 1e-3,
 };
 
-/// When proxies' own avoidance makes weights unreliable.
+/// Conditions under which weights are unreliable because proxies avoid failing nodes on their own.
 struct AvoidanceRisk {
-    /// Report cycles after the first report since the start in which nothing can be known of it.
+    /// Report cycles after the first load report since the start during which failures count as unknown. After as many
+    /// cycles without a load report a zone counts as unobserved.
     unobserved_cycles: f64,
-    /// Report cycles over which failures are counted.
+    /// Report cycles over which failures and attempts are counted.
     failure_cycles: f64,
-    /// Chance of a run of errors that makes a proxy avoid a node: with more, many nodes are avoided.
+    /// Probability of a run of errors that makes a proxy avoid a node, above which many nodes are avoided.
     max_run_probability: f64,
-    /// Power of a node's usable share: how much of its share avoided nodes leave to the others.
+    /// Exponent of another node's usable ratio: the result is the ratio of its weight that still gets traffic while
+    /// proxies avoid failing nodes.
     usable_ratio_exponent: i32,
 }
 
@@ -50,9 +53,9 @@
     usable_ratio_exponent: 4,
 };
 
-/// The most that all proxies together may bring a warming node, far enough under what pushes it over that bursts
-/// and what other nodes reject still fit: where most nodes refuse, proxies and clients retry, and within a
-/// second it gets five times its share. Also covers a fleet that mostly warms up.
+/// The maximum load of a warming node from all proxies together, in requests per second. It leaves room for bursts and
+/// for requests that other nodes reject: where most nodes reject, proxies and clients retry, and within a second the
+/// node gets five times its share. The limit also holds in a fleet that consists mostly of warming nodes.
 pub(crate) fn warming_limit(fleet: &Fleet, node: &Node) -> f64 {
     let nominal = fleet.capacity.nominal_capacity(node);
     let served = fleet
@@ -66,15 +69,15 @@
         * served
 }
 
-/// Lowers the entries of warming nodes in `draft` until what they bring, with the attempts of proxies that are not
-/// observed, of other controllers and of retries, stays within their limits.
+/// Lowers the entries of warming nodes in `draft` until the nodes' load stays within their limits. The load includes
+/// retries and the attempts of unobserved proxies and of other controllers' proxies.
 pub(crate) fn limit_warming_entries(fleet: &Fleet, draft: &mut TableWeights) {
     if fleet.config.errors_until_avoided > 0.0 {
         remove_unsafe_entries(fleet, draft);
     }
     let only_warming = |entries: &NodeWeights| entries.keys().all(|id| fleet.nodes.is_warming(id));
     for entries in draft.values_mut().filter(|entries| only_warming(entries)) {
-        // With nothing else to go to, each gets its part and admission is cut to what they take together.
+        // A table with no other nodes: weights follow the limits, and admission is cut to the sum of the limits.
         for (id, weight) in entries.iter_mut() {
             *weight = warming_limit(fleet, &fleet.nodes[id]).max(WARMING_LIMIT.min_weight);
         }
@@ -99,9 +102,10 @@
     }
 }
 
-/// Proxies that avoid what fails leave the whole load to the entries that don't, however small their weight. While
-/// runs of errors that long are common, a warming node gets no entry beside ready ones; nor while nothing can be
-/// known of them: some cycles after a start, or in a zone that is not observed, as after a network partition.
+/// Removes the entries of warming nodes beside ready ones where proxies' avoidance of failing nodes would overload
+/// them: proxies that avoid nodes send the whole load to the remaining entries, however small their weight. The entries
+/// are removed while error runs long enough for avoidance are common, and while failures are unknown: for some report
+/// cycles after a start, or in a zone without load reports, as after a network partition.
 fn remove_unsafe_entries(fleet: &Fleet, draft: &mut TableWeights) {
     let since = fleet.now - fleet.timing.cycle() * AVOIDANCE_RISK.unobserved_cycles;
     let bucket_count = fleet.timing.bucket_count(AVOIDANCE_RISK.failure_cycles);
@@ -124,12 +128,12 @@
     }
 }
 
-/// The load that a draft brings to single nodes.
+/// The load of single nodes under a draft of the tables.
 struct IncomingLoad<'a> {
     fleet: &'a Fleet,
-    /// Admitted requests per second by table.
+    /// Admitted requests per second, by table.
     admitted_rates: BTreeMap<TableId, f64>,
-    /// Attempts by request, with those of proxies and controllers that are not observed.
+    /// Ratio of all attempts, including those of unobserved proxies and controllers, to the admitted requests.
     amplification: f64,
 }
 
@@ -153,6 +157,7 @@
         }
     }
 
+    /// Attempts per second at a node.
     fn at(&self, node: NodeId, draft: &TableWeights) -> f64 {
         let loads = draft
             .iter()
@@ -160,7 +165,8 @@
         loads.sum::<f64>() * self.amplification
     }
 
-    /// Where proxies avoid what fails, the others' part comes to the entries that work: they count by that.
+    /// Requests per second of a table that go to a node; `None` without an entry. Where proxies avoid failing nodes,
+    /// the weights of the other entries are reduced to the part that still gets traffic.
     fn table_share(&self, node: NodeId, table: TableId, entries: &NodeWeights) -> Option<f64> {
         let zone = self.fleet.tables[&table].zone();
         let own_load = self.admitted_rates[&table] * entries.get(&node)?;
@@ -180,14 +186,15 @@
     }
 }
 
-/// How many times the joined proxies' load there may be: proxies and controllers that are not observed. Where
-/// controllers never hear of each other, what nodes are seen to do is counted by own proxies too.
+/// Ratio of the load of all proxies, except those of peers, to the load of the joined proxies. The difference is the
+/// load of proxies that are not observed. It is 1 where controllers exchange no gossip: the observed attempts then
+/// count as the load of this controller's proxies.
 fn unobserved_factor(fleet: &Fleet) -> f64 {
     if fleet.config.controller_count > 1.0 && !fleet.config.gossip_enabled {
         return 1.0;
     }
     let joined = fleet.members.joined().count() as f64;
-    // What peers' proxies bring is counted by itself.
+    // The load of peers' proxies is subtracted from the limit instead.
     let peer_proxies = fleet.gossip.proxies(fleet.gossip_since());
     ((fleet.config.proxy_count - peer_proxies) / joined.max(1.0)).max(1.0)
 }
--- a/crates/wheelspread/src/time.rs
+++ b/crates/wheelspread/src/time.rs
@@ -1,8 +1,8 @@
-//! Points in time and durations as separate types. Both count microseconds and saturate.
+//! Points in time and durations as separate types. Both count whole microseconds in an `i64`; arithmetic saturates.
 
 use std::ops::{Add, Mul, Sub};
 
-/// A point in time, counted from an epoch of the host's choice.
+/// A point in time, relative to an epoch that the host chooses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Moment(i64);
 
@@ -11,12 +11,12 @@
 pub struct Span(i64);
 
 const fn micros(seconds: f64) -> i64 {
-    // The cast saturates, and takes NaN for zero.
+    // The cast saturates and turns NaN into 0.
     (seconds * 1e6).round() as i64
 }
 
 impl Moment {
-    /// The point that many seconds after the epoch.
+    /// The point in time `seconds` after the epoch.
     pub fn from_seconds(seconds: f64) -> Moment {
         Moment(micros(seconds))
     }
@@ -33,7 +33,7 @@
 }
 
 impl Span {
-    /// No time at all.
+    /// The duration of length 0.
     pub const ZERO: Span = Span(0);
 
     /// A duration in seconds.
