--- a/crates/wheelspread/src/capacity.rs
+++ b/crates/wheelspread/src/capacity.rs
@@ -13,7 +13,8 @@
 use crate::time::Moment;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Weight of the prior (the mean of a node's kind) against the node's own reports, in report periods.
+/// Weight of the prior, which is based on the mean of the node's kind, against the node's own reports, in report
+/// periods.
 const PRIOR_PERIODS: f64 = 3.0;
 /// Ratio of the evidence from before a restart that still counts after it.
 const RESTORED_EVIDENCE_RATIO: f64 = 0.5;
@@ -26,7 +27,7 @@
     max_ratio: f64,
 }
 
-/// Bounds of a node's capacity estimate, as ratios of the estimate for its kind.
+/// Bounds of a node's capacity, as ratios of its prior.
 const ESTIMATE_RANGE: RatioRange = RatioRange {
     min_ratio: 0.1,
     max_ratio: 10.0,
@@ -272,24 +273,24 @@
         kind: KindId,
         value: impl Fn(&Node) -> Option<f64>,
     ) -> Option<f64> {
-        let mean = |counts: &dyn Fn(&Node) -> bool| {
+        let mean = |is_included: &dyn Fn(&Node) -> bool| {
             let ready = nodes
                 .values()
-                .filter(|node| node.is_ready() && counts(node));
+                .filter(|node| node.is_ready() && is_included(node));
             let known = ready.filter_map(|node| Some((value(node)?, node.weight())));
             let (sum, weights) =
                 known.fold((0.0, 0.0), |sum, item| (sum.0 + item.0, sum.1 + item.1));
             (weights > 0.0).then(|| sum / weights)
         };
-        let of_fleet = || Some(mean(&|_| true)? * self.relative_speed(nodes, kind));
-        mean(&|node| node.kind() == kind).or_else(of_fleet)
+        let fleet_mean = || Some(mean(&|_| true)? * self.relative_speed(nodes, kind));
+        mean(&|node| node.kind() == kind).or_else(fleet_mean)
     }
 }
 
 /// Geometric mean latency of the included nodes, weighted by their recent peak rate.
-fn mean_latency(nodes: &Nodes, counts: impl Fn(&Node) -> bool) -> Option<f64> {
-    let own = nodes.values().filter(|node| counts(node));
-    let known = own.filter_map(|node| {
+fn mean_latency(nodes: &Nodes, is_included: impl Fn(&Node) -> bool) -> Option<f64> {
+    let included = nodes.values().filter(|node| is_included(node));
+    let known = included.filter_map(|node| {
         let latency = node.load.latency()?.max(1e-6).ln();
         Some((latency, node.load.recent_peak().max(1e-3)))
     });
--- a/crates/wheelspread/src/config.rs
+++ b/crates/wheelspread/src/config.rs
@@ -34,7 +34,7 @@
     pub report_period: Span,
     /// The N of the setting `report.field.N` whose value is `utilization`: its index among a node's own metrics.
     pub utilization_metric: Option<usize>,
-    /// The same for the value `queue`.
+    /// The N of the setting `report.field.N` whose value is `queue`: its index among a node's own metrics.
     pub queue_metric: Option<usize>,
     /// `conductor.count`: controllers in the deployment.
     pub controller_count: f64,
@@ -182,9 +182,9 @@
 /// The effect of retrying a request that was already processed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RetrySafety {
-    /// None: the result is the same as after one attempt.
+    /// No further effect: the result is the same as after one attempt.
     Idempotent,
-    /// None, as long as nodes recognize the request by its fingerprint.
+    /// No further effect, as long as nodes recognize the request by its fingerprint.
     Fingerprinted,
     /// The request takes effect twice.
     SideEffecting,
--- a/crates/wheelspread/src/fleet.rs
+++ b/crates/wheelspread/src/fleet.rs
@@ -120,6 +120,7 @@
         sums
     }
 
+    /// Demand of this controller's proxies that `is_included` accepts, by zone and by whether it must stay there.
     fn own_demand(&self, is_included: impl Fn(&Proxy) -> bool) -> BTreeMap<DemandClass, f64> {
         let mut sums = empty_demand(&self.tables);
         for proxy in self
--- a/crates/wheelspread/src/fleet_load.rs
+++ b/crates/wheelspread/src/fleet_load.rs
@@ -8,9 +8,10 @@
 pub(crate) struct LoadThresholds {
     /// Load from which the fleet is overloaded and admission is cut.
     pub overload: f64,
-    /// Load below which the fleet's load is low, once it has been so for `low_cycles`.
+    /// Load below which the fleet's load counts as low, after `low_cycles`; also the utilization from which a node is
+    /// busy.
     pub low: f64,
-    /// Report cycles for which the load must have been below `low`.
+    /// Report cycles for which the load must stay below `low`.
     pub low_cycles: f64,
     /// Ratio of failures at busy nodes to all attempts, above which the fleet counts as fully loaded whatever its
     /// utilization.
@@ -30,8 +31,11 @@
 /// The load level of the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FleetLoad {
+    /// Below `LoadThresholds::low` for `LoadThresholds::low_cycles`.
     Low,
+    /// Neither low nor overloaded.
     Normal,
+    /// At or above `LoadThresholds::overload`.
     Overloaded,
 }
 
--- a/crates/wheelspread/src/lifecycle.rs
+++ b/crates/wheelspread/src/lifecycle.rs
@@ -51,7 +51,7 @@
     DiscardAll,
 }
 
-/// The next state; `None` where the input changes nothing.
+/// The next state; `None` if the input does not change the state.
 fn transition(state: Lifecycle, input: LifecycleInput) -> Option<(Lifecycle, Measurements)> {
     use Lifecycle::{Draining, Ready, Unlisted, WarmingUp};
     use Measurements::{DiscardAll, DiscardPaths, Keep};
@@ -213,7 +213,8 @@
             .collect()
     }
 
-    /// Removes unlisted nodes whose last change of state is not recent. Nodes in `held`, those with table entries, stay.
+    /// Removes unlisted nodes whose last change of state is not recent. Nodes in `held`, which have table entries,
+    /// stay.
     pub fn remove_unlisted(&mut self, held: &BTreeSet<NodeId>, is_recent: impl Fn(Moment) -> bool) {
         self.by_id.retain(|id, node| {
             node.state != Lifecycle::Unlisted || held.contains(id) || is_recent(node.changed_at)
--- a/crates/wheelspread/src/outlier.rs
+++ b/crates/wheelspread/src/outlier.rs
@@ -27,8 +27,11 @@
 /// An input of the health state, from recent attempts or the clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum HealthInput {
+    /// Most recent attempts failed.
     Failing,
+    /// Enough recent attempts succeeded.
     Working,
+    /// The ejection time has passed.
     EjectionOver,
 }
 
@@ -60,7 +63,8 @@
 
 /// How long a node stays ejected.
 struct EjectionTime {
-    /// The first ejection, as a ratio of a report cycle plus the channel's maximum delay. Varied by up to 10 %.
+    /// Duration of the first ejection, as a ratio of a report cycle plus the channel's maximum delay; randomized by up
+    /// to 10 %.
     first_ratio: f64,
     /// Factor of the duration after each failed probation.
     growth: f64,
@@ -172,7 +176,8 @@
             previous_at,
         );
         path.last_report_at = now;
-        // A report whose window began before probation covers attempts from before it and is not counted.
+        // On probation, a report is not counted if its window, extended by half a report period, began before the
+        // probation: it covers earlier attempts.
         let window_start = now - report.window - period * 0.5;
         if path.state != HealthState::Probation || window_start > path.since {
             let recent = AttemptStats {
@@ -263,6 +268,7 @@
         has_changed
     }
 
+    /// The sums of each zone.
     fn zone_health(&self, now: Moment, bucket_count: usize) -> BTreeMap<ZoneId, ZoneHealth> {
         let mut zones = BTreeMap::<ZoneId, ZoneHealth>::new();
         for ((_, zone), path) in &self.paths {
@@ -273,8 +279,9 @@
         zones
     }
 
-    /// The ratio of a node's capacity that a zone should use. For a node that fails some attempts it is the square root
-    /// of the ratio of successes: failed attempts are retried, while avoiding the node would overload the others.
+    /// The ratio of a node's capacity that a zone should use: 0 while the node is ejected, `PROBATION_RATIO` during
+    /// probation. For a healthy node that fails some attempts it is the square root of the ratio of successes, which is
+    /// higher than that ratio: failed attempts are retried, while avoiding the node would overload the others.
     pub fn usable_ratio(
         &self,
         id: NodeId,
@@ -339,7 +346,7 @@
     }
 }
 
-/// The next state; `None` where the input changes nothing.
+/// The next state; `None` if the input does not change the state.
 fn next_state(state: HealthState, input: HealthInput) -> Option<HealthState> {
     match (state, input) {
         (HealthState::Healthy, HealthInput::Failing) => Some(HealthState::Ejected),
--- a/crates/wheelspread/src/report_timing.rs
+++ b/crates/wheelspread/src/report_timing.rs
@@ -91,7 +91,7 @@
         self.cycle() * REPORT_RETENTION.time_constant_cycles
     }
 
-    /// Time of the latest report before the most recent ones.
+    /// Time of the latest report before those of the most recent time.
     pub fn previous_at(&self) -> Moment {
         self.previous_at
     }
@@ -101,7 +101,7 @@
         self.last_at - self.cycle() * REPORT_RETENTION.rate_validity_cycles
     }
 
-    /// Whether no load report arrived at or before `since`, counted from the start of the balancer.
+    /// Whether no node's load report arrived between the start of the balancer and `since`.
     pub fn lacks_load_reports_before(&self, since: Moment) -> bool {
         self.first_load_report_at.is_none_or(|first| first > since)
     }
--- a/crates/wheelspread/src/slow_start.rs
+++ b/crates/wheelspread/src/slow_start.rs
@@ -21,6 +21,7 @@
     /// How often entries are lowered in a row. Lowering one entry shifts load to the other entries of the table, so one
     /// pass does not reach the limit.
     iterations: usize,
+    /// Weights are not lowered below this value.
     min_weight: f64,
 }
 
@@ -186,15 +187,15 @@
     }
 }
 
-/// Ratio of the load of all proxies, except those of peers, to the load of the joined proxies. The difference is the
-/// load of proxies that are not observed. It is 1 where controllers exchange no gossip: the observed attempts then
-/// count as the load of this controller's proxies.
+/// Ratio of the load of all proxies, except those of peers, to the load of the joined proxies; the difference is the
+/// load of proxies that are not observed. The ratio is 1 where several controllers exchange no gossip: the peak
+/// observed rates, on which the limits are based, then include only the load of this controller's proxies too.
 fn unobserved_factor(fleet: &Fleet) -> f64 {
     if fleet.config.controller_count > 1.0 && !fleet.config.gossip_enabled {
         return 1.0;
     }
     let joined = fleet.members.joined().count() as f64;
-    // The load of peers' proxies is subtracted from the limit instead.
+    // The load of peers' proxies is subtracted from the limits instead.
     let peer_proxies = fleet.gossip.proxies(fleet.gossip_since());
     ((fleet.config.proxy_count - peer_proxies) / joined.max(1.0)).max(1.0)
 }
