--- a/crates/wheelspread/src/capacity.rs
+++ b/crates/wheelspread/src/capacity.rs
@@ -1,7 +1,7 @@
-//! Capacity estimates: how much each node can serve, and how busy it is.
+//! Capacity estimates: how many requests per second each node can serve, and its utilization.
 //!
-//! Where nodes report utilization, capacity is what succeeds at full utilization. Where they don't, kinds of
-//! node and single nodes are compared by their latency, in small steps.
+//! For nodes that report utilization, capacity is the rate of successes divided by the utilization. For other nodes,
+//! latencies are compared between kinds and between the nodes of a kind, and the estimates move in small steps.
 
 mod learning;
 
@@ -13,138 +13,142 @@
 use crate::time::Moment;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Report periods that the mean of a node's kind counts beside the node's own reports.
+/// Weight of the prior, which is based on the mean of the node's kind, against the node's own reports, in report
+/// periods.
 const PRIOR_PERIODS: f64 = 3.0;
-/// Of the evidence from before a restart.
-const RESTORED_EVIDENCE: f64 = 0.5;
-/// Utilization that is assumed before anything was reported.
+/// Ratio of the evidence from before a restart that still counts after it.
+const RESTORED_EVIDENCE_RATIO: f64 = 0.5;
+/// Utilization that is assumed before the first report.
 pub(crate) const ASSUMED_UTILIZATION: f64 = 0.6;
 
 /// A range of ratios.
 struct RatioRange {
-    least: f64,
-    most: f64,
+    min_ratio: f64,
+    max_ratio: f64,
 }
 
-/// A node's own estimate, to that of its kind.
+/// Bounds of a node's capacity, as ratios of its prior.
 const ESTIMATE_RANGE: RatioRange = RatioRange {
-    least: 0.1,
-    most: 10.0,
+    min_ratio: 0.1,
+    max_ratio: 10.0,
 };
-/// What latency may tell of a kind's speed, to that of the fleet.
-const KIND_SPEED: RatioRange = RatioRange {
-    least: 0.5,
-    most: 1.6,
+/// Bounds of a kind's relative speed by latency, as ratios of the fleet's speed.
+const KIND_SPEED_RANGE: RatioRange = RatioRange {
+    min_ratio: 0.5,
+    max_ratio: 1.6,
 };
 
-/// Utilization by latency, in the shape of a queue before a few cores.
+/// Utilization as a function of latency, modelled on a queue in front of a few cores: with `load = factor *
+/// wait^exponent`, utilization is `load / (1 + load)`.
 struct QueueShape {
-    /// Waiting time at the quickest, to the service time.
-    least_wait: f64,
+    /// Waiting time at base latency, as a ratio of base latency.
+    min_wait_ratio: f64,
     factor: f64,
     exponent: f64,
-    /// The most utilization without a queue.
-    without_queue: f64,
-    /// More of it for each request that waits.
+    /// Maximum utilization while no request waits.
+    max_without_queue: f64,
+    /// Increase of that maximum for each waiting request.
     per_waiting_request: f64,
 }
 
 const QUEUE_SHAPE: QueueShape = QueueShape {
-    least_wait: 0.12,
+    min_wait_ratio: 0.12,
     factor: 3.4,
     exponent: 0.65,
-    without_queue: 0.66,
+    max_without_queue: 0.66,
     per_waiting_request: 0.3,
 };
 
-/// What a node's latency changes of its effective capacity.
+/// The factor by which a node's latency changes its effective capacity.
 struct LatencyFactor {
-    /// Power of the fleet's latency by the node's.
+    /// Exponent of the ratio of the fleet's mean latency to the node's.
     exponent: f64,
-    least: f64,
-    most: f64,
+    min_ratio: f64,
+    max_ratio: f64,
 }
 
 const LATENCY_FACTOR: LatencyFactor = LatencyFactor {
     exponent: 0.3,
-    least: 0.4,
-    most: 1.25,
+    min_ratio: 0.4,
+    max_ratio: 1.25,
 };
 
-/// What is kept of a node over a restart.
+/// The capacity estimate of a node, kept over a restart.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CapacitySnapshot {
     /// The node.
     pub node: NodeId,
-    /// Logarithm of the requests per second that it can serve.
-    pub capacity: f64,
-    /// Report periods that the capacity rests on.
+    /// Natural logarithm of the requests per second that the node can serve.
+    pub log_capacity: f64,
+    /// Report periods on which the capacity estimate is based.
     pub evidence: f64,
-    /// The shortest mean latency of its kind, in seconds.
-    pub quickest: f64,
+    /// Base latency of the node's kind, in seconds: the shortest that the kind has shown.
+    pub kind_base_latency: f64,
 }
 
 impl CapacitySnapshot {
-    /// Whether all figures are usable.
-    pub fn sound(&self) -> bool {
-        self.capacity.is_finite()
+    /// Whether all values are usable: finite, evidence not negative, base latency above 0.
+    pub fn is_valid(&self) -> bool {
+        self.log_capacity.is_finite()
             && self.evidence.is_finite()
             && self.evidence >= 0.0
-            && self.quickest > 0.0
+            && self.kind_base_latency > 0.0
     }
 }
 
-/// What the fleet shows of a kind of node, for each unit of listed weight.
+/// Means over a kind of node, per unit of listed weight.
 #[derive(Clone, Copy, Debug)]
 struct KindMeans {
     /// Requests per second that a ready node can serve.
     capacity: f64,
-    /// The most that a ready node was seen to serve.
+    /// Peak observed rate of a ready node, in requests per second.
     observed_peak: Option<f64>,
 }
 
-/// What is known of kinds of node, and of the fleet's latency.
+/// Capacity and latency of each kind of node, and the fleet's latency.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CapacityModel {
-    /// The shortest mean latency that each kind has shown, in seconds.
-    quickest: BTreeMap<KindId, f64>,
+    /// Base latency of each kind, in seconds: the lowest median of its nodes' mean latencies.
+    base_latency: BTreeMap<KindId, f64>,
     kinds: BTreeMap<KindId, KindMeans>,
-    /// The fleet's mean latency in seconds.
-    usual_latency: f64,
-    /// Whether reports came that were not learnt from.
+    /// The fleet's mean latency, in seconds.
+    fleet_latency: f64,
+    /// Whether load reports arrived that the estimates do not use yet.
     has_new_reports: bool,
 }
 
 impl CapacityModel {
-    /// A load report came.
+    /// Records that a load report arrived.
     pub fn on_load_report(&mut self) {
         self.has_new_reports = true;
     }
 
-    /// Whether reports came since this was last asked.
+    /// Whether load reports arrived since the last call.
     pub fn take_new_reports(&mut self) -> bool {
         std::mem::take(&mut self.has_new_reports)
     }
 
-    /// Takes over what was known before a restart, for ready nodes without reports: at less evidence than
-    /// it had then.
+    /// Restores estimates from before a restart for ready nodes without evidence of their own. Their evidence is
+    /// reduced by `RESTORED_EVIDENCE_RATIO`.
     pub fn restore(&mut self, nodes: &mut Nodes, snapshots: &[CapacitySnapshot]) {
-        for snapshot in snapshots.iter().filter(|snapshot| snapshot.sound()) {
+        for snapshot in snapshots.iter().filter(|snapshot| snapshot.is_valid()) {
             let Some(node) = nodes
                 .get_mut(&snapshot.node)
                 .filter(|node| node.is_ready() && node.load.evidence() <= 0.0)
             else {
                 continue;
             };
-            node.load
-                .restore(snapshot.capacity, snapshot.evidence * RESTORED_EVIDENCE);
-            self.quickest
+            node.load.restore(
+                snapshot.log_capacity,
+                snapshot.evidence * RESTORED_EVIDENCE_RATIO,
+            );
+            self.base_latency
                 .entry(node.kind())
-                .or_insert(snapshot.quickest);
+                .or_insert(snapshot.kind_base_latency);
         }
     }
 
-    /// What is known of ready nodes.
+    /// The estimates of ready nodes that have evidence.
     pub fn snapshots<'a>(
         &'a self,
         nodes: &'a Nodes,
@@ -155,30 +159,31 @@
         known.filter_map(|(id, node)| {
             Some(CapacitySnapshot {
                 node: *id,
-                capacity: node.load.log_capacity()?,
+                log_capacity: node.load.log_capacity()?,
                 evidence: node.load.evidence(),
-                quickest: *self.quickest.get(&node.kind())?,
+                kind_base_latency: *self.base_latency.get(&node.kind())?,
             })
         })
     }
 
-    /// How busy a node is, of 1. Where reports don't say, from how much longer its requests take than those
-    /// of its kind did at their quickest, as far as the queue that it reports allows: time lost on the way is
-    /// not its load, and an admission cut for it never ends. Queues alone don't serve: they stay empty until it
-    /// is too late.
+    /// Utilization of a node; 1 is full. If the node does not report it, it is estimated from the ratio of the
+    /// node's latency to the base latency of its kind, up to a limit that depends on the reported queue length.
+    /// Without that limit network delay would count as load, and an admission cut made for it would never end. Queue
+    /// length alone is not used, since queues stay empty until the node is about to be overloaded.
     pub fn utilization(&self, node: &Node) -> Option<f64> {
         node.load.utilization().or_else(|| {
-            let quickest = self.quickest.get(&node.kind())?;
-            let wait = (node.load.latency()? / quickest - 1.0).max(0.0) + QUEUE_SHAPE.least_wait;
+            let base_latency = self.base_latency.get(&node.kind())?;
+            let wait =
+                (node.load.latency()? / base_latency - 1.0).max(0.0) + QUEUE_SHAPE.min_wait_ratio;
             let load = QUEUE_SHAPE.factor * wait.powf(QUEUE_SHAPE.exponent);
             let limit = node.load.queue_length().map_or(1.0, |length| {
-                QUEUE_SHAPE.without_queue + QUEUE_SHAPE.per_waiting_request * length
+                QUEUE_SHAPE.max_without_queue + QUEUE_SHAPE.per_waiting_request * length
             });
             Some((load / (1.0 + load)).min(limit))
         })
     }
 
-    /// Requests per second that a ready node of this kind and listed weight can serve.
+    /// Nominal capacity: requests per second that a ready node of this kind and listed weight can serve.
     pub fn nominal_capacity(&self, node: &Node) -> f64 {
         node.weight()
             * self
@@ -187,42 +192,47 @@
                 .map_or(0.0, |kind| kind.capacity)
     }
 
-    /// The most that ready nodes of a kind were seen to serve, for each unit of listed weight.
+    /// Peak observed rate of a kind's ready nodes, in requests per second per unit of listed weight.
     pub fn observed_peak(&self, kind: KindId) -> Option<f64> {
         self.kinds.get(&kind).and_then(|means| means.observed_peak)
     }
 
-    /// Requests per second that a node can serve now.
+    /// Requests per second that a node can serve now: the geometric mean of the node's estimate and its prior, weighted
+    /// by evidence.
     pub fn capacity(&self, node: &Node, config: &Config, now: Moment) -> f64 {
         let prior = self.prior(node, config, now);
         let own = node.load.log_capacity().unwrap_or(prior.ln());
         let evidence = node.load.evidence();
-        let mixed = (own * evidence + prior.ln() * PRIOR_PERIODS) / (evidence + PRIOR_PERIODS);
-        mixed
-            .exp()
-            .clamp(prior * ESTIMATE_RANGE.least, prior * ESTIMATE_RANGE.most)
+        let blended = (own * evidence + prior.ln() * PRIOR_PERIODS) / (evidence + PRIOR_PERIODS);
+        blended.exp().clamp(
+            prior * ESTIMATE_RANGE.min_ratio,
+            prior * ESTIMATE_RANGE.max_ratio,
+        )
     }
 
-    /// The same, less where requests take longer than the fleet's do: at equal utilization a slow node
-    /// misses the latency objective before a quick one does.
+    /// The capacity of a node, reduced if its requests take longer than the fleet's mean and raised if they take less:
+    /// at equal utilization a slow node misses the latency objective before a fast one does.
     pub fn effective_capacity(&self, node: &Node, config: &Config, now: Moment) -> f64 {
         let factor = match (node.load.utilization(), node.load.latency()) {
             (Some(_), Some(latency)) => {
-                (self.usual_latency / latency).powf(LATENCY_FACTOR.exponent)
+                (self.fleet_latency / latency).powf(LATENCY_FACTOR.exponent)
             }
             _ => 1.0,
         };
-        self.capacity(node, config, now) * factor.clamp(LATENCY_FACTOR.least, LATENCY_FACTOR.most)
+        self.capacity(node, config, now)
+            * factor.clamp(LATENCY_FACTOR.min_ratio, LATENCY_FACTOR.max_ratio)
     }
 
-    /// What a node is assumed to serve before its own reports tell.
+    /// The prior: capacity that is assumed before the node's own reports provide evidence.
     fn prior(&self, node: &Node, config: &Config, now: Moment) -> f64 {
-        (self.nominal_capacity(node) * node.capacity_share(config, now)).max(1e-3)
+        (self.nominal_capacity(node) * node.capacity_ratio(config, now)).max(1e-3)
     }
 
-    /// Once a round: by kind, what a ready node serves and was seen to serve for each unit of listed weight.
+    /// Updates the capacity and peak observed rate of each kind, per unit of listed weight, and the fleet's mean
+    /// latency.
     pub fn update_kind_means(&mut self, nodes: &Nodes, demand: f64) {
-        let blind = demand.max(1.0) / ASSUMED_UTILIZATION / nodes.open_weight().max(1e-6);
+        let assumed_capacity =
+            demand.max(1.0) / ASSUMED_UTILIZATION / nodes.open_weight().max(1e-6);
         let estimate = |node: &Node| {
             let known = node.load.evidence() > PRIOR_PERIODS;
             node.load.log_capacity().filter(|_| known).map(f64::exp)
@@ -232,7 +242,7 @@
         let means = |kind: KindId| {
             let capacity = self
                 .mean_per_weight(nodes, kind, estimate)
-                .unwrap_or_else(|| blind * self.relative_speed(nodes, kind));
+                .unwrap_or_else(|| assumed_capacity * self.relative_speed(nodes, kind));
             let observed_peak = self.mean_per_weight(nodes, kind, peak);
             (
                 kind,
@@ -243,42 +253,44 @@
             )
         };
         self.kinds = kinds.into_iter().map(means).collect();
-        self.usual_latency = mean_latency(nodes, |_| true).unwrap_or(1.0);
+        self.fleet_latency = mean_latency(nodes, |_| true).unwrap_or(1.0);
     }
 
-    /// How much quicker a kind is than the fleet, by the latency of its ready nodes: what it is taken for while
-    /// nothing better is known of it. Listed weights may tell of size and not of speed.
+    /// Speed of a kind as a ratio of the fleet's, from the latency of the kind's ready nodes. Used while no ready node
+    /// of the kind has an estimate, as listed weights may describe the size of a node and not its speed.
     fn relative_speed(&self, nodes: &Nodes, kind: KindId) -> f64 {
         let own = mean_latency(nodes, |node| node.kind() == kind && node.is_ready());
         own.map_or(1.0, |own| {
-            (self.usual_latency / own).clamp(KIND_SPEED.least, KIND_SPEED.most)
+            (self.fleet_latency / own).clamp(KIND_SPEED_RANGE.min_ratio, KIND_SPEED_RANGE.max_ratio)
         })
     }
 
-    /// A figure for each unit of listed weight, over the ready nodes of a kind, else of the fleet.
+    /// The mean of a value per unit of listed weight over the ready nodes of a kind. If none of them has the value,
+    /// the mean over the fleet times the kind's relative speed.
     fn mean_per_weight(
         &self,
         nodes: &Nodes,
         kind: KindId,
-        figure: impl Fn(&Node) -> Option<f64>,
+        value: impl Fn(&Node) -> Option<f64>,
     ) -> Option<f64> {
-        let mean = |counts: &dyn Fn(&Node) -> bool| {
+        let mean = |is_included: &dyn Fn(&Node) -> bool| {
             let ready = nodes
                 .values()
-                .filter(|node| node.is_ready() && counts(node));
-            let known = ready.filter_map(|node| Some((figure(node)?, node.weight())));
-            let (sum, weights) = known.fold((0.0, 0.0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
+                .filter(|node| node.is_ready() && is_included(node));
+            let known = ready.filter_map(|node| Some((value(node)?, node.weight())));
+            let (sum, weights) =
+                known.fold((0.0, 0.0), |sum, item| (sum.0 + item.0, sum.1 + item.1));
             (weights > 0.0).then(|| sum / weights)
         };
-        let of_fleet = || Some(mean(&|_| true)? * self.relative_speed(nodes, kind));
-        mean(&|node| node.kind() == kind).or_else(of_fleet)
+        let fleet_mean = || Some(mean(&|_| true)? * self.relative_speed(nodes, kind));
+        mean(&|node| node.kind() == kind).or_else(fleet_mean)
     }
 }
 
-/// The mean latency at some nodes (geometric, by what they serve).
-fn mean_latency(nodes: &Nodes, counts: impl Fn(&Node) -> bool) -> Option<f64> {
-    let own = nodes.values().filter(|node| counts(node));
-    let known = own.filter_map(|node| {
+/// Geometric mean latency of the included nodes, weighted by their recent peak rate.
+fn mean_latency(nodes: &Nodes, is_included: impl Fn(&Node) -> bool) -> Option<f64> {
+    let included = nodes.values().filter(|node| is_included(node));
+    let known = included.filter_map(|node| {
         let latency = node.load.latency()?.max(1e-6).ln();
         Some((latency, node.load.recent_peak().max(1e-3)))
     });
