--- a/crates/cli/src/drill.rs
+++ b/crates/cli/src/drill.rs
@@ -3,7 +3,7 @@
 use clap::{Args, ValueEnum};
 use std::path::PathBuf;
 use std::process::ExitCode;
-use wheelspread_controller_core::deployment::TableDeliveryPlan;
+use wheelspread_controller_core::deployment::TableDeliveryConfig;
 use wheelspread_drill::{run, DayScript, Options, Sabotage, Script, ScriptError, BUILT_IN};
 
 /// Arguments of `wheelspread drill`.
@@ -89,7 +89,7 @@
         }
     };
     if arguments.streams {
-        script.deployment.fronts = TableDeliveryPlan {
+        script.deployment.table_delivery = TableDeliveryConfig {
             files: false,
             streams: true,
         };
--- a/crates/cli/src/measure/file_proxies.rs
+++ b/crates/cli/src/measure/file_proxies.rs
@@ -10,7 +10,7 @@
 use wheelspread::ids::NodeId;
 use wheelspread::time::{Moment, Span};
 use wheelspread_controller_core::load_report::{
-    LoadReport, Metric, NodeReport, OperationReport, LATENCY, UTILIZATION,
+    LoadReport, Metric, NodeReport, OperationReport, LATENCY_METRIC, UTILIZATION_METRIC,
 };
 use wheelspread_drill::proxy_name;
 use wheelspread_files::{read_tables, CURRENT};
@@ -43,14 +43,14 @@
                 succeeded: 2,
                 metrics: BTreeMap::from([
                     (
-                        LATENCY.to_string(),
+                        LATENCY_METRIC.to_string(),
                         Metric {
                             count: 2,
                             total: 200.0,
                         },
                     ),
                     (
-                        UTILIZATION.to_string(),
+                        UTILIZATION_METRIC.to_string(),
                         Metric {
                             count: 2,
                             total: 0.8,
--- a/crates/config-rollout/src/rollout.rs
+++ b/crates/config-rollout/src/rollout.rs
@@ -123,7 +123,7 @@
 
     /// The controller's file was read again: its pace counts where no change has set one.
     pub fn set_entries_per_second(&mut self, entries_per_second: f64) {
-        self.base.channel.lines_per_second = entries_per_second;
+        self.base.update_queue.entries_per_second = entries_per_second;
     }
 
     /// The configuration in force and all changes.
--- a/crates/config-rollout/src/rollout/proposal.rs
+++ b/crates/config-rollout/src/rollout/proposal.rs
@@ -174,12 +174,12 @@
 
 /// What it costs to send the tables of an update to the proxies.
 fn propagation(update: &ConfigUpdate, core: &ControllerCore) -> Propagation {
-    let queue = &update.plan.channel;
+    let queue = &update.plan.update_queue;
     Propagation {
         proxies: core.members().members().count() as u32,
-        entries_per_second: queue.lines_per_second,
-        header_entries: queue.head_lines,
-        messages_per_window: queue.messages_at_most,
+        entries_per_second: queue.entries_per_second,
+        header_entries: queue.message_overhead_entries,
+        messages_per_window: queue.max_messages,
         window: queue.messages_window,
         update_steps: LEAST_UPDATE_STEPS,
     }
--- a/crates/config-rollout/src/values.rs
+++ b/crates/config-rollout/src/values.rs
@@ -13,7 +13,7 @@
 use wheelspread_config_transaction::{Change, Configuration};
 use wheelspread_controller_core::controller_core::ConfigUpdate;
 use wheelspread_controller_core::deployment::{ConfigError, ConfigErrorKind};
-use wheelspread_controller_core::{Deployment, NodeValues, Service};
+use wheelspread_controller_core::{Deployment, NodeValues, ServiceState};
 
 /// Fields that may change; `*` stands for the name of an operation. What decides whether a retry can take effect twice
 /// is not among them: while a change propagates, proxies would have tables that disagree about it.
@@ -120,8 +120,8 @@
         }
         "service" => {
             values.service = Some(match text {
-                "draining" => Service::Draining,
-                "out" => Service::Out,
+                "draining" => ServiceState::Draining,
+                "out" => ServiceState::OutOfService,
                 _ => {
                     let text = format!("`{text}` should be draining or out");
                     return Err(config_error(path, text));
--- a/crates/config-rollout/src/watch.rs
+++ b/crates/config-rollout/src/watch.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use wheelspread::ids::OperationId;
-use wheelspread_controller_core::service_history::{Tallies, Tally};
+use wheelspread_controller_core::service_history::{ServiceTotals, ServiceTotalsByOperation};
 use wheelspread_controller_core::Deployment;
 
 /// A change is undone when one of these conditions is broken. The names are those of the controller's file.
@@ -46,14 +46,14 @@
     pub latency_s: f64,
 }
 
-impl From<Tally> for OperationService {
-    fn from(tally: Tally) -> OperationService {
+impl From<ServiceTotals> for OperationService {
+    fn from(tally: ServiceTotals) -> OperationService {
         let ratio = |part: f64, all: f64| if all > 0.0 { part / all } else { 0.0 };
         OperationService {
             invocations: tally.requests,
             succeeded: tally.succeeded,
             errored_share: ratio(tally.failures, tally.attempts),
-            latency_s: ratio(tally.latency_seconds, tally.timed),
+            latency_s: ratio(tally.latency_seconds, tally.timed_attempts),
         }
     }
 }
@@ -65,7 +65,7 @@
 
 impl Baseline {
     /// The service by these tallies.
-    pub fn from_tallies(tallies: &Tallies, deployment: &Deployment) -> Baseline {
+    pub fn from_tallies(tallies: &ServiceTotalsByOperation, deployment: &Deployment) -> Baseline {
         let operations = 0..deployment.operations.len() as u8;
         let service = operations.map(|id| tallies.of(OperationId(id)).into());
         Baseline(service.collect())
@@ -164,7 +164,7 @@
 pub fn broken_condition(
     conditions: &Conditions,
     before: &Baseline,
-    since: &Tallies,
+    since: &ServiceTotalsByOperation,
     deployment: &Deployment,
 ) -> Option<BrokenCondition> {
     let now = Baseline::from_tallies(since, deployment);
--- a/crates/controller-core/src/controller_core.rs
+++ b/crates/controller-core/src/controller_core.rs
@@ -115,13 +115,13 @@
             solver: WeightSolver::default(),
             rollback: RollbackWeights::default(),
             members: Membership::default(),
-            transports: Transports::new(plan.fronts.files),
+            transports: Transports::new(plan.table_delivery.files),
             aggregator: LoadAggregator::default(),
             history: ServiceHistory::new(plan.load_reports.period),
             evidence: DrainEvidence::default(),
             publication,
             retained_versions: RetainedVersions::default(),
-            queue: UpdateQueue::new(now, &plan.channel),
+            queue: UpdateQueue::new(now, &plan.update_queue),
             queue_was_over_limit: false,
             deliveries: Deliveries::default(),
             acknowledgements: Acknowledgements::default(),
@@ -225,7 +225,7 @@
     /// Up to when all joined proxies that report have reported.
     pub fn reported_until(&self) -> Option<Moment> {
         let joined = self.joined_members().map(|(_, member)| member.id);
-        self.history.known_until(joined)
+        self.history.reported_until(joined)
     }
 
     /// What the balancer knows of nodes' capacities, to be stored for a restart.
--- a/crates/controller-core/src/controller_core/configuration.rs
+++ b/crates/controller-core/src/controller_core/configuration.rs
@@ -60,7 +60,7 @@
                 reason: error.to_string(),
             });
         }
-        self.queue.reconfigure(&plan.channel);
+        self.queue.reconfigure(&plan.update_queue);
         self.plan = plan;
         let (plan, endpoints) = (&self.plan, &mut self.endpoints);
         let changed = self.overrides.set(
--- a/crates/controller-core/src/controller_core/reports.rs
+++ b/crates/controller-core/src/controller_core/reports.rs
@@ -55,7 +55,7 @@
 
     /// While a list is doubted, nodes that answered requests are known to be there.
     fn confirm_doubted_nodes(&mut self, now: Moment, report: &LoadReport) {
-        if self.endpoints.doubted_until(&self.plan).is_none() {
+        if self.endpoints.doubt_deadline(&self.plan).is_none() {
             return;
         }
         let interval_start = now - report.window;
--- a/crates/controller-core/src/controller_core/rounds.rs
+++ b/crates/controller-core/src/controller_core/rounds.rs
@@ -49,7 +49,7 @@
         let causes = [
             self.acknowledgements.wake_at(),
             self.unclaimed.prune_at(),
-            self.endpoints.doubted_until(&self.plan),
+            self.endpoints.doubt_deadline(&self.plan),
             self.transports.wake_at(),
         ];
         let round_at = self
--- a/crates/controller-core/src/controller_core/streams.rs
+++ b/crates/controller-core/src/controller_core/streams.rs
@@ -56,7 +56,7 @@
         introduction: &Introduction,
         initial_version: Option<Version>,
     ) {
-        if !self.plan.fronts.streams {
+        if !self.plan.table_delivery.streams {
             let reason = "tables are not given out by streams here".to_string();
             return self.effects.push(Effect::CloseStream { stream, reason });
         }
--- a/crates/controller-core/src/controller_core/tests.rs
+++ b/crates/controller-core/src/controller_core/tests.rs
@@ -435,7 +435,7 @@
 fn solving() -> Harness {
     let mut plan = plan();
     plan.kinds = vec!["large".to_string(), "small".to_string()];
-    plan.solver = Some(crate::deployment::SolverPlan {
+    plan.solver = Some(crate::deployment::SolverConfig {
         capacities: BTreeMap::from([("large".to_string(), 4.0), ("small".to_string(), 1.0)]),
         work: ["quote", "book"]
             .map(|name| {
--- a/crates/controller-core/src/controller_core/versions.rs
+++ b/crates/controller-core/src/controller_core/versions.rs
@@ -112,7 +112,7 @@
         for version in in_use {
             self.stored_versions.mark_used(now, version);
         }
-        let delay = RETIRE_DELAY.span(self.plan.channel.delay_at_most);
+        let delay = RETIRE_DELAY.span(self.plan.update_queue.max_delay);
         for version in self.stored_versions.take_unused(now, delay) {
             self.effects.push(Effect::RetireVersion { version });
         }
--- a/crates/controller-core/src/deployment.rs
+++ b/crates/controller-core/src/deployment.rs
@@ -14,13 +14,13 @@
 mod validation;
 
 pub use error::{ConfigError, ConfigErrorKind};
-pub use inputs::{ListPlan, LoadReportPlan};
-pub use operations::{OperationPlan, RetryClass, RetryScope};
-pub use programs::{AdmissionForm, ControllerPlan, ProxyPlan, TableDeliveryPlan};
-pub use rules::RulePlan;
-pub use solver::{SolverPlan, Work};
-pub use update_queue::UpdateQueuePlan;
-pub(crate) use validation::is_plain_name;
+pub use inputs::{EndpointListConfig, LoadReportConfig};
+pub use operations::{OperationConfig, RetryClass, RetryScope};
+pub use programs::{AdmissionForm, ControllersConfig, ProxiesConfig, TableDeliveryConfig};
+pub use rules::RuleConfig;
+pub use solver::{SolverConfig, Work};
+pub use update_queue::UpdateQueueConfig;
+pub(crate) use validation::is_valid_name;
 
 use serde::{Deserialize, Serialize};
 
@@ -34,28 +34,30 @@
     #[serde(default)]
     pub kinds: Vec<String>,
     /// The operations; their positions are the operation ids.
-    pub operations: Vec<OperationPlan>,
+    pub operations: Vec<OperationConfig>,
     /// The controllers.
     #[serde(default)]
     #[serde(rename = "conductors")]
-    pub controllers: ControllerPlan,
+    pub controllers: ControllersConfig,
     /// The proxies.
     #[serde(default)]
-    pub proxies: ProxyPlan,
+    pub proxies: ProxiesConfig,
     /// Limits of the rules.
-    pub rules: RulePlan,
+    pub rules: RuleConfig,
     /// Limits of the update queue.
-    pub channel: UpdateQueuePlan,
+    #[serde(rename = "channel")]
+    pub update_queue: UpdateQueueConfig,
     /// Ways of delivering tables.
     #[serde(default)]
-    pub fronts: TableDeliveryPlan,
+    #[serde(rename = "fronts")]
+    pub table_delivery: TableDeliveryConfig,
     /// Load reports.
     #[serde(default)]
     #[serde(rename = "sums")]
-    pub load_reports: LoadReportPlan,
+    pub load_reports: LoadReportConfig,
     /// Endpoint lists.
     #[serde(default)]
-    pub list: ListPlan,
+    pub list: EndpointListConfig,
     /// How proxies are instructed how much to admit.
     #[serde(default = "default_admission")]
     pub admission: AdmissionForm,
@@ -67,7 +69,7 @@
     pub first_wait: f64,
     /// The weight solver. Left out: nodes have the weights that the endpoint list gives them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub solver: Option<SolverPlan>,
+    pub solver: Option<SolverConfig>,
 }
 
 fn default_admission() -> AdmissionForm {
--- a/crates/controller-core/src/deployment/inputs.rs
+++ b/crates/controller-core/src/deployment/inputs.rs
@@ -10,7 +10,7 @@
 /// Load reports of proxies.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct LoadReportPlan {
+pub struct LoadReportConfig {
     /// How often proxies report.
     #[serde(with = "span_format")]
     pub period: Span,
@@ -18,9 +18,9 @@
     pub loads: Vec<String>,
 }
 
-impl Default for LoadReportPlan {
+impl Default for LoadReportConfig {
     fn default() -> Self {
-        LoadReportPlan {
+        LoadReportConfig {
             period: DEFAULT_REPORT_PERIOD,
             loads: Vec::new(),
         }
@@ -30,14 +30,14 @@
 /// Endpoint lists.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct ListPlan {
+pub struct EndpointListConfig {
     /// A list that lacks more than this part of the ready nodes is doubted until one more says the same.
     pub shrinks_at_most: f64,
 }
 
-impl Default for ListPlan {
+impl Default for EndpointListConfig {
     fn default() -> Self {
-        ListPlan {
+        EndpointListConfig {
             shrinks_at_most: DEFAULT_SHRINK_LIMIT,
         }
     }
--- a/crates/controller-core/src/deployment/operations.rs
+++ b/crates/controller-core/src/deployment/operations.rs
@@ -53,7 +53,7 @@
 /// One operation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct OperationPlan {
+pub struct OperationConfig {
     /// Its name, in routes, reports and logs.
     pub name: String,
     /// Answers within it count in full.
@@ -68,13 +68,16 @@
     #[serde(default)]
     pub late_share: f64,
     /// Whether a second attempt is safe.
-    pub repeat: RetryClass,
+    #[serde(rename = "repeat")]
+    pub retry_class: RetryClass,
     /// Which nodes recognize a fingerprinted request.
     #[serde(default = "default_retry_scope")]
-    pub repeat_group: RetryScope,
+    #[serde(rename = "repeat_group")]
+    pub retry_scope: RetryScope,
     /// How long a fingerprinted request is recognized.
     #[serde(default = "default_retry_window", with = "span_format")]
-    pub repeat_window: Span,
+    #[serde(rename = "repeat_window")]
+    pub retry_window: Span,
     /// Requests never leave the zone of their proxy.
     #[serde(default)]
     pub stays_in_zone: bool,
--- a/crates/controller-core/src/deployment/programs.rs
+++ b/crates/controller-core/src/deployment/programs.rs
@@ -10,7 +10,7 @@
 /// The controllers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct ControllerPlan {
+pub struct ControllersConfig {
     /// How many controllers share the proxies; each decides alone.
     pub count: u32,
     /// Whether a proxy joins a controller of its own zone.
@@ -20,9 +20,9 @@
     pub tick: Span,
 }
 
-impl Default for ControllerPlan {
+impl Default for ControllersConfig {
     fn default() -> Self {
-        ControllerPlan {
+        ControllersConfig {
             count: 1,
             joined_by_zone: false,
             tick: DEFAULT_TICK,
@@ -33,7 +33,7 @@
 /// The proxies.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct ProxyPlan {
+pub struct ProxiesConfig {
     /// Of all controllers together.
     pub count: u32,
     /// Errors in a row after which a proxy ejects a node by itself; 0: never.
@@ -45,9 +45,9 @@
     pub usual_rate: f64,
 }
 
-impl Default for ProxyPlan {
+impl Default for ProxiesConfig {
     fn default() -> Self {
-        ProxyPlan {
+        ProxiesConfig {
             count: 1,
             errors_until_avoided: 0,
             connection_idle: DEFAULT_CONNECTION_IDLE,
@@ -59,16 +59,16 @@
 /// Which ways of delivering tables are turned on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct TableDeliveryPlan {
+pub struct TableDeliveryConfig {
     /// Files that proxies watch.
     pub files: bool,
     /// Discovery streams that proxies open.
     pub streams: bool,
 }
 
-impl Default for TableDeliveryPlan {
+impl Default for TableDeliveryConfig {
     fn default() -> Self {
-        TableDeliveryPlan {
+        TableDeliveryConfig {
             files: true,
             streams: true,
         }
--- a/crates/controller-core/src/deployment/rules.rs
+++ b/crates/controller-core/src/deployment/rules.rs
@@ -7,7 +7,7 @@
 /// Limits of the rules.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct RulePlan {
+pub struct RuleConfig {
     /// Rule 1: how long a joined proxy may lack an entry for an operation.
     #[serde(with = "span_format")]
     pub without_node_at_most: Span,
@@ -26,7 +26,7 @@
     pub cold_overload_span: Span,
 }
 
-impl RulePlan {
+impl RuleConfig {
     /// Whether a node that started then is still warming up; `None`: long ago.
     pub fn is_warming(&self, now: Moment, started: Option<Moment>) -> bool {
         started.is_some_and(|at| now - at < self.warm_after)
--- a/crates/controller-core/src/deployment/settings.rs
+++ b/crates/controller-core/src/deployment/settings.rs
@@ -1,6 +1,6 @@
 //! The deployment as the named settings that the balancer reads.
 
-use super::{Deployment, OperationPlan, RulePlan};
+use super::{Deployment, OperationConfig, RuleConfig};
 use wheelspread::settings::{SettingValue, Settings};
 use wheelspread::time::Span;
 
@@ -74,15 +74,12 @@
     }
 
     fn put_update_queue(&self, settings: &mut SettingsBuilder) {
-        let channel = &self.channel;
-        settings.number(
-            "channel.lines_waiting_at_most",
-            channel.lines_waiting_at_most,
-        );
-        settings.number("channel.head_lines", channel.head_lines);
-        settings.number("channel.lines_per_second", channel.lines_per_second);
-        settings.span("channel.delay_at_most", channel.delay_at_most);
-        settings.number("channel.messages_at_most", channel.messages_at_most);
+        let channel = &self.update_queue;
+        settings.number("channel.lines_waiting_at_most", channel.max_queued_entries);
+        settings.number("channel.head_lines", channel.message_overhead_entries);
+        settings.number("channel.lines_per_second", channel.entries_per_second);
+        settings.span("channel.delay_at_most", channel.max_delay);
+        settings.number("channel.messages_at_most", channel.max_messages);
         settings.span("channel.messages_window", channel.messages_window);
     }
 
@@ -95,7 +92,7 @@
     }
 }
 
-fn put_rules(settings: &mut SettingsBuilder, rules: &RulePlan) {
+fn put_rules(settings: &mut SettingsBuilder, rules: &RuleConfig) {
     settings.span("rules.without_node_at_most", rules.without_node_at_most);
     settings.span("rules.drain_grace", rules.drain_grace);
     settings.number("rules.cold_start_share", rules.cold_start_share);
@@ -104,14 +101,14 @@
     settings.span("rules.cold_overload_span", rules.cold_overload_span);
 }
 
-fn put_operation(settings: &mut SettingsBuilder, position: usize, operation: &OperationPlan) {
+fn put_operation(settings: &mut SettingsBuilder, position: usize, operation: &OperationConfig) {
     let name = |field: &str| format!("operation.{position}.{field}");
     settings.span(&name("latency_objective"), operation.latency_objective);
     settings.span(&name("integration_timeout"), operation.integration_timeout);
     settings.number(&name("billed_value"), operation.billed_value);
     settings.number(&name("late_share"), operation.late_share);
-    settings.text(&name("repeat"), operation.repeat.setting());
-    settings.text(&name("repeat_group"), operation.repeat_group.setting());
-    settings.span(&name("repeat_window"), operation.repeat_window);
+    settings.text(&name("repeat"), operation.retry_class.setting());
+    settings.text(&name("repeat_group"), operation.retry_scope.setting());
+    settings.span(&name("repeat_window"), operation.retry_window);
     settings.flag(&name("stays_in_zone"), operation.stays_in_zone);
 }
--- a/crates/controller-core/src/deployment/solver.rs
+++ b/crates/controller-core/src/deployment/solver.rs
@@ -16,7 +16,7 @@
 /// What the solver starts from and how often it runs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct SolverPlan {
+pub struct SolverConfig {
     /// By kind, seconds of work a second; may be wrong by half.
     pub capacities: BTreeMap<String, f64>,
     /// By operation.
--- a/crates/controller-core/src/deployment/tests.rs
+++ b/crates/controller-core/src/deployment/tests.rs
@@ -2,16 +2,16 @@
 use test_case::test_case;
 use wheelspread::time::Span;
 
-fn operation(name: &str, repeat: RetryClass) -> OperationPlan {
-    OperationPlan {
+fn operation(name: &str, retry_class: RetryClass) -> OperationConfig {
+    OperationConfig {
         name: name.to_string(),
         latency_objective: Span::from_seconds(1.0),
         integration_timeout: Span::from_seconds(3.0),
         billed_value: 1.0,
         late_share: 0.0,
-        repeat,
-        repeat_group: RetryScope::All,
-        repeat_window: Span::ZERO,
+        retry_class,
+        retry_scope: RetryScope::All,
+        retry_window: Span::ZERO,
         stays_in_zone: false,
     }
 }
@@ -26,13 +26,13 @@
             operation("quote", RetryClass::Idempotent),
             operation("book", RetryClass::SideEffecting),
         ],
-        controllers: ControllerPlan::default(),
-        proxies: ProxyPlan {
+        controllers: ControllersConfig::default(),
+        proxies: ProxiesConfig {
             count: 4,
             usual_rate: 10.0,
-            ..ProxyPlan::default()
+            ..ProxiesConfig::default()
         },
-        rules: RulePlan {
+        rules: RuleConfig {
             without_node_at_most: seconds(2.0),
             drain_grace: seconds(2.0),
             cold_start_share: 0.2,
@@ -40,20 +40,20 @@
             cold_overload_factor: 4.0,
             cold_overload_span: seconds(2.0),
         },
-        channel: UpdateQueuePlan {
-            lines_waiting_at_most: 4000.0,
-            head_lines: 6.0,
-            lines_per_second: 10_000.0,
-            delay_at_most: seconds(0.5),
-            messages_at_most: 0,
+        update_queue: UpdateQueueConfig {
+            max_queued_entries: 4000.0,
+            message_overhead_entries: 6.0,
+            entries_per_second: 10_000.0,
+            max_delay: seconds(0.5),
+            max_messages: 0,
             messages_window: seconds(10.0),
         },
-        fronts: TableDeliveryPlan::default(),
-        load_reports: LoadReportPlan {
+        table_delivery: TableDeliveryConfig::default(),
+        load_reports: LoadReportConfig {
             period: seconds(1.0),
             loads: vec!["utilization".to_string()],
         },
-        list: ListPlan::default(),
+        list: EndpointListConfig::default(),
         admission: AdmissionForm::Share,
         cross_zone_price: 0.02,
         first_wait: 1.0,
@@ -67,8 +67,8 @@
 #[test_case(|p| p.operations[1].billed_value = f64::NAN, "operations.1.billed_value"; "no number")]
 #[test_case(|p| p.operations[0].integration_timeout = Span::from_seconds(0.1),
     "operations.0.integration_timeout"; "a timeout below the objective")]
-#[test_case(|p| p.operations[0].repeat = RetryClass::Fingerprinted, "operations.0.repeat_window"; "no window")]
-#[test_case(|p| p.channel.lines_per_second = 0.0, "channel.lines_per_second"; "a channel that stands")]
+#[test_case(|p| p.operations[0].retry_class = RetryClass::Fingerprinted, "operations.0.repeat_window"; "no window")]
+#[test_case(|p| p.update_queue.entries_per_second = 0.0, "channel.lines_per_second"; "a channel that stands")]
 #[test_case(|p| p.load_reports.loads = vec!["mood".into()], "sums.loads"; "an unknown load")]
 fn what_cannot_be_is_named_by_field(spoil: fn(&mut Deployment), field: &str) {
     let mut plan = plan();
@@ -90,7 +90,7 @@
     plan.operations[0].billed_value = 2e9;
     plan.controllers.tick = Span::ZERO;
     plan.load_reports.loads = vec!["mood".into()];
-    plan.solver = Some(SolverPlan {
+    plan.solver = Some(SolverConfig {
         capacities: [("large".to_string(), 1e9)].into(),
         work: [("quote".to_string(), Work(Span::ZERO))].into(),
         every: Span::from_seconds(2.0),
--- a/crates/controller-core/src/deployment/validation.rs
+++ b/crates/controller-core/src/deployment/validation.rs
@@ -1,6 +1,6 @@
 //! Checks of a deployment's settings. Every error is reported, in the order of these checks.
 
-use super::{ConfigError, ConfigErrorKind, Deployment, OperationPlan, RetryClass, SolverPlan};
+use super::{ConfigError, ConfigErrorKind, Deployment, OperationConfig, RetryClass, SolverConfig};
 use std::ops::RangeInclusive;
 use wheelspread::time::Span;
 
@@ -43,7 +43,7 @@
     }
 
     fn check_name(&mut self, field: &str, name: &str) {
-        if !is_plain_name(name) {
+        if !is_valid_name(name) {
             let name = name.to_string();
             self.push(field, ConfigErrorKind::InvalidName { name });
         }
@@ -63,7 +63,7 @@
 }
 
 /// Names go into paths of files and into logs.
-pub(crate) fn is_plain_name(name: &str) -> bool {
+pub(crate) fn is_valid_name(name: &str) -> bool {
     let is_plain = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
     !name.is_empty() && name.len() <= MAX_NAME_LENGTH && name.chars().all(is_plain)
 }
@@ -164,7 +164,7 @@
             ("rules.without_node_at_most", rules.without_node_at_most),
             ("rules.drain_grace", rules.drain_grace),
             ("rules.cold_overload_span", rules.cold_overload_span),
-            ("channel.messages_window", self.channel.messages_window),
+            ("channel.messages_window", self.update_queue.messages_window),
         ];
         for (field, span) in spans {
             errors.check_seconds(field, span, RULE_SPAN_SECONDS);
@@ -172,20 +172,24 @@
     }
 
     fn check_inputs_and_queue(&self, errors: &mut Errors) {
-        if !self.fronts.files && !self.fronts.streams {
+        if !self.table_delivery.files && !self.table_delivery.streams {
             errors.push("fronts", ConfigErrorKind::NoTableDelivery);
         }
         errors.check_seconds("sums.period", self.load_reports.period, 0.05..=60.0);
-        let channel = &self.channel;
+        let channel = &self.update_queue;
         errors.check_range(
             "channel.lines_waiting_at_most",
-            channel.lines_waiting_at_most,
+            channel.max_queued_entries,
             10.0..=1e9,
         );
-        errors.check_range("channel.head_lines", channel.head_lines, 0.0..=1e4);
+        errors.check_range(
+            "channel.head_lines",
+            channel.message_overhead_entries,
+            0.0..=1e4,
+        );
         errors.check_range(
             "channel.lines_per_second",
-            channel.lines_per_second,
+            channel.entries_per_second,
             10.0..=1e9,
         );
         errors.check_range(
@@ -197,7 +201,7 @@
     }
 
     /// The solver needs a figure for every kind and every operation.
-    fn check_solver_is_complete(&self, errors: &mut Errors, solver: &SolverPlan) {
+    fn check_solver_is_complete(&self, errors: &mut Errors, solver: &SolverConfig) {
         for kind in &self.kinds {
             if !solver.capacities.contains_key(kind) {
                 let kind = kind.clone();
@@ -224,7 +228,7 @@
     }
 }
 
-fn check_operation(errors: &mut Errors, position: usize, operation: &OperationPlan) {
+fn check_operation(errors: &mut Errors, position: usize, operation: &OperationConfig) {
     let field = |name: &str| format!("operations.{position}.{name}");
     let objective = operation.latency_objective;
     if objective <= Span::ZERO {
@@ -242,15 +246,15 @@
         let kind = ConfigErrorKind::NotPositive { value, most };
         errors.push(field("billed_value"), kind);
     }
-    let value = operation.repeat_window;
-    if operation.repeat == RetryClass::Fingerprinted && value <= Span::ZERO {
+    let value = operation.retry_window;
+    if operation.retry_class == RetryClass::Fingerprinted && value <= Span::ZERO {
         let kind = ConfigErrorKind::RetryWindowMissing { value };
         errors.push(field("repeat_window"), kind);
     }
     errors.check_range(&field("late_share"), operation.late_share, 0.0..=1.0);
 }
 
-fn check_solver_values(errors: &mut Errors, solver: &SolverPlan) {
+fn check_solver_values(errors: &mut Errors, solver: &SolverConfig) {
     for (kind, capacity) in &solver.capacities {
         let field = format!("solver.capacities.{kind}");
         errors.check_range(&field, *capacity, 1e-3..=1e6);
--- a/crates/controller-core/src/endpoint_list.rs
+++ b/crates/controller-core/src/endpoint_list.rs
@@ -234,7 +234,7 @@
     }
 
     /// When a doubted snapshot is decided on.
-    pub fn doubted_until(&self, plan: &Deployment) -> Option<Moment> {
+    pub fn doubt_deadline(&self, plan: &Deployment) -> Option<Moment> {
         match &self.trust {
             Trust::Doubted(doubt) => {
                 Some(doubt.since + plan.rules.drain_grace * DOUBT_SHARE_OF_DRAIN_GRACE)
@@ -245,7 +245,7 @@
 
     /// Decides on a doubted snapshot when its time is over: nodes that nobody had an answer from are gone.
     pub fn resolve_doubt(&mut self, now: Moment, plan: &Deployment) -> Option<Event> {
-        self.doubted_until(plan).filter(|until| now >= *until)?;
+        self.doubt_deadline(plan).filter(|until| now >= *until)?;
         let Trust::Doubted(doubt) = std::mem::replace(&mut self.trust, Trust::Accepted) else {
             return None;
         };
--- a/crates/controller-core/src/endpoint_list/tests.rs
+++ b/crates/controller-core/src/endpoint_list/tests.rs
@@ -127,7 +127,7 @@
     nodes.apply_snapshot(at(2.0), list("6", 0..3), &plan(), false);
     // What was answered before the list came says nothing.
     (3..8).for_each(|port| nodes.record_answer(record(port).node, at(1.5)));
-    let until = nodes.doubted_until(&plan()).expect("it is doubted");
+    let until = nodes.doubt_deadline(&plan()).expect("it is doubted");
     assert!(until > at(2.5) && until < at(2.0) + plan().rules.drain_grace);
     assert_eq!(nodes.resolve_doubt(at(2.5), &plan()), None);
     assert_eq!(gone(nodes.resolve_doubt(until, &plan())), 5);
@@ -196,7 +196,7 @@
         .is_some_and(|rejection| rejection.to_string().starts_with(expected)));
     assert_eq!(nodes.listed().count(), 12, "they stay meanwhile");
     // Nobody had an answer from them: it was right.
-    let until = nodes.doubted_until(&plan).expect("doubted");
+    let until = nodes.doubt_deadline(&plan).expect("doubted");
     assert!(until < at(2.0) + plan.rules.drain_grace);
     assert!(nodes.resolve_doubt(until, &plan).is_some());
     assert!(nodes.listed().count() < 12);
--- a/crates/controller-core/src/lib.rs
+++ b/crates/controller-core/src/lib.rs
@@ -25,5 +25,5 @@
     ConfigUpdate, ControllerCore, Effect, LogEvent, Observation, StartError,
 };
 pub use deployment::Deployment;
-pub use node_overrides::{NodeValues, Service};
+pub use node_overrides::{NodeValues, ServiceState};
 pub use publication::{Bundle, TableEntry, TableSet, Version};
--- a/crates/controller-core/src/load_report.rs
+++ b/crates/controller-core/src/load_report.rs
@@ -104,11 +104,11 @@
 }
 
 /// Metric of the latency in milliseconds.
-pub const LATENCY: &str = "latency_ms";
+pub const LATENCY_METRIC: &str = "latency_ms";
 /// Metric of a node's utilization, of 1.
-pub const UTILIZATION: &str = "cpu_utilization";
+pub const UTILIZATION_METRIC: &str = "cpu_utilization";
 /// Metric of the requests that are queued at a node.
-pub const QUEUE: &str = "named_metrics.queue";
+pub const QUEUE_METRIC: &str = "named_metrics.queue";
 
 const MAX_REQUESTS_PER_SECOND: f64 = 1e7;
 const MAX_OPERATIONS: usize = 1000;
--- a/crates/controller-core/src/load_report/aggregator.rs
+++ b/crates/controller-core/src/load_report/aggregator.rs
@@ -3,7 +3,7 @@
 //! the windows that were covered.
 
 use super::{check, LoadReport, LoadReportError, NodeReport, OperationReport};
-use super::{LATENCY, QUEUE, UTILIZATION};
+use super::{LATENCY_METRIC, QUEUE_METRIC, UTILIZATION_METRIC};
 use crate::deployment::Deployment;
 use crate::membership::Membership;
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,7 +14,7 @@
 const MILLISECONDS_PER_SECOND: f64 = 1e3;
 /// The balancer leaves out a load metric below 0: it was not reported.
 const METRIC_NOT_REPORTED: f64 = -1.0;
-/// The load metric of the settings that proxies report as [`UTILIZATION`].
+/// The load metric of the settings that proxies report as [`UTILIZATION_METRIC`].
 const UTILIZATION_SETTING: &str = "utilization";
 
 /// What the proxies of one zone observed at one node.
@@ -202,7 +202,7 @@
         self.failures += report.errored as f64;
         let timed = report
             .metrics
-            .get(LATENCY)
+            .get(LATENCY_METRIC)
             .and_then(|metric| Some((metric.count as f64, metric.mean()?)));
         match timed {
             Some((count, mean_ms)) => self.latency.add(count, mean_ms),
@@ -222,9 +222,9 @@
         self.metrics.resize(names.len(), None);
         for (value, name) in self.metrics.iter_mut().zip(names) {
             let reported_as = if name == UTILIZATION_SETTING {
-                UTILIZATION
+                UTILIZATION_METRIC
             } else {
-                QUEUE
+                QUEUE_METRIC
             };
             let newest = report.metrics.get(reported_as);
             *value = newest.and_then(|metric| metric.mean()).or(*value);
--- a/crates/controller-core/src/membership.rs
+++ b/crates/controller-core/src/membership.rs
@@ -1,7 +1,7 @@
 //! Which proxies are joined, by their report streams. A stream may break unseen, a proxy may come twice,
 //! return, or find its old stream still open here: the newest stream of a name is the proxy.
 
-use crate::deployment::{is_plain_name, Deployment};
+use crate::deployment::{is_valid_name, Deployment};
 use std::collections::BTreeMap;
 use wheelspread::ids::{ProxyId, ZoneId};
 use wheelspread::time::Moment;
@@ -222,7 +222,7 @@
 /// Checks a name and a zone, and looks the zone up.
 fn check_identity(who: &Introduction, plan: &Deployment) -> Result<ZoneId, IdentificationError> {
     let quote = |text: &str| text.chars().take(MAX_QUOTED_LENGTH).collect();
-    if !is_plain_name(&who.name) {
+    if !is_valid_name(&who.name) {
         return Err(IdentificationError::Unnamed(quote(&who.name)));
     }
     let position = plan.zones.iter().position(|zone| *zone == who.zone);
--- a/crates/controller-core/src/node_overrides.rs
+++ b/crates/controller-core/src/node_overrides.rs
@@ -12,11 +12,11 @@
 
 /// How a configuration takes a node out of service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Service {
+pub enum ServiceState {
     /// It finishes what it has.
     Draining,
     /// It is treated as gone.
-    Out,
+    OutOfService,
 }
 
 /// What a configuration says of one node; left out: what the list says.
@@ -29,7 +29,7 @@
     /// Its weight.
     pub weight: Option<f64>,
     /// Whether it is out of service.
-    pub service: Option<Service>,
+    pub service: Option<ServiceState>,
 }
 
 /// The values of one node, with their names looked up.
@@ -116,8 +116,8 @@
         entry.cell = of_node.cell.unwrap_or(entry.cell);
         entry.weight = of_node.values.weight.unwrap_or(entry.weight);
         entry.status = match (of_node.values.service, entry.status) {
-            (Some(Service::Out), _) => EndpointStatus::Gone,
-            (Some(Service::Draining), EndpointStatus::Ready) => EndpointStatus::Draining,
+            (Some(ServiceState::OutOfService), _) => EndpointStatus::Gone,
+            (Some(ServiceState::Draining), EndpointStatus::Ready) => EndpointStatus::Draining,
             (_, status) => status,
         };
         entry
--- a/crates/controller-core/src/node_overrides/tests.rs
+++ b/crates/controller-core/src/node_overrides/tests.rs
@@ -127,8 +127,8 @@
         )])
     };
     for (word, status) in [
-        (Some(Service::Draining), EndpointStatus::Draining),
-        (Some(Service::Out), EndpointStatus::Gone),
+        (Some(ServiceState::Draining), EndpointStatus::Draining),
+        (Some(ServiceState::OutOfService), EndpointStatus::Gone),
     ] {
         set(&mut overlay, service(word));
         assert_eq!(
@@ -137,7 +137,7 @@
         );
     }
     assert_eq!(
-        set(&mut overlay, service(Some(Service::Out))),
+        set(&mut overlay, service(Some(ServiceState::OutOfService))),
         [],
         "what stays as it is is no news"
     );
--- a/crates/controller-core/src/rollback.rs
+++ b/crates/controller-core/src/rollback.rs
@@ -4,7 +4,7 @@
 //! Instead the endpoint list gives those nodes that may have it the weight of the old version, and the balancer
 //! orders the way there as for any list: removals before additions, within headroom.
 
-use crate::deployment::RulePlan;
+use crate::deployment::RuleConfig;
 use crate::publication::{OperationTable, TableSet, Version};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -99,7 +99,7 @@
     /// Every listed node, as the balancer knows it.
     pub listed: &'a BTreeMap<NodeId, EndpointEntry>,
     /// The deployment's rules, which tell how long a node warms up.
-    pub rules: &'a RulePlan,
+    pub rules: &'a RuleConfig,
 }
 
 impl RollbackRequest<'_> {
--- a/crates/controller-core/src/service_history.rs
+++ b/crates/controller-core/src/service_history.rs
@@ -1,7 +1,7 @@
 //! What proxies reported of the service they gave, over the last minutes: by zone and operation, in buckets
 //! of the report period that a rolling window reuses. Configuration changes are judged by it.
 
-use crate::load_report::{LoadReport, NodeReport, OperationReport, LATENCY};
+use crate::load_report::{LoadReport, NodeReport, OperationReport, LATENCY_METRIC};
 use std::collections::BTreeMap;
 use std::ops::AddAssign;
 use wheelspread::ids::{OperationId, ProxyId, ZoneId};
@@ -14,7 +14,7 @@
 
 /// Requests, but for `attempts` and `failures`, which count every attempt.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Tally {
+pub struct ServiceTotals {
     /// Requests that came.
     pub requests: f64,
     /// Requests that succeeded.
@@ -26,31 +26,31 @@
     /// Attempts that failed.
     pub failures: f64,
     /// How many were timed,
-    pub timed: f64,
+    pub timed_attempts: f64,
     /// and how long they took together, in seconds.
     pub latency_seconds: f64,
 }
 
-impl AddAssign for Tally {
-    fn add_assign(&mut self, more: Tally) {
+impl AddAssign for ServiceTotals {
+    fn add_assign(&mut self, more: ServiceTotals) {
         self.requests += more.requests;
         self.succeeded += more.succeeded;
         self.rate_limited += more.rate_limited;
         self.attempts += more.attempts;
         self.failures += more.failures;
-        self.timed += more.timed;
+        self.timed_attempts += more.timed_attempts;
         self.latency_seconds += more.latency_seconds;
     }
 }
 
-impl Tally {
+impl ServiceTotals {
     fn add_node(&mut self, report: &NodeReport) {
         self.succeeded += report.succeeded as f64;
         self.failures += report.errored as f64;
         self.attempts += report.attempts();
-        let latency = report.metrics.get(LATENCY);
+        let latency = report.metrics.get(LATENCY_METRIC);
         if let Some((latency, mean)) = latency.and_then(|metric| Some((metric, metric.mean()?))) {
-            self.timed += latency.count as f64;
+            self.timed_attempts += latency.count as f64;
             self.latency_seconds += latency.count as f64 * mean / MILLISECONDS_PER_SECOND;
         }
     }
@@ -67,20 +67,20 @@
 
 /// By zone of the proxy and operation.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Tallies(pub BTreeMap<(ZoneId, OperationId), Tally>);
+pub struct ServiceTotalsByOperation(pub BTreeMap<(ZoneId, OperationId), ServiceTotals>);
 
-impl AddAssign for Tallies {
-    fn add_assign(&mut self, more: Tallies) {
+impl AddAssign for ServiceTotalsByOperation {
+    fn add_assign(&mut self, more: ServiceTotalsByOperation) {
         for (key, tally) in more.0 {
             *self.0.entry(key).or_default() += tally;
         }
     }
 }
 
-impl Tallies {
+impl ServiceTotalsByOperation {
     /// One operation's, over all zones.
-    pub fn of(&self, operation: OperationId) -> Tally {
-        let mut total = Tally::default();
+    pub fn of(&self, operation: OperationId) -> ServiceTotals {
+        let mut total = ServiceTotals::default();
         for ((_, of), tally) in &self.0 {
             if *of == operation {
                 total += *tally;
@@ -94,7 +94,7 @@
 #[derive(Clone, Debug)]
 pub struct ServiceHistory {
     period: Span,
-    window: RollingWindow<Tallies>,
+    window: RollingWindow<ServiceTotalsByOperation>,
     last_report_at: BTreeMap<ProxyId, Moment>,
 }
 
@@ -118,7 +118,7 @@
         operation_id: impl Fn(&str) -> Option<OperationId>,
     ) {
         self.last_report_at.insert(proxy, now);
-        let mut tallies = Tallies::default();
+        let mut tallies = ServiceTotalsByOperation::default();
         for of_operation in &report.operations {
             if let Some(operation) = operation_id(&of_operation.operation) {
                 let tally = tallies.0.entry((zone, operation)).or_default();
@@ -145,7 +145,7 @@
 
     /// What was reported from `from` up to `to`, and over how many seconds; what is older than the window is
     /// left out.
-    pub fn between(&self, from: Moment, to: Moment) -> (Tallies, f64) {
+    pub fn between(&self, from: Moment, to: Moment) -> (ServiceTotalsByOperation, f64) {
         let periods = (to - from).micros() / self.period.micros().max(1);
         let count = periods.clamp(0, RETAINED_PERIODS as i64) as usize;
         let seconds = self.period.seconds() * count as f64;
@@ -154,7 +154,7 @@
 
     /// Up to when all of these proxies that report have reported. Some never do, as clients that only read
     /// streams of tables; `None` if that is all of them.
-    pub fn known_until(&self, proxies: impl Iterator<Item = ProxyId>) -> Option<Moment> {
+    pub fn reported_until(&self, proxies: impl Iterator<Item = ProxyId>) -> Option<Moment> {
         proxies.filter_map(|proxy| self.last_report_at(proxy)).min()
     }
 }
--- a/crates/controller-core/src/service_history/tests.rs
+++ b/crates/controller-core/src/service_history/tests.rs
@@ -61,17 +61,17 @@
 fn known_until_ends_at_the_least_recent_report() {
     let mut measured = ServiceHistory::new(Span::from_seconds(1.0));
     let both = || [ProxyId(1), ProxyId(2)].into_iter();
-    assert_eq!(measured.known_until(both()), None, "nobody has reported");
+    assert_eq!(measured.reported_until(both()), None, "nobody has reported");
     measured.record(at(1.0), ProxyId(1), ZoneId(0), &report(1, 0, 0, 0), |_| {
         None
     });
     assert_eq!(
-        measured.known_until(both()),
+        measured.reported_until(both()),
         Some(at(1.0)),
         "the other may never"
     );
     measured.record(at(3.0), ProxyId(2), ZoneId(0), &report(1, 0, 0, 0), |_| {
         None
     });
-    assert_eq!(measured.known_until(both()), Some(at(1.0)));
+    assert_eq!(measured.reported_until(both()), Some(at(1.0)));
 }
--- a/crates/controller-core/src/update_queue.rs
+++ b/crates/controller-core/src/update_queue.rs
@@ -3,7 +3,7 @@
 //! A proxy has at most one update waiting, its newest version: what is superseded is never sent, so a slow disk
 //! or a slow proxy builds up no backlog. Removals of entries go first, then proxies that hold nothing.
 
-use crate::deployment::UpdateQueuePlan;
+use crate::deployment::UpdateQueueConfig;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use wheelspread::ids::ProxyId;
@@ -75,14 +75,14 @@
 
 impl UpdateQueue {
     /// An empty queue with the deployment's limits.
-    pub fn new(now: Moment, plan: &UpdateQueuePlan) -> UpdateQueue {
+    pub fn new(now: Moment, plan: &UpdateQueueConfig) -> UpdateQueue {
         UpdateQueue {
-            entries_per_second: plan.lines_per_second.max(MIN_ENTRIES_PER_SECOND),
-            overhead_entries: plan.head_lines,
-            max_updates: f64::from(plan.messages_at_most),
+            entries_per_second: plan.entries_per_second.max(MIN_ENTRIES_PER_SECOND),
+            overhead_entries: plan.message_overhead_entries,
+            max_updates: f64::from(plan.max_messages),
             window: plan.messages_window,
-            max_delay: plan.delay_at_most,
-            max_queued_entries: plan.lines_waiting_at_most,
+            max_delay: plan.max_delay,
+            max_queued_entries: plan.max_queued_entries,
             queued: BTreeMap::new(),
             turns: BTreeSet::new(),
             in_flight: BTreeMap::new(),
@@ -94,12 +94,12 @@
     }
 
     /// Other limits from now on; updates that were written still count.
-    pub fn reconfigure(&mut self, plan: &UpdateQueuePlan) {
-        self.set_pace(plan.lines_per_second);
-        self.overhead_entries = plan.head_lines;
-        self.max_delay = plan.delay_at_most;
-        self.max_queued_entries = plan.lines_waiting_at_most;
-        self.max_updates = f64::from(plan.messages_at_most);
+    pub fn reconfigure(&mut self, plan: &UpdateQueueConfig) {
+        self.set_pace(plan.entries_per_second);
+        self.overhead_entries = plan.message_overhead_entries;
+        self.max_delay = plan.max_delay;
+        self.max_queued_entries = plan.max_queued_entries;
+        self.max_updates = f64::from(plan.max_messages);
     }
 
     /// Another pace, as when settings are read again.
--- a/crates/controller-core/src/update_queue/tests.rs
+++ b/crates/controller-core/src/update_queue/tests.rs
@@ -6,11 +6,11 @@
     Moment::from_seconds(seconds)
 }
 
-fn queue(lines_per_second: f64, messages_at_most: u32) -> UpdateQueue {
-    let plan = UpdateQueuePlan {
-        lines_per_second,
-        messages_at_most,
-        ..plan().channel
+fn queue(entries_per_second: f64, max_messages: u32) -> UpdateQueue {
+    let plan = UpdateQueueConfig {
+        entries_per_second,
+        max_messages,
+        ..plan().update_queue
     };
     UpdateQueue::new(at(0.0), &plan)
 }
--- a/crates/controller-core/src/weight_solver.rs
+++ b/crates/controller-core/src/weight_solver.rs
@@ -6,7 +6,7 @@
 mod observations;
 mod problem;
 
-use crate::deployment::{Deployment, SolverPlan};
+use crate::deployment::{Deployment, SolverConfig};
 use crate::endpoint_list::{format_node, EndpointList};
 use crate::membership::Membership;
 use observations::{NodeObservation, Observations};
@@ -79,7 +79,7 @@
         &mut self,
         events: &[Event],
         plan: &Deployment,
-        solver: &SolverPlan,
+        solver: &SolverConfig,
         members: &Membership,
         nodes: &EndpointList,
     ) {
@@ -117,7 +117,7 @@
     }
 
     /// Seconds of work of a mean request; that of the most expensive operation while nothing is asked for.
-    fn mean_work(&self, plan: &Deployment, solver: &SolverPlan) -> f64 {
+    fn mean_work(&self, plan: &Deployment, solver: &SolverConfig) -> f64 {
         let work = |operation: OperationId| {
             problem::operation_plan(plan, operation)
                 .and_then(|operation| solver.work.get(&operation.name))
@@ -144,7 +144,7 @@
         &mut self,
         now: Moment,
         plan: &Deployment,
-        solver: &SolverPlan,
+        solver: &SolverConfig,
         nodes: &EndpointList,
     ) -> Option<SolverOutcome> {
         if now < self.next_at || nodes.version().is_empty() || self.demand.is_empty() {
--- a/crates/controller-core/src/weight_solver/observations.rs
+++ b/crates/controller-core/src/weight_solver/observations.rs
@@ -8,7 +8,7 @@
 use wheelspread::Event;
 
 /// The load metric that says how much of a node's capacity is in use.
-const UTILIZATION_METRIC: &str = "utilization";
+const UTILIZATION_SETTING: &str = "utilization";
 
 /// What all zones' proxies together observed at one node.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -87,6 +87,6 @@
 /// The utilization among a report's load metrics; a metric that was not reported is below 0.
 fn utilization(plan: &Deployment, metrics: &[f64]) -> Option<f64> {
     let loads = &plan.load_reports.loads;
-    let position = loads.iter().position(|name| name == UTILIZATION_METRIC)?;
+    let position = loads.iter().position(|name| name == UTILIZATION_SETTING)?;
     metrics.get(position).copied().filter(|value| *value >= 0.0)
 }
--- a/crates/controller-core/src/weight_solver/problem.rs
+++ b/crates/controller-core/src/weight_solver/problem.rs
@@ -2,7 +2,7 @@
 //! each zone.
 
 use super::WeightSolver;
-use crate::deployment::{Deployment, OperationPlan, SolverPlan};
+use crate::deployment::{Deployment, OperationConfig, SolverConfig};
 use crate::endpoint_list::{format_node, EndpointList, EndpointRecord};
 use std::collections::BTreeMap;
 use wheelspread::ids::{OperationId, ZoneId};
@@ -18,7 +18,7 @@
     pub(super) fn fleet(
         &self,
         plan: &Deployment,
-        solver: &SolverPlan,
+        solver: &SolverConfig,
         nodes: &EndpointList,
     ) -> Fleet {
         let hosts = nodes
@@ -43,7 +43,7 @@
         }
     }
 
-    fn host(&self, record: &EndpointRecord, entry: &EndpointEntry, solver: &SolverPlan) -> Host {
+    fn host(&self, record: &EndpointRecord, entry: &EndpointEntry, solver: &SolverConfig) -> Host {
         let estimate = self.estimates.get(&record.node);
         Host {
             id: format_node(record.node),
@@ -83,11 +83,14 @@
 }
 
 /// The capacity that the settings give a kind; 0 where they name none.
-pub(super) fn configured_capacity(solver: &SolverPlan, kind: &str) -> f64 {
+pub(super) fn configured_capacity(solver: &SolverConfig, kind: &str) -> f64 {
     solver.capacities.get(kind).copied().unwrap_or(0.0)
 }
 
-pub(super) fn operation_plan(plan: &Deployment, operation: OperationId) -> Option<&OperationPlan> {
+pub(super) fn operation_plan(
+    plan: &Deployment,
+    operation: OperationId,
+) -> Option<&OperationConfig> {
     plan.operations.get(usize::from(operation.0))
 }
 
@@ -98,7 +101,7 @@
         .unwrap_or_default()
 }
 
-fn solver_operation(operation: &OperationPlan, solver: &SolverPlan) -> Operation {
+fn solver_operation(operation: &OperationConfig, solver: &SolverConfig) -> Operation {
     let work = solver
         .work
         .get(&operation.name)
--- a/crates/controller/src/admin/status.rs
+++ b/crates/controller/src/admin/status.rs
@@ -142,7 +142,7 @@
             .latest_report_at()
             .map(|at| seconds_since(now, at)),
         queued_entries: core.queued_entries(),
-        queued_entries_limit: core.plan().channel.lines_waiting_at_most,
+        queued_entries_limit: core.plan().update_queue.max_queued_entries,
         newest_version: core.version().0,
         configuration: progress.configuration,
         lagging_proxies: progress.outdated.len(),
@@ -176,11 +176,11 @@
 /// `GET /v1/channel`
 pub fn update_channel(core: &ControllerCore) -> Value {
     let counts = core.update_counts();
-    let settings = &core.plan().channel;
+    let settings = &core.plan().update_queue;
     json!(ChannelResponse {
         queued_entries: core.queued_entries(),
-        queued_entries_limit: settings.lines_waiting_at_most,
-        entries_per_second: settings.lines_per_second,
+        queued_entries_limit: settings.max_queued_entries,
+        entries_per_second: settings.entries_per_second,
         messages_sent: counts.sent,
         messages_superseded: counts.superseded,
     })
@@ -200,7 +200,8 @@
             rate_limited: tally.rate_limited,
             attempts: tally.attempts,
             failed_attempts: tally.failures,
-            mean_latency_ms: (tally.timed > 0.0).then(|| tally.latency_seconds / tally.timed * 1e3),
+            mean_latency_ms: (tally.timed_attempts > 0.0)
+                .then(|| tally.latency_seconds / tally.timed_attempts * 1e3),
         }
     });
     let proxies = core.members().members().map(|(name, member)| ProxyReports {
--- a/crates/controller/src/discovery_server.rs
+++ b/crates/controller/src/discovery_server.rs
@@ -43,13 +43,13 @@
     /// Limits are the file's; `deployment` is the one in force.
     pub fn new(file: &ControllerFile, deployment: Deployment) -> DiscoveryServer {
         let streams = &file.streams;
-        let channel = &file.deployment.channel;
+        let channel = &file.deployment.update_queue;
         let limits = DiscoveryLimits {
             cached_versions: streams.versions_kept,
             max_subscription_changes: streams.changes_at_most,
             subscription_change_window: channel.messages_window,
             ack_timeout: streams.unanswered_at_most,
-            rejection_pause: channel.delay_at_most * REJECTED_TABLE_PAUSE_DELAYS,
+            rejection_pause: channel.max_delay * REJECTED_TABLE_PAUSE_DELAYS,
         };
         DiscoveryServer {
             protocol: DiscoveryStreams::new(limits),
--- a/crates/controller/src/service/reload.rs
+++ b/crates/controller/src/service/reload.rs
@@ -28,7 +28,7 @@
     }
 
     fn apply_reloaded_file(&mut self, now: Moment, new: &ControllerFile) {
-        let lines_per_second = new.deployment.channel.lines_per_second;
+        let lines_per_second = new.deployment.update_queue.entries_per_second;
         self.rollout.set_entries_per_second(lines_per_second);
         // The value of a change goes before the file's.
         let configuration = self.rollout.ledger().configuration();
@@ -38,13 +38,13 @@
             );
         }
         let mut expected = self.file.deployment.clone();
-        expected.channel.lines_per_second = lines_per_second;
+        expected.update_queue.entries_per_second = lines_per_second;
         if expected == new.deployment {
             info!(lines_per_second, "configuration file reloaded");
         } else {
             warn!("configuration file reloaded: only {PACE_VALUE} changes without a restart");
         }
-        self.file.deployment.channel.lines_per_second = lines_per_second;
+        self.file.deployment.update_queue.entries_per_second = lines_per_second;
         self.core.observe(
             now,
             Observation::PaceChanged {
--- a/crates/drill/src/audit/repeated_effects.rs
+++ b/crates/drill/src/audit/repeated_effects.rs
@@ -12,7 +12,7 @@
     let binding: BTreeSet<&str> = plan
         .operations
         .iter()
-        .filter(|operation| operation.repeat != RetryClass::Idempotent)
+        .filter(|operation| operation.retry_class != RetryClass::Idempotent)
         .map(|operation| operation.name.as_str())
         .collect();
     for (t, record) in &records.0 {
--- a/crates/drill/src/audit/update_queue.rs
+++ b/crates/drill/src/audit/update_queue.rs
@@ -10,8 +10,8 @@
 /// one proxy in the window.
 pub(super) fn judge_update_queue(records: &Records, plan: &Deployment) -> RuleJudged {
     let mut judged = RuleJudged::new(5);
-    let channel = &plan.channel;
-    let most_messages = f64::from(channel.messages_at_most);
+    let channel = &plan.update_queue;
+    let most_messages = f64::from(channel.max_messages);
     let window = channel.messages_window.seconds();
     let mut joined = Joined::default();
     let mut queue = UpdateQueue::default();
@@ -34,9 +34,9 @@
             continue;
         }
         let link = (*controller, *proxy);
-        queue.swapped(link, *version, lines, channel.head_lines);
+        queue.swapped(link, *version, lines, channel.message_overhead_entries);
         let queued = queue.queued_at(*controller);
-        judged.check(queued, channel.lines_waiting_at_most, *t, || {
+        judged.check(queued, channel.max_queued_entries, *t, || {
             format!("lines at conductor {controller}")
         });
         if most_messages > 0.0 {
--- a/crates/drill/src/client_population.rs
+++ b/crates/drill/src/client_population.rs
@@ -218,7 +218,7 @@
     fn plan(
         &self,
         invocation: &Invocation,
-    ) -> &wheelspread_controller_core::deployment::OperationPlan {
+    ) -> &wheelspread_controller_core::deployment::OperationConfig {
         let name = &self.script.traffic.operations[invocation.operation].name;
         let plans = &self.script.deployment.operations;
         plans
@@ -229,7 +229,10 @@
 
     fn end(&mut self, now: Moment, invocation: Invocation, outcome: ClientOutcome, unsent: bool) {
         let plan = self.plan(&invocation);
-        let (deadline, repeat) = (invocation.arrived + plan.integration_timeout, plan.repeat);
+        let (deadline, repeat) = (
+            invocation.arrived + plan.integration_timeout,
+            plan.retry_class,
+        );
         let safe = unsent || repeat == RetryClass::Idempotent;
         let may = invocation.attempt < self.script.traffic.retries && safe;
         let wait = Span::from_seconds(0.1 + 0.2 * self.chance.unit());
--- a/crates/drill/src/even_publisher.rs
+++ b/crates/drill/src/even_publisher.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddrV4;
 use wheelspread::ids::{NodeId, OperationId, TableId};
 use wheelspread::RetryPolicy;
-use wheelspread_controller_core::deployment::OperationPlan;
+use wheelspread_controller_core::deployment::OperationConfig;
 use wheelspread_controller_core::publication::{
     BundleId, OperationTable, TableEntry, TableSet, Version,
 };
@@ -123,7 +123,7 @@
         } else {
             RetryPolicy::IfUnprocessed
         };
-        let operation_table = |(at, operation): (usize, &OperationPlan)| {
+        let operation_table = |(at, operation): (usize, &OperationConfig)| {
             let is_reachable = |node: &&ListedNode| {
                 (!operation.stays_in_zone || node.zone == zone)
                     && (!is_flooding || node.cold || operation.stays_in_zone)
--- a/crates/drill/src/proxies.rs
+++ b/crates/drill/src/proxies.rs
@@ -159,14 +159,14 @@
     let count = endpoints.len();
     let controllers = (0..count).map(|at| &endpoints[(proxy + at) % count]);
     let rules =
-        |operation: &wheelspread_controller_core::deployment::OperationPlan| OperationRules {
+        |operation: &wheelspread_controller_core::deployment::OperationConfig| OperationRules {
             name: operation.name.clone(),
-            retry_safety: match operation.repeat {
+            retry_safety: match operation.retry_class {
                 // A proxy that trusts its tables blindly, to see the audit find what comes of it.
                 _ if trusting => RetrySafety::Idempotent,
                 RetryClass::Idempotent => RetrySafety::Idempotent,
                 RetryClass::Fingerprinted => RetrySafety::Fingerprinted {
-                    window: operation.repeat_window,
+                    window: operation.retry_window,
                 },
                 RetryClass::SideEffecting => RetrySafety::SideEffecting,
             },
@@ -210,7 +210,7 @@
         publishes_status: true,
         follows_unjoined: follows,
         tls: None,
-        table_source: if deployment.fronts.files {
+        table_source: if deployment.table_delivery.files {
             TableSource::Files
         } else {
             TableSource::Stream
--- a/crates/drill/src/run/controllers.rs
+++ b/crates/drill/src/run/controllers.rs
@@ -41,7 +41,7 @@
     ) -> Result<PathBuf, DrillError> {
         let process = &self.controllers[number];
         let mut deployment = self.script.deployment.clone();
-        deployment.channel.lines_per_second = lines_per_second;
+        deployment.update_queue.entries_per_second = lines_per_second;
         #[derive(Serialize)]
         struct Place<'a> {
             name: String,
@@ -82,7 +82,10 @@
         if self.even.is_some() {
             return Ok(());
         }
-        let path = self.write_file(number, self.script.deployment.channel.lines_per_second)?;
+        let path = self.write_file(
+            number,
+            self.script.deployment.update_queue.entries_per_second,
+        )?;
         let log = self.controllers[number].directory.join("log.jsonl");
         let log = File::options()
             .create(true)
--- a/crates/drill/src/run/execution.rs
+++ b/crates/drill/src/run/execution.rs
@@ -187,7 +187,7 @@
     }
 
     fn slow_channel(&self, factor: f64) -> Result<(), DrillError> {
-        let usual = self.script.deployment.channel.lines_per_second;
+        let usual = self.script.deployment.update_queue.entries_per_second;
         for number in 0..self.controllers.len() {
             self.write_file(number, usual / factor)?;
             self.signal(number, Signal::HUP);
--- a/crates/drill/src/run/setup.rs
+++ b/crates/drill/src/run/setup.rs
@@ -135,7 +135,7 @@
             *controller == usual
         };
         for (directory, (_, proxy)) in directories.iter().filter(preferred) {
-            let streams = !self.script.deployment.fronts.files;
+            let streams = !self.script.deployment.table_delivery.files;
             let waits = || match streams {
                 true => !self.proxies.held(*proxy),
                 false => !directory.join(wheelspread_files::CURRENT).exists(),
--- a/crates/drill/src/stand_in_server/work.rs
+++ b/crates/drill/src/stand_in_server/work.rs
@@ -121,9 +121,9 @@
             .iter()
             .find(|operation| operation.name == job.operation);
         let Some(plan) = plan else { return };
-        if plan.repeat == RetryClass::Fingerprinted {
+        if plan.retry_class == RetryClass::Fingerprinted {
             let first = *self.seen.entry(job.id.clone()).or_insert(now);
-            if first != now && now - first < plan.repeat_window {
+            if first != now && now - first < plan.retry_window {
                 return;
             }
         }
--- a/crates/files/src/writer.rs
+++ b/crates/files/src/writer.rs
@@ -93,7 +93,7 @@
     pub fn start(root: TableRoot, deployment: Deployment, waker: Waker) -> io::Result<TableWriter> {
         let (jobs, submitted) = channel::<WriteJob>();
         let (finished, results) = channel();
-        let sync_timeout = deployment.channel.delay_at_most.seconds() * SYNC_TIMEOUT_PER_DELAY;
+        let sync_timeout = deployment.update_queue.max_delay.seconds() * SYNC_TIMEOUT_PER_DELAY;
         let sync = SyncThread::start(sync_timeout, File::sync_all)?;
         let work = move || {
             let mut publisher = Publisher::new(root, deployment, sync);
--- a/crates/proxy-core/src/load_accounting.rs
+++ b/crates/proxy-core/src/load_accounting.rs
@@ -5,7 +5,7 @@
 use wheelspread::ids::{NodeId, OperationId};
 use wheelspread::time::{Moment, Span};
 use wheelspread_controller_core::load_report::{
-    LoadReport, Metric, NodeReport, OperationReport, LATENCY,
+    LoadReport, Metric, NodeReport, OperationReport, LATENCY_METRIC,
 };
 
 /// Seconds after which counts say nothing of the present. Controllers would refuse them.
@@ -87,7 +87,7 @@
     fn into_report(self, node: NodeId, in_progress: u64) -> NodeReport {
         let mut metrics = self.loads;
         if self.latency.count > 0 {
-            metrics.insert(LATENCY.to_string(), self.latency);
+            metrics.insert(LATENCY_METRIC.to_string(), self.latency);
         }
         NodeReport {
             node: Some(node),
--- a/crates/xds/src/tables/encode.rs
+++ b/crates/xds/src/tables/encode.rs
@@ -7,7 +7,7 @@
 use prost::{Message, Name};
 use std::collections::BTreeMap;
 use wheelspread::time::Span;
-use wheelspread_controller_core::deployment::{AdmissionForm, Deployment, OperationPlan};
+use wheelspread_controller_core::deployment::{AdmissionForm, Deployment, OperationConfig};
 use wheelspread_controller_core::publication::{OperationTable, TableEntry, TableSet};
 use xds_api::pb::envoy::config::core::v3 as core;
 use xds_api::pb::envoy::config::endpoint::v3 as endpoint;
@@ -43,7 +43,7 @@
 
 /// Encodes a table set. Operations that the deployment does not have are left out.
 pub(crate) fn encode_resources(set: &TableSet, deployment: &Deployment) -> TableResources {
-    let tables: Vec<(&OperationPlan, &OperationTable)> = set
+    let tables: Vec<(&OperationConfig, &OperationTable)> = set
         .operations
         .iter()
         .filter_map(|table| {
@@ -118,7 +118,7 @@
 }
 
 fn encode_route(
-    operation: &OperationPlan,
+    operation: &OperationConfig,
     table: &OperationTable,
     deployment: &Deployment,
 ) -> route::Route {
@@ -147,7 +147,7 @@
 }
 
 fn encode_retries(
-    operation: &OperationPlan,
+    operation: &OperationConfig,
     table: &OperationTable,
     deployment: &Deployment,
 ) -> Option<route::RetryPolicy> {
