--- a/crates/config-rollout/src/watch.rs
+++ b/crates/config-rollout/src/watch.rs
@@ -67,7 +67,7 @@
     /// The service by these tallies.
     pub fn from_tallies(tallies: &ServiceTotalsByOperation, deployment: &Deployment) -> Baseline {
         let operations = 0..deployment.operations.len() as u8;
-        let service = operations.map(|id| tallies.of(OperationId(id)).into());
+        let service = operations.map(|id| tallies.for_operation(OperationId(id)).into());
         Baseline(service.collect())
     }
 
--- a/crates/controller-core/src/controller_core/tests.rs
+++ b/crates/controller-core/src/controller_core/tests.rs
@@ -1,7 +1,7 @@
 //! Stretches of a controller's run, played against files that are kept in memory.
 
 use super::*;
-use crate::deployment::tests::plan;
+use crate::deployment::tests::test_deployment;
 use crate::endpoint_list::{EndpointRecord, EndpointSnapshot};
 use crate::load_report::{LoadReport, NodeReport, OperationReport};
 use crate::membership::{Introduction, StreamId};
@@ -51,7 +51,7 @@
 
 impl Harness {
     fn new(found: RecoveredState) -> Harness {
-        Harness::with(plan(), found)
+        Harness::with(test_deployment(), found)
     }
 
     fn with(plan: Deployment, found: RecoveredState) -> Harness {
@@ -433,7 +433,7 @@
 
 /// The same fleet with capacities by kind: nodes 1 to 4 are configured with four times the capacity of 5 to 8.
 fn solving() -> Harness {
-    let mut plan = plan();
+    let mut plan = test_deployment();
     plan.kinds = vec!["large".to_string(), "small".to_string()];
     plan.solver = Some(crate::deployment::SolverConfig {
         capacities: BTreeMap::from([("large".to_string(), 4.0), ("small".to_string(), 1.0)]),
--- a/crates/controller-core/src/deployment.rs
+++ b/crates/controller-core/src/deployment.rs
@@ -1,7 +1,7 @@
-//! The deployment that a controller serves, as its settings file describes it at start: zones, kinds,
-//! operations, limits of the rules and of the update queue. Each part of the file is a module here;
-//! `Deployment::validate` names what can't be, field by field, and `Deployment::to_settings` gives the
-//! balancer its named settings.
+//! The deployment that a controller serves, as described by its settings file: zones, kinds, operations, limits
+//! of the rules and of the update queue. Each section of the file has a module here. `Deployment::validate`
+//! reports every field with an invalid value, and `Deployment::to_settings` converts the deployment to the named
+//! settings that the balancer reads.
 
 mod error;
 mod inputs;
@@ -24,50 +24,50 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A whole deployment. Field names are the keys of the settings file.
+/// A whole deployment. Keys of the settings file are the field names, or the names in the `rename` attributes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Deployment {
-    /// Names of the zones; their positions are the zone ids.
+    /// Names of the zones; a zone's index is its id.
     pub zones: Vec<String>,
-    /// Names of the node kinds; their positions are the kind ids.
+    /// Names of the node kinds; a kind's index is its id.
     #[serde(default)]
     pub kinds: Vec<String>,
-    /// The operations; their positions are the operation ids.
+    /// The operations; an operation's index is its id.
     pub operations: Vec<OperationConfig>,
-    /// The controllers.
+    /// Settings of the controllers.
     #[serde(default)]
     #[serde(rename = "conductors")]
     pub controllers: ControllersConfig,
-    /// The proxies.
+    /// Settings of the proxies.
     #[serde(default)]
     pub proxies: ProxiesConfig,
-    /// Limits of the rules.
+    /// Limits of the rules that tables have to keep.
     pub rules: RuleConfig,
     /// Limits of the update queue.
     #[serde(rename = "channel")]
     pub update_queue: UpdateQueueConfig,
-    /// Ways of delivering tables.
+    /// The enabled ways of delivering tables.
     #[serde(default)]
     #[serde(rename = "fronts")]
     pub table_delivery: TableDeliveryConfig,
-    /// Load reports.
+    /// Settings of load reports.
     #[serde(default)]
     #[serde(rename = "sums")]
     pub load_reports: LoadReportConfig,
-    /// Endpoint lists.
+    /// Settings of endpoint lists.
     #[serde(default)]
     pub list: EndpointListConfig,
-    /// How proxies are instructed how much to admit.
+    /// The form in which proxies get their admission limits.
     #[serde(default = "default_admission")]
     pub admission: AdmissionForm,
-    /// What a request into another zone costs, of its billed value.
+    /// Cost of sending a request to another zone, as a ratio of its billed value.
     #[serde(default)]
     pub cross_zone_price: f64,
-    /// How long a proxy waits for a first attempt before it has a table: times the latency objective.
+    /// Timeout of one attempt in retry policies that have one, as a multiple of the latency objective.
     #[serde(default = "default_first_wait")]
     pub first_wait: f64,
-    /// The weight solver. Left out: nodes have the weights that the endpoint list gives them.
+    /// Settings of the weight solver. Without them nodes keep the weights of the endpoint list.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub solver: Option<SolverConfig>,
 }
--- a/crates/controller-core/src/deployment/error.rs
+++ b/crates/controller-core/src/deployment/error.rs
@@ -1,116 +1,117 @@
-//! What a deployment's settings get wrong.
+//! Errors in a deployment's settings.
 
 use wheelspread::time::Span;
 
-/// A field whose value can't be, and why.
+/// A field of the settings with an invalid value.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{field}: {kind}")]
 pub struct ConfigError {
-    /// Path of the field, as in the file: `operations.0.latency_objective`.
+    /// Path of the field in the file, such as `operations.0.latency_objective`.
     pub field: String,
-    /// What is wrong with its value.
+    /// Why the value is invalid.
     pub kind: ConfigErrorKind,
 }
 
-/// What is wrong with a value.
+/// Why a value is invalid.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ConfigErrorKind {
-    /// Names go into paths of files and into logs.
-    #[error("`{name}` should be of letters, digits, - and _")]
+    /// A name is empty, too long or has characters that are unsafe in file paths and logs.
+    #[error("`{name}` should be 1 to 100 ASCII letters, digits, `-` or `_`")]
     InvalidName {
-        /// The name as it stands in the file.
+        /// The name in the file.
         name: String,
     },
     /// Two items of one list have the same name.
     #[error("`{name}` is named twice")]
     DuplicateName {
-        /// The name of both.
+        /// The duplicate name.
         name: String,
     },
     /// A list has too few or too many items.
-    #[error("{count} {items}: between {least} and {most} are possible")]
+    #[error("{count} {items}: between {min} and {max} are allowed")]
     CountOutOfRange {
-        /// What the list has.
+        /// The kind of items, in the plural.
         items: &'static str,
-        /// How many it has.
+        /// Number of items.
         count: usize,
-        /// Least number of items.
-        least: usize,
-        /// Largest number of items.
-        most: usize,
+        /// Minimum number of items.
+        min: usize,
+        /// Maximum number of items.
+        max: usize,
     },
     /// A list that may be empty has too many items.
-    #[error("{count} {items}: {most} at most are possible")]
+    #[error("{count} {items}: at most {max} are allowed")]
     TooMany {
-        /// What the list has.
+        /// The kind of items, in the plural.
         items: &'static str,
-        /// How many it has.
+        /// Number of items.
         count: usize,
-        /// Largest number of items.
-        most: usize,
+        /// Maximum number of items.
+        max: usize,
     },
-    /// A number, or a span in seconds, is too small, too large or no number.
-    #[error("{value} should lie between {least} and {most}")]
+    /// A number, or a span in seconds, is too small, too large or NaN.
+    #[error("{value} should lie between {min} and {max}")]
     OutOfRange {
-        /// The value as it stands in the file.
+        /// The value in the file.
         value: f64,
-        /// Smallest possible value.
-        least: f64,
-        /// Largest possible value.
-        most: f64,
+        /// Minimum value.
+        min: f64,
+        /// Maximum value.
+        max: f64,
     },
-    /// A number is not above 0, too large or no number.
-    #[error("{value} should be above 0, {most:e} at most")]
+    /// A number is not above 0, too large or NaN.
+    #[error("{value} should be above 0 and at most {max:e}")]
     NotPositive {
-        /// The value as it stands in the file.
+        /// The value in the file.
         value: f64,
-        /// Largest possible value.
-        most: f64,
+        /// Maximum value.
+        max: f64,
     },
     /// A span is not above 0.
-    #[error("should be above 0")]
+    #[error("the time span should be above 0")]
     SpanNotPositive {
-        /// The value as it stands in the file.
+        /// The value in the file.
         value: Span,
     },
-    /// Clients would give up before an answer is late.
-    #[error("should not lie below latency_objective")]
+    /// The timeout is shorter than the latency objective, so clients would time out before an answer is late.
+    #[error("the timeout should not be below latency_objective")]
     BelowLatencyObjective {
-        /// The timeout as it stands in the file.
+        /// The timeout in the file.
         timeout: Span,
         /// The latency objective of the same operation.
         objective: Span,
     },
-    /// A fingerprint guards against a second effect for a limited time, which has to be known.
-    #[error("a fingerprinted operation needs one above 0")]
+    /// A fingerprinted operation has no retry window. Nodes recognize a fingerprint only for a limited time, which
+    /// has to be known so that no retry comes later.
+    #[error("a fingerprinted operation needs a window above 0")]
     RetryWindowMissing {
-        /// The value as it stands in the file.
+        /// The value in the file.
         value: Span,
     },
     /// A load metric that nodes do not report.
-    #[error("`{name}` is no load that nodes tell of: {} are", .known.join(", "))]
+    #[error("`{name}` is not a load metric that nodes report: {} are", .known.join(", "))]
     UnknownLoadMetric {
-        /// The name as it stands in the file.
+        /// The name in the file.
         name: String,
-        /// The names that are possible.
+        /// The allowed names.
         known: &'static [&'static str],
     },
-    /// Neither of the ways to deliver tables is turned on.
-    #[error("with neither files nor streams nobody gets a table")]
+    /// No way of delivering tables is enabled.
+    #[error("files and streams are both disabled, so no proxy gets a table; enable at least one")]
     NoTableDelivery,
-    /// The solver needs the capacity of every kind.
-    #[error("kind `{kind}` has none")]
+    /// A kind has no capacity; the solver needs the capacity of every kind.
+    #[error("kind `{kind}` has no capacity")]
     CapacityMissing {
-        /// The kind without one.
+        /// The kind without a capacity.
         kind: String,
     },
-    /// The solver needs the work of every operation.
-    #[error("operation `{operation}` has none")]
+    /// An operation has no work; the solver needs the work of every operation.
+    #[error("operation `{operation}` has no work per request")]
     WorkMissing {
-        /// The operation without it.
+        /// The operation without work.
         operation: String,
     },
-    /// A reason that the program which read the value found.
+    /// Another reason, found by the program that read the value.
     #[error("{0}")]
     Other(String),
 }
--- a/crates/controller-core/src/deployment/inputs.rs
+++ b/crates/controller-core/src/deployment/inputs.rs
@@ -1,20 +1,20 @@
-//! What a controller takes in: load reports and endpoint lists.
+//! Settings of a controller's inputs: load reports and endpoint lists.
 
 use crate::span_format;
 use serde::{Deserialize, Serialize};
 use wheelspread::time::Span;
 
 const DEFAULT_REPORT_PERIOD: Span = Span::from_seconds(1.0);
-const DEFAULT_SHRINK_LIMIT: f64 = 0.5;
+const DEFAULT_MAX_MISSING_RATIO: f64 = 0.5;
 
-/// Load reports of proxies.
+/// Settings of the proxies' load reports.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LoadReportConfig {
-    /// How often proxies report.
+    /// Time between two load reports of a proxy.
     #[serde(with = "span_format")]
     pub period: Span,
-    /// Load metrics that nodes report in their answers: `utilization`, `queue`.
+    /// Names of the load metrics that nodes report in their answers: `utilization`, `queue`.
     pub loads: Vec<String>,
 }
 
@@ -27,18 +27,19 @@
     }
 }
 
-/// Endpoint lists.
+/// Settings of endpoint lists.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EndpointListConfig {
-    /// A list that lacks more than this part of the ready nodes is doubted until one more says the same.
+    /// Largest ratio of the ready nodes that a list may lack at once. A list that lacks more is in doubt until
+    /// the next list confirms it or the doubt period ends.
     pub shrinks_at_most: f64,
 }
 
 impl Default for EndpointListConfig {
     fn default() -> Self {
         EndpointListConfig {
-            shrinks_at_most: DEFAULT_SHRINK_LIMIT,
+            shrinks_at_most: DEFAULT_MAX_MISSING_RATIO,
         }
     }
 }
--- a/crates/controller-core/src/deployment/operations.rs
+++ b/crates/controller-core/src/deployment/operations.rs
@@ -1,4 +1,4 @@
-//! Operations: what an answer is worth, how long it may take and whether a request may be retried.
+//! Settings of the operations: billed value, time limits and retry safety.
 
 use crate::span_format;
 use serde::{Deserialize, Serialize};
@@ -10,14 +10,14 @@
 pub enum RetryClass {
     /// A second attempt has no further effect.
     Idempotent,
-    /// Nodes recognize a second attempt by its fingerprint, within a window and a scope.
+    /// Nodes recognize a second attempt by the request's fingerprint, within `retry_window` and `retry_scope`.
     Fingerprinted,
-    /// A second attempt may take effect twice: never retried once it was sent.
+    /// A second attempt may take effect again, so a request that was sent is never retried.
     SideEffecting,
 }
 
 impl RetryClass {
-    /// The spelling of the settings.
+    /// The value's spelling in the settings.
     pub(super) fn setting(self) -> &'static str {
         match self {
             RetryClass::Idempotent => "idempotent",
@@ -27,7 +27,7 @@
     }
 }
 
-/// Which nodes recognize the fingerprint of a request that another of them answered.
+/// The group of nodes that share fingerprints: each recognizes a request that another of the group has answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RetryScope {
@@ -40,7 +40,7 @@
 }
 
 impl RetryScope {
-    /// The spelling of the settings.
+    /// The value's spelling in the settings.
     pub(super) fn setting(self) -> &'static str {
         match self {
             RetryScope::All => "all",
@@ -50,27 +50,27 @@
     }
 }
 
-/// One operation.
+/// Settings of one operation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperationConfig {
-    /// Its name, in routes, reports and logs.
+    /// The operation's name in routes, load reports and logs.
     pub name: String,
-    /// Answers within it count in full.
+    /// Latency up to which an answer has its full billed value.
     #[serde(with = "span_format")]
     pub latency_objective: Span,
-    /// What a client waits at most, over all attempts.
+    /// Time after which a client stops waiting for an answer, over all attempts.
     #[serde(with = "span_format")]
     pub integration_timeout: Span,
-    /// What an answer in time is worth, relative to the other operations.
+    /// Value of an answer within the latency objective, relative to the other operations.
     pub billed_value: f64,
-    /// Of the billed value: what a late answer is still worth.
+    /// Value of a late answer, as a ratio of the billed value.
     #[serde(default)]
     pub late_share: f64,
-    /// Whether a second attempt is safe.
+    /// Whether a second attempt of a request is safe.
     #[serde(rename = "repeat")]
     pub retry_class: RetryClass,
-    /// Which nodes recognize a fingerprinted request.
+    /// The nodes that recognize a fingerprinted request.
     #[serde(default = "default_retry_scope")]
     #[serde(rename = "repeat_group")]
     pub retry_scope: RetryScope,
@@ -78,7 +78,7 @@
     #[serde(default = "default_retry_window", with = "span_format")]
     #[serde(rename = "repeat_window")]
     pub retry_window: Span,
-    /// Requests never leave the zone of their proxy.
+    /// Whether requests have to be served in the zone of their proxy.
     #[serde(default)]
     pub stays_in_zone: bool,
 }
--- a/crates/controller-core/src/deployment/programs.rs
+++ b/crates/controller-core/src/deployment/programs.rs
@@ -1,4 +1,4 @@
-//! The controllers and proxies of a deployment, and how tables get from one to the other.
+//! Settings of a deployment's controllers and proxies, and of the delivery of tables between them.
 
 use crate::span_format;
 use serde::{Deserialize, Serialize};
@@ -7,15 +7,15 @@
 const DEFAULT_TICK: Span = Span::from_seconds(0.01);
 const DEFAULT_CONNECTION_IDLE: Span = Span::from_seconds(15.0);
 
-/// The controllers.
+/// Settings of the controllers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ControllersConfig {
-    /// How many controllers share the proxies; each decides alone.
+    /// Number of controllers that share the proxies. Each controller decides independently.
     pub count: u32,
-    /// Whether a proxy joins a controller of its own zone.
+    /// Whether proxies join only controllers of their own zone.
     pub joined_by_zone: bool,
-    /// The least time between two rounds of decisions.
+    /// Minimum time between two rounds of decisions.
     #[serde(with = "span_format")]
     pub tick: Span,
 }
@@ -30,18 +30,18 @@
     }
 }
 
-/// The proxies.
+/// Settings of the proxies.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ProxiesConfig {
-    /// Of all controllers together.
+    /// Number of proxies, over all controllers.
     pub count: u32,
-    /// Errors in a row after which a proxy ejects a node by itself; 0: never.
+    /// Consecutive errors after which a proxy ejects a node by passive health checking; 0 disables ejection.
     pub errors_until_avoided: u32,
-    /// How long a connection to a node stays open without a request.
+    /// Time after which a proxy closes a connection to a node that has had no request.
     #[serde(with = "span_format")]
     pub connection_idle: Span,
-    /// Requests a second that a proxy brings, where it does not say so itself.
+    /// Requests per second expected from a proxy that does not state its usual rate.
     pub usual_rate: f64,
 }
 
@@ -56,13 +56,13 @@
     }
 }
 
-/// Which ways of delivering tables are turned on.
+/// The enabled ways of delivering tables. At least one has to be enabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct TableDeliveryConfig {
-    /// Files that proxies watch.
+    /// Tables are written to files that proxies watch.
     pub files: bool,
-    /// Discovery streams that proxies open.
+    /// Tables are sent on discovery streams that proxies open.
     pub streams: bool,
 }
 
@@ -75,20 +75,20 @@
     }
 }
 
-/// How proxies are instructed how much of an operation to admit.
+/// The form in which proxies get the admission limit of an operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum AdmissionForm {
     /// As an admission ratio.
     Share,
-    /// As requests a second.
+    /// As a limit in requests per second.
     Rate,
-    /// Not at all: proxies admit everything.
+    /// No admission limit: proxies admit every request.
     None,
 }
 
 impl AdmissionForm {
-    /// The spelling of the settings.
+    /// The value's spelling in the settings.
     pub(super) fn setting(self) -> &'static str {
         match self {
             AdmissionForm::Share => "share",
--- a/crates/controller-core/src/deployment/settings.rs
+++ b/crates/controller-core/src/deployment/settings.rs
@@ -1,10 +1,10 @@
-//! The deployment as the named settings that the balancer reads.
+//! Conversion of the deployment to the named settings that the balancer reads.
 
 use super::{Deployment, OperationConfig, RuleConfig};
 use wheelspread::settings::{SettingValue, Settings};
 use wheelspread::time::Span;
 
-/// Settings under construction; every setting is put in once.
+/// Builder of the balancer's settings. Each setting is set once.
 #[derive(Default)]
 struct SettingsBuilder(Settings);
 
@@ -21,7 +21,7 @@
         self.put(name, SettingValue::Number(count as f64));
     }
 
-    /// Spans are settings in seconds.
+    /// Sets a span, as a number of seconds.
     fn span(&mut self, name: &str, span: Span) {
         self.put(name, SettingValue::Number(span.seconds()));
     }
@@ -36,8 +36,8 @@
 }
 
 impl Deployment {
-    /// The settings by the names that the balancer reads, for the controller of this number. `zone`: the
-    /// one that it stands in, where only proxies of its zone join it.
+    /// The settings by the names that the balancer reads. `number` is the controller's number, `zone` its zone
+    /// if only proxies of that zone join it.
     pub fn to_settings(&self, number: u32, zone: Option<u16>) -> Settings {
         let mut settings = SettingsBuilder::default();
         self.put_controller(&mut settings, number, zone);
@@ -47,8 +47,8 @@
         self.put_load_reports(&mut settings);
         settings.number("price.cross_zone", self.cross_zone_price);
         settings.text("level.form", self.admission.setting());
-        for (position, operation) in self.operations.iter().enumerate() {
-            put_operation(&mut settings, position, operation);
+        for (index, operation) in self.operations.iter().enumerate() {
+            put_operation(&mut settings, index, operation);
         }
         settings.0
     }
@@ -74,20 +74,20 @@
     }
 
     fn put_update_queue(&self, settings: &mut SettingsBuilder) {
-        let channel = &self.update_queue;
-        settings.number("channel.lines_waiting_at_most", channel.max_queued_entries);
-        settings.number("channel.head_lines", channel.message_overhead_entries);
-        settings.number("channel.lines_per_second", channel.entries_per_second);
-        settings.span("channel.delay_at_most", channel.max_delay);
-        settings.number("channel.messages_at_most", channel.max_messages);
-        settings.span("channel.messages_window", channel.messages_window);
+        let queue = &self.update_queue;
+        settings.number("channel.lines_waiting_at_most", queue.max_queued_entries);
+        settings.number("channel.head_lines", queue.message_overhead_entries);
+        settings.number("channel.lines_per_second", queue.entries_per_second);
+        settings.span("channel.delay_at_most", queue.max_delay);
+        settings.number("channel.messages_at_most", queue.max_messages);
+        settings.span("channel.messages_window", queue.messages_window);
     }
 
     fn put_load_reports(&self, settings: &mut SettingsBuilder) {
         settings.span("sums.period", self.load_reports.period);
         settings.count("report.field.count", self.load_reports.loads.len());
-        for (position, load) in self.load_reports.loads.iter().enumerate() {
-            settings.text(&format!("report.field.{position}"), load);
+        for (index, load) in self.load_reports.loads.iter().enumerate() {
+            settings.text(&format!("report.field.{index}"), load);
         }
     }
 }
@@ -101,8 +101,8 @@
     settings.span("rules.cold_overload_span", rules.cold_overload_span);
 }
 
-fn put_operation(settings: &mut SettingsBuilder, position: usize, operation: &OperationConfig) {
-    let name = |field: &str| format!("operation.{position}.{field}");
+fn put_operation(settings: &mut SettingsBuilder, index: usize, operation: &OperationConfig) {
+    let name = |field: &str| format!("operation.{index}.{field}");
     settings.span(&name("latency_objective"), operation.latency_objective);
     settings.span(&name("integration_timeout"), operation.integration_timeout);
     settings.number(&name("billed_value"), operation.billed_value);
--- a/crates/controller-core/src/deployment/tests.rs
+++ b/crates/controller-core/src/deployment/tests.rs
@@ -16,8 +16,8 @@
     }
 }
 
-/// Two zones, a quote that may go anywhere and a booking that has effects.
-pub(crate) fn plan() -> Deployment {
+/// A deployment with two zones, an idempotent operation `quote` and a side-effecting operation `book`.
+pub(crate) fn test_deployment() -> Deployment {
     let seconds = Span::from_seconds;
     Deployment {
         zones: vec!["north".to_string(), "south".to_string()],
@@ -61,21 +61,22 @@
     }
 }
 
-#[test_case(|p| p.zones.clear(), "zones"; "no zone")]
-#[test_case(|p| p.zones[1] = "north".into(), "zones.1"; "a zone twice")]
-#[test_case(|p| p.zones[0] = "../north".into(), "zones.0"; "a zone that would leave the directory")]
-#[test_case(|p| p.operations[1].billed_value = f64::NAN, "operations.1.billed_value"; "no number")]
-#[test_case(|p| p.operations[0].integration_timeout = Span::from_seconds(0.1),
-    "operations.0.integration_timeout"; "a timeout below the objective")]
-#[test_case(|p| p.operations[0].retry_class = RetryClass::Fingerprinted, "operations.0.repeat_window"; "no window")]
-#[test_case(|p| p.update_queue.entries_per_second = 0.0, "channel.lines_per_second"; "a channel that stands")]
-#[test_case(|p| p.load_reports.loads = vec!["mood".into()], "sums.loads"; "an unknown load")]
-fn what_cannot_be_is_named_by_field(spoil: fn(&mut Deployment), field: &str) {
-    let mut plan = plan();
-    assert_eq!(plan.validate(), []);
-    spoil(&mut plan);
+#[test_case(|deployment| deployment.zones.clear(), "zones"; "no zones")]
+#[test_case(|deployment| deployment.zones[1] = "north".into(), "zones.1"; "a duplicate zone name")]
+#[test_case(|deployment| deployment.zones[0] = "../north".into(), "zones.0"; "a zone name with a path to a parent directory")]
+#[test_case(|deployment| deployment.operations[1].billed_value = f64::NAN, "operations.1.billed_value"; "a billed value that is NaN")]
+#[test_case(|deployment| deployment.operations[0].integration_timeout = Span::from_seconds(0.1),
+    "operations.0.integration_timeout"; "a timeout below the latency objective")]
+#[test_case(|deployment| deployment.operations[0].retry_class = RetryClass::Fingerprinted, "operations.0.repeat_window"; "a fingerprinted operation without a retry window")]
+#[test_case(|deployment| deployment.update_queue.entries_per_second = 0.0, "channel.lines_per_second"; "an update queue that sends nothing")]
+#[test_case(|deployment| deployment.load_reports.loads = vec!["mood".into()], "sums.loads"; "an unknown load metric")]
+fn an_invalid_value_is_reported_with_its_field(invalidate: fn(&mut Deployment), field: &str) {
+    let mut deployment = test_deployment();
+    assert_eq!(deployment.validate(), []);
+    invalidate(&mut deployment);
     assert_eq!(
-        plan.validate()
+        deployment
+            .validate()
             .iter()
             .map(|error| error.field.as_str())
             .collect::<Vec<_>>(),
@@ -85,27 +86,31 @@
 
 #[test]
 fn errors_name_the_field_the_value_and_the_limit() {
-    let mut plan = plan();
-    plan.kinds = vec!["small".into()];
-    plan.operations[0].billed_value = 2e9;
-    plan.controllers.tick = Span::ZERO;
-    plan.load_reports.loads = vec!["mood".into()];
-    plan.solver = Some(SolverConfig {
+    let mut deployment = test_deployment();
+    deployment.kinds = vec!["small".into()];
+    deployment.operations[0].billed_value = 2e9;
+    deployment.controllers.tick = Span::ZERO;
+    deployment.load_reports.loads = vec!["mood".into()];
+    deployment.solver = Some(SolverConfig {
         capacities: [("large".to_string(), 1e9)].into(),
         work: [("quote".to_string(), Work(Span::ZERO))].into(),
         every: Span::from_seconds(2.0),
         least_share: 0.05,
         fill_at_most: 0.85,
     });
-    let errors: Vec<String> = plan.validate().iter().map(ToString::to_string).collect();
+    let errors: Vec<String> = deployment
+        .validate()
+        .iter()
+        .map(ToString::to_string)
+        .collect();
     assert_eq!(
         errors,
         [
-            "sums.loads: `mood` is no load that nodes tell of: utilization, queue are",
-            "operations.0.billed_value: 2000000000 should be above 0, 1e9 at most",
+            "sums.loads: `mood` is not a load metric that nodes report: utilization, queue are",
+            "operations.0.billed_value: 2000000000 should be above 0 and at most 1e9",
             "conductors.tick (seconds): 0 should lie between 0.001 and 1",
-            "solver.capacities: kind `small` has none",
-            "solver.work: operation `book` has none",
+            "solver.capacities: kind `small` has no capacity",
+            "solver.work: operation `book` has no work per request",
             "solver.capacities.large: 1000000000 should lie between 0.001 and 1000000",
             "solver.work.quote (seconds): 0 should lie between 0.000001 and 3600",
         ]
--- a/crates/controller-core/src/deployment/validation.rs
+++ b/crates/controller-core/src/deployment/validation.rs
@@ -1,4 +1,4 @@
-//! Checks of a deployment's settings. Every error is reported, in the order of these checks.
+//! Validation of a deployment's settings. All errors are reported, in the order of the checks.
 
 use super::{ConfigError, ConfigErrorKind, Deployment, OperationConfig, RetryClass, SolverConfig};
 use std::ops::RangeInclusive;
@@ -11,10 +11,10 @@
 const MAX_KINDS: usize = 250;
 const MAX_NAME_LENGTH: usize = 100;
 const MAX_BILLED_VALUE: f64 = 1e9;
-/// Seconds that a span of the rules may have.
+/// Allowed length of a time span of the rules, in seconds.
 const RULE_SPAN_SECONDS: RangeInclusive<f64> = 0.05..=3600.0;
 
-/// Collects errors by field.
+/// Collects the errors of all fields.
 #[derive(Default)]
 struct Errors(Vec<ConfigError>);
 
@@ -27,12 +27,12 @@
     }
 
     fn check_range(&mut self, field: &str, value: f64, range: RangeInclusive<f64>) {
-        // A value that is no number is outside of every range.
+        // NaN is outside of every range.
         if !range.contains(&value) {
             let kind = ConfigErrorKind::OutOfRange {
                 value,
-                least: *range.start(),
-                most: *range.end(),
+                min: *range.start(),
+                max: *range.end(),
             };
             self.push(field, kind);
         }
@@ -62,23 +62,23 @@
     }
 }
 
-/// Names go into paths of files and into logs.
+/// Whether a name is safe in file paths and logs: 1 to 100 ASCII letters, digits, `-` or `_`.
 pub(crate) fn is_valid_name(name: &str) -> bool {
-    let is_plain = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
-    !name.is_empty() && name.len() <= MAX_NAME_LENGTH && name.chars().all(is_plain)
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
+    !name.is_empty() && name.len() <= MAX_NAME_LENGTH && name.chars().all(is_allowed)
 }
 
 impl Deployment {
-    /// Every field whose value can't be; none if the deployment can be started.
+    /// Returns an error for every field with an invalid value; an empty list if the deployment is valid.
     pub fn validate(&self) -> Vec<ConfigError> {
         let mut errors = Errors::default();
         check_names(&mut errors, "zones", &self.zones);
         check_names(&mut errors, "kinds", &self.kinds);
         check_names(&mut errors, "sums.loads", &self.load_reports.loads);
-        self.check_groups(&mut errors);
+        self.check_zone_and_kind_counts(&mut errors);
         self.check_load_metrics(&mut errors);
         self.check_operations(&mut errors);
-        self.check_programs(&mut errors);
+        self.check_controllers_and_proxies(&mut errors);
         self.check_rules(&mut errors);
         self.check_inputs_and_queue(&mut errors);
         if let Some(solver) = &self.solver {
@@ -89,13 +89,13 @@
         errors.0
     }
 
-    fn check_groups(&self, errors: &mut Errors) {
+    fn check_zone_and_kind_counts(&self, errors: &mut Errors) {
         if self.zones.is_empty() || self.zones.len() > MAX_ZONES {
             let kind = ConfigErrorKind::CountOutOfRange {
                 items: "zones",
                 count: self.zones.len(),
-                least: 1,
-                most: MAX_ZONES,
+                min: 1,
+                max: MAX_ZONES,
             };
             errors.push("zones", kind);
         }
@@ -103,7 +103,7 @@
             let kind = ConfigErrorKind::TooMany {
                 items: "kinds",
                 count: self.kinds.len(),
-                most: MAX_KINDS,
+                max: MAX_KINDS,
             };
             errors.push("kinds", kind);
         }
@@ -126,21 +126,21 @@
             let kind = ConfigErrorKind::CountOutOfRange {
                 items: "operations",
                 count: self.operations.len(),
-                least: 1,
-                most: MAX_OPERATIONS,
+                min: 1,
+                max: MAX_OPERATIONS,
             };
             errors.push("operations", kind);
         }
-        for (position, operation) in self.operations.iter().enumerate() {
-            let field = format!("operations.{position}.name");
-            let earlier = self.operations[..position].iter().map(|other| &other.name);
+        for (index, operation) in self.operations.iter().enumerate() {
+            let field = format!("operations.{index}.name");
+            let earlier = self.operations[..index].iter().map(|other| &other.name);
             errors.check_name(&field, &operation.name);
             errors.check_unique(&field, &operation.name, earlier);
-            check_operation(errors, position, operation);
+            check_operation(errors, index, operation);
         }
     }
 
-    fn check_programs(&self, errors: &mut Errors) {
+    fn check_controllers_and_proxies(&self, errors: &mut Errors) {
         let (controllers, proxies) = (&self.controllers, &self.proxies);
         errors.check_range(
             "conductors.count",
@@ -176,20 +176,20 @@
             errors.push("fronts", ConfigErrorKind::NoTableDelivery);
         }
         errors.check_seconds("sums.period", self.load_reports.period, 0.05..=60.0);
-        let channel = &self.update_queue;
+        let queue = &self.update_queue;
         errors.check_range(
             "channel.lines_waiting_at_most",
-            channel.max_queued_entries,
+            queue.max_queued_entries,
             10.0..=1e9,
         );
         errors.check_range(
             "channel.head_lines",
-            channel.message_overhead_entries,
+            queue.message_overhead_entries,
             0.0..=1e4,
         );
         errors.check_range(
             "channel.lines_per_second",
-            channel.entries_per_second,
+            queue.entries_per_second,
             10.0..=1e9,
         );
         errors.check_range(
@@ -200,7 +200,7 @@
         errors.check_range("first_wait", self.first_wait, 0.1..=100.0);
     }
 
-    /// The solver needs a figure for every kind and every operation.
+    /// Checks that the solver has the capacity of every kind and the work of every operation.
     fn check_solver_is_complete(&self, errors: &mut Errors, solver: &SolverConfig) {
         for kind in &self.kinds {
             if !solver.capacities.contains_key(kind) {
@@ -221,15 +221,15 @@
 }
 
 fn check_names(errors: &mut Errors, field: &str, names: &[String]) {
-    for (position, name) in names.iter().enumerate() {
-        let item = format!("{field}.{position}");
+    for (index, name) in names.iter().enumerate() {
+        let item = format!("{field}.{index}");
         errors.check_name(&item, name);
-        errors.check_unique(&item, name, names[..position].iter());
+        errors.check_unique(&item, name, names[..index].iter());
     }
 }
 
-fn check_operation(errors: &mut Errors, position: usize, operation: &OperationConfig) {
-    let field = |name: &str| format!("operations.{position}.{name}");
+fn check_operation(errors: &mut Errors, index: usize, operation: &OperationConfig) {
+    let field = |name: &str| format!("operations.{index}.{name}");
     let objective = operation.latency_objective;
     if objective <= Span::ZERO {
         let kind = ConfigErrorKind::SpanNotPositive { value: objective };
@@ -242,8 +242,8 @@
     }
     let value = operation.billed_value;
     if !(value > 0.0 && value <= MAX_BILLED_VALUE) {
-        let most = MAX_BILLED_VALUE;
-        let kind = ConfigErrorKind::NotPositive { value, most };
+        let max = MAX_BILLED_VALUE;
+        let kind = ConfigErrorKind::NotPositive { value, max };
         errors.push(field("billed_value"), kind);
     }
     let value = operation.retry_window;
--- a/crates/controller-core/src/drain_evidence.rs
+++ b/crates/controller-core/src/drain_evidence.rs
@@ -1,5 +1,5 @@
-//! Evidence that a drained node gets no requests any more: which proxies have reported since it was watched, and
-//! how many requests they sent it in report intervals that began after that.
+//! Drain evidence: whether a drained node still gets requests. For each watched node it counts the attempts that
+//! proxies report for intervals that began after the watch, and the proxies that have reported such an interval.
 
 use crate::load_report::LoadReport;
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,36 +13,36 @@
     reporting_proxies: BTreeSet<ProxyId>,
 }
 
-/// The nodes that are watched, and what proxies reported of them.
+/// The watched nodes with the traffic that proxies have reported for them.
 #[derive(Clone, Debug, Default)]
 pub struct DrainEvidence {
     nodes: BTreeMap<NodeId, WatchedNode>,
 }
 
-/// What is known of a node that should get no requests.
+/// The evidence on whether a node still gets requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EvidenceSummary {
-    /// Joined proxies that hold a table which names it, or of which it is not known what they hold.
+    /// Number of joined proxies whose table has an entry for the node, or whose table is unknown.
     pub naming_proxies: usize,
-    /// Proxies that are joined.
+    /// Number of joined proxies.
     pub joined_proxies: usize,
-    /// Requests that were sent to it since it is watched.
+    /// Attempts sent to the node in report intervals that began after the watch.
     pub attempts: u64,
-    /// Proxies whose reports cover an interval since it is watched.
+    /// Number of proxies that have reported an interval that began after the watch.
     pub reporting_proxies: usize,
 }
 
-/// What load reports say of a watched node.
+/// The traffic of a watched node according to load reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReportedTraffic {
-    /// Requests that were sent to it.
+    /// Attempts sent to the node in report intervals that began after the watch.
     pub attempts: u64,
-    /// Proxies that reported.
+    /// Number of proxies that have reported such an interval.
     pub reporting_proxies: usize,
 }
 
 impl DrainEvidence {
-    /// Requests to the node count from now on; what was counted before is dropped.
+    /// Starts to watch a node; the counts of an earlier watch are dropped.
     pub fn watch(&mut self, now: Moment, node: NodeId) {
         let watched = WatchedNode {
             since: now,
@@ -51,7 +51,8 @@
         self.nodes.insert(node, watched);
     }
 
-    /// Takes in a proxy's load report. An interval that began before a node was watched doesn't count for it.
+    /// Adds a proxy's load report. A report is not counted for a node whose watch began after the report
+    /// interval did.
     pub fn record_report(&mut self, now: Moment, proxy: ProxyId, report: &LoadReport) {
         let interval_start = now - report.window;
         for (node, watched) in &mut self.nodes {
@@ -69,7 +70,7 @@
         }
     }
 
-    /// What was reported of a node since it is watched.
+    /// The traffic reported for a node since its watch began; zero for a node that is not watched.
     pub fn reported_traffic(&self, node: NodeId) -> ReportedTraffic {
         self.nodes
             .get(&node)
--- a/crates/controller-core/src/drain_evidence/tests.rs
+++ b/crates/controller-core/src/drain_evidence/tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn only_intervals_that_began_after_the_watch_count() {
+fn only_report_intervals_that_began_after_the_watch_are_counted() {
     let (at, node) = (
         Moment::from_seconds,
         NodeId {
@@ -38,7 +38,7 @@
     assert_eq!(
         evidence.reported_traffic(node),
         traffic(0, 0),
-        "half of it was before"
+        "half of the report interval lies before the watch"
     );
     evidence.record_report(at(11.0), ProxyId(1), &report);
     evidence.record_report(
--- a/crates/controller-core/src/endpoint_list.rs
+++ b/crates/controller-core/src/endpoint_list.rs
@@ -1,6 +1,10 @@
-//! The endpoint list as this controller holds it. Snapshots come from a file that others swap in: late,
-//! partial, torn or empty. One that can't be right is rejected with a named reason and the last accepted
-//! one stands; what an accepted one changes goes to the balancer as an event.
+//! The endpoint list as this controller has accepted it. Snapshots are read from a file that other programs
+//! replace, so a snapshot may be late, partial, truncated or empty. An invalid snapshot is rejected with a
+//! [`SnapshotRejection`] and the last accepted list stays in force; the changes of an accepted snapshot go to
+//! the balancer as an event.
+//!
+//! A snapshot that lacks too many ready nodes puts the list in doubt: its additions and drains apply at once,
+//! while the missing nodes are kept until a later snapshot confirms their removal or the doubt period ends.
 
 mod snapshot;
 mod table;
@@ -16,43 +20,43 @@
 use wheelspread::time::Moment;
 use wheelspread::{EndpointEntry, Event};
 
-/// Of the grace that proxies have to stop sending to a node that is gone: a snapshot is doubted for so
-/// long. What is left of the grace is for the tables to reach the proxies, should the snapshot be right.
-const DOUBT_SHARE_OF_DRAIN_GRACE: f64 = 0.6;
-/// Of the missing nodes: with more of them answering, the doubted snapshot is wrong.
-const REFUTING_ANSWER_SHARE: f64 = 0.5;
+/// Doubt period as a ratio of the drain grace period, within which proxies have to stop sending to a node that
+/// is gone. The rest of the grace period is left for delivering tables if the removals turn out to be right.
+const DOUBT_PERIOD_TO_DRAIN_GRACE_RATIO: f64 = 0.6;
+/// Ratio of the missing nodes; if more of them than this answer requests, the snapshot is considered wrong.
+const REFUTING_ANSWER_RATIO: f64 = 0.5;
 
-/// What the list thinks of the last snapshot that named nodes.
+/// Whether the last valid snapshot is accepted in full.
 #[derive(Clone, Debug)]
-enum Trust {
-    /// Nothing was ever accepted: any valid snapshot is better than nothing.
-    Unset,
+enum ListState {
+    /// No snapshot has been accepted yet: the first valid one is accepted whatever its version.
+    NoSnapshot,
     Accepted,
-    /// The snapshot lacked too many nodes; the next one, or the nodes' answers, decide.
-    Doubted(Doubt),
+    /// The snapshot lacked too many ready nodes; the next snapshot, or answers from the missing nodes, decide.
+    InDoubt(ListInDoubt),
 }
 
-/// A snapshot that lacks too many nodes, and which of those go on answering.
+/// A snapshot that lacks too many ready nodes, and which of the missing nodes have answered since.
 #[derive(Clone, Debug)]
-struct Doubt {
+struct ListInDoubt {
     snapshot: EndpointSnapshot,
     since: Moment,
     missing: BTreeSet<NodeId>,
     answered: BTreeSet<NodeId>,
 }
 
-impl Doubt {
+impl ListInDoubt {
     fn is_refuted(&self) -> bool {
-        self.answered.len() as f64 > self.missing.len() as f64 * REFUTING_ANSWER_SHARE
+        self.answered.len() as f64 > self.missing.len() as f64 * REFUTING_ANSWER_RATIO
     }
 }
 
-/// What came of a snapshot. Both are there where one was applied in part.
+/// Result of applying a snapshot. Both fields are set for a snapshot that was applied in part.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SnapshotOutcome {
-    /// What changes, for the balancer.
+    /// The endpoint changes, for the balancer.
     pub event: Option<Event>,
-    /// Why it was not applied, or not in full.
+    /// Why the snapshot was not applied, or not in full.
     pub rejection: Option<SnapshotRejection>,
 }
 
@@ -65,20 +69,21 @@
     }
 }
 
-/// The accepted endpoints, and the guard that decides what is accepted.
+/// The accepted endpoints, and the rules by which a new snapshot is accepted, rejected or applied in part.
 #[derive(Clone, Debug)]
 pub struct EndpointList {
-    trust: Trust,
+    state: ListState,
     version: String,
     table: EndpointTable,
-    /// What is held was not read but restored: the same version, once read, counts as newer.
+    /// The endpoints were restored from persisted state instead of read from the file, so a snapshot with the
+    /// same version is accepted.
     restored: bool,
 }
 
 impl Default for EndpointList {
     fn default() -> Self {
         EndpointList {
-            trust: Trust::Unset,
+            state: ListState::NoSnapshot,
             version: String::new(),
             table: EndpointTable::default(),
             restored: false,
@@ -86,14 +91,14 @@
     }
 }
 
-/// A node's address as logs, the operators' API and tables write it.
+/// A node's address as `a.b.c.d:port`, the notation of logs, the operators' API and tables.
 pub fn format_node(node: NodeId) -> String {
     let [a, b, c, d] = node.address;
     format!("{a}.{b}.{c}.{d}:{}", node.port)
 }
 
 impl EndpointList {
-    /// What was just applied is what an earlier run had read.
+    /// Marks the endpoints just applied as restored from an earlier run of this controller.
     pub fn mark_restored(&mut self) {
         self.restored = true;
     }
@@ -103,7 +108,7 @@
         &self.version
     }
 
-    /// All accepted nodes with the entries that the balancer was given.
+    /// All accepted nodes with their entries for the balancer, before overrides and solved weights.
     pub fn listed(&self) -> impl Iterator<Item = (&EndpointRecord, &EndpointEntry)> {
         self.table.iter()
     }
@@ -113,74 +118,75 @@
         self.table.record(node)
     }
 
-    /// The number of a cell; a new name gets the next one.
+    /// The id of a cell; a new name gets the next free id.
     pub fn cell_id(&mut self, name: &str) -> CellId {
         self.table.cell_id(name)
     }
 
-    /// The complete list as it is held, for a balancer that asks.
+    /// All accepted entries, for a balancer that requests the complete list.
     pub fn complete_event(&self) -> Event {
         self.table.complete_event()
     }
 
-    /// Applies a snapshot, a part of it, or says why not. `first` marks the one that stands when a
-    /// controller starts.
+    /// Applies a snapshot in full or in part, or rejects it. `is_initial` marks the snapshot that is found
+    /// when a controller starts.
     pub fn apply_snapshot(
         &mut self,
         now: Moment,
         snapshot: Result<EndpointSnapshot, SnapshotReadError>,
-        plan: &Deployment,
-        first: bool,
+        deployment: &Deployment,
+        is_initial: bool,
     ) -> SnapshotOutcome {
         let snapshot = match snapshot {
             Ok(snapshot) => snapshot,
             Err(error) => return SnapshotOutcome::rejected(error.into()),
         };
-        // A late, empty or invalid snapshot says nothing of whether the doubted one was right.
-        if let Err(rejection) = self.check(&snapshot, plan) {
+        // A late, empty or invalid snapshot neither confirms nor ends a doubt.
+        if let Err(rejection) = self.check_snapshot(&snapshot, deployment) {
             return SnapshotOutcome::rejected(rejection);
         }
         let missing = self.table.missing_from(&snapshot.records);
-        match validation::check_shrinkage(&snapshot, &missing, &self.table, plan) {
+        match validation::check_shrinkage(&snapshot, &missing, &self.table, deployment) {
             Err(rejection) if !self.confirms_doubt(&missing) => SnapshotOutcome {
-                event: Some(self.apply_doubted(now, snapshot, missing, plan, first)),
+                event: Some(self.apply_in_doubt(now, snapshot, missing, deployment, is_initial)),
                 rejection: Some(rejection),
             },
             _ => SnapshotOutcome {
-                event: Some(self.accept(now, snapshot, plan, first)),
+                event: Some(self.accept(now, snapshot, deployment, is_initial)),
                 rejection: None,
             },
         }
     }
 
-    /// What rejects a snapshot in full.
-    fn check(
+    /// Checks for the faults that reject a snapshot as a whole.
+    fn check_snapshot(
         &self,
         snapshot: &EndpointSnapshot,
-        plan: &Deployment,
+        deployment: &Deployment,
     ) -> Result<(), SnapshotRejection> {
-        validation::check_records(&snapshot.records, plan)?;
+        validation::check_records(&snapshot.records, deployment)?;
         let is_reread = self.restored && snapshot.version == self.version;
-        let is_first = matches!(self.trust, Trust::Unset);
-        if !is_first && !is_reread && !validation::is_newer(&snapshot.version, &self.version) {
-            return Err(SnapshotRejection::Late {
+        let has_no_snapshot = matches!(self.state, ListState::NoSnapshot);
+        if !has_no_snapshot && !is_reread && !validation::is_newer(&snapshot.version, &self.version)
+        {
+            return Err(SnapshotRejection::NotNewer {
                 version: snapshot.version.clone(),
-                held: self.version.clone(),
+                accepted: self.version.clone(),
             });
         }
         if snapshot.records.is_empty() {
             return Err(SnapshotRejection::Empty {
-                held: self.table.len(),
+                accepted: self.table.len(),
             });
         }
         Ok(())
     }
 
-    /// Whether a snapshot that lacks these nodes says the same as the doubted one.
+    /// Whether a snapshot that lacks these nodes confirms the one in doubt: it lacks at least the same nodes.
     fn confirms_doubt(&self, missing: &BTreeSet<NodeId>) -> bool {
-        match &self.trust {
-            Trust::Doubted(doubt) => missing.is_superset(&doubt.missing),
-            Trust::Unset | Trust::Accepted => false,
+        match &self.state {
+            ListState::InDoubt(doubt) => missing.is_superset(&doubt.missing),
+            ListState::NoSnapshot | ListState::Accepted => false,
         }
     }
 
@@ -188,22 +194,23 @@
         &mut self,
         now: Moment,
         snapshot: EndpointSnapshot,
-        plan: &Deployment,
-        first: bool,
+        deployment: &Deployment,
+        is_initial: bool,
     ) -> Event {
-        self.trust = Trust::Accepted;
+        self.state = ListState::Accepted;
         (self.version, self.restored) = (snapshot.version, false);
-        self.table.replace(now, snapshot.records, plan, first)
+        self.table
+            .replace(now, snapshot.records, deployment, is_initial)
     }
 
-    /// Applies what a doubted snapshot adds and drains; what it lacks is kept.
-    fn apply_doubted(
+    /// Applies the additions and drains of a snapshot in doubt; the ready nodes that it lacks are kept.
+    fn apply_in_doubt(
         &mut self,
         now: Moment,
         snapshot: EndpointSnapshot,
         missing: BTreeSet<NodeId>,
-        plan: &Deployment,
-        first: bool,
+        deployment: &Deployment,
+        is_initial: bool,
     ) -> Event {
         let kept = missing
             .iter()
@@ -213,8 +220,8 @@
             version: snapshot.version.clone(),
             records,
         };
-        let event = self.accept(now, partial, plan, first);
-        self.trust = Trust::Doubted(Doubt {
+        let event = self.accept(now, partial, deployment, is_initial);
+        self.state = ListState::InDoubt(ListInDoubt {
             snapshot,
             since: now,
             missing,
@@ -223,36 +230,39 @@
         event
     }
 
-    /// A node answered in a period that began at `since`: if the snapshot that lacks it came before, that
-    /// speaks against the snapshot.
+    /// Records that a node answered requests in a report interval that began at `since`. The answer is
+    /// evidence against a snapshot that lacks the node only if that snapshot was read before `since`.
     pub fn record_answer(&mut self, node: NodeId, since: Moment) {
-        if let Trust::Doubted(doubt) = &mut self.trust {
+        if let ListState::InDoubt(doubt) = &mut self.state {
             if since >= doubt.since && doubt.missing.contains(&node) {
                 doubt.answered.insert(node);
             }
         }
     }
 
-    /// When a doubted snapshot is decided on.
-    pub fn doubt_deadline(&self, plan: &Deployment) -> Option<Moment> {
-        match &self.trust {
-            Trust::Doubted(doubt) => {
-                Some(doubt.since + plan.rules.drain_grace * DOUBT_SHARE_OF_DRAIN_GRACE)
+    /// When the doubt period ends; `None` if the list is not in doubt.
+    pub fn doubt_deadline(&self, deployment: &Deployment) -> Option<Moment> {
+        match &self.state {
+            ListState::InDoubt(doubt) => {
+                Some(doubt.since + deployment.rules.drain_grace * DOUBT_PERIOD_TO_DRAIN_GRACE_RATIO)
             }
-            Trust::Unset | Trust::Accepted => None,
+            ListState::NoSnapshot | ListState::Accepted => None,
         }
     }
 
-    /// Decides on a doubted snapshot when its time is over: nodes that nobody had an answer from are gone.
-    pub fn resolve_doubt(&mut self, now: Moment, plan: &Deployment) -> Option<Event> {
-        self.doubt_deadline(plan).filter(|until| now >= *until)?;
-        let Trust::Doubted(doubt) = std::mem::replace(&mut self.trust, Trust::Accepted) else {
+    /// Ends the doubt when its period is over: the missing nodes are removed, unless more than
+    /// `REFUTING_ANSWER_RATIO` of them have answered.
+    pub fn resolve_doubt(&mut self, now: Moment, deployment: &Deployment) -> Option<Event> {
+        self.doubt_deadline(deployment)
+            .filter(|until| now >= *until)?;
+        let ListState::InDoubt(doubt) = std::mem::replace(&mut self.state, ListState::Accepted)
+        else {
             return None;
         };
         if doubt.is_refuted() {
             return None;
         }
-        Some(self.accept(now, doubt.snapshot, plan, false))
+        Some(self.accept(now, doubt.snapshot, deployment, false))
     }
 }
 
--- a/crates/controller-core/src/endpoint_list/snapshot.rs
+++ b/crates/controller-core/src/endpoint_list/snapshot.rs
@@ -1,24 +1,24 @@
-//! One reading of the endpoint list file, before it is checked.
+//! The contents of the endpoint list file, before any check.
 
 use wheelspread::ids::NodeId;
 use wheelspread::time::Span;
 
-/// One node as an endpoint list names it.
+/// One node of an endpoint list file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointRecord {
     /// The node's address.
     pub node: NodeId,
-    /// Name of the zone that it stands in.
+    /// Name of its zone.
     pub zone: String,
     /// Name of its kind; empty where the deployment has no kinds.
     pub kind: String,
-    /// Name of its cell; nodes of one cell share one fate.
+    /// Name of its cell; the nodes of a cell fail together.
     pub cell: String,
-    /// It finishes what it has and takes no new requests.
+    /// Whether the node finishes its requests in flight and takes no new ones.
     pub draining: bool,
     /// Its weight among the nodes of its zone.
     pub weight: f64,
-    /// What tells one run of the process from the next, and how long ago it started, where known.
+    /// Identifier of the process's current run and its age, where known.
     pub started: Option<(String, Span)>,
 }
 
@@ -27,20 +27,20 @@
 pub struct EndpointSnapshot {
     /// `version_info` of the document.
     pub version: String,
-    /// Every node that it names.
+    /// All nodes of the document.
     pub records: Vec<EndpointRecord>,
 }
 
-/// The endpoint list file could not be read or parsed.
+/// Error for an endpoint list file that could not be read or parsed.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{reason}")]
 pub struct SnapshotReadError {
-    /// What the file system or the parser said.
+    /// The error text of the file system or the parser.
     pub reason: String,
 }
 
 impl SnapshotReadError {
-    /// Keeps the text of the error that the reader met.
+    /// Stores the text of an error from the file system or the parser.
     pub fn new(error: impl ToString) -> SnapshotReadError {
         SnapshotReadError {
             reason: error.to_string(),
--- a/crates/controller-core/src/endpoint_list/table.rs
+++ b/crates/controller-core/src/endpoint_list/table.rs
@@ -1,4 +1,4 @@
-//! The accepted endpoints, and the difference to the next snapshot as an event for the balancer.
+//! The accepted endpoints, and the changes from one list to the next as an event for the balancer.
 
 use super::snapshot::EndpointRecord;
 use crate::deployment::Deployment;
@@ -7,10 +7,10 @@
 use wheelspread::time::Moment;
 use wheelspread::{EndpointEntry, EndpointListKind, EndpointStatus, Event};
 
-/// Times the warm-up span: a node that was removed longer ago is forgotten.
+/// Multiple of the warm-up time for which the removal of a node is remembered.
 const REMOVED_NODE_RETENTION_FACTOR: f64 = 10.0;
 
-/// A record together with the entry that the balancer was given for it.
+/// A record of the list together with its entry for the balancer.
 #[derive(Clone, Debug)]
 struct TrackedEndpoint {
     record: EndpointRecord,
@@ -22,6 +22,7 @@
 pub(super) struct EndpointTable {
     endpoints: BTreeMap<NodeId, TrackedEndpoint>,
     cells: BTreeMap<String, CellId>,
+    /// When nodes that are no longer listed were removed.
     removed_at: BTreeMap<NodeId, Moment>,
 }
 
@@ -54,13 +55,13 @@
         self.ready().filter(|node| !named.contains(node)).collect()
     }
 
-    /// The number of a cell; a new name gets the next one.
+    /// The id of a cell; a new name gets the next free id.
     pub(super) fn cell_id(&mut self, name: &str) -> CellId {
         let next = CellId(self.cells.len() as u16);
         *self.cells.entry(name.to_string()).or_insert(next)
     }
 
-    /// All entries, for a balancer that asks for the complete list.
+    /// All entries, for a balancer that requests the complete list.
     pub(super) fn complete_event(&self) -> Event {
         let entries = self
             .endpoints
@@ -73,21 +74,21 @@
         }
     }
 
-    /// Puts other records in place. The event has only what changed, but for the first list, which the
-    /// balancer takes as a whole.
+    /// Replaces all records. The event holds only the entries that changed; for the initial list, or if no
+    /// endpoint was listed before, it holds the complete list.
     pub(super) fn replace(
         &mut self,
         now: Moment,
         records: Vec<EndpointRecord>,
-        plan: &Deployment,
-        first: bool,
+        deployment: &Deployment,
+        is_initial: bool,
     ) -> Event {
-        let complete = first || self.endpoints.is_empty();
+        let complete = is_initial || self.endpoints.is_empty();
         let mut previous = std::mem::take(&mut self.endpoints);
         let mut entries = Vec::new();
         for record in records {
             let before = previous.remove(&record.node);
-            let entry = self.entry(now, &record, before.as_ref(), plan, complete);
+            let entry = self.build_entry(now, &record, before.as_ref(), deployment, complete);
             let unchanged = before.is_some_and(|before| is_same_entry(&before.entry, &entry));
             if complete || !unchanged {
                 entries.push(entry.clone());
@@ -96,8 +97,8 @@
             let endpoint = TrackedEndpoint { record, entry };
             self.endpoints.insert(endpoint.record.node, endpoint);
         }
-        entries.extend(self.remove(now, previous));
-        self.forget_removed(now, plan);
+        entries.extend(self.record_removals(now, previous));
+        self.forget_removed(now, deployment);
         let kind = if complete {
             EndpointListKind::Complete
         } else {
@@ -106,8 +107,8 @@
         Event::EndpointList { kind, entries }
     }
 
-    /// Notes when nodes were removed and returns their last entries.
-    fn remove(
+    /// Records the time of removal of these nodes and returns their last entries with status `Gone`.
+    fn record_removals(
         &mut self,
         now: Moment,
         endpoints: BTreeMap<NodeId, TrackedEndpoint>,
@@ -123,23 +124,23 @@
         entries
     }
 
-    fn forget_removed(&mut self, now: Moment, plan: &Deployment) {
-        let retention = plan.rules.warm_after * REMOVED_NODE_RETENTION_FACTOR;
+    fn forget_removed(&mut self, now: Moment, deployment: &Deployment) {
+        let retention = deployment.rules.warm_after * REMOVED_NODE_RETENTION_FACTOR;
         self.removed_at.retain(|_, at| now - *at < retention);
     }
 
-    fn entry(
+    fn build_entry(
         &mut self,
         now: Moment,
         record: &EndpointRecord,
         before: Option<&TrackedEndpoint>,
-        plan: &Deployment,
+        deployment: &Deployment,
         complete: bool,
     ) -> EndpointEntry {
         EndpointEntry {
             node: record.node,
-            zone: ZoneId(position(&plan.zones, &record.zone) as u16),
-            kind: KindId(position(&plan.kinds, &record.kind) as u8),
+            zone: ZoneId(index_of(&deployment.zones, &record.zone) as u16),
+            kind: KindId(index_of(&deployment.kinds, &record.kind) as u8),
             cell: self.cell_id(&record.cell),
             status: if record.draining {
                 EndpointStatus::Draining
@@ -151,7 +152,7 @@
         }
     }
 
-    /// When a node's process started; `None`: long ago.
+    /// When a node's process started; `None` if it started before this controller and its age is unknown.
     fn started_at(
         &self,
         now: Moment,
@@ -160,13 +161,13 @@
         complete: bool,
     ) -> Option<Moment> {
         match (&record.started, before) {
-            // The start of a process is fixed when it is first reported: a clock that jumps moves none.
-            (Some((run, _)), Some(before)) if before.is_run(run) => before.entry.started,
+            // A run keeps the start time of its first report, so that a clock jump does not restart its warm-up.
+            (Some((run, _)), Some(before)) if before.is_same_run(run) => before.entry.started,
             (Some((_, age)), _) => Some(now - *age),
             (None, Some(before)) if !self.removed_at.contains_key(&record.node) => {
                 before.entry.started
             }
-            // Listed after this controller started and without an age: it may have to warm up.
+            // Listed after this controller started and of unknown age: the node may still be warming up.
             (None, _) if !complete => Some(now),
             (None, _) => None,
         }
@@ -174,7 +175,7 @@
 }
 
 impl TrackedEndpoint {
-    fn is_run(&self, run: &str) -> bool {
+    fn is_same_run(&self, run: &str) -> bool {
         self.record
             .started
             .as_ref()
@@ -187,7 +188,8 @@
         && a.weight == b.weight
 }
 
-/// Unknown names were rejected before: the fallback stands only for a record without a kind.
-fn position(names: &[String], name: &str) -> usize {
+/// Index of a name. The fallback 0 applies only to a record without a kind, since validation has rejected
+/// unknown names.
+fn index_of(names: &[String], name: &str) -> usize {
     names.iter().position(|known| known == name).unwrap_or(0)
 }
--- a/crates/controller-core/src/endpoint_list/tests.rs
+++ b/crates/controller-core/src/endpoint_list/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::deployment::tests::plan;
+use crate::deployment::tests::test_deployment;
 use test_case::test_case;
 use wheelspread::time::Span;
 use wheelspread::EndpointStatus;
@@ -19,7 +19,10 @@
     }
 }
 
-fn list(version: &str, ports: std::ops::Range<u16>) -> Result<EndpointSnapshot, SnapshotReadError> {
+fn snapshot(
+    version: &str,
+    ports: std::ops::Range<u16>,
+) -> Result<EndpointSnapshot, SnapshotReadError> {
     Ok(EndpointSnapshot {
         version: version.to_string(),
         records: ports.map(record).collect(),
@@ -30,39 +33,43 @@
     Moment::from_seconds(seconds)
 }
 
-fn accepted(version: &str, ports: std::ops::Range<u16>) -> EndpointList {
-    let mut nodes = EndpointList::default();
+fn accepted_list(version: &str, ports: std::ops::Range<u16>) -> EndpointList {
+    let mut endpoints = EndpointList::default();
     assert_eq!(
-        nodes
-            .apply_snapshot(at(1.0), list(version, ports), &plan(), true)
+        endpoints
+            .apply_snapshot(at(1.0), snapshot(version, ports), &test_deployment(), true)
             .rejection,
         None
     );
-    nodes
+    endpoints
 }
 
-#[test_case(Err(SnapshotReadError::new("not JSON")), "can't be read"; "torn")]
-#[test_case(list("4", 0..10), "not newer than version 5"; "an older version, naming a node already gone")]
-#[test_case(list("5", 0..4), "not newer"; "the same version with other content")]
-#[test_case(list("6", 0..0), "names no node while 8"; "empty")]
-#[test_case(list("6", 0..3), "5 of 8 ready nodes are missing"; "more than half missing")]
-#[test_case(Ok(EndpointSnapshot { version: "6".into(), records: vec![record(1), record(1)] }), "twice"; "a node twice")]
+#[test_case(Err(SnapshotReadError::new("not JSON")), "can't be read"; "a truncated file")]
+#[test_case(snapshot("4", 0..10), "not newer than version 5"; "an older version that names a removed node")]
+#[test_case(snapshot("5", 0..4), "not newer"; "the same version with other content")]
+#[test_case(snapshot("6", 0..0), "names no node while 8"; "no nodes")]
+#[test_case(snapshot("6", 0..3), "5 of 8 ready nodes are missing"; "more than half of the nodes missing")]
+#[test_case(Ok(EndpointSnapshot { version: "6".into(), records: vec![record(1), record(1)] }), "twice"; "a node named twice")]
 #[test_case(Ok(EndpointSnapshot { version: "6".into(), records: vec![EndpointRecord { zone: "moon".into(), ..record(1) }] }),
     "zone `moon`"; "an unknown zone")]
-fn a_list_that_cannot_be_right_is_rejected(
+fn an_invalid_or_implausible_snapshot_is_rejected(
     snapshot: Result<EndpointSnapshot, SnapshotReadError>,
     reason: &str,
 ) {
-    let mut nodes = accepted("5", 0..8);
-    let rejection = nodes
-        .apply_snapshot(at(2.0), snapshot, &plan(), false)
+    let mut endpoints = accepted_list("5", 0..8);
+    let rejection = endpoints
+        .apply_snapshot(at(2.0), snapshot, &test_deployment(), false)
         .rejection
-        .expect("it is refused");
+        .expect("the snapshot is rejected");
     assert!(rejection.to_string().contains(reason), "{rejection}");
-    assert_eq!(nodes.listed().count(), 8, "the last good list stands");
+    assert_eq!(
+        endpoints.listed().count(),
+        8,
+        "the last accepted list stays in force"
+    );
 }
 
-fn gone(event: Option<Event>) -> usize {
+fn gone_count(event: Option<Event>) -> usize {
     let Some(Event::EndpointList { entries, .. }) = event else {
         return 0;
     };
@@ -73,83 +80,95 @@
 }
 
 #[test]
-fn a_second_list_that_lacks_the_same_nodes_is_believed() {
-    let mut nodes = accepted("5", 0..8);
-    assert!(nodes
-        .apply_snapshot(at(2.0), list("6", 0..3), &plan(), false)
+fn a_second_snapshot_that_lacks_the_same_nodes_is_accepted() {
+    let mut endpoints = accepted_list("5", 0..8);
+    assert!(endpoints
+        .apply_snapshot(at(2.0), snapshot("6", 0..3), &test_deployment(), false)
         .rejection
         .is_some());
-    // A broken one in between neither confirms nor clears the doubt.
-    assert!(nodes
-        .apply_snapshot(at(2.1), Err(SnapshotReadError::new("half")), &plan(), false)
+    // An unreadable snapshot in between neither confirms nor ends the doubt.
+    assert!(endpoints
+        .apply_snapshot(
+            at(2.1),
+            Err(SnapshotReadError::new("half")),
+            &test_deployment(),
+            false
+        )
         .rejection
         .is_some());
     assert_eq!(
-        gone(
-            nodes
-                .apply_snapshot(at(3.0), list("7", 0..3), &plan(), false)
+        gone_count(
+            endpoints
+                .apply_snapshot(at(3.0), snapshot("7", 0..3), &test_deployment(), false)
                 .event
         ),
         5
     );
-    // A whole list in between clears it.
-    let mut nodes = accepted("5", 0..8);
-    assert!(nodes
-        .apply_snapshot(at(2.0), list("6", 0..3), &plan(), false)
+    // A snapshot with all nodes in between ends the doubt.
+    let mut endpoints = accepted_list("5", 0..8);
+    assert!(endpoints
+        .apply_snapshot(at(2.0), snapshot("6", 0..3), &test_deployment(), false)
         .rejection
         .is_some());
-    assert!(nodes
-        .apply_snapshot(at(2.5), list("7", 0..8), &plan(), false)
+    assert!(endpoints
+        .apply_snapshot(at(2.5), snapshot("7", 0..8), &test_deployment(), false)
         .rejection
         .is_none());
-    assert!(nodes
-        .apply_snapshot(at(2.6), list("8", 0..3), &plan(), false)
+    assert!(endpoints
+        .apply_snapshot(at(2.6), snapshot("8", 0..3), &test_deployment(), false)
         .rejection
         .is_some());
     assert_eq!(
-        nodes.resolve_doubt(at(3.5), &plan()),
+        endpoints.resolve_doubt(at(3.5), &test_deployment()),
         None,
-        "the doubt is that of the newer one"
+        "the doubt period starts at the newer snapshot in doubt"
     );
 }
 
 #[test]
-fn what_a_doubted_list_adds_is_taken_at_once() {
-    let mut nodes = accepted("5", 0..8);
-    let outcome = nodes.apply_snapshot(at(2.0), list("6", 6..12), &plan(), false);
-    assert!(outcome.rejection.is_some() && gone(outcome.event) == 0);
-    assert_eq!(nodes.listed().count(), 12);
+fn additions_of_a_snapshot_in_doubt_are_applied_at_once() {
+    let mut endpoints = accepted_list("5", 0..8);
+    let outcome =
+        endpoints.apply_snapshot(at(2.0), snapshot("6", 6..12), &test_deployment(), false);
+    assert!(outcome.rejection.is_some() && gone_count(outcome.event) == 0);
+    assert_eq!(endpoints.listed().count(), 12);
 }
 
 #[test]
-fn missing_nodes_that_do_not_answer_are_gone_within_the_grace() {
-    let mut nodes = accepted("5", 0..8);
-    nodes.apply_snapshot(at(2.0), list("6", 0..3), &plan(), false);
-    // What was answered before the list came says nothing.
-    (3..8).for_each(|port| nodes.record_answer(record(port).node, at(1.5)));
-    let until = nodes.doubt_deadline(&plan()).expect("it is doubted");
-    assert!(until > at(2.5) && until < at(2.0) + plan().rules.drain_grace);
-    assert_eq!(nodes.resolve_doubt(at(2.5), &plan()), None);
-    assert_eq!(gone(nodes.resolve_doubt(until, &plan())), 5);
-    assert_eq!(nodes.listed().count(), 3);
+fn missing_nodes_that_do_not_answer_are_removed_within_the_grace_period() {
+    let mut endpoints = accepted_list("5", 0..8);
+    endpoints.apply_snapshot(at(2.0), snapshot("6", 0..3), &test_deployment(), false);
+    // Answers in an interval that began before the snapshot are no evidence.
+    (3..8).for_each(|port| endpoints.record_answer(record(port).node, at(1.5)));
+    let until = endpoints
+        .doubt_deadline(&test_deployment())
+        .expect("the list is in doubt");
+    assert!(until > at(2.5) && until < at(2.0) + test_deployment().rules.drain_grace);
+    assert_eq!(endpoints.resolve_doubt(at(2.5), &test_deployment()), None);
+    assert_eq!(
+        gone_count(endpoints.resolve_doubt(until, &test_deployment())),
+        5
+    );
+    assert_eq!(endpoints.listed().count(), 3);
 }
 
 #[test]
-fn nodes_that_go_on_answering_stay_though_a_list_lacks_them() {
-    let mut nodes = accepted("5", 0..8);
-    nodes.apply_snapshot(at(2.0), list("6", 0..3), &plan(), false);
-    (4..8).for_each(|port| nodes.record_answer(record(port).node, at(2.1)));
-    assert_eq!(nodes.resolve_doubt(at(3.5), &plan()), None);
-    assert_eq!(nodes.listed().count(), 8);
-    // One more list that says so is doubted anew.
-    assert!(nodes
-        .apply_snapshot(at(4.0), list("7", 0..3), &plan(), false)
+fn missing_nodes_that_go_on_answering_are_kept() {
+    let mut endpoints = accepted_list("5", 0..8);
+    endpoints.apply_snapshot(at(2.0), snapshot("6", 0..3), &test_deployment(), false);
+    (4..8).for_each(|port| endpoints.record_answer(record(port).node, at(2.1)));
+    assert_eq!(endpoints.resolve_doubt(at(3.5), &test_deployment()), None);
+    assert_eq!(endpoints.listed().count(), 8);
+    // A further snapshot that lacks the same nodes puts the list in doubt again.
+    assert!(endpoints
+        .apply_snapshot(at(4.0), snapshot("7", 0..3), &test_deployment(), false)
         .rejection
         .is_some());
 }
 
-/// Twelve nodes, two of them in the south, three of kind `large`; `without` says which a list lacks.
-fn mixed(
+/// A snapshot of twelve nodes, two of them in zone `south` and three of kind `large`, less the nodes for which
+/// `without` holds.
+fn two_zone_snapshot(
     version: &str,
     without: impl Fn(&EndpointRecord) -> bool,
 ) -> Result<EndpointSnapshot, SnapshotReadError> {
@@ -175,45 +194,62 @@
 
 #[test_case(|record| record.zone == "south", "all 2 ready nodes of zone `south`"; "a zone")]
 #[test_case(|record| record.kind == "large", "all 3 ready nodes of kind `large`"; "a kind")]
-fn a_list_that_empties_a_pool_is_doubted_though_it_lacks_few(
+fn a_snapshot_that_lacks_a_whole_zone_or_kind_puts_the_list_in_doubt(
     without: fn(&EndpointRecord) -> bool,
     expected: &str,
 ) {
-    let plan = Deployment {
+    let deployment = Deployment {
         kinds: vec!["large".into(), "small".into()],
-        ..plan()
+        ..test_deployment()
     };
-    let mut nodes = EndpointList::default();
+    let mut endpoints = EndpointList::default();
     assert_eq!(
-        nodes
-            .apply_snapshot(at(1.0), mixed("1", |_| false), &plan, true)
+        endpoints
+            .apply_snapshot(
+                at(1.0),
+                two_zone_snapshot("1", |_| false),
+                &deployment,
+                true
+            )
             .rejection,
         None
     );
-    let outcome = nodes.apply_snapshot(at(2.0), mixed("2", without), &plan, false);
+    let outcome =
+        endpoints.apply_snapshot(at(2.0), two_zone_snapshot("2", without), &deployment, false);
     assert!(outcome
         .rejection
         .is_some_and(|rejection| rejection.to_string().starts_with(expected)));
-    assert_eq!(nodes.listed().count(), 12, "they stay meanwhile");
-    // Nobody had an answer from them: it was right.
-    let until = nodes.doubt_deadline(&plan).expect("doubted");
-    assert!(until < at(2.0) + plan.rules.drain_grace);
-    assert!(nodes.resolve_doubt(until, &plan).is_some());
-    assert!(nodes.listed().count() < 12);
-    // One node of several may go without a word.
-    let mut nodes = EndpointList::default();
-    nodes.apply_snapshot(at(1.0), mixed("1", |_| false), &plan, true);
-    let one = nodes.apply_snapshot(
+    assert_eq!(
+        endpoints.listed().count(),
+        12,
+        "missing nodes are kept while the list is in doubt"
+    );
+    // No missing node answers, so the removals are applied.
+    let until = endpoints
+        .doubt_deadline(&deployment)
+        .expect("the list is in doubt");
+    assert!(until < at(2.0) + deployment.rules.drain_grace);
+    assert!(endpoints.resolve_doubt(until, &deployment).is_some());
+    assert!(endpoints.listed().count() < 12);
+    // The removal of one of several nodes of a zone is accepted at once.
+    let mut endpoints = EndpointList::default();
+    endpoints.apply_snapshot(
+        at(1.0),
+        two_zone_snapshot("1", |_| false),
+        &deployment,
+        true,
+    );
+    let one = endpoints.apply_snapshot(
         at(2.0),
-        mixed("2", |record| record.node.port == 0),
-        &plan,
+        two_zone_snapshot("2", |record| record.node.port == 0),
+        &deployment,
         false,
     );
     assert_eq!(one.rejection, None);
 }
 
 #[test]
-fn a_clock_that_jumps_restarts_no_node() {
+fn a_clock_jump_does_not_restart_a_node() {
     let run = |age: f64| EndpointRecord {
         started: Some(("r1".into(), Span::from_seconds(age))),
         ..record(1)
@@ -224,13 +260,23 @@
             records: vec![run(age)],
         })
     };
-    let mut nodes = EndpointList::default();
-    nodes.apply_snapshot(at(100.0), snapshot_of_age("1", 60.0), &plan(), true);
-    let Some(Event::EndpointList { entries, .. }) = nodes
-        .apply_snapshot(at(101.0), snapshot_of_age("2", 0.0), &plan(), false)
+    let mut endpoints = EndpointList::default();
+    endpoints.apply_snapshot(
+        at(100.0),
+        snapshot_of_age("1", 60.0),
+        &test_deployment(),
+        true,
+    );
+    let Some(Event::EndpointList { entries, .. }) = endpoints
+        .apply_snapshot(
+            at(101.0),
+            snapshot_of_age("2", 0.0),
+            &test_deployment(),
+            false,
+        )
         .event
     else {
-        panic!("sound")
+        panic!("expected an endpoint list event")
     };
     assert!(
         entries.is_empty(),
@@ -239,14 +285,14 @@
 }
 
 #[test]
-fn a_node_that_returns_without_an_age_may_be_warming_up() {
-    let mut nodes = accepted("1", 0..8);
-    nodes.apply_snapshot(at(2.0), list("2", 0..7), &plan(), false);
-    let Some(Event::EndpointList { entries, .. }) = nodes
-        .apply_snapshot(at(9.0), list("3", 0..8), &plan(), false)
+fn a_returning_node_of_unknown_age_counts_as_just_started() {
+    let mut endpoints = accepted_list("1", 0..8);
+    endpoints.apply_snapshot(at(2.0), snapshot("2", 0..7), &test_deployment(), false);
+    let Some(Event::EndpointList { entries, .. }) = endpoints
+        .apply_snapshot(at(9.0), snapshot("3", 0..8), &test_deployment(), false)
         .event
     else {
-        panic!("sound")
+        panic!("expected an endpoint list event")
     };
     assert_eq!(
         entries
--- a/crates/controller-core/src/endpoint_list/validation.rs
+++ b/crates/controller-core/src/endpoint_list/validation.rs
@@ -1,5 +1,5 @@
-//! Checks of a snapshot: what it names has to be possible, its version has to be newer, and it may not
-//! lack too many of the ready nodes at once.
+//! Checks of a snapshot: its nodes, zones and kinds have to be valid, its version has to be newer, and it may
+//! not lack too many of the ready nodes at once.
 
 use super::snapshot::{EndpointRecord, EndpointSnapshot, SnapshotReadError};
 use super::{format_node, EndpointTable};
@@ -13,45 +13,45 @@
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SnapshotRejection {
     /// The file can't be read or parsed.
-    #[error("the list can't be read: {0}")]
+    #[error("the endpoint list can't be read: {0}")]
     Unreadable(#[from] SnapshotReadError),
-    /// It is older than what was accepted, or the same version.
-    #[error("version {version} is not newer than version {held}, which is held")]
-    Late {
+    /// The version is not newer than the accepted one.
+    #[error("version {version} is not newer than version {accepted}, the last accepted one")]
+    NotNewer {
         /// The snapshot's version.
         version: String,
         /// The accepted version.
-        held: String,
+        accepted: String,
     },
-    /// It names no node at all.
-    #[error("the list names no node while {held} are held")]
+    /// The snapshot names no node.
+    #[error("the endpoint list names no node while {accepted} nodes are accepted")]
     Empty {
-        /// Nodes accepted so far.
-        held: usize,
+        /// Number of accepted nodes.
+        accepted: usize,
     },
-    /// It lacks too many ready nodes; it is doubted, see [`super::EndpointList`].
+    /// The snapshot lacks too many ready nodes, which puts the list in doubt.
     #[error(
-        "{missing} of {ready} ready nodes are missing at once; they are kept while that is doubted"
+        "{missing} of {ready} ready nodes are missing from the endpoint list; they are kept while the list is in doubt"
     )]
-    Shrunk {
-        /// Ready nodes that it lacks.
+    TooManyMissing {
+        /// Number of ready nodes that the snapshot lacks.
         missing: usize,
-        /// Ready nodes so far.
+        /// Number of accepted ready nodes.
         ready: usize,
     },
-    /// It leaves nothing of a zone or a kind; it is doubted.
-    #[error("all {count} ready nodes of {what} are missing at once; they are kept while that is doubted")]
-    Emptied {
+    /// The snapshot lacks every node of a zone or a kind, which puts the list in doubt.
+    #[error("all {count} ready nodes of {group} are missing from the endpoint list; they are kept while the list is in doubt")]
+    GroupMissing {
         /// The zone or the kind.
-        what: String,
-        /// Ready nodes that it had.
+        group: String,
+        /// Number of ready nodes that it had.
         count: usize,
     },
-    /// A node is named more than once.
-    #[error("{0} is named twice")]
-    Twice(String),
-    /// A node stands in a zone that the deployment does not have.
-    #[error("{node} stands in zone `{zone}`, which the settings don't name")]
+    /// The snapshot names a node more than once.
+    #[error("the endpoint list names node {0} twice")]
+    DuplicateNode(String),
+    /// A node is in a zone that the deployment does not have.
+    #[error("node {node} is in zone `{zone}`, which is not among the zones of the settings")]
     UnknownZone {
         /// The node's address.
         node: String,
@@ -59,52 +59,52 @@
         zone: String,
     },
     /// A node is of a kind that the deployment does not have.
-    #[error("{node} is of kind `{kind}`, which the settings don't name")]
+    #[error("node {node} is of kind `{kind}`, which is not among the kinds of the settings")]
     UnknownKind {
         /// The node's address.
         node: String,
         /// The kind that the snapshot names.
         kind: String,
     },
-    /// It names more nodes than a controller can hold.
-    #[error("{count} nodes: {most} at most are possible")]
-    TooMany {
-        /// Nodes that the snapshot names.
+    /// The snapshot names more nodes than a controller supports.
+    #[error("the endpoint list names {count} nodes; at most {max} are allowed")]
+    TooManyNodes {
+        /// Number of nodes that the snapshot names.
         count: usize,
-        /// The limit.
-        most: usize,
+        /// Largest number of nodes.
+        max: usize,
     },
 }
 
-/// Checks what does not depend on earlier snapshots: count, duplicates, names of zones and kinds.
+/// Checks what does not depend on earlier snapshots: number of nodes, duplicates, names of zones and kinds.
 pub(super) fn check_records(
     records: &[EndpointRecord],
-    plan: &Deployment,
+    deployment: &Deployment,
 ) -> Result<(), SnapshotRejection> {
     if records.len() > MAX_NODES {
-        return Err(SnapshotRejection::TooMany {
+        return Err(SnapshotRejection::TooManyNodes {
             count: records.len(),
-            most: MAX_NODES,
+            max: MAX_NODES,
         });
     }
     let mut seen = BTreeSet::new();
     for record in records {
         if !seen.insert(record.node) {
-            return Err(SnapshotRejection::Twice(format_node(record.node)));
+            return Err(SnapshotRejection::DuplicateNode(format_node(record.node)));
         }
-        check_names(record, plan)?;
+        check_names(record, deployment)?;
     }
     Ok(())
 }
 
-fn check_names(record: &EndpointRecord, plan: &Deployment) -> Result<(), SnapshotRejection> {
-    if !plan.zones.contains(&record.zone) {
+fn check_names(record: &EndpointRecord, deployment: &Deployment) -> Result<(), SnapshotRejection> {
+    if !deployment.zones.contains(&record.zone) {
         return Err(SnapshotRejection::UnknownZone {
             node: format_node(record.node),
             zone: record.zone.clone(),
         });
     }
-    if !record.kind.is_empty() && !plan.kinds.contains(&record.kind) {
+    if !record.kind.is_empty() && !deployment.kinds.contains(&record.kind) {
         return Err(SnapshotRejection::UnknownKind {
             node: format_node(record.node),
             kind: record.kind.clone(),
@@ -113,7 +113,7 @@
     Ok(())
 }
 
-/// Versions that both are numbers rise; others only have to differ.
+/// Whether `version` is newer than `accepted`: greater if both are numbers, otherwise different.
 pub(super) fn is_newer(version: &str, accepted: &str) -> bool {
     match (version.parse::<u64>(), accepted.parse::<u64>()) {
         (Ok(version), Ok(accepted)) => version > accepted,
@@ -121,31 +121,33 @@
     }
 }
 
-/// Checks that a snapshot does not lack more ready nodes than the deployment allows, nor all of a group.
+/// Checks that a snapshot lacks no more ready nodes than the deployment allows, and not all nodes of a zone or
+/// kind. A single missing node is always tolerated.
 pub(super) fn check_shrinkage(
     snapshot: &EndpointSnapshot,
     missing: &BTreeSet<NodeId>,
     table: &EndpointTable,
-    plan: &Deployment,
+    deployment: &Deployment,
 ) -> Result<(), SnapshotRejection> {
     let ready = table.ready().count();
-    let tolerated =
-        missing.len() as f64 <= ready as f64 * plan.list.shrinks_at_most || missing.len() <= 1;
+    let tolerated = missing.len() as f64 <= ready as f64 * deployment.list.shrinks_at_most
+        || missing.len() <= 1;
     if !tolerated {
-        return Err(SnapshotRejection::Shrunk {
+        return Err(SnapshotRejection::TooManyMissing {
             missing: missing.len(),
             ready,
         });
     }
-    match emptied_group(snapshot, missing, table) {
-        Some((what, count)) => Err(SnapshotRejection::Emptied { what, count }),
+    match missing_group(snapshot, missing, table) {
+        Some((group, count)) => Err(SnapshotRejection::GroupMissing { group, count }),
         None => Ok(()),
     }
 }
 
-/// A zone or a kind of which a snapshot leaves nothing, though in total it lacks no more than is tolerated:
-/// what stays in that zone would have no node. A group that had a single node may well lose it.
-fn emptied_group(
+/// A zone or a kind that is left without nodes, and how many ready nodes it had. Requests that have to stay in
+/// such a zone would have no node even if few nodes are missing in total. A zone or kind with a single ready
+/// node may lose it.
+fn missing_group(
     snapshot: &EndpointSnapshot,
     missing: &BTreeSet<NodeId>,
     table: &EndpointTable,
--- a/crates/controller-core/src/load_report.rs
+++ b/crates/controller-core/src/load_report.rs
@@ -1,5 +1,5 @@
-//! Load reports: what a proxy observed of the requests that came to it and of the nodes that it sent them
-//! to. A report that can't be is refused before anything is counted.
+//! Load reports: the requests that a proxy received and the results that it observed at the nodes to which it
+//! sent them. An invalid report is rejected as a whole, before any of its counts is added.
 
 mod aggregator;
 
@@ -9,118 +9,118 @@
 use wheelspread::ids::NodeId;
 use wheelspread::time::Span;
 
-/// A metric that came with some of the answers.
+/// A metric that nodes report with some of their answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Metric {
-    /// Answers that had it.
+    /// Number of answers that carried the metric.
     pub count: u64,
-    /// Their values' sum.
+    /// Sum of its values.
     pub total: f64,
 }
 
 impl Metric {
-    /// The mean, where there is one that can be.
+    /// The mean value; `None` without any answer, or if the mean is negative or not finite.
     pub fn mean(self) -> Option<f64> {
         let mean = self.total / self.count as f64;
         (self.count > 0 && mean.is_finite() && mean >= 0.0).then_some(mean)
     }
 }
 
-/// What a proxy observed at one node.
+/// A proxy's observations at one node.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NodeReport {
-    /// The node, where its address could be read.
+    /// The node; `None` if its address could not be parsed.
     pub node: Option<NodeId>,
     /// Attempts that succeeded.
     pub succeeded: u64,
     /// Attempts that failed.
     pub errored: u64,
-    /// Attempts that had no end yet when the report was made.
+    /// Attempts in flight when the report was made.
     pub in_progress: u64,
-    /// Metrics by the names that are constants of this module.
+    /// Metrics by name: [`LATENCY_METRIC`], [`UTILIZATION_METRIC`], [`QUEUE_METRIC`].
     pub metrics: BTreeMap<String, Metric>,
 }
 
 impl NodeReport {
-    /// Attempts that ended.
+    /// Completed attempts.
     pub(crate) fn attempts(&self) -> f64 {
         self.succeeded as f64 + self.errored as f64
     }
 }
 
-/// What a proxy observed of one operation.
+/// A proxy's observations of one operation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OperationReport {
     /// The operation's name.
     pub operation: String,
     /// Requests that the proxy rejected.
     pub rate_limited: u64,
-    /// Attempts of `nodes` that retried an earlier one, where the proxy says so.
+    /// Retries among the attempts of `nodes`; 0 if the proxy does not report them.
     pub retries: u64,
-    /// By node.
+    /// Observations by node.
     pub nodes: Vec<NodeReport>,
 }
 
-/// One report of a proxy.
+/// A load report of one proxy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadReport {
-    /// The time that it covers, up to when it was made.
+    /// Length of the interval that the report covers, ending when the report was made.
     pub window: Span,
-    /// By operation; one that is left out had no request.
+    /// Observations by operation; an operation that is left out received no request.
     pub operations: Vec<OperationReport>,
 }
 
-/// Why a report was refused.
+/// Why a load report was rejected.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum LoadReportError {
-    /// It covers no time, or too much.
-    #[error("a report over {seconds} s")]
-    Window {
-        /// The time that it covers.
+    /// The interval covered is not above 0 or too long.
+    #[error("load report covers {seconds} s; more than 0 s and at most 600 s are allowed")]
+    InvalidWindow {
+        /// Seconds that the report covers.
         seconds: f64,
     },
-    /// No proxy can have served so many requests, or it counts more retries than attempts.
-    #[error("{count} invocations of `{operation}` over {over} s")]
-    Count {
-        /// The operation's name, cut short.
+    /// The request count exceeds what a proxy can serve, or the retry count exceeds the request count.
+    #[error("load report counts {count} requests or retries of `{operation}` in {window_seconds} s, which is impossible")]
+    ImpossibleCount {
+        /// The operation's name, truncated.
         operation: String,
-        /// The larger of its counts.
+        /// The larger of its request count and its retry count.
         count: f64,
         /// Seconds that the report covers.
-        over: f64,
+        window_seconds: f64,
     },
-    /// It names too many operations.
-    #[error("{count} operations in one report")]
+    /// The report names too many operations.
+    #[error("load report names {count} operations; at most 1000 are allowed")]
     TooManyOperations {
-        /// Operations that it names.
+        /// Number of operations that it names.
         count: usize,
     },
-    /// One of its operations names too many nodes.
-    #[error("{count} nodes in one report")]
+    /// An operation of the report names too many nodes.
+    #[error("load report names {count} nodes for one operation; at most 100000 are allowed")]
     TooManyNodes {
-        /// Nodes that it names.
+        /// Number of nodes that the operation names.
         count: usize,
     },
 }
 
-/// Metric of the latency in milliseconds.
+/// Name of the metric for latency, in milliseconds.
 pub const LATENCY_METRIC: &str = "latency_ms";
-/// Metric of a node's utilization, of 1.
+/// Name of the metric for a node's utilization, as a ratio.
 pub const UTILIZATION_METRIC: &str = "cpu_utilization";
-/// Metric of the requests that are queued at a node.
+/// Name of the metric for the number of requests that are queued at a node.
 pub const QUEUE_METRIC: &str = "named_metrics.queue";
 
 const MAX_REQUESTS_PER_SECOND: f64 = 1e7;
 const MAX_OPERATIONS: usize = 1000;
 const MAX_NODES: usize = 100_000;
 const MAX_WINDOW: Span = Span::from_seconds(600.0);
-/// Of a name that an error repeats.
+/// Characters of an operation's name that an error text quotes.
 const MAX_QUOTED_NAME_LENGTH: usize = 40;
 
-fn check(report: &LoadReport) -> Result<(), LoadReportError> {
+fn check_report(report: &LoadReport) -> Result<(), LoadReportError> {
     let seconds = report.window.seconds();
     if report.window <= Span::ZERO || report.window > MAX_WINDOW {
-        return Err(LoadReportError::Window { seconds });
+        return Err(LoadReportError::InvalidWindow { seconds });
     }
     if report.operations.len() > MAX_OPERATIONS {
         return Err(LoadReportError::TooManyOperations {
@@ -147,10 +147,10 @@
     let retries = report.retries as f64;
     if count > MAX_REQUESTS_PER_SECOND * seconds.max(1.0) || retries > count {
         let name = report.operation.chars().take(MAX_QUOTED_NAME_LENGTH);
-        return Err(LoadReportError::Count {
+        return Err(LoadReportError::ImpossibleCount {
             operation: name.collect(),
             count: count.max(retries),
-            over: seconds,
+            window_seconds: seconds,
         });
     }
     Ok(())
--- a/crates/controller-core/src/load_report/aggregator.rs
+++ b/crates/controller-core/src/load_report/aggregator.rs
@@ -1,8 +1,8 @@
-//! Load reports of one period, summed up by zone and node and by proxy and operation, and given out as the
-//! balancer's events. Reports come at their own times and cover their own windows; the events are dated by
-//! the windows that were covered.
+//! Sums up the load reports of one report period by zone and node and by proxy and operation, and turns the
+//! sums into events for the balancer. Reports arrive at any time and cover windows of different lengths, so
+//! each event states the window that its reports covered.
 
-use super::{check, LoadReport, LoadReportError, NodeReport, OperationReport};
+use super::{check_report, LoadReport, LoadReportError, NodeReport, OperationReport};
 use super::{LATENCY_METRIC, QUEUE_METRIC, UTILIZATION_METRIC};
 use crate::deployment::Deployment;
 use crate::membership::Membership;
@@ -12,18 +12,18 @@
 use wheelspread::Event;
 
 const MILLISECONDS_PER_SECOND: f64 = 1e3;
-/// The balancer leaves out a load metric below 0: it was not reported.
+/// Value of a load metric that was not reported; the balancer ignores values below 0.
 const METRIC_NOT_REPORTED: f64 = -1.0;
-/// The load metric of the settings that proxies report as [`UTILIZATION_METRIC`].
+/// Name in the settings of the load metric that proxies report as [`UTILIZATION_METRIC`].
 const UTILIZATION_SETTING: &str = "utilization";
 
-/// What the proxies of one zone observed at one node.
+/// Observations of the proxies of one zone at one node.
 #[derive(Clone, Debug, Default)]
 struct PathLoad {
     attempts: f64,
     failures: f64,
     latency: LatencySum,
-    /// By the deployment's load metrics; the newest value of the period.
+    /// The newest value in the period of each of the deployment's load metrics, in their order.
     metrics: Vec<Option<f64>>,
 }
 
@@ -48,7 +48,7 @@
     }
 }
 
-/// What came to one proxy for one operation.
+/// Requests of one operation that one proxy received.
 #[derive(Clone, Copy, Debug)]
 struct OfferedLoad {
     requests: f64,
@@ -64,59 +64,64 @@
     };
 }
 
-/// Attempts of one report's operation, over all of its nodes.
+/// Attempts of one operation in a report, over all nodes.
 #[derive(Clone, Copy, Debug, Default)]
 struct AttemptTotals {
     attempts: f64,
     failures: f64,
 }
 
-/// Sums of the current period.
+/// Sums of the load reports of the current period.
 #[derive(Clone, Debug, Default)]
 pub struct LoadAggregator {
-    paths: BTreeMap<(ZoneId, NodeId), PathLoad>,
-    /// Windows of all reports of a zone's proxies together.
-    covered: BTreeMap<ZoneId, Span>,
-    reporting: BTreeMap<ZoneId, BTreeSet<ProxyId>>,
+    path_loads: BTreeMap<(ZoneId, NodeId), PathLoad>,
+    /// Sum of the windows of all reports from a zone's proxies.
+    window_sums: BTreeMap<ZoneId, Span>,
+    reporting_proxies: BTreeMap<ZoneId, BTreeSet<ProxyId>>,
     offered: BTreeMap<(ProxyId, OperationId), OfferedLoad>,
-    /// Reports of nodes that were never listed, since the start.
+    /// Number of node reports since the start that concern nodes which are not listed.
     pub unknown_nodes: u64,
-    /// Reports of operations that the deployment does not have, since the start.
+    /// Number of operation reports since the start that concern operations which the deployment does not have.
     pub unknown_operations: u64,
 }
 
 impl LoadAggregator {
-    /// Adds a proxy's report, or refuses it before anything is counted. `is_known` says whether a node is
-    /// listed.
+    /// Adds a proxy's report, or rejects it without adding any of its counts. `is_known` tells whether a node
+    /// is listed.
     pub fn add_report(
         &mut self,
         proxy: ProxyId,
         zone: ZoneId,
         report: &LoadReport,
-        plan: &Deployment,
+        deployment: &Deployment,
         is_known: impl Fn(NodeId) -> bool,
     ) -> Result<(), LoadReportError> {
-        check(report)?;
-        let covered = self.covered.entry(zone).or_insert(Span::ZERO);
-        *covered = *covered + report.window;
-        self.reporting.entry(zone).or_default().insert(proxy);
-        let mut unreported: BTreeSet<OperationId> =
-            (0..plan.operations.len() as u8).map(OperationId).collect();
-        for of_operation in &report.operations {
-            let Some(operation) = operation_id(plan, &of_operation.operation) else {
+        check_report(report)?;
+        let window_sum = self.window_sums.entry(zone).or_insert(Span::ZERO);
+        *window_sum = *window_sum + report.window;
+        self.reporting_proxies
+            .entry(zone)
+            .or_default()
+            .insert(proxy);
+        let mut unreported: BTreeSet<OperationId> = (0..deployment.operations.len() as u8)
+            .map(OperationId)
+            .collect();
+        for operation_report in &report.operations {
+            let Some(operation) = operation_id(deployment, &operation_report.operation) else {
                 self.unknown_operations += 1;
                 continue;
             };
             unreported.remove(&operation);
-            let totals = self.add_nodes(zone, of_operation, report.window, plan, &is_known);
-            let requests = (totals.attempts - of_operation.retries as f64).max(0.0)
-                + of_operation.rate_limited as f64;
+            let totals =
+                self.add_nodes(zone, operation_report, report.window, deployment, &is_known);
+            let requests = (totals.attempts - operation_report.retries as f64).max(0.0)
+                + operation_report.rate_limited as f64;
             let failures = totals.failures.min(requests);
-            self.add_offered(proxy, operation, requests, failures, report.window);
+            self.add_offered_load(proxy, operation, requests, failures, report.window);
         }
-        // A report that leaves an operation out says that no request for it came.
+        // An operation that the report leaves out received no request.
         for operation in unreported {
-            self.add_offered(proxy, operation, 0.0, 0.0, report.window);
+            self.add_offered_load(proxy, operation, 0.0, 0.0, report.window);
         }
         Ok(())
     }
@@ -126,17 +131,17 @@
         zone: ZoneId,
         report: &OperationReport,
         window: Span,
-        plan: &Deployment,
+        deployment: &Deployment,
         is_known: &impl Fn(NodeId) -> bool,
     ) -> AttemptTotals {
         let mut totals = AttemptTotals::default();
-        for of_node in &report.nodes {
-            totals.attempts += of_node.attempts();
-            totals.failures += of_node.errored as f64;
-            match of_node.node.filter(|node| is_known(*node)) {
+        for node_report in &report.nodes {
+            totals.attempts += node_report.attempts();
+            totals.failures += node_report.errored as f64;
+            match node_report.node.filter(|node| is_known(*node)) {
                 Some(node) => {
-                    let path = self.paths.entry((zone, node)).or_default();
-                    path.add(of_node, window, plan);
+                    let path = self.path_loads.entry((zone, node)).or_default();
+                    path.add(node_report, window, deployment);
                 }
                 None => self.unknown_nodes += 1,
             }
@@ -144,7 +149,7 @@
         totals
     }
 
-    fn add_offered(
+    fn add_offered_load(
         &mut self,
         proxy: ProxyId,
         operation: OperationId,
@@ -161,17 +166,17 @@
         offered.window = offered.window + window;
     }
 
-    /// The events of a period's end; the next period starts empty.
+    /// Returns the events of the current period and starts the next one with empty sums.
     pub fn take_events(&mut self, members: &Membership) -> Vec<Event> {
-        let covered = std::mem::take(&mut self.covered);
-        let reporting = std::mem::take(&mut self.reporting);
+        let window_sums = std::mem::take(&mut self.window_sums);
+        let reporting_proxies = std::mem::take(&mut self.reporting_proxies);
         let mut events = Vec::new();
-        for ((zone, node), path) in std::mem::take(&mut self.paths) {
-            // Each proxy of the zone covers its own window. Those that are joined and did not report count
-            // as silent in this period, and their requests in the one in which their report comes.
-            let reported = reporting.get(&zone).map_or(0, BTreeSet::len);
+        for ((zone, node), path) in std::mem::take(&mut self.path_loads) {
+            // The event's window is the mean window per proxy. Joined proxies without a report in this period
+            // count as proxies with a window of 0; their requests count in the period of their next report.
+            let reported = reporting_proxies.get(&zone).map_or(0, BTreeSet::len);
             let proxies = members.joined_in(zone).max(reported).max(1);
-            let total = covered.get(&zone).copied().unwrap_or(Span::ZERO);
+            let total = window_sums.get(&zone).copied().unwrap_or(Span::ZERO);
             let window = total * (1.0 / proxies as f64);
             if path.attempts > 0.0 && window > Span::ZERO {
                 events.push(path.into_event(zone, node, window));
@@ -189,25 +194,25 @@
         events
     }
 
-    /// A proxy was forgotten: what it reported of its demand goes with it.
+    /// Drops the demand that a proxy reported, because the proxy was forgotten.
     pub fn forget(&mut self, proxy: ProxyId) {
         self.offered.retain(|key, _| key.0 != proxy);
     }
 }
 
 impl PathLoad {
-    fn add(&mut self, report: &NodeReport, window: Span, plan: &Deployment) {
+    fn add(&mut self, report: &NodeReport, window: Span, deployment: &Deployment) {
         let attempts = report.attempts();
         self.attempts += attempts;
         self.failures += report.errored as f64;
-        let timed = report
+        let measured = report
             .metrics
             .get(LATENCY_METRIC)
             .and_then(|metric| Some((metric.count as f64, metric.mean()?)));
-        match timed {
+        match measured {
             Some((count, mean_ms)) => self.latency.add(count, mean_ms),
-            // Proxies that time nothing still report how many attempts were in progress: by Little's law
-            // that is the rate times the latency.
+            // Proxies that measure no latency still report the attempts in flight, which by Little's law equal
+            // the rate times the latency.
             None if attempts > 0.0 => {
                 let in_progress = report.in_progress as f64;
                 let mean_ms = in_progress * window.seconds() / attempts * MILLISECONDS_PER_SECOND;
@@ -215,19 +220,19 @@
             }
             None => {}
         }
-        self.update_metrics(report, &plan.load_reports.loads);
+        self.update_metrics(report, &deployment.load_reports.loads);
     }
 
     fn update_metrics(&mut self, report: &NodeReport, names: &[String]) {
         self.metrics.resize(names.len(), None);
         for (value, name) in self.metrics.iter_mut().zip(names) {
-            let reported_as = if name == UTILIZATION_SETTING {
+            let metric_name = if name == UTILIZATION_SETTING {
                 UTILIZATION_METRIC
             } else {
                 QUEUE_METRIC
             };
-            let newest = report.metrics.get(reported_as);
-            *value = newest.and_then(|metric| metric.mean()).or(*value);
+            let reported = report.metrics.get(metric_name);
+            *value = reported.and_then(|metric| metric.mean()).or(*value);
         }
     }
 
@@ -247,8 +252,8 @@
     }
 }
 
-fn operation_id(plan: &Deployment, name: &str) -> Option<OperationId> {
-    let mut operations = plan.operations.iter();
-    let position = operations.position(|operation| operation.name == name)?;
-    Some(OperationId(position as u8))
+fn operation_id(deployment: &Deployment, name: &str) -> Option<OperationId> {
+    let mut operations = deployment.operations.iter();
+    let index = operations.position(|operation| operation.name == name)?;
+    Some(OperationId(index as u8))
 }
--- a/crates/controller-core/src/membership/tests.rs
+++ b/crates/controller-core/src/membership/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::deployment::tests::plan;
+use crate::deployment::tests::test_deployment;
 
 fn who(name: &str) -> Introduction {
     Introduction {
@@ -17,10 +17,10 @@
 fn a_proxy_that_dials_again_before_its_break_is_seen_stays_joined() {
     let mut known = Membership::default();
     known
-        .open(at(0.0), StreamId(1), &who("a"), &plan())
+        .open(at(0.0), StreamId(1), &who("a"), &test_deployment())
         .expect("fine");
     let second = known
-        .open(at(1.0), StreamId(2), &who("a"), &plan())
+        .open(at(1.0), StreamId(2), &who("a"), &test_deployment())
         .expect("fine");
     assert_eq!(second.superseded, Some(StreamId(1)));
     let kinds: Vec<bool> = second
@@ -46,19 +46,22 @@
 fn a_proxy_that_returns_keeps_its_number_and_one_long_away_loses_it() {
     let mut known = Membership::default();
     known
-        .open(at(0.0), StreamId(1), &who("a"), &plan())
+        .open(at(0.0), StreamId(1), &who("a"), &test_deployment())
         .expect("fine");
     let id = known.member("a").map(|member| member.id);
     known.close(at(1.0), StreamId(1));
-    assert_eq!(known.forget(at(50.0), &plan()), Vec::<String>::new());
+    assert_eq!(
+        known.forget(at(50.0), &test_deployment()),
+        Vec::<String>::new()
+    );
     known
-        .open(at(51.0), StreamId(2), &who("a"), &plan())
+        .open(at(51.0), StreamId(2), &who("a"), &test_deployment())
         .expect("fine");
     assert_eq!(known.member("a").map(|member| member.id), id);
     known.close(at(52.0), StreamId(2));
-    assert_eq!(known.forget(at(160.0), &plan()), ["a"]);
+    assert_eq!(known.forget(at(160.0), &test_deployment()), ["a"]);
     known
-        .open(at(161.0), StreamId(3), &who("b"), &plan())
+        .open(at(161.0), StreamId(3), &who("b"), &test_deployment())
         .expect("fine");
     assert_ne!(
         known.member("b").map(|member| member.id),
@@ -71,7 +74,7 @@
 fn streams_without_a_valid_identity_are_rejected() {
     let mut known = Membership::default();
     for name in ["", "../../etc", "a b", &"x".repeat(101)] {
-        let outcome = known.open(at(0.0), StreamId(1), &who(name), &plan());
+        let outcome = known.open(at(0.0), StreamId(1), &who(name), &test_deployment());
         assert!(
             matches!(outcome, Err(IdentificationError::Unnamed(_))),
             "{name:?}"
@@ -82,7 +85,7 @@
         ..who("a")
     };
     assert_eq!(
-        known.open(at(0.0), StreamId(1), &moon, &plan()),
+        known.open(at(0.0), StreamId(1), &moon, &test_deployment()),
         Err(IdentificationError::UnknownZone("moon".into()))
     );
 }
--- a/crates/controller-core/src/node_overrides.rs
+++ b/crates/controller-core/src/node_overrides.rs
@@ -1,38 +1,39 @@
-//! What configuration changes say of single nodes, put over what the endpoint list says: another pool (the
-//! zone whose tables it serves in), another cell, another weight, or out of service. The list stays the
-//! authority on who is there: nothing here brings back a node that it drains or lacks.
+//! Node overrides: values that configuration changes and drains set for single nodes and that take precedence
+//! over the endpoint list: the pool (the zone in whose tables the node is listed), the cell, the weight, and
+//! whether the node is in service. The endpoint list decides which nodes exist and are ready: an override never
+//! returns a node to service that the list drains or lacks.
 //!
-//! A node that migrates from one pool to another leaves the first everywhere before it is in the second
-//! anywhere: no two proxies ever find it in both.
+//! A node that migrates from one pool to another is removed from all tables of the old pool before any table of
+//! the new pool lists it, so that no two proxies see it in different pools.
 
 use std::collections::{BTreeMap, BTreeSet};
 use wheelspread::ids::{CellId, NodeId, ZoneId};
 use wheelspread::time::{Moment, Span};
 use wheelspread::{EndpointEntry, EndpointStatus, Event};
 
-/// How a configuration takes a node out of service.
+/// The state in which a configuration takes a node out of service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServiceState {
-    /// It finishes what it has.
+    /// The node finishes its requests in flight and takes no new ones.
     Draining,
-    /// It is treated as gone.
+    /// The node is treated as gone.
     OutOfService,
 }
 
-/// What a configuration says of one node; left out: what the list says.
+/// A configuration's values for one node. `None` stands for the value of the endpoint list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NodeValues {
-    /// Name of the zone whose tables it serves in.
+    /// Name of the zone in whose tables the node is listed.
     pub zone: Option<String>,
-    /// Name of its cell.
+    /// Name of the node's cell.
     pub cell: Option<String>,
-    /// Its weight.
+    /// The node's weight.
     pub weight: Option<f64>,
-    /// Whether it is out of service.
+    /// How the node is taken out of service.
     pub service: Option<ServiceState>,
 }
 
-/// The values of one node, with their names looked up.
+/// The values of one node, with the ids of their zone and cell.
 #[derive(Clone, Debug, PartialEq)]
 struct NodeOverride {
     values: NodeValues,
@@ -40,28 +41,28 @@
     cell: Option<CellId>,
 }
 
-/// Where a node is, as the balancer was notified.
+/// The pool of a node according to the events that the balancer got.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Placement {
     Pool(ZoneId),
-    /// It has left one pool and is not in the next.
+    /// The node has left its old pool and is not yet listed in the new one.
     Migrating {
         since: Moment,
     },
 }
 
-/// The overrides in force, and the nodes that migrate because of them.
+/// The overrides in force, the nodes drained by operators, and the migrations in progress.
 #[derive(Clone, Debug, Default)]
 pub struct NodeOverrides {
     overrides: BTreeMap<NodeId, NodeOverride>,
-    /// Drained by an operator's order.
+    /// Nodes drained by an operator.
     drained: BTreeSet<NodeId>,
     placements: BTreeMap<NodeId, Placement>,
 }
 
 impl NodeOverrides {
-    /// Puts other values in force; returns the nodes for which they differ. `zone_id` and `cell_id` look
-    /// names up.
+    /// Replaces all overrides and returns the nodes whose override changes. `zone_id` and `cell_id` look up
+    /// the ids of names.
     pub fn set(
         &mut self,
         values: BTreeMap<NodeId, NodeValues>,
@@ -72,8 +73,8 @@
         for (node, values) in values {
             let zone = values.zone.as_deref().and_then(&mut zone_id);
             let cell = values.cell.as_deref().map(&mut cell_id);
-            let of_node = NodeOverride { values, zone, cell };
-            self.overrides.insert(node, of_node);
+            let node_override = NodeOverride { values, zone, cell };
+            self.overrides.insert(node, node_override);
         }
         let nodes: BTreeSet<NodeId> = before
             .keys()
@@ -86,7 +87,7 @@
             .collect()
     }
 
-    /// Sets the nodes that operators drain; returns those for which that has changed.
+    /// Replaces the set of nodes that operators drain and returns the nodes added to it or removed from it.
     pub fn set_drained(&mut self, nodes: BTreeSet<NodeId>) -> Vec<NodeId> {
         let changed = self.drained.symmetric_difference(&nodes).copied().collect();
         self.drained = nodes;
@@ -98,24 +99,24 @@
         &self.drained
     }
 
-    /// The zone whose tables a node serves in, where that is not the list's.
+    /// The zone that a node's override sets; `None` if the zone of the endpoint list applies.
     pub fn zone(&self, node: NodeId) -> Option<&str> {
         self.overrides.get(&node)?.values.zone.as_deref()
     }
 
-    /// An entry of the list with the overrides applied, wherever a migration has come to.
+    /// An entry of the endpoint list with the overrides applied, without regard to migrations.
     pub fn effective_entry(&self, entry: &EndpointEntry) -> EndpointEntry {
         let mut entry = entry.clone();
         if entry.status == EndpointStatus::Ready && self.drained.contains(&entry.node) {
             entry.status = EndpointStatus::Draining;
         }
-        let Some(of_node) = self.overrides.get(&entry.node) else {
+        let Some(node_override) = self.overrides.get(&entry.node) else {
             return entry;
         };
-        entry.zone = of_node.zone.unwrap_or(entry.zone);
-        entry.cell = of_node.cell.unwrap_or(entry.cell);
-        entry.weight = of_node.values.weight.unwrap_or(entry.weight);
-        entry.status = match (of_node.values.service, entry.status) {
+        entry.zone = node_override.zone.unwrap_or(entry.zone);
+        entry.cell = node_override.cell.unwrap_or(entry.cell);
+        entry.weight = node_override.values.weight.unwrap_or(entry.weight);
+        entry.status = match (node_override.values.service, entry.status) {
             (Some(ServiceState::OutOfService), _) => EndpointStatus::Gone,
             (Some(ServiceState::Draining), EndpointStatus::Ready) => EndpointStatus::Draining,
             (_, status) => status,
@@ -123,20 +124,20 @@
         entry
     }
 
-    /// The event that the balancer gets in the place of the list's: a node that changes pools is gone until
-    /// its migration is complete.
+    /// Applies the overrides to an endpoint list event on its way to the balancer. A node that changes pools
+    /// has status `Gone` until its migration is complete.
     pub fn apply_to_event(&mut self, now: Moment, mut event: Event) -> Event {
         if let Event::EndpointList { entries, .. } = &mut event {
             for entry in entries {
                 *entry = self.effective_entry(entry);
-                self.place(now, entry);
+                self.update_placement(now, entry);
             }
         }
         event
     }
 
-    /// Follows a node's placement, and lists it as gone while it migrates.
-    fn place(&mut self, now: Moment, entry: &mut EndpointEntry) {
+    /// Updates a node's placement by its entry, and sets the entry's status to `Gone` while the node migrates.
+    fn update_placement(&mut self, now: Moment, entry: &mut EndpointEntry) {
         if entry.status == EndpointStatus::Gone {
             self.placements.remove(&entry.node);
             return;
@@ -155,15 +156,15 @@
         }
     }
 
-    /// A controller that starts in the middle of migrations does not know who still holds what: they begin
-    /// anew.
+    /// Starts the persisted migrations again, because a controller that has just started does not know which
+    /// proxies still hold tables with these nodes.
     pub fn restore_migrations(&mut self, now: Moment, nodes: &[NodeId]) {
         let migrating = Placement::Migrating { since: now };
         self.placements
             .extend(nodes.iter().map(|node| (*node, migrating)));
     }
 
-    /// Whether a node has left one pool and is not in the next.
+    /// Whether a node has left its old pool and is not yet listed in the new one.
     pub fn is_migrating(&self, node: NodeId) -> bool {
         matches!(
             self.placements.get(&node),
@@ -171,7 +172,7 @@
         )
     }
 
-    /// How many nodes migrate.
+    /// The number of nodes that are migrating.
     pub fn migration_count(&self) -> usize {
         self.placements
             .values()
@@ -179,16 +180,17 @@
             .count()
     }
 
-    /// Ends migrations, and returns their nodes, which may be listed in their new pools: no proxy's table
-    /// names them any more, or none may after `grace`.
+    /// Completes migrations and returns their nodes, which may now be listed in their new pools. A migration is
+    /// complete when no proxy's table can still list the node (`may_be_in_table`), or `grace` after its start.
     pub fn complete_migrations(
         &mut self,
         now: Moment,
         grace: Span,
-        is_named: impl Fn(NodeId) -> bool,
+        may_be_in_table: impl Fn(NodeId) -> bool,
     ) -> Vec<NodeId> {
-        let is_complete =
-            |node: NodeId, since: Moment| now > since && (now - since >= grace || !is_named(node));
+        let is_complete = |node: NodeId, since: Moment| {
+            now > since && (now - since >= grace || !may_be_in_table(node))
+        };
         let mut complete = Vec::new();
         for (node, placement) in &self.placements {
             match placement {
--- a/crates/controller-core/src/node_overrides/tests.rs
+++ b/crates/controller-core/src/node_overrides/tests.rs
@@ -11,7 +11,7 @@
     Moment::from_seconds(seconds)
 }
 
-fn listed(zone: u16, status: EndpointStatus) -> Event {
+fn list_event(zone: u16, status: EndpointStatus) -> Event {
     let (zone, kind, cell) = (ZoneId(zone), KindId(0), CellId(0));
     let entry = EndpointEntry {
         node: NODE,
@@ -28,14 +28,14 @@
     }
 }
 
-fn listed_as(event: &Event) -> (u16, EndpointStatus) {
+fn listed_zone_and_status(event: &Event) -> (u16, EndpointStatus) {
     let Event::EndpointList { entries, .. } = event else {
         panic!("{event:?}")
     };
     (entries[0].zone.0, entries[0].status)
 }
 
-fn south() -> BTreeMap<NodeId, NodeValues> {
+fn override_to_zone_1() -> BTreeMap<NodeId, NodeValues> {
     BTreeMap::from([(
         NODE,
         NodeValues {
@@ -45,75 +45,88 @@
     )])
 }
 
-fn set(overlay: &mut NodeOverrides, values: BTreeMap<NodeId, NodeValues>) -> Vec<NodeId> {
-    overlay.set(values, |zone| zone.parse().ok().map(ZoneId), |_| CellId(7))
+fn set(overrides: &mut NodeOverrides, values: BTreeMap<NodeId, NodeValues>) -> Vec<NodeId> {
+    overrides.set(values, |zone| zone.parse().ok().map(ZoneId), |_| CellId(7))
 }
 
 #[test]
-fn a_node_is_in_no_pool_between_two_and_comes_back_whatever_happens_on_the_way() {
-    let mut overlay = NodeOverrides::default();
+fn a_migrating_node_is_in_no_pool_and_is_listed_again_even_if_the_override_is_undone() {
+    let mut overrides = NodeOverrides::default();
     assert_eq!(
-        listed_as(&overlay.apply_to_event(at(0.0), listed(0, EndpointStatus::Ready))),
+        listed_zone_and_status(
+            &overrides.apply_to_event(at(0.0), list_event(0, EndpointStatus::Ready))
+        ),
         (0, EndpointStatus::Ready)
     );
-    assert_eq!(set(&mut overlay, south()), [NODE]);
+    assert_eq!(set(&mut overrides, override_to_zone_1()), [NODE]);
     assert_eq!(
-        listed_as(&overlay.apply_to_event(at(1.0), listed(0, EndpointStatus::Ready))),
+        listed_zone_and_status(
+            &overrides.apply_to_event(at(1.0), list_event(0, EndpointStatus::Ready))
+        ),
         (0, EndpointStatus::Gone)
     );
-    // A list that comes meanwhile does not bring it in early.
+    // An endpoint list during the migration does not complete it.
     assert_eq!(
-        listed_as(&overlay.apply_to_event(at(1.1), listed(0, EndpointStatus::Ready))),
+        listed_zone_and_status(
+            &overrides.apply_to_event(at(1.1), list_event(0, EndpointStatus::Ready))
+        ),
         (1, EndpointStatus::Gone)
     );
     assert_eq!(
-        overlay.complete_migrations(at(1.2), Span::from_seconds(2.0), |_| true),
+        overrides.complete_migrations(at(1.2), Span::from_seconds(2.0), |_| true),
         []
     );
-    // Undone on the way: it goes back where it was, and not before its time either.
-    set(&mut overlay, BTreeMap::new());
+    // The override is undone during the migration: the node returns to its old pool, but only once the
+    // migration is complete.
+    set(&mut overrides, BTreeMap::new());
     assert_eq!(
-        listed_as(&overlay.apply_to_event(at(1.3), listed(0, EndpointStatus::Ready))),
+        listed_zone_and_status(
+            &overrides.apply_to_event(at(1.3), list_event(0, EndpointStatus::Ready))
+        ),
         (0, EndpointStatus::Gone)
     );
     assert_eq!(
-        overlay.complete_migrations(at(1.4), Span::from_seconds(2.0), |_| false),
+        overrides.complete_migrations(at(1.4), Span::from_seconds(2.0), |_| false),
         [NODE]
     );
     assert_eq!(
-        listed_as(&overlay.apply_to_event(at(1.4), listed(0, EndpointStatus::Ready))),
+        listed_zone_and_status(
+            &overrides.apply_to_event(at(1.4), list_event(0, EndpointStatus::Ready))
+        ),
         (0, EndpointStatus::Ready)
     );
-    assert_eq!(overlay.migration_count(), 0);
+    assert_eq!(overrides.migration_count(), 0);
 }
 
 #[test]
-fn after_the_grace_nobody_is_waited_for() {
-    let mut overlay = NodeOverrides::default();
-    overlay.apply_to_event(at(0.0), listed(0, EndpointStatus::Ready));
-    set(&mut overlay, south());
-    overlay.apply_to_event(at(1.0), listed(0, EndpointStatus::Ready));
+fn a_migration_completes_after_the_grace_period_even_if_tables_still_list_the_node() {
+    let mut overrides = NodeOverrides::default();
+    overrides.apply_to_event(at(0.0), list_event(0, EndpointStatus::Ready));
+    set(&mut overrides, override_to_zone_1());
+    overrides.apply_to_event(at(1.0), list_event(0, EndpointStatus::Ready));
     assert_eq!(
-        overlay.complete_migrations(at(2.9), Span::from_seconds(2.0), |_| true),
+        overrides.complete_migrations(at(2.9), Span::from_seconds(2.0), |_| true),
         []
     );
     assert_eq!(
-        overlay.complete_migrations(at(3.0), Span::from_seconds(2.0), |_| true),
+        overrides.complete_migrations(at(3.0), Span::from_seconds(2.0), |_| true),
         [NODE]
     );
     assert_eq!(
-        listed_as(&overlay.apply_to_event(at(3.0), listed(0, EndpointStatus::Ready))),
+        listed_zone_and_status(
+            &overrides.apply_to_event(at(3.0), list_event(0, EndpointStatus::Ready))
+        ),
         (1, EndpointStatus::Ready)
     );
 }
 
 #[test]
-fn the_list_is_not_overruled_on_who_drains_or_is_gone() {
-    let mut overlay = NodeOverrides::default();
-    set(&mut overlay, south());
+fn an_override_takes_a_node_out_of_service_but_never_returns_a_draining_or_gone_node() {
+    let mut overrides = NodeOverrides::default();
+    set(&mut overrides, override_to_zone_1());
     for status in [EndpointStatus::Draining, EndpointStatus::Gone] {
         assert_eq!(
-            listed_as(&overlay.apply_to_event(at(0.0), listed(1, status))),
+            listed_zone_and_status(&overrides.apply_to_event(at(0.0), list_event(1, status))),
             (1, status)
         );
     }
@@ -126,19 +139,21 @@
             },
         )])
     };
-    for (word, status) in [
+    for (state, status) in [
         (Some(ServiceState::Draining), EndpointStatus::Draining),
         (Some(ServiceState::OutOfService), EndpointStatus::Gone),
     ] {
-        set(&mut overlay, service(word));
+        set(&mut overrides, service(state));
         assert_eq!(
-            listed_as(&overlay.apply_to_event(at(1.0), listed(1, EndpointStatus::Ready))),
+            listed_zone_and_status(
+                &overrides.apply_to_event(at(1.0), list_event(1, EndpointStatus::Ready))
+            ),
             (1, status)
         );
     }
     assert_eq!(
-        set(&mut overlay, service(Some(ServiceState::OutOfService))),
+        set(&mut overrides, service(Some(ServiceState::OutOfService))),
         [],
-        "what stays as it is is no news"
+        "an unchanged override is not returned"
     );
 }
--- a/crates/controller-core/src/service_history.rs
+++ b/crates/controller-core/src/service_history.rs
@@ -1,5 +1,6 @@
-//! What proxies reported of the service they gave, over the last minutes: by zone and operation, in buckets
-//! of the report period that a rolling window reuses. Configuration changes are judged by it.
+//! Service history: request counts and latencies from the proxies' load reports of the last minutes, by zone
+//! and operation, in a rolling window of buckets as wide as the report period. Configuration changes are judged
+//! by the service history.
 
 use crate::load_report::{LoadReport, NodeReport, OperationReport, LATENCY_METRIC};
 use std::collections::BTreeMap;
@@ -9,37 +10,37 @@
 use wheelspread::time::{Moment, Span};
 
 const MILLISECONDS_PER_SECOND: f64 = 1e3;
-/// Report periods that are retained.
+/// Number of report periods that are retained.
 const RETAINED_PERIODS: usize = 300;
 
-/// Requests, but for `attempts` and `failures`, which count every attempt.
+/// Totals of requests and of attempts, where each retry is an attempt of its own.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServiceTotals {
-    /// Requests that came.
+    /// Requests that proxies received.
     pub requests: f64,
     /// Requests that succeeded.
     pub succeeded: f64,
     /// Requests that proxies rejected.
     pub rate_limited: f64,
-    /// Attempts.
+    /// Attempts that were completed, retries included.
     pub attempts: f64,
     /// Attempts that failed.
     pub failures: f64,
-    /// How many were timed,
+    /// Attempts whose latency was reported.
     pub timed_attempts: f64,
-    /// and how long they took together, in seconds.
+    /// Sum of the latencies of `timed_attempts`, in seconds.
     pub latency_seconds: f64,
 }
 
 impl AddAssign for ServiceTotals {
-    fn add_assign(&mut self, more: ServiceTotals) {
-        self.requests += more.requests;
-        self.succeeded += more.succeeded;
-        self.rate_limited += more.rate_limited;
-        self.attempts += more.attempts;
-        self.failures += more.failures;
-        self.timed_attempts += more.timed_attempts;
-        self.latency_seconds += more.latency_seconds;
+    fn add_assign(&mut self, other: ServiceTotals) {
+        self.requests += other.requests;
+        self.succeeded += other.succeeded;
+        self.rate_limited += other.rate_limited;
+        self.attempts += other.attempts;
+        self.failures += other.failures;
+        self.timed_attempts += other.timed_attempts;
+        self.latency_seconds += other.latency_seconds;
     }
 }
 
@@ -65,32 +66,32 @@
     }
 }
 
-/// By zone of the proxy and operation.
+/// Totals by the proxy's zone and the operation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServiceTotalsByOperation(pub BTreeMap<(ZoneId, OperationId), ServiceTotals>);
 
 impl AddAssign for ServiceTotalsByOperation {
-    fn add_assign(&mut self, more: ServiceTotalsByOperation) {
-        for (key, tally) in more.0 {
-            *self.0.entry(key).or_default() += tally;
+    fn add_assign(&mut self, other: ServiceTotalsByOperation) {
+        for (key, totals) in other.0 {
+            *self.0.entry(key).or_default() += totals;
         }
     }
 }
 
 impl ServiceTotalsByOperation {
-    /// One operation's, over all zones.
-    pub fn of(&self, operation: OperationId) -> ServiceTotals {
+    /// Totals of one operation over all zones.
+    pub fn for_operation(&self, operation: OperationId) -> ServiceTotals {
         let mut total = ServiceTotals::default();
-        for ((_, of), tally) in &self.0 {
-            if *of == operation {
-                total += *tally;
+        for ((_, key_operation), totals) in &self.0 {
+            if *key_operation == operation {
+                total += *totals;
             }
         }
         total
     }
 }
 
-/// The last periods, and when each proxy last reported.
+/// Totals of the last report periods, and when each proxy last reported.
 #[derive(Clone, Debug)]
 pub struct ServiceHistory {
     period: Span,
@@ -99,7 +100,7 @@
 }
 
 impl ServiceHistory {
-    /// An empty history of buckets of this width.
+    /// Creates an empty history with buckets as wide as `period`.
     pub fn new(period: Span) -> ServiceHistory {
         ServiceHistory {
             period,
@@ -108,7 +109,8 @@
         }
     }
 
-    /// Adds a report that passed the checks; `operation_id` looks up a name.
+    /// Adds a report that has passed validation. `operation_id` looks up an operation by name; unknown
+    /// operations are left out.
     pub fn record(
         &mut self,
         now: Moment,
@@ -118,14 +120,14 @@
         operation_id: impl Fn(&str) -> Option<OperationId>,
     ) {
         self.last_report_at.insert(proxy, now);
-        let mut tallies = ServiceTotalsByOperation::default();
-        for of_operation in &report.operations {
-            if let Some(operation) = operation_id(&of_operation.operation) {
-                let tally = tallies.0.entry((zone, operation)).or_default();
-                tally.add_operation(of_operation);
+        let mut totals = ServiceTotalsByOperation::default();
+        for operation_report in &report.operations {
+            if let Some(operation) = operation_id(&operation_report.operation) {
+                let totals = totals.0.entry((zone, operation)).or_default();
+                totals.add_operation(operation_report);
             }
         }
-        self.window.add(now, tallies);
+        self.window.add(now, totals);
     }
 
     /// When a proxy last reported.
@@ -138,13 +140,13 @@
         self.last_report_at.values().copied().max()
     }
 
-    /// A proxy was forgotten.
+    /// Drops the time of a proxy's last report, because the proxy was forgotten.
     pub fn forget(&mut self, proxy: ProxyId) {
         self.last_report_at.remove(&proxy);
     }
 
-    /// What was reported from `from` up to `to`, and over how many seconds; what is older than the window is
-    /// left out.
+    /// Totals of the reports between `from` and `to`, and the seconds that they cover, in whole report periods.
+    /// Both are limited to the last `RETAINED_PERIODS` periods before `to`.
     pub fn between(&self, from: Moment, to: Moment) -> (ServiceTotalsByOperation, f64) {
         let periods = (to - from).micros() / self.period.micros().max(1);
         let count = periods.clamp(0, RETAINED_PERIODS as i64) as usize;
@@ -152,8 +154,8 @@
         (self.window.last(to, count), seconds)
     }
 
-    /// Up to when all of these proxies that report have reported. Some never do, as clients that only read
-    /// streams of tables; `None` if that is all of them.
+    /// The time up to which every one of these proxies that reports has reported. Clients that only read table
+    /// streams never report; `None` if no proxy has reported.
     pub fn reported_until(&self, proxies: impl Iterator<Item = ProxyId>) -> Option<Moment> {
         proxies.filter_map(|proxy| self.last_report_at(proxy)).min()
     }
--- a/crates/controller-core/src/service_history/tests.rs
+++ b/crates/controller-core/src/service_history/tests.rs
@@ -5,7 +5,7 @@
     Moment::from_seconds(seconds)
 }
 
-fn report(succeeded: u64, errored: u64, repeats: u64, rate_limited: u64) -> LoadReport {
+fn report(succeeded: u64, errored: u64, retries: u64, rate_limited: u64) -> LoadReport {
     let node = NodeReport {
         succeeded,
         errored,
@@ -14,7 +14,7 @@
     let operation = OperationReport {
         operation: "quote".into(),
         rate_limited,
-        retries: repeats,
+        retries,
         nodes: vec![node],
     };
     LoadReport {
@@ -24,54 +24,58 @@
 }
 
 #[test]
-fn a_window_excludes_reports_before_and_after() {
-    let mut measured = ServiceHistory::new(Span::from_seconds(1.0));
+fn totals_between_two_times_exclude_reports_before_and_after() {
+    let mut history = ServiceHistory::new(Span::from_seconds(1.0));
     let quote = |name: &str| (name == "quote").then_some(OperationId(0));
     for second in 0..20 {
-        let sent = if second < 10 {
+        let load_report = if second < 10 {
             report(9, 1, 1, 2)
         } else {
             report(0, 10, 0, 0)
         };
-        measured.record(
+        history.record(
             at(f64::from(second) + 0.5),
             ProxyId(1),
             ZoneId(0),
-            &sent,
+            &load_report,
             quote,
         );
     }
-    let (before, seconds) = measured.between(at(4.9), at(9.9));
-    let tally = before.of(OperationId(0));
+    let (before, seconds) = history.between(at(4.9), at(9.9));
+    let totals = before.for_operation(OperationId(0));
     assert_eq!(
-        (seconds, tally.requests, tally.succeeded, tally.failures),
+        (seconds, totals.requests, totals.succeeded, totals.failures),
         (5.0, 55.0, 45.0, 5.0)
     );
     assert_eq!(
-        measured
+        history
             .between(at(9.9), at(19.9))
             .0
-            .of(OperationId(0))
+            .for_operation(OperationId(0))
             .succeeded,
         0.0
     );
 }
 
 #[test]
-fn known_until_ends_at_the_least_recent_report() {
-    let mut measured = ServiceHistory::new(Span::from_seconds(1.0));
+fn reported_until_is_the_earliest_of_the_last_reports() {
+    let mut history = ServiceHistory::new(Span::from_seconds(1.0));
     let both = || [ProxyId(1), ProxyId(2)].into_iter();
-    assert_eq!(measured.reported_until(both()), None, "nobody has reported");
-    measured.record(at(1.0), ProxyId(1), ZoneId(0), &report(1, 0, 0, 0), |_| {
+    assert_eq!(
+        history.reported_until(both()),
+        None,
+        "no proxy has reported"
+    );
+    history.record(at(1.0), ProxyId(1), ZoneId(0), &report(1, 0, 0, 0), |_| {
         None
     });
     assert_eq!(
-        measured.reported_until(both()),
+        history.reported_until(both()),
         Some(at(1.0)),
-        "the other may never"
+        "a proxy that has never reported is left out"
     );
-    measured.record(at(3.0), ProxyId(2), ZoneId(0), &report(1, 0, 0, 0), |_| {
+    history.record(at(3.0), ProxyId(2), ZoneId(0), &report(1, 0, 0, 0), |_| {
         None
     });
-    assert_eq!(measured.reported_until(both()), Some(at(1.0)));
+    assert_eq!(history.reported_until(both()), Some(at(1.0)));
 }
--- a/crates/controller-core/src/update_queue/tests.rs
+++ b/crates/controller-core/src/update_queue/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::deployment::tests::plan;
+use crate::deployment::tests::test_deployment;
 use proptest::prelude::*;
 
 fn at(seconds: f64) -> Moment {
@@ -10,7 +10,7 @@
     let plan = UpdateQueueConfig {
         entries_per_second,
         max_messages,
-        ..plan().update_queue
+        ..test_deployment().update_queue
     };
     UpdateQueue::new(at(0.0), &plan)
 }
--- a/crates/controller-core/src/weight_solver.rs
+++ b/crates/controller-core/src/weight_solver.rs
@@ -1,7 +1,7 @@
-//! Solved weights, where the deployment turns them on. Capacities configured by kind are corrected by load
-//! reports, demand is taken from them too, and the weights that follow reach the balancer as the listed
-//! weights of nodes. How traffic gets there is the balancer's to order. A solve that fails leaves the last
-//! good weights.
+//! The optional weight solver. It corrects the configured capacity of each node by load reports, takes the demand
+//! from load reports too, and solves for node weights, which replace the weights of the endpoint list on their
+//! way to the balancer. The balancer decides in which order traffic moves to the new weights. If a solve fails,
+//! the last solved weights stay in force.
 
 mod observations;
 mod problem;
@@ -18,53 +18,56 @@
 use wheelspread_solve::steady::{next, Steadiness};
 use wheelspread_solve::{solve, Fleet, Host, Solution, SolveInputError, Status};
 
-/// Steps of one solve: far more than the largest fleets take, so that the loop is never held up for long.
+/// Step limit of one solve, so that a solve does not block the controller's loop for long; the largest fleets
+/// take far fewer steps.
 const MAX_SOLVER_STEPS: usize = 50_000;
-/// Of an even weight: a node that should carry nothing is still listed, and with less it would be noise.
+/// Smallest weight of a node, as a ratio of the weight in an even distribution. A node for which the solver plans
+/// no work stays listed with this weight; a smaller one would be indistinguishable from noise.
 const MIN_NODE_WEIGHT: f64 = 0.05;
-/// Of the difference between the remembered demand and a period's: what is taken over each period.
+/// Smoothing factor of the demand: ratio of the difference between the smoothed demand and the demand of a period
+/// by which the smoothed demand moves in that period.
 const DEMAND_SMOOTHING: f64 = 0.3;
-/// Weight of a node that no solve has weighed yet.
+/// Weight of a node that has no solved weight yet; 1 is the weight of an even distribution.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// Capacity estimates, demand and the weights of the last solve.
+/// Capacity estimates, smoothed demand and the weights of the last solve.
 #[derive(Clone, Debug, Default)]
 pub struct WeightSolver {
     estimates: BTreeMap<NodeId, Estimate>,
-    /// Requests a second, by zone and operation.
+    /// Smoothed requests per second, by zone and operation.
     demand: BTreeMap<(ZoneId, OperationId), f64>,
-    /// The weights in force, by the nodes' addresses.
+    /// The weights in force, by node address as [`format_node`] writes it.
     weights: BTreeMap<String, f64>,
-    next_at: Moment,
+    next_solve_at: Moment,
 }
 
-/// Why a solve gave no weights.
+/// Why a solve yielded no weights.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SolveError {
-    /// It was given up before it was optimal.
-    #[error("it took too many steps")]
+    /// The step limit was reached before the solution was optimal.
+    #[error("no optimal solution within 50000 steps")]
     StepLimit,
-    /// The fleet can't be solved as it is.
+    /// The solver rejected its input.
     #[error(transparent)]
-    Refused(#[from] SolveInputError),
+    InvalidInput(#[from] SolveInputError),
 }
 
-/// What a solve came to.
+/// Result of a solve.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SolverOutcome {
-    /// Nodes whose listed weight changes.
+    /// Entries with the new weights of the ready nodes whose weight changes.
     Changed(Vec<EndpointEntry>),
-    /// The last weights stay in force.
+    /// The solve failed; the last weights stay in force.
     Failed(SolveError),
 }
 
 impl WeightSolver {
-    /// The weight that a node is listed with, where one was solved.
+    /// The solved weight of a node, if there is one.
     pub fn weight(&self, node: NodeId) -> Option<f64> {
         weight_of(&self.weights, node)
     }
 
-    /// Puts solved weights in the place of listed ones.
+    /// Replaces the listed weights of an endpoint list event by solved weights, for nodes that have one.
     pub fn apply_to_event(&self, mut event: Event) -> Event {
         if let Event::EndpointList { entries, .. } = &mut event {
             for entry in entries {
@@ -74,25 +77,25 @@
         event
     }
 
-    /// Takes in the load reports among the events of a period's end.
+    /// Updates demand and capacity estimates by the load reports among the events of a report period.
     pub fn record_reports(
         &mut self,
         events: &[Event],
-        plan: &Deployment,
-        solver: &SolverConfig,
+        deployment: &Deployment,
+        config: &SolverConfig,
         members: &Membership,
-        nodes: &EndpointList,
+        endpoints: &EndpointList,
     ) {
-        let observations = Observations::collect(events, plan, members);
+        let observations = Observations::collect(events, deployment, members);
         for (key, rate) in observations.demand {
-            let known = self.demand.entry(key).or_insert(rate);
-            *known += DEMAND_SMOOTHING * (rate - *known);
+            let smoothed_rate = self.demand.entry(key).or_insert(rate);
+            *smoothed_rate += DEMAND_SMOOTHING * (rate - *smoothed_rate);
         }
-        let mean_work = self.mean_work(plan, solver);
+        let mean_work_seconds = self.mean_work_seconds(deployment, config);
         for (node, observation) in observations.nodes {
-            if let Some(record) = nodes.record(node) {
-                let configured = problem::configured_capacity(solver, &record.kind);
-                self.correct_estimate(node, observation, mean_work, configured);
+            if let Some(record) = endpoints.record(node) {
+                let configured = problem::configured_capacity(config, &record.kind);
+                self.correct_estimate(node, observation, mean_work_seconds, configured);
             }
         }
     }
@@ -101,11 +104,11 @@
         &mut self,
         node: NodeId,
         observation: NodeObservation,
-        mean_work: f64,
+        mean_work_seconds: f64,
         configured: f64,
     ) {
         let seen = Seen {
-            load: observation.attempt_rate * mean_work,
+            load: observation.attempt_rate * mean_work_seconds,
             utilization: observation.utilization,
             late_or_errored: observation.failures / observation.attempts.max(1.0),
             tries: observation.attempts,
@@ -116,11 +119,11 @@
             .see(seen);
     }
 
-    /// Seconds of work of a mean request; that of the most expensive operation while nothing is asked for.
-    fn mean_work(&self, plan: &Deployment, solver: &SolverConfig) -> f64 {
+    /// Mean work of a request, weighted by demand; without demand, the work of the most expensive operation.
+    fn mean_work_seconds(&self, deployment: &Deployment, config: &SolverConfig) -> f64 {
         let work = |operation: OperationId| {
-            problem::operation_plan(plan, operation)
-                .and_then(|operation| solver.work.get(&operation.name))
+            problem::operation_config(deployment, operation)
+                .and_then(|operation| config.work.get(&operation.name))
                 .map_or(0.0, |work| work.0.seconds())
         };
         let total_rate: f64 = self.demand.values().sum();
@@ -132,43 +135,44 @@
         if total_rate > 0.0 {
             return total_work / total_rate;
         }
-        solver
+        config
             .work
             .values()
             .map(|work| work.0.seconds())
             .fold(0.0, f64::max)
     }
 
-    /// Solves, if it is time to; `None` where nothing changes.
+    /// Solves if the solve interval has passed. `None` if no solve is due or no weight changes.
     pub fn solve_if_due(
         &mut self,
         now: Moment,
-        plan: &Deployment,
-        solver: &SolverConfig,
-        nodes: &EndpointList,
+        deployment: &Deployment,
+        config: &SolverConfig,
+        endpoints: &EndpointList,
     ) -> Option<SolverOutcome> {
-        if now < self.next_at || nodes.version().is_empty() || self.demand.is_empty() {
+        if now < self.next_solve_at || endpoints.version().is_empty() || self.demand.is_empty() {
             return None;
         }
-        self.next_at = now + solver.every;
+        self.next_solve_at = now + config.every;
         self.estimates
-            .retain(|node, _| nodes.record(*node).is_some());
-        let fleet = self.fleet(plan, solver, nodes);
+            .retain(|node, _| endpoints.record(*node).is_some());
+        let fleet = self.fleet(deployment, config, endpoints);
         match solve_within_limit(&fleet) {
             Ok(solution) => {
-                let entries = self.adopt_solution(&fleet, &solution, nodes);
+                let entries = self.update_weights(&fleet, &solution, endpoints);
                 (!entries.is_empty()).then_some(SolverOutcome::Changed(entries))
             }
             Err(error) => Some(SolverOutcome::Failed(error)),
         }
     }
 
-    /// Moves the weights towards a solution, and returns the ready nodes whose weight changes.
-    fn adopt_solution(
+    /// Moves the weights towards a solution, damped, and returns the entries of the ready nodes whose weight
+    /// changes.
+    fn update_weights(
         &mut self,
         fleet: &Fleet,
         solution: &Solution,
-        nodes: &EndpointList,
+        endpoints: &EndpointList,
     ) -> Vec<EndpointEntry> {
         let solved = solution
             .hosts
@@ -177,9 +181,9 @@
             .collect();
         let current = fleet.hosts.iter().map(|host| self.current_weight(host));
         let current: BTreeMap<String, f64> = current.collect();
-        let steadied = next(&current, &solved, Steadiness::default());
-        let before = std::mem::replace(&mut self.weights, steadied);
-        nodes
+        let damped_weights = next(&current, &solved, Steadiness::default());
+        let before = std::mem::replace(&mut self.weights, damped_weights);
+        endpoints
             .listed()
             .filter(|(_, entry)| entry.status == EndpointStatus::Ready)
             .filter_map(|(_, entry)| {
@@ -207,11 +211,11 @@
 
 fn solve_within_limit(fleet: &Fleet) -> Result<Solution, SolveError> {
     let mut steps_left = MAX_SOLVER_STEPS;
-    let mut is_over_limit = || {
+    let mut is_limit_reached = || {
         steps_left = steps_left.saturating_sub(1);
         steps_left == 0
     };
-    let solution = solve(fleet, &mut is_over_limit)?;
+    let solution = solve(fleet, &mut is_limit_reached)?;
     match solution.status {
         Status::Optimal => Ok(solution),
         _ => Err(SolveError::StepLimit),
--- a/crates/controller-core/src/weight_solver/observations.rs
+++ b/crates/controller-core/src/weight_solver/observations.rs
@@ -1,4 +1,4 @@
-//! Demand and node observations of one report period, taken from the events that the balancer gets.
+//! Demand and node observations of one report period, collected from the events that the balancer gets.
 
 use crate::deployment::Deployment;
 use crate::membership::Membership;
@@ -7,33 +7,33 @@
 use wheelspread::time::Span;
 use wheelspread::Event;
 
-/// The load metric that says how much of a node's capacity is in use.
+/// Name in the settings of the load metric that holds a node's utilization.
 const UTILIZATION_SETTING: &str = "utilization";
 
-/// What all zones' proxies together observed at one node.
+/// Observations of the proxies of all zones at one node.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct NodeObservation {
-    /// Attempts a second.
+    /// Attempts per second.
     pub(super) attempt_rate: f64,
     pub(super) attempts: f64,
     pub(super) failures: f64,
-    /// The last value that the node reported, of 1.
+    /// The last utilization that the node reported, as a ratio.
     pub(super) utilization: Option<f64>,
 }
 
-/// One period's observations.
+/// The observations of one report period.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Observations {
-    /// Requests a second, by zone and operation.
+    /// Requests per second, by zone and operation.
     pub(super) demand: BTreeMap<(ZoneId, OperationId), f64>,
     pub(super) nodes: BTreeMap<NodeId, NodeObservation>,
 }
 
 impl Observations {
-    /// Sums up the reports among these events; one without a window says nothing.
+    /// Sums up the reports among these events. A report with an empty window gives no rate and is left out.
     pub(super) fn collect(
         events: &[Event],
-        plan: &Deployment,
+        deployment: &Deployment,
         members: &Membership,
     ) -> Observations {
         let mut observations = Observations::default();
@@ -61,7 +61,7 @@
                     observation.failures += failures;
                     observation.attempts += attempts;
                     observation.utilization =
-                        utilization(plan, metrics).or(observation.utilization);
+                        utilization(deployment, metrics).or(observation.utilization);
                 }
                 _ => {}
             }
@@ -84,9 +84,9 @@
     }
 }
 
-/// The utilization among a report's load metrics; a metric that was not reported is below 0.
-fn utilization(plan: &Deployment, metrics: &[f64]) -> Option<f64> {
-    let loads = &plan.load_reports.loads;
-    let position = loads.iter().position(|name| name == UTILIZATION_SETTING)?;
-    metrics.get(position).copied().filter(|value| *value >= 0.0)
+/// The utilization among a report's load metrics; `None` if it was not reported, which is a value below 0.
+fn utilization(deployment: &Deployment, metrics: &[f64]) -> Option<f64> {
+    let loads = &deployment.load_reports.loads;
+    let index = loads.iter().position(|name| name == UTILIZATION_SETTING)?;
+    metrics.get(index).copied().filter(|value| *value >= 0.0)
 }
--- a/crates/controller/src/admin/status.rs
+++ b/crates/controller/src/admin/status.rs
@@ -192,7 +192,7 @@
     let from = now - plan.load_reports.period * LOAD_REPORT_PERIODS;
     let (tallies, seconds) = core.service_history().between(from, now);
     let operations = plan.operations.iter().enumerate().map(|(at, operation)| {
-        let tally = tallies.of(OperationId(at as u8));
+        let tally = tallies.for_operation(OperationId(at as u8));
         OperationLoad {
             operation: &operation.name,
             requests: tally.requests,
