--- a/crates/controller-core/src/deployment/error.rs
+++ b/crates/controller-core/src/deployment/error.rs
@@ -81,8 +81,8 @@
         /// The latency objective of the same operation.
         objective: Span,
     },
-    /// A fingerprinted operation has no retry window. Nodes recognize a fingerprint only for a limited time, which
-    /// has to be known so that no retry comes later.
+    /// A fingerprinted operation has no retry window. A fingerprint prevents a second effect only for a limited
+    /// time, which has to be known.
     #[error("a fingerprinted operation needs a window above 0")]
     RetryWindowMissing {
         /// The value in the file.
--- a/crates/controller-core/src/endpoint_list.rs
+++ b/crates/controller-core/src/endpoint_list.rs
@@ -251,7 +251,7 @@
     }
 
     /// Ends the doubt when its period is over: the missing nodes are removed, unless more than
-    /// `REFUTING_ANSWER_RATIO` of them have answered.
+    /// `REFUTING_ANSWER_RATIO` of them have answered. `None` if no node is removed.
     pub fn resolve_doubt(&mut self, now: Moment, deployment: &Deployment) -> Option<Event> {
         self.doubt_deadline(deployment)
             .filter(|until| now >= *until)?;
--- a/crates/controller-core/src/node_overrides.rs
+++ b/crates/controller-core/src/node_overrides.rs
@@ -181,16 +181,15 @@
     }
 
     /// Completes migrations and returns their nodes, which may now be listed in their new pools. A migration is
-    /// complete when no proxy's table can still list the node (`may_be_in_table`), or `grace` after its start.
+    /// complete when no proxy's table can still list the node (`in_table`), or `grace` after its start.
     pub fn complete_migrations(
         &mut self,
         now: Moment,
         grace: Span,
-        may_be_in_table: impl Fn(NodeId) -> bool,
+        in_table: impl Fn(NodeId) -> bool,
     ) -> Vec<NodeId> {
-        let is_complete = |node: NodeId, since: Moment| {
-            now > since && (now - since >= grace || !may_be_in_table(node))
-        };
+        let is_complete =
+            |node: NodeId, since: Moment| now > since && (now - since >= grace || !in_table(node));
         let mut complete = Vec::new();
         for (node, placement) in &self.placements {
             match placement {
--- a/crates/controller-core/src/service_history/tests.rs
+++ b/crates/controller-core/src/service_history/tests.rs
@@ -5,7 +5,7 @@
     Moment::from_seconds(seconds)
 }
 
-fn report(succeeded: u64, errored: u64, retries: u64, rate_limited: u64) -> LoadReport {
+fn report(succeeded: u64, errored: u64, retry_count: u64, rate_limited: u64) -> LoadReport {
     let node = NodeReport {
         succeeded,
         errored,
@@ -14,7 +14,7 @@
     let operation = OperationReport {
         operation: "quote".into(),
         rate_limited,
-        retries,
+        retries: retry_count,
         nodes: vec![node],
     };
     LoadReport {
--- a/crates/controller-core/src/weight_solver.rs
+++ b/crates/controller-core/src/weight_solver.rs
@@ -119,7 +119,8 @@
             .see(seen);
     }
 
-    /// Mean work of a request, weighted by demand; without demand, the work of the most expensive operation.
+    /// Mean work of a request in seconds, weighted by demand. Without demand it is the work of the most expensive
+    /// operation.
     fn mean_work_seconds(&self, deployment: &Deployment, config: &SolverConfig) -> f64 {
         let work = |operation: OperationId| {
             problem::operation_config(deployment, operation)
