--- a/crates/controller-core/src/update_queue/tests.rs
+++ b/crates/controller-core/src/update_queue/tests.rs
@@ -1,16 +1,16 @@
 use super::*;
-use crate::deployment::tests::plan;
+use crate::deployment::tests::test_deployment;
 use proptest::prelude::*;
 
 fn at(seconds: f64) -> Moment {
     Moment::from_seconds(seconds)
 }
 
-fn queue(lines_per_second: f64, messages_at_most: u32) -> UpdateQueue {
-    let plan = UpdateQueuePlan {
-        lines_per_second,
-        messages_at_most,
-        ..plan().channel
+fn queue(entries_per_second: f64, max_messages: u32) -> UpdateQueue {
+    let plan = UpdateQueueConfig {
+        entries_per_second,
+        max_messages,
+        ..test_deployment().update_queue
     };
     UpdateQueue::new(at(0.0), &plan)
 }
