--- a/crates/controller-core/src/acknowledgement.rs
+++ b/crates/controller-core/src/acknowledgement.rs
@@ -3,7 +3,7 @@
 //!
 //! Files carry no acknowledgement. A proxy that reports its status says which version it holds. A proxy that never
 //! reports one is assumed to hold a version one second after it was written. A rejected version acknowledges no
-//! marker.
+//! marker, but a stream reader that rejects it is waited for only one second.
 
 use crate::publication::Version;
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/controller-core/src/controller_core/configuration.rs
+++ b/crates/controller-core/src/controller_core/configuration.rs
@@ -38,7 +38,7 @@
 impl HeldTables<'_> {
     /// Whether the proxy's tables may contain the node: the proxy does not hold the newest version yet, or the
     /// newest version contains the node.
-    fn may_have_entry_for(&self, node: NodeId) -> bool {
+    fn may_contain(&self, node: NodeId) -> bool {
         self.applied < Some(self.newest.version) || self.newest.has_entry_for(node)
     }
 }
@@ -103,10 +103,9 @@
         let grace = self.deployment.rules.drain_grace;
         // Within one drain grace after the start, a proxy that has not connected yet may hold tables of an
         // earlier run.
-        let is_startup_grace = now - self.started_at < grace;
-        let may_have_entry = |node: NodeId| {
-            is_startup_grace || held_tables.iter().any(|held| held.may_have_entry_for(node))
-        };
+        let is_starting_up = now - self.started_at < grace;
+        let may_have_entry =
+            |node: NodeId| is_starting_up || held_tables.iter().any(|held| held.may_contain(node));
         let migrated: BTreeSet<NodeId> = self
             .overrides
             .complete_migrations(now, grace, may_have_entry)
@@ -131,7 +130,7 @@
         let disconnected_members = self
             .members
             .members()
-            .filter(|(_, m)| !m.is_joined())
+            .filter(|(_, member)| !member.is_joined())
             .count();
         RolloutProgress {
             configuration: self.configuration.version,
--- a/crates/controller-core/src/controller_core/endpoints.rs
+++ b/crates/controller-core/src/controller_core/endpoints.rs
@@ -94,7 +94,7 @@
     pub(super) fn list_endpoints(&mut self, now: Moment, event: Event) {
         let event = self.overrides.apply_to_event(now, event);
         let event = self.solver.apply_to_event(event);
-        let event = self.rollback.apply(event);
+        let event = self.rollback.apply_to_event(event);
         self.handle_event(now, &event);
     }
 
--- a/crates/controller-core/src/controller_core/publishing.rs
+++ b/crates/controller-core/src/controller_core/publishing.rs
@@ -33,7 +33,7 @@
         for proxy in &affected {
             // A proxy that was bound in this round is sent its tables even if it holds them already, because it
             // waits for a delivery.
-            self.offer(now, *proxy, outcome.bound.contains(proxy));
+            self.enqueue_newest_tables(now, *proxy, outcome.bound.contains(proxy));
         }
         self.request_acknowledgements(now, &bound_proxies, &affected, &outcome.markers);
         self.report_queue_limit();
@@ -123,7 +123,7 @@
 
     /// Queues the newest tables of a proxy. Tables that were delivered already, or are being written, are queued
     /// again only if `is_forced`.
-    pub(super) fn offer(&mut self, now: Moment, proxy: ProxyId, is_forced: bool) {
+    pub(super) fn enqueue_newest_tables(&mut self, now: Moment, proxy: ProxyId, is_forced: bool) {
         let Some(newest) = self.publication.newest_for(proxy).cloned() else {
             return;
         };
@@ -139,7 +139,7 @@
         if urgency == Urgency::Update && self.transports.postpone(now, newest.bundle, proxy) {
             return;
         }
-        self.queue.offer(now, proxy, entries, urgency);
+        self.queue.enqueue(now, proxy, entries, urgency);
     }
 
     fn urgency(&self, proxy: ProxyId, latest: Option<&TableSet>, newest: &TableSet) -> Urgency {
--- a/crates/controller-core/src/controller_core/rollbacks.rs
+++ b/crates/controller-core/src/controller_core/rollbacks.rs
@@ -49,7 +49,9 @@
         self.log(LogEvent::RolledBack {
             version,
             entries: result.entries,
-            excluded: excluded.map(|(node, why)| (*node, why.as_str())).collect(),
+            excluded: excluded
+                .map(|(node, reason)| (*node, reason.as_str()))
+                .collect(),
         });
         Ok(result)
     }
--- a/crates/controller-core/src/controller_core/rounds.rs
+++ b/crates/controller-core/src/controller_core/rounds.rs
@@ -41,7 +41,7 @@
         }
         self.prune_recovered_tables(now);
         for proxy in self.transports.take_resumed(now) {
-            self.offer(now, proxy, false);
+            self.enqueue_newest_tables(now, proxy, false);
         }
         self.deliver(now);
         out.append(&mut self.effects);
@@ -80,7 +80,7 @@
         self.balancer.decide(now, &mut actions);
         let mut outcome = RoundOutcome::default();
         for action in actions {
-            self.apply(now, action, &mut outcome);
+            self.apply_action(now, action, &mut outcome);
         }
         self.publish(now, outcome);
     }
@@ -131,7 +131,7 @@
     }
 
     /// Applies one action of the balancer.
-    fn apply(&mut self, now: Moment, action: Action, outcome: &mut RoundOutcome) {
+    fn apply_action(&mut self, now: Moment, action: Action, outcome: &mut RoundOutcome) {
         match action {
             Action::SetWeight {
                 table,
--- a/crates/controller-core/src/controller_core/streams.rs
+++ b/crates/controller-core/src/controller_core/streams.rs
@@ -81,7 +81,7 @@
             proxy: identity.name.clone(),
             stream,
         });
-        self.offer(now, id, true);
+        self.enqueue_newest_tables(now, id, true);
     }
 
     pub(super) fn on_unsubscribed(&mut self, now: Moment, stream: StreamId) {
--- a/crates/controller-core/src/membership/tests.rs
+++ b/crates/controller-core/src/membership/tests.rs
@@ -23,13 +23,13 @@
         .open(at(1.0), StreamId(2), &identity("a"), &plan())
         .expect("fine");
     assert_eq!(second.superseded, Some(StreamId(1)));
-    let kinds: Vec<bool> = second
+    let leaves: Vec<bool> = second
         .events
         .iter()
-        .map(|e| matches!(e, Event::ProxyLeft { .. }))
+        .map(|event| matches!(event, Event::ProxyLeft { .. }))
         .collect();
     assert_eq!(
-        kinds,
+        leaves,
         [true, false],
         "the balancer sees the proxy leave, then join"
     );
--- a/crates/controller-core/src/publication.rs
+++ b/crates/controller-core/src/publication.rs
@@ -243,8 +243,8 @@
         table: TableId,
         zone_of: &impl Fn(NodeId) -> String,
     ) -> OperationTable {
-        let known = self.tables.get(&table);
-        let weights = known.iter().flat_map(|table| &table.weights);
+        let content = self.tables.get(&table);
+        let weights = content.iter().flat_map(|table| &table.weights);
         let entries = weights
             .filter(|(node, _)| !self.ejected.contains(node))
             .map(|(node, weight)| TableEntry {
@@ -252,16 +252,16 @@
                 zone: zone_of(*node),
                 weight: *weight,
             });
-        let own = known.and_then(|table| table.policies.get(&operation));
-        let common = self.common_policies.get(&operation);
+        let own_policy = content.and_then(|table| table.policies.get(&operation));
+        let common_policy = self.common_policies.get(&operation);
         // If both are set, the lower admission limit and the table's own retry policy apply.
-        let limit = own
+        let limit = own_policy
             .into_iter()
-            .chain(common)
+            .chain(common_policy)
             .map(|policy| policy.limit)
             .reduce(f64::min);
-        let retry = own
-            .or(common)
+        let retry = own_policy
+            .or(common_policy)
             .map_or(RetryPolicy::IfUnprocessed, |policy| policy.retry);
         OperationTable {
             operation,
--- a/crates/controller-core/src/rollback.rs
+++ b/crates/controller-core/src/rollback.rs
@@ -35,7 +35,7 @@
     /// The node is warming up.
     WarmingUp,
     /// The balancer leaves the node out of the current table, for example as an outlier.
-    OmittedByBalancer,
+    NotInTable,
 }
 
 impl ExclusionReason {
@@ -45,7 +45,7 @@
             ExclusionReason::NotListed => "not listed any more",
             ExclusionReason::Draining => "drains",
             ExclusionReason::WarmingUp => "cold",
-            ExclusionReason::OmittedByBalancer => "kept out for what is known of it",
+            ExclusionReason::NotInTable => "kept out for what is known of it",
         }
     }
 }
@@ -116,9 +116,7 @@
             Some(entry) if self.rules.is_warming(now, entry.started) => {
                 Some(ExclusionReason::WarmingUp)
             }
-            Some(_) if !current_shares.contains_key(&node) => {
-                Some(ExclusionReason::OmittedByBalancer)
-            }
+            Some(_) if !current_shares.contains_key(&node) => Some(ExclusionReason::NotInTable),
             Some(_) => None,
         }
     }
@@ -151,7 +149,7 @@
     }
 
     /// Replaces the weights in an endpoint list event by those of the rollback.
-    pub fn apply(&self, mut event: Event) -> Event {
+    pub fn apply_to_event(&self, mut event: Event) -> Event {
         if let Event::EndpointList { entries, .. } = &mut event {
             for entry in entries {
                 if let Some(weight) = self.weights.get(&entry.node) {
--- a/crates/controller-core/src/update_queue.rs
+++ b/crates/controller-core/src/update_queue.rs
@@ -134,7 +134,7 @@
     }
 
     /// Queues an update for a proxy; it replaces one that is still queued.
-    pub fn offer(&mut self, now: Moment, proxy: ProxyId, entries: f64, urgency: Urgency) {
+    pub fn enqueue(&mut self, now: Moment, proxy: ProxyId, entries: f64, urgency: Urgency) {
         let replaced = self.remove(proxy);
         self.counts.superseded += u64::from(replaced.is_some());
         self.insert(
--- a/crates/controller-core/src/update_queue/tests.rs
+++ b/crates/controller-core/src/update_queue/tests.rs
@@ -24,10 +24,10 @@
         (3, Urgency::FirstTables),
         (4, Urgency::Update),
     ] {
-        queue.offer(at(1.0), ProxyId(proxy), 5.0, urgency);
+        queue.enqueue(at(1.0), ProxyId(proxy), 5.0, urgency);
     }
-    queue.offer(at(2.0), ProxyId(4), 3.0, Urgency::Removal);
-    queue.offer(at(2.5), ProxyId(4), 4.0, Urgency::Update);
+    queue.enqueue(at(2.0), ProxyId(4), 3.0, Urgency::Removal);
+    queue.enqueue(at(2.5), ProxyId(4), 4.0, Urgency::Update);
     assert_eq!(
         (queue.queued_entries(), queue.counts().superseded),
         (4.0 * 6.0 + 15.0 + 4.0, 2)
@@ -45,7 +45,7 @@
     for tick in 0..1000 {
         let now = at(10.0 + f64::from(tick) * 0.01);
         for proxy in 0..20 {
-            queue.offer(now, ProxyId(proxy), 4.0, Urgency::Update);
+            queue.enqueue(now, ProxyId(proxy), 4.0, Urgency::Update);
         }
         while let Some(proxy) = queue.start_next(now) {
             queue.on_written(proxy);
@@ -60,9 +60,9 @@
 #[test]
 fn a_failed_write_is_retried_with_a_growing_backoff_and_the_newest_update() {
     let mut queue = queue(1e6, 0);
-    queue.offer(at(1.0), ProxyId(1), 5.0, Urgency::Update);
+    queue.enqueue(at(1.0), ProxyId(1), 5.0, Urgency::Update);
     assert_eq!(queue.start_next(at(1.0)), Some(ProxyId(1)));
-    queue.offer(at(1.1), ProxyId(1), 2.0, Urgency::Update);
+    queue.enqueue(at(1.1), ProxyId(1), 2.0, Urgency::Update);
     assert_eq!(
         queue.start_next(at(1.2)),
         None,
@@ -90,7 +90,7 @@
         let (mut now, mut sent) = (at(0.0), BTreeMap::<ProxyId, Vec<Moment>>::new());
         for (proxy, wait, fails) in steps {
             now = now + Span::from_seconds(wait as f64 / 1000.0);
-            queue.offer(now, ProxyId(proxy), 1.0, Urgency::Update);
+            queue.enqueue(now, ProxyId(proxy), 1.0, Urgency::Update);
             while let Some(proxy) = queue.start_next(now) {
                 sent.entry(proxy).or_default().push(now);
                 if fails { queue.on_write_failed(now, proxy, Urgency::Update); } else { queue.on_written(proxy); }
