--- a/crates/config-rollout/tests/kills.rs
+++ b/crates/config-rollout/tests/kills.rs
@@ -251,7 +251,7 @@
             };
             let opened = Observation::StreamOpened {
                 stream: StreamId(self.streams),
-                identity: who,
+                proxy_identity: who,
             };
             running.session.observe(self.now, opened);
             if let Some(set) = self.links.get(&name) {
--- a/crates/controller-core/src/controller_core.rs
+++ b/crates/controller-core/src/controller_core.rs
@@ -143,9 +143,10 @@
         self.schedule.request_round();
         match observation {
             Observation::EndpointList(list) => self.on_endpoint_list(now, list),
-            Observation::StreamOpened { stream, identity } => {
-                self.on_stream_opened(now, stream, &identity)
-            }
+            Observation::StreamOpened {
+                stream,
+                proxy_identity,
+            } => self.on_stream_opened(now, stream, &proxy_identity),
             Observation::StreamClosed { stream } => self.on_stream_closed(now, stream),
             Observation::LoadReport { stream, report } => {
                 self.on_load_report(now, stream, &report);
@@ -165,9 +166,9 @@
             }
             Observation::Subscribed {
                 stream,
-                identity,
+                proxy_identity,
                 initial_version,
-            } => self.on_subscribed(now, stream, &identity, initial_version),
+            } => self.on_subscribed(now, stream, &proxy_identity, initial_version),
             Observation::Unsubscribed { stream } => self.on_unsubscribed(now, stream),
             Observation::UpdatesPaused { bundle, until } => self.pause_updates(now, bundle, until),
             Observation::RollBack {
--- a/crates/controller-core/src/controller_core/observation.rs
+++ b/crates/controller-core/src/controller_core/observation.rs
@@ -31,7 +31,7 @@
         /// The stream.
         stream: StreamId,
         /// Identity of the proxy.
-        identity: ProxyIdentity,
+        proxy_identity: ProxyIdentity,
     },
     /// A stream of load reports ended.
     StreamClosed {
@@ -73,7 +73,7 @@
         /// The stream.
         stream: StreamId,
         /// Identity of the proxy.
-        identity: ProxyIdentity,
+        proxy_identity: ProxyIdentity,
         /// The version that the proxy reports to hold.
         initial_version: Option<Version>,
     },
--- a/crates/controller-core/src/controller_core/tests.rs
+++ b/crates/controller-core/src/controller_core/tests.rs
@@ -83,7 +83,7 @@
     }
 
     fn join(&mut self, stream: u64, name: &str, zone: &str) {
-        let identity = ProxyIdentity {
+        let proxy_identity = ProxyIdentity {
             name: name.into(),
             zone: zone.into(),
             usual_rate: None,
@@ -92,14 +92,14 @@
             self.now,
             Observation::StreamOpened {
                 stream: StreamId(stream),
-                identity,
+                proxy_identity,
             },
         );
         self.settle();
     }
 
     fn subscribe(&mut self, stream: u64, name: &str, zone: &str, initial_version: Option<u64>) {
-        let identity = ProxyIdentity {
+        let proxy_identity = ProxyIdentity {
             name: name.into(),
             zone: zone.into(),
             usual_rate: None,
@@ -109,7 +109,7 @@
             self.now,
             Observation::Subscribed {
                 stream: StreamId(stream),
-                identity,
+                proxy_identity,
                 initial_version,
             },
         );
--- a/crates/controller/src/admin/tests.rs
+++ b/crates/controller/src/admin/tests.rs
@@ -78,14 +78,14 @@
         self.core
             .observe(self.now, Observation::EndpointList(unreadable));
         for (stream, zone) in [(1, "north"), (2, "south")] {
-            let identity = ProxyIdentity {
+            let proxy_identity = ProxyIdentity {
                 name: format!("gateway-{zone}"),
                 zone: zone.to_string(),
                 usual_rate: Some(20.0),
             };
             let opened = Observation::StreamOpened {
                 stream: StreamId(stream),
-                identity,
+                proxy_identity,
             };
             self.core.observe(self.now, opened);
         }
--- a/crates/controller/src/discovery_server.rs
+++ b/crates/controller/src/discovery_server.rs
@@ -73,8 +73,10 @@
     ) {
         let subscribed = match &observation {
             Observation::Subscribed {
-                stream, identity, ..
-            } => Some((*stream, identity.name.clone())),
+                stream,
+                proxy_identity,
+                ..
+            } => Some((*stream, proxy_identity.name.clone())),
             Observation::Unsubscribed { stream } => {
                 self.protocol.close(*stream);
                 None
--- a/crates/controller/src/streams/receive.rs
+++ b/crates/controller/src/streams/receive.rs
@@ -113,16 +113,16 @@
         let (connection, is_identified) = (stream.connection, stream.is_identified);
         let request = loads::decode_request(bytes).map_err(Rejection::invalid)?;
         if !is_identified {
-            let identity = loads::introduction(&request)
+            let proxy_identity = loads::introduction(&request)
                 .ok_or_else(|| Rejection::invalid("the first report names no node"))?;
-            self.check_node_id(connection, &identity.name)
+            self.check_node_id(connection, &proxy_identity.name)
                 .map_err(Rejection::denied)?;
             if let Some(stream) = self.report_streams.get_mut(&id) {
                 stream.is_identified = true;
             }
             observations.push(Observation::StreamOpened {
                 stream: id,
-                identity,
+                proxy_identity,
             });
         }
         if let Some(report) = loads::report(&request) {
@@ -148,17 +148,17 @@
         };
         let request = request.map_err(Rejection::invalid)?;
         if !is_identified {
-            let identity = request
+            let proxy_identity = request
                 .introduction
                 .ok_or_else(|| Rejection::invalid("the first request names no node"))?;
-            self.check_node_id(connection, &identity.name)
+            self.check_node_id(connection, &proxy_identity.name)
                 .map_err(Rejection::denied)?;
             if let Some(stream) = self.discovery_streams.get_mut(&id) {
                 stream.is_identified = true;
             }
             observations.push(Observation::Subscribed {
                 stream: id,
-                identity,
+                proxy_identity,
                 initial_version: request.client_version,
             });
         }
