--- a/crates/controller-core/src/controller_core.rs
+++ b/crates/controller-core/src/controller_core.rs
@@ -1,8 +1,8 @@
 //! The controller's protocol state, without sockets, disk or clock.
 //!
-//! [`ControllerCore::observe`] takes in what happened. [`ControllerCore::settle`] runs a decision round of the
-//! balancer when one is due and hands out the effects to carry out. One loop drives it: observe what came,
-//! settle, carry out the effects, sleep until [`ControllerCore::wake_at`].
+//! [`ControllerCore::observe`] records an observation. [`ControllerCore::settle`] runs a decision round of the
+//! balancer if one is due and returns the effects to carry out. The caller's loop passes pending observations,
+//! settles, carries out the effects and sleeps until [`ControllerCore::wake_at`].
 
 mod configuration;
 mod deliveries;
@@ -37,9 +37,9 @@
 use crate::transport::{Transport, Transports};
 use crate::update_queue::{UpdateCounts, UpdateQueue};
 use crate::weight_solver::WeightSolver;
-use configuration::ConfigurationInForce;
+use configuration::ActiveConfiguration;
 use deliveries::Deliveries;
-use recovery::{PendingRestore, UnclaimedProxies, PRUNE_AFTER_DRAIN_GRACES};
+use recovery::{PendingRestore, RecoveredTables, PRUNE_AFTER_DRAIN_GRACES};
 use schedule::RoundSchedule;
 use std::sync::Arc;
 use versions::{RetainedVersions, StoredVersions};
@@ -47,23 +47,23 @@
 use wheelspread::time::Moment;
 use wheelspread::{Balancer, CapacitySnapshot, Event};
 
-/// The tables of one proxy: what it should hold, and what it holds.
+/// The tables of one proxy: the newest version, and the versions that it applied and rejected.
 pub struct ProxyTableStatus<'a> {
-    /// The newest version for it.
+    /// The newest version published for the proxy.
     pub newest: Option<&'a Arc<TableSet>>,
-    /// How it gets its tables.
+    /// How the proxy gets its tables.
     pub transport: Transport,
-    /// The version that it holds, and since when.
+    /// The version that the proxy holds, and since when.
     pub applied: Option<AppliedVersion>,
-    /// The last version that it rejected.
+    /// The last version that the proxy rejected.
     pub rejected: Option<Version>,
 }
 
-/// A controller without its sockets, files and clock.
+/// The state of a controller, without sockets, files or clock.
 pub struct ControllerCore {
-    plan: Deployment,
-    /// This controller's among those of the deployment.
-    number: u32,
+    deployment: Deployment,
+    /// Index of this controller among the controllers of the deployment.
+    controller_index: u32,
     started_at: Moment,
     balancer: Balancer,
     schedule: RoundSchedule,
@@ -83,69 +83,70 @@
     deliveries: Deliveries,
     acknowledgements: Acknowledgements,
     stored_versions: StoredVersions,
-    unclaimed: UnclaimedProxies,
+    recovered_tables: RecoveredTables,
     pending_restore: PendingRestore,
-    configuration: ConfigurationInForce,
+    configuration: ActiveConfiguration,
     effects: Vec<Effect>,
 }
 
 impl ControllerCore {
-    /// Starts from what an earlier run left. `number`: this controller's among those of the deployment.
+    /// Starts a controller from the state of an earlier run. `controller_index` is the controller's index among
+    /// the controllers of the deployment.
     pub fn start(
         now: Moment,
         seed: u64,
-        plan: Deployment,
-        number: u32,
+        deployment: Deployment,
+        controller_index: u32,
         recovered: RecoveredState,
     ) -> Result<ControllerCore, StartError> {
-        let balancer = start_balancer(now, seed, &plan, number)?;
+        let balancer = start_balancer(now, seed, &deployment, controller_index)?;
         let last_version = recovered.last_version();
-        let mut publication = Publication::new(plan.operations.len(), last_version);
+        let mut publication = Publication::new(deployment.operations.len(), last_version);
         publication.set_configuration(recovered.configuration);
         let mut endpoints = EndpointList::default();
-        let overrides = recovered.node_overrides(now, &plan, &mut endpoints);
-        let prune_at = now + plan.rules.drain_grace * PRUNE_AFTER_DRAIN_GRACES;
+        let overrides = recovered.node_overrides(now, &deployment, &mut endpoints);
+        let prune_at = now + deployment.rules.drain_grace * PRUNE_AFTER_DRAIN_GRACES;
         Ok(ControllerCore {
-            number,
+            controller_index,
             started_at: now,
             balancer,
-            schedule: RoundSchedule::new(now, plan.load_reports.period),
+            schedule: RoundSchedule::new(now, deployment.load_reports.period),
             endpoints,
             overrides,
             solver: WeightSolver::default(),
             rollback: RollbackWeights::default(),
             members: Membership::default(),
-            transports: Transports::new(plan.table_delivery.files),
+            transports: Transports::new(deployment.table_delivery.files),
             aggregator: LoadAggregator::default(),
-            history: ServiceHistory::new(plan.load_reports.period),
+            history: ServiceHistory::new(deployment.load_reports.period),
             evidence: DrainEvidence::default(),
             publication,
             retained_versions: RetainedVersions::default(),
-            queue: UpdateQueue::new(now, &plan.update_queue),
+            queue: UpdateQueue::new(now, &deployment.update_queue),
             queue_was_over_limit: false,
             deliveries: Deliveries::default(),
             acknowledgements: Acknowledgements::default(),
             stored_versions: StoredVersions::new(now, recovered.versions),
-            unclaimed: UnclaimedProxies::new(recovered.tables, prune_at),
+            recovered_tables: RecoveredTables::new(recovered.tables, prune_at),
             pending_restore: PendingRestore::new(recovered.endpoint_list, recovered.capacities),
-            configuration: ConfigurationInForce {
+            configuration: ActiveConfiguration {
                 version: recovered.configuration,
-                tables_above: last_version,
+                last_version_before: last_version,
             },
             effects: Vec::new(),
-            plan,
+            deployment,
         })
     }
 
-    /// Takes in something that happened. Effects come with the next [`ControllerCore::settle`].
+    /// Records an observation. The next [`ControllerCore::settle`] returns the resulting effects.
     pub fn observe(&mut self, now: Moment, observation: Observation) {
         self.schedule.request_round();
         match observation {
             Observation::EndpointList(list) => self.on_endpoint_list(now, list),
             Observation::StreamOpened {
                 stream,
-                introduction,
-            } => self.on_stream_opened(now, stream, &introduction),
+                proxy_identity,
+            } => self.on_stream_opened(now, stream, &proxy_identity),
             Observation::StreamClosed { stream } => self.on_stream_closed(now, stream),
             Observation::LoadReport { stream, report } => {
                 self.on_load_report(now, stream, &report);
@@ -160,14 +161,14 @@
                 version,
                 result,
             } => self.on_tables_written(now, proxy, version, result),
-            Observation::PaceChanged { entries_per_second } => {
-                self.queue.set_pace(entries_per_second);
+            Observation::PacingChanged { entries_per_second } => {
+                self.queue.set_pacing(entries_per_second);
             }
             Observation::Subscribed {
                 stream,
-                introduction,
+                proxy_identity,
                 initial_version,
-            } => self.on_subscribed(now, stream, &introduction, initial_version),
+            } => self.on_subscribed(now, stream, &proxy_identity, initial_version),
             Observation::Unsubscribed { stream } => self.on_unsubscribed(now, stream),
             Observation::UpdatesPaused { bundle, until } => self.pause_updates(now, bundle, until),
             Observation::RollBack {
@@ -187,53 +188,53 @@
         }
     }
 
-    /// The deployment's settings in force.
-    pub fn plan(&self) -> &Deployment {
-        &self.plan
+    /// The settings of the deployment in force.
+    pub fn deployment(&self) -> &Deployment {
+        &self.deployment
     }
 
-    /// The last version that was made.
-    pub fn version(&self) -> Version {
+    /// The highest version allocated so far.
+    pub fn last_version(&self) -> Version {
         self.publication.last_version()
     }
 
-    /// Entries in the update queue.
+    /// Entries in the update queue or in flight, overhead included.
     pub fn queued_entries(&self) -> f64 {
         self.queue.queued_entries()
     }
 
-    /// How many updates went to proxies.
+    /// Counts of the updates sent and superseded.
     pub fn update_counts(&self) -> UpdateCounts {
         self.queue.counts()
     }
 
     /// The endpoint list in force.
-    pub fn nodes(&self) -> &EndpointList {
+    pub fn endpoint_list(&self) -> &EndpointList {
         &self.endpoints
     }
 
-    /// The proxies that are joined or were lately.
+    /// The known proxies: joined ones, and disconnected ones that are not forgotten yet.
     pub fn members(&self) -> &Membership {
         &self.members
     }
 
-    /// What load reports of the last periods sum up to.
+    /// Sums of the load reports of recent report periods.
     pub fn service_history(&self) -> &ServiceHistory {
         &self.history
     }
 
-    /// Up to when all joined proxies that report have reported.
+    /// The time up to which every joined proxy that sends load reports has reported.
     pub fn reported_until(&self) -> Option<Moment> {
         let joined = self.joined_members().map(|(_, member)| member.id);
         self.history.reported_until(joined)
     }
 
-    /// What the balancer knows of nodes' capacities, to be stored for a restart.
+    /// The balancer's capacity estimates of nodes, to be stored and restored after a restart.
     pub fn capacity_snapshots(&self) -> impl Iterator<Item = CapacitySnapshot> + '_ {
         self.balancer.capacity_snapshots()
     }
 
-    /// The tables of a proxy.
+    /// The status of a proxy's tables.
     pub fn table_status(&self, proxy: ProxyId) -> ProxyTableStatus<'_> {
         ProxyTableStatus {
             newest: self.publication.newest_for(proxy),
@@ -253,7 +254,7 @@
         self.members.by_id(proxy).is_some_and(Member::is_joined)
     }
 
-    /// The version that a proxy is known to hold.
+    /// The version that a proxy is known to hold; `None` if that is unknown.
     fn applied_version(&self, member: &Member) -> Option<Version> {
         self.acknowledgements
             .applied(member.id)
@@ -264,7 +265,7 @@
         self.effects.push(Effect::Log(event));
     }
 
-    /// Hands an event to the balancer.
+    /// Passes an event to the balancer; an event that the balancer rejects is logged.
     fn handle_event(&mut self, now: Moment, event: &Event) {
         if let Err(error) = self.balancer.handle_event(now, event) {
             let reason = error.to_string();
@@ -276,18 +277,20 @@
 fn start_balancer(
     now: Moment,
     seed: u64,
-    plan: &Deployment,
-    number: u32,
+    deployment: &Deployment,
+    controller_index: u32,
 ) -> Result<Balancer, StartError> {
-    let errors = plan.validate();
+    let errors = deployment.validate();
     if !errors.is_empty() {
         return Err(StartError::InvalidSettings(errors));
     }
-    Balancer::start(now, seed, plan.to_settings(number, None)).map_err(StartError::Balancer)
+    Balancer::start(now, seed, deployment.to_settings(controller_index, None))
+        .map_err(StartError::Balancer)
 }
 
-fn zone_of(plan: &Deployment, name: &str) -> Option<ZoneId> {
-    plan.zones
+fn zone_of(deployment: &Deployment, name: &str) -> Option<ZoneId> {
+    deployment
+        .zones
         .iter()
         .position(|zone| zone == name)
         .map(|index| ZoneId(index as u16))
--- a/crates/controller-core/src/controller_core/rollbacks.rs
+++ b/crates/controller-core/src/controller_core/rollbacks.rs
@@ -1,4 +1,4 @@
-//! Rollback of a table to an older version, and its end.
+//! Starting, correcting and ending the rollback of a table to an older version.
 
 use super::ControllerCore;
 use crate::publication::{BundleId, TableSet, Version};
@@ -25,7 +25,7 @@
             .push(Effect::RollbackFinished { request, result });
     }
 
-    /// Most proxies reject a table: ordinary updates of it wait until then.
+    /// Pauses ordinary updates of a table that most proxies reject.
     pub(super) fn pause_updates(&mut self, now: Moment, bundle: BundleId, until: Moment) {
         self.transports.pause_updates(bundle, until);
         let wait = until - now;
@@ -44,42 +44,47 @@
             .filter(|set| set.bundle == bundle)
             .cloned()
             .ok_or(RollbackError::VersionNotRetained(version))?;
-        let result = self.step_towards(now, &target)?;
+        let result = self.step_rollback(now, &target)?;
         let excluded = result.excluded.iter();
         self.log(LogEvent::RolledBack {
             version,
             entries: result.entries,
-            excluded: excluded.map(|(node, why)| (*node, why.as_str())).collect(),
+            excluded: excluded
+                .map(|(node, reason)| (*node, reason.as_str()))
+                .collect(),
         });
         Ok(result)
     }
 
-    /// Works out the listed weights that lead to the target, and lists all ready nodes with them.
-    fn step_towards(
+    /// Computes listed weights that bring the table closer to the target, and lists all ready nodes with them.
+    fn step_rollback(
         &mut self,
         now: Moment,
         target: &Arc<TableSet>,
     ) -> Result<RollbackResult, RollbackError> {
         let newest = self.publication.newest(target.bundle);
         let current = newest.cloned().ok_or(RollbackError::NeverPublished)?;
-        let listed: BTreeMap<NodeId, EndpointEntry> =
-            self.serving().map(|entry| (entry.node, entry)).collect();
+        let listed: BTreeMap<NodeId, EndpointEntry> = self
+            .effective_entries()
+            .map(|entry| (entry.node, entry))
+            .collect();
         let request = RollbackRequest {
             target,
             current: &current,
             listed: &listed,
-            rules: &self.plan.rules,
+            rules: &self.deployment.rules,
         };
         let result = self.rollback.step(now, &request);
         self.relist(now, |entry| entry.status == EndpointStatus::Ready);
         Ok(result)
     }
 
-    /// The balancer combines listed weights with what it knows of nodes: the rest is corrected now and then.
+    /// Corrects the listed weights of a rollback when a correction is due. The balancer combines listed weights
+    /// with its own estimates, so the published weights differ from the target after the first step.
     pub(super) fn correct_rollback(&mut self, now: Moment) {
         if let Some(target) = self.rollback.due_correction(now) {
-            // A table that is not published any more is not corrected.
-            let _ = self.step_towards(now, &target);
+            // The error is ignored: a table that is no longer published needs no correction.
+            let _ = self.step_rollback(now, &target);
         }
     }
 
--- a/crates/controller-core/src/controller_core/streams.rs
+++ b/crates/controller-core/src/controller_core/streams.rs
@@ -1,7 +1,7 @@
-//! Streams: load reports and tables, and the proxies that join and leave with them.
+//! Streams of load reports and of tables, by which proxies join and leave.
 
 use super::ControllerCore;
-use crate::membership::{Introduction, Member, OpenedStream, StreamId};
+use crate::membership::{Member, OpenedStream, ProxyIdentity, StreamId};
 use crate::publication::Version;
 use crate::{Effect, LogEvent};
 use std::sync::Arc;
@@ -13,24 +13,24 @@
         &mut self,
         now: Moment,
         stream: StreamId,
-        introduction: &Introduction,
+        identity: &ProxyIdentity,
     ) {
-        let Some(opened) = self.open_member_stream(now, stream, introduction) else {
+        let Some(opened) = self.open_member_stream(now, stream, identity) else {
             return;
         };
-        // A stream of tables goes on beside one of load reports.
+        // A stream of load reports does not close the proxy's stream of tables.
         let superseded = opened.superseded;
         if let Some(old) = superseded.filter(|old| !self.transports.is_table_stream(*old)) {
-            self.close_superseded(old, &introduction.name);
+            self.close_superseded(old, &identity.name);
         }
         self.effects.push(Effect::AcceptStream {
             stream,
-            period: self.plan.load_reports.period,
+            period: self.deployment.load_reports.period,
         });
-        self.on_joined(now, &opened, introduction);
-        let member = self.members.member(&introduction.name);
-        let claimed = self.unclaimed.claim(&introduction.name);
-        if let (Some(set), Some(member)) = (claimed, member) {
+        self.on_joined(now, &opened, identity);
+        let member = self.members.member(&identity.name);
+        let recovered = self.recovered_tables.take(&identity.name);
+        if let (Some(set), Some(member)) = (recovered, member) {
             self.deliveries.set_delivered(member.id, Arc::new(set));
         }
     }
@@ -53,35 +53,35 @@
         &mut self,
         now: Moment,
         stream: StreamId,
-        introduction: &Introduction,
+        identity: &ProxyIdentity,
         initial_version: Option<Version>,
     ) {
-        if !self.plan.table_delivery.streams {
-            let reason = "tables are not given out by streams here".to_string();
+        if !self.deployment.table_delivery.streams {
+            let reason = "this deployment does not serve tables by streams".to_string();
             return self.effects.push(Effect::CloseStream { stream, reason });
         }
-        if !self.has_report_stream(&introduction.name) {
-            let Some(opened) = self.open_member_stream(now, stream, introduction) else {
+        if !self.has_report_stream(&identity.name) {
+            let Some(opened) = self.open_member_stream(now, stream, identity) else {
                 return;
             };
-            self.on_joined(now, &opened, introduction);
+            self.on_joined(now, &opened, identity);
         }
-        let member = self.members.member(&introduction.name);
+        let member = self.members.member(&identity.name);
         let Some(id) = member.map(|member| member.id) else {
             return;
         };
         let initial_version =
             initial_version.filter(|version| self.publication.raise_last_version(*version));
         if let Some(old) = self.transports.open(id, stream, initial_version) {
-            self.close_superseded(old, &introduction.name);
+            self.close_superseded(old, &identity.name);
         }
-        self.unclaimed.claim(&introduction.name);
+        self.recovered_tables.take(&identity.name);
         self.start_subscription(id);
         self.log(LogEvent::ProxySubscribed {
-            proxy: introduction.name.clone(),
+            proxy: identity.name.clone(),
             stream,
         });
-        self.offer(now, id, true);
+        self.enqueue_newest_tables(now, id, true);
     }
 
     pub(super) fn on_unsubscribed(&mut self, now: Moment, stream: StreamId) {
@@ -94,7 +94,7 @@
         self.on_stream_closed(now, stream);
     }
 
-    /// Whether the proxy is joined by a stream of load reports, beside which one of tables can go.
+    /// Whether the proxy is joined by a stream of load reports; its stream of tables is then opened in addition.
     fn has_report_stream(&self, proxy: &str) -> bool {
         self.members
             .member(proxy)
@@ -102,14 +102,14 @@
             .is_some_and(|stream| !self.transports.is_table_stream(stream))
     }
 
-    /// Opens the stream that a proxy is joined by, or rejects it.
+    /// Opens the stream by which a proxy joins, or rejects it and closes it with the reason.
     fn open_member_stream(
         &mut self,
         now: Moment,
         stream: StreamId,
-        introduction: &Introduction,
+        identity: &ProxyIdentity,
     ) -> Option<OpenedStream> {
-        match self.members.open(now, stream, introduction, &self.plan) {
+        match self.members.open(now, stream, identity, &self.deployment) {
             Ok(opened) => Some(opened),
             Err(error) => {
                 let reason = error.to_string();
@@ -123,13 +123,13 @@
         }
     }
 
-    fn on_joined(&mut self, now: Moment, opened: &OpenedStream, introduction: &Introduction) {
+    fn on_joined(&mut self, now: Moment, opened: &OpenedStream, identity: &ProxyIdentity) {
         for event in &opened.events {
             self.handle_event(now, event);
         }
         self.log(LogEvent::ProxyJoined {
-            proxy: introduction.name.clone(),
-            zone: introduction.zone.clone(),
+            proxy: identity.name.clone(),
+            zone: identity.zone.clone(),
         });
     }
 
@@ -138,14 +138,15 @@
         self.effects.push(Effect::CloseStream { stream, reason });
     }
 
-    /// The proxy says by itself what it holds from now on: nothing is assumed of it.
+    /// Clears deliveries, queued updates and assumptions about a proxy's tables. A proxy that reads a stream reports
+    /// the version that it holds.
     fn start_subscription(&mut self, proxy: ProxyId) {
         self.deliveries.forget(proxy);
         self.queue.drop_updates(proxy);
         self.acknowledgements.on_subscribed(proxy);
     }
 
-    /// Nothing is published any more for proxies that the membership has forgotten.
+    /// Removes the state of proxies that the membership has forgotten; nothing is published for them any more.
     pub(super) fn release_forgotten_proxies(&mut self) {
         let forgotten: Vec<ProxyId> = self
             .publication
