--- a/crates/wheelspread-adapter/src/decode.rs
+++ b/crates/wheelspread-adapter/src/decode.rs
@@ -1,63 +1,63 @@
-//! Decoding of the simulator's frames: bytes into records.
+//! Decoding of the records in the simulator's batches.
 
-use crate::codes::{endpoint_status, event, list_kind, PROBE_SUCCEEDED};
+use crate::codes::{endpoint_status, event, list_kind, PROBE_SUCCESS_STATUS};
 use std::string::FromUtf8Error;
 use wheelspread::ids::*;
 use wheelspread::time::{Moment, Span};
 use wheelspread::{EndpointEntry, EndpointListKind, EndpointStatus, Event};
 
-/// Why bytes are no record.
+/// An error in the encoding of a batch header or a record.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// The batch ends within a field.
-    #[error("{wanted} bytes wanted, {left} left")]
+    /// The data ends inside a field.
+    #[error("field is truncated: expected {expected} bytes, {remaining} remain")]
     Truncated {
-        /// Bytes of the field.
-        wanted: usize,
-        /// Bytes that are there.
-        left: usize,
+        /// Length of the field in bytes.
+        expected: usize,
+        /// Bytes that remain in the data.
+        remaining: usize,
     },
-    /// No event has this code.
+    /// The record starts with a code that is not in [`event`].
     #[error("unknown event code {0}")]
     UnknownEvent(u8),
-    /// No kind of endpoint list has this code.
-    #[error("unknown kind of list {0}")]
+    /// The code of an endpoint list's kind is not in [`list_kind`].
+    #[error("unknown endpoint list kind {0}")]
     UnknownListKind(u8),
-    /// No endpoint status has this code.
-    #[error("unknown mode {0} in a list entry")]
+    /// The code of an endpoint's status is not in [`endpoint_status`].
+    #[error("unknown status {0} in an endpoint entry")]
     UnknownEndpointStatus(u8),
-    /// The settings are no UTF-8.
-    #[error("settings: {0}")]
-    Settings(#[from] FromUtf8Error),
+    /// The settings of a boot record are not valid UTF-8.
+    #[error("settings are not valid UTF-8: {0}")]
+    InvalidSettingsText(#[from] FromUtf8Error),
 }
 
-/// Reads fields from the front of a frame. Integers and floats are little-endian.
+/// Reads consecutive fields from a byte slice. Integers and floating-point numbers are little-endian.
 pub struct Reader<'a> {
     bytes: &'a [u8],
-    /// How much has been read.
-    pub position: usize,
+    /// Offset of the next unread byte.
+    pub offset: usize,
 }
 
 impl<'a> Reader<'a> {
-    /// A reader at the beginning of these bytes.
+    /// A reader that starts at the first byte.
     pub fn new(bytes: &'a [u8]) -> Reader<'a> {
-        Reader { bytes, position: 0 }
+        Reader { bytes, offset: 0 }
     }
 
-    /// Bytes that have not been read.
+    /// Number of unread bytes.
     pub fn remaining(&self) -> usize {
-        self.bytes.len() - self.position
+        self.bytes.len() - self.offset
     }
 
     fn read_bytes(&mut self, count: usize) -> Result<&'a [u8], DecodeError> {
         if self.remaining() < count {
             return Err(DecodeError::Truncated {
-                wanted: count,
-                left: self.remaining(),
+                expected: count,
+                remaining: self.remaining(),
             });
         }
-        self.position += count;
-        Ok(&self.bytes[self.position - count..self.position])
+        self.offset += count;
+        Ok(&self.bytes[self.offset - count..self.offset])
     }
 
     fn read_array<const N: usize>(&mut self) -> Result<[u8; N], DecodeError> {
@@ -74,7 +74,7 @@
         Ok(u16::from_le_bytes(self.read_array()?))
     }
 
-    /// Reads four bytes as an unsigned number.
+    /// Reads a `u32`.
     pub fn read_u32(&mut self) -> Result<u32, DecodeError> {
         Ok(u32::from_le_bytes(self.read_array()?))
     }
@@ -87,7 +87,7 @@
         Ok(f64::from(f32::from_le_bytes(self.read_array()?)))
     }
 
-    /// Reads eight bytes as a floating-point number.
+    /// Reads an `f64`.
     pub fn read_f64(&mut self) -> Result<f64, DecodeError> {
         Ok(f64::from_le_bytes(self.read_array()?))
     }
@@ -96,7 +96,7 @@
         Ok(self.read_u8()? != 0)
     }
 
-    /// A number of requests or attempts.
+    /// Reads a number of requests or attempts, encoded as a `u32`.
     fn read_count(&mut self) -> Result<f64, DecodeError> {
         Ok(f64::from(self.read_u32()?))
     }
@@ -134,37 +134,37 @@
     }
 }
 
-/// Identifies a controller in the simulator.
+/// The number of a controller in the simulator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ControllerId(pub u16);
 
-/// What a record orders.
+/// The instruction in a record.
 pub enum RecordBody {
-    /// Start the controller.
+    /// Starts the controller.
     Boot {
-        /// The seed of its random choices.
+        /// Seed of the balancer's random number generator.
         seed: u64,
-        /// Its settings as JSON text.
+        /// The settings as JSON text.
         settings: String,
     },
-    /// Stop the controller.
+    /// Stops the controller.
     Stop,
-    /// Pass an event to the controller.
+    /// Passes an event to the controller's balancer.
     Event(Event),
 }
 
 /// One record of a batch.
 pub struct Record {
-    /// The controller that it is for.
+    /// The controller to which the record applies.
     pub controller: ControllerId,
-    /// What it orders.
+    /// The instruction.
     pub body: RecordBody,
 }
 
-/// Reads one record. The controller's number follows the code directly.
+/// Reads one record: its code, the controller's number, and the fields that belong to the code.
 pub fn read_record(reader: &mut Reader) -> Result<Record, DecodeError> {
     let code = reader.read_u8()?;
-    if !event::ALL.contains(&code) {
+    if !event::CODE_RANGE.contains(&code) {
         return Err(DecodeError::UnknownEvent(code));
     }
     let controller = ControllerId(reader.read_u16()?);
@@ -186,7 +186,7 @@
     })
 }
 
-// Fields are read in the order in which they are written here.
+// The wire format has the fields in the order in which they are read here.
 fn read_event(code: u8, reader: &mut Reader) -> Result<Event, DecodeError> {
     match code {
         event::TIMER => Ok(Event::TimerFired {
@@ -217,7 +217,7 @@
         }),
         event::PROBE_COMPLETED => Ok(Event::ProbeCompleted {
             node: reader.read_node()?,
-            succeeded: reader.read_u16()? == PROBE_SUCCEEDED,
+            succeeded: reader.read_u16()? == PROBE_SUCCESS_STATUS,
             latency: reader.read_span()?,
             metrics: reader.read_metrics()?,
         }),
@@ -283,7 +283,7 @@
         list_kind::UNAVAILABLE => EndpointListKind::Unavailable,
         other => return Err(DecodeError::UnknownListKind(other)),
     };
-    // The list's version: the balancer has no use for it.
+    // The version of the list is skipped: the balancer does not use it.
     reader.read_u32()?;
     let count = reader.read_u32()?;
     let mut entries = Vec::new();
--- a/crates/wheelspread-adapter/src/encode.rs
+++ b/crates/wheelspread-adapter/src/encode.rs
@@ -6,10 +6,10 @@
 use wheelspread::time::Span;
 use wheelspread::{Action, RetryPolicy};
 
-/// Bytes of a text, at most.
-const TEXT_BYTES_MAX: usize = 1000;
+/// Maximum length of a text on the wire, in bytes.
+const MAX_TEXT_BYTES: usize = 1000;
 
-/// Appends one action of a controller.
+/// Appends one action of a controller to `output`.
 pub fn write_action(controller: ControllerId, action: &Action, output: &mut Vec<u8>) {
     write_header(code_of(action), controller, output);
     match action {
@@ -59,7 +59,7 @@
     }
 }
 
-/// Appends the wire's word that the decisions of a controller have failed.
+/// Appends the action that reports a failed balancer to the simulator.
 pub fn write_failure(controller: ControllerId, text: &str, output: &mut Vec<u8>) {
     write_header(action::FAILURE, controller, output);
     write_text(text, output);
@@ -108,7 +108,8 @@
     output.push(retry_code(retry));
 }
 
-/// Writes a bit for each operation; none stands for all.
+/// Writes the operations as a bit mask; 0 means all operations. An operation whose number exceeds the width of the
+/// mask is left out.
 fn write_operations(operations: &[OperationId], output: &mut Vec<u8>) {
     let mask = operations.iter().fold(0u16, |mask, operation| {
         mask | 1u16.checked_shl(operation.0.into()).unwrap_or(0)
@@ -130,9 +131,10 @@
     output.extend(node.port.to_le_bytes());
 }
 
-/// Writes a text with its length; a long one is cut at the end of a character.
+/// Writes the length of a text and its bytes. A text of more than `MAX_TEXT_BYTES` is truncated after a whole
+/// character.
 fn write_text(text: &str, output: &mut Vec<u8>) {
-    let end = (0..=text.len().min(TEXT_BYTES_MAX))
+    let end = (0..=text.len().min(MAX_TEXT_BYTES))
         .rev()
         .find(|end| text.is_char_boundary(*end))
         .unwrap_or(0);
--- a/crates/wheelspread-adapter/src/host.rs
+++ b/crates/wheelspread-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! Runs one balancer for each controller of the simulator.
+//! Runs one balancer for each simulated controller.
 
 use crate::decode::{self, ControllerId, Reader, Record, RecordBody};
 use crate::encode;
@@ -7,17 +7,17 @@
 use wheelspread::time::Moment;
 use wheelspread::{Action, Balancer, ConfigError, Event, EventError};
 
-/// The balancers, and the controllers whose balancer has failed.
+/// The running balancers, and the controllers whose balancer failed to start or panicked.
 #[derive(Default)]
 pub struct Host {
     balancers: BTreeMap<ControllerId, Balancer>,
     failed: BTreeSet<ControllerId>,
 }
 
-/// The answer to a batch.
+/// The reply to a batch.
 #[derive(Default)]
 pub struct Reply {
-    /// How many actions it has.
+    /// Number of actions.
     pub action_count: u32,
     /// The encoded actions.
     pub bytes: Vec<u8>,
@@ -38,19 +38,19 @@
     }
 }
 
-/// Why a record has no effect.
+/// An error because of which a record is ignored.
 #[derive(Debug, thiserror::Error)]
 enum RecordError {
-    #[error("controller {0} is stopped but never booted")]
-    StopBeforeBoot(u16),
-    #[error("event for controller {0}, which never booted")]
-    EventBeforeBoot(u16),
-    /// The balancer does not accept the event.
+    #[error("stop record for controller {0}, which is not running")]
+    StopNotRunning(u16),
+    #[error("event for controller {0}, which is not running")]
+    EventNotRunning(u16),
+    /// The balancer rejected the event.
     #[error(transparent)]
     EventRejected(#[from] EventError),
 }
 
-/// Why a controller does not start.
+/// An error that prevents the start of a controller.
 #[derive(Debug, thiserror::Error)]
 enum BootError {
     #[error(transparent)]
@@ -60,24 +60,25 @@
 }
 
 impl Host {
-    /// Runs one batch. A record that can't be read is reported on standard error by its number and offset;
-    /// what follows it in the batch can't be told apart and is ignored.
+    /// Processes the records of one batch, then runs a decision round for each of their controllers. A record that
+    /// cannot be decoded is reported on standard error with its index and byte offset. The rest of the batch is then
+    /// ignored, since the start of the next record is unknown.
     pub fn run_batch(&mut self, now: Moment, record_count: u32, body: &[u8]) -> Reply {
         let mut reply = Reply::default();
         let mut reader = Reader::new(body);
-        let mut touched = BTreeSet::new();
-        for number in 0..record_count {
-            let offset = reader.position;
+        let mut addressed = BTreeSet::new();
+        for index in 0..record_count {
+            let offset = reader.offset;
             match decode::read_record(&mut reader) {
                 Ok(record) => {
-                    touched.insert(record.controller);
+                    addressed.insert(record.controller);
                     if let Err(error) = self.run_record(now, record, &mut reply) {
-                        eprintln!("record {number} at offset {offset}: {error}");
+                        eprintln!("record {index} at offset {offset}: {error}");
                     }
                 }
                 Err(error) => {
                     eprintln!(
-                        "record {number} at offset {offset}: {error}; rest of the batch ignored"
+                        "record {index} at offset {offset}: {error}; the rest of the batch is ignored"
                     );
                     break;
                 }
@@ -87,10 +88,10 @@
             eprintln!(
                 "{} bytes left after {record_count} records at offset {}",
                 reader.remaining(),
-                reader.position
+                reader.offset
             );
         }
-        for controller in touched {
+        for controller in addressed {
             self.decide(now, controller, &mut reply);
         }
         reply
@@ -110,7 +111,7 @@
             }
             RecordBody::Stop => match self.balancers.remove(&controller) {
                 Some(_) => Ok(()),
-                None => Err(RecordError::StopBeforeBoot(controller.0)),
+                None => Err(RecordError::StopNotRunning(controller.0)),
             },
             RecordBody::Event(_) if self.failed.contains(&controller) => Ok(()),
             RecordBody::Event(event) => self.handle_event(now, controller, &event, reply),
@@ -143,7 +144,7 @@
         reply: &mut Reply,
     ) -> Result<(), RecordError> {
         if !self.balancers.contains_key(&controller) {
-            return Err(RecordError::EventBeforeBoot(controller.0));
+            return Err(RecordError::EventNotRunning(controller.0));
         }
         let mut result = Ok(());
         self.run_balancer(controller, reply, |balancer, _| {
@@ -158,7 +159,8 @@
         });
     }
 
-    /// Runs a balancer. If it panics, the simulator is told and the balancer is dropped.
+    /// Calls `run` with a controller's balancer, if it is running, and adds the resulting actions to the reply. If
+    /// `run` panics, the balancer is removed and the reply reports the failure to the simulator.
     fn run_balancer<F>(&mut self, controller: ControllerId, reply: &mut Reply, run: F)
     where
         F: FnOnce(&mut Balancer, &mut Vec<Action>),
@@ -167,7 +169,7 @@
             return;
         };
         let mut actions = Vec::new();
-        // The balancer is dropped after a panic, so nobody sees its broken state.
+        // The balancer is removed after a panic, so its inconsistent state is never used.
         match catch_unwind(AssertUnwindSafe(|| run(balancer, &mut actions))) {
             Ok(()) => reply.push_actions(controller, &actions),
             Err(_) => {
--- a/crates/wheelspread-adapter/src/main.rs
+++ b/crates/wheelspread-adapter/src/main.rs
@@ -1,8 +1,8 @@
-//! The adapter to the simulator: hosts one balancer for each simulated controller, and speaks the simulator's
-//! wire on standard input and output. Nothing is decided here.
+//! The adapter to the simulator: runs one balancer for each simulated controller and exchanges batches in the
+//! simulator's wire format on standard input and output. All decisions are made by the balancers.
 //!
-//! A batch is a header (size of the body, time, number of records) and its records. Each batch gets one reply:
-//! number of actions, size, and the actions.
+//! A batch consists of a header (length of the body in bytes, time, number of records) and a body with the records.
+//! Each batch gets one reply: the number of actions, their length in bytes, and the actions.
 
 mod codes;
 mod decode;
@@ -17,7 +17,7 @@
 
 const BATCH_HEADER_BYTES: usize = 16;
 
-/// The fixed part of a batch.
+/// The header of a batch.
 struct BatchHeader {
     body_bytes: u32,
     now: Moment,
@@ -35,14 +35,14 @@
     }
 }
 
-/// Why the adapter ends before the input does.
+/// An error that ends the adapter before the end of its input.
 #[derive(Debug, thiserror::Error)]
 enum AdapterError {
     #[error(transparent)]
     Io(#[from] io::Error),
-    #[error("input ends inside a batch header, {received} of {BATCH_HEADER_BYTES} bytes")]
+    #[error("input ends inside a batch header: received {received} of {BATCH_HEADER_BYTES} bytes")]
     TruncatedHeader { received: usize },
-    #[error("input ends inside a batch, {received} of {expected} bytes")]
+    #[error("input ends inside a batch body: received {received} of {expected} bytes")]
     TruncatedBody { received: usize, expected: u32 },
 }
 
@@ -56,7 +56,7 @@
     }
 }
 
-/// Answers batches until the input ends.
+/// Replies to batches until the end of the input.
 fn run() -> Result<(), AdapterError> {
     let mut input = io::stdin().lock();
     let mut output = io::BufWriter::new(io::stdout().lock());
@@ -69,7 +69,7 @@
     Ok(())
 }
 
-/// The next batch's header; `None` at the end of the input.
+/// Reads the header of the next batch; `None` at the end of the input.
 fn read_header(input: &mut impl Read) -> Result<Option<BatchHeader>, AdapterError> {
     let mut bytes = Vec::with_capacity(BATCH_HEADER_BYTES);
     input
--- a/crates/wheelspread-adapter/tests/framing.rs
+++ b/crates/wheelspread-adapter/tests/framing.rs
@@ -1,4 +1,5 @@
-//! The adapter as a process, fed bytes written from the wire's description.
+//! Runs the adapter as a process. The input bytes are written by hand from the description of the wire format, not
+//! with the adapter's own code.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -32,7 +33,7 @@
     let mut body = hex("15 0300 4d00000000000000");
     body.extend((settings.len() as u32).to_le_bytes());
     body.extend(settings.as_bytes());
-    // One ready node in zone 0, as controller 3 held it last.
+    // The cached endpoint list of controller 3: one ready node in zone 0.
     body.extend(hex(
         "1c 0300 00 29000000 01000000  0a124a07 931f 0000 00 0000 01 0000803f 0000000000000000",
     ));
@@ -62,37 +63,37 @@
 }
 
 #[test]
-fn a_join_is_answered_with_a_filled_table() {
+fn a_joining_proxy_is_bound_to_a_table_with_entries() {
     let mut body = boot(SETTINGS);
     body.extend(hex("18 0300 2900 0000 0000d040 01"));
     let output = run(&batch(3, &body));
-    let line = hex("16 0300 0000 0a124a07 931f 0000c842"); // WEIGH, table 0, the node, 100
-    let bind = hex("15 0300 2900 0000 0100"); // INSTALL, proxy 41, table 0, the first class
-    let mark = hex("11 0300 01000000 00");
-    let place = |part: &[u8]| {
+    let weight = hex("16 0300 0000 0a124a07 931f 0000c842"); // SET_WEIGHT: table 0, the node, weight 100
+    let bind = hex("15 0300 2900 0000 0100"); // BIND_TABLE: proxy 41, table 0, the first operation
+    let marker = hex("11 0300 01000000 00"); // MARKER: marker 1, not to all proxies
+    let position_of = |part: &[u8]| {
         output
             .stdout
             .windows(part.len())
             .position(|window| window == part)
     };
     assert!(
-        place(&line) < place(&bind) && place(&bind) < place(&mark),
+        position_of(&weight) < position_of(&bind) && position_of(&bind) < position_of(&marker),
         "{:02x?}",
         output.stdout
     );
-    assert!(place(&line).is_some(), "{}", stderr_of(&output));
+    assert!(position_of(&weight).is_some(), "{}", stderr_of(&output));
     let size = u32::from_le_bytes(output.stdout[4..8].try_into().unwrap());
     assert_eq!(output.stdout.len(), 8 + size as usize);
     assert_eq!(stderr_of(&output), "");
 }
 
 #[test]
-fn what_cannot_be_read_is_named_with_its_record_and_offset() {
+fn errors_name_the_index_and_offset_of_the_record() {
     let mut body = hex("10 0300 4d00000000000000");
     body.extend(hex("63 0300 1111"));
     let output = run(&batch(2, &body));
     assert!(stderr_of(&output)
-        .contains("record 0 at offset 0: event for controller 3, which never booted"));
+        .contains("record 0 at offset 0: event for controller 3, which is not running"));
     assert!(
         stderr_of(&output).contains("record 1 at offset 11: unknown event code 99"),
         "{}",
@@ -102,7 +103,8 @@
 
     let output = run(&batch(1, &hex("12 0300 0000 0a124a07 931f 0e000000")));
     assert!(
-        stderr_of(&output).contains("record 0 at offset 0: 4 bytes wanted, 0 left"),
+        stderr_of(&output)
+            .contains("record 0 at offset 0: field is truncated: expected 4 bytes, 0 remain"),
         "{}",
         stderr_of(&output)
     );
@@ -134,7 +136,7 @@
 }
 
 #[test]
-fn a_missing_setting_ends_in_the_fault_action() {
+fn invalid_settings_are_reported_by_the_failure_action() {
     let output = run(&batch(2, &boot(&SETTINGS.replace("\"period\": 1.0,", ""))));
     let text = b"setting sums.period is missing";
     assert_eq!(&output.stdout[..4], hex("01000000"));
@@ -152,11 +154,13 @@
 }
 
 #[test]
-fn input_that_ends_inside_a_frame_ends_the_process_with_a_message() {
-    let whole = batch(2, &boot(SETTINGS));
-    let output = run(&whole[..whole.len() - 5]);
-    assert!(!output.status.success() && stderr_of(&output).contains("input ends inside a batch"));
-    let output = run(&whole[..7]);
+fn input_that_ends_inside_a_batch_ends_the_process_with_an_error() {
+    let complete = batch(2, &boot(SETTINGS));
+    let output = run(&complete[..complete.len() - 5]);
+    assert!(
+        !output.status.success() && stderr_of(&output).contains("input ends inside a batch body")
+    );
+    let output = run(&complete[..7]);
     assert!(
         !output.status.success() && stderr_of(&output).contains("7 of 16 bytes"),
         "{}",
