--- a/crates/wheelspread/src/balancer.rs
+++ b/crates/wheelspread/src/balancer.rs
@@ -21,7 +21,7 @@
     apply_urgent_changes, bind_joined_proxies, publish_admission, publish_weights,
     published_weights, send_marker,
 };
-use crate::report_timing::REPORT_RETENTION;
+use crate::report_timing::REPORT_VALIDITY;
 use crate::settings::Settings;
 use crate::shares::TableWeights;
 use crate::slow_start::limit_warming_entries;
@@ -39,8 +39,8 @@
 /// Minimum interval between two decision rounds, in report periods, when a join or a change of the endpoint list
 /// triggers a round before its timer.
 const MIN_ROUND_INTERVAL_PERIODS: f64 = 0.05;
-/// Time constant of the demand average, in report cycles: a third of that of other averages.
-const DEMAND_AVERAGING_CYCLES: f64 = REPORT_RETENTION.time_constant_cycles / 3.0;
+/// Time constant of the average demand, in report cycles: a third of the common time constant of averages.
+const DEMAND_TIME_CONSTANT_CYCLES: f64 = REPORT_VALIDITY.time_constant_cycles / 3.0;
 
 /// State and decisions of one controller's balancer.
 pub struct Balancer {
@@ -64,7 +64,8 @@
 }
 
 impl Balancer {
-    /// Starts with an empty fleet. `seed` initializes the random number generator.
+    /// Starts with an empty fleet. `seed` initializes the random number generator. Fails if a required setting is
+    /// missing or has the wrong type.
     pub fn start(now: Moment, seed: u64, settings: Settings) -> Result<Balancer, ConfigError> {
         Ok(Balancer {
             fleet: Fleet::new(now, Config::read(&settings)?),
@@ -153,8 +154,8 @@
                     .gossip
                     .on_message(*from, payload, &classes, now)?;
             }
-            // A timer only triggers a decision round. Slices of a site and health checks do not influence
-            // decisions yet.
+            // A timer only triggers a decision round. Events of slices and health checks do not influence decisions
+            // yet.
             Event::TimerFired { .. }
             | Event::SliceDemandReport { .. }
             | Event::SliceOwnership { .. }
@@ -221,12 +222,12 @@
     ) -> Result<(), EventError> {
         let fleet = &mut self.fleet;
         fleet.timing.on_report(fleet.now, window);
-        let averaging_time = fleet.timing.cycle() * DEMAND_AVERAGING_CYCLES;
+        let time_constant = fleet.timing.cycle() * DEMAND_TIME_CONSTANT_CYCLES;
         let demand = fleet.members.demand_mut(proxy, operation)?;
         demand.add(
             requests,
             window,
-            averaging_time,
+            time_constant,
             fleet.now,
             fleet.timing.previous_at(),
         );
@@ -234,7 +235,7 @@
     }
 
     /// Runs a decision round if one is due and appends the resulting actions to `out`. To be called once after all
-    /// events of a moment.
+    /// events of the time `now`.
     pub fn decide(&mut self, now: Moment, out: &mut Vec<Action>) {
         self.fleet.now = now;
         for id in self.fleet.nodes.warmed_up(self.fleet.config.warm_up, now) {
@@ -273,8 +274,10 @@
         // they used up the whole message cap and no update step was sent for 12 s.
         let mut changed = Default::default();
         if may_update {
-            let is_due = std::mem::take(&mut self.is_publication_requested) || may_publish_paced;
-            let may_adjust_weights = is_due && self.pacing.may_limit_warming(&self.fleet);
+            let is_publication_due =
+                std::mem::take(&mut self.is_publication_requested) || may_publish_paced;
+            let may_adjust_weights =
+                is_publication_due && self.pacing.may_adjust_weights(&self.fleet);
             changed = publish_weights(
                 &mut self.fleet,
                 &self.pacing,
@@ -307,8 +310,8 @@
         );
     }
 
-    /// Whether a decision round is due, by its timer or because urgent work is pending. Sets the next timer when
-    /// the timer is due.
+    /// Whether a decision round is due, by its timer or because urgent work is pending. Sets the next timer if the
+    /// current one is due.
     fn begin_round(&mut self, out: &mut Vec<Action>) -> bool {
         let (now, period) = (self.fleet.now, self.fleet.timing.period());
         if self.rounds.last_timer == 0 {
@@ -340,18 +343,18 @@
     }
 
     fn update_estimates(&mut self) {
-        self.pacing.drop_expired(self.fleet.now);
+        self.pacing.remove_expired(self.fleet.now);
         self.fleet.remove_departed();
-        self.fleet.update_kind_means();
-        self.fleet.learn_capacity(self.admission.is_strained());
-        self.fleet.update_kind_means();
+        self.fleet.update_kind_estimates();
+        self.fleet.learn_capacity(self.admission.is_overloaded());
+        self.fleet.update_kind_estimates();
         if self.fleet.detect_outliers(&mut self.random) {
             self.is_step_requested = true;
         }
     }
 
-    /// Sends the demand of the joined proxies and the rate that each node serves for them to the other
-    /// controllers, when gossip is due.
+    /// Sends gossip to the other controllers when it is due: the demand of the joined proxies and the rate that each
+    /// node serves for them.
     fn send_gossip(&mut self, out: &mut Vec<Action>) {
         if self
             .fleet
--- a/crates/wheelspread/src/balancer/tests/expectation.rs
+++ b/crates/wheelspread/src/balancer/tests/expectation.rs
@@ -18,12 +18,12 @@
             ["bound", p, t] => self.bound.contains(&(proxy(p), table(t))),
             ["unbound", p] => !self.bound.iter().any(|(bound, _)| *bound == proxy(p)),
             ["admission", t, o, range] => {
-                let order = self.admission.get(&(table(t).0, number(o) as u8));
-                is_within(order.map_or(1.0, |order| order.0), range)
+                let policy = self.admission.get(&(table(t).0, number(o) as u8));
+                is_within(policy.map_or(1.0, |policy| policy.0), range)
             }
-            ["retry", t, o, how] => {
-                let order = self.admission.get(&(table(t).0, number(o) as u8));
-                format!("{:?}", order.map(|order| order.1)) == format!("Some({how})")
+            ["retry", t, o, expected] => {
+                let policy = self.admission.get(&(table(t).0, number(o) as u8));
+                format!("{:?}", policy.map(|policy| policy.1)) == format!("Some({expected})")
             }
             ["cut", t, range] => self.balancer.as_ref().is_some_and(|balancer| {
                 let cut = balancer.admission.cut();
@@ -47,7 +47,7 @@
                 let shared = |name: &&NodeId| self.tables[&table(u)].contains_key(name);
                 self.tables[&table(t)].keys().filter(shared).count() <= 1 // the node at the border of two ranges
             }
-            ["forgotten", name] => self.has_forgotten(node(name)),
+            ["removed", name] => self.is_removed(node(name)),
             ["error", rest @ ..] => self.error.contains(&rest.join(" ")),
             ["no", "error"] => self.error.is_empty(),
             [t, name, range] => is_within(self.share(t, name).unwrap_or(0.0), range),
@@ -62,13 +62,13 @@
 
     /// Maximum number of messages to a proxy within any interval of `span` seconds.
     fn max_messages(&self, id: ProxyId, span: f64) -> usize {
-        let own = self.messages.iter().filter(|message| message.1 == id);
-        let times: Vec<f64> = own.map(|message| message.0).collect();
-        let within = |from: &f64| {
+        let proxy_messages = self.messages.iter().filter(|message| message.1 == id);
+        let times: Vec<f64> = proxy_messages.map(|message| message.0).collect();
+        let count_from = |from: &f64| {
             let later = times.iter().filter(|time| *time >= from);
             later.filter(|time| **time - from < span).count()
         };
-        times.iter().map(within).max().unwrap_or(0)
+        times.iter().map(count_from).max().unwrap_or(0)
     }
 
     fn used_tables(&self, in_zone: &str) -> usize {
@@ -81,7 +81,7 @@
             .count()
     }
 
-    fn has_forgotten(&self, id: NodeId) -> bool {
+    fn is_removed(&self, id: NodeId) -> bool {
         self.balancer.as_ref().is_some_and(|balancer| {
             let fleet = &balancer.fleet;
             !fleet.nodes.contains(&id) && !fleet.outliers.paths().any(|(key, _)| key.0 == id)
--- a/crates/wheelspread/src/balancer/tests/stage.rs
+++ b/crates/wheelspread/src/balancer/tests/stage.rs
@@ -176,7 +176,7 @@
             }
             ["list", entries @ ..] => self.endpoint_list(EndpointListKind::Complete, entries),
             ["change", entries @ ..] => self.endpoint_list(EndpointListKind::Changes, entries),
-            // `holds`: the proxy already holds a published table.
+            // With the word `holds`, the proxy already holds a published table.
             ["join", id, zone, rate, holds @ ..] => self.join(id, zone, rate, holds.is_empty()),
             ["leave", id] => self.leave(proxy(id)),
             ["report", zone, name, rest @ ..] => self.load_report(zone, name, rest),
@@ -225,8 +225,8 @@
             }
             ["entries", id, entries @ ..] => {
                 let tables = &mut self.balancer().fleet.tables;
-                if let Some(known) = tables.get_mut(&table(id)) {
-                    known.set_entries(weights(entries));
+                if let Some(table) = tables.get_mut(&table(id)) {
+                    table.set_entries(weights(entries));
                 }
             }
             ["target", id, entries @ ..] => {
@@ -245,8 +245,8 @@
     fn entry(&self, text: &str) -> EndpointEntry {
         let words: Vec<&str> = text.split(':').collect();
         let find = |first: char| {
-            let mut short = words[1..].iter().filter(|word| word.len() < 5);
-            short
+            let mut short_words = words[1..].iter().filter(|word| word.len() < 5);
+            short_words
                 .find(|word| word.starts_with(first))
                 .map(|word| number(word))
         };
--- a/crates/wheelspread/src/capacity.rs
+++ b/crates/wheelspread/src/capacity.rs
@@ -16,7 +16,7 @@
 /// Weight of the prior, which is based on the mean of the node's kind, against the node's own reports, in report
 /// periods.
 const PRIOR_PERIODS: f64 = 3.0;
-/// Ratio of the evidence from before a restart that still counts after it.
+/// Factor by which the evidence of a capacity estimate is reduced when the estimate is restored after a restart.
 const RESTORED_EVIDENCE_RATIO: f64 = 0.5;
 /// Utilization that is assumed before the first report.
 pub(crate) const ASSUMED_UTILIZATION: f64 = 0.6;
@@ -96,13 +96,13 @@
     }
 }
 
-/// Means over a kind of node, per unit of listed weight.
+/// Mean values of the ready nodes of one kind, per unit of listed weight.
 #[derive(Clone, Copy, Debug)]
-struct KindMeans {
+struct KindEstimate {
     /// Requests per second that a ready node can serve.
     capacity: f64,
-    /// Peak observed rate of a ready node, in requests per second.
-    observed_peak: Option<f64>,
+    /// Peak observed rate of a ready node, in requests per second; `None`: no rate was observed in the fleet.
+    peak_observed_rate: Option<f64>,
 }
 
 /// Capacity and latency of each kind of node, and the fleet's latency.
@@ -110,7 +110,7 @@
 pub(crate) struct CapacityModel {
     /// Base latency of each kind, in seconds: the lowest median of its nodes' mean latencies.
     base_latency: BTreeMap<KindId, f64>,
-    kinds: BTreeMap<KindId, KindMeans>,
+    kinds: BTreeMap<KindId, KindEstimate>,
     /// The fleet's mean latency, in seconds.
     fleet_latency: f64,
     /// Whether load reports arrived that the estimates do not use yet.
@@ -153,10 +153,10 @@
         &'a self,
         nodes: &'a Nodes,
     ) -> impl Iterator<Item = CapacitySnapshot> + 'a {
-        let known = nodes
+        let ready_with_evidence = nodes
             .iter()
             .filter(|(_, node)| node.is_ready() && node.load.evidence() > 0.0);
-        known.filter_map(|(id, node)| {
+        ready_with_evidence.filter_map(|(id, node)| {
             Some(CapacitySnapshot {
                 node: *id,
                 log_capacity: node.load.log_capacity()?,
@@ -193,25 +193,29 @@
     }
 
     /// Peak observed rate of a kind's ready nodes, in requests per second per unit of listed weight.
-    pub fn observed_peak(&self, kind: KindId) -> Option<f64> {
-        self.kinds.get(&kind).and_then(|means| means.observed_peak)
+    pub fn peak_observed_rate(&self, kind: KindId) -> Option<f64> {
+        self.kinds
+            .get(&kind)
+            .and_then(|estimate| estimate.peak_observed_rate)
     }
 
     /// Requests per second that a node can serve now: the geometric mean of the node's estimate and its prior, weighted
-    /// by evidence.
+    /// by the evidence and by `PRIOR_PERIODS`, within `ESTIMATE_RANGE` of the prior.
     pub fn capacity(&self, node: &Node, config: &Config, now: Moment) -> f64 {
         let prior = self.prior(node, config, now);
-        let own = node.load.log_capacity().unwrap_or(prior.ln());
+        let log_estimate = node.load.log_capacity().unwrap_or(prior.ln());
         let evidence = node.load.evidence();
-        let blended = (own * evidence + prior.ln() * PRIOR_PERIODS) / (evidence + PRIOR_PERIODS);
+        let blended =
+            (log_estimate * evidence + prior.ln() * PRIOR_PERIODS) / (evidence + PRIOR_PERIODS);
         blended.exp().clamp(
             prior * ESTIMATE_RANGE.min_ratio,
             prior * ESTIMATE_RANGE.max_ratio,
         )
     }
 
-    /// The capacity of a node, reduced if its requests take longer than the fleet's mean and raised if they take less:
-    /// at equal utilization a slow node misses the latency objective before a fast one does.
+    /// The capacity of a node that reports utilization, reduced if its latency is above the fleet's mean and raised if
+    /// it is below: at equal utilization a slow node misses the latency objective before a fast one does. For other
+    /// nodes it is the capacity, which already depends on latency.
     pub fn effective_capacity(&self, node: &Node, config: &Config, now: Moment) -> f64 {
         let factor = match (node.load.utilization(), node.load.latency()) {
             (Some(_), Some(latency)) => {
@@ -229,39 +233,44 @@
     }
 
     /// Updates the capacity and peak observed rate of each kind, per unit of listed weight, and the fleet's mean
-    /// latency.
-    pub fn update_kind_means(&mut self, nodes: &Nodes, demand: f64) {
+    /// latency. While no ready node has enough evidence, the capacity of a kind is computed from `demand`, the requests
+    /// per second of the fleet, at `ASSUMED_UTILIZATION`.
+    pub fn update_kind_estimates(&mut self, nodes: &Nodes, demand: f64) {
         let assumed_capacity =
             demand.max(1.0) / ASSUMED_UTILIZATION / nodes.open_weight().max(1e-6);
-        let estimate = |node: &Node| {
-            let known = node.load.evidence() > PRIOR_PERIODS;
-            node.load.log_capacity().filter(|_| known).map(f64::exp)
+        let node_capacity = |node: &Node| {
+            let has_evidence = node.load.evidence() > PRIOR_PERIODS;
+            node.load
+                .log_capacity()
+                .filter(|_| has_evidence)
+                .map(f64::exp)
         };
-        let peak = |node: &Node| Some(node.load.recent_peak()).filter(|peak| *peak > 0.0);
+        let recent_peak = |node: &Node| Some(node.load.recent_peak()).filter(|peak| *peak > 0.0);
         let kinds: BTreeSet<KindId> = nodes.values().map(Node::kind).collect();
-        let means = |kind: KindId| {
+        let kind_estimate = |kind: KindId| {
             let capacity = self
-                .mean_per_weight(nodes, kind, estimate)
+                .mean_per_weight(nodes, kind, node_capacity)
                 .unwrap_or_else(|| assumed_capacity * self.relative_speed(nodes, kind));
-            let observed_peak = self.mean_per_weight(nodes, kind, peak);
+            let peak_observed_rate = self.mean_per_weight(nodes, kind, recent_peak);
             (
                 kind,
-                KindMeans {
+                KindEstimate {
                     capacity,
-                    observed_peak,
+                    peak_observed_rate,
                 },
             )
         };
-        self.kinds = kinds.into_iter().map(means).collect();
+        self.kinds = kinds.into_iter().map(kind_estimate).collect();
         self.fleet_latency = mean_latency(nodes, |_| true).unwrap_or(1.0);
     }
 
     /// Speed of a kind as a ratio of the fleet's, from the latency of the kind's ready nodes. Used while no ready node
     /// of the kind has an estimate, as listed weights may describe the size of a node and not its speed.
     fn relative_speed(&self, nodes: &Nodes, kind: KindId) -> f64 {
-        let own = mean_latency(nodes, |node| node.kind() == kind && node.is_ready());
-        own.map_or(1.0, |own| {
-            (self.fleet_latency / own).clamp(KIND_SPEED_RANGE.min_ratio, KIND_SPEED_RANGE.max_ratio)
+        let kind_latency = mean_latency(nodes, |node| node.kind() == kind && node.is_ready());
+        kind_latency.map_or(1.0, |latency| {
+            (self.fleet_latency / latency)
+                .clamp(KIND_SPEED_RANGE.min_ratio, KIND_SPEED_RANGE.max_ratio)
         })
     }
 
@@ -277,9 +286,9 @@
             let ready = nodes
                 .values()
                 .filter(|node| node.is_ready() && is_included(node));
-            let known = ready.filter_map(|node| Some((value(node)?, node.weight())));
+            let values = ready.filter_map(|node| Some((value(node)?, node.weight())));
             let (sum, weights) =
-                known.fold((0.0, 0.0), |sum, item| (sum.0 + item.0, sum.1 + item.1));
+                values.fold((0.0, 0.0), |sum, item| (sum.0 + item.0, sum.1 + item.1));
             (weights > 0.0).then(|| sum / weights)
         };
         let fleet_mean = || Some(mean(&|_| true)? * self.relative_speed(nodes, kind));
@@ -287,15 +296,16 @@
     }
 }
 
-/// Geometric mean latency of the included nodes, weighted by their recent peak rate.
+/// Geometric mean latency of the included nodes in seconds, weighted by their recent peak rates; `None` if no latency
+/// is known.
 fn mean_latency(nodes: &Nodes, is_included: impl Fn(&Node) -> bool) -> Option<f64> {
     let included = nodes.values().filter(|node| is_included(node));
-    let known = included.filter_map(|node| {
-        let latency = node.load.latency()?.max(1e-6).ln();
-        Some((latency, node.load.recent_peak().max(1e-3)))
+    let weighted_latencies = included.filter_map(|node| {
+        let log_latency = node.load.latency()?.max(1e-6).ln();
+        Some((log_latency, node.load.recent_peak().max(1e-3)))
     });
-    let (sum, weights) = known.fold((0.0, 0.0), |sum, (latency, rate)| {
-        (sum.0 + latency * rate, sum.1 + rate)
+    let (sum, weights) = weighted_latencies.fold((0.0, 0.0), |sum, (log_latency, rate)| {
+        (sum.0 + log_latency * rate, sum.1 + rate)
     });
     (weights > 0.0).then(|| (sum / weights).exp())
 }
--- a/crates/wheelspread/src/capacity/learning.rs
+++ b/crates/wheelspread/src/capacity/learning.rs
@@ -5,7 +5,7 @@
 use crate::ids::{KindId, NodeId};
 use crate::lifecycle::{Node, Nodes};
 use crate::node_load::{AttemptStats, NodeLoad};
-use crate::report_timing::REPORT_RETENTION;
+use crate::report_timing::REPORT_VALIDITY;
 use crate::time::{Moment, Span};
 use std::collections::BTreeMap;
 
@@ -14,10 +14,10 @@
 struct LearningParameters {
     /// Attempts at which an update has half of its full weight.
     half_weight_attempts: f64,
-    /// Evidence, in report periods, up to which reported utilization is not used: the first reports describe the time
-    /// before the node's current load.
+    /// Evidence, in report periods, up to which reported utilization is not used: the first reports still describe the
+    /// time before the node got its current load.
     min_evidence: f64,
-    /// Utilization up to which the capacity cannot be derived from it.
+    /// Reported utilization up to which it is too low to derive the capacity from it.
     min_utilization: f64,
     /// Distance of a kind's latency to the fleet's.
     kind_step: f64,
@@ -33,7 +33,7 @@
     max_relative_failure_ratio: f64,
     /// Latency that each failure counts as, in latency objectives.
     failure_latency_ratio: f64,
-    /// Latency, as a ratio of the latency objective, below which a rate counts as served within the objective.
+    /// Latency, as a ratio of the shortest latency objective, below which a rate counts as served within the objective.
     met_latency_ratio: f64,
 }
 
@@ -106,18 +106,20 @@
         self.scale_unreported(nodes, rate_at);
     }
 
-    /// Updates the base latency of each kind: the minimum of the median over its ready nodes. It grows slowly, as the
-    /// latency of services on which all nodes depend may change.
+    /// Updates the base latency of each kind: the lowest median latency that its ready nodes have shown. The base
+    /// latency grows by `BASE_LATENCY_GROWTH` at each update, as the latency of services on which all nodes depend may
+    /// change.
     fn update_base_latencies(&mut self, nodes: &Nodes) {
         let mut latencies: BTreeMap<KindId, Vec<f64>> = BTreeMap::new();
-        let known = |node: &&Node| node.is_ready() && node.load.evidence() >= PRIOR_PERIODS;
-        for node in nodes.values().filter(known) {
-            let of_kind = latencies.entry(node.kind()).or_default();
-            of_kind.extend(node.load.latency());
+        let is_ready_with_evidence =
+            |node: &&Node| node.is_ready() && node.load.evidence() >= PRIOR_PERIODS;
+        for node in nodes.values().filter(is_ready_with_evidence) {
+            let kind_latencies = latencies.entry(node.kind()).or_default();
+            kind_latencies.extend(node.load.latency());
         }
-        for (kind, mut known) in latencies {
-            known.sort_by(f64::total_cmp);
-            if let Some(median) = known.get(known.len() / 2) {
+        for (kind, mut kind_latencies) in latencies {
+            kind_latencies.sort_by(f64::total_cmp);
+            if let Some(median) = kind_latencies.get(kind_latencies.len() / 2) {
                 let base_latency = self.base_latency.entry(kind).or_insert(*median);
                 *base_latency = (*base_latency * BASE_LATENCY_GROWTH).min(*median);
             }
@@ -130,10 +132,10 @@
         let relative = |node: &Node| {
             let base_latency = self.base_latency.get(&node.kind()).copied();
             let base = base_latency.unwrap_or(objective).sqrt();
-            let new = node.load.pending();
-            let total_seconds =
-                new.success_seconds + new.failures * objective * LEARNING.failure_latency_ratio;
-            (total_seconds / new.attempts.max(1.0) / base)
+            let reported = node.load.pending();
+            let total_seconds = reported.success_seconds
+                + reported.failures * objective * LEARNING.failure_latency_ratio;
+            (total_seconds / reported.attempts.max(1.0) / base)
                 .max(1e-6)
                 .ln()
         };
@@ -184,14 +186,14 @@
         };
         let kind = node.kind();
         let load = &mut node.load;
-        load.decay((-0.5 / REPORT_RETENTION.time_constant_cycles).exp(), rate);
-        let (new, window) = load.take_pending();
-        if new.attempts <= 0.0 {
+        load.decay((-0.5 / REPORT_VALIDITY.time_constant_cycles).exp(), rate);
+        let (reported, window) = load.take_pending();
+        if reported.attempts <= 0.0 {
             return;
         }
-        let weight = new.attempts / (new.attempts + LEARNING.half_weight_attempts);
+        let weight = reported.attempts / (reported.attempts + LEARNING.half_weight_attempts);
         load.add_evidence(2.0 * weight);
-        let fails_from_fleet_overload = comparison.fails_from_fleet_overload(new, load);
+        let fails_from_fleet_overload = comparison.fails_from_fleet_overload(reported, load);
         match load.utilization().and(utilization) {
             Some(observed_utilization)
                 if observed_utilization > LEARNING.min_utilization
@@ -208,10 +210,12 @@
             }
             Some(_) => {}
             None => {
-                let old = load.log_capacity().unwrap_or(log_prior);
+                let log_capacity = load.log_capacity().unwrap_or(log_prior);
                 let latency = comparison.by_node[&id];
                 let step = comparison.step(kind, latency, weight, input.is_overloaded);
-                load.set_capacity(old + (step - LEARNING.prior_step * (old - log_prior)));
+                load.set_capacity(
+                    log_capacity + (step - LEARNING.prior_step * (log_capacity - log_prior)),
+                );
             }
         }
         let met_latency = input.objective * LEARNING.met_latency_ratio;
@@ -262,11 +266,11 @@
         } else {
             LEARNING.kind_step
         };
-        let own_kind = self.by_kind[&kind];
-        let kind_distance = (self.fleet.mean() - own_kind.mean()).clamp(-1.0, 1.0)
-            * own_kind.attempts
-            / (own_kind.attempts + LEARNING.half_weight_attempts);
-        let node_distance = weight * (own_kind.mean() - latency).clamp(-1.0, 1.0);
+        let kind_sum = self.by_kind[&kind];
+        let kind_distance = (self.fleet.mean() - kind_sum.mean()).clamp(-1.0, 1.0)
+            * kind_sum.attempts
+            / (kind_sum.attempts + LEARNING.half_weight_attempts);
+        let node_distance = weight * (kind_sum.mean() - latency).clamp(-1.0, 1.0);
         kind_step * kind_distance + LEARNING.node_step * node_distance
     }
 
@@ -274,8 +278,8 @@
     /// and not its capacity, and must not lower the estimate. False for a node without an estimate, as after a start
     /// during an overload: a rate that reflects the queue is better than no estimate. Also false for a node that fails
     /// far more often than the fleet: it is too slow for its load, and its estimate must follow.
-    fn fails_from_fleet_overload(&self, new: AttemptStats, load: &NodeLoad) -> bool {
-        let failure_ratio = new.failures / new.attempts;
+    fn fails_from_fleet_overload(&self, reported: AttemptStats, load: &NodeLoad) -> bool {
+        let failure_ratio = reported.failures / reported.attempts;
         failure_ratio > LEARNING.min_failure_ratio
             && failure_ratio < self.failure_ratio * LEARNING.max_relative_failure_ratio
             && load.log_capacity().is_some()
--- a/crates/wheelspread/src/error.rs
+++ b/crates/wheelspread/src/error.rs
@@ -66,7 +66,7 @@
     NeverJoined(ProxyId),
     /// Gossip from a peer whose length does not match the message format.
     #[error("gossip of {length} bytes does not match the message format")]
-    UnreadableGossip {
+    MalformedGossip {
         /// Length of the message in bytes.
         length: usize,
     },
--- a/crates/wheelspread/src/fleet.rs
+++ b/crates/wheelspread/src/fleet.rs
@@ -13,8 +13,8 @@
 use crate::time::Moment;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Maximum ratio of all demand that may belong to proxies that have left; above it, capacity estimates ignore load
-/// reports.
+/// Maximum ratio of all demand that may belong to proxies that have left. Above it, the capacity estimates of a single
+/// controller ignore load reports.
 const MAX_UNREPORTED_DEMAND_RATIO: f64 = 0.15;
 
 /// The state of the fleet at one point in time.
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The time since which gossip is valid; older gossip is ignored.
+    /// The start of the validity period of gossip; gossip received earlier is ignored.
     pub fn gossip_since(&self) -> Moment {
         Gossip::valid_since(self.timing.period(), self.now)
     }
@@ -63,7 +63,7 @@
             .effective_capacity(node, &self.config, self.now)
     }
 
-    /// The ratio of a node's capacity that a zone should use.
+    /// The ratio of a node's capacity that a zone should use; see [`Outliers::usable_ratio`].
     pub fn usable_ratio(&self, zone: ZoneId, id: NodeId) -> f64 {
         self.outliers.usable_ratio(id, zone, &self.timing, self.now)
     }
@@ -146,7 +146,7 @@
         let since = self.timing.rates_valid_since();
         let rate = |id: NodeId| (id, self.outliers.success_rate(id, since));
         LocalView {
-            proxies: self.members.joined().count(),
+            proxy_count: self.members.joined().count(),
             demand: self.own_demand(Proxy::has_joined).into_values().collect(),
             rates: self.nodes.open().map(|(id, _)| rate(*id)).collect(),
         }
@@ -175,10 +175,10 @@
             .learn(&mut self.nodes, &self.config, &input, rate_at);
     }
 
-    /// Updates the capacity and the peak observed rate of each kind of node.
-    pub fn update_kind_means(&mut self) {
+    /// Updates the capacity and the peak observed rate of each kind of node, and the fleet's mean latency.
+    pub fn update_kind_estimates(&mut self) {
         let demand = self.members.total_demand();
-        self.capacity.update_kind_means(&self.nodes, demand);
+        self.capacity.update_kind_estimates(&self.nodes, demand);
     }
 
     /// Runs outlier detection; returns whether any node's health state changed.
@@ -193,18 +193,19 @@
         self.outliers.detect_outliers(&input, random)
     }
 
-    /// Removes nodes, paths and proxies that left more than `RETENTION_WARM_UPS` warm-up times ago.
+    /// Removes nodes without table entries and proxies that left more than `RETENTION_WARM_UPS` warm-up times ago,
+    /// and the paths of unknown nodes.
     pub fn remove_departed(&mut self) {
         const RETENTION_WARM_UPS: f64 = 10.0;
         let (now, retention) = (self.now, self.config.warm_up * RETENTION_WARM_UPS);
         let is_recent = |at: Moment| now - at < retention;
-        let entries = self
+        let entry_nodes = self
             .tables
             .values()
             .flat_map(|table| table.entries().keys());
-        let held_nodes: BTreeSet<NodeId> = entries.copied().collect();
-        self.nodes.remove_unlisted(&held_nodes, is_recent);
+        let nodes_with_entries: BTreeSet<NodeId> = entry_nodes.copied().collect();
+        self.nodes.remove_unlisted(&nodes_with_entries, is_recent);
         self.outliers.remove_unknown(&self.nodes);
-        self.members.forget_departed(is_recent);
+        self.members.remove_departed(is_recent);
     }
 }
--- a/crates/wheelspread/src/fleet_load.rs
+++ b/crates/wheelspread/src/fleet_load.rs
@@ -8,13 +8,13 @@
 pub(crate) struct LoadThresholds {
     /// Load from which the fleet is overloaded and admission is cut.
     pub overload: f64,
-    /// Load below which the fleet's load counts as low, after `low_cycles`; also the utilization from which a node is
-    /// busy.
+    /// Load below which the fleet's load counts as low if it stayed there for `low_cycles`; also the utilization from
+    /// which a node counts as busy.
     pub low: f64,
     /// Report cycles for which the load must stay below `low`.
     pub low_cycles: f64,
-    /// Ratio of failures at busy nodes to all attempts, above which the fleet counts as fully loaded whatever its
-    /// utilization.
+    /// Ratio of failures at nodes that are busy or of unknown utilization to all attempts, above which the fleet counts
+    /// as fully loaded whatever its utilization.
     overload_failure_ratio: f64,
     /// Report cycles over which failures and attempts are counted.
     failure_cycles: f64,
--- a/crates/wheelspread/src/gossip.rs
+++ b/crates/wheelspread/src/gossip.rs
@@ -22,34 +22,34 @@
 const MAX_MESSAGE_LENGTH: usize = 256;
 /// Lengths in bytes of the parts of a message: the number of proxies, the demand of one class, the rate of one
 /// node.
-const PROXIES_LENGTH: usize = 2;
+const PROXY_COUNT_LENGTH: usize = 2;
 const DEMAND_LENGTH: usize = 4;
 const NODE_LENGTH: usize = 8;
 /// Rates of nodes are sent as integers in units of 1 / RATE_SCALE requests per second.
 const RATE_SCALE: f64 = 64.0;
 const MAX_U16: f64 = 65535.0;
 
-/// Last report of one peer. Values that a message does not contain keep the previously reported value.
+/// The last values that one peer sent. Values that a message does not contain keep the previously sent value.
 #[derive(Clone, Debug, Default)]
 struct PeerView {
     last_message_at: Moment,
-    proxies: f64,
+    proxy_count: f64,
     demand: BTreeMap<DemandClass, f64>,
-    /// Requests per second that each node serves for the peer's proxies, and when this rate was reported.
+    /// Requests per second that each node serves for the peer's proxies, and when this rate was received.
     rates: BTreeMap<NodeId, (f64, Moment)>,
 }
 
-/// Last reports of all peers.
+/// The last values that all peers sent, and when this controller last sent gossip.
 #[derive(Clone, Debug)]
 pub(crate) struct Gossip {
     peers: BTreeMap<PeerId, PeerView>,
     last_sent_at: Moment,
 }
 
-/// Values that this controller reports to its peers.
+/// Values that this controller sends to its peers.
 pub(crate) struct LocalView {
     /// Number of proxies that have joined this controller.
-    pub proxies: usize,
+    pub proxy_count: usize,
     /// Requests per second that these proxies receive, in the order of the demand classes.
     pub demand: Vec<f64>,
     /// Requests per second that each open node serves for these proxies.
@@ -57,7 +57,7 @@
 }
 
 impl Gossip {
-    /// Starts without reports of peers.
+    /// Starts without messages of peers.
     pub fn new(now: Moment) -> Gossip {
         Gossip {
             peers: BTreeMap::new(),
@@ -70,7 +70,8 @@
         now - period * GOSSIP_PERIODS.validity
     }
 
-    /// Handles a message. `classes` are the demand classes that have tables, in their order.
+    /// Handles a message from a peer. `classes` are the demand classes that have tables, in ascending order. A message
+    /// whose length does not match the format is an error and changes no received value.
     pub fn on_message(
         &mut self,
         from: PeerId,
@@ -79,10 +80,10 @@
         now: Moment,
     ) -> Result<(), EventError> {
         let view = self.peers.entry(from).or_default();
-        let unreadable = EventError::UnreadableGossip {
+        let malformed = EventError::MalformedGossip {
             length: payload.len(),
         };
-        view.decode(payload, classes, now).ok_or(unreadable)
+        view.decode(payload, classes, now).ok_or(malformed)
     }
 
     /// Whether a message is due. If it is due, it is recorded as sent.
@@ -96,30 +97,30 @@
         is_due
     }
 
-    /// Number of proxies that have joined the peers heard since `since`.
-    pub fn proxies(&self, since: Moment) -> f64 {
-        self.recent(since).map(|peer| peer.proxies).sum()
+    /// Number of proxies that have joined the peers whose last message arrived at or after `since`.
+    pub fn peer_proxy_count(&self, since: Moment) -> f64 {
+        self.peers_since(since).map(|peer| peer.proxy_count).sum()
     }
 
-    /// Adds the demand reported by the peers heard since `since`.
+    /// Adds the demand of the peers whose last message arrived at or after `since`.
     pub fn add_demand(&self, sums: &mut BTreeMap<DemandClass, f64>, since: Moment) {
-        for peer in self.recent(since) {
+        for peer in self.peers_since(since) {
             for (class, sum) in sums.iter_mut() {
                 *sum += peer.demand.get(class).unwrap_or(&0.0);
             }
         }
     }
 
-    /// Requests per second that a node serves for proxies of peers, by reports since `since`.
+    /// Requests per second that a node serves for the proxies of peers, by rates received at or after `since`.
     pub fn rate(&self, id: NodeId, since: Moment) -> f64 {
         let peer_rates = self.peers.values().filter_map(|peer| peer.rates.get(&id));
         peer_rates
-            .filter(|(_, reported_at)| *reported_at >= since)
+            .filter(|(_, received_at)| *received_at >= since)
             .map(|(rate, _)| rate)
             .sum()
     }
 
-    fn recent(&self, since: Moment) -> impl Iterator<Item = &PeerView> {
+    fn peers_since(&self, since: Moment) -> impl Iterator<Item = &PeerView> {
         self.peers
             .values()
             .filter(move |peer| peer.last_message_at >= since)
@@ -129,7 +130,7 @@
 impl LocalView {
     /// The messages that carry this view, split so that each stays within the maximum length.
     pub fn messages(&self) -> Vec<Vec<u8>> {
-        let header_length = PROXIES_LENGTH + DEMAND_LENGTH * self.demand.len();
+        let header_length = PROXY_COUNT_LENGTH + DEMAND_LENGTH * self.demand.len();
         let nodes_per_message =
             (MAX_MESSAGE_LENGTH.saturating_sub(header_length) / NODE_LENGTH).max(1);
         let chunks = self.rates.chunks(nodes_per_message);
@@ -137,8 +138,8 @@
     }
 
     fn message(&self, rates: &[(NodeId, f64)]) -> Vec<u8> {
-        let proxies = self.proxies.min(usize::from(u16::MAX)) as u16;
-        let mut bytes = proxies.to_le_bytes().to_vec();
+        let proxy_count = self.proxy_count.min(usize::from(u16::MAX)) as u16;
+        let mut bytes = proxy_count.to_le_bytes().to_vec();
         bytes.extend(
             self.demand
                 .iter()
@@ -155,24 +156,24 @@
 
 impl PeerView {
     fn decode(&mut self, bytes: &[u8], classes: &[DemandClass], now: Moment) -> Option<()> {
-        let header_length = PROXIES_LENGTH + DEMAND_LENGTH * classes.len();
+        let header_length = PROXY_COUNT_LENGTH + DEMAND_LENGTH * classes.len();
         if bytes.len() < header_length || !(bytes.len() - header_length).is_multiple_of(NODE_LENGTH)
         {
             return None;
         }
         self.last_message_at = now;
-        self.proxies = f64::from(u16::from_le_bytes([bytes[0], bytes[1]]));
-        let demands = bytes[PROXIES_LENGTH..].chunks_exact(DEMAND_LENGTH);
+        self.proxy_count = f64::from(u16::from_le_bytes([bytes[0], bytes[1]]));
+        let demands = bytes[PROXY_COUNT_LENGTH..].chunks_exact(DEMAND_LENGTH);
         for (class, demand_bytes) in classes.iter().zip(demands) {
             let demand = f64::from(f32::from_le_bytes(demand_bytes.try_into().ok()?));
             if demand.is_finite() && demand >= 0.0 {
                 self.demand.insert(*class, demand);
             }
         }
-        for node in bytes[header_length..].chunks_exact(NODE_LENGTH) {
-            let address = node[..4].try_into().ok()?;
-            let port = u16::from_le_bytes([node[4], node[5]]);
-            let rate = f64::from(u16::from_le_bytes([node[6], node[7]])) / RATE_SCALE;
+        for node_bytes in bytes[header_length..].chunks_exact(NODE_LENGTH) {
+            let address = node_bytes[..4].try_into().ok()?;
+            let port = u16::from_le_bytes([node_bytes[4], node_bytes[5]]);
+            let rate = f64::from(u16::from_le_bytes([node_bytes[6], node_bytes[7]])) / RATE_SCALE;
             self.rates.insert(NodeId { address, port }, (rate, now));
         }
         Some(())
--- a/crates/wheelspread/src/lifecycle.rs
+++ b/crates/wheelspread/src/lifecycle.rs
@@ -47,7 +47,8 @@
     Keep,
     /// Keeps the node's load; discards what zones observed at the node.
     DiscardPaths,
-    /// Discards all: measurements of the old process do not apply to a restarted one.
+    /// Discards the node's load and what zones observed at the node: measurements of the old process do not apply to a
+    /// restarted one.
     DiscardAll,
 }
 
@@ -150,17 +151,18 @@
 }
 
 impl Nodes {
-    /// Updates a node from an entry of an endpoint list; returns the input for the node's lifecycle.
+    /// Updates a node from an entry of an endpoint list; returns the input for the node's lifecycle. A ready entry is a
+    /// restart if its process started less than `warm_up` ago and the node was not open or had another start time.
     pub fn on_entry(
         &mut self,
         entry: &EndpointEntry,
         warm_up: Span,
         now: Moment,
     ) -> LifecycleInput {
-        let known = self.by_id.get(&entry.node);
+        let previous = self.by_id.get(&entry.node);
         let is_recent_start = entry.started.is_some_and(|at| now - at < warm_up);
         let is_restart = is_recent_start
-            && known.is_none_or(|node| node.started != entry.started || !node.is_open());
+            && previous.is_none_or(|node| node.started != entry.started || !node.is_open());
         let node = self
             .by_id
             .entry(entry.node)
@@ -213,11 +215,17 @@
             .collect()
     }
 
-    /// Removes unlisted nodes whose last change of state is not recent. Nodes in `held`, which have table entries,
-    /// stay.
-    pub fn remove_unlisted(&mut self, held: &BTreeSet<NodeId>, is_recent: impl Fn(Moment) -> bool) {
+    /// Removes unlisted nodes whose last change of state is not recent. Nodes in `with_entries`, which have table
+    /// entries, stay.
+    pub fn remove_unlisted(
+        &mut self,
+        with_entries: &BTreeSet<NodeId>,
+        is_recent: impl Fn(Moment) -> bool,
+    ) {
         self.by_id.retain(|id, node| {
-            node.state != Lifecycle::Unlisted || held.contains(id) || is_recent(node.changed_at)
+            node.state != Lifecycle::Unlisted
+                || with_entries.contains(id)
+                || is_recent(node.changed_at)
         });
     }
 
--- a/crates/wheelspread/src/locality.rs
+++ b/crates/wheelspread/src/locality.rs
@@ -1,10 +1,9 @@
 //! Target weights: the share of each table's traffic that each node should get.
 //!
-//! Traffic stays in its zone up to a utilization limit. The limit is a fixed ratio, raised by the price of
-//! cross-zone traffic, or slightly more than the utilization of the fleet, whichever is higher. The rest goes to
-//! zones with headroom. The nodes of a zone are listed in a stable pseudorandom order, so that neighbors differ in
-//! kind and cell. Each subset of the proxies of a zone uses a contiguous range of this list, in proportion to its
-//! part of the demand.
+//! Traffic stays in its zone up to a utilization limit. The limit is a fixed ratio, raised by the price of cross-zone
+//! traffic, or the utilization of the fleet plus a fixed difference, whichever is higher. The rest goes to zones with
+//! headroom. The nodes of a zone are listed in a stable pseudorandom order, so that neighbors differ in kind and cell.
+//! Each subset of the proxies of a zone uses a contiguous range of this list, in proportion to its part of the demand.
 
 use crate::fleet::Fleet;
 use crate::ids::{NodeId, ZoneId};
@@ -57,7 +56,7 @@
     candidates: Vec<Candidate>,
     /// By zone of the proxies, the capacity of each candidate that the proxies can use.
     usable_capacity: BTreeMap<ZoneId, Vec<f64>>,
-    /// The same capacity, summed by zone of the proxies and zone of the nodes.
+    /// Usable capacity, summed by zone of the proxies and zone of the nodes.
     capacity_between: BTreeMap<(ZoneId, ZoneId), f64>,
     demand: BTreeMap<DemandClass, f64>,
     /// By zone, the demand beyond the utilization limit; a negative value is headroom.
@@ -86,14 +85,14 @@
         let table_zones = fleet.tables.values().map(Table::zone);
         let zones: BTreeSet<ZoneId> = candidates
             .iter()
-            .map(|c| c.zone)
+            .map(|candidate| candidate.zone)
             .chain(table_zones)
             .collect();
         let usable_capacity = |from: ZoneId| {
-            let shares = candidates
+            let capacities = candidates
                 .iter()
-                .map(|c| c.capacity * fleet.usable_ratio(from, c.node));
-            (from, shares.collect())
+                .map(|candidate| candidate.capacity * fleet.usable_ratio(from, candidate.node));
+            (from, capacities.collect())
         };
         let usable_capacity: BTreeMap<ZoneId, Vec<f64>> =
             zones.iter().map(|zone| usable_capacity(*zone)).collect();
@@ -115,6 +114,7 @@
         placement
     }
 
+    /// Computes the excess of each zone; see [`Placement::excess`].
     fn zone_excess(&self, zones: &BTreeSet<ZoneId>, price: f64) -> BTreeMap<ZoneId, f64> {
         let local_capacity: f64 = zones
             .iter()
@@ -203,14 +203,16 @@
             }
         }
         if entries.is_empty() {
-            // A table must not be empty: without a usable node, all open nodes that the table may use get an
-            // entry.
-            let stays = table.class().stays_in_zone;
+            // A table must not be empty: if no node has a large enough share, all open nodes that the table may use
+            // get an entry.
+            let stays_in_zone = table.class().stays_in_zone;
             let allowed = self
                 .candidates
                 .iter()
-                .filter(|c| !stays || c.zone == own_zone);
-            entries = allowed.map(|c| (c.node, c.capacity.max(1e-6))).collect();
+                .filter(|candidate| !stays_in_zone || candidate.zone == own_zone);
+            entries = allowed
+                .map(|candidate| (candidate.node, candidate.capacity.max(1e-6)))
+                .collect();
         }
         shares(&entries)
     }
--- a/crates/wheelspread/src/membership.rs
+++ b/crates/wheelspread/src/membership.rs
@@ -1,8 +1,8 @@
 //! The proxies: which have joined, the demand of each, and which still wait to be bound to their tables.
 //!
-//! A proxy that has left goes on sending requests, so its demand still counts for some time. After a restart of
-//! the controller, a proxy that already holds a table is assumed to have been sent a part of its message cap by
-//! the previous process.
+//! A proxy that has left still sends requests to nodes, so its demand counts until the proxy is removed. After a
+//! restart of the controller, a proxy that already holds a table is assumed to have been sent a part of its message cap
+//! by the previous process.
 
 use crate::config::Config;
 use crate::error::EventError;
@@ -14,8 +14,8 @@
 
 /// Ratio of the message cap that the previous process is assumed to have used before a restart.
 const ASSUMED_CAP_RATIO_BEFORE_RESTART: f64 = 0.35;
-/// Number of buckets that the message window is divided into, and number of buckets that are kept. Two more are
-/// kept, so that a message counts until it is certainly outside the window.
+/// Number of buckets into which the message window is divided, and number of buckets that are kept: two more, so that
+/// a message counts until it is certainly outside the window.
 const MESSAGE_BUCKETS: f64 = 20.0;
 const RETAINED_MESSAGE_BUCKETS: usize = 22;
 
@@ -39,7 +39,7 @@
         self.zone
     }
 
-    /// Whether the proxy is connected.
+    /// Whether the proxy has joined and not left since.
     pub fn has_joined(&self) -> bool {
         self.has_joined
     }
@@ -84,22 +84,22 @@
         }
     }
 
-    /// Records that a proxy has joined. `fresh`: it holds no table that a controller published.
+    /// Records that a proxy has joined. `holds_no_table`: the proxy holds no table from any controller.
     pub fn on_joined(
         &mut self,
         id: ProxyId,
         zone: ZoneId,
         usual_rate: f64,
-        fresh: bool,
+        holds_no_table: bool,
         config: &Config,
         now: Moment,
     ) {
         let (demand, messages) = match self.proxies.remove(&id) {
-            Some(known) => (
-                Some(known.demand).filter(|demand| !demand.is_empty()),
-                known.messages,
+            Some(previous) => (
+                Some(previous.demand).filter(|demand| !demand.is_empty()),
+                previous.messages,
             ),
-            None => (None, self.initial_messages(fresh, config, now)),
+            None => (None, self.initial_messages(holds_no_table, config, now)),
         };
         let demand = demand.unwrap_or_else(|| assumed_demand(usual_rate, config));
         let proxy = Proxy {
@@ -117,11 +117,16 @@
     /// The messages that a new proxy is assumed to have been sent. Messages count for a proxy across its
     /// connections and across a restart of the controller: a proxy that already holds a table may have got it from
     /// the previous process.
-    fn initial_messages(&self, fresh: bool, config: &Config, now: Moment) -> RollingWindow<f64> {
+    fn initial_messages(
+        &self,
+        holds_no_table: bool,
+        config: &Config,
+        now: Moment,
+    ) -> RollingWindow<f64> {
         let window = config.message_window.max(Span::from_seconds(1.0));
         let bucket = window * (1.0 / MESSAGE_BUCKETS);
         let mut messages = RollingWindow::new(bucket, RETAINED_MESSAGE_BUCKETS);
-        if !fresh && now - self.started_at < window {
+        if !holds_no_table && now - self.started_at < window {
             messages.add(
                 self.started_at,
                 ASSUMED_CAP_RATIO_BEFORE_RESTART * config.message_cap,
@@ -154,8 +159,8 @@
         Ok(proxy.demand.entry(operation).or_default())
     }
 
-    /// Drops proxies that have left and whose leaving is no longer recent.
-    pub fn forget_departed(&mut self, is_recent: impl Fn(Moment) -> bool) {
+    /// Removes proxies that have left and whose leaving is no longer recent.
+    pub fn remove_departed(&mut self, is_recent: impl Fn(Moment) -> bool) {
         self.proxies
             .retain(|_, proxy| proxy.has_joined || is_recent(proxy.joined_or_left_at));
     }
@@ -170,7 +175,7 @@
         self.proxies.iter().filter(|(_, proxy)| proxy.has_joined)
     }
 
-    /// Requests per second that the selected proxies receive.
+    /// Requests per second that the proxies that `is_counted` accepts receive.
     pub fn demand_where(&self, is_counted: impl Fn(&Proxy) -> bool) -> f64 {
         let counted = self.proxies.values().filter(|proxy| is_counted(proxy));
         counted
@@ -196,7 +201,7 @@
         self.unbound.extend(to_rebind.map(|(id, _)| *id));
     }
 
-    /// Removes proxies that were bound from the waiting ones.
+    /// Records that these proxies were bound, so that they no longer wait.
     pub fn on_bound(&mut self, ids: &BTreeSet<ProxyId>) {
         self.unbound.retain(|id| !ids.contains(id));
     }
--- a/crates/wheelspread/src/node_load.rs
+++ b/crates/wheelspread/src/node_load.rs
@@ -81,7 +81,7 @@
 const MAX_LATENCY_SECONDS: f64 = 60.0;
 /// Reported queue lengths above this are lowered to it.
 const MAX_QUEUE_LENGTH: f64 = 1e3;
-/// Successes in a report at which the report has half the weight of its window in the mean latency.
+/// Number of successes in a report at which the report counts in the mean latency as covering half of its window.
 const LATENCY_HALF_WEIGHT_REQUESTS: f64 = 2.0;
 /// Time constant of the mean latency, as a ratio of the common time constant.
 const LATENCY_TIME_CONSTANT_RATIO: f64 = 0.3;
@@ -100,7 +100,8 @@
     capacity: DecayingAverage,
     /// Report periods on which the capacity estimate is based; decays.
     evidence: f64,
-    /// The highest rate, in requests per second, at which latency stayed well below the objective.
+    /// The highest rate of successes per second that was served within the latency objective; see
+    /// [`NodeLoad::record_rate_within_objective`].
     peak_within_objective: f64,
     /// The highest recent rate of successes per second; decays.
     recent_peak: f64,
@@ -152,7 +153,7 @@
         };
     }
 
-    /// Sets the capacity estimate to one from before a restart of the balancer.
+    /// Sets the capacity estimate and its evidence to values from before a restart of the balancer.
     pub fn restore(&mut self, log_capacity: f64, evidence: f64) {
         self.capacity = DecayingAverage::with_value(log_capacity);
         self.evidence = evidence;
@@ -188,7 +189,7 @@
         self.recent_peak
     }
 
-    /// The highest rate, in requests per second, at which latency stayed well below the objective.
+    /// The highest rate of successes per second that was served within the latency objective; 0 if there is none.
     pub fn peak_within_objective(&self) -> f64 {
         self.peak_within_objective
     }
@@ -228,7 +229,8 @@
         self.capacity = DecayingAverage::with_value(log_capacity);
     }
 
-    /// Records a rate that was served while latency was well below the objective.
+    /// Records a rate that was served within the latency objective: while the mean latency was below a fixed ratio of
+    /// the objective.
     pub fn record_rate_within_objective(&mut self, rate: f64) {
         self.peak_within_objective = self.peak_within_objective.max(rate);
     }
--- a/crates/wheelspread/src/outlier.rs
+++ b/crates/wheelspread/src/outlier.rs
@@ -41,11 +41,13 @@
     cycles: f64,
     /// Ratio of failures to attempts above which a node is an outlier.
     min_failure_ratio: f64,
-    /// Ratio of failures to attempts at the zone's other nodes from which the cause is not the single node.
+    /// Ratio of failures to attempts from the zone to other nodes, from which the single node does not count as the
+    /// cause of its failures.
     max_others_failure_ratio: f64,
     /// Minimum failures for an ejection (on probation one less), and minimum successes to end probation.
     min_attempts: f64,
-    /// Latency, as a ratio of the latency objective, above which a node's failures are caused by its load.
+    /// Mean latency, as a ratio of the shortest latency objective, above which a node's failures count as caused by its
+    /// load.
     overload_latency_ratio: f64,
     /// Ratio of the nodes that take new requests. An ejection that would reach it is not made: when so many fail, the
     /// cause is not a single node.
@@ -62,17 +64,17 @@
 };
 
 /// How long a node stays ejected.
-struct EjectionTime {
-    /// Duration of the first ejection, as a ratio of a report cycle plus the channel's maximum delay; randomized by up
-    /// to 10 %.
+struct EjectionTimeRule {
+    /// Duration of the first ejection, as a multiple of a report cycle plus the maximum queue delay; randomized by
+    /// up to 10 %.
     first_ratio: f64,
     /// Factor of the duration after each failed probation.
     growth: f64,
-    /// Maximum duration, as a ratio of the first.
+    /// Maximum duration, as a multiple of a first ejection without its randomization.
     max_ratio: f64,
 }
 
-const EJECTION_TIME: EjectionTime = EjectionTime {
+const EJECTION_TIME: EjectionTimeRule = EjectionTimeRule {
     first_ratio: 4.0,
     growth: 1.5,
     max_ratio: 4.0,
@@ -82,7 +84,7 @@
 const PROBATION_RATIO: f64 = 0.2;
 /// Minimum ratio of a node's capacity that is used while the node counts as healthy.
 const MIN_HEALTHY_RATIO: f64 = 0.05;
-/// Buckets in the window of attempts; each is a report period wide.
+/// Number of buckets in a path's window of attempts; each covers a report period.
 const WINDOW_BUCKETS: usize = 24;
 
 /// A path: what the proxies of one zone observe at one node.
@@ -92,7 +94,7 @@
     /// Start of the current state.
     since: Moment,
     /// Duration of the current or latest ejection.
-    ejected_for: Span,
+    ejection_time: Span,
     attempts: ReportedRate,
     successes: ReportedRate,
     last_report_at: Moment,
@@ -104,7 +106,7 @@
         Path {
             state: HealthState::Healthy,
             since: now,
-            ejected_for: Span::ZERO,
+            ejection_time: Span::ZERO,
             attempts: ReportedRate::default(),
             successes: ReportedRate::default(),
             last_report_at: now,
@@ -122,13 +124,13 @@
         self.last_report_at
     }
 
-    /// Attempts and failures in the last `bucket_count` buckets.
+    /// Attempts and failures in the last `bucket_count` report periods.
     pub fn recent(&self, now: Moment, bucket_count: usize) -> AttemptStats {
         self.window.sum_last(now, bucket_count)
     }
 }
 
-/// Recent observations of a zone's proxies, summed over all nodes.
+/// Recent observations of a zone's proxies, summed over all nodes, and the number of nodes ejected for the zone.
 #[derive(Clone, Copy, Default)]
 struct ZoneHealth {
     recent: AttemptStats,
@@ -213,7 +215,7 @@
             .sum()
     }
 
-    /// Attempts and failures in the last `bucket_count` buckets, over all paths.
+    /// Attempts and failures in the last `bucket_count` report periods, summed over all paths.
     pub fn recent(&self, now: Moment, bucket_count: usize) -> AttemptStats {
         let mut sum = AttemptStats::default();
         self.paths
@@ -244,12 +246,12 @@
             let Some(state) = next_state(path.state, health) else {
                 continue;
             };
-            let ejected_for = match (path.state, state) {
+            let ejection_time = match (path.state, state) {
                 (HealthState::Healthy, HealthState::Ejected) => first * (0.9 + 0.2 * random.unit()),
                 (HealthState::Probation, HealthState::Ejected) => {
-                    (path.ejected_for * EJECTION_TIME.growth).min(first * EJECTION_TIME.max_ratio)
+                    (path.ejection_time * EJECTION_TIME.growth).min(first * EJECTION_TIME.max_ratio)
                 }
-                _ => path.ejected_for,
+                _ => path.ejection_time,
             };
             if let Some(zone) = zones.get_mut(&key.1) {
                 zone.ejected += usize::from(state == HealthState::Ejected);
@@ -259,7 +261,7 @@
                 key,
                 Path {
                     state,
-                    ejected_for,
+                    ejection_time,
                     ..new_path
                 },
             );
@@ -268,7 +270,7 @@
         has_changed
     }
 
-    /// The sums of each zone.
+    /// Sums the recent observations and the ejected nodes of each zone.
     fn zone_health(&self, now: Moment, bucket_count: usize) -> BTreeMap<ZoneId, ZoneHealth> {
         let mut zones = BTreeMap::<ZoneId, ZoneHealth>::new();
         for ((_, zone), path) in &self.paths {
@@ -332,7 +334,7 @@
                 && recent.failures >= DETECTION_THRESHOLDS.min_attempts)
                 .then_some(HealthInput::Failing),
             HealthState::Ejected => {
-                (input.now - self.since > self.ejected_for).then_some(HealthInput::EjectionOver)
+                (input.now - self.since > self.ejection_time).then_some(HealthInput::EjectionOver)
             }
             HealthState::Probation
                 if is_failing && recent.failures >= DETECTION_THRESHOLDS.min_attempts - 1.0 =>
--- a/crates/wheelspread/src/pacing.rs
+++ b/crates/wheelspread/src/pacing.rs
@@ -31,14 +31,14 @@
     /// Steps that are sent early because the endpoint list or the health of a node has changed.
     early_steps: f64,
     /// Changed weights of existing entries, such as lowered weights of warming nodes.
-    warming_limits: f64,
+    weight_adjustments: f64,
 }
 
 const MESSAGE_CAP_RATIOS: MessageCapRatios = MessageCapRatios {
     paced_steps: 0.55,
     max_paced_steps: 0.55 + 0.1,
     early_steps: 0.4,
-    warming_limits: 0.8,
+    weight_adjustments: 0.8,
 };
 
 /// Ratios of the capacity of the update queue, in entries.
@@ -100,7 +100,7 @@
     last_marker: u32,
     /// When update steps or admission limits were last sent.
     last_paced_at: Option<Moment>,
-    /// When entries or admission limits were last sent to proxies that were already bound.
+    /// When changed entries or admission limits of tables were last sent.
     last_update_at: Option<Moment>,
     last_admission_at: Option<Moment>,
 }
@@ -108,14 +108,14 @@
 impl Pacing {
     /// Handles the acknowledgement of a version marker: the proxy has applied everything sent before it.
     pub fn on_acknowledged(&mut self, proxy: ProxyId, marker: MarkerId) {
-        let position = self
+        let index = self
             .barriers
             .iter()
             .position(|barrier| barrier.marker == marker);
-        if let Some(position) = position {
+        if let Some(index) = index {
             // The queue is ordered: everything sent before this message has left the queue.
-            self.barriers[position].unacknowledged.remove(&proxy);
-            for earlier in self.barriers.iter_mut().take(position) {
+            self.barriers[index].unacknowledged.remove(&proxy);
+            for earlier in self.barriers.iter_mut().take(index) {
                 earlier.entry_count = 0.0;
             }
         }
@@ -128,15 +128,15 @@
         }
     }
 
-    /// Drops message rounds that are too old to be tracked.
-    pub fn drop_expired(&mut self, now: Moment) {
+    /// Removes message rounds that are older than `BARRIER_LIFETIME_SECONDS`.
+    pub fn remove_expired(&mut self, now: Moment) {
         let lifetime = Span::from_seconds(BARRIER_LIFETIME_SECONDS);
         self.barriers
             .retain(|barrier| now - barrier.sent_at < lifetime);
     }
 
-    /// Estimate of the entries in the update queue, computed from missing acknowledgements, so that a slow queue
-    /// is noticed at once.
+    /// Estimate of the entries in the update queue, computed from missing acknowledgements, so that the estimate is
+    /// high as soon as the queue is slow.
     pub fn queued_entries(&self) -> f64 {
         self.queued_entries_since(Moment::default())
     }
@@ -149,9 +149,9 @@
         barriers.map(AckBarrier::remaining_entries).sum()
     }
 
-    /// The same estimate for binding proxies, without the rounds that are older than twice the time in which a
-    /// full queue empties at its configured rate. If no proxy ever acknowledges, a joining proxy would otherwise
-    /// wait for its table until these rounds expire.
+    /// The estimate of queued entries that is used for binding proxies. It leaves out rounds that are older than twice
+    /// the sum of the time in which a full queue empties at its configured rate and the maximum queue delay. If no
+    /// proxy ever acknowledges, a joining proxy would otherwise wait for its table until these rounds expire.
     pub fn queued_entries_for_joins(&self, config: &Config, now: Moment) -> f64 {
         let entries_per_second = config.queue_entries_per_second;
         if entries_per_second <= 0.0 {
@@ -192,15 +192,15 @@
     /// Whether the barrier of the last step has been passed, by acknowledgements or by its timeout, and the queue
     /// is nearly empty.
     pub fn may_step(&self, fleet: &Fleet) -> bool {
-        let last = self.barriers.iter().rev().find(|barrier| barrier.is_step);
-        last.is_none_or(|barrier| barrier.is_passed(fleet.now))
+        let last_step = self.barriers.iter().rev().find(|barrier| barrier.is_step);
+        last_step.is_none_or(|barrier| barrier.is_passed(fleet.now))
             && self.queued_entries() <= QUEUE_RATIOS.before_step * fleet.config.queue_capacity
     }
 
     /// Whether the message cap leaves room to change the weights of existing entries, such as those of warming
     /// nodes.
-    pub fn may_limit_warming(&self, fleet: &Fleet) -> bool {
-        has_message_budget(fleet, MESSAGE_CAP_RATIOS.warming_limits)
+    pub fn may_adjust_weights(&self, fleet: &Fleet) -> bool {
+        has_message_budget(fleet, MESSAGE_CAP_RATIOS.weight_adjustments)
     }
 
     /// How many entries may be published now; below 0 if the queue is too full.
@@ -223,7 +223,7 @@
         self.last_paced_at = Some(now);
     }
 
-    /// Records that an update is sent now to proxies that were already bound.
+    /// Records that changed entries or admission limits of tables are sent now.
     pub fn on_update(&mut self, now: Moment) {
         self.last_update_at = Some(now);
     }
@@ -237,7 +237,8 @@
         is_due
     }
 
-    /// Records a round of messages. Returns the version marker that its proxies are to acknowledge.
+    /// Records a round of messages to the proxies in `unacknowledged`. Returns the version marker that they are to
+    /// acknowledge.
     pub fn on_sent(
         &mut self,
         now: Moment,
@@ -266,9 +267,9 @@
     cap <= 0.0 || fleet.members.max_messages(fleet.now) + 1.0 <= cap * ratio
 }
 
-/// Minimum interval between two urgent updates, so that they never use up the message cap. It is close to 0 while
-/// few messages were sent, grows as the cap comes nearer, and is bounded by a ratio of the grace period of a
-/// drain.
+/// Minimum interval between two updates, so that urgent updates do not use up the message cap. It is close to 0 while
+/// few messages were sent and grows with the used ratio of the cap. If the grace period of a drain is known, the
+/// interval is at most `MAX_URGENT_SPACING_RATIO` of it.
 fn min_urgent_spacing(fleet: &Fleet) -> Span {
     let (cap, grace) = (fleet.config.message_cap, fleet.config.drain_grace.seconds());
     if cap <= 0.0 {
--- a/crates/wheelspread/src/publication.rs
+++ b/crates/wheelspread/src/publication.rs
@@ -31,9 +31,9 @@
         .collect()
 }
 
-/// Removes draining and gone nodes at once. A table without entries, or whose remaining ready entries are to carry
-/// only a small part of its traffic, takes its complete target at once: otherwise the few remaining entries would
-/// be overloaded, and with them the warming nodes.
+/// Removes draining and gone nodes at once. A table without entries, or whose remaining entries of ready nodes have
+/// less than `MIN_REMAINING_RATIO` of the ready nodes' target share, takes its complete target at once: otherwise the
+/// few remaining entries would be overloaded, and with them the warming nodes.
 pub(crate) fn apply_urgent_changes(
     fleet: &Fleet,
     targets: &TableWeights,
@@ -156,10 +156,10 @@
     out: &mut Vec<Action>,
 ) {
     let tables = fleet.tables.iter();
-    let all: Vec<(TableId, OperationId)> = tables
+    let table_operations: Vec<(TableId, OperationId)> = tables
         .flat_map(|(id, table)| table.operations().iter().map(|operation| (*id, *operation)))
         .collect();
-    for (id, operation) in all {
+    for (id, operation) in table_operations {
         let policy = admission.policy(fleet, id, operation);
         let Some(table) = fleet.tables.get_mut(&id) else {
             continue;
@@ -187,29 +187,29 @@
     pub entries: f64,
 }
 
-/// Binds joined proxies at once. Proxies wait only while their tables would exceed the part of the update queue
-/// that joins may fill.
+/// Binds joined proxies without waiting for an update step. A proxy waits only while none of its tables has an entry,
+/// or while its tables would exceed the part of the update queue that joins may fill.
 pub(crate) fn bind_joined_proxies(
     fleet: &mut Fleet,
     pacing: &Pacing,
     changed: &ChangedEntries,
     out: &mut Vec<Action>,
 ) -> Bindings {
-    let limit = Pacing::join_limit(&fleet.config) - receivers(fleet, changed).1;
+    let limit = Pacing::join_limit(&fleet.config) - message_receivers(fleet, changed).1;
     let queued = pacing.queued_entries_for_joins(&fleet.config, fleet.now);
-    let (mut sum, mut proxies) = (queued, BTreeSet::new());
+    let (mut queued_after, mut proxies) = (queued, BTreeSet::new());
     for id in fleet.members.unbound() {
         let Some(proxy) = fleet.members.proxies().get(id) else {
             continue;
         };
         let serves = |table: &&Table| table.serves(*id, proxy.zone());
-        let own = || fleet.tables.values().filter(serves);
+        let own_tables = || fleet.tables.values().filter(serves);
         // A table without entries is bound too if another table of the proxy has entries, so that the proxy gets
         // nodes that come later and drops entries of nodes that are gone.
-        let is_empty = own().all(|table| table.entries().is_empty());
-        let count = own().map(Table::message_entries).sum();
+        let has_no_entries = own_tables().all(|table| table.entries().is_empty());
+        let count = own_tables().map(Table::message_entries).sum();
         let entries = fleet.config.message_entries(count);
-        if is_empty || sum + entries > limit {
+        if has_no_entries || queued_after + entries > limit {
             continue;
         }
         for (table_id, table) in fleet.tables.iter().filter(|(_, table)| serves(table)) {
@@ -219,31 +219,31 @@
                 operations: table.operations().to_vec(),
             });
         }
-        sum += entries;
+        queued_after += entries;
         proxies.insert(*id);
     }
     fleet.members.on_bound(&proxies);
     Bindings {
         proxies,
-        entries: sum - queued,
+        entries: queued_after - queued,
     }
 }
 
 /// The proxies that get a message because of the changed tables, and the number of entries in these messages,
 /// including the overhead of each message.
-fn receivers(fleet: &Fleet, changed: &ChangedEntries) -> (BTreeSet<ProxyId>, f64) {
-    let (mut recipients, mut sum) = (BTreeSet::new(), 0.0);
+fn message_receivers(fleet: &Fleet, changed: &ChangedEntries) -> (BTreeSet<ProxyId>, f64) {
+    let (mut receivers, mut entry_sum) = (BTreeSet::new(), 0.0);
     let proxies = fleet.members.proxies().iter();
     for (id, proxy) in proxies.filter(|(_, proxy)| proxy.is_bound()) {
         let tables = fleet.tables.iter();
-        let own = tables.filter(|(_, table)| table.serves(*id, proxy.zone()));
-        let count: usize = own.filter_map(|(id, _)| changed.get(id)).sum();
+        let own_tables = tables.filter(|(_, table)| table.serves(*id, proxy.zone()));
+        let count: usize = own_tables.filter_map(|(id, _)| changed.get(id)).sum();
         if count > 0 {
-            sum += fleet.config.message_entries(count);
-            recipients.insert(*id);
+            entry_sum += fleet.config.message_entries(count);
+            receivers.insert(*id);
         }
     }
-    (recipients, sum)
+    (receivers, entry_sum)
 }
 
 /// Records the messages of this round and asks their receivers for an acknowledgement.
@@ -255,11 +255,11 @@
     is_step: bool,
     out: &mut Vec<Action>,
 ) {
-    let (mut recipients, entries) = receivers(fleet, changed);
-    recipients.extend(&bindings.proxies);
-    fleet.members.on_message_sent(&recipients, fleet.now);
-    if !recipients.is_empty() {
-        let marker = pacing.on_sent(fleet.now, recipients, entries + bindings.entries, is_step);
+    let (mut receivers, entries) = message_receivers(fleet, changed);
+    receivers.extend(&bindings.proxies);
+    fleet.members.on_message_sent(&receivers, fleet.now);
+    if !receivers.is_empty() {
+        let marker = pacing.on_sent(fleet.now, receivers, entries + bindings.entries, is_step);
         out.push(Action::SendMarker {
             marker,
             to_all: false,
--- a/crates/wheelspread/src/rates.rs
+++ b/crates/wheelspread/src/rates.rs
@@ -12,7 +12,7 @@
         DecayingAverage(Some(value))
     }
 
-    /// Adds a sample that covers `covered` of time. `time_constant` is the time constant of the decay.
+    /// Adds a sample that covers the length of time `covered`. `time_constant` is the time constant of the decay.
     pub fn add(&mut self, sample: f64, covered: Span, time_constant: Span) {
         let old_weight = (-covered.seconds().max(0.0) / time_constant.seconds().max(1e-6)).exp();
         self.0 = Some(
@@ -32,6 +32,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ReportedRate {
     rate: DecayingAverage,
+    /// Time of the latest report for this rate.
     covered_until: Option<Moment>,
 }
 
@@ -55,8 +56,8 @@
         previous_report_at: Moment,
     ) {
         if let Some(until) = self.covered_until {
-            let silence = (now - until - window).min(previous_report_at - until);
-            self.rate.add(0.0, silence, time_constant);
+            let unreported = (now - until - window).min(previous_report_at - until);
+            self.rate.add(0.0, unreported, time_constant);
         }
         self.rate
             .add(count / window.seconds(), window, time_constant);
--- a/crates/wheelspread/src/report_timing.rs
+++ b/crates/wheelspread/src/report_timing.rs
@@ -3,20 +3,20 @@
 use crate::rates::DecayingAverage;
 use crate::time::{Moment, Span};
 
-/// How long reported values count, in report cycles.
-pub(crate) struct ReportRetention {
-    /// Time constant of averages.
+/// How long reported values influence estimates, in report cycles.
+pub(crate) struct ReportValidity {
+    /// The common time constant of averages.
     pub time_constant_cycles: f64,
-    /// How long the rate of a path stays valid without a report.
+    /// How long the rate of a path is valid after its last load report.
     pub rate_validity_cycles: f64,
 }
 
-pub(crate) const REPORT_RETENTION: ReportRetention = ReportRetention {
+pub(crate) const REPORT_VALIDITY: ReportValidity = ReportValidity {
     time_constant_cycles: 4.0,
     rate_validity_cycles: 3.0,
 };
 
-/// Time by which each report advances the average of report windows, in seconds.
+/// Length of time that each report counts as in the average of report windows, in seconds.
 const WINDOW_SAMPLE_SECONDS: f64 = 1.0;
 /// Time constant of the average of report windows, in seconds.
 const WINDOW_TIME_CONSTANT_SECONDS: f64 = 300.0;
@@ -88,17 +88,17 @@
 
     /// The common time constant of averages.
     pub fn time_constant(&self) -> Span {
-        self.cycle() * REPORT_RETENTION.time_constant_cycles
+        self.cycle() * REPORT_VALIDITY.time_constant_cycles
     }
 
-    /// Time of the latest report before those of the most recent time.
+    /// Time of the latest report that arrived before the most recent reports, which may share one time.
     pub fn previous_at(&self) -> Moment {
         self.previous_at
     }
 
-    /// The time since which a path must have been reported for its rate to be valid.
+    /// The earliest time of a path's last load report at which the rate of the path is still valid.
     pub fn rates_valid_since(&self) -> Moment {
-        self.last_at - self.cycle() * REPORT_RETENTION.rate_validity_cycles
+        self.last_at - self.cycle() * REPORT_VALIDITY.rate_validity_cycles
     }
 
     /// Whether no node's load report arrived between the start of the balancer and `since`.
--- a/crates/wheelspread/src/retry_policy.rs
+++ b/crates/wheelspread/src/retry_policy.rs
@@ -7,7 +7,7 @@
 
 /// The retry policy of an operation at the current load. Proxies give up an attempt early if it may be retried, so
 /// the first attempt may still be running when the retry starts. This duplicate work is accepted only while the
-/// fleet is calm; while it is strained, any retry adds load and none is allowed.
+/// fleet's load is low. While the fleet is overloaded, no retry is allowed, since any retry adds load.
 pub(crate) fn retry_policy(operation: &Operation, load: FleetLoad) -> RetryPolicy {
     match (can_retry_safely(operation), load) {
         (true, FleetLoad::Low) => RetryPolicy::OnceOnAnyFailure,
--- a/crates/wheelspread/src/slow_start.rs
+++ b/crates/wheelspread/src/slow_start.rs
@@ -9,23 +9,23 @@
 use crate::shares::{NodeWeights, TableWeights};
 use std::collections::BTreeMap;
 
-/// Parameters of the load limit of warming nodes.
-struct WarmingLimit {
-    /// Factor on the square root of the overload factor from the settings.
+/// Parameters of the load limit of warming nodes and of lowering their entries.
+struct WarmingLimitRule {
+    /// Factor of the square root of the setting `rules.cold_overload_factor`.
     overload_factor_ratio: f64,
     /// Entries are lowered only when the load exceeds the limit by this factor, as each change costs a message to every
     /// proxy.
     tolerance: f64,
     /// Minimum ratio of the limit that remains for this controller's proxies beside the load of peers' proxies.
     min_ratio_beside_peers: f64,
-    /// How often entries are lowered in a row. Lowering one entry shifts load to the other entries of the table, so one
-    /// pass does not reach the limit.
+    /// How many times entries are lowered in one decision round. Lowering one entry shifts load to the other entries of
+    /// the table, so one pass does not reach the limit.
     iterations: usize,
     /// Weights are not lowered below this value.
     min_weight: f64,
 }
 
-const WARMING_LIMIT: WarmingLimit = WarmingLimit {
+const WARMING_LIMIT: WarmingLimitRule = WarmingLimitRule {
     overload_factor_ratio: 0.75,
     tolerance: 1.3,
     min_ratio_beside_peers: 0.3,
@@ -33,7 +33,8 @@
     min_weight: 1e-3,
 };
 
-/// Conditions under which weights are unreliable because proxies avoid failing nodes on their own.
+/// Conditions under which proxies may avoid failing nodes on their own, so that the published weights do not determine
+/// the load of the other nodes.
 struct AvoidanceRisk {
     /// Report cycles after the first load report since the start during which failures count as unknown. After as many
     /// cycles without a load report a zone counts as unobserved.
@@ -59,15 +60,15 @@
 /// node gets five times its share. The limit also holds in a fleet that consists mostly of warming nodes.
 pub(crate) fn warming_limit(fleet: &Fleet, node: &Node) -> f64 {
     let nominal = fleet.capacity.nominal_capacity(node);
-    let served = fleet
+    let ready_rate = fleet
         .capacity
-        .observed_peak(node.kind())
+        .peak_observed_rate(node.kind())
         .map_or(nominal * ASSUMED_UTILIZATION, |peak| peak * node.weight())
         .min(nominal);
     WARMING_LIMIT.overload_factor_ratio
         * fleet.config.warm_up_overload_factor.sqrt()
         * node.capacity_ratio(&fleet.config, fleet.now)
-        * served
+        * ready_rate
 }
 
 /// Lowers the entries of warming nodes in `draft` until the nodes' load stays within their limits. The load includes
@@ -76,8 +77,12 @@
     if fleet.config.errors_until_avoided > 0.0 {
         remove_unsafe_entries(fleet, draft);
     }
-    let only_warming = |entries: &NodeWeights| entries.keys().all(|id| fleet.nodes.is_warming(id));
-    for entries in draft.values_mut().filter(|entries| only_warming(entries)) {
+    let has_only_warming =
+        |entries: &NodeWeights| entries.keys().all(|id| fleet.nodes.is_warming(id));
+    for entries in draft
+        .values_mut()
+        .filter(|entries| has_only_warming(entries))
+    {
         // A table with no other nodes: weights follow the limits, and admission is cut to the sum of the limits.
         for (id, weight) in entries.iter_mut() {
             *weight = warming_limit(fleet, &fleet.nodes[id]).max(WARMING_LIMIT.min_weight);
@@ -88,13 +93,16 @@
         let limit = warming_limit(fleet, node);
         let limit =
             (limit - fleet.peers_rate(*id)).max(limit * WARMING_LIMIT.min_ratio_beside_peers);
-        let is_over = load.at(*id, draft) > limit * WARMING_LIMIT.tolerance;
-        if !is_over {
+        let exceeds_limit = load.attempt_rate(*id, draft) > limit * WARMING_LIMIT.tolerance;
+        if !exceeds_limit {
             continue;
         }
         for _ in 0..WARMING_LIMIT.iterations {
-            let factor = (limit / load.at(*id, draft).max(1e-9)).min(1.0);
-            for entries in draft.values_mut().filter(|entries| !only_warming(entries)) {
+            let factor = (limit / load.attempt_rate(*id, draft).max(1e-9)).min(1.0);
+            for entries in draft
+                .values_mut()
+                .filter(|entries| !has_only_warming(entries))
+            {
                 if let Some(weight) = entries.get_mut(id) {
                     *weight = (*weight * factor).max(WARMING_LIMIT.min_weight);
                 }
@@ -158,19 +166,19 @@
         }
     }
 
-    /// Attempts per second at a node.
-    fn at(&self, node: NodeId, draft: &TableWeights) -> f64 {
+    /// Attempts per second that a node gets under `draft`.
+    fn attempt_rate(&self, node: NodeId, draft: &TableWeights) -> f64 {
         let loads = draft
             .iter()
-            .filter_map(|(table, entries)| self.table_share(node, *table, entries));
+            .filter_map(|(table, entries)| self.table_rate(node, *table, entries));
         loads.sum::<f64>() * self.amplification
     }
 
-    /// Requests per second of a table that go to a node; `None` without an entry. Where proxies avoid failing nodes,
-    /// the weights of the other entries are reduced to the part that still gets traffic.
-    fn table_share(&self, node: NodeId, table: TableId, entries: &NodeWeights) -> Option<f64> {
+    /// Admitted requests per second of a table that go to a node; `None` without an entry. Where proxies avoid failing
+    /// nodes, the weights of the other entries are reduced to the part that still gets traffic.
+    fn table_rate(&self, node: NodeId, table: TableId, entries: &NodeWeights) -> Option<f64> {
         let zone = self.fleet.tables[&table].zone();
-        let own_load = self.admitted_rates[&table] * entries.get(&node)?;
+        let weighted_rate = self.admitted_rates[&table] * entries.get(&node)?;
         let is_avoidance_enabled = self.fleet.config.errors_until_avoided > 0.0;
         let remaining_ratio = |other: &NodeId| {
             if *other == node || !is_avoidance_enabled {
@@ -183,7 +191,7 @@
         let remaining_weights = entries
             .iter()
             .map(|(other, weight)| weight * remaining_ratio(other));
-        Some(own_load / remaining_weights.sum::<f64>().max(1e-9))
+        Some(weighted_rate / remaining_weights.sum::<f64>().max(1e-9))
     }
 }
 
@@ -196,6 +204,6 @@
     }
     let joined = fleet.members.joined().count() as f64;
     // The load of peers' proxies is subtracted from the limits instead.
-    let peer_proxies = fleet.gossip.proxies(fleet.gossip_since());
+    let peer_proxies = fleet.gossip.peer_proxy_count(fleet.gossip_since());
     ((fleet.config.proxy_count - peer_proxies) / joined.max(1.0)).max(1.0)
 }
--- a/crates/wheelspread/src/subset.rs
+++ b/crates/wheelspread/src/subset.rs
@@ -104,7 +104,7 @@
     Some(subsets.clamp(1.0, SUBSET_RULES.max_tables / zones as f64) as u16)
 }
 
-/// Replaces a table by one table per subset.
+/// Replaces a table by one table per subset. The first subset keeps the table's ID.
 fn split_table(fleet: &mut Fleet, id: TableId, subsets: u16, zones: usize) {
     for subset in 0..subsets {
         let table = fleet.tables[&id].for_subset(subset, subsets);
@@ -113,9 +113,9 @@
     }
 }
 
-/// The range of the node list for each subset, in proportion to its demand. Proxies that are expected but have not
-/// joined yet count equally for all subsets: when only the first few joined proxies counted, every join moved all
-/// ranges.
+/// The range of the node list for each subset of each zone, in proportion to its demand. Proxies that are expected but
+/// have not joined yet count equally for all subsets: when only the first few joined proxies counted, every join moved
+/// all ranges.
 pub(crate) fn subset_ranges(fleet: &Fleet) -> BTreeMap<(ZoneId, u16), SubsetRange> {
     let demand = demand_by_subset(fleet);
     let zone_demand = |zone: ZoneId| {
@@ -141,6 +141,9 @@
     demand.keys().map(|key| range(*key)).collect()
 }
 
+/// Demand by zone and subset, in requests per second: of the known proxies, and of the expected ones that have not
+/// joined yet, which are assumed to have the mean demand of the zone's known proxies. A small constant keeps each sum
+/// above 0.
 fn demand_by_subset(fleet: &Fleet) -> BTreeMap<(ZoneId, u16), f64> {
     let mut demand: BTreeMap<(ZoneId, u16), f64> = BTreeMap::new();
     for table in fleet.tables.values() {
@@ -148,15 +151,15 @@
     }
     let expected = expected_proxies(fleet);
     for zone in zones_of(&fleet.tables) {
-        let own = fleet
+        let zone_proxies = fleet
             .members
             .proxies()
             .values()
             .filter(|proxy| proxy.zone() == zone);
-        let known_proxies = own.count() as f64;
-        let own_demand = fleet.members.demand_where(|proxy| proxy.zone() == zone);
+        let known_proxies = zone_proxies.count() as f64;
+        let zone_demand = fleet.members.demand_where(|proxy| proxy.zone() == zone);
         let expected_demand =
-            (expected - known_proxies).max(0.0) * own_demand / known_proxies.max(1.0);
+            (expected - known_proxies).max(0.0) * zone_demand / known_proxies.max(1.0);
         let subsets = demand.range((zone, 0)..=(zone, u16::MAX)).count().max(1) as f64;
         for (_, sum) in demand.range_mut((zone, 0)..=(zone, u16::MAX)) {
             *sum += expected_demand / subsets;
--- a/crates/wheelspread/src/update_plan.rs
+++ b/crates/wheelspread/src/update_plan.rs
@@ -17,14 +17,14 @@
 use crate::shares::{shares, weight_of, NodeWeights, TableWeights};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Factors for the load limit of a node. The limit is the larger one of its load by listed weight and its peak
-/// rate, each multiplied by its factors.
+/// Factors for the load limit of a node. The limit is the larger one of its load by listed weight and the highest rate
+/// that it served within the latency objective, each multiplied by its factors.
 struct NodeLimitFactors {
     /// Factor of the load that the node gets when all demand is spread by listed weight.
     even_share: f64,
     /// Additional factor of the same load while the node is warming.
     warming: f64,
-    /// Factor of the highest rate at which the node's latency stayed within the objective.
+    /// Factor of the highest rate that the node served within the latency objective.
     peak: f64,
 }
 
@@ -34,10 +34,10 @@
     peak: 1.25,
 };
 
-/// Change of an entry's weight above which a step is needed, as a ratio of the larger weight.
+/// Change of an entry's share above which a step is needed, as a ratio of the larger share.
 const MIN_STEP_CHANGE_RATIO: f64 = 0.12;
-/// Ratio of a table's mean weight. An entry with a smaller weight counts as this large when changes are compared,
-/// so that small entries do not cause updates.
+/// Ratio of a table's mean weight. When changes are compared, an entry of a smaller weight counts as having this
+/// weight, so that small entries do not cause updates.
 pub(crate) const SMALL_ENTRY_RATIO: f64 = 0.3;
 /// Sum of the weights of a table that had no entries before.
 pub(crate) const INITIAL_WEIGHT_SUM: f64 = 100.0;
@@ -110,7 +110,7 @@
 
 /// The part of a table's move that is possible in this step.
 struct Shift {
-    /// Load that the complete move takes off the previous nodes.
+    /// Load that the complete move removes from nodes.
     moved_load: f64,
     /// The minimum headroom of the at-risk nodes to which the table adds load, and that node; `None`: there is no
     /// such node.
@@ -195,8 +195,8 @@
         weight_of(&self.published, table, node) > weight_of(&self.target, table, node) + MIN_LOAD
     }
 
-    /// Removals come before additions: a table that adds load to an at-risk node waits for every table that
-    /// removes load from it.
+    /// For each moving table, the tables that it waits for. Removals come before additions: a table that adds load to
+    /// an at-risk node waits for every table that removes load from it.
     fn wait_graph(&self, moving: &[TableId]) -> WaitGraph {
         let waits_for = |table: &TableId| {
             let others = moving.iter().copied().filter(|other| other != table);
@@ -309,7 +309,7 @@
 }
 
 /// The load limit of a node, in requests per second: a multiple of its load by listed weight or of the highest
-/// rate at which its latency stayed within the objective, whichever is higher.
+/// rate that it served within the latency objective, whichever is higher.
 fn node_limit(node: &Node, rate_per_weight: f64) -> f64 {
     let warming = if node.is_warming() {
         NODE_LIMIT_FACTORS.warming
--- a/crates/wheelspread/tests/action_snapshot.rs
+++ b/crates/wheelspread/tests/action_snapshot.rs
@@ -28,8 +28,10 @@
     proxy_rate: f64,
     /// Requests per second that one node can serve.
     node_rate: f64,
-    reports: &'static [&'static str],
-    peers: bool,
+    /// Names of the metrics that nodes report, for the settings `report.field.N`.
+    metrics: &'static [&'static str],
+    /// Whether another controller sends gossip.
+    has_peers: bool,
 }
 
 struct World {
@@ -101,18 +103,18 @@
         ("zone.count", fleet.zones.to_string()),
         ("proxy.count", fleet.proxies.to_string()),
     ];
-    let reports = fleet
-        .reports
+    let metrics = fleet
+        .metrics
         .iter()
         .enumerate()
         .map(|(index, name)| (format!("report.field.{index}"), name.to_string()));
-    let all = COMMON_SETTINGS
+    let fixed_settings = COMMON_SETTINGS
         .iter()
         .chain(&fleet.settings)
         .map(|(name, value)| (name.to_string(), value.to_string()));
-    for (name, value) in all
+    for (name, value) in fixed_settings
         .chain(counts.map(|(name, value)| (name.to_string(), value)))
-        .chain(reports)
+        .chain(metrics)
     {
         let value = match (value.parse::<f64>(), value.as_str()) {
             (Ok(number), _) => SettingValue::Number(number),
@@ -350,12 +352,12 @@
             failures: (attempt_count * failure_ratio).floor(),
             mean_latency: Span::from_seconds(latency_seconds),
             window: Span::from_seconds(1.0),
-            metrics: self.fleet.reports.iter().map(value).collect(),
+            metrics: self.fleet.metrics.iter().map(value).collect(),
         });
     }
 
     fn send_gossip(&mut self) {
-        if !self.fleet.peers || self.step % 20 != 11 {
+        if !self.fleet.has_peers || self.step % 20 != 11 {
             return;
         }
         // The message begins with two bytes for the number of proxies and four bytes for each demand class; eight
@@ -511,8 +513,8 @@
         proxies: 12,
         proxy_rate: 40.0,
         node_rate: 90.0,
-        reports: &["utilization"],
-        peers: false,
+        metrics: &["utilization"],
+        has_peers: false,
     };
     insta::assert_snapshot!(World::new(fleet, 1).play());
 }
@@ -530,8 +532,8 @@
         proxies: 16,
         proxy_rate: 25.0,
         node_rate: 80.0,
-        reports: &["queue"],
-        peers: true,
+        metrics: &["queue"],
+        has_peers: true,
     };
     insta::assert_snapshot!(World::new(fleet, 2).play());
 }
@@ -550,8 +552,8 @@
         proxies: 40,
         proxy_rate: 15.0,
         node_rate: 25.0,
-        reports: &[],
-        peers: false,
+        metrics: &[],
+        has_peers: false,
     };
     insta::assert_snapshot!(World::new(fleet, 3).play());
 }
