--- a/crates/wheelspread/src/admission.rs
+++ b/crates/wheelspread/src/admission.rs
@@ -124,8 +124,8 @@
             let warming_limit = warming_ratio(fleet, table);
             let is_overloaded = zone_limit.is_some() || self.is_overloaded();
             for operation in table.operations() {
-                let before = self.ratio(*id, *operation);
-                let recovered = before + RECOVERY_STEP * (before + RECOVERY_OFFSET).min(1.0);
+                let previous = self.ratio(*id, *operation);
+                let recovered = previous + RECOVERY_STEP * (previous + RECOVERY_OFFSET).min(1.0);
                 let mut ratio = target_ratios[operation];
                 if let Some(limit) = zone_limit.filter(|limit| *limit > 0.0) {
                     ratio = ratio.min(limit);
@@ -247,8 +247,8 @@
     let limits: Option<Vec<f64>> = entries
         .map(|id| limit_if_warming(fleet.nodes.get(id)?))
         .collect();
-    let sum: f64 = limits?.iter().sum();
-    Some(sum / fleet.demand_of(table).max(1e-6))
+    let limit_sum: f64 = limits?.iter().sum();
+    Some(limit_sum / fleet.demand_of(table).max(1e-6))
 }
 
 /// Converts an admission ratio to the form that the settings require: a ratio, or a rate limit that is the same
--- a/crates/wheelspread/src/balancer/tests/stage.rs
+++ b/crates/wheelspread/src/balancer/tests/stage.rs
@@ -244,24 +244,24 @@
 
     fn entry(&self, text: &str) -> EndpointEntry {
         let words: Vec<&str> = text.split(':').collect();
-        let find = |first: char| {
+        let numeric_part = |first: char| {
             let mut short_words = words[1..].iter().filter(|word| word.len() < 5);
             short_words
                 .find(|word| word.starts_with(first))
                 .map(|word| number(word))
         };
-        let has = |word: &str| words.contains(&word);
+        let has_word = |word: &str| words.contains(&word);
         EndpointEntry {
             node: node(words[0]),
-            zone: ZoneId(find('z').unwrap_or(0.0) as u16),
-            kind: KindId(find('k').unwrap_or(0.0) as u8),
+            zone: ZoneId(numeric_part('z').unwrap_or(0.0) as u16),
+            kind: KindId(numeric_part('k').unwrap_or(0.0) as u8),
             cell: CellId(0),
-            status: match (has("draining"), has("gone")) {
+            status: match (has_word("draining"), has_word("gone")) {
                 (true, _) => EndpointStatus::Draining,
                 (_, true) => EndpointStatus::Gone,
                 _ => EndpointStatus::Ready,
             },
-            weight: find('w').unwrap_or(1.0),
+            weight: numeric_part('w').unwrap_or(1.0),
             started: value_of(&words, "age")
                 .map(|age| Moment::from_seconds(START_SECONDS + self.now - number(age))),
         }
@@ -285,16 +285,16 @@
     }
 
     fn load_report(&mut self, in_zone: &str, name: &str, rest: &[&str]) {
-        let get =
+        let number_or =
             |key: &str, default: f64| value_of(rest, key).map_or(default, |s| s.parse().expect(s));
         let utilization = value_of(rest, "utilization").map(|text| text.parse().expect(text));
         self.event(&Event::NodeLoadReport {
             zone: zone(in_zone),
             node: node(name),
-            attempts: get("attempts", 10.0),
-            failures: get("failures", 0.0),
-            mean_latency: Span::from_seconds(get("ms", 100.0) / 1e3),
-            window: Span::from_seconds(get("window", 1.0)),
+            attempts: number_or("attempts", 10.0),
+            failures: number_or("failures", 0.0),
+            mean_latency: Span::from_seconds(number_or("ms", 100.0) / 1e3),
+            window: Span::from_seconds(number_or("window", 1.0)),
             metrics: utilization.into_iter().collect(),
         });
     }
--- a/crates/wheelspread/src/locality.rs
+++ b/crates/wheelspread/src/locality.rs
@@ -141,8 +141,8 @@
 
     fn spillover(&self, table: &Table) -> Spillover {
         let own_zone = table.zone();
-        let others = self.excess.iter().filter(|(zone, _)| **zone != own_zone);
-        let remote_zones: BTreeMap<ZoneId, RemoteZone> = others
+        let other_zones = self.excess.iter().filter(|(zone, _)| **zone != own_zone);
+        let remote_zones: BTreeMap<ZoneId, RemoteZone> = other_zones
             .map(|(zone, excess)| {
                 let headroom = (-excess).max(0.0);
                 (
@@ -233,12 +233,12 @@
 
 /// All open nodes, ordered by zone and then in a stable pseudorandom order.
 fn ordered_candidates(fleet: &Fleet) -> Vec<Candidate> {
-    let open = fleet.nodes.open().map(|(id, node)| Candidate {
+    let open_candidates = fleet.nodes.open().map(|(id, node)| Candidate {
         node: *id,
         zone: node.zone(),
         capacity: fleet.effective_capacity_of(node),
     });
-    let mut candidates: Vec<Candidate> = open.collect();
+    let mut candidates: Vec<Candidate> = open_candidates.collect();
     candidates.sort_by_key(|candidate| (candidate.zone, node_order_key(candidate.node)));
     candidates
 }
--- a/crates/wheelspread/src/update_plan.rs
+++ b/crates/wheelspread/src/update_plan.rs
@@ -199,8 +199,8 @@
     /// an at-risk node waits for every table that removes load from it.
     fn wait_graph(&self, moving: &[TableId]) -> WaitGraph {
         let waits_for = |table: &TableId| {
-            let others = moving.iter().copied().filter(|other| other != table);
-            let awaited = others.filter(|other| {
+            let other_tables = moving.iter().copied().filter(|other| other != table);
+            let awaited = other_tables.filter(|other| {
                 let additions = &self.additions[table];
                 additions
                     .iter()
@@ -297,13 +297,13 @@
             .chain(self.published[&table].keys());
         let goal: NodeWeights = nodes.map(moved_entry).collect();
         let published_sum = draft[&table].values().sum::<f64>();
-        let sum = if published_sum > 0.0 {
+        let weight_sum = if published_sum > 0.0 {
             published_sum.clamp(1.0, 1e6)
         } else {
             INITIAL_WEIGHT_SUM
         };
-        let mut entries = scaled(&shares(&goal), sum);
-        entries.retain(|_, weight| *weight > sum * MIN_SHARE * 0.05);
+        let mut entries = scaled(&shares(&goal), weight_sum);
+        entries.retain(|_, weight| *weight > weight_sum * MIN_SHARE * 0.05);
         draft.insert(table, entries);
     }
 }
