--- a/crates/controller/src/admin.rs
+++ b/crates/controller/src/admin.rs
@@ -37,7 +37,7 @@
 use wheelspread_reactor::{Interest, Poll, Token};
 
 /// Longest request that is read, and longest body.
-const BODY_LIMIT_BYTES: usize = 64 << 10;
+const REQUEST_LIMIT_BYTES: usize = 64 << 10;
 /// Connections open at once; more are closed.
 const CONNECTION_LIMIT: usize = 64;
 /// Time for a request to come and its answer to be read.
@@ -49,7 +49,7 @@
 pub struct AdminServer {
     listeners: Listeners,
     /// Certificate names whose callers on the port may order.
-    order_names: Vec<String>,
+    writer_names: Vec<String>,
     connections: BTreeMap<Token, AdminConnection>,
     next_token: u64,
     last_order: u64,
@@ -65,13 +65,13 @@
         first_listener: Token,
         first_connection: Token,
     ) -> io::Result<AdminServer> {
-        let order_names = port
+        let writer_names = port
             .as_ref()
             .map(|(settings, _)| settings.writers.clone())
             .unwrap_or_default();
         Ok(AdminServer {
             listeners: Listeners::open(root, port, poll, first_listener)?,
-            order_names,
+            writer_names,
             connections: BTreeMap::new(),
             next_token: first_connection.0,
             last_order: 0,
@@ -129,7 +129,14 @@
                 Ok(Some(request)) => {
                     self.last_order += 1;
                     let order = self.last_order;
-                    serve(now, connection, &request, order, &self.order_names, context);
+                    serve(
+                        now,
+                        connection,
+                        &request,
+                        order,
+                        &self.writer_names,
+                        context,
+                    );
                 }
                 Err(error) => connection.respond_error(&error),
             }
@@ -205,11 +212,11 @@
     connection: &mut AdminConnection,
     request: &AdminRequest,
     order: u64,
-    order_names: &[String],
+    writer_names: &[String],
     context: &mut AdminContext,
 ) {
     let is_order = request.is_order();
-    let is_allowed = !is_order || connection.may_order(order_names);
+    let is_allowed = !is_order || connection.may_order(writer_names);
     if is_order {
         let body: String = String::from_utf8_lossy(&request.body)
             .chars()
--- a/crates/controller/src/admin/api_error.rs
+++ b/crates/controller/src/admin/api_error.rs
@@ -1,6 +1,6 @@
 //! Why a request is not served, with the HTTP status that says so.
 
-use super::BODY_LIMIT_BYTES;
+use super::REQUEST_LIMIT_BYTES;
 use crate::drains::DrainAnswerError;
 use wheelspread_controller_core::rollback::RollbackError;
 use wheelspread_http1::MessageError;
@@ -56,7 +56,7 @@
     #[error(transparent)]
     Head(#[from] MessageError),
     /// The body is chunked or too long.
-    #[error("a body of a stated length, {BODY_LIMIT_BYTES} bytes at most, is expected")]
+    #[error("a body of a stated length, {REQUEST_LIMIT_BYTES} bytes at most, is expected")]
     BodyFraming,
     /// The body is not the JSON that the path expects.
     #[error(transparent)]
--- a/crates/controller/src/admin/connection.rs
+++ b/crates/controller/src/admin/connection.rs
@@ -2,7 +2,7 @@
 
 use super::api_error::{ApiError, HttpStatus};
 use super::request::AdminRequest;
-use super::BODY_LIMIT_BYTES;
+use super::REQUEST_LIMIT_BYTES;
 use serde_json::{json, Value};
 use std::io::{self, ErrorKind, Read, Write};
 use std::os::fd::{AsFd, BorrowedFd};
@@ -121,12 +121,12 @@
         AdminRequest::parse(&self.input)
     }
 
-    /// Whether it may order; `order_names` are the certificate names that may.
-    pub fn may_order(&self, order_names: &[String]) -> bool {
+    /// Whether it may order; `writer_names` are the certificate names that may.
+    pub fn may_order(&self, writer_names: &[String]) -> bool {
         match self.rights {
             AccessRights::Order => true,
             AccessRights::Read => false,
-            AccessRights::ByCertificate => self.has_certificate_for(order_names),
+            AccessRights::ByCertificate => self.has_certificate_for(writer_names),
         }
     }
 
@@ -154,7 +154,7 @@
         loop {
             match self.socket.read(&mut chunk) {
                 Ok(0) => return false,
-                Ok(count) if self.input.len() + count <= BODY_LIMIT_BYTES => {
+                Ok(count) if self.input.len() + count <= REQUEST_LIMIT_BYTES => {
                     self.input.extend_from_slice(&chunk[..count]);
                 }
                 Ok(_) => return false,
--- a/crates/controller/src/admin/listeners.rs
+++ b/crates/controller/src/admin/listeners.rs
@@ -13,12 +13,12 @@
 use wheelspread_reactor::{self as reactor, Interest, Poll, Token};
 
 /// Mode of `admin.sock`: the controller's user only.
-const ORDER_SOCKET_MODE: u32 = 0o600;
+const ADMIN_SOCKET_MODE: u32 = 0o600;
 /// Mode of `read.sock`: everybody on the machine.
 const READ_SOCKET_MODE: u32 = 0o666;
 
 /// Offsets of the listeners' tokens from the first.
-const ORDER_SOCKET: u64 = 0;
+const ADMIN_SOCKET: u64 = 0;
 const READ_SOCKET: u64 = 1;
 const TLS_PORT: u64 = 2;
 const LISTENER_COUNT: u64 = 3;
@@ -78,7 +78,7 @@
 
 /// The operators' listening sockets.
 pub struct Listeners {
-    order_socket: UnixSocket,
+    admin_socket: UnixSocket,
     read_socket: UnixSocket,
     port: Option<TlsPort>,
     first_token: Token,
@@ -103,10 +103,10 @@
         };
         // `admin.sock` comes last: who sees it can use all of them.
         let read_socket = UnixSocket::bind(root.join("read.sock"), READ_SOCKET_MODE)?;
-        let order_socket = UnixSocket::bind(root.join("admin.sock"), ORDER_SOCKET_MODE)?;
+        let admin_socket = UnixSocket::bind(root.join("admin.sock"), ADMIN_SOCKET_MODE)?;
         poll.add(
-            &order_socket.listener,
-            token(ORDER_SOCKET),
+            &admin_socket.listener,
+            token(ADMIN_SOCKET),
             Interest::Readable,
         )?;
         poll.add(
@@ -115,7 +115,7 @@
             Interest::Readable,
         )?;
         Ok(Listeners {
-            order_socket,
+            admin_socket,
             read_socket,
             port,
             first_token,
@@ -137,7 +137,7 @@
     /// All connections that wait at the listener of this token, with what they may do.
     pub fn accept(&self, token: Token) -> Vec<(AdminSocket, AccessRights)> {
         let (accepted, rights) = match token.0 - self.first_token.0 {
-            ORDER_SOCKET => (self.order_socket.accept(), AccessRights::Order),
+            ADMIN_SOCKET => (self.admin_socket.accept(), AccessRights::Order),
             READ_SOCKET => (self.read_socket.accept(), AccessRights::Read),
             _ => {
                 let accepted = self.port.as_ref().map(TlsPort::accept);
--- a/crates/controller/src/admin/request.rs
+++ b/crates/controller/src/admin/request.rs
@@ -1,7 +1,7 @@
 //! Parsing of an operator's request.
 
 use super::api_error::ApiError;
-use super::BODY_LIMIT_BYTES;
+use super::REQUEST_LIMIT_BYTES;
 use serde::Deserialize;
 use std::ops::Range;
 use wheelspread_http1::{request, Framing, Limits};
@@ -24,7 +24,7 @@
         };
         let body_length = match head.framing {
             Framing::None => 0,
-            Framing::Length(length) if length <= BODY_LIMIT_BYTES as u64 => length as usize,
+            Framing::Length(length) if length <= REQUEST_LIMIT_BYTES as u64 => length as usize,
             _ => return Err(ApiError::BodyFraming),
         };
         let Some(body) = input.get(head.length..head.length + body_length) else {
--- a/crates/controller/src/admin/tests.rs
+++ b/crates/controller/src/admin/tests.rs
@@ -17,7 +17,7 @@
 use wheelspread_store::Store;
 
 /// Seconds since 1970 when the recorded program stopped.
-const WALL: f64 = 1_796_234_072.0;
+const RECORDED_UNIX_SECONDS: f64 = 1_796_234_072.0;
 
 fn data(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
@@ -47,16 +47,16 @@
         let persisted = persisted_state();
         let now = Moment::from_seconds(100.0);
         let drains = DrainOrders::restore(now, &persisted, file.changes.value_lost_at_most);
-        let (rollout, update, moving) = Rollout::start(
+        let (rollout, update, migrating) = Rollout::start(
             now,
             file.deployment.clone(),
             file.changes.rollout_settings(),
             &persisted,
         );
         let mut recovered = RecoveredState::default();
-        restore_core_state(&persisted, WALL, &mut recovered);
+        restore_core_state(&persisted, RECORDED_UNIX_SECONDS, &mut recovered);
         (recovered.configuration, recovered.values) = (update.version, update.values);
-        recovered.migrating = moving;
+        recovered.migrating = migrating;
         recovered.drained = drains.drained_nodes();
         let core =
             ControllerCore::start(now, 1, update.plan, 0, recovered).expect("the core starts");
--- a/crates/controller/src/discovery_server.rs
+++ b/crates/controller/src/discovery_server.rs
@@ -1,5 +1,6 @@
-//! The server side of discovery (xDS) streams, between the core that decides which proxy gets which tables and
-//! the sockets: resources of a version are made once, and response bodies that many proxies get are encoded once.
+//! The server side of discovery (xDS) streams, between the core, which decides which proxy gets which tables, and
+//! the sockets. The resources of a version are built once, and a response body that many proxies get is encoded
+//! once.
 
 use crate::file::ControllerFile;
 use crate::streams::Streams;
@@ -18,29 +19,29 @@
 use wheelspread_grpc::Status;
 use wheelspread_xds::discovery;
 
-/// Ordinary updates of a table that most proxies reject pause for so many times the longest delay of a message.
-const REJECTED_TABLE_PAUSE_DELAYS: f64 = 4.0;
-/// Time between two looks for clients that do not acknowledge, and for those that were rate limited.
+/// Ordinary updates of a table that most proxies rejected pause for `channel.delay_at_most` times this factor.
+const REJECTED_TABLE_PAUSE_FACTOR: f64 = 4.0;
+/// Time between two checks for clients that do not acknowledge, and for those that were rate limited.
 const MAINTENANCE_INTERVAL: Span = Span::from_seconds(0.25);
-/// Encoded response bodies that are cached, because other proxies may get the same.
+/// Maximum count of cached response bodies. They are cached because other proxies may get the same ones.
 const CACHED_BODIES_LIMIT: usize = 64;
-/// The request number of a rollback that no operator asked for.
+/// The request number of a rollback that no operator requested.
 const AUTOMATIC_ROLLBACK_REQUEST: u64 = 0;
 
-/// What tells encoded bodies apart: the shared content, and whether it is a delta response.
+/// The key of a cached body: the content, and whether it is encoded as a delta response.
 type BodyKey = (DeltaKey, bool);
 
 /// Discovery streams and the responses that are due on them.
 pub struct DiscoveryServer {
     protocol: DiscoveryStreams,
-    /// The deployment in force, which may not be the file's.
+    /// The deployment in force, which differs from the file's after a configuration change.
     deployment: Deployment,
     body_cache: BTreeMap<BodyKey, Arc<Vec<u8>>>,
     maintenance_at: Moment,
 }
 
 impl DiscoveryServer {
-    /// Limits are the file's; `deployment` is the one in force.
+    /// Takes the limits from the file; `deployment` is the one in force.
     pub fn new(file: &ControllerFile, deployment: Deployment) -> DiscoveryServer {
         let streams = &file.streams;
         let channel = &file.deployment.channel;
@@ -49,7 +50,7 @@
             max_subscription_changes: streams.changes_at_most,
             subscription_change_window: channel.messages_window,
             ack_timeout: streams.unanswered_at_most,
-            rejection_pause: channel.delay_at_most * REJECTED_TABLE_PAUSE_DELAYS,
+            rejection_pause: channel.delay_at_most * REJECTED_TABLE_PAUSE_FACTOR,
         };
         DiscoveryServer {
             protocol: DiscoveryStreams::new(limits),
@@ -59,12 +60,12 @@
         }
     }
 
-    /// Versions that are made from now on are encoded for this deployment.
+    /// Sets the deployment for which new versions are encoded.
     pub fn reconfigure(&mut self, deployment: Deployment) {
         self.deployment = deployment;
     }
 
-    /// Passes an observation to the core; discovery streams are opened and closed here too.
+    /// Passes an observation to the core, and opens or closes the discovery stream if the observation is about one.
     pub fn handle_observation(
         &mut self,
         now: Moment,
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Opens a stream if the core accepted the proxy on it.
+    /// Opens a stream if the core made it the proxy's transport.
     fn open_stream(&mut self, core: &ControllerCore, stream: StreamId, proxy: &str) {
         let Some(member) = core.members().member(proxy) else {
             return;
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Handles the discovery requests that came.
+    /// Handles the discovery requests received since the last call.
     pub fn handle_requests(
         &mut self,
         now: Moment,
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Offers a stream the tables of its proxy, in the place of those that were not sent yet.
+    /// Offers the tables of a proxy on its stream; they replace offered tables that were not sent yet.
     pub fn offer_tables(&mut self, streams: &mut Streams, stream: StreamId, set: &TableSet) {
         let known = self
             .protocol
@@ -128,7 +129,7 @@
         streams.mark_writable(stream);
     }
 
-    /// Sends the responses that are due on streams that can take them.
+    /// Sends the responses that are due on writable streams.
     pub fn send_responses(
         &mut self,
         now: Moment,
@@ -194,7 +195,7 @@
         }
     }
 
-    /// What the rejections of a table by several proxies ask for.
+    /// Pauses the ordinary updates of a table, or rolls it back, after several proxies rejected it.
     fn apply_rejection_response(
         &self,
         now: Moment,
@@ -215,7 +216,8 @@
         }
     }
 
-    /// Closes the streams of clients that do not acknowledge, and lets those send again that were rate limited.
+    /// Closes the streams of clients that have not acknowledged in time, and marks rate-limited streams writable
+    /// again.
     pub fn run_maintenance(&mut self, now: Moment, streams: &mut Streams) {
         if now < self.maintenance_at {
             return;
@@ -225,7 +227,7 @@
             streams.close(
                 stream,
                 Status::DeadlineExceeded,
-                "what was sent is not answered",
+                "a response was neither acknowledged nor rejected in time",
             );
             self.protocol.close(stream);
         }
@@ -234,7 +236,7 @@
         }
     }
 
-    /// When [`DiscoveryServer::run_maintenance`] is due.
+    /// When [`DiscoveryServer::run_maintenance`] is due; `None` without streams.
     pub fn wake_at(&self) -> Option<Moment> {
         (!self.protocol.is_empty()).then_some(self.maintenance_at)
     }
--- a/crates/controller/src/drains.rs
+++ b/crates/controller/src/drains.rs
@@ -1,5 +1,5 @@
-//! Orders to drain nodes: between the registry that decides which order is in force, the core, the disk and
-//! the operators who wait for an answer.
+//! Operators' orders to drain nodes. Connects the registry, which decides which order is in force for a node, with
+//! the core, the state writer and the operators who wait for an answer.
 
 use crate::state_writer::{StateWriteError, StateWriter};
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,20 +16,20 @@
     Evidence, FailedCheck, OrderId,
 };
 
-/// Prefix of the persisted facts that hold a node's drain.
+/// Prefix of the names of persisted facts that hold a node's drain.
 const DRAIN_FACT_PREFIX: &str = "drain.";
-/// Writes of drains are numbered above it, those of configuration changes below.
+/// Writes of drains are numbered above this value, those of configuration changes below.
 pub const FIRST_WRITE_NUMBER: u64 = 1 << 62;
-/// Periods of load reports between two reviews of who still names a drained node.
-const REVIEW_PERIODS: f64 = 0.25;
-/// Time until a write that the disk refused is tried again.
+/// Time between two reviews of the drain evidence, in periods of load reports.
+const REVIEW_INTERVAL_PERIODS: f64 = 0.25;
+/// Time until a failed write is retried.
 const WRITE_RETRY_DELAY: Span = Span::from_seconds(1.0);
 
-/// Why an order that was submitted is not in force.
+/// Why an accepted order is not in force.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DrainAnswerError {
-    /// It was taken back before it was persisted.
-    #[error("it was taken back")]
+    /// The node's drain was removed from the registry before the order was persisted.
+    #[error("the node's drain was removed before the order was persisted")]
     Withdrawn,
 }
 
@@ -44,23 +44,23 @@
 pub struct DrainAnswer {
     /// The number of the operator's order.
     pub order: u64,
-    /// The drain as it then stands.
+    /// The node's drain at the time of the answer.
     pub result: Result<Drain, DrainAnswerError>,
 }
 
-/// A drain on its way to the disk.
+/// A drain that is not persisted yet.
 struct PendingWrite {
     node: String,
-    /// `None` where the node's drain is deleted.
+    /// `None` if the write deletes the node's drain.
     drain_order: Option<OrderId>,
     commit: Commit,
-    /// Operators' orders whose answers wait for it.
+    /// Numbers of the operators' orders that are answered once it is persisted.
     waiting_orders: Vec<u64>,
-    /// `None` while the state writer has it.
+    /// When it is handed to the state writer; `None` while the state writer has it.
     write_at: Option<Moment>,
 }
 
-/// Drains by order, and their writes.
+/// Drains ordered by operators, and the writes that persist them.
 pub struct DrainOrders {
     registry: DrainRegistry,
     pending_writes: BTreeMap<u64, PendingWrite>,
@@ -71,7 +71,7 @@
 }
 
 impl DrainOrders {
-    /// Restores the drains that an earlier run persisted.
+    /// Restores the drains that the previous run persisted.
     pub fn restore(
         now: Moment,
         persisted: &PersistedState,
@@ -98,7 +98,7 @@
         }
     }
 
-    /// All drains that are known.
+    /// All known drains, including withdrawn ones that are still remembered.
     pub fn drains(&self) -> impl Iterator<Item = &Drain> {
         self.registry.drains()
     }
@@ -108,12 +108,12 @@
         self.registry.drain(node)
     }
 
-    /// Drains that are still under way or in force.
+    /// Count of drains that keep a node out of tables.
     pub fn active_count(&self) -> usize {
         self.drains().filter(|drain| drain.is_active()).count()
     }
 
-    /// Nodes that no table may name.
+    /// Nodes that are kept out of all tables.
     pub fn drained_nodes(&self) -> BTreeSet<NodeId> {
         self.registry
             .drained_nodes()
@@ -121,13 +121,14 @@
             .collect()
     }
 
-    /// When [`DrainOrders::settle`] has something to do.
+    /// When [`DrainOrders::settle`] has work to do; `None` while no write is pending and no drain is active.
     pub fn wake_at(&self) -> Option<Moment> {
         let has_work = !self.pending_writes.is_empty() || self.drains().any(Drain::is_active);
         has_work.then_some(self.review_at)
     }
 
-    /// Takes an operator's order. It is answered once the disk has it, or at once where nothing is new.
+    /// Takes an operator's order. It is answered once it is persisted; an order that is already persisted is answered
+    /// at once.
     pub fn submit(
         &mut self,
         now: Moment,
@@ -146,7 +147,7 @@
         Ok(())
     }
 
-    /// What speaks against an order; an order may name checks that it overrides.
+    /// Runs the checks of an order and returns those that fail. Logs the checks that the order overrides.
     fn check(
         &self,
         now: Moment,
@@ -187,7 +188,7 @@
             .any(|write| write.waiting_orders.contains(&operator_order))
     }
 
-    /// An order that was sent again is answered as the drain stands, once that is persisted.
+    /// Answers an order that was sent again with the node's current drain, once that is persisted.
     fn answer_repeated_order(&mut self, operator_order: u64, node: &str, drain: Drain) {
         let pending = self
             .pending_writes
@@ -227,7 +228,7 @@
         let text = drain.and_then(|drain| serde_json::to_string(&drain).ok());
         let facts = BTreeMap::from([(format!("{DRAIN_FACT_PREFIX}{node}"), text)]);
         let mut waiting_orders = Vec::from_iter(operator_order);
-        // An older write that failed must not be written again over a newer one.
+        // A retry of an older failed write must not overwrite a newer one.
         self.pending_writes.retain(|_, write| {
             let is_older = write.node == node;
             if is_older {
@@ -249,8 +250,13 @@
         self.pending_writes.insert(self.last_write_number, write);
     }
 
-    /// Takes the result of a write.
-    pub fn written(&mut self, now: Moment, number: u64, result: Result<(), StateWriteError>) {
+    /// Handles the result of a write; a failed write is retried.
+    pub fn on_write_completed(
+        &mut self,
+        now: Moment,
+        number: u64,
+        result: Result<(), StateWriteError>,
+    ) {
         let Some(write) = self.pending_writes.get_mut(&number) else {
             return;
         };
@@ -274,8 +280,8 @@
         self.review_at = now;
     }
 
-    /// Hands writes to the disk, tells the core which nodes are drained and reviews how far drains have
-    /// come; returns the answers that are due.
+    /// Hands due writes to the state writer, passes the drained nodes to the core and reviews the evidence of active
+    /// drains; returns the answers that are due.
     pub fn settle(
         &mut self,
         now: Moment,
@@ -285,7 +291,7 @@
         if now < self.review_at {
             return std::mem::take(&mut self.answers);
         }
-        self.review_at = now + core.plan().load_reports.period * REVIEW_PERIODS;
+        self.review_at = now + core.plan().load_reports.period * REVIEW_INTERVAL_PERIODS;
         self.submit_writes(now, state_writer);
         self.carry_out_effects(now, None);
         let drained = self.drained_nodes();
@@ -311,11 +317,12 @@
             }
         }
         for (number, error) in failed {
-            self.written(now, number, Err(error));
+            self.on_write_completed(now, number, Err(error));
         }
     }
 
-    /// Shows the registry which proxies still name the nodes that are being drained.
+    /// Records in the registry how many proxies still name each node with an active drain, and how many attempts at
+    /// the node they report.
     fn review_evidence(&mut self, now: Moment, core: &mut ControllerCore) {
         let grace = core.plan().rules.drain_grace;
         let active: Vec<(String, DrainState)> = self
@@ -327,12 +334,12 @@
             let Some(id) = parse_node(&name) else {
                 continue;
             };
-            let traces = core.drain_evidence(id);
+            let observed = core.drain_evidence(id);
             let evidence = Evidence {
-                named_by: traces.naming_proxies,
-                proxies: traces.joined_proxies,
-                attempts: traces.attempts,
-                reporting_proxies: traces.reporting_proxies,
+                named_by: observed.naming_proxies,
+                proxies: observed.joined_proxies,
+                attempts: observed.attempts,
+                reporting_proxies: observed.reporting_proxies,
             };
             self.registry.record_evidence(now, &name, grace, evidence);
             let after = self.registry.drain(&name).map(|drain| drain.state);
--- a/crates/controller/src/file.rs
+++ b/crates/controller/src/file.rs
@@ -5,7 +5,7 @@
 mod validate;
 
 pub use settings::{
-    AdministrationSettings, ChangeSettings, ControllerSettings, LogForm, LogSettings,
+    AdministrationSettings, ChangeSettings, ControllerSettings, LogFormat, LogSettings,
     StreamSettings, TlsSettings,
 };
 
@@ -53,7 +53,7 @@
     },
     /// It is no YAML, or has other fields than it should.
     #[error("{path}: {source}", path = .path.display())]
-    Form {
+    Malformed {
         /// The file.
         path: PathBuf,
         /// What the parser says, with line and column.
@@ -100,7 +100,7 @@
     /// Parses and validates the text of a file; `path` is for errors.
     pub fn parse(text: &str, path: &Path) -> Result<ControllerFile, ControllerFileError> {
         let file: ControllerFile =
-            serde_yaml_ng::from_str(text).map_err(|source| ControllerFileError::Form {
+            serde_yaml_ng::from_str(text).map_err(|source| ControllerFileError::Malformed {
                 path: path.to_path_buf(),
                 source,
             })?;
--- a/crates/controller/src/file/settings.rs
+++ b/crates/controller/src/file/settings.rs
@@ -13,12 +13,12 @@
 const DEFAULT_CONNECTION_LIMIT: usize = 10_000;
 /// Of the time that a change may take to reach every proxy: how long the disk may take before a write is tried
 /// again.
-const WRITE_DEADLINE_PART: f64 = 0.2;
+const WRITE_DEADLINE_RATIO: f64 = 0.2;
 
 /// The form of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum LogForm {
+pub enum LogFormat {
     /// Plain text.
     Lines,
     /// One JSON object a line.
@@ -30,7 +30,7 @@
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
     /// The form of log lines.
-    pub form: LogForm,
+    pub form: LogFormat,
     /// `error`, `warn`, `info`, `debug` or `trace`; or directives as `info,wheelspread_controller=debug`.
     pub level: String,
 }
@@ -38,7 +38,7 @@
 impl Default for LogSettings {
     fn default() -> Self {
         LogSettings {
-            form: LogForm::Lines,
+            form: LogFormat::Lines,
             level: "info".to_string(),
         }
     }
@@ -171,7 +171,7 @@
         RolloutSettings {
             deadlines: Deadlines {
                 checks: apply,
-                write: apply * WRITE_DEADLINE_PART,
+                write: apply * WRITE_DEADLINE_RATIO,
                 staged: self.staged_at_most,
                 apply,
                 watch: self.watch,
--- a/crates/controller/src/file/validate.rs
+++ b/crates/controller/src/file/validate.rs
@@ -5,7 +5,7 @@
 use wheelspread::time::Span;
 
 /// The shortest span that a state of a change may have.
-const SHORTEST_CHANGE_SPAN: Span = Span::from_seconds(0.2);
+const MIN_CHANGE_DURATION: Span = Span::from_seconds(0.2);
 const MAX_RETAINED_VERSIONS: usize = 1000;
 
 /// A value that can't be.
@@ -110,8 +110,8 @@
 
 impl ChangeSettings {
     fn validate(&self) -> Vec<FieldError> {
-        let mut errors = self.validate_spans();
-        errors.extend(self.validate_parts());
+        let mut errors = self.validate_durations();
+        errors.extend(self.validate_ratios());
         let undo = &self.undo_when;
         if !(undo.slower_at_most >= 1.0 && undo.invocations_at_least >= 1.0) {
             errors.push(FieldError::new(
@@ -122,7 +122,7 @@
         errors
     }
 
-    fn validate_spans(&self) -> Vec<FieldError> {
+    fn validate_durations(&self) -> Vec<FieldError> {
         let spans = [
             ("watch", self.watch),
             ("staged_at_most", self.staged_at_most),
@@ -130,7 +130,7 @@
         ];
         let too_short = spans
             .into_iter()
-            .filter(|(_, span)| *span < SHORTEST_CHANGE_SPAN);
+            .filter(|(_, span)| *span < MIN_CHANGE_DURATION);
         too_short
             .map(|(field, _)| {
                 FieldError::new(format!("changes.{field}"), "should be 200ms or more")
@@ -138,20 +138,20 @@
             .collect()
     }
 
-    fn validate_parts(&self) -> Vec<FieldError> {
+    fn validate_ratios(&self) -> Vec<FieldError> {
         let undo = &self.undo_when;
-        let parts = [
+        let ratios = [
             ("value_lost_at_most", self.value_lost_at_most),
             ("cold_work_at_most", self.cold_work_at_most),
             ("undo_when.errored_more_at_most", undo.errored_more_at_most),
             ("undo_when.value_less_at_most", undo.value_less_at_most),
         ];
-        let outside = parts
+        let outside = ratios
             .into_iter()
-            .filter(|(_, part)| !(0.0..=1.0).contains(part));
+            .filter(|(_, ratio)| !(0.0..=1.0).contains(ratio));
         outside
-            .map(|(field, part)| {
-                let message = format!("{part} should lie between 0 and 1");
+            .map(|(field, ratio)| {
+                let message = format!("{ratio} should lie between 0 and 1");
                 FieldError::new(format!("changes.{field}"), message)
             })
             .collect()
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,5 +1,6 @@
-//! The controller as it runs: its file ([`ControllerFile`]), and the event loop that feeds the core from sockets
-//! and directories and carries out its effects ([`Controller`]).
+//! The controller process: its configuration file ([`ControllerFile`]), and the event loop ([`Controller`]) that
+//! turns what sockets and watched directories deliver into observations for the core and carries out the core's
+//! effects.
 
 mod admin;
 mod discovery_server;
@@ -13,7 +14,7 @@
 
 pub use file::{
     AdministrationSettings, ChangeSettings, ControllerFile, ControllerFileError,
-    ControllerSettings, LogForm, LogSettings, StreamSettings, TlsSettings,
+    ControllerSettings, LogFormat, LogSettings, StreamSettings, TlsSettings,
 };
 pub use locate::line_of;
 pub use service::{Controller, ExitReason, StartError};
--- a/crates/controller/src/log.rs
+++ b/crates/controller/src/log.rs
@@ -1,6 +1,6 @@
 //! Log lines on standard error, and the events of the core and of the rollout as structured log lines.
 
-use crate::file::{LogForm, LogSettings};
+use crate::file::{LogFormat, LogSettings};
 use tracing::{debug, info, warn};
 use tracing_subscriber::EnvFilter;
 use wheelspread_config_rollout::RolloutEvent;
@@ -14,8 +14,8 @@
         .with_env_filter(filter)
         .with_writer(std::io::stderr);
     let _ = match settings.form {
-        LogForm::Lines => lines.with_target(false).try_init(),
-        LogForm::Json => lines.json().flatten_event(true).try_init(),
+        LogFormat::Lines => lines.with_target(false).try_init(),
+        LogFormat::Json => lines.json().flatten_event(true).try_init(),
     };
 }
 
--- a/crates/controller/src/service.rs
+++ b/crates/controller/src/service.rs
@@ -1,10 +1,10 @@
 //! The controller's event loop. It waits until a socket is ready or a deadline is due, turns that into
-//! observations, lets the core settle and carries out its effects. One thread runs the loop; one more writes
-//! tables and one more writes the persisted state.
+//! observations, lets the core settle and carries out the effects that the core returns. One thread runs the
+//! loop, a second one writes tables and a third one writes the state file.
 //!
 //! `startup` builds a [`Controller`]; `accept`, `table_results` and `file_watch` turn readiness into
-//! observations; `effects` carries out what the core and the rollout decide; `maintenance` does what is due
-//! once a second; `tls_keys` and `reload` renew settings; `shutdown` ends the loop.
+//! observations; `effects` carries out what the core, the rollout and the drains decide; `maintenance` runs
+//! periodic work once a second; `tls_keys` and `reload` renew keys and settings; `shutdown` ends a run.
 
 mod accept;
 mod effects;
@@ -41,52 +41,53 @@
 const WAKER: Token = Token(1);
 const SIGNALS: Token = Token(2);
 const WATCHER: Token = Token(3);
-/// The first of the operators' listeners.
+/// Token of the first of the operators' listeners.
 const ADMIN_LISTENERS: Token = Token(4);
-/// The first connection of a proxy.
+/// Proxies' connections get the tokens above this one.
 const CONNECTIONS: Token = Token(100);
-/// The first connection of an operator, beyond any connection of a proxy.
+/// Token of the first operator connection, above the token of any proxy connection.
 const ADMIN_CONNECTIONS: Token = Token(1 << 60);
 
 /// Why [`Controller::run`] returned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitReason {
-    /// SIGTERM or SIGINT came.
+    /// SIGTERM or SIGINT was received.
     Signal,
 }
 
-/// A controller with its sockets, files and decisions.
+/// A controller: the core, its sockets, and the files that it reads and writes.
 pub struct Controller {
-    /// Where the file was read from, to be read again on SIGHUP.
+    /// The path of the configuration file, which is read again on SIGHUP; `None`: SIGHUP has no effect.
     path: Option<PathBuf>,
     file: ControllerFile,
     poll: Poll,
     listener: TcpListener,
-    /// Set after an accept that failed for want of descriptors.
+    /// Set after a failed accept (mostly because the process has no free file descriptors): the listener is not
+    /// polled until then.
     accept_paused_until: Option<Moment>,
     waker: Waker,
     signals: Signals,
     watcher: Watcher,
-    /// Directories that could not be watched yet, or went away.
+    /// Directories that could not be watched or were removed; adding the watch is retried once a second.
     unwatched_directories: BTreeSet<PathBuf>,
     maintenance_at: Moment,
     streams: Streams,
     discovery: DiscoveryServer,
     state_writer: StateWriter,
     rollout: Rollout,
-    /// When the rollout is to be settled, if no request comes before.
+    /// When the rollout is to be settled next; an operator's request makes it due at once. `None`: nothing is due.
     rollout_at: Option<Moment>,
     drains: DrainOrders,
     identity: Identity,
     admin: AdminServer,
-    /// `None` once the controller stops.
+    /// `None` once the controller shuts down.
     table_writer: Option<TableWriter>,
     root: TableRoot,
     core: ControllerCore,
     last_list_file: ListFile,
     last_tls_files: FileContents,
     last_administration_files: FileContents,
-    /// Held for as long as the controller runs.
+    /// The lock on the root of tables, held for as long as the controller runs.
     _root_lock: File,
 }
 
@@ -95,11 +96,13 @@
     pub fn address(&self) -> io::Result<SocketAddrV4> {
         match self.listener.local_addr()? {
             SocketAddr::V4(address) => Ok(address),
-            other => Err(io::Error::other(format!("{other} is no IPv4 address"))),
+            other => Err(io::Error::other(format!(
+                "the listener is bound to {other}, which is not an IPv4 address"
+            ))),
         }
     }
 
-    /// Runs until a signal asks it to stop.
+    /// Runs the loop until SIGTERM or SIGINT is received.
     pub fn run(mut self) -> io::Result<ExitReason> {
         let mut ready = Vec::new();
         loop {
@@ -138,7 +141,7 @@
             .fold(self.core.wake_at(now), Moment::min)
     }
 
-    /// One round of the loop, until there is nothing more to do at once.
+    /// Does the work that is due, before the loop waits for readiness again.
     fn process_due_work(&mut self, now: Moment) {
         self.resume_accepting(now);
         self.run_maintenance(now);
@@ -150,7 +153,8 @@
         self.settle_drains(now);
     }
 
-    /// Reads and writes connections that are ready, and passes on what came on their streams.
+    /// Reads and writes connections that are ready, and passes what was received on their streams to the core and
+    /// the discovery server.
     fn process_streams(&mut self, now: Moment) {
         let mut observations = Vec::new();
         self.streams.process_ready(now, &mut observations);
@@ -163,7 +167,7 @@
             .handle_requests(now, &mut self.core, &mut self.streams);
     }
 
-    /// Passes readiness to whoever owns the token; a reason means that the loop is to end.
+    /// Dispatches readiness by its token. Returns a reason if the loop is to end.
     fn handle_readiness(
         &mut self,
         now: Moment,
--- a/crates/controller/src/service/accept.rs
+++ b/crates/controller/src/service/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting connections of proxies.
+//! Accepts connections of proxies.
 
 use super::{Controller, LISTENER};
 use std::net::TcpStream;
@@ -6,7 +6,8 @@
 use wheelspread::time::{Moment, Span};
 use wheelspread_reactor::{self as reactor, Interest};
 
-/// Pause after an accept that failed, mostly for want of descriptors.
+/// Time for which no connections are accepted after an accept failed, mostly because the process has no free file
+/// descriptors.
 const ACCEPT_RETRY_DELAY: Span = Span::from_seconds(0.2);
 
 impl Controller {
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Listens again once the pause after a failed accept is over.
+    /// Polls the listener again once the pause after a failed accept is over.
     pub(super) fn resume_accepting(&mut self, now: Moment) {
         if self.accept_paused_until.is_none_or(|until| now < until) {
             return;
--- a/crates/controller/src/service/effects.rs
+++ b/crates/controller/src/service/effects.rs
@@ -1,4 +1,4 @@
-//! Carrying out what the core, the rollout of configurations and the drains decide.
+//! Carries out the decisions of the core, of the rollout of configurations and of the drains.
 
 use super::Controller;
 use crate::log;
@@ -15,7 +15,7 @@
 use wheelspread_xds::loads;
 
 impl Controller {
-    /// Lets the core decide and carries out its effects.
+    /// Lets the core settle and carries out its effects.
     pub(super) fn settle_core(&mut self, now: Moment) {
         let mut effects = Vec::new();
         self.core.settle(now, &mut effects);
@@ -52,14 +52,14 @@
         }
     }
 
-    /// Gives the thread that writes tables its next job.
+    /// Queues a job for the thread that writes tables; a job submitted during shutdown is dropped.
     fn submit_write(&self, job: WriteJob) {
         if let Some(writer) = &self.table_writer {
             writer.submit(job);
         }
     }
 
-    /// Carries changes of configuration on, if that is due.
+    /// Advances changes of configuration, if that is due.
     pub(super) fn settle_rollout(&mut self, now: Moment) {
         if self.rollout_at.is_none_or(|at| now < at) {
             return;
@@ -97,7 +97,7 @@
         }
     }
 
-    /// A configuration comes into force: for the decisions, for what is written and for what is streamed.
+    /// Puts a configuration in force for the table writer, the discovery server and the core.
     fn apply_config_update(&mut self, now: Moment, update: ConfigUpdate) {
         let _ = failpoint("change.configure");
         self.submit_write(WriteJob::Reconfigure(Box::new(update.plan.clone())));
@@ -107,7 +107,7 @@
         let _ = failpoint("change.configured");
     }
 
-    /// Carries drains on and answers the callers whose orders are persisted.
+    /// Advances drains and answers the operators whose orders have been persisted.
     pub(super) fn settle_drains(&mut self, now: Moment) {
         let answers = self
             .drains
--- a/crates/controller/src/service/file_watch.rs
+++ b/crates/controller/src/service/file_watch.rs
@@ -1,4 +1,4 @@
-//! The watched directories: the endpoint list, and the status files of proxies.
+//! Handles changes in the watched directories: the endpoint list, and the status files of proxies.
 
 use super::Controller;
 use crate::file::ControllerFile;
@@ -13,18 +13,18 @@
 use wheelspread_reactor::{self as reactor, Moved};
 use wheelspread_xds::{nodes, status};
 
-/// The file of the endpoint list, as last read.
+/// The endpoint list's file, as last read.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(super) enum ListFile {
     /// Not read yet.
     #[default]
     Unread,
-    /// It can't be read.
+    /// The file could not be read.
     Unreadable {
-        /// Why not.
+        /// The error text.
         reason: String,
     },
-    /// Its text, which may be no list.
+    /// The text of the file, which may not be a valid list.
     Text(String),
 }
 
@@ -42,10 +42,12 @@
         matches!(self, ListFile::Text(_))
     }
 
-    /// The list, or why there is none, as the core is told.
+    /// The list for the core, or the reason why there is none.
     fn parse(&self) -> Result<EndpointSnapshot, SnapshotReadError> {
         match self {
-            ListFile::Unread => Err(SnapshotReadError::new("the list is not read yet")),
+            ListFile::Unread => Err(SnapshotReadError::new(
+                "the endpoint list has not been read yet",
+            )),
             ListFile::Unreadable { reason } => Err(SnapshotReadError::new(reason)),
             ListFile::Text(text) => {
                 nodes::read(text, reactor::wall()).map_err(SnapshotReadError::new)
@@ -54,11 +56,11 @@
     }
 }
 
-/// What a batch of file events asks to be read again.
+/// The files to read again after a batch of file events.
 #[derive(Default)]
 struct ChangedFiles {
     endpoint_list: bool,
-    /// Names of proxies whose status files were swapped in.
+    /// Names of the proxies whose status files were replaced.
     statuses: BTreeSet<String>,
 }
 
@@ -85,7 +87,7 @@
         changed: &mut ChangedFiles,
     ) {
         match event {
-            // A name with a dot is a file that is still being written.
+            // A name that begins with a dot is a temporary file that is still being written.
             Moved::Into { name, .. } if name.starts_with('.') => {}
             Moved::Into { directory, name } if directory == self.root.statuses() => {
                 let proxy = name.strip_suffix(".json").map(str::to_string);
@@ -104,7 +106,8 @@
         }
     }
 
-    /// Watches directories that went away and have come back, and reads what they hold by now.
+    /// Retries to watch the directories that have no watch. Once one is watched, the endpoint list is read, because
+    /// it may have changed without an event.
     pub(super) fn watch_returned_directories(&mut self, now: Moment) {
         for directory in std::mem::take(&mut self.unwatched_directories) {
             match self.watcher.add(&directory) {
@@ -116,7 +119,7 @@
 
     pub(super) fn read_endpoint_list(&mut self, now: Moment) {
         let list_file = ListFile::read(&self.file.conductor.list);
-        // The same text again, as after a file was touched, is no watch event.
+        // The core is not notified of an unchanged list, as after a `touch`.
         if list_file == self.last_list_file {
             return;
         }
@@ -153,7 +156,7 @@
     }
 }
 
-/// The directory to watch for swaps of the endpoint list.
+/// The directory to watch for replacements of the endpoint list.
 pub(super) fn list_directory(file: &ControllerFile) -> PathBuf {
     let settings = &file.conductor;
     if let Some(directory) = &settings.watched_directory {
--- a/crates/controller/src/service/maintenance.rs
+++ b/crates/controller/src/service/maintenance.rs
@@ -1,15 +1,15 @@
-//! What is due once a second.
+//! Periodic maintenance, once a second.
 
 use super::Controller;
 use tracing::warn;
 use wheelspread::time::{Moment, Span};
 use wheelspread_reactor as reactor;
 
-/// Time between two rounds of periodic maintenance.
+/// Time between two runs of the periodic maintenance.
 pub(super) const MAINTENANCE_INTERVAL: Span = Span::from_seconds(1.0);
 
 impl Controller {
-    /// Does what no event announces, once an interval.
+    /// Does the work that no event triggers, once per interval.
     pub(super) fn run_maintenance(&mut self, now: Moment) {
         if now < self.maintenance_at {
             return;
@@ -19,7 +19,7 @@
         if let Err(error) = self.renew_tls_keys() {
             warn!(%error, "TLS keys not renewed, the old ones stay in use");
         }
-        // inotify does not announce a list that was there before the watch.
+        // inotify reports no event for a list that existed before the watch was added.
         if !self.last_list_file.is_readable() {
             self.read_endpoint_list(now);
         }
@@ -27,7 +27,7 @@
         self.admin.close_slow_connections(now);
     }
 
-    /// Persists versions, endpoints and capacity snapshots that have changed.
+    /// Persists the last published version, endpoints and capacity snapshots, where they have changed.
     pub(super) fn persist_facts(&mut self) {
         self.state_writer.persist_changes(
             reactor::wall(),
--- a/crates/controller/src/service/reload.rs
+++ b/crates/controller/src/service/reload.rs
@@ -1,4 +1,4 @@
-//! SIGHUP: the controller's file is read again.
+//! Reads the controller's configuration file again on SIGHUP.
 
 use super::Controller;
 use crate::file::ControllerFile;
@@ -6,11 +6,11 @@
 use wheelspread::time::Moment;
 use wheelspread_controller_core::Observation;
 
-/// The value of a configuration change that sets the pace of updates.
-const PACE_VALUE: &str = "channel.lines_per_second";
+/// The path by which a configuration change sets the pacing of updates.
+const PACING_VALUE: &str = "channel.lines_per_second";
 
 impl Controller {
-    /// Reads the file again. The pace of updates may change; anything else needs a restart.
+    /// Reads the file again. Only the pacing of updates takes effect; any other difference needs a restart.
     pub(super) fn reload(&mut self, now: Moment) {
         let Some(path) = &self.path else {
             return;
@@ -30,11 +30,11 @@
     fn apply_reloaded_file(&mut self, now: Moment, new: &ControllerFile) {
         let lines_per_second = new.deployment.channel.lines_per_second;
         self.rollout.set_entries_per_second(lines_per_second);
-        // The value of a change goes before the file's.
+        // A value set by a configuration change takes precedence over the file's.
         let configuration = self.rollout.ledger().configuration();
-        if configuration.values.contains_key(PACE_VALUE) {
+        if configuration.values.contains_key(PACING_VALUE) {
             return warn!(
-                "configuration file reloaded: a change has set {PACE_VALUE}, its value stays in force"
+                "configuration file reloaded: a change has set {PACING_VALUE}, its value stays in force"
             );
         }
         let mut expected = self.file.deployment.clone();
@@ -42,7 +42,7 @@
         if expected == new.deployment {
             info!(lines_per_second, "configuration file reloaded");
         } else {
-            warn!("configuration file reloaded: only {PACE_VALUE} changes without a restart");
+            warn!("configuration file reloaded: only {PACING_VALUE} changes without a restart");
         }
         self.file.deployment.channel.lines_per_second = lines_per_second;
         self.core.observe(
--- a/crates/controller/src/service/shutdown.rs
+++ b/crates/controller/src/service/shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of a run: what was given to be written is written, and the files stay as they then are.
+//! Shutdown: finishes the queued writes, closes the streams and leaves the published tables in place.
 
 use super::Controller;
 use crate::log;
@@ -15,7 +15,7 @@
         if let Some(writer) = self.table_writer.take() {
             writer.finish().into_iter().for_each(log_failed_write);
         }
-        info!("controller stopped, its files stay");
+        info!("controller stopped, published tables stay in place");
     }
 }
 
--- a/crates/controller/src/service/startup.rs
+++ b/crates/controller/src/service/startup.rs
@@ -1,4 +1,5 @@
-//! Start-up: the lock on the root of tables, what an earlier run left, then threads and sockets.
+//! Start-up: takes the lock on the root of tables, restores the state of the previous run, then starts threads and
+//! opens sockets.
 
 use super::{
     Controller, ADMIN_CONNECTIONS, ADMIN_LISTENERS, CONNECTIONS, LISTENER, SIGNALS, WAKER, WATCHER,
@@ -26,27 +27,27 @@
 use wheelspread_grpc::tls::KeyError;
 use wheelspread_reactor::{self as reactor, Interest, Poll, Signals, Waker, Watcher};
 
-/// Why a controller does not start.
+/// Why a controller could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The system refused a file, a directory, a socket or a thread.
+    /// The operating system returned an error for a file, a directory, a socket or a thread.
     #[error("{resource}: {source}")]
     Io {
-        /// What was asked of the system.
+        /// The resource that could not be opened or used.
         resource: String,
-        /// Its answer.
+        /// The system's error.
         source: io::Error,
     },
     /// Another process holds the lock on this root of tables.
     #[error("{0} is in use by another controller")]
     InUse(String),
-    /// The persisted state can't be used.
+    /// The state file can't be used.
     #[error(transparent)]
     State(#[from] wheelspread_store::StoreError),
     /// Certificates or keys can't be used.
     #[error("tls: {0}")]
     Keys(KeyError),
-    /// The core refuses the deployment.
+    /// The core rejected the deployment.
     #[error(transparent)]
     Core(#[from] wheelspread_controller_core::StartError),
 }
@@ -56,7 +57,7 @@
     move |source| StartError::Io { resource, source }
 }
 
-/// Where the loop's events come from, beside the sockets.
+/// The loop's event sources besides connections and listeners.
 struct EventSources {
     poll: Poll,
     waker: Waker,
@@ -89,7 +90,7 @@
     }
 }
 
-/// What an earlier run left, by file and by persisted state.
+/// The state of the previous run, restored from the published tables and from the state file.
 struct RestoredRun {
     drains: DrainOrders,
     rollout: Rollout,
@@ -112,8 +113,7 @@
             persisted,
         );
         let deployment = configured.plan;
-        let mut scan =
-            scan(root, &deployment).map_err(io_error("what lies under the root of tables"))?;
+        let mut scan = scan(root, &deployment).map_err(io_error("scan of the root of tables"))?;
         for tables in &scan.unreadable {
             let text = tables.to_string();
             warn!(text, "unreadable file found under the root of tables");
@@ -141,8 +141,8 @@
 }
 
 impl Controller {
-    /// Takes the lock on the root of tables, restores what an earlier run left and opens the sockets.
-    /// `path` is where the file came from, to be read again on SIGHUP.
+    /// Takes the lock on the root of tables, restores the state of the previous run and opens the sockets.
+    /// `path` is the path of `file`, which is read again on SIGHUP.
     pub fn start(file: ControllerFile, path: Option<&Path>) -> Result<Controller, StartError> {
         let root = prepare_root(&file)?;
         let root_lock = lock_root(&root)?;
@@ -195,11 +195,11 @@
     let tables = &file.conductor.tables;
     let root = TableRoot::new(tables);
     root.prepare()
-        .map_err(io_error(format!("the root of tables {}", tables.display())))?;
+        .map_err(io_error(format!("root of tables {}", tables.display())))?;
     Ok(root)
 }
 
-/// Two controllers under one root would each undo what the other does.
+/// Takes an exclusive lock, because two controllers under one root would overwrite and remove each other's tables.
 fn lock_root(root: &TableRoot) -> Result<File, StartError> {
     let path = root.path().join("lock");
     let file = File::create(&path).map_err(io_error(path.display().to_string()))?;
@@ -234,7 +234,7 @@
     waker: &Waker,
 ) -> Result<TableWriter, StartError> {
     TableWriter::start(root.clone(), deployment.clone(), waker.clone())
-        .map_err(io_error("a thread"))
+        .map_err(io_error("table writer thread"))
 }
 
 fn listen(file: &ControllerFile, poll: &Poll) -> Result<std::net::TcpListener, StartError> {
@@ -260,7 +260,7 @@
         ADMIN_LISTENERS,
         ADMIN_CONNECTIONS,
     )
-    .map_err(io_error("the operators' listeners"))
+    .map_err(io_error("operators' listeners"))
 }
 
 fn new_streams(file: &ControllerFile) -> Streams {
--- a/crates/controller/src/service/table_results.rs
+++ b/crates/controller/src/service/table_results.rs
@@ -1,4 +1,4 @@
-//! Results of the threads that write tables and the persisted state.
+//! Handles the results of the threads that write tables and the state file.
 
 use super::Controller;
 use crate::drains::FIRST_WRITE_NUMBER;
@@ -26,7 +26,8 @@
     fn handle_state_results(&mut self, now: Moment) {
         for written in self.state_writer.take_results() {
             if written.number > FIRST_WRITE_NUMBER {
-                self.drains.written(now, written.number, written.result);
+                self.drains
+                    .on_write_completed(now, written.number, written.result);
                 continue;
             }
             let result = written
--- a/crates/controller/src/service/tls_keys.rs
+++ b/crates/controller/src/service/tls_keys.rs
@@ -1,4 +1,4 @@
-//! Certificates and keys, which may be swapped while the controller runs.
+//! Reloads certificates and keys that were replaced while the controller runs.
 
 use super::Controller;
 use crate::file::{AdministrationSettings, TlsSettings};
@@ -8,7 +8,7 @@
 use wheelspread_grpc::tls::{self, KeyError, KeyFiles};
 use wheelspread_grpc::ServerConfig;
 
-/// Contents of a group of key files as last read; a file that can't be read has none.
+/// Contents of a group of key files as last read; `None` for a file that is not configured or can't be read.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(super) struct FileContents(Vec<Option<Vec<u8>>>);
 
@@ -24,7 +24,7 @@
 }
 
 impl Controller {
-    /// Takes in keys that were swapped. Keys that do not fit together leave the old ones in use until the
+    /// Loads keys whose files have changed. If certificate and key do not match, the old ones stay in use until the
     /// files change again.
     pub(super) fn renew_tls_keys(&mut self) -> Result<(), KeyError> {
         self.renew_administration_keys()?;
@@ -78,7 +78,7 @@
     tls::server(&keys, settings.clients.as_deref())
 }
 
-/// The operators' port: callers need a certificate of the given roots.
+/// TLS for the operators' port: callers need a certificate that is signed by one of the given roots.
 pub(super) fn administration_tls(
     settings: &AdministrationSettings,
 ) -> Result<Arc<ServerConfig>, KeyError> {
--- a/crates/controller/src/state_writer.rs
+++ b/crates/controller/src/state_writer.rs
@@ -60,10 +60,10 @@
 
 impl StateWriter {
     /// Opens the file and returns what an earlier run persisted. A disk that fails is logged and done without;
-    /// a file of a newer program, or one that is in use, is an error. `wall`: seconds since 1970 now.
+    /// a file of a newer program, or one that is in use, is an error. `unix_seconds`: seconds since 1970 now.
     pub fn start(
         path: &Path,
-        wall: f64,
+        unix_seconds: f64,
         waker: Waker,
     ) -> Result<(StateWriter, PersistedState), StoreError> {
         let (results_sender, results) = channel();
@@ -88,7 +88,7 @@
         };
         log_opened_store(&outcome);
         let persisted = store.state().clone();
-        writer.remember_persisted(&persisted, wall);
+        writer.remember_persisted(&persisted, unix_seconds);
         let (requests_sender, requests) = channel();
         let thread = WriterThread {
             store,
@@ -102,9 +102,9 @@
     }
 
     /// What is persisted already is not persisted again, and what has gone since is deleted.
-    fn remember_persisted(&mut self, persisted: &PersistedState, wall: f64) {
+    fn remember_persisted(&mut self, persisted: &PersistedState, unix_seconds: f64) {
         self.list_version = persisted.facts.get(LIST_FACT).cloned().unwrap_or_default();
-        self.endpoints = restore_endpoint_records(persisted, wall)
+        self.endpoints = restore_endpoint_records(persisted, unix_seconds)
             .map(|record| (record.node, record))
             .collect();
         self.capacities = restore_capacity_facts(persisted).collect();
@@ -127,10 +127,10 @@
         self.results.try_iter().collect()
     }
 
-    /// Persists facts that have changed since the last call. `wall`: seconds since 1970 now.
+    /// Persists facts that have changed since the last call. `unix_seconds`: seconds since 1970 now.
     pub fn persist_changes(
         &mut self,
-        wall: f64,
+        unix_seconds: f64,
         version: Version,
         nodes: &EndpointList,
         capacities: impl Iterator<Item = CapacitySnapshot>,
@@ -144,7 +144,7 @@
         if nodes.version() != self.list_version && !nodes.version().is_empty() {
             self.list_version = nodes.version().to_string();
             facts.insert(LIST_FACT.to_string(), Some(self.list_version.clone()));
-            self.collect_endpoint_changes(wall, nodes, &mut facts);
+            self.collect_endpoint_changes(unix_seconds, nodes, &mut facts);
         }
         self.collect_capacity_changes(capacities, &mut facts);
         self.submit_facts(facts);
@@ -169,7 +169,7 @@
 
     fn collect_endpoint_changes(
         &mut self,
-        wall: f64,
+        unix_seconds: f64,
         nodes: &EndpointList,
         facts: &mut FactChanges,
     ) {
@@ -177,7 +177,7 @@
         for (record, _) in nodes.listed() {
             let stored = self.endpoints.get(&record.node);
             if !stored.is_some_and(|stored| is_same_endpoint(stored, record)) {
-                let fact = EndpointFact::new(record, wall);
+                let fact = EndpointFact::new(record, unix_seconds);
                 let text = serde_json::to_string(&fact).ok();
                 facts.insert(endpoint_fact_name(record.node), text);
             }
--- a/crates/controller/src/state_writer/persisted_facts.rs
+++ b/crates/controller/src/state_writer/persisted_facts.rs
@@ -23,19 +23,19 @@
 /// Versions that may have been published after the last that was persisted.
 const VERSION_MARGIN: u64 = 10_000;
 /// A node is taken to have started at most so long ago.
-const LONGEST_AGE_SECONDS: f64 = 1e9;
+const MAX_AGE_SECONDS: f64 = 1e9;
 
 /// When two capacity snapshots count as the same.
 struct CapacityTolerance {
     /// Difference of the capacity, which is a logarithm.
     capacity: f64,
     /// Difference of the evidence, as a part of it.
-    evidence: f64,
+    evidence_ratio: f64,
 }
 
 const CAPACITY_TOLERANCE: CapacityTolerance = CapacityTolerance {
     capacity: 0.05,
-    evidence: 0.3,
+    evidence_ratio: 0.3,
 };
 
 /// Changes of facts, by name; `None` deletes one.
@@ -54,8 +54,8 @@
 }
 
 impl EndpointFact {
-    /// `wall`: seconds since 1970 now.
-    pub(super) fn new(record: &EndpointRecord, wall: f64) -> EndpointFact {
+    /// `unix_seconds`: seconds since 1970 now.
+    pub(super) fn new(record: &EndpointRecord, unix_seconds: f64) -> EndpointFact {
         EndpointFact {
             zone: record.zone.clone(),
             kind: record.kind.clone(),
@@ -65,12 +65,12 @@
             started: record
                 .started
                 .as_ref()
-                .map(|(incarnation, age)| (incarnation.clone(), wall - age.seconds())),
+                .map(|(incarnation, age)| (incarnation.clone(), unix_seconds - age.seconds())),
         }
     }
 
-    fn into_record(self, node: NodeId, wall: f64) -> EndpointRecord {
-        let age = |at: f64| Span::from_seconds((wall - at).clamp(0.0, LONGEST_AGE_SECONDS));
+    fn into_record(self, node: NodeId, unix_seconds: f64) -> EndpointRecord {
+        let age = |at: f64| Span::from_seconds((unix_seconds - at).clamp(0.0, MAX_AGE_SECONDS));
         EndpointRecord {
             node,
             zone: self.zone,
@@ -111,7 +111,7 @@
 
     /// Whether `later` says so much the same that it need not be stored.
     pub(super) fn is_close_to(&self, later: &CapacityFact) -> bool {
-        let evidence_tolerance = CAPACITY_TOLERANCE.evidence * self.evidence.max(1.0);
+        let evidence_tolerance = CAPACITY_TOLERANCE.evidence_ratio * self.evidence.max(1.0);
         (self.capacity - later.capacity).abs() <= CAPACITY_TOLERANCE.capacity
             && (self.evidence - later.evidence).abs() <= evidence_tolerance
     }
@@ -127,11 +127,15 @@
     format!("{CAPACITY_FACT_PREFIX}{}", format_node(node))
 }
 
-/// Restores what the core starts with: version, endpoint list and capacity snapshots. `wall`: seconds since
+/// Restores what the core starts with: version, endpoint list and capacity snapshots. `unix_seconds`: seconds since
 /// 1970 now.
-pub fn restore_core_state(persisted: &PersistedState, wall: f64, recovered: &mut RecoveredState) {
+pub fn restore_core_state(
+    persisted: &PersistedState,
+    unix_seconds: f64,
+    recovered: &mut RecoveredState,
+) {
     recovered.version_floor = restore_version_floor(persisted);
-    recovered.endpoint_list = restore_endpoint_list(persisted, wall);
+    recovered.endpoint_list = restore_endpoint_list(persisted, unix_seconds);
     recovered.capacities = restore_capacity_facts(persisted)
         .map(|(node, fact)| fact.into_snapshot(node))
         .collect();
@@ -148,8 +152,11 @@
     })
 }
 
-fn restore_endpoint_list(persisted: &PersistedState, wall: f64) -> Option<EndpointSnapshot> {
-    let records: Vec<EndpointRecord> = restore_endpoint_records(persisted, wall).collect();
+fn restore_endpoint_list(
+    persisted: &PersistedState,
+    unix_seconds: f64,
+) -> Option<EndpointSnapshot> {
+    let records: Vec<EndpointRecord> = restore_endpoint_records(persisted, unix_seconds).collect();
     if records.is_empty() {
         return None;
     }
@@ -160,11 +167,11 @@
 /// The nodes of the stored endpoint list.
 pub(super) fn restore_endpoint_records(
     persisted: &PersistedState,
-    wall: f64,
+    unix_seconds: f64,
 ) -> impl Iterator<Item = EndpointRecord> + '_ {
     node_facts(persisted, ENDPOINT_FACT_PREFIX).filter_map(move |(node, text)| {
         let fact: EndpointFact = serde_json::from_str(text).ok()?;
-        Some(fact.into_record(node, wall))
+        Some(fact.into_record(node, unix_seconds))
     })
 }
 
--- a/crates/controller/src/state_writer/tests.rs
+++ b/crates/controller/src/state_writer/tests.rs
@@ -170,9 +170,9 @@
 #[test]
 fn the_list_and_the_capacity_snapshots_in_a_state_file_of_the_old_names_are_restored() {
     let persisted = state_written_before_the_renaming();
-    let wall = 1_796_234_100.0;
+    let unix_seconds = 1_796_234_100.0;
     let mut found = RecoveredState::default();
-    restore_core_state(&persisted, wall, &mut found);
+    restore_core_state(&persisted, unix_seconds, &mut found);
 
     assert_eq!(found.version_floor, Version(57 + 10_000));
     let list = found.endpoint_list.expect("a list");
--- a/crates/controller/src/streams.rs
+++ b/crates/controller/src/streams.rs
@@ -1,5 +1,6 @@
-//! gRPC streams of proxies: load reports and discovery. This module owns the connections, knows who is on each
-//! stream, and closes streams that have been silent for too long; `receive` takes what comes on them.
+//! gRPC streams of proxies, for load reports and discovery. This module owns the connections, knows whether the
+//! proxy on each stream has identified itself, and closes load report streams that have been silent for too long;
+//! `receive` handles messages that arrive on streams.
 
 mod receive;
 
@@ -15,11 +16,11 @@
 use wheelspread_grpc::{Limits, ServerConfig, ServerConnection, ServerEvent, Status, StreamKey};
 use wheelspread_reactor::Token;
 
-/// When a load report stream counts as dead.
+/// The time without a report after which a load report stream is closed.
 struct SilenceLimit {
-    /// Report periods without a report.
+    /// In report periods.
     periods: f64,
-    /// At least so long.
+    /// Lower bound of the time.
     minimum: Span,
 }
 
@@ -28,9 +29,10 @@
     minimum: Span::from_seconds(10.0),
 };
 
-/// Time between two looks for silent streams: with thousands of streams each look takes a while.
+/// Time between two checks for silent streams and due connections. Each check visits every stream, which takes a
+/// noticeable time with thousands of them.
 const MAINTENANCE_INTERVAL: Span = Span::from_seconds(0.25);
-/// Of a name that a client claims, so many characters are shown in an error.
+/// Longest part of a client's node id that an error shows, in characters.
 const SHOWN_NAME_CHARS: usize = 100;
 
 /// A stream on which a proxy sends load reports.
@@ -49,16 +51,16 @@
     is_identified: bool,
 }
 
-/// Keys of the listener, and what they are to prove.
-struct TlsIdentity {
+/// TLS settings of the listener.
+struct ListenerTls {
     tls: Arc<ServerConfig>,
-    /// Whether a node id has to be a name of the client's certificate.
+    /// Whether a proxy's node id has to be a name in its certificate.
     checks_node_id: bool,
 }
 
-/// A name that a client may not use.
+/// A client gave a node id that is not a name in its certificate.
 #[derive(Debug, thiserror::Error)]
-#[error("its certificate is not one for `{shown_name}`")]
+#[error("the client's certificate is not valid for node id `{shown_name}`")]
 struct IdentityError {
     shown_name: String,
 }
@@ -69,11 +71,11 @@
     report_streams: BTreeMap<StreamId, ReportStream>,
     discovery_streams: BTreeMap<StreamId, DiscoveryStream>,
     ids: BTreeMap<(Token, StreamKey), StreamId>,
-    /// Requests that the discovery server has not taken yet.
+    /// Received requests that the discovery server has not taken yet.
     discovery_requests: Vec<(StreamId, Request)>,
-    /// Discovery streams to which something may be sent now.
+    /// Discovery streams that may have room for a response and may have one due.
     writable: BTreeSet<StreamId>,
-    /// Connections that are readable, were just accepted, or were given something to send.
+    /// Connections that are readable, were just accepted, or have something new to send.
     ready: Vec<Token>,
     last_token: u64,
     last_stream: u64,
@@ -81,11 +83,11 @@
     connection_limit: usize,
     silence_limit: Span,
     maintenance_at: Moment,
-    tls: Option<TlsIdentity>,
+    tls: Option<ListenerTls>,
 }
 
 impl Streams {
-    /// Tokens above `first` belong to connections; load reports are due every `report_period`.
+    /// Connections get the tokens above `first`; load reports are due every `report_period`.
     pub fn new(first: Token, connection_limit: usize, report_period: Span) -> Streams {
         let silence_limit = report_period * SILENCE_LIMIT.periods;
         Streams {
@@ -106,15 +108,15 @@
         }
     }
 
-    /// Keys for connections from now on; those that are open keep theirs.
+    /// Sets the keys for new connections; open connections keep theirs.
     pub fn set_tls(&mut self, tls: Arc<ServerConfig>, checks_node_id: bool) {
-        self.tls = Some(TlsIdentity {
+        self.tls = Some(ListenerTls {
             tls,
             checks_node_id,
         });
     }
 
-    /// Whether the client of a connection may use this node id.
+    /// Checks that the client of a connection may use this node id, if the listener's settings ask for that.
     fn check_node_id(&self, token: Token, name: &str) -> Result<(), IdentityError> {
         if !self.tls.as_ref().is_some_and(|tls| tls.checks_node_id) {
             return Ok(());
@@ -129,23 +131,23 @@
         })
     }
 
-    /// Whether no more connections are accepted.
+    /// Whether the limit of open connections is reached.
     pub fn is_full(&self) -> bool {
         self.connections.len() >= self.connection_limit
     }
 
-    /// A token for a new connection.
+    /// Allocates a token for a new connection.
     pub fn next_token(&mut self) -> Token {
         self.last_token += 1;
         Token(self.last_token)
     }
 
-    /// Takes over an accepted connection.
+    /// Adds an accepted connection.
     pub fn add(&mut self, now: Moment, token: Token, socket: TcpStream) {
         let connection = match &self.tls {
             None => ServerConnection::new(now, socket, self.limits),
-            Some(identity) => {
-                let tls = identity.tls.clone();
+            Some(listener) => {
+                let tls = listener.tls.clone();
                 match ServerConnection::secured(now, socket, self.limits, tls) {
                     Ok(connection) => connection,
                     Err(error) => return warn!(%error, "connection rejected"),
@@ -156,12 +158,12 @@
         self.ready.push(token);
     }
 
-    /// A connection is to be read and written in the next round.
+    /// Marks a connection to be read and written by the next [`Streams::process_ready`].
     pub fn mark_ready(&mut self, token: Token) {
         self.ready.push(token);
     }
 
-    /// Whether a connection is to be read or written at once.
+    /// Whether a connection is waiting to be read or written, so that the loop must not sleep.
     pub fn has_ready_connections(&self) -> bool {
         !self.ready.is_empty()
     }
@@ -246,7 +248,7 @@
         }
     }
 
-    /// What the socket took makes room for more on all discovery streams of the connection.
+    /// Marks all discovery streams of a connection writable: the socket may have accepted bytes of any of them.
     fn mark_connection_writable(&mut self, token: Token) {
         let keys = (token, StreamKey(0))..=(token, StreamKey(u32::MAX));
         let streams = self.ids.range(keys).map(|(_, id)| *id);
@@ -254,17 +256,18 @@
             .extend(streams.filter(|id| self.discovery_streams.contains_key(id)));
     }
 
-    /// Discovery requests that came since the last call.
+    /// Returns the discovery requests received since the last call.
     pub fn take_discovery_requests(&mut self) -> Vec<(StreamId, Request)> {
         std::mem::take(&mut self.discovery_requests)
     }
 
-    /// Something new is there to be sent on a discovery stream.
+    /// Marks a discovery stream that may have a response due.
     pub fn mark_writable(&mut self, id: StreamId) {
         self.writable.insert(id);
     }
 
-    /// Discovery streams that can be sent something. A stream with unsent bytes comes back once they are sent.
+    /// Returns the marked discovery streams that have no unsent bytes. A stream that still has some is marked again
+    /// once its connection is processed.
     pub fn take_writable(&mut self) -> Vec<StreamId> {
         let queued_bytes = |id: &StreamId| {
             let stream = self.discovery_streams.get(id)?;
@@ -278,7 +281,7 @@
             .collect()
     }
 
-    fn locate(&self, id: StreamId) -> Option<(Token, StreamKey)> {
+    fn connection_of(&self, id: StreamId) -> Option<(Token, StreamKey)> {
         if let Some(stream) = self.report_streams.get(&id) {
             return Some((stream.connection, stream.key));
         }
@@ -294,27 +297,34 @@
             .map(|(id, _)| *id)
             .collect();
         for id in silent {
-            let reason = format!("nothing came for {} s", self.silence_limit.seconds());
+            let reason = format!(
+                "no load report received for {} s",
+                self.silence_limit.seconds()
+            );
             self.close(id, Status::DeadlineExceeded, &reason);
         }
     }
 
-    /// Sends a message; a stream whose client does not read is closed.
+    /// Queues a message. A stream whose send queue is full, because its client reads too slowly, is closed.
     pub fn send(&mut self, id: StreamId, message: &[u8]) {
-        let Some((token, key)) = self.locate(id) else {
+        let Some((token, key)) = self.connection_of(id) else {
             return;
         };
         if let Some(connection) = self.connections.get_mut(&token) {
             if !connection.send(key, message) {
-                connection.close(key, Status::ResourceExhausted, "answers are not taken");
+                connection.close(
+                    key,
+                    Status::ResourceExhausted,
+                    "send queue full: the client reads too slowly",
+                );
             }
             self.ready.push(token);
         }
     }
 
-    /// Closes a stream; its client is sent the status and the reason.
+    /// Closes a stream with a status and a reason, which are sent to its client.
     pub fn close(&mut self, id: StreamId, status: Status, reason: &str) {
-        let Some((token, key)) = self.locate(id) else {
+        let Some((token, key)) = self.connection_of(id) else {
             return;
         };
         if let Some(connection) = self.connections.get_mut(&token) {
@@ -323,7 +333,7 @@
         }
     }
 
-    /// Tells all proxies that this controller goes away.
+    /// Closes all streams with `UNAVAILABLE` and stops accepting new ones, as the controller is shutting down.
     pub fn stop(&mut self, now: Moment) {
         for id in self.ids.values().copied().collect::<Vec<_>>() {
             self.close(id, Status::Unavailable, "the conductor stops");
@@ -335,7 +345,7 @@
         self.process_ready(now, &mut Vec::new());
     }
 
-    /// When [`Streams::process_ready`] has something to do that no readiness announces.
+    /// When [`Streams::process_ready`] should be called even though no connection is ready.
     pub fn wake_at(&self) -> Option<Moment> {
         (!self.connections.is_empty()).then_some(self.maintenance_at)
     }
--- a/crates/controller/src/streams/receive.rs
+++ b/crates/controller/src/streams/receive.rs
@@ -1,5 +1,5 @@
-//! What comes on streams: their opening, load reports and discovery requests. The first message of a stream
-//! says who the proxy is.
+//! Handles what arrives on streams: new streams, load reports and discovery requests. The first message of a stream
+//! identifies the proxy.
 
 use super::{DiscoveryStream, ReportStream, Streams};
 use wheelspread::time::Moment;
@@ -9,7 +9,7 @@
 use wheelspread_reactor::Token;
 use wheelspread_xds::{discovery, loads};
 
-/// Why a stream is closed for what came on it.
+/// Why a stream is closed because of a message received on it.
 struct Rejection {
     status: Status,
     reason: String,
@@ -32,7 +32,7 @@
 }
 
 impl Streams {
-    /// A client opened a stream; its path says what for.
+    /// Handles a new stream; its path is the gRPC method that the client called.
     pub(super) fn open_stream(&mut self, now: Moment, token: Token, key: StreamKey, path: &str) {
         match path {
             discovery::DELTA_METHOD => self.open_discovery_stream(token, key, true),
@@ -76,7 +76,7 @@
             connection.close(
                 key,
                 Status::Unimplemented,
-                "aggregated discovery and load reports are served here",
+                "unknown method: only aggregated discovery and load reports are served",
             );
             self.ready.push(token);
         }
