--- a/crates/controller/src/admin.rs
+++ b/crates/controller/src/admin.rs
@@ -1,7 +1,7 @@
-//! The operators' API: HTTP/1.1 and JSON, one request a connection, and nobody makes the loop wait.
-//! `admin.sock` accepts orders, for the user that the controller runs as; `read.sock` answers questions of
-//! everybody on the machine; a loopback port under mutual TLS answers questions, and accepts orders from the
-//! certificate names that are listed.
+//! The operators' API: HTTP/1.1 with JSON, one request per connection, on nonblocking sockets so that no client
+//! delays the event loop. Requests are queries, which only read, and orders, which change something. `admin.sock`
+//! serves queries and orders of the controller's own user; `read.sock` serves queries of every user of the machine; a
+//! loopback port under mutual TLS serves queries, and orders of callers whose certificate name is listed.
 
 mod api_error;
 mod changes;
@@ -36,19 +36,20 @@
 use wheelspread_grpc::ServerConfig;
 use wheelspread_reactor::{Interest, Poll, Token};
 
-/// Longest request that is read, and longest body.
+/// Maximum length of a request in bytes, and of its body. The connection of a longer request is closed; a longer
+/// body is rejected if its length is stated.
 const REQUEST_LIMIT_BYTES: usize = 64 << 10;
-/// Connections open at once; more are closed.
+/// Maximum count of open connections; further ones are closed at once.
 const CONNECTION_LIMIT: usize = 64;
-/// Time for a request to come and its answer to be read.
+/// Maximum time from accepting a connection until its answer has been sent; then it is closed.
 const CONNECTION_TIMEOUT: Span = Span::from_seconds(10.0);
-/// Of a request's body, so many characters go into the audit log.
+/// Longest part of a request's body that is written to the audit log, in characters.
 const AUDIT_BODY_CHARS: usize = 400;
 
 /// The operators' listeners and connections.
 pub struct AdminServer {
     listeners: Listeners,
-    /// Certificate names whose callers on the port may order.
+    /// Certificate names whose callers on the port may send orders.
     writer_names: Vec<String>,
     connections: BTreeMap<Token, AdminConnection>,
     next_token: u64,
@@ -56,8 +57,8 @@
 }
 
 impl AdminServer {
-    /// Opens the sockets under `root` and, with `port`, the loopback port. Tokens of listeners are
-    /// `first_listener` and those after it; connections begin at `first_connection`.
+    /// Opens the sockets under `root` and, if `port` is given, the loopback port. Listeners get the tokens from
+    /// `first_listener` on, connections those from `first_connection` on.
     pub fn start(
         root: &Path,
         port: Option<(&AdministrationSettings, Arc<ServerConfig>)>,
@@ -78,17 +79,17 @@
         })
     }
 
-    /// Whether a token is one of the listeners'.
+    /// Whether a token belongs to a listener.
     pub fn is_listener(&self, token: Token) -> bool {
         self.listeners.contains(token)
     }
 
-    /// Keys for connections from now on; those that are open keep theirs.
+    /// Sets the keys for new connections; open connections keep theirs.
     pub fn set_tls(&mut self, tls: Arc<ServerConfig>) {
         self.listeners.set_tls(tls);
     }
 
-    /// Accepts all that wait at a listener.
+    /// Accepts all pending connections of a listener.
     pub fn accept(&mut self, poll: &Poll, now: Moment, listener: Token) {
         for (socket, rights) in self.listeners.accept(listener) {
             self.add_connection(poll, now, socket, rights);
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Reads and writes a connection that is ready, and serves its request once that is complete.
+    /// Reads and writes a connection that is ready, and serves its request once the request is complete.
     pub fn handle_ready(&mut self, now: Moment, token: Token, context: &mut AdminContext) {
         let Some(connection) = self.connections.get_mut(&token) else {
             return;
@@ -147,7 +148,7 @@
         }
     }
 
-    /// Answers an order to roll back.
+    /// Answers an order to roll a table back or to end the rollback.
     pub fn finish_rollback(&mut self, order: u64, result: &Result<RollbackResult, RollbackError>) {
         let result = match result {
             Ok(rollback) => Ok(tables::rollback_body(rollback)),
@@ -199,7 +200,7 @@
         }
     }
 
-    /// Closes connections that take too long.
+    /// Closes connections that have been open for longer than the timeout.
     pub fn close_slow_connections(&mut self, now: Moment) {
         self.connections
             .retain(|_, connection| now - connection.opened_at() < CONNECTION_TIMEOUT);
--- a/crates/controller/src/admin/api_error.rs
+++ b/crates/controller/src/admin/api_error.rs
@@ -1,11 +1,11 @@
-//! Why a request is not served, with the HTTP status that says so.
+//! Errors of the operators' API, and their HTTP statuses.
 
 use super::REQUEST_LIMIT_BYTES;
 use crate::drains::DrainAnswerError;
 use wheelspread_controller_core::rollback::RollbackError;
 use wheelspread_http1::MessageError;
 
-/// The statuses that the API answers with.
+/// The HTTP statuses of the API's responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HttpStatus {
     /// 200
@@ -21,7 +21,7 @@
 }
 
 impl HttpStatus {
-    /// The number of the status line.
+    /// The status code of the status line.
     pub fn code(self) -> u16 {
         match self {
             HttpStatus::Ok => 200,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The phrase of the status line.
+    /// The reason phrase of the status line.
     pub fn phrase(self) -> &'static str {
         match self {
             HttpStatus::Ok => "OK",
@@ -44,57 +44,57 @@
     }
 }
 
-/// Characters of an id or of the name of who orders.
+/// Maximum length of an id or an operator's name, in characters.
 pub const NAME_LIMIT_CHARS: usize = 100;
-/// Values that one change may set.
+/// Maximum count of values that one change may set.
 pub const CHANGE_VALUE_LIMIT: usize = 10_000;
 
-/// Why a request is not served.
+/// Why a request was rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum ApiError {
-    /// The head of the request can't be parsed.
+    /// The head of the request is malformed.
     #[error(transparent)]
     Head(#[from] MessageError),
-    /// The body is chunked or too long.
+    /// The body is chunked or longer than allowed.
     #[error("a body of a stated length, {REQUEST_LIMIT_BYTES} bytes at most, is expected")]
     BodyFraming,
     /// The body is not the JSON that the path expects.
     #[error(transparent)]
     Body(#[from] serde_json::Error),
-    /// An id or a name has other characters than it may.
+    /// An id or a name is empty, too long, or has characters that are not allowed.
     #[error("{field}: 1 to {NAME_LIMIT_CHARS} letters, digits, -, _, . and @ are expected")]
     InvalidName {
         /// The field of the body.
         field: &'static str,
     },
     /// A change sets too many values.
-    #[error("{count} values, {CHANGE_VALUE_LIMIT} at most are taken")]
+    #[error("{count} values in one change, at most {CHANGE_VALUE_LIMIT} are allowed")]
     TooManyValues {
-        /// Values in the request.
+        /// Count of values in the request.
         count: usize,
     },
     /// A value of a change is an array or an object.
     #[error("{path}: a text, a number, true, false or null is expected")]
     InvalidValue {
-        /// The path that the change sets.
+        /// The path of the value.
         path: String,
     },
-    /// A node's name is no address with a port.
+    /// A node is not given as an IPv4 address with a port.
     #[error("`{0}` should be an address as 127.0.0.1:9000")]
     InvalidNode(String),
-    /// An order says that it was given in the future.
+    /// The time at which an order was given is too far in the future of this controller's clock.
     #[error("given_ms: {seconds} s ahead of the clock here")]
     ClockAhead {
-        /// How far ahead.
+        /// How far ahead, in seconds.
         seconds: u64,
     },
-    /// The caller may ask and not order.
+    /// An order from a caller that may only send queries.
     #[error("this way in may ask and not order")]
     ReadOnly,
-    /// No change of this id is known.
+    /// No change with this id is known.
     #[error("`{0}` is no change that is known")]
     UnknownChange(String),
-    /// Nothing is served for this method and path.
+    /// The API has no such method and path.
     #[error("{method} {target} is not served here")]
     NotServed {
         /// The method of the request.
@@ -102,22 +102,22 @@
         /// Its path.
         target: String,
     },
-    /// The ledger refuses a change.
+    /// The ledger rejected a change.
     #[error(transparent)]
     ChangeRefused(#[from] wheelspread_config_transaction::ChangeError),
-    /// The drain is refused.
+    /// The drain was rejected.
     #[error(transparent)]
     DrainRefused(#[from] wheelspread_drain::DrainError),
-    /// The drain was ordered, and is not in force.
+    /// The drain was accepted, but was removed before it was persisted.
     #[error(transparent)]
     DrainNotPersisted(#[from] DrainAnswerError),
-    /// The core refuses to roll back.
+    /// The core rejected a rollback.
     #[error(transparent)]
     RollbackRefused(#[from] RollbackError),
 }
 
 impl ApiError {
-    /// The status to answer with.
+    /// The HTTP status of the response.
     pub fn status(&self) -> HttpStatus {
         match self {
             ApiError::Head(_)
--- a/crates/controller/src/admin/changes.rs
+++ b/crates/controller/src/admin/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of configuration: planned, staged, applied, undone and shown.
+//! Requests to plan, stage, apply, undo and show changes of configuration.
 
 use super::api_error::{ApiError, CHANGE_VALUE_LIMIT, NAME_LIMIT_CHARS};
 use super::request::AdminRequest;
@@ -13,19 +13,19 @@
 use wheelspread_config_transaction::{Change, ChangeId, ChangeRecord};
 use wheelspread_controller_core::ControllerCore;
 
-/// Changes that `GET /v1/changes` lists; any other can be asked for by its id.
+/// Maximum count of changes that `GET /v1/changes` lists; others can be requested by their id.
 const LISTED_CHANGES_LIMIT: usize = 500;
-/// The reason of an undo that gives none.
+/// The reason of an undo if the request gives none.
 const DEFAULT_UNDO_REASON: &str = "by order";
 
-/// A change to plan or stage. A value may be a plain number or flag; null withdraws it, so that the file's
-/// value is in force again.
+/// A change to plan or stage. A value is a string, a number or a boolean; null removes the value that an earlier
+/// change set, so that the file's value is in force again.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ChangeRequest {
     id: String,
     by: String,
-    /// Left out: the version in force when the change first comes.
+    /// The version that the change is based on; default: the version in force when the change is first received.
     #[serde(default)]
     base: Option<u64>,
     sets: BTreeMap<String, Value>,
@@ -40,7 +40,7 @@
     why: Option<String>,
 }
 
-/// The configuration in force, and how far the proxies have come with it.
+/// The configuration in force, and the progress of its rollout to the proxies.
 #[derive(Debug, Serialize)]
 struct ConfigurationResponse<'a> {
     version: u64,
@@ -57,7 +57,7 @@
     unwritten_commits: usize,
 }
 
-/// `POST /v1/changes/plan`: what a change would do.
+/// `POST /v1/changes/plan`: shows what a change would do.
 pub fn plan(
     now: Moment,
     request: &AdminRequest,
@@ -91,7 +91,7 @@
     submit(now, order, command, context)
 }
 
-/// `POST /v1/changes/undo`: takes a change back.
+/// `POST /v1/changes/undo`: undoes a change.
 pub fn undo(
     now: Moment,
     request: &AdminRequest,
@@ -131,7 +131,8 @@
         sets.insert(path, value);
     }
     let id = ChangeId(request.id);
-    // A change that is sent again is the same change, whatever is in force by now.
+    // A change that is sent again keeps its base, even if another version is in force by then; with another base it
+    // would be a different change.
     let known_base = rollout
         .ledger()
         .record(&id)
@@ -159,7 +160,7 @@
     }
 }
 
-/// Ids and names of who orders have plain characters, so that logs and shells show them as they are.
+/// Checks the characters of an id or an operator's name: only those that logs and shells show unescaped are allowed.
 pub fn check_name(field: &'static str, text: &str) -> Result<(), ApiError> {
     let is_plain = |c: char| c.is_ascii_alphanumeric() || "-_.@".contains(c);
     if !text.is_empty() && text.len() <= NAME_LIMIT_CHARS && text.chars().all(is_plain) {
@@ -177,7 +178,7 @@
     }
 }
 
-/// `GET /v1/changes`: those that are still under way, then the latest in force.
+/// `GET /v1/changes`: unfinished changes first, then the others, the latest version first.
 pub fn list(rollout: &Rollout) -> Value {
     let mut records: Vec<&ChangeRecord> = rollout.ledger().records().collect();
     records.sort_by_key(|record| {
--- a/crates/controller/src/admin/connection.rs
+++ b/crates/controller/src/admin/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of an operator: bytes in, one request, bytes out.
+//! An operator's connection, which carries one request and its response.
 
 use super::api_error::{ApiError, HttpStatus};
 use super::request::AdminRequest;
@@ -11,19 +11,19 @@
 use wheelspread_grpc::tls::speaks_for;
 use wheelspread_grpc::Socket;
 
-/// Bytes read from a socket at a time.
+/// Size of the buffer for one read from a socket.
 const READ_CHUNK_BYTES: usize = 4096;
 
 /// The socket of a connection.
 pub enum AdminSocket {
-    /// Through `admin.sock` or `read.sock`.
+    /// A connection to `admin.sock` or `read.sock`.
     Unix(UnixStream),
-    /// Through the loopback port.
+    /// A connection to the loopback port.
     Tls(Box<Socket>),
 }
 
 impl AdminSocket {
-    /// The descriptor to poll.
+    /// The file descriptor to poll.
     pub fn as_fd(&self) -> BorrowedFd<'_> {
         match self {
             AdminSocket::Unix(stream) => stream.as_fd(),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Sends what was encrypted and is not sent yet.
+    /// Sends encrypted bytes that are still buffered.
     fn flush(&mut self) -> io::Result<()> {
         match self {
             AdminSocket::Unix(_) => Ok(()),
@@ -54,25 +54,25 @@
     }
 }
 
-/// What a caller may do, by the listener that it came through.
+/// What a caller may do, by the listener that it connected to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AccessRights {
-    /// Ask only.
+    /// Send queries.
     Read,
-    /// Ask and order.
+    /// Send queries and orders.
     Order,
-    /// Ask, and order if its certificate has a name that may.
+    /// Send queries, and orders if its certificate has one of the listed names.
     ByCertificate,
 }
 
-/// A connection and its one request.
+/// A connection with its request and response.
 pub struct AdminConnection {
     socket: AdminSocket,
     rights: AccessRights,
     input: Vec<u8>,
     output: Vec<u8>,
     opened_at: Moment,
-    /// The order whose result is to be answered.
+    /// The number of the order whose result the response waits for.
     pending_order: Option<u64>,
     is_answered: bool,
 }
@@ -91,37 +91,37 @@
         }
     }
 
-    /// When it was accepted.
+    /// When the connection was accepted.
     pub fn opened_at(&self) -> Moment {
         self.opened_at
     }
 
-    /// The order whose result it waits for.
+    /// The number of the order whose result the response waits for.
     pub fn pending_order(&self) -> Option<u64> {
         self.pending_order
     }
 
-    /// Whether its request is still to come.
+    /// Whether the request is not served yet.
     pub fn awaits_request(&self) -> bool {
         !self.is_answered && self.pending_order.is_none()
     }
 
-    /// Whether an answer is still to come or to be sent.
+    /// Whether a response is still to be made or to be sent.
     pub fn is_pending(&self) -> bool {
         self.pending_order.is_some() || !self.output.is_empty()
     }
 
-    /// Lets the answer wait until this order has a result.
+    /// Defers the response until the order with this number has a result.
     pub fn wait_for(&mut self, order: u64) {
         self.pending_order = Some(order);
     }
 
-    /// The request, once all of it was received.
+    /// The request; `None` until it is completely received.
     pub fn parse_request(&self) -> Result<Option<AdminRequest>, ApiError> {
         AdminRequest::parse(&self.input)
     }
 
-    /// Whether it may order; `writer_names` are the certificate names that may.
+    /// Whether the caller may send orders; `writer_names` are the certificate names that may.
     pub fn may_order(&self, writer_names: &[String]) -> bool {
         match self.rights {
             AccessRights::Order => true,
@@ -139,7 +139,7 @@
             .is_some_and(|certificate| names.iter().any(|name| speaks_for(certificate, name)))
     }
 
-    /// The listener that it came through, for the audit log.
+    /// The name of the listener that accepted the connection, for the audit log.
     pub fn entry_point(&self) -> &'static str {
         match self.rights {
             AccessRights::Order => "admin.sock",
@@ -148,7 +148,8 @@
         }
     }
 
-    /// Receives what is there; `false` when nothing more will come, or too much came.
+    /// Reads until the socket would block. `false` if the peer closed its side, reading failed, or the request is
+    /// longer than [`REQUEST_LIMIT_BYTES`].
     pub fn receive(&mut self) -> bool {
         let mut chunk = [0; READ_CHUNK_BYTES];
         loop {
@@ -164,12 +165,12 @@
         }
     }
 
-    /// Puts a successful answer into the output.
+    /// Makes the response to a request that succeeded.
     pub fn respond(&mut self, body: &Value) {
         self.respond_with(HttpStatus::Ok, body);
     }
 
-    /// Puts an error into the output.
+    /// Makes the response to a request that failed.
     pub fn respond_error(&mut self, error: &ApiError) {
         self.respond_with(error.status(), &json!({ "error": error.to_string() }));
     }
@@ -188,7 +189,7 @@
         self.pending_order = None;
     }
 
-    /// Sends what is in the output; `true` when all of an answer was sent, or never will be.
+    /// Sends until the socket would block. `true` if the whole response was sent, or the socket failed.
     pub fn send(&mut self) -> bool {
         while !self.output.is_empty() {
             match self.socket.write(&self.output) {
--- a/crates/controller/src/admin/context.rs
+++ b/crates/controller/src/admin/context.rs
@@ -1,4 +1,4 @@
-//! What requests are answered from, and act on.
+//! The parts of a controller that requests read and change.
 
 use crate::drains::DrainOrders;
 use crate::file::ControllerFile;
@@ -6,31 +6,31 @@
 use wheelspread_config_rollout::Rollout;
 use wheelspread_controller_core::ControllerCore;
 
-/// The parts of a controller that a request may read or order.
+/// The parts of a controller that a request may read or change.
 pub struct AdminContext<'a> {
-    /// Decisions, tables and proxies.
+    /// The core, with endpoint list, tables and proxies.
     pub core: &'a mut ControllerCore,
     /// Changes of configuration.
     pub rollout: &'a mut Rollout,
-    /// Drains by order.
+    /// Drains ordered by operators.
     pub drains: &'a mut DrainOrders,
-    /// What stays the same while the controller runs.
+    /// Name, number and start time of the controller.
     pub identity: &'a Identity,
 }
 
-/// What stays the same while a controller runs.
+/// A controller's name, number and start time, which do not change during a run.
 #[derive(Debug)]
 pub struct Identity {
-    /// Its name, as the file has it.
+    /// The controller's name, from its file.
     pub name: String,
-    /// Its number among the controllers that share the proxies.
+    /// The controller's number among those that share the proxies.
     pub number: u32,
-    /// When it started.
+    /// When the controller started.
     pub started_at: Moment,
 }
 
 impl Identity {
-    /// As the file has it.
+    /// The identity of a controller with this file that starts now.
     pub fn new(file: &ControllerFile, now: Moment) -> Identity {
         Identity {
             name: file.conductor.name.clone(),
--- a/crates/controller/src/admin/drains.rs
+++ b/crates/controller/src/admin/drains.rs
@@ -1,4 +1,4 @@
-//! Drains by order, and where a node is still named.
+//! Requests to drain nodes, and to show which proxies' tables still name a node.
 
 use super::api_error::ApiError;
 use super::changes::check_name;
@@ -14,10 +14,11 @@
 use wheelspread_drain::{Drain, DrainAction, DrainOrder, OrderId};
 use wheelspread_reactor as reactor;
 
-/// An order that claims a later time is refused: it would go before all others for as long.
+/// How far the time of an order may be ahead of this controller's clock. An order further ahead is rejected, because it
+/// would take precedence over all later orders for the node until that time.
 const CLOCK_LEAD_LIMIT_MS: u64 = 60_000;
 
-/// An order to drain a node, or to take that back.
+/// An order to drain a node, or to withdraw its drain.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct DrainRequest {
@@ -25,7 +26,7 @@
     node: String,
     word: DrainAction,
     by: String,
-    /// Left out: the time at which the request came.
+    /// When the order was given, in milliseconds since 1970; default: the time at which the request was received.
     #[serde(default)]
     given_ms: Option<u64>,
     #[serde(default)]
--- a/crates/controller/src/admin/listeners.rs
+++ b/crates/controller/src/admin/listeners.rs
@@ -1,4 +1,4 @@
-//! The operators' ways in: two sockets under the root of tables, and a loopback port under mutual TLS.
+//! The listeners for operators: two Unix sockets under the root of tables, and a loopback port under mutual TLS.
 
 use super::connection::{AccessRights, AdminSocket};
 use crate::file::AdministrationSettings;
@@ -12,12 +12,12 @@
 use wheelspread_grpc::{ServerConfig, Socket, TlsServer};
 use wheelspread_reactor::{self as reactor, Interest, Poll, Token};
 
-/// Mode of `admin.sock`: the controller's user only.
+/// File mode of `admin.sock`: only the controller's user may connect.
 const ADMIN_SOCKET_MODE: u32 = 0o600;
-/// Mode of `read.sock`: everybody on the machine.
+/// File mode of `read.sock`: every user of the machine may connect.
 const READ_SOCKET_MODE: u32 = 0o666;
 
-/// Offsets of the listeners' tokens from the first.
+/// Offsets of the listeners' tokens from the first token.
 const ADMIN_SOCKET: u64 = 0;
 const READ_SOCKET: u64 = 1;
 const TLS_PORT: u64 = 2;
@@ -30,7 +30,7 @@
 
 impl UnixSocket {
     fn bind(path: PathBuf, mode: u32) -> io::Result<UnixSocket> {
-        // A socket that a killed controller left is taken away.
+        // Removes the socket file that a killed controller left behind.
         match std::fs::remove_file(&path) {
             Err(error) if error.kind() != ErrorKind::NotFound => return Err(error),
             _ => {}
@@ -85,7 +85,7 @@
 }
 
 impl Listeners {
-    /// Binds all of them and adds them to the poll.
+    /// Binds all listeners and adds them to the poll.
     pub fn open(
         root: &Path,
         port: Option<(&AdministrationSettings, Arc<ServerConfig>)>,
@@ -101,7 +101,7 @@
                 Some(TlsPort { listener, tls })
             }
         };
-        // `admin.sock` comes last: who sees it can use all of them.
+        // `admin.sock` is bound last, so that its presence shows that all listeners are bound.
         let read_socket = UnixSocket::bind(root.join("read.sock"), READ_SOCKET_MODE)?;
         let admin_socket = UnixSocket::bind(root.join("admin.sock"), ADMIN_SOCKET_MODE)?;
         poll.add(
@@ -122,19 +122,19 @@
         })
     }
 
-    /// Whether a token belongs to one of them.
+    /// Whether a token belongs to a listener.
     pub fn contains(&self, token: Token) -> bool {
         (self.first_token.0..self.first_token.0 + LISTENER_COUNT).contains(&token.0)
     }
 
-    /// Keys for connections to the port from now on.
+    /// Sets the keys for new connections to the port.
     pub fn set_tls(&mut self, tls: Arc<ServerConfig>) {
         if let Some(port) = &mut self.port {
             port.tls = tls;
         }
     }
 
-    /// All connections that wait at the listener of this token, with what they may do.
+    /// Accepts all pending connections of the listener with this token, and returns each with its access rights.
     pub fn accept(&self, token: Token) -> Vec<(AdminSocket, AccessRights)> {
         let (accepted, rights) = match token.0 - self.first_token.0 {
             ADMIN_SOCKET => (self.admin_socket.accept(), AccessRights::Order),
--- a/crates/controller/src/admin/request.rs
+++ b/crates/controller/src/admin/request.rs
@@ -1,4 +1,4 @@
-//! Parsing of an operator's request.
+//! Parses an operator's request.
 
 use super::api_error::ApiError;
 use super::REQUEST_LIMIT_BYTES;
@@ -8,16 +8,16 @@
 
 /// A complete request.
 pub struct AdminRequest {
-    /// The method, as `GET`.
+    /// The method, such as `GET`.
     pub method: String,
-    /// The path.
+    /// The request target, which is the path.
     pub target: String,
-    /// The body, empty if there is none.
+    /// The body; empty if there is none.
     pub body: Vec<u8>,
 }
 
 impl AdminRequest {
-    /// Parses what was received; `None` while the request is incomplete.
+    /// Parses the received bytes; `None` while the request is incomplete.
     pub fn parse(input: &[u8]) -> Result<Option<AdminRequest>, ApiError> {
         let Some(head) = request(input, Limits::default())? else {
             return Ok(None);
@@ -39,7 +39,7 @@
         }))
     }
 
-    /// Whether the request orders something, and does not only ask.
+    /// Whether the request is an order. A plan is none: it is sent with POST but changes nothing.
     pub fn is_order(&self) -> bool {
         self.method != "GET" && self.target != "/v1/changes/plan"
     }
@@ -49,7 +49,7 @@
         Ok(serde_json::from_slice(&self.body)?)
     }
 
-    /// The error for a method and path that nothing is served for.
+    /// The error for a request whose method and path the API does not have.
     pub fn not_served(&self) -> ApiError {
         ApiError::NotServed {
             method: self.method.clone(),
--- a/crates/controller/src/admin/routes.rs
+++ b/crates/controller/src/admin/routes.rs
@@ -1,4 +1,4 @@
-//! Which handler serves which method and path.
+//! Dispatches requests to their handlers by method and path.
 
 use super::api_error::ApiError;
 use super::request::AdminRequest;
@@ -6,10 +6,10 @@
 use serde_json::Value;
 use wheelspread::time::Moment;
 
-/// An answer; `None` when it follows once the order has a result.
+/// The body of the response; `None` if the response follows once the order has a result.
 pub type HandlerResult = Result<Option<Value>, ApiError>;
 
-/// Serves a request; `order` is the number that its result is answered by.
+/// Serves a request; `order` is the number under which a deferred result is answered.
 pub fn handle(
     now: Moment,
     request: &AdminRequest,
--- a/crates/controller/src/admin/status.rs
+++ b/crates/controller/src/admin/status.rs
@@ -1,4 +1,4 @@
-//! State of the controller, its update queue, the load reports and the nodes.
+//! Queries for the state of the controller, its update queue, the load reports and the nodes.
 
 use super::AdminContext;
 use serde::Serialize;
@@ -10,9 +10,9 @@
 use wheelspread_controller_core::endpoint_list::format_node;
 use wheelspread_controller_core::ControllerCore;
 
-/// Version of the API; it rises when something is taken away or changes its meaning.
+/// Version of the API; it is raised when something is removed or changes its meaning.
 const API_VERSION: u32 = 1;
-/// `GET /v1/sums` sums up the load reports of so many periods.
+/// Time over which `GET /v1/sums` adds up load reports, in report periods.
 const LOAD_REPORT_PERIODS: f64 = 10.0;
 
 #[derive(Debug, Serialize)]
@@ -245,7 +245,7 @@
     zones.get(usize::from(id.0)).cloned().unwrap_or_default()
 }
 
-/// The status of an endpoint as the API names it.
+/// The name of an endpoint status in the API.
 pub fn listing_name(status: EndpointStatus) -> &'static str {
     match status {
         EndpointStatus::Ready => "ready",
@@ -258,7 +258,7 @@
     entry.status == EndpointStatus::Ready && core.plan().rules.is_warming(now, entry.started)
 }
 
-/// Seconds with three decimals.
+/// Seconds from `then` to `now`, rounded to three decimals.
 fn seconds_since(now: Moment, then: Moment) -> f64 {
     ((now - then).seconds() * 1e3).round() / 1e3
 }
--- a/crates/controller/src/admin/tables.rs
+++ b/crates/controller/src/admin/tables.rs
@@ -1,4 +1,4 @@
-//! Published tables: which version each proxy holds, and rolling back to an older one.
+//! Requests about published tables: which version each proxy holds, and rolling a table back to an older version.
 
 use super::request::AdminRequest;
 use super::routes::HandlerResult;
@@ -42,7 +42,7 @@
     joined: bool,
     #[serde(rename = "front")]
     transport: &'static str,
-    /// The table that it reads; `None` before it was bound to one.
+    /// The table that the proxy reads; `None` before it was bound to one.
     table: Option<u32>,
     /// The newest version of that table.
     #[serde(rename = "newest")]
@@ -93,7 +93,7 @@
     Ok(None)
 }
 
-/// `POST /v1/tables/free`: ends the rollback, so that weights follow the list again.
+/// `POST /v1/tables/free`: ends a rollback, so that the tables follow the endpoint list again.
 pub fn end_rollback(now: Moment, order: u64, context: &mut AdminContext) -> HandlerResult {
     context
         .core
@@ -101,7 +101,7 @@
     Ok(None)
 }
 
-/// The answer to an order to roll back, or to end that.
+/// The body of the response to an order to roll a table back, or to end the rollback.
 pub fn rollback_body(rollback: &RollbackResult) -> Value {
     let excluded = |(node, reason): &(NodeId, ExclusionReason)| ExcludedNode {
         node: format_node(*node),
--- a/crates/controller/src/admin/tests.rs
+++ b/crates/controller/src/admin/tests.rs
@@ -1,5 +1,5 @@
-//! The operators' API: answers have the paths, fields and texts that the program of commit 6ac25c1 gave, recorded
-//! under `tests/data/api-before-renaming` beside the state file that it wrote.
+//! The operators' API is compatible with older programs: paths, fields and texts are those of the program of commit
+//! 6ac25c1, whose responses are recorded under `tests/data/api-before-renaming`, with the state file that it wrote.
 
 use super::*;
 use crate::drains::DrainOrders;
@@ -29,10 +29,10 @@
     let directory = tempfile::tempdir().expect("a directory");
     let path = directory.path().join("state");
     std::fs::copy(data("state-before-renaming"), &path).expect("copied");
-    Store::inspect(&path).expect("a sound state file").state
+    Store::inspect(&path).expect("a valid state file").state
 }
 
-/// A controller as it comes back from the recorded state, without sockets.
+/// A controller restored from the recorded state, without sockets.
 struct RestoredController {
     core: ControllerCore,
     rollout: Rollout,
@@ -43,7 +43,7 @@
 
 impl RestoredController {
     fn new() -> RestoredController {
-        let file = ControllerFile::read(&data("controller.yaml")).expect("a sound file");
+        let file = ControllerFile::read(&data("controller.yaml")).expect("a valid file");
         let persisted = persisted_state();
         let now = Moment::from_seconds(100.0);
         let drains = DrainOrders::restore(now, &persisted, file.changes.value_lost_at_most);
@@ -108,7 +108,7 @@
     }
 
     fn get(&mut self, target: &str) -> Value {
-        let answer = self.request("GET", target, "").expect("it is served");
+        let answer = self.request("GET", target, "").expect("served");
         answer.expect("answered at once")
     }
 }
@@ -118,7 +118,7 @@
     std::fs::read_to_string(path).expect("recorded")
 }
 
-/// Paths of all fields.
+/// Collects the paths of all fields of `value`.
 fn field_paths(value: &Value, path: &str, paths: &mut BTreeSet<String>) {
     match value {
         Value::Object(fields) => {
@@ -145,7 +145,7 @@
 #[test_case("/v1/changes", "changes.json"; "changes")]
 #[test_case("/v1/changes/spring-1", "change.json"; "one change")]
 #[test_case("/v1/nodes", "nodes.json"; "nodes")]
-fn an_answer_is_the_recorded_one_byte_for_byte(target: &str, name: &str) {
+fn a_response_equals_the_recorded_one_byte_for_byte(target: &str, name: &str) {
     let answer = RestoredController::new().get(target);
     assert_eq!(format!("{answer}\n"), recorded(name));
 }
@@ -157,7 +157,7 @@
 #[test_case("/v1/drains", "drains.json"; "drains")]
 #[test_case("/v1/configuration", "configuration.json"; "configuration")]
 #[test_case("/v1/where/127.0.0.1:29003", "where.json"; "location of a node")]
-fn an_answer_has_the_recorded_fields(target: &str, name: &str) {
+fn a_response_has_the_recorded_fields(target: &str, name: &str) {
     let answer = RestoredController::new().get(target);
     let recorded: Value = serde_json::from_str(&recorded(name)).expect("JSON");
     assert_eq!(fields(&answer), fields(&recorded), "{answer}");
@@ -172,7 +172,7 @@
 #[test_case("POST", "/v1/changes/plan", r#"{"id":"a b","by":"y","sets":{}}"#, 400, "id: 1 to 100 letters, digits, -, _, . and @ are expected"; "name with a space")]
 #[test_case("POST", "/v1/changes/plan", r#"{"id":"x","by":"y","sets":{"a":[1]}}"#, 400, "a: a text, a number, true, false or null is expected"; "value that is a list")]
 #[test_case("POST", "/v1/drains", r#"{"id":"q","node":"zz","word":"drain","by":"x"}"#, 409, "node: `zz` should be an address as 127.0.0.1:9000"; "drain of no address")]
-fn a_request_that_is_not_served_names_status_and_reason(
+fn a_rejected_request_gets_its_status_and_reason(
     method: &str,
     target: &str,
     body: &str,
@@ -181,18 +181,18 @@
 ) {
     let error = RestoredController::new()
         .request(method, target, body)
-        .expect_err("not served");
+        .expect_err("rejected");
     assert_eq!(error.status().code(), status);
     assert_eq!(error.to_string(), reason);
 }
 
 #[test]
-fn a_drain_that_claims_a_later_time_is_a_bad_request() {
+fn a_drain_with_a_time_in_the_future_is_a_bad_request() {
     let body =
         r#"{"id":"q","node":"127.0.0.1:29004","word":"drain","by":"x","given_ms":99999999999999}"#;
     let error = RestoredController::new()
         .request("POST", "/v1/drains", body)
-        .expect_err("not served");
+        .expect_err("rejected");
     assert_eq!(error.status(), HttpStatus::BadRequest);
     let text = error.to_string();
     assert!(
@@ -201,7 +201,7 @@
     );
 }
 
-#[test_case("GET", "/v1/status", false; "a question")]
+#[test_case("GET", "/v1/status", false; "a query")]
 #[test_case("POST", "/v1/changes/plan", false; "a plan changes nothing")]
 #[test_case("POST", "/v1/changes/apply", true; "a change")]
 #[test_case("POST", "/v1/drains", true; "a drain")]
@@ -218,9 +218,9 @@
 #[test]
 fn a_request_is_parsed_once_its_body_is_complete() {
     let text = b"POST /v1/drains HTTP/1.1\r\nhost: x\r\ncontent-length: 2\r\n\r\n{}";
-    let incomplete = AdminRequest::parse(&text[..text.len() - 1]).expect("a sound head");
+    let incomplete = AdminRequest::parse(&text[..text.len() - 1]).expect("a valid head");
     assert!(incomplete.is_none());
-    let request = AdminRequest::parse(text).expect("a sound request");
+    let request = AdminRequest::parse(text).expect("a valid request");
     let request = request.expect("complete");
     assert_eq!(
         (request.method.as_str(), request.target.as_str()),
@@ -231,9 +231,11 @@
 
 #[test_case("transfer-encoding: chunked"; "chunked")]
 #[test_case("content-length: 65537"; "too long")]
-fn a_body_without_a_stated_length_in_bounds_is_a_bad_request(header: &str) {
+fn a_body_that_is_chunked_or_too_long_is_a_bad_request(header: &str) {
     let text = format!("POST /v1/drains HTTP/1.1\r\nhost: x\r\n{header}\r\n\r\n");
-    let error = AdminRequest::parse(text.as_bytes()).err().expect("refused");
+    let error = AdminRequest::parse(text.as_bytes())
+        .err()
+        .expect("rejected");
     assert_eq!(error.status(), HttpStatus::BadRequest);
     assert_eq!(
         error.to_string(),
@@ -242,7 +244,7 @@
 }
 
 #[test]
-fn an_answer_to_a_rollback_names_version_entries_and_excluded_nodes() {
+fn the_response_to_a_rollback_has_version_entries_and_excluded_nodes() {
     let node = wheelspread::ids::NodeId {
         address: [127, 0, 0, 1],
         port: 9002,
--- a/crates/controller/src/file.rs
+++ b/crates/controller/src/file.rs
@@ -1,5 +1,5 @@
-//! A controller's YAML file. Unknown fields and values that can't be are named with their line; paths are taken
-//! from where the file lies.
+//! A controller's YAML configuration file. Errors name unknown fields and invalid values with their line. Relative
+//! paths are resolved against the file's directory.
 
 mod settings;
 mod validate;
@@ -15,13 +15,13 @@
 use validate::FieldError;
 use wheelspread_controller_core::Deployment;
 
-/// A controller's file.
+/// A controller's configuration file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControllerFile {
-    /// The controller itself.
+    /// Settings of the controller itself.
     pub conductor: ControllerSettings,
-    /// Logging.
+    /// Settings of the log.
     #[serde(default)]
     pub log: LogSettings,
     /// Limits of discovery streams.
@@ -30,17 +30,17 @@
     /// How changes of configuration are handled.
     #[serde(default)]
     pub changes: ChangeSettings,
-    /// The operators' port; left out: there is none.
+    /// The operators' port; without this section, there is none.
     #[serde(default)]
     pub administration: Option<AdministrationSettings>,
-    /// Keys of the proxies' listener; left out: streams are not encrypted.
+    /// Keys of the proxies' listener; without this section, streams are not encrypted.
     #[serde(default)]
     pub tls: Option<TlsSettings>,
-    /// What all controllers of the proxies have in common.
+    /// Settings that all controllers of the same proxies share.
     pub deployment: Deployment,
 }
 
-/// Everything that is wrong with a file, a line each.
+/// Why a configuration file was rejected. The text has one line for each invalid value.
 #[derive(Debug, thiserror::Error)]
 pub enum ControllerFileError {
     /// The file can't be read.
@@ -48,24 +48,24 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// The system's answer.
+        /// The system's error.
         source: std::io::Error,
     },
-    /// It is no YAML, or has other fields than it should.
+    /// The file is not valid YAML, lacks a field, or has an unknown one.
     #[error("{path}: {source}", path = .path.display())]
     Malformed {
         /// The file.
         path: PathBuf,
-        /// What the parser says, with line and column.
+        /// The parser's error, with line and column.
         source: serde_yaml_ng::Error,
     },
-    /// Values that can't be, each with its place.
+    /// Invalid values, each with its file, line and field.
     #[error("{}", .0.join("\n"))]
     Invalid(Vec<String>),
 }
 
 impl ControllerFile {
-    /// Reads and validates a file; its paths are then taken from where it lies.
+    /// Reads and validates a file, and resolves its relative paths against the file's directory.
     pub fn read(path: &Path) -> Result<ControllerFile, ControllerFileError> {
         let text =
             std::fs::read_to_string(path).map_err(|source| ControllerFileError::Unreadable {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Parses and validates the text of a file; `path` is for errors.
+    /// Parses and validates the text of a file; `path` is used in errors only.
     pub fn parse(text: &str, path: &Path) -> Result<ControllerFile, ControllerFileError> {
         let file: ControllerFile =
             serde_yaml_ng::from_str(text).map_err(|source| ControllerFileError::Malformed {
--- a/crates/controller/src/file/settings.rs
+++ b/crates/controller/src/file/settings.rs
@@ -1,4 +1,4 @@
-//! The sections of a controller's file, beside the deployment.
+//! The sections of a controller's configuration file, except for the deployment.
 
 use serde::Deserialize;
 use std::net::SocketAddrV4;
@@ -9,29 +9,29 @@
 use wheelspread_config_transaction::Deadlines;
 use wheelspread_controller_core::span_format;
 
-/// Connections of proxies that are open at once, unless the file says so.
+/// Default of `conductor.connections_at_most`.
 const DEFAULT_CONNECTION_LIMIT: usize = 10_000;
-/// Of the time that a change may take to reach every proxy: how long the disk may take before a write is tried
-/// again.
+/// Time until an unfinished write of a change is retried, as a ratio of `changes.apply_at_most`, the time that a change
+/// may take to reach every proxy.
 const WRITE_DEADLINE_RATIO: f64 = 0.2;
 
-/// The form of log lines.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogFormat {
     /// Plain text.
     Lines,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Logging.
+/// Settings of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// The form of log lines.
+    /// The format of log lines.
     pub form: LogFormat,
-    /// `error`, `warn`, `info`, `debug` or `trace`; or directives as `info,wheelspread_controller=debug`.
+    /// `error`, `warn`, `info`, `debug` or `trace`, or filter directives such as `info,wheelspread_controller=debug`.
     pub level: String,
 }
 
@@ -44,28 +44,28 @@
     }
 }
 
-/// The controller itself.
+/// Settings of the controller itself.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControllerSettings {
-    /// Its name.
+    /// The controller's name.
     pub name: String,
-    /// Among the controllers that share the proxies, from 0.
+    /// The controller's number among those that share the proxies, from 0.
     #[serde(default)]
     pub number: u32,
-    /// Seed of all random choices.
+    /// Seed of all random decisions.
     #[serde(default)]
     pub seed: u64,
-    /// Where proxies open their streams of load reports and of tables.
+    /// The address of the listener for proxies' load report and discovery streams.
     pub listen: SocketAddrV4,
-    /// The root of published tables.
+    /// The root directory of published tables.
     pub tables: PathBuf,
-    /// The endpoint list.
+    /// The file of the endpoint list.
     pub list: PathBuf,
-    /// Watched for swaps of the list; without it, the directory that the list lies in.
+    /// The directory to watch for replacements of the list; default: the directory of the list's file.
     #[serde(default)]
     pub watched_directory: Option<PathBuf>,
-    /// Connections of proxies open at once; more are rejected.
+    /// Maximum count of open proxy connections; further ones are rejected.
     #[serde(default = "default_connection_limit")]
     pub connections_at_most: usize,
 }
@@ -74,18 +74,18 @@
     DEFAULT_CONNECTION_LIMIT
 }
 
-/// Keys of the proxies' listener; the files may be swapped at any time.
+/// Keys of the proxies' listener. The files may be replaced at any time and are then loaded again.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TlsSettings {
     /// The listener's certificate.
     pub certificate: PathBuf,
-    /// Its key.
+    /// The certificate's key.
     pub key: PathBuf,
-    /// Roots of the certificates that clients need; left out: none is asked for.
+    /// Roots of the certificates that clients need; without it, clients need no certificate.
     #[serde(default)]
     pub clients: Option<PathBuf>,
-    /// Whether the node id that a client gives has to be a name of its certificate.
+    /// Whether the node id that a client gives has to be a name in its certificate.
     #[serde(default)]
     pub node_id_in_certificate: bool,
 }
@@ -94,11 +94,12 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct StreamSettings {
-    /// Differences to so many versions are kept; those to others are computed anew.
+    /// Count of versions whose deltas are cached; other deltas are computed on each request.
     pub versions_kept: usize,
-    /// Changes of what one stream subscribes to, within `channel.messages_window`.
+    /// Maximum count of subscription changes on one stream within `channel.messages_window`; while there are more, no
+    /// response is sent.
     pub changes_at_most: u32,
-    /// A client that does not acknowledge what it was sent for so long loses its stream.
+    /// The stream of a client that has neither acknowledged nor rejected a response for this long is closed.
     #[serde(with = "span_format")]
     pub unanswered_at_most: Span,
 }
@@ -113,7 +114,7 @@
     }
 }
 
-/// A loopback port for operators under mutual TLS; the sockets under the root of tables are there without it.
+/// A loopback port for operators under mutual TLS, in addition to the Unix sockets under the root of tables.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AdministrationSettings {
@@ -121,11 +122,11 @@
     pub listen: SocketAddrV4,
     /// The port's certificate.
     pub certificate: PathBuf,
-    /// Its key.
+    /// The certificate's key.
     pub key: PathBuf,
     /// Roots of the certificates that callers need.
     pub clients: PathBuf,
-    /// Names of certificates that may order; all others may only ask.
+    /// Certificate names whose callers may send orders; all other callers may only send queries.
     #[serde(default)]
     pub writers: Vec<String>,
 }
@@ -134,20 +135,21 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ChangeSettings {
-    /// What is measured is watched for so long before a change is kept.
+    /// Time for which the service is compared with the baseline before a change is kept.
     #[serde(with = "span_format")]
     pub watch: Span,
-    /// A change that was staged and not applied is dropped after so long.
+    /// Time after which a staged change that was not applied is dropped.
     #[serde(with = "span_format")]
     pub staged_at_most: Span,
-    /// A change that has not reached every proxy by then is undone.
+    /// Time after which a change that has not reached every proxy is undone.
     #[serde(with = "span_format")]
     pub apply_at_most: Span,
-    /// Of the value served, a change may lose so much by what was measured; with more it is rejected.
+    /// Largest share of the value served, by past measurements, that a change or a drain may lose; one that would lose
+    /// more is rejected.
     pub value_lost_at_most: f64,
-    /// Of the work, so much may be at nodes that warm up afterwards.
+    /// Largest share of all work that warming nodes may carry after a change; one that would need more is rejected.
     pub cold_work_at_most: f64,
-    /// What undoes a change while it is watched.
+    /// Conditions that undo a change while it is watched.
     pub undo_when: Conditions,
 }
 
@@ -165,7 +167,7 @@
 }
 
 impl ChangeSettings {
-    /// Deadlines, limits and conditions of the rollout.
+    /// The rollout's deadlines, limits and conditions.
     pub fn rollout_settings(&self) -> RolloutSettings {
         let apply = self.apply_at_most;
         RolloutSettings {
--- a/crates/controller/src/file/tests.rs
+++ b/crates/controller/src/file/tests.rs
@@ -1,4 +1,4 @@
-//! Reading a controller's file: sound files, and faults that are named with their line.
+//! Parsing a controller's configuration file: valid files, and errors that name the line.
 
 use super::*;
 use test_case::test_case;
@@ -23,8 +23,8 @@
 ";
 
 #[test]
-fn a_sound_file_is_parsed() {
-    let file = ControllerFile::parse(TEXT, Path::new("c.yaml")).expect("a sound file");
+fn a_valid_file_is_parsed() {
+    let file = ControllerFile::parse(TEXT, Path::new("c.yaml")).expect("a valid file");
     assert_eq!(
         file.deployment.operations[0].latency_objective.seconds(),
         1.2
@@ -32,14 +32,14 @@
     assert_eq!(file.deployment.load_reports.period.seconds(), 1.0);
 }
 
-#[test_case("billed_value: 2", "billed_value: -2", "c.yaml: line 12, deployment.operations.0.billed_value"; "value that cannot be")]
-#[test_case("billed_value: 2", "billed_valu: 2", "unknown field `billed_valu`"; "misspelt")]
-#[test_case("latency_objective: 1.2s", "latency_objective: 1.2", "a number and one of us, ms, s"; "no unit")]
+#[test_case("billed_value: 2", "billed_value: -2", "c.yaml: line 12, deployment.operations.0.billed_value"; "invalid value")]
+#[test_case("billed_value: 2", "billed_valu: 2", "unknown field `billed_valu`"; "misspelt field")]
+#[test_case("latency_objective: 1.2s", "latency_objective: 1.2", "a number and one of us, ms, s"; "duration without a unit")]
 #[test_case("name: c0", "name: c0\n  number: 1", "line 3, conductor.number: 1 of 1"; "number beyond the count of controllers")]
-#[test_case("listen: 127.0.0.1:0", "listen: here", "conductor.listen"; "no address")]
-#[test_case("name: c0", "name: [c0", "at line"; "no YAML")]
-fn an_invalid_value_is_named_with_its_place(right: &str, wrong: &str, expected: &str) {
-    let error = ControllerFile::parse(&TEXT.replace(right, wrong), Path::new("c.yaml"));
+#[test_case("listen: 127.0.0.1:0", "listen: here", "conductor.listen"; "invalid address")]
+#[test_case("name: c0", "name: [c0", "at line"; "invalid YAML")]
+fn the_error_for_an_invalid_value_names_its_place(valid: &str, invalid: &str, expected: &str) {
+    let error = ControllerFile::parse(&TEXT.replace(valid, invalid), Path::new("c.yaml"));
     let error = error.expect_err("an invalid file").to_string();
     assert!(error.contains(expected), "{error}");
 }
--- a/crates/controller/src/file/validate.rs
+++ b/crates/controller/src/file/validate.rs
@@ -1,18 +1,18 @@
-//! Values that can't be, though their form is right.
+//! Validates the values of a file that was parsed.
 
 use super::{ChangeSettings, ControllerFile};
 use tracing_subscriber::EnvFilter;
 use wheelspread::time::Span;
 
-/// The shortest span that a state of a change may have.
+/// Minimum of the durations of a change's states.
 const MIN_CHANGE_DURATION: Span = Span::from_seconds(0.2);
 const MAX_RETAINED_VERSIONS: usize = 1000;
 
-/// A value that can't be.
+/// An invalid value.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: {message}")]
 pub(super) struct FieldError {
-    /// Where it stands, as `deployment.zones.0`.
+    /// The path of the field, such as `deployment.zones.0`.
     pub field: String,
     pub message: String,
 }
@@ -27,7 +27,7 @@
 }
 
 impl ControllerFile {
-    /// Everything that is wrong, in the order of the sections.
+    /// Returns all invalid values, by section.
     pub(super) fn validate(&self) -> Vec<FieldError> {
         let mut errors = self.validate_deployment();
         errors.extend(self.validate_controller());
@@ -55,7 +55,7 @@
         let mut errors = Vec::new();
         let (number, count) = (self.conductor.number, self.deployment.controllers.count);
         if number >= count {
-            let message = format!("{number} of {count} conductors: they count from 0");
+            let message = format!("{number} of {count} controllers: numbers start at 0");
             errors.push(FieldError::new("conductor.number", message));
         }
         if self.conductor.connections_at_most == 0 {
@@ -70,15 +70,13 @@
     fn validate_tls(&self) -> Option<FieldError> {
         let tls = self.tls.as_ref()?;
         let lacks_roots = tls.node_id_in_certificate && tls.clients.is_none();
-        lacks_roots
-            .then(|| FieldError::new("tls.node_id_in_certificate", "needs the roots of `clients`"))
+        lacks_roots.then(|| FieldError::new("tls.node_id_in_certificate", "requires `tls.clients`"))
     }
 
     fn validate_administration(&self) -> Option<FieldError> {
         let settings = self.administration.as_ref()?;
         let is_remote = !settings.listen.ip().is_loopback();
-        is_remote
-            .then(|| FieldError::new("administration.listen", "should be an address on loopback"))
+        is_remote.then(|| FieldError::new("administration.listen", "should be a loopback address"))
     }
 
     fn validate_streams(&self) -> Vec<FieldError> {
@@ -89,7 +87,7 @@
         {
             errors.push(FieldError::new(
                 "streams",
-                "versions_kept lies between 1 and 1000, changes_at_most above 0",
+                "versions_kept should lie between 1 and 1000, changes_at_most should be above 0",
             ));
         }
         if settings.unanswered_at_most <= Span::ZERO {
@@ -104,7 +102,12 @@
     fn validate_log(&self) -> Option<FieldError> {
         let level = &self.log.level;
         let is_unknown = EnvFilter::try_new(level).is_err();
-        is_unknown.then(|| FieldError::new("log.level", format!("`{level}` is no level")))
+        is_unknown.then(|| {
+            FieldError::new(
+                "log.level",
+                format!("`{level}` is neither a level nor a list of filter directives"),
+            )
+        })
     }
 }
 
--- a/crates/controller/src/locate.rs
+++ b/crates/controller/src/locate.rs
@@ -1,12 +1,12 @@
-//! The line of a YAML text on which a field stands, so that a value that can't be is named with its place.
+//! Finds the line of a field in a YAML text, so that the error for an invalid value can name it.
 
-/// A line that has content.
+/// A line with content.
 #[derive(Clone, Copy)]
 struct Line<'a> {
-    /// Index in the text, from 0.
+    /// Index of the line in the text, from 0.
     index: usize,
     indent: usize,
-    /// Without the indent.
+    /// The line without its indent.
     text: &'a str,
 }
 
@@ -33,8 +33,8 @@
     }
 }
 
-/// The line (from 1) of a field given as `operations.1.billed_value`; where a part of the path is not written in
-/// block style, the line of the last part that is.
+/// The line (from 1) of a field with a path such as `operations.1.billed_value`. If a part of the path is missing or
+/// not written in block style, the line of the last part before it.
 pub fn line_of(text: &str, field: &str) -> Option<usize> {
     let lines: Vec<&str> = text.lines().collect();
     let (mut start, mut end, mut found) = (0, lines.len(), None);
@@ -58,7 +58,7 @@
             .iter()
             .find(|other| other.index > line.index && (!is_item || other.is_item()));
         end = next.map_or(end, |next| next.index);
-        // An item's first key stands on the line of its dash.
+        // The first key of a list item is on the line of the dash.
         let has_key_after_dash = is_item && line.text.len() > 1;
         start = line.index + usize::from(!has_key_after_dash);
         if has_key_after_dash {
@@ -70,7 +70,7 @@
     found
 }
 
-/// Lines from `start` to `end` that have the smallest indent among them.
+/// The lines from `start` up to `end` that have the smallest indent among them.
 fn block_lines<'a>(lines: &[&'a str], start: usize, end: usize) -> Vec<Line<'a>> {
     let content: Vec<Line> = (start..end)
         .filter_map(|index| Line::parse(index, lines[index]))
--- a/crates/controller/src/locate/tests.rs
+++ b/crates/controller/src/locate/tests.rs
@@ -1,4 +1,4 @@
-//! Lines of fields in block and flow style.
+//! Finding the lines of fields in block and flow style.
 
 use super::*;
 use test_case::test_case;
--- a/crates/controller/src/log.rs
+++ b/crates/controller/src/log.rs
@@ -1,4 +1,4 @@
-//! Log lines on standard error, and the events of the core and of the rollout as structured log lines.
+//! Logging to standard error. Events of the core and of the rollout are written as structured log lines.
 
 use crate::file::{LogFormat, LogSettings};
 use tracing::{debug, info, warn};
@@ -7,7 +7,7 @@
 use wheelspread_controller_core::endpoint_list::format_node;
 use wheelspread_controller_core::LogEvent;
 
-/// Starts logging, once for a program; a second call changes nothing.
+/// Installs the log subscriber. Only the first call in a process has an effect; an invalid level counts as `info`.
 pub fn start(settings: &LogSettings) {
     let filter = EnvFilter::try_new(&settings.level).unwrap_or_else(|_| EnvFilter::new("info"));
     let lines = tracing_subscriber::fmt()
@@ -40,7 +40,7 @@
         RolloutEvent::ValueIgnored { field, text } => {
             warn!(
                 field,
-                text, "value of an earlier configuration change no longer valid, left out"
+                text, "value of an earlier configuration change is no longer valid, ignored"
             );
         }
     }
--- a/crates/controller/src/state_writer.rs
+++ b/crates/controller/src/state_writer.rs
@@ -1,5 +1,5 @@
-//! What survives a crash of the controller is written by a thread of its own: a disk that takes seconds delays
-//! what is persisted, and no decision.
+//! The state writer persists what has to survive a crash of the controller. It writes the state file on a thread of
+//! its own, so that a disk that takes seconds delays persistence and never a decision.
 
 mod persisted_facts;
 mod writer_thread;
@@ -24,29 +24,30 @@
 use wheelspread_store::{OpenOutcome, Store, StoreError};
 use writer_thread::{WriteRequest, WriterThread};
 
-/// Why a commit is not on the disk.
+/// Why a commit was not persisted.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StateWriteError {
-    /// The state file could not be opened at the start.
-    #[error("the state can't be written, see the log of the start")]
+    /// The state file could not be opened at start-up, or the writer thread has ended.
+    #[error("the state file cannot be written, see the log from start-up for the reason")]
     Unavailable,
-    /// The disk refused the commit.
+    /// The state file could not be written.
     #[error("{reason}")]
     Disk {
-        /// As the store says it.
+        /// The text of the store's error.
         reason: String,
     },
 }
 
-/// The result of a commit, by the number that it was given.
+/// The result of a commit.
 pub struct StateWriteResult {
-    /// The number of the commit.
+    /// The number that was passed with the commit.
     pub number: u64,
-    /// Whether the disk has it.
+    /// Whether the commit is persisted.
     pub result: Result<(), StateWriteError>,
 }
 
-/// The side of the loop: what was last persisted, and the way to the thread that writes.
+/// The event loop's handle of the writer thread. It also keeps what was last handed over for persisting, so that
+/// only changes are written.
 pub struct StateWriter {
     /// `None` if the state file could not be opened.
     requests: Option<Sender<WriteRequest>>,
@@ -59,8 +60,9 @@
 }
 
 impl StateWriter {
-    /// Opens the file and returns what an earlier run persisted. A disk that fails is logged and done without;
-    /// a file of a newer program, or one that is in use, is an error. `unix_seconds`: seconds since 1970 now.
+    /// Opens the state file and returns what the previous run persisted. If the file can't be used, that is logged
+    /// and the controller runs without persistence; a file of a newer format or one that is in use by another process
+    /// is an error. `unix_seconds`: the time now, in seconds since 1970.
     pub fn start(
         path: &Path,
         unix_seconds: f64,
@@ -101,7 +103,8 @@
         Ok((writer, persisted))
     }
 
-    /// What is persisted already is not persisted again, and what has gone since is deleted.
+    /// Remembers what is persisted already, so that unchanged facts are not written again and facts of nodes that are
+    /// no longer listed are deleted.
     fn remember_persisted(&mut self, persisted: &PersistedState, unix_seconds: f64) {
         self.list_version = persisted.facts.get(LIST_FACT).cloned().unwrap_or_default();
         self.endpoints = restore_endpoint_records(persisted, unix_seconds)
@@ -110,7 +113,8 @@
         self.capacities = restore_capacity_facts(persisted).collect();
     }
 
-    /// Gives the thread a commit; its result comes by its number once the disk has it or refuses it.
+    /// Hands a commit to the thread. [`StateWriter::take_results`] returns its result under `number` once the write
+    /// has succeeded or failed.
     pub fn write(&mut self, number: u64, commit: Commit) -> Result<(), StateWriteError> {
         let request = WriteRequest {
             number: Some(number),
@@ -122,12 +126,12 @@
             .map_err(|_| StateWriteError::Unavailable)
     }
 
-    /// Results that came since the last call.
+    /// Returns the results received since the last call.
     pub fn take_results(&self) -> Vec<StateWriteResult> {
         self.results.try_iter().collect()
     }
 
-    /// Persists facts that have changed since the last call. `unix_seconds`: seconds since 1970 now.
+    /// Persists facts that have changed since the last call. `unix_seconds`: the time now, in seconds since 1970.
     pub fn persist_changes(
         &mut self,
         unix_seconds: f64,
@@ -140,7 +144,8 @@
             self.version = version;
             facts.insert(VERSION_FACT.to_string(), Some(version.0.to_string()));
         }
-        // Before a controller has read a list, it does not delete the stored one.
+        // The stored list must not be deleted before the controller has read a list, that is, while its version is
+        // empty.
         if nodes.version() != self.list_version && !nodes.version().is_empty() {
             self.list_version = nodes.version().to_string();
             facts.insert(LIST_FACT.to_string(), Some(self.list_version.clone()));
@@ -159,7 +164,7 @@
                 facts,
                 ..Commit::default()
             };
-            // The thread is gone only when the program ends.
+            // The thread has ended only if the process is exiting.
             let _ = requests.send(WriteRequest {
                 number: None,
                 commit,
@@ -214,7 +219,7 @@
 }
 
 impl Drop for StateWriter {
-    /// Waits until the thread has written what it was given.
+    /// Waits until the thread has written the queued commits.
     fn drop(&mut self) {
         self.requests = None;
         if let Some(thread) = self.thread.take() {
@@ -223,7 +228,8 @@
     }
 }
 
-/// Of the age only what it says of the start is stored, which does not change while the incarnation stays.
+/// Whether two records are the same once stored. Ages are not compared: the stored start time does not change while the
+/// incarnation stays the same.
 fn is_same_endpoint(stored: &EndpointRecord, current: &EndpointRecord) -> bool {
     let incarnation = |record: &EndpointRecord| {
         record
@@ -249,7 +255,7 @@
             let aside = aside.display().to_string();
             warn!(
                 aside,
-                at, bytes, "state file damaged, what comes before the damage is used"
+                at, bytes, "state file damaged, only the commits before the damage are used"
             );
         }
     }
--- a/crates/controller/src/state_writer/persisted_facts.rs
+++ b/crates/controller/src/state_writer/persisted_facts.rs
@@ -1,6 +1,6 @@
-//! Facts that are persisted beside configuration and changes: the last published version, the endpoint list,
-//! and the capacity that the balancer has estimated of each node. Names and JSON fields of stored facts stay as
-//! they are, so that state files of older programs load.
+//! Facts that are persisted besides the configuration and its changes: the last published version, the endpoint
+//! list, and the balancer's capacity estimate of each node. Names and JSON fields of stored facts must not change,
+//! so that state files written by older versions of the program load.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -20,16 +20,17 @@
 const ENDPOINT_FACT_PREFIX: &str = "listed.";
 const CAPACITY_FACT_PREFIX: &str = "learnt.";
 
-/// Versions that may have been published after the last that was persisted.
+/// Upper bound of the count of versions published after the last persisted one. New versions are numbered above the
+/// persisted one plus this margin, so that no number is used twice.
 const VERSION_MARGIN: u64 = 10_000;
-/// A node is taken to have started at most so long ago.
+/// Maximum age of a restored incarnation; a longer one is clamped.
 const MAX_AGE_SECONDS: f64 = 1e9;
 
-/// When two capacity snapshots count as the same.
+/// The differences up to which a capacity snapshot is not stored again.
 struct CapacityTolerance {
-    /// Difference of the capacity, which is a logarithm.
+    /// Difference of the capacity, which is the logarithm of requests per second.
     capacity: f64,
-    /// Difference of the evidence, as a part of it.
+    /// Difference of the evidence, as a ratio of the stored evidence (of at least 1 report period).
     evidence_ratio: f64,
 }
 
@@ -49,12 +50,12 @@
     cell: String,
     draining: bool,
     weight: f64,
-    /// The incarnation of its process, and when that started, in seconds since 1970.
+    /// The incarnation of its process, and the time when that started, in seconds since 1970.
     started: Option<(String, f64)>,
 }
 
 impl EndpointFact {
-    /// `unix_seconds`: seconds since 1970 now.
+    /// `unix_seconds`: the time now, in seconds since 1970.
     pub(super) fn new(record: &EndpointRecord, unix_seconds: f64) -> EndpointFact {
         EndpointFact {
             zone: record.zone.clone(),
@@ -83,7 +84,7 @@
     }
 }
 
-/// What the balancer has estimated of a node's capacity, as it is stored.
+/// The balancer's capacity estimate of a node, as it is stored.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(super) struct CapacityFact {
     capacity: f64,
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Whether `later` says so much the same that it need not be stored.
+    /// Whether `later` differs by no more than the tolerance, so that it need not be stored.
     pub(super) fn is_close_to(&self, later: &CapacityFact) -> bool {
         let evidence_tolerance = CAPACITY_TOLERANCE.evidence_ratio * self.evidence.max(1.0);
         (self.capacity - later.capacity).abs() <= CAPACITY_TOLERANCE.capacity
@@ -127,8 +128,8 @@
     format!("{CAPACITY_FACT_PREFIX}{}", format_node(node))
 }
 
-/// Restores what the core starts with: version, endpoint list and capacity snapshots. `unix_seconds`: seconds since
-/// 1970 now.
+/// Restores the version floor, the endpoint list and the capacity snapshots that the core starts with.
+/// `unix_seconds`: the time now, in seconds since 1970.
 pub fn restore_core_state(
     persisted: &PersistedState,
     unix_seconds: f64,
@@ -141,7 +142,7 @@
         .collect();
 }
 
-/// Version numbers go on above this one.
+/// The version above which new versions are numbered.
 fn restore_version_floor(persisted: &PersistedState) -> Version {
     let last = persisted
         .facts
@@ -175,7 +176,7 @@
     })
 }
 
-/// The stored capacities by node.
+/// The stored capacity estimates by node.
 pub(super) fn restore_capacity_facts(
     persisted: &PersistedState,
 ) -> impl Iterator<Item = (NodeId, CapacityFact)> + '_ {
@@ -183,7 +184,7 @@
         .filter_map(|(node, text)| Some((node, serde_json::from_str(text).ok()?)))
 }
 
-/// Facts of nodes under a prefix.
+/// Facts whose names are the prefix followed by a node.
 fn node_facts<'a>(
     persisted: &'a PersistedState,
     prefix: &'a str,
--- a/crates/controller/src/state_writer/tests.rs
+++ b/crates/controller/src/state_writer/tests.rs
@@ -1,4 +1,4 @@
-//! What is persisted over restarts, and what is restored from a state file of the old names.
+//! Persistence across restarts, and restoring a state file that was written when types and fields had other names.
 
 use super::*;
 use crate::drains::DrainOrders;
@@ -9,13 +9,13 @@
 use wheelspread_controller_core::Deployment;
 use wheelspread_reactor::{Poll, Token};
 
-fn plan() -> Deployment {
+fn deployment() -> Deployment {
     let text =
         "{zones: [north], operations: [{name: quote, latency_objective: 1s, integration_timeout: 3s,
       billed_value: 1, repeat: idempotent}], rules: {without_node_at_most: 2s, drain_grace: 2s,
       cold_start_share: 0.2, warm_after: 5s, cold_overload_factor: 4, cold_overload_span: 2s},
       channel: {lines_waiting_at_most: 1000, lines_per_second: 5000, delay_at_most: 300ms}}";
-    serde_yaml_ng::from_str(text).expect("a sound plan")
+    serde_yaml_ng::from_str(text).expect("a valid deployment")
 }
 
 fn endpoint_list(version: &str, ports: std::ops::Range<u16>) -> EndpointList {
@@ -38,14 +38,14 @@
     let mut nodes = EndpointList::default();
     assert_eq!(
         nodes
-            .apply_snapshot(Moment::from_seconds(1.0), Ok(list), &plan(), true)
+            .apply_snapshot(Moment::from_seconds(1.0), Ok(list), &deployment(), true)
             .rejection,
         None
     );
     nodes
 }
 
-/// One run of a controller that holds these nodes; returns what the file holds at its end.
+/// One run of a state writer for these nodes; returns the state that the file holds at its end.
 fn run(path: &Path, nodes: &EndpointList) -> PersistedState {
     let poll = Poll::new().expect("epoll");
     let waker = Waker::new(&poll, Token(1)).expect("eventfd");
@@ -56,7 +56,7 @@
         evidence: 5.0,
         quickest: 0.1,
     });
-    // Before it has read a list it deletes nothing.
+    // Nothing is deleted before a list was read.
     writer.persist_changes(
         1000.0,
         Version(7),
@@ -100,12 +100,12 @@
     );
 }
 
-/// Written on 2026-12-02 by the program of commit 6ac25c1, before types and fields were renamed: a controller
-/// with four ready nodes and one that drains, two proxies under load, the change `spring-1` applied and kept,
-/// and one node drained by order; then stopped by SIGTERM.
+/// The state written on 2026-12-02 by the program of commit 6ac25c1, before types and fields were renamed, by a
+/// controller with four ready nodes and one draining node, two proxies under load, the change `spring-1` applied and
+/// kept, and one node drained by order; the controller was then stopped by SIGTERM.
 fn state_written_before_the_renaming() -> PersistedState {
     let original = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/state-before-renaming");
-    // Opened on a copy: the store takes a lock and may mend what it opens.
+    // A copy is opened, because the store locks the file that it opens and may repair it.
     let directory = tempfile::tempdir().expect("a directory");
     let path = directory.path().join("state");
     std::fs::copy(original, &path).expect("copied");
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn the_configuration_and_its_change_in_a_state_file_of_the_old_names_are_restored() {
+fn the_configuration_and_its_change_in_a_state_file_written_before_the_renaming_are_restored() {
     let persisted = state_written_before_the_renaming();
     let values: BTreeMap<String, String> = [
         ("nodes.127.0.0.1:29002.weight", "0.5"),
@@ -139,7 +139,7 @@
     assert_eq!(record["findings"].as_array().map(Vec::len), Some(4));
 }
 
-/// Capacity, evidence and quickest answer (seconds) by port, as the state file has them.
+/// Port, capacity, evidence and shortest mean latency (seconds) of each node in the state file.
 const STORED_CAPACITIES: [(u16, f64, f64, f64); 4] = [
     (
         29001,
@@ -168,7 +168,7 @@
 ];
 
 #[test]
-fn the_list_and_the_capacity_snapshots_in_a_state_file_of_the_old_names_are_restored() {
+fn the_list_and_the_capacity_snapshots_in_a_state_file_written_before_the_renaming_are_restored() {
     let persisted = state_written_before_the_renaming();
     let unix_seconds = 1_796_234_100.0;
     let mut found = RecoveredState::default();
@@ -190,7 +190,7 @@
     assert!((age.seconds() - 16_234_099.0).abs() < 0.01, "{age:?}");
     assert!(list.records[4].draining && list.records[4].started.is_none());
 
-    // serde_json reads a number to within one unit in the last place of the text.
+    // serde_json parses a number with an error of up to one unit in the last place.
     let is_close = |one: f64, other: f64| (one - other).abs() <= other * f64::EPSILON;
     assert_eq!(found.capacities.len(), STORED_CAPACITIES.len());
     for (snapshot, (port, capacity, evidence, quickest)) in
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn the_drain_in_a_state_file_of_the_old_names_is_restored() {
+fn the_drain_in_a_state_file_written_before_the_renaming_is_restored() {
     let persisted = state_written_before_the_renaming();
     let drains = DrainOrders::restore(Moment::default(), &persisted, 0.05);
     let drains: Vec<serde_json::Value> = drains
--- a/crates/controller/src/state_writer/writer_thread.rs
+++ b/crates/controller/src/state_writer/writer_thread.rs
@@ -1,4 +1,5 @@
-//! The thread that writes the state file. What waits while the disk is busy is written as one commit.
+//! The thread that writes the state file. Requests that queue up while a write is in progress are merged into one
+//! commit.
 
 use super::{StateWriteError, StateWriteResult};
 use std::collections::BTreeSet;
@@ -10,16 +11,17 @@
 use wheelspread_reactor::Waker;
 use wheelspread_store::Store;
 
-/// Time until facts that could not be written are tried again.
+/// Time until a failed write of facts is retried.
 const WRITE_RETRY_DELAY: Duration = Duration::from_secs(1);
-/// A longer file is compacted into one commit, unless that commit would be nearly as long.
+/// A file longer than this is compacted, if it also exceeds [`COMPACTION_GROWTH_FACTOR`].
 const COMPACTION_THRESHOLD_BYTES: u64 = 1 << 20;
-/// The file grows to so many times its compacted length before it is compacted again.
+/// A file is compacted once it is longer than its compacted length times this factor, because compacting a file that
+/// would stay nearly as long gains little.
 const COMPACTION_GROWTH_FACTOR: u64 = 2;
 
-/// A commit for the thread.
+/// A commit that the thread is to write.
 pub(super) struct WriteRequest {
-    /// `None`: nobody waits for the result, and the facts are tried again if they can't be written.
+    /// Identifies the result; `None` if nobody waits for it. The facts of a failed write are retried in both cases.
     pub number: Option<u64>,
     pub commit: Commit,
 }
@@ -30,7 +32,7 @@
         numbers: BTreeSet<u64>,
         commit: Commit,
     },
-    /// The other side is gone: what is left is tried once more.
+    /// The [`super::StateWriter`] was dropped; unwritten facts are tried once more before the thread ends.
     Last(Commit),
 }
 
@@ -42,9 +44,9 @@
 }
 
 impl WriterThread {
-    /// Writes until the other side is gone.
+    /// Writes commits until the [`super::StateWriter`] is dropped.
     pub(super) fn run(mut self) {
-        // Facts that could not be written go with the next commit.
+        // Facts of a failed commit are merged into the next one.
         let mut unwritten = Commit::default();
         loop {
             match self.next_write(std::mem::take(&mut unwritten)) {
@@ -57,7 +59,7 @@
         }
     }
 
-    /// Waits for requests and joins all that are there to what was left unwritten.
+    /// Waits for a request and merges all queued requests into the unwritten facts.
     fn next_write(&self, unwritten: Commit) -> NextWrite {
         let first = if unwritten.facts.is_empty() {
             self.requests
@@ -80,7 +82,7 @@
         NextWrite::Commit { numbers, commit }
     }
 
-    /// Writes a commit and sends the results; returns the facts that are to be tried again.
+    /// Writes a commit and sends its results; returns the facts to retry if the write failed.
     fn write(&mut self, numbers: &BTreeSet<u64>, commit: Commit) -> Commit {
         let facts = commit.facts.clone();
         let written = self
@@ -101,7 +103,7 @@
                 number: *number,
                 result: written.clone(),
             };
-            // The other side is gone only when the program ends.
+            // The receiver is gone only if the process is exiting.
             let _ = self.results.send(result);
         }
         self.waker.wake();
@@ -113,7 +115,7 @@
             return;
         }
         if let Err(error) = self.store.commit(commit) {
-            warn!(%error, "state not written at the end");
+            warn!(%error, "state not written at shutdown");
         }
     }
 
