--- a/crates/controller/src/file/validate.rs
+++ b/crates/controller/src/file/validate.rs
@@ -102,12 +102,7 @@
     fn validate_log(&self) -> Option<FieldError> {
         let level = &self.log.level;
         let is_unknown = EnvFilter::try_new(level).is_err();
-        is_unknown.then(|| {
-            FieldError::new(
-                "log.level",
-                format!("`{level}` is neither a level nor a list of filter directives"),
-            )
-        })
+        is_unknown.then(|| FieldError::new("log.level", format!("`{level}` is not a valid level")))
     }
 }
 
