--- a/crates/platform-core/src/publication/update_message.rs
+++ b/crates/platform-core/src/publication/update_message.rs
@@ -1,4 +1,4 @@
-//! Composition of `update` messages (docs/platform.md has their fields).
+//! Composition of `update` messages. docs/platform.md describes their fields.
 
 use super::{AdmissionSetting, MessageKey, PendingChanges, Publication, WeightTable};
 use crate::membership::Membership;
@@ -7,12 +7,12 @@
 use std::rc::Rc;
 use wheelspread::ids::{MarkerId, NodeId, OperationId, TableId};
 
-/// One part of a message, in the order of its fields on the wire.
+/// One part of an `update` message. The fields are in their order on the wire.
 #[derive(Debug, Default)]
 struct UpdatePart {
-    /// The operations that it is meant for; all, if not said.
+    /// The operations to which the part applies; `None` stands for all.
     operations: Option<String>,
-    /// The weights are the whole table.
+    /// The weights replace the whole table.
     replace: bool,
     /// `NODE:WEIGHT,..`
     weights: Option<String>,
@@ -23,7 +23,7 @@
 }
 
 impl UpdatePart {
-    /// Whether all of this part's operations are those of the other.
+    /// Whether this part applies to the operations of the other part, or to all operations.
     fn has_operations_of(&self, other: &UpdatePart) -> bool {
         self.operations.is_none() || self.operations == other.operations
     }
@@ -60,8 +60,8 @@
 
 fn encode(parts: Vec<UpdatePart>) -> Rc<[u8]> {
     let (mut bytes, count) = (Vec::new(), parts.len());
-    for (position, part) in parts.into_iter().enumerate() {
-        let strings = part.into_strings(position + 1 < count);
+    for (index, part) in parts.into_iter().enumerate() {
+        let strings = part.into_strings(index + 1 < count);
         wheelspread_resp::encode(&strings, &mut bytes);
     }
     bytes.into()
@@ -76,7 +76,7 @@
 }
 
 impl Publication {
-    /// The message for proxies with this key; `None` where nothing concerns them.
+    /// The message for proxies with this key; `None` if no change affects them.
     pub(super) fn compose(
         &self,
         changes: &PendingChanges,
@@ -104,7 +104,8 @@
         Some(encode(parts))
     }
 
-    /// The parts of one table. One admission setting for all its operations goes with the weights.
+    /// Appends the parts of one table. A single admission setting for all its operations is sent in the same part
+    /// as the weights.
     fn push_table_parts(
         &self,
         changes: &PendingChanges,
@@ -128,17 +129,17 @@
                 || changes.admission.contains(&(None, *operation))
         };
         let setting = |operation: OperationId| {
-            let own = table.admission.get(&operation).copied();
-            let for_all = self.admission_for_all.get(&operation).copied();
-            AdmissionSetting::combine(own, for_all)
+            let table_setting = table.admission.get(&operation).copied();
+            let global_setting = self.global_admission.get(&operation).copied();
+            AdmissionSetting::combine(table_setting, global_setting)
         };
-        let weights_at = parts.len();
+        let weights_index = parts.len();
         let weights = self.weight_part(changes, id, table, &operations, is_whole, membership);
         let has_weights = weights.is_some();
         parts.extend(weights);
         let changed = operations.iter().copied().filter(is_changed);
         self.push_admission_parts(changed, setting, parts);
-        if let [weights, admission] = &mut parts[weights_at..] {
+        if let [weights, admission] = &mut parts[weights_index..] {
             if has_weights && admission.has_operations_of(weights) {
                 weights.admission = admission.admission;
                 parts.pop();
@@ -146,7 +147,7 @@
         }
     }
 
-    /// The table's weights, whole or as far as they have changed.
+    /// The part with the table's weights: all of them, or only the changed ones.
     fn weight_part(
         &self,
         changes: &PendingChanges,
@@ -178,7 +179,7 @@
         })
     }
 
-    /// Admission for all proxies also reaches operations that have no table here.
+    /// Appends changes of the admission setting for all proxies, for operations that are bound to no table.
     fn push_unbound_admission(
         &self,
         changes: &PendingChanges,
@@ -191,11 +192,11 @@
             .filter(|(table, _)| table.is_none())
             .map(|(_, operation)| *operation)
             .filter(|operation| !key.bindings.contains_key(operation));
-        let setting = |operation| self.admission_for_all.get(&operation).copied();
+        let setting = |operation| self.global_admission.get(&operation).copied();
         self.push_admission_parts(unbound, setting, parts);
     }
 
-    /// One part for each distinct setting, with the operations that get it.
+    /// Appends one part for each distinct setting, with the operations that have it.
     fn push_admission_parts(
         &self,
         operations: impl Iterator<Item = OperationId>,
@@ -219,7 +220,7 @@
         }));
     }
 
-    /// The operations' names as a part says them; `None` stands for all.
+    /// The operations' names in the wire format; `None` stands for all operations.
     fn operation_names(&self, operations: &[OperationId]) -> Option<String> {
         if operations.len() == self.operations.len() {
             return None;
@@ -233,7 +234,7 @@
     }
 }
 
-/// `None` where no node has a name.
+/// The weights in the wire format, without nodes whose name is unknown; `None` if none remains.
 fn join_weights(
     weights: impl Iterator<Item = (NodeId, f64)>,
     membership: &Membership,
@@ -244,7 +245,7 @@
             continue;
         };
         let comma = if text.is_empty() { "" } else { "," };
-        // Writing to a string does not fail.
+        // Writing to a `String` can't fail.
         let _ = write!(text, "{comma}{name}:{}", weight as f32);
     }
     (!text.is_empty()).then_some(text)
--- a/crates/platform-core/src/tests/scenarios.rs
+++ b/crates/platform-core/src/tests/scenarios.rs
@@ -1,19 +1,20 @@
-//! Plays the scripts in `scenarios/`. A script has a line for each step, `#` begins a comment:
+//! Runs the scripts in `scenarios/`. A script has one step per line; `#` begins a comment:
 //!
-//!     TIME list VERSION NAME:ZONE[:STATUS][:AGE] ..    the complete list; `change` for changes of it
-//!     TIME source N                                    lists come from this source from now on, at first from 1
-//!     TIME connection KEY WORDS ..                     a message on this connection
-//!     TIME acknowledge KEY                             it acknowledges the newest marker it was sent
+//!     TIME list VERSION NAME:ZONE[:STATUS][:AGE] ..    a complete endpoint list; `change` for changes of it
+//!     TIME source N                                    the source of the lists that follow, initially 1
+//!     TIME connection KEY WORDS ..                     a message received on this connection
+//!     TIME acknowledge KEY                             acknowledges the newest marker sent on the connection
 //!     TIME end KEY                                     the connection ends
-//!     TIME idle                                        nothing happens
-//!     expect outcome consumed|identified|pong|close    of the last message
-//!     expect received KEY WORDS ..                     in what it was sent since the last such expectation
-//!     expect not-received KEY [WORDS ..]               it was sent nothing, or nothing with these words in it
-//!     expect closed KEY                                the core has closed the connection; `open` for not
-//!     expect proxies N                                 so many proxies have joined
+//!     TIME idle                                        no input; the core only decides
+//!     expect outcome consumed|identified|pong|close    the outcome of the last message
+//!     expect received KEY WORDS ..                     a message with these words was sent on the connection
+//!     expect not-received KEY [WORDS ..]               no message, or none with these words, was sent on it
+//!     expect closed KEY                                the core has closed the connection; `open` for not closed
+//!     expect proxies N                                 N proxies have joined
 //!
-//! After each step the core decides. `FROM..TO/EVERY` repeats a step; between two expectations steps are
-//! played in the order of their times.
+//! `received` and `not-received` cover the messages since the previous such expectation on the connection. The core
+//! decides after each step. `FROM..TO/INTERVAL` as TIME repeats a step, every second without an INTERVAL. The
+//! steps between two expectations run in the order of their times.
 
 use super::{contains_words, core, decode_messages, endpoint, START_SECONDS};
 use crate::{ConnectionId, ControllerCore, EndpointList, MessageOutcome, Output, SourceId};
@@ -24,12 +25,12 @@
 
 const FIRST_SOURCE: SourceId = SourceId(1);
 
-struct Player {
+struct ScenarioRunner {
     core: ControllerCore,
-    /// Seconds.
+    /// The current time in seconds.
     now: f64,
     last_outcome: MessageOutcome,
-    /// Messages by connection since the last expectation on them.
+    /// The messages sent on each connection since the last expectation on them.
     received: BTreeMap<ConnectionId, Vec<String>>,
     newest_markers: BTreeMap<ConnectionId, String>,
     closed: Vec<ConnectionId>,
@@ -44,16 +45,16 @@
 
 fn parse<T: std::str::FromStr>(word: &str) -> T {
     word.parse()
-        .unwrap_or_else(|_| panic!("{word} can't be read"))
+        .unwrap_or_else(|_| panic!("{word} can't be parsed"))
 }
 
 fn connection(word: &str) -> ConnectionId {
     ConnectionId(parse(word))
 }
 
-impl Player {
-    fn new() -> Player {
-        Player {
+impl ScenarioRunner {
+    fn new() -> ScenarioRunner {
+        ScenarioRunner {
             core: core(),
             now: START_SECONDS,
             last_outcome: MessageOutcome::Consumed,
@@ -64,7 +65,7 @@
         }
     }
 
-    fn play(&mut self, step: &Step) {
+    fn run_step(&mut self, step: &Step) {
         self.now = START_SECONDS + step.time;
         let now = Moment::from_seconds(self.now);
         match &step.words[..] {
@@ -75,7 +76,7 @@
             ["acknowledge", key] => self.acknowledge(connection(key)),
             ["end", key] => self.core.handle_connection_closed(now, connection(key)),
             ["idle"] => {}
-            other => panic!("no such step: {other:?}"),
+            other => panic!("unknown step: {other:?}"),
         }
         for output in self.core.decide(now) {
             self.record(output);
@@ -86,7 +87,7 @@
         let entries: Vec<Value> = entries.iter().map(|entry| self.entry(entry)).collect();
         let version: u64 = parse(version);
         let value = json!({"index": version, "snapshot": complete, "endpoints": entries});
-        let list = EndpointList::parse(&value, self.core.names()).expect("a list");
+        let list = EndpointList::parse(&value, self.core.names()).expect("the list is valid");
         let now = Moment::from_seconds(self.now);
         self.core.handle_endpoint_list(now, &list, self.source);
     }
@@ -109,7 +110,7 @@
         self.last_outcome = self.core.handle_message(now, connection, &strings);
     }
 
-    /// The last digit of a connection is its proxy.
+    /// Acknowledges the newest marker. The last digit of the connection id is the proxy id.
     fn acknowledge(&mut self, connection: ConnectionId) {
         let marker = self.newest_markers.get(&connection).cloned();
         let marker = marker.expect("the connection was sent a marker");
@@ -141,18 +142,21 @@
             ["outcome", expected] => assert_eq!(self.outcome(), *expected, "{line}"),
             ["received", key, words @ ..] => {
                 let received = self.take_received(key);
-                let has_come = received.iter().any(|text| contains_words(text, words));
-                assert!(has_come, "{line}\nbut {received:#?}");
+                let has_arrived = received.iter().any(|text| contains_words(text, words));
+                assert!(has_arrived, "{line}\nbut {received:#?}");
             }
             ["not-received", key, words @ ..] => {
                 let received = self.take_received(key);
-                let is_meant = |text: &String| words.is_empty() || contains_words(text, words);
-                assert!(!received.iter().any(is_meant), "{line}\nbut {received:#?}");
+                let is_unexpected = |text: &String| words.is_empty() || contains_words(text, words);
+                assert!(
+                    !received.iter().any(is_unexpected),
+                    "{line}\nbut {received:#?}"
+                );
             }
             ["closed", key] => assert!(self.is_closed(key), "{line}\nbut {:?}", self.closed),
             ["open", key] => assert!(!self.is_closed(key), "{line}\nbut {:?}", self.closed),
             ["proxies", count] => assert_eq!(self.core.proxy_count().to_string(), *count, "{line}"),
-            other => panic!("no such expectation: {other:?}"),
+            other => panic!("unknown expectation: {other:?}"),
         }
     }
 
@@ -173,38 +177,38 @@
         self.closed.contains(&connection(key))
     }
 
-    fn play_all(&mut self, steps: &mut Vec<Step>) {
+    fn run_steps(&mut self, steps: &mut Vec<Step>) {
         steps.sort_by(|a, b| a.time.total_cmp(&b.time));
         for step in steps.drain(..) {
-            self.play(&step);
+            self.run_step(&step);
         }
     }
 }
 
-/// The steps of a line, one for each time that it names.
+/// The steps of a line, one for each time in its range.
 fn expand<'a>(time: &str, words: &[&'a str]) -> Vec<Step<'a>> {
     let (from, to) = time.split_once("..").unwrap_or((time, time));
-    let (to, every) = to.split_once('/').unwrap_or((to, "1"));
-    let (from, to, every): (f64, f64, f64) = (parse(from), parse(to), parse(every));
-    let count = ((to - from) / every).round() as usize;
+    let (to, interval) = to.split_once('/').unwrap_or((to, "1"));
+    let (from, to, interval): (f64, f64, f64) = (parse(from), parse(to), parse(interval));
+    let count = ((to - from) / interval).round() as usize;
     (0..=count)
-        .map(|position| Step {
-            time: from + every * position as f64,
+        .map(|index| Step {
+            time: from + interval * index as f64,
             words: words.to_vec(),
         })
         .collect()
 }
 
-#[test_case(include_str!("../../scenarios/join.txt"); "joins and changes")]
-#[test_case(include_str!("../../scenarios/handshake.txt"); "what each peer may send")]
-#[test_case(include_str!("../../scenarios/spoilt.txt"); "invalid reports and acknowledgements")]
-#[test_case(include_str!("../../scenarios/streams.txt"); "streams that break and come back")]
-#[test_case(include_str!("../../scenarios/silent.txt"); "streams that fall silent")]
-#[test_case(include_str!("../../scenarios/crossing.txt"); "two streams of one proxy cross")]
-#[test_case(include_str!("../../scenarios/sources.txt"); "discovery that moves or restarts its versions")]
-#[test_case(include_str!("../../scenarios/lists.txt"); "lists that come late or twice")]
-fn the_script_plays(script: &str) {
-    let mut player = Player::new();
+#[test_case(include_str!("../../scenarios/join.txt"); "a join is sent the complete table and then changes")]
+#[test_case(include_str!("../../scenarios/handshake.txt"); "messages that each kind of peer may send")]
+#[test_case(include_str!("../../scenarios/spoilt.txt"); "invalid reports and acknowledgements are ignored")]
+#[test_case(include_str!("../../scenarios/streams.txt"); "proxies whose streams end join again")]
+#[test_case(include_str!("../../scenarios/silent.txt"); "silent streams are closed")]
+#[test_case(include_str!("../../scenarios/crossing.txt"); "a newer stream of a proxy replaces the older one")]
+#[test_case(include_str!("../../scenarios/sources.txt"); "discovery that changes its address or restarts its versions")]
+#[test_case(include_str!("../../scenarios/lists.txt"); "lists that arrive late or repeatedly")]
+fn scenario_meets_its_expectations(script: &str) {
+    let mut runner = ScenarioRunner::new();
     let mut steps = Vec::new();
     for line in script.lines() {
         let line = line.split('#').next().unwrap_or("").trim();
@@ -212,11 +216,11 @@
         match words.split_first() {
             None => {}
             Some((&"expect", rest)) => {
-                player.play_all(&mut steps);
-                player.expect(line, rest);
+                runner.run_steps(&mut steps);
+                runner.expect(line, rest);
             }
             Some((time, rest)) => steps.extend(expand(time, rest)),
         }
     }
-    player.play_all(&mut steps);
+    runner.run_steps(&mut steps);
 }
--- a/crates/wheelspread/src/admission.rs
+++ b/crates/wheelspread/src/admission.rs
@@ -88,14 +88,14 @@
             cut: None,
             capacity_factor: 1.0,
             last_decrease_at: now,
-            load: FleetLoad::Usual,
+            load: FleetLoad::Normal,
             last_busy_at: now,
         }
     }
 
     /// Whether the measured load was at or above the `strained` threshold in the last update.
     pub fn is_strained(&self) -> bool {
-        self.load == FleetLoad::Strained
+        self.load == FleetLoad::Overloaded
     }
 
     /// Sets the admission cut of the latest update plan; `None`: the plan had headroom.
@@ -152,15 +152,15 @@
                 (self.capacity_factor * CAPACITY_FACTOR.decrease).max(CAPACITY_FACTOR.floor);
             self.last_decrease_at = now;
         }
-        let has_been_calm = now - self.last_busy_at > cycle * LOAD_THRESHOLDS.calm_cycles;
-        self.load = if load >= LOAD_THRESHOLDS.strained {
-            FleetLoad::Strained
-        } else if load < LOAD_THRESHOLDS.calm && has_been_calm {
-            FleetLoad::Calm
+        let has_been_calm = now - self.last_busy_at > cycle * LOAD_THRESHOLDS.low_cycles;
+        self.load = if load >= LOAD_THRESHOLDS.overload {
+            FleetLoad::Overloaded
+        } else if load < LOAD_THRESHOLDS.low && has_been_calm {
+            FleetLoad::Low
         } else {
-            FleetLoad::Usual
+            FleetLoad::Normal
         };
-        if load >= LOAD_THRESHOLDS.calm {
+        if load >= LOAD_THRESHOLDS.low {
             self.last_busy_at = now;
         }
     }
@@ -215,7 +215,7 @@
 fn zone_limit(fleet: &Fleet, table: &Table, demand: &BTreeMap<DemandClass, f64>) -> Option<f64> {
     let zone = table.zone();
     let is_strained = |zone: ZoneId| {
-        mean_utilization(fleet, |node| node.zone() == zone) >= LOAD_THRESHOLDS.strained
+        mean_utilization(fleet, |node| node.zone() == zone) >= LOAD_THRESHOLDS.overload
     };
     if !table.class().stays_in_zone || !is_strained(zone) {
         return None;
--- a/crates/wheelspread/src/balancer.rs
+++ b/crates/wheelspread/src/balancer.rs
@@ -21,7 +21,7 @@
     apply_urgent_changes, bind_joined_proxies, publish_admission, publish_weights,
     published_weights, send_marker,
 };
-use crate::report_timing::REPORT_MEMORY;
+use crate::report_timing::REPORT_RETENTION;
 use crate::settings::Settings;
 use crate::shares::TableWeights;
 use crate::slow_start::limit_warming_entries;
@@ -40,7 +40,7 @@
 /// triggers a round before its timer.
 const MIN_ROUND_INTERVAL_PERIODS: f64 = 0.05;
 /// Time constant of the demand average, in report cycles: a third of that of other averages.
-const DEMAND_AVERAGING_CYCLES: f64 = REPORT_MEMORY.average_cycles / 3.0;
+const DEMAND_AVERAGING_CYCLES: f64 = REPORT_RETENTION.time_constant_cycles / 3.0;
 
 /// State and decisions of one controller's balancer.
 pub struct Balancer {
@@ -117,11 +117,18 @@
                 proxy,
                 zone,
                 usual_rate,
-                fresh,
+                holds_no_table,
             } => {
                 let fleet = &mut self.fleet;
                 let members = &mut fleet.members;
-                members.on_joined(*proxy, *zone, *usual_rate, *fresh, &fleet.config, now);
+                members.on_joined(
+                    *proxy,
+                    *zone,
+                    *usual_rate,
+                    *holds_no_table,
+                    &fleet.config,
+                    now,
+                );
             }
             Event::ProxyLeft { proxy } => {
                 self.fleet.members.on_left(*proxy, now)?;
@@ -175,7 +182,7 @@
             return;
         };
         if measurements != Measurements::Keep {
-            self.fleet.outliers.forget_node(id);
+            self.fleet.outliers.remove_node(id);
         }
         self.request_update();
     }
@@ -197,7 +204,7 @@
         fleet.timing.on_report(fleet.now, report.window);
         fleet.timing.on_load_report(fleet.now);
         node.load
-            .on_report(&report, &fleet.config, fleet.timing.memory());
+            .on_report(&report, &fleet.config, fleet.timing.time_constant());
         fleet
             .outliers
             .on_load_report(&report, &fleet.timing, fleet.now);
@@ -334,7 +341,7 @@
 
     fn update_estimates(&mut self) {
         self.pacing.drop_expired(self.fleet.now);
-        self.fleet.forget_departed();
+        self.fleet.remove_departed();
         self.fleet.update_kind_means();
         self.fleet.learn_capacity(self.admission.is_strained());
         self.fleet.update_kind_means();
--- a/crates/wheelspread/src/locality.rs
+++ b/crates/wheelspread/src/locality.rs
@@ -92,7 +92,7 @@
         let usable_capacity = |from: ZoneId| {
             let shares = candidates
                 .iter()
-                .map(|c| c.capacity * fleet.usable_share(from, c.node));
+                .map(|c| c.capacity * fleet.usable_ratio(from, c.node));
             (from, shares.collect())
         };
         let usable_capacity: BTreeMap<ZoneId, Vec<f64>> =
--- a/crates/wheelspread/src/subset.rs
+++ b/crates/wheelspread/src/subset.rs
@@ -40,9 +40,9 @@
     let controllers = if fleet.config.proxies_join_by_zone {
         1.0
     } else {
-        fleet.config.controllers.max(1.0)
+        fleet.config.controller_count.max(1.0)
     };
-    fleet.config.proxies / (zones * controllers)
+    fleet.config.proxy_count / (zones * controllers)
 }
 
 /// Divides the proxies of a zone into subsets if a single table would have so many entries that a proxy's idle
