--- a/crates/controller-core/src/deployment/validation.rs
+++ b/crates/controller-core/src/deployment/validation.rs
@@ -1,6 +1,6 @@
-//! Checks of a deployment's settings. Every error is reported, in the order of these checks.
+//! Validation of a deployment's settings. All errors are reported, in the order of the checks.
 
-use super::{ConfigError, ConfigErrorKind, Deployment, OperationPlan, RetryClass, SolverPlan};
+use super::{ConfigError, ConfigErrorKind, Deployment, OperationConfig, RetryClass, SolverConfig};
 use std::ops::RangeInclusive;
 use wheelspread::time::Span;
 
@@ -11,10 +11,10 @@
 const MAX_KINDS: usize = 250;
 const MAX_NAME_LENGTH: usize = 100;
 const MAX_BILLED_VALUE: f64 = 1e9;
-/// Seconds that a span of the rules may have.
+/// Allowed length of a time span of the rules, in seconds.
 const RULE_SPAN_SECONDS: RangeInclusive<f64> = 0.05..=3600.0;
 
-/// Collects errors by field.
+/// Collects the errors of all fields.
 #[derive(Default)]
 struct Errors(Vec<ConfigError>);
 
@@ -27,12 +27,12 @@
     }
 
     fn check_range(&mut self, field: &str, value: f64, range: RangeInclusive<f64>) {
-        // A value that is no number is outside of every range.
+        // NaN is outside of every range.
         if !range.contains(&value) {
             let kind = ConfigErrorKind::OutOfRange {
                 value,
-                least: *range.start(),
-                most: *range.end(),
+                min: *range.start(),
+                max: *range.end(),
             };
             self.push(field, kind);
         }
@@ -43,7 +43,7 @@
     }
 
     fn check_name(&mut self, field: &str, name: &str) {
-        if !is_plain_name(name) {
+        if !is_valid_name(name) {
             let name = name.to_string();
             self.push(field, ConfigErrorKind::InvalidName { name });
         }
@@ -62,23 +62,23 @@
     }
 }
 
-/// Names go into paths of files and into logs.
-pub(crate) fn is_plain_name(name: &str) -> bool {
-    let is_plain = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
-    !name.is_empty() && name.len() <= MAX_NAME_LENGTH && name.chars().all(is_plain)
+/// Whether a name is safe in file paths and logs: 1 to 100 ASCII letters, digits, `-` or `_`.
+pub(crate) fn is_valid_name(name: &str) -> bool {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
+    !name.is_empty() && name.len() <= MAX_NAME_LENGTH && name.chars().all(is_allowed)
 }
 
 impl Deployment {
-    /// Every field whose value can't be; none if the deployment can be started.
+    /// Returns an error for every field with an invalid value; an empty list if the deployment is valid.
     pub fn validate(&self) -> Vec<ConfigError> {
         let mut errors = Errors::default();
         check_names(&mut errors, "zones", &self.zones);
         check_names(&mut errors, "kinds", &self.kinds);
         check_names(&mut errors, "sums.loads", &self.load_reports.loads);
-        self.check_groups(&mut errors);
+        self.check_zone_and_kind_counts(&mut errors);
         self.check_load_metrics(&mut errors);
         self.check_operations(&mut errors);
-        self.check_programs(&mut errors);
+        self.check_controllers_and_proxies(&mut errors);
         self.check_rules(&mut errors);
         self.check_inputs_and_queue(&mut errors);
         if let Some(solver) = &self.solver {
@@ -89,13 +89,13 @@
         errors.0
     }
 
-    fn check_groups(&self, errors: &mut Errors) {
+    fn check_zone_and_kind_counts(&self, errors: &mut Errors) {
         if self.zones.is_empty() || self.zones.len() > MAX_ZONES {
             let kind = ConfigErrorKind::CountOutOfRange {
                 items: "zones",
                 count: self.zones.len(),
-                least: 1,
-                most: MAX_ZONES,
+                min: 1,
+                max: MAX_ZONES,
             };
             errors.push("zones", kind);
         }
@@ -103,7 +103,7 @@
             let kind = ConfigErrorKind::TooMany {
                 items: "kinds",
                 count: self.kinds.len(),
-                most: MAX_KINDS,
+                max: MAX_KINDS,
             };
             errors.push("kinds", kind);
         }
@@ -126,21 +126,21 @@
             let kind = ConfigErrorKind::CountOutOfRange {
                 items: "operations",
                 count: self.operations.len(),
-                least: 1,
-                most: MAX_OPERATIONS,
+                min: 1,
+                max: MAX_OPERATIONS,
             };
             errors.push("operations", kind);
         }
-        for (position, operation) in self.operations.iter().enumerate() {
-            let field = format!("operations.{position}.name");
-            let earlier = self.operations[..position].iter().map(|other| &other.name);
+        for (index, operation) in self.operations.iter().enumerate() {
+            let field = format!("operations.{index}.name");
+            let earlier = self.operations[..index].iter().map(|other| &other.name);
             errors.check_name(&field, &operation.name);
             errors.check_unique(&field, &operation.name, earlier);
-            check_operation(errors, position, operation);
+            check_operation(errors, index, operation);
         }
     }
 
-    fn check_programs(&self, errors: &mut Errors) {
+    fn check_controllers_and_proxies(&self, errors: &mut Errors) {
         let (controllers, proxies) = (&self.controllers, &self.proxies);
         errors.check_range(
             "conductors.count",
@@ -164,7 +164,7 @@
             ("rules.without_node_at_most", rules.without_node_at_most),
             ("rules.drain_grace", rules.drain_grace),
             ("rules.cold_overload_span", rules.cold_overload_span),
-            ("channel.messages_window", self.channel.messages_window),
+            ("channel.messages_window", self.update_queue.messages_window),
         ];
         for (field, span) in spans {
             errors.check_seconds(field, span, RULE_SPAN_SECONDS);
@@ -172,20 +172,24 @@
     }
 
     fn check_inputs_and_queue(&self, errors: &mut Errors) {
-        if !self.fronts.files && !self.fronts.streams {
+        if !self.table_delivery.files && !self.table_delivery.streams {
             errors.push("fronts", ConfigErrorKind::NoTableDelivery);
         }
         errors.check_seconds("sums.period", self.load_reports.period, 0.05..=60.0);
-        let channel = &self.channel;
+        let queue = &self.update_queue;
         errors.check_range(
             "channel.lines_waiting_at_most",
-            channel.lines_waiting_at_most,
+            queue.max_queued_entries,
             10.0..=1e9,
         );
-        errors.check_range("channel.head_lines", channel.head_lines, 0.0..=1e4);
+        errors.check_range(
+            "channel.head_lines",
+            queue.message_overhead_entries,
+            0.0..=1e4,
+        );
         errors.check_range(
             "channel.lines_per_second",
-            channel.lines_per_second,
+            queue.entries_per_second,
             10.0..=1e9,
         );
         errors.check_range(
@@ -196,8 +200,8 @@
         errors.check_range("first_wait", self.first_wait, 0.1..=100.0);
     }
 
-    /// The solver needs a figure for every kind and every operation.
-    fn check_solver_is_complete(&self, errors: &mut Errors, solver: &SolverPlan) {
+    /// Checks that the solver has the capacity of every kind and the work of every operation.
+    fn check_solver_is_complete(&self, errors: &mut Errors, solver: &SolverConfig) {
         for kind in &self.kinds {
             if !solver.capacities.contains_key(kind) {
                 let kind = kind.clone();
@@ -217,15 +221,15 @@
 }
 
 fn check_names(errors: &mut Errors, field: &str, names: &[String]) {
-    for (position, name) in names.iter().enumerate() {
-        let item = format!("{field}.{position}");
+    for (index, name) in names.iter().enumerate() {
+        let item = format!("{field}.{index}");
         errors.check_name(&item, name);
-        errors.check_unique(&item, name, names[..position].iter());
+        errors.check_unique(&item, name, names[..index].iter());
     }
 }
 
-fn check_operation(errors: &mut Errors, position: usize, operation: &OperationPlan) {
-    let field = |name: &str| format!("operations.{position}.{name}");
+fn check_operation(errors: &mut Errors, index: usize, operation: &OperationConfig) {
+    let field = |name: &str| format!("operations.{index}.{name}");
     let objective = operation.latency_objective;
     if objective <= Span::ZERO {
         let kind = ConfigErrorKind::SpanNotPositive { value: objective };
@@ -238,19 +242,19 @@
     }
     let value = operation.billed_value;
     if !(value > 0.0 && value <= MAX_BILLED_VALUE) {
-        let most = MAX_BILLED_VALUE;
-        let kind = ConfigErrorKind::NotPositive { value, most };
+        let max = MAX_BILLED_VALUE;
+        let kind = ConfigErrorKind::NotPositive { value, max };
         errors.push(field("billed_value"), kind);
     }
-    let value = operation.repeat_window;
-    if operation.repeat == RetryClass::Fingerprinted && value <= Span::ZERO {
+    let value = operation.retry_window;
+    if operation.retry_class == RetryClass::Fingerprinted && value <= Span::ZERO {
         let kind = ConfigErrorKind::RetryWindowMissing { value };
         errors.push(field("repeat_window"), kind);
     }
     errors.check_range(&field("late_share"), operation.late_share, 0.0..=1.0);
 }
 
-fn check_solver_values(errors: &mut Errors, solver: &SolverPlan) {
+fn check_solver_values(errors: &mut Errors, solver: &SolverConfig) {
     for (kind, capacity) in &solver.capacities {
         let field = format!("solver.capacities.{kind}");
         errors.check_range(&field, *capacity, 1e-3..=1e6);
--- a/crates/controller/src/discovery_server.rs
+++ b/crates/controller/src/discovery_server.rs
@@ -44,13 +44,13 @@
     /// Takes the limits from the file; `deployment` is the one in force.
     pub fn new(file: &ControllerFile, deployment: Deployment) -> DiscoveryServer {
         let streams = &file.streams;
-        let channel = &file.deployment.channel;
+        let update_queue = &file.deployment.update_queue;
         let limits = DiscoveryLimits {
             cached_versions: streams.versions_kept,
             max_subscription_changes: streams.changes_at_most,
-            subscription_change_window: channel.messages_window,
+            subscription_change_window: update_queue.messages_window,
             ack_timeout: streams.unanswered_at_most,
-            rejection_pause: channel.delay_at_most * REJECTED_TABLE_PAUSE_FACTOR,
+            rejection_pause: update_queue.max_delay * REJECTED_TABLE_PAUSE_FACTOR,
         };
         DiscoveryServer {
             protocol: DiscoveryStreams::new(limits),
