--- a/crates/controller/src/file/validate.rs
+++ b/crates/controller/src/file/validate.rs
@@ -1,18 +1,18 @@
-//! Values that can't be, though their form is right.
+//! Validates the values of a file that was parsed.
 
 use super::{ChangeSettings, ControllerFile};
 use tracing_subscriber::EnvFilter;
 use wheelspread::time::Span;
 
-/// The shortest span that a state of a change may have.
-const SHORTEST_CHANGE_SPAN: Span = Span::from_seconds(0.2);
+/// Minimum of the durations of a change's states.
+const MIN_CHANGE_DURATION: Span = Span::from_seconds(0.2);
 const MAX_RETAINED_VERSIONS: usize = 1000;
 
-/// A value that can't be.
+/// An invalid value.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: {message}")]
 pub(super) struct FieldError {
-    /// Where it stands, as `deployment.zones.0`.
+    /// The path of the field, such as `deployment.zones.0`.
     pub field: String,
     pub message: String,
 }
@@ -27,7 +27,7 @@
 }
 
 impl ControllerFile {
-    /// Everything that is wrong, in the order of the sections.
+    /// Returns all invalid values, by section.
     pub(super) fn validate(&self) -> Vec<FieldError> {
         let mut errors = self.validate_deployment();
         errors.extend(self.validate_controller());
@@ -55,7 +55,7 @@
         let mut errors = Vec::new();
         let (number, count) = (self.conductor.number, self.deployment.controllers.count);
         if number >= count {
-            let message = format!("{number} of {count} conductors: they count from 0");
+            let message = format!("{number} of {count} controllers: numbers start at 0");
             errors.push(FieldError::new("conductor.number", message));
         }
         if self.conductor.connections_at_most == 0 {
@@ -70,15 +70,13 @@
     fn validate_tls(&self) -> Option<FieldError> {
         let tls = self.tls.as_ref()?;
         let lacks_roots = tls.node_id_in_certificate && tls.clients.is_none();
-        lacks_roots
-            .then(|| FieldError::new("tls.node_id_in_certificate", "needs the roots of `clients`"))
+        lacks_roots.then(|| FieldError::new("tls.node_id_in_certificate", "requires `tls.clients`"))
     }
 
     fn validate_administration(&self) -> Option<FieldError> {
         let settings = self.administration.as_ref()?;
         let is_remote = !settings.listen.ip().is_loopback();
-        is_remote
-            .then(|| FieldError::new("administration.listen", "should be an address on loopback"))
+        is_remote.then(|| FieldError::new("administration.listen", "should be a loopback address"))
     }
 
     fn validate_streams(&self) -> Vec<FieldError> {
@@ -89,7 +87,7 @@
         {
             errors.push(FieldError::new(
                 "streams",
-                "versions_kept lies between 1 and 1000, changes_at_most above 0",
+                "versions_kept should lie between 1 and 1000, changes_at_most should be above 0",
             ));
         }
         if settings.unanswered_at_most <= Span::ZERO {
@@ -104,14 +102,14 @@
     fn validate_log(&self) -> Option<FieldError> {
         let level = &self.log.level;
         let is_unknown = EnvFilter::try_new(level).is_err();
-        is_unknown.then(|| FieldError::new("log.level", format!("`{level}` is no level")))
+        is_unknown.then(|| FieldError::new("log.level", format!("`{level}` is not a valid level")))
     }
 }
 
 impl ChangeSettings {
     fn validate(&self) -> Vec<FieldError> {
-        let mut errors = self.validate_spans();
-        errors.extend(self.validate_parts());
+        let mut errors = self.validate_durations();
+        errors.extend(self.validate_ratios());
         let undo = &self.undo_when;
         if !(undo.slower_at_most >= 1.0 && undo.invocations_at_least >= 1.0) {
             errors.push(FieldError::new(
@@ -122,7 +120,7 @@
         errors
     }
 
-    fn validate_spans(&self) -> Vec<FieldError> {
+    fn validate_durations(&self) -> Vec<FieldError> {
         let spans = [
             ("watch", self.watch),
             ("staged_at_most", self.staged_at_most),
@@ -130,7 +128,7 @@
         ];
         let too_short = spans
             .into_iter()
-            .filter(|(_, span)| *span < SHORTEST_CHANGE_SPAN);
+            .filter(|(_, span)| *span < MIN_CHANGE_DURATION);
         too_short
             .map(|(field, _)| {
                 FieldError::new(format!("changes.{field}"), "should be 200ms or more")
@@ -138,20 +136,20 @@
             .collect()
     }
 
-    fn validate_parts(&self) -> Vec<FieldError> {
+    fn validate_ratios(&self) -> Vec<FieldError> {
         let undo = &self.undo_when;
-        let parts = [
+        let ratios = [
             ("value_lost_at_most", self.value_lost_at_most),
             ("cold_work_at_most", self.cold_work_at_most),
             ("undo_when.errored_more_at_most", undo.errored_more_at_most),
             ("undo_when.value_less_at_most", undo.value_less_at_most),
         ];
-        let outside = parts
+        let outside = ratios
             .into_iter()
-            .filter(|(_, part)| !(0.0..=1.0).contains(part));
+            .filter(|(_, ratio)| !(0.0..=1.0).contains(ratio));
         outside
-            .map(|(field, part)| {
-                let message = format!("{part} should lie between 0 and 1");
+            .map(|(field, ratio)| {
+                let message = format!("{ratio} should lie between 0 and 1");
                 FieldError::new(format!("changes.{field}"), message)
             })
             .collect()
--- a/crates/controller/src/state_writer/persisted_facts.rs
+++ b/crates/controller/src/state_writer/persisted_facts.rs
@@ -1,6 +1,6 @@
-//! Facts that are persisted beside configuration and changes: the last published version, the endpoint list,
-//! and the capacity that the balancer has estimated of each node. Names and JSON fields of stored facts stay as
-//! they are, so that state files of older programs load.
+//! Facts that are persisted besides the configuration and its changes: the last published version, the endpoint
+//! list, and the balancer's capacity estimate of each node. Names and JSON fields of stored facts must not change,
+//! so that state files written by older versions of the program load.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -20,22 +20,23 @@
 const ENDPOINT_FACT_PREFIX: &str = "listed.";
 const CAPACITY_FACT_PREFIX: &str = "learnt.";
 
-/// Versions that may have been published after the last that was persisted.
+/// Upper bound of the count of versions published after the last persisted one. New versions are numbered above the
+/// persisted one plus this margin, so that no number is used twice.
 const VERSION_MARGIN: u64 = 10_000;
-/// A node is taken to have started at most so long ago.
-const LONGEST_AGE_SECONDS: f64 = 1e9;
+/// Maximum age of a restored incarnation; a longer one is clamped.
+const MAX_AGE_SECONDS: f64 = 1e9;
 
-/// When two capacity snapshots count as the same.
+/// The differences up to which a capacity snapshot is not stored again.
 struct CapacityTolerance {
-    /// Difference of the capacity, which is a logarithm.
+    /// Difference of the capacity, which is the logarithm of requests per second.
     capacity: f64,
-    /// Difference of the evidence, as a part of it.
-    evidence: f64,
+    /// Difference of the evidence, as a ratio of the stored evidence (of at least 1 report period).
+    evidence_ratio: f64,
 }
 
 const CAPACITY_TOLERANCE: CapacityTolerance = CapacityTolerance {
     capacity: 0.05,
-    evidence: 0.3,
+    evidence_ratio: 0.3,
 };
 
 /// Changes of facts, by name; `None` deletes one.
@@ -49,13 +50,13 @@
     cell: String,
     draining: bool,
     weight: f64,
-    /// The incarnation of its process, and when that started, in seconds since 1970.
+    /// The incarnation of its process, and the time when that started, in seconds since 1970.
     started: Option<(String, f64)>,
 }
 
 impl EndpointFact {
-    /// `wall`: seconds since 1970 now.
-    pub(super) fn new(record: &EndpointRecord, wall: f64) -> EndpointFact {
+    /// `unix_seconds`: the time now, in seconds since 1970.
+    pub(super) fn new(record: &EndpointRecord, unix_seconds: f64) -> EndpointFact {
         EndpointFact {
             zone: record.zone.clone(),
             kind: record.kind.clone(),
@@ -65,12 +66,12 @@
             started: record
                 .started
                 .as_ref()
-                .map(|(incarnation, age)| (incarnation.clone(), wall - age.seconds())),
+                .map(|(incarnation, age)| (incarnation.clone(), unix_seconds - age.seconds())),
         }
     }
 
-    fn into_record(self, node: NodeId, wall: f64) -> EndpointRecord {
-        let age = |at: f64| Span::from_seconds((wall - at).clamp(0.0, LONGEST_AGE_SECONDS));
+    fn into_record(self, node: NodeId, unix_seconds: f64) -> EndpointRecord {
+        let age = |at: f64| Span::from_seconds((unix_seconds - at).clamp(0.0, MAX_AGE_SECONDS));
         EndpointRecord {
             node,
             zone: self.zone,
@@ -83,7 +84,7 @@
     }
 }
 
-/// What the balancer has estimated of a node's capacity, as it is stored.
+/// The balancer's capacity estimate of a node, as it is stored.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(super) struct CapacityFact {
     capacity: f64,
@@ -109,9 +110,9 @@
         }
     }
 
-    /// Whether `later` says so much the same that it need not be stored.
+    /// Whether `later` differs by no more than the tolerance, so that it need not be stored.
     pub(super) fn is_close_to(&self, later: &CapacityFact) -> bool {
-        let evidence_tolerance = CAPACITY_TOLERANCE.evidence * self.evidence.max(1.0);
+        let evidence_tolerance = CAPACITY_TOLERANCE.evidence_ratio * self.evidence.max(1.0);
         (self.capacity - later.capacity).abs() <= CAPACITY_TOLERANCE.capacity
             && (self.evidence - later.evidence).abs() <= evidence_tolerance
     }
@@ -127,17 +128,21 @@
     format!("{CAPACITY_FACT_PREFIX}{}", format_node(node))
 }
 
-/// Restores what the core starts with: version, endpoint list and capacity snapshots. `wall`: seconds since
-/// 1970 now.
-pub fn restore_core_state(persisted: &PersistedState, wall: f64, recovered: &mut RecoveredState) {
+/// Restores the version floor, the endpoint list and the capacity snapshots that the core starts with.
+/// `unix_seconds`: the time now, in seconds since 1970.
+pub fn restore_core_state(
+    persisted: &PersistedState,
+    unix_seconds: f64,
+    recovered: &mut RecoveredState,
+) {
     recovered.version_floor = restore_version_floor(persisted);
-    recovered.endpoint_list = restore_endpoint_list(persisted, wall);
+    recovered.endpoint_list = restore_endpoint_list(persisted, unix_seconds);
     recovered.capacities = restore_capacity_facts(persisted)
         .map(|(node, fact)| fact.into_snapshot(node))
         .collect();
 }
 
-/// Version numbers go on above this one.
+/// The version above which new versions are numbered.
 fn restore_version_floor(persisted: &PersistedState) -> Version {
     let last = persisted
         .facts
@@ -148,8 +153,11 @@
     })
 }
 
-fn restore_endpoint_list(persisted: &PersistedState, wall: f64) -> Option<EndpointSnapshot> {
-    let records: Vec<EndpointRecord> = restore_endpoint_records(persisted, wall).collect();
+fn restore_endpoint_list(
+    persisted: &PersistedState,
+    unix_seconds: f64,
+) -> Option<EndpointSnapshot> {
+    let records: Vec<EndpointRecord> = restore_endpoint_records(persisted, unix_seconds).collect();
     if records.is_empty() {
         return None;
     }
@@ -160,15 +168,15 @@
 /// The nodes of the stored endpoint list.
 pub(super) fn restore_endpoint_records(
     persisted: &PersistedState,
-    wall: f64,
+    unix_seconds: f64,
 ) -> impl Iterator<Item = EndpointRecord> + '_ {
     node_facts(persisted, ENDPOINT_FACT_PREFIX).filter_map(move |(node, text)| {
         let fact: EndpointFact = serde_json::from_str(text).ok()?;
-        Some(fact.into_record(node, wall))
+        Some(fact.into_record(node, unix_seconds))
     })
 }
 
-/// The stored capacities by node.
+/// The stored capacity estimates by node.
 pub(super) fn restore_capacity_facts(
     persisted: &PersistedState,
 ) -> impl Iterator<Item = (NodeId, CapacityFact)> + '_ {
@@ -176,7 +184,7 @@
         .filter_map(|(node, text)| Some((node, serde_json::from_str(text).ok()?)))
 }
 
-/// Facts of nodes under a prefix.
+/// Facts whose names are the prefix followed by a node.
 fn node_facts<'a>(
     persisted: &'a PersistedState,
     prefix: &'a str,
