--- a/crates/cli/src/measure/file_proxies.rs
+++ b/crates/cli/src/measure/file_proxies.rs
@@ -158,7 +158,7 @@
                 .map_err(io("a stream"))?;
             let mut connection =
                 ClientConnection::new(begin, socket, loads::METHOD, Limits::default());
-            connection.send(&loads::introduce(&introduction(proxy)).encode_to_vec());
+            connection.send(&loads::identity_request(&introduction(proxy)).encode_to_vec());
             self.peers.push(Peer {
                 connection,
                 zone: zone_of(proxy),
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -180,7 +180,9 @@
             zone: zone.to_string(),
             usual_rate: None,
         };
-        stream.connection.send(&encode(&loads::introduce(&who)));
+        stream
+            .connection
+            .send(&encode(&loads::identity_request(&who)));
         stream
     }
 }
--- a/crates/cli/tests/proxy.rs
+++ b/crates/cli/tests/proxy.rs
@@ -393,7 +393,7 @@
     loop {
         let text = std::fs::read_to_string(root.status("g1")).expect("there");
         let told = status::read(&text).expect("whole");
-        if let Some((version, reason)) = told.refused {
+        if let Some((version, reason)) = told.rejected {
             assert_eq!(
                 (version, told.version),
                 (Version(7), held.tables.version),
--- a/crates/controller/src/service/file_watch.rs
+++ b/crates/controller/src/service/file_watch.rs
@@ -145,7 +145,7 @@
             rejection: None,
         };
         self.core.observe(now, held);
-        if let Some((version, reason)) = status.refused {
+        if let Some((version, reason)) = status.rejected {
             let rejected = Observation::StatusReported {
                 proxy: proxy.to_string(),
                 version,
--- a/crates/controller/src/streams/receive.rs
+++ b/crates/controller/src/streams/receive.rs
@@ -113,7 +113,7 @@
         let (connection, is_identified) = (stream.connection, stream.is_identified);
         let request = loads::decode_request(bytes).map_err(Rejection::invalid)?;
         if !is_identified {
-            let proxy_identity = loads::introduction(&request)
+            let proxy_identity = loads::identity(&request)
                 .ok_or_else(|| Rejection::invalid("the first report names no node"))?;
             self.check_node_id(connection, &proxy_identity.name)
                 .map_err(Rejection::denied)?;
@@ -149,7 +149,7 @@
         let request = request.map_err(Rejection::invalid)?;
         if !is_identified {
             let proxy_identity = request
-                .introduction
+                .identity
                 .ok_or_else(|| Rejection::invalid("the first request names no node"))?;
             self.check_node_id(connection, &proxy_identity.name)
                 .map_err(Rejection::denied)?;
--- a/crates/discovery/src/rejection.rs
+++ b/crates/discovery/src/rejection.rs
@@ -46,7 +46,7 @@
     /// The last version that counted into `rejected_in_a_row`.
     last_rejected: Version,
     paused_until: Option<Moment>,
-    last_good: Option<Version>,
+    last_acknowledged: Option<Version>,
 }
 
 impl Default for TableSetRecord {
@@ -57,7 +57,7 @@
             rejected_in_a_row: 0,
             last_rejected: Version(0),
             paused_until: None,
-            last_good: None,
+            last_acknowledged: None,
         }
     }
 }
@@ -78,9 +78,9 @@
             self.last_rejected = version;
         }
         if self.rejected_in_a_row >= REJECTED_VERSIONS_UNTIL_ROLLBACK {
-            Tally::MostRejectRepeatedly
+            Tally::MajorityRejectsRepeatedly
         } else {
-            Tally::MostReject
+            Tally::MajorityRejects
         }
     }
 
@@ -89,7 +89,7 @@
         self.state = next;
         match effect {
             Effect::None => RejectionResponse::Continue,
-            Effect::Release => {
+            Effect::Resume => {
                 self.paused_until = None;
                 RejectionResponse::Continue
             }
@@ -99,7 +99,7 @@
             }
             Effect::RollBack => {
                 self.pause(now, pause);
-                self.last_good
+                self.last_acknowledged
                     .map_or(RejectionResponse::PauseChanges, RejectionResponse::RollBack)
             }
         }
@@ -145,14 +145,14 @@
             return RejectionResponse::Continue;
         };
         votes.acknowledge(proxy);
-        if !votes.most_acknowledge() {
+        if !votes.majority_acknowledges() {
             return RejectionResponse::Continue;
         }
-        table_set.last_good = table_set.last_good.max(Some(version));
+        table_set.last_acknowledged = table_set.last_acknowledged.max(Some(version));
         if version >= table_set.last_rejected {
             table_set.rejected_in_a_row = 0;
         }
-        table_set.apply(now, Tally::MostAcknowledge, self.pause)
+        table_set.apply(now, Tally::MajorityAcknowledges, self.pause)
     }
 
     /// A client rejected a version.
@@ -168,7 +168,7 @@
             return RejectionResponse::Continue;
         };
         votes.reject(proxy);
-        if votes.most_reject() {
+        if votes.majority_rejects() {
             let tally = table_set.count_rejected(version);
             return table_set.apply(now, tally, self.pause);
         }
@@ -178,7 +178,7 @@
             *rejections = 0;
             return RejectionResponse::RestartStream(proxy);
         }
-        table_set.apply(now, Tally::FewReject, self.pause)
+        table_set.apply(now, Tally::MinorityRejects, self.pause)
     }
 
     /// Until when ordinary changes of a table set are paused, if they are.
--- a/crates/discovery/src/rejection/state.rs
+++ b/crates/discovery/src/rejection/state.rs
@@ -14,11 +14,11 @@
 /// How clients voted on a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Tally {
-    FewReject,
-    MostReject,
+    MinorityRejects,
+    MajorityRejects,
     /// For so many versions in a row that a rollback is due.
-    MostRejectRepeatedly,
-    MostAcknowledge,
+    MajorityRejectsRepeatedly,
+    MajorityAcknowledges,
 }
 
 /// What follows from a tally.
@@ -27,7 +27,7 @@
     None,
     Pause,
     RollBack,
-    Release,
+    Resume,
 }
 
 impl RejectionState {
@@ -35,13 +35,13 @@
     pub(super) fn on_tally(self, tally: Tally) -> (RejectionState, Effect) {
         use RejectionState::{Normal, Paused, RolledBack};
         match (self, tally) {
-            (state, Tally::FewReject) => (state, Effect::None),
-            (Normal, Tally::MostAcknowledge) => (Normal, Effect::None),
-            (Paused | RolledBack, Tally::MostAcknowledge) => (Normal, Effect::Release),
-            (Normal | Paused, Tally::MostReject) => (Paused, Effect::Pause),
-            (Normal | Paused, Tally::MostRejectRepeatedly) => (RolledBack, Effect::RollBack),
+            (state, Tally::MinorityRejects) => (state, Effect::None),
+            (Normal, Tally::MajorityAcknowledges) => (Normal, Effect::None),
+            (Paused | RolledBack, Tally::MajorityAcknowledges) => (Normal, Effect::Resume),
+            (Normal | Paused, Tally::MajorityRejects) => (Paused, Effect::Pause),
+            (Normal | Paused, Tally::MajorityRejectsRepeatedly) => (RolledBack, Effect::RollBack),
             // What was rolled back to is rejected as well: there is nothing better.
-            (RolledBack, Tally::MostReject | Tally::MostRejectRepeatedly) => {
+            (RolledBack, Tally::MajorityRejects | Tally::MajorityRejectsRepeatedly) => {
                 (RolledBack, Effect::Pause)
             }
         }
--- a/crates/discovery/src/rejection/votes.rs
+++ b/crates/discovery/src/rejection/votes.rs
@@ -4,7 +4,7 @@
 use wheelspread::ids::ProxyId;
 
 /// If more than this part of the clients that answered reject a version, the table set is at fault.
-const MAJORITY_FRACTION: f64 = 0.5;
+const MAJORITY_RATIO: f64 = 0.5;
 /// One client alone is no majority.
 const MAJORITY_MIN_CLIENTS: f64 = 2.0;
 
@@ -26,13 +26,13 @@
         self.acknowledged.remove(&proxy);
     }
 
-    pub(super) fn most_reject(&self) -> bool {
+    pub(super) fn majority_rejects(&self) -> bool {
         let acknowledged = self.acknowledged.len() as f64;
         let rejected = self.rejected.len() as f64;
-        rejected >= MAJORITY_MIN_CLIENTS && rejected > MAJORITY_FRACTION * (acknowledged + rejected)
+        rejected >= MAJORITY_MIN_CLIENTS && rejected > MAJORITY_RATIO * (acknowledged + rejected)
     }
 
-    pub(super) fn most_acknowledge(&self) -> bool {
+    pub(super) fn majority_acknowledges(&self) -> bool {
         !self.acknowledged.is_empty() && self.acknowledged.len() > self.rejected.len()
     }
 }
--- a/crates/discovery/src/stream.rs
+++ b/crates/discovery/src/stream.rs
@@ -23,7 +23,7 @@
 /// Buckets of the window that subscription changes are counted in.
 const RATE_WINDOW_BUCKETS: usize = 20;
 /// Characters of an unknown nonce that are reported.
-const REPORTED_NONCE_CHARS: usize = 40;
+const MAX_REPORTED_NONCE_CHARS: usize = 40;
 
 /// The state of one discovery stream.
 #[derive(Debug)]
@@ -89,7 +89,10 @@
     /// The version that the client acknowledged of every type that it subscribes to.
     pub fn acknowledged_version(&self) -> Option<Version> {
         let mut common = None;
-        let active = self.subscriptions.values().filter(|one| one.is_active());
+        let active = self
+            .subscriptions
+            .values()
+            .filter(|subscription| subscription.is_active());
         for subscription in active {
             let ClientResources::Snapshot(held) = &subscription.held else {
                 return None;
@@ -128,7 +131,11 @@
             AckEffect::Reject => reject(subscription, request),
             AckEffect::ReportUnknownNonce => {
                 self.unknown_nonces += 1;
-                let nonce: String = request.nonce.chars().take(REPORTED_NONCE_CHARS).collect();
+                let nonce: String = request
+                    .nonce
+                    .chars()
+                    .take(MAX_REPORTED_NONCE_CHARS)
+                    .collect();
                 RequestOutcome::UnknownNonce(format!(
                     "it speaks of answer `{nonce}`, which it was not sent"
                 ))
@@ -146,7 +153,8 @@
         let last_type = self.last_active_type()?;
         for resource_type in SEND_ORDER {
             let subscription = self.subscriptions.get_mut(&resource_type);
-            let Some(subscription) = subscription.filter(|one| one.is_active()) else {
+            let Some(subscription) = subscription.filter(|subscription| subscription.is_active())
+            else {
                 continue;
             };
             match subscription.progress(&newest) {
@@ -178,7 +186,8 @@
 
     /// Removes what other resources referred to, once everything else is acknowledged.
     fn deferred_removal(&mut self, newest: &Arc<Snapshot>) -> Option<Response> {
-        let awaits_ack = |one: &Subscription| one.is_active() && one.awaits_ack();
+        let awaits_ack =
+            |subscription: &Subscription| subscription.is_active() && subscription.awaits_ack();
         if self.subscriptions.values().any(awaits_ack) {
             return None;
         }
--- a/crates/discovery/src/subscription.rs
+++ b/crates/discovery/src/subscription.rs
@@ -88,11 +88,11 @@
     /// How far it is, compared to the newest snapshot.
     pub(crate) fn progress(&self, newest: &Snapshot) -> Progress {
         let is_newest = |snapshot: &Arc<Snapshot>| snapshot.version == newest.version;
-        let is_sent = self.in_flight.as_ref().is_some_and(is_newest);
+        let is_in_flight = self.in_flight.as_ref().is_some_and(is_newest);
         let is_held = matches!(&self.held, ClientResources::Snapshot(held) if is_newest(held));
         let nothing_pending = self.pending_names.is_empty();
         match self.state {
-            AckState::AwaitingAck if is_sent && nothing_pending => Progress::InFlight,
+            AckState::AwaitingAck if is_in_flight && nothing_pending => Progress::InFlight,
             AckState::AwaitingAck => Progress::Blocked,
             AckState::Idle if self.rejected == Some(newest.version) => Progress::Rejected,
             AckState::Idle if is_held && nothing_pending => Progress::UpToDate,
--- a/crates/proxy/src/report_stream.rs
+++ b/crates/proxy/src/report_stream.rs
@@ -143,7 +143,7 @@
         let State::Dialing(connection) = &mut self.state else {
             return None;
         };
-        let hello = loads::introduce(&self.introduction).encode_to_vec();
+        let hello = loads::identity_request(&self.introduction).encode_to_vec();
         connection.send(&hello);
         connection.push(now).map(StreamError::Connection)
     }
--- a/crates/proxy/src/table_files.rs
+++ b/crates/proxy/src/table_files.rs
@@ -136,7 +136,7 @@
         let status = Status {
             proxy: self.proxy.clone(),
             version: self.version,
-            refused: rejection.map(|rejection| (rejection.version, rejection.reason)),
+            rejected: rejection.map(|rejection| (rejection.version, rejection.reason)),
         };
         let reason = match status::write(&status) {
             Ok(text) => {
--- a/crates/xds/src/discovery.rs
+++ b/crates/xds/src/discovery.rs
@@ -35,7 +35,7 @@
 /// Before `CLUSTER/ZONE/ADDRESS`: one entry.
 pub const ENTRY_PREFIX: &str = "xdstp:///envoy.config.endpoint.v3.LbEndpoint/";
 /// Characters of an unknown type URL that are reported.
-const REPORTED_TYPE_URL_CHARS: usize = 100;
+const MAX_REPORTED_TYPE_URL_CHARS: usize = 100;
 
 const RESOURCE_TYPES: [ResourceType; 5] = [
     ResourceType::Clusters,
@@ -61,7 +61,7 @@
         .into_iter()
         .find(|resource_type| type_url(*resource_type) == url);
     found.ok_or_else(|| {
-        let reported = url.chars().take(REPORTED_TYPE_URL_CHARS).collect();
+        let reported = url.chars().take(MAX_REPORTED_TYPE_URL_CHARS).collect();
         DecodeError::field("type_url", FieldError::UnknownResourceType(reported))
     })
 }
--- a/crates/xds/src/discovery/request.rs
+++ b/crates/xds/src/discovery/request.rs
@@ -12,7 +12,7 @@
 use xds_api::pb::google::rpc;
 
 /// The field of a node's metadata with the version that it holds, where the variant has no other place for it.
-const CLIENT_VERSION: &str = "holds";
+const CLIENT_VERSION_FIELD: &str = "holds";
 /// The status code of a NACK.
 const INVALID_ARGUMENT: i32 = 3;
 /// Characters of a NACK's reason that are kept.
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 pub struct DecodedRequest {
     /// Who introduces itself in it.
-    pub introduction: Option<ProxyIdentity>,
+    pub identity: Option<ProxyIdentity>,
     /// What it requests, acknowledges or rejects.
     pub request: Request,
     /// The version that the client says it holds from another stream.
@@ -43,7 +43,7 @@
         .map(Version)
         .filter(|_| message.response_nonce.is_empty());
     Ok(DecodedRequest {
-        introduction: introduction(message.node.as_ref()),
+        identity: identity(message.node.as_ref()),
         request: Request {
             resource_type: resource_type(&message.type_url)?,
             nonce: message.response_nonce,
@@ -62,7 +62,7 @@
     let message =
         discovery::DeltaDiscoveryRequest::decode(bytes).map_err(DecodeError::message(REQUEST))?;
     Ok(DecodedRequest {
-        introduction: introduction(message.node.as_ref()),
+        identity: identity(message.node.as_ref()),
         client_version: message.node.as_ref().and_then(client_version),
         request: Request {
             resource_type: resource_type(&message.type_url)?,
@@ -89,13 +89,19 @@
     names.into_iter().chain(located).collect()
 }
 
-fn introduction(node: Option<&core::Node>) -> Option<ProxyIdentity> {
+fn identity(node: Option<&core::Node>) -> Option<ProxyIdentity> {
     node.filter(|node| !node.id.is_empty())
-        .map(loads::node_introduction)
+        .map(loads::decode_identity)
 }
 
 fn client_version(node: &core::Node) -> Option<Version> {
-    match node.metadata.as_ref()?.fields.get(CLIENT_VERSION)?.kind {
+    match node
+        .metadata
+        .as_ref()?
+        .fields
+        .get(CLIENT_VERSION_FIELD)?
+        .kind
+    {
         Some(value::Kind::StringValue(ref version)) => version.parse().ok().map(Version),
         _ => None,
     }
@@ -108,7 +114,7 @@
 /// Encodes a request of the incremental variant. The first one of a stream introduces the client, with the version that
 /// it holds.
 pub fn encode_delta_request(
-    introduction: Option<&ProxyIdentity>,
+    identity: Option<&ProxyIdentity>,
     client_version: Option<Version>,
     request: &Request,
 ) -> Vec<u8> {
@@ -132,7 +138,7 @@
         ..rpc::Status::default()
     });
     discovery::DeltaDiscoveryRequest {
-        node: introduction.map(|introduction| introducing_node(introduction, client_version)),
+        node: identity.map(|identity| identity_node(identity, client_version)),
         type_url: type_url(request.resource_type),
         resource_names_subscribe: subscribe,
         resource_names_unsubscribe: unsubscribe,
@@ -144,14 +150,14 @@
     .encode_to_vec()
 }
 
-fn introducing_node(introduction: &ProxyIdentity, client_version: Option<Version>) -> core::Node {
-    let mut node = loads::introducing_node(introduction);
+fn identity_node(identity: &ProxyIdentity, client_version: Option<Version>) -> core::Node {
+    let mut node = loads::encode_identity(identity);
     if let Some(version) = client_version {
         let kind = Some(value::Kind::StringValue(version.0.to_string()));
         let metadata = node.metadata.get_or_insert_default();
         metadata
             .fields
-            .extend([(CLIENT_VERSION.to_string(), Value { kind })]);
+            .extend([(CLIENT_VERSION_FIELD.to_string(), Value { kind })]);
     }
     node
 }
--- a/crates/xds/src/discovery/tests.rs
+++ b/crates/xds/src/discovery/tests.rs
@@ -22,8 +22,8 @@
             subscribe: vec!["quote".into()], unsubscribe: vec!["old".into()],
             initial_versions: [("quote".to_string(), "1".to_string())].into(),
         };
-        let introduction = ProxyIdentity { name: "g1".into(), zone: "north".into(), usual_rate: Some(3.0) };
-        let mut bytes = encode_delta_request(Some(&introduction), Some(Version(7)), &Request { resource_type: ResourceType::Entries, nonce: "4".into(), error: None, body });
+        let identity = ProxyIdentity { name: "g1".into(), zone: "north".into(), usual_rate: Some(3.0) };
+        let mut bytes = encode_delta_request(Some(&identity), Some(Version(7)), &Request { resource_type: ResourceType::Entries, nonce: "4".into(), error: None, body });
         let at = at % bytes.len();
         bytes[at] = to;
         if let Ok(request) = decode_delta_request(&bytes) {
--- a/crates/xds/src/json.rs
+++ b/crates/xds/src/json.rs
@@ -92,13 +92,13 @@
 
 /// Writes canonical JSON: field names in lowerCamelCase, numbers as numbers where they are, 64 bits as text.
 pub fn write<T: Message + Name>(message: &T) -> Result<String, EncodeError> {
-    let named = |reason: String| EncodeError {
+    let error = |reason: String| EncodeError {
         message: T::full_name(),
         reason,
     };
     let bytes = message.encode_to_vec();
     let dynamic = DynamicMessage::decode(descriptor::<T>(), bytes.as_slice())
-        .map_err(|e| named(e.to_string()))?;
+        .map_err(|e| error(e.to_string()))?;
     let mut out = Vec::new();
     let mut to = serde_json::Serializer::pretty(&mut out);
     let options = SerializeOptions::new()
@@ -106,23 +106,23 @@
         .skip_default_fields(true);
     dynamic
         .serialize_with_options(&mut to, &options)
-        .map_err(|e| named(e.to_string()))?;
+        .map_err(|e| error(e.to_string()))?;
     out.push(b'\n');
-    String::from_utf8(out).map_err(|e| named(e.to_string()))
+    String::from_utf8(out).map_err(|e| error(e.to_string()))
 }
 
 /// Reads canonical JSON. Unknown fields are refused: a list with a misspelt health status must not pass for a healthy one.
 pub fn read<T: Message + Name + Default>(text: &str) -> Result<T, DecodeError> {
-    let named = |reason: String| DecodeError::Json {
+    let error = |reason: String| DecodeError::Json {
         message: T::full_name(),
         reason,
     };
     let mut from = serde_json::Deserializer::from_str(text);
     let options = DeserializeOptions::new().deny_unknown_fields(true);
     let dynamic = DynamicMessage::deserialize_with_options(descriptor::<T>(), &mut from, &options)
-        .map_err(|e| named(e.to_string()))?;
-    from.end().map_err(|e| named(e.to_string()))?;
-    T::decode(dynamic.encode_to_vec().as_slice()).map_err(|e| named(e.to_string()))
+        .map_err(|e| error(e.to_string()))?;
+    from.end().map_err(|e| error(e.to_string()))?;
+    T::decode(dynamic.encode_to_vec().as_slice()).map_err(|e| error(e.to_string()))
 }
 
 /// A response that holds resources of one type.
--- a/crates/xds/src/loads.rs
+++ b/crates/xds/src/loads.rs
@@ -20,7 +20,7 @@
 /// The metric of a zone that counts retries, where a proxy tells them from first attempts.
 const RETRIES_METRIC: &str = "repeats";
 /// The field of a node's metadata that says how many requests a second it usually forwards.
-const USUAL_RATE: &str = "usual_rate";
+const USUAL_RATE_FIELD: &str = "usual_rate";
 /// The report interval of a response that states none.
 const DEFAULT_INTERVAL: Duration = Duration {
     seconds: 1,
@@ -51,16 +51,16 @@
 }
 
 /// Who introduces itself in a request, if anybody does.
-pub fn introduction(request: &LoadStatsRequest) -> Option<ProxyIdentity> {
-    request.node.as_ref().map(node_introduction)
+pub fn identity(request: &LoadStatsRequest) -> Option<ProxyIdentity> {
+    request.node.as_ref().map(decode_identity)
 }
 
 /// How a node introduces itself, on whichever stream.
-pub(crate) fn node_introduction(node: &core::Node) -> ProxyIdentity {
+pub(crate) fn decode_identity(node: &core::Node) -> ProxyIdentity {
     let usual_rate = node
         .metadata
         .as_ref()
-        .and_then(|metadata| metadata.fields.get(USUAL_RATE))
+        .and_then(|metadata| metadata.fields.get(USUAL_RATE_FIELD))
         .and_then(|value| value.kind.as_ref());
     let zone = node
         .locality
@@ -77,25 +77,25 @@
 }
 
 /// The node by which a proxy introduces itself, on whichever stream.
-pub(crate) fn introducing_node(introduction: &ProxyIdentity) -> core::Node {
-    let metadata = introduction.usual_rate.map(|rate| {
+pub(crate) fn encode_identity(identity: &ProxyIdentity) -> core::Node {
+    let metadata = identity.usual_rate.map(|rate| {
         let kind = Some(Kind::NumberValue(rate));
         Struct {
-            fields: [(USUAL_RATE.to_string(), Value { kind })].into(),
+            fields: [(USUAL_RATE_FIELD.to_string(), Value { kind })].into(),
         }
     });
     core::Node {
-        id: introduction.name.clone(),
+        id: identity.name.clone(),
         metadata,
-        locality: Some(locality(&introduction.zone)),
+        locality: Some(locality(&identity.zone)),
         ..core::Node::default()
     }
 }
 
 /// The first request of a stream, from a proxy that introduces itself.
-pub fn introduce(introduction: &ProxyIdentity) -> LoadStatsRequest {
+pub fn identity_request(identity: &ProxyIdentity) -> LoadStatsRequest {
     LoadStatsRequest {
-        node: Some(introducing_node(introduction)),
+        node: Some(encode_identity(identity)),
         cluster_stats: Vec::new(),
     }
 }
--- a/crates/xds/src/loads/tests.rs
+++ b/crates/xds/src/loads/tests.rs
@@ -41,24 +41,21 @@
     #[test]
     fn arbitrary_bytes_are_decoded_or_refused_without_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         if let Ok(request) = decode_request(&bytes) {
-            let _ = (introduction(&request), report(&request));
+            let _ = (identity(&request), report(&request));
         }
         let _ = decode_response(&bytes);
     }
 }
 
 #[test]
-fn an_introduction_and_an_interval_are_decoded_as_they_were_encoded() {
+fn a_proxy_identity_and_an_interval_are_decoded_as_they_were_encoded() {
     let who = ProxyIdentity {
         name: "g1".into(),
         zone: "north".into(),
         usual_rate: Some(12.5),
     };
-    let request = introduce(&who);
-    assert_eq!(
-        (introduction(&request), report(&request)),
-        (Some(who), None)
-    );
+    let request = identity_request(&who);
+    assert_eq!((identity(&request), report(&request)), (Some(who), None));
     assert_eq!(
         decode_response(&response(Span::from_seconds(0.5))),
         Ok(Span::from_seconds(0.5))
--- a/crates/xds/src/nodes.rs
+++ b/crates/xds/src/nodes.rs
@@ -15,7 +15,7 @@
 use xds_api::pb::google::protobuf::{value::Kind, Struct, Value};
 
 /// The filter metadata that describes a node.
-pub const METADATA: &str = "envoy.lb";
+pub const METADATA_FILTER: &str = "envoy.lb";
 /// The cluster that a written list is in.
 const CLUSTER: &str = "nodes";
 const KIND: &str = "kind";
@@ -103,7 +103,7 @@
 impl<'a> NodeMetadata<'a> {
     fn of(entry: &'a endpoint::LbEndpoint) -> NodeMetadata<'a> {
         let metadata = entry.metadata.as_ref();
-        NodeMetadata(metadata.and_then(|metadata| metadata.filter_metadata.get(METADATA)))
+        NodeMetadata(metadata.and_then(|metadata| metadata.filter_metadata.get(METADATA_FILTER)))
     }
 
     fn value(&self, name: &str) -> Option<&Kind> {
@@ -155,7 +155,7 @@
     endpoint::LbEndpoint {
         health_status: health_status.into(),
         metadata: Some(core::Metadata {
-            filter_metadata: [(METADATA.to_string(), encode_metadata(record))].into(),
+            filter_metadata: [(METADATA_FILTER.to_string(), encode_metadata(record))].into(),
             ..core::Metadata::default()
         }),
         load_balancing_weight: Some((record.weight as u32).max(1).into()),
--- a/crates/xds/src/orca.rs
+++ b/crates/xds/src/orca.rs
@@ -6,11 +6,11 @@
 /// The name of the header.
 pub const HEADER: &str = "endpoint-load-metrics";
 /// Figures of a header that are read at most.
-const MAX_FIGURES: usize = 32;
+const MAX_METRICS: usize = 32;
 
-/// Writes figures as a `TEXT` report.
-pub fn write(figures: &[(&str, f64)]) -> String {
-    let pairs: Vec<String> = figures
+/// Writes metrics as a `TEXT` report.
+pub fn write(metrics: &[(&str, f64)]) -> String {
+    let pairs: Vec<String> = metrics
         .iter()
         .map(|(name, value)| format!("{name}={value}"))
         .collect();
@@ -28,7 +28,7 @@
             };
             pairs
                 .split(',')
-                .take(MAX_FIGURES)
+                .take(MAX_METRICS)
                 .filter_map(pair)
                 .filter(is_valid)
                 .collect()
@@ -37,21 +37,21 @@
             let Ok(serde_json::Value::Object(fields)) = serde_json::from_str(text) else {
                 return BTreeMap::new();
             };
-            let mut figures = BTreeMap::new();
-            for (name, value) in fields.iter().take(MAX_FIGURES) {
-                let inner = value.as_object().into_iter().flatten().take(MAX_FIGURES);
+            let mut metrics = BTreeMap::new();
+            for (name, value) in fields.iter().take(MAX_METRICS) {
+                let inner = value.as_object().into_iter().flatten().take(MAX_METRICS);
                 let inner = inner.filter_map(|(key, value)| {
                     Some((format!("{}.{key}", to_snake_case(name)), value.as_f64()?))
                 });
-                figures.extend(inner.filter(is_valid));
-                figures.extend(
+                metrics.extend(inner.filter(is_valid));
+                metrics.extend(
                     value
                         .as_f64()
                         .map(|value| (to_snake_case(name), value))
                         .filter(is_valid),
                 );
             }
-            figures
+            metrics
         }
         _ => BTreeMap::new(),
     }
--- a/crates/xds/src/orca/tests.rs
+++ b/crates/xds/src/orca/tests.rs
@@ -10,13 +10,13 @@
 #[test_case("TEXT cpu_utilization=NaN,named_metrics.queue=", &[]; "no numbers")]
 #[test_case("BIN AAAA", &[]; "a form that is not read")]
 #[test_case("JSON {", &[]; "torn")]
-fn valid_figures_are_read_and_others_are_skipped(header: &str, wanted: &[f64]) {
-    let figures = read(header);
+fn valid_metrics_are_read_and_others_are_skipped(header: &str, wanted: &[f64]) {
+    let metrics = read(header);
     let found: Vec<f64> = ["cpu_utilization", "named_metrics.queue"]
         .iter()
-        .filter_map(|name| figures.get(*name).copied())
+        .filter_map(|name| metrics.get(*name).copied())
         .collect();
-    assert_eq!(found, wanted, "{figures:?}");
+    assert_eq!(found, wanted, "{metrics:?}");
 }
 
 #[test]
--- a/crates/xds/src/status.rs
+++ b/crates/xds/src/status.rs
@@ -17,12 +17,12 @@
     /// The version in force; 0: none yet.
     pub version: Version,
     /// The version that it rejected last, and why.
-    pub refused: Option<(Version, String)>,
+    pub rejected: Option<(Version, String)>,
 }
 
 /// Writes a status as JSON.
 pub fn write(status: &Status) -> Result<String, EncodeError> {
-    let outcome = match status.refused {
+    let outcome = match status.rejected {
         None => ClientResourceStatus::Acked,
         Some(_) => ClientResourceStatus::Nacked,
     };
@@ -40,7 +40,7 @@
             type_url: ClusterLoadAssignment::type_url(),
             version_info: status.version.0.to_string(),
             client_status: outcome.into(),
-            error_state: status.refused.as_ref().map(failure),
+            error_state: status.rejected.as_ref().map(failure),
             ..GenericXdsConfig::default()
         }],
         ..ClientConfig::default()
@@ -62,7 +62,7 @@
         .find(|config| config.type_url == expected_type);
     let endpoints =
         endpoints.ok_or_else(|| DecodeError::field("status", FieldError::NoEndpointStatus))?;
-    let refused = match &endpoints.error_state {
+    let rejected = match &endpoints.error_state {
         Some(failure) => Some((
             parse_version(&failure.version_info)?,
             failure.details.clone(),
@@ -72,7 +72,7 @@
     Ok(Status {
         proxy,
         version: parse_version(&endpoints.version_info)?,
-        refused,
+        rejected,
     })
 }
 
--- a/crates/xds/src/status/tests.rs
+++ b/crates/xds/src/status/tests.rs
@@ -10,7 +10,7 @@
           "errorState": {"versionInfo": "42", "details": "no route"}}]}"#;
     let status = read(text).expect("it is of the published form");
     assert_eq!(status.version, Version(41));
-    assert_eq!(status.refused, Some((Version(42), "no route".to_string())));
+    assert_eq!(status.rejected, Some((Version(42), "no route".to_string())));
     assert_eq!(read(&write(&status).expect("written")), Ok(status));
     assert!(read("{}").is_err() && read(&text.replace("\"41\"", "\"x\"")).is_err());
 }
--- a/crates/xds/src/tables.rs
+++ b/crates/xds/src/tables.rs
@@ -23,7 +23,7 @@
 pub use recover::recover;
 
 /// Weights are whole numbers on the wire: so many to one of ours.
-const WEIGHT_UNIT: f64 = 1000.0;
+const WEIGHT_SCALE: f64 = 1000.0;
 /// Drop percentages are counted in millionths.
 const MILLION: f64 = 1e6;
 /// The route's filter that limits rates.
--- a/crates/xds/src/tables/decode.rs
+++ b/crates/xds/src/tables/decode.rs
@@ -1,7 +1,7 @@
 //! Tables as a proxy reads them out of `ClusterLoadAssignment`s and `RouteConfiguration`s.
 
 use super::retry_conditions::policy;
-use super::{ProxyTable, ProxyTables, LOCAL_RATE_LIMIT, MILLION, WEIGHT_UNIT};
+use super::{ProxyTable, ProxyTables, LOCAL_RATE_LIMIT, MILLION, WEIGHT_SCALE};
 use crate::convert::{entry_node, span, zone_of};
 use crate::json::LocalRateLimit;
 use crate::{DecodeError, FieldError};
@@ -75,7 +75,7 @@
             entries.push(TableEntry {
                 node: entry_node(entry)?,
                 zone: zone_of(group).to_string(),
-                weight: f64::from(weight) / WEIGHT_UNIT,
+                weight: f64::from(weight) / WEIGHT_SCALE,
             });
         }
     }
--- a/crates/xds/src/tables/encode.rs
+++ b/crates/xds/src/tables/encode.rs
@@ -1,7 +1,7 @@
 //! Tables as `ClusterLoadAssignment`s and a `RouteConfiguration`.
 
 use super::retry_conditions::conditions;
-use super::{LOCAL_RATE_LIMIT, MILLION, WEIGHT_UNIT};
+use super::{LOCAL_RATE_LIMIT, MILLION, WEIGHT_SCALE};
 use crate::convert::{duration, host_identifier, locality_groups};
 use crate::json::LocalRateLimit;
 use prost::{Message, Name};
@@ -23,9 +23,9 @@
 /// The route configuration that has a route for each operation.
 pub const ALL_OPERATIONS: &str = "operations";
 /// The category of drops and the prefix of rate limit metrics.
-const ADMISSION: &str = "admission";
+const ADMISSION_CATEGORY: &str = "admission";
 /// A retry goes to another host.
-const OTHER_HOST: &str = "envoy.retry_host_predicates.previous_hosts";
+const PREVIOUS_HOSTS_PREDICATE: &str = "envoy.retry_host_predicates.previous_hosts";
 const MAX_WEIGHT: f64 = 1e9;
 const MAX_TOKENS: f64 = 4e9;
 /// From this rate on a bucket is filled each second.
@@ -94,7 +94,7 @@
 }
 
 fn encode_entry(entry: &TableEntry) -> endpoint::LbEndpoint {
-    let weight = (entry.weight * WEIGHT_UNIT).round().clamp(1.0, MAX_WEIGHT) as u32;
+    let weight = (entry.weight * WEIGHT_SCALE).round().clamp(1.0, MAX_WEIGHT) as u32;
     endpoint::LbEndpoint {
         health_status: core::HealthStatus::Healthy.into(),
         load_balancing_weight: Some(weight.into()),
@@ -105,7 +105,7 @@
 
 fn encode_drops(admission_ratio: f64) -> Policy {
     let drops = DropOverload {
-        category: ADMISSION.to_string(),
+        category: ADMISSION_CATEGORY.to_string(),
         drop_percentage: Some(FractionalPercent {
             numerator: ((1.0 - admission_ratio.max(0.0)) * MILLION).round() as u32,
             denominator: DenominatorType::Million.into(),
@@ -160,7 +160,7 @@
             .has_attempt_timeout
             .then(|| duration(attempt_timeout)),
         retry_host_predicate: vec![route::retry_policy::RetryHostPredicate {
-            name: OTHER_HOST.to_string(),
+            name: PREVIOUS_HOSTS_PREDICATE.to_string(),
             ..Default::default()
         }],
         ..route::RetryPolicy::default()
@@ -176,7 +176,7 @@
     };
     let tokens = (rate * seconds).round().clamp(0.0, MAX_TOKENS) as u32;
     let limit = LocalRateLimit {
-        stat_prefix: ADMISSION.to_string(),
+        stat_prefix: ADMISSION_CATEGORY.to_string(),
         token_bucket: Some(TokenBucket {
             max_tokens: tokens.max(1),
             tokens_per_fill: Some(tokens.max(1).into()),
--- a/crates/xds/tests/wire_form.rs
+++ b/crates/xds/tests/wire_form.rs
@@ -124,7 +124,7 @@
 
 #[test]
 fn requests_keep_their_bytes() {
-    let introduction = ProxyIdentity {
+    let identity = ProxyIdentity {
         name: "g1".into(),
         zone: "north".into(),
         usual_rate: None,
@@ -139,7 +139,7 @@
             initial_versions: [("quote".to_string(), "1".to_string())].into(),
         },
     };
-    let message = discovery::encode_delta_request(Some(&introduction), Some(Version(7)), &request);
+    let message = discovery::encode_delta_request(Some(&identity), Some(Version(7)), &request);
     assert_eq!(checksum(message), "b85b738f99348270e6233aeac68e905e");
 }
 
@@ -169,14 +169,14 @@
         }],
     };
     let request = loads::request(&report, |node| format!("zone-{}", node.errored));
-    let introduction = ProxyIdentity {
+    let identity = ProxyIdentity {
         name: "g1".into(),
         zone: "north".into(),
         usual_rate: Some(12.5),
     };
     let encoded = [
         prost::Message::encode_to_vec(&request),
-        prost::Message::encode_to_vec(&loads::introduce(&introduction)),
+        prost::Message::encode_to_vec(&loads::identity_request(&identity)),
         loads::response(Span::from_seconds(0.25)),
     ];
     assert_eq!(
@@ -215,10 +215,10 @@
 
 #[test]
 fn statuses_keep_their_bytes() {
-    let status = |refused| status::Status {
+    let status = |rejected| status::Status {
         proxy: "g1".into(),
         version: Version(41),
-        refused,
+        rejected,
     };
     let accepted = status::write(&status(None)).expect("written");
     let rejected = status::write(&status(Some((Version(42), "no route".into())))).expect("written");
