--- a/crates/discovery/src/ack.rs
+++ b/crates/discovery/src/ack.rs
@@ -1,55 +1,55 @@
-//! The ACK state of a subscription: what a request's nonce means, by whether a response is in flight.
+//! The ACK state of a subscription: how a request's nonce is interpreted, depending on whether a response is in flight.
 
-/// Whether a response of a type is in flight. There is one at most.
+/// Whether a response of a resource type is in flight. There is at most one per type.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AckState {
-    /// Every response was acknowledged or rejected.
+    /// No response is in flight: each was acknowledged or rejected.
     Idle,
     /// One response is in flight.
     AwaitingAck,
 }
 
-/// What a request's nonce refers to.
+/// The response that a request's nonce refers to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NonceKind {
-    /// It has none.
+    /// The request has no nonce.
     Empty,
-    /// The last response of the type, without an error.
+    /// The last response of the type; the request has no error.
     Latest,
-    /// The last response of the type, with an error.
+    /// The last response of the type; the request has an error.
     LatestWithError,
-    /// An earlier response of the stream.
+    /// An earlier response of the stream, of any type.
     Older,
     /// No response of the stream.
     Unknown,
 }
 
-/// What follows from a request.
+/// How the server handles a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AckEffect {
-    /// Only its subscriptions count.
+    /// The request only updates subscriptions.
     Subscribe,
-    /// The response in flight was applied.
+    /// The client applied the response in flight (ACK).
     Acknowledge,
-    /// The response in flight was not applied.
+    /// The client rejected the response in flight (NACK).
     Reject,
-    /// The request was overtaken by a response.
+    /// The request is stale: a later response has been sent since.
     Ignore,
-    /// The client refers to a response that it was not sent.
+    /// The request refers to a response that was not sent on this stream.
     ReportUnknownNonce,
 }
 
 impl AckState {
-    /// The state after a request with such a nonce, and what follows from it.
+    /// Returns the state after a request with a nonce of this kind, and how to handle the request.
     pub(crate) fn on_request(self, nonce: NonceKind) -> (AckState, AckEffect) {
         use AckEffect::{Acknowledge, Ignore, Reject, ReportUnknownNonce, Subscribe};
         use AckState::{AwaitingAck, Idle};
         match (self, nonce) {
-            // While a response is in flight: the client subscribes to more before it has taken that.
+            // A client may add subscriptions while a response is in flight; this does not acknowledge the response.
             (state, NonceKind::Empty) => (state, Subscribe),
             (AwaitingAck, NonceKind::Latest) => (Idle, Acknowledge),
             (AwaitingAck, NonceKind::LatestWithError) => (Idle, Reject),
-            // With the nonce of a response that it acknowledged, a client changes its subscriptions.
+            // A request that repeats the nonce of an acknowledged response changes subscriptions.
             (Idle, NonceKind::Latest) => (Idle, Subscribe),
             (Idle, NonceKind::LatestWithError) => (Idle, ReportUnknownNonce),
             (state, NonceKind::Older) => (state, Ignore),
--- a/crates/discovery/src/delta_client.rs
+++ b/crates/discovery/src/delta_client.rs
@@ -1,8 +1,8 @@
-//! A client of the incremental variant, without its socket: what it requests, what it applies, and when everything
-//! that it holds is of one version.
+//! The client of the incremental variant, without its socket: its requests, the deltas that it applies, and the
+//! detection that all resources it holds are of one version.
 //!
-//! Types come one after the other; nothing is in force before the last type of a version has come, so that no request
-//! meets entries of one version and routes of another.
+//! Resource types arrive one after the other. A version takes effect once its last type has arrived, so that no request
+//! is forwarded with the entries of one version and the routes of another.
 
 use crate::message::Request;
 use crate::resource::ResourceType;
@@ -11,19 +11,19 @@
 use wheelspread_controller_core::publication::Version;
 
 /// The reason of a NACK for a type that the client has no subscription to.
-const NOT_SUBSCRIBED: &str = "this kind was not asked for";
+const NOT_SUBSCRIBED: &str = "the resource type is not subscribed to";
 
 /// The names of one type that a client subscribes to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TypeSubscription {
-    /// The type.
+    /// The resource type.
     pub resource_type: ResourceType,
-    /// Names and patterns.
+    /// Names and patterns subscribed to.
     pub names: Vec<String>,
 }
 
 impl TypeSubscription {
-    /// A subscription to these names of a type.
+    /// Creates a subscription to these names of a type.
     pub fn new(resource_type: ResourceType, names: Vec<String>) -> TypeSubscription {
         TypeSubscription {
             resource_type,
@@ -32,27 +32,28 @@
     }
 }
 
-/// A response of the incremental variant, as the client's state depends on it.
+/// The fields of a response of the incremental variant that the client's state depends on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DeltaResponse {
-    /// The type of its resources.
+    /// The type of the resources.
     pub resource_type: ResourceType,
-    /// To be named in the ACK or NACK.
+    /// The nonce, which the ACK or NACK repeats.
     pub nonce: String,
-    /// The version that it leads to.
+    /// The version that the client holds once the update is applied; `None` if the response states none.
     pub version: Option<Version>,
-    /// What changes.
+    /// The changed and removed resources.
     pub update: DeltaUpdate,
 }
 
-/// What came of a response.
+/// The result of handling a response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ResponseOutcome {
-    /// The ACK or NACK to be sent.
+    /// The ACK or NACK to send.
     pub reply: Request,
-    /// All types are of this version now.
+    /// The version that is now complete: all types are of this version.
     pub completed_version: Option<Version>,
-    /// Set if the response does not fit what is held: the stream has to be opened again, and everything requested.
+    /// Set if the delta could not be applied: the reason to reopen the stream and request all resources of the type
+    /// again.
     pub restart_reason: Option<String>,
 }
 
@@ -71,17 +72,17 @@
     }
 }
 
-/// A client of the incremental variant.
+/// The client of the incremental variant.
 #[derive(Clone, Debug)]
 pub struct DeltaClient {
-    /// In the order in which types come; the last one completes a version.
+    /// In the order in which types arrive; the last type completes a version.
     subscriptions: Vec<TypeSubscription>,
     stores: BTreeMap<ResourceType, ResourceStore>,
     version: Option<Version>,
 }
 
 impl DeltaClient {
-    /// A client that holds nothing. The last subscription is the one that completes a version.
+    /// Creates a client without resources. The type of the last subscription completes a version.
     pub fn new(subscriptions: Vec<TypeSubscription>) -> DeltaClient {
         DeltaClient {
             subscriptions,
@@ -90,7 +91,7 @@
         }
     }
 
-    /// The last version that was complete and valid.
+    /// The last version that was complete and passed validation.
     pub fn version(&self) -> Option<Version> {
         self.version
     }
@@ -104,7 +105,7 @@
             .map(|(name, resource)| (name.as_str(), &resource.bytes[..]))
     }
 
-    /// Identifies all that is held: the same wherever the same is held.
+    /// A fingerprint of all held resources, equal for clients that hold the same resources.
     pub fn fingerprint(&self) -> String {
         let checksums = self
             .stores
@@ -113,7 +114,7 @@
         checksums.collect::<Vec<_>>().join("-")
     }
 
-    /// The requests that open a stream: names, and versions of what is held already.
+    /// The requests that open a stream: subscribed names, and the versions of the resources already held.
     pub fn initial_requests(&self) -> Vec<Request> {
         let request = |subscription: &TypeSubscription| {
             let resource_type = subscription.resource_type;
@@ -124,7 +125,8 @@
         self.subscriptions.iter().map(request).collect()
     }
 
-    /// Applies a response. `validate` is called once a version is complete, with what would then be held.
+    /// Applies a response. Once a version is complete, `validate` is called with the client as it would be; on an error
+    /// the response is rejected and the resources of its type are restored.
     pub fn handle_response<E: ToString>(
         &mut self,
         response: &DeltaResponse,
--- a/crates/discovery/src/delta_client/tests.rs
+++ b/crates/discovery/src/delta_client/tests.rs
@@ -1,4 +1,4 @@
-//! A client of the incremental variant against the server's side of the protocol.
+//! The client of the incremental variant, connected to the server side of the protocol.
 
 use super::*;
 use crate::resource::Resource;
@@ -43,7 +43,7 @@
     server.acknowledged_version(STREAM).map(|held| held.version)
 }
 
-/// Passes responses on until none comes; returns the versions that came into force.
+/// Passes responses to the client until the server has none; returns the versions that were completed.
 fn exchange(server: &mut DiscoveryStreams, client: &mut DeltaClient, valid: bool) -> Vec<Version> {
     let now = Moment::from_seconds(1.0);
     let mut completed = Vec::new();
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_version_is_in_force_once_its_last_type_has_come_though_only_entries_changed() {
+fn a_version_is_completed_by_its_last_type_even_if_only_entries_changed() {
     let (mut server, mut client) = (server(), client());
     for request in client.initial_requests() {
         server.handle_request(Moment::from_seconds(0.0), STREAM, &request);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_delta_with_a_wrong_checksum_restarts_the_stream_from_nothing() {
+fn a_delta_with_a_wrong_checksum_restarts_the_stream_without_resources() {
     let mut client = client();
     let corrupt = DeltaResponse {
         resource_type: ResourceType::Entries,
@@ -133,5 +133,5 @@
     assert!(outcome
         .reply
         .error
-        .is_some_and(|error| error.contains("not asked for")));
+        .is_some_and(|error| error.contains("not subscribed to")));
 }
--- a/crates/discovery/src/discovery_streams.rs
+++ b/crates/discovery/src/discovery_streams.rs
@@ -1,5 +1,5 @@
-//! All discovery streams of a controller: which proxy is on which, what each was offered, who holds which version since
-//! when, and what follows from rejections.
+//! All discovery streams of a controller: the proxy of each stream, the snapshot offered to it, the version that its
+//! client acknowledged and when, and the reaction to rejections.
 
 use crate::message::{Request, RequestOutcome, Response};
 use crate::rejection::{RejectionResponse, RejectionTracker};
@@ -13,25 +13,27 @@
 use wheelspread_controller_core::membership::StreamId;
 use wheelspread_controller_core::publication::{BundleId, Version};
 
-/// What discovery streams cost at most.
+/// Limits on discovery streams.
 #[derive(Clone, Copy, Debug)]
 pub struct DiscoveryLimits {
-    /// Versions whose deltas are cached.
+    /// How many versions have room for their deltas in the cache.
     pub cached_versions: usize,
-    /// Changes of a stream's subscriptions within `subscription_change_window`.
+    /// The maximum number of subscription changes of a stream within `subscription_change_window`. Above it, responses
+    /// wait.
     pub max_subscription_changes: u32,
-    /// The window that `max_subscription_changes` is about.
+    /// The window over which subscription changes are counted.
     pub subscription_change_window: Span,
-    /// A response that is not acknowledged or rejected for so long ends the stream.
+    /// If a client has had responses in flight without interruption for longer than this, it counts as unresponsive.
     pub ack_timeout: Span,
-    /// How long ordinary changes of a table set wait after most clients rejected one.
+    /// How long ordinary changes of a table set are paused after a majority of clients rejected a version; the pause
+    /// doubles with each further rejected version.
     pub rejection_pause: Span,
 }
 
-/// What happened on a stream.
+/// An event on a stream.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StreamEvent {
-    /// The client holds this version of every type that it subscribes to.
+    /// The client acknowledged this version for every type that it subscribes to.
     VersionAcknowledged {
         /// The client.
         proxy: ProxyId,
@@ -46,21 +48,21 @@
         version: Version,
         /// The client's reason.
         reason: String,
-        /// What is to be done.
+        /// How the controller has to react.
         response: RejectionResponse,
     },
-    /// The client referred to a response that it was not sent.
+    /// A request referred to a response that was not sent on its stream.
     UnknownNonce {
         /// The client.
         proxy: ProxyId,
-        /// What it referred to.
+        /// The description of the unknown nonce.
         text: String,
     },
     /// The stream has to be closed.
     CloseRequired {
         /// The stream.
         stream: StreamId,
-        /// The reason, for the client.
+        /// The reason, which is sent to the client.
         reason: String,
     },
 }
@@ -78,7 +80,7 @@
 struct OpenStream {
     proxy: ProxyId,
     stream: Stream,
-    /// The last one that was reported.
+    /// The last acknowledged version that was reported.
     acknowledged: Option<AcknowledgedVersion>,
     awaiting_ack_since: Option<Moment>,
 }
@@ -93,11 +95,11 @@
     stale_requests: u64,
 }
 
-/// A client that refers to more responses that it was not sent has its stream closed.
+/// A stream is closed after more requests than this with an unknown nonce.
 const MAX_UNKNOWN_NONCES: u32 = 10;
 
 impl DiscoveryStreams {
-    /// No streams, with these limits.
+    /// Creates the state of a controller without open streams.
     pub fn new(limits: DiscoveryLimits) -> DiscoveryStreams {
         DiscoveryStreams {
             cache: SnapshotCache::new(limits.cached_versions),
@@ -108,7 +110,7 @@
         }
     }
 
-    /// A proxy opened a stream.
+    /// Adds a stream that a proxy opened.
     pub fn open(&mut self, stream: StreamId, proxy: ProxyId) {
         let limits = &self.limits;
         let opened = OpenStream {
@@ -123,7 +125,7 @@
         self.streams.insert(stream, opened);
     }
 
-    /// A stream ended.
+    /// Removes a stream that ended.
     pub fn close(&mut self, stream: StreamId) {
         if let Some(closed) = self.streams.remove(&stream) {
             self.rejections.remove_proxy(closed.proxy);
@@ -135,17 +137,17 @@
         self.streams.is_empty()
     }
 
-    /// The newest snapshots.
+    /// The newest snapshots and cached deltas.
     pub fn cache(&self) -> &SnapshotCache {
         &self.cache
     }
 
-    /// Requests that were ignored because a later response had overtaken them.
+    /// The number of requests that were stale: their nonce was not that of the last response of the type.
     pub fn stale_requests(&self) -> u64 {
         self.stale_requests
     }
 
-    /// The version that a stream's client holds, and since when.
+    /// The last version that a stream's client acknowledged, and when.
     pub fn acknowledged_version(&self, stream: StreamId) -> Option<AcknowledgedVersion> {
         self.streams.get(&stream)?.acknowledged
     }
@@ -158,12 +160,12 @@
         }
     }
 
-    /// Until when ordinary changes of a table set are paused, if they are.
+    /// The time until which ordinary changes of a table set are paused; `None` if they are not.
     pub fn changes_paused_until(&self, bundle: BundleId) -> Option<Moment> {
         self.rejections.changes_paused_until(bundle)
     }
 
-    /// Streams whose next response waits because subscriptions changed too often.
+    /// Streams whose next response waits because their subscriptions changed too often.
     pub fn rate_limited_streams(&self) -> Vec<StreamId> {
         self.streams
             .iter()
@@ -172,7 +174,7 @@
             .collect()
     }
 
-    /// Streams whose client did not acknowledge in time what it was sent.
+    /// Streams whose client has had responses in flight for longer than `ack_timeout`.
     pub fn unresponsive_streams(&self, now: Moment) -> Vec<StreamId> {
         let is_late = |open: &OpenStream| {
             open.awaiting_ack_since
@@ -185,7 +187,7 @@
             .collect()
     }
 
-    /// Handles a request of a stream.
+    /// Handles a request on a stream and returns the events that it causes.
     pub fn handle_request(
         &mut self,
         now: Moment,
@@ -233,7 +235,7 @@
         if response == RejectionResponse::RestartStream(proxy) {
             events.push(StreamEvent::CloseRequired {
                 stream: id,
-                reason: format!("it goes on refusing: {reason}"),
+                reason: format!("the client rejected several versions in a row: {reason}"),
             });
         }
     }
@@ -245,7 +247,7 @@
         if open.stream.subscribed_names() > MAX_SUBSCRIBED_NAMES {
             events.push(StreamEvent::CloseRequired {
                 stream: id,
-                reason: format!("more than {MAX_SUBSCRIBED_NAMES} names asked for"),
+                reason: format!("more than {MAX_SUBSCRIBED_NAMES} resource names subscribed to"),
             });
         }
         if !open.stream.awaits_ack() {
@@ -254,7 +256,7 @@
         self.report_acknowledged(now, id, events);
     }
 
-    /// The next response of a stream that can be written to.
+    /// Returns the next response of a stream whose connection is writable, if one is due.
     pub fn next_response(
         &mut self,
         now: Moment,
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -1,16 +1,16 @@
 //! Protocol state of xDS discovery streams, without sockets, serialized messages or a clock.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | [`discovery_streams`] | the server: all streams of a controller, and the events that follow from requests |
-//! | [`stream`] | one stream: which response is due next, and what a request means |
-//! | [`message`] | requests and responses |
-//! | [`resource`], [`snapshot`] | resources, and all of one version |
-//! | [`resource_delta`], [`snapshot_cache`] | what differs between two snapshots, computed once for all clients |
-//! | [`rejection`] | what follows from NACKs |
+//! | [`discovery_streams`] | the server: all streams of a controller, and the events caused by requests |
+//! | [`stream`] | one stream: the next response, and the interpretation of requests |
+//! | [`message`] | requests and responses, independent of their encoding |
+//! | [`resource`], [`snapshot`] | resources, and the set of all resources of one version |
+//! | [`resource_delta`], [`snapshot_cache`] | the difference between two snapshots, computed once for all clients |
+//! | [`rejection`] | the reaction to NACKs: pauses, restarts and rollbacks |
 //! | [`delta_client`], [`resource_store`] | the client of the incremental variant |
 //!
-//! Whoever owns the sockets decodes a message into a [`Request`], and encodes a [`Response`].
+//! The owner of the sockets decodes messages into a [`Request`] and encodes each [`Response`].
 
 mod ack;
 pub mod delta_client;
--- a/crates/discovery/src/message.rs
+++ b/crates/discovery/src/message.rs
@@ -1,16 +1,16 @@
-//! Requests and responses of discovery streams, as far as the protocol's state depends on them.
+//! The fields of discovery requests and responses that the protocol's state depends on.
 
 use crate::resource::{Checksum, Resource, ResourceName, ResourceType};
 use crate::snapshot_cache::DeltaKey;
 use std::collections::BTreeMap;
 use wheelspread_controller_core::publication::Version;
 
-/// A discovery request: a subscription, an ACK, a NACK, or several of these at once.
+/// A discovery request: a subscription, an ACK or a NACK, or a subscription combined with one of them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// The type it is about.
+    /// The resource type of the request.
     pub resource_type: ResourceType,
-    /// The nonce of the response that it acknowledges or rejects; empty in the first request of a type.
+    /// The nonce of the response that the request acknowledges or rejects; empty in the first request of a type.
     pub nonce: String,
     /// Why the client rejected that response (`error_detail`).
     pub error: Option<String>,
@@ -21,26 +21,26 @@
 /// What differs between the two variants of the protocol.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestBody {
-    /// State of the world: every request names all that is subscribed to.
+    /// State of the world: every request lists all names subscribed to.
     StateOfTheWorld {
         /// All names subscribed to.
         names: Vec<String>,
         /// The version that the client holds.
         version: String,
     },
-    /// Incremental: requests name what changes.
+    /// Incremental: requests list the changes of the subscription.
     Delta {
-        /// Names subscribed to in addition.
+        /// Names added to the subscription.
         subscribe: Vec<String>,
-        /// Names that are dropped.
+        /// Names removed from the subscription.
         unsubscribe: Vec<String>,
-        /// Versions of resources that the client holds from an earlier stream, by name.
+        /// Versions, by name, of the resources that the client holds from an earlier stream.
         initial_versions: BTreeMap<String, String>,
     },
 }
 
 impl Request {
-    /// A request of the incremental variant that changes no subscription: an ACK of the response with this nonce.
+    /// Creates the ACK, in the incremental variant, of the response with this nonce. It changes no subscription.
     pub fn delta_ack(resource_type: ResourceType, nonce: impl Into<String>) -> Request {
         Request {
             resource_type,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The first request of a type, of the incremental variant.
+    /// Creates the first request of a type in the incremental variant.
     pub fn delta_subscribe(
         resource_type: ResourceType,
         names: Vec<String>,
@@ -76,28 +76,28 @@
 /// A discovery response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Response {
-    /// The type of its resources.
+    /// The type of the resources.
     pub resource_type: ResourceType,
-    /// Names it in the stream.
+    /// Identifies the response within the stream.
     pub nonce: u64,
-    /// The version that the client holds once it took the response.
+    /// The version that the client holds once it has applied the response.
     pub version: Version,
-    /// Whether it is of the incremental variant.
+    /// Whether the response is of the incremental variant.
     pub is_delta: bool,
-    /// Resources that are sent.
+    /// The resources in the response.
     pub changed: Vec<(ResourceName, Resource)>,
-    /// Names of resources that are gone.
+    /// Names of removed resources; empty in the state-of-the-world variant.
     pub removed: Vec<ResourceName>,
-    /// Of what the client holds of this type afterwards; `None` while removals are deferred.
+    /// The checksum of all resources of this type that the client holds afterwards; `None` while removals are deferred.
     pub resulting_checksum: Option<Checksum>,
-    /// Set where every client that holds the same and subscribed to the same gets the same.
+    /// The key of the delta, if the response is the same for all clients with the same resources and subscriptions.
     pub delta_key: Option<DeltaKey>,
 }
 
-/// What a request meant.
+/// How a request was interpreted.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestOutcome {
-    /// It changed subscriptions at most.
+    /// Neither ACK nor NACK; the request may have changed subscriptions.
     Subscribed,
     /// An ACK of the response in flight.
     Acknowledged,
@@ -108,8 +108,8 @@
         /// The client's reason.
         reason: String,
     },
-    /// Its nonce is that of an earlier response.
+    /// The nonce is that of an earlier response.
     Stale,
-    /// Its nonce was never sent; the text says so.
+    /// The nonce was not sent on this stream; the text describes it.
     UnknownNonce(String),
 }
--- a/crates/discovery/src/rejection.rs
+++ b/crates/discovery/src/rejection.rs
@@ -1,9 +1,11 @@
-//! What follows when clients reject a version.
+//! The reaction of the controller to rejected versions.
 //!
-//! Rejections are counted for each table set and version. A client that rejects keeps what it held and is not waited
-//! for. One of many is likely wrong itself: the others go on without it. Where most reject, the table set is likely
-//! wrong: ordinary changes are paused, and when versions go on being rejected, the last one that most acknowledged is
-//! rolled back to. What takes a node away is always sent: a drain does not wait until clients agree with a table.
+//! ACKs and NACKs are counted for each table set and version. A client that rejects a version keeps the version it
+//! held, and the controller does not wait for it. If only a minority rejects, those clients are likely faulty, and the
+//! others get further versions. If the majority rejects, the table set is likely faulty: ordinary changes are paused,
+//! and after several rejected versions in a row the table set is rolled back to the last version that a majority
+//! acknowledged. Changes that remove a node are always sent, because a drain must not depend on clients accepting a
+//! table.
 
 mod state;
 mod votes;
@@ -15,37 +17,38 @@
 use wheelspread::time::{Moment, Span};
 use wheelspread_controller_core::publication::{BundleId, Version};
 
-/// What a controller does after a rejection.
+/// How a controller reacts to an ACK or NACK.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionResponse {
-    /// Nothing.
+    /// No reaction.
     Continue,
-    /// This client goes on alone: its stream is closed, so that it starts again with everything.
+    /// The stream of this client is closed, so that it requests all resources on a new stream.
     RestartStream(ProxyId),
-    /// Only what removes entries is sent for a while.
+    /// For a pause, only changes that remove entries are sent.
     PauseChanges,
-    /// The table set goes back to the last version that most acknowledged.
+    /// The table set is rolled back to this version, the last one that a majority acknowledged.
     RollBack(Version),
 }
 
-/// After so many versions in a row that most rejected, a table set is rolled back.
+/// The number of versions in a row, rejected by a majority, after which a table set is rolled back.
 const REJECTED_VERSIONS_UNTIL_ROLLBACK: u32 = 3;
-/// After so many rejections in a row of which it is a minority, a client's stream is closed.
+/// The number of rejections in a row, each by a minority, after which the stream of a client is closed.
 const MINORITY_REJECTIONS_UNTIL_RESTART: u32 = 5;
-/// Versions of a table set whose votes are kept.
+/// The number of versions of a table set whose votes are kept.
 const VERSIONS_WITH_VOTES: usize = 16;
-/// The pause doubles so many times at most.
+/// The maximum number of times that the pause is doubled.
 const MAX_PAUSE_DOUBLINGS: u32 = 6;
 
 #[derive(Debug)]
 struct TableSetRecord {
     state: RejectionState,
     votes: BTreeMap<Version, Votes>,
-    /// Versions in a row that most rejected.
+    /// The number of versions in a row that a majority rejected.
     rejected_in_a_row: u32,
-    /// The last version that counted into `rejected_in_a_row`.
+    /// The last version counted in `rejected_in_a_row`.
     last_rejected: Version,
     paused_until: Option<Moment>,
+    /// The newest version that a majority acknowledged: the target of a rollback.
     last_acknowledged: Option<Version>,
 }
 
@@ -63,7 +66,7 @@
 }
 
 impl TableSetRecord {
-    /// The votes on a version; `None` if newer versions have pushed it out.
+    /// The votes on a version; `None` if the version is older than the last [`VERSIONS_WITH_VOTES`].
     fn votes(&mut self, version: Version) -> Option<&mut Votes> {
         self.votes.entry(version).or_default();
         while self.votes.len() > VERSIONS_WITH_VOTES {
@@ -112,17 +115,18 @@
     }
 }
 
-/// Counts which clients acknowledged and rejected which versions.
+/// Records which clients acknowledged and rejected which versions, and decides on the reaction.
 #[derive(Debug)]
 pub struct RejectionTracker {
     table_sets: BTreeMap<BundleId, TableSetRecord>,
-    /// Rejections in a row with which a client was in the minority.
+    /// The number of rejections in a row with which a client was in the minority.
     minority_rejections: BTreeMap<ProxyId, u32>,
     pause: Span,
 }
 
 impl RejectionTracker {
-    /// `pause`: how long ordinary changes wait after most rejected one; twice as long after each further one.
+    /// `pause`: how long ordinary changes are paused after a majority rejected a version. It doubles with each further
+    /// rejected version, up to `MAX_PAUSE_DOUBLINGS` times.
     pub fn new(pause: Span) -> RejectionTracker {
         RejectionTracker {
             table_sets: BTreeMap::new(),
@@ -131,7 +135,7 @@
         }
     }
 
-    /// A client acknowledged a version.
+    /// Records that a client acknowledged a version.
     pub fn on_ack(
         &mut self,
         now: Moment,
@@ -155,7 +159,7 @@
         table_set.apply(now, Tally::MajorityAcknowledges, self.pause)
     }
 
-    /// A client rejected a version.
+    /// Records that a client rejected a version.
     pub fn on_nack(
         &mut self,
         now: Moment,
@@ -181,12 +185,12 @@
         table_set.apply(now, Tally::MinorityRejects, self.pause)
     }
 
-    /// Until when ordinary changes of a table set are paused, if they are.
+    /// The time until which ordinary changes of a table set are paused; `None` if they are not.
     pub fn changes_paused_until(&self, bundle: BundleId) -> Option<Moment> {
         self.table_sets.get(&bundle)?.paused_until
     }
 
-    /// A client's stream closed.
+    /// Forgets the rejections of a client whose stream closed.
     pub fn remove_proxy(&mut self, proxy: ProxyId) {
         self.minority_rejections.remove(&proxy);
     }
--- a/crates/discovery/src/rejection/state.rs
+++ b/crates/discovery/src/rejection/state.rs
@@ -1,27 +1,27 @@
-//! The state of a table set by how many clients reject its versions.
+//! The state of a table set, which depends on how many clients reject its versions.
 
-/// How a table set's changes are treated.
+/// How changes of a table set are handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RejectionState {
     /// All changes are sent.
     Normal,
-    /// Ordinary changes wait.
+    /// Ordinary changes are paused.
     Paused,
-    /// An older version was rolled back to.
+    /// The table set was rolled back to an older version.
     RolledBack,
 }
 
-/// How clients voted on a version.
+/// The result of the votes of clients on a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Tally {
     MinorityRejects,
     MajorityRejects,
-    /// For so many versions in a row that a rollback is due.
+    /// The majority rejected as many versions in a row as lead to a rollback.
     MajorityRejectsRepeatedly,
     MajorityAcknowledges,
 }
 
-/// What follows from a tally.
+/// The action after a tally.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Effect {
     None,
@@ -31,7 +31,7 @@
 }
 
 impl RejectionState {
-    /// The state after a tally, and what follows from it.
+    /// Returns the state after a tally, and the action to take.
     pub(super) fn on_tally(self, tally: Tally) -> (RejectionState, Effect) {
         use RejectionState::{Normal, Paused, RolledBack};
         match (self, tally) {
@@ -40,7 +40,7 @@
             (Paused | RolledBack, Tally::MajorityAcknowledges) => (Normal, Effect::Resume),
             (Normal | Paused, Tally::MajorityRejects) => (Paused, Effect::Pause),
             (Normal | Paused, Tally::MajorityRejectsRepeatedly) => (RolledBack, Effect::RollBack),
-            // What was rolled back to is rejected as well: there is nothing better.
+            // The rollback target is rejected as well, and there is no better version to roll back to.
             (RolledBack, Tally::MajorityRejects | Tally::MajorityRejectsRepeatedly) => {
                 (RolledBack, Effect::Pause)
             }
--- a/crates/discovery/src/rejection/votes.rs
+++ b/crates/discovery/src/rejection/votes.rs
@@ -1,14 +1,14 @@
-//! Which clients acknowledged and which rejected a version.
+//! The votes on a version: which clients acknowledged it and which rejected it.
 
 use std::collections::BTreeSet;
 use wheelspread::ids::ProxyId;
 
-/// If more than this part of the clients that answered reject a version, the table set is at fault.
+/// If more than this ratio of the clients that answered reject a version, the table set is considered faulty.
 const MAJORITY_RATIO: f64 = 0.5;
-/// One client alone is no majority.
+/// The minimum number of rejecting clients of a majority: a single client is not one.
 const MAJORITY_MIN_CLIENTS: f64 = 2.0;
 
-/// Which clients acknowledged and which rejected a version.
+/// The clients that acknowledged and that rejected a version; the last answer of a client counts.
 #[derive(Debug, Default)]
 pub(super) struct Votes {
     acknowledged: BTreeSet<ProxyId>,
--- a/crates/discovery/src/resource.rs
+++ b/crates/discovery/src/resource.rs
@@ -1,17 +1,17 @@
 //! Resources as a client holds them: name, serialized bytes, and a checksum of the bytes as the version.
 //!
-//! Checksums and not counters name a resource's version, so what a client brings from another controller, or from
-//! before a restart, is recognized wherever it came from.
+//! The version of a resource is a checksum and not a counter, so that a controller recognizes resources that a client
+//! got from another controller or before a restart.
 
 use bytes::Bytes;
 use std::fmt;
 use std::sync::Arc;
 use xxhash_rust::xxh3::{xxh3_128, Xxh3};
 
-/// The name of a resource; shared, because every snapshot and delta that has the resource refers to it.
+/// The name of a resource, shared by all snapshots and deltas that contain the resource.
 pub type ResourceName = Arc<str>;
 
-/// The types of resources that are served.
+/// The resource types that a controller serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ResourceType {
     /// `Cluster`: one for each operation.
@@ -22,11 +22,11 @@
     Entries,
     /// `Listener`: one for each operation.
     Listeners,
-    /// `RouteConfiguration`.
+    /// `RouteConfiguration`: the routes of operations.
     Routes,
 }
 
-/// The order in which types are sent: a resource goes out before those that refer to it.
+/// The order in which types are sent: a resource is sent before the resources that refer to it.
 pub const SEND_ORDER: [ResourceType; 5] = [
     ResourceType::Clusters,
     ResourceType::Endpoints,
@@ -36,24 +36,25 @@
 ];
 
 impl ResourceType {
-    /// Whether a state-of-the-world response names every resource of the type, so that a missing one is gone.
+    /// Whether a state-of-the-world response lists every resource of the type, so that a missing one counts as removed.
     pub fn is_complete_set(self) -> bool {
         matches!(self, ResourceType::Clusters | ResourceType::Listeners)
     }
 }
 
-/// An XXH3-128 checksum, written as 32 hexadecimal digits.
+/// An XXH3-128 checksum, formatted as 32 hexadecimal digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Checksum(pub u128);
 
-/// Digits of a written checksum.
+/// The number of hexadecimal digits of a formatted checksum.
 const CHECKSUM_DIGITS: usize = 32;
 
 impl Checksum {
     /// The checksum of a set of resources, given by name and checksum in the order of their names.
     ///
-    /// For each: the name's length (8 bytes, little-endian), the name, its checksum (16 bytes, little-endian). The
-    /// form is on the wire (`system_version_info`), so it does not change.
+    /// The hashed input is, for each resource, the length of its name (8 bytes, little-endian), the name, and its
+    /// checksum (16 bytes, little-endian). The result is on the wire (`system_version_info`), so this form must not
+    /// change.
     pub fn of_set<'a>(resources: impl Iterator<Item = (&'a str, Checksum)>) -> Checksum {
         let mut hash = Xxh3::new();
         for (name, checksum) in resources {
@@ -71,7 +72,7 @@
     }
 }
 
-/// A text that is not a checksum.
+/// The error for a text that is not a checksum.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("`{0}` is not a checksum of 32 hexadecimal digits")]
 pub struct ChecksumError(pub String);
@@ -81,7 +82,7 @@
 
     fn from_str(text: &str) -> Result<Checksum, ChecksumError> {
         let error = || ChecksumError(text.to_string());
-        // `from_str_radix` alone would also take a sign.
+        // `from_str_radix` alone would also accept a sign.
         if text.len() != CHECKSUM_DIGITS || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
             return Err(error());
         }
@@ -101,7 +102,7 @@
 }
 
 impl Resource {
-    /// A resource of these bytes, with its checksum.
+    /// Creates a resource from its serialized message and computes the checksum.
     pub fn new(bytes: impl Into<Bytes>) -> Resource {
         let bytes = bytes.into();
         Resource {
--- a/crates/discovery/src/resource_delta.rs
+++ b/crates/discovery/src/resource_delta.rs
@@ -1,28 +1,28 @@
-//! What turns the resources of one snapshot into those of another.
+//! The difference between the resources that a client holds and those of a snapshot.
 
 use crate::resource::{Checksum, Resource, ResourceName, ResourceType};
 use crate::resource_filter::ResourceFilter;
 use crate::snapshot::Snapshot;
 use std::collections::BTreeMap;
 
-/// The difference between what is held and a snapshot, of one type and for one set of subscribed names.
+/// The difference between the held resources and a snapshot, for one type and one set of subscribed names.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResourceDelta {
-    /// New resources, and those with other bytes.
+    /// New resources, and resources with changed bytes.
     pub changed: Vec<(ResourceName, Resource)>,
-    /// Resources that are gone.
+    /// Names of removed resources.
     pub removed: Vec<ResourceName>,
-    /// Of everything that is held once the delta is applied.
+    /// The checksum of all resources of the type that are held once the delta is applied.
     pub resulting_checksum: Checksum,
 }
 
 impl ResourceDelta {
-    /// Whether it changes nothing.
+    /// Whether the delta has no changes.
     pub fn is_empty(&self) -> bool {
         self.changed.is_empty() && self.removed.is_empty()
     }
 
-    /// A delta without changes, for a client that already holds what `snapshot` has.
+    /// Creates a delta without changes, for a client that already holds the resources of `snapshot`.
     pub(crate) fn unchanged(
         resource_type: ResourceType,
         snapshot: &Snapshot,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// From one snapshot to another; `from` is `None` where nothing is held yet.
+    /// Computes the delta between two snapshots; `from` is `None` if the client holds nothing yet.
     pub(crate) fn between(
         resource_type: ResourceType,
         from: Option<&Snapshot>,
@@ -62,7 +62,8 @@
         }
     }
 
-    /// From what a client says it holds (names and versions, `initial_resource_versions`) to a snapshot.
+    /// Computes the delta from the resources that a client declares to hold (names and versions,
+    /// `initial_resource_versions`) to a snapshot.
     pub(crate) fn from_declared_versions(
         resource_type: ResourceType,
         declared: &BTreeMap<String, String>,
@@ -78,7 +79,7 @@
         let changed = new
             .iter()
             .filter(|(name, resource)| filter.matches(name) && !is_current(name, resource));
-        // Also names that the client no longer subscribes to: what it says it holds and is gone, it has to drop.
+        // Not filtered by subscription: the client has to remove every declared resource that no longer exists.
         let removed = declared
             .keys()
             .filter(|name| !new.contains_key(name.as_str()));
@@ -92,7 +93,7 @@
     }
 }
 
-/// Copies of resources with their names; bytes are shared.
+/// Clones resources with their names; the bytes are shared.
 pub(crate) fn cloned<'a>(
     resources: impl Iterator<Item = (&'a ResourceName, &'a Resource)>,
 ) -> Vec<(ResourceName, Resource)> {
--- a/crates/discovery/src/resource_filter.rs
+++ b/crates/discovery/src/resource_filter.rs
@@ -1,14 +1,14 @@
-//! Which resources of a type a client subscribed to.
+//! The filter for the resources of a type that a client subscribed to.
 
 use crate::resource::Checksum;
 use std::collections::BTreeSet;
 
-/// Subscribes to every resource of a type.
+/// The name that subscribes to every resource of a type.
 pub(crate) const WILDCARD: &str = "*";
-/// At the end of a name: subscribes to everything below it.
+/// The suffix of a name that subscribes to every resource whose name starts with the part before the `*`.
 const GLOB_SUFFIX: &str = "/*";
 
-/// Whether a name stands for more than one resource.
+/// Whether a name may match more than one resource.
 pub(crate) fn is_pattern(name: &str) -> bool {
     name == WILDCARD || name.ends_with(GLOB_SUFFIX)
 }
@@ -16,14 +16,14 @@
 /// The names that a client subscribed to.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ResourceFilter {
-    /// Everything of the type.
+    /// Whether every resource of the type is subscribed to.
     pub wildcard: bool,
-    /// Names; one that ends in `/*` stands for all below it.
+    /// Names; one that ends in `/*` matches every resource whose name starts with the part before the `*`.
     pub names: BTreeSet<String>,
 }
 
 impl ResourceFilter {
-    /// Whether the resource of this name is subscribed to.
+    /// Whether the resource with this name is subscribed to.
     pub fn matches(&self, name: &str) -> bool {
         if self.wildcard || self.names.contains(name) {
             return true;
@@ -38,7 +38,7 @@
             .any(has_glob_at)
     }
 
-    /// The same for all clients that subscribed to the same.
+    /// A fingerprint of the filter, equal for all clients with the same subscription.
     pub fn fingerprint(&self) -> Checksum {
         let wildcard = self.wildcard.then_some(WILDCARD);
         let names = self.names.iter().map(String::as_str);
--- a/crates/discovery/src/resource_store.rs
+++ b/crates/discovery/src/resource_store.rs
@@ -1,47 +1,47 @@
-//! The client's side of one type: the resources that it holds.
+//! The resources of one type that a client holds.
 //!
-//! A client holds a version whose checksum it has verified, or nothing. A delta is applied as a whole or not at all;
-//! one that does not fit what is held, or does not lead to the checksum that it states, is rejected, and everything is
-//! requested again.
+//! A client holds either nothing or a version whose checksum it has verified. A delta is applied as a whole or not at
+//! all. A delta that does not lead to the checksum it states is rejected, and the client requests all resources of the
+//! type again.
 
 use crate::resource::{Checksum, Resource};
 use std::collections::BTreeMap;
 
-/// A resource as a response brings it.
+/// A resource as received in a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedResource {
-    /// Its name.
+    /// The name of the resource.
     pub name: String,
-    /// Its version as stated: the checksum that its bytes must have.
+    /// The stated version: the checksum that `bytes` must have.
     pub checksum: Checksum,
     /// The serialized message.
     pub bytes: bytes::Bytes,
 }
 
-/// The changes that a response of the incremental variant brings.
+/// The changes in a response of the incremental variant.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DeltaUpdate {
     /// New and changed resources.
     pub changed: Vec<ReceivedResource>,
-    /// Names of resources that are gone.
+    /// Names of removed resources.
     pub removed: Vec<String>,
-    /// Of everything that is held afterwards.
+    /// The checksum of all resources of the type that are held afterwards; `None` if the response states none.
     pub resulting_checksum: Option<Checksum>,
 }
 
-/// Why a delta was not applied. The text goes to the server as the reason of the NACK.
+/// The reason why a delta was not applied. The server receives the text as the reason of the NACK.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DeltaError {
-    /// The bytes of a resource do not have the checksum that is its version.
-    #[error("`{name}` is not what its version says")]
+    /// The checksum of a resource differs from its stated version.
+    #[error("the checksum of resource `{name}` differs from its stated version")]
     ResourceChecksum {
-        /// The resource.
+        /// The name of the resource.
         name: String,
     },
-    /// What would be held does not have the stated checksum.
-    #[error("it comes to {actual}, {stated} was said")]
+    /// The checksum of the resources after the delta differs from the stated one.
+    #[error("the delta results in checksum {actual}, but the response states {stated}")]
     ResultingChecksum {
-        /// The checksum of what would be held.
+        /// The checksum of the resources after the delta.
         actual: Checksum,
         /// The checksum that the response states.
         stated: Checksum,
@@ -60,7 +60,7 @@
         &self.resources
     }
 
-    /// Versions by name, to be declared on a new stream so that it brings only what differs.
+    /// Versions by name. A client declares them on a new stream, so that the server sends only the differences.
     pub fn versions(&self) -> BTreeMap<String, String> {
         self.resources
             .iter()
@@ -68,13 +68,13 @@
             .collect()
     }
 
-    /// The checksum of everything that is held.
+    /// The checksum of all held resources.
     pub fn checksum(&self) -> Checksum {
         let resources = self.resources.iter();
         Checksum::of_set(resources.map(|(name, resource)| (name.as_str(), resource.checksum)))
     }
 
-    /// Applies a delta. After an error the store is as before.
+    /// Applies a delta. On an error the store remains unchanged.
     pub fn apply(&mut self, delta: &DeltaUpdate) -> Result<(), DeltaError> {
         let mut next = self.clone();
         for received in &delta.changed {
--- a/crates/discovery/src/response_builder.rs
+++ b/crates/discovery/src/response_builder.rs
@@ -1,4 +1,4 @@
-//! Makes the response that brings a subscription from what the client holds to a snapshot.
+//! Builds the response that updates the client of a subscription from the resources it holds to a snapshot.
 
 use crate::ack::AckState;
 use crate::message::Response;
@@ -11,7 +11,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Makes a response and marks the snapshot as in flight.
+/// Builds a response and marks the snapshot as in flight.
 pub(crate) fn build_response(
     subscription: &mut Subscription,
     snapshot: &Arc<Snapshot>,
@@ -41,7 +41,7 @@
 }
 
 impl ResponseBuilder<'_> {
-    /// Adds resources that the client has subscribed to since the last response, changed or not.
+    /// Adds resources that the client has subscribed to since the last response, whether they changed or not.
     fn add_pending_names(&mut self) {
         let pending = std::mem::take(&mut self.subscription.pending_names);
         if pending.is_empty() {
@@ -59,7 +59,8 @@
             .filter(|(name, _)| pending.matches(name) && !already_listed.contains(*name));
         let listed_before = self.changed.len() + self.removed.len();
         self.changed.extend(cloned(added));
-        // In the incremental variant a name without a resource is listed as removed, so that the client need not wait.
+        // In the incremental variant a name without a resource is listed as removed, so that the client does not wait
+        // for it.
         if self.subscription.is_delta {
             let missing = pending
                 .names
@@ -68,13 +69,13 @@
             self.removed
                 .extend(missing.map(|name| ResourceName::from(name.as_str())));
         }
-        // What was added is this client's own.
+        // The added resources depend on this client's subscription changes, so the response can't be shared.
         if self.changed.len() + self.removed.len() != listed_before {
             self.delta_key = None;
         }
     }
 
-    /// Keeps clusters and listeners at the client until nothing refers to them.
+    /// Defers the removal of clusters and listeners until no other resource of the client refers to them.
     fn defer_removals(&mut self) {
         let resource_type = self.subscription.resource_type;
         if !resource_type.is_complete_set() {
@@ -93,7 +94,8 @@
         }
     }
 
-    /// In the state-of-the-world variant a response of these types lists all resources, and never removed names.
+    /// In the state-of-the-world variant a response never lists removed names, and for complete-set types it lists all
+    /// resources.
     fn complete_state_of_the_world(&mut self) {
         if self.subscription.is_delta {
             return;
@@ -120,7 +122,7 @@
         subscription.state = AckState::AwaitingAck;
         subscription.last_nonce = nonce;
         subscription.in_flight = Some(self.snapshot.clone());
-        // With deferred removals the client holds more than the snapshot says.
+        // With deferred removals the client holds more resources than the snapshot, so the checksum would not match.
         let is_exact = subscription.deferred_removals.is_empty();
         Response {
             resource_type: subscription.resource_type,
--- a/crates/discovery/src/snapshot.rs
+++ b/crates/discovery/src/snapshot.rs
@@ -11,7 +11,7 @@
 pub struct Snapshot {
     /// The table set.
     pub bundle: BundleId,
-    /// Its version.
+    /// The version of the table set.
     pub version: Version,
     resources: BTreeMap<ResourceType, BTreeMap<ResourceName, Resource>>,
 }
@@ -19,7 +19,7 @@
 static NO_RESOURCES: BTreeMap<ResourceName, Resource> = BTreeMap::new();
 
 impl Snapshot {
-    /// A snapshot without resources.
+    /// Creates a snapshot without resources.
     pub fn new(bundle: BundleId, version: Version) -> Snapshot {
         Snapshot {
             bundle,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Adds a resource, or replaces the one of that name.
+    /// Adds a resource, or replaces the one with the same name.
     pub fn insert(&mut self, resource_type: ResourceType, name: &str, bytes: impl Into<Bytes>) {
         self.resources
             .entry(resource_type)
@@ -41,7 +41,7 @@
         self.resources.get(&resource_type).unwrap_or(&NO_RESOURCES)
     }
 
-    /// The checksum of those resources of a type that `includes` accepts by name.
+    /// The checksum of the resources of a type whose names `includes` accepts.
     pub fn checksum(
         &self,
         resource_type: ResourceType,
--- a/crates/discovery/src/snapshot_cache.rs
+++ b/crates/discovery/src/snapshot_cache.rs
@@ -1,8 +1,8 @@
 //! The newest snapshot of each table set, and cached deltas between snapshots.
 //!
-//! Clients that hold the same and subscribed to the same share one delta, so that it is computed once however many
-//! follow. A stream keeps a reference to the snapshot that its client holds, so a delta that is no longer cached can
-//! be computed again.
+//! Clients that hold the same version and have the same subscription share one delta, which is computed once for any
+//! number of clients. A stream keeps a reference to the snapshot that its client holds, so that a delta that was
+//! evicted from the cache can be computed again.
 
 use crate::resource::{Checksum, ResourceType};
 use crate::resource_delta::ResourceDelta;
@@ -12,12 +12,13 @@
 use std::sync::Arc;
 use wheelspread_controller_core::publication::{BundleId, Version};
 
-/// Names a delta that many clients may get. Those that lead to the oldest versions come first.
+/// The key of a delta that several clients may get. Keys are ordered by the version that the delta leads to, so that
+/// the deltas to the oldest versions are evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DeltaKey {
-    /// The version that it leads to.
+    /// The version that the delta leads to.
     pub to: Version,
-    /// The version that it starts from; 0: from nothing.
+    /// The version that the delta starts from; 0 for a client that holds nothing.
     pub from: Version,
     /// The type of the resources.
     pub resource_type: ResourceType,
@@ -25,7 +26,7 @@
     pub filter: Checksum,
 }
 
-/// The newest snapshots, and deltas that lead to them.
+/// The newest snapshot of each table set, and cached deltas.
 #[derive(Debug)]
 pub struct SnapshotCache {
     newest: BTreeMap<BundleId, Arc<Snapshot>>,
@@ -33,11 +34,11 @@
     max_deltas: usize,
 }
 
-/// Cached deltas for each version.
+/// The number of cached deltas per version.
 const DELTAS_PER_VERSION: usize = 64;
 
 impl SnapshotCache {
-    /// A cache that has room for the deltas of so many versions.
+    /// Creates a cache with room for the deltas of this number of versions (at least 1).
     pub fn new(versions: usize) -> SnapshotCache {
         SnapshotCache {
             newest: BTreeMap::new(),
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Keeps a snapshot if none of its table set is newer.
+    /// Stores a snapshot unless the cache has a newer one of the same table set.
     pub fn insert(&mut self, snapshot: Arc<Snapshot>) {
         let newest = self
             .newest
@@ -62,7 +63,7 @@
         self.newest.get(&bundle)
     }
 
-    /// The delta between two snapshots, and the key by which others find it. `fingerprint` is that of `filter`.
+    /// Returns the delta between two snapshots, cached or computed, and its key. `fingerprint` is that of `filter`.
     pub(crate) fn delta(
         &mut self,
         resource_type: ResourceType,
--- a/crates/discovery/src/stream.rs
+++ b/crates/discovery/src/stream.rs
@@ -1,8 +1,8 @@
 //! The state of one discovery stream.
 //!
-//! Of each type one response at most is in flight. What changes meanwhile is not queued: the next response leads from
-//! what the client then holds to the newest snapshot. A type that waits for its acknowledgement holds back the types
-//! that refer to it, never those before it.
+//! At most one response of each type is in flight. Changes in the meantime are not queued: the next response leads
+//! from the resources that the client then holds to the newest snapshot. While an older response of a type awaits its
+//! acknowledgement, types later in the send order, which may refer to it, wait; types before it do not.
 
 use crate::ack::AckEffect;
 use crate::message::{Request, RequestOutcome, Response};
@@ -18,11 +18,11 @@
 use wheelspread::time::{Moment, Span};
 use wheelspread_controller_core::publication::Version;
 
-/// Names that a stream may subscribe to, over all types.
+/// The maximum number of names that a stream may subscribe to, over all types.
 pub const MAX_SUBSCRIBED_NAMES: usize = 2000;
-/// Buckets of the window that subscription changes are counted in.
+/// The number of buckets of the window in which subscription changes are counted.
 const RATE_WINDOW_BUCKETS: usize = 20;
-/// Characters of an unknown nonce that are reported.
+/// The maximum number of characters of an unknown nonce in its report.
 const MAX_REPORTED_NONCE_CHARS: usize = 40;
 
 /// The state of one discovery stream.
@@ -31,7 +31,7 @@
     subscriptions: BTreeMap<ResourceType, Subscription>,
     newest: Option<Arc<Snapshot>>,
     last_nonce: u64,
-    /// Changed subscriptions: the responses they cause are limited by no version of a table.
+    /// Subscription changes. The pacing of table versions does not limit the responses that they cause.
     subscription_changes: RollingWindow<f64>,
     max_subscription_changes: f64,
     unknown_nonces: u32,
@@ -39,7 +39,7 @@
 }
 
 impl Stream {
-    /// A stream whose subscriptions may change so often within `window`.
+    /// Creates a stream whose subscriptions may change `max_subscription_changes` times within `window`; 0 counts as 1.
     pub fn new(max_subscription_changes: u32, window: Span) -> Stream {
         let bucket_width = Span::from_seconds(window.seconds() / RATE_WINDOW_BUCKETS as f64);
         Stream {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Makes a snapshot the newest. One that was offered before and not sent is never sent.
+    /// Makes a snapshot the newest. An earlier snapshot that was not sent yet is skipped.
     pub fn offer(&mut self, snapshot: Arc<Snapshot>) {
         self.newest = Some(snapshot);
     }
@@ -63,7 +63,7 @@
         self.newest.as_ref()
     }
 
-    /// How many names the client subscribes to, over all types.
+    /// The number of names that the client subscribes to, over all types.
     pub fn subscribed_names(&self) -> usize {
         self.subscriptions
             .values()
@@ -71,7 +71,7 @@
             .sum()
     }
 
-    /// How many requests referred to a response that was never sent.
+    /// The number of requests that referred to a response that was not sent on this stream.
     pub fn unknown_nonces(&self) -> u32 {
         self.unknown_nonces
     }
@@ -86,7 +86,7 @@
         self.subscriptions.values().any(Subscription::awaits_ack)
     }
 
-    /// The version that the client acknowledged of every type that it subscribes to.
+    /// The version that the client acknowledged for every type that it subscribes to; `None` if versions differ.
     pub fn acknowledged_version(&self) -> Option<Version> {
         let mut common = None;
         let active = self
@@ -116,7 +116,7 @@
         let nonce = subscription.classify_nonce(request, self.last_nonce);
         let (next_state, effect) = subscription.state.on_request(nonce);
         let effect = subscription.check_acknowledged_version(request, effect);
-        // A stale request of the state-of-the-world variant is ignored, subscriptions and all.
+        // A stale request of the state-of-the-world variant is ignored, including its subscriptions.
         if effect != AckEffect::Ignore || subscription.is_delta {
             let changed = subscription.update_filter(request, is_first);
             if changed && !is_first {
@@ -137,13 +137,13 @@
                     .take(MAX_REPORTED_NONCE_CHARS)
                     .collect();
                 RequestOutcome::UnknownNonce(format!(
-                    "it speaks of answer `{nonce}`, which it was not sent"
+                    "the request refers to nonce `{nonce}`, which was not sent on this stream"
                 ))
             }
         }
     }
 
-    /// The next response, if one is due. It counts as sent.
+    /// Returns the next response, if one is due, and marks it as sent.
     pub fn next_response(&mut self, now: Moment, cache: &mut SnapshotCache) -> Option<Response> {
         let newest = self.newest.clone()?;
         self.is_rate_limited = self.subscription_changes.total(now) > self.max_subscription_changes;
@@ -174,7 +174,7 @@
         self.deferred_removal(&newest)
     }
 
-    /// The last type in order that the client subscribes to.
+    /// The last type in the send order that the client subscribes to.
     fn last_active_type(&self) -> Option<ResourceType> {
         let is_active = |resource_type: &ResourceType| {
             self.subscriptions
@@ -184,7 +184,7 @@
         SEND_ORDER.into_iter().rfind(is_active)
     }
 
-    /// Removes what other resources referred to, once everything else is acknowledged.
+    /// Returns the response that removes the deferred resources, once no response is in flight any more.
     fn deferred_removal(&mut self, newest: &Arc<Snapshot>) -> Option<Response> {
         let awaits_ack =
             |subscription: &Subscription| subscription.is_active() && subscription.awaits_ack();
@@ -211,10 +211,10 @@
     }
 }
 
-/// Whether a response is due although it brings no change.
+/// Whether a response is due although the delta is empty.
 fn must_respond(subscription: &Subscription, last_type: ResourceType) -> bool {
     let resource_type = subscription.resource_type;
-    // The last type of an incremental client is answered for every version: it says that the version is complete.
+    // An incremental client gets a response of its last type for every version, which marks the version as complete.
     let completes_version = subscription.is_delta && resource_type == last_type;
     let is_initial = matches!(subscription.held, ClientResources::Nothing)
         && (resource_type.is_complete_set() || subscription.is_delta);
@@ -229,12 +229,12 @@
     RequestOutcome::Acknowledged
 }
 
-/// The client still holds what it held before.
+/// Handles a NACK: the client still holds the resources from before the response.
 fn reject(subscription: &mut Subscription, request: &Request) -> RequestOutcome {
     let in_flight = subscription.in_flight.take();
     let version = in_flight.map_or(Version(0), |snapshot| snapshot.version);
     subscription.rejected = Some(version);
-    let other_version = || "it names another version than it was sent".to_string();
+    let other_version = || "the ACK names another version than the response had".to_string();
     let reason = request.error.clone().unwrap_or_else(other_version);
     RequestOutcome::Rejected { version, reason }
 }
--- a/crates/discovery/src/subscription.rs
+++ b/crates/discovery/src/subscription.rs
@@ -1,4 +1,4 @@
-//! The subscription of a stream to one type: names, what the client holds, and the response in flight.
+//! The subscription of a stream to one type: names, resources that the client holds, and the response in flight.
 
 use crate::ack::{AckEffect, AckState, NonceKind};
 use crate::message::{Request, RequestBody};
@@ -11,29 +11,29 @@
 use std::sync::Arc;
 use wheelspread_controller_core::publication::Version;
 
-/// What a client holds of a type.
+/// The resources of a type that a client holds.
 #[derive(Clone, Debug)]
 pub(crate) enum ClientResources {
-    /// Nothing yet.
+    /// No resources yet.
     Nothing,
-    /// What the client declared on this stream to hold from another one: versions by name.
+    /// Resources from an earlier stream that the client declared on this one: versions by name.
     Declared(BTreeMap<String, String>),
     /// The resources of a snapshot, which the client acknowledged.
     Snapshot(Arc<Snapshot>),
 }
 
-/// How far a type is, compared to the newest snapshot.
+/// The progress of a type towards the newest snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Progress {
-    /// The client holds it.
+    /// The client holds the newest snapshot.
     UpToDate,
-    /// It is in flight.
+    /// The newest snapshot is in flight.
     InFlight,
-    /// An older response is in flight: types that come later in order have to wait.
+    /// An earlier response is in flight: types later in the send order have to wait.
     Blocked,
-    /// The client rejected it.
+    /// The client rejected the newest snapshot.
     Rejected,
-    /// It has to be sent.
+    /// A response has to be sent.
     Behind,
 }
 
@@ -44,21 +44,22 @@
     pub(crate) state: AckState,
     pub(crate) is_delta: bool,
     pub(crate) filter: ResourceFilter,
-    /// Of `filter`.
+    /// The fingerprint of `filter`.
     fingerprint: Checksum,
-    /// Names subscribed to since the last response: they are sent even if they were sent before.
+    /// Names subscribed to since the last response; their resources are sent even if they were sent before.
     pub(crate) pending_names: BTreeSet<String>,
     pub(crate) last_nonce: u64,
-    /// Sent and not acknowledged yet.
+    /// The snapshot of the response that is not acknowledged or rejected yet.
     pub(crate) in_flight: Option<Arc<Snapshot>>,
     pub(crate) held: ClientResources,
     pub(crate) rejected: Option<Version>,
-    /// Resources that the newest snapshot lacks and that the client keeps until nothing refers to them.
+    /// Resources that are missing from the newest snapshot, which the client keeps until no other resource refers to
+    /// them.
     pub(crate) deferred_removals: BTreeMap<ResourceName, Option<Resource>>,
 }
 
 impl Subscription {
-    /// A subscription to nothing, in the variant of its first request.
+    /// Creates a subscription without names, in the protocol variant of its first request.
     pub(crate) fn new(request: &Request) -> Subscription {
         Subscription {
             resource_type: request.resource_type,
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Whether the client subscribes to anything.
+    /// Whether the client subscribes to any resource.
     pub(crate) fn is_active(&self) -> bool {
         !self.filter.is_empty()
     }
@@ -85,7 +86,7 @@
         self.state == AckState::AwaitingAck
     }
 
-    /// How far it is, compared to the newest snapshot.
+    /// The progress towards the newest snapshot.
     pub(crate) fn progress(&self, newest: &Snapshot) -> Progress {
         let is_newest = |snapshot: &Arc<Snapshot>| snapshot.version == newest.version;
         let is_in_flight = self.in_flight.as_ref().is_some_and(is_newest);
@@ -100,7 +101,7 @@
         }
     }
 
-    /// What a request's nonce refers to; `last_stream_nonce` is the last one of the stream, of any type.
+    /// Classifies a request's nonce; `last_stream_nonce` is the last nonce sent on the stream, of any type.
     pub(crate) fn classify_nonce(&self, request: &Request, last_stream_nonce: u64) -> NonceKind {
         if request.nonce.is_empty() {
             return NonceKind::Empty;
@@ -115,7 +116,8 @@
         }
     }
 
-    /// In the state-of-the-world variant an ACK names the version that was sent; with another one it is a NACK.
+    /// In the state-of-the-world variant an ACK names the version that was sent; a request with another version is
+    /// handled as a NACK.
     pub(crate) fn check_acknowledged_version(
         &self,
         request: &Request,
@@ -132,7 +134,7 @@
         effect
     }
 
-    /// Applies a request's names; returns whether the client subscribes to something else than before.
+    /// Applies a request's names to the filter; returns whether the filter changed.
     pub(crate) fn update_filter(&mut self, request: &Request, is_first: bool) -> bool {
         let before = self.filter.clone();
         match &request.body {
@@ -157,8 +159,8 @@
     }
 
     fn replace_names(&mut self, names: &[String], is_first: bool) {
-        // A client that never named anything subscribes to everything, of the types that know this; once it named
-        // something, an empty list is an empty list.
+        // For complete-set types, an empty list of a client that has not yet listed names subscribes to every resource.
+        // After a list with names, an empty list subscribes to nothing.
         let implied_wildcard = self.resource_type.is_complete_set()
             && names.is_empty()
             && (is_first || self.filter.wildcard);
@@ -196,7 +198,7 @@
             } else {
                 self.filter.names.insert(name.clone());
             }
-            // A pattern that a stream begins with is compared to what the client holds instead.
+            // For a pattern in the first request, the delta against the held resources is sent instead.
             let is_initial_pattern = is_first && is_pattern(name);
             if !is_initial_pattern && !initial_versions.contains_key(name) {
                 self.pending_names.insert(name.clone());
@@ -214,7 +216,7 @@
         }
     }
 
-    /// What the client lacks of a snapshot, and the key of that delta if other clients may get it too.
+    /// The delta from the held resources to a snapshot, and its key if other clients may get the same delta.
     pub(crate) fn delta_to(
         &self,
         newest: &Snapshot,
--- a/crates/discovery/tests/streams/acknowledgement.rs
+++ b/crates/discovery/tests/streams/acknowledgement.rs
@@ -1,4 +1,4 @@
-//! Order of responses, ACKs and NACKs.
+//! The order of responses, and the handling of ACKs and NACKs.
 
 use super::support::*;
 use test_case::test_case;
@@ -29,7 +29,7 @@
             ResourceType::Routes
         ]
     );
-    for (place, response) in responses.iter().enumerate() {
+    for (index, response) in responses.iter().enumerate() {
         let names: &[&str] = match response.resource_type {
             ResourceType::Endpoints => &["quote"],
             ResourceType::Routes => &["operations"],
@@ -45,7 +45,7 @@
             proxy: ProxyId(1),
             version: Version(41),
         };
-        assert_eq!(events, if place == 3 { vec![held] } else { vec![] });
+        assert_eq!(events, if index == 3 { vec![held] } else { vec![] });
     }
     assert!(server.next_response().is_none(), "nothing changed");
 }
@@ -78,7 +78,7 @@
     server
         .streams
         .offer(StreamId(1), &snapshot(1, &[(1, 1), (2, 1)]));
-    let first = server.next_response().expect("everything");
+    let first = server.next_response().expect("all entries");
     server.acknowledge(&first);
     server
         .streams
@@ -94,7 +94,7 @@
     assert_eq!(events, [rejected]);
     assert!(
         server.next_response().is_none(),
-        "the same is not sent again"
+        "a rejected version is not sent again"
     );
     assert_eq!(
         server
@@ -110,18 +110,18 @@
     assert_eq!(
         third.changed.len(),
         2,
-        "also what it rejected with the version before"
+        "the delta includes the changes of the rejected version"
     );
 }
 
 #[test_case("7"; "a nonce that was never sent")]
 #[test_case("yes"; "not a number")]
-fn an_unknown_nonce_acknowledges_nothing_and_after_ten_more_the_stream_is_closed(nonce: &str) {
+fn unknown_nonces_acknowledge_nothing_and_more_than_ten_close_the_stream(nonce: &str) {
     let mut server = TestServer::new();
     server.streams.offer(StreamId(1), &snapshot(1, &[(1, 1)]));
     server.subscribe_to_world(ResourceType::Clusters, &[]);
     let response = server.next_response().expect("clusters");
-    for time in 0..12 {
+    for attempt in 0..12 {
         let events = server.handle_request(state_of_the_world_request(
             ResourceType::Clusters,
             &[],
@@ -133,11 +133,11 @@
             events
                 .iter()
                 .any(|event| matches!(event, StreamEvent::CloseRequired { .. })),
-            time >= 10
+            attempt >= 10
         );
     }
     assert_eq!(server.streams.acknowledged_version(StreamId(1)), None);
-    // The right nonce with a version that was never published is no acknowledgement either.
+    // The right nonce with a version that was never published is not an acknowledgement either.
     let events = server.handle_request(state_of_the_world_request(
         ResourceType::Clusters,
         &[],
--- a/crates/discovery/tests/streams/consistency.rs
+++ b/crates/discovery/tests/streams/consistency.rs
@@ -1,4 +1,4 @@
-//! A client applies deltas as a whole or rejects them, whatever is lost, repeated or corrupted on the way.
+//! A client applies a delta as a whole or rejects it, even if deltas are lost, repeated, reordered or corrupted.
 
 use super::support::*;
 use proptest::prelude::*;
@@ -11,7 +11,7 @@
     Checksum, DeltaUpdate, DiscoveryStreams, ResourceStore, ResourceType, Response, Snapshot,
 };
 
-/// Deltas to one client that acknowledges each of these versions.
+/// The deltas sent to one client that acknowledges each of these versions.
 fn deltas(versions: &[Arc<Snapshot>]) -> Vec<DeltaUpdate> {
     let mut server = TestServer::new();
     server.subscribe(ResourceType::Entries, &["quote/*"]);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_missed_repeated_or_corrupt_delta_is_rejected_and_a_new_stream_brings_the_rest() {
+fn a_delta_after_a_gap_a_repeated_or_a_corrupt_one_is_rejected_and_a_new_stream_sends_the_rest() {
     let versions: Vec<Arc<Snapshot>> = (1..7)
         .map(|v| snapshot(v, &[(v as u16, 5), (10, v as u32), (11, 1)]))
         .collect();
@@ -34,18 +34,18 @@
     let mut store = ResourceStore::default();
     assert_eq!(store.apply(&sent[0]), Ok(()));
     let held = store.clone();
-    assert!(store.apply(&sent[4]).is_err(), "three were missed");
-    assert_eq!(store, held, "nothing of it was applied");
+    assert!(store.apply(&sent[4]).is_err(), "three deltas were missed");
+    assert_eq!(store, held, "a rejected delta changes nothing");
     assert_eq!(store.apply(&sent[1]), Ok(()));
     assert_eq!(store.apply(&sent[2]), Ok(()));
     assert!(
         store.apply(&sent[1]).is_err(),
-        "it came after its successor"
+        "the delta was applied before, and its successor too"
     );
     let mut corrupt = sent[3].clone();
     corrupt.changed[0].bytes = bytes::Bytes::from_static(b"x");
     assert!(store.apply(&corrupt).is_err(), "a byte was flipped");
-    // On a new stream it declares what it holds, and gets what it lacks.
+    // On a new stream the client declares the versions it holds and gets only the differences.
     let mut server = TestServer::new();
     server.streams.offer(StreamId(1), &versions[5]);
     server.handle_request(delta_request(
@@ -54,7 +54,7 @@
         "",
         store.versions(),
     ));
-    let rest = server.next_response().expect("the rest");
+    let rest = server.next_response().expect("the differences");
     assert!(
         rest.changed.len() == 2 && rest.removed.len() == 1,
         "{rest:?}"
@@ -89,7 +89,7 @@
     ]
 }
 
-/// A server and a client that applies what the server sends.
+/// A server and a client that applies the responses of the server.
 struct Exchange {
     server: TestServer,
     store: ResourceStore,
@@ -114,7 +114,7 @@
         exchange
     }
 
-    /// Also declares what the client holds from earlier streams.
+    /// Subscribes, and declares the resources that the client holds from earlier streams.
     fn subscribe(&mut self) {
         let held = self.store.versions();
         let request = delta_request(ResourceType::Entries, &["quote/*"], "", held);
@@ -191,8 +191,8 @@
 }
 
 proptest! {
-    // Whatever happens, a client holds a version that was published and verified, or nothing; and once nothing
-    // changes any more, it holds the newest.
+    // After any sequence of actions, the client holds a published and verified version, or nothing. Once no further
+    // version is published, it holds the newest.
     #[test]
     fn a_client_holds_only_published_versions_and_in_the_end_the_newest(
         actions in prop::collection::vec(action(), 1..80),
@@ -202,7 +202,7 @@
         for action in actions.into_iter().chain(last) {
             exchange.carry_out(action);
             let held = exchange.store.checksum();
-            prop_assert!(exchange.published.contains(&held), "the client holds what was never published");
+            prop_assert!(exchange.published.contains(&held), "the client holds resources that were never published together");
         }
         while let Some(response) = exchange.in_flight.take() {
             prop_assert_eq!(exchange.store.apply(&as_delta(&response)), Ok(()));
--- a/crates/discovery/tests/streams/main.rs
+++ b/crates/discovery/tests/streams/main.rs
@@ -1,4 +1,4 @@
-//! Streams with clients that miss, reject, lie and come back, under a scripted clock.
+//! Streams with clients that miss or reject responses, send wrong nonces, and reconnect, under a scripted clock.
 
 mod acknowledgement;
 mod consistency;
--- a/crates/discovery/tests/streams/rejection.rs
+++ b/crates/discovery/tests/streams/rejection.rs
@@ -1,4 +1,4 @@
-//! What follows when clients reject versions.
+//! The reaction of the controller to versions that clients reject.
 
 use super::support::*;
 use wheelspread::ids::ProxyId;
@@ -7,7 +7,7 @@
 use wheelspread_discovery::{RejectionResponse, RejectionTracker};
 
 #[test]
-fn a_client_that_rejects_alone_holds_up_nobody_and_is_restarted_after_five_versions() {
+fn a_client_that_rejects_alone_causes_no_pause_and_is_restarted_after_five_versions() {
     let mut rejections = RejectionTracker::new(Span::from_seconds(1.0));
     for version in 1..=5 {
         for proxy in 2..10 {
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_table_that_most_reject_is_paused_then_rolled_back_and_released_when_most_acknowledge() {
+fn majority_rejections_pause_then_roll_back_and_a_majority_acknowledgement_ends_the_pause() {
     let mut rejections = RejectionTracker::new(Span::from_seconds(1.0));
     let mut all_answer = |version: u64, acknowledged: bool, now: f64| {
         let mut last = RejectionResponse::Continue;
@@ -55,13 +55,13 @@
     assert_eq!(
         all_answer(3, false, 2.0),
         (RejectionResponse::PauseChanges, Some(at(4.0))),
-        "twice as long"
+        "the second pause is twice as long"
     );
     assert_eq!(
         all_answer(4, false, 4.0).0,
         RejectionResponse::RollBack(Version(1))
     );
-    // From then on each is held for longer, up to a bound, and nothing is rolled back again.
+    // Further rejected versions lengthen the pause up to a limit, and cause no second rollback.
     for version in 5..40 {
         let (response, until) = all_answer(version, false, 100.0);
         assert!(response == RejectionResponse::PauseChanges && until <= Some(at(164.0)));
--- a/crates/discovery/tests/streams/subscription.rs
+++ b/crates/discovery/tests/streams/subscription.rs
@@ -1,4 +1,4 @@
-//! What changed subscriptions bring, and how removals follow.
+//! Responses to changed subscriptions, and the order of removals.
 
 use super::support::*;
 use std::collections::BTreeMap;
@@ -15,35 +15,37 @@
         .streams
         .offer(StreamId(1), &snapshot(1, &[(1, 1), (2, 1)]));
     server.subscribe(ResourceType::Entries, &["quote/1"]);
-    let first = server.next_response().expect("a line");
+    let first = server.next_response().expect("an entry");
     server.handle_request(delta_request(
         ResourceType::Entries,
         &["quote/2", "quote/9"],
         &first.nonce.to_string(),
         BTreeMap::new(),
     ));
-    let second = server.next_response().expect("another");
+    let second = server.next_response().expect("another entry");
     let names: Vec<&str> = second.changed.iter().map(|(name, _)| &**name).collect();
     assert_eq!((names, &*second.removed[0]), (vec!["quote/2"], "quote/9"));
 }
 
-#[test_case("quote/*", 2; "all below a name")]
+#[test_case("quote/*", 2; "all names with a prefix")]
 #[test_case("*", 2; "everything")]
-fn resources_of_a_pattern_subscribed_to_later_are_sent_once(pattern: &str, lines: usize) {
+fn resources_of_a_pattern_subscribed_to_later_are_sent_once(pattern: &str, entries: usize) {
     let mut server = TestServer::new();
     server
         .streams
         .offer(StreamId(1), &snapshot(1, &[(1, 1), (2, 1)]));
     server.subscribe(ResourceType::Entries, &["other/1"]);
-    let first = server.next_response().expect("that there is none");
+    let first = server
+        .next_response()
+        .expect("a response that lists the missing name");
     server.handle_request(delta_request(
         ResourceType::Entries,
         &[pattern],
         &first.nonce.to_string(),
         BTreeMap::new(),
     ));
-    let second = server.next_response().expect("the lines");
-    assert_eq!((second.changed.len(), second.removed.len()), (lines, 0));
+    let second = server.next_response().expect("the entries");
+    assert_eq!((second.changed.len(), second.removed.len()), (entries, 0));
     server.acknowledge(&second);
     assert!(server.next_response().is_none());
 }
@@ -51,9 +53,11 @@
 #[test]
 fn a_cluster_is_removed_after_the_routes_that_referred_to_it_are_acknowledged() {
     let mut server = TestServer::new();
-    let mut two = (*snapshot(1, &[(1, 1)])).clone();
-    two.insert(ResourceType::Clusters, "old", "another cluster");
-    server.streams.offer(StreamId(1), &Arc::new(two));
+    let mut with_old_cluster = (*snapshot(1, &[(1, 1)])).clone();
+    with_old_cluster.insert(ResourceType::Clusters, "old", "another cluster");
+    server
+        .streams
+        .offer(StreamId(1), &Arc::new(with_old_cluster));
     let mut nonces = BTreeMap::new();
     for (resource_type, name) in [
         (ResourceType::Clusters, "*"),
@@ -61,11 +65,11 @@
     ] {
         server.subscribe(resource_type, &[name]);
     }
-    let mut kinds = Vec::new();
+    let mut sent = Vec::new();
     for version in 2..4 {
         while let Some(response) = server.next_response() {
             nonces.insert(response.resource_type, response.nonce.to_string());
-            kinds.push((
+            sent.push((
                 response.resource_type,
                 response.changed.len(),
                 response.removed.len(),
@@ -87,7 +91,7 @@
         (ResourceType::Routes, 1, 0),
         (ResourceType::Clusters, 0, 1),
     ];
-    assert_eq!(kinds, order);
+    assert_eq!(sent, order);
 }
 
 #[test]
@@ -97,7 +101,7 @@
         .streams
         .offer(StreamId(1), &snapshot(1, &[(1, 1), (2, 1)]));
     server.subscribe(ResourceType::Entries, &["quote/1"]);
-    let mut answered = 0;
+    let mut responses = 0;
     for time in 0..2000 {
         server.now = at(f64::from(time) * 0.005);
         let (add, drop) = if time % 2 == 0 {
@@ -111,9 +115,9 @@
         }
         server.handle_request(request);
         while let Some(response) = server.next_response() {
-            answered += 1;
+            responses += 1;
             server.acknowledge(&response);
         }
     }
-    assert!(answered <= 22, "{answered} responses in ten seconds");
+    assert!(responses <= 22, "{responses} responses in ten seconds");
 }
--- a/crates/discovery/tests/streams/support.rs
+++ b/crates/discovery/tests/streams/support.rs
@@ -26,7 +26,7 @@
     Moment::from_seconds(seconds)
 }
 
-/// A cluster with a table; `entries` says which nodes have what weight.
+/// A snapshot of one cluster and its table; `entries` lists nodes with their weights.
 pub fn snapshot(version: u64, entries: &[(u16, u32)]) -> Arc<Snapshot> {
     let mut snapshot = Snapshot::new(BundleId(0), Version(version));
     snapshot.insert(ResourceType::Clusters, "quote", "a cluster");
@@ -84,7 +84,7 @@
     request
 }
 
-/// A response as its client receives it.
+/// The update that a client reads from a response.
 pub fn as_delta(response: &Response) -> DeltaUpdate {
     let received = response
         .changed
