--- a/crates/xds/src/convert.rs
+++ b/crates/xds/src/convert.rs
@@ -1,4 +1,4 @@
-//! Conversions between our types and messages that several forms share.
+//! Conversions between the types of this workspace and xDS messages that several modules share.
 
 use crate::error::FieldError;
 use wheelspread::ids::NodeId;
@@ -58,7 +58,7 @@
     })
 }
 
-/// The node of an entry.
+/// The node that an entry refers to.
 pub(crate) fn entry_node(entry: &endpoint::LbEndpoint) -> Result<NodeId, FieldError> {
     match &entry.host_identifier {
         Some(endpoint::lb_endpoint::HostIdentifier::Endpoint(host)) => {
@@ -68,7 +68,7 @@
     }
 }
 
-/// What identifies the host of an entry.
+/// The host identifier of an entry for this node.
 pub(crate) fn host_identifier(node: NodeId) -> endpoint::lb_endpoint::HostIdentifier {
     endpoint::lb_endpoint::HostIdentifier::Endpoint(endpoint::Endpoint {
         address: Some(address(node)),
@@ -76,7 +76,7 @@
     })
 }
 
-/// A locality that is a zone.
+/// The locality of a zone.
 pub(crate) fn locality(zone: &str) -> core::Locality {
     core::Locality {
         zone: zone.to_string(),
@@ -84,7 +84,7 @@
     }
 }
 
-/// The zone of a group of entries; empty if it names none.
+/// The zone of a group of entries; empty if the group has no locality.
 pub(crate) fn zone_of(group: &endpoint::LocalityLbEndpoints) -> &str {
     group
         .locality
@@ -92,7 +92,7 @@
         .map_or("", |locality| locality.zone.as_str())
 }
 
-/// Entries grouped by zone, in the order of the zones.
+/// One locality group for each zone, in the order of the zone names.
 pub(crate) fn locality_groups(
     zones: std::collections::BTreeMap<&str, Vec<endpoint::LbEndpoint>>,
 ) -> Vec<endpoint::LocalityLbEndpoints> {
--- a/crates/xds/src/discovery.rs
+++ b/crates/xds/src/discovery.rs
@@ -1,7 +1,7 @@
-//! Discovery requests and responses, in both variants of the protocol, and the resources that they bring.
+//! Discovery requests and responses, in both variants of the protocol, and their resources.
 //!
-//! Beside what a plain proxy reads (one route configuration for all operations) there are a listener, a route
-//! configuration and a cluster for each operation, which a client without a proxy dials as `xds:///OPERATION`.
+//! Proxies read one route configuration for all operations. In addition, each operation has a listener, a route
+//! configuration and a cluster, for clients without a proxy, which connect to `xds:///OPERATION`.
 
 mod request;
 mod resources;
@@ -24,17 +24,18 @@
 pub use response::{append_nonce, decode_delta_response, encode_response_body};
 pub use tables::decode_tables;
 
-/// The path of streams of the state-of-the-world variant.
+/// The request path of streams of the state-of-the-world variant.
 pub const STATE_OF_THE_WORLD_METHOD: &str =
     "/envoy.service.discovery.v3.AggregatedDiscoveryService/StreamAggregatedResources";
-/// The path of streams of the incremental variant.
+/// The request path of streams of the incremental variant.
 pub const DELTA_METHOD: &str =
     "/envoy.service.discovery.v3.AggregatedDiscoveryService/DeltaAggregatedResources";
-/// Before the name of a cluster: its assignment without entries, which are resources of their own (LEDS).
+/// The prefix, before the name of a cluster, that names its assignment without entries. With LEDS, entries are separate
+/// resources.
 pub const LEDS_ASSIGNMENT_PREFIX: &str = "xdstp:///envoy.config.endpoint.v3.ClusterLoadAssignment/";
-/// Before `CLUSTER/ZONE/ADDRESS`: one entry.
+/// The prefix, before `CLUSTER/ZONE/ADDRESS`, that names one entry.
 pub const ENTRY_PREFIX: &str = "xdstp:///envoy.config.endpoint.v3.LbEndpoint/";
-/// Characters of an unknown type URL that are reported.
+/// The maximum number of characters of an unknown type URL in an error.
 const MAX_REPORTED_TYPE_URL_CHARS: usize = 100;
 
 const RESOURCE_TYPES: [ResourceType; 5] = [
--- a/crates/xds/src/discovery/request.rs
+++ b/crates/xds/src/discovery/request.rs
@@ -11,23 +11,24 @@
 use xds_api::pb::google::protobuf::{value, Value};
 use xds_api::pb::google::rpc;
 
-/// The field of a node's metadata with the version that it holds, where the variant has no other place for it.
+/// The field of a node's metadata with the version that the client holds. Only the incremental variant uses it, whose
+/// requests have no field for this version.
 const CLIENT_VERSION_FIELD: &str = "holds";
-/// The status code of a NACK.
+/// The gRPC status code of a NACK.
 const INVALID_ARGUMENT: i32 = 3;
-/// Characters of a NACK's reason that are kept.
+/// The maximum number of characters kept of the reason of a NACK.
 const MAX_REASON_CHARS: usize = 500;
-/// What the bytes should be, in errors.
-const REQUEST: &str = "a request";
+/// The expected message, in errors.
+const REQUEST: &str = "discovery request";
 
-/// A decoded request.
+/// A decoded discovery request.
 #[derive(Debug)]
 pub struct DecodedRequest {
-    /// Who introduces itself in it.
+    /// The identity of the client; `None` if the request has no node with an id.
     pub identity: Option<ProxyIdentity>,
-    /// What it requests, acknowledges or rejects.
+    /// The request: a subscription, an ACK or a NACK.
     pub request: Request,
-    /// The version that the client says it holds from another stream.
+    /// The version that the client declares to hold from an earlier stream.
     pub client_version: Option<Version>,
 }
 
@@ -35,7 +36,7 @@
 pub fn decode_state_of_the_world_request(bytes: &[u8]) -> Result<DecodedRequest, DecodeError> {
     let message =
         discovery::DiscoveryRequest::decode(bytes).map_err(DecodeError::message(REQUEST))?;
-    // In later requests the version acknowledges a response instead.
+    // In a request with a nonce, the version acknowledges a response instead.
     let client_version = message
         .version_info
         .parse()
@@ -83,7 +84,7 @@
     })
 }
 
-/// Some clients send the names of a collection as locators.
+/// All names of a request. Some clients send the names of a collection as locators.
 fn all_names(names: Vec<String>, locators: Vec<discovery::ResourceLocator>) -> Vec<String> {
     let located = locators.into_iter().map(|locator| locator.name);
     names.into_iter().chain(located).collect()
@@ -111,8 +112,8 @@
     error.map(|status| status.message.chars().take(MAX_REASON_CHARS).collect())
 }
 
-/// Encodes a request of the incremental variant. The first one of a stream introduces the client, with the version that
-/// it holds.
+/// Encodes a request of the incremental variant. The first request of a stream has the identity of the client and the
+/// version that it holds.
 pub fn encode_delta_request(
     identity: Option<&ProxyIdentity>,
     client_version: Option<Version>,
--- a/crates/xds/src/discovery/resources.rs
+++ b/crates/xds/src/discovery/resources.rs
@@ -1,4 +1,4 @@
-//! All resources of one version of a table set.
+//! Encodes all resources of one version of a table set.
 
 use super::{ALL_OPERATIONS, ENTRY_PREFIX, LEDS_ASSIGNMENT_PREFIX};
 use crate::convert::{entry_node, locality, zone_of};
@@ -23,7 +23,7 @@
     nanos: 0,
 };
 
-/// Encodes all resources of a table set.
+/// Encodes all resources of a table set as a snapshot.
 pub fn encode_snapshot(set: &TableSet, deployment: &Deployment) -> Snapshot {
     let tables = tables::encode_resources(set, deployment);
     let mut snapshot = Snapshot::new(set.bundle, set.version);
@@ -60,7 +60,7 @@
     snapshot
 }
 
-/// Each entry as a resource of its own.
+/// Adds each entry as a separate resource. Entries without a valid address are skipped.
 fn insert_entries(snapshot: &mut Snapshot, assignment: &endpoint::ClusterLoadAssignment) {
     let cluster = &assignment.cluster_name;
     for group in &assignment.endpoints {
@@ -75,7 +75,7 @@
     }
 }
 
-/// The assignment without entries: for each zone the name of the collection that has them.
+/// The assignment without entries: for each zone, the name of the collection that contains its entries.
 fn leds_assignment(
     assignment: &endpoint::ClusterLoadAssignment,
     zones: &[String],
@@ -102,8 +102,8 @@
     }
 }
 
-/// Clients without a proxy weigh localities and not the endpoints in them, so each entry becomes a locality of its own,
-/// its address the sub-zone. For proxies that weigh both, the result is the same.
+/// Makes each entry a separate locality with the entry's address as sub-zone, because clients without a proxy apply the
+/// weights of localities and not those of endpoints. For proxies, which apply both, the distribution is the same.
 fn locality_per_entry(
     mut assignment: endpoint::ClusterLoadAssignment,
 ) -> endpoint::ClusterLoadAssignment {
@@ -174,7 +174,7 @@
     }
 }
 
-/// Everything that is dialed under the operation's name goes to its cluster.
+/// The route configuration of one operation: requests with any path go to its cluster.
 fn operation_routes(name: &str, route: &route::Route) -> route::RouteConfiguration {
     let any_path = route::route_match::PathSpecifier::Prefix(String::new());
     let route = route::Route {
@@ -196,7 +196,7 @@
     }
 }
 
-/// Refers to resources that come on the same stream.
+/// The config source of resources that are served on the same stream (ADS).
 fn same_stream() -> core::ConfigSource {
     core::ConfigSource {
         resource_api_version: core::ApiVersion::V3.into(),
--- a/crates/xds/src/discovery/response.rs
+++ b/crates/xds/src/discovery/response.rs
@@ -11,7 +11,7 @@
 use xds_api::pb::envoy::service::discovery::v3 as discovery;
 use xds_api::pb::google::protobuf::Any;
 
-/// Encodes everything of a response but its nonce, so that the bytes can be shared between clients.
+/// Encodes a response without its nonce, so that the bytes can be shared between clients.
 pub fn encode_response_body(response: &Response) -> Vec<u8> {
     let type_url = type_url(response.resource_type);
     if response.is_delta {
@@ -62,7 +62,8 @@
     .encode_to_vec()
 }
 
-/// Completes a body. The fields of a message may come in any order, so the nonce goes last.
+/// Completes an encoded body with the nonce. The fields of a protobuf message may be in any order, so the nonce is
+/// appended.
 pub fn append_nonce(body: &[u8], response: &Response) -> Vec<u8> {
     let nonce = response.nonce.to_string();
     let encoded_nonce = if response.is_delta {
@@ -84,7 +85,7 @@
 /// Decodes a response of the incremental variant.
 pub fn decode_delta_response(bytes: &[u8]) -> Result<DeltaResponse, DecodeError> {
     let message = discovery::DeltaDiscoveryResponse::decode(bytes)
-        .map_err(DecodeError::message("a response"))?;
+        .map_err(DecodeError::message("discovery response"))?;
     let mut version_info = message.system_version_info.split(' ');
     let version = version_info.next().and_then(|text| text.parse().ok());
     let checksum = version_info
--- a/crates/xds/src/discovery/tables.rs
+++ b/crates/xds/src/discovery/tables.rs
@@ -1,4 +1,4 @@
-//! What a client makes of the resources that it holds.
+//! Decodes the tables of a proxy from the resources that it holds.
 
 use super::ENTRY_PREFIX;
 use crate::convert::zone_of;
@@ -10,17 +10,17 @@
 use xds_api::pb::envoy::config::endpoint::v3 as endpoint;
 use xds_api::pb::envoy::config::route::v3 as route;
 
-/// What the bytes should be, in errors.
-const RESOURCE: &str = "a resource";
+/// The expected message, in errors.
+const RESOURCE: &str = "resource";
 
-/// Where an entry belongs.
+/// The cluster and zone that an entry belongs to.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct EntryGroup {
     cluster: String,
     zone: String,
 }
 
-/// Decodes a proxy's tables from entries (by name), assignments without entries, and routes.
+/// Decodes the tables of a proxy from entries (by name), assignments without entries, and routes.
 pub fn decode_tables<'a>(
     version: Version,
     entries: impl Iterator<Item = (&'a str, &'a [u8])>,
--- a/crates/xds/src/discovery/tests.rs
+++ b/crates/xds/src/discovery/tests.rs
@@ -1,4 +1,4 @@
-//! Whatever bytes come, discovery messages are decoded or refused without a panic.
+//! Discovery messages of arbitrary or corrupt bytes are decoded or rejected without a panic.
 
 use super::*;
 use proptest::prelude::*;
@@ -9,15 +9,15 @@
 
 proptest! {
     #[test]
-    fn arbitrary_bytes_are_decoded_or_refused_without_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_are_decoded_or_rejected_without_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let _ = decode_state_of_the_world_request(&bytes);
         let _ = decode_delta_request(&bytes);
         let _ = decode_delta_response(&bytes);
     }
 
-    // As a broken client would send it.
+    // A faulty client or a corrupted connection may change any byte of a request.
     #[test]
-    fn a_request_with_a_corrupt_byte_is_handled_or_refused_without_a_panic(at in 0usize..120, to in any::<u8>()) {
+    fn a_request_with_a_corrupt_byte_is_handled_or_rejected_without_a_panic(at in 0usize..120, to in any::<u8>()) {
         let body = RequestBody::Delta {
             subscribe: vec!["quote".into()], unsubscribe: vec!["old".into()],
             initial_versions: [("quote".to_string(), "1".to_string())].into(),
--- a/crates/xds/src/error.rs
+++ b/crates/xds/src/error.rs
@@ -1,48 +1,48 @@
-//! Why a document or message could not be decoded or encoded.
+//! Errors of decoding and encoding documents and messages.
 
-/// Why a document or message was not accepted.
+/// The reason why a document or message was not accepted.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum DecodeError {
     /// The text is not canonical proto3 JSON of the message.
-    #[error("no proto3 JSON of {message}: {reason}")]
+    #[error("invalid proto3 JSON of {message}: {reason}")]
     Json {
-        /// The full name of the message.
+        /// The full name of the message type.
         message: String,
-        /// What the parser says.
+        /// The error of the parser.
         reason: String,
     },
-    /// A resource is of another type than its response should hold.
-    #[error("resource {index} is a `{found}`, `{expected}` is expected")]
+    /// A resource is of another type than is expected in its response.
+    #[error("resource {index} has type `{found}`, expected `{expected}`")]
     ResourceType {
-        /// The place of the resource in the response.
+        /// The index of the resource in the response.
         index: usize,
-        /// Its type URL.
+        /// The type URL of the resource.
         found: String,
-        /// The type URL that is expected.
+        /// The expected type URL.
         expected: String,
     },
     /// The bytes of a resource are not a message of its type.
     #[error("resource {index} can't be decoded: {source}")]
     Resource {
-        /// The place of the resource in the response.
+        /// The index of the resource in the response.
         index: usize,
-        /// What the decoder says.
+        /// The error of the decoder.
         source: prost::DecodeError,
     },
     /// The bytes are not a message of the expected type.
-    #[error("{message}: {source}")]
+    #[error("invalid {message}: {source}")]
     Message {
-        /// What was expected.
+        /// The expected message.
         message: &'static str,
-        /// What the decoder says.
+        /// The error of the decoder.
         source: prost::DecodeError,
     },
-    /// The message is well-formed, but a field has a value that is not accepted.
+    /// The message is well-formed, but a field has an invalid value.
     #[error("{field}: {error}")]
     Field {
-        /// The field, or the place of the resource that has it.
+        /// The field, or the location of the resource that has the field.
         field: String,
-        /// What is wrong with it.
+        /// What is wrong with the field.
         error: FieldError,
     },
 }
@@ -55,7 +55,7 @@
         }
     }
 
-    /// For `map_err` of a decoder: `message` says what was expected.
+    /// Returns a function for `map_err` of a decoder; `message` names the expected message.
     pub(crate) fn message(message: &'static str) -> impl Fn(prost::DecodeError) -> DecodeError {
         move |source| DecodeError::Message { message, source }
     }
@@ -64,94 +64,94 @@
 /// What is wrong with a field of a well-formed message.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum FieldError {
-    /// An address of another kind.
-    #[error("a socket address is expected")]
+    /// The address is missing or is not a socket address.
+    #[error("expected a socket address")]
     NoSocketAddress,
-    /// Not an IPv4 address.
-    #[error("`{0}` is no IPv4 address")]
+    /// The address is not an IPv4 address.
+    #[error("`{0}` is not an IPv4 address")]
     NotIpv4(String),
-    /// A named port.
-    #[error("a port number is expected")]
+    /// The port is missing or is not a number.
+    #[error("expected a port number")]
     NoPortNumber,
-    /// A number outside of 1 to 65535.
-    #[error("{0} is no port")]
+    /// The port is outside of 1 to 65535.
+    #[error("{0} is not a port number (1 to 65535)")]
     InvalidPort(u32),
-    /// An endpoint without an address.
-    #[error("an endpoint with an address is expected")]
+    /// The entry has no endpoint with an address.
+    #[error("expected an endpoint with an address")]
     NoEndpointAddress,
-    /// A value outside of the enumeration.
-    #[error("{0} is no health status")]
+    /// The health status is not a value of the enumeration.
+    #[error("{0} is not a health status")]
     UnknownHealthStatus(i32),
-    /// A listed endpoint with a weight of 0.
-    #[error("a weight of 0: leave the node out, or let it drain")]
+    /// A listed endpoint has a weight of 0.
+    #[error("a weight of 0 is not allowed: remove the node from the list, or mark it as draining")]
     ZeroWeight,
-    /// Metadata of another type.
-    #[error("`{0}` in its metadata should be a text")]
+    /// A metadata field is not a string.
+    #[error("metadata field `{0}` must be a string")]
     MetadataNotText(&'static str),
-    /// Metadata of another type.
-    #[error("`{0}` in its metadata should be a number")]
+    /// A metadata field is not a finite number.
+    #[error("metadata field `{0}` must be a finite number")]
     MetadataNotNumber(&'static str),
-    /// A node that is listed twice, differently.
-    #[error("the node is listed before with other figures")]
+    /// A node is listed twice with different values.
+    #[error("the node is already listed with different values")]
     ConflictingEntries,
-    /// Endpoints and routes of different versions.
-    #[error("version {endpoints} beside {routes} of the routes")]
+    /// The endpoints and routes are of different versions.
+    #[error("version {endpoints}, but the routes have version {routes}")]
     VersionMismatch {
         /// The version of the endpoints.
         endpoints: String,
         /// The version of the routes.
         routes: String,
     },
-    /// A version that is not a number, in a document of tables.
-    #[error("`{0}`")]
+    /// The version in a document of tables is not a number.
+    #[error("`{0}` is not a version number")]
     InvalidTableVersion(String),
-    /// A version that is not a number, in a status.
-    #[error("`{0}` is no version")]
+    /// A version in a status is not a number.
+    #[error("`{0}` is not a version number")]
     InvalidVersion(String),
-    /// A status without the resource type that it is read for.
-    #[error("it says nothing of endpoints")]
+    /// The status has no entry for the endpoint resource type.
+    #[error("no entry for the endpoint resource type")]
     NoEndpointStatus,
-    /// A cluster that no route leads to.
-    #[error("it has no route")]
+    /// No route has the name of the cluster.
+    #[error("no route has this name")]
     NoRoute,
-    /// A route without a route action.
-    #[error("its route leads nowhere")]
+    /// The route has no route action.
+    #[error("the route has no route action")]
     NoRouteAction,
-    /// A drop without a percentage.
-    #[error("a drop without its part")]
+    /// A drop has no percentage.
+    #[error("a drop has no percentage")]
     NoDropPercentage,
-    /// A value outside of the enumeration.
-    #[error("{0} is no denominator")]
+    /// The denominator of a percentage is not a value of the enumeration.
+    #[error("{0} is not a denominator")]
     UnknownDenominator(i32),
-    /// A rate limit without a token bucket.
-    #[error("a rate limit without its bucket")]
+    /// A rate limit has no token bucket.
+    #[error("the rate limit has no token bucket")]
     NoTokenBucket,
-    /// A token bucket with a fill interval of 0.
-    #[error("a bucket that is never filled")]
+    /// The fill interval of a token bucket is missing or not above 0.
+    #[error("the fill interval of the token bucket must be above 0")]
     NoFillInterval,
-    /// An embedded message that can't be decoded.
+    /// An embedded message can't be decoded.
     #[error("{0}")]
     EmbeddedMessage(prost::DecodeError),
-    /// A type that is not served.
-    #[error("`{0}` is not served here")]
+    /// The resource type is not supported.
+    #[error("resource type `{0}` is not supported")]
     UnknownResourceType(String),
-    /// A resource version that is not a checksum.
-    #[error("its version is no checksum")]
+    /// The version of a resource is not a checksum.
+    #[error("the version is not a checksum")]
     InvalidChecksum,
-    /// A resource without content.
-    #[error("it is empty")]
+    /// The resource has no content.
+    #[error("the resource has no content")]
     EmptyResource,
-    /// The name of an `LbEndpoint` without cluster and zone.
-    #[error("a line is named by its cluster, zone and address")]
+    /// The name of an `LbEndpoint` has no cluster or no zone.
+    #[error("the name of an entry must have the form CLUSTER/ZONE/ADDRESS")]
     InvalidEntryName,
 }
 
-/// Why a message could not be written as JSON.
+/// The reason why a message could not be written as JSON.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-#[error("no proto3 JSON of {message}: {reason}")]
+#[error("can't write proto3 JSON of {message}: {reason}")]
 pub struct EncodeError {
-    /// The full name of the message.
+    /// The full name of the message type.
     pub message: String,
-    /// What the serializer says.
+    /// The error of the serializer.
     pub reason: String,
 }
--- a/crates/xds/src/json.rs
+++ b/crates/xds/src/json.rs
@@ -1,4 +1,4 @@
-//! Messages to and from canonical proto3 JSON, by the descriptors of the published definitions.
+//! Conversion of messages to and from canonical proto3 JSON, using the descriptors of the published definitions.
 
 use crate::{DecodeError, EncodeError};
 use prost::{Message, Name};
@@ -11,14 +11,14 @@
 use xds_api::pb::envoy::service::discovery::v3::DiscoveryResponse;
 use xds_api::pb::google::protobuf::Any;
 
-/// The local rate limit of a route, which the crate of definitions lacks: the fields that say how many requests a
-/// second are admitted (`local_rate_limit.proto`, fields 1 and 3).
+/// The local rate limit of a route, which is missing from the `xds_api` crate. It has only the fields that define the
+/// admitted rate (`local_rate_limit.proto`, fields 1 and 3).
 #[derive(Clone, PartialEq, Message)]
 pub struct LocalRateLimit {
-    /// The prefix of its metrics.
+    /// The prefix of the metrics of the filter.
     #[prost(string, tag = "1")]
     pub stat_prefix: String,
-    /// How many requests are admitted.
+    /// The token bucket that limits the rate of admitted requests.
     #[prost(message, optional, tag = "3")]
     pub token_bucket: Option<xds_api::pb::envoy::r#type::v3::TokenBucket>,
 }
@@ -36,7 +36,7 @@
     }
 }
 
-/// The descriptor of [`LocalRateLimit`].
+/// The file descriptor of [`LocalRateLimit`].
 fn local_rate_limit_file() -> FileDescriptorProto {
     let field = |name: &str, number: i32, of: Type, type_name: Option<&str>| FieldDescriptorProto {
         name: Some(name.to_string()),
@@ -73,24 +73,24 @@
 fn pool() -> &'static DescriptorPool {
     static POOL: OnceLock<DescriptorPool> = OnceLock::new();
     POOL.get_or_init(|| {
-        // Invariant: the definitions are built into the program. Whether they fit together depends on no input, so any
-        // test that writes JSON would fail first.
+        // Invariant: the definitions are compiled into the program and independent of any input, so inconsistent ones
+        // would fail every test that writes JSON.
         let mut pool =
             DescriptorPool::decode(xds_api::FILE_DESCRIPTOR_SET).expect("the definitions decode");
         pool.add_file_descriptor_proto(local_rate_limit_file())
-            .expect("the added definition fits them");
+            .expect("the added definition is consistent with the pool");
         pool
     })
 }
 
 fn descriptor<T: Name>() -> MessageDescriptor {
-    // Invariant: `T` is one of the definitions in the pool, or `LocalRateLimit`, which is added to it.
+    // Invariant: `T` is a message type in the pool, or `LocalRateLimit`, which is added to the pool.
     pool()
         .get_message_by_name(&T::full_name())
-        .expect("a message of the definitions")
+        .expect("the message type is in the pool")
 }
 
-/// Writes canonical JSON: field names in lowerCamelCase, numbers as numbers where they are, 64 bits as text.
+/// Writes canonical JSON: field names in lowerCamelCase, 64-bit integers as strings, other numbers as numbers.
 pub fn write<T: Message + Name>(message: &T) -> Result<String, EncodeError> {
     let error = |reason: String| EncodeError {
         message: T::full_name(),
@@ -111,7 +111,8 @@
     String::from_utf8(out).map_err(|e| error(e.to_string()))
 }
 
-/// Reads canonical JSON. Unknown fields are refused: a list with a misspelt health status must not pass for a healthy one.
+/// Reads canonical JSON. Unknown fields are rejected, so that a node whose `healthStatus` field is misspelt is not read
+/// as healthy.
 pub fn read<T: Message + Name + Default>(text: &str) -> Result<T, DecodeError> {
     let error = |reason: String| DecodeError::Json {
         message: T::full_name(),
@@ -125,7 +126,7 @@
     T::decode(dynamic.encode_to_vec().as_slice()).map_err(|e| error(e.to_string()))
 }
 
-/// A response that holds resources of one type.
+/// Creates a response with resources of one type.
 pub fn response<T: Message + Name>(version: &str, resources: &[T]) -> DiscoveryResponse {
     let any = |resource: &T| Any {
         type_url: T::type_url(),
@@ -139,7 +140,7 @@
     }
 }
 
-/// The resources of a response, which must all be of one type.
+/// Decodes the resources of a response, which must all be of type `T`.
 pub fn resources<T: Message + Name + Default>(
     response: &DiscoveryResponse,
 ) -> Result<Vec<T>, DecodeError> {
--- a/crates/xds/src/lib.rs
+++ b/crates/xds/src/lib.rs
@@ -1,16 +1,17 @@
-//! The published xDS forms that controllers and proxies speak, to and from our types.
+//! Conversions between the published xDS messages, which controllers and proxies exchange, and the types of this
+//! workspace.
 //!
 //! | module | messages |
 //! | --- | --- |
 //! | [`tables`] | `ClusterLoadAssignment` and `RouteConfiguration`: a proxy's tables |
-//! | [`discovery`] | discovery requests and responses, and the resources that they bring |
+//! | [`discovery`] | discovery requests and responses, and their resources |
 //! | [`loads`] | `LoadStatsRequest`: load reports |
 //! | [`nodes`] | `ClusterLoadAssignment`: the endpoint list |
-//! | [`status`] | `ClientConfig`: which version a proxy holds |
+//! | [`status`] | `ClientConfig`: the version that a proxy holds |
 //! | [`orca`] | load metrics in the header of a node's response |
 //! | [`json`] | messages as canonical proto3 JSON |
 //!
-//! Decoding never panics: what is not accepted is a [`DecodeError`] that names the field.
+//! Decoding never panics: invalid input results in a [`DecodeError`] that names the field.
 
 mod convert;
 pub mod discovery;
--- a/crates/xds/src/loads.rs
+++ b/crates/xds/src/loads.rs
@@ -1,7 +1,7 @@
 //! Load reports on the load reporting service's stream.
 //!
-//! The first request introduces the proxy (node id, zone, and in its metadata `usual_rate`); each brings counts by
-//! cluster (operation), zone and endpoint.
+//! The first request identifies the proxy: node id, zone, and in the node's metadata `usual_rate`. Later requests have
+//! counts by cluster (operation), zone and endpoint.
 
 use crate::convert::{address, duration, locality, node_id, span};
 use crate::DecodeError;
@@ -15,31 +15,32 @@
 use xds_api::pb::envoy::service::load_stats::v3::{LoadStatsRequest, LoadStatsResponse};
 use xds_api::pb::google::protobuf::{value::Kind, Duration, Struct, Value};
 
-/// The path of the stream.
+/// The request path of the stream.
 pub const METHOD: &str = "/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats";
-/// The metric of a zone that counts retries, where a proxy tells them from first attempts.
+/// The load metric of a zone that counts retries, from proxies that count them separately from first attempts.
 const RETRIES_METRIC: &str = "repeats";
-/// The field of a node's metadata that says how many requests a second it usually forwards.
+/// The field of a node's metadata with the rate that the proxy usually forwards, in requests per second.
 const USUAL_RATE_FIELD: &str = "usual_rate";
-/// The report interval of a response that states none.
+/// The report interval if a response states none.
 const DEFAULT_INTERVAL: Duration = Duration {
     seconds: 1,
     nanos: 0,
 };
 
-/// Decodes a request of a proxy.
+/// Decodes a load report request of a proxy.
 pub fn decode_request(bytes: &[u8]) -> Result<LoadStatsRequest, DecodeError> {
-    LoadStatsRequest::decode(bytes).map_err(DecodeError::message("a report"))
+    LoadStatsRequest::decode(bytes).map_err(DecodeError::message("load report request"))
 }
 
-/// Decodes a response of a controller: the interval at which it wants reports.
+/// Decodes a response of a controller and returns the requested report interval.
 pub fn decode_response(bytes: &[u8]) -> Result<Span, DecodeError> {
-    let response = LoadStatsResponse::decode(bytes).map_err(DecodeError::message("an answer"))?;
+    let response =
+        LoadStatsResponse::decode(bytes).map_err(DecodeError::message("load report response"))?;
     let interval = response.load_reporting_interval.unwrap_or(DEFAULT_INTERVAL);
     Ok(span(&interval))
 }
 
-/// Encodes the response that requests reports of all clusters, by endpoint, at this interval.
+/// Encodes the response that requests reports of all clusters by endpoint, at this interval.
 pub fn response(interval: Span) -> Vec<u8> {
     LoadStatsResponse {
         send_all_clusters: true,
@@ -50,12 +51,12 @@
     .encode_to_vec()
 }
 
-/// Who introduces itself in a request, if anybody does.
+/// The proxy identity in a request; `None` if the request has no node.
 pub fn identity(request: &LoadStatsRequest) -> Option<ProxyIdentity> {
     request.node.as_ref().map(decode_identity)
 }
 
-/// How a node introduces itself, on whichever stream.
+/// Decodes the proxy identity from the node of a request, on any kind of stream.
 pub(crate) fn decode_identity(node: &core::Node) -> ProxyIdentity {
     let usual_rate = node
         .metadata
@@ -76,7 +77,7 @@
     }
 }
 
-/// The node by which a proxy introduces itself, on whichever stream.
+/// Encodes a proxy identity as the node of a request, on any kind of stream.
 pub(crate) fn encode_identity(identity: &ProxyIdentity) -> core::Node {
     let metadata = identity.usual_rate.map(|rate| {
         let kind = Some(Kind::NumberValue(rate));
@@ -92,7 +93,7 @@
     }
 }
 
-/// The first request of a stream, from a proxy that introduces itself.
+/// The first request of a stream, which identifies the proxy.
 pub fn identity_request(identity: &ProxyIdentity) -> LoadStatsRequest {
     LoadStatsRequest {
         node: Some(encode_identity(identity)),
@@ -100,7 +101,7 @@
     }
 }
 
-/// The report of a request; `None` if it only introduces.
+/// The load report in a request; `None` if the request only identifies the proxy.
 pub fn report(request: &LoadStatsRequest) -> Option<LoadReport> {
     let first = request.cluster_stats.first()?;
     let interval = first.load_report_interval.as_ref();
@@ -145,7 +146,7 @@
     }
 }
 
-/// The request that brings a report.
+/// Creates the request with a load report. `zone_of` returns the zone of a node.
 pub fn request(report: &LoadReport, zone_of: impl Fn(&NodeReport) -> String) -> LoadStatsRequest {
     let interval = duration(report.window);
     let encode = |operation| encode_operation(operation, &zone_of, interval);
@@ -164,7 +165,7 @@
     for node in &operation.nodes {
         zones.entry(zone_of(node)).or_default().push(node);
     }
-    // Retries are counted for the operation and not by zone; the first zone carries them.
+    // Retries are counted per operation and not by zone, so the stats of the first zone contain all of them.
     let mut retries = operation.retries;
     let encode = |(zone, nodes): (String, Vec<&NodeReport>)| {
         encode_zone(&zone, &nodes, std::mem::take(&mut retries))
--- a/crates/xds/src/loads/tests.rs
+++ b/crates/xds/src/loads/tests.rs
@@ -1,4 +1,4 @@
-//! Load reports on their way to a controller.
+//! Encoding and decoding of load reports.
 
 use super::*;
 use proptest::prelude::*;
@@ -39,7 +39,7 @@
     }
 
     #[test]
-    fn arbitrary_bytes_are_decoded_or_refused_without_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn arbitrary_bytes_are_decoded_or_rejected_without_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         if let Ok(request) = decode_request(&bytes) {
             let _ = (identity(&request), report(&request));
         }
@@ -49,13 +49,13 @@
 
 #[test]
 fn a_proxy_identity_and_an_interval_are_decoded_as_they_were_encoded() {
-    let who = ProxyIdentity {
+    let sent = ProxyIdentity {
         name: "g1".into(),
         zone: "north".into(),
         usual_rate: Some(12.5),
     };
-    let request = identity_request(&who);
-    assert_eq!((identity(&request), report(&request)), (Some(who), None));
+    let request = identity_request(&sent);
+    assert_eq!((identity(&request), report(&request)), (Some(sent), None));
     assert_eq!(
         decode_response(&response(Span::from_seconds(0.5))),
         Ok(Span::from_seconds(0.5))
--- a/crates/xds/src/nodes.rs
+++ b/crates/xds/src/nodes.rs
@@ -1,7 +1,7 @@
 //! The endpoint list: a `DiscoveryResponse` of one or more `ClusterLoadAssignment`s.
 //!
-//! A locality's zone is the node's; `health_status` says whether it drains; metadata under `envoy.lb` may say `kind`,
-//! `cell` and `started` (seconds since 1970, when the process started).
+//! The zone of a locality is the zone of its nodes. `health_status` states whether a node is draining. The optional
+//! metadata under `envoy.lb` are `kind`, `cell` and `started` (the start of the process in seconds since 1970).
 
 use crate::convert::{entry_node, host_identifier, locality_groups, zone_of};
 use crate::json;
@@ -14,17 +14,17 @@
 use xds_api::pb::envoy::service::discovery::v3::DiscoveryResponse;
 use xds_api::pb::google::protobuf::{value::Kind, Struct, Value};
 
-/// The filter metadata that describes a node.
+/// The key of the filter metadata that describes a node.
 pub const METADATA_FILTER: &str = "envoy.lb";
-/// The cluster that a written list is in.
+/// The cluster name of a written list.
 const CLUSTER: &str = "nodes";
 const KIND: &str = "kind";
 const CELL: &str = "cell";
 const STARTED: &str = "started";
-/// The most seconds that a process is taken to be old.
+/// The maximum age of a process; greater ages are reduced to it.
 const MAX_AGE_SECONDS: f64 = 1e8;
 
-/// Reads a list. `wall_seconds` is the present time in seconds since 1970, for the ages of processes.
+/// Reads a list. `wall_seconds` is the current time in seconds since 1970, from which ages of processes are computed.
 pub fn read(text: &str, wall_seconds: f64) -> Result<EndpointSnapshot, DecodeError> {
     let response: DiscoveryResponse = json::read(text)?;
     let assignments: Vec<endpoint::ClusterLoadAssignment> = json::resources(&response)?;
@@ -42,7 +42,7 @@
                 let Some(record) = record else {
                     continue;
                 };
-                // One node may serve several clusters; it must be listed alike in all of them.
+                // A node may be listed in several clusters, with the same values in all of them.
                 let before = records.insert(record.node, record.clone());
                 if before.is_some_and(|before| before != record) {
                     return Err(DecodeError::field(place(), FieldError::ConflictingEntries));
@@ -56,7 +56,7 @@
     })
 }
 
-/// `None`: the node is listed as unfit.
+/// Decodes an endpoint entry; `None` if its health status is unhealthy or timeout.
 fn decode_record(
     zone: &str,
     entry: &endpoint::LbEndpoint,
@@ -86,7 +86,7 @@
     }))
 }
 
-/// Whether a node drains; `None` if it should be treated as if it were not listed.
+/// Whether a node is draining; `None` if the node is treated as not listed.
 fn decode_draining(health_status: i32) -> Result<Option<bool>, FieldError> {
     use core::HealthStatus::{Degraded, Draining, Healthy, Timeout, Unhealthy, Unknown};
     match core::HealthStatus::try_from(health_status) {
@@ -97,7 +97,7 @@
     }
 }
 
-/// The metadata of an entry, by field.
+/// Access to the fields of the metadata of an entry.
 struct NodeMetadata<'a>(Option<&'a Struct>);
 
 impl<'a> NodeMetadata<'a> {
@@ -118,7 +118,7 @@
         }
     }
 
-    /// The start as it is written, which tells one run of a process from another, and how long ago it was.
+    /// The start time as text, which identifies the incarnation of the process, and its age.
     fn started(&self, wall_seconds: f64) -> Result<Option<(String, Span)>, FieldError> {
         match self.value(STARTED) {
             None => Ok(None),
@@ -131,7 +131,7 @@
     }
 }
 
-/// Writes the document that [`read`] reads.
+/// Writes a list as the document that [`read`] reads.
 pub fn write(list: &EndpointSnapshot) -> Result<String, EncodeError> {
     let mut zones: BTreeMap<&str, Vec<endpoint::LbEndpoint>> = BTreeMap::new();
     for record in &list.records {
--- a/crates/xds/src/orca.rs
+++ b/crates/xds/src/orca.rs
@@ -1,14 +1,14 @@
-//! Load metrics in a node's responses: the header `endpoint-load-metrics` of the published ORCA form, as `TEXT` (pairs
-//! of names and values) or `JSON`.
+//! Load metrics in the responses of a node: the header `endpoint-load-metrics` of the published ORCA format, as `TEXT`
+//! (pairs of names and values) or `JSON`.
 
 use std::collections::BTreeMap;
 
 /// The name of the header.
 pub const HEADER: &str = "endpoint-load-metrics";
-/// Figures of a header that are read at most.
+/// The maximum number of metrics read from a header, and from each object nested in its JSON.
 const MAX_METRICS: usize = 32;
 
-/// Writes metrics as a `TEXT` report.
+/// Writes metrics as a `TEXT` header value.
 pub fn write(metrics: &[(&str, f64)]) -> String {
     let pairs: Vec<String> = metrics
         .iter()
@@ -17,7 +17,8 @@
     format!("TEXT {}", pairs.join(","))
 }
 
-/// Figures by name; named metrics as `named_metrics.NAME`. What can't be read is skipped.
+/// Reads metrics by name; named metrics get the name `named_metrics.NAME`. Values that are invalid, negative or not
+/// finite are skipped.
 pub fn read(header: &str) -> BTreeMap<String, f64> {
     let is_valid = |(_, value): &(String, f64)| value.is_finite() && *value >= 0.0;
     match header.split_once(' ') {
@@ -57,7 +58,7 @@
     }
 }
 
-/// JSON names come in lowerCamelCase.
+/// Converts the lowerCamelCase names of JSON fields.
 fn to_snake_case(name: &str) -> String {
     let mut out = String::with_capacity(name.len() + 2);
     for c in name.chars() {
--- a/crates/xds/src/orca/tests.rs
+++ b/crates/xds/src/orca/tests.rs
@@ -1,4 +1,4 @@
-//! Load headers in both forms.
+//! Load metrics headers in both formats.
 
 use super::*;
 use test_case::test_case;
@@ -6,10 +6,10 @@
 #[test_case("TEXT cpu_utilization=0.5,named_metrics.queue=3", &[0.5, 3.0]; "text")]
 #[test_case("TEXT cpu_utilization: 0.5, named_metrics.queue: 3", &[0.5, 3.0]; "text with colons")]
 #[test_case(r#"JSON {"cpuUtilization": 0.5, "namedMetrics": {"queue": 3}}"#, &[0.5, 3.0]; "json")]
-#[test_case(r#"JSON {"cpu_utilization": 0.5, "named_metrics": {"queue": -3}}"#, &[0.5]; "a negative one is left out")]
-#[test_case("TEXT cpu_utilization=NaN,named_metrics.queue=", &[]; "no numbers")]
-#[test_case("BIN AAAA", &[]; "a form that is not read")]
-#[test_case("JSON {", &[]; "torn")]
+#[test_case(r#"JSON {"cpu_utilization": 0.5, "named_metrics": {"queue": -3}}"#, &[0.5]; "a negative value is skipped")]
+#[test_case("TEXT cpu_utilization=NaN,named_metrics.queue=", &[]; "values that are not numbers")]
+#[test_case("BIN AAAA", &[]; "an unsupported format")]
+#[test_case("JSON {", &[]; "truncated JSON")]
 fn valid_metrics_are_read_and_others_are_skipped(header: &str, wanted: &[f64]) {
     let metrics = read(header);
     let found: Vec<f64> = ["cpu_utilization", "named_metrics.queue"]
--- a/crates/xds/src/status.rs
+++ b/crates/xds/src/status.rs
@@ -1,5 +1,5 @@
-//! Which version a proxy holds, as it publishes it: a `ClientConfig` of the client status discovery service, with the
-//! version of its endpoints, and the version that it rejected and why.
+//! The status that a proxy publishes: a `ClientConfig` of the client status discovery service, with the version of its
+//! endpoints, and the version that it rejected with the reason.
 
 use crate::{json, DecodeError, EncodeError, FieldError};
 use prost::Name;
@@ -9,14 +9,14 @@
 use xds_api::pb::envoy::config::endpoint::v3::ClusterLoadAssignment;
 use xds_api::pb::envoy::service::status::v3::{client_config::GenericXdsConfig, ClientConfig};
 
-/// Which version a proxy holds.
+/// The status of a proxy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Status {
-    /// The proxy.
+    /// The name of the proxy.
     pub proxy: String,
-    /// The version in force; 0: none yet.
+    /// The version in effect; 0 if the proxy has none yet.
     pub version: Version,
-    /// The version that it rejected last, and why.
+    /// The version that the proxy rejected last, and the reason.
     pub rejected: Option<(Version, String)>,
 }
 
@@ -76,7 +76,7 @@
     })
 }
 
-/// An empty version is that of a proxy that holds nothing.
+/// Parses a version. The version is empty if the proxy holds no table yet.
 fn parse_version(text: &str) -> Result<Version, DecodeError> {
     if text.is_empty() {
         return Ok(Version(0));
--- a/crates/xds/src/status/tests.rs
+++ b/crates/xds/src/status/tests.rs
@@ -1,4 +1,4 @@
-//! Statuses as proxies publish them.
+//! Reading and writing of proxy statuses.
 
 use super::*;
 
@@ -8,7 +8,7 @@
           "typeUrl": "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment",
           "versionInfo": "41", "clientStatus": "NACKED",
           "errorState": {"versionInfo": "42", "details": "no route"}}]}"#;
-    let status = read(text).expect("it is of the published form");
+    let status = read(text).expect("the status has the published form");
     assert_eq!(status.version, Version(41));
     assert_eq!(status.rejected, Some((Version(42), "no route".to_string())));
     assert_eq!(read(&write(&status).expect("written")), Ok(status));
--- a/crates/xds/src/tables.rs
+++ b/crates/xds/src/tables.rs
@@ -1,8 +1,8 @@
 //! A proxy's tables at one version: entries with weights and drop percentages (EDS), and routes with timeouts, retries
 //! and local rate limits (RDS).
 //!
-//! There is one cluster and one route for each operation, named after it; a request's operation is the first part of
-//! its path.
+//! Each operation has one cluster and one route with its name. The operation of a request is the first segment of its
+//! path.
 
 mod decode;
 mod encode;
@@ -22,14 +22,14 @@
 pub use encode::ALL_OPERATIONS;
 pub use recover::recover;
 
-/// Weights are whole numbers on the wire: so many to one of ours.
+/// Weights are integers on the wire: this value stands for a weight of 1.
 const WEIGHT_SCALE: f64 = 1000.0;
-/// Drop percentages are counted in millionths.
+/// The denominator of drop percentages.
 const MILLION: f64 = 1e6;
-/// The route's filter that limits rates.
+/// The filter that limits the rate of a route.
 const LOCAL_RATE_LIMIT: &str = "envoy.filters.http.local_ratelimit";
 
-/// The two documents of a version, as JSON.
+/// The two documents of a table set version, as JSON.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Documents {
     /// The endpoints.
@@ -38,22 +38,22 @@
     pub rds: String,
 }
 
-/// The table of one operation, as a proxy reads it.
+/// The table of one operation, as read by a proxy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProxyTable {
     /// The operation.
     pub operation: String,
-    /// The nodes with their weights.
+    /// The entries: nodes with their weights.
     pub entries: Vec<TableEntry>,
-    /// Of a million requests, so many are rejected.
+    /// The number of requests out of a million that are rejected.
     pub dropped_of_million: u32,
-    /// Requests a second that are admitted, if they are limited.
+    /// The maximum rate of admitted requests, in requests per second; `None` if the rate is not limited.
     pub rate_limit: Option<f64>,
-    /// Which failures are retried.
+    /// The retry policy.
     pub retry: RetryPolicy,
-    /// After so long without a response an attempt is given up.
+    /// The time without a response after which an attempt is abandoned.
     pub per_try_timeout: Option<Span>,
-    /// After so long a request is given up.
+    /// The time after which a request is abandoned, over all attempts.
     pub timeout: Option<Span>,
 }
 
@@ -76,7 +76,7 @@
     })
 }
 
-/// Reads both documents. They must be of one version and have the same operations.
+/// Reads both documents. They must have the same version, and each operation of the endpoints must have a route.
 pub fn read(documents: &Documents) -> Result<ProxyTables, DecodeError> {
     let eds: DiscoveryResponse = json::read(&documents.eds)?;
     let rds: DiscoveryResponse = json::read(&documents.rds)?;
--- a/crates/xds/src/tables/decode.rs
+++ b/crates/xds/src/tables/decode.rs
@@ -1,4 +1,4 @@
-//! Tables as a proxy reads them out of `ClusterLoadAssignment`s and `RouteConfiguration`s.
+//! Decodes tables from `ClusterLoadAssignment`s and `RouteConfiguration`s.
 
 use super::retry_conditions::policy;
 use super::{ProxyTable, ProxyTables, LOCAL_RATE_LIMIT, MILLION, WEIGHT_SCALE};
@@ -13,7 +13,7 @@
 use xds_api::pb::envoy::r#type::v3::fractional_percent::DenominatorType;
 use xds_api::pb::envoy::r#type::v3::FractionalPercent;
 
-/// What a proxy makes of the resources of one version.
+/// Decodes the tables of a proxy from the resources of one version.
 pub(crate) fn decode_tables(
     version: Version,
     assignments: Vec<endpoint::ClusterLoadAssignment>,
@@ -82,7 +82,8 @@
     Ok(entries)
 }
 
-/// Each drop applies to what the drops before it admitted.
+/// The number of dropped requests out of a million. Each drop applies to the requests that the drops before it
+/// admitted.
 fn decode_drops(assignment: &endpoint::ClusterLoadAssignment) -> Result<u32, FieldError> {
     let drops = assignment
         .policy
@@ -115,7 +116,7 @@
     policy(&retries.retry_on, max_retries)
 }
 
-/// Requests a second.
+/// The rate limit of a route in requests per second; `None` if it has none.
 fn decode_rate_limit(route: &route::Route) -> Result<Option<f64>, FieldError> {
     let Some(any) = route.typed_per_filter_config.get(LOCAL_RATE_LIMIT) else {
         return Ok(None);
--- a/crates/xds/src/tables/encode.rs
+++ b/crates/xds/src/tables/encode.rs
@@ -1,4 +1,4 @@
-//! Tables as `ClusterLoadAssignment`s and a `RouteConfiguration`.
+//! Encodes tables as `ClusterLoadAssignment`s and a `RouteConfiguration`.
 
 use super::retry_conditions::conditions;
 use super::{LOCAL_RATE_LIMIT, MILLION, WEIGHT_SCALE};
@@ -20,24 +20,24 @@
 };
 use xds_api::pb::google::protobuf::Any;
 
-/// The route configuration that has a route for each operation.
+/// The name of the route configuration with a route for each operation.
 pub const ALL_OPERATIONS: &str = "operations";
-/// The category of drops and the prefix of rate limit metrics.
+/// The category of drops, also used as the prefix of rate limit metrics.
 const ADMISSION_CATEGORY: &str = "admission";
-/// A retry goes to another host.
+/// The retry host predicate that excludes hosts that were tried before.
 const PREVIOUS_HOSTS_PREDICATE: &str = "envoy.retry_host_predicates.previous_hosts";
 const MAX_WEIGHT: f64 = 1e9;
 const MAX_TOKENS: f64 = 4e9;
-/// From this rate on a bucket is filled each second.
+/// The minimum rate, in requests per second, from which a bucket is filled every second.
 const FREQUENT_FILL_MIN_RATE: f64 = 10.0;
 const FREQUENT_FILL_SECONDS: f64 = 1.0;
 const RARE_FILL_SECONDS: f64 = 10.0;
 
 /// The resources of a table set.
 pub(crate) struct TableResources {
-    /// One for each operation.
+    /// One assignment for each operation.
     pub(crate) assignments: Vec<endpoint::ClusterLoadAssignment>,
-    /// One route for each operation.
+    /// The route configuration with one route for each operation.
     pub(crate) routes: route::RouteConfiguration,
 }
 
@@ -168,7 +168,7 @@
 }
 
 fn encode_rate_limit(rate: f64) -> Any {
-    // A bucket holds whole tokens, so that low rates are filled more rarely.
+    // Token counts are integers, so low rates use a longer fill interval to limit the rounding error.
     let seconds = if rate >= FREQUENT_FILL_MIN_RATE {
         FREQUENT_FILL_SECONDS
     } else {
--- a/crates/xds/src/tables/recover.rs
+++ b/crates/xds/src/tables/recover.rs
@@ -1,15 +1,16 @@
-//! What a controller that starts again makes of the documents it finds.
+//! Recovers a table set from the documents that a controller finds when it restarts.
 
 use super::{ProxyTable, ProxyTables, MILLION};
 use wheelspread::ids::{OperationId, TableId};
 use wheelspread_controller_core::deployment::{AdmissionForm, Deployment};
 use wheelspread_controller_core::publication::{BundleId, OperationTable, TableSet};
 
-/// A table set that can be written again. Operations that the deployment no longer has are left out.
+/// Converts tables to a table set that can be written again. Operations that are missing from the deployment are left
+/// out.
 pub fn recover(tables: ProxyTables, deployment: &Deployment) -> TableSet {
     let operations = tables.operations.into_iter();
     TableSet {
-        // No table set of a running controller has this id.
+        // A running controller assigns this id to none of its table sets.
         bundle: BundleId(u32::MAX),
         version: tables.version,
         configuration: 0,
@@ -32,7 +33,7 @@
     };
     Some(OperationTable {
         operation: OperationId(index as u8),
-        // Counted down, so that no table of a running controller has this id.
+        // Counted down from the maximum, so that the ids differ from those that a running controller assigns.
         table: TableId(u16::MAX - index as u16),
         entries: table.entries,
         admission_limit,
--- a/crates/xds/src/tables/retry_conditions.rs
+++ b/crates/xds/src/tables/retry_conditions.rs
@@ -1,23 +1,23 @@
-//! How retry policies are expressed as Envoy's retry conditions.
+//! Conversion of retry policies to and from Envoy's retry conditions.
 
 use wheelspread::RetryPolicy;
 
-/// A retry policy on the wire.
+/// The encoded form of a retry policy.
 pub(super) struct RetryConditions {
     /// `retry_on`.
     pub(super) retry_on: &'static str,
     /// `num_retries`.
     pub(super) max_retries: u32,
-    /// Whether a slow attempt is given up early (`per_try_timeout`).
+    /// Whether attempts have a timeout of their own (`per_try_timeout`).
     pub(super) has_attempt_timeout: bool,
 }
 
 const UNPROCESSED: &str = "connect-failure,refused-stream,reset-before-request";
 const ANY_FAILURE: &str = "5xx,reset,connect-failure,refused-stream,retriable-4xx";
-/// With any of these conditions, an attempt is retried that the node may have processed.
+/// The conditions under which an attempt is retried although the node may have processed it.
 const MAYBE_PROCESSED: [&str; 4] = ["5xx", "gateway-error", "reset", "retriable-status-codes"];
 
-/// `None`: a route without a retry policy.
+/// The conditions of a policy; `None` for a route without retries.
 pub(super) fn conditions(policy: RetryPolicy) -> Option<RetryConditions> {
     match policy {
         RetryPolicy::Never => None,
@@ -39,7 +39,7 @@
     }
 }
 
-/// The policy that comes closest to conditions, which may be those of another control plane.
+/// The policy closest to the given conditions, which may have been written by another control plane.
 pub(super) fn policy(retry_on: &str, max_retries: u32) -> RetryPolicy {
     let conditions: Vec<&str> = retry_on.split(',').map(str::trim).collect();
     if max_retries == 0 || conditions.iter().all(|condition| condition.is_empty()) {
--- a/crates/xds/src/tables/tests.rs
+++ b/crates/xds/src/tables/tests.rs
@@ -1,4 +1,4 @@
-//! Documents as proxies read them.
+//! Writing and reading of table documents.
 
 use super::*;
 use proptest::prelude::*;
@@ -24,25 +24,25 @@
     }
 }
 
-fn set(quota: Option<f64>, retry: RetryPolicy, weights: &[f64]) -> TableSet {
-    let entry = |(at, weight): (usize, &f64)| TableEntry {
+fn set(limit: Option<f64>, retry: RetryPolicy, weights: &[f64]) -> TableSet {
+    let entry = |(index, weight): (usize, &f64)| TableEntry {
         node: NodeId {
             address: [127, 0, 0, 1],
-            port: 9000 + at as u16,
+            port: 9000 + index as u16,
         },
         zone: "north".to_string(),
         weight: *weight,
     };
     let entries: Vec<TableEntry> = weights.iter().enumerate().map(entry).collect();
-    let table = |operation, entries, quota, retry| OperationTable {
+    let table = |operation, entries, limit, retry| OperationTable {
         operation: OperationId(operation),
         table: TableId(3),
         entries,
-        admission_limit: quota,
+        admission_limit: limit,
         retry,
     };
     let operations = vec![
-        table(0, entries.clone(), quota, retry),
+        table(0, entries.clone(), limit, retry),
         table(1, entries, None, RetryPolicy::IfUnprocessed),
     ];
     TableSet {
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn documents_of_different_versions_are_refused() {
+fn documents_of_different_versions_are_rejected() {
     let mut written = write(
         &set(None, RetryPolicy::Never, &[1.0]),
         &deployment(AdmissionForm::Share),
@@ -133,27 +133,29 @@
     written.rds = write(&other, &deployment(AdmissionForm::Share))
         .expect("written")
         .rds;
-    assert!(read(&written).is_err_and(|error| error.to_string().contains("version 42 beside 43")));
+    assert!(read(&written).is_err_and(|error| error
+        .to_string()
+        .contains("version 42, but the routes have version 43")));
 }
 
 proptest! {
     #[test]
     fn written_tables_are_recovered(
-        weights in prop::collection::vec(0.01f64..1e4, 0..20), share in 0.0f64..1.0, which in 0usize..4,
+        weights in prop::collection::vec(0.01f64..1e4, 0..20), ratio in 0.0f64..1.0, policy_index in 0usize..4,
     ) {
         let retries = [RetryPolicy::Never, RetryPolicy::IfUnprocessed, RetryPolicy::OnceOnAnyFailure,
             RetryPolicy::TwiceOnAnyFailure];
         let deployment = deployment(AdmissionForm::Share);
-        let set = set(Some(share), retries[which], &weights);
+        let set = set(Some(ratio), retries[policy_index], &weights);
         let tables = read(&write(&set, &deployment).expect("written")).expect("read");
         prop_assert_eq!(tables.version, set.version);
-        let back = recover(tables, &deployment);
-        for (table, was) in back.operations.iter().zip(&set.operations) {
-            prop_assert_eq!(table.retry, was.retry);
-            prop_assert!((table.admission_limit.unwrap_or(1.0) - was.admission_limit.unwrap_or(1.0)).abs() < 1e-5);
-            for (line, was) in table.entries.iter().zip(&was.entries) {
-                prop_assert_eq!(line.node, was.node);
-                prop_assert!((line.weight - was.weight).abs() <= 0.0006);
+        let recovered = recover(tables, &deployment);
+        for (table, expected) in recovered.operations.iter().zip(&set.operations) {
+            prop_assert_eq!(table.retry, expected.retry);
+            prop_assert!((table.admission_limit.unwrap_or(1.0) - expected.admission_limit.unwrap_or(1.0)).abs() < 1e-5);
+            for (entry, expected) in table.entries.iter().zip(&expected.entries) {
+                prop_assert_eq!(entry.node, expected.node);
+                prop_assert!((entry.weight - expected.weight).abs() <= 0.0006);
             }
         }
     }
--- a/crates/xds/tests/wire_form.rs
+++ b/crates/xds/tests/wire_form.rs
@@ -1,4 +1,5 @@
-//! The bytes of every encoded form, held by their XXH3-128: clients of other versions and files on disks depend on them.
+//! Compares the XXH3-128 checksums of all encoded forms, because clients of other versions and stored files depend on
+//! their bytes.
 
 use bytes::Bytes;
 use std::sync::Arc;
@@ -42,7 +43,7 @@
     }
 }
 
-fn table_set(quota: f64, retry: RetryPolicy) -> TableSet {
+fn table_set(limit: f64, retry: RetryPolicy) -> TableSet {
     let entry = |(port, zone, weight): (u16, &str, f64)| TableEntry {
         node: node(port),
         zone: zone.to_string(),
@@ -53,11 +54,11 @@
         (9002, "north", 0.0001),
         (9003, "north", 7.3),
     ];
-    let table = |operation, quota, retry| OperationTable {
+    let table = |operation, limit, retry| OperationTable {
         operation: OperationId(operation),
         table: TableId(3),
         entries: entries.map(entry).to_vec(),
-        admission_limit: quota,
+        admission_limit: limit,
         retry,
     };
     TableSet {
@@ -65,7 +66,7 @@
         version: Version(42),
         configuration: 0,
         operations: vec![
-            table(0, Some(quota), retry),
+            table(0, Some(limit), retry),
             table(1, None, RetryPolicy::IfUnprocessed),
         ],
     }
@@ -80,12 +81,12 @@
 #[test_case(AdmissionForm::Rate, 250.0, RetryPolicy::Never, "387c0673c3364630cb3bda11d5390609", "3e326cb5bd03089c5d4d39209ab804e8"; "a high rate")]
 fn documents_keep_their_bytes(
     admission: AdmissionForm,
-    quota: f64,
+    limit: f64,
     retry: RetryPolicy,
     eds: &str,
     rds: &str,
 ) {
-    let documents = tables::write(&table_set(quota, retry), &deployment(admission));
+    let documents = tables::write(&table_set(limit, retry), &deployment(admission));
     let documents = documents.expect("written");
     assert_eq!(
         [checksum(documents.eds), checksum(documents.rds)],
@@ -145,10 +146,10 @@
 
 #[test]
 fn load_reports_keep_their_bytes() {
-    let report = |port, zone_errors| NodeReport {
+    let report = |port, errored_count| NodeReport {
         node: Some(node(port)),
         succeeded: 10,
-        errored: zone_errors,
+        errored: errored_count,
         in_progress: 1,
         metrics: [(
             "latency_ms".to_string(),
