--- a/crates/config-rollout/src/lib.rs
+++ b/crates/config-rollout/src/lib.rs
@@ -18,7 +18,7 @@
 pub mod watch;
 
 pub use messages::{
-    Answer, PlanLine, RolloutAction, RolloutCommand, RolloutEvent, RolloutSettings, WriteError,
+    Answer, PlannedValue, RolloutAction, RolloutCommand, RolloutEvent, RolloutSettings, WriteError,
 };
 pub use rollout::Rollout;
 pub use watch::Conditions;
--- a/crates/config-rollout/src/measured_fleet.rs
+++ b/crates/config-rollout/src/measured_fleet.rs
@@ -13,7 +13,7 @@
 /// The window of load reports that counts as the current demand, in report periods.
 const DEMAND_WINDOW_PERIODS: f64 = 15.0;
 /// The share of a node's capacity that is counted on.
-const USABLE_CAPACITY_SHARE: f64 = 0.9;
+const USABLE_CAPACITY_RATIO: f64 = 0.9;
 
 /// Capacities and demand, apart from where nodes are placed.
 #[derive(Clone, Debug, PartialEq)]
@@ -48,7 +48,7 @@
     }
 
     /// Whether there is a capacity and a demand; without both, nothing can be said of a change.
-    pub fn is_sufficient(&self) -> bool {
+    pub fn has_capacity_and_demand(&self) -> bool {
         !self.capacity.is_empty() && self.demand.values().any(|rate| *rate > 0.0)
     }
 
@@ -61,7 +61,7 @@
             cross_zone_price: 0.0,
             connection_price: 0.0,
             crossing_seconds: 0.0,
-            fill_at_most: USABLE_CAPACITY_SHARE,
+            fill_at_most: USABLE_CAPACITY_RATIO,
             cold_share: deployment.rules.cold_start_share,
             steps: vec![(1.0, 0.0)],
             standing: BTreeMap::new(),
--- a/crates/config-rollout/src/messages.rs
+++ b/crates/config-rollout/src/messages.rs
@@ -35,7 +35,7 @@
 
 /// One value in a plan. `None`: the controller's file, or the endpoint list, counts.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct PlanLine {
+pub struct PlannedValue {
     /// The path of the value.
     pub path: String,
     /// The value in force.
@@ -53,7 +53,7 @@
         /// The version of the configuration in force.
         version: u64,
         /// Values that would change.
-        lines: Vec<PlanLine>,
+        lines: Vec<PlannedValue>,
         /// What the checks find.
         findings: Vec<Finding>,
     },
--- a/crates/config-rollout/src/pool_risk.rs
+++ b/crates/config-rollout/src/pool_risk.rs
@@ -41,9 +41,9 @@
     /// More value would be lost than may be.
     ValueLost {
         /// The share that would be lost.
-        loss_share: f64,
+        loss_ratio: f64,
         /// The share that may be lost.
-        loss_share_limit: f64,
+        max_loss_ratio: f64,
         /// Value a second now.
         now_per_s: f64,
         /// Value a second afterwards.
@@ -110,16 +110,16 @@
             }
             DrainObjection::Pool(risk) => write!(f, "{risk}"),
             DrainObjection::ValueLost {
-                loss_share,
-                loss_share_limit,
+                loss_ratio,
+                max_loss_ratio,
                 now_per_s,
                 after_per_s,
             } => write!(
                 f,
                 "{name}: {:.1}% of the value served would be lost ({now_per_s:.2} a second now, {after_per_s:.2} \
                  after), {:.1}% may be",
-                loss_share * 100.0,
-                loss_share_limit * 100.0
+                loss_ratio * 100.0,
+                max_loss_ratio * 100.0
             ),
         }
     }
@@ -167,17 +167,17 @@
             false => vec![None],
         };
         for zone in zones {
-            let had = ready_nodes(now, before, zone, deployment);
-            let has = ready_nodes(now, after, zone, deployment);
+            let ready_before = ready_nodes(now, before, zone, deployment);
+            let ready_after = ready_nodes(now, after, zone, deployment);
             let zone = zone.map(|zone| deployment.zones[zone].clone());
             let operation = operation.name.clone();
-            if had.all > 0 && has.all == 0 {
+            if ready_before.all > 0 && ready_after.all == 0 {
                 risks.push(PoolRisk::NoNode { operation, zone });
-            } else if had.warm > 0 && has.warm == 0 {
+            } else if ready_before.warm > 0 && ready_after.warm == 0 {
                 risks.push(PoolRisk::OnlyWarming {
                     operation,
                     zone,
-                    nodes: has.all,
+                    nodes: ready_after.all,
                 });
             }
         }
@@ -189,7 +189,7 @@
 pub fn drain_objections(
     now: Moment,
     node: NodeId,
-    loss_share_limit: f64,
+    max_loss_ratio: f64,
     core: &ControllerCore,
 ) -> Vec<DrainObjection> {
     let deployment = core.plan();
@@ -210,7 +210,7 @@
         return risks.into_iter().map(DrainObjection::Pool).collect();
     }
     let measured = MeasuredFleet::from_core(now, core);
-    if !measured.is_sufficient() {
+    if !measured.has_capacity_and_demand() {
         return Vec::new();
     }
     let solved = [&before, &after]
@@ -218,13 +218,13 @@
     let [Ok(before), Ok(after)] = solved else {
         return Vec::new();
     };
-    let loss_share = 1.0 - after.value_per_s / before.value_per_s.max(f64::MIN_POSITIVE);
-    if loss_share <= loss_share_limit {
+    let loss_ratio = 1.0 - after.value_per_s / before.value_per_s.max(f64::MIN_POSITIVE);
+    if loss_ratio <= max_loss_ratio {
         return Vec::new();
     }
     vec![DrainObjection::ValueLost {
-        loss_share,
-        loss_share_limit,
+        loss_ratio,
+        max_loss_ratio,
         now_per_s: before.value_per_s,
         after_per_s: after.value_per_s,
     }]
--- a/crates/config-rollout/src/rollout.rs
+++ b/crates/config-rollout/src/rollout.rs
@@ -36,7 +36,7 @@
 /// All changes of one controller.
 pub struct Rollout {
     /// The controller's file.
-    base: Deployment,
+    base_deployment: Deployment,
     settings: RolloutSettings,
     ledger: Ledger,
     /// In the order in which they are written.
@@ -62,7 +62,7 @@
     /// the nodes that were migrating between pools.
     pub fn start(
         now: Moment,
-        base: Deployment,
+        base_deployment: Deployment,
         settings: RolloutSettings,
         persisted: &PersistedState,
     ) -> (Rollout, ConfigUpdate, Vec<NodeId>) {
@@ -70,7 +70,7 @@
             version: persisted.configuration.version.max(1),
             values: persisted.configuration.values.clone(),
         };
-        let (update, errors) = config_update_of_valid_values(&base, &configuration);
+        let (update, errors) = config_update_of_valid_values(&base_deployment, &configuration);
         let records = persisted.changes.values().cloned().collect();
         let (ledger, actions) = Ledger::recover(now, configuration, records, settings.deadlines);
         let baseline = persisted
@@ -78,7 +78,7 @@
             .get(BASELINE_FACT)
             .and_then(|text| serde_json::from_str(text).ok());
         let mut rollout = Rollout {
-            base,
+            base_deployment,
             settings,
             ledger,
             pending_writes: VecDeque::new(),
@@ -123,7 +123,7 @@
 
     /// The controller's file was read again: its pace counts where no change has set one.
     pub fn set_entries_per_second(&mut self, entries_per_second: f64) {
-        self.base.channel.lines_per_second = entries_per_second;
+        self.base_deployment.channel.lines_per_second = entries_per_second;
     }
 
     /// The configuration in force and all changes.
@@ -132,7 +132,7 @@
     }
 
     /// How many writes the disk has not finished.
-    pub fn unwritten(&self) -> usize {
+    pub fn pending_write_count(&self) -> usize {
         self.pending_writes.len()
     }
 
@@ -173,7 +173,7 @@
 
     fn answer(&self, id: &ChangeId) -> Result<Answer, ChangeError> {
         let record = self.ledger.record(id).cloned();
-        let record = record.ok_or_else(|| ChangeError::Unknown(id.0.clone()))?;
+        let record = record.ok_or_else(|| ChangeError::UnknownChange(id.0.clone()))?;
         Ok(Answer::Change(Box::new(record)))
     }
 
--- a/crates/config-rollout/src/rollout/apply.rs
+++ b/crates/config-rollout/src/rollout/apply.rs
@@ -35,7 +35,7 @@
         if written_version != Some(configuration.version) {
             return;
         }
-        let (update, errors) = config_update_of_valid_values(&self.base, configuration);
+        let (update, errors) = config_update_of_valid_values(&self.base_deployment, configuration);
         self.log_ignored_values(errors);
         self.actions
             .push(RolloutAction::Configure(Box::new(update)));
@@ -52,11 +52,11 @@
         };
         let progress = core.rollout_progress();
         // A proxy that is away gets the newest tables when it comes back; it is waited for until the grace is over.
-        let is_over_for_away =
+        let is_disconnected_grace_over =
             progress.disconnected == 0 || now - since >= core.plan().rules.drain_grace;
         let is_current = progress.configuration == self.ledger.configuration().version;
-        let is_everywhere = progress.outdated.is_empty() && progress.migrating == 0;
-        if is_current && is_over_for_away && is_everywhere {
+        let is_applied_everywhere = progress.outdated.is_empty() && progress.migrating == 0;
+        if is_current && is_disconnected_grace_over && is_applied_everywhere {
             self.propagating = None;
             let event = ChangeEvent::InForce;
             // Only a change that the ledger knows propagates.
--- a/crates/config-rollout/src/rollout/proposal.rs
+++ b/crates/config-rollout/src/rollout/proposal.rs
@@ -2,7 +2,7 @@
 
 use super::Rollout;
 use crate::measured_fleet::MeasuredFleet;
-use crate::messages::{Answer, PlanLine};
+use crate::messages::{Answer, PlannedValue};
 use crate::pool_risk::{pool_risks, PoolRisk};
 use crate::values::{config_update, value_in_file};
 use std::fmt;
@@ -19,7 +19,7 @@
 use wheelspread_controller_core::ControllerCore;
 
 /// The fewest update steps of a change: removals, then additions.
-const LEAST_UPDATE_STEPS: u32 = 2;
+const MIN_UPDATE_STEPS: u32 = 2;
 
 /// What the rollout finds besides the checks by measured figures.
 enum ProposalFinding {
@@ -102,10 +102,10 @@
 
 impl Rollout {
     pub(super) fn plan(&self, now: Moment, change: &Change, core: &ControllerCore) -> Answer {
-        let plan_line = |ValueChange { path, from, to }| {
+        let planned_value = |ValueChange { path, from, to }| {
             // Where no change sets a path, the controller's file counts.
-            let in_file = value_in_file(&self.base, &path);
-            PlanLine {
+            let in_file = value_in_file(&self.base_deployment, &path);
+            PlannedValue {
                 path,
                 from: from.or_else(|| in_file.clone()),
                 to: to.or(in_file),
@@ -114,7 +114,7 @@
         let value_changes = self.ledger.plan(change);
         Answer::Planned {
             version: self.ledger.configuration().version,
-            lines: value_changes.into_iter().map(plan_line).collect(),
+            lines: value_changes.into_iter().map(planned_value).collect(),
             findings: self.check(now, change, core).0,
         }
     }
@@ -138,7 +138,7 @@
     /// Everything that is found for or against a change.
     fn check(&self, now: Moment, change: &Change, core: &ControllerCore) -> CheckReport {
         let configuration = configuration_with(self.ledger.configuration(), change);
-        let update = match config_update(&self.base, &configuration) {
+        let update = match config_update(&self.base_deployment, &configuration) {
             Ok(update) => update,
             Err(errors) => {
                 let findings = errors.into_iter().map(ProposalFinding::InvalidValue);
@@ -151,7 +151,7 @@
         let risks = pool_risks(now, &before, &after, core.plan(), &update.plan);
         found.extend(risks.into_iter().map(ProposalFinding::Pool));
         let measured = MeasuredFleet::from_core(now, core);
-        if !measured.is_sufficient() {
+        if !measured.has_capacity_and_demand() {
             found.push(ProposalFinding::NotMeasured);
             return CheckReport(found.into_iter().map(Finding::from).collect());
         }
@@ -181,6 +181,6 @@
         header_entries: queue.head_lines,
         messages_per_window: queue.messages_at_most,
         window: queue.messages_window,
-        update_steps: LEAST_UPDATE_STEPS,
+        min_update_steps: MIN_UPDATE_STEPS,
     }
 }
--- a/crates/config-rollout/src/rollout/watching.rs
+++ b/crates/config-rollout/src/rollout/watching.rs
@@ -8,12 +8,12 @@
 
 /// The time that proxies may be without an entry for an operation before the change is undone, as a share of the time
 /// that a joined proxy may be without one at all.
-const MISSING_ENTRY_SHARE: f64 = 0.5;
+const MISSING_ENTRY_TIME_RATIO: f64 = 0.5;
 /// Reports of this many periods after a change is in force still speak of the time before it.
 const STALE_REPORT_PERIODS: f64 = 2.0;
 
 fn missing_entry_limit(deployment: &Deployment) -> Span {
-    deployment.rules.without_node_at_most * MISSING_ENTRY_SHARE
+    deployment.rules.without_node_at_most * MISSING_ENTRY_TIME_RATIO
 }
 
 fn stale_report_time(deployment: &Deployment) -> Span {
--- a/crates/config-rollout/src/rollout/writes.rs
+++ b/crates/config-rollout/src/rollout/writes.rs
@@ -6,7 +6,7 @@
 use wheelspread_config_transaction::{ChangeEffect, ChangeEvent, ChangeId, Commit};
 
 /// When a write that the disk refused is repeated, as a share of the time that a write may take.
-const WRITE_RETRY_SHARE: f64 = 0.25;
+const WRITE_RETRY_RATIO: f64 = 0.25;
 
 /// What follows when the disk has a write.
 #[derive(Clone, Debug, PartialEq)]
@@ -105,7 +105,7 @@
         }
         self.write_in_progress = false;
         if let Err(error) = result {
-            let retry_in = self.settings.deadlines.write * WRITE_RETRY_SHARE;
+            let retry_in = self.settings.deadlines.write * WRITE_RETRY_RATIO;
             self.retry_write_at = Some(now + retry_in);
             let reason = error.to_string();
             let event = RolloutEvent::WriteFailed { reason, retry_in };
--- a/crates/config-rollout/src/values.rs
+++ b/crates/config-rollout/src/values.rs
@@ -53,11 +53,11 @@
 
 fn is_mutable(path: &str) -> bool {
     let matches = |field: &str| {
-        let (wanted, parts) = (field.split('.'), path.split('.'));
-        wanted.clone().count() == parts.clone().count()
-            && wanted
+        let (patterns, parts) = (field.split('.'), path.split('.'));
+        patterns.clone().count() == parts.clone().count()
+            && patterns
                 .zip(parts)
-                .all(|(wanted, part)| wanted == part || wanted == "*")
+                .all(|(pattern, part)| pattern == part || pattern == "*")
     };
     MUTABLE_FIELDS.iter().any(|field| matches(field))
 }
@@ -87,7 +87,7 @@
 /// Reads a value as it is written in a change: a number, `true`, `false`, or otherwise a text.
 fn parse_value(text: &str) -> Value {
     match serde_json::from_str::<Value>(text) {
-        Ok(plain @ (Value::Number(_) | Value::Bool(_))) => plain,
+        Ok(scalar @ (Value::Number(_) | Value::Bool(_))) => scalar,
         _ => Value::String(text.to_string()),
     }
 }
@@ -156,15 +156,15 @@
 }
 
 impl MergedValues {
-    fn new(base: &Deployment, configuration: &Configuration) -> MergedValues {
+    fn new(base_deployment: &Deployment, configuration: &Configuration) -> MergedValues {
         let mut merged = MergedValues {
-            deployment: base.clone(),
+            deployment: base_deployment.clone(),
             nodes: BTreeMap::new(),
             errors: Vec::new(),
         };
         for (path, text) in &configuration.values {
             let result = match path.strip_prefix(NODE_PREFIX) {
-                Some(rest) => merged.merge_node_value(base, path, rest, text),
+                Some(node_path) => merged.merge_node_value(base_deployment, path, node_path, text),
                 None => merged.merge_field(path, text),
             };
             merged.errors.extend(result.err());
@@ -172,20 +172,20 @@
         merged
     }
 
-    /// `rest`: the path without its prefix.
+    /// `node_path`: the path without its prefix.
     fn merge_node_value(
         &mut self,
-        base: &Deployment,
+        base_deployment: &Deployment,
         path: &str,
-        rest: &str,
+        node_path: &str,
         text: &str,
     ) -> Result<(), ConfigError> {
-        let (node, field) = rest
+        let (node, field) = node_path
             .rsplit_once('.')
             .and_then(|(address, field)| Some((parse_node(address)?, field)))
             .ok_or_else(|| config_error(path, "should be nodes.ADDRESS:PORT.FIELD"))?;
         let values = self.nodes.entry(node).or_default();
-        set_node_value(values, path, field, text, base)
+        set_node_value(values, path, field, text, base_deployment)
     }
 
     fn merge_field(&mut self, path: &str, text: &str) -> Result<(), ConfigError> {
@@ -200,10 +200,10 @@
 
 /// What a configuration comes to, or every reason why it can't be used.
 pub fn config_update(
-    base: &Deployment,
+    base_deployment: &Deployment,
     configuration: &Configuration,
 ) -> Result<ConfigUpdate, Vec<ConfigError>> {
-    let mut merged = MergedValues::new(base, configuration);
+    let mut merged = MergedValues::new(base_deployment, configuration);
     merged.errors.extend(merged.deployment.validate());
     if !merged.errors.is_empty() {
         return Err(merged.errors);
@@ -217,14 +217,14 @@
 
 /// What a configuration comes to without the values that do not fit the controller's file any more, and those values.
 pub fn config_update_of_valid_values(
-    base: &Deployment,
+    base_deployment: &Deployment,
     configuration: &Configuration,
 ) -> (ConfigUpdate, Vec<ConfigError>) {
-    let mut merged = MergedValues::new(base, configuration);
+    let mut merged = MergedValues::new(base_deployment, configuration);
     let errors = merged.deployment.validate();
     let plan = match errors.is_empty() {
         true => merged.deployment,
-        false => base.clone(),
+        false => base_deployment.clone(),
     };
     merged.errors.extend(errors);
     let update = ConfigUpdate {
@@ -245,11 +245,11 @@
 }
 
 /// The value at a path in the controller's file, as it would be written in a change.
-pub fn value_in_file(base: &Deployment, path: &str) -> Option<String> {
-    let mut file = serde_json::to_value(base).ok()?;
+pub fn value_in_file(base_deployment: &Deployment, path: &str) -> Option<String> {
+    let mut file = serde_json::to_value(base_deployment).ok()?;
     match find_value(&mut file, path)? {
         Value::String(text) => Some(text.clone()),
         Value::Null | Value::Object(_) | Value::Array(_) => None,
-        plain => Some(plain.to_string()),
+        scalar => Some(scalar.to_string()),
     }
 }
--- a/crates/config-rollout/src/watch.rs
+++ b/crates/config-rollout/src/watch.rs
@@ -48,12 +48,12 @@
 
 impl From<Tally> for OperationService {
     fn from(tally: Tally) -> OperationService {
-        let ratio = |part: f64, all: f64| if all > 0.0 { part / all } else { 0.0 };
+        let divide_or_zero = |part: f64, all: f64| if all > 0.0 { part / all } else { 0.0 };
         OperationService {
             invocations: tally.requests,
             succeeded: tally.succeeded,
-            errored_share: ratio(tally.failures, tally.attempts),
-            latency_s: ratio(tally.latency_seconds, tally.timed),
+            errored_share: divide_or_zero(tally.failures, tally.attempts),
+            latency_s: divide_or_zero(tally.latency_seconds, tally.timed),
         }
     }
 }
@@ -73,7 +73,7 @@
 
     /// The share of the value asked for that is served, over all operations by their billed value: a cheap one may
     /// suffer for a dear one. `None`: too few invocations to say.
-    fn served_value_share(&self, conditions: &Conditions, deployment: &Deployment) -> Option<f64> {
+    fn served_value_ratio(&self, conditions: &Conditions, deployment: &Deployment) -> Option<f64> {
         let (mut served, mut requested, mut invocations) = (0.0, 0.0, 0.0);
         for (operation, service) in deployment.operations.iter().zip(&self.0) {
             served += operation.billed_value * service.succeeded;
@@ -93,9 +93,9 @@
         /// The operation.
         operation: String,
         /// The share that fails now.
-        share: f64,
+        ratio: f64,
         /// The share that failed before.
-        share_before: f64,
+        ratio_before: f64,
     },
     /// An operation is slower.
     Slower {
@@ -109,9 +109,9 @@
     /// Less of the value asked for is served.
     LessValue {
         /// The share that is served now.
-        share: f64,
+        ratio: f64,
         /// The share that was served before.
-        share_before: f64,
+        ratio_before: f64,
     },
     /// Proxies have had no entry for an operation for too long.
     MissingEntries {
@@ -126,13 +126,13 @@
         match self {
             BrokenCondition::MoreErrors {
                 operation,
-                share,
-                share_before,
+                ratio,
+                ratio_before,
             } => write!(
                 f,
                 "{:.1}% of the tries of `{operation}` err, {:.1}% did before",
-                share * 100.0,
-                share_before * 100.0
+                ratio * 100.0,
+                ratio_before * 100.0
             ),
             BrokenCondition::Slower {
                 operation,
@@ -145,13 +145,13 @@
                 latency_before_s * 1e3
             ),
             BrokenCondition::LessValue {
-                share,
-                share_before,
+                ratio,
+                ratio_before,
             } => write!(
                 f,
                 "{:.1}% of the value asked for is served, {:.1}% was before",
-                share * 100.0,
-                share_before * 100.0
+                ratio * 100.0,
+                ratio_before * 100.0
             ),
             BrokenCondition::MissingEntries { proxies } => {
                 write!(f, "no line for an operation at {}", proxies.join(", "))
@@ -164,40 +164,44 @@
 pub fn broken_condition(
     conditions: &Conditions,
     before: &Baseline,
-    since: &Tallies,
+    tallies_since: &Tallies,
     deployment: &Deployment,
 ) -> Option<BrokenCondition> {
-    let now = Baseline::from_tallies(since, deployment);
-    let has_enough =
+    let now = Baseline::from_tallies(tallies_since, deployment);
+    let has_enough_invocations =
         |service: &OperationService| service.invocations >= conditions.invocations_at_least;
-    for (operation, (was, is)) in deployment
+    for (operation, (service_before, service_now)) in deployment
         .operations
         .iter()
         .zip(before.0.iter().zip(&now.0))
     {
-        if !has_enough(was) || !has_enough(is) {
+        if !has_enough_invocations(service_before) || !has_enough_invocations(service_now) {
             continue;
         }
         let operation = operation.name.clone();
-        if is.errored_share > was.errored_share + conditions.errored_more_at_most {
+        if service_now.errored_share
+            > service_before.errored_share + conditions.errored_more_at_most
+        {
             return Some(BrokenCondition::MoreErrors {
                 operation,
-                share: is.errored_share,
-                share_before: was.errored_share,
+                ratio: service_now.errored_share,
+                ratio_before: service_before.errored_share,
             });
         }
-        if was.latency_s > 0.0 && is.latency_s > was.latency_s * conditions.slower_at_most {
+        if service_before.latency_s > 0.0
+            && service_now.latency_s > service_before.latency_s * conditions.slower_at_most
+        {
             return Some(BrokenCondition::Slower {
                 operation,
-                latency_s: is.latency_s,
-                latency_before_s: was.latency_s,
+                latency_s: service_now.latency_s,
+                latency_before_s: service_before.latency_s,
             });
         }
     }
-    let share_before = before.served_value_share(conditions, deployment)?;
-    let share = now.served_value_share(conditions, deployment)?;
-    (share < share_before - conditions.value_less_at_most).then_some(BrokenCondition::LessValue {
-        share,
-        share_before,
+    let ratio_before = before.served_value_ratio(conditions, deployment)?;
+    let ratio = now.served_value_ratio(conditions, deployment)?;
+    (ratio < ratio_before - conditions.value_less_at_most).then_some(BrokenCondition::LessValue {
+        ratio,
+        ratio_before,
     })
 }
--- a/crates/config-rollout/tests/kills.rs
+++ b/crates/config-rollout/tests/kills.rs
@@ -65,9 +65,9 @@
             watch: span(1.2),
         },
         limits: ChangeLimits {
-            value_loss_share_limit: 0.5,
-            warming_work_share_limit: 0.9,
-            propagation_time_limit: span(4.0),
+            max_value_loss_ratio: 0.5,
+            max_warming_work_share: 0.9,
+            max_propagation_time: span(4.0),
         },
         conditions: Conditions {
             invocations_at_least: 5.0,
@@ -504,7 +504,7 @@
         let is_written = self
             .controller
             .as_ref()
-            .is_some_and(|running| running.rollout.unwritten() == 0);
+            .is_some_and(|running| running.rollout.pending_write_count() == 0);
         there && is_written && self.joins.is_empty()
     }
 
--- a/crates/config-transaction/src/checks.rs
+++ b/crates/config-transaction/src/checks.rs
@@ -11,21 +11,21 @@
 use wheelspread_solve::{solve, Fleet, Host, HostState, Solution};
 
 /// How far a share may exceed its limit by rounding.
-const SHARE_TOLERANCE: f64 = 1e-9;
+const RATIO_TOLERANCE: f64 = 1e-9;
 /// Capacities count as equal when they agree to this many parts of one invocation a second.
 const CAPACITY_STEPS_PER_UNIT: f64 = 1e6;
 /// What the solver says of a host whose capacity is used up.
-const FULL_HOST: &str = "its capacity";
+const BOUND_BY_CAPACITY: &str = "its capacity";
 
 /// What a change may cost.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ChangeLimits {
     /// The share of the value served now that may be lost.
-    pub value_loss_share_limit: f64,
+    pub max_value_loss_ratio: f64,
     /// The share of all work afterwards that hosts in slow start may carry.
-    pub warming_work_share_limit: f64,
+    pub max_warming_work_share: f64,
     /// The time until all proxies have the change.
-    pub propagation_time_limit: Span,
+    pub max_propagation_time: Span,
 }
 
 /// What it costs to send tables to the proxies.
@@ -42,7 +42,7 @@
     /// The window of the message cap.
     pub window: Span,
     /// The fewest update steps that the balancer takes: removals, then additions.
-    pub update_steps: u32,
+    pub min_update_steps: u32,
 }
 
 /// Runs all checks of a change from one fleet to another.
@@ -55,9 +55,13 @@
     let mut findings = pool_findings(before, after);
     match (solve(before, &mut || false), solve(after, &mut || false)) {
         (_, Err(error)) => findings.push(CheckFinding::NoSolution(error)),
-        (now, Ok(then)) => {
-            findings.push(capacity_finding(now.ok().as_ref(), &then, limits));
-            findings.push(slow_start_finding(after, &then, limits));
+        (solved_before, Ok(solved_after)) => {
+            findings.push(capacity_finding(
+                solved_before.ok().as_ref(),
+                &solved_after,
+                limits,
+            ));
+            findings.push(slow_start_finding(after, &solved_after, limits));
         }
     }
     findings.push(propagation_finding(before, after, limits, propagation));
@@ -104,39 +108,47 @@
 }
 
 /// The value that would be served, beside the value served now.
-fn capacity_finding(now: Option<&Solution>, then: &Solution, limits: ChangeLimits) -> CheckFinding {
-    let Some(now) = now else {
+fn capacity_finding(
+    solved_before: Option<&Solution>,
+    solved_after: &Solution,
+    limits: ChangeLimits,
+) -> CheckFinding {
+    let Some(solved_before) = solved_before else {
         return CheckFinding::NothingServedNow {
-            value_after_per_s: then.value_per_s,
+            value_after_per_s: solved_after.value_per_s,
         };
     };
-    let loss_share = if now.value_per_s > 0.0 {
-        1.0 - then.value_per_s / now.value_per_s
+    let loss_ratio = if solved_before.value_per_s > 0.0 {
+        1.0 - solved_after.value_per_s / solved_before.value_per_s
     } else {
         0.0
     };
     CheckFinding::ServedValue(ServedValue {
-        now_per_s: now.value_per_s,
-        after_per_s: then.value_per_s,
-        loss_share,
-        loss_share_limit: limits.value_loss_share_limit,
-        exceeds_limit: loss_share > limits.value_loss_share_limit + SHARE_TOLERANCE,
-        full_hosts: then
+        now_per_s: solved_before.value_per_s,
+        after_per_s: solved_after.value_per_s,
+        loss_ratio,
+        max_loss_ratio: limits.max_value_loss_ratio,
+        exceeds_limit: loss_ratio > limits.max_value_loss_ratio + RATIO_TOLERANCE,
+        full_hosts: solved_after
             .hosts
             .iter()
-            .filter(|host| host.binds == FULL_HOST)
+            .filter(|host| host.binds == BOUND_BY_CAPACITY)
             .count(),
-        hosts: then.hosts.len(),
+        hosts: solved_after.hosts.len(),
     })
 }
 
 /// The share of the work that hosts in slow start would carry.
-fn slow_start_finding(after: &Fleet, then: &Solution, limits: ChangeLimits) -> CheckFinding {
-    let total_load: f64 = then.hosts.iter().map(|host| host.load).sum();
+fn slow_start_finding(
+    after: &Fleet,
+    solved_after: &Solution,
+    limits: ChangeLimits,
+) -> CheckFinding {
+    let total_load: f64 = solved_after.hosts.iter().map(|host| host.load).sum();
     let warming = after
         .hosts
         .iter()
-        .zip(&then.hosts)
+        .zip(&solved_after.hosts)
         .filter(|(host, _)| host.state == HostState::Cold);
     let (hosts, warming_load) = warming.fold((0, 0.0), |(count, load), (_, solved)| {
         (count + 1, load + solved.load)
@@ -149,8 +161,8 @@
     CheckFinding::SlowStartWork {
         hosts,
         work_share,
-        work_share_limit: limits.warming_work_share_limit,
-        exceeds_limit: work_share > limits.warming_work_share_limit + SHARE_TOLERANCE,
+        max_work_share: limits.max_warming_work_share,
+        exceeds_limit: work_share > limits.max_warming_work_share + RATIO_TOLERANCE,
     }
 }
 
@@ -164,10 +176,13 @@
 }
 
 fn changed_hosts(before: &Fleet, after: &Fleet) -> usize {
-    let (was, is) = (host_placements(before), host_placements(after));
-    let ids: BTreeSet<&String> = was.keys().chain(is.keys()).collect();
+    let (placements_before, placements_after) = (host_placements(before), host_placements(after));
+    let ids: BTreeSet<&String> = placements_before
+        .keys()
+        .chain(placements_after.keys())
+        .collect();
     ids.into_iter()
-        .filter(|id| was.get(*id) != is.get(*id))
+        .filter(|id| placements_before.get(*id) != placements_after.get(*id))
         .count()
 }
 
@@ -183,7 +198,7 @@
     let messages = if changed_hosts == 0 {
         0.0
     } else {
-        f64::from(propagation.update_steps.max(1))
+        f64::from(propagation.min_update_steps.max(1))
     };
     let entries = proxies
         * (changed_hosts as f64 * after.operations.len() as f64
@@ -200,8 +215,8 @@
         entries,
         messages,
         proxies,
-        at_least_s: seconds,
-        limit: limits.propagation_time_limit,
-        exceeds_limit: seconds > limits.propagation_time_limit.seconds(),
+        min_seconds: seconds,
+        limit: limits.max_propagation_time,
+        exceeds_limit: seconds > limits.max_propagation_time.seconds(),
     }
 }
--- a/crates/config-transaction/src/checks/finding.rs
+++ b/crates/config-transaction/src/checks/finding.rs
@@ -12,9 +12,9 @@
     /// Value a second afterwards.
     pub after_per_s: f64,
     /// The share of the value now that would be lost; negative: it rises.
-    pub loss_share: f64,
+    pub loss_ratio: f64,
     /// The share that may be lost.
-    pub loss_share_limit: f64,
+    pub max_loss_ratio: f64,
     /// Whether more would be lost than may be.
     pub exceeds_limit: bool,
     /// Hosts whose capacity would be used up.
@@ -55,7 +55,7 @@
         /// Their share of all work.
         work_share: f64,
         /// The share that they may have.
-        work_share_limit: f64,
+        max_work_share: f64,
         /// Whether they would have more.
         exceeds_limit: bool,
     },
@@ -70,7 +70,7 @@
         /// How many proxies there are.
         proxies: f64,
         /// The shortest time that it can take, in seconds.
-        at_least_s: f64,
+        min_seconds: f64,
         /// The time that it may take.
         limit: Span,
         /// Whether it takes longer.
@@ -110,8 +110,8 @@
             "value served {:.2} a second now, {:.2} after ({:+.1}%, {:.1}% may be lost), {} of {} hosts full",
             self.now_per_s,
             self.after_per_s,
-            -self.loss_share * 100.0,
-            self.loss_share_limit * 100.0,
+            -self.loss_ratio * 100.0,
+            self.max_loss_ratio * 100.0,
             self.full_hosts,
             self.hosts
         )
@@ -143,26 +143,26 @@
             CheckFinding::SlowStartWork {
                 hosts,
                 work_share,
-                work_share_limit,
+                max_work_share,
                 ..
             } => write!(
                 f,
                 "{hosts} cold hosts would carry {:.1}% of the work ({:.1}% may be)",
                 work_share * 100.0,
-                work_share_limit * 100.0
+                max_work_share * 100.0
             ),
             CheckFinding::PropagationTime {
                 changed_hosts,
                 entries,
                 messages,
                 proxies,
-                at_least_s,
+                min_seconds,
                 limit,
                 ..
             } => write!(
                 f,
                 "{changed_hosts} hosts change: {entries:.0} lines and {messages:.0} messages to each of {proxies:.0} \
-                 gateways, at least {at_least_s:.1} s ({:.1} s at most)",
+                 gateways, at least {min_seconds:.1} s ({:.1} s at most)",
                 limit.seconds()
             ),
         }
--- a/crates/config-transaction/src/error.rs
+++ b/crates/config-transaction/src/error.rs
@@ -7,51 +7,51 @@
 pub enum ChangeError {
     /// The id is taken by a change with other content.
     #[error("`{0}` names another change already")]
-    OtherContent(String),
+    IdTaken(String),
     /// Every value is in force already.
     #[error("it changes nothing")]
-    Empty,
+    NoEffect,
     /// Another change came into force, or was undone, after the base version.
-    #[error("it was made against version {base}, {version} is in force: `{mine}` and `{theirs}` both change {keys}")]
+    #[error("it was made against version {base}, {version} is in force: `{change}` and `{other_change}` both change {paths}")]
     Conflict {
         /// The version that the change was made against.
         base: u64,
         /// The version that the other change made.
         version: u64,
         /// The change and its author.
-        mine: String,
+        change: String,
         /// The other change and its author.
-        theirs: String,
+        other_change: String,
         /// The paths that both change.
-        keys: String,
+        paths: String,
     },
     /// The base version is above the version in force.
     #[error("version {0} was never in force")]
     UnknownBase(u64),
     /// No change has this id.
     #[error("`{0}` is no change that is known")]
-    Unknown(String),
+    UnknownChange(String),
     /// Another change is in progress.
-    #[error("`{waits}` waits: `{runs}` is under way")]
-    Busy {
+    #[error("`{id}` waits: `{in_progress}` is under way")]
+    OtherChangeInProgress {
         /// The change that was to be applied or undone.
-        waits: String,
+        id: String,
         /// The change that is in progress.
-        runs: String,
+        in_progress: String,
     },
     /// A later change in force sets the same values.
-    #[error("`{id}` can't be undone: `{later}` rests on it ({keys})")]
-    RestsOn {
+    #[error("`{id}` can't be undone: `{later}` rests on it ({paths})")]
+    SetByLaterChange {
         /// The change that was to be undone.
         id: String,
         /// The later change.
         later: String,
         /// The paths that both change.
-        keys: String,
+        paths: String,
     },
     /// The order does not fit to the state of the change.
     #[error("`{id}` is {state:?}, which that does not fit to")]
-    Unfit {
+    WrongState {
         /// The change.
         id: String,
         /// Its state.
--- a/crates/config-transaction/src/ledger.rs
+++ b/crates/config-transaction/src/ledger.rs
@@ -111,7 +111,7 @@
     fn known_record(&self, id: &ChangeId) -> Result<&ChangeRecord, ChangeError> {
         self.records
             .get(id)
-            .ok_or_else(|| ChangeError::Unknown(id.0.clone()))
+            .ok_or_else(|| ChangeError::UnknownChange(id.0.clone()))
     }
 
     /// The values that a change would set to something else than what is in force.
@@ -132,7 +132,7 @@
         if let Some(known) = self.records.get(&change.id) {
             return match known.change == change {
                 true => Ok(known.state),
-                false => Err(ChangeError::OtherContent(change.id.0)),
+                false => Err(ChangeError::IdTaken(change.id.0)),
             };
         }
         if change.base > self.configuration.version {
@@ -142,7 +142,7 @@
             return Err(conflict);
         }
         if self.plan(&change).is_empty() {
-            return Err(ChangeError::Empty);
+            return Err(ChangeError::NoEffect);
         }
         let id = change.id.clone();
         self.records
@@ -164,7 +164,7 @@
         let record = self
             .records
             .get_mut(id)
-            .ok_or_else(|| ChangeError::Unknown(id.0.clone()))?;
+            .ok_or_else(|| ChangeError::UnknownChange(id.0.clone()))?;
         if record.state == ChangeState::Proposed {
             record.findings = report.0;
         }
@@ -183,13 +183,13 @@
                 return Ok(Vec::new())
             }
             state => {
-                return Err(ChangeError::Unfit {
+                return Err(ChangeError::WrongState {
                     id: id.0.clone(),
                     state,
                 })
             }
         }
-        self.ensure_nothing_else_in_progress(id)?;
+        self.ensure_no_other_change_in_progress(id)?;
         if let Some(conflict) = self.conflict(&record.change) {
             let reason = Some(conflict.to_string());
             self.handle_event(now, id, ChangeEvent::BaseOutdated, reason)?;
@@ -209,8 +209,8 @@
         if matches!(record.state, ChangeState::Undoing | ChangeState::Undone) {
             return Ok(Vec::new());
         }
-        self.ensure_nothing_rests_on(record)?;
-        self.ensure_nothing_else_in_progress(id)?;
+        self.ensure_no_later_change_sets_same_paths(record)?;
+        self.ensure_no_other_change_in_progress(id)?;
         let reason = Some(reason.to_string());
         self.handle_event(now, id, ChangeEvent::UndoRequested, reason)
     }
@@ -226,7 +226,7 @@
         let record = self
             .records
             .get_mut(id)
-            .ok_or_else(|| ChangeError::Unknown(id.0.clone()))?;
+            .ok_or_else(|| ChangeError::UnknownChange(id.0.clone()))?;
         let Some(transition) = record.state.transition(event) else {
             return Ok(Vec::new());
         };
--- a/crates/config-transaction/src/ledger/conflict.rs
+++ b/crates/config-transaction/src/ledger/conflict.rs
@@ -27,21 +27,24 @@
             .rev()
             .find(|(version, _)| *version > change.base)?;
         let other = &self.records.get(other_id)?.change;
-        let mut keys = shared_paths(change, other);
-        if keys.is_empty() {
-            keys = "the configuration".to_string();
+        let mut paths = shared_paths(change, other);
+        if paths.is_empty() {
+            paths = "the configuration".to_string();
         }
         Some(ChangeError::Conflict {
             base: change.base,
             version: *version,
-            mine: with_author(change),
-            theirs: with_author(other),
-            keys,
+            change: with_author(change),
+            other_change: with_author(other),
+            paths,
         })
     }
 
     /// Fails if a later change that is in force sets one of the same values.
-    pub(super) fn ensure_nothing_rests_on(&self, record: &ChangeRecord) -> Result<(), ChangeError> {
+    pub(super) fn ensure_no_later_change_sets_same_paths(
+        &self,
+        record: &ChangeRecord,
+    ) -> Result<(), ChangeError> {
         let Some(applied) = record.applied_version else {
             return Ok(());
         };
@@ -52,12 +55,12 @@
             .filter_map(|(_, id)| self.records.get(id));
         for other in later {
             let in_force = !matches!(other.state, ChangeState::Undone | ChangeState::Refused);
-            let keys = shared_paths(&other.change, &record.change);
-            if in_force && !keys.is_empty() {
-                return Err(ChangeError::RestsOn {
+            let paths = shared_paths(&other.change, &record.change);
+            if in_force && !paths.is_empty() {
+                return Err(ChangeError::SetByLaterChange {
                     id: record.change.id.0.clone(),
                     later: other.change.id.0.clone(),
-                    keys,
+                    paths,
                 });
             }
         }
@@ -65,15 +68,18 @@
     }
 
     /// Fails if another change is being applied, watched or undone.
-    pub(super) fn ensure_nothing_else_in_progress(&self, id: &ChangeId) -> Result<(), ChangeError> {
+    pub(super) fn ensure_no_other_change_in_progress(
+        &self,
+        id: &ChangeId,
+    ) -> Result<(), ChangeError> {
         let other = self
             .unfinished()
             .find(|other| other.change.id != *id && other.state.is_in_progress());
         match other {
             None => Ok(()),
-            Some(other) => Err(ChangeError::Busy {
-                waits: id.0.clone(),
-                runs: other.change.id.0.clone(),
+            Some(other) => Err(ChangeError::OtherChangeInProgress {
+                id: id.0.clone(),
+                in_progress: other.change.id.0.clone(),
             }),
         }
     }
--- a/crates/config-transaction/tests/checks.rs
+++ b/crates/config-transaction/tests/checks.rs
@@ -57,7 +57,7 @@
         header_entries: 6.0,
         messages_per_window,
         window,
-        update_steps: 2,
+        min_update_steps: 2,
     }
 }
 
@@ -65,9 +65,9 @@
     let (before, mut after) = (fleet(), fleet());
     change(&mut after);
     let bounds = ChangeLimits {
-        value_loss_share_limit: 0.05,
-        warming_work_share_limit: 0.3,
-        propagation_time_limit: Span::from_seconds(5.0),
+        max_value_loss_ratio: 0.05,
+        max_warming_work_share: 0.3,
+        max_propagation_time: Span::from_seconds(5.0),
     };
     let verdict = check(&before, &after, bounds, propagation);
     assert!(verdict.0.iter().all(|finding| !finding.text.is_empty()));
--- a/crates/config-transaction/tests/life_cycle.rs
+++ b/crates/config-transaction/tests/life_cycle.rs
@@ -163,9 +163,9 @@
         ),
     );
     ledger.apply(at(2.0), &first).expect("the first");
-    let busy = ChangeError::Busy {
-        waits: "c2".into(),
-        runs: "c1".into(),
+    let busy = ChangeError::OtherChangeInProgress {
+        id: "c2".into(),
+        in_progress: "c1".into(),
     };
     assert_eq!(ledger.apply(at(2.5), &second), Err(busy));
     ledger
@@ -205,10 +205,10 @@
             .expect("known");
         ledger.advance(at(40.0), at(40.0));
     }
-    let rests = ChangeError::RestsOn {
+    let rests = ChangeError::SetByLaterChange {
         id: "c1".into(),
         later: "c2".into(),
-        keys: "pool.a".into(),
+        paths: "pool.a".into(),
     };
     assert_eq!(ledger.undo(at(50.0), &id("c1"), "not liked"), Err(rests));
     ledger
@@ -249,7 +249,7 @@
     let other = change("c1", "bob", 7, &[("price", Some("8"))]);
     assert_eq!(
         ledger.propose(at(0.2), other),
-        Err(ChangeError::OtherContent("c1".into()))
+        Err(ChangeError::IdTaken("c1".into()))
     );
     let text = "pool a would have 0 hosts for quote in north".to_string();
     let finding = Finding {
@@ -267,7 +267,7 @@
     );
     assert!(matches!(
         ledger.apply(at(2.0), &id("c1")),
-        Err(ChangeError::Unfit { .. })
+        Err(ChangeError::WrongState { .. })
     ));
 }
 
--- a/crates/controller/src/admin/changes.rs
+++ b/crates/controller/src/admin/changes.rs
@@ -201,6 +201,6 @@
         lagging_proxies: progress.outdated,
         absent_proxies: progress.disconnected,
         migrating_nodes: progress.migrating,
-        unwritten_commits: rollout.unwritten(),
+        unwritten_commits: rollout.pending_write_count(),
     })
 }
--- a/crates/controller/src/admin/status.rs
+++ b/crates/controller/src/admin/status.rs
@@ -148,7 +148,7 @@
         lagging_proxies: progress.outdated.len(),
         change_under_way: change_under_way.map(|record| &record.change.id),
         drains: context.drains.active_count(),
-        unwritten_commits: rollout.unwritten(),
+        unwritten_commits: rollout.pending_write_count(),
     })
 }
 
--- a/crates/controller/src/file/settings.rs
+++ b/crates/controller/src/file/settings.rs
@@ -177,9 +177,9 @@
                 watch: self.watch,
             },
             limits: ChangeLimits {
-                value_loss_share_limit: self.value_lost_at_most,
-                warming_work_share_limit: self.cold_work_at_most,
-                propagation_time_limit: apply,
+                max_value_loss_ratio: self.value_lost_at_most,
+                max_warming_work_share: self.cold_work_at_most,
+                max_propagation_time: apply,
             },
             conditions: self.undo_when,
         }
