--- a/crates/config-transaction/src/change.rs
+++ b/crates/config-transaction/src/change.rs
@@ -1,31 +1,31 @@
-//! A change of the configuration, what its checks found, and its record. The serde names are those of the state file
-//! and the operators' API.
+//! A configuration change, the findings of its checks, and its record. The serde names are part of the state file and
+//! of the operators' API.
 
 use crate::state::ChangeState;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Identifies a change. Whoever proposes it chooses the id, so that a proposal that is sent twice is one change.
+/// Identifies a change. The proposer chooses the id, so that a proposal that is sent twice counts as one change.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ChangeId(pub String);
 
-/// Values by their path, as `operations.quote.billed_value`.
+/// Configuration values by path, for example `operations.quote.billed_value`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Rises with each change that comes into force or is undone; it never falls.
+    /// The version, incremented by each change that is applied or undone; it never decreases.
     pub version: u64,
-    /// Values that a change has set; where there is none, the controller's file counts.
+    /// Values that changes have set; a path that is absent has the value of the controller's file.
     pub values: BTreeMap<String, String>,
 }
 
 /// A proposed set of values.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Change {
-    /// Its id.
+    /// The id that the proposer chose.
     pub id: ChangeId,
-    /// Who made it.
+    /// The author of the change.
     pub by: String,
-    /// The version that it was made against.
+    /// The version of the configuration that the change was made against.
     pub base: u64,
     /// Values by path; `None` removes a value.
     pub sets: BTreeMap<String, Option<String>>,
@@ -36,24 +36,24 @@
 pub struct ValueChange {
     /// The path of the value.
     pub path: String,
-    /// The value in force; `None`: no change has set it.
+    /// The value in force; `None` if no change has set one.
     pub from: Option<String>,
-    /// The value that the change sets; `None`: it is removed.
+    /// The value that the change sets; `None` if the change removes the value.
     pub to: Option<String>,
 }
 
-/// What a check found, with its figures, in the form that is stored and shown.
+/// The result of one check with its measured values, in the form that is stored and shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Finding {
     /// The name of the check.
     pub check: String,
-    /// What was found.
+    /// The description of the result.
     pub text: String,
-    /// Whether it forbids the change.
+    /// Whether the result forbids the change.
     pub forbids: bool,
 }
 
-/// All findings of the checks of a change.
+/// The findings of all checks of a change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CheckReport(pub Vec<Finding>);
 
@@ -69,26 +69,26 @@
 pub struct ChangeRecord {
     /// The change as it was proposed.
     pub change: Change,
-    /// How far it has come.
+    /// The current state of the change.
     pub state: ChangeState,
-    /// The values that it replaced, once it was in force.
+    /// The values that the change replaced, by path; empty until the change is applied. `None`: no change had set one.
     #[serde(rename = "before")]
     pub previous_values: BTreeMap<String, Option<String>>,
-    /// What its checks found.
+    /// The findings of the checks.
     pub findings: Vec<Finding>,
-    /// Why it is refused or undone.
+    /// The reason why the change was refused or undone.
     #[serde(rename = "why")]
     pub reason: Option<String>,
-    /// The version of the configuration that it made.
+    /// The version of the configuration that applying the change created.
     #[serde(rename = "made")]
     pub applied_version: Option<u64>,
-    /// The version of the configuration that undid it. Files of early versions lack it.
+    /// The version of the configuration that undoing the change created. State files of early versions lack this field.
     #[serde(default, rename = "unmade")]
     pub undone_version: Option<u64>,
 }
 
 impl ChangeRecord {
-    /// The record of a change that has just been proposed.
+    /// Creates the record of a newly proposed change.
     pub(crate) fn proposed(change: Change) -> ChangeRecord {
         ChangeRecord {
             change,
--- a/crates/config-transaction/src/checks.rs
+++ b/crates/config-transaction/src/checks.rs
@@ -1,5 +1,5 @@
-//! What a change would do, by measured figures: the fleet as it is beside the fleet as it would be. Every finding
-//! names its figures, also those that forbid nothing.
+//! The checks of a change against measured values: they compare the current fleet with the fleet after the change.
+//! Every finding states its values, including the findings that do not forbid the change.
 
 mod finding;
 
@@ -10,42 +10,42 @@
 use wheelspread::time::Span;
 use wheelspread_solve::{solve, Fleet, Host, HostState, Solution};
 
-/// How far a share may exceed its limit by rounding.
+/// How far a ratio may exceed its limit, to allow for rounding errors.
 const RATIO_TOLERANCE: f64 = 1e-9;
-/// Capacities count as equal when they agree to this many parts of one invocation a second.
+/// Capacities are compared in steps of one invocation per second divided by this number.
 const CAPACITY_STEPS_PER_UNIT: f64 = 1e6;
-/// What the solver says of a host whose capacity is used up.
+/// The solver's `binds` text for a host whose capacity is used up.
 const BOUND_BY_CAPACITY: &str = "its capacity";
 
-/// What a change may cost.
+/// Limits on the cost of a change.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ChangeLimits {
-    /// The share of the value served now that may be lost.
+    /// The maximum loss of served value, as a ratio of the value served now.
     pub max_value_loss_ratio: f64,
-    /// The share of all work afterwards that hosts in slow start may carry.
+    /// The maximum share of all work that hosts in slow start may carry after the change.
     pub max_warming_work_share: f64,
-    /// The time until all proxies have the change.
+    /// The maximum time until all proxies have the change.
     pub max_propagation_time: Span,
 }
 
-/// What it costs to send tables to the proxies.
+/// The parameters that determine how long tables take to reach the proxies.
 #[derive(Clone, Copy, Debug)]
 pub struct Propagation {
-    /// How many proxies there are.
+    /// The number of proxies.
     pub proxies: u32,
-    /// The pace of the update queue.
+    /// The pacing of the update queue, in entries per second for all proxies together.
     pub entries_per_second: f64,
-    /// Entries that a message counts for besides those in it.
+    /// The fixed cost of a message, in entries, added to the entries that it contains.
     pub header_entries: f64,
-    /// Messages to one proxy within `window`; 0: no cap.
+    /// The maximum number of messages to one proxy within `window`; 0 means no cap.
     pub messages_per_window: u32,
     /// The window of the message cap.
     pub window: Span,
-    /// The fewest update steps that the balancer takes: removals, then additions.
+    /// The minimum number of update steps that the balancer takes: removals, then additions.
     pub min_update_steps: u32,
 }
 
-/// Runs all checks of a change from one fleet to another.
+/// Runs all checks of a change, given the fleet before and after it.
 pub fn check(
     before: &Fleet,
     after: &Fleet,
@@ -68,13 +68,14 @@
     CheckReport(findings.into_iter().map(Finding::from).collect())
 }
 
-/// Hosts that serve an operation in a zone: those of the zone if the operation stays there, otherwise all.
+/// Counts the hosts with capacity that serve an operation for a zone: those in the zone if the operation stays in its
+/// zone, otherwise all.
 fn serving_hosts(fleet: &Fleet, zone: &str, stays_in_zone: bool) -> usize {
     let serves = |host: &&Host| fleet.room(host) > 0.0 && (!stays_in_zone || host.zone == zone);
     fleet.hosts.iter().filter(serves).count()
 }
 
-/// Zones that would have no host for what their proxies ask for.
+/// Finds the operations and zones with demand that would have no host.
 fn pool_findings(before: &Fleet, after: &Fleet) -> Vec<CheckFinding> {
     let zones: BTreeSet<&str> = after
         .gateways
@@ -107,7 +108,7 @@
     findings
 }
 
-/// The value that would be served, beside the value served now.
+/// Compares the value served after the change with the value served now.
 fn capacity_finding(
     solved_before: Option<&Solution>,
     solved_after: &Solution,
@@ -138,7 +139,7 @@
     })
 }
 
-/// The share of the work that hosts in slow start would carry.
+/// Checks the share of all work that hosts in slow start would carry.
 fn slow_start_finding(
     after: &Fleet,
     solved_after: &Solution,
@@ -166,7 +167,7 @@
     }
 }
 
-/// What has to be equal for a host's entries to stay as they are: its zone and its capacity.
+/// Returns the zone and the rounded capacity of each host by id. The table entries of a host change when either does.
 fn host_placements(fleet: &Fleet) -> BTreeMap<String, (String, u64)> {
     let placement = |host: &Host| {
         let capacity_steps = (fleet.room(host) * CAPACITY_STEPS_PER_UNIT).round() as u64;
@@ -175,6 +176,7 @@
     fleet.hosts.iter().map(placement).collect()
 }
 
+/// Counts the hosts that are added, removed, or have another zone or capacity.
 fn changed_hosts(before: &Fleet, after: &Fleet) -> usize {
     let (placements_before, placements_after) = (host_placements(before), host_placements(after));
     let ids: BTreeSet<&String> = placements_before
@@ -186,7 +188,7 @@
         .count()
 }
 
-/// The time until all proxies have new entries for each host that is added, removed or weighted anew.
+/// Checks the minimum time until all proxies have new entries for each host that is added, removed or changed.
 fn propagation_finding(
     before: &Fleet,
     after: &Fleet,
@@ -204,7 +206,7 @@
         * (changed_hosts as f64 * after.operations.len() as f64
             + propagation.header_entries * messages);
     let queue_seconds = entries / propagation.entries_per_second.max(1.0);
-    // Messages above the cap wait for the next window.
+    // Messages above the cap are delayed to the next window.
     let windows_waited = match propagation.messages_per_window {
         0 => 0.0,
         cap => (messages / f64::from(cap)).ceil().max(1.0) - 1.0,
--- a/crates/config-transaction/src/checks/finding.rs
+++ b/crates/config-transaction/src/checks/finding.rs
@@ -1,85 +1,85 @@
-//! What the checks find, with figures, and the text in which an operator reads it.
+//! The findings of the checks, with their values and the text that is stored and shown to operators.
 
 use crate::change::Finding;
 use std::fmt;
 use wheelspread::time::Span;
 
-/// The value served now and after a change.
+/// The value served now and after a change. Values are billed values.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServedValue {
-    /// Value a second now.
+    /// The value served per second now.
     pub now_per_s: f64,
-    /// Value a second afterwards.
+    /// The value served per second after the change.
     pub after_per_s: f64,
-    /// The share of the value now that would be lost; negative: it rises.
+    /// The loss as a ratio of the value served now; negative if the value increases.
     pub loss_ratio: f64,
-    /// The share that may be lost.
+    /// The maximum allowed `loss_ratio`.
     pub max_loss_ratio: f64,
-    /// Whether more would be lost than may be.
+    /// Whether `loss_ratio` exceeds `max_loss_ratio`.
     pub exceeds_limit: bool,
-    /// Hosts whose capacity would be used up.
+    /// The number of hosts whose capacity would be used up.
     pub full_hosts: usize,
-    /// All hosts afterwards.
+    /// The number of hosts after the change.
     pub hosts: usize,
 }
 
-/// What a check found.
+/// The result of a check.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CheckFinding {
-    /// An operation would have no host in a zone that asks for it.
+    /// An operation would have no host for a zone that has demand for it.
     ZoneWithoutHost {
         /// The operation.
         operation: String,
         /// The zone.
         zone: String,
-        /// Requests a second that the zone asks for.
+        /// The demand of the zone for the operation, in invocations per second.
         demand_per_s: f64,
-        /// Hosts that serve it there now.
+        /// The number of hosts that serve the operation for the zone now.
         hosts_now: usize,
     },
-    /// No zone would be without a host for what it asks for.
+    /// Every operation would have a host for each zone that has demand for it.
     EveryZoneHasHosts,
-    /// The solver finds no weights for the fleet afterwards.
+    /// The solver rejects the fleet as it would be after the change.
     NoSolution(wheelspread_solve::SolveInputError),
-    /// The solver finds weights only for the fleet afterwards.
+    /// The solver rejects the current fleet and accepts the fleet after the change.
     NothingServedNow {
-        /// Value a second afterwards.
+        /// The value served per second after the change.
         value_after_per_s: f64,
     },
-    /// The value served now and afterwards.
+    /// The value served now and after the change.
     ServedValue(ServedValue),
-    /// The work that hosts in slow start would carry.
+    /// The share of all work that hosts in slow start would carry.
     SlowStartWork {
-        /// How many hosts would be in slow start.
+        /// The number of hosts that would be in slow start.
         hosts: usize,
         /// Their share of all work.
         work_share: f64,
-        /// The share that they may have.
+        /// The maximum allowed `work_share`.
         max_work_share: f64,
-        /// Whether they would have more.
+        /// Whether `work_share` exceeds `max_work_share`.
         exceeds_limit: bool,
     },
-    /// The time until all proxies have the change.
+    /// The minimum time until all proxies have the change.
     PropagationTime {
-        /// Hosts that are added, removed or weighted anew.
+        /// The number of hosts that are added, removed, or have another zone or capacity.
         changed_hosts: usize,
-        /// Entries to all proxies together.
+        /// The number of entries sent to all proxies together, including the fixed cost of messages.
         entries: f64,
-        /// Messages to each proxy.
+        /// The number of messages to each proxy.
         messages: f64,
-        /// How many proxies there are.
+        /// The number of proxies.
         proxies: f64,
-        /// The shortest time that it can take, in seconds.
+        /// The minimum propagation time, in seconds.
         min_seconds: f64,
-        /// The time that it may take.
+        /// The maximum allowed propagation time.
         limit: Span,
-        /// Whether it takes longer.
+        /// Whether `min_seconds` exceeds `limit`.
         exceeds_limit: bool,
     },
 }
 
 impl CheckFinding {
-    /// The name of the check, as it is stored and shown.
+    /// The name of the check, as stored and shown to operators.
     pub fn check_name(&self) -> &'static str {
         match self {
             CheckFinding::ZoneWithoutHost { .. } | CheckFinding::EveryZoneHasHosts => "pools",
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Whether it forbids the change.
+    /// Whether the finding forbids the change.
     pub fn forbids(&self) -> bool {
         match self {
             CheckFinding::ZoneWithoutHost { .. } | CheckFinding::NoSolution(_) => true,
@@ -118,7 +118,7 @@
     }
 }
 
-/// The texts are stored with the change and read by operators.
+/// The texts are stored with the change and shown to operators.
 impl fmt::Display for CheckFinding {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
--- a/crates/config-transaction/src/ledger.rs
+++ b/crates/config-transaction/src/ledger.rs
@@ -1,5 +1,5 @@
-//! The configuration in force and all changes of it. One change is in progress at a time. A second change that was
-//! made against the same version is refused once the first is in force, and the error names both.
+//! The configuration in force and all its changes. One change is in progress at a time. A second change that was made
+//! against the same version is refused once the first has been applied, and the error names both changes.
 
 mod conflict;
 mod deadlines;
@@ -13,29 +13,29 @@
 use std::collections::BTreeMap;
 use wheelspread::time::Moment;
 
-/// What is to be done for a change.
+/// An action that the caller carries out for a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LedgerAction {
     /// The change.
     pub id: ChangeId,
-    /// What to do; never `ChangeEffect::Nothing`.
+    /// The action; never `ChangeEffect::Nothing`.
     pub effect: ChangeEffect,
 }
 
-/// The configuration in force and every change that is remembered.
+/// The configuration in force and the records of all changes.
 #[derive(Clone, Debug)]
 pub struct Ledger {
     configuration: Configuration,
     records: BTreeMap<ChangeId, ChangeRecord>,
-    /// Versions with the change that made each, or that was undone by it, in ascending order.
+    /// Versions in ascending order, each with the change whose application or undoing created the version.
     version_history: Vec<(u64, ChangeId)>,
-    /// Changes that are not final, and when each entered its state.
+    /// The time at which each change that is not in a final state entered its state.
     entered_state_at: BTreeMap<ChangeId, Moment>,
     deadlines: Deadlines,
 }
 
 impl Ledger {
-    /// A ledger that knows no change.
+    /// Creates a ledger without changes.
     pub fn new(configuration: Configuration, deadlines: Deadlines) -> Ledger {
         Ledger {
             configuration,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Rebuilds the ledger of a controller that restarts. A change that was in progress goes on in its state: the
+    /// Rebuilds the ledger of a controller that restarts. A change that was in progress resumes in its state: the
     /// action for that state is returned again.
     pub fn recover(
         now: Moment,
@@ -58,7 +58,7 @@
         let mut actions = Vec::new();
         for mut record in records {
             let id = record.change.id.clone();
-            // A record that was read from the disk has been written.
+            // The record was read from disk, so the write that `Checked` waits for has completed.
             if record.state == ChangeState::Checked {
                 record.state = ChangeState::Staged;
             }
@@ -91,12 +91,12 @@
         &self.configuration
     }
 
-    /// All changes that are remembered, by id.
+    /// The records of all changes, in the order of their ids.
     pub fn records(&self) -> impl Iterator<Item = &ChangeRecord> {
         self.records.values()
     }
 
-    /// Changes whose state is not final.
+    /// The records of the changes that are not in a final state.
     pub fn unfinished(&self) -> impl Iterator<Item = &ChangeRecord> {
         self.entered_state_at
             .keys()
@@ -114,7 +114,7 @@
             .ok_or_else(|| ChangeError::UnknownChange(id.0.clone()))
     }
 
-    /// The values that a change would set to something else than what is in force.
+    /// Returns the values of a change that differ from the values in force.
     pub fn plan(&self, change: &Change) -> Vec<ValueChange> {
         let value_change = |(path, to): (&String, &Option<String>)| {
             let from = self.configuration.values.get(path).cloned();
@@ -127,7 +127,7 @@
         change.sets.iter().filter_map(value_change).collect()
     }
 
-    /// Takes a proposal in; its checks follow. A repeated proposal returns the state that the change has by now.
+    /// Records a proposal, which is to be checked next. A repeated proposal returns the current state of the change.
     pub fn propose(&mut self, now: Moment, change: Change) -> Result<ChangeState, ChangeError> {
         if let Some(known) = self.records.get(&change.id) {
             return match known.change == change {
@@ -151,7 +151,7 @@
         Ok(ChangeState::Proposed)
     }
 
-    /// Stores what the checks of a proposal found, and refuses it if a finding forbids it.
+    /// Stores the findings of the checks of a proposal, and refuses the change if a finding forbids it.
     pub fn record_checks(
         &mut self,
         now: Moment,
@@ -174,7 +174,7 @@
         }
     }
 
-    /// An operator applies a staged change. Repeated, it does nothing.
+    /// Applies a staged change on an operator's command. A repeated command has no effect.
     pub fn apply(&mut self, now: Moment, id: &ChangeId) -> Result<Vec<LedgerAction>, ChangeError> {
         let record = self.known_record(id)?;
         match record.state {
@@ -198,7 +198,8 @@
         self.handle_event(now, id, ChangeEvent::ApplyRequested, None)
     }
 
-    /// An operator undoes a change, or a condition of its watch is broken. Repeated, it does nothing.
+    /// Undoes a change on an operator's command or because a condition of its watch is broken. A repeated command has
+    /// no effect.
     pub fn undo(
         &mut self,
         now: Moment,
@@ -215,7 +216,8 @@
         self.handle_event(now, id, ChangeEvent::UndoRequested, reason)
     }
 
-    /// The outcome of an action, or a deadline that passed. An event that does not fit the state changes nothing.
+    /// Handles the outcome of an action or an exceeded deadline. An event without a transition in the current state of
+    /// the change has no effect.
     pub fn handle_event(
         &mut self,
         now: Moment,
--- a/crates/config-transaction/src/ledger/conflict.rs
+++ b/crates/config-transaction/src/ledger/conflict.rs
@@ -1,11 +1,11 @@
-//! Changes that stand in the way of one another.
+//! Detection of changes that conflict with each other.
 
 use super::Ledger;
 use crate::change::{Change, ChangeId, ChangeRecord};
 use crate::error::ChangeError;
 use crate::state::ChangeState;
 
-/// The paths that both changes set, separated by commas; empty: none.
+/// Returns the paths that both changes set, separated by commas, or an empty text if there are none.
 fn shared_paths(one: &Change, other: &Change) -> String {
     let shared = one
         .sets
@@ -19,7 +19,8 @@
 }
 
 impl Ledger {
-    /// The latest change that came into force, or was undone, after the version that this one was made against.
+    /// Returns the conflict with the latest change that was applied or undone after the version that this one was made
+    /// against.
     pub(super) fn conflict(&self, change: &Change) -> Option<ChangeError> {
         let (version, other_id) = self
             .version_history
@@ -40,7 +41,7 @@
         })
     }
 
-    /// Fails if a later change that is in force sets one of the same values.
+    /// Fails if a later change that has not been undone sets one of the same paths.
     pub(super) fn ensure_no_later_change_sets_same_paths(
         &self,
         record: &ChangeRecord,
--- a/crates/config-transaction/src/ledger/deadlines.rs
+++ b/crates/config-transaction/src/ledger/deadlines.rs
@@ -1,30 +1,32 @@
-//! How long a change may stay in each state.
+//! The deadline of each state of a change.
 
 use super::{Ledger, LedgerAction};
 use crate::change::ChangeId;
 use crate::state::{ChangeEvent, ChangeState};
 use wheelspread::time::{Moment, Span};
 
-/// A watched change waits for evidence for this many times the length of its watch.
+/// The deadline of the `Watched` state, as a multiple of the duration of the watch: evidence may be late by the same
+/// time again.
 const WATCH_DEADLINE_FACTOR: f64 = 2.0;
 
-/// How long each state may last.
+/// The maximum duration of each state.
 #[derive(Clone, Copy, Debug)]
 pub struct Deadlines {
-    /// For the checks of a proposal.
+    /// The time for the checks of a proposal; after it, the change is refused.
     pub checks: Span,
-    /// For the write of a checked change; then it is written again.
+    /// The time for the write of a checked change; after it, the write is requested again.
     pub write: Span,
-    /// For an operator to apply a staged change.
+    /// The time within which an operator has to apply a staged change; after it, the change is refused.
     pub staged: Span,
-    /// For every proxy to take a change, or its undoing.
+    /// The time for all proxies to apply the values of a change, or to restore the previous ones. After it, a change is
+    /// undone, and the restoring is requested again.
     pub apply: Span,
     /// How long the service is compared with the baseline. Evidence may be late by the same time again.
     pub watch: Span,
 }
 
 impl Deadlines {
-    /// How long a state may last; `None`: without limit.
+    /// Returns the maximum duration of a state; `None`: unlimited.
     fn limit(&self, state: ChangeState) -> Option<Span> {
         match state {
             ChangeState::Proposed => Some(self.checks),
@@ -38,15 +40,15 @@
 }
 
 impl Ledger {
-    /// Ends watches whose evidence is complete, and states whose deadline has passed. `evidence_until`: until when the
-    /// measurements are complete.
+    /// Ends watches whose evidence is complete, and handles deadlines that have passed. `evidence_until` is the time up
+    /// to which the measurements are complete.
     pub fn advance(&mut self, now: Moment, evidence_until: Moment) -> Vec<LedgerAction> {
         let mut actions = Vec::new();
         for id in self.entered_state_at.keys().cloned().collect::<Vec<_>>() {
             let Some((event, reason)) = self.due_event(&id, now, evidence_until) else {
                 continue;
             };
-            // The id is one of the ledger's own, so the call can't fail.
+            // The id comes from the ledger itself, so the call cannot fail.
             let result = self.handle_event(now, &id, event, reason);
             actions.extend(result.into_iter().flatten());
         }
@@ -69,7 +71,7 @@
         is_late.then_some((ChangeEvent::DeadlineExceeded, Some(reason)))
     }
 
-    /// When `advance` may have something to do next.
+    /// Returns the earliest time at which `advance` may have an event to handle.
     pub fn wake_at(&self) -> Option<Moment> {
         let due_at = |(id, since): (&ChangeId, &Moment)| {
             let state = self.records.get(id)?.state;
--- a/crates/config-transaction/src/ledger/versions.rs
+++ b/crates/config-transaction/src/ledger/versions.rs
@@ -1,10 +1,10 @@
-//! Versions of the configuration: one for a change that is applied, another for one that is undone.
+//! Versions of the configuration: applying a change creates one version, undoing the change creates another.
 
 use super::Ledger;
 use crate::change::ChangeId;
 
 impl Ledger {
-    /// Puts all values of a change in force as one new version, and remembers those that they replace.
+    /// Puts all values of a change in force as one new version, and stores the values that they replace in its record.
     pub(super) fn apply_values(&mut self, id: &ChangeId) {
         let Some(record) = self.records.get_mut(id) else {
             return;
@@ -23,7 +23,7 @@
             .push((self.configuration.version, id.clone()));
     }
 
-    /// Puts the former values in force as a new version too: versions never fall.
+    /// Puts the previous values in force, again as a new version: versions never decrease.
     pub(super) fn restore_values(&mut self, id: &ChangeId) {
         let Some(record) = self.records.get_mut(id) else {
             return;
--- a/crates/config-transaction/src/lib.rs
+++ b/crates/config-transaction/src/lib.rs
@@ -1,14 +1,14 @@
-//! Changes of configuration as transactions, without I/O.
+//! Configuration changes as transactions, without I/O.
 //!
 //! A [`Ledger`] holds the configuration in force, its version, and every change with its state. It returns
-//! [`LedgerAction`]s (write, apply, watch); whoever owns disk and sockets carries them out and reports the outcome as
-//! a [`ChangeEvent`]. Each call may be repeated: the second time changes nothing.
+//! [`LedgerAction`]s (write, apply, watch); the caller, which owns disk and sockets, carries them out and reports the
+//! outcome as a [`ChangeEvent`]. Each call is idempotent: a repeated call changes nothing.
 //!
 //! - `change`: the change, its findings and its record;
 //! - `state`: the state machine of a change;
 //! - `ledger`: conflicts, versions and deadlines over all changes;
-//! - `checks`: what a change does to capacity and to the proxies' update queues, by measured figures;
-//! - `persisted`: what outlives a crash.
+//! - `checks`: the effect of a change on capacity and on the proxies' update queues, from measured values;
+//! - `persisted`: the state that is stored on disk and recovered after a crash.
 
 pub mod change;
 pub mod checks;
--- a/crates/config-transaction/src/persisted.rs
+++ b/crates/config-transaction/src/persisted.rs
@@ -1,16 +1,16 @@
-//! What outlives a crash, and the commits in which it is written.
+//! The state that survives a crash, and the commits in which it is written.
 
 use crate::change::{ChangeRecord, Configuration};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What is written together. Later commits replace earlier ones value by value.
+/// Data that is written atomically. Later commits replace the values of earlier ones, value by value.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Commit {
-    /// The configuration in force, if it is part of the commit.
+    /// The configuration in force; `None` if the commit does not contain it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub configuration: Option<Configuration>,
-    /// Records of changes; each replaces the former record of its change.
+    /// Records of changes; each replaces the previous record of its change.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub changes: Vec<ChangeRecord>,
     /// Facts by name; `None` removes a fact.
@@ -19,7 +19,7 @@
 }
 
 impl Commit {
-    /// Adds a later commit, so that both are one write.
+    /// Merges a later commit into this one, so that both are one write.
     pub fn merge(&mut self, later: Commit) {
         self.configuration = later.configuration.or(self.configuration.take());
         self.changes.extend(later.changes);
@@ -27,7 +27,7 @@
     }
 }
 
-/// Everything that is persisted: the result of all commits.
+/// The persisted state, as the result of all commits.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct PersistedState {
     /// The configuration in force.
@@ -36,7 +36,7 @@
     pub changes: BTreeMap<String, ChangeRecord>,
     /// Facts by name.
     pub facts: BTreeMap<String, String>,
-    /// How many commits made this state.
+    /// The number of commits applied to this state.
     pub commits: u64,
 }
 
@@ -58,7 +58,7 @@
         }
     }
 
-    /// All of the state as one commit, for compaction.
+    /// Returns the whole state as one commit, for compaction.
     pub fn to_commit(&self) -> Commit {
         let facts = self.facts.iter();
         Commit {
--- a/crates/config-transaction/src/state.rs
+++ b/crates/config-transaction/src/state.rs
@@ -1,89 +1,89 @@
-//! The life cycle of a change: its states, the events that move it on, and what each transition asks for.
+//! The life cycle of a change: its states, the events that cause transitions, and the effect of each transition.
 //!
 //! ```text
 //! proposed → checked → staged → applying → watched → kept
-//!                                    ↘ undoing → undone      refused: before it ever was in force
+//!                                    ↘ undoing → undone      refused: ended before the change was applied
 //! ```
 
 use serde::{Deserialize, Serialize};
 
-/// How far a change has come.
+/// The state of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ChangeState {
-    /// Received; its checks have not finished.
+    /// The proposal was received; its checks have not finished.
     Proposed,
-    /// No check forbids it; the write to the disk has not finished.
+    /// No check forbids the change; the write to disk has not finished.
     Checked,
-    /// On the disk and ready to be applied.
+    /// The change is on disk and ready to be applied.
     Staged,
-    /// On its way to the proxies.
+    /// The values of the change are being sent to the proxies.
     Applying,
-    /// In force; the service is compared with the baseline.
+    /// The change is in force, and the service is compared with the baseline.
     Watched,
-    /// In force for good: the watch ended with no broken condition.
+    /// The watch ended with no broken condition; the change stays in force until an operator undoes it.
     Kept,
-    /// The former values are on their way to the proxies.
+    /// The previous values are being sent to the proxies.
     Undoing,
-    /// The former values are in force again.
+    /// The previous values are in force again.
     Undone,
-    /// It never was in force and never will be.
+    /// The change was rejected or withdrawn before it was applied.
     Refused,
 }
 
-/// What moves a change from one state to the next.
+/// An event that may cause a transition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ChangeEvent {
-    /// No check forbids it.
+    /// No check forbids the change.
     ChecksPassed,
-    /// A check forbids it.
+    /// A check forbids the change.
     ChecksFailed,
-    /// The disk has it.
+    /// The change was written to disk.
     Written,
-    /// Another change came into force since the version that it was made against.
+    /// Another change was applied or undone after the version that this one was made against.
     BaseOutdated,
-    /// An operator applies it.
+    /// An operator applies the change.
     ApplyRequested,
-    /// Every proxy has the values, or is excluded from waiting by design.
+    /// Every proxy has the values, except those that are not waited for by design.
     InForce,
-    /// An operator undoes it, or a condition of its watch is broken.
+    /// An operator undoes the change, or a condition of its watch is broken.
     UndoRequested,
-    /// The evidence covers the whole watch and no condition was broken.
+    /// The evidence covers the whole watch, and no condition was broken.
     WatchCompleted,
-    /// The state lasted longer than its deadline.
+    /// The change has been in its state for at least the deadline of that state.
     DeadlineExceeded,
 }
 
-/// What the owner of disk and sockets does for a transition.
+/// The action that a transition requires of the caller, which owns disk and sockets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeEffect {
-    /// Nothing to carry out, and nothing new to persist.
+    /// No action, and nothing new to persist.
     Nothing,
-    /// Write the change; `ChangeEvent::Written` follows.
+    /// Write the change to disk and report `ChangeEvent::Written`.
     Write,
-    /// Put the new values in force through the balancer's ordered steps; `ChangeEvent::InForce` follows.
+    /// Put the new values in force through the balancer's ordered update steps and report `ChangeEvent::InForce`.
     ApplyValues,
-    /// Put the former values in force in the same way; `ChangeEvent::InForce` follows.
+    /// Put the previous values in force in the same way and report `ChangeEvent::InForce`.
     RestoreValues,
-    /// Begin to compare the service with the baseline.
+    /// Start comparing the service with the baseline.
     Watch,
     /// Persist that the change is kept.
     Keep,
-    /// Persist that the change is over without being in force.
+    /// Persist that the change ended and is not in force.
     Close,
 }
 
-/// A state that follows, and what is to be done on the way there.
+/// The next state and the action that the transition requires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Transition {
-    /// The state afterwards.
+    /// The state after the transition.
     pub next: ChangeState,
-    /// What is to be carried out.
+    /// The action that the caller carries out.
     pub effect: ChangeEffect,
 }
 
 impl ChangeState {
-    /// The spelling in the operators' API, the state file and the log.
+    /// Returns the spelling in the operators' API, the state file and the log.
     pub fn as_str(self) -> &'static str {
         match self {
             ChangeState::Proposed => "proposed",
@@ -98,7 +98,7 @@
         }
     }
 
-    /// The transition for an event; `None`: the event changes nothing in this state.
+    /// Returns the transition for an event, or `None` if the event has no effect in this state.
     pub fn transition(self, event: ChangeEvent) -> Option<Transition> {
         use ChangeEvent as Event;
         let refuse = (ChangeState::Refused, ChangeEffect::Close);
@@ -113,7 +113,7 @@
             ChangeState::Checked => match event {
                 Event::Written => (ChangeState::Staged, ChangeEffect::Nothing),
                 Event::BaseOutdated | Event::UndoRequested => refuse,
-                // A disk that takes seconds delays the change and nothing else.
+                // A slow disk only delays the change: the write is repeated, and the change is not refused.
                 Event::DeadlineExceeded => (ChangeState::Checked, ChangeEffect::Write),
                 _ => return None,
             },
@@ -129,11 +129,11 @@
             },
             ChangeState::Watched => match event {
                 Event::WatchCompleted => (ChangeState::Kept, ChangeEffect::Keep),
-                // Evidence that never comes counts against the change.
+                // Without complete evidence by the deadline, the change is undone.
                 Event::UndoRequested | Event::DeadlineExceeded => undo,
                 _ => return None,
             },
-            // A change that was kept can be undone as long as no later change rests on it.
+            // A kept change can be undone; the ledger rejects the command if a later change sets the same values.
             ChangeState::Kept => match event {
                 Event::UndoRequested => undo,
                 _ => return None,
@@ -148,7 +148,7 @@
         Some(Transition { next, effect })
     }
 
-    /// Whether nothing more comes of the change by itself.
+    /// Whether the change has ended: it leaves this state on an operator's command to undo it, or never.
     pub fn is_final(self) -> bool {
         matches!(
             self,
@@ -156,7 +156,7 @@
         )
     }
 
-    /// Whether its values, or some of them, are at proxies and the change has not ended.
+    /// Whether the change has been applied, so that proxies may have its values, and has not ended.
     pub fn is_in_progress(self) -> bool {
         matches!(
             self,
--- a/crates/config-transaction/tests/checks.rs
+++ b/crates/config-transaction/tests/checks.rs
@@ -1,4 +1,4 @@
-//! The checks of a change: what each finds, with its figures.
+//! Tests the findings of the checks of a change, with their values.
 
 use std::collections::BTreeMap;
 use test_case::test_case;
@@ -64,30 +64,30 @@
 fn forbidding_findings(change: fn(&mut Fleet), propagation: Propagation) -> Vec<String> {
     let (before, mut after) = (fleet(), fleet());
     change(&mut after);
-    let bounds = ChangeLimits {
+    let limits = ChangeLimits {
         max_value_loss_ratio: 0.05,
         max_warming_work_share: 0.3,
         max_propagation_time: Span::from_seconds(5.0),
     };
-    let verdict = check(&before, &after, bounds, propagation);
-    assert!(verdict.0.iter().all(|finding| !finding.text.is_empty()));
-    let against = verdict.0.into_iter().filter(|finding| finding.forbids);
-    against
+    let report = check(&before, &after, limits, propagation);
+    assert!(report.0.iter().all(|finding| !finding.text.is_empty()));
+    let forbidding = report.0.into_iter().filter(|finding| finding.forbids);
+    forbidding
         .map(|finding| format!("{}: {}", finding.check, finding.text))
         .collect()
 }
 
 #[test_case(|_| {}, &[]; "nothing changes")]
-#[test_case(|fleet| drop(fleet.hosts.remove(0)), &[]; "one host goes and the others have room")]
+#[test_case(|fleet| drop(fleet.hosts.remove(0)), &[]; "one host is removed and the others have spare capacity")]
 #[test_case(|fleet| fleet.hosts.retain(|host| host.zone == "b"),
     &["pools: no host for `plan` in `a`, which asks for 6.0/s (2 hosts now)", "capacity: zone `a` asks for `plan`"];
-    "a zone is emptied for what stays there")]
+    "a zone loses all hosts for an operation that stays in its zone")]
 #[test_case(|fleet| fleet.hosts.iter_mut().for_each(|host| host.capacity = 0.7),
     &["capacity: value served 60.00 a second now, 44.80 after (-25.3%, 5.0% may be lost), 4 of 4 hosts full"];
-    "capacity that is not enough")]
+    "insufficient capacity")]
 #[test_case(|fleet| fleet.hosts.iter_mut().for_each(|host| host.state = HostState::Cold),
-    &["capacity: ", "cold: 4 cold hosts would carry 100.0% of the work (30.0% may be)"]; "all cold")]
-fn checks_forbid_what_costs_capacity_or_overloads_hosts_in_slow_start(
+    &["capacity: ", "cold: 4 cold hosts would carry 100.0% of the work (30.0% may be)"]; "all hosts in slow start")]
+fn changes_that_lose_too_much_value_or_load_hosts_in_slow_start_are_forbidden(
     change: fn(&mut Fleet),
     expected: &[&str],
 ) {
@@ -98,9 +98,9 @@
     }
 }
 
-#[test_case(propagation(100.0, 0), true; "a slow channel")]
-#[test_case(propagation(10_000.0, 1), true; "more messages than a window allows")]
-#[test_case(propagation(10_000.0, 2), false; "just as many as it allows")]
+#[test_case(propagation(100.0, 0), true; "a slow update queue")]
+#[test_case(propagation(10_000.0, 1), true; "more messages than the cap of a window")]
+#[test_case(propagation(10_000.0, 2), false; "as many messages as the cap of a window")]
 fn a_change_that_propagates_too_slowly_is_forbidden(propagation: Propagation, forbids: bool) {
     let found = forbidding_findings(|fleet| drop(fleet.hosts.remove(0)), propagation);
     assert_eq!(
--- a/crates/config-transaction/tests/life_cycle.rs
+++ b/crates/config-transaction/tests/life_cycle.rs
@@ -1,4 +1,4 @@
-//! The life cycle of changes under a scripted clock: two operators, crashes at any step, evidence that is late.
+//! Tests the life cycle of changes under a scripted clock, with two operators, crashes at any step and late evidence.
 
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -51,14 +51,16 @@
     ChangeId(text.into())
 }
 
-/// Takes a change up to being staged.
-fn staged(ledger: &mut Ledger, change: Change) -> ChangeId {
+/// Proposes a change and takes it to the state `Staged`.
+fn stage(ledger: &mut Ledger, change: Change) -> ChangeId {
     let id = change.id.clone();
-    ledger.propose(at(0.0), change).expect("taken");
-    let orders = ledger
+    ledger
+        .propose(at(0.0), change)
+        .expect("the proposal is accepted");
+    let actions = ledger
         .record_checks(at(1.0), &id, CheckReport::default())
         .expect("known");
-    assert_eq!(orders[0].effect, ChangeEffect::Write);
+    assert_eq!(actions[0].effect, ChangeEffect::Write);
     ledger
         .handle_event(at(1.5), &id, ChangeEvent::Written, None)
         .expect("known");
@@ -83,44 +85,44 @@
 }
 
 #[test]
-fn a_change_is_applied_as_one_version_and_its_watch_confirms_or_undoes_it() {
-    for good in [true, false] {
+fn a_change_is_applied_as_one_version_and_then_kept_or_undone() {
+    for is_kept in [true, false] {
         let mut ledger = Ledger::new(configuration(), deadlines());
         assert_eq!(ledger.plan(&pool_change()).len(), 3);
-        let id = staged(&mut ledger, pool_change());
+        let id = stage(&mut ledger, pool_change());
         assert_eq!(
             ledger.configuration(),
             &configuration(),
-            "staged is not applied"
+            "staging does not apply a change"
         );
-        let orders = ledger.apply(at(2.0), &id).expect("nothing is in its way");
-        assert_eq!(orders[0].effect, ChangeEffect::ApplyValues);
+        let actions = ledger.apply(at(2.0), &id).expect("there is no conflict");
+        assert_eq!(actions[0].effect, ChangeEffect::ApplyValues);
         assert_eq!(ledger.configuration().version, 8);
         assert_eq!(
             ledger.apply(at(2.1), &id),
             Ok(vec![]),
-            "an order that is told twice is one"
+            "a repeated command has no effect"
         );
         assert_eq!(ledger.configuration().version, 8);
         ledger
             .handle_event(at(3.0), &id, ChangeEvent::InForce, None)
             .expect("known");
-        if good {
+        if is_kept {
             assert_eq!(ledger.advance(at(32.9), at(32.9)), []);
             assert_eq!(
                 ledger.advance(at(33.0), at(33.0))[0].effect,
                 ChangeEffect::Keep
             );
         } else {
-            let orders = ledger
+            let actions = ledger
                 .undo(at(10.0), &id, "errors rose to 4%")
-                .expect("it is the last");
-            assert_eq!(orders[0].effect, ChangeEffect::RestoreValues);
+                .expect("there is no later change");
+            assert_eq!(actions[0].effect, ChangeEffect::RestoreValues);
             ledger
                 .handle_event(at(11.0), &id, ChangeEvent::InForce, None)
                 .expect("known");
             assert_eq!(ledger.configuration().values, configuration().values);
-            assert_eq!(ledger.configuration().version, 9, "numbers never fall");
+            assert_eq!(ledger.configuration().version, 9, "versions never decrease");
             let record = ledger.record(&id).expect("known");
             assert_eq!(
                 (record.state, record.reason.as_deref()),
@@ -131,9 +133,9 @@
 }
 
 #[test]
-fn a_watch_without_complete_evidence_is_undone_after_twice_its_length() {
+fn a_watched_change_without_complete_evidence_is_undone_after_twice_the_watch_duration() {
     let mut ledger = Ledger::new(configuration(), deadlines());
-    let id = staged(&mut ledger, pool_change());
+    let id = stage(&mut ledger, pool_change());
     ledger.apply(at(2.0), &id).expect("applied");
     ledger
         .handle_event(at(3.0), &id, ChangeEvent::InForce, None)
@@ -141,7 +143,7 @@
     assert_eq!(
         ledger.advance(at(40.0), at(20.0)),
         [],
-        "what is known of ends at 20 s"
+        "the evidence ends at 20 s"
     );
     assert_eq!(
         ledger.advance(at(63.0), at(20.0))[0].effect,
@@ -150,10 +152,10 @@
 }
 
 #[test]
-fn a_conflict_names_both_changes_and_the_paths_that_both_set() {
+fn a_conflict_error_names_both_changes_and_the_paths_that_both_set() {
     let mut ledger = Ledger::new(configuration(), deadlines());
-    let first = staged(&mut ledger, pool_change());
-    let second = staged(
+    let first = stage(&mut ledger, pool_change());
+    let second = stage(
         &mut ledger,
         change(
             "c2",
@@ -162,27 +164,29 @@
             &[("pool.a", Some("1")), ("price", Some("3"))],
         ),
     );
-    ledger.apply(at(2.0), &first).expect("the first");
-    let busy = ChangeError::OtherChangeInProgress {
+    ledger
+        .apply(at(2.0), &first)
+        .expect("the first change has no conflict");
+    let in_progress_error = ChangeError::OtherChangeInProgress {
         id: "c2".into(),
         in_progress: "c1".into(),
     };
-    assert_eq!(ledger.apply(at(2.5), &second), Err(busy));
+    assert_eq!(ledger.apply(at(2.5), &second), Err(in_progress_error));
     ledger
         .handle_event(at(3.0), &first, ChangeEvent::InForce, None)
         .expect("known");
     ledger.advance(at(40.0), at(40.0));
-    let refused = ledger
+    let error = ledger
         .apply(at(41.0), &second)
-        .expect_err("its base has moved")
+        .expect_err("the base version is outdated")
         .to_string();
     assert!(
-        refused.contains("c2 by bob") && refused.contains("c1 by ada"),
-        "{refused}"
+        error.contains("c2 by bob") && error.contains("c1 by ada"),
+        "{error}"
     );
     assert!(
-        refused.contains("pool.a") && !refused.contains("price"),
-        "{refused}"
+        error.contains("pool.a") && !error.contains("price"),
+        "{error}"
     );
     assert_eq!(
         ledger.record(&second).map(|record| record.state),
@@ -191,52 +195,55 @@
 }
 
 #[test]
-fn a_change_is_not_undone_while_a_later_one_sets_the_same_values() {
+fn a_change_cannot_be_undone_while_a_later_change_in_force_sets_the_same_value() {
     let mut ledger = Ledger::new(configuration(), deadlines());
     for (name, base, sets) in [
         ("c1", 7, [("pool.a", Some("5"))]),
         ("c2", 8, [("pool.a", Some("6"))]),
         ("c3", 9, [("price", Some("9"))]),
     ] {
-        let id = staged(&mut ledger, change(name, "ada", base, &sets));
+        let id = stage(&mut ledger, change(name, "ada", base, &sets));
         ledger.apply(at(2.0), &id).expect("applied");
         ledger
             .handle_event(at(3.0), &id, ChangeEvent::InForce, None)
             .expect("known");
         ledger.advance(at(40.0), at(40.0));
     }
-    let rests = ChangeError::SetByLaterChange {
+    let later_change_error = ChangeError::SetByLaterChange {
         id: "c1".into(),
         later: "c2".into(),
         paths: "pool.a".into(),
     };
-    assert_eq!(ledger.undo(at(50.0), &id("c1"), "not liked"), Err(rests));
+    assert_eq!(
+        ledger.undo(at(50.0), &id("c1"), "not liked"),
+        Err(later_change_error)
+    );
     ledger
         .undo(at(51.0), &id("c2"), "not liked")
-        .expect("c3 has nothing to do with it");
+        .expect("c3 sets other values");
     ledger
         .handle_event(at(52.0), &id("c2"), ChangeEvent::InForce, None)
         .expect("known");
     ledger
         .undo(at(53.0), &id("c1"), "not liked")
-        .expect("nothing rests on it any more");
+        .expect("c2, the only later change of the value, is undone");
     assert_eq!(ledger.configuration().values["pool.a"], "4");
     assert_eq!(ledger.configuration().values["price"], "9");
 }
 
-#[test_case(change("c1", "ada", 9, &[("price", Some("1"))]), "version 9 was never in force"; "a version to come")]
-#[test_case(change("c1", "ada", 7, &[("price", Some("2"))]), "changes nothing"; "what is so already")]
-fn an_impossible_proposal_is_refused_with_its_reason(change: Change, expected: &str) {
+#[test_case(change("c1", "ada", 9, &[("price", Some("1"))]), "version 9 was never in force"; "a base version above the version in force")]
+#[test_case(change("c1", "ada", 7, &[("price", Some("2"))]), "sets no value that differs from the configuration in force"; "a value that is already in force")]
+fn an_invalid_proposal_is_rejected_with_the_reason(change: Change, expected: &str) {
     let mut ledger = Ledger::new(configuration(), deadlines());
-    let refused = ledger
+    let error = ledger
         .propose(at(0.0), change)
-        .expect_err("it can't be")
+        .expect_err("the proposal is invalid")
         .to_string();
-    assert!(refused.contains(expected), "{refused}");
+    assert!(error.contains(expected), "{error}");
 }
 
 #[test]
-fn a_forbidding_finding_refuses_a_change_and_a_repeated_proposal_is_one_change() {
+fn a_forbidding_finding_refuses_the_change_and_a_repeated_proposal_counts_once() {
     let mut ledger = Ledger::new(configuration(), deadlines());
     assert_eq!(
         ledger.propose(at(0.0), pool_change()),
@@ -273,11 +280,12 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// From the proposal to being kept, if nothing is in the way.
+    /// Takes a change from its proposal to `Kept`, unless a command is rejected.
     Keep(u8, u8),
+    /// Proposes a change; `true`: against the version before the one in force.
     Propose(u8, u8, bool),
-    Pass(u8),
-    Fail(u8),
+    PassChecks(u8),
+    FailChecks(u8),
     Written(u8),
     Apply(u8),
     InForce(u8),
@@ -287,30 +295,31 @@
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let which = 0u8..5;
+    let change_number = 0u8..5;
     prop_oneof![
-        4 => (which.clone(), 0u8..4).prop_map(|(n, key)| Step::Keep(n, key)),
-        1 => (which.clone(), 0u8..4, any::<bool>()).prop_map(|(n, key, old)| Step::Propose(n, key, old)),
-        1 => which.clone().prop_map(Step::Pass),
-        1 => which.clone().prop_map(Step::Fail),
-        1 => which.clone().prop_map(Step::Written),
-        1 => which.clone().prop_map(Step::Apply),
-        2 => which.clone().prop_map(Step::InForce),
-        2 => which.prop_map(Step::Undo),
+        4 => (change_number.clone(), 0u8..4).prop_map(|(n, key)| Step::Keep(n, key)),
+        1 => (change_number.clone(), 0u8..4, any::<bool>())
+            .prop_map(|(n, key, is_outdated)| Step::Propose(n, key, is_outdated)),
+        1 => change_number.clone().prop_map(Step::PassChecks),
+        1 => change_number.clone().prop_map(Step::FailChecks),
+        1 => change_number.clone().prop_map(Step::Written),
+        1 => change_number.clone().prop_map(Step::Apply),
+        2 => change_number.clone().prop_map(Step::InForce),
+        2 => change_number.prop_map(Step::Undo),
         1 => (0u16..700).prop_map(Step::Wait),
         1 => Just(Step::Crash),
     ]
 }
 
-/// A ledger under steps in any order.
-struct Play {
+/// A ledger and its clock, to which random steps are applied.
+struct Simulation {
     ledger: Ledger,
     now: Moment,
 }
 
-impl Play {
-    /// A change that sets one of few paths.
-    fn made(n: u8, key: u8, by: &str, base: u64) -> Change {
+impl Simulation {
+    /// Creates change `c{n}`, which sets one of four paths, so that changes often conflict.
+    fn numbered_change(n: u8, key: u8, by: &str, base: u64) -> Change {
         let path = format!("key.{key}");
         change(
             &format!("c{n}"),
@@ -330,12 +339,12 @@
         self.ledger.advance(self.now, self.now);
     }
 
-    /// Takes a change from its proposal to being kept, if nothing is in the way.
+    /// Takes a change from its proposal to `Kept`, unless a command is rejected.
     fn keep(&mut self, n: u8, key: u8) {
         let base = self.ledger.configuration().version;
-        let made = Play::made(n, key, "ada", base);
-        let id = made.id.clone();
-        if self.ledger.propose(self.now, made).is_ok() {
+        let change = Simulation::numbered_change(n, key, "ada", base);
+        let id = change.id.clone();
+        if self.ledger.propose(self.now, change).is_ok() {
             let _ = self
                 .ledger
                 .record_checks(self.now, &id, CheckReport::default());
@@ -346,10 +355,12 @@
         }
     }
 
-    fn propose(&mut self, n: u8, key: u8, old: bool) {
-        let base = self.ledger.configuration().version - u64::from(old);
+    fn propose(&mut self, n: u8, key: u8, is_outdated: bool) {
+        let base = self.ledger.configuration().version - u64::from(is_outdated);
         let by = if n.is_multiple_of(2) { "ada" } else { "bob" };
-        let _ = self.ledger.propose(self.now, Play::made(n, key, by, base));
+        let _ = self
+            .ledger
+            .propose(self.now, Simulation::numbered_change(n, key, by, base));
     }
 
     fn record_checks(&mut self, n: u8, findings: Vec<Finding>) {
@@ -358,27 +369,31 @@
         drop(self.ledger.record_checks(self.now, &id, report));
     }
 
-    /// Every change that was in progress has to go on.
+    /// Recovers the ledger from its records, and checks that every change in progress is resumed.
     fn crash(&mut self) -> Result<(), TestCaseError> {
         let records: Vec<ChangeRecord> = self.ledger.records().cloned().collect();
         let configuration = self.ledger.configuration().clone();
-        let (next, actions) = Ledger::recover(self.now, configuration, records, deadlines());
+        let (recovered, actions) = Ledger::recover(self.now, configuration, records, deadlines());
         let resumed = actions
             .iter()
             .filter(|action| action.effect != ChangeEffect::Write)
             .count();
-        prop_assert_eq!(in_progress(&next), resumed, "what was in progress goes on");
-        self.ledger = next;
+        prop_assert_eq!(
+            in_progress_count(&recovered),
+            resumed,
+            "every change in progress is resumed"
+        );
+        self.ledger = recovered;
         Ok(())
     }
 
-    fn take(&mut self, step: Step) -> Result<(), TestCaseError> {
-        let name = |n: u8| id(&format!("c{n}"));
+    fn apply_step(&mut self, step: Step) -> Result<(), TestCaseError> {
+        let change_id = |n: u8| id(&format!("c{n}"));
         match step {
             Step::Keep(n, key) => self.keep(n, key),
-            Step::Propose(n, key, old) => self.propose(n, key, old),
-            Step::Pass(n) => self.record_checks(n, vec![]),
-            Step::Fail(n) => {
+            Step::Propose(n, key, is_outdated) => self.propose(n, key, is_outdated),
+            Step::PassChecks(n) => self.record_checks(n, vec![]),
+            Step::FailChecks(n) => {
                 let finding = Finding {
                     check: "c".into(),
                     text: "no".into(),
@@ -387,9 +402,9 @@
                 self.record_checks(n, vec![finding]);
             }
             Step::Written(n) => self.event(n, ChangeEvent::Written),
-            Step::Apply(n) => drop(self.ledger.apply(self.now, &name(n))),
+            Step::Apply(n) => drop(self.ledger.apply(self.now, &change_id(n))),
             Step::InForce(n) => self.event(n, ChangeEvent::InForce),
-            Step::Undo(n) => drop(self.ledger.undo(self.now, &name(n), "not liked")),
+            Step::Undo(n) => drop(self.ledger.undo(self.now, &change_id(n), "not liked")),
             Step::Wait(tenths) => self.wait(f64::from(tenths) / 10.0),
             Step::Crash => self.crash()?,
         }
@@ -397,14 +412,14 @@
     }
 }
 
-fn in_progress(ledger: &Ledger) -> usize {
+fn in_progress_count(ledger: &Ledger) -> usize {
     ledger
         .records()
         .filter(|record| record.state.is_in_progress())
         .count()
 }
 
-/// What the changes in force make of the first configuration, in the order in which they came into force.
+/// The values of the initial configuration after the changes in force, in the order in which they were applied.
 fn expected_values(ledger: &Ledger) -> BTreeMap<String, String> {
     let is_in_force = |state| {
         matches!(
@@ -430,24 +445,24 @@
 }
 
 proptest! {
-    // Whatever two operators, the disk, the proxies and crashes do: one change is in progress at most, versions
-    // never fall, and what is in force is what the changes in force make of the first configuration, in order.
+    // For any sequence of commands, disk results, proxy results and crashes: at most one change is in progress,
+    // versions never decrease, and the configuration is the initial one with the changes in force applied in order.
     #[test]
     fn the_configuration_is_the_result_of_the_changes_in_force_in_order(
         steps in prop::collection::vec(step(), 1..120),
     ) {
-        let mut play = Play {
+        let mut simulation = Simulation {
             ledger: Ledger::new(configuration(), deadlines()),
             now: at(0.0),
         };
         let mut version = 7;
         for step in steps {
-            play.take(step)?;
-            prop_assert!(in_progress(&play.ledger) <= 1);
-            let in_force = play.ledger.configuration();
+            simulation.apply_step(step)?;
+            prop_assert!(in_progress_count(&simulation.ledger) <= 1);
+            let in_force = simulation.ledger.configuration();
             prop_assert!(in_force.version >= version);
             version = in_force.version;
-            prop_assert_eq!(&in_force.values, &expected_values(&play.ledger));
+            prop_assert_eq!(&in_force.values, &expected_values(&simulation.ledger));
         }
     }
 }
--- a/crates/config-transaction/tests/model.rs
+++ b/crates/config-transaction/tests/model.rs
@@ -1,7 +1,7 @@
-//! Every order in which things can happen, by breadth-first search over the real ledger: two operators whose
-//! orders and answers may be lost and come again, a disk that may refuse or lose what it was given, crashes
-//! at any time and during recovery, proxies that take what they are told early or late. A variant that is
-//! broken on purpose has to be caught, with the shortest way there.
+//! Searches every order of events breadth-first with the real ledger: two operators whose commands and answers may be
+//! lost and repeated, a disk that may lose an unfinished write, crashes at any time and during recovery, and proxies
+//! that apply new values early or late. The search must also find the fault of each variant that is broken on purpose,
+//! within a bounded number of steps.
 
 use pathfinding::directed::bfs::bfs;
 use std::cell::Cell;
@@ -26,7 +26,7 @@
     }
 }
 
-/// Two operators, two changes that both touch `price`, made against the same version.
+/// Changes `a` and `b` of two operators; both set `price` and were made against the same version.
 fn change(name: &str) -> Change {
     let (by, value) = if name == "a" {
         ("ada", "5")
@@ -45,27 +45,27 @@
     }
 }
 
-/// The ledger, compared by what it holds.
+/// A ledger that is compared and hashed by its configuration and its records.
 #[derive(Clone)]
-struct Memory(Ledger);
+struct ComparableLedger(Ledger);
 
-impl Memory {
-    fn key(&self) -> (&Configuration, Vec<&ChangeRecord>) {
+impl ComparableLedger {
+    fn comparison_key(&self) -> (&Configuration, Vec<&ChangeRecord>) {
         (self.0.configuration(), self.0.records().collect())
     }
 }
 
-impl PartialEq for Memory {
-    fn eq(&self, other: &Memory) -> bool {
-        self.key() == other.key()
+impl PartialEq for ComparableLedger {
+    fn eq(&self, other: &ComparableLedger) -> bool {
+        self.comparison_key() == other.comparison_key()
     }
 }
 
-impl Eq for Memory {}
+impl Eq for ComparableLedger {}
 
-impl Hash for Memory {
+impl Hash for ComparableLedger {
     fn hash<H: Hasher>(&self, to: &mut H) {
-        self.key().hash(to);
+        self.comparison_key().hash(to);
     }
 }
 
@@ -73,36 +73,38 @@
 struct Write {
     configuration: Configuration,
     record: ChangeRecord,
-    effect: Option<Force>,
+    after: Option<AfterWrite>,
 }
 
-/// What the proxies are told when the disk has it.
+/// The action that follows when a write completes.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
-enum Force {
-    Staged,
-    Values,
+enum AfterWrite {
+    Stage,
+    SendValues,
 }
 
-/// One controller with its disk and its proxies.
+/// A controller with its disk and its proxies.
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct Controller {
-    memory: Option<Memory>,
-    waits: VecDeque<Write>,
+    /// `None` while the process is down.
+    memory: Option<ComparableLedger>,
+    pending_writes: VecDeque<Write>,
     disk: (Configuration, BTreeMap<String, ChangeRecord>),
-    /// What proxies were sent, by version, and the version that they have.
+    /// The configurations sent to the proxies, by version.
     sent: BTreeMap<u64, Configuration>,
-    holds: u64,
-    /// A version with two contents, or one that went down.
-    wrong: Option<String>,
+    /// The version that the proxies have.
+    proxy_version: u64,
+    /// The first sign of a fault: a version with two different contents, or a version that decreased.
+    violation: Option<String>,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Variant {
-    Right,
-    /// Gateways are told before the disk has it.
-    Hasty,
-    /// What was under way is forgotten at a crash.
-    Forgetful,
+    Correct,
+    /// Sends values to the proxies before they are on disk.
+    SendsBeforeWrite,
+    /// Loses changes in progress at a crash.
+    DropsChangesInProgress,
 }
 
 impl Controller {
@@ -112,12 +114,12 @@
             values: BTreeMap::new(),
         };
         Controller {
-            memory: Some(Memory(Ledger::new(first.clone(), deadlines()))),
-            waits: VecDeque::new(),
+            memory: Some(ComparableLedger(Ledger::new(first.clone(), deadlines()))),
+            pending_writes: VecDeque::new(),
             disk: (first.clone(), BTreeMap::new()),
             sent: BTreeMap::from([(1, first)]),
-            holds: 1,
-            wrong: None,
+            proxy_version: 1,
+            violation: None,
         }
     }
 
@@ -127,69 +129,71 @@
             .entry(configuration.version)
             .or_insert_with(|| configuration.clone());
         if known != configuration {
-            self.wrong = Some(format!(
-                "version {} was sent with two contents",
+            self.violation = Some(format!(
+                "version {} was sent with two different contents",
                 configuration.version
             ));
         }
-        if configuration.version < self.holds {
-            self.wrong = Some(format!(
-                "from version {} back to {}",
-                self.holds, configuration.version
+        if configuration.version < self.proxy_version {
+            self.violation = Some(format!(
+                "proxies went from version {} back to version {}",
+                self.proxy_version, configuration.version
             ));
         }
-        self.holds = configuration.version;
+        self.proxy_version = configuration.version;
     }
 
-    fn follow(&mut self, orders: Vec<LedgerAction>, variant: Variant) {
-        let Some(Memory(ledger)) = self.memory.clone() else {
+    fn queue_writes(&mut self, actions: Vec<LedgerAction>, variant: Variant) {
+        let Some(ComparableLedger(ledger)) = self.memory.clone() else {
             return;
         };
-        for LedgerAction { id, effect } in orders {
-            let effect = match effect {
-                ChangeEffect::Write => Some(Force::Staged),
-                ChangeEffect::ApplyValues | ChangeEffect::RestoreValues => Some(Force::Values),
+        for LedgerAction { id, effect } in actions {
+            let after = match effect {
+                ChangeEffect::Write => Some(AfterWrite::Stage),
+                ChangeEffect::ApplyValues | ChangeEffect::RestoreValues => {
+                    Some(AfterWrite::SendValues)
+                }
                 _ => None,
             };
             let record = ledger.record(&id).expect("known").clone();
-            if variant == Variant::Hasty && effect == Some(Force::Values) {
+            if variant == Variant::SendsBeforeWrite && after == Some(AfterWrite::SendValues) {
                 self.send_to_proxies(ledger.configuration());
             }
             let write = Write {
                 configuration: ledger.configuration().clone(),
                 record,
-                effect,
+                after,
             };
-            if !self.waits.contains(&write) {
-                self.waits.push_back(write);
+            if !self.pending_writes.contains(&write) {
+                self.pending_writes.push_back(write);
             }
         }
     }
 
-    /// Lets the ledger do something; a refusal changes nothing.
-    fn act(
+    /// Runs a command on the ledger; `None` if the ledger rejects it or the process is down.
+    fn run_command(
         &self,
         variant: Variant,
-        what: impl FnOnce(&mut Ledger) -> Result<Vec<LedgerAction>, ChangeError>,
+        command: impl FnOnce(&mut Ledger) -> Result<Vec<LedgerAction>, ChangeError>,
     ) -> Option<Controller> {
         let mut next = self.clone();
-        let Memory(ledger) = next.memory.as_mut()?;
-        let orders = what(ledger).ok()?;
-        next.follow(orders, variant);
+        let ComparableLedger(ledger) = next.memory.as_mut()?;
+        let actions = command(ledger).ok()?;
+        next.queue_writes(actions, variant);
         Some(next)
     }
 
-    fn written(&self, variant: Variant) -> Option<Controller> {
+    fn complete_write(&self, variant: Variant) -> Option<Controller> {
         let mut next = self.clone();
         next.memory.as_ref()?;
-        let write = next.waits.pop_front()?;
+        let write = next.pending_writes.pop_front()?;
         next.disk.0 = write.configuration.clone();
         next.disk
             .1
             .insert(write.record.change.id.0.clone(), write.record.clone());
-        let Memory(ledger) = next.memory.as_mut()?;
-        match write.effect {
-            Some(Force::Staged) => {
+        let ComparableLedger(ledger) = next.memory.as_mut()?;
+        match write.after {
+            Some(AfterWrite::Stage) => {
                 let _ = ledger.handle_event(
                     Moment::default(),
                     &write.record.change.id,
@@ -197,10 +201,10 @@
                     None,
                 );
             }
-            // Overtaken by its own undo: that is sent when the disk has it.
-            Some(Force::Values)
+            // The change was undone before this write completed; the previous values are sent after their own write.
+            Some(AfterWrite::SendValues)
                 if ledger.configuration().version != write.configuration.version => {}
-            Some(Force::Values) if variant != Variant::Hasty => {
+            Some(AfterWrite::SendValues) if variant != Variant::SendsBeforeWrite => {
                 next.send_to_proxies(&write.configuration);
             }
             _ => {}
@@ -208,37 +212,39 @@
         Some(next)
     }
 
-    /// Killed; what the disk was given last may be on it or not.
+    /// Stops the process; the first pending write may be on disk or not.
     fn crash(&self) -> Vec<Controller> {
-        let down = |mut of: Controller| {
-            (of.memory, of.waits) = (None, VecDeque::new());
-            of
+        let stopped = |mut controller: Controller| {
+            (controller.memory, controller.pending_writes) = (None, VecDeque::new());
+            controller
         };
-        let mut ends = vec![down(self.clone())];
-        if let Some(write) = self.waits.front() {
-            let mut of = self.clone();
-            of.disk.0 = write.configuration.clone();
-            of.disk
+        let mut outcomes = vec![stopped(self.clone())];
+        if let Some(write) = self.pending_writes.front() {
+            let mut controller = self.clone();
+            controller.disk.0 = write.configuration.clone();
+            controller
+                .disk
                 .1
                 .insert(write.record.change.id.0.clone(), write.record.clone());
-            ends.push(down(of));
+            outcomes.push(stopped(controller));
         }
-        ends
+        outcomes
     }
 
     fn start(&self, variant: Variant) -> Controller {
         let mut next = self.clone();
         let (configuration, records) = next.disk.clone();
-        let kept =
-            |record: &ChangeRecord| variant != Variant::Forgetful || !record.state.is_in_progress();
-        let records = records.into_values().filter(kept).collect();
+        let is_recovered = |record: &ChangeRecord| {
+            variant != Variant::DropsChangesInProgress || !record.state.is_in_progress()
+        };
+        let records = records.into_values().filter(is_recovered).collect();
         let (ledger, _) = Ledger::recover(
             Moment::default(),
             configuration.clone(),
             records,
             deadlines(),
         );
-        next.memory = Some(Memory(ledger));
+        next.memory = Some(ComparableLedger(ledger));
         next.send_to_proxies(&configuration);
         next
     }
@@ -249,12 +255,13 @@
             return vec![self.start(variant)];
         }
         let mut next = self.crash();
-        next.extend(self.written(variant));
+        next.extend(self.complete_write(variant));
         for name in ["a", "b"] {
             let id = ChangeId(name.to_string());
-            let ledger = |what: &dyn Fn(&mut Ledger) -> Result<Vec<LedgerAction>, ChangeError>| {
-                self.act(variant, what)
-            };
+            let ledger =
+                |command: &dyn Fn(&mut Ledger) -> Result<Vec<LedgerAction>, ChangeError>| {
+                    self.run_command(variant, command)
+                };
             next.extend(ledger(&|l| {
                 l.propose(now, change(name))?;
                 l.record_checks(now, &id, CheckReport::default())
@@ -267,12 +274,16 @@
             next.extend(ledger(&|l| {
                 l.handle_event(now, &id, ChangeEvent::WatchCompleted, None)
             }));
-            // Gateways hold it only after they were sent.
+            // Proxies can report a version only after it was sent to them.
             let version = self
                 .memory
                 .as_ref()
                 .map(|memory| memory.0.configuration().version);
-            if version == Some(self.holds) && self.waits.iter().all(|write| write.effect.is_none())
+            if version == Some(self.proxy_version)
+                && self
+                    .pending_writes
+                    .iter()
+                    .all(|write| write.after.is_none())
             {
                 next.extend(ledger(&|l| {
                     l.handle_event(now, &id, ChangeEvent::InForce, None)
@@ -283,22 +294,22 @@
         next
     }
 
-    /// What must hold, whatever happened.
-    fn broken(&self) -> Option<String> {
-        if let Some(wrong) = &self.wrong {
-            return Some(wrong.clone());
+    /// Returns a description of the first invariant that does not hold, if any.
+    fn violation(&self) -> Option<String> {
+        if let Some(violation) = &self.violation {
+            return Some(violation.clone());
         }
-        let Some(Memory(ledger)) = &self.memory else {
+        let Some(ComparableLedger(ledger)) = &self.memory else {
             return None;
         };
-        let under_way = ledger
+        let in_progress_count = ledger
             .records()
             .filter(|record| record.state.is_in_progress())
             .count();
-        if under_way > 1 {
-            return Some("two changes are under way".to_string());
+        if in_progress_count > 1 {
+            return Some("two changes are in progress".to_string());
         }
-        // Each change was put in force once at most, and taken back once at most: versions tell.
+        // No version was created by two changes, so each change was applied at most once and undone at most once.
         let versions: Vec<u64> = ledger
             .records()
             .flat_map(|record| {
@@ -309,79 +320,80 @@
             })
             .collect();
         if versions.iter().collect::<BTreeSet<_>>().len() != versions.len() {
-            return Some("one version was made by two changes".to_string());
+            return Some("one version was created by two changes".to_string());
         }
-        if under_way == 0 && self.waits.is_empty() {
+        if in_progress_count == 0 && self.pending_writes.is_empty() {
             return self.differing_proxies(ledger);
         }
         None
     }
 
-    /// With nothing in progress and nothing at the disk, proxies hold what the changes in force say.
+    /// With no change in progress and no pending write, the proxies must have the values of the kept changes.
     fn differing_proxies(&self, ledger: &Ledger) -> Option<String> {
         let kept = ledger
             .records()
             .filter(|record| record.state == ChangeState::Kept);
-        let mut wanted = BTreeMap::new();
+        let mut expected = BTreeMap::new();
         for record in kept {
             let sets = record.change.sets.iter();
-            wanted.extend(sets.filter_map(|(path, to)| Some((path.clone(), to.clone()?))));
+            expected.extend(sets.filter_map(|(path, to)| Some((path.clone(), to.clone()?))));
         }
-        let held = &self.sent.get(&self.holds)?.values;
-        (*held != wanted).then(|| format!("proxies hold {held:?}, {wanted:?} is in force"))
+        let proxy_values = &self.sent.get(&self.proxy_version)?.values;
+        (*proxy_values != expected)
+            .then(|| format!("proxies have {proxy_values:?}, expected {expected:?}"))
     }
 }
 
-/// How many states there are, and the shortest way to one that is wrong.
+/// Returns the number of states expanded, and the length of the shortest path to a state with a violation.
 fn search<S: Clone + Eq + Hash>(
     start: S,
     successors: impl Fn(&S) -> Vec<S>,
-    broken: impl Fn(&S) -> bool,
+    is_violation: impl Fn(&S) -> bool,
 ) -> (usize, Option<usize>) {
     let states = Cell::new(0);
     let next = |state: &S| {
         states.set(states.get() + 1);
         successors(state)
     };
-    let way = bfs(&start, next, broken);
-    (states.get(), way.map(|way| way.len()))
+    let path = bfs(&start, next, is_violation);
+    (states.get(), path.map(|path| path.len()))
 }
 
 #[test]
-fn every_order_of_events_leaves_one_controller_consistent() {
-    let (states, way) = search(
+fn one_controller_stays_consistent_in_every_order_of_events() {
+    let (states, path) = search(
         Controller::new(),
-        |state| state.successors(Variant::Right),
-        |state| state.broken().is_some(),
+        |state| state.successors(Variant::Correct),
+        |state| state.violation().is_some(),
     );
     println!("one controller: {states} states");
-    assert_eq!(way, None);
+    assert_eq!(path, None);
     assert!(states > 500, "{states}");
 }
 
-#[test_case(Variant::Hasty; "values are sent to proxies before they are on the disk")]
-#[test_case(Variant::Forgetful; "a change in progress is forgotten at a crash")]
-fn the_search_finds_a_variant_that_is_broken_on_purpose(variant: Variant) {
-    let (_, way) = search(
+#[test_case(Variant::SendsBeforeWrite; "values are sent to proxies before they are on disk")]
+#[test_case(Variant::DropsChangesInProgress; "a change in progress is lost at a crash")]
+fn the_search_finds_the_fault_of_a_variant_that_is_broken_on_purpose(variant: Variant) {
+    let (_, path) = search(
         Controller::new(),
         |state| state.successors(variant),
-        |state| state.broken().is_some(),
+        |state| state.violation().is_some(),
     );
-    let steps = way.expect("it is caught");
+    let steps = path.expect("a violation is found");
     assert!(steps < 12, "{steps} steps");
 }
 
-/// Three controllers in coarse steps: an order reaches one of them and is carried out to its end, or is lost.
+/// Three controllers in coarse steps: a command reaches one of them and is carried out to its end, or is lost.
 #[derive(Clone, PartialEq, Eq, Hash)]
-struct Three {
+struct ThreeControllers {
     controllers: [Controller; 3],
-    /// What each operator was told, by controller: whether the change stands there, or that it was refused.
+    /// The answers that operators received, by change and controller: whether the change was applied or refused there.
     answers: BTreeMap<(String, usize), bool>,
     crashes: u8,
 }
 
-impl Three {
-    fn successors(&self) -> Vec<Three> {
+impl ThreeControllers {
+    fn successors(&self) -> Vec<ThreeControllers> {
         let mut next = Vec::new();
         for at in 0..3 {
             let with = |controller: Controller| {
@@ -391,74 +403,78 @@
             };
             let controller = &self.controllers[at];
             if controller.memory.is_none() {
-                next.push(with(controller.start(Variant::Right)));
+                next.push(with(controller.start(Variant::Correct)));
                 continue;
             }
             if self.crashes < 2 {
-                for down in controller.crash() {
-                    next.push(Three {
+                for stopped in controller.crash() {
+                    next.push(ThreeControllers {
                         crashes: self.crashes + 1,
-                        ..with(down)
+                        ..with(stopped)
                     });
                 }
             }
             for name in ["a", "b"] {
-                let (after, stands) = apply(controller, name);
-                // The answer reaches the operator, or is lost.
-                let mut told = with(after.clone());
-                told.answers.insert((name.to_string(), at), stands);
-                next.extend([told, with(after)]);
+                let (after, is_applied) = apply(controller, name);
+                // The answer reaches the operator or is lost.
+                let mut acknowledged = with(after.clone());
+                acknowledged
+                    .answers
+                    .insert((name.to_string(), at), is_applied);
+                next.extend([acknowledged, with(after)]);
             }
         }
         next
     }
 
-    /// Whoever was told everywhere that a change stands can rely on it; the other was told of the conflict.
-    fn broken(&self) -> bool {
-        let stands = |name: &str, at: usize| self.answers.get(&(name.to_string(), at)).copied();
-        let all = |name: &str| (0..3).all(|at| stands(name, at) == Some(true));
-        let wrong = self
+    /// Whether a controller violates an invariant, a controller reported both changes as applied, or change `a` is
+    /// missing on a disk although all three reported it as applied.
+    fn is_inconsistent(&self) -> bool {
+        let answer = |name: &str, at: usize| self.answers.get(&(name.to_string(), at)).copied();
+        let applied_at_all = |name: &str| (0..3).all(|at| answer(name, at) == Some(true));
+        let has_violation = self
             .controllers
             .iter()
-            .any(|controller| controller.broken().is_some());
-        let both = (0..3).any(|at| stands("a", at) == Some(true) && stands("b", at) == Some(true));
-        let apart = all("a")
+            .any(|controller| controller.violation().is_some());
+        let both_applied =
+            (0..3).any(|at| answer("a", at) == Some(true) && answer("b", at) == Some(true));
+        let is_missing = applied_at_all("a")
             && self.controllers.iter().any(|c| {
                 c.disk
                     .1
                     .get("a")
                     .is_none_or(|r| r.applied_version.is_none())
             });
-        wrong || both || apart
+        has_violation || both_applied || is_missing
     }
 }
 
-/// Stages and applies, through the disk and the proxies, to its end.
+/// Stages a change, applies it and completes its watch; `false` if the controller refuses it.
 fn apply(controller: &Controller, name: &str) -> (Controller, bool) {
-    let (now, id, right) = (
+    let (now, id, variant) = (
         Moment::default(),
         ChangeId(name.to_string()),
-        Variant::Right,
+        Variant::Correct,
     );
-    let drain = |mut of: Controller| {
-        while let Some(next) = of.written(right) {
-            of = next;
+    let complete_writes = |mut controller: Controller| {
+        while let Some(next) = controller.complete_write(variant) {
+            controller = next;
         }
-        of
+        controller
     };
-    let staged = controller.act(right, |l| {
+    let staged = controller.run_command(variant, |l| {
         l.propose(now, change(name))?;
         l.record_checks(now, &id, CheckReport::default())
     });
-    let staged = drain(staged.unwrap_or_else(|| controller.clone()));
-    let Some(applied) = staged.act(right, |l| l.apply(now, &id)) else {
+    let staged = complete_writes(staged.unwrap_or_else(|| controller.clone()));
+    let Some(applied) = staged.run_command(variant, |l| l.apply(now, &id)) else {
         return (staged, false);
     };
-    let mut applied = drain(applied);
+    let mut applied = complete_writes(applied);
     for input in [ChangeEvent::InForce, ChangeEvent::WatchCompleted] {
-        applied = drain(
+        applied = complete_writes(
             applied
-                .act(right, |l| l.handle_event(now, &id, input, None))
+                .run_command(variant, |l| l.handle_event(now, &id, input, None))
                 .unwrap_or(applied),
         );
     }
@@ -466,15 +482,19 @@
 }
 
 #[test]
-fn conflicting_changes_never_both_stand_at_three_controllers() {
+fn three_controllers_never_apply_conflicting_changes_in_any_order_of_events() {
     let controllers = [Controller::new(), Controller::new(), Controller::new()];
-    let start = Three {
+    let start = ThreeControllers {
         controllers,
         answers: BTreeMap::new(),
         crashes: 0,
     };
-    let (states, way) = search(start, Three::successors, Three::broken);
+    let (states, path) = search(
+        start,
+        ThreeControllers::successors,
+        ThreeControllers::is_inconsistent,
+    );
     println!("three controllers: {states} states");
-    assert_eq!(way, None);
+    assert_eq!(path, None);
     assert!(states > 500, "{states}");
 }
--- a/crates/config-transaction/tests/stored_form.rs
+++ b/crates/config-transaction/tests/stored_form.rs
@@ -1,5 +1,5 @@
-//! The exact JSON of what the state file keeps. Files of earlier versions hold these spellings, whatever the Rust
-//! names are.
+//! Tests the exact JSON of stored records. State files of earlier versions contain these names, so they must not
+//! change when a Rust name does.
 
 use std::collections::BTreeMap;
 use wheelspread_config_transaction::ChangeRecord;
@@ -7,9 +7,9 @@
     Change, ChangeId, ChangeState, Commit, Configuration, Finding, PersistedState,
 };
 
-/// Written by version 0.2.0 before its types were renamed.
+/// A commit as written by version 0.2.0 before its Rust types were renamed.
 const COMMIT: &str = r#"{"configuration":{"version":9,"values":{"pool.a":"4"}},"changes":[{"change":{"id":"c1","by":"ada","base":7,"sets":{"pool.a":"5","pool.b":null}},"state":"undone","before":{"pool.a":"4","pool.b":null},"findings":[{"check":"cold","text":"1 cold hosts would carry 10.0% of the work (30.0% may be)","forbids":false}],"why":"not liked","made":8,"unmade":9}],"facts":{"learnt.x":null,"version":"3"}}"#;
-/// What `wheelspread state inspect` prints after that commit, without line breaks.
+/// The output of `wheelspread state inspect` after that commit, without line breaks.
 const STATE: &str = r#"{"configuration":{"version":9,"values":{"pool.a":"4"}},"changes":{"c1":{"change":{"id":"c1","by":"ada","base":7,"sets":{"pool.a":"5","pool.b":null}},"state":"undone","before":{"pool.a":"4","pool.b":null},"findings":[{"check":"cold","text":"1 cold hosts would carry 10.0% of the work (30.0% may be)","forbids":false}],"why":"not liked","made":8,"unmade":9}},"facts":{"version":"3"},"commits":1}"#;
 
 fn commit() -> Commit {
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_commit_keeps_its_stored_form() {
+fn the_stored_json_of_a_commit_does_not_change() {
     assert_eq!(
         serde_json::to_string(&commit()).expect("it serializes"),
         COMMIT
@@ -60,22 +60,22 @@
 }
 
 #[test]
-fn the_persisted_state_keeps_its_printed_form() {
+fn the_printed_json_of_the_persisted_state_does_not_change() {
     let mut state = PersistedState::default();
     state.apply(commit());
     assert_eq!(serde_json::to_string(&state).expect("it serializes"), STATE);
 }
 
 #[test]
-fn a_record_from_before_undone_versions_were_stored_loads() {
-    let old = COMMIT.replace(r#","unmade":9"#, "");
-    assert_ne!(old, COMMIT);
-    let read: Commit = serde_json::from_str(&old).expect("it deserializes");
+fn a_record_without_an_undone_version_can_be_read() {
+    let early = COMMIT.replace(r#","unmade":9"#, "");
+    assert_ne!(early, COMMIT);
+    let read: Commit = serde_json::from_str(&early).expect("it deserializes");
     assert_eq!(read.changes[0].undone_version, None);
 }
 
 #[test]
-fn every_state_keeps_its_spelling() {
+fn the_stored_name_of_every_state_does_not_change() {
     let states = [
         ChangeState::Proposed,
         ChangeState::Checked,
--- a/crates/config-transaction/tests/transitions.rs
+++ b/crates/config-transaction/tests/transitions.rs
@@ -1,4 +1,4 @@
-//! The state machine of a change, transition by transition.
+//! Tests every transition of the state machine of a change.
 
 use wheelspread_config_transaction::{ChangeEffect, ChangeEvent, ChangeState, Transition};
 
@@ -25,20 +25,20 @@
     ChangeEvent::DeadlineExceeded,
 ];
 
-struct Row {
+struct TransitionRow {
     from: ChangeState,
     event: ChangeEvent,
     next: ChangeState,
     effect: ChangeEffect,
 }
 
-const fn row(
+const fn transition_row(
     from: ChangeState,
     event: ChangeEvent,
     next: ChangeState,
     effect: ChangeEffect,
-) -> Row {
-    Row {
+) -> TransitionRow {
+    TransitionRow {
         from,
         event,
         next,
@@ -46,39 +46,39 @@
     }
 }
 
-fn table() -> Vec<Row> {
+fn transition_table() -> Vec<TransitionRow> {
     use ChangeEffect::*;
     use ChangeEvent::*;
     use ChangeState::*;
     vec![
-        row(Proposed, ChecksPassed, Checked, Write),
-        row(Proposed, ChecksFailed, Refused, Close),
-        row(Proposed, BaseOutdated, Refused, Close),
-        row(Proposed, DeadlineExceeded, Refused, Close),
-        row(Proposed, UndoRequested, Refused, Close),
-        row(Checked, Written, Staged, Nothing),
-        row(Checked, BaseOutdated, Refused, Close),
-        row(Checked, UndoRequested, Refused, Close),
-        row(Checked, DeadlineExceeded, Checked, Write),
-        row(Staged, ApplyRequested, Applying, ApplyValues),
-        row(Staged, BaseOutdated, Refused, Close),
-        row(Staged, UndoRequested, Refused, Close),
-        row(Staged, DeadlineExceeded, Refused, Close),
-        row(Applying, InForce, Watched, Watch),
-        row(Applying, UndoRequested, Undoing, RestoreValues),
-        row(Applying, DeadlineExceeded, Undoing, RestoreValues),
-        row(Watched, WatchCompleted, Kept, Keep),
-        row(Watched, UndoRequested, Undoing, RestoreValues),
-        row(Watched, DeadlineExceeded, Undoing, RestoreValues),
-        row(Kept, UndoRequested, Undoing, RestoreValues),
-        row(Undoing, InForce, Undone, Close),
-        row(Undoing, DeadlineExceeded, Undoing, RestoreValues),
+        transition_row(Proposed, ChecksPassed, Checked, Write),
+        transition_row(Proposed, ChecksFailed, Refused, Close),
+        transition_row(Proposed, BaseOutdated, Refused, Close),
+        transition_row(Proposed, DeadlineExceeded, Refused, Close),
+        transition_row(Proposed, UndoRequested, Refused, Close),
+        transition_row(Checked, Written, Staged, Nothing),
+        transition_row(Checked, BaseOutdated, Refused, Close),
+        transition_row(Checked, UndoRequested, Refused, Close),
+        transition_row(Checked, DeadlineExceeded, Checked, Write),
+        transition_row(Staged, ApplyRequested, Applying, ApplyValues),
+        transition_row(Staged, BaseOutdated, Refused, Close),
+        transition_row(Staged, UndoRequested, Refused, Close),
+        transition_row(Staged, DeadlineExceeded, Refused, Close),
+        transition_row(Applying, InForce, Watched, Watch),
+        transition_row(Applying, UndoRequested, Undoing, RestoreValues),
+        transition_row(Applying, DeadlineExceeded, Undoing, RestoreValues),
+        transition_row(Watched, WatchCompleted, Kept, Keep),
+        transition_row(Watched, UndoRequested, Undoing, RestoreValues),
+        transition_row(Watched, DeadlineExceeded, Undoing, RestoreValues),
+        transition_row(Kept, UndoRequested, Undoing, RestoreValues),
+        transition_row(Undoing, InForce, Undone, Close),
+        transition_row(Undoing, DeadlineExceeded, Undoing, RestoreValues),
     ]
 }
 
 #[test]
-fn every_pair_of_state_and_event_has_its_transition_or_none() {
-    let table = table();
+fn every_pair_of_state_and_event_has_the_expected_transition_or_none() {
+    let table = transition_table();
     for state in STATES {
         for event in EVENTS {
             let expected = table
@@ -94,11 +94,11 @@
 }
 
 #[test]
-fn a_final_state_is_left_only_to_undo_a_change_in_force() {
+fn the_only_transition_from_a_final_state_undoes_a_kept_change() {
     for state in STATES.into_iter().filter(|state| state.is_final()) {
-        let leaves = EVENTS
+        let has_transition = EVENTS
             .into_iter()
             .any(|event| state.transition(event).is_some());
-        assert_eq!(leaves, state == ChangeState::Kept, "{state:?}");
+        assert_eq!(has_transition, state == ChangeState::Kept, "{state:?}");
     }
 }
