--- a/crates/config-rollout/src/lib.rs
+++ b/crates/config-rollout/src/lib.rs
@@ -1,14 +1,14 @@
 //! Configuration changes in a running controller, without I/O.
 //!
-//! [`Rollout`] carries each change from the ledger through the controller core to the proxies and back. Proxies see
-//! nothing of a change before the disk has what a crash would need.
+//! [`Rollout`] passes the values of each change from the ledger through the controller core to the proxies, and tracks
+//! how far they have propagated. A change reaches no proxy before everything needed to recover from a crash is on disk.
 //!
-//! - `values`: which values a change may set, and what a set of values comes to;
-//! - `measured_fleet`: measurements in the form that the checks and the solver take;
-//! - `pool_risk`: pools that a change or a drain would empty;
-//! - `watch`: when a change in force has done harm;
+//! - `values`: the values that a change may set, and the configuration update that results from them;
+//! - `measured_fleet`: the measured fleet as input of the checks and the solver;
+//! - `pool_risk`: pools that a change or a drain would leave without a node;
+//! - `watch`: the conditions on which a change in force is undone;
 //! - `messages`: commands, answers, actions and log events;
-//! - `rollout`: the state of all of it.
+//! - `rollout`: the state machine that connects these parts.
 
 pub mod measured_fleet;
 pub mod messages;
--- a/crates/config-rollout/src/measured_fleet.rs
+++ b/crates/config-rollout/src/measured_fleet.rs
@@ -1,6 +1,6 @@
-//! The fleet as this controller measured it, in the form that the solver takes: what each node can serve, in
-//! invocations a second, and what each zone asks for. A node without a measurement counts like the others of its kind,
-//! and otherwise like all others.
+//! The fleet as measured by this controller, as input of the solver: the capacity of each node in invocations per
+//! second, and the demand of each zone. A node without a measurement gets the mean capacity of its kind, or that of all
+//! nodes if no node of its kind was measured.
 
 use std::collections::BTreeMap;
 use wheelspread::ids::{NodeId, OperationId, ZoneId};
@@ -10,17 +10,17 @@
 use wheelspread_controller_core::{ControllerCore, Deployment};
 use wheelspread_solve::{Fleet, Gateway, Host, HostState, Operation};
 
-/// The window of load reports that counts as the current demand, in report periods.
+/// The window over which the current demand is averaged, in report periods.
 const DEMAND_WINDOW_PERIODS: f64 = 15.0;
-/// The share of a node's capacity that is counted on.
+/// The ratio of a node's capacity that the solver may use.
 const USABLE_CAPACITY_RATIO: f64 = 0.9;
 
-/// Capacities and demand, apart from where nodes are placed.
+/// Measured capacities and demand, independent of the placement of nodes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MeasuredFleet {
-    /// Invocations a second that each node can serve.
+    /// The capacity of each node, in invocations per second.
     pub capacity: BTreeMap<NodeId, f64>,
-    /// Invocations a second that each zone asks for.
+    /// The demand of each zone for each operation, in invocations per second.
     pub demand: BTreeMap<(ZoneId, OperationId), f64>,
 }
 
@@ -29,7 +29,7 @@
 }
 
 impl MeasuredFleet {
-    /// What the controller core has measured by now.
+    /// Takes the current measurements of the controller core.
     pub fn from_core(now: Moment, core: &ControllerCore) -> MeasuredFleet {
         let capacity = core
             .capacity_snapshots()
@@ -47,12 +47,13 @@
         MeasuredFleet { capacity, demand }
     }
 
-    /// Whether there is a capacity and a demand; without both, nothing can be said of a change.
+    /// Whether at least one capacity and some demand were measured; without both, the effect of a change on capacity is
+    /// unknown.
     pub fn has_capacity_and_demand(&self) -> bool {
         !self.capacity.is_empty() && self.demand.values().any(|rate| *rate > 0.0)
     }
 
-    /// The fleet with these nodes, placed as a configuration has them.
+    /// Returns the fleet with these nodes, placed as in the given deployment.
     pub fn fleet(&self, now: Moment, nodes: &[EndpointEntry], deployment: &Deployment) -> Fleet {
         Fleet {
             hosts: self.hosts(now, nodes, deployment),
@@ -100,7 +101,7 @@
             .collect()
     }
 
-    /// The demand of each zone as that of one proxy.
+    /// Returns the demand of each zone as that of a single proxy.
     fn demand_by_zone(&self, deployment: &Deployment) -> Vec<Gateway> {
         let operation_name = |id: OperationId| {
             let operation = deployment.operations.get(usize::from(id.0))?;
@@ -141,7 +142,7 @@
         .map(|operation| Operation {
             name: operation.name.clone(),
             billed_value: operation.billed_value,
-            // Capacities are in invocations, so each invocation is one unit of work.
+            // Capacities are in invocations per second, so each invocation is one unit of work.
             work: 1.0,
             holds: None,
             stays_in_zone: operation.stays_in_zone,
--- a/crates/config-rollout/src/messages.rs
+++ b/crates/config-rollout/src/messages.rs
@@ -1,4 +1,4 @@
-//! What goes into a rollout and what comes out of it.
+//! The input and output of a rollout: settings, commands, answers, actions and log events.
 
 use crate::watch::Conditions;
 use serde::Serialize;
@@ -9,31 +9,32 @@
 };
 use wheelspread_controller_core::controller_core::ConfigUpdate;
 
-/// How changes are handled, by the controller's file.
+/// The settings for changes from the controller's file.
 #[derive(Clone, Copy, Debug)]
 pub struct RolloutSettings {
-    /// How long each state of a change may last.
+    /// The maximum duration of each state of a change.
     pub deadlines: Deadlines,
-    /// What a change may cost.
+    /// The limits on the cost of a change.
     pub limits: ChangeLimits,
-    /// When a change in force is undone.
+    /// The conditions on which a change in force is undone.
     pub conditions: Conditions,
 }
 
-/// A command of an operator.
+/// A command from an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RolloutCommand {
-    /// Show what a change would do, and what its checks find.
+    /// Show the values that a change would set and the findings of its checks.
     Plan(Change),
-    /// Check a change and keep it ready.
+    /// Check a change and write it to disk, ready to be applied.
     Stage(Change),
     /// Put a staged change in force.
     Apply(ChangeId),
-    /// Undo a change, for the reason given.
+    /// Undo a change for the given reason.
     Undo(ChangeId, String),
 }
 
-/// One value in a plan. `None`: the controller's file, or the endpoint list, counts.
+/// One value in a plan. `None` means that neither a change nor the controller's file sets the value; for a node, the
+/// endpoint list then applies.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct PlannedValue {
     /// The path of the value.
@@ -44,31 +45,31 @@
     pub to: Option<String>,
 }
 
-/// The answer to a command, in the form of the operators' API.
+/// The answer to a command, as serialized in the operators' API.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Answer {
-    /// What a change would do.
+    /// The effect that a change would have.
     Planned {
         /// The version of the configuration in force.
         version: u64,
-        /// Values that would change.
+        /// The values that would change.
         lines: Vec<PlannedValue>,
-        /// What the checks find.
+        /// The findings of the checks.
         findings: Vec<Finding>,
     },
-    /// The change as it stands.
+    /// The current record of the change.
     Change(Box<ChangeRecord>),
 }
 
-/// What the owner of disk and sockets is to do.
+/// An action for the caller, which owns disk and sockets.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RolloutAction {
-    /// Write to the disk and report the result with `Rollout::on_write_completed`. One write is out at a time.
+    /// Write to disk and report the result with `Rollout::on_write_completed`. Only one write is in progress at a time.
     Write {
         /// Identifies the write.
         number: u64,
-        /// What is written.
+        /// The data to write.
         commit: Commit,
     },
     /// Put a configuration in force in the controller core.
@@ -77,42 +78,42 @@
     Answer {
         /// The request that carried the command.
         request: u64,
-        /// The answer.
+        /// The answer, or the error with which the ledger rejected the command.
         result: Result<Answer, ChangeError>,
     },
     /// Log an event.
     Log(RolloutEvent),
 }
 
-/// Why the disk refused a write.
+/// The reason why a write failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct WriteError(pub String);
 
-/// What a rollout reports to the log.
+/// An event that the caller logs.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RolloutEvent {
     /// A change entered a state.
     StateChanged {
         /// The change.
         id: ChangeId,
-        /// Its state.
+        /// The new state.
         state: ChangeState,
-        /// Why it is refused or undone.
+        /// The reason why the change was refused or undone.
         reason: Option<String>,
     },
-    /// A write failed and is repeated.
+    /// A write failed and will be retried.
     WriteFailed {
-        /// Why it failed.
+        /// The reason.
         reason: String,
-        /// When it is repeated.
+        /// The time until the retry.
         retry_in: Span,
     },
-    /// A value of an earlier run does not fit the controller's file any more.
+    /// A value of an earlier run is no longer valid with the controller's file and is not used.
     ValueIgnored {
         /// The path of the value.
         field: String,
-        /// Why it does not fit.
+        /// The reason why the value is invalid.
         text: String,
     },
 }
--- a/crates/config-rollout/src/pool_risk.rs
+++ b/crates/config-rollout/src/pool_risk.rs
@@ -1,5 +1,5 @@
-//! Pools that a change or a drain would leave without a node, whether anything was measured or not, and what else is
-//! against draining a node.
+//! Pools that a change or a drain would leave without a node, which needs no measurements, and all objections to
+//! draining a node.
 
 use crate::measured_fleet::MeasuredFleet;
 use std::fmt;
@@ -10,49 +10,49 @@
 use wheelspread_controller_core::{ControllerCore, Deployment};
 use wheelspread_solve::solve;
 
-/// What a pool would lose.
+/// The risk to a pool.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PoolRisk {
     /// No ready node would be left.
     NoNode {
         /// The operation.
         operation: String,
-        /// The zone of the pool; `None`: the operation may go anywhere.
+        /// The zone of the pool; `None` if the operation may be served in any zone.
         zone: Option<String>,
     },
     /// Only nodes in slow start would be left.
     OnlyWarming {
         /// The operation.
         operation: String,
-        /// The zone of the pool; `None`: the operation may go anywhere.
+        /// The zone of the pool; `None` if the operation may be served in any zone.
         zone: Option<String>,
-        /// How many would be left.
+        /// The number of nodes that would be left.
         nodes: usize,
     },
 }
 
-/// Why a node should not be drained.
+/// An objection to draining a node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DrainObjection {
-    /// The endpoint list does not have it.
+    /// The node is not in the endpoint list.
     NotListed(NodeId),
-    /// A pool would be left without a node.
+    /// A pool would lose its last node, or its last node that is not in slow start.
     Pool(PoolRisk),
-    /// More value would be lost than may be.
+    /// More served value would be lost than allowed.
     ValueLost {
-        /// The share that would be lost.
+        /// The loss, as a ratio of the value served now.
         loss_ratio: f64,
-        /// The share that may be lost.
+        /// The maximum allowed `loss_ratio`.
         max_loss_ratio: f64,
-        /// Value a second now.
+        /// The value served per second now.
         now_per_s: f64,
-        /// Value a second afterwards.
+        /// The value served per second after the drain.
         after_per_s: f64,
     },
 }
 
 impl PoolRisk {
-    /// The name of the check; an order that overrides it has to name it.
+    /// The name of the check; an order that overrides the check has to contain this name.
     pub fn check_name(&self) -> &'static str {
         match self {
             PoolRisk::NoNode { .. } => "pool",
@@ -62,7 +62,7 @@
 }
 
 impl DrainObjection {
-    /// The name of the check; an order that overrides it has to name it.
+    /// The name of the check; an order that overrides the check has to contain this name.
     pub fn check_name(&self) -> &'static str {
         match self {
             DrainObjection::NotListed(_) => "listed",
@@ -77,7 +77,7 @@
         .map_or_else(String::new, |zone| format!(" in `{zone}`"))
 }
 
-/// The text that operators read: the name of the check, a colon, the figures.
+/// The text shown to operators: the name of the check, a colon and the measured values.
 impl fmt::Display for PoolRisk {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let name = self.check_name();
@@ -125,15 +125,15 @@
     }
 }
 
-/// The ready nodes of a pool.
+/// The number of ready nodes of a pool.
 #[derive(Clone, Copy, Default)]
 struct ReadyNodes {
     all: usize,
-    /// Those that are not in slow start.
+    /// Ready nodes that are not in slow start.
     warm: usize,
 }
 
-/// The ready nodes of one zone, or of all zones for an operation that may go anywhere.
+/// Counts the ready nodes of one zone, or of all zones if `zone` is `None`.
 fn ready_nodes(
     now: Moment,
     nodes: &[EndpointEntry],
@@ -151,7 +151,8 @@
     ready
 }
 
-/// Pools that would lose their last node, or their last warm node, between two sets of nodes.
+/// Returns the pools that would lose their last ready node, or their last one that is not in slow start, when the nodes
+/// change from `before` to `after`.
 pub fn pool_risks(
     now: Moment,
     before: &[EndpointEntry],
@@ -161,7 +162,7 @@
 ) -> Vec<PoolRisk> {
     let mut risks = Vec::new();
     for operation in &deployment_after.operations {
-        // An operation that may go anywhere has one pool.
+        // An operation that may be served in any zone has one pool.
         let zones: Vec<Option<usize>> = match operation.stays_in_zone {
             true => (0..deployment.zones.len()).map(Some).collect(),
             false => vec![None],
@@ -185,7 +186,7 @@
     risks
 }
 
-/// What is against draining a node; empty: nothing.
+/// Returns the objections to draining a node. Without measurements, only the pools are checked.
 pub fn drain_objections(
     now: Moment,
     node: NodeId,
@@ -197,7 +198,7 @@
     let Some(entry) = before.iter().find(|entry| entry.node == node) else {
         return vec![DrainObjection::NotListed(node)];
     };
-    // The capacity of a node that is on its way out already is not lost once more.
+    // A node that is not ready serves nothing new, so draining it loses no capacity.
     if entry.status != EndpointStatus::Ready {
         return Vec::new();
     }
--- a/crates/config-rollout/src/rollout.rs
+++ b/crates/config-rollout/src/rollout.rs
@@ -1,6 +1,7 @@
-//! Carries changes through one controller. Operators give commands, the ledger decides what follows, the disk reports
-//! what it has, the controller core reports how far the proxies are and what was measured. What proxies could see
-//! waits until the disk has what a crash would need to know of it; nothing else waits for the disk.
+//! Carries out the changes of one controller. Operators send commands, the ledger decides on the transitions, the disk
+//! reports completed writes, and the controller core reports the progress of the proxies and the measurements. Changes
+//! that proxies could see are sent only after the state needed to recover them is on disk; nothing else waits for the
+//! disk.
 
 mod apply;
 mod proposal;
@@ -21,44 +22,44 @@
 use wheelspread_controller_core::{ControllerCore, Deployment};
 use writes::PendingWrite;
 
-/// The fact that holds the baseline of the change that is watched.
+/// The name of the fact that stores the baseline of the watched change.
 const BASELINE_FACT: &str = "baseline";
-/// How often a change in progress is checked, in report periods.
+/// The interval at which a change in progress is checked, in report periods.
 const CHECK_INTERVAL_PERIODS: f64 = 0.25;
 
-/// A change whose values the controller core has, and since when.
+/// A change whose values the controller core is sending to the proxies, and the time at which it started.
 #[derive(Clone, Debug)]
 struct Propagating {
     id: ChangeId,
     since: Moment,
 }
 
-/// All changes of one controller.
+/// The configuration changes of one controller.
 pub struct Rollout {
-    /// The controller's file.
+    /// The deployment of the controller's file, without the values of changes.
     base_deployment: Deployment,
     settings: RolloutSettings,
     ledger: Ledger,
-    /// In the order in which they are written.
+    /// Writes that have not completed, in the order in which they are written.
     pending_writes: VecDeque<PendingWrite>,
-    /// Whether the first of them is at the disk.
+    /// Whether the first pending write was handed to the disk.
     write_in_progress: bool,
-    /// When the first of them is repeated after the disk refused it.
+    /// When the first pending write is retried after it failed.
     retry_write_at: Option<Moment>,
     next_write_number: u64,
     propagating: Option<Propagating>,
-    /// Since when the change in force is watched.
+    /// The time at which the watch of the change in force started.
     watched_since: Option<Moment>,
-    /// The service before the change that is watched.
+    /// The service measured before the watched change.
     baseline: Baseline,
-    /// Since when a proxy has had no entry for an operation.
+    /// The time since which at least one proxy has had no entry for an operation.
     missing_entries_since: Option<Moment>,
-    /// What is to be done, until `settle` returns it.
+    /// Actions that the next `settle` returns.
     actions: Vec<RolloutAction>,
 }
 
 impl Rollout {
-    /// Takes up the changes of an earlier run. Returns what the controller core starts with: the configuration, and
+    /// Recovers the changes of an earlier run. Also returns what the controller core starts with: the configuration and
     /// the nodes that were migrating between pools.
     pub fn start(
         now: Moment,
@@ -103,10 +104,10 @@
         (rollout, update, migrating)
     }
 
-    /// Goes on with a change that was in progress when the controller stopped.
+    /// Resumes a change that was in progress when the controller stopped.
     fn resume(&mut self, now: Moment, action: LedgerAction) {
         match action.effect {
-            // The controller core starts with its values.
+            // The controller core starts with the values in force, so no `Configure` action is needed.
             ChangeEffect::ApplyValues | ChangeEffect::RestoreValues => {
                 self.propagating = Some(Propagating {
                     id: action.id,
@@ -121,7 +122,8 @@
         }
     }
 
-    /// The controller's file was read again: its pace counts where no change has set one.
+    /// Sets the pacing of the update queue after the controller's file was reloaded. A value that a change has set
+    /// takes precedence.
     pub fn set_entries_per_second(&mut self, entries_per_second: f64) {
         self.base_deployment.channel.lines_per_second = entries_per_second;
     }
@@ -131,12 +133,12 @@
         &self.ledger
     }
 
-    /// How many writes the disk has not finished.
+    /// The number of writes that have not completed.
     pub fn pending_write_count(&self) -> usize {
         self.pending_writes.len()
     }
 
-    /// Carries out a command. `request` identifies the answer.
+    /// Carries out a command. `request` identifies the answer to it.
     pub fn handle_command(
         &mut self,
         now: Moment,
@@ -177,7 +179,7 @@
         Ok(Answer::Change(Box::new(record)))
     }
 
-    /// Carries out what the ledger orders. `request`: the command whose answer waits for it.
+    /// Carries out the actions of the ledger. `request` is the command whose answer waits for their writes.
     fn carry_out(&mut self, now: Moment, actions: Vec<LedgerAction>, request: Option<u64>) {
         for LedgerAction { id, effect } in actions {
             if effect == ChangeEffect::Watch {
@@ -189,14 +191,14 @@
         }
     }
 
-    /// Does what is due: deadlines, changes that all proxies have, harm that a change did. `actions` receives what is
-    /// to be carried out.
+    /// Handles what is due: propagation that is complete, broken conditions of a watch, deadlines and writes. `actions`
+    /// receives the actions that the caller carries out.
     pub fn settle(&mut self, now: Moment, core: &ControllerCore, actions: &mut Vec<RolloutAction>) {
         self.check_propagation(now, core);
         self.check_watched_change(now, core);
         let mut members = core.members().members();
         let has_proxies = members.any(|(_, member)| member.is_joined());
-        // Without a proxy there is nothing to measure, so nothing is missing.
+        // Without a joined proxy there are no reports to wait for, so the evidence counts as complete.
         let evidence_until = match (core.reported_until(), has_proxies) {
             (Some(until), _) => until,
             (None, true) => Moment::default(),
@@ -208,9 +210,9 @@
         actions.append(&mut self.actions);
     }
 
-    /// When `settle` is due without a command or the result of a write.
+    /// Returns when `settle` is next due, unless a command or the result of a write comes first.
     pub fn wake_at(&self, now: Moment, core: &ControllerCore) -> Option<Moment> {
-        // While a change is in progress, the regular checks come before any deadline of the ledger.
+        // While a change is in progress, the regular check calls `settle`, which also handles the ledger's deadlines.
         let in_progress = self.propagating.is_some() || self.watched_since.is_some();
         let check_at = match in_progress {
             true => Some(now + check_interval(core.plan())),
@@ -242,7 +244,7 @@
     }
 }
 
-/// How often a change in progress is checked.
+/// The interval at which a change in progress is checked.
 fn check_interval(deployment: &Deployment) -> Span {
     deployment.load_reports.period * CHECK_INTERVAL_PERIODS
 }
--- a/crates/config-rollout/src/rollout/apply.rs
+++ b/crates/config-rollout/src/rollout/apply.rs
@@ -1,4 +1,4 @@
-//! Puts the values of a change, or the former ones, in force and waits until all proxies have them.
+//! Puts the new values of a change, or the previous values, in force and waits until all proxies have them.
 
 use super::{Propagating, Rollout};
 use crate::messages::{Answer, RolloutAction};
@@ -23,8 +23,9 @@
         self.answer(id)
     }
 
-    /// Hands the configuration to the controller core once the disk has it. `written_version`: the version that was
-    /// written; if it is not in force any more, its undoing follows when the disk has that.
+    /// Passes the configuration to the controller core after it was written to disk. `written_version` is the version
+    /// that was written. If it is no longer in force, the change has been undone since, and the configuration is passed
+    /// on after the write of the undo.
     pub(super) fn put_in_force(
         &mut self,
         now: Moment,
@@ -45,13 +46,14 @@
         });
     }
 
-    /// Checks whether all proxies have the change that propagates.
+    /// Checks whether all proxies have the values of the propagating change.
     pub(super) fn check_propagation(&mut self, now: Moment, core: &ControllerCore) {
         let Some(Propagating { id, since }) = self.propagating.clone() else {
             return;
         };
         let progress = core.rollout_progress();
-        // A proxy that is away gets the newest tables when it comes back; it is waited for until the grace is over.
+        // Disconnected proxies are waited for only during the drain grace period: they get the newest tables when they
+        // reconnect.
         let is_disconnected_grace_over =
             progress.disconnected == 0 || now - since >= core.plan().rules.drain_grace;
         let is_current = progress.configuration == self.ledger.configuration().version;
@@ -59,7 +61,7 @@
         if is_current && is_disconnected_grace_over && is_applied_everywhere {
             self.propagating = None;
             let event = ChangeEvent::InForce;
-            // Only a change that the ledger knows propagates.
+            // Only a change that the ledger has can propagate, so the call cannot fail.
             let result = self.ledger.handle_event(now, &id, event, None);
             self.carry_out(now, result.unwrap_or_default(), None);
         }
--- a/crates/config-rollout/src/rollout/proposal.rs
+++ b/crates/config-rollout/src/rollout/proposal.rs
@@ -1,4 +1,4 @@
-//! Plans and staging: what a change would do, and what its checks find.
+//! Planning and staging of changes: the values that would change, and the findings of the checks.
 
 use super::Rollout;
 use crate::measured_fleet::MeasuredFleet;
@@ -18,23 +18,23 @@
 use wheelspread_controller_core::endpoint_list::format_node;
 use wheelspread_controller_core::ControllerCore;
 
-/// The fewest update steps of a change: removals, then additions.
+/// The minimum number of update steps of a change: removals, then additions.
 const MIN_UPDATE_STEPS: u32 = 2;
 
-/// What the rollout finds besides the checks by measured figures.
+/// A finding about a proposal that needs no measurements.
 enum ProposalFinding {
-    /// A value can't be used.
+    /// A value is invalid.
     InvalidValue(ConfigError),
-    /// A node has values and is not in the endpoint list.
+    /// The configuration sets values for a node that is not in the endpoint list.
     UnlistedNode(NodeId),
-    /// A pool would be left without a node.
+    /// A pool would lose its last node, or its last node that is not in slow start.
     Pool(PoolRisk),
-    /// There are no measurements yet.
+    /// There are no measurements yet, so the effect on capacity is unknown.
     NotMeasured,
 }
 
 impl ProposalFinding {
-    /// The name of the check, as it is stored and shown.
+    /// The name of the check, as stored and shown to operators.
     fn check_name(&self) -> &'static str {
         match self {
             ProposalFinding::InvalidValue(_) => "values",
@@ -52,6 +52,7 @@
     }
 }
 
+/// The texts are stored with the change and shown to operators.
 impl fmt::Display for ProposalFinding {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -78,7 +79,7 @@
     }
 }
 
-/// A configuration as it would be with a change.
+/// Returns the configuration with the values of a change; its version stays.
 fn configuration_with(configuration: &Configuration, change: &Change) -> Configuration {
     let mut after = configuration.clone();
     for (path, to) in &change.sets {
@@ -90,7 +91,7 @@
     after
 }
 
-/// Nodes that have values and are not in the endpoint list now.
+/// Returns a finding for each node that has values and is not in the endpoint list.
 fn unlisted_nodes(update: &ConfigUpdate, core: &ControllerCore) -> Vec<ProposalFinding> {
     let listed: Vec<NodeId> = core.nodes().listed().map(|(_, entry)| entry.node).collect();
     let nodes = update.values.keys().copied();
@@ -103,7 +104,7 @@
 impl Rollout {
     pub(super) fn plan(&self, now: Moment, change: &Change, core: &ControllerCore) -> Answer {
         let planned_value = |ValueChange { path, from, to }| {
-            // Where no change sets a path, the controller's file counts.
+            // A path that no change sets has the value of the controller's file.
             let in_file = value_in_file(&self.base_deployment, &path);
             PlannedValue {
                 path,
@@ -135,7 +136,8 @@
         self.answer(&id)
     }
 
-    /// Everything that is found for or against a change.
+    /// Runs all checks of a change. Invalid values end the checks early; the checks of capacity and propagation need
+    /// measurements.
     fn check(&self, now: Moment, change: &Change, core: &ControllerCore) -> CheckReport {
         let configuration = configuration_with(self.ledger.configuration(), change);
         let update = match config_update(&self.base_deployment, &configuration) {
@@ -172,7 +174,7 @@
     }
 }
 
-/// What it costs to send the tables of an update to the proxies.
+/// Returns the parameters of sending the tables of an update to the proxies.
 fn propagation(update: &ConfigUpdate, core: &ControllerCore) -> Propagation {
     let queue = &update.plan.channel;
     Propagation {
--- a/crates/config-rollout/src/rollout/watching.rs
+++ b/crates/config-rollout/src/rollout/watching.rs
@@ -1,4 +1,4 @@
-//! Watches a change in force: the baseline before it, and the conditions that undo it.
+//! The watch of a change in force: the baseline measured before it, and the conditions on which it is undone.
 
 use super::Rollout;
 use crate::watch::{broken_condition, Baseline, BrokenCondition};
@@ -6,10 +6,10 @@
 use wheelspread_config_transaction::ChangeState;
 use wheelspread_controller_core::{ControllerCore, Deployment};
 
-/// The time that proxies may be without an entry for an operation before the change is undone, as a share of the time
-/// that a joined proxy may be without one at all.
+/// The time for which proxies may have no entry for an operation before the change is undone, as a ratio of
+/// `without_node_at_most`, the time for which a joined proxy may have none at all.
 const MISSING_ENTRY_TIME_RATIO: f64 = 0.5;
-/// Reports of this many periods after a change is in force still speak of the time before it.
+/// The time after a change is in force during which load reports may still cover the time before it, in report periods.
 const STALE_REPORT_PERIODS: f64 = 2.0;
 
 fn missing_entry_limit(deployment: &Deployment) -> Span {
@@ -21,14 +21,14 @@
 }
 
 impl Rollout {
-    /// Measures the service before a change.
+    /// Measures the service before a change, over the duration of a watch.
     pub(super) fn measure_baseline(&mut self, now: Moment, core: &ControllerCore) {
         let begin = now - self.settings.deadlines.watch;
         let (tallies, _) = core.service_history().between(begin, now);
         self.baseline = Baseline::from_tallies(&tallies, core.plan());
     }
 
-    /// Undoes the change that is watched if it broke a condition.
+    /// Undoes the watched change if a condition is broken.
     pub(super) fn check_watched_change(&mut self, now: Moment, core: &ControllerCore) {
         let watched = self
             .ledger
@@ -43,7 +43,7 @@
         };
         if let Some(broken) = self.find_broken_condition(now, since, core) {
             let result = self.ledger.undo(now, &id, &broken.to_string());
-            // If a later change rests on it, it stays as it is.
+            // The ledger rejects the undo if a later change sets the same values; then the change stays in force.
             self.carry_out(now, result.unwrap_or_default(), None);
         }
     }
--- a/crates/config-rollout/src/rollout/writes.rs
+++ b/crates/config-rollout/src/rollout/writes.rs
@@ -1,25 +1,25 @@
-//! Writes to the disk, in order and one at a time, and what follows each.
+//! Writes to disk, in order and one at a time, and the action that follows each write.
 
 use super::{Rollout, BASELINE_FACT};
 use crate::messages::{RolloutAction, RolloutEvent, WriteError};
 use wheelspread::time::Moment;
 use wheelspread_config_transaction::{ChangeEffect, ChangeEvent, ChangeId, Commit};
 
-/// When a write that the disk refused is repeated, as a share of the time that a write may take.
+/// The time until a failed write is retried, as a ratio of the deadline of a write.
 const WRITE_RETRY_RATIO: f64 = 0.25;
 
-/// What follows when the disk has a write.
+/// The action that follows a completed write.
 #[derive(Clone, Debug, PartialEq)]
 enum AfterWrite {
     Nothing,
-    /// The change is staged.
+    /// Report to the ledger that the change was written, which stages it.
     Stage(ChangeId),
-    /// The configuration of this change goes to the controller core.
+    /// Pass the configuration of this change to the controller core.
     PutInForce(ChangeId),
 }
 
 impl AfterWrite {
-    fn of(id: &ChangeId, effect: ChangeEffect) -> AfterWrite {
+    fn for_effect(id: &ChangeId, effect: ChangeEffect) -> AfterWrite {
         match effect {
             ChangeEffect::Write => AfterWrite::Stage(id.clone()),
             ChangeEffect::ApplyValues | ChangeEffect::RestoreValues => {
@@ -33,20 +33,20 @@
     }
 }
 
-/// A write that the disk has not finished.
+/// A write that has not completed.
 #[derive(Clone, Debug)]
 pub(super) struct PendingWrite {
     number: u64,
     commit: Commit,
     after: AfterWrite,
-    /// Commands that are answered when the disk has it.
+    /// Commands that are answered when the write completes.
     pub(super) requests: Vec<u64>,
 }
 
 impl Rollout {
-    /// Queues a change as it is now, with the configuration, as one commit.
+    /// Queues the current record of a change and the configuration as one commit.
     pub(super) fn write(&mut self, id: &ChangeId, effect: ChangeEffect, request: Option<u64>) {
-        let after = AfterWrite::of(id, effect);
+        let after = AfterWrite::for_effect(id, effect);
         let mut commit = Commit::default();
         commit.changes.extend(self.ledger.record(id).cloned());
         commit.configuration = Some(self.ledger.configuration().clone());
@@ -55,7 +55,8 @@
             commit.facts.insert(BASELINE_FACT.to_string(), baseline);
         }
         let is_transition = after != AfterWrite::Nothing;
-        // A state that lasts too long because the disk is slow is ordered again; its write is queued already.
+        // When a state exceeds its deadline because the disk is slow, the ledger requests its write again; the first
+        // request is still queued.
         let is_queued = self
             .pending_writes
             .iter()
@@ -72,7 +73,7 @@
         });
     }
 
-    /// Hands the next write to the disk, if none is there and no retry waits.
+    /// Starts the next write, unless one is in progress or a retry is not due yet.
     pub(super) fn start_next_write(&mut self, now: Moment) {
         let waits_for_retry = self.retry_write_at.is_some_and(|at| now < at);
         if self.write_in_progress || waits_for_retry {
@@ -88,13 +89,13 @@
         }
     }
 
-    /// When `start_next_write` has something to do.
+    /// Returns when `start_next_write` is due; `None` if there is no write to start.
     pub(super) fn next_write_at(&self, now: Moment) -> Option<Moment> {
         let is_ready = !self.write_in_progress && !self.pending_writes.is_empty();
         is_ready.then(|| self.retry_write_at.unwrap_or(now))
     }
 
-    /// The disk finished a write, or refused it.
+    /// Handles the completion or failure of a write. A failed write is retried.
     pub fn on_write_completed(&mut self, now: Moment, number: u64, result: Result<(), WriteError>) {
         if self
             .pending_writes
@@ -117,12 +118,13 @@
         }
     }
 
-    /// Does what follows a write, then answers the commands that waited for it.
+    /// Carries out the action that follows a write, then answers the commands that waited for it.
     fn on_written(&mut self, now: Moment, write: PendingWrite) {
         let id = match &write.after {
             AfterWrite::Nothing => return,
             AfterWrite::Stage(id) => {
-                // Only a change that the ledger knows is written; one that was undone meanwhile ignores the event.
+                // Only a change that the ledger has is written, so the call cannot fail. If the change was withdrawn
+                // in the meantime, the event has no effect.
                 let _ = self
                     .ledger
                     .handle_event(now, id, ChangeEvent::Written, None);
--- a/crates/config-rollout/src/values.rs
+++ b/crates/config-rollout/src/values.rs
@@ -1,10 +1,10 @@
-//! Values that a change may set while a controller runs, by their paths:
+//! The values that a change may set while a controller runs, by path:
 //!
-//! - `nodes.ADDRESS:PORT.zone`, `.cell`, `.weight`, `.service` (`draining` or `out`): they override the endpoint list;
-//! - the fields under `deployment` of the controller's file that `MUTABLE_FIELDS` lists, with operations by name
+//! - `nodes.ADDRESS:PORT.zone`, `.cell`, `.weight` and `.service` (`draining` or `out`) override the endpoint list;
+//! - the fields under `deployment` in the controller's file that `MUTABLE_FIELDS` lists, with operations by name
 //!   (`operations.quote.billed_value`).
 //!
-//! Everything else needs a restart and is refused by its path.
+//! All other values need a restart; the error for such a value contains its path.
 
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -15,8 +15,8 @@
 use wheelspread_controller_core::deployment::{ConfigError, ConfigErrorKind};
 use wheelspread_controller_core::{Deployment, NodeValues, Service};
 
-/// Fields that may change; `*` stands for the name of an operation. What decides whether a retry can take effect twice
-/// is not among them: while a change propagates, proxies would have tables that disagree about it.
+/// Fields that a change may set; `*` stands for the name of an operation. The fields that decide whether a retry can
+/// take effect twice are excluded: while a change propagates, the tables of the proxies would differ in them.
 const MUTABLE_FIELDS: &[&str] = &[
     "operations.*.billed_value",
     "operations.*.late_share",
@@ -39,9 +39,9 @@
     "solver.least_share",
     "solver.fill_at_most",
 ];
-/// Paths of node values begin with this.
+/// The prefix of the paths of node values.
 const NODE_PREFIX: &str = "nodes.";
-/// Weights that a change may give to a node.
+/// The weights that a change may set for a node.
 const NODE_WEIGHT_RANGE: RangeInclusive<f64> = 1e-3..=1e6;
 
 fn config_error(path: &str, text: impl Into<String>) -> ConfigError {
@@ -62,7 +62,7 @@
     MUTABLE_FIELDS.iter().any(|field| matches(field))
 }
 
-/// Reads an address as `127.0.0.1:9000`.
+/// Parses an address such as `127.0.0.1:9000`.
 pub fn parse_node(text: &str) -> Option<NodeId> {
     let address: std::net::SocketAddrV4 = text.parse().ok()?;
     Some(NodeId {
@@ -71,7 +71,7 @@
     })
 }
 
-/// Finds the value at a path; an item of an array is found by its `name`.
+/// Finds the value at a path; the items of an array are looked up by their `name`.
 fn find_value<'a>(file: &'a mut Value, path: &str) -> Option<&'a mut Value> {
     let mut value = file;
     for part in path.split('.') {
@@ -84,7 +84,7 @@
     Some(value)
 }
 
-/// Reads a value as it is written in a change: a number, `true`, `false`, or otherwise a text.
+/// Parses a value as written in a change: a number, `true` or `false`, and any other text as a string.
 fn parse_value(text: &str) -> Value {
     match serde_json::from_str::<Value>(text) {
         Ok(scalar @ (Value::Number(_) | Value::Bool(_))) => scalar,
@@ -92,7 +92,7 @@
     }
 }
 
-/// Sets one value of a node.
+/// Sets one value of a node. `path` is the full path, for errors; `field` is its last part.
 fn set_node_value(
     values: &mut NodeValues,
     path: &str,
@@ -136,7 +136,7 @@
     Ok(())
 }
 
-/// The deployment with one field set to another value.
+/// Returns the deployment with one field set to a new value.
 fn with_field(deployment: &Deployment, path: &str, text: &str) -> Result<Deployment, ConfigError> {
     let invalid = |error: serde_json::Error| config_error(path, error.to_string());
     let mut file = serde_json::to_value(deployment).map_err(invalid)?;
@@ -147,11 +147,11 @@
     serde_json::from_value(file).map_err(invalid)
 }
 
-/// The controller's file with the values of a configuration.
+/// The deployment of the controller's file, merged with the values of a configuration.
 struct MergedValues {
     deployment: Deployment,
     nodes: BTreeMap<NodeId, NodeValues>,
-    /// Every value that can't be used.
+    /// The errors of all invalid values.
     errors: Vec<ConfigError>,
 }
 
@@ -172,7 +172,7 @@
         merged
     }
 
-    /// `node_path`: the path without its prefix.
+    /// `node_path`: the path without `NODE_PREFIX`.
     fn merge_node_value(
         &mut self,
         base_deployment: &Deployment,
@@ -198,7 +198,7 @@
     }
 }
 
-/// What a configuration comes to, or every reason why it can't be used.
+/// Returns the update that a configuration results in, or the errors of all invalid values.
 pub fn config_update(
     base_deployment: &Deployment,
     configuration: &Configuration,
@@ -215,7 +215,9 @@
     })
 }
 
-/// What a configuration comes to without the values that do not fit the controller's file any more, and those values.
+/// Returns the update that the valid values of a configuration result in, and the errors of the other values. Values of
+/// an earlier run can become invalid when the controller's file changes. If the merged deployment is invalid as a
+/// whole, the deployment of the controller's file is used.
 pub fn config_update_of_valid_values(
     base_deployment: &Deployment,
     configuration: &Configuration,
@@ -235,7 +237,7 @@
     (update, merged.errors)
 }
 
-/// Nodes that a change migrates to another pool.
+/// Returns the nodes that a change migrates to another pool: those whose zone it sets.
 pub fn migrating_nodes(change: &Change) -> Vec<NodeId> {
     let migrating = |path: &String| {
         let address = path.strip_prefix(NODE_PREFIX)?.strip_suffix(".zone")?;
@@ -244,7 +246,8 @@
     change.sets.keys().filter_map(migrating).collect()
 }
 
-/// The value at a path in the controller's file, as it would be written in a change.
+/// Returns the value at a path in the controller's file, as it would be written in a change; `None` if there is none or
+/// it is not a single value.
 pub fn value_in_file(base_deployment: &Deployment, path: &str) -> Option<String> {
     let mut file = serde_json::to_value(base_deployment).ok()?;
     match find_value(&mut file, path)? {
--- a/crates/config-rollout/src/watch.rs
+++ b/crates/config-rollout/src/watch.rs
@@ -1,5 +1,5 @@
-//! When a change in force has done harm: the service since then beside the service before it. Each reason names its
-//! figures.
+//! The conditions on which a change in force is undone: they compare the service since the change with the service
+//! before it. Each reason states the measured values.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -7,17 +7,18 @@
 use wheelspread_controller_core::service_history::{Tallies, Tally};
 use wheelspread_controller_core::Deployment;
 
-/// A change is undone when one of these conditions is broken. The names are those of the controller's file.
+/// The conditions of a watch: a change is undone when one of them is broken. The field names are those of the
+/// controller's file.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Conditions {
-    /// The share of an operation's attempts that may fail beyond the share that failed before.
+    /// The maximum increase of the ratio of an operation's attempts that fail.
     pub errored_more_at_most: f64,
-    /// The share of the value that is asked for by which less may be served.
+    /// The maximum decrease of the ratio of the requested value that is served.
     pub value_less_at_most: f64,
-    /// How many times the mean latency before the mean latency may be.
+    /// The maximum mean latency of an operation, as a multiple of its mean latency before the change.
     pub slower_at_most: f64,
-    /// Invocations of an operation below which it is not judged.
+    /// The minimum number of invocations, before and since the change, for an operation to be compared.
     pub invocations_at_least: f64,
 }
 
@@ -32,17 +33,17 @@
     }
 }
 
-/// What was measured of one operation. The serde names are those of the state file.
+/// The measured service of one operation. The serde names are those of the state file.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct OperationService {
-    /// Invocations that clients sent.
+    /// The number of invocations that clients sent.
     #[serde(rename = "asked")]
     pub invocations: f64,
-    /// Invocations that succeeded.
+    /// The number of invocations that succeeded.
     pub succeeded: f64,
-    /// The share of attempts that failed.
+    /// The ratio of attempts that failed.
     pub errored_share: f64,
-    /// The mean latency in seconds.
+    /// The mean latency, in seconds.
     pub latency_s: f64,
 }
 
@@ -58,21 +59,21 @@
     }
 }
 
-/// What was measured of all operations, in their order. It is persisted with the change, so that a controller that
-/// restarts in the middle of a watch still has it to compare with.
+/// The measured service of all operations, in the order of the deployment. The baseline is persisted with the change,
+/// so that a controller that restarts during a watch can still compare with it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Baseline(pub Vec<OperationService>);
 
 impl Baseline {
-    /// The service by these tallies.
+    /// Computes the service from tallies.
     pub fn from_tallies(tallies: &Tallies, deployment: &Deployment) -> Baseline {
         let operations = 0..deployment.operations.len() as u8;
         let service = operations.map(|id| tallies.of(OperationId(id)).into());
         Baseline(service.collect())
     }
 
-    /// The share of the value asked for that is served, over all operations by their billed value: a cheap one may
-    /// suffer for a dear one. `None`: too few invocations to say.
+    /// Returns the ratio of the requested value that is served, over all operations by billed value: a loss at an
+    /// operation of low value may be offset by one of high value. `None` if there are too few invocations.
     fn served_value_ratio(&self, conditions: &Conditions, deployment: &Deployment) -> Option<f64> {
         let (mut served, mut requested, mut invocations) = (0.0, 0.0, 0.0);
         for (operation, service) in deployment.operations.iter().zip(&self.0) {
@@ -85,19 +86,19 @@
     }
 }
 
-/// A condition that a change has broken.
+/// A broken condition.
 #[derive(Clone, Debug, PartialEq)]
 pub enum BrokenCondition {
-    /// More attempts of an operation fail.
+    /// More attempts of an operation fail than before.
     MoreErrors {
         /// The operation.
         operation: String,
-        /// The share that fails now.
+        /// The ratio that fails now.
         ratio: f64,
-        /// The share that failed before.
+        /// The ratio that failed before.
         ratio_before: f64,
     },
-    /// An operation is slower.
+    /// An operation is slower than before.
     Slower {
         /// The operation.
         operation: String,
@@ -106,21 +107,21 @@
         /// The mean latency before, in seconds.
         latency_before_s: f64,
     },
-    /// Less of the value asked for is served.
+    /// Less of the requested value is served than before.
     LessValue {
-        /// The share that is served now.
+        /// The ratio that is served now.
         ratio: f64,
-        /// The share that was served before.
+        /// The ratio that was served before.
         ratio_before: f64,
     },
     /// Proxies have had no entry for an operation for too long.
     MissingEntries {
-        /// The proxies.
+        /// The names of the proxies.
         proxies: Vec<String>,
     },
 }
 
-/// The text is stored as the reason of the undoing and read by operators.
+/// The text is stored as the reason why the change was undone, and shown to operators.
 impl fmt::Display for BrokenCondition {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -160,7 +161,7 @@
     }
 }
 
-/// The first condition that the service since the change breaks.
+/// Returns the first condition that the service since the change breaks.
 pub fn broken_condition(
     conditions: &Conditions,
     before: &Baseline,
--- a/crates/config-rollout/tests/kills.rs
+++ b/crates/config-rollout/tests/kills.rs
@@ -1,6 +1,6 @@
-//! A controller with its disk and its proxies, under a scripted clock. It is killed at every action that a
-//! proxy or the disk could see, before it and after it, once and again while it recovers, while a change is
-//! applied, kept, undone by an operator or undone by its watch.
+//! Runs a controller with its disk and its proxies under a scripted clock, and kills it before and after every action
+//! that a proxy or the disk could see, once and a second time during recovery, while a change is applied, kept, undone
+//! by an operator or undone by its watch. Guards against changes that are lost, applied twice or applied in part.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -23,7 +23,8 @@
     ControllerCore, Deployment, Effect, Observation, TableSet, Version,
 };
 
-const MOVED: u16 = 1;
+/// The port of the node that the change migrates from `north` to `south`.
+const MIGRATED: u16 = 1;
 
 fn span(seconds: f64) -> Span {
     Span::from_seconds(seconds)
@@ -52,7 +53,7 @@
         "channel": { "lines_waiting_at_most": 4000.0, "lines_per_second": 5000.0, "delay_at_most": "200ms" },
         "sums": { "period": "200ms", "loads": ["utilization"] }
     });
-    serde_json::from_value(deployment).expect("a sound plan")
+    serde_json::from_value(deployment).expect("a valid deployment")
 }
 
 fn settings() -> RolloutSettings {
@@ -79,7 +80,7 @@
 fn change() -> Change {
     let sets = [
         (
-            format!("nodes.127.0.0.1:{MOVED}.zone"),
+            format!("nodes.127.0.0.1:{MIGRATED}.zone"),
             Some("south".to_string()),
         ),
         (
@@ -96,116 +97,116 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum End {
+enum Outcome {
     Kept,
-    /// By an operator, while it is watched.
-    Undone,
-    /// Its nodes err from the change on.
-    Broken,
+    /// An operator undoes the change while it is watched.
+    UndoneByOperator,
+    /// Every attempt fails once the change is in force.
+    UndoneByWatch,
 }
 
-struct Running {
-    session: ControllerCore,
+struct RunningController {
+    core: ControllerCore,
     rollout: Rollout,
-    /// Writes at the disk, and when it is through with them.
-    at_disk: Vec<(Moment, u64, Commit)>,
+    /// Writes in progress, each with the time at which it completes.
+    disk_writes: Vec<(Moment, u64, Commit)>,
 }
 
-struct World {
+struct Simulation {
     now: Moment,
-    end: End,
-    controller: Option<Running>,
+    outcome: Outcome,
+    controller: Option<RunningController>,
     starts_at: Moment,
-    // What outlives a kill.
-    kept: PersistedState,
-    /// What each proxy's link points at.
-    links: BTreeMap<String, Arc<TableSet>>,
-    /// Every version that was ever seen, to see that none is made twice.
-    seen: BTreeMap<Version, Arc<TableSet>>,
-    configurations: BTreeSet<u64>,
-    // The operator's side.
+    // State that survives a kill of the controller.
+    persisted: PersistedState,
+    /// The tables of each proxy.
+    proxy_tables: BTreeMap<String, Arc<TableSet>>,
+    /// Every table version ever published, to check that no version has two contents.
+    published: BTreeMap<Version, Arc<TableSet>>,
+    published_configurations: BTreeSet<u64>,
+    // State of the operator.
     staged: bool,
     applied: bool,
     undone: bool,
-    orders: u64,
-    joins: Vec<(Moment, String)>,
-    streams: u64,
-    disk_takes: Span,
+    command_count: u64,
+    pending_joins: Vec<(Moment, String)>,
+    stream_count: u64,
+    write_duration: Span,
     disk_full_until: Moment,
-    // Kills.
-    actions: u64,
+    // Kills: `kill_at` lists the actions, by number, at which the controller is killed.
+    action_count: u64,
     kill_at: Vec<u64>,
-    killed: u64,
+    kill_count: u64,
 }
 
 fn proxies() -> Vec<(String, &'static str)> {
     ["north", "south"]
         .into_iter()
-        .flat_map(|z| (0..2).map(move |n| (format!("{z}-{n}"), z)))
+        .flat_map(|zone| (0..2).map(move |n| (format!("{zone}-{n}"), zone)))
         .collect()
 }
 
-impl World {
-    fn new(end: End, kill_at: Vec<u64>) -> World {
-        World {
+impl Simulation {
+    fn new(outcome: Outcome, kill_at: Vec<u64>) -> Simulation {
+        Simulation {
             now: Moment::from_seconds(1000.0),
-            end,
+            outcome,
             controller: None,
             starts_at: Moment::from_seconds(1000.0),
-            kept: PersistedState::default(),
-            links: BTreeMap::new(),
-            seen: BTreeMap::new(),
-            configurations: BTreeSet::new(),
+            persisted: PersistedState::default(),
+            proxy_tables: BTreeMap::new(),
+            published: BTreeMap::new(),
+            published_configurations: BTreeSet::new(),
             staged: false,
             applied: false,
             undone: false,
-            orders: 0,
-            joins: Vec::new(),
-            streams: 0,
-            disk_takes: span(0.004),
+            command_count: 0,
+            pending_joins: Vec::new(),
+            stream_count: 0,
+            write_duration: span(0.004),
             disk_full_until: Moment::default(),
-            actions: 0,
+            action_count: 0,
             kill_at,
-            killed: 0,
+            kill_count: 0,
         }
     }
 
-    /// Comes by an action; `true`: the controller is killed there.
-    fn point(&mut self) -> bool {
-        self.actions += 1;
-        if !self.kill_at.contains(&self.actions) {
+    /// Counts an action; `true` if the controller is killed at it.
+    fn is_killed_here(&mut self) -> bool {
+        self.action_count += 1;
+        if !self.kill_at.contains(&self.action_count) {
             return false;
         }
-        self.killed += 1;
+        self.kill_count += 1;
         self.starts_at = self.now + span(0.15);
         true
     }
 
     fn start(&mut self) {
-        let (rollout, configured, moving) =
-            Rollout::start(self.now, deployment(), settings(), &self.kept);
-        let versions = self.links.values().map(|set| set.version).collect();
-        let held = self
-            .links
+        let (rollout, initial_update, migrating_nodes) =
+            Rollout::start(self.now, deployment(), settings(), &self.persisted);
+        let versions = self.proxy_tables.values().map(|set| set.version).collect();
+        let held_tables = self
+            .proxy_tables
             .iter()
             .map(|(proxy, set)| (proxy.clone(), TableSet::clone(set)))
             .collect();
-        let floor = Version(self.seen.keys().last().map_or(0, |last| last.0) + 100);
-        let found = RecoveredState {
-            tables: held,
+        let min_version = Version(self.published.keys().last().map_or(0, |last| last.0) + 100);
+        let recovered_state = RecoveredState {
+            tables: held_tables,
             versions,
-            version_floor: floor,
-            configuration: configured.version,
-            values: configured.values,
-            migrating: moving,
+            version_floor: min_version,
+            configuration: initial_update.version,
+            values: initial_update.values,
+            migrating: migrating_nodes,
             ..RecoveredState::default()
         };
-        let session =
-            ControllerCore::start(self.now, 7, configured.plan, 0, found).expect("it starts");
-        let mut running = Running {
-            session,
+        let core = ControllerCore::start(self.now, 7, initial_update.plan, 0, recovered_state)
+            .expect("the controller core starts");
+        let mut running = RunningController {
+            core,
             rollout,
-            at_disk: Vec::new(),
+            disk_writes: Vec::new(),
         };
         let record = |port: u16| EndpointRecord {
             node: node(port),
@@ -221,42 +222,42 @@
             records: (1..=6).map(record).collect(),
         };
         running
-            .session
+            .core
             .observe(self.now, Observation::EndpointList(Ok(list)));
         self.controller = Some(running);
         let after = |n: usize| self.now + span(0.05 + 0.04 * n as f64);
-        self.joins = proxies()
+        self.pending_joins = proxies()
             .into_iter()
             .enumerate()
             .map(|(n, (name, _))| (after(n), name))
             .collect();
     }
 
-    fn join(&mut self) {
+    fn join_proxies(&mut self) {
         let Some(running) = &mut self.controller else {
             return;
         };
-        let (due, later) = std::mem::take(&mut self.joins)
+        let (due, later) = std::mem::take(&mut self.pending_joins)
             .into_iter()
             .partition(|(at, _)| *at <= self.now);
-        self.joins = later;
+        self.pending_joins = later;
         let due: Vec<(Moment, String)> = due;
         for (_, name) in due {
-            self.streams += 1;
+            self.stream_count += 1;
             let zone = name.split('-').next().unwrap_or_default().to_string();
-            let who = Introduction {
+            let proxy_introduction = Introduction {
                 name: name.clone(),
                 zone,
                 usual_rate: None,
             };
             let opened = Observation::StreamOpened {
-                stream: StreamId(self.streams),
-                introduction: who,
+                stream: StreamId(self.stream_count),
+                introduction: proxy_introduction,
             };
-            running.session.observe(self.now, opened);
-            if let Some(set) = self.links.get(&name) {
+            running.core.observe(self.now, opened);
+            if let Some(set) = self.proxy_tables.get(&name) {
                 let (proxy, version) = (name, set.version);
-                running.session.observe(
+                running.core.observe(
                     self.now,
                     Observation::StatusReported {
                         proxy,
@@ -268,13 +269,13 @@
         }
     }
 
-    /// Every joined proxy tells what it met in the last period.
-    fn report(&mut self) {
+    /// Sends a load report of every joined proxy for the last report period.
+    fn send_load_reports(&mut self) {
         let Some(running) = &mut self.controller else {
             return;
         };
         let joined = running
-            .session
+            .core
             .members()
             .members()
             .filter(|(_, member)| member.is_joined());
@@ -282,21 +283,21 @@
             .filter_map(|(name, member)| Some((name.to_string(), member.stream()?)))
             .collect();
         for (name, stream) in joined {
-            let Some(set) = self.links.get(&name) else {
+            let Some(set) = self.proxy_tables.get(&name) else {
                 continue;
             };
-            let errs = self.end == End::Broken && set.configuration == 2;
+            let fails = self.outcome == Outcome::UndoneByWatch && set.configuration == 2;
             let operations = set.operations.iter().map(|table| {
                 let count = 6 / table.entries.len().max(1) as u64;
-                let met = |line: &wheelspread_controller_core::TableEntry| NodeReport {
-                    node: Some(line.node),
-                    succeeded: if errs { 0 } else { count },
-                    errored: if errs { count } else { 0 },
+                let node_report = |entry: &wheelspread_controller_core::TableEntry| NodeReport {
+                    node: Some(entry.node),
+                    succeeded: if fails { 0 } else { count },
+                    errored: if fails { count } else { 0 },
                     ..NodeReport::default()
                 };
                 OperationReport {
                     operation: ["quote", "tour-plan"][usize::from(table.operation.0)].to_string(),
-                    nodes: table.entries.iter().map(met).collect(),
+                    nodes: table.entries.iter().map(node_report).collect(),
                     ..OperationReport::default()
                 }
             });
@@ -305,51 +306,58 @@
                 operations: operations.collect(),
             };
             running
-                .session
+                .core
                 .observe(self.now, Observation::LoadReport { stream, report });
         }
     }
 
-    /// What a proxy sees from now on.
-    fn swap(&mut self, proxy: &str, set: &Arc<TableSet>) {
-        let known = self.seen.entry(set.version).or_insert_with(|| set.clone());
-        assert_eq!(known, set, "one version, two contents");
-        if let Some(before) = self.links.insert(proxy.to_string(), set.clone()) {
+    /// Replaces the tables of a proxy and checks the invariants that proxies rely on.
+    fn publish(&mut self, proxy: &str, set: &Arc<TableSet>) {
+        let first_published = self
+            .published
+            .entry(set.version)
+            .or_insert_with(|| set.clone());
+        assert_eq!(first_published, set, "one version has two contents");
+        if let Some(before) = self.proxy_tables.insert(proxy.to_string(), set.clone()) {
             assert!(
                 before.version <= set.version,
-                "{proxy}: versions never fall"
+                "{proxy}: versions never decrease"
             );
-            let (was, is) = (before.configuration, set.configuration);
+            let (previous, current) = (before.configuration, set.configuration);
             assert!(
-                was <= is,
-                "{proxy} went from configuration {was} back to {is}"
+                previous <= current,
+                "{proxy} went from configuration {previous} back to {current}"
             );
         }
-        self.configurations.insert(set.configuration);
+        self.published_configurations.insert(set.configuration);
         for table in &set.operations {
             assert!(
                 !table.entries.is_empty(),
-                "{proxy} has no line for {:?}",
+                "{proxy} has no entry for {:?}",
                 table.operation
             );
         }
-        // The moved node serves in one pool or in none: two proxies never find it in both.
-        let names = |set: &TableSet| {
+        // The migrated node is in the tables of at most one pool at any time, over all proxies.
+        let lists_migrated_node = |set: &TableSet| {
             set.operations
                 .iter()
-                .any(|t| t.entries.iter().any(|l| l.node == node(MOVED)))
+                .any(|t| t.entries.iter().any(|entry| entry.node == node(MIGRATED)))
         };
         let pools: BTreeSet<&str> = self
-            .links
+            .proxy_tables
             .iter()
-            .filter(|(_, set)| names(set))
+            .filter(|(_, set)| lists_migrated_node(set))
             .filter_map(|(name, _)| name.split('-').next())
             .collect();
-        assert!(pools.len() <= 1, "in both pools at {:?}", self.now);
+        assert!(
+            pools.len() <= 1,
+            "the migrated node is in both pools at {:?}",
+            self.now
+        );
     }
 
-    /// Carries out what the controller says, action by action; `None`: it was killed.
-    fn turn(&mut self) -> Option<()> {
+    /// Carries out the controller's actions one by one; `None` if it was killed.
+    fn run_controller(&mut self) -> Option<()> {
         let mut running = self.controller.take()?;
         self.write_tables(&mut running)?;
         self.carry_out_rollout(&mut running)?;
@@ -358,76 +366,76 @@
         Some(())
     }
 
-    /// Comes by an action; `None`: the controller is killed there.
-    fn survive(&mut self) -> Option<()> {
-        match self.point() {
+    /// Counts an action; `None` if the controller is killed at it.
+    fn check_kill(&mut self) -> Option<()> {
+        match self.is_killed_here() {
             true => None,
             false => Some(()),
         }
     }
 
-    /// Swaps the tables of proxies, and lets them report that they have them.
-    fn write_tables(&mut self, running: &mut Running) -> Option<()> {
+    /// Replaces the tables of proxies and reports the versions that the proxies have.
+    fn write_tables(&mut self, running: &mut RunningController) -> Option<()> {
         let mut effects = Vec::new();
-        running.session.settle(self.now, &mut effects);
+        running.core.settle(self.now, &mut effects);
         for effect in effects {
             let Effect::WriteTables { proxy, set } = effect else {
                 continue;
             };
-            self.survive()?;
-            self.swap(&proxy, &set);
-            self.survive()?;
+            self.check_kill()?;
+            self.publish(&proxy, &set);
+            self.check_kill()?;
             let version = set.version;
             let written = Observation::TablesWritten {
                 proxy: proxy.clone(),
                 version,
                 result: Ok(()),
             };
-            running.session.observe(self.now, written);
+            running.core.observe(self.now, written);
             let reported = Observation::StatusReported {
                 proxy,
                 version,
                 rejection: None,
             };
-            running.session.observe(self.now, reported);
+            running.core.observe(self.now, reported);
         }
         Some(())
     }
 
-    fn carry_out_rollout(&mut self, running: &mut Running) -> Option<()> {
+    fn carry_out_rollout(&mut self, running: &mut RunningController) -> Option<()> {
         let mut actions = Vec::new();
         running
             .rollout
-            .settle(self.now, &running.session, &mut actions);
+            .settle(self.now, &running.core, &mut actions);
         for action in actions {
             match action {
                 RolloutAction::Write { number, commit } => {
-                    self.survive()?;
-                    let done_at = self.now + self.disk_takes;
-                    running.at_disk.push((done_at, number, commit));
+                    self.check_kill()?;
+                    let done_at = self.now + self.write_duration;
+                    running.disk_writes.push((done_at, number, commit));
                 }
                 RolloutAction::Configure(update) => {
-                    self.survive()?;
+                    self.check_kill()?;
                     assert_eq!(
-                        self.kept.configuration.version, update.version,
-                        "seen before the disk has it"
+                        self.persisted.configuration.version, update.version,
+                        "a configuration was put in force before it was on disk"
                     );
                     let updated = Observation::ConfigUpdated(update);
-                    running.session.observe(self.now, updated);
-                    self.survive()?;
+                    running.core.observe(self.now, updated);
+                    self.check_kill()?;
                 }
-                RolloutAction::Answer { request, result } => self.answered(request, result),
+                RolloutAction::Answer { request, result } => self.handle_answer(request, result),
                 RolloutAction::Log(_) => {}
             }
         }
         Some(())
     }
 
-    /// Writes what the disk is through with by now, if it is not full.
-    fn finish_writes(&mut self, running: &mut Running) -> Option<()> {
-        for (at, number, commit) in std::mem::take(&mut running.at_disk) {
+    /// Completes the writes that are due, or fails them while the disk is full.
+    fn finish_writes(&mut self, running: &mut RunningController) -> Option<()> {
+        for (at, number, commit) in std::mem::take(&mut running.disk_writes) {
             if at > self.now {
-                running.at_disk.push((at, number, commit));
+                running.disk_writes.push((at, number, commit));
                 continue;
             }
             if self.now < self.disk_full_until {
@@ -437,22 +445,23 @@
                     .on_write_completed(self.now, number, Err(error));
                 continue;
             }
-            self.kept.apply(commit);
-            // On the disk, and not reported yet.
-            self.survive()?;
+            self.persisted.apply(commit);
+            // A kill here comes after the write and before its report.
+            self.check_kill()?;
             running.rollout.on_write_completed(self.now, number, Ok(()));
         }
         Some(())
     }
 
-    /// The operator repeats commands until they are answered.
-    fn operate(&mut self) {
+    /// Sends the operator's next command; a command is repeated until its answer shows that it was carried out.
+    fn send_command(&mut self) {
         let state = self.record().map(|record| record.state);
-        let ask = match (self.staged, self.applied, self.undone) {
+        let command = match (self.staged, self.applied, self.undone) {
             (false, ..) => RolloutCommand::Stage(change()),
             (true, false, _) => RolloutCommand::Apply(change().id),
             (true, true, false)
-                if self.end == End::Undone && state == Some(ChangeState::Watched) =>
+                if self.outcome == Outcome::UndoneByOperator
+                    && state == Some(ChangeState::Watched) =>
             {
                 RolloutCommand::Undo(change().id, "not liked".into())
             }
@@ -461,13 +470,13 @@
         let Some(running) = &mut self.controller else {
             return;
         };
-        self.orders += 1;
+        self.command_count += 1;
         running
             .rollout
-            .handle_command(self.now, self.orders, ask, &running.session);
+            .handle_command(self.now, self.command_count, command, &running.core);
     }
 
-    fn answered(&mut self, _: u64, result: Result<Answer, ChangeError>) {
+    fn handle_answer(&mut self, _: u64, result: Result<Answer, ChangeError>) {
         let record = match result {
             Ok(Answer::Change(record)) => record,
             Ok(other) => panic!("{other:?}"),
@@ -494,141 +503,157 @@
             .record(&change().id)
     }
 
-    fn over(&self) -> bool {
-        let wanted = if self.end == End::Kept {
+    fn is_finished(&self) -> bool {
+        let expected_state = if self.outcome == Outcome::Kept {
             ChangeState::Kept
         } else {
             ChangeState::Undone
         };
-        let there = self.record().is_some_and(|record| record.state == wanted);
+        let is_in_state = self
+            .record()
+            .is_some_and(|record| record.state == expected_state);
         let is_written = self
             .controller
             .as_ref()
             .is_some_and(|running| running.rollout.pending_write_count() == 0);
-        there && is_written && self.joins.is_empty()
+        is_in_state && is_written && self.pending_joins.is_empty()
     }
 
-    fn play(&mut self) {
-        let (mut ticks, mut quiet) = (0u64, 0);
-        while quiet < 100 {
+    fn run(&mut self) {
+        let (mut ticks, mut finished_ticks) = (0u64, 0);
+        while finished_ticks < 100 {
             self.now = self.now + span(0.01);
             ticks += 1;
-            assert!(ticks < 6000, "it hangs: {:?}", self.record());
+            assert!(
+                ticks < 6000,
+                "the change does not finish: {:?}",
+                self.record()
+            );
             if self.controller.is_none() && self.now >= self.starts_at {
                 self.start();
             }
-            self.join();
+            self.join_proxies();
             if ticks.is_multiple_of(20) {
-                self.report();
+                self.send_load_reports();
             }
             if ticks > 150 && ticks.is_multiple_of(30) {
-                self.operate();
+                self.send_command();
             }
-            if self.turn().is_none() {
+            if self.run_controller().is_none() {
                 self.controller = None;
             }
-            quiet = if self.over() { quiet + 1 } else { 0 };
+            finished_ticks = if self.is_finished() {
+                finished_ticks + 1
+            } else {
+                0
+            };
         }
-        self.check();
+        self.assert_final_state();
     }
 
-    /// All proxies hold one configuration, the right one, and nothing was applied twice.
-    fn check(&self) {
+    /// Checks that all proxies have the expected configuration, and that the change was applied exactly once.
+    fn assert_final_state(&self) {
         let record = self.record().expect("known");
-        let version = if self.end == End::Kept { 2 } else { 3 };
+        let version = if self.outcome == Outcome::Kept { 2 } else { 3 };
         assert_eq!(
-            (record.applied_version, self.kept.configuration.version),
+            (record.applied_version, self.persisted.configuration.version),
             (Some(2), version),
-            "applied once"
+            "the change was applied exactly once"
         );
         assert_eq!(
-            self.kept.changes[&change().id.0].state,
+            self.persisted.changes[&change().id.0].state,
             record.state,
-            "the disk knows how it ended"
+            "the final state is on disk"
         );
         assert!(
-            self.configurations.iter().all(|seen| *seen <= version),
+            self.published_configurations
+                .iter()
+                .all(|published| *published <= version),
             "{:?}",
-            self.configurations
+            self.published_configurations
         );
-        for (name, set) in &self.links {
+        for (name, set) in &self.proxy_tables {
             assert_eq!(set.configuration, version, "{name}");
-            let there = set
+            let is_listed = set
                 .operations
                 .iter()
-                .all(|t| t.entries.iter().any(|line| line.node == node(MOVED)));
-            let pool = if self.end == End::Kept {
+                .all(|t| t.entries.iter().any(|entry| entry.node == node(MIGRATED)));
+            let pool = if self.outcome == Outcome::Kept {
                 "south"
             } else {
                 "north"
             };
-            assert_eq!(there, name.starts_with(pool), "{name} {set:?}");
+            assert_eq!(is_listed, name.starts_with(pool), "{name} {set:?}");
         }
     }
 }
 
-#[test_case(End::Kept; "kept")]
-#[test_case(End::Undone; "undone by an operator")]
-#[test_case(End::Broken; "undone by its watch")]
-fn a_controller_killed_at_any_action_ends_as_one_that_was_not(end: End) {
-    let mut quiet = World::new(end, vec![]);
-    quiet.play();
-    let actions = quiet.actions;
+#[test_case(Outcome::Kept; "kept")]
+#[test_case(Outcome::UndoneByOperator; "undone by an operator")]
+#[test_case(Outcome::UndoneByWatch; "undone by its watch")]
+fn a_controller_killed_at_any_action_reaches_the_same_final_state(outcome: Outcome) {
+    let mut undisturbed = Simulation::new(outcome, vec![]);
+    undisturbed.run();
+    let actions = undisturbed.action_count;
     assert!(actions > 30, "{actions}");
     let mut runs = 0;
     for first in 1..=actions {
-        let mut world = World::new(end, vec![first]);
-        world.play();
-        assert_eq!(world.killed, 1, "action {first}");
+        let mut simulation = Simulation::new(outcome, vec![first]);
+        simulation.run();
+        assert_eq!(simulation.kill_count, 1, "action {first}");
         runs += 1;
-        // Again while it recovers: its first actions after the start, then further apart.
+        // The second kill happens during recovery: 1, 2, 4 or 9 actions after the first.
         for second in [1, 2, 4, 9].map(|after| first + after) {
-            World::new(end, vec![first, second]).play();
+            Simulation::new(outcome, vec![first, second]).run();
             runs += 1;
         }
     }
-    println!("{end:?}: {actions} actions, {runs} runs with kills");
+    println!("{outcome:?}: {actions} actions, {runs} runs with kills");
 }
 
 #[test]
-fn a_slow_or_full_disk_delays_the_change_and_nothing_else() {
-    let mut slow = World::new(End::Kept, vec![]);
-    slow.disk_takes = span(2.0);
-    slow.play();
-    let mut full = World::new(End::Kept, vec![]);
+fn a_slow_or_full_disk_only_delays_a_change_or_leaves_it_undone() {
+    let mut slow = Simulation::new(Outcome::Kept, vec![]);
+    slow.write_duration = span(2.0);
+    slow.run();
+    let mut full = Simulation::new(Outcome::Kept, vec![]);
     full.disk_full_until = full.now + span(3.0);
-    full.play();
-    // A disk that stays full longer than a change may take to apply: it never was in force, and says so.
-    let mut stuck = World::new(End::Undone, vec![]);
-    stuck.staged_then_full(9.0);
+    full.run();
+    // The disk stays full longer than the deadline for applying a change: the change is undone, and no proxy got it.
+    let mut stuck = Simulation::new(Outcome::UndoneByOperator, vec![]);
+    stuck.run_with_disk_full_after_staging(9.0);
     assert_eq!(
         stuck.record().map(|record| record.state),
         Some(ChangeState::Undone)
     );
     assert!(
-        stuck.links.values().all(|set| set.configuration != 2),
-        "no proxy ever saw it"
+        stuck
+            .proxy_tables
+            .values()
+            .all(|set| set.configuration != 2),
+        "no proxy got the change"
     );
 }
 
-impl World {
-    fn staged_then_full(&mut self, seconds: f64) {
+impl Simulation {
+    /// Runs for 25 s; the disk is full for `seconds` from the time at which the change is staged.
+    fn run_with_disk_full_after_staging(&mut self, seconds: f64) {
         for tick in 0..2500u64 {
             self.now = self.now + span(0.01);
             if self.controller.is_none() {
                 self.start();
             }
-            self.join();
+            self.join_proxies();
             if tick.is_multiple_of(20) {
-                self.report();
+                self.send_load_reports();
             }
             if tick > 150 && tick.is_multiple_of(30) && !self.applied {
-                self.operate();
+                self.send_command();
             }
             if self.staged && !self.applied && self.disk_full_until == Moment::default() {
                 self.disk_full_until = self.now + span(seconds);
             }
-            self.turn();
+            self.run_controller();
         }
     }
 }
--- a/crates/config-rollout/tests/values.rs
+++ b/crates/config-rollout/tests/values.rs
@@ -1,4 +1,4 @@
-//! Values that a change may set, and the text with which any other is refused.
+//! Tests the values that a change may set, and the error texts for invalid values.
 
 use std::collections::BTreeMap;
 use test_case::test_case;
@@ -21,7 +21,7 @@
         "channel": { "lines_waiting_at_most": 4000.0, "lines_per_second": 5000.0, "delay_at_most": "200ms" },
         "sums": { "period": "200ms", "loads": ["utilization"] }
     });
-    serde_json::from_value(text).expect("a sound deployment")
+    serde_json::from_value(text).expect("a valid deployment")
 }
 
 fn configuration(path: &str, text: &str) -> Configuration {
@@ -32,15 +32,15 @@
 }
 
 #[test_case("nodes.127.0.0.1:9001.zone", "west" => "zone `west` is not one of this deployment: north, south are"; "an unknown zone")]
-#[test_case("nodes.127.0.0.1:9001.weight", "0.0001" => "`0.0001` should be a number between 0.001 and 1e6"; "a weight that is too small")]
-#[test_case("nodes.127.0.0.1:9001.weight", "heavy" => "`heavy` should be a number between 0.001 and 1e6"; "a weight that is no number")]
+#[test_case("nodes.127.0.0.1:9001.weight", "0.0001" => "`0.0001` should be a number between 0.001 and 1e6"; "a weight below the minimum")]
+#[test_case("nodes.127.0.0.1:9001.weight", "heavy" => "`heavy` should be a number between 0.001 and 1e6"; "a weight that is not a number")]
 #[test_case("nodes.127.0.0.1:9001.service", "in" => "`in` should be draining or out"; "an unknown service state")]
 #[test_case("nodes.127.0.0.1:9001.kind", "large" => "a node has zone, cell, weight and service"; "an unknown field of a node")]
-#[test_case("nodes.somewhere.zone", "north" => "should be nodes.ADDRESS:PORT.FIELD"; "no address")]
-#[test_case("operations.quote.repeat", "never" => "can't change while the conductor runs"; "whether a retry can take effect twice")]
-#[test_case("zones", "north" => "can't change while the conductor runs"; "a list of the file")]
+#[test_case("nodes.somewhere.zone", "north" => "should be nodes.ADDRESS:PORT.FIELD"; "an invalid address")]
+#[test_case("operations.quote.repeat", "never" => "can't change while the conductor runs"; "a field that decides whether a retry can take effect twice")]
+#[test_case("zones", "north" => "can't change while the conductor runs"; "a list in the file")]
 #[test_case("operations.order.billed_value", "3" => "there is no such value"; "an unknown operation")]
-fn an_invalid_value_is_refused_by_its_path(path: &str, text: &str) -> String {
+fn an_invalid_value_is_refused_with_its_path(path: &str, text: &str) -> String {
     let errors = config_update(&deployment(), &configuration(path, text)).expect_err("refused");
     assert_eq!(errors.len(), 1, "{errors:?}");
     assert_eq!(errors[0].field, path);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn valid_values_override_the_file_and_the_list() {
+fn valid_values_override_the_file_and_the_endpoint_list() {
     let mut configuration = configuration("operations.quote.billed_value", "3");
     let node_values = [
         ("nodes.127.0.0.1:9001.zone", "south"),
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn only_a_new_zone_migrates_a_node() {
+fn only_a_change_of_zone_migrates_a_node() {
     let sets = [
         ("nodes.127.0.0.1:9001.zone", "south"),
         ("nodes.127.0.0.1:9002.weight", "2"),
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_plan_shows_the_value_of_the_file() {
+fn a_single_value_is_found_in_the_file_by_its_path() {
     let value = |path: &str| value_in_file(&deployment(), path);
     assert_eq!(
         value("operations.quote.billed_value").as_deref(),
--- a/crates/config-transaction/src/checks/finding.rs
+++ b/crates/config-transaction/src/checks/finding.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use wheelspread::time::Span;
 
-/// The value served now and after a change. Values are billed values.
+/// The value served now and after a change.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServedValue {
     /// The value served per second now.
--- a/crates/config-transaction/tests/model.rs
+++ b/crates/config-transaction/tests/model.rs
@@ -80,7 +80,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 enum AfterWrite {
     Stage,
-    SendValues,
+    Send,
 }
 
 /// A controller with its disk and its proxies.
@@ -104,7 +104,7 @@
     /// Sends values to the proxies before they are on disk.
     SendsBeforeWrite,
     /// Loses changes in progress at a crash.
-    DropsChangesInProgress,
+    LosesWork,
 }
 
 impl Controller {
@@ -150,13 +150,11 @@
         for LedgerAction { id, effect } in actions {
             let after = match effect {
                 ChangeEffect::Write => Some(AfterWrite::Stage),
-                ChangeEffect::ApplyValues | ChangeEffect::RestoreValues => {
-                    Some(AfterWrite::SendValues)
-                }
+                ChangeEffect::ApplyValues | ChangeEffect::RestoreValues => Some(AfterWrite::Send),
                 _ => None,
             };
             let record = ledger.record(&id).expect("known").clone();
-            if variant == Variant::SendsBeforeWrite && after == Some(AfterWrite::SendValues) {
+            if variant == Variant::SendsBeforeWrite && after == Some(AfterWrite::Send) {
                 self.send_to_proxies(ledger.configuration());
             }
             let write = Write {
@@ -202,9 +200,9 @@
                 );
             }
             // The change was undone before this write completed; the previous values are sent after their own write.
-            Some(AfterWrite::SendValues)
+            Some(AfterWrite::Send)
                 if ledger.configuration().version != write.configuration.version => {}
-            Some(AfterWrite::SendValues) if variant != Variant::SendsBeforeWrite => {
+            Some(AfterWrite::Send) if variant != Variant::SendsBeforeWrite => {
                 next.send_to_proxies(&write.configuration);
             }
             _ => {}
@@ -234,9 +232,8 @@
     fn start(&self, variant: Variant) -> Controller {
         let mut next = self.clone();
         let (configuration, records) = next.disk.clone();
-        let is_recovered = |record: &ChangeRecord| {
-            variant != Variant::DropsChangesInProgress || !record.state.is_in_progress()
-        };
+        let is_recovered =
+            |record: &ChangeRecord| variant != Variant::LosesWork || !record.state.is_in_progress();
         let records = records.into_values().filter(is_recovered).collect();
         let (ledger, _) = Ledger::recover(
             Moment::default(),
@@ -372,7 +369,7 @@
 }
 
 #[test_case(Variant::SendsBeforeWrite; "values are sent to proxies before they are on disk")]
-#[test_case(Variant::DropsChangesInProgress; "a change in progress is lost at a crash")]
+#[test_case(Variant::LosesWork; "a change in progress is lost at a crash")]
 fn the_search_finds_the_fault_of_a_variant_that_is_broken_on_purpose(variant: Variant) {
     let (_, path) = search(
         Controller::new(),
