--- a/crates/config-rollout/src/measured_fleet.rs
+++ b/crates/config-rollout/src/measured_fleet.rs
@@ -33,16 +33,16 @@
     pub fn from_core(now: Moment, core: &ControllerCore) -> MeasuredFleet {
         let capacity = core
             .capacity_snapshots()
-            .map(|snapshot| (snapshot.node, snapshot.capacity.exp()))
+            .map(|snapshot| (snapshot.node, snapshot.log_capacity.exp()))
             .collect();
         let window =
             Span::from_seconds(core.plan().load_reports.period.seconds() * DEMAND_WINDOW_PERIODS);
-        let (tallies, seconds) = core.service_history().between(now - window, now);
+        let (totals, seconds) = core.service_history().between(now - window, now);
         let rate = |count: f64| if seconds > 0.0 { count / seconds } else { 0.0 };
-        let demand = tallies
+        let demand = totals
             .0
             .iter()
-            .map(|(key, tally)| (*key, rate(tally.requests)))
+            .map(|(key, operation_totals)| (*key, rate(operation_totals.requests)))
             .collect();
         MeasuredFleet { capacity, demand }
     }
--- a/crates/config-rollout/src/rollout.rs
+++ b/crates/config-rollout/src/rollout.rs
@@ -125,7 +125,7 @@
     /// Sets the pacing of the update queue after the controller's file was reloaded. A value that a change has set
     /// takes precedence.
     pub fn set_entries_per_second(&mut self, entries_per_second: f64) {
-        self.base_deployment.channel.lines_per_second = entries_per_second;
+        self.base_deployment.update_queue.entries_per_second = entries_per_second;
     }
 
     /// The configuration in force and all changes.
--- a/crates/config-rollout/src/rollout/watching.rs
+++ b/crates/config-rollout/src/rollout/watching.rs
@@ -24,8 +24,8 @@
     /// Measures the service before a change, over the duration of a watch.
     pub(super) fn measure_baseline(&mut self, now: Moment, core: &ControllerCore) {
         let begin = now - self.settings.deadlines.watch;
-        let (tallies, _) = core.service_history().between(begin, now);
-        self.baseline = Baseline::from_tallies(&tallies, core.plan());
+        let (totals, _) = core.service_history().between(begin, now);
+        self.baseline = Baseline::from_totals(&totals, core.plan());
     }
 
     /// Undoes the watched change if a condition is broken.
@@ -65,11 +65,11 @@
             return Some(BrokenCondition::MissingEntries { proxies });
         }
         let begin = watched_since + stale_report_time(deployment);
-        let (tallies, _) = core.service_history().between(begin, now);
+        let (totals, _) = core.service_history().between(begin, now);
         broken_condition(
             &self.settings.conditions,
             &self.baseline,
-            &tallies,
+            &totals,
             deployment,
         )
     }
--- a/crates/config-rollout/src/watch.rs
+++ b/crates/config-rollout/src/watch.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use wheelspread::ids::OperationId;
-use wheelspread_controller_core::service_history::{Tallies, Tally};
+use wheelspread_controller_core::service_history::{ServiceTotals, ServiceTotalsByOperation};
 use wheelspread_controller_core::Deployment;
 
 /// The conditions of a watch: a change is undone when one of them is broken. The field names are those of the
@@ -47,14 +47,14 @@
     pub latency_s: f64,
 }
 
-impl From<Tally> for OperationService {
-    fn from(tally: Tally) -> OperationService {
+impl From<ServiceTotals> for OperationService {
+    fn from(totals: ServiceTotals) -> OperationService {
         let divide_or_zero = |part: f64, all: f64| if all > 0.0 { part / all } else { 0.0 };
         OperationService {
-            invocations: tally.requests,
-            succeeded: tally.succeeded,
-            errored_share: divide_or_zero(tally.failures, tally.attempts),
-            latency_s: divide_or_zero(tally.latency_seconds, tally.timed),
+            invocations: totals.requests,
+            succeeded: totals.succeeded,
+            errored_share: divide_or_zero(totals.failures, totals.attempts),
+            latency_s: divide_or_zero(totals.latency_seconds, totals.timed_attempts),
         }
     }
 }
@@ -65,10 +65,10 @@
 pub struct Baseline(pub Vec<OperationService>);
 
 impl Baseline {
-    /// Computes the service from tallies.
-    pub fn from_tallies(tallies: &Tallies, deployment: &Deployment) -> Baseline {
+    /// Computes the service from the totals of each operation.
+    pub fn from_totals(totals: &ServiceTotalsByOperation, deployment: &Deployment) -> Baseline {
         let operations = 0..deployment.operations.len() as u8;
-        let service = operations.map(|id| tallies.of(OperationId(id)).into());
+        let service = operations.map(|id| totals.for_operation(OperationId(id)).into());
         Baseline(service.collect())
     }
 
@@ -165,10 +165,10 @@
 pub fn broken_condition(
     conditions: &Conditions,
     before: &Baseline,
-    tallies_since: &Tallies,
+    totals_since: &ServiceTotalsByOperation,
     deployment: &Deployment,
 ) -> Option<BrokenCondition> {
-    let now = Baseline::from_tallies(tallies_since, deployment);
+    let now = Baseline::from_totals(totals_since, deployment);
     let has_enough_invocations =
         |service: &OperationService| service.invocations >= conditions.invocations_at_least;
     for (operation, (service_before, service_now)) in deployment
--- a/crates/wheelspread/src/balancer/tests/stage.rs
+++ b/crates/wheelspread/src/balancer/tests/stage.rs
@@ -211,16 +211,16 @@
             ["restore", name, rate, evidence] => {
                 let snapshot = CapacitySnapshot {
                     node: node(name),
-                    capacity: number(rate).ln(),
+                    log_capacity: number(rate).ln(),
                     evidence: number(evidence),
-                    quickest: 0.1,
+                    kind_base_latency: 0.1,
                 };
                 self.balancer().restore_capacities(&[snapshot]);
             }
             ["peak", name, rate] => {
                 let nodes = &mut self.balancer().fleet.nodes;
                 if let Some(node) = nodes.get_mut(&node(name)) {
-                    node.load.raise_peak_within_objective(number(rate));
+                    node.load.record_rate_within_objective(number(rate));
                 }
             }
             ["entries", id, entries @ ..] => {
@@ -267,7 +267,7 @@
         }
     }
 
-    fn join(&mut self, id: &str, in_zone: &str, rate: &str, fresh: bool) {
+    fn join(&mut self, id: &str, in_zone: &str, rate: &str, holds_no_table: bool) {
         let id = proxy(id);
         self.joined.insert(id);
         self.bound.retain(|(bound, _)| *bound != id);
@@ -275,7 +275,7 @@
             proxy: id,
             zone: zone(in_zone),
             usual_rate: number(rate),
-            fresh,
+            holds_no_table,
         });
     }
 
--- a/crates/wheelspread/src/outlier.rs
+++ b/crates/wheelspread/src/outlier.rs
@@ -1,4 +1,4 @@
-//! Outlier detection: takes a node out of a zone's tables while most attempts from that zone fail there.
+//! Outlier detection: ejects a node from a zone's tables while most attempts from that zone to the node fail.
 
 use crate::ids::{NodeId, ZoneId};
 use crate::lifecycle::Nodes;
@@ -13,78 +13,85 @@
 #[cfg(test)]
 mod tests;
 
-/// How a zone's proxies find a node.
+/// The health of a node as observed from one zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HealthState {
-    /// It gets its share.
+    /// The node gets its normal share of traffic.
     Healthy,
-    /// It is out of the zone's tables.
+    /// The node has no entries in the zone's tables.
     Ejected,
-    /// It gets a small share, to see whether it works again.
+    /// The node gets a small share of traffic, to find out whether it has recovered.
     Probation,
 }
 
-/// What recent attempts and the clock say of an outlier.
+/// An input of the health state, from recent attempts or the clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum HealthInput {
+    /// Most recent attempts failed.
     Failing,
+    /// Enough recent attempts succeeded.
     Working,
+    /// The ejection time has passed.
     EjectionOver,
 }
 
-/// What counts as failing.
-struct Detection {
-    /// Report cycles that are looked at.
+/// Thresholds of outlier detection.
+struct DetectionThresholds {
+    /// Report cycles over which attempts are counted.
     cycles: f64,
-    /// Failures by attempts, from where a node is an outlier.
-    failure_share: f64,
-    /// Failures by attempts at the zone's other nodes: with more, the node is not to blame.
-    others_failure_share: f64,
-    /// Least number of failures, or of successes on probation.
-    least_attempts: f64,
-    /// Of the latency objective: failures of a node slower than that are its load's.
-    overload_latency: f64,
-    /// Of the open nodes: with so many ejected or failing, no single node is to blame.
-    most_ejected: f64,
+    /// Ratio of failures to attempts above which a node is an outlier.
+    min_failure_ratio: f64,
+    /// Ratio of failures to attempts at the zone's other nodes from which the cause is not the single node.
+    max_others_failure_ratio: f64,
+    /// Minimum failures for an ejection (on probation one less), and minimum successes to end probation.
+    min_attempts: f64,
+    /// Latency, as a ratio of the latency objective, above which a node's failures are caused by its load.
+    overload_latency_ratio: f64,
+    /// Ratio of the nodes that take new requests. An ejection that would reach it is not made: when so many fail, the
+    /// cause is not a single node.
+    max_ejected_ratio: f64,
 }
 
-const DETECTION: Detection = Detection {
+const DETECTION_THRESHOLDS: DetectionThresholds = DetectionThresholds {
     cycles: 5.0,
-    failure_share: 0.8,
-    others_failure_share: 0.4,
-    least_attempts: 3.0,
-    overload_latency: 0.7,
-    most_ejected: 0.34,
+    min_failure_ratio: 0.8,
+    max_others_failure_ratio: 0.4,
+    min_attempts: 3.0,
+    overload_latency_ratio: 0.7,
+    max_ejected_ratio: 0.34,
 };
 
 /// How long a node stays ejected.
 struct EjectionTime {
-    /// To a report cycle and the longest delay of the channel.
-    first: f64,
-    /// Growth after each probation that failed.
+    /// Duration of the first ejection, as a ratio of a report cycle plus the channel's maximum delay; randomized by up
+    /// to 10 %.
+    first_ratio: f64,
+    /// Factor of the duration after each failed probation.
     growth: f64,
-    /// The most, to the first.
-    most: f64,
+    /// Maximum duration, as a ratio of the first.
+    max_ratio: f64,
 }
 
 const EJECTION_TIME: EjectionTime = EjectionTime {
-    first: 4.0,
+    first_ratio: 4.0,
     growth: 1.5,
-    most: 4.0,
+    max_ratio: 4.0,
 };
 
-/// To the capacity that is usable at a healthy node.
-const PROBATION_SHARE: f64 = 0.2;
-const LEAST_HEALTHY_SHARE: f64 = 0.05;
-/// Buckets of the window of attempts, a report period each.
+/// Ratio of a node's capacity that is used during probation.
+const PROBATION_RATIO: f64 = 0.2;
+/// Minimum ratio of a node's capacity that is used while the node counts as healthy.
+const MIN_HEALTHY_RATIO: f64 = 0.05;
+/// Buckets in the window of attempts; each is a report period wide.
 const WINDOW_BUCKETS: usize = 24;
 
-/// What the proxies of one zone observe at one node.
+/// A path: what the proxies of one zone observe at one node.
 #[derive(Clone, Debug)]
 pub(crate) struct Path {
     state: HealthState,
-    /// When the state began.
+    /// Start of the current state.
     since: Moment,
+    /// Duration of the current or latest ejection.
     ejected_for: Span,
     attempts: ReportedRate,
     successes: ReportedRate,
@@ -105,79 +112,90 @@
         }
     }
 
-    /// Attempts per second.
+    /// Attempts per second; `None` before the first report.
     pub fn attempt_rate(&self) -> Option<f64> {
         self.attempts.get()
     }
 
-    /// When it was last reported.
+    /// Time of the latest load report for this path.
     pub fn last_report_at(&self) -> Moment {
         self.last_report_at
     }
 
-    /// Attempts and failures of the last so many buckets.
-    pub fn recent(&self, now: Moment, buckets: usize) -> AttemptStats {
-        self.window.last(now, buckets)
+    /// Attempts and failures in the last `bucket_count` buckets.
+    pub fn recent(&self, now: Moment, bucket_count: usize) -> AttemptStats {
+        self.window.sum_last(now, bucket_count)
     }
 }
 
-/// What a zone's proxies observed lately, over all nodes.
+/// Recent observations of a zone's proxies, summed over all nodes.
 #[derive(Clone, Copy, Default)]
 struct ZoneHealth {
     recent: AttemptStats,
     ejected: usize,
 }
 
-/// What detection goes by, beside the paths.
+/// Input of outlier detection, in addition to the paths.
 pub(crate) struct DetectionInput<'a> {
     pub nodes: &'a Nodes,
     pub timing: &'a ReportTiming,
-    /// Longest time on the way to a proxy.
+    /// Maximum time until an update reaches a proxy.
     pub max_queue_delay: Span,
     /// The shortest latency objective, in seconds.
     pub objective: f64,
     pub now: Moment,
 }
 
-/// Everything that zones observe at nodes, and the health that follows from it.
+/// All paths, with the health states that follow from their observations.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Outliers {
     paths: BTreeMap<(NodeId, ZoneId), Path>,
 }
 
 impl Outliers {
-    /// Takes in a node's load report.
+    /// Adds a node's load report to its path.
     pub fn on_load_report(&mut self, report: &LoadReport, timing: &ReportTiming, now: Moment) {
-        let (period, memory) = (timing.period(), timing.memory());
+        let (period, time_constant) = (timing.period(), timing.time_constant());
         let previous_at = timing.previous_at();
         let path = self
             .paths
             .entry((report.node, report.zone))
             .or_insert_with(|| Path::new(now, period));
-        path.attempts
-            .add(report.attempts, report.window, memory, now, previous_at);
-        path.successes
-            .add(report.successes(), report.window, memory, now, previous_at);
+        path.attempts.add(
+            report.attempts,
+            report.window,
+            time_constant,
+            now,
+            previous_at,
+        );
+        path.successes.add(
+            report.successes(),
+            report.window,
+            time_constant,
+            now,
+            previous_at,
+        );
         path.last_report_at = now;
-        // Evidence is as old as its window: reports from before probation began say nothing of it.
-        let began = now - report.window - period * 0.5;
-        if path.state != HealthState::Probation || began > path.since {
+        // On probation, a report is not counted if its window, extended by half a report period, began before the
+        // probation: it covers earlier attempts.
+        let window_start = now - report.window - period * 0.5;
+        if path.state != HealthState::Probation || window_start > path.since {
             let recent = AttemptStats {
                 attempts: report.attempts,
                 failures: report.failures,
-                seconds: 0.0,
+                success_seconds: 0.0,
             };
             path.window.add(now, recent);
         }
     }
 
-    /// Forgets what was observed at a node.
-    pub fn forget_node(&mut self, id: NodeId) {
+    /// Removes all paths to a node.
+    pub fn remove_node(&mut self, id: NodeId) {
         self.paths.retain(|key, _| key.0 != id);
     }
 
-    /// Forgets nodes that are no longer known: reports that come late leave a path at a node that is long gone.
-    pub fn forget_unknown(&mut self, nodes: &Nodes) {
+    /// Removes paths to unknown nodes: a late report can leave a path to a node that was removed.
+    pub fn remove_unknown(&mut self, nodes: &Nodes) {
         self.paths.retain(|(node, _), _| nodes.contains(node));
     }
 
@@ -186,38 +204,41 @@
         self.paths.iter()
     }
 
-    /// What a node is seen to serve for own proxies, by reports since `since`.
+    /// Successes per second at a node for this controller's proxies, over the paths that were reported since `since`.
     pub fn success_rate(&self, id: NodeId, since: Moment) -> f64 {
-        let own = self.paths.range((id, ZoneId(0))..=(id, ZoneId(u16::MAX)));
-        own.filter(|(_, path)| path.last_report_at >= since)
+        let zone_paths = self.paths.range((id, ZoneId(0))..=(id, ZoneId(u16::MAX)));
+        zone_paths
+            .filter(|(_, path)| path.last_report_at >= since)
             .filter_map(|(_, path)| path.successes.get())
             .sum()
     }
 
-    /// Attempts and failures of the last so many buckets, everywhere.
-    pub fn recent(&self, now: Moment, buckets: usize) -> AttemptStats {
+    /// Attempts and failures in the last `bucket_count` buckets, over all paths.
+    pub fn recent(&self, now: Moment, bucket_count: usize) -> AttemptStats {
         let mut sum = AttemptStats::default();
         self.paths
             .values()
-            .for_each(|path| sum += path.recent(now, buckets));
+            .for_each(|path| sum += path.recent(now, bucket_count));
         sum
     }
 
-    /// Ejects a node from a zone's tables when most attempts fail there and not elsewhere, whatever the cause
-    /// (silent, failing fast, cut off from this zone only). When many nodes fail alike none is to blame and
-    /// none is ejected; nor is one that answers slowly, as its failures are its load's and its weight falls
-    /// instead. Harm: the others carry more, which the bound on ejected nodes keeps small.
+    /// Ejects a node from a zone's tables when most attempts to it fail and most attempts to other nodes do not,
+    /// whatever the cause: no response, fast failures, or a network partition between this zone and the node. When many
+    /// nodes fail, none is ejected, as the cause is not a single node. A node that responds slowly is not ejected
+    /// either: its failures are caused by its load, and its weight is reduced instead. Each ejection raises the load of
+    /// the other nodes; the maximum ratio of ejected nodes limits that.
     ///
     /// Returns whether any state changed.
     pub fn detect_outliers(&mut self, input: &DetectionInput, random: &mut Pcg) -> bool {
-        let first = (input.timing.cycle() + input.max_queue_delay) * EJECTION_TIME.first;
-        let buckets = input.timing.buckets(DETECTION.cycles);
+        let first = (input.timing.cycle() + input.max_queue_delay) * EJECTION_TIME.first_ratio;
+        let bucket_count = input.timing.bucket_count(DETECTION_THRESHOLDS.cycles);
         let open_nodes = input.nodes.open().count() as f64;
-        let mut zones = self.zone_health(input.now, buckets);
+        let mut zones = self.zone_health(input.now, bucket_count);
         let mut has_changed = false;
         for key in self.paths.keys().copied().collect::<Vec<_>>() {
             let (path, zone) = (&self.paths[&key], zones[&key.1]);
-            let Some(health) = path.health_input(key.0, zone, buckets, open_nodes, input) else {
+            let Some(health) = path.health_input(key.0, zone, bucket_count, open_nodes, input)
+            else {
                 continue;
             };
             let Some(state) = next_state(path.state, health) else {
@@ -226,20 +247,20 @@
             let ejected_for = match (path.state, state) {
                 (HealthState::Healthy, HealthState::Ejected) => first * (0.9 + 0.2 * random.unit()),
                 (HealthState::Probation, HealthState::Ejected) => {
-                    (path.ejected_for * EJECTION_TIME.growth).min(first * EJECTION_TIME.most)
+                    (path.ejected_for * EJECTION_TIME.growth).min(first * EJECTION_TIME.max_ratio)
                 }
                 _ => path.ejected_for,
             };
             if let Some(zone) = zones.get_mut(&key.1) {
                 zone.ejected += usize::from(state == HealthState::Ejected);
             }
-            let fresh = Path::new(input.now, input.timing.period());
+            let new_path = Path::new(input.now, input.timing.period());
             self.paths.insert(
                 key,
                 Path {
                     state,
                     ejected_for,
-                    ..fresh
+                    ..new_path
                 },
             );
             has_changed = true;
@@ -247,19 +268,21 @@
         has_changed
     }
 
-    fn zone_health(&self, now: Moment, buckets: usize) -> BTreeMap<ZoneId, ZoneHealth> {
+    /// The sums of each zone.
+    fn zone_health(&self, now: Moment, bucket_count: usize) -> BTreeMap<ZoneId, ZoneHealth> {
         let mut zones = BTreeMap::<ZoneId, ZoneHealth>::new();
         for ((_, zone), path) in &self.paths {
             let sum = zones.entry(*zone).or_default();
-            sum.recent += path.recent(now, buckets);
+            sum.recent += path.recent(now, bucket_count);
             sum.ejected += usize::from(path.state == HealthState::Ejected);
         }
         zones
     }
 
-    /// The part of a node's capacity that a zone should use. A node that fails in part gets less, by the root
-    /// of what works: an attempt that fails is retried, but a node that is avoided overloads the others.
-    pub fn usable_share(
+    /// The ratio of a node's capacity that a zone should use: 0 while the node is ejected, `PROBATION_RATIO` during
+    /// probation. For a healthy node that fails some attempts it is the square root of the ratio of successes, which is
+    /// higher than that ratio: failed attempts are retried, while avoiding the node would overload the others.
+    pub fn usable_ratio(
         &self,
         id: NodeId,
         zone: ZoneId,
@@ -271,56 +294,59 @@
         };
         match path.state {
             HealthState::Healthy => {
-                let recent = path.recent(now, timing.buckets(DETECTION.cycles));
-                let failing = (recent.failures - 1.0).max(0.0) / (recent.attempts + 2.0);
-                (1.0 - failing).sqrt().max(LEAST_HEALTHY_SHARE)
+                let recent = path.recent(now, timing.bucket_count(DETECTION_THRESHOLDS.cycles));
+                let failure_ratio = (recent.failures - 1.0).max(0.0) / (recent.attempts + 2.0);
+                (1.0 - failure_ratio).sqrt().max(MIN_HEALTHY_RATIO)
             }
-            HealthState::Probation => PROBATION_SHARE,
+            HealthState::Probation => PROBATION_RATIO,
             HealthState::Ejected => 0.0,
         }
     }
 }
 
 impl Path {
-    /// What this path's recent attempts say; `None`: nothing new.
+    /// The input that follows from this path's recent attempts and the clock; `None` if the state must not change.
     fn health_input(
         &self,
         node: NodeId,
         zone: ZoneHealth,
-        buckets: usize,
+        bucket_count: usize,
         open_nodes: f64,
         input: &DetectionInput,
     ) -> Option<HealthInput> {
-        let recent = self.recent(input.now, buckets);
-        let others = (zone.recent.failures - recent.failures)
+        let recent = self.recent(input.now, bucket_count);
+        let others_failure_ratio = (zone.recent.failures - recent.failures)
             / (zone.recent.attempts - recent.attempts).max(1.0);
         let successes = recent.attempts - recent.failures;
         let latency = input.nodes.get(&node).and_then(|node| node.load.latency());
-        let is_overloaded = successes >= DETECTION.least_attempts
-            && latency.unwrap_or(0.0) > input.objective * DETECTION.overload_latency;
-        let is_failing = others < DETECTION.others_failure_share
-            && recent.failures > recent.attempts * DETECTION.failure_share;
-        let too_many = (zone.ejected + 1) as f64 >= open_nodes * DETECTION.most_ejected;
+        let is_overloaded = successes >= DETECTION_THRESHOLDS.min_attempts
+            && latency.unwrap_or(0.0)
+                > input.objective * DETECTION_THRESHOLDS.overload_latency_ratio;
+        let is_failing = others_failure_ratio < DETECTION_THRESHOLDS.max_others_failure_ratio
+            && recent.failures > recent.attempts * DETECTION_THRESHOLDS.min_failure_ratio;
+        let is_ejection_limit_reached =
+            (zone.ejected + 1) as f64 >= open_nodes * DETECTION_THRESHOLDS.max_ejected_ratio;
         match self.state {
-            HealthState::Healthy if is_overloaded || too_many => None,
-            HealthState::Healthy => (is_failing && recent.failures >= DETECTION.least_attempts)
+            HealthState::Healthy if is_overloaded || is_ejection_limit_reached => None,
+            HealthState::Healthy => (is_failing
+                && recent.failures >= DETECTION_THRESHOLDS.min_attempts)
                 .then_some(HealthInput::Failing),
             HealthState::Ejected => {
                 (input.now - self.since > self.ejected_for).then_some(HealthInput::EjectionOver)
             }
             HealthState::Probation
-                if is_failing && recent.failures >= DETECTION.least_attempts - 1.0 =>
+                if is_failing && recent.failures >= DETECTION_THRESHOLDS.min_attempts - 1.0 =>
             {
                 Some(HealthInput::Failing)
             }
             HealthState::Probation => {
-                (successes >= DETECTION.least_attempts).then_some(HealthInput::Working)
+                (successes >= DETECTION_THRESHOLDS.min_attempts).then_some(HealthInput::Working)
             }
         }
     }
 }
 
-/// The next state; `None` where the input changes nothing.
+/// The next state; `None` if the input does not change the state.
 fn next_state(state: HealthState, input: HealthInput) -> Option<HealthState> {
     match (state, input) {
         (HealthState::Healthy, HealthInput::Failing) => Some(HealthState::Ejected),
--- a/crates/wheelspread/src/rates.rs
+++ b/crates/wheelspread/src/rates.rs
@@ -1,4 +1,4 @@
-//! Averages over reported figures: they forget by the time that samples cover, not by their number.
+//! Averages of reported values. Old samples decay by the length of time that later samples cover, not by their count.
 
 use crate::time::{Moment, Span};
 
@@ -7,28 +7,28 @@
 pub(crate) struct DecayingAverage(Option<f64>);
 
 impl DecayingAverage {
-    /// An average that stands at a value.
-    pub fn at(value: f64) -> DecayingAverage {
+    /// An average with an initial value.
+    pub fn with_value(value: f64) -> DecayingAverage {
         DecayingAverage(Some(value))
     }
 
-    /// Takes in a sample that covers some time; `memory` is the time constant of the decay.
-    pub fn add(&mut self, sample: f64, covers: Span, memory: Span) {
-        let keep = (-covers.seconds().max(0.0) / memory.seconds().max(1e-6)).exp();
+    /// Adds a sample that covers `covered` of time. `time_constant` is the time constant of the decay.
+    pub fn add(&mut self, sample: f64, covered: Span, time_constant: Span) {
+        let old_weight = (-covered.seconds().max(0.0) / time_constant.seconds().max(1e-6)).exp();
         self.0 = Some(
             self.0
-                .map_or(sample, |old| old * keep + sample * (1.0 - keep)),
+                .map_or(sample, |old| old * old_weight + sample * (1.0 - old_weight)),
         );
     }
 
-    /// The average, if there was a sample.
+    /// The average; `None` before the first sample.
     pub fn get(&self) -> Option<f64> {
         self.0
     }
 }
 
-/// A rate made of reports that come only when there is something to report: time that no report covers
-/// was silence, up to when other reports came.
+/// An average rate from reports that are sent only when there is something to report. Time without a report counts
+/// as rate 0, but only up to the time of the latest earlier report of any kind.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ReportedRate {
     rate: DecayingAverage,
@@ -36,33 +36,34 @@
 }
 
 impl ReportedRate {
-    /// A rate that is assumed before the first report.
+    /// A rate with an assumed value before the first report.
     pub fn assumed(rate: f64) -> ReportedRate {
         ReportedRate {
-            rate: DecayingAverage::at(rate),
+            rate: DecayingAverage::with_value(rate),
             covered_until: None,
         }
     }
 
-    /// Takes in a report of `count` within `window` up to now. `previous_report_at` is when any report
-    /// came before those of this moment.
+    /// Adds a report of `count` events within the `window` that ends at `now`. `previous_report_at` is the time of the
+    /// latest report of any kind before `now`.
     pub fn add(
         &mut self,
         count: f64,
         window: Span,
-        memory: Span,
+        time_constant: Span,
         now: Moment,
         previous_report_at: Moment,
     ) {
         if let Some(until) = self.covered_until {
             let silence = (now - until - window).min(previous_report_at - until);
-            self.rate.add(0.0, silence, memory);
+            self.rate.add(0.0, silence, time_constant);
         }
-        self.rate.add(count / window.seconds(), window, memory);
+        self.rate
+            .add(count / window.seconds(), window, time_constant);
         self.covered_until = Some(now);
     }
 
-    /// The rate, per second.
+    /// The mean rate per second; `None` before the first report.
     pub fn get(&self) -> Option<f64> {
         self.rate.get()
     }
--- a/crates/wheelspread/src/retry_policy.rs
+++ b/crates/wheelspread/src/retry_policy.rs
@@ -10,10 +10,10 @@
 /// fleet is calm; while it is strained, any retry adds load and none is allowed.
 pub(crate) fn retry_policy(operation: &Operation, load: FleetLoad) -> RetryPolicy {
     match (can_retry_safely(operation), load) {
-        (true, FleetLoad::Calm) => RetryPolicy::OnceOnAnyFailure,
-        (true, FleetLoad::Usual) => RetryPolicy::IfUnprocessed,
-        (false, FleetLoad::Calm | FleetLoad::Usual) => RetryPolicy::IfUnprocessed,
-        (_, FleetLoad::Strained) => RetryPolicy::Never,
+        (true, FleetLoad::Low) => RetryPolicy::OnceOnAnyFailure,
+        (true, FleetLoad::Normal) => RetryPolicy::IfUnprocessed,
+        (false, FleetLoad::Low | FleetLoad::Normal) => RetryPolicy::IfUnprocessed,
+        (_, FleetLoad::Overloaded) => RetryPolicy::Never,
     }
 }
 
--- a/crates/wheelspread/src/slow_start.rs
+++ b/crates/wheelspread/src/slow_start.rs
@@ -1,6 +1,6 @@
-//! Slow start: keeps nodes that warm up below the load that would push them over.
+//! Slow start: keeps the load of warming nodes below the load that would overload them.
 //!
-//! Limits go by what ready nodes of the same kind are seen to serve, never by an estimate of what they could.
+//! Limits are based on the peak observed rate of ready nodes of the same kind, not on capacity estimates.
 
 use crate::capacity::ASSUMED_UTILIZATION;
 use crate::fleet::Fleet;
@@ -9,50 +9,54 @@
 use crate::shares::{NodeWeights, TableWeights};
 use std::collections::BTreeMap;
 
-/// How far a warming node is kept from being pushed over.
+/// Parameters of the load limit of warming nodes.
 struct WarmingLimit {
-    /// To the root of the factor that pushes it over.
-    of_overload_factor: f64,
-    /// To the limit: entries are lowered only when the load is over that, as each lowering costs every proxy a
-    /// message.
+    /// Factor on the square root of the overload factor from the settings.
+    overload_factor_ratio: f64,
+    /// Entries are lowered only when the load exceeds the limit by this factor, as each change costs a message to every
+    /// proxy.
     tolerance: f64,
-    /// To the limit: the least that is left where peers' proxies bring load too.
-    least_beside_peers: f64,
-    /// How often entries are lowered: each time the rest of the table gains.
+    /// Minimum ratio of the limit that remains for this controller's proxies beside the load of peers' proxies.
+    min_ratio_beside_peers: f64,
+    /// How often entries are lowered in a row. Lowering one entry shifts load to the other entries of the table, so one
+    /// pass does not reach the limit.
     iterations: usize,
-    least_weight: f64,
+    /// Weights are not lowered below this value.
+    min_weight: f64,
 }
 
 const WARMING_LIMIT: WarmingLimit = WarmingLimit {
-    of_overload_factor: 0.75,
+    overload_factor_ratio: 0.75,
     tolerance: 1.3,
-    least_beside_peers: 0.3,
+    min_ratio_beside_peers: 0.3,
     iterations: 5,
-    least_weight: 1e-3,
+    min_weight: 1e-3,
 };
 
-/// When proxies' own avoidance makes weights unreliable.
+/// Conditions under which weights are unreliable because proxies avoid failing nodes on their own.
 struct AvoidanceRisk {
-    /// Report cycles after the first report since the start in which nothing can be known of it.
-    blind_cycles: f64,
-    /// Report cycles over which failures are counted.
+    /// Report cycles after the first load report since the start during which failures count as unknown. After as many
+    /// cycles without a load report a zone counts as unobserved.
+    unobserved_cycles: f64,
+    /// Report cycles over which failures and attempts are counted.
     failure_cycles: f64,
-    /// Chance of a run of errors that makes a proxy avoid a node: with more, many nodes are avoided.
-    run_probability: f64,
-    /// Power of a node's usable share: how much of its share avoided nodes leave to the others.
-    avoided_exponent: i32,
+    /// Probability of a run of errors that makes a proxy avoid a node, above which many nodes are avoided.
+    max_run_probability: f64,
+    /// Exponent of another node's usable ratio: the result is the ratio of its weight that still gets traffic while
+    /// proxies avoid failing nodes.
+    usable_ratio_exponent: i32,
 }
 
 const AVOIDANCE_RISK: AvoidanceRisk = AvoidanceRisk {
-    blind_cycles: 4.0,
+    unobserved_cycles: 4.0,
     failure_cycles: 2.0,
-    run_probability: 0.1,
-    avoided_exponent: 4,
+    max_run_probability: 0.1,
+    usable_ratio_exponent: 4,
 };
 
-/// The most that all proxies together may bring a warming node, far enough under what pushes it over that bursts
-/// and what other nodes reject still fit: where most nodes refuse, proxies and clients retry, and within a
-/// second it gets five times its share. Also covers a fleet that mostly warms up.
+/// The maximum load of a warming node from all proxies together, in requests per second. It leaves room for bursts and
+/// for requests that other nodes reject: where most nodes reject, proxies and clients retry, and within a second the
+/// node gets five times its share. The limit also holds in a fleet that consists mostly of warming nodes.
 pub(crate) fn warming_limit(fleet: &Fleet, node: &Node) -> f64 {
     let nominal = fleet.capacity.nominal_capacity(node);
     let served = fleet
@@ -60,54 +64,58 @@
         .observed_peak(node.kind())
         .map_or(nominal * ASSUMED_UTILIZATION, |peak| peak * node.weight())
         .min(nominal);
-    WARMING_LIMIT.of_overload_factor
+    WARMING_LIMIT.overload_factor_ratio
         * fleet.config.warm_up_overload_factor.sqrt()
-        * node.capacity_share(&fleet.config, fleet.now)
+        * node.capacity_ratio(&fleet.config, fleet.now)
         * served
 }
 
-/// Lowers the entries of warming nodes in `draft` until what they bring, with the attempts of proxies that are not
-/// observed, of other controllers and of retries, stays within their limits.
+/// Lowers the entries of warming nodes in `draft` until the nodes' load stays within their limits. The load includes
+/// retries and the attempts of unobserved proxies and of other controllers' proxies.
 pub(crate) fn limit_warming_entries(fleet: &Fleet, draft: &mut TableWeights) {
     if fleet.config.errors_until_avoided > 0.0 {
         remove_unsafe_entries(fleet, draft);
     }
     let only_warming = |entries: &NodeWeights| entries.keys().all(|id| fleet.nodes.is_warming(id));
     for entries in draft.values_mut().filter(|entries| only_warming(entries)) {
-        // With nothing else to go to, each gets its part and admission is cut to what they take together.
+        // A table with no other nodes: weights follow the limits, and admission is cut to the sum of the limits.
         for (id, weight) in entries.iter_mut() {
-            *weight = warming_limit(fleet, &fleet.nodes[id]).max(WARMING_LIMIT.least_weight);
+            *weight = warming_limit(fleet, &fleet.nodes[id]).max(WARMING_LIMIT.min_weight);
         }
     }
     let load = IncomingLoad::new(fleet);
     for (id, node) in fleet.nodes.iter().filter(|(_, node)| node.is_warming()) {
         let limit = warming_limit(fleet, node);
-        let limit = (limit - fleet.peers_rate(*id)).max(limit * WARMING_LIMIT.least_beside_peers);
+        let limit =
+            (limit - fleet.peers_rate(*id)).max(limit * WARMING_LIMIT.min_ratio_beside_peers);
         let is_over = load.at(*id, draft) > limit * WARMING_LIMIT.tolerance;
         if !is_over {
             continue;
         }
         for _ in 0..WARMING_LIMIT.iterations {
-            let lower = (limit / load.at(*id, draft).max(1e-9)).min(1.0);
+            let factor = (limit / load.at(*id, draft).max(1e-9)).min(1.0);
             for entries in draft.values_mut().filter(|entries| !only_warming(entries)) {
                 if let Some(weight) = entries.get_mut(id) {
-                    *weight = (*weight * lower).max(WARMING_LIMIT.least_weight);
+                    *weight = (*weight * factor).max(WARMING_LIMIT.min_weight);
                 }
             }
         }
     }
 }
 
-/// Proxies that avoid what fails leave the whole load to the entries that don't, however small their weight. While
-/// runs of errors that long are common, a warming node gets no entry beside ready ones; nor while nothing can be
-/// known of them: some cycles after a start, or in a zone that is not observed, as after a network partition.
+/// Removes the entries of warming nodes beside ready ones where proxies' avoidance of failing nodes would overload
+/// them: proxies that avoid nodes send the whole load to the remaining entries, however small their weight. The entries
+/// are removed while error runs long enough for avoidance are common, and while failures are unknown: for some report
+/// cycles after a start, or in a zone without load reports, as after a network partition.
 fn remove_unsafe_entries(fleet: &Fleet, draft: &mut TableWeights) {
-    let since = fleet.now - fleet.timing.cycle() * AVOIDANCE_RISK.blind_cycles;
-    let buckets = fleet.timing.buckets(AVOIDANCE_RISK.failure_cycles);
-    let recent = fleet.outliers.recent(fleet.now, buckets);
-    let run = (recent.failures / recent.attempts.max(1.0)).powf(fleet.config.errors_until_avoided);
-    let is_unsafe = fleet.timing.is_blind(since) || run > AVOIDANCE_RISK.run_probability;
-    let is_heard = |zone: ZoneId| {
+    let since = fleet.now - fleet.timing.cycle() * AVOIDANCE_RISK.unobserved_cycles;
+    let bucket_count = fleet.timing.bucket_count(AVOIDANCE_RISK.failure_cycles);
+    let recent = fleet.outliers.recent(fleet.now, bucket_count);
+    let run_probability =
+        (recent.failures / recent.attempts.max(1.0)).powf(fleet.config.errors_until_avoided);
+    let is_unsafe = fleet.timing.lacks_load_reports_before(since)
+        || run_probability > AVOIDANCE_RISK.max_run_probability;
+    let is_observed = |zone: ZoneId| {
         let mut paths = fleet.outliers.paths();
         paths.any(|(key, path)| key.1 == zone && path.last_report_at() >= since)
     };
@@ -115,25 +123,25 @@
     for (id, entries) in draft.iter_mut() {
         if !entries.keys().all(is_warming) {
             entries.retain(|node, _| {
-                !is_warming(node) || (!is_unsafe && is_heard(fleet.tables[id].zone()))
+                !is_warming(node) || (!is_unsafe && is_observed(fleet.tables[id].zone()))
             });
         }
     }
 }
 
-/// The load that a draft brings to single nodes.
+/// The load of single nodes under a draft of the tables.
 struct IncomingLoad<'a> {
     fleet: &'a Fleet,
-    /// Admitted requests per second by table.
-    traffic: BTreeMap<TableId, f64>,
-    /// Attempts by request, with those of proxies and controllers that are not observed.
+    /// Admitted requests per second, by table.
+    admitted_rates: BTreeMap<TableId, f64>,
+    /// Ratio of all attempts, including those of unobserved proxies and controllers, to the admitted requests.
     amplification: f64,
 }
 
 impl IncomingLoad<'_> {
     fn new(fleet: &Fleet) -> IncomingLoad<'_> {
         let tables = fleet.tables.iter();
-        let traffic: BTreeMap<TableId, f64> = tables
+        let admitted_rates: BTreeMap<TableId, f64> = tables
             .map(|(id, table)| (*id, fleet.admitted_rate(table)))
             .collect();
         let attempts: f64 = fleet
@@ -141,15 +149,16 @@
             .paths()
             .filter_map(|(_, path)| path.attempt_rate())
             .sum();
-        let admitted = traffic.values().sum::<f64>().max(1e-6);
+        let admitted = admitted_rates.values().sum::<f64>().max(1e-6);
         let amplification = (attempts / admitted).max(1.0) * unobserved_factor(fleet);
         IncomingLoad {
             fleet,
-            traffic,
+            admitted_rates,
             amplification,
         }
     }
 
+    /// Attempts per second at a node.
     fn at(&self, node: NodeId, draft: &TableWeights) -> f64 {
         let loads = draft
             .iter()
@@ -157,32 +166,36 @@
         loads.sum::<f64>() * self.amplification
     }
 
-    /// Where proxies avoid what fails, the others' part comes to the entries that work: they count by that.
+    /// Requests per second of a table that go to a node; `None` without an entry. Where proxies avoid failing nodes,
+    /// the weights of the other entries are reduced to the part that still gets traffic.
     fn table_share(&self, node: NodeId, table: TableId, entries: &NodeWeights) -> Option<f64> {
         let zone = self.fleet.tables[&table].zone();
-        let own = self.traffic[&table] * entries.get(&node)?;
-        let avoids = self.fleet.config.errors_until_avoided > 0.0;
-        let works = |other: &NodeId| {
-            if *other == node || !avoids {
+        let own_load = self.admitted_rates[&table] * entries.get(&node)?;
+        let is_avoidance_enabled = self.fleet.config.errors_until_avoided > 0.0;
+        let remaining_ratio = |other: &NodeId| {
+            if *other == node || !is_avoidance_enabled {
                 1.0
             } else {
-                let usable = self.fleet.usable_share(zone, *other);
-                usable.powi(AVOIDANCE_RISK.avoided_exponent)
+                let usable_ratio = self.fleet.usable_ratio(zone, *other);
+                usable_ratio.powi(AVOIDANCE_RISK.usable_ratio_exponent)
             }
         };
-        let all = entries.iter().map(|(other, weight)| weight * works(other));
-        Some(own / all.sum::<f64>().max(1e-9))
+        let remaining_weights = entries
+            .iter()
+            .map(|(other, weight)| weight * remaining_ratio(other));
+        Some(own_load / remaining_weights.sum::<f64>().max(1e-9))
     }
 }
 
-/// How many times the joined proxies' load there may be: proxies and controllers that are not observed. Where
-/// controllers never hear of each other, what nodes are seen to do is counted by own proxies too.
+/// Ratio of the load of all proxies, except those of peers, to the load of the joined proxies; the difference is the
+/// load of proxies that are not observed. The ratio is 1 where several controllers exchange no gossip: the peak
+/// observed rates, on which the limits are based, then include only the load of this controller's proxies too.
 fn unobserved_factor(fleet: &Fleet) -> f64 {
-    if fleet.config.controllers > 1.0 && !fleet.config.gossip_enabled {
+    if fleet.config.controller_count > 1.0 && !fleet.config.gossip_enabled {
         return 1.0;
     }
     let joined = fleet.members.joined().count() as f64;
-    // What peers' proxies bring is counted by itself.
-    let of_peers = fleet.gossip.proxies(fleet.gossip_since());
-    ((fleet.config.proxies - of_peers) / joined.max(1.0)).max(1.0)
+    // The load of peers' proxies is subtracted from the limits instead.
+    let peer_proxies = fleet.gossip.proxies(fleet.gossip_since());
+    ((fleet.config.proxy_count - peer_proxies) / joined.max(1.0)).max(1.0)
 }
