--- a/crates/config-rollout/src/rollout/apply.rs
+++ b/crates/config-rollout/src/rollout/apply.rs
@@ -55,9 +55,10 @@
         // Disconnected proxies are waited for only during the drain grace period: they get the newest tables when they
         // reconnect.
         let is_disconnected_grace_over =
-            progress.disconnected == 0 || now - since >= core.plan().rules.drain_grace;
+            progress.disconnected_count == 0 || now - since >= core.deployment().rules.drain_grace;
         let is_current = progress.configuration == self.ledger.configuration().version;
-        let is_applied_everywhere = progress.outdated.is_empty() && progress.migrating == 0;
+        let is_applied_everywhere =
+            progress.outdated_proxies.is_empty() && progress.migrating_count == 0;
         if is_current && is_disconnected_grace_over && is_applied_everywhere {
             self.propagating = None;
             let event = ChangeEvent::InForce;
--- a/crates/config-rollout/tests/kills.rs
+++ b/crates/config-rollout/tests/kills.rs
@@ -18,7 +18,7 @@
 use wheelspread_controller_core::controller_core::RecoveredState;
 use wheelspread_controller_core::endpoint_list::{EndpointRecord, EndpointSnapshot};
 use wheelspread_controller_core::load_report::{LoadReport, NodeReport, OperationReport};
-use wheelspread_controller_core::membership::{Introduction, StreamId};
+use wheelspread_controller_core::membership::{ProxyIdentity, StreamId};
 use wheelspread_controller_core::{
     ControllerCore, Deployment, Effect, Observation, TableSet, Version,
 };
@@ -197,12 +197,13 @@
             versions,
             version_floor: min_version,
             configuration: initial_update.version,
-            values: initial_update.values,
+            node_values: initial_update.node_values,
             migrating: migrating_nodes,
             ..RecoveredState::default()
         };
-        let core = ControllerCore::start(self.now, 7, initial_update.plan, 0, recovered_state)
-            .expect("the controller core starts");
+        let core =
+            ControllerCore::start(self.now, 7, initial_update.deployment, 0, recovered_state)
+                .expect("the controller core starts");
         let mut running = RunningController {
             core,
             rollout,
@@ -245,14 +246,14 @@
         for (_, name) in due {
             self.stream_count += 1;
             let zone = name.split('-').next().unwrap_or_default().to_string();
-            let proxy_introduction = Introduction {
+            let identity = ProxyIdentity {
                 name: name.clone(),
                 zone,
                 usual_rate: None,
             };
             let opened = Observation::StreamOpened {
                 stream: StreamId(self.stream_count),
-                introduction: proxy_introduction,
+                proxy_identity: identity,
             };
             running.core.observe(self.now, opened);
             if let Some(set) = self.proxy_tables.get(&name) {
--- a/crates/controller-core/src/controller_core/configuration.rs
+++ b/crates/controller-core/src/controller_core/configuration.rs
@@ -1,4 +1,4 @@
-//! Changes of configuration: putting one in force, moving nodes between pools, and how far proxies have come.
+//! Configuration changes: applying them, completing migrations between pools, and the progress of a rollout.
 
 use super::{zone_of, ConfigUpdate, ControllerCore};
 use crate::membership::Member;
@@ -10,67 +10,68 @@
 use wheelspread::time::Moment;
 
 /// The configuration in force.
-pub(super) struct ConfigurationInForce {
+pub(super) struct ActiveConfiguration {
     pub(super) version: u64,
-    /// Tables above this version were made under it.
-    pub(super) tables_above: Version,
+    /// Highest version made before this configuration; table versions above it were made under this configuration.
+    pub(super) last_version_before: Version,
 }
 
-/// How far a configuration has come.
+/// Progress of the rollout of a configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RolloutProgress {
     /// The configuration's version.
     pub configuration: u64,
-    /// Joined proxies that still hold tables of an older one.
-    pub outdated: Vec<String>,
-    /// Known proxies that are not joined: they take the newest tables when they come back.
-    pub disconnected: usize,
-    /// Nodes that migrate between two pools.
-    pub migrating: usize,
+    /// Joined proxies that hold tables of an older configuration, or of which the held version is unknown.
+    pub outdated_proxies: Vec<String>,
+    /// Number of known proxies that are not joined; they get the newest tables when they reconnect.
+    pub disconnected_count: usize,
+    /// Number of nodes that are migrating between two pools.
+    pub migrating_count: usize,
 }
 
-/// A joined proxy's tables, as a migration depends on them.
-struct TableReader<'a> {
+/// The version that a joined proxy holds and the newest one, which decide when a migration can complete.
+struct HeldTables<'a> {
     applied: Option<Version>,
     newest: &'a Arc<TableSet>,
 }
 
-impl TableReader<'_> {
-    /// Whether the proxy may send requests to the node.
-    fn may_name(&self, node: NodeId) -> bool {
-        self.applied < Some(self.newest.version) || self.newest.names(node)
+impl HeldTables<'_> {
+    /// Whether the proxy's tables may contain the node: the proxy does not hold the newest version yet, or the
+    /// newest version contains the node.
+    fn may_contain(&self, node: NodeId) -> bool {
+        self.applied < Some(self.newest.version) || self.newest.has_entry_for(node)
     }
 }
 
 impl ControllerCore {
-    /// Puts a configuration in force: the balancer takes its settings and where nodes serve, all at once, and
-    /// every table that is made from now on says that it was made under it.
+    /// Applies a configuration: the balancer gets its settings and the pools of nodes in one step, and every
+    /// table version made from now on carries the configuration's version.
     pub(super) fn apply_configuration(&mut self, now: Moment, update: ConfigUpdate) {
         let ConfigUpdate {
             version,
-            plan,
-            values,
+            deployment,
+            node_values,
         } = update;
         if let Err(error) = self
             .balancer
-            .reconfigure(plan.to_settings(self.number, None))
+            .reconfigure(deployment.to_settings(self.controller_index, None))
         {
             return self.log(LogEvent::ConfigRejected {
                 configuration: version,
                 reason: error.to_string(),
             });
         }
-        self.queue.reconfigure(&plan.update_queue);
-        self.plan = plan;
-        let (plan, endpoints) = (&self.plan, &mut self.endpoints);
+        self.queue.reconfigure(&deployment.update_queue);
+        self.deployment = deployment;
+        let (deployment, endpoints) = (&self.deployment, &mut self.endpoints);
         let changed = self.overrides.set(
-            values,
-            |zone| zone_of(plan, zone),
+            node_values,
+            |zone| zone_of(deployment, zone),
             |cell| endpoints.cell_id(cell),
         );
-        self.configuration = ConfigurationInForce {
+        self.configuration = ActiveConfiguration {
             version,
-            tables_above: self.publication.last_version(),
+            last_version_before: self.publication.last_version(),
         };
         self.publication.set_configuration(version);
         let changed: BTreeSet<NodeId> = changed.into_iter().collect();
@@ -81,16 +82,17 @@
         });
     }
 
-    /// Nodes that no proxy of their old pool names any more are listed in the new one.
+    /// Lists migrating nodes in their new pool once no joined proxy's tables may contain them, at the latest after
+    /// one drain grace.
     pub(super) fn finish_migrations(&mut self, now: Moment) {
         if self.overrides.migration_count() == 0 {
             return;
         }
         let (publication, acknowledgements) = (&self.publication, &self.acknowledgements);
-        let readers: Vec<TableReader> = self
+        let held_tables: Vec<HeldTables> = self
             .joined_members()
             .filter_map(|(_, member)| {
-                Some(TableReader {
+                Some(HeldTables {
                     applied: acknowledgements
                         .applied(member.id)
                         .map(|applied| applied.version),
@@ -98,42 +100,43 @@
                 })
             })
             .collect();
-        let grace = self.plan.rules.drain_grace;
-        // Soon after a start any proxy may still come and hold what an earlier run gave it.
-        let may_be_unknown = now - self.started_at < grace;
-        let may_be_named =
-            |node: NodeId| may_be_unknown || readers.iter().any(|reader| reader.may_name(node));
-        let arrived: BTreeSet<NodeId> = self
+        let grace = self.deployment.rules.drain_grace;
+        // Within one drain grace after the start, a proxy that has not connected yet may hold tables of an
+        // earlier run.
+        let is_starting_up = now - self.started_at < grace;
+        let may_have_entry =
+            |node: NodeId| is_starting_up || held_tables.iter().any(|held| held.may_contain(node));
+        let migrated: BTreeSet<NodeId> = self
             .overrides
-            .complete_migrations(now, grace, may_be_named)
+            .complete_migrations(now, grace, may_have_entry)
             .into_iter()
             .collect();
-        if !arrived.is_empty() {
-            self.relist(now, |entry| arrived.contains(&entry.node));
+        if !migrated.is_empty() {
+            self.relist(now, |entry| migrated.contains(&entry.node));
         }
     }
 
-    /// How far the configuration in force has come.
+    /// Progress of the rollout of the configuration in force.
     pub fn rollout_progress(&self) -> RolloutProgress {
         let is_outdated = |member: &Member| {
             self.publication.bundle_of(member.id).is_some()
-                && self.applied_version(member) <= Some(self.configuration.tables_above)
+                && self.applied_version(member) <= Some(self.configuration.last_version_before)
         };
-        let outdated = self
+        let outdated_proxies = self
             .joined_members()
             .filter(|(_, member)| is_outdated(member))
             .map(|(name, _)| name.to_string())
             .collect();
-        let absent = self
+        let disconnected_members = self
             .members
             .members()
-            .filter(|(_, m)| !m.is_joined())
+            .filter(|(_, member)| !member.is_joined())
             .count();
         RolloutProgress {
             configuration: self.configuration.version,
-            outdated,
-            disconnected: self.unclaimed.len() + absent,
-            migrating: self.overrides.migration_count(),
+            outdated_proxies,
+            disconnected_count: self.recovered_tables.proxy_count() + disconnected_members,
+            migrating_count: self.overrides.migration_count(),
         }
     }
 
--- a/crates/controller-core/src/controller_core/rounds.rs
+++ b/crates/controller-core/src/controller_core/rounds.rs
@@ -1,4 +1,4 @@
-//! One decision round: what was reported goes to the balancer, its actions are applied to the published tables.
+//! Decision rounds: reports are passed to the balancer, and its actions are applied to the published tables.
 
 use super::ControllerCore;
 use crate::weight_solver::SolverOutcome;
@@ -8,53 +8,56 @@
 use wheelspread::time::Moment;
 use wheelspread::{Action, EndpointListKind, Event};
 
-/// A marker that the balancer sends.
+/// A version marker that the balancer wants acknowledged.
 pub(super) struct MarkerRequest {
     pub(super) marker: MarkerId,
-    /// To every joined proxy, not only to those whose tables change.
+    /// Whether every joined proxy is to acknowledge it, or only those whose tables change in this round.
     pub(super) to_all: bool,
 }
 
-/// What a round leaves to be published.
+/// The bindings and markers of a round, which publishing needs.
 #[derive(Default)]
 pub(super) struct RoundOutcome {
-    /// Proxies that were bound to tables.
+    /// Proxies that were bound to tables in this round.
     pub(super) bound: BTreeSet<ProxyId>,
     pub(super) markers: Vec<MarkerRequest>,
 }
 
 impl ControllerCore {
-    /// Runs a decision round if one is due, and appends what is to be done to `out`.
+    /// Runs a decision round if one is due, and appends the effects to carry out to `out`.
     pub fn settle(&mut self, now: Moment, out: &mut Vec<Effect>) {
-        if let Some(event) = self.endpoints.resolve_doubt(now, &self.plan) {
+        if let Some(event) = self.endpoints.resolve_doubt(now, &self.deployment) {
             self.accept_endpoint_list(now, &event);
             self.schedule.request_round();
         }
         let acknowledgement_at = self.acknowledgements.wake_at();
         if self.schedule.is_round_due(now, acknowledgement_at) {
-            let (period, tick) = (self.plan.load_reports.period, self.plan.controllers.tick);
+            let (period, tick) = (
+                self.deployment.load_reports.period,
+                self.deployment.controllers.tick,
+            );
             self.schedule.start_round(now, period, tick);
             self.run_round(now);
         }
-        self.prune_unclaimed(now);
+        self.prune_recovered_tables(now);
         for proxy in self.transports.take_resumed(now) {
-            self.offer(now, proxy, false);
+            self.enqueue_newest_tables(now, proxy, false);
         }
         self.deliver(now);
         out.append(&mut self.effects);
     }
 
-    /// When [`ControllerCore::settle`] should be called again though nothing was observed.
+    /// The time of the next [`ControllerCore::settle`] if nothing is observed before.
     pub fn wake_at(&self, now: Moment) -> Moment {
         let causes = [
             self.acknowledgements.wake_at(),
-            self.unclaimed.prune_at(),
-            self.endpoints.doubt_deadline(&self.plan),
+            self.recovered_tables.prune_at(),
+            self.endpoints.doubt_deadline(&self.deployment),
             self.transports.wake_at(),
         ];
         let round_at = self
             .schedule
-            .wake_at(now, self.plan.load_reports.period, causes);
+            .wake_at(now, self.deployment.load_reports.period, causes);
         let delivery_at = self.queue.wake_at(now);
         delivery_at.map_or(round_at, |at| round_at.min(at))
     }
@@ -65,7 +68,7 @@
         }
         if self
             .schedule
-            .start_period_if_due(now, self.plan.load_reports.period)
+            .start_period_if_due(now, self.deployment.load_reports.period)
         {
             self.run_period(now);
         }
@@ -77,12 +80,12 @@
         self.balancer.decide(now, &mut actions);
         let mut outcome = RoundOutcome::default();
         for action in actions {
-            self.apply(now, action, &mut outcome);
+            self.apply_action(now, action, &mut outcome);
         }
         self.publish(now, outcome);
     }
 
-    /// What is done once in a report period.
+    /// The tasks that run once per report period.
     fn run_period(&mut self, now: Moment) {
         let events = self.aggregator.take_events(&self.members);
         for event in &events {
@@ -90,23 +93,28 @@
         }
         self.solve_weights(now, &events);
         self.correct_rollback(now);
-        for proxy in self.members.forget(now, &self.plan) {
+        for proxy in self.members.forget(now, &self.deployment) {
             self.log(LogEvent::ProxyForgotten { proxy });
         }
         self.release_forgotten_proxies();
         self.retire_versions(now);
     }
 
-    /// Where the deployment has weights solved: now and then other weights are listed, by what was reported.
+    /// If the deployment uses the weight solver, passes reports to it and lists the weights that it computes.
     fn solve_weights(&mut self, now: Moment, events: &[Event]) {
-        let Some(settings) = &self.plan.solver else {
+        let Some(settings) = &self.deployment.solver else {
             return;
         };
-        self.solver
-            .record_reports(events, &self.plan, settings, &self.members, &self.endpoints);
+        self.solver.record_reports(
+            events,
+            &self.deployment,
+            settings,
+            &self.members,
+            &self.endpoints,
+        );
         match self
             .solver
-            .solve_if_due(now, &self.plan, settings, &self.endpoints)
+            .solve_if_due(now, &self.deployment, settings, &self.endpoints)
         {
             Some(SolverOutcome::Changed(entries)) => {
                 self.log(LogEvent::WeightsSolved {
@@ -123,7 +131,7 @@
     }
 
     /// Applies one action of the balancer.
-    fn apply(&mut self, now: Moment, action: Action, outcome: &mut RoundOutcome) {
+    fn apply_action(&mut self, now: Moment, action: Action, outcome: &mut RoundOutcome) {
         match action {
             Action::SetWeight {
                 table,
@@ -152,13 +160,13 @@
                 outcome.markers.push(MarkerRequest { marker, to_all });
             }
             Action::SetTimer { after, timer } => self.schedule.set_timer(now + after, timer),
-            // The list is watched: what was last accepted is what there is.
+            // New endpoint lists arrive as observations, so the last accepted list is the newest one.
             Action::RequestEndpointList => {
                 let complete = self.endpoints.complete_event();
                 self.list_endpoints(now, complete);
             }
             Action::Log { message: text } => self.log(LogEvent::BalancerMessage { text }),
-            // The settings that this program gives don't allow these.
+            // The controller's settings disable these actions.
             Action::WatchEndpoints { .. }
             | Action::ProbeNode { .. }
             | Action::SendGossip { .. } => {}
