--- a/crates/controller/src/admin/request.rs
+++ b/crates/controller/src/admin/request.rs
@@ -1,30 +1,30 @@
-//! Parsing of an operator's request.
+//! Parses an operator's request.
 
 use super::api_error::ApiError;
-use super::BODY_LIMIT_BYTES;
+use super::REQUEST_LIMIT_BYTES;
 use serde::Deserialize;
 use std::ops::Range;
 use wheelspread_http1::{request, Framing, Limits};
 
 /// A complete request.
 pub struct AdminRequest {
-    /// The method, as `GET`.
+    /// The method, such as `GET`.
     pub method: String,
-    /// The path.
+    /// The request target, which is the path.
     pub target: String,
-    /// The body, empty if there is none.
+    /// The body; empty if there is none.
     pub body: Vec<u8>,
 }
 
 impl AdminRequest {
-    /// Parses what was received; `None` while the request is incomplete.
+    /// Parses the received bytes; `None` while the request is incomplete.
     pub fn parse(input: &[u8]) -> Result<Option<AdminRequest>, ApiError> {
         let Some(head) = request(input, Limits::default())? else {
             return Ok(None);
         };
         let body_length = match head.framing {
             Framing::None => 0,
-            Framing::Length(length) if length <= BODY_LIMIT_BYTES as u64 => length as usize,
+            Framing::Length(length) if length <= REQUEST_LIMIT_BYTES as u64 => length as usize,
             _ => return Err(ApiError::BodyFraming),
         };
         let Some(body) = input.get(head.length..head.length + body_length) else {
@@ -39,7 +39,7 @@
         }))
     }
 
-    /// Whether the request orders something, and does not only ask.
+    /// Whether the request is an order. A plan is none: it is sent with POST but changes nothing.
     pub fn is_order(&self) -> bool {
         self.method != "GET" && self.target != "/v1/changes/plan"
     }
@@ -49,7 +49,7 @@
         Ok(serde_json::from_slice(&self.body)?)
     }
 
-    /// The error for a method and path that nothing is served for.
+    /// The error for a request whose method and path the API does not have.
     pub fn not_served(&self) -> ApiError {
         ApiError::NotServed {
             method: self.method.clone(),
