--- a/crates/proxy-core/src/admission.rs
+++ b/crates/proxy-core/src/admission.rs
@@ -1,20 +1,22 @@
-//! Which requests of an operation are admitted: by a ratio, drawn for each request, or by a rate.
+//! Decides which requests of an operation are admitted, by an admission ratio (a random draw for each request) and
+//! by a rate limit (a token bucket).
 
 use wheelspread::pcg::Pcg;
 use wheelspread::time::{Moment, Span};
 
 const MILLION: u32 = 1_000_000;
 
-/// Seconds after which a request that was rejected by the ratio may come again: any wait will do, since it is
-/// drawn anew each time.
+/// Retry delay sent to a client that was rejected by the admission ratio. Its length does not affect the chance of
+/// admission, because each request is drawn independently.
 const RATIO_RETRY_AFTER: Span = Span::from_seconds(1.0);
-/// Bounds of the wait for the next token that a client gets, in seconds.
-const MIN_TOKEN_WAIT_SECONDS: f64 = 0.001;
-const MAX_TOKEN_WAIT_SECONDS: f64 = 60.0;
-/// A rate of zero would make the wait endless; with this it is the longest one.
-const MIN_RATE: f64 = 1e-3;
-
-/// Tokens that come at a steady rate. The tokens of one second are kept, one token at least.
+/// Bounds of the retry delay sent to a client that was rejected by the rate limit.
+const MIN_RETRY_AFTER_SECONDS: f64 = 0.001;
+const MAX_RETRY_AFTER_SECONDS: f64 = 60.0;
+/// Lower bound of the rate in the retry delay, which would be infinite for a rate of 0. A full token then takes
+/// 1000 s, so the delay is limited by [`MAX_RETRY_AFTER_SECONDS`].
+const MIN_TOKENS_PER_SECOND: f64 = 1e-3;
+
+/// A token bucket that is refilled at a constant rate. Its capacity is the tokens of one second, at least one.
 #[derive(Clone, Debug)]
 struct TokenBucket {
     tokens_per_second: f64,
@@ -31,13 +33,13 @@
         }
     }
 
-    /// The tokens of now, of a bucket that holds `capacity`.
+    /// Number of tokens at `now`, limited to `capacity`.
     fn tokens_at(&self, now: Moment, capacity: f64) -> f64 {
-        let passed = (now - self.refilled_at).seconds().max(0.0);
-        (self.tokens + passed * self.tokens_per_second).min(capacity)
+        let elapsed = (now - self.refilled_at).seconds().max(0.0);
+        (self.tokens + elapsed * self.tokens_per_second).min(capacity)
     }
 
-    /// The same tokens at another rate.
+    /// A bucket with the same tokens, limited to its capacity, and another rate.
     fn with_rate(&self, now: Moment, rate: f64) -> TokenBucket {
         TokenBucket {
             tokens_per_second: rate,
@@ -56,10 +58,10 @@
         is_available
     }
 
-    /// How long until the next token.
-    fn wait(&self) -> Span {
-        let seconds = (1.0 - self.tokens) / self.tokens_per_second.max(MIN_RATE);
-        Span::from_seconds(seconds.clamp(MIN_TOKEN_WAIT_SECONDS, MAX_TOKEN_WAIT_SECONDS))
+    /// Time until the next token, within the bounds of the retry delay.
+    fn time_to_next_token(&self) -> Span {
+        let seconds = (1.0 - self.tokens) / self.tokens_per_second.max(MIN_TOKENS_PER_SECOND);
+        Span::from_seconds(seconds.clamp(MIN_RETRY_AFTER_SECONDS, MAX_RETRY_AFTER_SECONDS))
     }
 }
 
@@ -67,14 +69,14 @@
     tokens_per_second.max(1.0)
 }
 
-/// A request is not admitted.
+/// The result for a request that is not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rejected {
-    /// When it may come again.
+    /// Time after which the client may retry.
     pub retry_after: Span,
 }
 
-/// Admission of one operation.
+/// Admission control of one operation.
 #[derive(Clone, Debug, Default)]
 pub struct Admission {
     dropped_of_million: u32,
@@ -82,18 +84,18 @@
 }
 
 impl Admission {
-    /// Takes the orders of a new table. A bucket keeps its tokens, so that a table that repeats a rate does not
-    /// fill it.
+    /// Applies the limits of a new table. An existing bucket keeps its tokens, so a table with an unchanged rate does
+    /// not refill it.
     pub fn configure(&mut self, now: Moment, dropped_of_million: u32, rate_limit: Option<f64>) {
         self.dropped_of_million = dropped_of_million.min(MILLION);
-        let before = self.bucket.take();
-        self.bucket = rate_limit.map(|rate| match before {
+        let previous = self.bucket.take();
+        self.bucket = rate_limit.map(|rate| match previous {
             Some(bucket) => bucket.with_rate(now, rate),
             None => TokenBucket::full(now, rate),
         });
     }
 
-    /// Whether nothing is admitted. Requests in flight are given up then, too.
+    /// Whether no request is admitted. In that case requests in flight are abandoned as well.
     pub fn rejects_all(&self) -> bool {
         let has_no_rate = |bucket: &TokenBucket| bucket.tokens_per_second <= 0.0;
         self.dropped_of_million == MILLION || self.bucket.as_ref().is_some_and(has_no_rate)
@@ -101,8 +103,8 @@
 
     /// Admits or rejects a request that has just arrived.
     pub fn try_admit(&mut self, now: Moment, random: &mut Pcg) -> Result<(), Rejected> {
-        let drawn = (u64::from(random.draw()) * u64::from(MILLION)) >> 32;
-        if drawn < u64::from(self.dropped_of_million) {
+        let draw = (u64::from(random.draw()) * u64::from(MILLION)) >> 32;
+        if draw < u64::from(self.dropped_of_million) {
             return Err(Rejected {
                 retry_after: RATIO_RETRY_AFTER,
             });
@@ -114,7 +116,7 @@
             return Ok(());
         }
         Err(Rejected {
-            retry_after: bucket.wait(),
+            retry_after: bucket.time_to_next_token(),
         })
     }
 }
--- a/crates/proxy-core/src/config.rs
+++ b/crates/proxy-core/src/config.rs
@@ -1,4 +1,4 @@
-//! What a proxy's core is configured with, and what tables order.
+//! Configuration of the core, and the contents of a table that the core applies.
 
 use crate::ejection::EjectionPolicy;
 use crate::retry::{RetryBudgetConfig, RetrySafety};
@@ -6,45 +6,45 @@
 use wheelspread::time::Span;
 use wheelspread::RetryPolicy;
 
-/// What a proxy knows of an operation besides its tables.
+/// Properties of an operation that come from the proxy's configuration, not from a table.
 #[derive(Clone, Debug)]
 pub struct OperationRules {
-    /// The name of the operation.
+    /// Name of the operation.
     pub name: String,
-    /// Whether a retry can take effect twice, whatever tables say.
+    /// Whether a retry can take effect twice. It overrides the table's retry policy.
     pub retry_safety: RetrySafety,
-    /// What a request may take over all attempts, where the table does not say.
+    /// Time limit of a request over all attempts, used if the table sets no request time-out.
     pub integration_timeout: Span,
 }
 
-/// What does not change while a proxy runs.
+/// Settings that stay constant while a proxy runs.
 #[derive(Clone, Debug)]
 pub struct CoreConfig {
-    /// The operations, in the order of their ids.
+    /// The operations, ordered by operation id.
     pub operations: Vec<OperationRules>,
-    /// How nodes are selected.
+    /// How nodes are selected for attempts.
     pub selection: SelectionPolicy,
     /// When a node is ejected, and for how long.
     pub ejection: EjectionPolicy,
-    /// How many retries there may be.
+    /// Limits of the retry budget.
     pub retry_budget: RetryBudgetConfig,
-    /// Attempts in flight at one node; 0: no limit.
+    /// Maximum number of attempts in flight at one node; 0 means no limit.
     pub max_in_flight_per_node: u32,
 }
 
-/// What the tables order for one operation.
+/// The table of one operation.
 #[derive(Clone, Debug)]
 pub struct OperationTable {
     /// The nodes with their weights.
     pub entries: Vec<WeightedNode>,
-    /// Of a million requests, so many are rejected.
+    /// Requests to reject out of a million.
     pub dropped_of_million: u32,
-    /// The most requests per second that are admitted; `None`: no limit.
+    /// Maximum number of requests admitted per second; `None` means no limit.
     pub rate_limit: Option<f64>,
-    /// When a failed attempt is followed by another.
+    /// When a failed attempt is retried.
     pub retry_policy: RetryPolicy,
-    /// What an attempt may take that can be followed by another.
+    /// Time limit of an attempt that may be retried after any failure; `None` means no limit of its own.
     pub per_attempt_timeout: Option<Span>,
-    /// What a request may take over all attempts.
+    /// Time limit of a request over all attempts; `None` selects [`OperationRules::integration_timeout`].
     pub request_timeout: Option<Span>,
 }
--- a/crates/proxy-core/src/core.rs
+++ b/crates/proxy-core/src/core.rs
@@ -1,7 +1,7 @@
-//! The course of each request, over the tables in force at the moment: a table that changes while a request is
-//! active is the one that its next attempt goes by.
+//! The lifecycle of each request under the tables currently in force. When a table changes while a request is
+//! active, the new table applies to the request's next attempt.
 //!
-//! `requests` holds the active requests, `transitions` is their state machine, `attempts` ends attempts and
+//! `requests` stores the active requests, `transitions` is their state machine, `attempts` ends attempts and
 //! selects nodes for new ones.
 
 mod attempts;
@@ -24,7 +24,7 @@
 use wheelspread::RetryPolicy;
 use wheelspread_controller_core::load_report::LoadReport;
 
-/// An operation with the table in force.
+/// An operation and the contents of its table in force.
 #[derive(Clone, Debug)]
 struct Operation {
     rules: OperationRules,
@@ -36,7 +36,7 @@
 }
 
 impl Operation {
-    /// An operation without a table.
+    /// Creates an operation without a table.
     fn new(rules: &OperationRules) -> Operation {
         Operation {
             rules: rules.clone(),
@@ -48,6 +48,7 @@
         }
     }
 
+    /// Replaces the table. A token bucket keeps its tokens.
     fn apply(&mut self, now: Moment, table: &OperationTable) {
         self.entries = WeightedEntries::new(table.entries.iter().copied());
         self.admission
@@ -58,32 +59,33 @@
     }
 }
 
-/// What is known of a node that a table names or that has attempts in flight.
+/// State of a node that a table lists or that has attempts in flight.
 #[derive(Clone, Debug, Default)]
 struct NodeState {
     health: PassiveHealth,
+    /// Number of attempts in flight at the node, over all operations.
     in_flight: u32,
 }
 
-/// When an attempt is given up.
+/// Time-out of the attempt in flight of the request in `slot`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct AttemptTimer {
     deadline: Moment,
     slot: u32,
 }
 
-/// When a node's ejection ends.
+/// End of a node's ejection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct EjectionTimer {
     ends_at: Moment,
     node: NodeId,
 }
 
-/// The decisions of one proxy.
+/// The decision logic of one proxy.
 pub struct ProxyCore {
     config: CoreConfig,
     random: Pcg,
-    /// In the order of their ids.
+    /// Ordered by operation id.
     operations: Vec<Operation>,
     nodes: BTreeMap<NodeId, NodeState>,
     requests: ActiveRequests,
@@ -95,7 +97,9 @@
 }
 
 impl ProxyCore {
-    /// A core without tables: each request gets `NoNode`.
+    /// Creates a core without tables. Until tables are applied, each request gets [`ClientResponse::NoNode`].
+    ///
+    /// [`ClientResponse::NoNode`]: crate::ClientResponse::NoNode
     pub fn new(now: Moment, seed: u64, config: CoreConfig) -> ProxyCore {
         let rules = &config.operations;
         let names = rules.iter().map(|rules| rules.name.clone()).collect();
@@ -113,14 +117,14 @@
         }
     }
 
-    /// The id of an operation, by its name.
+    /// The id of the operation with this name.
     pub fn operation_id(&self, name: &str) -> Option<OperationId> {
         let is_named = |operation: &Operation| operation.rules.name == name;
         let position = self.operations.iter().position(is_named)?;
         Some(OperationId(position as u8))
     }
 
-    /// The nodes that some table names.
+    /// The nodes that at least one table lists.
     pub fn published_nodes(&self) -> BTreeSet<NodeId> {
         self.operations
             .iter()
@@ -128,35 +132,37 @@
             .collect()
     }
 
-    /// Whether a node gets attempts, by the proxy's own failures there.
+    /// The ejection state of a node, based on the proxy's own attempts; [`EjectionState::Available`] for an unknown
+    /// node.
     pub fn ejection_state(&self, node: NodeId) -> EjectionState {
         self.nodes
             .get(&node)
             .map_or(EjectionState::Available, |node| node.health.state())
     }
 
-    /// The number of requests that wait for a response.
+    /// Number of requests that wait for a response.
     pub fn active_requests(&self) -> usize {
         self.requests.len()
     }
 
     fn operation(&self, id: OperationId) -> &Operation {
-        // Ids come from `operation_id`, and operations do not change.
+        // In range: ids come from `operation_id`, and the list of operations is constant.
         &self.operations[usize::from(id.0)]
     }
 
     // ---- tables ----
 
-    /// Applies new tables, all at once. An operation that they do not name has no nodes any more. Active requests
-    /// go on, but those of an operation that now rejects everything are rejected.
+    /// Replaces all tables at once. An operation without a table in `tables` has no nodes from now on. Active requests
+    /// continue, except that those of an operation that now admits nothing are rejected.
     pub fn apply_tables(
         &mut self,
         now: Moment,
         tables: &[(OperationId, OperationTable)],
     ) -> Vec<Decision> {
-        let named: BTreeSet<OperationId> = tables.iter().map(|(id, _)| *id).collect();
+        let operations_with_table: BTreeSet<OperationId> =
+            tables.iter().map(|(id, _)| *id).collect();
         for (position, operation) in self.operations.iter_mut().enumerate() {
-            if !named.contains(&OperationId(position as u8)) {
+            if !operations_with_table.contains(&OperationId(position as u8)) {
                 operation.entries = WeightedEntries::new([]);
             }
         }
@@ -165,12 +171,12 @@
                 operation.apply(now, table);
             }
         }
-        self.forget_unpublished_nodes();
+        self.remove_unpublished_nodes();
         self.shed_requests(now)
     }
 
-    /// Forgets nodes that no table names and that have nothing in flight, their health too.
-    fn forget_unpublished_nodes(&mut self) {
+    /// Removes the state, health included, of nodes that no table lists and that have no attempts in flight.
+    fn remove_unpublished_nodes(&mut self) {
         let published = self.published_nodes();
         self.nodes
             .retain(|node, state| published.contains(node) || state.in_flight > 0);
@@ -181,7 +187,7 @@
         }
     }
 
-    /// Rejects active requests of operations that admit nothing.
+    /// Rejects the active requests of operations that admit nothing, unless their response has started.
     fn shed_requests(&mut self, now: Moment) -> Vec<Decision> {
         let is_shed = |request: &ActiveRequest| {
             let operation = self.operation(request.operation);
@@ -195,7 +201,7 @@
             .collect()
     }
 
-    /// Makes a node available in all tables, or not, by its health and what it has in flight.
+    /// Sets the availability of a node's entries in all tables from its health and its attempts in flight.
     fn update_availability(&mut self, node: NodeId) {
         let state = self.nodes.entry(node).or_default();
         let limit = self.config.max_in_flight_per_node;
@@ -208,7 +214,7 @@
 
     // ---- requests ----
 
-    /// A request has arrived: it is sent to a node, or rejected.
+    /// Handles a request that has arrived: it is sent to a node or rejected.
     pub fn start_request(&mut self, now: Moment, operation: OperationId) -> Decision {
         let state = &mut self.operations[usize::from(operation.0)];
         let admitted = state.admission.try_admit(now, &mut self.random);
@@ -232,7 +238,7 @@
         }
     }
 
-    /// An attempt ended, or its response can't be passed on; `number` tells which attempt.
+    /// Handles the end of attempt `number`. An attempt that is not in flight any more is ignored.
     pub fn finish_attempt(
         &mut self,
         now: Moment,
@@ -265,8 +271,8 @@
         }
     }
 
-    /// The response of an attempt begins to go to the client: from here on it is this attempt or none, and it is
-    /// waited for as long as the client waits.
+    /// Records that the response of attempt `number` starts to be sent to the client. The request is not retried after
+    /// this, and the attempt's deadline becomes that of the request.
     pub fn start_response(&mut self, handle: RequestHandle, number: u32) {
         let Some((slot, request)) = self.requests.in_flight(handle) else {
             return;
@@ -280,7 +286,7 @@
         self.attempt_timers.insert(request.timer(slot));
     }
 
-    /// The client is gone.
+    /// Handles the disconnection of a client before its request finished.
     pub fn cancel_request(&mut self, now: Moment, handle: RequestHandle) -> Decision {
         let Some((slot, _)) = self.requests.in_flight(handle) else {
             return Decision {
@@ -294,7 +300,7 @@
 
     // ---- time ----
 
-    /// Ends what is due by now: ejections, and attempts that took too long.
+    /// Ends the ejections that are over by `now`, and times out the attempts whose deadline has passed.
     pub fn expire_timers(&mut self, now: Moment) -> Vec<Decision> {
         while let Some(timer) = self.ejection_timers.first().copied() {
             if timer.ends_at > now {
@@ -319,14 +325,14 @@
         decisions
     }
 
-    /// When timers have to be expired next.
+    /// When [`expire_timers`](Self::expire_timers) has to be called next; `None` if no timer is set.
     pub fn next_timer(&self) -> Option<Moment> {
         let attempt = self.attempt_timers.first().map(|timer| timer.deadline);
         let ejection = self.ejection_timers.first().map(|timer| timer.ends_at);
         attempt.into_iter().chain(ejection).min()
     }
 
-    /// The load report since the last one.
+    /// Returns the load report for the time since the last one; see [`LoadAccounting::take_report`].
     pub fn take_load_report(&mut self, now: Moment) -> Option<LoadReport> {
         self.accounting.take_report(now, &self.in_flight)
     }
--- a/crates/proxy-core/src/core/attempts.rs
+++ b/crates/proxy-core/src/core/attempts.rs
@@ -1,4 +1,4 @@
-//! The ends of attempts, and the selection of nodes for new ones.
+//! Ends attempts and selects nodes for new ones.
 
 use super::transitions::RequestInput;
 use super::{NodeState, ProxyCore};
@@ -8,18 +8,18 @@
 use wheelspread::time::Moment;
 
 impl ProxyCore {
-    /// The attempt in flight succeeded.
+    /// Handles the success of the attempt in flight.
     pub(super) fn succeed_attempt(&mut self, now: Moment, slot: u32) -> Decision {
-        self.close_attempt(slot, |state| state.health.on_success());
+        self.remove_attempt(slot, |state| state.health.on_success());
         self.advance(now, slot, RequestInput::Succeeded)
     }
 
-    /// The attempt in flight ended without evidence about its node.
+    /// Ends the attempt in flight without evidence about the health of its node.
     pub(super) fn cancel_attempt(&mut self, slot: u32) {
-        self.close_attempt(slot, |state| state.health.on_attempt_cancelled());
+        self.remove_attempt(slot, |state| state.health.on_attempt_cancelled());
     }
 
-    /// The attempt in flight failed: another is made, or the request is over.
+    /// Handles the failure of the attempt in flight: it is retried, or the request finishes.
     pub(super) fn fail_attempt(
         &mut self,
         now: Moment,
@@ -29,8 +29,8 @@
     ) -> Decision {
         self.record_failure(slot, failure);
         let policy = self.config.ejection;
-        self.close_attempt(slot, |state| state.health.on_failure(now, policy));
-        let node = self.node_for_retry(now, slot, failure);
+        self.remove_attempt(slot, |state| state.health.on_failure(now, policy));
+        let node = self.select_retry_node(now, slot, failure);
         if node.is_some() {
             let operation = self.requests.get(slot).operation;
             self.accounting.record_retry(operation);
@@ -58,8 +58,9 @@
         }
     }
 
-    /// The node for a retry, if one is allowed. It is another node, or none: those that failed are not asked again.
-    fn node_for_retry(&mut self, now: Moment, slot: u32, failure: Failure) -> Option<NodeId> {
+    /// Selects the node for a retry. Nodes whose attempts failed are excluded. Returns `None` if no retry is allowed or
+    /// no other node is available.
+    fn select_retry_node(&mut self, now: Moment, slot: u32, failure: Failure) -> Option<NodeId> {
         let request = self.requests.get(slot);
         let operation = self.operation(request.operation);
         let history = AttemptHistory {
@@ -85,8 +86,9 @@
         self.retry_budget.try_take().then_some(node)
     }
 
-    /// Removes the attempt in flight from all counts; `update_health` applies the evidence about its node.
-    fn close_attempt(&mut self, slot: u32, update_health: impl FnOnce(&mut NodeState)) {
+    /// Removes the attempt in flight from all counts and timers. `update_health` applies its result to the health of
+    /// the node.
+    fn remove_attempt(&mut self, slot: u32, update_health: impl FnOnce(&mut NodeState)) {
         let request = self.requests.get_mut(slot);
         self.attempt_timers.remove(&request.timer(slot));
         let Some(node) = request.node.take() else {
@@ -105,7 +107,8 @@
         self.update_availability(node);
     }
 
-    /// Selects a node for an attempt, none of `tried`.
+    /// Selects a node for an attempt, other than those in `tried`. For a first attempt, for which `tried` is empty,
+    /// ejected nodes are used if no other node is available.
     pub(super) fn select_node(
         &mut self,
         operation: OperationId,
@@ -138,8 +141,8 @@
         )
     }
 
-    /// Selects among the ejected nodes where all nodes are ejected or full: to eject one is only of use while
-    /// another is better.
+    /// Selects among the nodes that are ejected but below their limit of attempts in flight. Used when no node is
+    /// available, because ejecting a node only helps while a better one remains.
     fn select_ejected(&mut self, operation: OperationId) -> Option<NodeId> {
         let limit = self.config.max_in_flight_per_node;
         let is_ejected_with_capacity = |node: &NodeId| {
--- a/crates/proxy-core/src/core/requests.rs
+++ b/crates/proxy-core/src/core/requests.rs
@@ -1,4 +1,4 @@
-//! The active requests, in slots that are used again.
+//! Storage of the active requests, in reusable slots.
 
 use super::AttemptTimer;
 use crate::message::RequestHandle;
@@ -9,36 +9,37 @@
 /// The state of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RequestState {
-    /// Nothing was decided yet.
+    /// The request has arrived; no decision was made yet.
     Arrived,
     /// An attempt is in flight.
     InFlight,
-    /// It is over; the slot is free.
+    /// The request has finished and its slot is free.
     Finished,
 }
 
-/// A request and what is known of its attempts.
+/// A request and the state of its attempts.
 #[derive(Clone, Debug)]
 pub(super) struct ActiveRequest {
     generation: u32,
     pub(super) state: RequestState,
     pub(super) operation: OperationId,
-    /// Until when the client waits.
+    /// The request deadline.
     pub(super) deadline: Moment,
-    /// Attempts made so far.
+    /// Number of attempts made so far, including the one in flight.
     pub(super) attempts: u32,
-    /// The nodes whose attempts failed.
+    /// The nodes of the failed attempts.
     pub(super) tried: Vec<NodeId>,
     /// The node of the attempt in flight.
     pub(super) node: Option<NodeId>,
-    /// When that attempt was sent.
+    /// When the latest attempt was sent.
     pub(super) sent_at: Moment,
-    /// When that attempt is given up.
+    /// When the latest attempt times out.
     pub(super) attempt_deadline: Moment,
-    /// Whether any of the failed attempts may have been processed.
+    /// [`Processing::MaybeProcessed`] if any of the failed attempts may have been processed.
     pub(super) processing: Processing,
+    /// When the first of those attempts was sent.
     pub(super) first_maybe_processed_at: Option<Moment>,
-    /// A response has begun to go to the client.
+    /// Whether part of a response was sent to the client.
     pub(super) response_started: bool,
 }
 
@@ -69,11 +70,11 @@
     }
 }
 
-/// All requests that are not over.
+/// All requests that have not finished.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ActiveRequests {
     slots: Vec<ActiveRequest>,
-    /// Slots of requests that are over.
+    /// Slots of finished requests.
     free: Vec<u32>,
 }
 
@@ -82,33 +83,33 @@
         self.slots.len() - self.free.len()
     }
 
-    /// Puts a request in a free slot, or a new one.
+    /// Stores a request in a free slot or a new one. Returns the slot.
     pub(super) fn insert(&mut self, request: ActiveRequest) -> u32 {
         let Some(slot) = self.free.pop() else {
             self.slots.push(request);
             return self.slots.len() as u32 - 1;
         };
-        let before = &mut self.slots[slot as usize];
-        let generation = before.generation.wrapping_add(1);
-        *before = ActiveRequest {
+        let reused = &mut self.slots[slot as usize];
+        let generation = reused.generation.wrapping_add(1);
+        *reused = ActiveRequest {
             generation,
             ..request
         };
         slot
     }
 
-    /// Ends a request; its slot may be used again.
+    /// Marks a request as finished and frees its slot.
     pub(super) fn finish(&mut self, slot: u32) {
         self.get_mut(slot).state = RequestState::Finished;
         self.free.push(slot);
     }
 
-    /// The request in a slot that `insert` returned, until the slot is used again.
+    /// The request in a slot that `insert` returned. Valid until the slot is reused.
     pub(super) fn get(&self, slot: u32) -> &ActiveRequest {
         &self.slots[slot as usize]
     }
 
-    /// The same, to change.
+    /// Mutable access to the request in a slot; see `get`.
     pub(super) fn get_mut(&mut self, slot: u32) -> &mut ActiveRequest {
         &mut self.slots[slot as usize]
     }
@@ -118,14 +119,14 @@
         RequestHandle { slot, generation }
     }
 
-    /// The request that a handle names, with its slot, if an attempt is in flight.
+    /// The request of a handle and its slot. `None` if the handle is outdated or no attempt is in flight.
     pub(super) fn in_flight(&mut self, handle: RequestHandle) -> Option<(u32, &mut ActiveRequest)> {
         let request = self.slots.get_mut(handle.slot as usize)?;
-        let is_same = request.generation == handle.generation;
-        (is_same && request.state == RequestState::InFlight).then_some((handle.slot, request))
+        let is_current = request.generation == handle.generation;
+        (is_current && request.state == RequestState::InFlight).then_some((handle.slot, request))
     }
 
-    /// The slots of requests for which something is true.
+    /// The slots of all requests, finished ones included, that match a predicate.
     pub(super) fn slots_where(&self, predicate: impl Fn(&ActiveRequest) -> bool) -> Vec<u32> {
         (0..self.slots.len() as u32)
             .filter(|slot| predicate(self.get(*slot)))
--- a/crates/proxy-core/src/core/tests.rs
+++ b/crates/proxy-core/src/core/tests.rs
@@ -1,8 +1,8 @@
-//! The course of requests under a clock that the test sets.
+//! Tests of the request lifecycle, with a clock that the test sets.
 
 use super::*;
 use crate::ejection::EjectionPolicy;
-use crate::message::{AttemptOrder, ClientResponse};
+use crate::message::{AttemptSpec, ClientResponse};
 use crate::retry::{Processing, RetryBudgetConfig, RetrySafety};
 use crate::selection::{SelectionPolicy, WeightedNode};
 use proptest::prelude::*;
@@ -71,9 +71,9 @@
     core
 }
 
-fn sent(decision: Decision) -> (RequestHandle, AttemptOrder) {
+fn sent(decision: Decision) -> (RequestHandle, AttemptSpec) {
     match decision.action {
-        Action::Send(send) | Action::AbandonAndSend(send) => (decision.request, send),
+        Action::Send(attempt) | Action::AbandonAndSend(attempt) => (decision.request, attempt),
         other => panic!("{other:?}"),
     }
 }
@@ -83,15 +83,15 @@
 }
 
 #[test]
-fn a_table_that_changes_while_a_request_is_active_rules_its_next_attempt() {
+fn a_table_change_during_a_request_applies_to_its_next_attempt() {
     let mut core = core(&[1, 2], RetryPolicy::OnceOnAnyFailure);
     let (id, first) = sent(core.start_request(at(0.0), QUOTE));
-    // The other node drains, a third takes its place, and now two retries would be allowed.
+    // The other node drains and a third node replaces it in the new table.
     let new = table(&[first.node.port, 3], RetryPolicy::OnceOnAnyFailure);
     assert_eq!(core.apply_tables(at(0.1), &[(QUOTE, new)]), []);
     let (_, second) = sent(core.finish_attempt(at(0.2), id, 1, failed(Failure::Errored)));
     assert_eq!((second.node, second.number), (node(3), 2));
-    // The table changes again: that makes it no new request, a third attempt is not made.
+    // A further table change does not reset the count of attempts, so no third attempt is made.
     core.apply_tables(
         at(0.3),
         &[(QUOTE, table(&[4, 5], RetryPolicy::OnceOnAnyFailure))],
@@ -104,14 +104,14 @@
 }
 
 #[test]
-fn a_node_whose_responses_get_lost_is_ejected_and_side_effects_are_not_retried() {
+fn a_node_whose_responses_time_out_is_ejected_and_side_effecting_requests_are_not_retried() {
     let mut core = core(&[1, 2], RetryPolicy::OnceOnAnyFailure);
-    let mut lost = 0;
+    let mut timed_out = 0;
     let mut now = 0.0;
     while core.ejection_state(node(1)) == EjectionState::Available {
         now += 0.01;
-        let (id, send) = sent(core.start_request(at(now), BOOK));
-        if send.node == node(2) {
+        let (id, attempt) = sent(core.start_request(at(now), BOOK));
+        if attempt.node == node(2) {
             core.finish_attempt(
                 at(now),
                 id,
@@ -121,9 +121,9 @@
             continue;
         }
         assert_eq!(
-            send.deadline,
+            attempt.deadline,
             at(now) + Span::from_seconds(4.0),
-            "an attempt that is not retried is waited for"
+            "an attempt that is not retried may take until the request deadline"
         );
         now += 4.0;
         let due = core.expire_timers(at(now));
@@ -132,12 +132,12 @@
             due[0].action,
             Action::AbandonAndRespond(ClientResponse::Failed(Failure::TimedOut))
         );
-        lost += 1;
+        timed_out += 1;
     }
-    assert_eq!(lost, 3);
+    assert_eq!(timed_out, 3);
     for _ in 0..50 {
-        let (id, send) = sent(core.start_request(at(now), BOOK));
-        assert_eq!(send.node, node(2));
+        let (id, attempt) = sent(core.start_request(at(now), BOOK));
+        assert_eq!(attempt.node, node(2));
         core.finish_attempt(
             at(now),
             id,
@@ -145,15 +145,15 @@
             AttemptOutcome::Succeeded { loads: Vec::new() },
         );
     }
-    // It comes back by one probation attempt at a time.
+    // After the ejection the node gets one probation attempt at a time.
     now += 3.1;
     core.expire_timers(at(now));
-    let sends: Vec<_> = (0..60)
+    let attempts: Vec<_> = (0..60)
         .map(|_| sent(core.start_request(at(now), BOOK)))
         .collect();
-    let probation: Vec<_> = sends
+    let probation: Vec<_> = attempts
         .iter()
-        .filter(|(_, send)| send.node == node(1))
+        .filter(|(_, attempt)| attempt.node == node(1))
         .collect();
     assert_eq!(probation.len(), 1);
     core.finish_attempt(
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn an_attempt_timeout_allows_a_retry_but_never_past_the_request_timeout() {
+fn a_timed_out_attempt_is_retried_but_not_past_the_request_deadline() {
     let mut core = core(&[1, 2, 3], RetryPolicy::TwiceOnAnyFailure);
     let (_, first) = sent(core.start_request(at(0.0), QUOTE));
     assert_eq!(first.deadline, at(1.0));
@@ -174,7 +174,11 @@
     assert_eq!((second.deadline, second.number), (at(2.0), 2));
     assert_ne!(second.node, first.node);
     let (_, third) = sent(core.expire_timers(at(2.0))[0]);
-    assert_eq!(third.deadline, at(4.0), "the last one is waited for");
+    assert_eq!(
+        third.deadline,
+        at(4.0),
+        "the last attempt may take until the request deadline"
+    );
     assert_eq!(
         core.expire_timers(at(4.0))[0].action,
         Action::AbandonAndRespond(ClientResponse::Failed(Failure::TimedOut))
@@ -183,13 +187,13 @@
         core.finish_attempt(at(4.1), id, 3, failed(Failure::Reset))
             .action,
         Action::Continue,
-        "it is over"
+        "the request has already finished"
     );
     assert_eq!(core.active_requests(), 0);
 }
 
 #[test]
-fn ejected_nodes_are_used_when_no_other_is_left() {
+fn ejected_nodes_are_used_when_no_other_node_is_available() {
     let mut core = core(&[1, 2], RetryPolicy::Never);
     for _ in 0..40 {
         let (id, _) = sent(core.start_request(at(0.0), QUOTE));
@@ -198,13 +202,13 @@
     assert!([1, 2]
         .iter()
         .all(|port| core.ejection_state(node(*port)) == EjectionState::Ejected));
-    // None is better than another: they get requests all the same.
+    // All nodes are ejected, so they get requests nevertheless.
     let (id, _) = sent(core.start_request(at(0.1), QUOTE));
     core.finish_attempt(at(0.1), id, 1, failed(Failure::Connect));
     core.apply_tables(at(0.2), &[(QUOTE, table(&[2], RetryPolicy::IfUnprocessed))]);
-    let (id, send) = sent(core.start_request(at(0.2), QUOTE));
-    assert_eq!(send.node, node(2));
-    // There is no other node for the retry that the policy would allow.
+    let (id, attempt) = sent(core.start_request(at(0.2), QUOTE));
+    assert_eq!(attempt.node, node(2));
+    // The policy allows a retry, but there is no other node for it.
     let end = core.finish_attempt(at(0.2), id, 1, failed(Failure::Connect));
     assert_eq!(
         end.action,
@@ -218,16 +222,19 @@
 }
 
 #[test]
-fn a_table_that_admits_nothing_rejects_active_requests_at_once() {
+fn a_table_that_admits_nothing_rejects_active_requests_immediately() {
     let mut core = core(&[1, 2], RetryPolicy::Never);
     let (id, _) = sent(core.start_request(at(0.0), QUOTE));
-    let shut = OperationTable {
+    let rejecting_table = OperationTable {
         dropped_of_million: 1_000_000,
         ..table(&[1, 2], RetryPolicy::Never)
     };
     let decisions = core.apply_tables(
         at(0.1),
-        &[(QUOTE, shut), (BOOK, table(&[1, 2], RetryPolicy::Never))],
+        &[
+            (QUOTE, rejecting_table),
+            (BOOK, table(&[1, 2], RetryPolicy::Never)),
+        ],
     );
     assert_eq!(decisions.len(), 1);
     assert_eq!(decisions[0].request, id);
@@ -246,7 +253,7 @@
 }
 
 #[test]
-fn a_node_gets_no_more_than_its_limit_in_flight() {
+fn attempts_in_flight_at_a_node_stay_within_the_limit() {
     let mut core = ProxyCore::new(
         at(0.0),
         3,
@@ -256,13 +263,13 @@
         },
     );
     core.apply_tables(at(0.0), &[(QUOTE, table(&[1, 2], RetryPolicy::Never))]);
-    let sends: Vec<_> = (0..4)
+    let attempts: Vec<_> = (0..4)
         .map(|_| sent(core.start_request(at(0.0), QUOTE)))
         .collect();
     assert_eq!(
-        sends
+        attempts
             .iter()
-            .filter(|(_, send)| send.node == node(1))
+            .filter(|(_, attempt)| attempt.node == node(1))
             .count(),
         2
     );
@@ -270,20 +277,24 @@
         core.start_request(at(0.0), QUOTE).action,
         Action::Respond(ClientResponse::NoNode)
     );
-    core.cancel_request(at(0.1), sends[0].0);
+    core.cancel_request(at(0.1), attempts[0].0);
     assert_eq!(
         sent(core.start_request(at(0.1), QUOTE)).1.node,
-        sends[0].1.node
+        attempts[0].1.node
     );
 }
 
 #[test]
-fn a_response_that_has_begun_is_followed_by_no_other_attempt() {
+fn a_request_is_not_retried_after_its_response_has_started() {
     let mut core = core(&[1, 2], RetryPolicy::TwiceOnAnyFailure);
-    let (id, send) = sent(core.start_request(at(0.0), QUOTE));
-    assert_eq!(send.deadline, at(1.0));
+    let (id, attempt) = sent(core.start_request(at(0.0), QUOTE));
+    assert_eq!(attempt.deadline, at(1.0));
     core.start_response(id, 1);
-    assert_eq!(core.expire_timers(at(2.0)), [], "it is waited for");
+    assert_eq!(
+        core.expire_timers(at(2.0)),
+        [],
+        "a started response may take until the request deadline"
+    );
     let end = core.finish_attempt(
         at(3.0),
         id,
@@ -296,9 +307,9 @@
     );
     let (id, _) = sent(core.start_request(at(3.0), QUOTE));
     core.start_response(id, 1);
-    let late = core.expire_timers(at(7.0));
+    let timed_out = core.expire_timers(at(7.0));
     assert_eq!(
-        late[0].action,
+        timed_out[0].action,
         Action::AbandonAndRespond(ClientResponse::Failed(Failure::TimedOut))
     );
 }
@@ -318,23 +329,23 @@
     let report = core.take_load_report(at(1.0)).expect("time has passed");
     let quote = &report.operations[0];
     assert_eq!((quote.retries, quote.nodes.len()), (1, 2));
-    let good = quote
+    let successful = quote
         .nodes
         .iter()
-        .find(|met| met.node == Some(second.node))
-        .expect("met");
-    assert_eq!((good.succeeded, good.errored), (1, 0));
+        .find(|report| report.node == Some(second.node))
+        .expect("the node of the second attempt is reported");
+    assert_eq!((successful.succeeded, successful.errored), (1, 0));
     assert_eq!(
-        good.metrics["latency_ms"].mean().map(f64::round),
+        successful.metrics["latency_ms"].mean().map(f64::round),
         Some(200.0),
-        "of the attempt, not of the whole request"
+        "the latency is that of the attempt, not of the whole request"
     );
-    let open: u64 = report.operations[1]
+    let book_in_progress: u64 = report.operations[1]
         .nodes
         .iter()
-        .map(|met| met.in_progress)
+        .map(|report| report.in_progress)
         .sum();
-    assert_eq!(open, 1);
+    assert_eq!(book_in_progress, 1);
 }
 
 #[test]
@@ -349,66 +360,67 @@
 }
 
 proptest! {
-    // Whatever happens in whatever order: counts agree, no side-effecting request is retried after an attempt that
-    // may have been processed, and nobody waits past the timeout.
+    // For any sequence of events: all counts agree, no side-effecting request is retried after an attempt that may
+    // have been processed, and no request stays active past its deadline.
     #[test]
-    fn counts_agree_and_no_side_effect_is_retried(steps in prop::collection::vec((0u8..7, 0usize..8, 0u64..900), 1..300), seed in any::<u64>()) {
+    fn counts_agree_and_no_side_effecting_request_is_retried_after_possible_processing(steps in prop::collection::vec((0u8..7, 0usize..8, 0u64..900), 1..300), seed in any::<u64>()) {
         let mut core = ProxyCore::new(at(0.0), seed, config());
         let retries = [RetryPolicy::Never, RetryPolicy::IfUnprocessed, RetryPolicy::OnceOnAnyFailure, RetryPolicy::TwiceOnAnyFailure];
         let failures = [Failure::Connect, Failure::Unsent, Failure::Reset, Failure::Refused, Failure::Errored,
             Failure::Garbled, Failure::TimedOut];
         let mut now = at(0.0);
-        let mut open: BTreeMap<RequestHandle, (u32, OperationId, Moment, bool)> = BTreeMap::new();
-        let mut all = vec![(QUOTE, table(&[1, 2, 3], RetryPolicy::OnceOnAnyFailure)), (BOOK, table(&[1, 2, 3], RetryPolicy::OnceOnAnyFailure))];
-        core.apply_tables(now, &all);
-        for (what, which, wait) in steps {
+        // For each active request: attempts sent, operation, deadline, and whether an attempt may have been processed.
+        let mut active: BTreeMap<RequestHandle, (u32, OperationId, Moment, bool)> = BTreeMap::new();
+        let mut tables = vec![(QUOTE, table(&[1, 2, 3], RetryPolicy::OnceOnAnyFailure)), (BOOK, table(&[1, 2, 3], RetryPolicy::OnceOnAnyFailure))];
+        core.apply_tables(now, &tables);
+        for (event, choice, wait) in steps {
             now = now + Span::from_seconds(wait as f64 / 1000.0);
-            let chosen = open.keys().nth(which % open.len().max(1)).copied();
+            let active_request = active.keys().nth(choice % active.len().max(1)).copied();
             let mut decisions = core.expire_timers(now);
-            match (what, chosen) {
+            match (event, active_request) {
                 (0 | 1, _) => {
-                    let operation = OperationId((which % 2) as u8);
+                    let operation = OperationId((choice % 2) as u8);
                     let decision = core.start_request(now, operation);
                     if matches!(decision.action, Action::Send(_)) {
-                        open.insert(decision.request, (0, operation, now + Span::from_seconds(4.0), false));
+                        active.insert(decision.request, (0, operation, now + Span::from_seconds(4.0), false));
                     }
                     decisions.push(decision);
                 }
-                (2, Some(id)) => decisions.push(core.finish_attempt(now, id, open[&id].0, AttemptOutcome::Succeeded { loads: Vec::new() })),
+                (2, Some(id)) => decisions.push(core.finish_attempt(now, id, active[&id].0, AttemptOutcome::Succeeded { loads: Vec::new() })),
                 (3 | 4, Some(id)) => {
-                    let failure = failures[which % failures.len()];
-                    if let Some(known) = open.get_mut(&id) {
-                        known.3 |= failure.processing() == Processing::MaybeProcessed;
+                    let failure = failures[choice % failures.len()];
+                    if let Some(model) = active.get_mut(&id) {
+                        model.3 |= failure.processing() == Processing::MaybeProcessed;
                     }
-                    decisions.push(core.finish_attempt(now, id, open[&id].0, failed(failure)));
+                    decisions.push(core.finish_attempt(now, id, active[&id].0, failed(failure)));
                 }
                 (5, Some(id)) => decisions.push(core.cancel_request(now, id)),
                 (6, _) => {
-                    let ports: Vec<u16> = (1..=(which as u16 % 4)).collect();
-                    all[0].1 = table(&ports, retries[which % 4]);
-                    decisions.extend(core.apply_tables(now, &all));
+                    let ports: Vec<u16> = (1..=(choice as u16 % 4)).collect();
+                    tables[0].1 = table(&ports, retries[choice % 4]);
+                    decisions.extend(core.apply_tables(now, &tables));
                 }
                 _ => {}
             }
             for decision in decisions {
                 match decision.action {
-                    Action::Send(send) | Action::AbandonAndSend(send) => {
-                        let known = open.get_mut(&decision.request).expect("it is under way");
-                        prop_assert_eq!(send.number, known.0 + 1);
-                        prop_assert!(known.0 == 0 || known.1 == QUOTE || !known.3, "retried though it may have been processed");
-                        prop_assert!(send.deadline <= known.2 && send.number <= 3);
-                        // An attempt that was given up for being late may have been processed as well.
-                        known.3 |= matches!(decision.action, Action::AbandonAndSend(_));
-                        known.0 = send.number;
+                    Action::Send(attempt) | Action::AbandonAndSend(attempt) => {
+                        let model = active.get_mut(&decision.request).expect("the request is active");
+                        prop_assert_eq!(attempt.number, model.0 + 1);
+                        prop_assert!(model.0 == 0 || model.1 == QUOTE || !model.3, "retried although an attempt may have been processed");
+                        prop_assert!(attempt.deadline <= model.2 && attempt.number <= 3);
+                        // A timed-out attempt may have been processed as well.
+                        model.3 |= matches!(decision.action, Action::AbandonAndSend(_));
+                        model.0 = attempt.number;
                     }
-                    Action::Respond(_) | Action::AbandonAndRespond(_) => drop(open.remove(&decision.request)),
+                    Action::Respond(_) | Action::AbandonAndRespond(_) => drop(active.remove(&decision.request)),
                     Action::Continue => {}
                 }
             }
-            prop_assert!(open.values().all(|known| known.2 > now), "somebody waits past the timeout");
-            prop_assert_eq!(core.active_requests(), open.len());
-            prop_assert_eq!(core.in_flight.total(), open.len() as u64);
-            prop_assert_eq!(core.attempt_timers.len(), open.len());
+            prop_assert!(active.values().all(|model| model.2 > now), "a request is active past its deadline");
+            prop_assert_eq!(core.active_requests(), active.len());
+            prop_assert_eq!(core.in_flight.total(), active.len() as u64);
+            prop_assert_eq!(core.attempt_timers.len(), active.len());
         }
     }
 }
--- a/crates/proxy-core/src/core/transitions.rs
+++ b/crates/proxy-core/src/core/transitions.rs
@@ -1,42 +1,43 @@
-//! The state machine of a request: state and input to next state and action.
+//! The state machine of a request: maps a state and an input to the next state and an action.
 
 use super::requests::RequestState;
 use super::ProxyCore;
-use crate::message::{Action, AttemptOrder, ClientResponse, Decision};
+use crate::message::{Action, AttemptSpec, ClientResponse, Decision};
 use crate::retry::{is_retryable_after_any_failure, Failure};
 use wheelspread::ids::NodeId;
 use wheelspread::time::{Moment, Span};
 
-/// Time after which a request that a new table rejects may be retried.
+/// Retry delay sent to the client of an active request that a new table rejects.
 const SHED_RETRY_AFTER: Span = Span::from_seconds(1.0);
 
-/// What happens to a request. The attempt that ended, if any, is removed from all counts already.
+/// An input to the state machine. If an attempt ended, the caller has already removed it from all counts. The
+/// exception is [`RequestInput::Shed`], for which the state machine removes it.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum RequestInput {
-    /// It is admitted, and a node is selected.
+    /// The request is admitted and a node is selected.
     Admitted { node: NodeId },
-    /// It is not admitted.
+    /// The request is not admitted.
     Rejected { retry_after: Span },
-    /// It is admitted, but there is no node to send to.
+    /// The request is admitted, but no node is available.
     NoNode,
     /// The attempt succeeded.
     Succeeded,
-    /// The attempt failed by itself, and another one is allowed.
+    /// The attempt failed before its deadline, and a retry is allowed.
     Retry { node: NodeId },
-    /// The attempt took too long, and another one is allowed.
+    /// The attempt timed out, and a retry is allowed.
     RetryAfterTimeout { node: NodeId },
-    /// The attempt failed by itself, and no other is allowed.
+    /// The attempt failed before its deadline, and no retry is allowed.
     Failed { failure: Failure },
-    /// The attempt took too long, and no other is allowed.
+    /// The attempt timed out, and no retry is allowed.
     FailedByTimeout { failure: Failure },
-    /// The operation admits nothing any more.
+    /// The operation admits no requests any more.
     Shed,
-    /// The client is gone.
+    /// The client has disconnected.
     ClientGone,
 }
 
 impl ProxyCore {
-    /// Moves a request on. An input that its state does not expect changes nothing.
+    /// Advances a request to its next state. An input that the current state does not expect changes nothing.
     pub(super) fn advance(&mut self, now: Moment, slot: u32, input: RequestInput) -> Decision {
         let request = self.requests.handle(slot);
         let action = match self.requests.get(slot).state {
@@ -95,23 +96,24 @@
         action
     }
 
-    /// Counts an attempt as in flight and starts its timer.
-    fn send_attempt(&mut self, now: Moment, slot: u32, node: NodeId) -> AttemptOrder {
+    /// Adds an attempt to the counts of attempts in flight and starts its timer.
+    fn send_attempt(&mut self, now: Moment, slot: u32, node: NodeId) -> AttemptSpec {
         let request = self.requests.get_mut(slot);
         let operation = &self.operations[usize::from(request.operation.0)];
         request.state = RequestState::InFlight;
         request.attempts += 1;
         request.node = Some(node);
         request.sent_at = now;
-        // An attempt that may be followed is given up early; the last one is waited for as long as the client is.
-        let early = operation.per_attempt_timeout.filter(|_| {
+        // An attempt that may be retried gets the per-attempt time-out; the last one may use the time that remains
+        // until the request's deadline.
+        let early_timeout = operation.per_attempt_timeout.filter(|_| {
             let (policy, safety) = (operation.retry_policy, operation.rules.retry_safety);
             is_retryable_after_any_failure(policy, safety, request.attempts)
         });
-        request.attempt_deadline = early.map_or(request.deadline, |timeout| {
+        request.attempt_deadline = early_timeout.map_or(request.deadline, |timeout| {
             (now + timeout).min(request.deadline)
         });
-        let order = AttemptOrder {
+        let attempt = AttemptSpec {
             node,
             number: request.attempts,
             deadline: request.attempt_deadline,
@@ -122,6 +124,6 @@
         state.in_flight += 1;
         state.health.on_attempt_started();
         self.update_availability(node);
-        order
+        attempt
     }
 }
--- a/crates/proxy-core/src/dialer.rs
+++ b/crates/proxy-core/src/dialer.rs
@@ -1,6 +1,6 @@
-//! Which controller a proxy's stream goes to, and when it dials: the usual one first, again after a delay with
-//! jitter (so that proxies that lost their streams together don't all come back at once), the next one when it
-//! does not accept.
+//! Chooses the controller that a proxy's stream connects to and the time of each connection attempt. The first
+//! controller in the configuration is tried first. After repeated failures the next one is tried. Delays between
+//! attempts have jitter, so that proxies that lost their streams at the same time don't reconnect at the same time.
 
 use wheelspread::pcg::Pcg;
 use wheelspread::time::{Moment, Span};
@@ -12,17 +12,18 @@
     Joined,
 }
 
-/// Failed attempts, a closed stream included, before the next controller is tried.
+/// Number of failures at one controller (failed connection attempts and closed streams) before the next controller
+/// is tried.
 const MAX_FAILURES_PER_CONTROLLER: u32 = 2;
-/// The shortest delay as a part of the configured one; the longest is one more than that.
+/// Minimum delay as a ratio of the configured delay. The maximum is this ratio plus 1.
 const MIN_JITTER_FACTOR: f64 = 0.5;
 
-/// The state of a stream to one of several controllers.
+/// Connection state of one stream that may go to any of several controllers.
 #[derive(Clone, Debug)]
 pub struct ControllerDialer {
     state: State,
-    controllers: usize,
-    current: usize,
+    controller_count: usize,
+    controller_index: usize,
     failures: u32,
     delay: Span,
     next_dial_at: Moment,
@@ -30,12 +31,13 @@
 }
 
 impl ControllerDialer {
-    /// Dials the first of `controllers` at once; `delay` is the mean delay between attempts.
-    pub fn new(now: Moment, controllers: usize, delay: Span, seed: u64) -> ControllerDialer {
+    /// Creates a dialer whose first dial, to the controller with index 0, is due at `now`. `delay` is the mean delay
+    /// between dials.
+    pub fn new(now: Moment, controller_count: usize, delay: Span, seed: u64) -> ControllerDialer {
         ControllerDialer {
             state: State::Waiting,
-            controllers: controllers.max(1),
-            current: 0,
+            controller_count: controller_count.max(1),
+            controller_index: 0,
             failures: 0,
             delay,
             next_dial_at: now,
@@ -43,31 +45,31 @@
         }
     }
 
-    /// The controller that is dialed or joined, by its place among the proxy's.
+    /// Index of the controller that is dialed or joined, in the order of the configuration.
     pub fn controller(&self) -> usize {
-        self.current
+        self.controller_index
     }
 
-    /// Whether a controller has accepted the stream.
+    /// Whether the proxy is joined to a controller, that is, a controller has accepted the stream.
     pub fn is_joined(&self) -> bool {
         self.state == State::Joined
     }
 
-    /// When to dial next; `None` while it dials or is joined.
+    /// When to dial next; `None` while a dial is in progress or the stream is joined.
     pub fn next_dial_at(&self) -> Option<Moment> {
         (self.state == State::Waiting).then_some(self.next_dial_at)
     }
 
-    /// The controller to dial now, if a dial is due.
+    /// Starts a dial if one is due at `now`. Returns the index of the controller to dial.
     pub fn start_dial_if_due(&mut self, now: Moment) -> Option<usize> {
         if self.next_dial_at().is_none_or(|at| now < at) {
             return None;
         }
         self.state = State::Dialing;
-        Some(self.current)
+        Some(self.controller_index)
     }
 
-    /// The controller accepted the stream; `true`: joined by this.
+    /// Records that the controller accepted the stream. Returns `true` if the stream was not joined before.
     pub fn on_accepted(&mut self) -> bool {
         if self.state != State::Dialing {
             return false;
@@ -77,7 +79,7 @@
         true
     }
 
-    /// The stream closed, or did not come about; `true`: it was joined until now.
+    /// Records that the stream closed or could not be opened. Returns `true` if it was joined until now.
     pub fn on_closed(&mut self, now: Moment) -> bool {
         if self.state == State::Waiting {
             return false;
@@ -86,7 +88,7 @@
         self.state = State::Waiting;
         self.failures += 1;
         if self.failures >= MAX_FAILURES_PER_CONTROLLER {
-            self.current = (self.current + 1) % self.controllers;
+            self.controller_index = (self.controller_index + 1) % self.controller_count;
             self.failures = 0;
         }
         self.next_dial_at = now + self.delay * (MIN_JITTER_FACTOR + self.random.unit());
--- a/crates/proxy-core/src/ejection.rs
+++ b/crates/proxy-core/src/ejection.rs
@@ -1,36 +1,36 @@
-//! Passive health checking: a node is ejected after failures in a row of the proxy's own attempts there, and
-//! comes back by probation, one attempt at a time until one succeeds.
+//! Passive health checking. A node is ejected after consecutive failures of the proxy's own attempts. When the
+//! ejection ends the node is on probation: it gets one attempt at a time, until one succeeds or fails.
 
 use wheelspread::time::{Moment, Span};
 
 /// When a node is ejected, and for how long.
 #[derive(Clone, Copy, Debug)]
 pub struct EjectionPolicy {
-    /// Failures in a row that eject a node; 0: no node is ever ejected.
+    /// Number of consecutive failures that eject a node; 0 disables ejection.
     pub consecutive_failures: u32,
-    /// How long the first ejection lasts. Each probation that fails doubles it, up to four times.
+    /// Duration of the first ejection. Each failed probation doubles it, up to 4 times this duration.
     pub ejection_time: Span,
 }
 
 /// Whether a node gets attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EjectionState {
-    /// It does.
+    /// The node gets attempts.
     Available,
-    /// It gets none for now.
+    /// The node gets no attempts.
     Ejected,
-    /// The ejection is over; the next attempt decides.
+    /// The ejection has ended. The next attempt readmits the node or ejects it again.
     Probation,
 }
 
-/// How many times the first ejection one lasts at most, when one probation after the other fails.
+/// Maximum duration of an ejection after repeated failed probations, as a multiple of the first ejection.
 const MAX_EJECTION_TIME_FACTOR: i32 = 4;
 
-/// What a proxy knows of a node's health by its own attempts.
+/// Health of a node as observed from the proxy's own attempts.
 #[derive(Clone, Debug)]
 pub struct PassiveHealth {
     state: EjectionState,
-    failures_in_a_row: u32,
+    consecutive_failures: u32,
     ejected_until: Moment,
     ejection_time_factor: i32,
     is_probation_attempt_in_flight: bool,
@@ -40,7 +40,7 @@
     fn default() -> Self {
         PassiveHealth {
             state: EjectionState::Available,
-            failures_in_a_row: 0,
+            consecutive_failures: 0,
             ejected_until: Moment::from_seconds(0.0),
             ejection_time_factor: 0,
             is_probation_attempt_in_flight: false,
@@ -49,12 +49,12 @@
 }
 
 impl PassiveHealth {
-    /// Whether the node gets attempts.
+    /// The ejection state of the node.
     pub fn state(&self) -> EjectionState {
         self.state
     }
 
-    /// Whether an attempt may go there now, if a table names the node.
+    /// Whether the node may get an attempt now, provided that a table lists it.
     pub fn is_available(&self) -> bool {
         match self.state {
             EjectionState::Available => true,
@@ -68,44 +68,44 @@
         (self.state == EjectionState::Ejected).then_some(self.ejected_until)
     }
 
-    /// An attempt goes there.
+    /// Records that an attempt is sent to the node.
     pub fn on_attempt_started(&mut self) {
         self.is_probation_attempt_in_flight |= self.state == EjectionState::Probation;
     }
 
-    /// An attempt ended without evidence about the node, as when the client disconnected.
+    /// Records that an attempt ended without evidence about the node, for example because the client disconnected.
     pub fn on_attempt_cancelled(&mut self) {
         self.is_probation_attempt_in_flight = false;
     }
 
-    /// An attempt succeeded.
+    /// Records a successful attempt.
     pub fn on_success(&mut self) {
         self.is_probation_attempt_in_flight = false;
         match self.state {
-            EjectionState::Available => self.failures_in_a_row = 0,
-            // A late response of an attempt from before the ejection: the node works again.
+            EjectionState::Available => self.consecutive_failures = 0,
+            // A late response to an attempt sent before the ejection shows that the node works again.
             EjectionState::Ejected => self.state = EjectionState::Probation,
             EjectionState::Probation => {
                 self.state = EjectionState::Available;
-                self.failures_in_a_row = 0;
+                self.consecutive_failures = 0;
                 self.ejection_time_factor = 0;
             }
         }
     }
 
-    /// An attempt failed.
+    /// Records a failed attempt.
     pub fn on_failure(&mut self, now: Moment, policy: EjectionPolicy) {
         self.is_probation_attempt_in_flight = false;
         match self.state {
             EjectionState::Available => {
-                self.failures_in_a_row += 1;
+                self.consecutive_failures += 1;
                 let limit = policy.consecutive_failures;
-                if limit > 0 && self.failures_in_a_row >= limit {
-                    self.failures_in_a_row = 0;
+                if limit > 0 && self.consecutive_failures >= limit {
+                    self.consecutive_failures = 0;
                     self.eject(now, policy, 1);
                 }
             }
-            // A late failure of an attempt from before the ejection changes nothing.
+            // A late failure of an attempt sent before the ejection does not prolong the ejection.
             EjectionState::Ejected => {}
             EjectionState::Probation => {
                 let factor = (self.ejection_time_factor * 2).min(MAX_EJECTION_TIME_FACTOR);
@@ -120,7 +120,7 @@
         self.ejected_until = now + policy.ejection_time * f64::from(factor);
     }
 
-    /// Begins probation if the ejection is over; `true` if that is now.
+    /// Starts probation if the ejection ends by `now`. Returns `true` if it did.
     pub fn end_ejection_if_due(&mut self, now: Moment) -> bool {
         let is_due = self.state == EjectionState::Ejected && now >= self.ejected_until;
         if is_due {
--- a/crates/proxy-core/src/ejection/tests.rs
+++ b/crates/proxy-core/src/ejection/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn failures_in_a_row_eject_and_a_probation_that_succeeds_readmits() {
+fn consecutive_failures_eject_a_node_and_a_successful_probation_readmits_it() {
     let mut node = PassiveHealth::default();
     for (seconds, success) in [
         (0.0, false),
@@ -33,7 +33,7 @@
     }
     assert!(
         node.is_available(),
-        "a success in between starts the count anew"
+        "a success resets the count of consecutive failures"
     );
     observe(&mut node, 0.5, false);
     assert!(!node.is_available() && !node.end_ejection_if_due(at(3.4)));
@@ -44,7 +44,7 @@
     assert_eq!(
         node.ejected_until(),
         Some(at(9.6)),
-        "a failed probation: twice as long"
+        "a failed probation doubles the ejection time"
     );
     assert!(node.end_ejection_if_due(at(9.6)));
     node.on_attempt_started();
@@ -56,17 +56,17 @@
 }
 
 #[test]
-fn late_failures_of_an_ejected_node_do_not_eject_it_longer() {
+fn late_failures_do_not_prolong_an_ejection() {
     let mut node = PassiveHealth::default();
     (0..6).for_each(|_| observe(&mut node, 0.0, false));
     assert_eq!(node.ejected_until(), Some(at(3.0)));
-    // An answer that comes after all shortens it: it works.
+    // A late success ends the ejection early and starts probation.
     observe(&mut node, 0.5, true);
     assert_eq!(node.state(), EjectionState::Probation);
 }
 
 #[test]
-fn a_cancelled_probation_attempt_allows_the_next() {
+fn a_cancelled_probation_attempt_makes_the_node_available_again() {
     let mut node = PassiveHealth::default();
     (0..3).for_each(|_| observe(&mut node, 0.0, false));
     node.end_ejection_if_due(at(3.0));
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn without_a_limit_nothing_is_ejected() {
+fn a_limit_of_zero_disables_ejection() {
     let mut node = PassiveHealth::default();
     (0..100).for_each(|_| node.on_failure(at(0.0), policy(0)));
     assert!(node.is_available());
--- a/crates/proxy-core/src/lib.rs
+++ b/crates/proxy-core/src/lib.rs
@@ -1,17 +1,17 @@
-//! The decisions of a proxy that obeys published tables, without I/O.
+//! The decision logic of a proxy that routes by published tables, without I/O.
 //!
-//! Events go in: requests that arrive, attempts that end, tables that change. [`ProxyCore`] decides where to
-//! send, what to respond and when to give up. It holds no socket and reads no clock: the event loop around it
-//! moves bytes and passes the time in.
+//! [`ProxyCore`] takes events (request arrivals, attempt results, table changes) and decides which node gets an
+//! attempt, what the client receives and when an attempt times out. It holds no socket and reads no clock: the
+//! event loop that drives it does the I/O and passes the current time to each call.
 //!
 //! | module | decides |
 //! | --- | --- |
-//! | [`core`] | the course of each request |
+//! | [`core`] | the lifecycle of each request: attempts, retries, time-outs and the response |
 //! | [`selection`] | which node gets an attempt |
-//! | [`ejection`] | which nodes are avoided after failures (passive health checking) |
+//! | [`ejection`] | which nodes get no attempts after failures (passive health checking) |
 //! | [`retry`] | whether a failed attempt is followed by another |
 //! | [`admission`] | which requests are rejected |
-//! | [`load_accounting`] | what is reported to controllers |
+//! | [`load_accounting`] | the contents of load reports to controllers |
 //! | [`dialer`] | when and to which controller a stream is opened |
 
 pub mod admission;
@@ -27,6 +27,6 @@
 pub use crate::core::ProxyCore;
 pub use config::{CoreConfig, OperationRules, OperationTable};
 pub use ejection::EjectionPolicy;
-pub use message::{Action, AttemptOrder, AttemptOutcome, ClientResponse, Decision, RequestHandle};
+pub use message::{Action, AttemptOutcome, AttemptSpec, ClientResponse, Decision, RequestHandle};
 pub use retry::{Failure, Processing, RetryBudgetConfig, RetrySafety};
 pub use selection::{SelectionPolicy, WeightedNode};
--- a/crates/proxy-core/src/load_accounting.rs
+++ b/crates/proxy-core/src/load_accounting.rs
@@ -1,5 +1,5 @@
-//! Counts of what the proxy observed, until they are reported. They cover the time since the last report, over a
-//! broken stream too, so nothing is lost or counted twice. Each attempt counts when it ends.
+//! Counts of requests and attempts for load reports. The counts cover the time since the last report. They are
+//! kept while the report stream is down, so no attempt is lost or counted twice. An attempt is counted when it ends.
 
 use std::collections::BTreeMap;
 use wheelspread::ids::{NodeId, OperationId};
@@ -8,16 +8,16 @@
     LoadReport, Metric, NodeReport, OperationReport, LATENCY_METRIC,
 };
 
-/// Seconds after which counts say nothing of the present. Controllers would refuse them.
-const MAX_REPORT_AGE_SECONDS: f64 = 300.0;
+/// Counts over a longer period no longer describe the current load, and controllers reject such a report.
+const MAX_REPORT_PERIOD_SECONDS: f64 = 300.0;
 const MILLISECONDS_PER_SECOND: f64 = 1e3;
-/// The first of all nodes, in their order.
-const FIRST_NODE: NodeId = NodeId {
+/// The smallest node id in sort order.
+const MIN_NODE: NodeId = NodeId {
     address: [0; 4],
     port: 0,
 };
 
-/// The attempts of an operation at a node.
+/// Identifies the attempts of one operation at one node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct AttemptKey {
     operation: OperationId,
@@ -27,12 +27,12 @@
 /// Attempts in flight, by operation and node.
 #[derive(Clone, Debug, Default)]
 pub struct InFlightAttempts {
-    /// No zeros.
+    /// Only non-zero counts are stored.
     counts: BTreeMap<AttemptKey, u64>,
 }
 
 impl InFlightAttempts {
-    /// An attempt was sent.
+    /// Counts an attempt that was sent.
     pub fn add(&mut self, operation: OperationId, node: NodeId) {
         *self
             .counts
@@ -40,7 +40,7 @@
             .or_insert(0) += 1;
     }
 
-    /// An attempt ended.
+    /// Removes an attempt that ended.
     pub fn remove(&mut self, operation: OperationId, node: NodeId) {
         let key = AttemptKey { operation, node };
         if let Some(count) = self.counts.get_mut(&key) {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// All attempts in flight.
+    /// Number of attempts in flight over all operations and nodes.
     pub fn total(&self) -> u64 {
         self.counts.values().sum()
     }
@@ -63,12 +63,12 @@
 
     /// The nodes at which an operation has attempts in flight.
     fn nodes(&self, operation: OperationId) -> impl Iterator<Item = NodeId> + '_ {
-        let first = AttemptKey {
+        let min_key = AttemptKey {
             operation,
-            node: FIRST_NODE,
+            node: MIN_NODE,
         };
         self.counts
-            .range(first..)
+            .range(min_key..)
             .map(|(key, _)| *key)
             .take_while(move |key| key.operation == operation)
             .map(|key| key.node)
@@ -106,22 +106,22 @@
     nodes: BTreeMap<NodeId, NodeCounts>,
 }
 
-/// The counts since the last load report.
+/// Counts since the last load report.
 #[derive(Clone, Debug)]
 pub struct LoadAccounting {
-    /// The names of the operations, in the order of their ids.
+    /// The operation names, ordered by operation id.
     names: Vec<String>,
     operations: Vec<OperationCounts>,
-    since: Moment,
+    period_start: Moment,
 }
 
 impl LoadAccounting {
-    /// Counts from now on, for operations of these names.
+    /// Starts counting at `now`; `names` are the operation names, ordered by operation id.
     pub fn new(now: Moment, names: Vec<String>) -> LoadAccounting {
         LoadAccounting {
             operations: vec![OperationCounts::default(); names.len()],
             names,
-            since: now,
+            period_start: now,
         }
     }
 
@@ -129,21 +129,21 @@
         self.operations.get_mut(usize::from(operation.0))
     }
 
-    /// A request was rejected.
+    /// Counts a rejected request.
     pub fn record_rejected(&mut self, operation: OperationId) {
         if let Some(counts) = self.counts(operation) {
             counts.rejected += 1;
         }
     }
 
-    /// An attempt follows a failed one.
+    /// Counts a retry.
     pub fn record_retry(&mut self, operation: OperationId) {
         if let Some(counts) = self.counts(operation) {
             counts.retries += 1;
         }
     }
 
-    /// An attempt succeeded; `loads` are the load metrics that the node sent.
+    /// Counts a successful attempt; `loads` are the load metrics that the node sent with its response.
     pub fn record_success(
         &mut self,
         operation: OperationId,
@@ -174,32 +174,32 @@
         }
     }
 
-    /// An attempt failed.
+    /// Counts a failed attempt.
     pub fn record_failure(&mut self, operation: OperationId, node: NodeId) {
         if let Some(counts) = self.counts(operation) {
             counts.nodes.entry(node).or_default().errored += 1;
         }
     }
 
-    /// What was observed since the last report; counting begins anew. `None`: no time has passed, or so much that
-    /// the counts are dropped.
+    /// Returns the counts since the last report and resets them. Returns `None` if no time has passed. Also returns
+    /// `None`, and drops the counts, if the period exceeds [`MAX_REPORT_PERIOD_SECONDS`].
     pub fn take_report(&mut self, now: Moment, in_flight: &InFlightAttempts) -> Option<LoadReport> {
-        let over = now - self.since;
-        if over <= Span::ZERO {
+        let elapsed = now - self.period_start;
+        if elapsed <= Span::ZERO {
             return None;
         }
-        self.since = now;
-        let fresh = vec![OperationCounts::default(); self.names.len()];
-        let taken = std::mem::replace(&mut self.operations, fresh);
-        if over.seconds() > MAX_REPORT_AGE_SECONDS {
+        self.period_start = now;
+        let empty = vec![OperationCounts::default(); self.names.len()];
+        let taken = std::mem::replace(&mut self.operations, empty);
+        if elapsed.seconds() > MAX_REPORT_PERIOD_SECONDS {
             return None;
         }
-        let operations = taken.into_iter().enumerate().map(|(at, counts)| {
-            let operation = OperationId(at as u8);
-            operation_report(operation, &self.names[at], counts, in_flight)
+        let operations = taken.into_iter().enumerate().map(|(index, counts)| {
+            let operation = OperationId(index as u8);
+            operation_report(operation, &self.names[index], counts, in_flight)
         });
         Some(LoadReport {
-            window: over,
+            window: elapsed,
             operations: operations.collect(),
         })
     }
@@ -210,7 +210,7 @@
     metric.total += value;
 }
 
-/// A node that only has attempts in flight is reported too.
+/// Builds the report of one operation. It includes nodes that have attempts in flight but no counts.
 fn operation_report(
     operation: OperationId,
     name: &str,
--- a/crates/proxy-core/src/load_accounting/tests.rs
+++ b/crates/proxy-core/src/load_accounting/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn counts_are_reported_once_with_the_time_that_they_cover() {
+fn counts_are_reported_once_with_the_period_that_they_cover() {
     let at = Moment::from_seconds;
     let mut accounting =
         LoadAccounting::new(at(10.0), vec!["quote".to_string(), "book".to_string()]);
@@ -31,7 +31,7 @@
     assert_eq!(
         (quote.rate_limited, quote.nodes.len()),
         (1, 3),
-        "a node that only has attempts in flight is reported too"
+        "a node that only has attempts in flight is included"
     );
     let first = &quote.nodes[0];
     assert_eq!(
@@ -42,21 +42,21 @@
         (2, Some(300.0))
     );
     assert_eq!(first.metrics["cpu_utilization"].mean(), Some(0.5));
-    let again = accounting
+    let second_report = accounting
         .take_report(at(18.0), &InFlightAttempts::default())
         .expect("time has passed");
-    assert!(again
+    assert!(second_report
         .operations
         .iter()
         .all(|of| of.nodes.is_empty() && of.rate_limited == 0));
     assert_eq!(
         accounting.take_report(at(18.0), &InFlightAttempts::default()),
         None,
-        "no time, no report"
+        "no report for a period of zero"
     );
     assert_eq!(
         accounting.take_report(at(999.0), &InFlightAttempts::default()),
         None,
-        "too old to say anything"
+        "no report for a period over the maximum"
     );
 }
--- a/crates/proxy-core/src/message.rs
+++ b/crates/proxy-core/src/message.rs
@@ -1,81 +1,81 @@
-//! What goes between the core and the event loop around it.
+//! Types exchanged between the core and the event loop that drives it.
 
 use crate::retry::Failure;
 use wheelspread::ids::NodeId;
 use wheelspread::time::{Moment, Span};
 
-/// Names an active request. Slots are used again; the generation tells their uses apart.
+/// Identifies an active request. Slots are reused; the generation distinguishes the requests of one slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestHandle {
-    /// Its place among the active requests.
+    /// Index of the slot that holds the request.
     pub slot: u32,
-    /// How often the slot was used before.
+    /// Number of earlier requests in the slot; wraps around on overflow.
     pub generation: u32,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Debug)]
 pub enum AttemptOutcome {
-    /// The response came in full.
+    /// The response was received in full.
     Succeeded {
-        /// The load metrics that the node sent with it, by name.
+        /// The load metrics that the node sent with the response, by name.
         loads: Vec<(String, f64)>,
     },
-    /// It failed before its response had begun to go to the client.
+    /// The attempt failed before any part of its response was sent to the client.
     Failed(Failure),
-    /// It failed after that: no other attempt can make it good.
+    /// The attempt failed after part of its response was sent to the client, so it can't be retried.
     FailedMidResponse(Failure),
 }
 
-/// Send a request to a node.
+/// An attempt for the event loop to send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AttemptOrder {
-    /// The node.
+pub struct AttemptSpec {
+    /// The node that the attempt goes to.
     pub node: NodeId,
-    /// Which attempt of the request it is, from 1.
+    /// Number of the attempt within its request, from 1.
     pub number: u32,
-    /// When the attempt is given up. The core says so by itself when its timers are expired.
+    /// When the attempt times out. The core keeps this timer itself; see [`crate::ProxyCore::expire_timers`].
     pub deadline: Moment,
 }
 
-/// What the client gets.
+/// What the client receives.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ClientResponse {
-    /// The response of the node.
+    /// The node's response.
     Upstream,
-    /// A rejection.
+    /// The request is rejected by the admission ratio, the rate limit or a table that admits nothing.
     RateLimited {
-        /// When it may come again.
+        /// Time after which the client may retry.
         retry_after: Span,
     },
-    /// There is no node to send to.
+    /// No node is available.
     NoNode,
-    /// The last attempt failed, and no other is made.
+    /// The last attempt failed and no retry follows.
     Failed(Failure),
-    /// Nothing: the client is gone.
+    /// No response: the client has disconnected.
     ClientGone,
 }
 
-/// What to do for a request.
+/// What the event loop does next for a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt.
-    Send(AttemptOrder),
-    /// Abandon the attempt in flight, then send another.
-    AbandonAndSend(AttemptOrder),
+    /// Send this attempt.
+    Send(AttemptSpec),
+    /// Abandon the attempt in flight, then send this one.
+    AbandonAndSend(AttemptSpec),
     /// Respond to the client.
     Respond(ClientResponse),
     /// Abandon the attempt in flight, then respond to the client.
     AbandonAndRespond(ClientResponse),
-    /// Nothing: the request is over already, or the attempt is not the one in flight.
+    /// Do nothing: the request has already finished, or the attempt is not the one in flight.
     Continue,
 }
 
-/// What to do for which request.
+/// An action and the request that it applies to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Decision {
     /// The request.
     pub request: RequestHandle,
-    /// What to do.
+    /// The action.
     pub action: Action,
 }
--- a/crates/proxy-core/src/retry.rs
+++ b/crates/proxy-core/src/retry.rs
@@ -1,5 +1,5 @@
-//! Whether a failed attempt is followed by another. Three things must agree: the retry policy of the table, the
-//! retry safety of the operation, and what is known of the attempts made so far.
+//! Decides whether a failed attempt is retried. A retry needs the consent of three inputs: the retry policy of the
+//! table, the retry safety of the operation, and what is known about the attempts made so far.
 
 use wheelspread::time::{Moment, Span};
 use wheelspread::RetryPolicy;
@@ -7,38 +7,38 @@
 /// Whether a node can have processed a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Processing {
-    /// It has not, by what the node or the connection said.
+    /// The node has not processed it: the node or the state of the connection proves that.
     NotProcessed,
-    /// Nothing proves that it has not.
+    /// The node may have processed it: nothing proves the opposite.
     MaybeProcessed,
 }
 
 /// How an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// No connection came about.
+    /// No connection could be established.
     Connect,
-    /// The connection ended before anything of the request was written on it.
+    /// A reused connection closed before any byte of the request was written to it.
     Unsent,
-    /// The connection ended after some of it was written and before a response.
+    /// The connection closed after part of the request was written, before the response was complete.
     Reset,
-    /// The node said that it takes no more and has begun nothing (503 with `Retry-After`, or 429).
+    /// The node is overloaded and states that it did not start on the request (503 with `Retry-After`, or 429).
     Refused,
-    /// The node responded with an error.
+    /// The node responded with an error status.
     Errored,
-    /// What came is no response.
+    /// The bytes received are not a valid HTTP response.
     Garbled,
-    /// No response came in time.
+    /// No response arrived before the deadline.
     TimedOut,
 }
 
 impl Failure {
-    /// The one place where it is decided what proves that an attempt was not processed.
+    /// Whether the failure proves that the attempt was not processed. This is the only place that decides it.
     ///
-    /// Without a connection nothing was sent. A connection that the node closed before the first byte went out
-    /// brought nothing either. A refusal says so itself. A reset after bytes were written proves nothing: the
-    /// node may have read them and begun before it died, also when a pooled connection was closed just as the
-    /// request was written on it.
+    /// Without a connection, or with one that the node closed before the first byte was written, the node received
+    /// nothing. A refusal states that processing did not start. A reset after bytes were written proves nothing:
+    /// the node may have read them and started processing before it failed. That includes a pooled connection that
+    /// the node closed just as the request was written to it.
     pub fn processing(self) -> Processing {
         match self {
             Failure::Connect | Failure::Unsent | Failure::Refused => Processing::NotProcessed,
@@ -49,34 +49,34 @@
     }
 }
 
-/// Whether a retry of an operation can take effect twice.
+/// Whether a request of the operation takes effect twice when it is processed twice.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RetrySafety {
-    /// Processed twice is as good as once.
+    /// Processing a request twice has the same effect as processing it once.
     Idempotent,
-    /// Nodes remember the key of a request and drop retries.
+    /// Nodes remember the key of a request and discard duplicates.
     Fingerprinted {
-        /// How long they remember it, from the first attempt that may have been processed.
+        /// How long nodes remember a key, counted from the first attempt that may have been processed.
         window: Span,
     },
-    /// Processed twice takes effect twice.
+    /// Processing a request twice takes effect twice.
     SideEffecting,
 }
 
-/// What is known of a request when one of its attempts has failed.
+/// What is known about a request's attempts when one of them has failed.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptHistory {
-    /// Attempts made so far, the failed one included.
+    /// Number of attempts made so far, including the failed one.
     pub attempts: u32,
-    /// Of all attempts so far: one that may have been processed decides.
+    /// [`Processing::MaybeProcessed`] if any attempt so far may have been processed.
     pub processing: Processing,
-    /// When the first attempt that may have been processed was sent.
+    /// When the first attempt that may have been processed was sent; `None` if there is none.
     pub first_maybe_processed_at: Option<Moment>,
 }
 
-/// Attempts after the first that a policy allows, by what is known of the last one.
-fn max_retries(policy: RetryPolicy, last: Processing) -> u32 {
-    match (policy, last) {
+/// Maximum number of retries that a policy allows, depending on whether the last attempt may have been processed.
+fn max_retries(policy: RetryPolicy, last_processing: Processing) -> u32 {
+    match (policy, last_processing) {
         (RetryPolicy::Never, _) => 0,
         (RetryPolicy::IfUnprocessed, Processing::NotProcessed) => 1,
         (RetryPolicy::IfUnprocessed, Processing::MaybeProcessed) => 0,
@@ -85,28 +85,30 @@
     }
 }
 
-/// Whether one more attempt is allowed. `last` is what is known of the attempt that just failed, `done_by` the
-/// latest moment at which the next one could still take effect.
+/// Whether one more attempt is allowed. `last_processing` tells whether the attempt that just failed may have been
+/// processed. `latest_effect_at` is the latest moment at which the next attempt could take effect.
 pub fn is_retry_allowed(
     policy: RetryPolicy,
     safety: RetrySafety,
     history: AttemptHistory,
-    last: Processing,
-    done_by: Moment,
+    last_processing: Processing,
+    latest_effect_at: Moment,
 ) -> bool {
-    history.attempts <= max_retries(policy, last) && is_retry_safe(safety, history, done_by)
+    history.attempts <= max_retries(policy, last_processing)
+        && is_retry_safe(safety, history, latest_effect_at)
 }
 
-fn is_retry_safe(safety: RetrySafety, history: AttemptHistory, done_by: Moment) -> bool {
+fn is_retry_safe(safety: RetrySafety, history: AttemptHistory, latest_effect_at: Moment) -> bool {
     match (safety, history.first_maybe_processed_at) {
         (RetrySafety::Idempotent, _) => true,
         (RetrySafety::SideEffecting, _) => history.processing == Processing::NotProcessed,
         (RetrySafety::Fingerprinted { .. }, None) => true,
-        (RetrySafety::Fingerprinted { window }, Some(first)) => done_by - first < window,
+        (RetrySafety::Fingerprinted { window }, Some(first)) => latest_effect_at - first < window,
     }
 }
 
-/// Whether an attempt may be followed by another after any failure. Such an attempt is given up early.
+/// Whether the request may be retried after any kind of failure of the given attempt. Such an attempt gets the
+/// shorter per-attempt time-out.
 pub fn is_retryable_after_any_failure(
     policy: RetryPolicy,
     safety: RetrySafety,
@@ -116,17 +118,17 @@
         && safety != RetrySafety::SideEffecting
 }
 
-/// How many retries there may be.
+/// Limits of the retry budget.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudgetConfig {
-    /// Retries as a part of first attempts.
+    /// Number of retries allowed per first attempt.
     pub ratio: f64,
-    /// Retries that may come at once, also of a proxy that has just started.
+    /// Maximum number of unused retries that the budget holds. A proxy starts with this many.
     pub burst: f64,
 }
 
-/// Bounds retries as a part of first attempts, so that they can't add up to a storm: each first attempt adds a
-/// part of a retry, each retry takes one.
+/// Limits retries to a ratio of first attempts, to prevent retry storms. Each first attempt adds
+/// [`RetryBudgetConfig::ratio`] to the budget, up to the burst size; each retry takes 1.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     config: RetryBudgetConfig,
@@ -134,7 +136,7 @@
 }
 
 impl RetryBudget {
-    /// A full budget.
+    /// Creates a full budget.
     pub fn new(config: RetryBudgetConfig) -> RetryBudget {
         RetryBudget {
             config,
@@ -142,12 +144,12 @@
         }
     }
 
-    /// A first attempt is sent.
+    /// Adds the share of a first attempt that is sent.
     pub fn on_first_attempt(&mut self) {
         self.available = (self.available + self.config.ratio).min(self.config.burst);
     }
 
-    /// Takes one retry; `false` if there is none left.
+    /// Takes one retry from the budget. Returns `false` if less than one is left.
     pub fn try_take(&mut self) -> bool {
         let is_allowed = self.available >= 1.0;
         if is_allowed {
--- a/crates/proxy-core/src/selection.rs
+++ b/crates/proxy-core/src/selection.rs
@@ -1,5 +1,5 @@
-//! Which node gets an attempt. Weights are whole numbers as published, so sums are exact and no selection is
-//! biased by what changed before. Entries can be made unavailable for a while without touching the others.
+//! Weighted node selection. Weights are integers, so their sums are exact and earlier changes leave no rounding
+//! error that would bias later selections. An entry can be made unavailable without rebuilding the others.
 
 use std::collections::{BTreeMap, BTreeSet};
 use wheelspread::ids::NodeId;
@@ -8,21 +8,21 @@
 /// How a node is selected.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum SelectionPolicy {
-    /// By chance, each node by its weight.
+    /// Draws a node at random with probability proportional to its weight.
     #[default]
     WeightedRandom,
-    /// In turn, each node as often as its weight says.
+    /// Selects nodes in turn, each as often as its weight requires.
     WeightedRoundRobin,
-    /// Of two drawn by weight, the one with fewer attempts in flight.
+    /// Draws two nodes by weight and selects the one with fewer attempts in flight.
     PowerOfTwoChoices,
 }
 
 /// A node and its weight in a table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WeightedNode {
-    /// The node.
+    /// The node id.
     pub node: NodeId,
-    /// Its weight; 0: it gets nothing.
+    /// Weight relative to the other entries; a node with weight 0 gets no attempts.
     pub weight: u32,
 }
 
@@ -31,34 +31,35 @@
     node: NodeId,
     weight: u64,
     is_available: bool,
-    /// Of a round robin: when its turn is next, in parts of a round.
-    next_turn: u128,
+    /// For round robin: virtual time of the entry's next turn; [`ROUND_LENGTH`] is one round.
+    next_turn_time: u128,
 }
 
-/// A turn of a round robin. Turns are taken in the order of time, then of entries.
+/// A scheduled round-robin turn, ordered by virtual time, then by entry index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Turn {
-    at: u128,
-    entry: usize,
+    time: u128,
+    entry_index: usize,
 }
 
-/// The time in which an entry of weight 1 gets one turn.
-const ROUND: u128 = 1 << 64;
+/// Length of a round in virtual time. An entry of weight `w` gets `w` turns in each round.
+const ROUND_LENGTH: u128 = 1 << 64;
 
-/// The entries of one operation, with a Fenwick tree over the weights of the available ones.
+/// The entries of one operation, with a Fenwick tree over the weights of the available entries.
 #[derive(Clone, Debug)]
 pub struct WeightedEntries {
-    /// In the order of their nodes, each node once.
+    /// Sorted by node id, without duplicates.
     entries: Vec<Entry>,
-    /// The Fenwick tree; its first place is not used.
+    /// The Fenwick tree, indexed from 1; index 0 is unused.
     partial_sums: Vec<u64>,
+    /// Sum of the weights of the available entries.
     total_weight: u64,
-    /// Of the available entries.
+    /// The next turn of each available entry.
     turns: BTreeSet<Turn>,
 }
 
 impl WeightedEntries {
-    /// All entries available but those of weight 0. Weights of a node that comes more than once are added.
+    /// Builds the entries; all are available except those of weight 0. The weights of a repeated node are added up.
     pub fn new(weights: impl IntoIterator<Item = WeightedNode>) -> WeightedEntries {
         let mut weight_by_node = BTreeMap::new();
         for WeightedNode { node, weight } in weights {
@@ -68,27 +69,28 @@
             node,
             weight,
             is_available: weight > 0,
-            next_turn: 0,
+            next_turn_time: 0,
         };
         let entries: Vec<Entry> = weight_by_node.into_iter().map(entry).collect();
-        let mut all = WeightedEntries {
+        let mut result = WeightedEntries {
             partial_sums: vec![0; entries.len() + 1],
             entries,
             total_weight: 0,
             turns: BTreeSet::new(),
         };
-        for at in 0..all.entries.len() {
-            if all.entries[at].is_available {
-                let weight = all.entries[at].weight;
-                all.add_weight(at, weight as i64);
-                // The first turn comes half a share of a round in, so that no entry gets all its turns at once.
-                all.schedule_turn(at, ROUND / u128::from(weight) / 2);
+        for index in 0..result.entries.len() {
+            if result.entries[index].is_available {
+                let weight = result.entries[index].weight;
+                result.add_weight(index, weight as i64);
+                // The first turn comes after half an interval, so that an entry's turns are spread over the round and
+                // not all entries are due at time 0.
+                result.schedule_turn(index, ROUND_LENGTH / u128::from(weight) / 2);
             }
         }
-        all
+        result
     }
 
-    /// The number of entries.
+    /// Number of entries, available or not.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
@@ -98,7 +100,7 @@
         self.entries.is_empty()
     }
 
-    /// The nodes of all entries, in order.
+    /// The nodes of all entries, available or not, in sort order.
     pub fn nodes(&self) -> impl Iterator<Item = NodeId> + '_ {
         self.entries.iter().map(|entry| entry.node)
     }
@@ -109,83 +111,89 @@
             .ok()
     }
 
-    fn schedule_turn(&mut self, entry: usize, at: u128) {
-        self.entries[entry].next_turn = at;
-        self.turns.insert(Turn { at, entry });
+    fn schedule_turn(&mut self, entry_index: usize, time: u128) {
+        self.entries[entry_index].next_turn_time = time;
+        self.turns.insert(Turn { time, entry_index });
     }
 
-    fn add_weight(&mut self, at: usize, change: i64) {
-        self.total_weight = self.total_weight.wrapping_add_signed(change);
-        let mut index = at + 1;
-        while index < self.partial_sums.len() {
-            self.partial_sums[index] = self.partial_sums[index].wrapping_add_signed(change);
-            index += index & index.wrapping_neg();
+    fn add_weight(&mut self, index: usize, delta: i64) {
+        self.total_weight = self.total_weight.wrapping_add_signed(delta);
+        let mut tree_index = index + 1;
+        while tree_index < self.partial_sums.len() {
+            self.partial_sums[tree_index] =
+                self.partial_sums[tree_index].wrapping_add_signed(delta);
+            tree_index += tree_index & tree_index.wrapping_neg();
         }
     }
 
-    /// Makes a node's entry available or not; `true` if that changed it.
+    /// Makes a node's entry available or unavailable. Returns `true` if that changed the entry; an unknown node and
+    /// an entry of weight 0 stay unchanged.
     pub fn set_available(&mut self, node: NodeId, is_available: bool) -> bool {
-        let Some(at) = self.position(node) else {
+        let Some(index) = self.position(node) else {
             return false;
         };
-        let entry = &self.entries[at];
+        let entry = &self.entries[index];
         if entry.is_available == is_available || entry.weight == 0 {
             return false;
         }
-        let (weight, next_turn) = (entry.weight as i64, entry.next_turn);
+        let (weight, next_turn_time) = (entry.weight as i64, entry.next_turn_time);
         if is_available {
-            self.add_weight(at, weight);
-            // It comes in with the others' present turn, not with all the turns that it missed.
-            let present = self.turns.first().map_or(next_turn, |first| first.at);
-            self.schedule_turn(at, next_turn.max(present));
+            self.add_weight(index, weight);
+            // The entry resumes at the current virtual time and does not catch up on the turns that it missed.
+            let current_time = self.turns.first().map_or(next_turn_time, |turn| turn.time);
+            self.schedule_turn(index, next_turn_time.max(current_time));
         } else {
-            self.add_weight(at, -weight);
+            self.add_weight(index, -weight);
             self.turns.remove(&Turn {
-                at: next_turn,
-                entry: at,
+                time: next_turn_time,
+                entry_index: index,
             });
         }
-        self.entries[at].is_available = is_available;
+        self.entries[index].is_available = is_available;
         true
     }
 
-    /// The entry at which the running sum of available weights passes `mark`.
-    fn find(&self, mut mark: u64) -> usize {
-        let mut at = 0;
+    /// The index of the entry at which the running sum of available weights exceeds `offset`.
+    fn find(&self, mut offset: u64) -> usize {
+        let mut index = 0;
         let mut step = (self.partial_sums.len()).next_power_of_two() >> 1;
         while step > 0 {
-            let next = at + step;
-            if next < self.partial_sums.len() && self.partial_sums[next] <= mark {
-                mark -= self.partial_sums[next];
-                at = next;
+            let next_index = index + step;
+            if next_index < self.partial_sums.len() && self.partial_sums[next_index] <= offset {
+                offset -= self.partial_sums[next_index];
+                index = next_index;
             }
             step >>= 1;
         }
-        at
+        index
     }
 
     fn draw(&self, random: &mut Pcg) -> Option<usize> {
         (self.total_weight > 0).then(|| self.find(uniform_below(random, self.total_weight)))
     }
 
-    /// Selects an available entry; `None` if there is none.
+    /// Selects the node of an available entry. Returns `None` if no entry is available.
     pub fn select(
         &mut self,
         policy: SelectionPolicy,
         random: &mut Pcg,
         in_flight: impl Fn(NodeId) -> u32,
     ) -> Option<NodeId> {
-        let at = match policy {
+        let index = match policy {
             SelectionPolicy::WeightedRandom => self.draw(random)?,
-            SelectionPolicy::PowerOfTwoChoices => self.draw_less_busy(random, in_flight)?,
+            SelectionPolicy::PowerOfTwoChoices => self.draw_less_loaded(random, in_flight)?,
             SelectionPolicy::WeightedRoundRobin => self.take_turn()?,
         };
-        self.entries.get(at).map(|entry| entry.node)
+        self.entries.get(index).map(|entry| entry.node)
     }
 
-    fn draw_less_busy(&self, random: &mut Pcg, in_flight: impl Fn(NodeId) -> u32) -> Option<usize> {
+    fn draw_less_loaded(
+        &self,
+        random: &mut Pcg,
+        in_flight: impl Fn(NodeId) -> u32,
+    ) -> Option<usize> {
         let (first, second) = (self.draw(random)?, self.draw(random)?);
-        let in_flight = |at: usize| in_flight(self.entries[at].node);
+        let in_flight = |index: usize| in_flight(self.entries[index].node);
         if in_flight(second) < in_flight(first) {
             Some(second)
         } else {
@@ -194,19 +202,20 @@
     }
 
     fn take_turn(&mut self) -> Option<usize> {
-        let Turn { at, entry } = self.turns.pop_first()?;
-        let interval = ROUND / u128::from(self.entries[entry].weight);
-        self.schedule_turn(entry, at + interval);
-        Some(entry)
+        let Turn { time, entry_index } = self.turns.pop_first()?;
+        let interval = ROUND_LENGTH / u128::from(self.entries[entry_index].weight);
+        self.schedule_turn(entry_index, time + interval);
+        Some(entry_index)
     }
 }
 
-/// A number from 0 up to `end`, each as likely: draws that would favour the small ones are made again.
+/// Draws a uniformly distributed number below `end`. Draws from the incomplete last interval are rejected, because
+/// they would make small numbers more likely (modulo bias).
 fn uniform_below(random: &mut Pcg, end: u64) -> u64 {
-    let fair = u64::MAX - u64::MAX % end;
+    let fair_end = u64::MAX - u64::MAX % end;
     loop {
         let draw = u64::from(random.draw()) << 32 | u64::from(random.draw());
-        if draw < fair {
+        if draw < fair_end {
             return draw % end;
         }
     }
--- a/crates/proxy-core/src/selection/tests.rs
+++ b/crates/proxy-core/src/selection/tests.rs
@@ -32,13 +32,10 @@
     counts
 }
 
-#[test_case(SelectionPolicy::WeightedRandom, 0.02; "by chance")]
-#[test_case(SelectionPolicy::WeightedRoundRobin, 0.0002; "in turn")]
-#[test_case(SelectionPolicy::PowerOfTwoChoices, 0.02; "of two alike")]
-fn shares_follow_the_weights_also_after_entries_became_unavailable_and_available(
-    policy: SelectionPolicy,
-    off: f64,
-) {
+#[test_case(SelectionPolicy::WeightedRandom, 0.02; "weighted random")]
+#[test_case(SelectionPolicy::WeightedRoundRobin, 0.0002; "weighted round robin")]
+#[test_case(SelectionPolicy::PowerOfTwoChoices, 0.02; "power of two choices")]
+fn shares_match_the_weights_after_availability_changes(policy: SelectionPolicy, tolerance: f64) {
     let mut entries =
         WeightedEntries::new((1..=5).map(|port| weighted(port, u32::from(port) * 1000)));
     for port in [2, 4, 5] {
@@ -48,17 +45,17 @@
     entries.set_available(node(2), true);
     let counts = counts(&mut entries, policy, 200_000);
     for (port, count) in &counts {
-        let (share, wanted) = (f64::from(*count) / 200_000.0, f64::from(*port) / 10.0);
+        let (share, expected) = (f64::from(*count) / 200_000.0, f64::from(*port) / 10.0);
         assert!(
-            (share / wanted - 1.0).abs() <= off.max(0.002),
-            "{port}: {share} for {wanted}"
+            (share / expected - 1.0).abs() <= tolerance.max(0.002),
+            "port {port}: share {share}, expected {expected}"
         );
     }
     assert_eq!(counts.keys().copied().collect::<Vec<_>>(), [1, 2, 3, 4]);
 }
 
 #[test]
-fn power_of_two_choices_takes_the_less_busy_node() {
+fn power_of_two_choices_prefers_the_node_with_fewer_attempts_in_flight() {
     let mut entries = WeightedEntries::new([weighted(1, 1), weighted(2, 1)]);
     let mut random = Pcg::new(1);
     let mut selections = (0..100).map(|_| {
@@ -72,12 +69,12 @@
         .count();
     assert!(
         second > 60,
-        "{second} of a hundred; a quarter draws the busy one twice"
+        "{second} of 100 selections; in a quarter of them both draws hit the loaded node"
     );
 }
 
 #[test]
-fn without_an_available_entry_nothing_is_selected() {
+fn no_node_is_selected_without_an_available_entry() {
     let mut random = Pcg::new(1);
     assert_eq!(
         WeightedEntries::new([]).select(SelectionPolicy::WeightedRandom, &mut random, |_| 0),
@@ -99,22 +96,23 @@
 }
 
 proptest! {
-    // Whatever was opened and closed, the tree finds what a plain walk would, and never a closed line.
+    // After any sequence of availability changes, the Fenwick tree finds the same entry as a linear scan over the
+    // available weights, and never an unavailable entry.
     #[test]
-    fn the_tree_agrees_with_a_walk(
+    fn the_fenwick_tree_agrees_with_a_linear_scan(
         weights in prop::collection::vec(0u32..50, 1..40),
-        turns in prop::collection::vec((0usize..40, any::<bool>()), 0..60),
+        changes in prop::collection::vec((0usize..40, any::<bool>()), 0..60),
     ) {
-        let mut entries = WeightedEntries::new(weights.iter().enumerate().map(|(at, weight)| weighted(at as u16, *weight)));
-        for (at, open) in turns {
-            entries.set_available(node(at as u16), open);
+        let mut entries = WeightedEntries::new(weights.iter().enumerate().map(|(index, weight)| weighted(index as u16, *weight)));
+        for (index, is_available) in changes {
+            entries.set_available(node(index as u16), is_available);
         }
-        let open: Vec<u64> = entries.entries.iter().map(|entry| if entry.is_available { entry.weight } else { 0 }).collect();
-        prop_assert_eq!(entries.total_weight, open.iter().sum::<u64>());
+        let available_weights: Vec<u64> = entries.entries.iter().map(|entry| if entry.is_available { entry.weight } else { 0 }).collect();
+        prop_assert_eq!(entries.total_weight, available_weights.iter().sum::<u64>());
         prop_assert_eq!(entries.turns.len(), entries.entries.iter().filter(|entry| entry.is_available).count());
-        let walk = open.iter().enumerate().flat_map(|(at, weight)| (0..*weight).map(move |_| at));
-        for (mark, at) in walk.enumerate() {
-            prop_assert_eq!(entries.find(mark as u64), at);
+        let expected_indices = available_weights.iter().enumerate().flat_map(|(index, weight)| (0..*weight).map(move |_| index));
+        for (offset, index) in expected_indices.enumerate() {
+            prop_assert_eq!(entries.find(offset as u64), index);
         }
     }
 }
--- a/crates/proxy/src/proxy/attempts.rs
+++ b/crates/proxy/src/proxy/attempts.rs
@@ -9,7 +9,7 @@
 use wheelspread::ids::NodeId;
 use wheelspread::time::Moment;
 use wheelspread_proxy_core::{
-    Action, AttemptOrder, AttemptOutcome, ClientResponse, Decision, Failure, RequestHandle,
+    Action, AttemptOutcome, AttemptSpec, ClientResponse, Decision, Failure, RequestHandle,
 };
 use wheelspread_reactor::Poll;
 
@@ -71,9 +71,9 @@
         poll: &Poll,
         now: Moment,
         slot: usize,
-        order: AttemptOrder,
+        order: AttemptSpec,
     ) -> Option<Decision> {
-        let AttemptOrder { node, number, .. } = order;
+        let AttemptSpec { node, number, .. } = order;
         let pending = self.clients.get(slot)?.pending.as_ref()?;
         let (handle, bytes) = (pending.handle, pending.bytes.clone());
         self.observer
