--- a/crates/proxy-core/src/load_accounting.rs
+++ b/crates/proxy-core/src/load_accounting.rs
@@ -182,7 +182,7 @@
     }
 
     /// Returns the counts since the last report and resets them. Returns `None` if no time has passed. Also returns
-    /// `None`, and drops the counts, if the period exceeds [`MAX_REPORT_PERIOD_SECONDS`].
+    /// `None`, and drops the counts, if the period exceeds `MAX_REPORT_PERIOD_SECONDS`.
     pub fn take_report(&mut self, now: Moment, in_flight: &InFlightAttempts) -> Option<LoadReport> {
         let elapsed = now - self.period_start;
         if elapsed <= Span::ZERO {
--- a/crates/proxy/src/client.rs
+++ b/crates/proxy/src/client.rs
@@ -1,4 +1,4 @@
-//! One client's connection: requests in, one at a time, responses out.
+//! A client connection: reads requests one at a time and writes responses.
 
 use crate::connection::{ConnectionState, ReadState};
 use std::io::{ErrorKind, Write};
@@ -8,75 +8,76 @@
 use wheelspread_http1::{Body, Request};
 use wheelspread_proxy_core::RequestHandle;
 
-/// The most that is read ahead while a request is pending.
+/// Maximum number of bytes read ahead while a request is pending.
 pub const READ_AHEAD_BYTES: usize = 64 << 10;
-/// While the client has not taken this much of its responses, nodes are not read from.
+/// While a client has at least this many unsent response bytes, no more of its response is read from the node.
 pub const MAX_UNSENT_RESPONSE_BYTES: usize = 256 << 10;
 
-/// What a client connection does.
+/// What a client connection is doing.
 pub enum Stage {
-    /// Reads the head of a request, or waits for one.
+    /// Reading the head of a request, or idle.
     Head,
-    /// Reads the body of a request.
+    /// Reading the body of a request.
     Body {
-        /// The head of that request.
+        /// The head of the request.
         head: Request,
-        /// Tells where the body ends.
+        /// Decoder that finds the end of the body.
         body: Body,
-        /// Bytes of the body that are here.
+        /// Number of body bytes received.
         received: usize,
     },
-    /// A request is pending.
+    /// Waiting for the response to a pending request.
     Waiting,
-    /// Nothing more is read; what is left to send goes out, then the connection is closed.
+    /// Sending the remaining output, after which the connection is closed. Nothing more is read.
     Closing,
 }
 
 /// The request that a client waits for.
 pub struct PendingRequest {
-    /// The core's name of the request.
+    /// The core's handle of the request.
     pub handle: RequestHandle,
-    /// The client's `x-request-id`, or empty.
+    /// The value of the client's `x-request-id` header, or empty.
     pub id: String,
-    /// The name of the operation.
+    /// Name of the operation.
     pub operation: String,
-    /// The request as it is sent to nodes, the same for all attempts.
+    /// The encoded request that is sent to nodes, shared by all attempts.
     pub bytes: Rc<Vec<u8>>,
-    /// The connection that carries the attempt in flight.
+    /// Pool slot of the connection that carries the attempt in flight.
     pub upstream: Option<usize>,
-    /// Whether the method is `HEAD`: its response has no body.
+    /// Whether the method is `HEAD`, so that the response has no body.
     pub is_head: bool,
-    /// Whether the connection is kept for another request.
+    /// Whether the client connection is kept open for another request.
     pub keep_alive: bool,
-    /// Whether a node's response has begun to go out.
+    /// Whether part of a node's response was queued for the client.
     pub response_started: bool,
 }
 
-/// One client's connection.
+/// A client connection.
 pub struct Client {
-    /// The connection.
+    /// The socket.
     pub socket: TcpStream,
-    /// What was read and not consumed.
+    /// Bytes read and not yet consumed.
     pub input: Vec<u8>,
     output: Vec<u8>,
-    sent: usize,
-    /// What the connection does.
+    /// Number of bytes of `output` that were sent.
+    sent_bytes: usize,
+    /// What the connection is doing.
     pub stage: Stage,
     /// The request that the client waits for.
     pub pending: Option<PendingRequest>,
-    /// When something was last read, written or decided.
+    /// When bytes were last read or written, or a response was last queued.
     pub last_activity_at: Moment,
     read_state: ReadState,
 }
 
 impl Client {
-    /// A connection that was just accepted.
+    /// Wraps a socket that was just accepted.
     pub fn new(now: Moment, socket: TcpStream) -> Client {
         Client {
             socket,
             input: Vec::new(),
             output: Vec::new(),
-            sent: 0,
+            sent_bytes: 0,
             stage: Stage::Head,
             pending: None,
             last_activity_at: now,
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Reads what has come, while `input` holds less than `limit`.
+    /// Reads the available bytes while `input` holds fewer than `limit` bytes.
     pub fn read(
         &mut self,
         now: Moment,
@@ -93,43 +94,43 @@
         buffer: &mut [u8],
     ) -> ConnectionState {
         self.read_state.may_have_more |= readable;
-        let before = self.input.len();
+        let length_before = self.input.len();
         let state = self
             .read_state
             .read_available(&self.socket, &mut self.input, limit, buffer);
-        if self.input.len() > before {
+        if self.input.len() > length_before {
             self.last_activity_at = now;
         }
         state
     }
 
-    /// Whether the client sends no more; it may still read.
+    /// Whether the client closed its sending side. It may still read.
     pub fn peer_closed(&self) -> bool {
         self.read_state.peer_closed
     }
 
-    /// Appends to what goes out.
+    /// Appends bytes to the output.
     pub fn queue(&mut self, bytes: &[u8]) {
         self.output.extend_from_slice(bytes);
     }
 
-    /// What goes out, to append to.
+    /// The output buffer, to append to.
     pub fn output(&mut self) -> &mut Vec<u8> {
         &mut self.output
     }
 
-    /// Bytes that the client has not taken yet.
-    pub fn unsent(&self) -> usize {
-        self.output.len() - self.sent
+    /// Number of output bytes not yet written to the socket.
+    pub fn unsent_bytes(&self) -> usize {
+        self.output.len() - self.sent_bytes
     }
 
-    /// Writes as much as the client takes.
+    /// Writes as much output as the socket accepts.
     pub fn write(&mut self, now: Moment) -> ConnectionState {
-        while self.unsent() > 0 {
-            match self.socket.write(&self.output[self.sent..]) {
+        while self.unsent_bytes() > 0 {
+            match self.socket.write(&self.output[self.sent_bytes..]) {
                 Ok(0) => return ConnectionState::Closed,
                 Ok(count) => {
-                    self.sent += count;
+                    self.sent_bytes += count;
                     self.last_activity_at = now;
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => break,
@@ -142,21 +143,21 @@
     }
 
     fn release_sent_output(&mut self) {
-        if self.unsent() == 0 {
+        if self.unsent_bytes() == 0 {
             self.output.clear();
-            self.sent = 0;
+            self.sent_bytes = 0;
             let is_idle = matches!(self.stage, Stage::Head) && self.input.is_empty();
-            // A connection that idles holds no buffer.
+            // An idle connection keeps no buffer, to save memory.
             if self.output.capacity() > READ_AHEAD_BYTES || is_idle {
                 self.output = Vec::new();
             }
-        } else if self.sent > MAX_UNSENT_RESPONSE_BYTES {
-            self.output.drain(..self.sent);
-            self.sent = 0;
+        } else if self.sent_bytes > MAX_UNSENT_RESPONSE_BYTES {
+            self.output.drain(..self.sent_bytes);
+            self.sent_bytes = 0;
         }
     }
 
-    /// Drops the first bytes of the input.
+    /// Removes the first `count` bytes of the input.
     pub fn consume(&mut self, count: usize) {
         if count >= self.input.len() {
             self.input = Vec::new();
@@ -165,18 +166,18 @@
         }
     }
 
-    /// Whether everything is sent and nothing more is to come.
+    /// Whether all output is sent and no further request or response is expected.
     pub fn is_finished(&self) -> bool {
         let is_closing = matches!(self.stage, Stage::Closing);
         let is_idle = matches!(self.stage, Stage::Head) && self.pending.is_none();
-        self.unsent() == 0 && (is_closing || (self.peer_closed() && is_idle))
+        self.unsent_bytes() == 0 && (is_closing || (self.peer_closed() && is_idle))
     }
 
-    /// Whether a request has begun and the client can still get a response to it.
+    /// Whether part of a request was received and an error response can still be sent.
     pub fn has_partial_request(&self) -> bool {
         let has_begun = matches!(self.stage, Stage::Body { .. }) || !self.input.is_empty();
         has_begun
-            && self.unsent() == 0
+            && self.unsent_bytes() == 0
             && self.pending.is_none()
             && !matches!(self.stage, Stage::Closing)
     }
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -1,9 +1,8 @@
-//! How a proxy is configured: what the rest of the crate works with, checked and with absolute meaning.
-//! The form of the YAML file is in [`file`].
+//! The validated configuration of a proxy, as the rest of the crate uses it. [`file`] defines the YAML file.
 
 mod file;
 
-use crate::tls::{TlsConfigError, TlsSide};
+use crate::tls::{TlsConfig, TlsConfigError};
 use serde::Deserialize;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::{Path, PathBuf};
@@ -12,45 +11,45 @@
 use wheelspread_controller_core::span_format;
 use wheelspread_proxy_core::CoreConfig;
 
-/// One controller of a proxy.
+/// A controller that the proxy can join.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControllerEndpoint {
-    /// Where it takes load reports and serves tables by stream.
+    /// Address at which the controller accepts load report streams and serves discovery streams.
     pub reports: SocketAddrV4,
-    /// The root of its table files; not needed where tables are read from streams.
+    /// Root directory of the controller's table files. Not used if tables are read from streams.
     #[serde(default)]
     pub tables: PathBuf,
 }
 
-/// Where tables come from.
+/// Where the proxy reads tables from.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TableSource {
-    /// Files that a controller swaps in.
+    /// Table files that a controller replaces atomically.
     #[default]
     Files,
-    /// A discovery stream at the address of `reports`.
+    /// A discovery stream from the address in [`ControllerEndpoint::reports`].
     Stream,
 }
 
-/// How long the proxy waits for what.
+/// Time-outs and delays of the proxy.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Timeouts {
-    /// For a connection to a node.
+    /// Time limit for establishing a connection to a node.
     #[serde(with = "span_format")]
     pub connect: Span,
-    /// For the rest of a request that has begun.
+    /// Maximum inactivity of a client while it sends a request or receives a response.
     #[serde(with = "span_format")]
     pub request: Span,
-    /// For a client's next request.
+    /// Maximum idle time of a client connection between two requests.
     #[serde(with = "span_format")]
     pub client_idle: Span,
-    /// Before an idle connection to a node is closed.
+    /// Maximum idle time of a connection to a node.
     #[serde(with = "span_format")]
     pub node_idle: Span,
-    /// Between two attempts to reach a controller, before jitter.
+    /// Delay before a closed or failed stream to a controller is dialed again, before jitter.
     #[serde(rename = "redial", with = "span_format")]
     pub reconnect_delay: Span,
 }
@@ -68,51 +67,51 @@
     }
 }
 
-/// A proxy as it is run.
+/// The validated configuration of a proxy, with paths resolved.
 #[derive(Clone, Debug)]
 pub struct ProxyConfig {
-    /// The name under which controllers know it.
+    /// Name by which controllers identify the proxy.
     pub name: String,
-    /// The zone that it is in.
+    /// Zone of the proxy.
     pub zone: String,
-    /// Where clients connect.
+    /// Address at which the proxy accepts clients.
     pub listen: SocketAddrV4,
-    /// The address that it calls nodes and controllers from; `None`: the system chooses.
+    /// Source address of connections to nodes and controllers; `None` lets the operating system choose.
     pub source: Option<Ipv4Addr>,
-    /// Requests per second that usually come to it, for controllers that have no reports of it yet.
+    /// Usual number of requests per second, for controllers that have no load report of this proxy yet.
     pub usual_rate: Option<f64>,
-    /// Seeds node selection, admission and reconnect jitter.
+    /// Seed of the random numbers for node selection, admission and reconnect jitter.
     pub seed: u64,
-    /// Its controllers, the usual one first.
+    /// The controllers, in the order in which they are tried.
     pub controllers: Vec<ControllerEndpoint>,
-    /// What the core is configured with.
+    /// Configuration of the core.
     pub core: CoreConfig,
-    /// The longest head of a request or response, in bytes.
+    /// Maximum length of the head of a request or response, in bytes.
     pub max_head_bytes: usize,
-    /// The longest body of a request, in bytes.
+    /// Maximum length of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Client connections at one time; more are closed at once.
+    /// Maximum number of open client connections. Further ones are closed immediately after they are accepted.
     pub max_client_connections: usize,
-    /// Connections to one node, idle ones included.
+    /// Maximum number of open connections to one node, including idle ones.
     pub max_connections_per_node: usize,
-    /// How long it waits for what.
+    /// Time-outs and delays.
     pub timeouts: Timeouts,
-    /// Whether it tells controllers which version it holds.
+    /// Whether the proxy publishes in a status file which table version it holds or why it rejected one.
     pub publishes_status: bool,
-    /// Whether it goes by what is swapped into the first controller's directory though no controller accepted
-    /// its report stream, as where somebody swaps tables by hand.
+    /// Whether the proxy follows the table files of the first controller even while no controller has accepted its
+    /// load report stream, for example when an operator replaces table files by hand.
     pub follows_unjoined: bool,
-    /// Where tables come from.
+    /// Where the proxy reads tables from.
     pub table_source: TableSource,
-    /// How streams to controllers are secured; `None`: not at all.
-    pub tls: Option<TlsSide>,
+    /// TLS settings of streams to controllers; `None` means no TLS.
+    pub tls: Option<TlsConfig>,
 }
 
 impl ProxyConfig {
-    /// Reads a YAML file; relative paths in it start from its directory.
+    /// Reads a YAML file. Relative paths in it are resolved against its directory.
     ///
     /// # Errors
-    /// The file can't be read or is not valid.
+    /// The file can't be read, or its contents are not valid.
     pub fn read(path: &Path) -> Result<ProxyConfig, ConfigError> {
         let text = std::fs::read_to_string(path).map_err(|source| ConfigError::Unreadable {
             path: path.to_path_buf(),
@@ -121,7 +120,7 @@
         ProxyConfig::parse(&text, path)
     }
 
-    /// Reads the text of a YAML file that lies at `path`.
+    /// Parses the text of the YAML file at `path`. Relative paths in it are resolved against the directory of `path`.
     ///
     /// # Errors
     /// The text is not valid.
@@ -139,7 +138,7 @@
             })
     }
 
-    /// How the proxy introduces itself to controllers.
+    /// The data by which the proxy introduces itself to controllers.
     pub(crate) fn introduction(&self) -> Introduction {
         Introduction {
             name: self.name.clone(),
@@ -148,7 +147,7 @@
         }
     }
 
-    /// Where controllers listen.
+    /// The addresses at which the controllers accept streams.
     pub(crate) fn controller_addresses(&self) -> Vec<SocketAddrV4> {
         self.controllers
             .iter()
@@ -156,7 +155,7 @@
             .collect()
     }
 
-    /// The roots of the controllers' table files.
+    /// The root directories of the controllers' table files.
     pub(crate) fn table_roots(&self) -> Vec<PathBuf> {
         self.controllers
             .iter()
@@ -165,68 +164,70 @@
     }
 }
 
-/// Why a proxy has no configuration.
+/// Why a proxy's configuration could not be loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The file can't be read.
     #[error("{path}: {source}", path = .path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The file does not have the form of a proxy's file.
+    /// The file is not valid YAML, or does not match the schema of the configuration file.
     #[error("{path}: {source}", path = .path.display())]
     Syntax {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Where it differs.
+        /// The syntax or schema error.
         source: serde_yaml_ng::Error,
     },
-    /// A value is not allowed.
+    /// A value in the file is not allowed.
     #[error("{path}: {source}", path = .path.display())]
     Invalid {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Which value.
+        /// Which value is not allowed.
         source: InvalidConfig,
     },
 }
 
-/// A value in a proxy's file that is not allowed, named by its key.
+/// A value in a proxy's configuration file that is not allowed. The message starts with its key.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidConfig {
-    /// The name is also a file name in the controllers' roots.
-    #[error("proxy.name: `{0}` should be 1 to 100 letters, digits, - and _")]
+    /// The proxy name has a wrong length or character. It is also used as a file name in the controllers' table roots.
+    #[error("proxy.name: `{0}` should be 1 to 100 ASCII letters, digits, `-` or `_`")]
     ProxyName(String),
-    /// There is nobody to take tables from.
-    #[error("conductors: one at least is needed")]
+    /// The list of controllers is empty.
+    #[error("conductors: at least one controller is required")]
     NoControllers,
-    /// Too few or too many operations.
-    #[error("operations: {0}, between 1 and 16 are possible")]
+    /// The number of operations is out of range.
+    #[error("operations: {0} operations found, 1 to 16 are allowed")]
     OperationCount(usize),
     /// The retry budget is out of range.
-    #[error("repeats: part should lie between 0 and 10, at_once between 0 and 1e6")]
+    #[error("repeats: part should be between 0 and 10, at_once between 0 and 1e6")]
     RetryBudget,
     /// A size is too small.
-    #[error("sizes: head should be 256 at least, numbers of connections above 0")]
+    #[error(
+        "sizes: head should be at least 256 bytes, connections and connections_per_node above 0"
+    )]
     Sizes,
-    /// An operation without time.
+    /// The integration time-out of an operation is not positive.
     #[error("operations.{index}.integration_timeout: should be above 0")]
     IntegrationTimeout {
-        /// Its place in the list.
+        /// Index of the operation in the list, from 0.
         index: usize,
     },
-    /// Two operations of one name.
-    #[error("operations.{index}.name: `{name}` is named twice")]
+    /// Two operations have the same name.
+    #[error("operations.{index}.name: `{name}` is the name of an earlier operation")]
     DuplicateOperation {
-        /// The place of the second one in the list.
+        /// Index of the second operation with the name, from 0.
         index: usize,
-        /// The name.
+        /// The duplicate name.
         name: String,
     },
-    /// The TLS part is not usable.
+    /// The TLS settings are not valid.
     #[error("tls: {0}")]
     Tls(#[from] TlsConfigError),
 }
--- a/crates/proxy/src/config/file.rs
+++ b/crates/proxy/src/config/file.rs
@@ -1,7 +1,7 @@
-//! The YAML file of a proxy. Keys keep the spelling that files in use have.
+//! The YAML configuration file of a proxy. The keys keep the spelling of existing files.
 
 use super::{ControllerEndpoint, InvalidConfig, ProxyConfig, TableSource, Timeouts};
-use crate::tls::TlsSide;
+use crate::tls::TlsConfig;
 use serde::Deserialize;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::Path;
@@ -13,9 +13,9 @@
 };
 
 const MAX_NAME_LENGTH: usize = 100;
-/// Operations are numbered by a byte, and a proxy has few.
+/// Operation ids are one byte; a proxy has only a few operations.
 const MAX_OPERATIONS: usize = 16;
-/// A shorter head has no room for a request line and a host.
+/// A shorter limit leaves no room for a request line and a `Host` header.
 const MIN_HEAD_BYTES: usize = 256;
 const MAX_RETRY_RATIO: f64 = 10.0;
 const MAX_RETRY_BURST: f64 = 1e6;
@@ -26,7 +26,7 @@
     name: String,
     zone: String,
     listen: SocketAddrV4,
-    /// The address that it calls nodes and controllers from.
+    /// Source address of connections to nodes and controllers.
     #[serde(default)]
     source: Option<Ipv4Addr>,
     #[serde(default)]
@@ -94,7 +94,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct Ejection {
-    /// Failures in a row of its own attempts at a node; 0: it ejects none.
+    /// Number of consecutive failures of the proxy's own attempts that eject a node; 0 disables ejection.
     #[serde(rename = "after_errors")]
     consecutive_failures: u32,
     #[serde(rename = "span", with = "span_format")]
@@ -113,7 +113,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct RetryBudget {
-    /// Retries as a part of first attempts.
+    /// Number of retries allowed per first attempt.
     #[serde(rename = "part")]
     ratio: f64,
     #[serde(rename = "at_once")]
@@ -132,12 +132,14 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct Sizes {
-    /// Bytes.
+    /// Maximum head length in bytes.
     head: usize,
-    /// Bytes.
+    /// Maximum request body length in bytes.
     body: usize,
+    /// Maximum number of client connections.
     connections: usize,
     connections_per_node: usize,
+    /// Maximum number of attempts in flight at one node; 0 means no limit.
     #[serde(rename = "outstanding_per_node")]
     in_flight_per_node: u32,
 }
@@ -154,7 +156,7 @@
     }
 }
 
-/// The whole file.
+/// The top level of the file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct ProxyFile {
@@ -163,9 +165,9 @@
     controllers: Vec<ControllerEndpoint>,
     #[serde(rename = "reads", default)]
     table_source: TableSource,
-    /// Left out: streams to controllers are not secured.
+    /// If omitted, streams to controllers don't use TLS.
     #[serde(default)]
-    tls: Option<TlsSide>,
+    tls: Option<TlsConfig>,
     operations: Vec<Operation>,
     #[serde(rename = "pick", default = "Selection::default_policy")]
     selection: Selection,
@@ -188,10 +190,10 @@
 }
 
 impl ProxyFile {
-    /// Checks the file; paths in it start from `base`.
+    /// Validates the file and resolves relative paths against `base`.
     pub(super) fn into_config(self, base: &Path) -> Result<ProxyConfig, InvalidConfig> {
         self.check()?;
-        let tls = self.tls.map(|tls| tls.under(base));
+        let tls = self.tls.map(|tls| tls.with_base(base));
         if let Some(tls) = &tls {
             tls.check()?;
         }
--- a/crates/proxy/src/config/tests.rs
+++ b/crates/proxy/src/config/tests.rs
@@ -58,7 +58,7 @@
 
 #[test]
 fn all_keys_are_read() {
-    let all = r"
+    let all_keys = r"
 reads: stream
 pick: pair
 avoid: {after_errors: 7, span: 8s}
@@ -69,7 +69,7 @@
 follows_unjoined: true
 tls: {roots: roots.pem, name: conductor, certificate: g1.pem, key: /g1.key}
 ";
-    let config = parse(&format!("{MINIMAL}{all}")).expect("valid");
+    let config = parse(&format!("{MINIMAL}{all_keys}")).expect("valid");
     assert_eq!(config.table_source, TableSource::Stream);
     let sizes = [
         config.max_head_bytes,
@@ -80,14 +80,14 @@
     ];
     assert_eq!(sizes, [300, 301, 302, 303, 304]);
     let timeouts = &config.timeouts;
-    let waits = [
+    let durations = [
         timeouts.connect,
         timeouts.request,
         timeouts.client_idle,
         timeouts.node_idle,
         timeouts.reconnect_delay,
     ];
-    assert_eq!(waits, [1.0, 2.0, 3.0, 4.0, 5.0].map(Span::from_seconds));
+    assert_eq!(durations, [1.0, 2.0, 3.0, 4.0, 5.0].map(Span::from_seconds));
     assert_eq!(
         (config.publishes_status, config.follows_unjoined),
         (false, true)
@@ -105,28 +105,28 @@
         (core.retry_budget.ratio, core.retry_budget.burst),
         (0.5, 3.0)
     );
-    let tls = config.tls.expect("given");
+    let tls = config.tls.expect("tls is set");
     assert_eq!(tls.roots, PathBuf::from("etc/roots.pem"));
     assert_eq!(tls.key, Some(PathBuf::from("/g1.key")));
 }
 
-#[test_case("name: g1", "name: g/1", "proxy.name: `g/1` should be 1 to 100 letters, digits, - and _"; "name")]
-#[test_case("\n  - {reports: \"127.0.0.1:7101\", tables: run/tables}", " []", "conductors: one at least is needed"; "no controller")]
-#[test_case("\n  - {name: quote, repeat: fingerprinted, repeat_window: 9s, integration_timeout: 4s}", " []", "operations: 0, between 1 and 16 are possible"; "no operation")]
-#[test_case("integration_timeout: 4s", "integration_timeout: 0s", "operations.0.integration_timeout: should be above 0"; "no time")]
-#[test_case("operations:", "operations:\n  - {name: quote, repeat: idempotent, integration_timeout: 4s}", "operations.1.name: `quote` is named twice"; "operation named twice")]
-#[test_case("operations:", "repeats: {part: 11}\noperations:", "repeats: part should lie between 0 and 10, at_once between 0 and 1e6"; "retry budget")]
-#[test_case("operations:", "sizes: {head: 255}\noperations:", "sizes: head should be 256 at least, numbers of connections above 0"; "head size")]
-#[test_case("operations:", "sizes: {connections: 0}\noperations:", "sizes: head should be 256 at least, numbers of connections above 0"; "no client connection")]
-#[test_case("operations:", "tls: {roots: r, name: n, key: k}\noperations:", "tls: certificate and key go together"; "key without certificate")]
-#[test_case("operations:", "tls: {roots: r, name: \"a b\"}\noperations:", "tls: name should be a host name or an address"; "name of the controller")]
-fn a_value_that_is_not_allowed_is_named(from: &str, to: &str, reason: &str) {
+#[test_case("name: g1", "name: g/1", "proxy.name: `g/1` should be 1 to 100 ASCII letters, digits, `-` or `_`"; "proxy name with a slash")]
+#[test_case("\n  - {reports: \"127.0.0.1:7101\", tables: run/tables}", " []", "conductors: at least one controller is required"; "no controller")]
+#[test_case("\n  - {name: quote, repeat: fingerprinted, repeat_window: 9s, integration_timeout: 4s}", " []", "operations: 0 operations found, 1 to 16 are allowed"; "no operation")]
+#[test_case("integration_timeout: 4s", "integration_timeout: 0s", "operations.0.integration_timeout: should be above 0"; "integration time-out of zero")]
+#[test_case("operations:", "operations:\n  - {name: quote, repeat: idempotent, integration_timeout: 4s}", "operations.1.name: `quote` is the name of an earlier operation"; "duplicate operation name")]
+#[test_case("operations:", "repeats: {part: 11}\noperations:", "repeats: part should be between 0 and 10, at_once between 0 and 1e6"; "retry budget out of range")]
+#[test_case("operations:", "sizes: {head: 255}\noperations:", "sizes: head should be at least 256 bytes, connections and connections_per_node above 0"; "head size too small")]
+#[test_case("operations:", "sizes: {connections: 0}\noperations:", "sizes: head should be at least 256 bytes, connections and connections_per_node above 0"; "no client connection allowed")]
+#[test_case("operations:", "tls: {roots: r, name: n, key: k}\noperations:", "tls: certificate and key should be set together"; "key without certificate")]
+#[test_case("operations:", "tls: {roots: r, name: \"a b\"}\noperations:", "tls: name should be a host name or an IP address"; "invalid controller name")]
+fn the_error_names_a_value_that_is_not_allowed(from: &str, to: &str, reason: &str) {
     let error = parse(&MINIMAL.replace(from, to)).expect_err("invalid");
     assert_eq!(error.to_string(), format!("etc/proxy.yaml: {reason}"));
 }
 
 #[test]
-fn an_unknown_key_is_named() {
+fn the_error_names_an_unknown_key() {
     let error = parse(&format!("{MINIMAL}\nreeds: stream\n")).expect_err("invalid");
     let text = error.to_string();
     assert!(
--- a/crates/proxy/src/connection.rs
+++ b/crates/proxy/src/connection.rs
@@ -1,4 +1,4 @@
-//! What client and upstream connections have in common: reading without blocking.
+//! Non-blocking reads, shared by client and upstream connections.
 
 use std::io::{ErrorKind, Read};
 use std::net::TcpStream;
@@ -6,29 +6,31 @@
 /// Whether a connection can still be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionState {
-    /// It can, as far as is known.
+    /// The connection is usable as far as is known.
     Open,
-    /// It failed.
+    /// The connection failed.
     Closed,
 }
 
-/// What is known of the peer's sending side.
+/// State of the peer's sending side.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadState {
-    /// There may be more to read than was taken. Events come on changes only, so this has to be remembered.
+    /// Whether there may be unread bytes in the socket. Events are edge-triggered, so this has to be remembered until
+    /// the bytes are read.
     pub may_have_more: bool,
-    /// The peer sends no more; it may still read.
+    /// Whether the peer closed its sending side. It may still read.
     pub peer_closed: bool,
 }
 
 impl ReadState {
-    /// Of a connection that was not read yet.
+    /// State of a connection that was not read yet.
     pub const NEW: ReadState = ReadState {
         may_have_more: true,
         peer_closed: false,
     };
 
-    /// Reads until there is no more for now, the peer closed, or `input` holds `limit` bytes.
+    /// Reads until no more bytes are available, the peer closed its sending side, or `input` holds at least `limit`
+    /// bytes.
     pub fn read_available(
         &mut self,
         mut socket: &TcpStream,
@@ -41,11 +43,11 @@
                 Ok(0) => self.peer_closed = true,
                 Ok(count) => {
                     input.extend_from_slice(&buffer[..count]);
-                    // Less than was asked for: there is no more for now, and an event tells of the next.
+                    // A short read means that the socket is empty for now. An event announces further bytes.
                     self.may_have_more = count == buffer.len();
                 }
                 Err(error) => match error.kind() {
-                    // A connection that is not established yet has nothing to read.
+                    // `NotConnected`: a connection that is not established yet has nothing to read.
                     ErrorKind::WouldBlock | ErrorKind::NotConnected => self.may_have_more = false,
                     ErrorKind::Interrupted => {}
                     _ => return ConnectionState::Closed,
--- a/crates/proxy/src/http.rs
+++ b/crates/proxy/src/http.rs
@@ -1,14 +1,14 @@
-//! Heads as they are passed on, and the responses that come from the proxy itself.
+//! Encoding of forwarded requests and response heads, and of responses that the proxy generates itself.
 
 use std::ops::Range;
 use wheelspread::time::Span;
 use wheelspread_http1::{Request, Response};
 use wheelspread_xds::orca;
 
-/// Name and value of a header, as places in the bytes of its message.
+/// Name and value of a header, as byte ranges of the message.
 type HeaderRange = (Range<usize>, Range<usize>);
 
-/// Headers that speak of one connection and not of the message, so they are not passed on.
+/// Headers that apply to a single connection and are not forwarded.
 const HOP_BY_HOP_HEADERS: &[&str] = &[
     "connection",
     "keep-alive",
@@ -21,31 +21,32 @@
 fn is_hop_by_hop(name: &[u8]) -> bool {
     HOP_BY_HOP_HEADERS
         .iter()
-        .any(|hop| name.eq_ignore_ascii_case(hop.as_bytes()))
+        .any(|hop_by_hop| name.eq_ignore_ascii_case(hop_by_hop.as_bytes()))
 }
 
-/// The request as it goes to a node: one buffer, used for every attempt.
+/// Encodes the request for a node. The result is reused for every attempt.
 pub fn forward_request(bytes: &[u8], request: &Request, body: &[u8]) -> Vec<u8> {
-    let mut out = Vec::with_capacity(request.length + body.len());
-    out.extend_from_slice(&bytes[request.method.clone()]);
-    out.push(b' ');
-    out.extend_from_slice(&bytes[request.target.clone()]);
-    out.extend_from_slice(b" HTTP/1.1\r\n");
-    copy_headers(bytes, &request.headers, &mut out, is_hop_by_hop);
-    out.extend_from_slice(b"\r\n");
-    out.extend_from_slice(body);
-    out
+    let mut output = Vec::with_capacity(request.length + body.len());
+    output.extend_from_slice(&bytes[request.method.clone()]);
+    output.push(b' ');
+    output.extend_from_slice(&bytes[request.target.clone()]);
+    output.extend_from_slice(b" HTTP/1.1\r\n");
+    copy_headers(bytes, &request.headers, &mut output, is_hop_by_hop);
+    output.extend_from_slice(b"\r\n");
+    output.extend_from_slice(body);
+    output
 }
 
-/// The response's head as it goes to the client. What a node tells of its load is not the client's.
-pub fn forward_response(bytes: &[u8], response: &Response, close: bool, out: &mut Vec<u8>) {
-    out.extend_from_slice(b"HTTP/1.1 ");
-    out.extend_from_slice(response.status.to_string().as_bytes());
-    out.extend_from_slice(b" \r\n");
+/// Encodes the head of a response for the client. The load metrics header is removed, because it is meant for the
+/// proxy.
+pub fn forward_response(bytes: &[u8], response: &Response, close: bool, output: &mut Vec<u8>) {
+    output.extend_from_slice(b"HTTP/1.1 ");
+    output.extend_from_slice(response.status.to_string().as_bytes());
+    output.extend_from_slice(b" \r\n");
     let is_dropped =
         |name: &[u8]| is_hop_by_hop(name) || name.eq_ignore_ascii_case(orca::HEADER.as_bytes());
-    copy_headers(bytes, &response.headers, out, is_dropped);
-    out.extend_from_slice(if close {
+    copy_headers(bytes, &response.headers, output, is_dropped);
+    output.extend_from_slice(if close {
         b"Connection: close\r\n\r\n"
     } else {
         b"\r\n"
@@ -55,28 +56,28 @@
 fn copy_headers(
     bytes: &[u8],
     headers: &[HeaderRange],
-    out: &mut Vec<u8>,
+    output: &mut Vec<u8>,
     is_dropped: impl Fn(&[u8]) -> bool,
 ) {
     for (name, value) in headers {
         if !is_dropped(&bytes[name.clone()]) {
-            out.extend_from_slice(&bytes[name.clone()]);
-            out.extend_from_slice(b": ");
-            out.extend_from_slice(&bytes[value.clone()]);
-            out.extend_from_slice(b"\r\n");
+            output.extend_from_slice(&bytes[name.clone()]);
+            output.extend_from_slice(b": ");
+            output.extend_from_slice(&bytes[value.clone()]);
+            output.extend_from_slice(b"\r\n");
         }
     }
 }
 
-/// The value of a header, the first if there are several.
-pub fn header<'a>(bytes: &'a [u8], headers: &[HeaderRange], wanted: &str) -> Option<&'a str> {
+/// The value of the first header with this name; `None` if there is none or it is not UTF-8.
+pub fn header<'a>(bytes: &'a [u8], headers: &[HeaderRange], header_name: &str) -> Option<&'a str> {
     let found = headers
         .iter()
-        .find(|(name, _)| bytes[name.clone()].eq_ignore_ascii_case(wanted.as_bytes()))?;
+        .find(|(name, _)| bytes[name.clone()].eq_ignore_ascii_case(header_name.as_bytes()))?;
     std::str::from_utf8(&bytes[found.1.clone()]).ok()
 }
 
-/// The operation that a target names: the first part of its path.
+/// The operation name in a request target: the first segment of the path. Empty if the target does not start with `/`.
 pub fn operation(target: &str) -> &str {
     let path = target.split(['?', '#']).next().unwrap_or("");
     path.strip_prefix('/')
@@ -86,31 +87,31 @@
         .unwrap_or("")
 }
 
-/// Why the proxy itself responds.
+/// The reason for a response that the proxy generates itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LocalStatus {
-    /// Two readers could understand the request differently.
+    /// The request is malformed or ambiguous, so the proxy and a node could parse it differently.
     BadRequest,
-    /// No operation has the name that the path begins with.
+    /// No operation has the name in the request target.
     UnknownOperation,
-    /// The rest of the request did not come in time.
+    /// The rest of the request did not arrive in time.
     RequestTimeout,
-    /// The body is longer than allowed.
+    /// The body exceeds the configured maximum.
     BodyTooLarge,
-    /// The head is longer than allowed.
+    /// The head exceeds the configured maximum, or has too many headers.
     HeadTooLarge,
-    /// Rejected by the admission ratio or the rate limit of the table.
+    /// The request was rejected by the admission ratio, the rate limit or a table that admits nothing.
     RateLimited,
-    /// The last attempt failed.
+    /// The last attempt failed, other than by a time-out.
     UpstreamFailed,
-    /// There is no node to send to.
+    /// No node is available.
     NoNode,
-    /// The last attempt took too long.
+    /// The last attempt timed out.
     UpstreamTimeout,
 }
 
 impl LocalStatus {
-    /// Status code and reason phrase, as they stand in the status line.
+    /// Status code and reason phrase for the status line.
     fn code_and_reason(self) -> &'static str {
         match self {
             LocalStatus::BadRequest => "400 Bad Request",
@@ -126,23 +127,23 @@
     }
 }
 
-/// A response that comes from the proxy itself.
+/// A response that the proxy generates itself.
 #[derive(Clone, Copy, Debug)]
 pub struct LocalResponse<'a> {
-    /// Why the proxy responds.
+    /// The reason for the response.
     pub status: LocalStatus,
-    /// The body, without its line end.
+    /// The body, without the line feed that ends it.
     pub message: &'a str,
-    /// When the client may come again.
+    /// Time after which the client may retry; `None` sends no `Retry-After` header.
     pub retry_after: Option<Span>,
 }
 
 impl LocalResponse<'_> {
-    /// The response as bytes; without a body if the request is a `HEAD`.
+    /// Encodes the response, without a body if the request method is `HEAD`.
     pub fn encode(&self, is_head: bool, close: bool) -> Vec<u8> {
         let status = self.status.code_and_reason();
         let length = self.message.len() + 1;
-        // Whole seconds, rounded up: the header has no finer form.
+        // Rounded up, because the header only allows whole seconds.
         let retry_after = self.retry_after.map_or(String::new(), |span| {
             format!("Retry-After: {}\r\n", span.seconds().ceil().max(1.0))
         });
--- a/crates/proxy/src/http/tests.rs
+++ b/crates/proxy/src/http/tests.rs
@@ -6,23 +6,23 @@
 #[test_case("/", ""; "root")]
 #[test_case("http://a/quote", ""; "absolute form")]
 #[test_case("*", ""; "asterisk form")]
-fn the_operation_is_the_first_part_of_the_path(target: &str, wanted: &str) {
-    assert_eq!(operation(target), wanted);
+fn the_operation_is_the_first_path_segment(target: &str, expected: &str) {
+    assert_eq!(operation(target), expected);
 }
 
 #[test]
 fn a_forwarded_request_has_no_hop_by_hop_headers() {
     let text = b"POST /quote HTTP/1.1\r\nHost: a\r\nConnection: close\r\nExpect: 100-continue\r\nX: y\r\nContent-Length: 2\r\n\r\nhi";
     let request = wheelspread_http1::request(text, Default::default())
-        .expect("fine")
-        .expect("whole");
+        .expect("valid request")
+        .expect("complete request");
     let out = forward_request(text, &request, b"hi");
-    let wanted = "POST /quote HTTP/1.1\r\nHost: a\r\nX: y\r\nContent-Length: 2\r\n\r\nhi";
-    assert_eq!(String::from_utf8_lossy(&out), wanted);
+    let expected = "POST /quote HTTP/1.1\r\nHost: a\r\nX: y\r\nContent-Length: 2\r\n\r\nhi";
+    assert_eq!(String::from_utf8_lossy(&out), expected);
 }
 
 #[test]
-fn a_rate_limited_response_says_when_to_retry() {
+fn a_rate_limited_response_has_a_retry_after_header() {
     let response = LocalResponse {
         status: LocalStatus::RateLimited,
         message: "turned away",
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,9 +1,8 @@
-//! A small HTTP/1.1 proxy that obeys published tables.
+//! A small HTTP/1.1 proxy that routes by published tables.
 //!
-//! [`Proxy`] is the proxy around its core (`wheelspread-proxy-core`): client connections on one side, pooled
-//! connections to nodes on the other, tables read from swapped files or a stream, load reports sent on a
-//! stream. It is driven by whoever owns the event loop, so that one thread can carry several; [`serve`] is the
-//! loop of one.
+//! [`Proxy`] does the I/O for the core (`wheelspread-proxy-core`): it serves client connections, pools connections to
+//! nodes, reads tables from files or a stream, and sends load reports on a stream. The owner of an event loop drives
+//! it, so one thread can run several proxies. [`serve`] is an event loop with a single proxy.
 
 mod client;
 mod config;
@@ -26,4 +25,4 @@
 pub use observer::{NoObserver, RequestObserver};
 pub use proxy::Proxy;
 pub use serve::serve;
-pub use tls::{TlsConfigError, TlsSide};
+pub use tls::{TlsConfig, TlsConfigError};
--- a/crates/proxy/src/observer.rs
+++ b/crates/proxy/src/observer.rs
@@ -1,4 +1,4 @@
-//! What a proxy does, for those who record it: drills, and logs of single requests.
+//! Observation of a proxy's actions, for drills and for logs of individual requests.
 
 use wheelspread::ids::NodeId;
 use wheelspread::time::Moment;
@@ -8,26 +8,26 @@
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RequestOutcome {
-    /// The response of a node was passed on; with its status.
+    /// A node's response was forwarded; the value is its status code.
     Upstream(u16),
-    /// Rejected by the admission ratio or the rate limit of the table.
+    /// The request was rejected by the admission ratio, the rate limit or a table that admits nothing.
     RateLimited,
-    /// There was no node to send to.
+    /// No node was available.
     NoNode,
-    /// The last attempt failed.
+    /// The last attempt failed and no retry followed.
     Failed(Failure),
-    /// The client disconnected before the end.
+    /// The client disconnected before the response was complete.
     ClientGone,
 }
 
 /// Observes each step of each request, and changes of tables and controllers.
 ///
-/// `id` is always the request's `x-request-id`, empty if it has none.
+/// `id` is the value of the request's `x-request-id` header, empty if it has none.
 pub trait RequestObserver {
-    /// A request was read whole.
+    /// A request was received in full.
     fn request_received(&mut self, _now: Moment, _id: &str, _operation: &str) {}
 
-    /// An attempt is sent; `number` counts the attempts of its request from 1.
+    /// An attempt is sent. `number` is its number within the request, from 1.
     fn attempt_sent(
         &mut self,
         _now: Moment,
@@ -38,7 +38,7 @@
     ) {
     }
 
-    /// An attempt ended; without a failure it succeeded.
+    /// An attempt ended; `None` as the failure means that it succeeded.
     fn attempt_ended(
         &mut self,
         _now: Moment,
@@ -49,23 +49,24 @@
     ) {
     }
 
-    /// A request ended for its client.
+    /// A request ended with the given outcome for its client.
     fn request_finished(&mut self, _now: Moment, _id: &str, _outcome: RequestOutcome) {}
 
-    /// Tables came into force.
-    fn tables_applied(&mut self, _now: Moment, _held: &LoadedTables) {}
+    /// New tables are about to be applied.
+    fn tables_applied(&mut self, _now: Moment, _tables: &LoadedTables) {}
 
-    /// Tables were not taken; the last good ones stay in force.
+    /// Tables were rejected; the last valid ones stay in force.
     fn tables_rejected(&mut self, _now: Moment, _reason: &str) {}
 
-    /// A controller accepted the report stream: the one at this place of the `count` in the configuration.
+    /// A controller accepted the load report stream. `controller` is its index among the `count` controllers of the
+    /// configuration.
     fn controller_joined(&mut self, _now: Moment, _controller: usize, _count: usize) {}
 
-    /// The report stream to that controller closed.
+    /// The load report stream, which a controller had accepted, closed.
     fn controller_left(&mut self, _now: Moment, _reason: &str) {}
 }
 
-/// Records nothing.
+/// An observer that records nothing.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NoObserver;
 
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -1,8 +1,8 @@
-//! One proxy: carries out what its core decides on sockets, and tells the core what happens on them.
+//! The proxy: carries out the core's decisions on sockets and reports socket events to the core.
 //!
-//! `Proxy` owns all connections of one proxy. Its handlers are divided by concern:
-//! [`client_side`] reads requests, [`attempts`] carries out decisions of the core, [`upstream_side`] passes
-//! responses on, [`tables`] takes tables and load report events, [`maintenance`] ends what took too long.
+//! `Proxy` owns all connections of one proxy. Its handlers are divided by concern: [`client_side`] reads requests,
+//! [`attempts`] carries out the core's decisions, [`upstream_side`] forwards responses, [`tables`] handles tables and
+//! events of the load report stream, [`maintenance`] closes connections that timed out.
 
 mod attempts;
 mod client_side;
@@ -27,13 +27,13 @@
 use wheelspread_proxy_core::ProxyCore;
 use wheelspread_reactor::{self as reactor, Interest, Poll, Readiness};
 
-/// Size of the buffer for one read; what is read is copied to the connection's own input.
+/// Size of the buffer for one read. The bytes read are copied to the input buffer of the connection.
 const READ_BUFFER_BYTES: usize = 32 << 10;
 
-/// A proxy on an event loop that somebody else owns.
+/// A proxy that is driven by an event loop of its owner.
 ///
-/// The owner calls [`on_ready`](Proxy::on_ready) for each event, [`run_due_work`](Proxy::run_due_work) in each
-/// round, and sleeps until [`next_wakeup`](Proxy::next_wakeup) at most.
+/// The owner calls [`on_ready`](Proxy::on_ready) for each event and [`run_due_work`](Proxy::run_due_work) in each
+/// iteration, and sleeps no longer than until [`next_wakeup`](Proxy::next_wakeup).
 pub struct Proxy<W> {
     config: ProxyConfig,
     tokens: TokenSpace,
@@ -41,23 +41,23 @@
     listener: TcpListener,
     clients: Slab<Client>,
     upstreams: UpstreamPool,
-    /// The client slot of each request, by the slot of its handle.
+    /// The client slot of each request, indexed by the slot of the request handle.
     request_owners: Vec<Option<usize>>,
     table_files: TableFiles,
     table_stream: Option<TableStream>,
     report_stream: ReportStream,
     next_maintenance: Moment,
     limits: Limits,
-    /// Clients for whom something changed; served before the loop sleeps.
+    /// Slots of clients with new output or a new stage. They are served before the event loop sleeps.
     changed_clients: Vec<usize>,
     read_buffer: Vec<u8>,
     observer: W,
 }
 
 impl<W: RequestObserver> Proxy<W> {
-    /// Listens, and takes the tables that are there already.
+    /// Opens the listening socket and loads existing table files.
     ///
-    /// `instance` tells the proxies of one loop apart: it is the upper half of their tokens.
+    /// `instance` distinguishes the proxies of one event loop. It is the upper half of their tokens.
     pub fn start(
         poll: &Poll,
         now: Moment,
@@ -121,17 +121,17 @@
         Ok(())
     }
 
-    /// The address on which the proxy listens.
+    /// The address at which the proxy listens.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// Whether a controller has accepted the load report stream.
+    /// Whether the proxy is joined to a controller, that is, a controller has accepted the load report stream.
     pub fn is_joined(&self) -> bool {
         self.report_stream.is_joined()
     }
 
-    /// Handles one event of the loop.
+    /// Handles one event of the event loop.
     ///
     /// # Errors
     /// The watch of the table files failed.
@@ -151,14 +151,14 @@
         Ok(())
     }
 
-    /// Does what is due by the clock, though no socket is ready.
+    /// Does the work that is due at `now`, independent of socket events.
     pub fn run_due_work(&mut self, poll: &Poll, now: Moment) {
         self.expire_attempts(poll, now);
         if now >= self.report_stream.next_wakeup(now) {
             self.poll_report_stream(poll, now);
         }
-        let stream_due = |stream: &TableStream| now >= stream.next_wakeup(now);
-        if self.table_stream.as_ref().is_some_and(stream_due) {
+        let is_stream_due = |stream: &TableStream| now >= stream.next_wakeup(now);
+        if self.table_stream.as_ref().is_some_and(is_stream_due) {
             self.poll_table_stream(poll, now);
         }
         if now >= self.next_maintenance {
--- a/crates/proxy/src/proxy/attempts.rs
+++ b/crates/proxy/src/proxy/attempts.rs
@@ -1,4 +1,4 @@
-//! Carries out the core's decisions: attempts are sent and abandoned, requests are finished.
+//! Carries out the core's decisions: sends and abandons attempts, finishes requests.
 
 use super::Proxy;
 use crate::client::{PendingRequest, Stage};
@@ -13,21 +13,21 @@
 };
 use wheelspread_reactor::Poll;
 
-/// Names no request, so the core and the proxy ignore it.
+/// A handle that identifies no request. The core and the proxy ignore it.
 const NO_REQUEST: RequestHandle = RequestHandle {
     slot: u32::MAX,
     generation: 0,
 };
 
 impl<W: RequestObserver> Proxy<W> {
-    /// Carries out what the core decides by its timers.
+    /// Expires the core's timers and carries out the resulting decisions.
     pub(super) fn expire_attempts(&mut self, poll: &Poll, now: Moment) {
         for decision in self.core.expire_timers(now) {
             self.apply_decision(poll, now, decision);
         }
     }
 
-    /// Carries out a decision, and those that follow from it at once.
+    /// Carries out a decision, and the further decisions if a sent attempt fails immediately.
     pub(super) fn apply_decision(&mut self, poll: &Poll, now: Moment, decision: Decision) {
         let mut next = Some(decision);
         while let Some(decision) = next.take() {
@@ -36,10 +36,10 @@
             };
             next = match decision.action {
                 Action::Continue => None,
-                Action::Send(order) => self.send_attempt(poll, now, slot, order),
-                Action::AbandonAndSend(order) => {
+                Action::Send(spec) => self.send_attempt(poll, now, slot, spec),
+                Action::AbandonAndSend(spec) => {
                     self.abandon_attempt(now, slot, Some(Failure::TimedOut));
-                    self.send_attempt(poll, now, slot, order)
+                    self.send_attempt(poll, now, slot, spec)
                 }
                 Action::Respond(response) => {
                     self.finish_request(now, slot, response);
@@ -65,15 +65,15 @@
         self.clients.get_mut(slot)?.pending.as_mut()
     }
 
-    /// Sends an attempt; returns the decision that follows if it fails at once.
+    /// Sends an attempt. If it fails immediately, returns the core's next decision.
     fn send_attempt(
         &mut self,
         poll: &Poll,
         now: Moment,
         slot: usize,
-        order: AttemptSpec,
+        spec: AttemptSpec,
     ) -> Option<Decision> {
-        let AttemptSpec { node, number, .. } = order;
+        let AttemptSpec { node, number, .. } = spec;
         let pending = self.clients.get(slot)?.pending.as_ref()?;
         let (handle, bytes) = (pending.handle, pending.bytes.clone());
         self.observer
@@ -102,7 +102,7 @@
         Some(self.fail_attempt(now, slot, node, number, failure))
     }
 
-    /// Tells the core that an attempt failed; returns its decision.
+    /// Reports a failed attempt to the core and returns its decision.
     pub(super) fn fail_attempt(
         &mut self,
         now: Moment,
@@ -130,7 +130,8 @@
             .finish_attempt(now, pending.handle, number, outcome)
     }
 
-    /// Gives up the attempt in flight: its connection is closed, whatever may still come on it.
+    /// Abandons the attempt in flight by closing its connection. `failure` is reported to the observer; `None` reports
+    /// nothing.
     fn abandon_attempt(&mut self, now: Moment, slot: usize, failure: Option<Failure>) {
         let client = self.clients.get_mut(slot);
         let Some(pending) = client.and_then(|client| client.pending.as_mut()) else {
@@ -151,7 +152,7 @@
         self.upstreams.close(upstream);
     }
 
-    /// Responds to the client; the request is over for the core.
+    /// Responds to the client. The core has already finished the request.
     fn finish_request(&mut self, now: Moment, slot: usize, response: ClientResponse) {
         let Some(client) = self.clients.get_mut(slot) else {
             return;
@@ -163,7 +164,7 @@
         self.observer
             .request_finished(now, &pending.id, request_outcome(response));
         client.stage = match local_response(response) {
-            // Half a response can't be taken back: the end of the connection tells the client.
+            // Part of a response was already sent. Closing the connection tells the client that it is incomplete.
             Some(_) if pending.response_started => Stage::Closing,
             Some(local) => {
                 client.queue(&local.encode(pending.is_head, close));
@@ -179,7 +180,7 @@
     }
 }
 
-/// The proxy's own response where no node's response is passed on.
+/// The response that the proxy generates itself; `None` if it sends none.
 fn local_response(response: ClientResponse) -> Option<LocalResponse<'static>> {
     let (status, message, retry_after) = match response {
         ClientResponse::Upstream | ClientResponse::ClientGone => return None,
--- a/crates/proxy/src/proxy/client_side.rs
+++ b/crates/proxy/src/proxy/client_side.rs
@@ -1,4 +1,4 @@
-//! The client side: connections are accepted, requests are read whole and handed to the core.
+//! The client side: accepts connections, reads complete requests and passes them to the core.
 
 use super::Proxy;
 use crate::client::{Client, PendingRequest, Stage, MAX_UNSENT_RESPONSE_BYTES, READ_AHEAD_BYTES};
@@ -18,7 +18,7 @@
         let (accepted, _) = reactor::accept(&self.listener);
         for socket in accepted {
             if self.clients.len() >= self.config.max_client_connections {
-                continue; // dropped, so closed at once: the client sees that it is not served
+                continue; // dropping the socket closes it, so the client learns immediately that it is not served
             }
             let entry = self.clients.vacant_entry();
             let slot = entry.key();
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Reads, handles and writes what it can for one client.
+    /// Reads, handles and writes as much as possible for one client without blocking.
     pub(super) fn serve_client(&mut self, poll: &Poll, now: Moment, slot: usize, readable: bool) {
         if self.read_requests(poll, now, slot, readable) == ConnectionState::Closed {
             return self.disconnect_client(poll, now, slot);
@@ -73,12 +73,12 @@
         }
     }
 
-    /// Reads on from a node that was held back while this client took nothing.
+    /// Resumes reading the node's response if it was paused because the client did not read.
     fn resume_upstream(&mut self, poll: &Poll, now: Moment, slot: usize) {
         let Some(client) = self.clients.get(slot) else {
             return;
         };
-        if client.unsent() >= MAX_UNSENT_RESPONSE_BYTES {
+        if client.unsent_bytes() >= MAX_UNSENT_RESPONSE_BYTES {
             return;
         }
         let Some(upstream) = client.pending.as_ref().and_then(|pending| pending.upstream) else {
@@ -90,7 +90,7 @@
         }
     }
 
-    /// One step through what a client sent; `false` if there is nothing to do for now.
+    /// Handles the next part of a client's input. Returns `false` if more input is needed or none is expected.
     fn advance_request(&mut self, poll: &Poll, now: Moment, slot: usize) -> bool {
         match self.clients.get(slot).map(|client| &client.stage) {
             Some(Stage::Head) => self.read_head(now, slot),
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Responds to a request that is not taken, and reads nothing more: where it ends is not known.
+    /// Sends an error response and stops reading, because the end of the request is not known.
     pub(super) fn reject_request(
         &mut self,
         now: Moment,
@@ -198,7 +198,7 @@
         true
     }
 
-    /// Hands a request to the core; it is here as a whole.
+    /// Passes a completely received request to the core.
     fn start_request(
         &mut self,
         poll: &Poll,
@@ -240,21 +240,21 @@
     }
 
     fn set_request_owner(&mut self, request: RequestHandle, slot: usize) {
-        let at = request.slot as usize;
-        if self.request_owners.len() <= at {
-            self.request_owners.resize(at + 1, None);
+        let index = request.slot as usize;
+        if self.request_owners.len() <= index {
+            self.request_owners.resize(index + 1, None);
         }
-        self.request_owners[at] = Some(slot);
+        self.request_owners[index] = Some(slot);
     }
 
-    /// The client that waits for a request.
+    /// The slot of the client that waits for a request.
     pub(super) fn request_owner(&self, request: RequestHandle) -> Option<usize> {
         let slot = (*self.request_owners.get(request.slot as usize)?)?;
         let pending = self.clients.get(slot)?.pending.as_ref()?;
         (pending.handle == request).then_some(slot)
     }
 
-    /// Closes a client connection and gives up its request.
+    /// Closes a client connection and cancels its pending request.
     pub(super) fn disconnect_client(&mut self, poll: &Poll, now: Moment, slot: usize) {
         let Some(client) = self.clients.try_remove(slot) else {
             return;
--- a/crates/proxy/src/proxy/maintenance.rs
+++ b/crates/proxy/src/proxy/maintenance.rs
@@ -1,4 +1,4 @@
-//! Periodic maintenance: connections that have waited for too long are closed.
+//! Periodic maintenance: polls the streams to the controller and closes connections that timed out.
 
 use super::Proxy;
 use crate::client::{Client, Stage};
@@ -9,11 +9,11 @@
 use wheelspread_proxy_core::Failure;
 use wheelspread_reactor::Poll;
 
-/// Time between two rounds of maintenance.
+/// Time between two maintenance runs.
 const MAINTENANCE_INTERVAL: Span = Span::from_seconds(0.25);
 
 impl<W: RequestObserver> Proxy<W> {
-    /// Polls both streams and closes what timed out.
+    /// Polls the load report stream and the table stream, and closes connections that timed out.
     pub(super) fn run_maintenance(&mut self, poll: &Poll, now: Moment) {
         self.next_maintenance = now + MAINTENANCE_INTERVAL;
         self.poll_report_stream(poll, now);
@@ -32,8 +32,11 @@
             carries_attempt,
         } in timed_out
         {
-            // What was decided for an earlier connection of the list may have ended this one's attempt.
-            let attempt = self.upstreams.get(slot).and_then(|it| it.attempt.as_ref());
+            // A decision for an earlier connection in the list may have ended the attempt on this connection.
+            let attempt = self
+                .upstreams
+                .get(slot)
+                .and_then(|connection| connection.attempt.as_ref());
             let client = attempt.map(|attempt| attempt.client);
             let Some(client) = client.filter(|_| carries_attempt) else {
                 self.upstreams.close(slot);
@@ -70,11 +73,11 @@
         let timeouts = &self.config.timeouts;
         let inactive = now - client.last_activity_at;
         match client.stage {
-            Stage::Head if client.input.is_empty() && client.unsent() == 0 => {
+            Stage::Head if client.input.is_empty() && client.unsent_bytes() == 0 => {
                 inactive > timeouts.client_idle
             }
             Stage::Head | Stage::Body { .. } | Stage::Closing => inactive > timeouts.request,
-            Stage::Waiting => client.unsent() > 0 && inactive > timeouts.request,
+            Stage::Waiting => client.unsent_bytes() > 0 && inactive > timeouts.request,
         }
     }
 }
--- a/crates/proxy/src/proxy/tables.rs
+++ b/crates/proxy/src/proxy/tables.rs
@@ -1,4 +1,4 @@
-//! Tables and controllers: what the report stream, the table stream and the table files tell the proxy.
+//! Handles events of the load report stream, the table stream and the table files.
 
 use super::Proxy;
 use crate::observer::RequestObserver;
@@ -12,11 +12,11 @@
 use wheelspread_reactor::Poll;
 use wheelspread_xds::tables::ProxyTable;
 
-/// Published weights are multiples of one thousandth; the core counts in whole numbers.
-const WEIGHT_UNITS_PER_ONE: f64 = 1000.0;
+/// Published weights are multiples of 0.001. The core uses integers, in units of 0.001.
+const WEIGHT_SCALE: f64 = 1000.0;
 
 impl<W: RequestObserver> Proxy<W> {
-    /// Reads and writes the load report stream, and acts on what came of it.
+    /// Polls the load report stream and handles its events.
     pub(super) fn poll_report_stream(&mut self, poll: &Poll, now: Moment) {
         let Proxy {
             report_stream,
@@ -33,10 +33,11 @@
         }
     }
 
-    /// Takes tables from the controller that accepted the load report stream.
+    /// Reads tables from the controller that accepted the load report stream from now on.
     fn follow_controller(&mut self, poll: &Poll, now: Moment, controller: usize) {
-        let count = self.config.controllers.len();
-        self.observer.controller_joined(now, controller, count);
+        let controller_count = self.config.controllers.len();
+        self.observer
+            .controller_joined(now, controller, controller_count);
         if let Some(stream) = &mut self.table_stream {
             stream.follow(now, controller);
             return;
@@ -46,13 +47,14 @@
         match self.table_files.follow(poll, token, controller, dialed_at) {
             Ok(update) => self.apply_table_update(poll, now, update),
             Err(error) => {
-                let reason = format!("its directory can't be watched: {error}");
+                let reason =
+                    format!("the table directory of the controller can't be watched: {error}");
                 self.observer.tables_rejected(now, &reason);
             }
         }
     }
 
-    /// Reads the table stream, if there is one, and applies what came.
+    /// Polls the table stream, if there is one, and applies the resulting updates.
     pub(super) fn poll_table_stream(&mut self, poll: &Poll, now: Moment) {
         let Some(stream) = &mut self.table_stream else {
             return;
@@ -62,23 +64,23 @@
         }
     }
 
-    /// Applies tables, or reports why they were rejected.
+    /// Applies new tables, or reports to the observer why they were rejected.
     pub(super) fn apply_table_update(&mut self, poll: &Poll, now: Moment, update: TableUpdate) {
         match update {
             TableUpdate::Unchanged => {}
             TableUpdate::Rejected(reason) => self.observer.tables_rejected(now, &reason),
-            TableUpdate::New(held) => {
-                self.observer.tables_applied(now, &held);
-                self.apply_tables(poll, now, &held);
+            TableUpdate::New(loaded) => {
+                self.observer.tables_applied(now, &loaded);
+                self.apply_tables(poll, now, &loaded);
             }
         }
     }
 
-    fn apply_tables(&mut self, poll: &Poll, now: Moment, held: &LoadedTables) {
+    fn apply_tables(&mut self, poll: &Poll, now: Moment, loaded: &LoadedTables) {
         let mut tables = Vec::new();
-        for orders in &held.tables.operations {
-            if let Some(operation) = self.core.operation_id(&orders.operation) {
-                tables.push((operation, operation_table(orders)));
+        for table in &loaded.tables.operations {
+            if let Some(operation) = self.core.operation_id(&table.operation) {
+                tables.push((operation, operation_table(table)));
             }
         }
         for decision in self.core.apply_tables(now, &tables) {
@@ -89,17 +91,17 @@
     }
 }
 
-fn operation_table(orders: &ProxyTable) -> OperationTable {
+fn operation_table(table: &ProxyTable) -> OperationTable {
     let entry = |entry: &TableEntry| WeightedNode {
         node: entry.node,
-        weight: (entry.weight * WEIGHT_UNITS_PER_ONE).round() as u32,
+        weight: (entry.weight * WEIGHT_SCALE).round() as u32,
     };
     OperationTable {
-        entries: orders.entries.iter().map(entry).collect(),
-        dropped_of_million: orders.dropped_of_million,
-        rate_limit: orders.rate_limit,
-        retry_policy: orders.retry,
-        per_attempt_timeout: orders.per_try_timeout,
-        request_timeout: orders.timeout,
+        entries: table.entries.iter().map(entry).collect(),
+        dropped_of_million: table.dropped_of_million,
+        rate_limit: table.rate_limit,
+        retry_policy: table.retry,
+        per_attempt_timeout: table.per_try_timeout,
+        request_timeout: table.timeout,
     }
 }
--- a/crates/proxy/src/proxy/upstream_side.rs
+++ b/crates/proxy/src/proxy/upstream_side.rs
@@ -1,4 +1,4 @@
-//! The upstream side: responses of nodes are read and passed on to clients as they come.
+//! The upstream side: reads responses of nodes and forwards them to clients as they arrive.
 
 use super::Proxy;
 use crate::client::{Client, Stage, MAX_UNSENT_RESPONSE_BYTES};
@@ -12,68 +12,69 @@
 use wheelspread_reactor::Poll;
 use wheelspread_xds::orca;
 
-/// The most of a node's response that is held while the client does not take it.
+/// Maximum number of response bytes buffered from a node before they are forwarded, in addition to the maximum head
+/// length.
 const MAX_BUFFERED_RESPONSE_BYTES: usize = 64 << 10;
 
-/// How far the head of a response has come.
+/// Progress of a response head.
 enum HeadProgress {
-    /// It is not there yet.
+    /// The head was not received in full.
     Incomplete,
-    /// It is passed on; the body follows.
+    /// The head was forwarded; the body follows.
     Forwarded,
-    /// There will be none from this node; with what the core decided.
+    /// The node's response is not used. The value is the core's decision, if there is one to carry out.
     Failed(Option<Decision>),
 }
 
 impl<W: RequestObserver> Proxy<W> {
-    /// Writes and reads what it can on a connection to a node.
+    /// Writes and reads as much as possible on a connection to a node without blocking.
     pub(super) fn serve_upstream(&mut self, poll: &Poll, now: Moment, slot: usize, readable: bool) {
         let Some(connection) = self.upstreams.get_mut(slot) else {
             return;
         };
         let client = connection.attempt.as_ref().map(|attempt| attempt.client);
         let write_failed = connection.write() == ConnectionState::Closed;
-        let unsent = client
+        let unsent_bytes = client
             .and_then(|client| self.clients.get(client))
-            .map_or(0, Client::unsent);
-        let limit = if unsent >= MAX_UNSENT_RESPONSE_BYTES {
+            .map_or(0, Client::unsent_bytes);
+        let limit = if unsent_bytes >= MAX_UNSENT_RESPONSE_BYTES {
             0
         } else {
             MAX_BUFFERED_RESPONSE_BYTES + self.limits.head
         };
-        // A response that came before the connection broke still counts, so it is read after a failed write too.
+        // A response that arrived before the connection broke is still valid, so it is read even after a failed write.
         let read_failed =
             connection.read(limit, readable, &mut self.read_buffer) == ConnectionState::Closed;
-        let broken = read_failed || write_failed;
+        let is_broken = read_failed || write_failed;
         let Some(client) = client else {
-            if broken || connection.peer_closed() || !connection.input.is_empty() {
+            if is_broken || connection.peer_closed() || !connection.input.is_empty() {
                 self.upstreams.close(slot);
             }
             return;
         };
-        if let Some(decision) = self.forward_response(now, slot, client, broken) {
+        if let Some(decision) = self.forward_response(now, slot, client, is_broken) {
             self.apply_decision(poll, now, decision);
         }
         self.changed_clients.push(client);
     }
 
-    /// Reads a node's response as far as it has come, and passes it on.
+    /// Forwards the part of a node's response that has been received. Returns a decision to carry out, if any.
     fn forward_response(
         &mut self,
         now: Moment,
         slot: usize,
         client: usize,
-        broken: bool,
+        is_broken: bool,
     ) -> Option<Decision> {
         if self.upstreams.get(slot)?.response.is_none() {
-            match self.forward_head(now, slot, client, broken)? {
+            match self.forward_head(now, slot, client, is_broken)? {
                 HeadProgress::Incomplete => return None,
                 HeadProgress::Failed(decision) => return decision,
                 HeadProgress::Forwarded => {}
             }
         }
         let connection = self.upstreams.get_mut(slot)?;
-        let ended = broken || connection.peer_closed();
+        let is_ended = is_broken || connection.peer_closed();
         let response = connection.response.as_mut()?;
         let Ok(length) = response.body.take(&connection.input) else {
             return self.fail_response(now, slot, client, Failure::Garbled);
@@ -81,23 +82,24 @@
         let output = self.clients.get_mut(client)?.output();
         output.extend_from_slice(&connection.input[..length]);
         connection.input.drain(..length);
-        if response.body.done() || (ended && response.body.ends_with_connection()) {
+        if response.body.done() || (is_ended && response.body.ends_with_connection()) {
             self.finish_response(now, slot, client);
             return None;
         }
-        if ended {
+        if is_ended {
             return self.fail_response(now, slot, client, Failure::Reset);
         }
         None
     }
 
-    /// Reads the head of a response, past informational ones, and passes it on. `None`: the attempt is gone.
+    /// Reads the head of a response, skipping informational responses, and forwards it. Returns `None` if the attempt
+    /// no longer exists.
     fn forward_head(
         &mut self,
         now: Moment,
         slot: usize,
         client: usize,
-        broken: bool,
+        is_broken: bool,
     ) -> Option<HeadProgress> {
         loop {
             let connection = self.upstreams.get_mut(slot)?;
@@ -110,7 +112,7 @@
                 Ok(Some(head)) if head.status >= 200 => {
                     return self.accept_head(now, slot, client, head);
                 }
-                Ok(None) if !broken && !connection.peer_closed() => {
+                Ok(None) if !is_broken && !connection.peer_closed() => {
                     return Some(HeadProgress::Incomplete);
                 }
                 Ok(None) if connection.input.is_empty() => connection.failure_on_close(),
@@ -122,7 +124,7 @@
         }
     }
 
-    /// Takes a final head: either the response is passed on, or another node is asked.
+    /// Handles the head of a final response: forwards it, or reports a failure for which the core may retry.
     fn accept_head(
         &mut self,
         now: Moment,
@@ -145,7 +147,7 @@
         });
         let Some(failure) = failure else {
             self.core.start_response(handle, number);
-            return self.pass_on_head(slot, client);
+            return self.send_head(slot, client);
         };
         let pending = self.clients.get_mut(client)?.pending.as_mut()?;
         self.observer
@@ -153,16 +155,16 @@
         let outcome = AttemptOutcome::Failed(failure);
         let decision = self.core.finish_attempt(now, handle, number, outcome);
         if matches!(decision.action, Action::Send(_) | Action::AbandonAndSend(_)) {
-            // Another node is asked; this response is dropped, its connection with it.
+            // The request is retried at another node, so this response and its connection are discarded.
             pending.upstream = None;
             self.upstreams.close(slot);
             return Some(HeadProgress::Failed(Some(decision)));
         }
-        // No other attempt is made: the client gets what the node said.
-        self.pass_on_head(slot, client)
+        // There is no retry, so the client receives the node's error response.
+        self.send_head(slot, client)
     }
 
-    fn pass_on_head(&mut self, slot: usize, client: usize) -> Option<HeadProgress> {
+    fn send_head(&mut self, slot: usize, client: usize) -> Option<HeadProgress> {
         let connection = self.upstreams.get_mut(slot)?;
         let head = &connection.response.as_ref()?.head;
         let client = self.clients.get_mut(client)?;
@@ -177,7 +179,7 @@
         Some(HeadProgress::Forwarded)
     }
 
-    /// Ends an attempt whose response is missing or broken; returns what the core decides.
+    /// Ends an attempt whose response is missing or incomplete. Returns the core's decision, if any.
     pub(super) fn fail_response(
         &mut self,
         now: Moment,
@@ -194,7 +196,8 @@
         if !is_reported {
             return Some(self.fail_attempt(now, client, node, number, failure));
         }
-        // The core knows of this attempt's end; half of the node's refusal has reached the client.
+        // The core already knows that this attempt failed, and part of the node's error response was sent to the
+        // client. Closing the client connection tells the client that it is incomplete.
         let client = self.clients.get_mut(client)?;
         let pending = client.pending.take()?;
         client.stage = Stage::Closing;
@@ -203,7 +206,7 @@
         None
     }
 
-    /// Ends an attempt whose response has been passed on in full. `None`: the attempt is gone.
+    /// Ends an attempt whose response was forwarded in full. Returns `None` if the attempt no longer exists.
     fn finish_response(&mut self, now: Moment, slot: usize, client: usize) -> Option<()> {
         let finished = self.upstreams.finish_attempt(now, slot)?;
         let (attempt, response) = (finished.attempt, finished.response);
@@ -230,14 +233,15 @@
     }
 }
 
-/// An interim response that is not passed on. 101 is none: it would change the protocol.
+/// Whether a status is that of an interim response, which is not forwarded. 101 is excluded, because it switches the
+/// protocol.
 fn is_informational(status: u16) -> bool {
     status / 100 == 1 && status != 101
 }
 
 fn failure_of_status(status: u16) -> Option<Failure> {
     match status {
-        // The form in which a node says that it takes no more and has begun nothing.
+        // By these statuses a node states that it is overloaded and did not start on the request.
         429 | 503 => Some(Failure::Refused),
         500.. => Some(Failure::Errored),
         _ => None,
--- a/crates/proxy/src/report_stream.rs
+++ b/crates/proxy/src/report_stream.rs
@@ -1,8 +1,8 @@
-//! The load report stream: dialed, and dialed again when it closed, at the next controller if one does not
-//! accept it.
+//! The load report stream. It is redialed when it closes, and goes to the next controller after repeated failures. The
+//! proxy is joined to the controller that accepted the stream.
 
 use crate::config::ProxyConfig;
-use crate::tls::{self, TlsSide};
+use crate::tls::{self, TlsConfig};
 use prost::Message;
 use std::io;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -15,47 +15,47 @@
 use wheelspread_reactor::{self as reactor, Interest, Poll, Token};
 use wheelspread_xds::loads;
 
-/// Time between two polls of an open stream: its pings need them.
+/// Maximum time between two polls of an open stream, which sends its keepalive pings when it is polled.
 const KEEPALIVE_INTERVAL: Span = Span::from_seconds(0.5);
-/// The next report comes this part of a period after a late one at the earliest.
-const MIN_PART_OF_PERIOD: f64 = 0.5;
+/// Minimum delay between a late report and the next one, as a ratio of the report period.
+const MIN_REPORT_DELAY_RATIO: f64 = 0.5;
 
 enum State {
     Waiting,
     Dialing(Box<ClientConnection>),
-    Joined(Joined),
+    Joined(JoinedStream),
 }
 
 /// A stream that a controller accepted.
-struct Joined {
+struct JoinedStream {
     connection: Box<ClientConnection>,
-    /// The report period that the controller asks for.
+    /// The report period that the controller requested.
     period: Span,
-    next_report: Moment,
+    next_report_at: Moment,
 }
 
 /// The load report stream of a proxy.
 pub struct ReportStream {
     introduction: Introduction,
-    controllers: Vec<SocketAddrV4>,
+    addresses: Vec<SocketAddrV4>,
     source: Option<Ipv4Addr>,
     state: State,
     dialer: ControllerDialer,
     token: Token,
     dialed_at: SystemTime,
-    tls: Option<TlsSide>,
+    tls: Option<TlsConfig>,
 }
 
-/// What came of the stream.
+/// A change of the stream's state.
 pub enum ReportStreamEvent {
-    /// A controller accepted it.
+    /// A controller accepted the stream.
     Joined {
-        /// Its place in the configuration.
+        /// Index of the controller in the configuration.
         controller: usize,
     },
-    /// The stream that it had accepted closed.
+    /// The stream closed after a controller had accepted it.
     Left {
-        /// Why.
+        /// Why the stream closed.
         reason: String,
     },
 }
@@ -67,23 +67,23 @@
     Connection(String),
     #[error("{0}")]
     Message(String),
-    #[error("report period of zero")]
+    #[error("the controller requested a report period that is not above 0")]
     ZeroPeriod,
-    #[error("load report not taken")]
+    #[error("load report not sent: the send queue of the stream is full")]
     ReportNotTaken,
     #[error(transparent)]
     Dial(#[from] io::Error),
 }
 
 impl ReportStream {
-    /// A stream that is dialed at the first poll.
+    /// Creates a stream that is dialed at the first poll.
     pub fn new(now: Moment, config: &ProxyConfig, token: Token) -> ReportStream {
-        let controllers = config.controller_addresses();
+        let addresses = config.controller_addresses();
         let delay = config.timeouts.reconnect_delay;
         ReportStream {
             introduction: config.introduction(),
-            dialer: ControllerDialer::new(now, controllers.len(), delay, config.seed),
-            controllers,
+            dialer: ControllerDialer::new(now, addresses.len(), delay, config.seed),
+            addresses,
             source: config.source,
             state: State::Waiting,
             token,
@@ -92,17 +92,17 @@
         }
     }
 
-    /// When it was last dialed, by the clock that files are dated by.
+    /// When the stream was last dialed, on the system clock so that it can be compared with file times.
     pub fn dialed_at(&self) -> SystemTime {
         self.dialed_at
     }
 
-    /// Whether a controller has accepted it.
+    /// Whether a controller has accepted the stream.
     pub fn is_joined(&self) -> bool {
         self.dialer.is_joined()
     }
 
-    /// Dials, reads and writes. `take_report` is called when a report is due.
+    /// Dials, reads and writes what is due. Calls `take_report` when a load report is due.
     pub fn poll(
         &mut self,
         poll: &Poll,
@@ -112,9 +112,9 @@
         if let Some(controller) = self.dialer.start_dial_if_due(now) {
             self.dial(poll, now, controller);
         }
-        let mut joined = Vec::new();
+        let mut stream_events = Vec::new();
         let (events, closed) = match &mut self.state {
-            State::Waiting => return joined,
+            State::Waiting => return stream_events,
             State::Dialing(connection) => connection.turn(now),
             State::Joined(stream) => stream.connection.turn(now),
         };
@@ -123,8 +123,8 @@
             match event {
                 ClientEvent::Opened => error = error.or(self.introduce(now)),
                 ClientEvent::Message { bytes } => {
-                    if let Err(bad_message) = self.on_message(now, &bytes, &mut joined) {
-                        error = Some(bad_message);
+                    if let Err(message_error) = self.on_message(now, &bytes, &mut stream_events) {
+                        error = Some(message_error);
                     }
                 }
             }
@@ -133,22 +133,22 @@
             error = self.send_report_if_due(now, take_report);
         }
         if let Some(error) = error {
-            joined.extend(self.close(now, &error));
+            stream_events.extend(self.close(now, &error));
         }
-        joined
+        stream_events
     }
 
-    /// Says who calls, once the stream is open.
+    /// Sends the introduction on a newly opened stream.
     fn introduce(&mut self, now: Moment) -> Option<StreamError> {
         let State::Dialing(connection) = &mut self.state else {
             return None;
         };
-        let hello = loads::introduce(&self.introduction).encode_to_vec();
-        connection.send(&hello);
+        let introduction = loads::introduce(&self.introduction).encode_to_vec();
+        connection.send(&introduction);
         connection.push(now).map(StreamError::Connection)
     }
 
-    /// A controller says how often it wants reports; the first time it accepts the stream by that.
+    /// Handles a message of the controller, which sets the report period. The first message accepts the stream.
     fn on_message(
         &mut self,
         now: Moment,
@@ -167,17 +167,17 @@
     fn set_period(&mut self, now: Moment, period: Span) -> Option<ReportStreamEvent> {
         match std::mem::replace(&mut self.state, State::Waiting) {
             State::Dialing(connection) => {
-                self.state = State::Joined(Joined {
+                self.state = State::Joined(JoinedStream {
                     connection,
                     period,
-                    next_report: now + period,
+                    next_report_at: now + period,
                 });
                 let controller = self.dialer.controller();
                 let is_joined = self.dialer.on_accepted();
                 is_joined.then_some(ReportStreamEvent::Joined { controller })
             }
             State::Joined(stream) => {
-                self.state = State::Joined(Joined { period, ..stream });
+                self.state = State::Joined(JoinedStream { period, ..stream });
                 None
             }
             State::Waiting => None,
@@ -192,11 +192,11 @@
         let State::Joined(stream) = &mut self.state else {
             return None;
         };
-        if now < stream.next_report {
+        if now < stream.next_report_at {
             return None;
         }
-        let earliest = now + stream.period * MIN_PART_OF_PERIOD;
-        stream.next_report = (stream.next_report + stream.period).max(earliest);
+        let earliest = now + stream.period * MIN_REPORT_DELAY_RATIO;
+        stream.next_report_at = (stream.next_report_at + stream.period).max(earliest);
         let report = take_report()?;
         let zone = |_: &NodeReport| self.introduction.zone.clone();
         let request = loads::request(&report, zone).encode_to_vec();
@@ -220,25 +220,25 @@
         self.dialed_at = SystemTime::now();
         match self.connect(poll, now, controller) {
             Ok(connection) => self.state = State::Dialing(Box::new(connection)),
-            // The stream was not joined, so there is no event.
+            // The stream was not joined, so there is no event to return.
             Err(error) => drop(self.close(now, &error.into())),
         }
     }
 
     fn connect(&self, poll: &Poll, now: Moment, controller: usize) -> io::Result<ClientConnection> {
-        let address = self.controllers[controller];
+        let address = self.addresses[controller];
         let socket = reactor::connect_from(self.source, address.ip().octets(), address.port())?;
         poll.add(&socket, self.token, Interest::Edges)?;
         tls::connect(now, socket, loads::METHOD, self.tls.as_ref())
     }
 
-    /// When it has to be polled at the latest.
+    /// When [`poll`](Self::poll) has to be called at the latest.
     pub fn next_wakeup(&self, now: Moment) -> Moment {
         let keepalive = now + KEEPALIVE_INTERVAL;
         match &self.state {
             State::Waiting => self.dialer.next_dial_at().unwrap_or(now),
             State::Dialing(_) => keepalive,
-            State::Joined(stream) => stream.next_report.min(keepalive),
+            State::Joined(stream) => stream.next_report_at.min(keepalive),
         }
     }
 }
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -1,4 +1,4 @@
-//! The event loop of one proxy.
+//! An event loop with a single proxy.
 
 use crate::token::is_upstream_token;
 use crate::{Proxy, ProxyConfig, RequestObserver};
@@ -6,13 +6,13 @@
 use tracing::info;
 use wheelspread_reactor::{self as reactor, Poll, Signals, Token};
 
-/// Above all tokens of a proxy with the number 0.
+/// Token of the signal events. It is greater than all tokens of the proxy with instance number 0.
 const SIGNALS: Token = Token(1 << 60);
 
-/// Runs one proxy until it gets SIGTERM or SIGINT.
+/// Runs one proxy until the process receives SIGTERM or SIGINT.
 ///
 /// # Errors
-/// The proxy can't listen, or the loop itself failed.
+/// The proxy can't start or accept an event, or the event loop failed.
 pub fn serve<W: RequestObserver>(config: ProxyConfig, observer: W) -> io::Result<()> {
     let mut poll = Poll::new()?;
     let signals = Signals::new(&poll, SIGNALS, &[reactor::TERMINATE, reactor::INTERRUPT])?;
--- a/crates/proxy/src/table_files.rs
+++ b/crates/proxy/src/table_files.rs
@@ -1,5 +1,5 @@
-//! Tables from the directory of the controller that the proxy is joined to. On joining a controller the proxy
-//! keeps what it holds until that controller swaps something in: what lies there may be long out of date.
+//! Reads tables from the directory of the controller that the proxy is joined to. After joining a controller the proxy
+//! keeps its tables until that controller replaces the files: the existing files may be long out of date.
 
 use std::io;
 use std::path::PathBuf;
@@ -9,7 +9,7 @@
 use wheelspread_reactor::{Moved, Poll, Token, Watcher};
 use wheelspread_xds::status::{self, Status};
 
-/// File systems date by a clock that may lie behind by a tick.
+/// File systems may take modification times from a clock that is one tick behind the system clock.
 const FILE_TIME_TOLERANCE: Duration = Duration::from_millis(20);
 
 /// The table files of a proxy's controllers.
@@ -17,31 +17,31 @@
     proxy: String,
     roots: Vec<TableRoot>,
     watcher: Watcher,
-    /// The controller whose directory is watched.
+    /// Index of the controller whose directory is watched.
     watched: Option<usize>,
-    /// The version held last.
+    /// The version of the tables loaded last.
     version: Version,
     publishes_status: bool,
 }
 
-/// What came of reading tables.
+/// The result of reading tables.
 pub enum TableUpdate {
-    /// There is nothing to read.
+    /// There is nothing new to read.
     Unchanged,
     /// Tables to apply.
     New(Box<LoadedTables>),
-    /// What is there can't be used; with the reason.
+    /// The tables are not valid; the value is the reason.
     Rejected(String),
 }
 
-/// Tables that were not taken, for the proxy's status file.
+/// Tables that were rejected, for the proxy's status file.
 struct Rejection {
     version: Version,
     reason: String,
 }
 
 impl TableFiles {
-    /// Files under `roots`, one root for each controller; nothing is watched yet.
+    /// Creates a reader of the files under `roots`, one root per controller. No directory is watched yet.
     pub fn new(
         poll: &Poll,
         token: Token,
@@ -63,7 +63,7 @@
         self.roots[controller].proxy(&self.proxy)
     }
 
-    /// The first tables that lie under any root: a proxy that starts goes by those.
+    /// Loads the first tables that exist under any root. A starting proxy uses them until it joins a controller.
     pub fn load_existing(&mut self) -> TableUpdate {
         for controller in 0..self.roots.len() {
             let update = self.load(controller);
@@ -74,8 +74,9 @@
         TableUpdate::Unchanged
     }
 
-    /// The proxy is joined to this controller from now on, which it began to dial at `dialed_at`. What was
-    /// swapped in since is for this proxy, though the watch came too late to tell of it.
+    /// Watches the directory of this controller, which the proxy has joined and started to dial at `dialed_at`. Tables
+    /// that were replaced since then are loaded now: they are meant for this proxy, but the watch started too late to
+    /// report them.
     pub fn follow(
         &mut self,
         poll: &Poll,
@@ -100,7 +101,7 @@
         Ok(TableUpdate::Unchanged)
     }
 
-    /// Handles events of the watch.
+    /// Handles the events of the watch.
     pub fn on_watch_event(&mut self) -> io::Result<TableUpdate> {
         let events = self.watcher.moved()?;
         let is_gone = |event: &Moved| matches!(event, Moved::Gone { .. });
@@ -116,10 +117,10 @@
     fn load(&mut self, controller: usize) -> TableUpdate {
         match read_tables(&self.directory(controller)) {
             Ok(None) => TableUpdate::Unchanged,
-            Ok(Some(held)) => {
-                self.version = held.tables.version;
+            Ok(Some(loaded)) => {
+                self.version = loaded.tables.version;
                 self.publish_status(controller, None);
-                TableUpdate::New(Box::new(held))
+                TableUpdate::New(Box::new(loaded))
             }
             Err(error) => {
                 self.publish_status(controller, Some(Rejection::new(&error)));
@@ -128,7 +129,8 @@
         }
     }
 
-    /// Says what is held, or why something was not taken. A controller that does not see it goes by time.
+    /// Writes the version held, or the reason of a rejection, to the status file. A controller that does
+    /// not see the file relies on elapsed time instead.
     fn publish_status(&self, controller: usize, rejection: Option<Rejection>) {
         if !self.publishes_status {
             return;
@@ -161,7 +163,7 @@
     }
 }
 
-/// Whether an event of the watch may mean other tables.
+/// Whether a watch event may mean that the tables changed.
 fn may_change_tables(event: &Moved) -> bool {
     match event {
         Moved::Into { name, .. } => name == CURRENT,
--- a/crates/proxy/src/table_files/tests.rs
+++ b/crates/proxy/src/table_files/tests.rs
@@ -2,10 +2,10 @@
 use wheelspread_xds::tables::Documents;
 
 #[test]
-fn tables_swapped_in_between_the_join_and_the_watch_are_applied() {
-    let directory = tempfile::tempdir().expect("a directory");
+fn tables_replaced_after_the_dial_and_before_the_watch_are_applied() {
+    let directory = tempfile::tempdir().expect("temporary directory");
     let root = TableRoot::new(directory.path());
-    root.prepare().expect("prepared");
+    root.prepare().expect("root prepared");
     let response =
         |kind: &str| format!(r#"{{"versionInfo": "7", "typeUrl": "type.googleapis.com/{kind}"}}"#);
     let documents = Documents {
@@ -14,22 +14,23 @@
     };
     wheelspread_files::Swap::new(&root, Version(7), &documents, "g1")
         .run()
-        .expect("swapped");
-    let poll = Poll::new().expect("epoll");
+        .expect("tables replaced");
+    let poll = Poll::new().expect("epoll created");
     let hour = Duration::from_secs(3600);
     for (dialed_at, is_applied) in [
         (SystemTime::now() - hour, true),
         (SystemTime::now() + hour, false),
     ] {
         let roots = vec![directory.path().to_path_buf()];
-        let mut tables = TableFiles::new(&poll, Token(1), "g1", roots, false).expect("inotify");
+        let mut tables =
+            TableFiles::new(&poll, Token(1), "g1", roots, false).expect("inotify created");
         let update = tables
             .follow(&poll, Token(1), 0, dialed_at)
-            .expect("watched");
+            .expect("directory watched");
         assert_eq!(
             matches!(update, TableUpdate::New(_)),
             is_applied,
-            "of long ago: {}",
+            "tables replaced before the dial: {}",
             !is_applied
         );
     }
--- a/crates/proxy/src/table_stream.rs
+++ b/crates/proxy/src/table_stream.rs
@@ -1,9 +1,10 @@
-//! Tables by a discovery stream of the controller that accepted the report stream: dialed when it accepts,
-//! dialed again while it stays joined. A new stream says which version is held already.
+//! Reads tables from a discovery stream of the controller that the proxy is joined to, that is, the controller that
+//! accepted the load report stream. The stream is dialed when the proxy joins a controller, and redialed when it
+//! closes. The first request of a new stream names the version that the proxy already holds.
 
 use crate::config::ProxyConfig;
 use crate::table_files::TableUpdate;
-use crate::tls::{self, TlsSide};
+use crate::tls::{self, TlsConfig};
 use std::io;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use wheelspread::time::{Moment, Span};
@@ -14,7 +15,7 @@
 use wheelspread_reactor::{self as reactor, Interest, Poll, Token};
 use wheelspread_xds::discovery;
 
-/// Time between two polls of an open stream: its pings need them.
+/// Maximum time between two polls of an open stream, which sends its keepalive pings when it is polled.
 const KEEPALIVE_INTERVAL: Span = Span::from_seconds(0.5);
 
 /// Why a stream closed.
@@ -24,7 +25,7 @@
     Connection(String),
     #[error("{0}")]
     Message(String),
-    /// What came does not fit the resources held: a new stream begins with everything.
+    /// A response does not fit the resources held. A new stream starts again with all resources.
     #[error("{0}")]
     Inconsistent(String),
 }
@@ -36,18 +37,18 @@
     source: Option<Ipv4Addr>,
     token: Token,
     reconnect_delay: Span,
-    /// The controller that the proxy is joined to.
+    /// Index of the controller that the proxy is joined to.
     controller: Option<usize>,
     connection: Option<Box<ClientConnection>>,
-    dial_at: Option<Moment>,
-    reader: DeltaClient,
-    /// The first request of a stream still has to say who calls.
+    next_dial_at: Option<Moment>,
+    delta_client: DeltaClient,
+    /// Whether the next request is the first of its stream and has to carry the introduction.
     needs_introduction: bool,
-    tls: Option<TlsSide>,
+    tls: Option<TlsConfig>,
 }
 
 impl TableStream {
-    /// A stream that is dialed once the proxy is joined to a controller.
+    /// Creates a stream that is dialed once the proxy is joined to a controller.
     pub fn new(config: &ProxyConfig, token: Token) -> TableStream {
         TableStream {
             introduction: config.introduction(),
@@ -57,37 +58,38 @@
             reconnect_delay: config.timeouts.reconnect_delay,
             controller: None,
             connection: None,
-            dial_at: None,
-            reader: DeltaClient::new(subscriptions(config)),
+            next_dial_at: None,
+            delta_client: DeltaClient::new(subscriptions(config)),
             needs_introduction: true,
             tls: config.tls.clone(),
         }
     }
 
-    /// The proxy is joined to this controller from now on.
+    /// Switches the stream to this controller, which the proxy has joined.
     pub fn follow(&mut self, now: Moment, controller: usize) {
         if self.controller != Some(controller) || self.connection.is_none() {
             self.controller = Some(controller);
             self.connection = None;
-            self.dial_at = Some(now);
+            self.next_dial_at = Some(now);
         }
     }
 
-    /// Dials, reads and acknowledges; returns what came of it.
+    /// Dials, reads and acknowledges what is due. Returns the resulting table updates.
     pub fn poll(&mut self, poll: &Poll, now: Moment) -> Vec<TableUpdate> {
         let mut updates = Vec::new();
-        if self.dial_at.is_some_and(|at| now >= at) {
+        if self.next_dial_at.is_some_and(|at| now >= at) {
             self.dial(poll, now);
         }
         if let Err(error) = self.read(now, &mut updates) {
             tracing::debug!(reason = %error, "table stream closed");
             self.connection = None;
-            self.dial_at = Some(now + self.reconnect_delay);
+            self.next_dial_at = Some(now + self.reconnect_delay);
         }
         updates
     }
 
-    /// Reads until nothing more comes: what is said back goes out with a turn of its own, in which more may come.
+    /// Reads until there are no more events. Replies are sent by the next turn of the connection, which may return
+    /// further events.
     fn read(&mut self, now: Moment, updates: &mut Vec<TableUpdate>) -> Result<(), StreamError> {
         let mut result = Ok(());
         while let Some(connection) = self.connection.as_mut().filter(|_| result.is_ok()) {
@@ -98,7 +100,7 @@
             if events.is_empty() {
                 break;
             }
-            // What came before the stream closed still counts.
+            // Events received before the stream closed are still handled.
             for event in events {
                 match event {
                     ClientEvent::Opened => self.subscribe(),
@@ -115,7 +117,7 @@
 
     fn subscribe(&mut self) {
         self.needs_introduction = true;
-        for request in self.reader.initial_requests() {
+        for request in self.delta_client.initial_requests() {
             self.send(&request);
         }
     }
@@ -123,7 +125,8 @@
     fn send(&mut self, request: &Request) {
         let is_first = std::mem::take(&mut self.needs_introduction);
         let introduction = is_first.then_some(&self.introduction);
-        let message = discovery::encode_delta_request(introduction, self.reader.version(), request);
+        let message =
+            discovery::encode_delta_request(introduction, self.delta_client.version(), request);
         if let Some(connection) = &mut self.connection {
             connection.send(&message);
         }
@@ -136,19 +139,21 @@
     ) -> Result<(), StreamError> {
         let response = discovery::decode_delta_response(bytes)
             .map_err(|error| StreamError::Message(error.to_string()))?;
-        let mut complete_orders = None;
-        let step = self.reader.handle_response(&response, |reader, version| {
-            let values = |kind| reader.resources(kind).map(|(_, bytes)| bytes);
-            let orders = discovery::decode_tables(
-                version,
-                reader.resources(ResourceType::Entries),
-                values(ResourceType::Endpoints),
-                values(ResourceType::Routes),
-            );
-            complete_orders = Some(orders?);
-            Ok::<(), wheelspread_xds::DecodeError>(())
-        });
-        // A stream that starts again rejects nothing: the same version comes whole.
+        let mut complete_table_set = None;
+        let step = self
+            .delta_client
+            .handle_response(&response, |delta_client, version| {
+                let values = |kind| delta_client.resources(kind).map(|(_, bytes)| bytes);
+                let table_set = discovery::decode_tables(
+                    version,
+                    delta_client.resources(ResourceType::Entries),
+                    values(ResourceType::Endpoints),
+                    values(ResourceType::Routes),
+                );
+                complete_table_set = Some(table_set?);
+                Ok::<(), wheelspread_xds::DecodeError>(())
+            });
+        // If the stream has to restart, the error is not a rejection: the new stream delivers the same version in full.
         if let Some(reason) = step
             .reply
             .error
@@ -157,10 +162,10 @@
         {
             updates.push(TableUpdate::Rejected(reason));
         }
-        if let (Some(orders), Some(_)) = (complete_orders, step.completed_version) {
+        if let (Some(table_set), Some(_)) = (complete_table_set, step.completed_version) {
             updates.push(TableUpdate::New(Box::new(LoadedTables {
-                tables: orders,
-                hash: self.reader.fingerprint(),
+                tables: table_set,
+                hash: self.delta_client.fingerprint(),
             })));
         }
         self.send(&step.reply);
@@ -178,9 +183,9 @@
         match self.connect(poll, now, address) {
             Ok(connection) => {
                 self.connection = Some(Box::new(connection));
-                self.dial_at = None;
+                self.next_dial_at = None;
             }
-            Err(_) => self.dial_at = Some(now + self.reconnect_delay),
+            Err(_) => self.next_dial_at = Some(now + self.reconnect_delay),
         }
     }
 
@@ -195,14 +200,14 @@
         tls::connect(now, socket, discovery::DELTA_METHOD, self.tls.as_ref())
     }
 
-    /// When it has to be polled at the latest.
+    /// When [`poll`](Self::poll) has to be called at the latest.
     pub fn next_wakeup(&self, now: Moment) -> Moment {
         let keepalive = now + KEEPALIVE_INTERVAL;
-        self.dial_at.unwrap_or(keepalive)
+        self.next_dial_at.unwrap_or(keepalive)
     }
 }
 
-/// The resources that the proxy's operations need, in the order in which they make up a version.
+/// The resources that the proxy's operations need, in the order in which they complete a version.
 fn subscriptions(config: &ProxyConfig) -> Vec<TypeSubscription> {
     let operations = &config.core.operations;
     let assignments = operations
--- a/crates/proxy/src/tls.rs
+++ b/crates/proxy/src/tls.rs
@@ -1,5 +1,5 @@
-//! Streams to a controller, under TLS where the configuration says so. Keys and roots are read at each dial,
-//! so that files that were replaced are used from the next stream on.
+//! Streams to a controller, secured by TLS if configured. Keys and root certificates are read again for each stream,
+//! so that replaced files take effect with the next stream.
 
 use serde::Deserialize;
 use std::io;
@@ -9,46 +9,46 @@
 use wheelspread_grpc::tls::{client, KeyFiles};
 use wheelspread_grpc::{ClientConnection, Limits, ServerName};
 
-/// The proxy's side of TLS.
+/// TLS settings of the proxy's streams to controllers.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct TlsSide {
-    /// The roots that a controller's certificate has to be signed under.
+pub struct TlsConfig {
+    /// File with the root certificates that a controller's certificate is verified against.
     pub roots: PathBuf,
-    /// The name that it has to be for.
+    /// Name that the controller's certificate must be valid for.
     pub name: String,
-    /// The certificate of this proxy, with `key`.
+    /// File with the client certificate of this proxy; requires `key`.
     #[serde(default)]
     pub certificate: Option<PathBuf>,
-    /// The private key of that certificate.
+    /// File with the private key of `certificate`.
     #[serde(default)]
     pub key: Option<PathBuf>,
 }
 
-/// What can't be used of a [`TlsSide`].
+/// Why a [`TlsConfig`] is not valid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TlsConfigError {
-    /// Only one of the two is given.
-    #[error("certificate and key go together")]
+    /// Only one of `certificate` and `key` is set.
+    #[error("certificate and key should be set together")]
     CertificateWithoutKey,
-    /// The controller's name can't be in a certificate.
-    #[error("name should be a host name or an address")]
+    /// The controller's name is neither a host name nor an IP address.
+    #[error("name should be a host name or an IP address")]
     Name,
 }
 
-impl TlsSide {
-    /// The same with paths that start from `base`.
-    pub fn under(mut self, base: &Path) -> TlsSide {
+impl TlsConfig {
+    /// Resolves relative paths against `base`.
+    pub fn with_base(mut self, base: &Path) -> TlsConfig {
         self.roots = base.join(&self.roots);
         self.certificate = self.certificate.map(|path| base.join(path));
         self.key = self.key.map(|path| base.join(path));
         self
     }
 
-    /// Checks what can be checked without reading the files.
+    /// Checks the settings without reading the files.
     ///
     /// # Errors
-    /// A value can't be used.
+    /// A setting is not valid.
     pub fn check(&self) -> Result<(), TlsConfigError> {
         if self.certificate.is_some() != self.key.is_some() {
             return Err(TlsConfigError::CertificateWithoutKey);
@@ -67,18 +67,19 @@
     }
 }
 
-/// Opens a gRPC stream of the method `path` on a socket that is being connected.
+/// Opens a gRPC stream to the method `path` on a socket whose connect is in progress.
 pub(crate) fn connect(
     now: Moment,
     socket: TcpStream,
     path: &str,
-    tls: Option<&TlsSide>,
+    tls: Option<&TlsConfig>,
 ) -> io::Result<ClientConnection> {
-    let Some(side) = tls else {
+    let Some(settings) = tls else {
         return Ok(ClientConnection::new(now, socket, path, Limits::default()));
     };
-    let config = client(&side.roots, side.key_files().as_ref()).map_err(io::Error::other)?;
-    let name = ServerName::try_from(side.name.clone()).map_err(io::Error::other)?;
+    let config =
+        client(&settings.roots, settings.key_files().as_ref()).map_err(io::Error::other)?;
+    let name = ServerName::try_from(settings.name.clone()).map_err(io::Error::other)?;
     ClientConnection::secured(now, socket, path, Limits::default(), config, name)
         .map_err(io::Error::other)
 }
--- a/crates/proxy/src/token.rs
+++ b/crates/proxy/src/token.rs
@@ -1,12 +1,12 @@
-//! Tokens of one proxy's sockets. The upper half of a token is the proxy's number on its loop, the lower half
-//! says which socket of that proxy it stands for.
+//! Tokens of a proxy's sockets. The upper half of a token is the proxy's instance number on its event loop. The lower
+//! half identifies a socket of that proxy.
 
 use wheelspread_reactor::Token;
 
 const INSTANCE_BITS: u32 = 32;
-/// Set in the lower half for a client connection; the bits below are its slot.
+/// Set in the lower half for a client connection; the bits below are the slot.
 const CLIENT_FLAG: u64 = 1 << 29;
-/// Set in the lower half for an upstream connection; the bits below `CLIENT_FLAG` are its slot.
+/// Set in the lower half for an upstream connection; the bits below `CLIENT_FLAG` are the slot.
 const UPSTREAM_FLAG: u64 = 1 << 30;
 const SLOT_MASK: u64 = CLIENT_FLAG - 1;
 
@@ -15,10 +15,10 @@
 const TABLE_FILES: u64 = 2;
 const TABLE_STREAM: u64 = 3;
 
-/// What an event is about.
+/// The event source that a token identifies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Source {
-    /// The socket that accepts clients.
+    /// The listening socket for clients.
     Listener,
     /// The load report stream to a controller.
     ReportStream,
@@ -32,7 +32,7 @@
     Upstream(usize),
 }
 
-/// Makes the tokens of one proxy.
+/// Creates the tokens of one proxy.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TokenSpace {
     base: u64,
@@ -57,7 +57,7 @@
         Token(self.base + local)
     }
 
-    /// What a token of any proxy stands for within that proxy.
+    /// The event source that a token identifies within its proxy, whichever proxy that is.
     pub(crate) fn source(token: Token) -> Source {
         let local = token.0 & u64::from(u32::MAX);
         let slot = (local & SLOT_MASK) as usize;
@@ -72,8 +72,8 @@
     }
 }
 
-/// Whether a token is of a connection to a node. Those events are handled first, so that a connection that
-/// the node closed is not used for a request that arrives in the same batch of events.
+/// Whether a token belongs to a connection to a node. Events of these connections are handled first, so that a
+/// connection that the node closed is not used for a request that arrives in the same batch of events.
 pub(crate) fn is_upstream_token(token: Token) -> bool {
     token.0 & UPSTREAM_FLAG != 0
 }
--- a/crates/proxy/src/token/tests.rs
+++ b/crates/proxy/src/token/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_token_leads_back_to_its_socket_whatever_the_proxy_number() {
+fn a_token_maps_back_to_its_source_for_any_instance_number() {
     let sources = [
         Source::Listener,
         Source::ReportStream,
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -1,4 +1,4 @@
-//! One connection to a node: idle in the pool, or with one attempt on it.
+//! A connection to a node, either idle in the pool or carrying one attempt.
 
 use crate::connection::{ConnectionState, ReadState};
 use std::io::{ErrorKind, Write};
@@ -11,89 +11,91 @@
 
 /// The attempt that a connection carries.
 pub struct Attempt {
-    /// The client that waits for it, by its slot.
+    /// Slot of the client that waits for the response.
     pub client: usize,
-    /// The request.
+    /// The core's handle of the request.
     pub handle: RequestHandle,
-    /// Which attempt of that request it is, from 1.
+    /// Number of the attempt within its request, from 1.
     pub number: u32,
 }
 
-/// A response whose head has come.
+/// A response whose head was received.
 pub struct UpstreamResponse {
     /// The head.
     pub head: Response,
-    /// Tells where the body ends.
+    /// Decoder that finds the end of the body.
     pub body: Body,
-    /// The load metrics that the node sent with it.
+    /// Load metrics that the node sent with the response, by name.
     pub loads: Vec<(String, f64)>,
-    /// The core knows of the attempt's end already; the response is only passed on.
+    /// Whether the attempt's failure was already reported to the core. The response is then only forwarded.
     pub is_reported: bool,
 }
 
-/// One connection to a node.
+/// A connection to a node.
 pub struct UpstreamConnection {
-    /// The connection.
+    /// The socket.
     pub socket: TcpStream,
     /// The node.
     pub node: NodeId,
-    /// The attempt that it carries; `None`: it is idle.
+    /// The attempt that the connection carries; `None` if it is idle.
     pub attempt: Option<Attempt>,
+    /// The encoded request of the attempt.
     request: Rc<Vec<u8>>,
-    sent: usize,
-    /// What was read and not passed on.
+    /// Number of bytes of `request` that were written.
+    sent_bytes: usize,
+    /// Bytes read and not yet forwarded.
     pub input: Vec<u8>,
-    /// The response, once its head has come.
+    /// The response, once its head was received.
     pub response: Option<UpstreamResponse>,
-    /// Bytes were written on it, so the connect has succeeded.
+    /// Whether bytes were written, which shows that the connect succeeded.
     pub established: bool,
-    /// It was established before the attempt that it carries.
+    /// Whether the connection was already established when the current attempt started.
     reused: bool,
-    /// When it became idle or got its attempt.
-    pub since: Moment,
+    /// When the connection became idle or got its current attempt.
+    pub state_since: Moment,
     read_state: ReadState,
 }
 
 impl UpstreamConnection {
-    /// A connection that is being established.
+    /// Wraps a socket whose connect is in progress.
     pub fn new(now: Moment, socket: TcpStream, node: NodeId) -> UpstreamConnection {
         UpstreamConnection {
             socket,
             node,
             attempt: None,
             request: Rc::new(Vec::new()),
-            sent: 0,
+            sent_bytes: 0,
             input: Vec::new(),
             response: None,
             established: false,
             reused: false,
-            since: now,
+            state_since: now,
             read_state: ReadState::NEW,
         }
     }
 
-    /// Puts an attempt on an idle connection; `write` sends it.
+    /// Assigns an attempt to a connection without one. [`write`](Self::write) sends the request.
     pub fn start_attempt(&mut self, now: Moment, attempt: Attempt, request: Rc<Vec<u8>>) {
         self.attempt = Some(attempt);
         self.request = request;
-        self.sent = 0;
+        self.sent_bytes = 0;
         self.response = None;
         self.reused = self.established;
-        self.since = now;
+        self.state_since = now;
     }
 
-    /// Writes as much of the request as the node takes.
+    /// Writes as much of the request as the socket accepts.
     pub fn write(&mut self) -> ConnectionState {
-        while self.attempt.is_some() && self.sent < self.request.len() {
-            match self.socket.write(&self.request[self.sent..]) {
+        while self.attempt.is_some() && self.sent_bytes < self.request.len() {
+            match self.socket.write(&self.request[self.sent_bytes..]) {
                 Ok(0) => return ConnectionState::Closed,
                 Ok(count) => {
-                    self.sent += count;
+                    self.sent_bytes += count;
                     self.established = true;
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => break,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                // A connect that is under way says so in several ways.
+                // While a connect is in progress, a write fails with either `WouldBlock` or `NotConnected`.
                 Err(error) if error.kind() == ErrorKind::NotConnected && !self.established => break,
                 Err(_) => return ConnectionState::Closed,
             }
@@ -101,50 +103,51 @@
         ConnectionState::Open
     }
 
-    /// Reads what has come, while `input` holds less than `limit`.
+    /// Reads the available bytes while `input` holds fewer than `limit` bytes.
     pub fn read(&mut self, limit: usize, readable: bool, buffer: &mut [u8]) -> ConnectionState {
         self.read_state.may_have_more |= readable;
         self.read_state
             .read_available(&self.socket, &mut self.input, limit, buffer)
     }
 
-    /// Whether the node sends no more.
+    /// Whether the node closed its sending side.
     pub fn peer_closed(&self) -> bool {
         self.read_state.peer_closed
     }
 
-    /// Whether there is more of a response than was passed on.
+    /// Whether a response has started and more of it may be available than was forwarded.
     pub fn has_unforwarded_response(&self) -> bool {
         let has_bytes = self.read_state.may_have_more || !self.input.is_empty();
         self.response.is_some() && self.attempt.is_some() && has_bytes
     }
 
-    /// How the attempt failed, if the connection ended without a response.
+    /// The failure of the attempt if the connection closed without a response.
     pub fn failure_on_close(&self) -> Failure {
-        match (self.sent, self.reused) {
+        match (self.sent_bytes, self.reused) {
             (0, false) => Failure::Connect,
             (0, true) => Failure::Unsent,
             _ => Failure::Reset,
         }
     }
 
-    /// Whether the whole request went out and the whole response came: another attempt may follow on it.
+    /// Whether the connection can carry another attempt: the request was sent and the response received in full, and
+    /// the node keeps the connection open.
     pub fn is_reusable(&self) -> bool {
         let response = self.response.as_ref();
         let is_complete =
             response.is_some_and(|response| response.head.keep_alive && response.body.done());
         is_complete
-            && self.sent == self.request.len()
+            && self.sent_bytes == self.request.len()
             && self.input.is_empty()
             && !self.peer_closed()
     }
 
-    /// Drops the attempt and its buffers.
+    /// Removes the attempt and its buffers.
     pub fn become_idle(&mut self, now: Moment) {
         self.attempt = None;
         self.response = None;
         self.request = Rc::new(Vec::new());
         self.input = Vec::new();
-        self.since = now;
+        self.state_since = now;
     }
 }
--- a/crates/proxy/src/upstream_pool.rs
+++ b/crates/proxy/src/upstream_pool.rs
@@ -1,4 +1,4 @@
-//! The pool of connections to nodes: idle ones are used again, new ones are opened up to a limit for each node.
+//! The pool of connections to nodes. Idle connections are reused; new ones are opened up to a limit per node.
 
 use crate::connection::ConnectionState;
 use crate::token::{Source, TokenSpace};
@@ -10,66 +10,67 @@
 use wheelspread::time::{Moment, Span};
 use wheelspread_reactor::{self as reactor, Interest, Poll};
 
-/// What a pool has to know of its proxy.
+/// Settings of a pool.
 pub struct PoolConfig {
-    /// Makes the tokens of its connections.
+    /// Creates the tokens of the pool's connections.
     pub tokens: TokenSpace,
-    /// The address that nodes are called from; `None`: the system chooses.
+    /// Source address of connections to nodes; `None` lets the operating system choose.
     pub source: Option<Ipv4Addr>,
-    /// Open connections to one node, idle ones included.
+    /// Maximum number of open connections to one node, including idle ones.
     pub max_connections_per_node: usize,
 }
 
-/// An attempt that ended with a whole response.
+/// An attempt that ended with a complete response.
 pub struct FinishedAttempt {
     /// The node that responded.
     pub node: NodeId,
     /// The attempt.
     pub attempt: Attempt,
-    /// Its response; the body has been passed on.
+    /// Its response, whose body was forwarded.
     pub response: UpstreamResponse,
 }
 
-/// A connection that has waited for too long.
+/// A connection that exceeded the connect or the idle time-out.
 pub struct TimedOutConnection {
-    /// Its place in the pool.
+    /// Slot of the connection in the pool.
     pub slot: usize,
-    /// Whether an attempt waits for it; otherwise it is idle.
+    /// Whether an attempt waits for the connect; otherwise the connection is idle.
     pub carries_attempt: bool,
 }
 
-/// All connections of one proxy to nodes.
+/// All connections from one proxy to nodes.
 pub struct UpstreamPool {
     config: PoolConfig,
     connections: Slab<UpstreamConnection>,
-    /// Slots of idle connections by node, the one used last at the end. No empty lists.
+    /// Slots of idle connections by node, the most recently used last. Empty lists are not stored.
     idle: BTreeMap<NodeId, Vec<usize>>,
-    /// The number of open connections by node. No zeros.
-    open: BTreeMap<NodeId, usize>,
+    /// Number of open connections by node. Only non-zero counts are stored.
+    open_counts: BTreeMap<NodeId, usize>,
 }
 
 impl UpstreamPool {
-    /// A pool without connections.
+    /// Creates a pool without connections.
     pub fn new(config: PoolConfig) -> UpstreamPool {
         UpstreamPool {
             config,
             connections: Slab::new(),
             idle: BTreeMap::new(),
-            open: BTreeMap::new(),
+            open_counts: BTreeMap::new(),
         }
     }
 
-    /// A connection, by its slot.
+    /// The connection in a slot.
     pub fn get(&self, slot: usize) -> Option<&UpstreamConnection> {
         self.connections.get(slot)
     }
 
-    /// A connection, by its slot.
+    /// Mutable access to the connection in a slot.
     pub fn get_mut(&mut self, slot: usize) -> Option<&mut UpstreamConnection> {
         self.connections.get_mut(slot)
     }
 
-    /// An idle connection, the one used last, or a new one; `None` if there can be no more.
+    /// Returns the slot of the most recently used idle connection to the node, or of a new connection. Returns `None`
+    /// if the node's limit is reached or the connect fails immediately.
     pub fn check_out(
         &mut self,
         poll: &Poll,
@@ -86,8 +87,8 @@
         self.connect(poll, now, node)
     }
 
-    /// Whether an idle connection is still open. One that the node closed meanwhile is seen here, before
-    /// anything is written on it: a read costs less than an attempt that may have been processed.
+    /// Whether an idle connection is still open. The read detects a connection that the node has closed before
+    /// anything is written to it. It costs less than a failed attempt that may have been processed.
     fn is_usable(&mut self, slot: usize, read_buffer: &mut [u8]) -> bool {
         self.connections.get_mut(slot).is_some_and(|connection| {
             connection.read(1, true, read_buffer) == ConnectionState::Open
@@ -97,8 +98,8 @@
     }
 
     fn connect(&mut self, poll: &Poll, now: Moment, node: NodeId) -> Option<usize> {
-        let open = self.open.get(&node).copied().unwrap_or(0);
-        if open >= self.config.max_connections_per_node {
+        let open_count = self.open_counts.get(&node).copied().unwrap_or(0);
+        if open_count >= self.config.max_connections_per_node {
             return None;
         }
         let socket = reactor::connect_from(self.config.source, node.address, node.port).ok()?;
@@ -107,11 +108,11 @@
         let token = self.config.tokens.token(Source::Upstream(slot));
         poll.add(&socket, token, Interest::Edges).ok()?;
         entry.insert(UpstreamConnection::new(now, socket, node));
-        *self.open.entry(node).or_insert(0) += 1;
+        *self.open_counts.entry(node).or_insert(0) += 1;
         Some(slot)
     }
 
-    /// Takes an attempt off its connection, which becomes idle or is closed.
+    /// Removes a finished attempt from its connection. The connection becomes idle if it is reusable, else it is closed.
     pub fn finish_attempt(&mut self, now: Moment, slot: usize) -> Option<FinishedAttempt> {
         let connection = self.connections.get_mut(slot)?;
         let (node, is_reusable) = (connection.node, connection.is_reusable());
@@ -129,15 +130,16 @@
         })
     }
 
-    /// Closes a connection. One that carries an attempt is reset, so that the node sees that nobody waits.
+    /// Closes a connection. One that carries an attempt is reset, so that the node learns that no client waits for the
+    /// response any more.
     pub fn close(&mut self, slot: usize) {
         let Some(connection) = self.connections.try_remove(slot) else {
             return;
         };
-        if let Some(open) = self.open.get_mut(&connection.node) {
-            *open -= 1;
-            if *open == 0 {
-                self.open.remove(&connection.node);
+        if let Some(open_count) = self.open_counts.get_mut(&connection.node) {
+            *open_count -= 1;
+            if *open_count == 0 {
+                self.open_counts.remove(&connection.node);
             }
         }
         if let Some(idle) = self.idle.get_mut(&connection.node) {
@@ -151,7 +153,7 @@
         }
     }
 
-    /// Closes idle connections to nodes that no table names.
+    /// Closes idle connections to nodes that are not in `published`.
     pub fn close_idle_except(&mut self, published: &BTreeSet<NodeId>) {
         let unpublished: Vec<usize> = self
             .idle
@@ -164,7 +166,7 @@
         }
     }
 
-    /// Connections that did not come about in `connect_timeout`, or were idle for `idle_timeout`.
+    /// Connections that were not established within `connect_timeout`, or were idle for longer than `idle_timeout`.
     pub fn timed_out(
         &self,
         now: Moment,
@@ -172,8 +174,8 @@
         idle_timeout: Span,
     ) -> Vec<TimedOutConnection> {
         let is_timed_out = |connection: &UpstreamConnection| match &connection.attempt {
-            Some(_) => !connection.established && now - connection.since > connect_timeout,
-            None => now - connection.since > idle_timeout,
+            Some(_) => !connection.established && now - connection.state_since > connect_timeout,
+            None => now - connection.state_since > idle_timeout,
         };
         self.connections
             .iter()
