--- a/crates/controller-core/src/membership/tests.rs
+++ b/crates/controller-core/src/membership/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use crate::deployment::tests::test_deployment;
 
-fn who(name: &str) -> Introduction {
-    Introduction {
+fn identity(name: &str) -> ProxyIdentity {
+    ProxyIdentity {
         name: name.to_string(),
         zone: "north".to_string(),
         usual_rate: None,
@@ -14,78 +14,78 @@
 }
 
 #[test]
-fn a_proxy_that_dials_again_before_its_break_is_seen_stays_joined() {
-    let mut known = Membership::default();
-    known
-        .open(at(0.0), StreamId(1), &who("a"), &test_deployment())
+fn a_proxy_that_reconnects_before_its_old_stream_ends_stays_joined() {
+    let mut membership = Membership::default();
+    membership
+        .open(at(0.0), StreamId(1), &identity("a"), &test_deployment())
         .expect("fine");
-    let second = known
-        .open(at(1.0), StreamId(2), &who("a"), &test_deployment())
+    let second = membership
+        .open(at(1.0), StreamId(2), &identity("a"), &test_deployment())
         .expect("fine");
     assert_eq!(second.superseded, Some(StreamId(1)));
-    let kinds: Vec<bool> = second
+    let leaves: Vec<bool> = second
         .events
         .iter()
-        .map(|e| matches!(e, Event::ProxyLeft { .. }))
+        .map(|event| matches!(event, Event::ProxyLeft { .. }))
         .collect();
     assert_eq!(
-        kinds,
+        leaves,
         [true, false],
-        "the balancer gets the break, then the join"
+        "the balancer sees the proxy leave, then join"
     );
     assert_eq!(
-        known.close(at(1.1), StreamId(1)),
+        membership.close(at(1.1), StreamId(1)),
         None,
-        "the old stream's end is no break"
+        "the end of the superseded stream is no leave"
     );
-    assert!(known.member("a").is_some_and(Member::is_joined));
-    assert!(known.close(at(2.0), StreamId(2)).is_some());
+    assert!(membership.member("a").is_some_and(Member::is_joined));
+    assert!(membership.close(at(2.0), StreamId(2)).is_some());
 }
 
 #[test]
-fn a_proxy_that_returns_keeps_its_number_and_one_long_away_loses_it() {
-    let mut known = Membership::default();
-    known
-        .open(at(0.0), StreamId(1), &who("a"), &test_deployment())
+fn a_proxy_keeps_its_id_until_it_has_been_disconnected_for_the_retention_time() {
+    let mut membership = Membership::default();
+    membership
+        .open(at(0.0), StreamId(1), &identity("a"), &test_deployment())
         .expect("fine");
-    let id = known.member("a").map(|member| member.id);
-    known.close(at(1.0), StreamId(1));
+    let id = membership.member("a").map(|member| member.id);
+    membership.close(at(1.0), StreamId(1));
     assert_eq!(
-        known.forget(at(50.0), &test_deployment()),
+        membership.forget(at(50.0), &test_deployment()),
         Vec::<String>::new()
     );
-    known
-        .open(at(51.0), StreamId(2), &who("a"), &test_deployment())
+    membership
+        .open(at(51.0), StreamId(2), &identity("a"), &test_deployment())
         .expect("fine");
-    assert_eq!(known.member("a").map(|member| member.id), id);
-    known.close(at(52.0), StreamId(2));
-    assert_eq!(known.forget(at(160.0), &test_deployment()), ["a"]);
-    known
-        .open(at(161.0), StreamId(3), &who("b"), &test_deployment())
+    assert_eq!(membership.member("a").map(|member| member.id), id);
+    membership.close(at(52.0), StreamId(2));
+    assert_eq!(membership.forget(at(160.0), &test_deployment()), ["a"]);
+    membership
+        .open(at(161.0), StreamId(3), &identity("b"), &test_deployment())
         .expect("fine");
     assert_ne!(
-        known.member("b").map(|member| member.id),
+        membership.member("b").map(|member| member.id),
         id,
-        "a number is not used again soon"
+        "an id is not reused soon"
     );
 }
 
 #[test]
 fn streams_without_a_valid_identity_are_rejected() {
-    let mut known = Membership::default();
+    let mut membership = Membership::default();
     for name in ["", "../../etc", "a b", &"x".repeat(101)] {
-        let outcome = known.open(at(0.0), StreamId(1), &who(name), &test_deployment());
+        let outcome = membership.open(at(0.0), StreamId(1), &identity(name), &test_deployment());
         assert!(
-            matches!(outcome, Err(IdentificationError::Unnamed(_))),
+            matches!(outcome, Err(IdentificationError::InvalidName(_))),
             "{name:?}"
         );
     }
-    let moon = Introduction {
+    let unknown_zone = ProxyIdentity {
         zone: "moon".into(),
-        ..who("a")
+        ..identity("a")
     };
     assert_eq!(
-        known.open(at(0.0), StreamId(1), &moon, &test_deployment()),
+        membership.open(at(0.0), StreamId(1), &unknown_zone, &test_deployment()),
         Err(IdentificationError::UnknownZone("moon".into()))
     );
 }
--- a/crates/controller/src/discovery_server.rs
+++ b/crates/controller/src/discovery_server.rs
@@ -74,9 +74,9 @@
         let subscribed = match &observation {
             Observation::Subscribed {
                 stream,
-                introduction,
+                proxy_identity,
                 ..
-            } => Some((*stream, introduction.name.clone())),
+            } => Some((*stream, proxy_identity.name.clone())),
             Observation::Unsubscribed { stream } => {
                 self.protocol.close(*stream);
                 None
--- a/crates/proxy/src/report_stream.rs
+++ b/crates/proxy/src/report_stream.rs
@@ -9,7 +9,7 @@
 use std::time::SystemTime;
 use wheelspread::time::{Moment, Span};
 use wheelspread_controller_core::load_report::{LoadReport, NodeReport};
-use wheelspread_controller_core::membership::Introduction;
+use wheelspread_controller_core::membership::ProxyIdentity;
 use wheelspread_grpc::{ClientConnection, ClientEvent};
 use wheelspread_proxy_core::dialer::ControllerDialer;
 use wheelspread_reactor::{self as reactor, Interest, Poll, Token};
@@ -36,7 +36,7 @@
 
 /// The load report stream of a proxy.
 pub struct ReportStream {
-    introduction: Introduction,
+    identity: ProxyIdentity,
     addresses: Vec<SocketAddrV4>,
     source: Option<Ipv4Addr>,
     state: State,
@@ -81,7 +81,7 @@
         let addresses = config.controller_addresses();
         let delay = config.timeouts.reconnect_delay;
         ReportStream {
-            introduction: config.introduction(),
+            identity: config.identity(),
             dialer: ControllerDialer::new(now, addresses.len(), delay, config.seed),
             addresses,
             source: config.source,
@@ -138,12 +138,12 @@
         stream_events
     }
 
-    /// Sends the introduction on a newly opened stream.
+    /// Sends the identity of the proxy on a newly opened stream.
     fn introduce(&mut self, now: Moment) -> Option<StreamError> {
         let State::Dialing(connection) = &mut self.state else {
             return None;
         };
-        let introduction = loads::introduce(&self.introduction).encode_to_vec();
+        let introduction = loads::introduce(&self.identity).encode_to_vec();
         connection.send(&introduction);
         connection.push(now).map(StreamError::Connection)
     }
@@ -198,7 +198,7 @@
         let earliest = now + stream.period * MIN_REPORT_DELAY_RATIO;
         stream.next_report_at = (stream.next_report_at + stream.period).max(earliest);
         let report = take_report()?;
-        let zone = |_: &NodeReport| self.introduction.zone.clone();
+        let zone = |_: &NodeReport| self.identity.zone.clone();
         let request = loads::request(&report, zone).encode_to_vec();
         let is_queued = stream.connection.send(&request);
         let closed = stream.connection.push(now);
--- a/crates/proxy/src/table_stream.rs
+++ b/crates/proxy/src/table_stream.rs
@@ -8,7 +8,7 @@
 use std::io;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use wheelspread::time::{Moment, Span};
-use wheelspread_controller_core::membership::Introduction;
+use wheelspread_controller_core::membership::ProxyIdentity;
 use wheelspread_discovery::{DeltaClient, Request, ResourceType, TypeSubscription};
 use wheelspread_files::LoadedTables;
 use wheelspread_grpc::{ClientConnection, ClientEvent};
@@ -32,7 +32,7 @@
 
 /// The discovery stream of a proxy.
 pub struct TableStream {
-    introduction: Introduction,
+    identity: ProxyIdentity,
     addresses: Vec<SocketAddrV4>,
     source: Option<Ipv4Addr>,
     token: Token,
@@ -42,8 +42,8 @@
     connection: Option<Box<ClientConnection>>,
     next_dial_at: Option<Moment>,
     delta_client: DeltaClient,
-    /// Whether the next request is the first of its stream and has to carry the introduction.
-    needs_introduction: bool,
+    /// Whether the next request is the first of its stream and has to carry the identity of the proxy.
+    needs_identity: bool,
     tls: Option<TlsConfig>,
 }
 
@@ -51,7 +51,7 @@
     /// Creates a stream that is dialed once the proxy is joined to a controller.
     pub fn new(config: &ProxyConfig, token: Token) -> TableStream {
         TableStream {
-            introduction: config.introduction(),
+            identity: config.identity(),
             addresses: config.controller_addresses(),
             source: config.source,
             token,
@@ -60,7 +60,7 @@
             connection: None,
             next_dial_at: None,
             delta_client: DeltaClient::new(subscriptions(config)),
-            needs_introduction: true,
+            needs_identity: true,
             tls: config.tls.clone(),
         }
     }
@@ -116,17 +116,17 @@
     }
 
     fn subscribe(&mut self) {
-        self.needs_introduction = true;
+        self.needs_identity = true;
         for request in self.delta_client.initial_requests() {
             self.send(&request);
         }
     }
 
     fn send(&mut self, request: &Request) {
-        let is_first = std::mem::take(&mut self.needs_introduction);
-        let introduction = is_first.then_some(&self.introduction);
+        let is_first = std::mem::take(&mut self.needs_identity);
+        let identity = is_first.then_some(&self.identity);
         let message =
-            discovery::encode_delta_request(introduction, self.delta_client.version(), request);
+            discovery::encode_delta_request(identity, self.delta_client.version(), request);
         if let Some(connection) = &mut self.connection {
             connection.send(&message);
         }
