--- a/crates/controller/src/log.rs
+++ b/crates/controller/src/log.rs
@@ -1,21 +1,21 @@
-//! Log lines on standard error, and the events of the core and of the rollout as structured log lines.
+//! Logging to standard error. Events of the core and of the rollout are written as structured log lines.
 
-use crate::file::{LogForm, LogSettings};
+use crate::file::{LogFormat, LogSettings};
 use tracing::{debug, info, warn};
 use tracing_subscriber::EnvFilter;
 use wheelspread_config_rollout::RolloutEvent;
 use wheelspread_controller_core::endpoint_list::format_node;
 use wheelspread_controller_core::LogEvent;
 
-/// Starts logging, once for a program; a second call changes nothing.
+/// Installs the log subscriber. Only the first call in a process has an effect; an invalid level counts as `info`.
 pub fn start(settings: &LogSettings) {
     let filter = EnvFilter::try_new(&settings.level).unwrap_or_else(|_| EnvFilter::new("info"));
     let lines = tracing_subscriber::fmt()
         .with_env_filter(filter)
         .with_writer(std::io::stderr);
     let _ = match settings.form {
-        LogForm::Lines => lines.with_target(false).try_init(),
-        LogForm::Json => lines.json().flatten_event(true).try_init(),
+        LogFormat::Lines => lines.with_target(false).try_init(),
+        LogFormat::Json => lines.json().flatten_event(true).try_init(),
     };
 }
 
@@ -40,7 +40,7 @@
         RolloutEvent::ValueIgnored { field, text } => {
             warn!(
                 field,
-                text, "value of an earlier configuration change no longer valid, left out"
+                text, "value of an earlier configuration change is no longer valid, ignored"
             );
         }
     }
