--- a/crates/config-transaction/src/checks/finding.rs
+++ b/crates/config-transaction/src/checks/finding.rs
@@ -1,4 +1,4 @@
-//! What the checks find, with figures, and the text in which an operator reads it.
+//! The findings of the checks, with their values and the text that is stored and shown to operators.
 
 use crate::change::Finding;
 use std::fmt;
@@ -7,79 +7,79 @@
 /// The value served now and after a change.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServedValue {
-    /// Value a second now.
+    /// The value served per second now.
     pub now_per_s: f64,
-    /// Value a second afterwards.
+    /// The value served per second after the change.
     pub after_per_s: f64,
-    /// The share of the value now that would be lost; negative: it rises.
-    pub loss_share: f64,
-    /// The share that may be lost.
-    pub loss_share_limit: f64,
-    /// Whether more would be lost than may be.
+    /// The loss as a ratio of the value served now; negative if the value increases.
+    pub loss_ratio: f64,
+    /// The maximum allowed `loss_ratio`.
+    pub max_loss_ratio: f64,
+    /// Whether `loss_ratio` exceeds `max_loss_ratio`.
     pub exceeds_limit: bool,
-    /// Hosts whose capacity would be used up.
+    /// The number of hosts whose capacity would be used up.
     pub full_hosts: usize,
-    /// All hosts afterwards.
+    /// The number of hosts after the change.
     pub hosts: usize,
 }
 
-/// What a check found.
+/// The result of a check.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CheckFinding {
-    /// An operation would have no host in a zone that asks for it.
+    /// An operation would have no host for a zone that has demand for it.
     ZoneWithoutHost {
         /// The operation.
         operation: String,
         /// The zone.
         zone: String,
-        /// Requests a second that the zone asks for.
+        /// The demand of the zone for the operation, in invocations per second.
         demand_per_s: f64,
-        /// Hosts that serve it there now.
+        /// The number of hosts that serve the operation for the zone now.
         hosts_now: usize,
     },
-    /// No zone would be without a host for what it asks for.
+    /// Every operation would have a host for each zone that has demand for it.
     EveryZoneHasHosts,
-    /// The solver finds no weights for the fleet afterwards.
+    /// The solver rejects the fleet as it would be after the change.
     NoSolution(wheelspread_solve::SolveInputError),
-    /// The solver finds weights only for the fleet afterwards.
+    /// The solver rejects the current fleet and accepts the fleet after the change.
     NothingServedNow {
-        /// Value a second afterwards.
+        /// The value served per second after the change.
         value_after_per_s: f64,
     },
-    /// The value served now and afterwards.
+    /// The value served now and after the change.
     ServedValue(ServedValue),
-    /// The work that hosts in slow start would carry.
+    /// The share of all work that hosts in slow start would carry.
     SlowStartWork {
-        /// How many hosts would be in slow start.
+        /// The number of hosts that would be in slow start.
         hosts: usize,
         /// Their share of all work.
         work_share: f64,
-        /// The share that they may have.
-        work_share_limit: f64,
-        /// Whether they would have more.
+        /// The maximum allowed `work_share`.
+        max_work_share: f64,
+        /// Whether `work_share` exceeds `max_work_share`.
         exceeds_limit: bool,
     },
-    /// The time until all proxies have the change.
+    /// The minimum time until all proxies have the change.
     PropagationTime {
-        /// Hosts that are added, removed or weighted anew.
+        /// The number of hosts that are added, removed, or have another zone or capacity.
         changed_hosts: usize,
-        /// Entries to all proxies together.
+        /// The number of entries sent to all proxies together, including the fixed cost of messages.
         entries: f64,
-        /// Messages to each proxy.
+        /// The number of messages to each proxy.
         messages: f64,
-        /// How many proxies there are.
+        /// The number of proxies.
         proxies: f64,
-        /// The shortest time that it can take, in seconds.
-        at_least_s: f64,
-        /// The time that it may take.
+        /// The minimum propagation time, in seconds.
+        min_seconds: f64,
+        /// The maximum allowed propagation time.
         limit: Span,
-        /// Whether it takes longer.
+        /// Whether `min_seconds` exceeds `limit`.
         exceeds_limit: bool,
     },
 }
 
 impl CheckFinding {
-    /// The name of the check, as it is stored and shown.
+    /// The name of the check, as stored and shown to operators.
     pub fn check_name(&self) -> &'static str {
         match self {
             CheckFinding::ZoneWithoutHost { .. } | CheckFinding::EveryZoneHasHosts => "pools",
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Whether it forbids the change.
+    /// Whether the finding forbids the change.
     pub fn forbids(&self) -> bool {
         match self {
             CheckFinding::ZoneWithoutHost { .. } | CheckFinding::NoSolution(_) => true,
@@ -110,15 +110,15 @@
             "value served {:.2} a second now, {:.2} after ({:+.1}%, {:.1}% may be lost), {} of {} hosts full",
             self.now_per_s,
             self.after_per_s,
-            -self.loss_share * 100.0,
-            self.loss_share_limit * 100.0,
+            -self.loss_ratio * 100.0,
+            self.max_loss_ratio * 100.0,
             self.full_hosts,
             self.hosts
         )
     }
 }
 
-/// The texts are stored with the change and read by operators.
+/// The texts are stored with the change and shown to operators.
 impl fmt::Display for CheckFinding {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -143,26 +143,26 @@
             CheckFinding::SlowStartWork {
                 hosts,
                 work_share,
-                work_share_limit,
+                max_work_share,
                 ..
             } => write!(
                 f,
                 "{hosts} cold hosts would carry {:.1}% of the work ({:.1}% may be)",
                 work_share * 100.0,
-                work_share_limit * 100.0
+                max_work_share * 100.0
             ),
             CheckFinding::PropagationTime {
                 changed_hosts,
                 entries,
                 messages,
                 proxies,
-                at_least_s,
+                min_seconds,
                 limit,
                 ..
             } => write!(
                 f,
                 "{changed_hosts} hosts change: {entries:.0} lines and {messages:.0} messages to each of {proxies:.0} \
-                 gateways, at least {at_least_s:.1} s ({:.1} s at most)",
+                 gateways, at least {min_seconds:.1} s ({:.1} s at most)",
                 limit.seconds()
             ),
         }
