--- a/crates/config-transaction/src/checks.rs
+++ b/crates/config-transaction/src/checks.rs
@@ -1,5 +1,5 @@
-//! What a change would do, by measured figures: the fleet as it is beside the fleet as it would be. Every finding
-//! names its figures, also those that forbid nothing.
+//! The checks of a change against measured values: they compare the current fleet with the fleet after the change.
+//! Every finding states its values, including the findings that do not forbid the change.
 
 mod finding;
 
@@ -10,42 +10,42 @@
 use wheelspread::time::Span;
 use wheelspread_solve::{solve, Fleet, Host, HostState, Solution};
 
-/// How far a share may exceed its limit by rounding.
-const SHARE_TOLERANCE: f64 = 1e-9;
-/// Capacities count as equal when they agree to this many parts of one invocation a second.
+/// How far a ratio may exceed its limit, to allow for rounding errors.
+const RATIO_TOLERANCE: f64 = 1e-9;
+/// Capacities are compared in steps of one invocation per second divided by this number.
 const CAPACITY_STEPS_PER_UNIT: f64 = 1e6;
-/// What the solver says of a host whose capacity is used up.
-const FULL_HOST: &str = "its capacity";
+/// The solver's `binds` text for a host whose capacity is used up.
+const BOUND_BY_CAPACITY: &str = "its capacity";
 
-/// What a change may cost.
+/// Limits on the cost of a change.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ChangeLimits {
-    /// The share of the value served now that may be lost.
-    pub value_loss_share_limit: f64,
-    /// The share of all work afterwards that hosts in slow start may carry.
-    pub warming_work_share_limit: f64,
-    /// The time until all proxies have the change.
-    pub propagation_time_limit: Span,
+    /// The maximum loss of served value, as a ratio of the value served now.
+    pub max_value_loss_ratio: f64,
+    /// The maximum share of all work that hosts in slow start may carry after the change.
+    pub max_warming_work_share: f64,
+    /// The maximum time until all proxies have the change.
+    pub max_propagation_time: Span,
 }
 
-/// What it costs to send tables to the proxies.
+/// The parameters that determine how long tables take to reach the proxies.
 #[derive(Clone, Copy, Debug)]
 pub struct Propagation {
-    /// How many proxies there are.
+    /// The number of proxies.
     pub proxies: u32,
-    /// The pace of the update queue.
+    /// The pacing of the update queue, in entries per second for all proxies together.
     pub entries_per_second: f64,
-    /// Entries that a message counts for besides those in it.
+    /// The fixed cost of a message, in entries, added to the entries that it contains.
     pub header_entries: f64,
-    /// Messages to one proxy within `window`; 0: no cap.
+    /// The maximum number of messages to one proxy within `window`; 0 means no cap.
     pub messages_per_window: u32,
     /// The window of the message cap.
     pub window: Span,
-    /// The fewest update steps that the balancer takes: removals, then additions.
-    pub update_steps: u32,
+    /// The minimum number of update steps that the balancer takes: removals, then additions.
+    pub min_update_steps: u32,
 }
 
-/// Runs all checks of a change from one fleet to another.
+/// Runs all checks of a change, given the fleet before and after it.
 pub fn check(
     before: &Fleet,
     after: &Fleet,
@@ -55,22 +55,27 @@
     let mut findings = pool_findings(before, after);
     match (solve(before, &mut || false), solve(after, &mut || false)) {
         (_, Err(error)) => findings.push(CheckFinding::NoSolution(error)),
-        (now, Ok(then)) => {
-            findings.push(capacity_finding(now.ok().as_ref(), &then, limits));
-            findings.push(slow_start_finding(after, &then, limits));
+        (solved_before, Ok(solved_after)) => {
+            findings.push(capacity_finding(
+                solved_before.ok().as_ref(),
+                &solved_after,
+                limits,
+            ));
+            findings.push(slow_start_finding(after, &solved_after, limits));
         }
     }
     findings.push(propagation_finding(before, after, limits, propagation));
     CheckReport(findings.into_iter().map(Finding::from).collect())
 }
 
-/// Hosts that serve an operation in a zone: those of the zone if the operation stays there, otherwise all.
+/// Counts the hosts with capacity that serve an operation for a zone: those in the zone if the operation stays in its
+/// zone, otherwise all.
 fn serving_hosts(fleet: &Fleet, zone: &str, stays_in_zone: bool) -> usize {
     let serves = |host: &&Host| fleet.room(host) > 0.0 && (!stays_in_zone || host.zone == zone);
     fleet.hosts.iter().filter(serves).count()
 }
 
-/// Zones that would have no host for what their proxies ask for.
+/// Finds the operations and zones with demand that would have no host.
 fn pool_findings(before: &Fleet, after: &Fleet) -> Vec<CheckFinding> {
     let zones: BTreeSet<&str> = after
         .gateways
@@ -103,40 +108,48 @@
     findings
 }
 
-/// The value that would be served, beside the value served now.
-fn capacity_finding(now: Option<&Solution>, then: &Solution, limits: ChangeLimits) -> CheckFinding {
-    let Some(now) = now else {
+/// Compares the value served after the change with the value served now.
+fn capacity_finding(
+    solved_before: Option<&Solution>,
+    solved_after: &Solution,
+    limits: ChangeLimits,
+) -> CheckFinding {
+    let Some(solved_before) = solved_before else {
         return CheckFinding::NothingServedNow {
-            value_after_per_s: then.value_per_s,
+            value_after_per_s: solved_after.value_per_s,
         };
     };
-    let loss_share = if now.value_per_s > 0.0 {
-        1.0 - then.value_per_s / now.value_per_s
+    let loss_ratio = if solved_before.value_per_s > 0.0 {
+        1.0 - solved_after.value_per_s / solved_before.value_per_s
     } else {
         0.0
     };
     CheckFinding::ServedValue(ServedValue {
-        now_per_s: now.value_per_s,
-        after_per_s: then.value_per_s,
-        loss_share,
-        loss_share_limit: limits.value_loss_share_limit,
-        exceeds_limit: loss_share > limits.value_loss_share_limit + SHARE_TOLERANCE,
-        full_hosts: then
+        now_per_s: solved_before.value_per_s,
+        after_per_s: solved_after.value_per_s,
+        loss_ratio,
+        max_loss_ratio: limits.max_value_loss_ratio,
+        exceeds_limit: loss_ratio > limits.max_value_loss_ratio + RATIO_TOLERANCE,
+        full_hosts: solved_after
             .hosts
             .iter()
-            .filter(|host| host.binds == FULL_HOST)
+            .filter(|host| host.binds == BOUND_BY_CAPACITY)
             .count(),
-        hosts: then.hosts.len(),
+        hosts: solved_after.hosts.len(),
     })
 }
 
-/// The share of the work that hosts in slow start would carry.
-fn slow_start_finding(after: &Fleet, then: &Solution, limits: ChangeLimits) -> CheckFinding {
-    let total_load: f64 = then.hosts.iter().map(|host| host.load).sum();
+/// Checks the share of all work that hosts in slow start would carry.
+fn slow_start_finding(
+    after: &Fleet,
+    solved_after: &Solution,
+    limits: ChangeLimits,
+) -> CheckFinding {
+    let total_load: f64 = solved_after.hosts.iter().map(|host| host.load).sum();
     let warming = after
         .hosts
         .iter()
-        .zip(&then.hosts)
+        .zip(&solved_after.hosts)
         .filter(|(host, _)| host.state == HostState::Cold);
     let (hosts, warming_load) = warming.fold((0, 0.0), |(count, load), (_, solved)| {
         (count + 1, load + solved.load)
@@ -149,12 +162,12 @@
     CheckFinding::SlowStartWork {
         hosts,
         work_share,
-        work_share_limit: limits.warming_work_share_limit,
-        exceeds_limit: work_share > limits.warming_work_share_limit + SHARE_TOLERANCE,
+        max_work_share: limits.max_warming_work_share,
+        exceeds_limit: work_share > limits.max_warming_work_share + RATIO_TOLERANCE,
     }
 }
 
-/// What has to be equal for a host's entries to stay as they are: its zone and its capacity.
+/// Returns the zone and the rounded capacity of each host by id. The table entries of a host change when either does.
 fn host_placements(fleet: &Fleet) -> BTreeMap<String, (String, u64)> {
     let placement = |host: &Host| {
         let capacity_steps = (fleet.room(host) * CAPACITY_STEPS_PER_UNIT).round() as u64;
@@ -163,15 +176,19 @@
     fleet.hosts.iter().map(placement).collect()
 }
 
+/// Counts the hosts that are added, removed, or have another zone or capacity.
 fn changed_hosts(before: &Fleet, after: &Fleet) -> usize {
-    let (was, is) = (host_placements(before), host_placements(after));
-    let ids: BTreeSet<&String> = was.keys().chain(is.keys()).collect();
+    let (placements_before, placements_after) = (host_placements(before), host_placements(after));
+    let ids: BTreeSet<&String> = placements_before
+        .keys()
+        .chain(placements_after.keys())
+        .collect();
     ids.into_iter()
-        .filter(|id| was.get(*id) != is.get(*id))
+        .filter(|id| placements_before.get(*id) != placements_after.get(*id))
         .count()
 }
 
-/// The time until all proxies have new entries for each host that is added, removed or weighted anew.
+/// Checks the minimum time until all proxies have new entries for each host that is added, removed or changed.
 fn propagation_finding(
     before: &Fleet,
     after: &Fleet,
@@ -183,13 +200,13 @@
     let messages = if changed_hosts == 0 {
         0.0
     } else {
-        f64::from(propagation.update_steps.max(1))
+        f64::from(propagation.min_update_steps.max(1))
     };
     let entries = proxies
         * (changed_hosts as f64 * after.operations.len() as f64
             + propagation.header_entries * messages);
     let queue_seconds = entries / propagation.entries_per_second.max(1.0);
-    // Messages above the cap wait for the next window.
+    // Messages above the cap are delayed to the next window.
     let windows_waited = match propagation.messages_per_window {
         0 => 0.0,
         cap => (messages / f64::from(cap)).ceil().max(1.0) - 1.0,
@@ -200,8 +217,8 @@
         entries,
         messages,
         proxies,
-        at_least_s: seconds,
-        limit: limits.propagation_time_limit,
-        exceeds_limit: seconds > limits.propagation_time_limit.seconds(),
+        min_seconds: seconds,
+        limit: limits.max_propagation_time,
+        exceeds_limit: seconds > limits.max_propagation_time.seconds(),
     }
 }
