--- a/crates/cli/src/fleet/order.rs
+++ b/crates/cli/src/fleet/order.rs
@@ -89,7 +89,7 @@
     ordered
         .conductors
         .iter()
-        .filter(|(_, (_, reply))| matches!(reply, Some(Reply::Taken { .. })))
+        .filter(|(_, (_, reply))| matches!(reply, Some(Reply::Accepted { .. })))
         .map(|(name, _)| name.clone())
         .collect()
 }
@@ -97,7 +97,7 @@
 fn print_order(ordered: &Ordered) {
     for (name, (attempts, reply)) in &ordered.conductors {
         let result = match reply {
-            Some(Reply::Taken { state }) => state.clone(),
+            Some(Reply::Accepted { state }) => state.clone(),
             Some(Reply::Refused { reason }) => format!("refused: {reason}"),
             Some(Reply::Failed { reason }) => {
                 format!("not told, after {attempts} tries: {reason}")
--- a/crates/cli/src/state.rs
+++ b/crates/cli/src/state.rs
@@ -66,9 +66,9 @@
 fn verify(file: &Path) -> Result<ExitCode, StateError> {
     let inspection = Store::inspect(file)?;
     let commits = inspection.state.commits;
-    let (sound, all) = (inspection.sound_bytes, inspection.total_bytes);
+    let (sound, all) = (inspection.valid_bytes, inspection.total_bytes);
     let name = file.display();
-    if inspection.is_sound() {
+    if inspection.is_valid() {
         say!("{name}: {commits} commits in {all} bytes, all sound");
         return Ok(ExitCode::SUCCESS);
     }
@@ -84,7 +84,7 @@
     let before = store.bytes();
     store.compact()?;
     match &outcome {
-        OpenOutcome::Fresh | OpenOutcome::Sound => {}
+        OpenOutcome::Fresh | OpenOutcome::Valid => {}
         OpenOutcome::TornTail { bytes } => say!("a torn commit of {bytes} bytes was cut off"),
         OpenOutcome::Damaged { aside, at, bytes } => say!(
             "damaged at byte {at}: {bytes} bytes not gone on with, the whole is kept as {}",
--- a/crates/controller/src/drains.rs
+++ b/crates/controller/src/drains.rs
@@ -206,7 +206,7 @@
     fn carry_out_effects(&mut self, now: Moment, operator_order: Option<u64>) {
         for effect in self.registry.take_effects() {
             match effect {
-                DrainEffect::Write { node, drain } => {
+                DrainEffect::Persist { node, drain } => {
                     self.schedule_write(now, node, drain, operator_order);
                 }
                 DrainEffect::StateChanged { node, state, order } => {
@@ -268,7 +268,7 @@
             return;
         };
         if let Some(order) = &write.drain_order {
-            self.registry.written(now, &write.node, order);
+            self.registry.on_persisted(now, &write.node, order);
         }
         let drain = self.registry.drain(&write.node).cloned();
         let result = drain.ok_or(DrainAnswerError::Withdrawn);
@@ -336,7 +336,7 @@
             };
             let observed = core.drain_evidence(id);
             let evidence = Evidence {
-                named_by: observed.naming_proxies,
+                proxies_with_node: observed.naming_proxies,
                 proxies: observed.joined_proxies,
                 attempts: observed.attempts,
                 reporting_proxies: observed.reporting_proxies,
--- a/crates/controller/src/service/startup.rs
+++ b/crates/controller/src/service/startup.rs
@@ -128,7 +128,7 @@
             configuration = configured.version,
             held = scan.recovered.tables.len(),
             versions = scan.recovered.versions.len(),
-            leftovers = scan.leftovers,
+            leftovers = scan.removed_draft_count,
             "controller starting"
         );
         Ok(RestoredRun {
--- a/crates/controller/src/state_writer.rs
+++ b/crates/controller/src/state_writer.rs
@@ -80,7 +80,7 @@
         };
         let (store, outcome) = match Store::open(path) {
             Ok(opened) => opened,
-            Err(error @ (StoreError::Newer { .. } | StoreError::InUse { .. })) => {
+            Err(error @ (StoreError::NewerFormat { .. } | StoreError::InUse { .. })) => {
                 return Err(error)
             }
             Err(error) => {
@@ -247,7 +247,7 @@
 fn log_opened_store(outcome: &OpenOutcome) {
     match outcome {
         OpenOutcome::Fresh => info!("no persisted state of an earlier run"),
-        OpenOutcome::Sound => {}
+        OpenOutcome::Valid => {}
         OpenOutcome::TornTail { bytes } => {
             warn!(bytes, "last commit of the state was torn and is cut off");
         }
@@ -265,7 +265,7 @@
     std::thread::Builder::new()
         .name("state-writer".to_string())
         .spawn(move || thread.run())
-        .map_err(|source| StoreError::Disk {
+        .map_err(|source| StoreError::Io {
             path: path.to_path_buf(),
             source,
         })
--- a/crates/controller/src/state_writer/tests.rs
+++ b/crates/controller/src/state_writer/tests.rs
@@ -110,7 +110,7 @@
     let path = directory.path().join("state");
     std::fs::copy(original, &path).expect("copied");
     let (store, found) = Store::open(&path).expect("it opens");
-    assert_eq!(found, OpenOutcome::Sound);
+    assert_eq!(found, OpenOutcome::Valid);
     assert_eq!(store.bytes(), 10_940);
     store.state().clone()
 }
--- a/crates/drain/src/consistency.rs
+++ b/crates/drain/src/consistency.rs
@@ -82,7 +82,7 @@
 }
 
 /// How many different views there are among the controllers that list the node.
-fn views_of_listed(groups: &ControllersByView) -> usize {
+fn listed_view_count(groups: &ControllersByView) -> usize {
     groups.keys().filter(|view| *view != NOT_LISTED).count()
 }
 
@@ -171,12 +171,12 @@
     let listing = group(NodeView::describe_listing);
     let zone = group(|view| view.zone.clone());
     let mut found = Vec::new();
-    if views_of_listed(&listing) > 1 {
+    if listed_view_count(&listing) > 1 {
         found.push((DisagreementKind::EndpointStatus, listing));
     } else if listed.len() > 1 {
         found.push((DisagreementKind::Listed, listed));
     }
-    if views_of_listed(&zone) > 1 {
+    if listed_view_count(&zone) > 1 {
         found.push((DisagreementKind::Zone, zone));
     }
     found
--- a/crates/drain/src/delivery.rs
+++ b/crates/drain/src/delivery.rs
@@ -9,14 +9,15 @@
 /// The backoff stops to double after this many attempts; `max_backoff` ends it long before.
 const MAX_BACKOFF_DOUBLINGS: u32 = 16;
 /// The share of a backoff that jitter may take off.
-const JITTER_SHARE: f64 = 0.5;
+const JITTER_RATIO: f64 = 0.5;
 
 /// What came of one attempt at a controller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reply {
     /// It has the order.
-    Taken {
+    #[serde(rename = "taken")]
+    Accepted {
         /// How far it is with the order.
         state: String,
     },
@@ -38,7 +39,7 @@
     /// The next attempt is due then.
     Due(Moment),
     InFlight,
-    Taken,
+    Accepted,
     Refused,
 }
 
@@ -96,7 +97,7 @@
 #[derive(Debug)]
 pub struct OrderDelivery {
     controllers: BTreeMap<String, ControllerDelivery>,
-    until: Moment,
+    deadline: Moment,
     budget: RetryBudget,
     random: Pcg,
 }
@@ -118,7 +119,7 @@
             controllers: controllers
                 .map(|name| (name, not_attempted.clone()))
                 .collect(),
-            until: now + budget.timeout,
+            deadline: now + budget.timeout,
             budget,
             random: Pcg::new(seed),
         }
@@ -126,7 +127,7 @@
 
     /// Controllers at which an attempt is due. Each counts as in flight until its reply comes.
     pub fn due(&mut self, now: Moment) -> Vec<String> {
-        if now >= self.until {
+        if now >= self.deadline {
             return Vec::new();
         }
         let mut due = Vec::new();
@@ -148,12 +149,12 @@
             return;
         };
         delivery.state = match &reply {
-            Reply::Taken { .. } => DeliveryState::Taken,
+            Reply::Accepted { .. } => DeliveryState::Accepted,
             Reply::Refused { .. } => DeliveryState::Refused,
             Reply::Failed { .. } => {
                 let backoff = self.budget.backoff(delivery.attempts);
                 // Jitter keeps controllers that failed together from being retried together.
-                let jitter = (1.0 - JITTER_SHARE) + JITTER_SHARE * self.random.unit();
+                let jitter = (1.0 - JITTER_RATIO) + JITTER_RATIO * self.random.unit();
                 DeliveryState::Due(now + backoff * jitter)
             }
         };
@@ -165,10 +166,10 @@
         let is_final = |delivery: &ControllerDelivery| {
             matches!(
                 delivery.state,
-                DeliveryState::Taken | DeliveryState::Refused
+                DeliveryState::Accepted | DeliveryState::Refused
             )
         };
-        now >= self.until || self.controllers.values().all(is_final)
+        now >= self.deadline || self.controllers.values().all(is_final)
     }
 
     /// When the next attempt is due.
@@ -178,12 +179,12 @@
             _ => None,
         };
         let next = self.controllers.values().filter_map(due_at).min()?;
-        Some(next.min(self.until))
+        Some(next.min(self.deadline))
     }
 
     /// When the time is over.
-    pub fn until(&self) -> Moment {
-        self.until
+    pub fn deadline(&self) -> Moment {
+        self.deadline
     }
 
     /// What may be said of the whole delivery by now.
@@ -191,7 +192,7 @@
         let taken = self
             .controllers
             .values()
-            .filter(|delivery| delivery.state == DeliveryState::Taken)
+            .filter(|delivery| delivery.state == DeliveryState::Accepted)
             .count();
         match taken {
             count if count == self.controllers.len() => Outcome::Everywhere,
--- a/crates/drain/src/order.rs
+++ b/crates/drain/src/order.rs
@@ -81,10 +81,10 @@
 pub enum DrainError {
     /// The id is taken by an order with other content.
     #[error("order `{0}` was given before with other content")]
-    OtherContent(String),
+    ConflictingContent(String),
     /// A newer order for the node is known.
     #[error("`{newer}` by {by}, given later, goes before it")]
-    Overtaken {
+    Superseded {
         /// The newer order.
         newer: String,
         /// Who gave it.
@@ -95,5 +95,5 @@
     Checks(Vec<FailedCheck>),
     /// The limit of remembered orders is reached.
     #[error("{0} orders are kept, no more are taken")]
-    Full(usize),
+    TooManyOrders(usize),
 }
--- a/crates/drain/src/registry.rs
+++ b/crates/drain/src/registry.rs
@@ -10,13 +10,14 @@
 /// How many nodes may have orders.
 const MAX_ORDERS: usize = 10_000;
 /// Withdrawn orders are remembered for this many grace periods, so that a late order is known to be overtaken.
-const WITHDRAWN_MEMORY_GRACE_PERIODS: f64 = 600.0;
+const WITHDRAWN_RETENTION_GRACE_PERIODS: f64 = 600.0;
 
 /// What shows that nothing is sent to a node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
     /// Joined proxies whose tables still have the node.
-    pub named_by: usize,
+    #[serde(rename = "named_by")]
+    pub proxies_with_node: usize,
     /// Joined proxies.
     #[serde(rename = "gateways")]
     pub proxies: usize,
@@ -63,7 +64,7 @@
     }
 
     /// The disk has the order.
-    fn begin(&mut self, now: Moment) {
+    fn on_persisted(&mut self, now: Moment) {
         self.state = match self.order.action {
             DrainAction::Drain => DrainState::Propagating,
             DrainAction::Undrain => DrainState::Withdrawn,
@@ -73,16 +74,23 @@
     }
 
     /// What the evidence shows of an active drain; `None`: nothing new.
-    fn event_by(&self, now: Moment, grace: Span, evidence: Evidence) -> Option<DrainEvent> {
-        let is_grace_over = self
+    fn event_from_evidence(
+        &self,
+        now: Moment,
+        grace: Span,
+        evidence: Evidence,
+    ) -> Option<DrainEvent> {
+        let is_grace_period_over = self
             .propagating_since
             .is_some_and(|since| now - since >= grace);
-        let is_in_no_table = evidence.named_by == 0 && evidence.proxies > 0;
-        let is_without_traffic = evidence.attempts == 0 && evidence.reporting_proxies > 0;
+        let is_removed_from_tables = evidence.proxies_with_node == 0 && evidence.proxies > 0;
+        let has_no_traffic = evidence.attempts == 0 && evidence.reporting_proxies > 0;
         match self.state {
-            DrainState::Propagating if is_in_no_table => Some(DrainEvent::NotInTables),
-            DrainState::Propagating if is_grace_over => Some(DrainEvent::GraceOver),
-            DrainState::InForce if is_without_traffic => Some(DrainEvent::NoTraffic),
+            DrainState::Propagating if is_removed_from_tables => {
+                Some(DrainEvent::RemovedFromTables)
+            }
+            DrainState::Propagating if is_grace_period_over => Some(DrainEvent::GracePeriodOver),
+            DrainState::InForce if has_no_traffic => Some(DrainEvent::NoTraffic),
             DrainState::Drained if evidence.attempts > 0 => Some(DrainEvent::TrafficSeen),
             _ => None,
         }
@@ -93,7 +101,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum DrainEffect {
     /// Persist the drain of a node; `None` removes it.
-    Write {
+    Persist {
         /// The node.
         node: String,
         /// Its drain.
@@ -124,7 +132,7 @@
         for mut drain in persisted {
             // An order that was read from the disk has been written.
             if drain.state == DrainState::Accepted {
-                drain.begin(now);
+                drain.on_persisted(now);
             }
             drain.entered_state_at = now;
             drain.propagating_since = Some(now);
@@ -181,7 +189,7 @@
             },
             _ => Drain::accepted(now, order),
         };
-        self.effects.push(DrainEffect::Write {
+        self.effects.push(DrainEffect::Persist {
             node: node.clone(),
             drain: Some(Box::new(drain.clone())),
         });
@@ -194,17 +202,17 @@
         let Some(known) = self.drains.get(&order.node) else {
             return match self.drains.len() < MAX_ORDERS {
                 true => Ok(false),
-                false => Err(DrainError::Full(MAX_ORDERS)),
+                false => Err(DrainError::TooManyOrders(MAX_ORDERS)),
             };
         };
         if known.order.id == order.id {
             return match known.order == *order {
                 true => Ok(true),
-                false => Err(DrainError::OtherContent(order.id.0.clone())),
+                false => Err(DrainError::ConflictingContent(order.id.0.clone())),
             };
         }
         if known.order.rank() > order.rank() {
-            return Err(DrainError::Overtaken {
+            return Err(DrainError::Superseded {
                 newer: known.order.id.0.clone(),
                 by: known.order.by.clone(),
             });
@@ -221,7 +229,7 @@
     }
 
     /// The disk has an order.
-    pub fn written(&mut self, now: Moment, node: &str, id: &OrderId) {
+    pub fn on_persisted(&mut self, now: Moment, node: &str, id: &OrderId) {
         let drain = self.drains.get_mut(node);
         let Some(drain) = drain.filter(|drain| drain.order.id == *id) else {
             return;
@@ -229,7 +237,7 @@
         if drain.state != DrainState::Accepted {
             return;
         }
-        drain.begin(now);
+        drain.on_persisted(now);
         let drain = drain.clone();
         self.push_state_changed(&drain);
     }
@@ -240,7 +248,7 @@
         let Some(drain) = drain.filter(|drain| drain.is_active()) else {
             return;
         };
-        let event = drain.event_by(now, grace, evidence);
+        let event = drain.event_from_evidence(now, grace, evidence);
         drain.evidence = evidence;
         if let Some(next) = event.and_then(|event| drain.state.on_event(event)) {
             drain.state = next;
@@ -252,9 +260,9 @@
 
     /// Removes orders that were withdrawn long ago.
     pub fn expire_withdrawn(&mut self, now: Moment, grace: Span) {
-        let memory = grace * WITHDRAWN_MEMORY_GRACE_PERIODS;
+        let retention = grace * WITHDRAWN_RETENTION_GRACE_PERIODS;
         let is_expired = |drain: &Drain| {
-            drain.state == DrainState::Withdrawn && now - drain.entered_state_at >= memory
+            drain.state == DrainState::Withdrawn && now - drain.entered_state_at >= retention
         };
         let expired: Vec<String> = self
             .drains
@@ -264,7 +272,8 @@
             .collect();
         for node in expired {
             self.drains.remove(&node);
-            self.effects.push(DrainEffect::Write { node, drain: None });
+            self.effects
+                .push(DrainEffect::Persist { node, drain: None });
         }
     }
 
--- a/crates/drain/src/state.rs
+++ b/crates/drain/src/state.rs
@@ -25,11 +25,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainEvent {
     /// The disk has the order.
-    Written,
+    Persisted,
     /// No joined proxy has a table with the node.
-    NotInTables,
+    RemovedFromTables,
     /// The grace period is over.
-    GraceOver,
+    GracePeriodOver,
     /// Every proxy that reports has reported since, and none sent an attempt there.
     NoTraffic,
     /// An attempt was sent there after all.
@@ -54,11 +54,13 @@
     pub fn on_event(self, event: DrainEvent) -> Option<DrainState> {
         match self {
             DrainState::Accepted => match event {
-                DrainEvent::Written => Some(DrainState::Propagating),
+                DrainEvent::Persisted => Some(DrainState::Propagating),
                 _ => None,
             },
             DrainState::Propagating => match event {
-                DrainEvent::NotInTables | DrainEvent::GraceOver => Some(DrainState::InForce),
+                DrainEvent::RemovedFromTables | DrainEvent::GracePeriodOver => {
+                    Some(DrainState::InForce)
+                }
                 DrainEvent::Restarted => Some(DrainState::Propagating),
                 _ => None,
             },
--- a/crates/drain/tests/common/mod.rs
+++ b/crates/drain/tests/common/mod.rs
@@ -22,9 +22,9 @@
 }
 
 /// Submits an order and reports it as written.
-pub fn submit_and_write(registry: &mut DrainRegistry, now: Moment, order: DrainOrder) {
+pub fn submit_and_persist(registry: &mut DrainRegistry, now: Moment, order: DrainOrder) {
     let id = order.id.clone();
     registry.submit(now, order, &[]).expect("taken");
-    registry.written(now, NODE, &id);
+    registry.on_persisted(now, NODE, &id);
     registry.take_effects();
 }
--- a/crates/drain/tests/consistency.rs
+++ b/crates/drain/tests/consistency.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{at, order, submit_and_write};
+use common::{at, order, submit_and_persist};
 use std::collections::BTreeMap;
 use wheelspread_drain::consistency::{
     find_disagreements, missing_orders, ControllerView, DisagreementKind, NodeView,
@@ -11,11 +11,11 @@
 
 #[test]
 fn the_newest_order_is_missing_only_at_controllers_that_do_not_have_it() {
-    let of = |orders: Vec<DrainOrder>| {
+    let drains_after = |orders: Vec<DrainOrder>| {
         let mut registry = DrainRegistry::default();
         orders
             .into_iter()
-            .for_each(|order| submit_and_write(&mut registry, at(0.0), order));
+            .for_each(|order| submit_and_persist(&mut registry, at(0.0), order));
         registry.drains().cloned().collect::<Vec<Drain>>()
     };
     let (old, new) = (
@@ -23,9 +23,12 @@
         order("b", DrainAction::Undrain, 2),
     );
     let fleet = BTreeMap::from([
-        ("c0".to_string(), of(vec![old.clone(), new.clone()])),
-        ("c1".to_string(), of(vec![old])),
-        ("c2".to_string(), of(vec![])),
+        (
+            "c0".to_string(),
+            drains_after(vec![old.clone(), new.clone()]),
+        ),
+        ("c1".to_string(), drains_after(vec![old])),
+        ("c2".to_string(), drains_after(vec![])),
     ]);
     let missing: Vec<(String, String)> = missing_orders(&fleet)
         .into_iter()
@@ -62,7 +65,7 @@
 
 /// Two controllers that agree, and a third one.
 fn fleet(third: ControllerView) -> BTreeMap<String, ControllerView> {
-    let sound = controller_view(
+    let agreeing = controller_view(
         "7",
         3,
         &[
@@ -71,8 +74,8 @@
         ],
     );
     BTreeMap::from([
-        ("a".to_string(), sound.clone()),
-        ("b".to_string(), sound),
+        ("a".to_string(), agreeing.clone()),
+        ("b".to_string(), agreeing),
         ("c".to_string(), third),
     ])
 }
--- a/crates/drain/tests/delivery.rs
+++ b/crates/drain/tests/delivery.rs
@@ -25,14 +25,14 @@
 }
 
 /// A finished delivery, when it ended, and each attempt with its time.
-struct Played {
+struct DeliveryRun {
     delivery: OrderDelivery,
     ended_at: Moment,
     attempts: Vec<(f64, String)>,
 }
 
 /// Plays a delivery; `answer` gives the reply of a controller to its n-th attempt, `None`: it never answers.
-fn play(count: usize, answer: impl Fn(&str, u32) -> Option<Reply>) -> Played {
+fn run_delivery(count: usize, answer: impl Fn(&str, u32) -> Option<Reply>) -> DeliveryRun {
     let (mut now, mut delivery) = (
         at(0.0),
         OrderDelivery::new(at(0.0), 3, budget(), names(count)),
@@ -50,15 +50,15 @@
         }
         now = now + span(0.01);
     }
-    Played {
+    DeliveryRun {
         delivery,
         ended_at: now,
         attempts,
     }
 }
 
-fn taken() -> Option<Reply> {
-    Some(Reply::Taken {
+fn accepted() -> Option<Reply> {
+    Some(Reply::Accepted {
         state: "telling".into(),
     })
 }
@@ -70,40 +70,39 @@
 }
 
 #[test]
-fn a_delivery_to_a_healthy_fleet_ends_at_once() {
-    let played = play(30, |_, _| taken());
+fn a_delivery_to_a_healthy_fleet_needs_one_attempt_per_controller() {
+    let run = run_delivery(30, |_, _| accepted());
     assert_eq!(
-        (played.delivery.outcome(), played.attempts.len()),
+        (run.delivery.outcome(), run.attempts.len()),
         (Outcome::Everywhere, 30)
     );
-    assert!(played.ended_at.seconds() < 0.1);
+    assert!(run.ended_at.seconds() < 0.1);
 }
 
 #[test]
-fn a_failed_controller_is_retried_and_one_that_stays_away_makes_the_outcome_partial() {
-    let played = play(30, |name, n| match name {
+fn a_failed_controller_is_retried_and_one_that_stays_unreachable_makes_the_outcome_partial() {
+    let run = run_delivery(30, |name, n| match name {
         "c7" if n < 4 => failed(),
-        _ => taken(),
+        _ => accepted(),
     });
-    assert_eq!(played.delivery.outcome(), Outcome::Everywhere);
-    let ended_at = played.ended_at;
+    assert_eq!(run.delivery.outcome(), Outcome::Everywhere);
+    let ended_at = run.ended_at;
     assert!((0.2..2.0).contains(&ended_at.seconds()), "{ended_at:?}");
-    let played = play(30, |name, _| if name == "c7" { failed() } else { taken() });
+    let run = run_delivery(
+        30,
+        |name, _| if name == "c7" { failed() } else { accepted() },
+    );
     assert_eq!(
-        (played.delivery.outcome(), played.ended_at.seconds()),
+        (run.delivery.outcome(), run.ended_at.seconds()),
         (Outcome::Partly, 5.0),
         "the budget is spent, no more"
     );
-    let attempts = played
-        .attempts
-        .iter()
-        .filter(|(_, name)| name == "c7")
-        .count();
+    let attempts = run.attempts.iter().filter(|(_, name)| name == "c7").count();
     assert!(
         (5..20).contains(&attempts),
         "{attempts} attempts with backoff"
     );
-    let last = played
+    let last = run
         .delivery
         .replies()
         .find(|reply| reply.controller == "c7")
@@ -112,13 +111,13 @@
 }
 
 #[test]
-fn a_controller_that_is_silent_or_refuses_is_no_success() {
-    let Played { delivery, .. } = play(3, |name, _| match name {
+fn a_controller_that_does_not_reply_or_refuses_is_not_counted_as_success() {
+    let DeliveryRun { delivery, .. } = run_delivery(3, |name, _| match name {
         "c0" => None,
         "c1" => Some(Reply::Refused {
             reason: "pool: no node would be left".into(),
         }),
-        _ => taken(),
+        _ => accepted(),
     });
     assert_eq!(delivery.outcome(), Outcome::Partly);
     let silent = delivery
@@ -127,23 +126,27 @@
         .count();
     assert_eq!(silent, 1);
     assert_eq!(
-        play(2, |_, _| failed()).delivery.outcome(),
+        run_delivery(2, |_, _| failed()).delivery.outcome(),
         Outcome::Nowhere
     );
 }
 
 #[test]
 fn controllers_that_failed_together_are_not_retried_together() {
-    let Played { attempts, .. } = play(40, |_, n| if n < 3 { failed() } else { taken() });
+    let DeliveryRun { attempts, .. } =
+        run_delivery(40, |_, n| if n < 3 { failed() } else { accepted() });
     let hundredths: Vec<u64> = attempts
         .iter()
         .skip(40)
         .take(40)
         .map(|(at, _)| (at * 100.0).round() as u64)
         .collect();
-    let most = hundredths
+    let max_count = hundredths
         .iter()
         .map(|at| hundredths.iter().filter(|other| *other == at).count())
         .max();
-    assert!(most < Some(20), "{most:?} of 40 in the same 10 ms");
+    assert!(
+        max_count < Some(20),
+        "{max_count:?} of 40 in the same 10 ms"
+    );
 }
--- a/crates/drain/tests/registry.rs
+++ b/crates/drain/tests/registry.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{at, order, submit_and_write, NODE};
+use common::{at, order, submit_and_persist, NODE};
 use proptest::prelude::*;
 use test_case::test_case;
 use wheelspread::time::Span;
@@ -19,9 +19,9 @@
     registry.drain(NODE).map(|drain| drain.state)
 }
 
-fn evidence(named_by: usize, attempts: u64, reporting_proxies: usize) -> Evidence {
+fn evidence(proxies_with_node: usize, attempts: u64, reporting_proxies: usize) -> Evidence {
     Evidence {
-        named_by,
+        proxies_with_node,
         proxies: 4,
         attempts,
         reporting_proxies,
@@ -41,9 +41,12 @@
     );
     assert!(matches!(
         &registry.take_effects()[..],
-        [DrainEffect::Write { .. }, DrainEffect::StateChanged { .. }]
+        [
+            DrainEffect::Persist { .. },
+            DrainEffect::StateChanged { .. }
+        ]
     ));
-    registry.written(at(0.1), NODE, &OrderId("o1".into()));
+    registry.on_persisted(at(0.1), NODE, &OrderId("o1".into()));
     assert_eq!(registry.drained_nodes().collect::<Vec<_>>(), [NODE]);
     registry.record_evidence(at(0.2), NODE, span(2.0), evidence(3, 0, 0));
     assert_eq!(
@@ -74,9 +77,9 @@
 }
 
 #[test]
-fn a_drain_is_in_force_after_the_grace_period_whatever_tables_have() {
+fn a_drain_is_in_force_after_the_grace_period_even_if_tables_still_have_the_node() {
     let mut registry = DrainRegistry::default();
-    submit_and_write(&mut registry, at(0.0), order("o1", DrainAction::Drain, 1));
+    submit_and_persist(&mut registry, at(0.0), order("o1", DrainAction::Drain, 1));
     registry.record_evidence(at(1.9), NODE, span(2.0), evidence(1, 0, 0));
     assert_eq!(state(&registry), Some(DrainState::Propagating));
     registry.record_evidence(at(2.0), NODE, span(2.0), evidence(1, 0, 0));
@@ -84,23 +87,23 @@
 }
 
 #[test]
-fn the_order_that_was_given_later_counts_in_whichever_sequence_they_arrive() {
+fn the_newest_order_is_in_force_in_whichever_sequence_orders_arrive() {
     let (drain, undrain) = (
         order("a", DrainAction::Drain, 5),
         order("b", DrainAction::Undrain, 6),
     );
     let mut first = DrainRegistry::default();
-    submit_and_write(&mut first, at(0.0), drain.clone());
-    submit_and_write(&mut first, at(1.0), undrain.clone());
+    submit_and_persist(&mut first, at(0.0), drain.clone());
+    submit_and_persist(&mut first, at(1.0), undrain.clone());
     // The other controller gets the two the other way round.
     let mut second = DrainRegistry::default();
-    submit_and_write(&mut second, at(1.0), undrain);
-    let late = second
+    submit_and_persist(&mut second, at(1.0), undrain);
+    let superseded = second
         .submit(at(2.0), drain, &[])
         .expect_err("it was given before");
     assert_eq!(
-        late,
-        DrainError::Overtaken {
+        superseded,
+        DrainError::Superseded {
             newer: "b".into(),
             by: "ada".into()
         }
@@ -112,21 +115,24 @@
 }
 
 #[test]
-fn a_repeated_order_is_one_and_a_reused_id_with_other_content_is_refused() {
+fn a_repeated_order_is_idempotent_and_a_reused_id_with_other_content_is_refused() {
     let mut registry = DrainRegistry::default();
-    submit_and_write(&mut registry, at(0.0), order("a", DrainAction::Drain, 5));
+    submit_and_persist(&mut registry, at(0.0), order("a", DrainAction::Drain, 5));
     registry.record_evidence(at(1.0), NODE, span(2.0), evidence(0, 0, 0));
-    let again = registry
+    let repeated_state = registry
         .submit(at(2.0), order("a", DrainAction::Drain, 5), &[])
         .expect("known")
         .state;
     assert_eq!(
-        (again, registry.take_effects().len()),
+        (repeated_state, registry.take_effects().len()),
         (DrainState::InForce, 1),
         "only the turn before"
     );
     let other = registry.submit(at(3.0), order("a", DrainAction::Undrain, 9), &[]);
-    assert_eq!(other.err(), Some(DrainError::OtherContent("a".into())));
+    assert_eq!(
+        other.err(),
+        Some(DrainError::ConflictingContent("a".into()))
+    );
     // The tool was killed and is run again: a new order of the same word goes on where the first is.
     registry
         .submit(at(4.0), order("c", DrainAction::Drain, 9), &[])
@@ -138,12 +144,12 @@
 #[test_case(&["cold"], true; "something else is")]
 #[test_case(&["pool"], true; "one of two is")]
 #[test_case(&["pool", "capacity"], false; "both are named")]
-fn a_drain_is_refused_unless_it_overrides_every_failed_check(overrides: &[&str], refuses: bool) {
+fn a_drain_is_refused_unless_it_overrides_every_failed_check(overrides: &[&str], is_refused: bool) {
     let failed_check = |name: &str, text: &str| FailedCheck {
         name: name.into(),
         text: text.into(),
     };
-    let against = [
+    let failed_checks = [
         failed_check("pool", "pool: no node would be left"),
         failed_check("capacity", "capacity: 40% would be lost"),
     ];
@@ -151,25 +157,25 @@
     order.overrides = overrides.iter().map(ToString::to_string).collect();
     let mut registry = DrainRegistry::default();
     let result = registry
-        .submit(at(0.0), order, &against)
+        .submit(at(0.0), order, &failed_checks)
         .map(|drain| drain.state);
-    assert_eq!(result.is_err(), refuses);
-    if let Err(DrainError::Checks(left)) = result {
+    assert_eq!(result.is_err(), is_refused);
+    if let Err(DrainError::Checks(remaining)) = result {
         assert_eq!(
-            left.len(),
+            remaining.len(),
             2 - overrides.iter().filter(|name| **name == "pool").count()
         );
     }
 }
 
 #[test]
-fn a_restarted_controller_keeps_a_node_out_and_collects_evidence_anew() {
+fn a_restarted_controller_keeps_a_node_out_of_tables_and_collects_evidence_again() {
     let mut registry = DrainRegistry::default();
-    submit_and_write(&mut registry, at(0.0), order("a", DrainAction::Drain, 5));
+    submit_and_persist(&mut registry, at(0.0), order("a", DrainAction::Drain, 5));
     registry.record_evidence(at(1.0), NODE, span(2.0), evidence(0, 0, 0));
     registry.record_evidence(at(2.0), NODE, span(2.0), evidence(0, 0, 4));
-    let kept: Vec<Drain> = registry.drains().cloned().collect();
-    let registry = DrainRegistry::recover(at(0.0), kept.into_iter());
+    let persisted: Vec<Drain> = registry.drains().cloned().collect();
+    let registry = DrainRegistry::recover(at(0.0), persisted.into_iter());
     assert_eq!(state(&registry), Some(DrainState::Propagating));
     assert_eq!(
         registry.drained_nodes().count(),
@@ -177,13 +183,13 @@
         "its node is out from the first moment"
     );
     // Killed when the disk had an order that had not come into force: it counts.
-    let mut wanted = DrainRegistry::default();
-    wanted
+    let mut accepted = DrainRegistry::default();
+    accepted
         .submit(at(0.0), order("a", DrainAction::Drain, 5), &[])
         .expect("taken");
-    let kept: Vec<Drain> = wanted.drains().cloned().collect();
+    let persisted: Vec<Drain> = accepted.drains().cloned().collect();
     assert_eq!(
-        DrainRegistry::recover(at(0.0), kept.into_iter())
+        DrainRegistry::recover(at(0.0), persisted.into_iter())
             .drained_nodes()
             .count(),
         1
@@ -195,31 +201,31 @@
     // with the same word for the node.
     #[test]
     fn controllers_converge_to_the_same_order(
-        words in prop::collection::vec(any::<bool>(), 1..8),
-        ways in prop::collection::vec(prop::collection::vec(0usize..8, 8..24), 3),
+        actions in prop::collection::vec(any::<bool>(), 1..8),
+        sequences in prop::collection::vec(prop::collection::vec(0usize..8, 8..24), 3),
     ) {
-        let of = |at: usize| {
-            let word = if words[at] { DrainAction::Drain } else { DrainAction::Undrain };
+        let order_at = |index: usize| {
+            let action = if actions[index] { DrainAction::Drain } else { DrainAction::Undrain };
             // Two that were given in the same millisecond are told apart by name.
-            order(&format!("o{at}"), word, 10 + at as u64 / 2)
+            order(&format!("o{index}"), action, 10 + index as u64 / 2)
         };
-        let mut ends = Vec::new();
-        for way in ways {
+        let mut newest_orders = Vec::new();
+        for sequence in sequences {
             let mut registry = DrainRegistry::default();
-            let all = way.into_iter().filter(|at| *at < words.len()).chain(0..words.len());
-            for (turn, which) in all.enumerate() {
-                let order = of(which);
+            let indices = sequence.into_iter().filter(|index| *index < actions.len()).chain(0..actions.len());
+            for (step, index) in indices.enumerate() {
+                let order = order_at(index);
                 let id = order.id.clone();
                 if registry.submit(at(1.0), order, &[]).is_ok() {
-                    registry.written(at(1.0), NODE, &id);
+                    registry.on_persisted(at(1.0), NODE, &id);
                 }
-                if turn % 5 == 4 {
-                    let kept: Vec<Drain> = registry.drains().cloned().collect();
-                    registry = DrainRegistry::recover(at(2.0), kept.into_iter());
+                if step % 5 == 4 {
+                    let persisted: Vec<Drain> = registry.drains().cloned().collect();
+                    registry = DrainRegistry::recover(at(2.0), persisted.into_iter());
                 }
             }
-            ends.push(registry.drain(NODE).map(|drain| (drain.order.id.clone(), drain.is_active())));
+            newest_orders.push(registry.drain(NODE).map(|drain| (drain.order.id.clone(), drain.is_active())));
         }
-        prop_assert!(ends.windows(2).all(|pair| pair[0] == pair[1]), "{:?}", ends);
+        prop_assert!(newest_orders.windows(2).all(|pair| pair[0] == pair[1]), "{:?}", newest_orders);
     }
 }
--- a/crates/drain/tests/stored_form.rs
+++ b/crates/drain/tests/stored_form.rs
@@ -82,7 +82,7 @@
 #[test]
 fn replies_and_outcomes_keep_their_json_form() {
     let replies = [
-        Reply::Taken {
+        Reply::Accepted {
             state: "telling".into(),
         },
         Reply::Refused { reason: "r".into() },
--- a/crates/drain/tests/transitions.rs
+++ b/crates/drain/tests/transitions.rs
@@ -10,9 +10,9 @@
     DrainState::Withdrawn,
 ];
 const EVENTS: [DrainEvent; 6] = [
-    DrainEvent::Written,
-    DrainEvent::NotInTables,
-    DrainEvent::GraceOver,
+    DrainEvent::Persisted,
+    DrainEvent::RemovedFromTables,
+    DrainEvent::GracePeriodOver,
     DrainEvent::NoTraffic,
     DrainEvent::TrafficSeen,
     DrainEvent::Restarted,
@@ -22,9 +22,9 @@
     use DrainEvent::*;
     use DrainState::*;
     match (state, event) {
-        (Accepted, Written) => Some(Propagating),
-        (Propagating, NotInTables) => Some(InForce),
-        (Propagating, GraceOver) => Some(InForce),
+        (Accepted, Persisted) => Some(Propagating),
+        (Propagating, RemovedFromTables) => Some(InForce),
+        (Propagating, GracePeriodOver) => Some(InForce),
         (InForce, NoTraffic) => Some(Drained),
         (Drained, TrafficSeen) => Some(InForce),
         (Propagating, Restarted) => Some(Propagating),
--- a/crates/files/src/scan.rs
+++ b/crates/files/src/scan.rs
@@ -18,7 +18,7 @@
     /// Tables that could not be read; they stay where they are.
     pub unreadable: Vec<UnreadableTables>,
     /// Unfinished files that were removed.
-    pub leftovers: usize,
+    pub removed_draft_count: usize,
 }
 
 /// A proxy's tables that could not be read.
@@ -45,7 +45,7 @@
     for name in sorted_names(&root.versions())? {
         if name.starts_with(DRAFT_PREFIX) {
             fs::remove_dir_all(root.versions().join(name))?;
-            result.leftovers += 1;
+            result.removed_draft_count += 1;
         } else if let Some(version) = parse_version_name(&name) {
             result.recovered.versions.insert(version);
         }
@@ -64,7 +64,7 @@
     let names = sorted_names(&directory).unwrap_or_default();
     for draft in names.iter().filter(|name| name.starts_with(DRAFT_PREFIX)) {
         fs::remove_file(directory.join(draft))?;
-        result.leftovers += 1;
+        result.removed_draft_count += 1;
     }
     match read_tables(&directory) {
         Ok(Some(loaded)) => {
--- a/crates/files/src/swap.rs
+++ b/crates/files/src/swap.rs
@@ -85,28 +85,28 @@
 
     /// Carries out all steps that are still to be done: a version that is there already is only pointed at.
     pub fn run(&self) -> Result<(), SwapError> {
-        self.run_with(&mut sync_all)
+        self.run_with_sync(&mut sync_all)
     }
 
     /// The same, with `sync` to decide when enough is on the disk.
-    pub(crate) fn run_with(&self, sync: &mut SyncFiles) -> Result<(), SwapError> {
-        let is_written = self.root.version(self.version).is_dir();
-        let is_due = |step: &&SwapStep| {
-            !is_written || matches!(step, SwapStep::MakeLink | SwapStep::SwapLink)
+    pub(crate) fn run_with_sync(&self, sync: &mut SyncFiles) -> Result<(), SwapError> {
+        let version_exists = self.root.version(self.version).is_dir();
+        let is_required = |step: &&SwapStep| {
+            !version_exists || matches!(step, SwapStep::MakeLink | SwapStep::SwapLink)
         };
-        for step in STEPS.iter().filter(is_due) {
+        for step in STEPS.iter().filter(is_required) {
             self.check_failpoint(&format!("files.{step:?}"), *step)?;
-            self.step_with(*step, sync)?;
+            self.step_with_sync(*step, sync)?;
         }
         self.check_failpoint("files.pointed", SwapStep::SwapLink)
     }
 
     /// Carries out one step.
     pub fn step(&self, step: SwapStep) -> Result<(), SwapError> {
-        self.step_with(step, &mut sync_all)
+        self.step_with_sync(step, &mut sync_all)
     }
 
-    fn step_with(&self, step: SwapStep, sync: &mut SyncFiles) -> Result<(), SwapError> {
+    fn step_with_sync(&self, step: SwapStep, sync: &mut SyncFiles) -> Result<(), SwapError> {
         let draft = self.draft();
         let (eds, rds) = (draft.join(EDS), draft.join(RDS));
         let versions = self.root.versions();
--- a/crates/files/src/writer.rs
+++ b/crates/files/src/writer.rs
@@ -86,19 +86,19 @@
 }
 
 /// The disk is waited for so long, as a part of the longest delay of a message.
-const SYNC_TIMEOUT_PER_DELAY: f64 = 0.5;
+const SYNC_TIMEOUT_RATIO: f64 = 0.5;
 
 impl TableWriter {
     /// Starts the thread. `waker` wakes the loop that reads the results.
     pub fn start(root: TableRoot, deployment: Deployment, waker: Waker) -> io::Result<TableWriter> {
         let (jobs, submitted) = channel::<WriteJob>();
         let (finished, results) = channel();
-        let sync_timeout = deployment.update_queue.max_delay.seconds() * SYNC_TIMEOUT_PER_DELAY;
+        let sync_timeout = deployment.update_queue.max_delay.seconds() * SYNC_TIMEOUT_RATIO;
         let sync = SyncThread::start(sync_timeout, File::sync_all)?;
         let work = move || {
             let mut publisher = Publisher::new(root, deployment, sync);
             for job in submitted {
-                for result in publisher.carry_out(job) {
+                for result in publisher.execute(job) {
                     // The other side is gone only when the program ends.
                     let _ = finished.send(result);
                 }
--- a/crates/files/src/writer/publisher.rs
+++ b/crates/files/src/writer/publisher.rs
@@ -31,7 +31,7 @@
         }
     }
 
-    pub(super) fn carry_out(&mut self, job: WriteJob) -> Vec<WriteResult> {
+    pub(super) fn execute(&mut self, job: WriteJob) -> Vec<WriteResult> {
         match job {
             WriteJob::Publish { proxy, set } => self.publish_and_report(proxy, &set),
             WriteJob::Remove { version } => self.remove(version).into_iter().collect(),
@@ -46,7 +46,7 @@
         let version = set.version;
         let result = self.publish(&proxy, set);
         let mut results = Vec::new();
-        if self.sync.take_unfinished() {
+        if self.sync.take_unsynced() {
             results.push(WriteResult::PublishedUnsynced { version });
         }
         results.push(WriteResult::Published {
@@ -67,7 +67,7 @@
         }
         let documents = &self.documents[&set.version];
         let swap = Swap::new(&self.root, set.version, documents, proxy);
-        swap.run_with(&mut |files| self.sync.sync(files))?;
+        swap.run_with_sync(&mut |files| self.sync.sync(files))?;
         Ok(())
     }
 
--- a/crates/files/src/writer/sync_thread.rs
+++ b/crates/files/src/writer/sync_thread.rs
@@ -13,7 +13,7 @@
     /// Requests without a result yet.
     pending: usize,
     /// Whether a sync was not waited for, or failed after it was not waited for.
-    unfinished: bool,
+    unsynced: bool,
 }
 
 impl SyncThread {
@@ -38,7 +38,7 @@
             results,
             timeout: Duration::from_secs_f64(timeout_seconds),
             pending: 0,
-            unfinished: false,
+            unsynced: false,
         })
     }
 
@@ -51,7 +51,7 @@
         }
         self.pending += 1;
         if self.pending > 1 {
-            self.unfinished = true;
+            self.unsynced = true;
             return Ok(());
         }
         match self.results.recv_timeout(self.timeout) {
@@ -60,7 +60,7 @@
                 result
             }
             Err(_) => {
-                self.unfinished = true;
+                self.unsynced = true;
                 Ok(())
             }
         }
@@ -69,12 +69,12 @@
     fn collect_late_results(&mut self) {
         for result in self.results.try_iter() {
             self.pending = self.pending.saturating_sub(1);
-            self.unfinished |= result.is_err();
+            self.unsynced |= result.is_err();
         }
     }
 
     /// Whether a sync was not waited for since the last call.
-    pub(super) fn take_unfinished(&mut self) -> bool {
-        std::mem::take(&mut self.unfinished)
+    pub(super) fn take_unsynced(&mut self) -> bool {
+        std::mem::take(&mut self.unsynced)
     }
 }
--- a/crates/files/src/writer/tests.rs
+++ b/crates/files/src/writer/tests.rs
@@ -26,10 +26,10 @@
 
 /// As many nodes as its version, so that a mix of two would show.
 fn set(version: u64) -> TableSet {
-    let entry = |at: u64| TableEntry {
+    let entry = |index: u64| TableEntry {
         node: NodeId {
             address: [127, 0, 0, 1],
-            port: 9000 + at as u16,
+            port: 9000 + index as u16,
         },
         zone: "north".to_string(),
         weight: version as f64,
@@ -70,25 +70,29 @@
 
 // Every place at which kill -9 can strike, with what the next controller and the proxy then find.
 #[test]
-fn after_a_kill_between_any_steps_the_old_version_is_complete_and_the_next_start_goes_on() {
-    for done in 0..STEPS.len() {
+fn after_a_kill_between_any_two_steps_the_old_version_is_complete_and_a_restart_recovers() {
+    for completed_steps in 0..STEPS.len() {
         let (_directory, mut publisher) = publisher();
         publisher.publish("g1", &set(3)).expect("written");
         let documents = tables::write(&set(5), &deployment()).expect("documents");
         let swap = Swap::new(&publisher.root, Version(5), &documents, "g1");
-        STEPS[..done]
+        STEPS[..completed_steps]
             .iter()
             .for_each(|step| swap.step(*step).expect("the step works"));
-        assert_eq!(loaded(&publisher.root), (3, 3), "after {done} steps");
+        assert_eq!(
+            loaded(&publisher.root),
+            (3, 3),
+            "after {completed_steps} steps"
+        );
         let recovered = scan(&publisher.root, &deployment())
             .expect("it starts")
             .recovered;
         assert_eq!(recovered.tables["g1"].version, Version(3));
         publisher.publish("g1", &set(6)).expect("it goes on");
         assert_eq!(loaded(&publisher.root), (6, 6));
-        let again = scan(&publisher.root, &deployment()).expect("it starts");
+        let rescanned = scan(&publisher.root, &deployment()).expect("it starts");
         assert_eq!(
-            (again.leftovers, again.unreadable.len()),
+            (rescanned.removed_draft_count, rescanned.unreadable.len()),
             (0, 0),
             "nothing of it is left"
         );
@@ -119,16 +123,16 @@
 
 #[test_case("versions"; "a place for versions that is a file")]
 #[test_case("gateways/g1"; "a proxy's directory that is a file")]
-fn a_path_that_cannot_be_written_is_reported_and_a_later_attempt_succeeds(place: &str) {
+fn a_path_that_cannot_be_written_is_reported_and_a_later_attempt_succeeds(path_below_root: &str) {
     let (_directory, mut publisher) = publisher();
-    let path = publisher.root.path().join(place);
+    let path = publisher.root.path().join(path_below_root);
     let _ = std::fs::remove_dir(&path);
     std::fs::write(&path, "in the way").expect("put there");
     let reason = publisher
         .publish("g1", &set(2))
         .expect_err("it can't be written")
         .to_string();
-    assert!(reason.contains(place), "{reason}");
+    assert!(reason.contains(path_below_root), "{reason}");
     std::fs::remove_file(&path).expect("taken away");
     publisher.root.prepare().expect("made again");
     publisher.publish("g1", &set(2)).expect("now it can");
@@ -138,8 +142,8 @@
 #[test]
 fn a_full_disk_is_reported_and_leaves_the_old_version_in_force() {
     // The one file that takes nothing, for every user.
-    let full = std::path::Path::new("/dev/full");
-    if !full.exists() {
+    let full_device = std::path::Path::new("/dev/full");
+    if !full_device.exists() {
         return;
     }
     let (_directory, mut publisher) = publisher();
@@ -152,7 +156,7 @@
             .root
             .versions()
             .join(format!("{}{}", DRAFT_PREFIX, version_name(Version(5))));
-    std::os::unix::fs::symlink(full, draft.join(EDS)).expect("linked");
+    std::os::unix::fs::symlink(full_device, draft.join(EDS)).expect("linked");
     let failed = swap
         .step(SwapStep::WriteEndpoints)
         .expect_err("nothing fits")
@@ -166,7 +170,7 @@
 
 // A reader that never rests beside a writer that never rests: it must never see a mix or nothing.
 #[test]
-fn no_reader_sees_a_partial_version() {
+fn no_reader_sees_a_partial_version_while_versions_are_published_and_removed() {
     let (directory, publisher) = publisher();
     let (root, proxy_directory) = (TableRoot::new(directory.path()), publisher.root.proxy("g1"));
     let mut poll = Poll::new().expect("epoll");
@@ -179,7 +183,7 @@
     poll.wait(wheelspread::time::Span::from_seconds(10.0), &mut Vec::new())
         .expect("waits");
     let stop = Arc::new(AtomicBool::new(false));
-    let seen = {
+    let reader = {
         let stop = stop.clone();
         std::thread::spawn(move || {
             let (mut last, mut reads) = (0, 0);
@@ -192,7 +196,7 @@
                 assert!(operation
                     .entries
                     .iter()
-                    .all(|line| line.weight == version as f64));
+                    .all(|entry| entry.weight == version as f64));
                 assert!(version >= last, "{version} after {last}");
                 (last, reads) = (version, reads + 1);
             }
@@ -213,43 +217,43 @@
     let failed = writer
         .finish()
         .into_iter()
-        .filter(|done| !matches!(done, WriteResult::Published { result: Ok(()), .. }));
+        .filter(|result| !matches!(result, WriteResult::Published { result: Ok(()), .. }));
     assert_eq!(failed.count(), 0);
     stop.store(true, Ordering::Relaxed);
-    assert!(seen.join().expect("it saw nothing wrong") > 0);
+    assert!(reader.join().expect("it saw nothing wrong") > 0);
 }
 
 // Seconds for each sync: versions still come in time and complete, and are reported as not synced.
 #[test]
 fn a_slow_disk_delays_no_version() {
     let (_directory, mut publisher) = publisher();
-    let slow = |_: &File| {
+    let slow_sync = |_: &File| {
         std::thread::sleep(Duration::from_secs(2));
         Ok(())
     };
-    publisher.sync = SyncThread::start(0.1, slow).expect("a thread");
-    let begin = std::time::Instant::now();
+    publisher.sync = SyncThread::start(0.1, slow_sync).expect("a thread");
+    let started_at = std::time::Instant::now();
     for version in 1..20 {
-        let done = publisher.carry_out(WriteJob::Publish {
+        let results = publisher.execute(WriteJob::Publish {
             proxy: "g1".to_string(),
             set: Arc::new(set(version)),
         });
         assert!(
             matches!(
-                &done[..],
+                &results[..],
                 [
                     WriteResult::PublishedUnsynced { .. },
                     WriteResult::Published { result: Ok(()), .. }
                 ]
             ),
-            "{done:?}"
+            "{results:?}"
         );
         assert_eq!(loaded(&publisher.root), (version, version as usize));
     }
     assert!(
-        begin.elapsed() < Duration::from_secs(1),
+        started_at.elapsed() < Duration::from_secs(1),
         "{:?}",
-        begin.elapsed()
+        started_at.elapsed()
     );
 }
 
--- a/crates/fleet/src/order.rs
+++ b/crates/fleet/src/order.rs
@@ -41,7 +41,7 @@
 
 fn reply_from(answer: Result<Value, Failed>) -> Reply {
     match answer {
-        Ok(value) => Reply::Taken {
+        Ok(value) => Reply::Accepted {
             state: value["state"].as_str().unwrap_or("taken").to_string(),
         },
         Err(failed) if failed.passes() => Reply::Failed {
@@ -68,14 +68,14 @@
         let (sender, replies) = std::sync::mpsc::channel();
         while !delivery.is_over(now()) {
             for name in delivery.due(now()) {
-                let left = duration(delivery.until() - now());
+                let left = duration(delivery.deadline() - now());
                 let until = Instant::now() + left.min(self.within);
                 self.spawn_attempt(name, request.clone(), until, sender.clone());
             }
             let next = delivery
                 .wake_at()
-                .unwrap_or(delivery.until())
-                .min(delivery.until());
+                .unwrap_or(delivery.deadline())
+                .min(delivery.deadline());
             let wait = duration(next - now()).max(MIN_WAIT);
             if let Ok((name, reply)) = replies.recv_timeout(wait) {
                 delivery.on_reply(now(), &name, reply);
--- a/crates/store/src/compaction.rs
+++ b/crates/store/src/compaction.rs
@@ -19,7 +19,7 @@
     /// Writes a file of one commit beside this one and moves it into place, so that a crash leaves one or the other.
     pub fn compact(&mut self) -> Result<(), StoreError> {
         let path = self.path.clone();
-        self.replace_file().map_err(StoreError::disk(&path))
+        self.replace_file().map_err(StoreError::io(&path))
     }
 
     fn replace_file(&mut self) -> io::Result<()> {
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -9,7 +9,7 @@
 pub enum StoreError {
     /// The disk refused an operation.
     #[error("{path}: {source}", path = .path.display())]
-    Disk {
+    Io {
         /// The file.
         path: PathBuf,
         /// What the disk said.
@@ -17,7 +17,7 @@
     },
     /// The file was written by a newer program.
     #[error("{path} is of format {found}, this program reads none above {FORMAT_VERSION}", path = .path.display())]
-    Newer {
+    NewerFormat {
         /// The file.
         path: PathBuf,
         /// The version of its format.
@@ -33,8 +33,8 @@
 
 impl StoreError {
     /// Wraps an error of the disk with the path of the file.
-    pub(crate) fn disk(path: &Path) -> impl Fn(io::Error) -> StoreError + '_ {
-        |source| StoreError::Disk {
+    pub(crate) fn io(path: &Path) -> impl Fn(io::Error) -> StoreError + '_ {
+        |source| StoreError::Io {
             path: path.to_path_buf(),
             source,
         }
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -16,7 +16,8 @@
     /// It was missing, or nothing had been committed to it.
     Fresh,
     /// All of it is sound.
-    Sound,
+    #[serde(rename = "sound")]
+    Valid,
     /// The last commit was not written to its end. It never counted, and was cut off.
     TornTail {
         /// The length of what was cut off.
@@ -39,24 +40,24 @@
     /// The result of all sound commits.
     pub state: PersistedState,
     /// Up to which byte the file is sound.
-    pub sound_bytes: u64,
+    pub valid_bytes: u64,
     /// The length of the file.
     pub total_bytes: u64,
 }
 
 impl Inspection {
     /// Whether every byte is sound.
-    pub fn is_sound(&self) -> bool {
-        self.sound_bytes == self.total_bytes
+    pub fn is_valid(&self) -> bool {
+        self.valid_bytes == self.total_bytes
     }
 }
 
 /// What the bytes of a file come to.
 struct Scan {
     state: PersistedState,
-    has_sound_header: bool,
+    has_valid_header: bool,
     /// Up to which byte frames are sound.
-    sound_bytes: usize,
+    valid_bytes: usize,
     /// Whether what follows is the beginning of a commit that was never finished.
     has_torn_tail: bool,
 }
@@ -66,16 +67,16 @@
         let header = header();
         let mut scan = Scan {
             state: PersistedState::default(),
-            has_sound_header: bytes.starts_with(header.as_bytes()),
+            has_valid_header: bytes.starts_with(header.as_bytes()),
             // A flipped bit in the first line costs none of the commits.
-            sound_bytes: header.len().min(bytes.len()),
+            valid_bytes: header.len().min(bytes.len()),
             has_torn_tail: false,
         };
-        while scan.sound_bytes < bytes.len() {
-            match decode_frame(&bytes[scan.sound_bytes..]) {
+        while scan.valid_bytes < bytes.len() {
+            match decode_frame(&bytes[scan.valid_bytes..]) {
                 Frame::Commit { commit, bytes } => {
                     scan.state.apply(commit);
-                    scan.sound_bytes += bytes;
+                    scan.valid_bytes += bytes;
                 }
                 Frame::Torn => {
                     scan.has_torn_tail = true;
@@ -101,13 +102,13 @@
         .append(true)
         .create(true)
         .open(path)
-        .map_err(StoreError::disk(path))?;
+        .map_err(StoreError::io(path))?;
     match file.try_lock() {
         Ok(()) => Ok(file),
         Err(TryLockError::WouldBlock) => Err(StoreError::InUse {
             path: path.to_path_buf(),
         }),
-        Err(TryLockError::Error(error)) => Err(StoreError::disk(path)(error)),
+        Err(TryLockError::Error(error)) => Err(StoreError::io(path)(error)),
     }
 }
 
@@ -117,23 +118,22 @@
         let is_missing = !path.exists();
         let mut file = open_locked(path)?;
         let mut bytes = Vec::new();
-        file.read_to_end(&mut bytes)
-            .map_err(StoreError::disk(path))?;
+        file.read_to_end(&mut bytes).map_err(StoreError::io(path))?;
         if is_missing || ends_within_header(&bytes) {
             let store = Store::initialize(path, file)?;
             return Ok((store, OpenOutcome::Fresh));
         }
         if let Some(found) = header_version(&bytes).filter(|version| *version > FORMAT_VERSION) {
-            return Err(StoreError::Newer {
+            return Err(StoreError::NewerFormat {
                 path: path.to_path_buf(),
                 found,
             });
         }
         let scan = Scan::new(&bytes);
-        let is_sound = scan.sound_bytes == bytes.len();
-        match scan.has_sound_header && (is_sound || scan.has_torn_tail) {
-            true => Store::with_sound_commits(path, file, scan, &bytes),
-            false => Store::from_damaged(path, file, scan, &bytes),
+        let is_valid = scan.valid_bytes == bytes.len();
+        match scan.has_valid_header && (is_valid || scan.has_torn_tail) {
+            true => Store::open_valid(path, file, scan, &bytes),
+            false => Store::open_damaged(path, file, scan, &bytes),
         }
     }
 
@@ -144,44 +144,44 @@
             .and_then(|()| file.write_all(header.as_bytes()))
             .and_then(|()| file.sync_all())
             .and_then(|()| sync_parent(path))
-            .map_err(StoreError::disk(path))?;
+            .map_err(StoreError::io(path))?;
         let state = PersistedState::default();
         Ok(Store::new(path, file, state, header.len() as u64))
     }
 
     /// Cuts off a torn tail, if there is one.
-    fn with_sound_commits(
+    fn open_valid(
         path: &Path,
         file: File,
         scan: Scan,
         bytes: &[u8],
     ) -> Result<(Store, OpenOutcome), StoreError> {
-        let sound_bytes = scan.sound_bytes as u64;
+        let valid_bytes = scan.valid_bytes as u64;
         let outcome = match scan.has_torn_tail {
             true => {
-                file.set_len(sound_bytes)
+                file.set_len(valid_bytes)
                     .and_then(|()| file.sync_all())
-                    .map_err(StoreError::disk(path))?;
+                    .map_err(StoreError::io(path))?;
                 OpenOutcome::TornTail {
-                    bytes: bytes.len() as u64 - sound_bytes,
+                    bytes: bytes.len() as u64 - valid_bytes,
                 }
             }
-            false => OpenOutcome::Sound,
+            false => OpenOutcome::Valid,
         };
-        let store = Store::new(path, file, scan.state, sound_bytes);
+        let store = Store::new(path, file, scan.state, valid_bytes);
         Ok((store, outcome))
     }
 
     /// Keeps the whole file aside and goes on with what is sound of it.
-    fn from_damaged(
+    fn open_damaged(
         path: &Path,
         file: File,
         scan: Scan,
         bytes: &[u8],
     ) -> Result<(Store, OpenOutcome), StoreError> {
-        let aside = unused_aside_path(path);
-        std::fs::write(&aside, bytes).map_err(StoreError::disk(path))?;
-        let at = scan.sound_bytes as u64;
+        let aside = unused_copy_path(path);
+        std::fs::write(&aside, bytes).map_err(StoreError::io(path))?;
+        let at = scan.valid_bytes as u64;
         let mut store = Store::new(path, file, scan.state, at);
         store.compact()?;
         let outcome = OpenOutcome::Damaged {
@@ -194,12 +194,12 @@
 
     /// Reads a file and mends nothing.
     pub fn inspect(path: &Path) -> Result<Inspection, StoreError> {
-        let bytes = std::fs::read(path).map_err(StoreError::disk(path))?;
+        let bytes = std::fs::read(path).map_err(StoreError::io(path))?;
         let scan = Scan::new(&bytes);
         Ok(Inspection {
             state: scan.state,
-            sound_bytes: match scan.has_sound_header {
-                true => scan.sound_bytes as u64,
+            valid_bytes: match scan.has_valid_header {
+                true => scan.valid_bytes as u64,
                 false => 0,
             },
             total_bytes: bytes.len() as u64,
@@ -208,7 +208,7 @@
 }
 
 /// The first of `PATH.damaged-1`, `PATH.damaged-2` … that does not exist.
-fn unused_aside_path(path: &Path) -> PathBuf {
+fn unused_copy_path(path: &Path) -> PathBuf {
     let numbered = |number: u32| {
         let mut name = path.as_os_str().to_os_string();
         name.push(format!(".damaged-{number}"));
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -47,12 +47,12 @@
 
     /// Appends a commit. All of it is on the disk when this returns; after an error none of it counts.
     pub fn commit(&mut self, commit: Commit) -> Result<(), StoreError> {
-        let frame = encode_frame(&commit).map_err(StoreError::disk(&self.path))?;
+        let frame = encode_frame(&commit).map_err(StoreError::io(&self.path))?;
         if let Err(error) = self.append(&frame) {
             // A part of the frame would stand before the next one. If this fails too, the part is found as a
             // torn tail when the file is opened.
             let _ = self.file.set_len(self.bytes);
-            return Err(StoreError::disk(&self.path)(error));
+            return Err(StoreError::io(&self.path)(error));
         }
         self.bytes += frame.len() as u64;
         self.state.apply(commit);
--- a/crates/store/tests/damage.rs
+++ b/crates/store/tests/damage.rs
@@ -26,7 +26,7 @@
 }
 
 /// Configuration, change and fact of a version belong together.
-fn fill(store: &mut Store, versions: std::ops::Range<u64>) {
+fn commit_versions(store: &mut Store, versions: std::ops::Range<u64>) {
     for version in versions {
         let values = BTreeMap::from([("n".to_string(), version.to_string())]);
         let commit = Commit {
@@ -42,56 +42,60 @@
 fn commits_survive_a_restart_and_a_missing_file_is_reported_as_fresh() {
     let directory = tempfile::tempdir().expect("a directory");
     let path = directory.path().join("state");
-    let (mut store, found) = Store::open(&path).expect("made");
-    assert_eq!(found, OpenOutcome::Fresh);
-    fill(&mut store, 1..60);
+    let (mut store, outcome) = Store::open(&path).expect("made");
+    assert_eq!(outcome, OpenOutcome::Fresh);
+    commit_versions(&mut store, 1..60);
     assert!(matches!(Store::open(&path), Err(StoreError::InUse { .. })));
     drop(store);
-    let (mut store, found) = Store::open(&path).expect("opened");
-    assert_eq!(found, OpenOutcome::Sound);
-    let kept = store.state().clone();
+    let (mut store, outcome) = Store::open(&path).expect("opened");
+    assert_eq!(outcome, OpenOutcome::Valid);
+    let state = store.state().clone();
     assert_eq!(
-        (kept.configuration.version, kept.changes.len(), kept.commits),
+        (
+            state.configuration.version,
+            state.changes.len(),
+            state.commits
+        ),
         (59, 59, 59)
     );
-    assert_eq!(kept.facts["capacity.large"], "59.5");
-    let long = store.bytes();
+    assert_eq!(state.facts["capacity.large"], "59.5");
+    let bytes_before = store.bytes();
     store.compact().expect("compacted");
-    assert!(store.bytes() < long);
-    fill(&mut store, 60..61);
+    assert!(store.bytes() < bytes_before);
+    commit_versions(&mut store, 60..61);
     drop(store);
-    let (store, found) = Store::open(&path).expect("opened");
+    let (store, outcome) = Store::open(&path).expect("opened");
     assert_eq!(
-        (found, store.state().changes.len()),
-        (OpenOutcome::Sound, 60)
+        (outcome, store.state().changes.len()),
+        (OpenOutcome::Valid, 60)
     );
     drop(store);
     std::fs::write(&path, "wheelspread-state 9\n").expect("written");
     assert!(matches!(
         Store::open(&path),
-        Err(StoreError::Newer { found: 9, .. })
+        Err(StoreError::NewerFormat { found: 9, .. })
     ));
 }
 
 #[test]
-fn a_file_that_is_no_store_is_set_aside_and_reported() {
+fn a_file_of_another_format_is_copied_and_reported_as_damaged() {
     let directory = tempfile::tempdir().expect("a directory");
     let path = directory.path().join("state");
     std::fs::write(&path, "not a store at all").expect("written");
-    let (store, found) = Store::open(&path).expect("gone on with");
+    let (store, outcome) = Store::open(&path).expect("gone on with");
     assert!(
-        matches!(&found, OpenOutcome::Damaged { aside, .. } if aside.exists()),
-        "{found:?}"
+        matches!(&outcome, OpenOutcome::Damaged { aside, .. } if aside.exists()),
+        "{outcome:?}"
     );
     assert_eq!(store.state().commits, 0);
 }
 
 /// A store of eleven commits, with its bytes and where each commit ends.
-fn eleven(path: &std::path::Path) -> (Vec<u8>, Vec<u64>) {
+fn create_store_of_eleven_commits(path: &std::path::Path) -> (Vec<u8>, Vec<u64>) {
     let (mut store, _) = Store::open(path).expect("made");
     let mut ends = vec![store.bytes()];
     for version in 1..12 {
-        fill(&mut store, version..version + 1);
+        commit_versions(&mut store, version..version + 1);
         ends.push(store.bytes());
     }
     drop(store);
@@ -102,24 +106,28 @@
 fn a_file_cut_at_any_byte_opens_to_the_last_complete_commit() {
     let directory = tempfile::tempdir().expect("a directory");
     let path = directory.path().join("state");
-    let (bytes, ends) = eleven(&path);
+    let (bytes, ends) = create_store_of_eleven_commits(&path);
     for cut in 1..bytes.len() {
         std::fs::write(&path, &bytes[..cut]).expect("written");
-        let (store, found) = Store::open(&path).expect("opened");
-        let whole = ends
+        let (store, outcome) = Store::open(&path).expect("opened");
+        let complete_commits = ends
             .iter()
             .filter(|end| **end <= cut as u64)
             .count()
             .saturating_sub(1) as u64;
-        assert_eq!(store.state().configuration.version, whole, "cut at {cut}");
-        let at_an_end = ends.contains(&(cut as u64));
-        let fine = match found {
-            OpenOutcome::Sound => at_an_end,
-            OpenOutcome::TornTail { .. } => !at_an_end && cut as u64 > ends[0],
+        assert_eq!(
+            store.state().configuration.version,
+            complete_commits,
+            "cut at {cut}"
+        );
+        let is_commit_end = ends.contains(&(cut as u64));
+        let is_expected = match outcome {
+            OpenOutcome::Valid => is_commit_end,
+            OpenOutcome::TornTail { .. } => !is_commit_end && cut as u64 > ends[0],
             OpenOutcome::Fresh => (cut as u64) < ends[0],
             OpenOutcome::Damaged { .. } => false,
         };
-        assert!(fine, "cut at {cut}: {found:?}");
+        assert!(is_expected, "cut at {cut}: {outcome:?}");
     }
 }
 
@@ -129,30 +137,30 @@
     // A flipped bit: it is said, the whole is kept aside or was a tail that never counted, and what is gone on
     // with was written together.
     #[test]
-    fn a_flipped_bit_is_found_and_the_commits_before_it_are_saved(at in 0.0f64..1.0, bit in 0u8..8) {
+    fn a_flipped_bit_is_detected_and_the_commits_before_it_are_recovered(at in 0.0f64..1.0, bit in 0u8..8) {
         let directory = tempfile::tempdir().expect("a directory");
         let path = directory.path().join("state");
-        let (mut bytes, ends) = eleven(&path);
-        let place = ((bytes.len() - 1) as f64 * at) as usize;
-        bytes[place] ^= 1 << bit;
+        let (mut bytes, ends) = create_store_of_eleven_commits(&path);
+        let position = ((bytes.len() - 1) as f64 * at) as usize;
+        bytes[position] ^= 1 << bit;
         std::fs::write(&path, &bytes).expect("written");
-        let (store, found) = match Store::open(&path) {
+        let (store, outcome) = match Store::open(&path) {
             Ok(opened) => opened,
             // The number of the form itself was hit.
-            Err(StoreError::Newer { .. }) => return Ok(()),
+            Err(StoreError::NewerFormat { .. }) => return Ok(()),
             Err(error) => return Err(TestCaseError::fail(error.to_string())),
         };
-        prop_assert!(!matches!(found, OpenOutcome::Sound | OpenOutcome::Fresh), "{:?} at {}", found, place);
-        let kept = store.state();
+        prop_assert!(!matches!(outcome, OpenOutcome::Valid | OpenOutcome::Fresh), "{:?} at {}", outcome, position);
+        let state = store.state();
         // What stood behind it is not thrown away.
-        let last = ends[ends.len() - 2];
-        let aside = matches!(&found, OpenOutcome::Damaged { aside, .. } if std::fs::read(aside).ok() == Some(bytes));
-        prop_assert!(aside || place as u64 >= last, "{:?} at {}", found, place);
-        let whole = match ends.iter().position(|end| *end > place as u64) {
+        let last_commit_start = ends[ends.len() - 2];
+        let aside = matches!(&outcome, OpenOutcome::Damaged { aside, .. } if std::fs::read(aside).ok() == Some(bytes));
+        prop_assert!(aside || position as u64 >= last_commit_start, "{:?} at {}", outcome, position);
+        let complete_commits = match ends.iter().position(|end| *end > position as u64) {
             Some(0) | None => 11,
             Some(commit) => commit as u64 - 1,
         };
-        prop_assert_eq!(kept.configuration.version, whole);
-        prop_assert_eq!(kept.changes.len() as u64, whole);
+        prop_assert_eq!(state.configuration.version, complete_commits);
+        prop_assert_eq!(state.changes.len() as u64, complete_commits);
     }
 }
--- a/crates/store/tests/stored_form.rs
+++ b/crates/store/tests/stored_form.rs
@@ -11,7 +11,7 @@
     let path = directory.path().join("state");
     std::fs::write(&path, FILE).expect("written");
     let (store, outcome) = Store::open(&path).expect("opened");
-    assert_eq!(outcome, OpenOutcome::Sound);
+    assert_eq!(outcome, OpenOutcome::Valid);
     let state = store.state();
     assert_eq!((state.commits, state.configuration.version), (2, 9));
     assert_eq!(state.changes["c1"].undone_version, Some(9));
@@ -30,7 +30,7 @@
     );
     std::fs::write(&earlier, FILE).expect("written");
     let inspection = Store::inspect(&earlier).expect("read");
-    assert!(inspection.is_sound());
+    assert!(inspection.is_valid());
     let fact = |value: &str| BTreeMap::from([("version".to_string(), Some(value.to_string()))]);
     let mut first = inspection.state.to_commit();
     first.facts = fact("3");
