--- a/crates/cli/src/fleet/view.rs
+++ b/crates/cli/src/fleet/view.rs
@@ -34,8 +34,8 @@
         )
     };
     ControllerView {
-        list: nodes["list"].as_str().unwrap_or("").to_string(),
-        configuration: status["configuration"].as_u64().unwrap_or(0),
+        list_version: nodes["list"].as_str().unwrap_or("").to_string(),
+        configuration_version: status["configuration"].as_u64().unwrap_or(0),
         nodes: entries(&nodes["nodes"]).map(view).collect(),
     }
 }
--- a/crates/drain/src/consistency.rs
+++ b/crates/drain/src/consistency.rs
@@ -1,22 +1,22 @@
-//! Where the controllers of one fleet disagree. Each decides alone, so some disagreement is ordinary for a while; what
-//! is found here is what an operator would want to know of.
+//! Disagreements between the controllers of a fleet. Each controller decides on its own, so temporary disagreements are
+//! normal; this module finds those that are of interest to an operator.
 
 use crate::order::DrainOrder;
 use crate::registry::Drain;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a controller that does not list a node holds of it.
+/// The view of a controller that does not list the node.
 const NOT_LISTED: &str = "not listed";
 
-/// What one controller holds of a node.
+/// The view that one controller has of a node.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct NodeView {
-    /// `ready`, `draining` or `out`.
+    /// The status of the node: `ready`, `draining` or `out`.
     pub listing: String,
-    /// The zone whose tables have it.
+    /// The zone whose tables have the node.
     pub zone: String,
-    /// Whether the listing is by a drain order.
+    /// Whether `listing` is the effect of a drain order.
     pub by_order: bool,
 }
 
@@ -29,47 +29,48 @@
     }
 }
 
-/// What a controller holds of the fleet.
+/// The view that one controller has of the fleet.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ControllerView {
-    /// The version of its endpoint list.
-    pub list: String,
-    /// The version of its configuration.
-    pub configuration: u64,
-    /// The nodes that it lists.
+    /// The version of the controller's endpoint list.
+    pub list_version: String,
+    /// The version of the controller's configuration.
+    pub configuration_version: u64,
+    /// The nodes that the controller lists, by name.
     pub nodes: BTreeMap<String, NodeView>,
 }
 
-/// What a disagreement is about.
+/// The subject of a disagreement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DisagreementKind {
-    /// Some hold a node to be ready, others draining or out.
+    /// The status of a node differs between the controllers that list it.
     EndpointStatus,
-    /// Some list a node, others do not.
+    /// A node is listed by some controllers, but not by all.
     Listed,
-    /// A node is in different pools.
+    /// The zone of a node differs between the controllers that list it.
     Zone,
-    /// The configurations have different versions.
+    /// The controllers have different versions of the configuration.
     Configuration,
 }
 
-/// What controllers hold, and which of them. The keys are their views.
+/// The names of controllers, grouped by view. The keys are the views as text.
 type ControllersByView = BTreeMap<String, Vec<String>>;
 
-/// A disagreement between controllers, in the form of the command line's JSON.
+/// A disagreement between controllers. Its serde names are those of the JSON output of the command-line tool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Disagreement {
-    /// What it is about.
+    /// The subject of the disagreement.
     #[serde(rename = "matter")]
     pub kind: DisagreementKind,
-    /// The node that it is about, if it is about one.
+    /// The node on which the controllers disagree; `None` for their configurations.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub node: Option<String>,
-    /// What is held, and by which controllers.
+    /// The names of the controllers, grouped by view.
     #[serde(rename = "held")]
     pub views: BTreeMap<String, Vec<String>>,
-    /// Whether the controllers' endpoint lists differ: then a list that reached some later may be all there is to it.
+    /// Whether the versions of the controllers' endpoint lists differ, in which case the disagreement may be due to a
+    /// list that has not reached all of them yet. Always `false` for [`DisagreementKind::Configuration`].
     pub lists_differ: bool,
 }
 
@@ -81,12 +82,12 @@
     groups
 }
 
-/// How many different views there are among the controllers that list the node.
+/// The count of different views among the controllers that list the node.
 fn listed_view_count(groups: &ControllersByView) -> usize {
     groups.keys().filter(|view| *view != NOT_LISTED).count()
 }
 
-/// An order that a controller has missed.
+/// An order that a controller lacks.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MissingOrder {
     /// The controller.
@@ -95,8 +96,8 @@
     pub order: DrainOrder,
 }
 
-/// The orders that have to be sent so that every controller that answered has the newest for every node: what one
-/// missed while it was away.
+/// The orders that have to be sent so that every given controller has the newest order for every node. A controller
+/// lacks orders that were given while it was unreachable.
 pub fn missing_orders(controllers: &BTreeMap<String, Vec<Drain>>) -> Vec<MissingOrder> {
     let mut newest: BTreeMap<&str, &DrainOrder> = BTreeMap::new();
     for drain in controllers.values().flatten() {
@@ -119,18 +120,18 @@
     missing
 }
 
-/// The disagreements between controllers, by their names; only those that answered are given.
+/// The disagreements between controllers. `controllers` has the views of those that answered, by name.
 pub fn find_disagreements(controllers: &BTreeMap<String, ControllerView>) -> Vec<Disagreement> {
     let lists: BTreeSet<&str> = controllers
         .values()
-        .map(|view| view.list.as_str())
+        .map(|view| view.list_version.as_str())
         .collect();
     let lists_differ = lists.len() > 1;
     let mut found = Vec::new();
     let configurations = group_by_view(
         controllers
             .iter()
-            .map(|(name, view)| (name, view.configuration.to_string())),
+            .map(|(name, view)| (name, view.configuration_version.to_string())),
     );
     if configurations.len() > 1 {
         found.push(Disagreement {
@@ -156,7 +157,7 @@
     found
 }
 
-/// What controllers disagree about for one node.
+/// The disagreements on one node.
 fn node_disagreements(
     controllers: &BTreeMap<String, ControllerView>,
     node: &str,
--- a/crates/drain/src/delivery.rs
+++ b/crates/drain/src/delivery.rs
@@ -1,56 +1,58 @@
-//! Delivers one order to every controller of a fleet: each gets it until it has answered, with backoff and jitter,
-//! within a budget of time. The outcome never claims more than what every controller has answered.
+//! Delivery of one order to every controller of a fleet. Failed attempts are repeated with backoff and jitter until the
+//! controller accepts or refuses the order, or the deadline of the delivery is reached. A controller counts as having
+//! the order only if it replied so.
 
 use serde::Serialize;
 use std::collections::BTreeMap;
 use wheelspread::pcg::Pcg;
 use wheelspread::time::{Moment, Span};
 
-/// The backoff stops to double after this many attempts; `max_backoff` ends it long before.
+/// The maximum count of doublings of the backoff, so that the shift does not overflow; `max_backoff` is usually reached
+/// earlier.
 const MAX_BACKOFF_DOUBLINGS: u32 = 16;
-/// The share of a backoff that jitter may take off.
+/// The maximum ratio of a backoff by which jitter shortens it.
 const JITTER_RATIO: f64 = 0.5;
 
-/// What came of one attempt at a controller.
+/// The result of one attempt to send the order to a controller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reply {
-    /// It has the order.
+    /// The controller has the order.
     #[serde(rename = "taken")]
     Accepted {
-        /// How far it is with the order.
+        /// The state of the order at the controller.
         state: String,
     },
-    /// It refuses the order; a retry would change nothing.
+    /// The controller refuses the order. The attempt is not repeated, because the reply would be the same.
     Refused {
-        /// Why.
+        /// The reason that the controller gave.
         reason: String,
     },
-    /// It could not be reached, or its answer could not be read; the attempt is repeated.
+    /// The controller could not be reached, or its answer could not be read. The attempt is repeated.
     Failed {
-        /// Why.
+        /// The error.
         reason: String,
     },
 }
 
-/// Where the delivery to one controller stands.
+/// The state of the delivery to one controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum DeliveryState {
-    /// The next attempt is due then.
+    /// The next attempt is due at this time.
     Due(Moment),
     InFlight,
     Accepted,
     Refused,
 }
 
-/// How long the whole delivery may take, and how soon a failed attempt is repeated.
+/// The time limit of a delivery, and the backoff between its attempts.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
-    /// The time for all attempts.
+    /// The time limit for all attempts together.
     pub timeout: Span,
-    /// The backoff after the first failed attempt; it doubles with each further one.
+    /// The backoff after the first failed attempt. It doubles with each further failed attempt.
     pub initial_backoff: Span,
-    /// The longest backoff.
+    /// The maximum backoff.
     pub max_backoff: Span,
 }
 
@@ -70,26 +72,26 @@
     last_reply: Option<Reply>,
 }
 
-/// What may be said of the whole delivery.
+/// The outcome of a delivery, over all controllers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// Every controller has the order.
+    /// Every controller has replied that it has the order.
     Everywhere,
-    /// Some controllers have it: it holds for a part of the proxies.
+    /// Some controllers have replied that they have the order, so that it is in force for some of the proxies.
     Partly,
-    /// No controller has it.
+    /// No controller has replied that it has the order.
     Nowhere,
 }
 
-/// What one controller replied last.
+/// The last reply of one controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ControllerReply<'a> {
     /// The controller.
     pub controller: &'a str,
-    /// How many attempts were made at it.
+    /// The count of attempts that were made at the controller.
     pub attempts: u32,
-    /// Its last reply; `None`: none within the time.
+    /// The last reply; `None` if the controller has not replied.
     pub last: Option<&'a Reply>,
 }
 
@@ -103,7 +105,7 @@
 }
 
 impl OrderDelivery {
-    /// A delivery to these controllers that begins now. `seed`: of the jitter.
+    /// Creates a delivery to `controllers` that begins at `now`. `seed` is the seed of the jitter.
     pub fn new(
         now: Moment,
         seed: u64,
@@ -125,7 +127,8 @@
         }
     }
 
-    /// Controllers at which an attempt is due. Each counts as in flight until its reply comes.
+    /// The controllers at which an attempt is due; none after the deadline. Their attempts count as in flight until
+    /// [`OrderDelivery::on_reply`] is called.
     pub fn due(&mut self, now: Moment) -> Vec<String> {
         if now >= self.deadline {
             return Vec::new();
@@ -141,7 +144,7 @@
         due
     }
 
-    /// Takes in the reply of a controller; one that was not expected changes nothing.
+    /// Records the reply of a controller. Ignored if no attempt at the controller is in flight.
     pub fn on_reply(&mut self, now: Moment, controller: &str, reply: Reply) {
         let delivery = self.controllers.get_mut(controller);
         let Some(delivery) = delivery.filter(|delivery| delivery.state == DeliveryState::InFlight)
@@ -153,7 +156,7 @@
             Reply::Refused { .. } => DeliveryState::Refused,
             Reply::Failed { .. } => {
                 let backoff = self.budget.backoff(delivery.attempts);
-                // Jitter keeps controllers that failed together from being retried together.
+                // Jitter prevents controllers that failed together from being retried together.
                 let jitter = (1.0 - JITTER_RATIO) + JITTER_RATIO * self.random.unit();
                 DeliveryState::Due(now + backoff * jitter)
             }
@@ -161,7 +164,7 @@
         delivery.last_reply = Some(reply);
     }
 
-    /// Whether nothing more will come of it: every controller has taken or refused it, or the time is over.
+    /// Whether the delivery has ended: every controller has accepted or refused the order, or the deadline is reached.
     pub fn is_over(&self, now: Moment) -> bool {
         let is_final = |delivery: &ControllerDelivery| {
             matches!(
@@ -172,7 +175,7 @@
         now >= self.deadline || self.controllers.values().all(is_final)
     }
 
-    /// When the next attempt is due.
+    /// The time at which the next attempt is due, at most the deadline; `None` if none is waiting.
     pub fn wake_at(&self) -> Option<Moment> {
         let due_at = |delivery: &ControllerDelivery| match delivery.state {
             DeliveryState::Due(at) => Some(at),
@@ -182,12 +185,12 @@
         Some(next.min(self.deadline))
     }
 
-    /// When the time is over.
+    /// The time after which no attempt is made.
     pub fn deadline(&self) -> Moment {
         self.deadline
     }
 
-    /// What may be said of the whole delivery by now.
+    /// The outcome according to the replies so far.
     pub fn outcome(&self) -> Outcome {
         let taken = self
             .controllers
--- a/crates/drain/src/lib.rs
+++ b/crates/drain/src/lib.rs
@@ -1,10 +1,10 @@
-//! Orders to drain a node, and to take that back, without clock or sockets.
+//! Orders to drain a node and to withdraw its drain. This crate does no I/O; callers pass in the time.
 //!
-//! - `order`: an order, and why it is refused;
-//! - `state`: how far an order has come;
-//! - `registry`: a controller's side: the newest order for each node and its evidence;
-//! - `delivery`: the side of a fleet's tool: an order is sent to every controller, with retries within a budget of time;
-//! - `consistency`: where the controllers of a fleet disagree, and which orders one of them misses.
+//! - `order`: an order, and the reasons for which it is refused;
+//! - `state`: the states of an order and the transitions between them;
+//! - `registry`: the controller's side: the newest order for each node, with the drain evidence;
+//! - `delivery`: the client's side: an order is sent to every controller, with retries until a deadline;
+//! - `consistency`: the disagreements between the controllers of a fleet, and the orders that a controller lacks.
 
 pub mod consistency;
 pub mod delivery;
--- a/crates/drain/src/order.rs
+++ b/crates/drain/src/order.rs
@@ -1,50 +1,51 @@
-//! Orders to drain a node, or to take that back, and why one is refused. The serde names are those of the state file
-//! and the operators' API.
+//! Orders to drain a node or to withdraw its drain, and the reasons for which an order is refused. The serde names are
+//! those of the state file and the operators' API.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Identifies an order. Whoever gives it chooses the id, so that an order that is sent twice is one order.
+/// Identifies an order. The sender chooses the id, so that a repeated order is recognized.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OrderId(pub String);
 
-/// What an order asks for.
+/// The action that an order requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DrainAction {
     /// Drain the node.
     Drain,
-    /// Take the drain back: the endpoint list decides again.
+    /// Withdraw the drain, so that the node's status in the endpoint list applies again.
     Undrain,
 }
 
-/// An order about one node.
+/// An order for one node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct DrainOrder {
-    /// Its id.
+    /// The id of the order.
     pub id: OrderId,
-    /// The node, as `127.0.0.1:9000`.
+    /// The address of the node, such as `127.0.0.1:9000`.
     pub node: String,
-    /// What is to be done.
+    /// The requested action.
     #[serde(rename = "word")]
     pub action: DrainAction,
-    /// Who gave it.
+    /// Who gave the order.
     pub by: String,
-    /// When it was given, in milliseconds since 1970 by the clock of who gave it.
+    /// When the order was given, in milliseconds since the Unix epoch by the sender's clock.
     pub given_ms: u64,
-    /// Names of checks that it overrides.
+    /// The names of the checks that the order overrides.
     #[serde(default)]
     pub overrides: Vec<String>,
 }
 
 impl DrainOrder {
-    /// Of two orders for a node, the one with the higher rank counts: the newer one, and of two that were given in the
-    /// same millisecond the one with the later id. So all controllers end with the same order, whichever comes first.
+    /// The precedence of an order: of two orders for a node, the one with the greater rank is in force. Rank is the time
+    /// at which the order was given, and then the id, for orders of the same millisecond. All controllers therefore
+    /// converge to the same order, in whichever sequence orders arrive.
     pub fn rank(&self) -> (u64, &OrderId) {
         (self.given_ms, &self.id)
     }
 
-    /// The failed checks that the order does not override.
+    /// The checks in `failed` that the order does not override.
     pub(crate) fn not_overridden(&self, failed: &[FailedCheck]) -> Vec<FailedCheck> {
         let is_overridden = |check: &FailedCheck| self.overrides.contains(&check.name);
         failed
@@ -55,12 +56,12 @@
     }
 }
 
-/// A check that is against a drain.
+/// A failed check that prevents a drain unless the order overrides it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FailedCheck {
-    /// The name by which an order overrides it.
+    /// The name by which an order overrides the check.
     pub name: String,
-    /// What was found, with its figures; it begins with the name.
+    /// The finding with its figures, beginning with the name of the check.
     pub text: String,
 }
 
@@ -70,30 +71,30 @@
     }
 }
 
-/// Several failed checks as one text.
+/// The texts of failed checks, separated by semicolons.
 pub fn describe_checks(checks: &[FailedCheck]) -> String {
     let texts: Vec<&str> = checks.iter().map(|check| check.text.as_str()).collect();
     texts.join("; ")
 }
 
-/// Why an order is refused.
+/// The reason for which an order is refused.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DrainError {
-    /// The id is taken by an order with other content.
-    #[error("order `{0}` was given before with other content")]
+    /// An order with the same id and other content is known.
+    #[error("order id `{0}` is already in use by an order with other content")]
     ConflictingContent(String),
-    /// A newer order for the node is known.
+    /// An order with a greater rank for the node is known.
     #[error("`{newer}` by {by}, given later, goes before it")]
     Superseded {
-        /// The newer order.
+        /// The id of the newer order.
         newer: String,
-        /// Who gave it.
+        /// Who gave the newer order.
         by: String,
     },
-    /// Checks that the order does not override are against it.
+    /// Checks failed that the order does not override.
     #[error("{}", describe_checks(.0))]
     Checks(Vec<FailedCheck>),
-    /// The limit of remembered orders is reached.
-    #[error("{0} orders are kept, no more are taken")]
+    /// The maximum count of nodes with an order is reached.
+    #[error("too many drain orders: the limit of {0} is reached")]
     TooManyOrders(usize),
 }
--- a/crates/drain/src/registry.rs
+++ b/crates/drain/src/registry.rs
@@ -1,5 +1,5 @@
-//! The drains that a controller knows. Of several orders for one node the newest counts, so controllers that get them
-//! in different sequences, or late, end with the same one.
+//! The drains that a controller knows. Only the newest order for each node is in force, so controllers that receive
+//! orders late or in different sequences converge to the same one.
 
 use crate::order::{DrainAction, DrainError, DrainOrder, FailedCheck, OrderId};
 use crate::state::{DrainEvent, DrainState};
@@ -7,47 +7,48 @@
 use std::collections::BTreeMap;
 use wheelspread::time::{Moment, Span};
 
-/// How many nodes may have orders.
+/// The maximum count of nodes with an order.
 const MAX_ORDERS: usize = 10_000;
-/// Withdrawn orders are remembered for this many grace periods, so that a late order is known to be overtaken.
+/// The time for which withdrawn orders are kept, in grace periods, so that an older order that arrives late is
+/// recognized as superseded.
 const WITHDRAWN_RETENTION_GRACE_PERIODS: f64 = 600.0;
 
-/// What shows that nothing is sent to a node.
+/// The evidence of whether proxies still send attempts to a drained node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
-    /// Joined proxies whose tables still have the node.
+    /// The count of joined proxies whose tables still have the node.
     #[serde(rename = "named_by")]
     pub proxies_with_node: usize,
-    /// Joined proxies.
+    /// The count of joined proxies.
     #[serde(rename = "gateways")]
     pub proxies: usize,
-    /// Attempts at the node that were reported since the order came into force.
+    /// The count of attempts at the node that were reported since the drain came into force.
     #[serde(rename = "tries")]
     pub attempts: u64,
-    /// Proxies that have reported since.
+    /// The count of proxies that have reported since the drain came into force.
     #[serde(rename = "heard")]
     pub reporting_proxies: usize,
 }
 
-/// The newest order for a node, and how far it has come.
+/// The newest order for a node, with its state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Drain {
     /// The order.
     pub order: DrainOrder,
-    /// How far it has come.
+    /// The state of the order.
     pub state: DrainState,
-    /// By what that is known.
+    /// The latest evidence; all counts are 0 until some is recorded.
     #[serde(default)]
     pub evidence: Evidence,
     #[serde(skip)]
     entered_state_at: Moment,
-    /// When the proxies began to get tables without the node; the grace period begins then.
+    /// The start of the grace period: the time from which tables without the node are published.
     #[serde(skip)]
     propagating_since: Option<Moment>,
 }
 
 impl Drain {
-    /// An order that has just been accepted.
+    /// The drain of an order that was accepted at `now`.
     fn accepted(now: Moment, order: DrainOrder) -> Drain {
         Drain {
             order,
@@ -58,12 +59,12 @@
         }
     }
 
-    /// Whether it keeps the node out of tables.
+    /// Whether the drain excludes the node from tables.
     pub fn is_active(&self) -> bool {
         self.order.action == DrainAction::Drain && self.state != DrainState::Accepted
     }
 
-    /// The disk has the order.
+    /// Enters the state that follows once the order is persisted.
     fn on_persisted(&mut self, now: Moment) {
         self.state = match self.order.action {
             DrainAction::Drain => DrainState::Propagating,
@@ -73,7 +74,7 @@
         self.propagating_since = Some(now);
     }
 
-    /// What the evidence shows of an active drain; `None`: nothing new.
+    /// The event that follows from the evidence; `None` if the state does not change.
     fn event_from_evidence(
         &self,
         now: Moment,
@@ -97,23 +98,23 @@
     }
 }
 
-/// What is to be done.
+/// A side effect that the caller has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DrainEffect {
-    /// Persist the drain of a node; `None` removes it.
+    /// Persist the drain of a node, or remove it from the persisted state.
     Persist {
         /// The node.
         node: String,
-        /// Its drain.
+        /// The drain to be persisted; `None` to remove it.
         drain: Option<Box<Drain>>,
     },
     /// Log that a drain entered a state.
     StateChanged {
         /// The node.
         node: String,
-        /// The state.
+        /// The state that the drain is in now.
         state: DrainState,
-        /// The order.
+        /// The id of the drain's order.
         order: OrderId,
     },
 }
@@ -126,11 +127,12 @@
 }
 
 impl DrainRegistry {
-    /// Takes up the drains of an earlier run.
+    /// Restores the persisted drains of an earlier run. Grace periods begin again at `now`, and earlier evidence is
+    /// discarded.
     pub fn recover(now: Moment, persisted: impl Iterator<Item = Drain>) -> DrainRegistry {
         let mut registry = DrainRegistry::default();
         for mut drain in persisted {
-            // An order that was read from the disk has been written.
+            // The process was killed after the order was persisted, but before it learned of that.
             if drain.state == DrainState::Accepted {
                 drain.on_persisted(now);
             }
@@ -155,7 +157,7 @@
         self.drains.get(node)
     }
 
-    /// Nodes that are kept out of tables.
+    /// The nodes that are excluded from tables.
     pub fn drained_nodes(&self) -> impl Iterator<Item = &str> {
         self.drains
             .values()
@@ -163,8 +165,9 @@
             .map(|drain| drain.order.node.as_str())
     }
 
-    /// Takes an order in. One that takes back a drain which never came is remembered too: the drain may be on its way
-    /// and is older. `failed_checks`: what is against a drain; the order has to override all of it.
+    /// Accepts an order, or refuses it. An order that withdraws an unknown drain is kept too, because an older order to
+    /// drain the node may still arrive. A drain has to override all of `failed_checks`; a withdrawal is accepted
+    /// whatever they are.
     pub fn submit(
         &mut self,
         now: Moment,
@@ -173,7 +176,7 @@
     ) -> Result<&Drain, DrainError> {
         let node = order.node.clone();
         if self.is_known(&order)? {
-            // Known means that the node has a drain.
+            // A known order is the order of the node's drain, so the node has one.
             return Ok(&self.drains[&node]);
         }
         let failed_checks = order.not_overridden(failed_checks);
@@ -182,7 +185,7 @@
         }
         let active = self.drains.get(&node).filter(|known| known.is_active());
         let drain = match active {
-            // A drain of a node that is drained already goes on in its state, under the newer order.
+            // A newer order to drain a node that is drained already replaces the order and keeps the state.
             Some(known) if order.action == DrainAction::Drain => Drain {
                 order,
                 ..known.clone()
@@ -197,7 +200,7 @@
         Ok(self.drains.entry(node).insert_entry(drain).into_mut())
     }
 
-    /// Whether an order is the one that counts for its node already. Fails if it can't become that one.
+    /// Whether an order is already the newest order for its node. Fails if the order cannot become the newest.
     fn is_known(&self, order: &DrainOrder) -> Result<bool, DrainError> {
         let Some(known) = self.drains.get(&order.node) else {
             return match self.drains.len() < MAX_ORDERS {
@@ -228,7 +231,7 @@
         });
     }
 
-    /// The disk has an order.
+    /// Reports that an order is persisted. Ignored if a newer order for the node was accepted meanwhile.
     pub fn on_persisted(&mut self, now: Moment, node: &str, id: &OrderId) {
         let drain = self.drains.get_mut(node);
         let Some(drain) = drain.filter(|drain| drain.order.id == *id) else {
@@ -242,7 +245,8 @@
         self.push_state_changed(&drain);
     }
 
-    /// Takes in what is known of a drained node. Attempts count from the moment at which the drain came into force.
+    /// Records the evidence for a drained node and changes the state of its drain accordingly. `evidence.attempts` is
+    /// counted from the time at which the drain came into force.
     pub fn record_evidence(&mut self, now: Moment, node: &str, grace: Span, evidence: Evidence) {
         let drain = self.drains.get_mut(node);
         let Some(drain) = drain.filter(|drain| drain.is_active()) else {
@@ -258,7 +262,7 @@
         }
     }
 
-    /// Removes orders that were withdrawn long ago.
+    /// Removes drains that were withdrawn at least [`WITHDRAWN_RETENTION_GRACE_PERIODS`] ago.
     pub fn expire_withdrawn(&mut self, now: Moment, grace: Span) {
         let retention = grace * WITHDRAWN_RETENTION_GRACE_PERIODS;
         let is_expired = |drain: &Drain| {
@@ -277,7 +281,7 @@
         }
     }
 
-    /// What is to be done since the last call.
+    /// The side effects since the last call, in order.
     pub fn take_effects(&mut self) -> Vec<DrainEffect> {
         std::mem::take(&mut self.effects)
     }
--- a/crates/drain/src/state.rs
+++ b/crates/drain/src/state.rs
@@ -1,4 +1,5 @@
-//! How far a drain has come. An order with the other action is a new one: it begins at `Accepted`.
+//! The state machine of a drain. Every new order begins in `Accepted`, except one that renews an active drain (see
+//! `DrainRegistry::submit`).
 
 use serde::{Deserialize, Serialize};
 
@@ -6,40 +7,41 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DrainState {
-    /// Accepted; the disk does not have it yet.
+    /// The order is accepted, but not yet persisted.
     #[serde(rename = "wanted")]
     Accepted,
-    /// On the disk; tables without the node are on their way to the proxies.
+    /// The order is persisted, and tables without the node are being published to the proxies.
     #[serde(rename = "telling")]
     Propagating,
-    /// No table of a joined proxy has the node, or the grace period is over.
+    /// No joined proxy has a table with the node, or the grace period is over.
     InForce,
-    /// In force, and load reports show that no attempt was sent to the node since.
+    /// The drain is in force, and load reports show that no attempt was sent to the node since.
     #[serde(rename = "quiet")]
     Drained,
-    /// Taken back: the endpoint list decides again.
+    /// The drain was withdrawn, and the node's status in the endpoint list applies again.
     Withdrawn,
 }
 
-/// What moves a drain from one state to the next.
+/// An event that may change the state of a drain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainEvent {
-    /// The disk has the order.
+    /// The order was persisted.
     Persisted,
     /// No joined proxy has a table with the node.
     RemovedFromTables,
     /// The grace period is over.
     GracePeriodOver,
-    /// Every proxy that reports has reported since, and none sent an attempt there.
+    /// Every proxy that sends load reports has sent one since the drain came into force, and none shows an attempt at
+    /// the node.
     NoTraffic,
-    /// An attempt was sent there after all.
+    /// A load report shows an attempt at the node since the drain came into force.
     TrafficSeen,
     /// The controller restarted.
     Restarted,
 }
 
 impl DrainState {
-    /// The spelling in the operators' API, the state file and the log.
+    /// The spelling of the state in the operators' API, the state file and the log.
     pub fn as_str(self) -> &'static str {
         match self {
             DrainState::Accepted => "wanted",
@@ -50,7 +52,7 @@
         }
     }
 
-    /// The state after an event; `None`: the event changes nothing.
+    /// The state after an event; `None` if the event is ignored in this state.
     pub fn on_event(self, event: DrainEvent) -> Option<DrainState> {
         match self {
             DrainState::Accepted => match event {
@@ -64,7 +66,7 @@
                 DrainEvent::Restarted => Some(DrainState::Propagating),
                 _ => None,
             },
-            // After a restart it has to be shown again: proxies may have tables of an earlier run.
+            // After a restart, evidence has to be collected again, because proxies may have tables of an earlier run.
             DrainState::InForce => match event {
                 DrainEvent::NoTraffic => Some(DrainState::Drained),
                 DrainEvent::Restarted => Some(DrainState::Propagating),
--- a/crates/drain/tests/common/mod.rs
+++ b/crates/drain/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Orders for one node, as several tests use them.
+//! Helpers for tests with orders for one node.
 
 use wheelspread::time::Moment;
 use wheelspread_drain::{DrainAction, DrainOrder, DrainRegistry, OrderId};
@@ -21,10 +21,10 @@
     }
 }
 
-/// Submits an order and reports it as written.
+/// Submits an order and reports it as persisted.
 pub fn submit_and_persist(registry: &mut DrainRegistry, now: Moment, order: DrainOrder) {
     let id = order.id.clone();
-    registry.submit(now, order, &[]).expect("taken");
+    registry.submit(now, order, &[]).expect("accepted");
     registry.on_persisted(now, NODE, &id);
     registry.take_effects();
 }
--- a/crates/drain/tests/consistency.rs
+++ b/crates/drain/tests/consistency.rs
@@ -1,4 +1,4 @@
-//! Where the controllers of a fleet disagree, and which orders one of them misses.
+//! Detection of disagreements between controllers and of orders that a controller lacks.
 
 mod common;
 
@@ -44,8 +44,8 @@
 }
 
 fn controller_view(
-    list: &str,
-    configuration: u64,
+    list_version: &str,
+    configuration_version: u64,
     nodes: &[(&str, &str, &str, bool)],
 ) -> ControllerView {
     let view = |(name, listing, zone, by_order): &(&str, &str, &str, bool)| {
@@ -57,13 +57,13 @@
         (name.to_string(), view)
     };
     ControllerView {
-        list: list.into(),
-        configuration,
+        list_version: list_version.into(),
+        configuration_version,
         nodes: nodes.iter().map(view).collect(),
     }
 }
 
-/// Two controllers that agree, and a third one.
+/// Two controllers with the same view, and `third`.
 fn fleet(third: ControllerView) -> BTreeMap<String, ControllerView> {
     let agreeing = controller_view(
         "7",
--- a/crates/drain/tests/delivery.rs
+++ b/crates/drain/tests/delivery.rs
@@ -1,4 +1,4 @@
-//! Deliveries of an order to fleets that fail in parts.
+//! Delivery of an order to fleets in which some controllers fail.
 
 use std::collections::BTreeMap;
 use wheelspread::time::{Moment, Span};
@@ -24,14 +24,15 @@
     (0..count).map(|n| format!("c{n}"))
 }
 
-/// A finished delivery, when it ended, and each attempt with its time.
+/// A finished delivery, with the time at which it ended, and the time and controller of each attempt.
 struct DeliveryRun {
     delivery: OrderDelivery,
     ended_at: Moment,
     attempts: Vec<(f64, String)>,
 }
 
-/// Plays a delivery; `answer` gives the reply of a controller to its n-th attempt, `None`: it never answers.
+/// Runs a delivery to `count` controllers to its end. `answer` returns the reply of a controller to the n-th attempt;
+/// `None` if the controller never replies.
 fn run_delivery(count: usize, answer: impl Fn(&str, u32) -> Option<Reply>) -> DeliveryRun {
     let (mut now, mut delivery) = (
         at(0.0),
@@ -65,7 +66,7 @@
 
 fn failed() -> Option<Reply> {
     Some(Reply::Failed {
-        reason: "nobody listens".into(),
+        reason: "connection refused".into(),
     })
 }
 
@@ -95,7 +96,7 @@
     assert_eq!(
         (run.delivery.outcome(), run.ended_at.seconds()),
         (Outcome::Partly, 5.0),
-        "the budget is spent, no more"
+        "the delivery ends at its deadline"
     );
     let attempts = run.attempts.iter().filter(|(_, name)| name == "c7").count();
     assert!(
--- a/crates/drain/tests/registry.rs
+++ b/crates/drain/tests/registry.rs
@@ -1,4 +1,4 @@
-//! The drains that a controller knows: orders that come twice, late, crossed and in any sequence.
+//! The drain registry, with orders that arrive repeated, late and in different sequences.
 
 mod common;
 
@@ -33,11 +33,11 @@
     let mut registry = DrainRegistry::default();
     registry
         .submit(at(0.0), order("o1", DrainAction::Drain, 1), &[])
-        .expect("taken");
+        .expect("accepted");
     assert_eq!(
         (state(&registry), registry.drained_nodes().count()),
         (Some(DrainState::Accepted), 0),
-        "the disk does not have it"
+        "the order is not persisted"
     );
     assert!(matches!(
         &registry.take_effects()[..],
@@ -52,7 +52,7 @@
     assert_eq!(
         state(&registry),
         Some(DrainState::Propagating),
-        "three proxies still have it"
+        "three proxies still have the node"
     );
     registry.record_evidence(at(0.4), NODE, span(2.0), evidence(0, 0, 0));
     assert_eq!(state(&registry), Some(DrainState::InForce));
@@ -60,7 +60,7 @@
     assert_eq!(
         state(&registry),
         Some(DrainState::InForce),
-        "no proxy has reported since: no evidence"
+        "no proxy has reported since the drain came into force"
     );
     registry.record_evidence(at(1.5), NODE, span(2.0), evidence(0, 0, 4));
     assert_eq!(state(&registry), Some(DrainState::Drained));
@@ -68,7 +68,7 @@
     assert_eq!(
         state(&registry),
         Some(DrainState::InForce),
-        "something was sent there after all"
+        "attempts were sent to the node"
     );
     assert_eq!(
         registry.drain(NODE).map(|drain| drain.evidence.attempts),
@@ -95,12 +95,12 @@
     let mut first = DrainRegistry::default();
     submit_and_persist(&mut first, at(0.0), drain.clone());
     submit_and_persist(&mut first, at(1.0), undrain.clone());
-    // The other controller gets the two the other way round.
+    // The second controller receives the orders in reverse.
     let mut second = DrainRegistry::default();
     submit_and_persist(&mut second, at(1.0), undrain);
     let superseded = second
         .submit(at(2.0), drain, &[])
-        .expect_err("it was given before");
+        .expect_err("a newer order is known");
     assert_eq!(
         superseded,
         DrainError::Superseded {
@@ -126,24 +126,24 @@
     assert_eq!(
         (repeated_state, registry.take_effects().len()),
         (DrainState::InForce, 1),
-        "only the turn before"
+        "only the state change of the evidence, none of the repeated order"
     );
     let other = registry.submit(at(3.0), order("a", DrainAction::Undrain, 9), &[]);
     assert_eq!(
         other.err(),
         Some(DrainError::ConflictingContent("a".into()))
     );
-    // The tool was killed and is run again: a new order of the same word goes on where the first is.
+    // The client was killed and is run again: a new order with the same action keeps the state.
     registry
         .submit(at(4.0), order("c", DrainAction::Drain, 9), &[])
-        .expect("taken");
+        .expect("accepted");
     assert_eq!(state(&registry), Some(DrainState::InForce));
 }
 
 #[test_case(&[], true; "nothing is overridden")]
-#[test_case(&["cold"], true; "something else is")]
-#[test_case(&["pool"], true; "one of two is")]
-#[test_case(&["pool", "capacity"], false; "both are named")]
+#[test_case(&["cold"], true; "another check is overridden")]
+#[test_case(&["pool"], true; "one of two checks is overridden")]
+#[test_case(&["pool", "capacity"], false; "both are overridden")]
 fn a_drain_is_refused_unless_it_overrides_every_failed_check(overrides: &[&str], is_refused: bool) {
     let failed_check = |name: &str, text: &str| FailedCheck {
         name: name.into(),
@@ -180,13 +180,13 @@
     assert_eq!(
         registry.drained_nodes().count(),
         1,
-        "its node is out from the first moment"
+        "the node is excluded from the start"
     );
-    // Killed when the disk had an order that had not come into force: it counts.
+    // An order that was persisted just before a kill is active after the restart.
     let mut accepted = DrainRegistry::default();
     accepted
         .submit(at(0.0), order("a", DrainAction::Drain, 5), &[])
-        .expect("taken");
+        .expect("accepted");
     let persisted: Vec<Drain> = accepted.drains().cloned().collect();
     assert_eq!(
         DrainRegistry::recover(at(0.0), persisted.into_iter())
@@ -197,8 +197,8 @@
 }
 
 proptest! {
-    // Controllers that get the same orders, each in its own order, some twice and with crashes between, end
-    // with the same word for the node.
+    // Controllers that receive the same orders in different sequences, with repetitions and restarts between,
+    // end with the same order for the node.
     #[test]
     fn controllers_converge_to_the_same_order(
         actions in prop::collection::vec(any::<bool>(), 1..8),
@@ -206,7 +206,7 @@
     ) {
         let order_at = |index: usize| {
             let action = if actions[index] { DrainAction::Drain } else { DrainAction::Undrain };
-            // Two that were given in the same millisecond are told apart by name.
+            // Pairs of orders are given in the same millisecond, and ranked by id.
             order(&format!("o{index}"), action, 10 + index as u64 / 2)
         };
         let mut newest_orders = Vec::new();
--- a/crates/drain/tests/stored_form.rs
+++ b/crates/drain/tests/stored_form.rs
@@ -1,4 +1,4 @@
-//! The exact JSON of stored orders and of the operators' API. State files and tools of earlier versions hold these
+//! The exact JSON of stored orders and of the operators' API. State files and tools of earlier versions depend on these
 //! spellings, whatever the Rust names are.
 
 use std::collections::BTreeMap;
@@ -14,7 +14,7 @@
 
 #[test]
 fn a_drain_keeps_its_stored_form() {
-    // Written by version 0.2.0 before its types were renamed.
+    // Written by version 0.2.0.
     let stored = r#"{"order":{"id":"o1","node":"127.0.0.1:9001","word":"drain","by":"ada","given_ms":5,"overrides":["pool"]},"state":"wanted","evidence":{"named_by":0,"gateways":0,"tries":0,"heard":0}}"#;
     let order = DrainOrder {
         id: OrderId("o1".into()),
--- a/crates/faults/src/lib.rs
+++ b/crates/faults/src/lib.rs
@@ -1,15 +1,16 @@
-//! Failpoints: named places in the path of a configuration change where a test or a drill injects a failure.
+//! Failpoints: named places in the code that persists and publishes, where a test or a drill injects a failure.
 //!
-//! They are off unless the environment names some in `FAILPOINTS`, as in `store.half=2*off->1*return(kill)`: the third
-//! time the program reaches the place it ends at once, as by SIGKILL. `return(full)` is a disk that is full,
-//! `sleep(2000)` one that is slow; the rest is the notation of the crate `fail`.
+//! Failpoints are off unless the environment variable `FAILPOINTS` configures them, in the notation of the crate `fail`.
+//! For example, `store.half=2*off->1*return(kill)` aborts the process when it reaches `store.half` for the third time,
+//! without any cleanup, as after SIGKILL. `return(full)` injects the error of a full disk, and `sleep(2000)` a delay of
+//! 2000 ms as of a slow disk.
 
 use std::io;
 
-/// The environment variable that turns failpoints on.
+/// The environment variable that configures failpoints.
 const ENVIRONMENT_VARIABLE: &str = "FAILPOINTS";
 
-/// The name of every failpoint, in the order in which a change reaches them.
+/// The names of all failpoints, in the order in which a configuration change reaches them.
 pub const NAMES: &[&str] = &[
     "store.begin",
     "store.half",
@@ -33,22 +34,22 @@
     "store.renamed",
 ];
 
-/// Turns on the failpoints that the environment names; returns whether there are any.
+/// Turns on the failpoints that the environment configures; returns whether the variable is set and not empty.
 pub fn enable_from_environment() -> bool {
     if std::env::var_os(ENVIRONMENT_VARIABLE).is_none_or(|points| points.is_empty()) {
         return false;
     }
-    // Dropping the scenario would turn the failpoints off; they stay on as long as the program runs.
+    // Dropping the scenario would turn the failpoints off, and they have to stay on until the process ends.
     std::mem::forget(fail::FailScenario::setup());
     true
 }
 
-/// Marks a place. If a failure is set for it, the program ends, waits, or gets the error of a failed disk.
+/// Evaluates a failpoint. If it is configured, this call aborts the process, waits, or returns an I/O error.
 pub fn failpoint(name: &str) -> io::Result<()> {
     let inject = |failure: Option<String>| match failure.as_deref() {
         Some("kill") => std::process::abort(),
         Some("full") => io::Error::from(io::ErrorKind::StorageFull),
-        _ => io::Error::other(format!("made to fail at {name}")),
+        _ => io::Error::other(format!("failure injected at failpoint {name}")),
     };
     fail::eval(name, inject).map_or(Ok(()), Err)
 }
--- a/crates/store/src/compaction.rs
+++ b/crates/store/src/compaction.rs
@@ -1,4 +1,4 @@
-//! Writes the state anew as one commit.
+//! Compaction: rewrites the state file with a single commit that holds the current state.
 
 use crate::error::StoreError;
 use crate::format::{encode_frame, header};
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 use wheelspread_faults::failpoint;
 
-/// Where a compacted file is written before it is moved into place.
+/// The temporary path to which a compacted file is written before it is renamed over the state file.
 fn draft_path(path: &Path) -> PathBuf {
     let mut draft = path.as_os_str().to_os_string();
     draft.push(".draft");
@@ -16,7 +16,8 @@
 }
 
 impl Store {
-    /// Writes a file of one commit beside this one and moves it into place, so that a crash leaves one or the other.
+    /// Writes the current state as one commit to a temporary file and renames it over the state file, so that a crash
+    /// leaves either the old file or the new one.
     pub fn compact(&mut self) -> Result<(), StoreError> {
         let path = self.path.clone();
         self.replace_file().map_err(StoreError::io(&path))
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a store can't be opened or written.
+//! Errors of opening and writing a store.
 
 use crate::format::FORMAT_VERSION;
 use std::io;
@@ -7,24 +7,24 @@
 /// Why a store can't be opened or written.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The disk refused an operation.
+    /// A file operation failed.
     #[error("{path}: {source}", path = .path.display())]
     Io {
         /// The file.
         path: PathBuf,
-        /// What the disk said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The file was written by a newer program.
-    #[error("{path} is of format {found}, this program reads none above {FORMAT_VERSION}", path = .path.display())]
+    /// The file has a newer format version than this program reads.
+    #[error("{path} has format version {found}; this program reads versions up to {FORMAT_VERSION}", path = .path.display())]
     NewerFormat {
         /// The file.
         path: PathBuf,
-        /// The version of its format.
+        /// The format version in the file's header.
         found: u32,
     },
-    /// Another program has the file open.
-    #[error("{path} is in use by another program", path = .path.display())]
+    /// Another process holds the file's lock.
+    #[error("{path} is in use by another process", path = .path.display())]
     InUse {
         /// The file.
         path: PathBuf,
@@ -32,7 +32,7 @@
 }
 
 impl StoreError {
-    /// Wraps an error of the disk with the path of the file.
+    /// Adds the path of the file to an I/O error.
     pub(crate) fn io(path: &Path) -> impl Fn(io::Error) -> StoreError + '_ {
         |source| StoreError::Io {
             path: path.to_path_buf(),
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,16 +1,16 @@
-//! What a controller keeps over crashes, as a log of commits in one file: the configuration in force, every change
-//! with its state, and facts by name.
+//! The persistent state of a controller, as a log of commits in one file: the configuration in force, every
+//! configuration change with its state, and facts by name.
 //!
-//! A commit is one frame, so what belongs together is there as a whole or not at all. A torn or flipped frame is found
-//! by its checksum and reported, and everything before it is saved; a controller never starts from nothing without
-//! saying so.
+//! A commit is written as one frame with a checksum and is therefore atomic. A torn or corrupted frame is detected and
+//! reported, and all commits before it are recovered. If a controller starts with an empty state, [`OpenOutcome`] gives
+//! the reason.
 //!
-//! - `format`: the form of the file: header and frames;
-//! - `recovery`: what is found when a file is opened, and what is saved of a damaged one;
+//! - `format`: the file format: header and frames;
+//! - `recovery`: opens a file, validates it and recovers the valid commits of a damaged one;
 //! - `store`: the open file, to which commits are appended;
-//! - `compaction`: writes the file anew as one commit.
+//! - `compaction`: rewrites the file as one commit.
 //!
-//! An embedded store was tried first (redb 2.6): it panics on a file that was cut short, and can't save a part.
+//! The embedded database redb 2.6 is not used, because it panics on a truncated file and cannot recover a part of one.
 
 mod compaction;
 mod error;
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -1,4 +1,4 @@
-//! Opens a file, finds out what of it is sound, and mends what can be mended.
+//! Opens a state file, validates its frames, and repairs a torn or damaged file.
 
 use crate::error::StoreError;
 use crate::format::{decode_frame, header, header_version, Frame, FORMAT_VERSION};
@@ -9,56 +9,57 @@
 use std::path::{Path, PathBuf};
 use wheelspread_config_transaction::PersistedState;
 
-/// How a file was found when it was opened.
+/// The condition of a file when it was opened.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum OpenOutcome {
-    /// It was missing, or nothing had been committed to it.
+    /// The file was missing, or ended within its header: nothing had been committed.
     Fresh,
-    /// All of it is sound.
+    /// The header and all frames are valid.
     #[serde(rename = "sound")]
     Valid,
-    /// The last commit was not written to its end. It never counted, and was cut off.
+    /// The write of the last commit was not completed, so the commit was never reported as written. Its bytes were
+    /// truncated.
     TornTail {
-        /// The length of what was cut off.
+        /// The number of truncated bytes.
         bytes: u64,
     },
-    /// It can't be believed from some byte on. The whole file was kept aside, and what comes before is used.
+    /// The header or a frame is damaged. The whole file was copied, and the commits before the damage were recovered.
     Damaged {
-        /// Where the whole file is kept.
+        /// The path of the copy of the damaged file.
         aside: PathBuf,
-        /// The first byte that is not believed.
+        /// The offset of the first byte that was not used.
         at: u64,
-        /// How many bytes there are from there.
+        /// The number of bytes from `at` to the end of the file.
         bytes: u64,
     },
 }
 
-/// What a file holds, read without mending anything.
+/// The content of a file, read without repairing it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Inspection {
-    /// The result of all sound commits.
+    /// The state after all valid commits.
     pub state: PersistedState,
-    /// Up to which byte the file is sound.
+    /// The length of the valid part at the start of the file; 0 if the header is damaged.
     pub valid_bytes: u64,
     /// The length of the file.
     pub total_bytes: u64,
 }
 
 impl Inspection {
-    /// Whether every byte is sound.
+    /// Whether the whole file is valid.
     pub fn is_valid(&self) -> bool {
         self.valid_bytes == self.total_bytes
     }
 }
 
-/// What the bytes of a file come to.
+/// The result of decoding the bytes of a file.
 struct Scan {
     state: PersistedState,
     has_valid_header: bool,
-    /// Up to which byte frames are sound.
+    /// The length of the header and the valid frames at the start of the file.
     valid_bytes: usize,
-    /// Whether what follows is the beginning of a commit that was never finished.
+    /// Whether the valid part is followed by a commit whose write was not completed.
     has_torn_tail: bool,
 }
 
@@ -68,7 +69,7 @@
         let mut scan = Scan {
             state: PersistedState::default(),
             has_valid_header: bytes.starts_with(header.as_bytes()),
-            // A flipped bit in the first line costs none of the commits.
+            // A damaged header does not prevent the commits after it from being recovered.
             valid_bytes: header.len().min(bytes.len()),
             has_torn_tail: false,
         };
@@ -89,13 +90,13 @@
     }
 }
 
-/// Whether a file ends within its header: the program was killed before anything was committed.
+/// Whether a file ends within its header, because the process was killed before the first commit.
 fn ends_within_header(bytes: &[u8]) -> bool {
     let header = header();
     bytes.len() < header.len() && header.as_bytes().starts_with(bytes)
 }
 
-/// Opens a file, or makes it, and locks it.
+/// Opens a file or creates it, and takes its lock.
 fn open_locked(path: &Path) -> Result<File, StoreError> {
     let file = OpenOptions::new()
         .read(true)
@@ -113,7 +114,8 @@
 }
 
 impl Store {
-    /// Opens a file, makes it if it is missing, mends what can be mended, and says how it was found.
+    /// Opens a file or creates it, repairs it if it is torn or damaged, and reports the condition in which it was found.
+    /// Fails if another process holds its lock or its format is newer than [`FORMAT_VERSION`].
     pub fn open(path: &Path) -> Result<(Store, OpenOutcome), StoreError> {
         let is_missing = !path.exists();
         let mut file = open_locked(path)?;
@@ -149,7 +151,7 @@
         Ok(Store::new(path, file, state, header.len() as u64))
     }
 
-    /// Cuts off a torn tail, if there is one.
+    /// Opens a file whose frames are valid, and truncates a torn commit at its end.
     fn open_valid(
         path: &Path,
         file: File,
@@ -172,7 +174,7 @@
         Ok((store, outcome))
     }
 
-    /// Keeps the whole file aside and goes on with what is sound of it.
+    /// Copies a damaged file and replaces it by a compacted one with the valid commits.
     fn open_damaged(
         path: &Path,
         file: File,
@@ -192,7 +194,7 @@
         Ok((store, outcome))
     }
 
-    /// Reads a file and mends nothing.
+    /// Reads a file without repairing or locking it.
     pub fn inspect(path: &Path) -> Result<Inspection, StoreError> {
         let bytes = std::fs::read(path).map_err(StoreError::io(path))?;
         let scan = Scan::new(&bytes);
@@ -207,7 +209,7 @@
     }
 }
 
-/// The first of `PATH.damaged-1`, `PATH.damaged-2` … that does not exist.
+/// The first of the paths `PATH.damaged-1`, `PATH.damaged-2` … that does not exist.
 fn unused_copy_path(path: &Path) -> PathBuf {
     let numbered = |number: u32| {
         let mut name = path.as_os_str().to_os_string();
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -8,13 +8,13 @@
 use wheelspread_config_transaction::{Commit, PersistedState};
 use wheelspread_faults::failpoint;
 
-/// An open file. It is locked as long as it is open.
+/// An open state file. Its lock is held as long as the store exists.
 #[derive(Debug)]
 pub struct Store {
     pub(crate) path: PathBuf,
     pub(crate) file: File,
     pub(crate) state: PersistedState,
-    /// The length of the file, all of it sound.
+    /// The length of the file, without bytes of a failed commit.
     pub(crate) bytes: u64,
     pub(crate) compacted_bytes: u64,
 }
@@ -30,27 +30,28 @@
         }
     }
 
-    /// The result of all commits.
+    /// The state after all commits.
     pub fn state(&self) -> &PersistedState {
         &self.state
     }
 
-    /// The length of the file after its last compaction; 0: there was none since it was opened.
+    /// The length of the file in bytes after its last compaction; 0 if it was not compacted since it was opened.
     pub fn compacted_bytes(&self) -> u64 {
         self.compacted_bytes
     }
 
-    /// The length of the file.
+    /// The length of the file in bytes.
     pub fn bytes(&self) -> u64 {
         self.bytes
     }
 
-    /// Appends a commit. All of it is on the disk when this returns; after an error none of it counts.
+    /// Appends a commit. When this returns `Ok`, the commit is synced to the disk; after an error it is not part of the
+    /// state.
     pub fn commit(&mut self, commit: Commit) -> Result<(), StoreError> {
         let frame = encode_frame(&commit).map_err(StoreError::io(&self.path))?;
         if let Err(error) = self.append(&frame) {
-            // A part of the frame would stand before the next one. If this fails too, the part is found as a
-            // torn tail when the file is opened.
+            // Without truncation a partial frame would precede the next commit. If the truncation fails too, the
+            // partial frame is treated as a torn commit when the file is opened again.
             let _ = self.file.set_len(self.bytes);
             return Err(StoreError::io(&self.path)(error));
         }
@@ -71,7 +72,7 @@
     }
 }
 
-/// Makes a new or renamed file in a folder outlive a crash.
+/// Syncs the parent directory, so that a new or renamed file survives a crash.
 pub(crate) fn sync_parent(path: &Path) -> io::Result<()> {
     let parent = path
         .parent()
--- a/crates/store/tests/damage.rs
+++ b/crates/store/tests/damage.rs
@@ -1,4 +1,4 @@
-//! Files that are torn, flipped, missing, too new or in use.
+//! Opening files that are torn, corrupted, missing, in use or of a newer format.
 
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -25,7 +25,7 @@
     }
 }
 
-/// Configuration, change and fact of a version belong together.
+/// Appends one commit per version, with a configuration, a change and a fact of that version.
 fn commit_versions(store: &mut Store, versions: std::ops::Range<u64>) {
     for version in versions {
         let values = BTreeMap::from([("n".to_string(), version.to_string())]);
@@ -82,7 +82,7 @@
     let directory = tempfile::tempdir().expect("a directory");
     let path = directory.path().join("state");
     std::fs::write(&path, "not a store at all").expect("written");
-    let (store, outcome) = Store::open(&path).expect("gone on with");
+    let (store, outcome) = Store::open(&path).expect("opened");
     assert!(
         matches!(&outcome, OpenOutcome::Damaged { aside, .. } if aside.exists()),
         "{outcome:?}"
@@ -90,7 +90,7 @@
     assert_eq!(store.state().commits, 0);
 }
 
-/// A store of eleven commits, with its bytes and where each commit ends.
+/// Creates a store of eleven commits; returns its bytes, and the offset at which the header and each commit ends.
 fn create_store_of_eleven_commits(path: &std::path::Path) -> (Vec<u8>, Vec<u64>) {
     let (mut store, _) = Store::open(path).expect("made");
     let mut ends = vec![store.bytes()];
@@ -134,8 +134,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(200))]
 
-    // A flipped bit: it is said, the whole is kept aside or was a tail that never counted, and what is gone on
-    // with was written together.
+    // A flipped bit is reported. The whole file is copied, unless the bit is in the last commit, which may look
+    // torn. The recovered state consists of the complete commits before the bit.
     #[test]
     fn a_flipped_bit_is_detected_and_the_commits_before_it_are_recovered(at in 0.0f64..1.0, bit in 0u8..8) {
         let directory = tempfile::tempdir().expect("a directory");
@@ -146,13 +146,13 @@
         std::fs::write(&path, &bytes).expect("written");
         let (store, outcome) = match Store::open(&path) {
             Ok(opened) => opened,
-            // The number of the form itself was hit.
+            // The flipped bit is in the format version.
             Err(StoreError::NewerFormat { .. }) => return Ok(()),
             Err(error) => return Err(TestCaseError::fail(error.to_string())),
         };
         prop_assert!(!matches!(outcome, OpenOutcome::Valid | OpenOutcome::Fresh), "{:?} at {}", outcome, position);
         let state = store.state();
-        // What stood behind it is not thrown away.
+        // Commits after the damaged one are preserved in the copy.
         let last_commit_start = ends[ends.len() - 2];
         let aside = matches!(&outcome, OpenOutcome::Damaged { aside, .. } if std::fs::read(aside).ok() == Some(bytes));
         prop_assert!(aside || position as u64 >= last_commit_start, "{:?} at {}", outcome, position);
--- a/crates/store/tests/stored_form.rs
+++ b/crates/store/tests/stored_form.rs
@@ -1,4 +1,4 @@
-//! The form of the file, byte for byte, against a file that version 0.2.0 wrote before the store was split into modules.
+//! Compatibility of the file format, byte for byte, with a file that version 0.2.0 wrote.
 
 use std::collections::BTreeMap;
 use wheelspread_store::{Commit, OpenOutcome, Store};
