--- a/crates/files/src/io_text.rs
+++ b/crates/files/src/io_text.rs
@@ -1,16 +1,16 @@
-//! Errors of files as an operator can act on them.
+//! Texts of file errors that tell an operator what to fix.
 
 use rustix::io::Errno;
 use std::io;
 
-/// What is wrong, in words; the system's own for errors that have none here.
+/// Describes an error; the text of the operating system for errors without one of their own.
 pub(crate) fn describe(error: &io::Error) -> String {
     let text = match error.raw_os_error().map(Errno::from_raw_os_error) {
         Some(Errno::NOSPC) => "the disk is full",
-        Some(Errno::DQUOT) => "the quota on this disk is used up",
+        Some(Errno::DQUOT) => "the disk quota is exceeded",
         Some(Errno::ROFS) => "the file system is read-only",
-        Some(Errno::ACCESS | Errno::PERM) => "this user may not write there",
-        Some(Errno::NOENT) => "the directory is not there",
+        Some(Errno::ACCESS | Errno::PERM) => "permission denied for the user of this process",
+        Some(Errno::NOENT) => "the file or directory does not exist",
         _ => return error.to_string(),
     };
     text.to_string()
--- a/crates/files/src/lib.rs
+++ b/crates/files/src/lib.rs
@@ -1,22 +1,24 @@
-//! Tables as files: versions that are written completely and swapped in by rename. Under one root:
+//! Publication of tables as files. Versions are written completely and then swapped in by rename. The layout below the
+//! root:
 //!
 //! ```text
 //! versions/<version>/eds.json, rds.json   written once, never changed
-//! gateways/<proxy>/current                a link to one of them, swapped by rename(2)
-//! status/<proxy>.json                     which version the proxy holds, swapped in by the proxy
+//! gateways/<proxy>/current                a symbolic link to one version, swapped by rename(2)
+//! status/<proxy>.json                     the version that the proxy has, written by the proxy
 //! ```
 //!
-//! A version appears under its name only when both documents are complete and on the disk, and a proxy comes to it by
-//! one rename: whoever follows the link once has all its tables at one version.
+//! A version directory gets its final name only after both documents are complete and were passed to the disk (see
+//! [`writer`] for slow disks), and one rename points a proxy at it. A reader that follows the link once therefore has all
+//! tables at one version. Files and directories that are not complete have names that begin with `.draft-`.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
 //! | [`root`] | paths below the root |
-//! | [`swap`] | writes one version and points a proxy at it, in steps that a crash may separate |
-//! | [`writer`] | the thread that does this for a controller |
+//! | [`swap`] | writes one version and points a proxy at it, in steps between which a crash is safe |
+//! | [`writer`] | the thread that publishes a controller's tables |
 //! | [`read`] | reads a proxy's tables |
-//! | [`mod@scan`] | what a controller finds when it starts |
-//! | [`replace`] | swaps in single files |
+//! | [`mod@scan`] | reads the versions and links at the start of a controller |
+//! | [`replace`] | replaces single files atomically |
 
 mod io_text;
 pub mod read;
--- a/crates/files/src/read.rs
+++ b/crates/files/src/read.rs
@@ -1,4 +1,4 @@
-//! Reads tables, as a proxy does.
+//! Reads the tables of a proxy.
 
 use crate::root::{parse_version_name, CURRENT, EDS, RDS};
 use sha2::{Digest, Sha256};
@@ -8,21 +8,21 @@
 use wheelspread_xds::tables::{self, Documents, ProxyTables};
 use wheelspread_xds::DecodeError;
 
-/// Longer files are refused: they are no tables.
+/// The maximum length of a file; a longer one is an error.
 pub const MAX_FILE_BYTES: u64 = 256 << 20;
-/// How often the link is followed again when the version that it led to is gone meanwhile.
+/// The maximum count of reads of the link, which is read again if its target was removed in the meantime.
 const MAX_LINK_READS: usize = 4;
 
-/// Tables of one version that were read completely.
+/// The complete tables of one version.
 #[derive(Clone, Debug)]
 pub struct LoadedTables {
     /// The tables.
     pub tables: ProxyTables,
-    /// Identifies what was read: the SHA-256 of both documents in hexadecimal, or a stream's checksums.
+    /// Identifies the content: the SHA-256 of both documents in hexadecimal, or the checksums of a stream.
     pub hash: String,
 }
 
-/// Why tables or a file could not be read.
+/// The error of reading tables or a file.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
     /// A file could not be read.
@@ -30,27 +30,27 @@
     Io {
         /// The file.
         path: PathBuf,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The link led to no version.
-    #[error("{path}: it leads nowhere", path = .path.display())]
+    /// The link did not lead to a version.
+    #[error("{path}: the link does not lead to a version", path = .path.display())]
     DanglingLink {
         /// The link.
         path: PathBuf,
     },
-    /// The documents are no tables.
+    /// The documents could not be decoded as tables.
     #[error("version {}: {source}", .version.0)]
     Content {
-        /// The version that the link names.
+        /// The version that the link names; 0 if its target has no version name.
         version: Version,
-        /// What is wrong with them.
+        /// The error of the decoder.
         source: DecodeError,
     },
 }
 
 impl ReadError {
-    /// Which version could not be read, where that is known.
+    /// The version that could not be read, if known.
     pub fn version(&self) -> Option<Version> {
         match self {
             ReadError::Content { version, .. } => Some(*version),
@@ -63,14 +63,14 @@
     }
 }
 
-/// The text of a file that has at most [`MAX_FILE_BYTES`].
+/// Reads a text file of at most [`MAX_FILE_BYTES`]; a longer one is an error.
 pub fn read_text(path: &Path) -> Result<String, ReadError> {
     let read = || {
         let file = std::fs::File::open(path)?;
         let mut text = String::new();
         let bytes = file.take(MAX_FILE_BYTES + 1).read_to_string(&mut text)?;
         if bytes as u64 > MAX_FILE_BYTES {
-            let reason = format!("longer than {MAX_FILE_BYTES} bytes");
+            let reason = format!("file is longer than {MAX_FILE_BYTES} bytes");
             return Err(io::Error::new(io::ErrorKind::InvalidData, reason));
         }
         Ok(text)
@@ -81,7 +81,7 @@
     })
 }
 
-/// The tables that a proxy's directory leads to; `None` while no version was swapped in.
+/// Reads the tables to which the link in a proxy's directory points; `None` if there is no link yet.
 pub fn read_tables(proxy_directory: &Path) -> Result<Option<LoadedTables>, ReadError> {
     let link = proxy_directory.join(CURRENT);
     let mut last_error = ReadError::DanglingLink { path: link.clone() };
@@ -91,10 +91,10 @@
             Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
             Err(source) => return Err(ReadError::Io { path: link, source }),
         };
-        // The link is followed once, and both documents are read from where it led.
+        // The link is resolved once, so that both documents are read from the same version.
         match read_documents(&proxy_directory.join(&target)) {
             Ok(documents) => return decode(&documents, link_version(&target)).map(Some),
-            // The version was removed after the link was read: by now the link leads to a newer one.
+            // The version was removed after the link was read, so the link now points to a newer version.
             Err(error) if error.is_not_found() => last_error = error,
             Err(error) => return Err(error),
         }
@@ -109,7 +109,8 @@
     );
     match (eds, rds) {
         (Ok(eds), Ok(rds)) => Ok(Documents { eds, rds }),
-        // A document that is missing counts more than one that can't be read: the version may be on its way out.
+        // A missing document takes precedence over an unreadable one, because the version may be in the course of
+        // removal, and then the link is read again.
         (Err(error), Ok(_)) | (Ok(_), Err(error)) => Err(error),
         (Err(eds), Err(rds)) if rds.is_not_found() && !eds.is_not_found() => Err(rds),
         (Err(eds), Err(_)) => Err(eds),
--- a/crates/files/src/replace.rs
+++ b/crates/files/src/replace.rs
@@ -1,11 +1,11 @@
-//! Swaps in single files, so that no reader sees half of one.
+//! Replaces single files by rename, so that no reader sees a partial file.
 
 use crate::root::DRAFT_PREFIX;
 use std::fs::{self, File};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// Replaces a file and waits until the new one is on the disk, as an operator does with a list.
+/// Replaces a file after syncing the new content to the disk, as for an operator's endpoint list.
 pub fn replace_file(path: &Path, text: &str) -> io::Result<()> {
     let draft = draft_path(path)?;
     write(&draft, text)?;
@@ -13,7 +13,7 @@
     fs::rename(&draft, path)
 }
 
-/// Replaces a file without waiting for the disk, where the file need not outlive the machine, as a proxy's status.
+/// Replaces a file without a sync, for files that need not survive a loss of power, such as a proxy's status.
 pub fn replace_file_unsynced(path: &Path, text: &str) -> io::Result<()> {
     let draft = draft_path(path)?;
     fs::write(&draft, text)?;
@@ -35,7 +35,7 @@
         }
         _ => Err(io::Error::new(
             io::ErrorKind::InvalidInput,
-            "a file in a directory is expected",
+            "path has no parent directory or no file name",
         )),
     }
 }
--- a/crates/files/src/root.rs
+++ b/crates/files/src/root.rs
@@ -1,31 +1,31 @@
-//! Where the parts of a root of tables lie.
+//! The paths below the root of a controller's tables.
 
 use std::path::{Path, PathBuf};
 use wheelspread_controller_core::publication::Version;
 
-/// The document of endpoints in a version's directory.
+/// The file name of the endpoint document in a version's directory.
 pub const EDS: &str = "eds.json";
-/// The document of routes in a version's directory.
+/// The file name of the route document in a version's directory.
 pub const RDS: &str = "rds.json";
-/// The link in a proxy's directory to the version that it should use.
+/// The name of the link in a proxy's directory to the version that the proxy should use.
 pub const CURRENT: &str = "current";
 
-/// Names of what is not finished yet start so; nobody reads them.
+/// The prefix of the names of drafts: files, links and directories that are not complete. Readers ignore them.
 pub(crate) const DRAFT_PREFIX: &str = ".draft-";
-/// Digits of a version's name: so many that names sort in the order of their versions.
+/// The count of digits in the name of a version's directory, padded with zeros so that names sort by version.
 const VERSION_DIGITS: usize = 12;
 
-/// The root of a controller's tables.
+/// The root directory of a controller's tables.
 #[derive(Clone, Debug)]
 pub struct TableRoot(PathBuf);
 
 impl TableRoot {
-    /// The root at a path.
+    /// The root at `path`; nothing is created.
     pub fn new(path: impl Into<PathBuf>) -> TableRoot {
         TableRoot(path.into())
     }
 
-    /// Its path.
+    /// The path of the root.
     pub fn path(&self) -> &Path {
         &self.0
     }
@@ -40,7 +40,7 @@
         self.versions().join(version_name(version))
     }
 
-    /// The directory of all proxies' directories.
+    /// The directory that contains the directories of all proxies.
     pub fn proxies(&self) -> PathBuf {
         self.0.join("gateways")
     }
@@ -50,12 +50,12 @@
         self.proxies().join(proxy)
     }
 
-    /// The directory of all statuses.
+    /// The directory of the status files of all proxies.
     pub fn statuses(&self) -> PathBuf {
         self.0.join("status")
     }
 
-    /// The status of one proxy.
+    /// The status file of one proxy.
     pub fn status(&self, proxy: &str) -> PathBuf {
         self.statuses().join(format!("{proxy}.json"))
     }
--- a/crates/files/src/scan.rs
+++ b/crates/files/src/scan.rs
@@ -1,5 +1,5 @@
-//! What a controller finds when it starts: versions, which proxy is pointed at which, and unfinished files of a
-//! predecessor that was killed, which are removed.
+//! The scan at the start of a controller: finds the versions and the version at which each proxy is pointed, and removes
+//! drafts of an earlier process that was killed.
 
 use crate::read::{read_tables, ReadError};
 use crate::root::{parse_version_name, TableRoot, DRAFT_PREFIX};
@@ -10,28 +10,28 @@
 use wheelspread_controller_core::Deployment;
 use wheelspread_xds::tables;
 
-/// What a controller finds when it starts.
+/// The result of a scan.
 #[derive(Debug, Default)]
 pub struct ScanResult {
-    /// Versions, and the tables of each proxy.
+    /// The versions, and the tables of each proxy.
     pub recovered: RecoveredState,
-    /// Tables that could not be read; they stay where they are.
+    /// The tables that could not be read; their files are kept.
     pub unreadable: Vec<UnreadableTables>,
-    /// Unfinished files that were removed.
+    /// The count of drafts that were removed.
     pub removed_draft_count: usize,
 }
 
 /// A proxy's tables that could not be read.
 #[derive(Debug, thiserror::Error)]
-#[error("tables of `{proxy}`: {error}")]
+#[error("tables of proxy `{proxy}` could not be read: {error}")]
 pub struct UnreadableTables {
     /// The proxy.
     pub proxy: String,
-    /// Why not.
+    /// The error of reading the tables.
     pub error: ReadError,
 }
 
-/// Looks through a root that is prepared, and removes unfinished files.
+/// Scans a root and removes drafts. [`TableRoot::prepare`] has to be called before.
 pub fn scan(root: &TableRoot, deployment: &Deployment) -> io::Result<ScanResult> {
     let mut result = ScanResult::default();
     scan_versions(root, &mut result)?;
@@ -60,7 +60,7 @@
     result: &mut ScanResult,
 ) -> io::Result<()> {
     let directory = root.proxy(&proxy);
-    // A file in the place of a directory has no names; reading the tables says so.
+    // If the path is not a directory, the error is reported by reading the tables.
     let names = sorted_names(&directory).unwrap_or_default();
     for draft in names.iter().filter(|name| name.starts_with(DRAFT_PREFIX)) {
         fs::remove_file(directory.join(draft))?;
--- a/crates/files/src/swap.rs
+++ b/crates/files/src/swap.rs
@@ -1,5 +1,5 @@
-//! Writes a version and points a proxy at it, one step at a time: a controller may be killed between any two of them
-//! and no reader notices.
+//! Writes a version and points a proxy at it, in steps. If the controller is killed between any two steps, readers still
+//! find complete tables.
 
 use crate::io_text::describe;
 use crate::replace::write;
@@ -11,28 +11,28 @@
 use wheelspread_faults::failpoint;
 use wheelspread_xds::tables::Documents;
 
-/// The steps of a swap. Their names are those of failpoints (`files.MakeDraft`).
+/// The steps of a swap. The variant names are part of failpoint names (`files.MakeDraft`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SwapStep {
     /// Creates an empty directory under a draft name.
     MakeDraft,
-    /// Writes the endpoints into it.
+    /// Writes the endpoint document into the draft directory.
     WriteEndpoints,
-    /// Writes the routes into it.
+    /// Writes the route document into the draft directory.
     WriteRoutes,
-    /// Waits until both documents and their directory are on the disk.
+    /// Syncs both documents and the draft directory to the disk.
     SyncDraft,
-    /// Gives the directory the version's name.
+    /// Renames the draft directory to the version's name.
     NameVersion,
-    /// Waits until the name is on the disk.
+    /// Syncs the directory of versions, so that the rename is on the disk.
     SyncVersions,
-    /// Creates a link to the version under a draft name.
+    /// Creates a symbolic link to the version under a draft name.
     MakeLink,
-    /// Renames the link over the one in use.
+    /// Renames the new link over the current one.
     SwapLink,
 }
 
-/// All steps in order. The order is what makes a swap safe: data before names, names before links.
+/// All steps in order. A swap is safe because data is synced before it is named, and the name before it is linked.
 pub const STEPS: &[SwapStep] = &[
     SwapStep::MakeDraft,
     SwapStep::WriteEndpoints,
@@ -44,19 +44,19 @@
     SwapStep::SwapLink,
 ];
 
-/// A step that failed.
+/// The error of a failed step.
 #[derive(Debug, thiserror::Error)]
 #[error("{step:?} at {path}: {reason}", path = .path.display(), reason = describe(.source))]
 pub struct SwapError {
-    /// The step.
+    /// The failed step.
     pub step: SwapStep,
-    /// The file that it was at.
+    /// The path on which the step operated.
     pub path: PathBuf,
-    /// What the system says.
+    /// The error of the operating system.
     pub source: io::Error,
 }
 
-/// Waits until files are on the disk, or as long as the caller wants to.
+/// Syncs files to the disk, or waits for that up to a time limit of the implementation.
 pub(crate) type SyncFiles<'a> = dyn FnMut(Vec<File>) -> io::Result<()> + 'a;
 
 /// Writes one version and points one proxy at it.
@@ -68,7 +68,7 @@
 }
 
 impl<'a> Swap<'a> {
-    /// A swap that has not begun.
+    /// Creates a swap; no step is carried out.
     pub fn new(
         root: &'a TableRoot,
         version: Version,
@@ -83,12 +83,12 @@
         }
     }
 
-    /// Carries out all steps that are still to be done: a version that is there already is only pointed at.
+    /// Carries out the required steps: all of them, or only the link steps if the version exists already.
     pub fn run(&self) -> Result<(), SwapError> {
         self.run_with_sync(&mut sync_all)
     }
 
-    /// The same, with `sync` to decide when enough is on the disk.
+    /// As [`Swap::run`], with files synced by `sync`.
     pub(crate) fn run_with_sync(&self, sync: &mut SyncFiles) -> Result<(), SwapError> {
         let version_exists = self.root.version(self.version).is_dir();
         let is_required = |step: &&SwapStep| {
@@ -101,7 +101,7 @@
         self.check_failpoint("files.pointed", SwapStep::SwapLink)
     }
 
-    /// Carries out one step.
+    /// Carries out one step, without its failpoint.
     pub fn step(&self, step: SwapStep) -> Result<(), SwapError> {
         self.step_with_sync(step, &mut sync_all)
     }
@@ -156,7 +156,7 @@
 }
 
 fn make_draft(draft: &Path) -> io::Result<()> {
-    // An earlier attempt that failed may have left one.
+    // A failed earlier attempt may have left a draft.
     ignore_missing(fs::remove_dir_all(draft))?;
     fs::create_dir(draft)
 }
--- a/crates/files/src/writer.rs
+++ b/crates/files/src/writer.rs
@@ -1,8 +1,8 @@
 //! The thread that writes tables.
 //!
-//! A disk may take seconds to say that something is on it. The loop that decides does not wait for it, and proxies wait
-//! for it only so long: a table in time counts for more than one that outlives a loss of power, after which it would be
-//! written again. Jobs go one way, their results the other.
+//! A sync may take seconds. The controller's event loop therefore sends jobs to this thread and receives their results
+//! asynchronously. A publication waits for a sync only up to a time-out: a table that is on time is more important than
+//! one that survives a loss of power, after which it would be written again.
 
 mod publisher;
 mod sync_thread;
@@ -21,75 +21,75 @@
 use wheelspread_reactor::Waker;
 use wheelspread_xds::EncodeError;
 
-/// What the thread is to do.
+/// A job for the writer thread.
 #[derive(Debug)]
 pub enum WriteJob {
-    /// Writes a version if it is not there, and points a proxy at it.
+    /// Writes a version if it does not exist, and points a proxy at it.
     Publish {
         /// The proxy.
         proxy: String,
-        /// The version with its tables.
+        /// The table set with its version.
         set: Arc<TableSet>,
     },
-    /// Removes a version that no proxy is pointed at.
+    /// Removes a version. No proxy may be pointed at it.
     Remove {
         /// The version.
         version: Version,
     },
-    /// Versions of later jobs are encoded for this deployment.
+    /// Replaces the deployment for which the versions of later jobs are encoded.
     Reconfigure(Box<Deployment>),
 }
 
-/// What came of a job.
+/// The result of a job.
 #[derive(Debug)]
 pub enum WriteResult {
-    /// A proxy is pointed at a version, or not.
+    /// A `Publish` job ended: the proxy is pointed at the version, or the job failed.
     Published {
         /// The proxy.
         proxy: String,
         /// The version.
         version: Version,
-        /// Why not.
+        /// The error of a failed job.
         result: Result<(), PublishError>,
     },
     /// A version could not be removed.
     RemovalFailed {
         /// The version.
         version: Version,
-        /// What the system says.
+        /// The error of the operating system.
         error: io::Error,
     },
-    /// A version was published before the disk said that it has it.
+    /// A version was published although a sync had not completed by the time-out, or an earlier late sync failed.
     PublishedUnsynced {
         /// The version.
         version: Version,
     },
 }
 
-/// Why a version was not published.
+/// The reason for which a version was not published.
 #[derive(Debug, thiserror::Error)]
 pub enum PublishError {
-    /// Its tables could not be encoded.
+    /// The tables could not be encoded.
     #[error(transparent)]
     Encode(#[from] EncodeError),
-    /// It could not be written, or the proxy not be pointed at it.
+    /// The version could not be written, or the link not be swapped.
     #[error(transparent)]
     Swap(#[from] SwapError),
 }
 
-/// The thread that writes tables.
+/// The handle of the thread that writes tables.
 pub struct TableWriter {
-    /// `None` once the thread is to end.
+    /// `None` after [`TableWriter::finish`] closed the channel, which ends the thread.
     jobs: Option<Sender<WriteJob>>,
     results: Receiver<WriteResult>,
     thread: Option<JoinHandle<()>>,
 }
 
-/// The disk is waited for so long, as a part of the longest delay of a message.
+/// The time-out of a sync, as a ratio of the maximum delay of the update queue.
 const SYNC_TIMEOUT_RATIO: f64 = 0.5;
 
 impl TableWriter {
-    /// Starts the thread. `waker` wakes the loop that reads the results.
+    /// Starts the thread. `waker` wakes the event loop that reads the results.
     pub fn start(root: TableRoot, deployment: Deployment, waker: Waker) -> io::Result<TableWriter> {
         let (jobs, submitted) = channel::<WriteJob>();
         let (finished, results) = channel();
@@ -99,7 +99,7 @@
             let mut publisher = Publisher::new(root, deployment, sync);
             for job in submitted {
                 for result in publisher.execute(job) {
-                    // The other side is gone only when the program ends.
+                    // The receiver is dropped only when the process ends.
                     let _ = finished.send(result);
                 }
                 waker.wake();
@@ -115,19 +115,19 @@
         })
     }
 
-    /// Gives the thread a job. Jobs are carried out in order.
+    /// Submits a job. Jobs are carried out in the order of submission.
     pub fn submit(&self, job: WriteJob) {
         if let Some(jobs) = &self.jobs {
             let _ = jobs.send(job);
         }
     }
 
-    /// Results that came since the last call.
+    /// The results since the last call.
     pub fn results(&self) -> impl Iterator<Item = WriteResult> + '_ {
         self.results.try_iter()
     }
 
-    /// Lets the thread finish its jobs, and returns the remaining results.
+    /// Waits until the thread has finished all submitted jobs, and returns the remaining results.
     pub fn finish(mut self) -> Vec<WriteResult> {
         self.jobs = None;
         if let Some(thread) = self.thread.take() {
--- a/crates/files/src/writer/publisher.rs
+++ b/crates/files/src/writer/publisher.rs
@@ -1,4 +1,4 @@
-//! Carries out the writer's jobs.
+//! Execution of the writer's jobs.
 
 use super::sync_thread::SyncThread;
 use super::{PublishError, WriteJob, WriteResult};
@@ -10,10 +10,11 @@
 use wheelspread_controller_core::Deployment;
 use wheelspread_xds::tables::{self, Documents};
 
-/// Documents that are cached, so that a version that many proxies are pointed at is encoded once.
+/// The maximum count of versions whose documents are cached, so that a version for many proxies is encoded once. At the
+/// limit the oldest version is evicted.
 const CACHED_DOCUMENTS_LIMIT: usize = 64;
 
-/// Carries out the writer's jobs.
+/// Executes the writer's jobs.
 pub(super) struct Publisher {
     pub(super) root: TableRoot,
     deployment: Deployment,
--- a/crates/files/src/writer/sync_thread.rs
+++ b/crates/files/src/writer/sync_thread.rs
@@ -1,4 +1,4 @@
-//! Waits for the disk in a thread of its own, so that the writer can go on without it.
+//! A separate thread for syncs, so that the writer can continue when the disk is slow.
 
 use std::fs::File;
 use std::io;
@@ -10,9 +10,9 @@
     requests: Sender<Vec<File>>,
     results: Receiver<io::Result<()>>,
     timeout: Duration,
-    /// Requests without a result yet.
+    /// The count of requests whose result was not received yet.
     pending: usize,
-    /// Whether a sync was not waited for, or failed after it was not waited for.
+    /// Whether [`SyncThread::sync`] returned before its sync had completed, or such a sync failed later.
     unsynced: bool,
 }
 
@@ -42,12 +42,12 @@
         })
     }
 
-    /// Waits until the files are on the disk, or until the timeout. While earlier requests are pending it does not wait
-    /// at all: the disk is slow, and each version would be late by as much again.
+    /// Syncs files and waits for the result up to the time-out, after which `Ok` is returned. While earlier requests are
+    /// pending it does not wait, because every version would otherwise be delayed by another time-out on a slow disk.
     pub(super) fn sync(&mut self, files: Vec<File>) -> io::Result<()> {
         self.collect_late_results();
         if self.requests.send(files).is_err() {
-            return Err(io::Error::other("the thread that asks the disk is gone"));
+            return Err(io::Error::other("the sync thread has ended"));
         }
         self.pending += 1;
         if self.pending > 1 {
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Whether a sync was not waited for since the last call.
+    /// Returns and clears [`SyncThread::unsynced`].
     pub(super) fn take_unsynced(&mut self) -> bool {
         std::mem::take(&mut self.unsynced)
     }
--- a/crates/files/src/writer/tests.rs
+++ b/crates/files/src/writer/tests.rs
@@ -1,4 +1,4 @@
-//! What a reader sees while writing is interrupted anywhere, fails, or goes on as fast as it can.
+//! Readers find complete tables while versions are published, and after a publication was interrupted or failed.
 
 use super::*;
 use crate::root::{version_name, DRAFT_PREFIX};
@@ -24,7 +24,7 @@
     serde_json::from_str(DEPLOYMENT).expect("a deployment")
 }
 
-/// As many nodes as its version, so that a mix of two would show.
+/// A table set with as many nodes as its version number, so that a mix of two versions is detected.
 fn set(version: u64) -> TableSet {
     let entry = |index: u64| TableEntry {
         node: NodeId {
@@ -68,7 +68,8 @@
     )
 }
 
-// Every place at which kill -9 can strike, with what the next controller and the proxy then find.
+// A controller can be killed (SIGKILL) after any step of a swap. A proxy then still has to find the old version, and the
+// next controller has to recover it, publish further versions and remove the drafts.
 #[test]
 fn after_a_kill_between_any_two_steps_the_old_version_is_complete_and_a_restart_recovers() {
     for completed_steps in 0..STEPS.len() {
@@ -94,7 +95,7 @@
         assert_eq!(
             (rescanned.removed_draft_count, rescanned.unreadable.len()),
             (0, 0),
-            "nothing of it is left"
+            "no draft is left"
         );
     }
 }
@@ -112,7 +113,7 @@
     assert_eq!(
         scan.recovered.versions.len(),
         2,
-        "its number is not given again"
+        "the number of the unreadable version is not used again"
     );
     let unreadable = scan.unreadable[0].to_string();
     assert!(
@@ -121,8 +122,8 @@
     );
 }
 
-#[test_case("versions"; "a place for versions that is a file")]
-#[test_case("gateways/g1"; "a proxy's directory that is a file")]
+#[test_case("versions"; "the directory of versions is a file")]
+#[test_case("gateways/g1"; "the directory of a proxy is a file")]
 fn a_path_that_cannot_be_written_is_reported_and_a_later_attempt_succeeds(path_below_root: &str) {
     let (_directory, mut publisher) = publisher();
     let path = publisher.root.path().join(path_below_root);
@@ -141,7 +142,7 @@
 
 #[test]
 fn a_full_disk_is_reported_and_leaves_the_old_version_in_force() {
-    // The one file that takes nothing, for every user.
+    // Writes to /dev/full fail with ENOSPC, for root as well.
     let full_device = std::path::Path::new("/dev/full");
     if !full_device.exists() {
         return;
@@ -165,10 +166,10 @@
     assert_eq!(loaded(&publisher.root), (3, 3));
     publisher
         .publish("g1", &set(5))
-        .expect("a later attempt clears it away");
+        .expect("a later attempt replaces the draft");
 }
 
-// A reader that never rests beside a writer that never rests: it must never see a mix or nothing.
+// A continuous reader beside a continuous writer must never find a mix of versions, or no version.
 #[test]
 fn no_reader_sees_a_partial_version_while_versions_are_published_and_removed() {
     let (directory, publisher) = publisher();
@@ -223,7 +224,7 @@
     assert!(reader.join().expect("it saw nothing wrong") > 0);
 }
 
-// Seconds for each sync: versions still come in time and complete, and are reported as not synced.
+// Each sync takes 2 s: versions are still published complete and without that delay, and are reported as not synced.
 #[test]
 fn a_slow_disk_delays_no_version() {
     let (_directory, mut publisher) = publisher();
