--- a/crates/drain/src/registry.rs
+++ b/crates/drain/src/registry.rs
@@ -16,7 +16,7 @@
 /// The evidence of whether proxies still send attempts to a drained node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
-    /// The count of joined proxies whose tables still have the node.
+    /// The count of joined proxies whose tables still have the node or are unknown.
     #[serde(rename = "named_by")]
     pub proxies_with_node: usize,
     /// The count of joined proxies.
@@ -84,13 +84,11 @@
         let is_grace_period_over = self
             .propagating_since
             .is_some_and(|since| now - since >= grace);
-        let is_removed_from_tables = evidence.proxies_with_node == 0 && evidence.proxies > 0;
+        let is_not_in_tables = evidence.proxies_with_node == 0 && evidence.proxies > 0;
         let has_no_traffic = evidence.attempts == 0 && evidence.reporting_proxies > 0;
         match self.state {
-            DrainState::Propagating if is_removed_from_tables => {
-                Some(DrainEvent::RemovedFromTables)
-            }
-            DrainState::Propagating if is_grace_period_over => Some(DrainEvent::GracePeriodOver),
+            DrainState::Propagating if is_not_in_tables => Some(DrainEvent::NotInTables),
+            DrainState::Propagating if is_grace_period_over => Some(DrainEvent::GraceOver),
             DrainState::InForce if has_no_traffic => Some(DrainEvent::NoTraffic),
             DrainState::Drained if evidence.attempts > 0 => Some(DrainEvent::TrafficSeen),
             _ => None,
--- a/crates/drain/src/state.rs
+++ b/crates/drain/src/state.rs
@@ -28,11 +28,10 @@
     /// The order was persisted.
     Persisted,
     /// No joined proxy has a table with the node.
-    RemovedFromTables,
+    NotInTables,
     /// The grace period is over.
-    GracePeriodOver,
-    /// Every proxy that sends load reports has sent one since the drain came into force, and none shows an attempt at
-    /// the node.
+    GraceOver,
+    /// At least one proxy has reported since the drain came into force, and no report shows an attempt at the node.
     NoTraffic,
     /// A load report shows an attempt at the node since the drain came into force.
     TrafficSeen,
@@ -60,9 +59,7 @@
                 _ => None,
             },
             DrainState::Propagating => match event {
-                DrainEvent::RemovedFromTables | DrainEvent::GracePeriodOver => {
-                    Some(DrainState::InForce)
-                }
+                DrainEvent::NotInTables | DrainEvent::GraceOver => Some(DrainState::InForce),
                 DrainEvent::Restarted => Some(DrainState::Propagating),
                 _ => None,
             },
--- a/crates/drain/tests/transitions.rs
+++ b/crates/drain/tests/transitions.rs
@@ -11,8 +11,8 @@
 ];
 const EVENTS: [DrainEvent; 6] = [
     DrainEvent::Persisted,
-    DrainEvent::RemovedFromTables,
-    DrainEvent::GracePeriodOver,
+    DrainEvent::NotInTables,
+    DrainEvent::GraceOver,
     DrainEvent::NoTraffic,
     DrainEvent::TrafficSeen,
     DrainEvent::Restarted,
@@ -23,8 +23,8 @@
     use DrainState::*;
     match (state, event) {
         (Accepted, Persisted) => Some(Propagating),
-        (Propagating, RemovedFromTables) => Some(InForce),
-        (Propagating, GracePeriodOver) => Some(InForce),
+        (Propagating, NotInTables) => Some(InForce),
+        (Propagating, GraceOver) => Some(InForce),
         (InForce, NoTraffic) => Some(Drained),
         (Drained, TrafficSeen) => Some(InForce),
         (Propagating, Restarted) => Some(Propagating),
--- a/crates/store/tests/stored_form.rs
+++ b/crates/store/tests/stored_form.rs
@@ -6,7 +6,7 @@
 const FILE: &[u8] = include_bytes!("data/state-0.2.0");
 
 #[test]
-fn a_file_of_an_earlier_version_opens_as_sound() {
+fn a_file_of_an_earlier_version_opens_as_valid() {
     let directory = tempfile::tempdir().expect("a directory");
     let path = directory.path().join("state");
     std::fs::write(&path, FILE).expect("written");
