--- a/crates/drain/src/order.rs
+++ b/crates/drain/src/order.rs
@@ -38,7 +38,7 @@
 }
 
 impl DrainOrder {
-    /// The precedence of an order: of two orders for a node, the one with the greater rank is in force. Rank is the time
+    /// The precedence of an order: of two orders for a node, the one with the greater rank takes effect. Rank is the time
     /// at which the order was given, and then the id, for orders of the same millisecond. All controllers therefore
     /// converge to the same order, in whichever sequence orders arrive.
     pub fn rank(&self) -> (u64, &OrderId) {
--- a/crates/drain/src/registry.rs
+++ b/crates/drain/src/registry.rs
@@ -1,4 +1,4 @@
-//! The drains that a controller knows. Only the newest order for each node is in force, so controllers that receive
+//! The drains that a controller knows. Only the newest order for each node takes effect, so controllers that receive
 //! orders late or in different sequences converge to the same one.
 
 use crate::order::{DrainAction, DrainError, DrainOrder, FailedCheck, OrderId};
@@ -130,7 +130,7 @@
     pub fn recover(now: Moment, persisted: impl Iterator<Item = Drain>) -> DrainRegistry {
         let mut registry = DrainRegistry::default();
         for mut drain in persisted {
-            // The process was killed after the order was persisted, but before it learned of that.
+            // The controller was stopped after the order was persisted, but before that was reported to the registry.
             if drain.state == DrainState::Accepted {
                 drain.on_persisted(now);
             }
@@ -260,7 +260,7 @@
         }
     }
 
-    /// Removes drains that were withdrawn at least [`WITHDRAWN_RETENTION_GRACE_PERIODS`] ago.
+    /// Removes drains that were withdrawn at least `WITHDRAWN_RETENTION_GRACE_PERIODS` ago.
     pub fn expire_withdrawn(&mut self, now: Moment, grace: Span) {
         let retention = grace * WITHDRAWN_RETENTION_GRACE_PERIODS;
         let is_expired = |drain: &Drain| {
--- a/crates/files/src/lib.rs
+++ b/crates/files/src/lib.rs
@@ -7,9 +7,9 @@
 //! status/<proxy>.json                     the version that the proxy has, written by the proxy
 //! ```
 //!
-//! A version directory gets its final name only after both documents are complete and were passed to the disk (see
-//! [`writer`] for slow disks), and one rename points a proxy at it. A reader that follows the link once therefore has all
-//! tables at one version. Files and directories that are not complete have names that begin with `.draft-`.
+//! A version directory gets its final name only after both documents are complete and synced to the disk (on a slow disk
+//! [`writer`] continues after a time-out), and one rename points a proxy at it. A reader that follows the link once
+//! therefore has all tables at one version. Files and directories that are not complete have names that begin with `.draft-`.
 //!
 //! | module | purpose |
 //! | --- | --- |
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -4,7 +4,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Why a store can't be opened or written.
+/// The error of opening or writing a store.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
     /// A file operation failed.
