--- a/crates/files/src/writer/sync_thread.rs
+++ b/crates/files/src/writer/sync_thread.rs
@@ -1,4 +1,4 @@
-//! Waits for the disk in a thread of its own, so that the writer can go on without it.
+//! A separate thread for syncs, so that the writer can continue when the disk is slow.
 
 use std::fs::File;
 use std::io;
@@ -10,10 +10,10 @@
     requests: Sender<Vec<File>>,
     results: Receiver<io::Result<()>>,
     timeout: Duration,
-    /// Requests without a result yet.
+    /// The count of requests whose result was not received yet.
     pending: usize,
-    /// Whether a sync was not waited for, or failed after it was not waited for.
-    unfinished: bool,
+    /// Whether [`SyncThread::sync`] returned before its sync had completed, or such a sync failed later.
+    unsynced: bool,
 }
 
 impl SyncThread {
@@ -38,20 +38,20 @@
             results,
             timeout: Duration::from_secs_f64(timeout_seconds),
             pending: 0,
-            unfinished: false,
+            unsynced: false,
         })
     }
 
-    /// Waits until the files are on the disk, or until the timeout. While earlier requests are pending it does not wait
-    /// at all: the disk is slow, and each version would be late by as much again.
+    /// Syncs files and waits for the result up to the time-out, after which `Ok` is returned. While earlier requests are
+    /// pending it does not wait, because every version would otherwise be delayed by another time-out on a slow disk.
     pub(super) fn sync(&mut self, files: Vec<File>) -> io::Result<()> {
         self.collect_late_results();
         if self.requests.send(files).is_err() {
-            return Err(io::Error::other("the thread that asks the disk is gone"));
+            return Err(io::Error::other("the sync thread has ended"));
         }
         self.pending += 1;
         if self.pending > 1 {
-            self.unfinished = true;
+            self.unsynced = true;
             return Ok(());
         }
         match self.results.recv_timeout(self.timeout) {
@@ -60,7 +60,7 @@
                 result
             }
             Err(_) => {
-                self.unfinished = true;
+                self.unsynced = true;
                 Ok(())
             }
         }
@@ -69,12 +69,12 @@
     fn collect_late_results(&mut self) {
         for result in self.results.try_iter() {
             self.pending = self.pending.saturating_sub(1);
-            self.unfinished |= result.is_err();
+            self.unsynced |= result.is_err();
         }
     }
 
-    /// Whether a sync was not waited for since the last call.
-    pub(super) fn take_unfinished(&mut self) -> bool {
-        std::mem::take(&mut self.unfinished)
+    /// Returns and clears [`SyncThread::unsynced`].
+    pub(super) fn take_unsynced(&mut self) -> bool {
+        std::mem::take(&mut self.unsynced)
     }
 }
