--- a/crates/drain/tests/transitions.rs
+++ b/crates/drain/tests/transitions.rs
@@ -10,7 +10,7 @@
     DrainState::Withdrawn,
 ];
 const EVENTS: [DrainEvent; 6] = [
-    DrainEvent::Written,
+    DrainEvent::Persisted,
     DrainEvent::NotInTables,
     DrainEvent::GraceOver,
     DrainEvent::NoTraffic,
@@ -22,7 +22,7 @@
     use DrainEvent::*;
     use DrainState::*;
     match (state, event) {
-        (Accepted, Written) => Some(Propagating),
+        (Accepted, Persisted) => Some(Propagating),
         (Propagating, NotInTables) => Some(InForce),
         (Propagating, GraceOver) => Some(InForce),
         (InForce, NoTraffic) => Some(Drained),
