--- a/crates/xds/src/status.rs
+++ b/crates/xds/src/status.rs
@@ -1,5 +1,5 @@
-//! Which version a proxy holds, as it publishes it: a `ClientConfig` of the client status discovery service, with the
-//! version of its endpoints, and the version that it rejected and why.
+//! The status that a proxy publishes: a `ClientConfig` of the client status discovery service, with the version of its
+//! endpoints, and the version that it rejected with the reason.
 
 use crate::{json, DecodeError, EncodeError, FieldError};
 use prost::Name;
@@ -9,20 +9,20 @@
 use xds_api::pb::envoy::config::endpoint::v3::ClusterLoadAssignment;
 use xds_api::pb::envoy::service::status::v3::{client_config::GenericXdsConfig, ClientConfig};
 
-/// Which version a proxy holds.
+/// The status of a proxy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Status {
-    /// The proxy.
+    /// The name of the proxy.
     pub proxy: String,
-    /// The version in force; 0: none yet.
+    /// The version in effect; 0 if the proxy has none yet.
     pub version: Version,
-    /// The version that it rejected last, and why.
-    pub refused: Option<(Version, String)>,
+    /// The version that the proxy rejected last, and the reason.
+    pub rejected: Option<(Version, String)>,
 }
 
 /// Writes a status as JSON.
 pub fn write(status: &Status) -> Result<String, EncodeError> {
-    let outcome = match status.refused {
+    let outcome = match status.rejected {
         None => ClientResourceStatus::Acked,
         Some(_) => ClientResourceStatus::Nacked,
     };
@@ -40,7 +40,7 @@
             type_url: ClusterLoadAssignment::type_url(),
             version_info: status.version.0.to_string(),
             client_status: outcome.into(),
-            error_state: status.refused.as_ref().map(failure),
+            error_state: status.rejected.as_ref().map(failure),
             ..GenericXdsConfig::default()
         }],
         ..ClientConfig::default()
@@ -62,7 +62,7 @@
         .find(|config| config.type_url == expected_type);
     let endpoints =
         endpoints.ok_or_else(|| DecodeError::field("status", FieldError::NoEndpointStatus))?;
-    let refused = match &endpoints.error_state {
+    let rejected = match &endpoints.error_state {
         Some(failure) => Some((
             parse_version(&failure.version_info)?,
             failure.details.clone(),
@@ -72,11 +72,11 @@
     Ok(Status {
         proxy,
         version: parse_version(&endpoints.version_info)?,
-        refused,
+        rejected,
     })
 }
 
-/// An empty version is that of a proxy that holds nothing.
+/// Parses a version. The version is empty if the proxy holds no table yet.
 fn parse_version(text: &str) -> Result<Version, DecodeError> {
     if text.is_empty() {
         return Ok(Version(0));
