--- a/crates/cli/src/change.rs
+++ b/crates/cli/src/change.rs
@@ -1,8 +1,8 @@
-//! `wheelspread change`: changes of configuration as transactions, at one controller or several.
+//! `wheelspread change`: plans, stages, applies and undoes configuration changes at one controller or several.
 
 use crate::error_chain::error_chain;
-use crate::exit::{BAD_INPUT, CONTROLLER_UNREACHABLE, NOT_CARRIED_OUT, SUCCESS};
-use crate::operator::{call, call_all, entries, shown, Answer, CallError};
+use crate::exit::{BAD_INPUT, CONTROLLER_UNREACHABLE, REFUSED, SUCCESS};
+use crate::operator::{array_elements, call, call_all, display_value, Answer, CallError};
 use clap::{Args, Subcommand};
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
@@ -15,10 +15,10 @@
 /// Arguments of `wheelspread change`.
 #[derive(Args)]
 pub struct ChangeArguments {
-    /// A controller's root of tables, in which its socket lies; several times for several controllers.
+    /// A controller's tables root, in which its socket lies; repeat the option for several controllers.
     #[arg(long, value_name = "ROOT", default_value = "tables", global = true)]
     at: Vec<PathBuf>,
-    /// Prints the answers as they came, one line a controller.
+    /// Prints the answers as JSON, unchanged, one line per controller.
     #[arg(long, global = true)]
     json: bool,
     #[command(subcommand)]
@@ -27,37 +27,37 @@
 
 #[derive(Subcommand)]
 enum Operation {
-    /// Prints what a change would do, line by line, and the findings against it; changes nothing.
+    /// Prints the values that a change would set and the findings of the checks; changes nothing.
     Plan {
-        /// YAML: id, by, base (left out: the version in force now), sets (path: value)
+        /// YAML: id, by, base (default: the version in force now), sets (path: value)
         file: PathBuf,
     },
-    /// Checks a change and keeps it ready.
+    /// Checks a change and stores it, ready to be applied.
     Stage { file: PathBuf },
-    /// Puts a staged change in force.
+    /// Applies a staged change.
     Apply {
         id: String,
-        /// Waits until it is kept or undone.
+        /// Waits until the change is kept, undone or refused.
         #[arg(long)]
         wait: bool,
     },
-    /// Undoes a change, or discards one that is only staged.
+    /// Undoes an applied change, or discards a staged one.
     Undo {
         id: String,
-        /// Recorded with the change.
+        /// The reason that is recorded with the change.
         #[arg(long, default_value = "by order")]
         why: String,
-        /// Waits until it is undone.
+        /// Waits until the change is undone.
         #[arg(long)]
         wait: bool,
     },
-    /// All changes that a controller knows, and the configuration in force.
+    /// Lists the changes that a controller has recorded and the configuration in force.
     List,
-    /// One change with everything that is known of it.
+    /// Shows one change with its state, values and findings.
     Show { id: String },
 }
 
-/// A change as an operator writes it.
+/// The file in which an operator describes a change.
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 struct ChangeFile {
@@ -68,17 +68,17 @@
     sets: BTreeMap<String, Value>,
 }
 
-/// Why a change could not be sent.
+/// Why a change file could not be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ChangeError {
-    /// The file of the change could not be read.
+    /// The file could not be read.
     #[error("{}", path.display())]
     Read {
         /// The file.
         path: PathBuf,
         source: io::Error,
     },
-    /// The file is no change.
+    /// The file is not a valid change.
     #[error("{}", path.display())]
     Parse {
         /// The file.
@@ -88,7 +88,7 @@
 }
 
 impl ChangeError {
-    /// What the process exits with.
+    /// The exit code of the process.
     pub fn exit_code(&self) -> u8 {
         BAD_INPUT
     }
@@ -106,12 +106,12 @@
     Ok(json!(file))
 }
 
-/// Between two queries for a change that is waited for.
+/// The interval between two queries for the state of a change.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// A controller that does not answer for so long while it is waited for is reported and not waited for any more.
+/// While waiting for a change, a controller that does not answer for this long is reported as unreachable.
 const UNREACHABLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A call of the operators' API.
+/// A request to the operators' API.
 struct Call {
     method: &'static str,
     target: String,
@@ -119,7 +119,7 @@
 }
 
 impl Operation {
-    /// The call that carries it out.
+    /// The request that carries the operation out.
     fn call(&self) -> Result<Call, ChangeError> {
         let post = |target: &str, body| Call {
             method: "POST",
@@ -141,7 +141,7 @@
         })
     }
 
-    /// The change whose end is waited for.
+    /// The id of the change to wait for, if `--wait` was given.
     fn awaited_change(&self) -> Option<&str> {
         match self {
             Operation::Apply { id, wait: true } | Operation::Undo { id, wait: true, .. } => {
@@ -152,8 +152,8 @@
     }
 }
 
-/// Plans, stages, applies, undoes or shows changes. A controller that fails is reported beside the answers of the
-/// others; the exit code is that of the worst.
+/// Plans, stages, applies, undoes or shows changes. A controller that does not answer is reported along with the
+/// answers of the others; the exit code is the highest one of all controllers.
 pub fn change(arguments: &ChangeArguments) -> Result<ExitCode, ChangeError> {
     let Call {
         method,
@@ -168,7 +168,7 @@
             }
         }
     }
-    let mut worst = SUCCESS;
+    let mut max_code = SUCCESS;
     for (root, answer) in arguments.at.iter().zip(answers) {
         let code = match answer {
             Ok(answer) => print_answer(arguments, root, &answer),
@@ -177,9 +177,9 @@
                 CONTROLLER_UNREACHABLE
             }
         };
-        worst = worst.max(code);
+        max_code = max_code.max(code);
     }
-    Ok(ExitCode::from(worst))
+    Ok(ExitCode::from(max_code))
 }
 
 /// Polls a change until it is kept, undone or refused.
@@ -207,127 +207,127 @@
     )
 }
 
-/// Prints an answer; returns the exit code that follows from it.
+/// Prints an answer and returns the exit code for it.
 fn print_answer(arguments: &ChangeArguments, root: &Path, answer: &Answer) -> u8 {
-    let several = arguments.at.len() > 1;
-    let head = if several {
+    let has_several_roots = arguments.at.len() > 1;
+    let prefix = if has_several_roots {
         format!("{}: ", root.display())
     } else {
         String::new()
     };
     let body = &answer.body;
     if arguments.json {
-        if several {
-            say!(
+        if has_several_roots {
+            print_line!(
                 "{}",
                 json!({ "at": root.display().to_string(), "answer": body })
             );
         } else {
-            say!("{body}");
+            print_line!("{body}");
         }
-        return if answer.is_ok() {
-            SUCCESS
-        } else {
-            NOT_CARRIED_OUT
-        };
+        return if answer.is_ok() { SUCCESS } else { REFUSED };
     }
     if !answer.is_ok() {
-        eprintln!("{head}{}", answer.refusal());
-        return NOT_CARRIED_OUT;
+        eprintln!("{prefix}{}", answer.refusal());
+        return REFUSED;
     }
     match &arguments.operation {
-        Operation::Plan { .. } => print_plan(&head, &body["planned"]),
+        Operation::Plan { .. } => print_plan(&prefix, &body["planned"]),
         Operation::List => {
             match call(root, "GET", "/v1/configuration", None) {
-                Ok(now) if now.is_ok() => print_configuration(&head, &now.body),
+                Ok(now) if now.is_ok() => print_configuration(&prefix, &now.body),
                 _ => {}
             }
             print_list(body);
             SUCCESS
         }
-        Operation::Show { .. } => print_change(&head, body),
-        _ => print_change(&head, &body["change"]),
+        Operation::Show { .. } => print_change(&prefix, body),
+        _ => print_change(&prefix, &body["change"]),
     }
 }
 
-/// Prints the findings of checks; returns whether one forbids the change.
+/// Prints the findings of the checks; returns whether one forbids the change.
 fn print_findings(findings: &Value) -> bool {
     let mut forbidden = false;
-    for finding in entries(findings) {
+    for finding in array_elements(findings) {
         let forbids = finding["forbids"].as_bool().unwrap_or(false);
         forbidden |= forbids;
         let verdict = if forbids { "no" } else { "ok" };
-        say!(
+        print_line!(
             "  {verdict}  {}: {}",
-            shown(&finding["check"]),
-            shown(&finding["text"])
+            display_value(&finding["check"]),
+            display_value(&finding["text"])
         );
     }
     forbidden
 }
 
-fn print_plan(head: &str, planned: &Value) -> u8 {
-    say!("{head}against version {}", planned["version"]);
-    for line in entries(&planned["lines"]) {
+fn print_plan(prefix: &str, planned: &Value) -> u8 {
+    print_line!("{prefix}against version {}", planned["version"]);
+    for line in array_elements(&planned["lines"]) {
         let value = |value: &Value| {
             value
                 .as_str()
                 .map_or("(as listed)".to_string(), str::to_string)
         };
-        say!("- {}: {}", shown(&line["path"]), value(&line["from"]));
-        say!("+ {}: {}", shown(&line["path"]), value(&line["to"]));
+        print_line!(
+            "- {}: {}",
+            display_value(&line["path"]),
+            value(&line["from"])
+        );
+        print_line!("+ {}: {}", display_value(&line["path"]), value(&line["to"]));
     }
     if print_findings(&planned["findings"]) {
-        NOT_CARRIED_OUT
+        REFUSED
     } else {
         SUCCESS
     }
 }
 
-/// Prints a change; the exit code shows whether it is undone or refused.
-fn print_change(head: &str, change: &Value) -> u8 {
-    let made = change["made"]
+/// Prints a change; returns a non-zero exit code if it is refused, undone or being undone.
+fn print_change(prefix: &str, change: &Value) -> u8 {
+    let applied = change["made"]
         .as_u64()
         .map_or(String::new(), |version| format!(", version {version}"));
     let undone = change["unmade"].as_u64().map_or(String::new(), |version| {
-        format!(", taken back as {version}")
+        format!(", undone by version {version}")
     });
     let (id, by, state) = (
-        shown(&change["change"]["id"]),
-        shown(&change["change"]["by"]),
-        shown(&change["state"]),
+        display_value(&change["change"]["id"]),
+        display_value(&change["change"]["by"]),
+        display_value(&change["state"]),
     );
-    say!("{head}{id} by {by}: {state}{made}{undone}");
+    print_line!("{prefix}{id} by {by}: {state}{applied}{undone}");
     if let Some(why) = change["why"].as_str() {
-        say!("  {why}");
+        print_line!("  {why}");
     }
     for (path, to) in change["change"]["sets"].as_object().into_iter().flatten() {
-        say!("  {path}: {}", to.as_str().unwrap_or("(as in the file)"));
+        print_line!("  {path}: {}", to.as_str().unwrap_or("(as in the file)"));
     }
     print_findings(&change["findings"]);
     if matches!(state.as_str(), "refused" | "undone" | "undoing") {
-        NOT_CARRIED_OUT
+        REFUSED
     } else {
         SUCCESS
     }
 }
 
-fn print_configuration(head: &str, configuration: &Value) {
-    let lacking = entries(&configuration["lacking"])
-        .map(shown)
+fn print_configuration(prefix: &str, configuration: &Value) {
+    let lacking = array_elements(&configuration["lacking"])
+        .map(display_value)
         .collect::<Vec<_>>()
         .join(" ");
-    say!("{head}version {} in force", configuration["version"]);
+    print_line!("{prefix}version {} in force", configuration["version"]);
     if !lacking.is_empty() {
-        say!("  not yet at {lacking}");
+        print_line!("  not yet at {lacking}");
     }
     for (path, value) in configuration["values"].as_object().into_iter().flatten() {
-        say!("  {path}: {}", shown(value));
+        print_line!("  {path}: {}", display_value(value));
     }
 }
 
 fn print_list(changes: &Value) {
-    say!(
+    print_line!(
         "{:<24}{:<16}{:<10}{:>6}{:>8}  why",
         "change",
         "by",
@@ -335,15 +335,15 @@
         "base",
         "version"
     );
-    for record in entries(changes) {
+    for record in array_elements(changes) {
         let change = &record["change"];
-        say!(
+        print_line!(
             "{:<24}{:<16}{:<10}{:>6}{:>8}  {}",
-            shown(&change["id"]),
-            shown(&change["by"]),
-            shown(&record["state"]),
-            shown(&change["base"]),
-            shown(&record["made"]),
+            display_value(&change["id"]),
+            display_value(&change["by"]),
+            display_value(&record["state"]),
+            display_value(&change["base"]),
+            display_value(&record["made"]),
             record["why"].as_str().unwrap_or("")
         );
     }
--- a/crates/cli/src/drill.rs
+++ b/crates/cli/src/drill.rs
@@ -1,4 +1,4 @@
-//! `wheelspread drill`: a day with faults on loopback, and its audit.
+//! `wheelspread drill`: runs a scripted day with faults on loopback and audits the recorded traffic.
 
 use clap::{Args, ValueEnum};
 use std::path::PathBuf;
@@ -9,41 +9,41 @@
 /// Arguments of `wheelspread drill`.
 #[derive(Args)]
 pub struct DrillArguments {
-    /// A script; without one, the bad day that the program carries with it.
+    /// The script; default: the one built into the program.
     script: Option<PathBuf>,
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Plays the faults of a day of the operators' bench.
+    /// Injects the faults of a recorded day of the operators' bench.
     #[arg(long, value_name = "DAY.json")]
     day: Option<PathBuf>,
-    /// Plays it with a plain policy instead of controllers.
+    /// Runs the script with a simple policy instead of controllers.
     #[arg(long, value_enum)]
     baseline: Option<Baseline>,
     /// Proxies read their tables from discovery streams instead of files.
     #[arg(long, conflicts_with_all = ["baseline", "sabotage"])]
     streams: bool,
-    /// Controllers that are killed lose their state, to see what it is worth.
+    /// Deletes the state of each controller that is killed, to show what difference the persisted state makes.
     #[arg(long)]
     forget: bool,
-    /// Keeps all that was published and a log of each proxy, node and directory.
+    /// Keeps the published tables and a log of each proxy, node and directory.
     #[arg(long, value_name = "DIR")]
     keep: Option<PathBuf>,
     /// Prints one JSON object instead of a table.
     #[arg(long)]
     json: bool,
-    /// Breaks a rule on purpose, to see that the audit finds it; with even weights.
+    /// Breaks a rule on purpose, with even weights, to test that the audit detects it.
     #[arg(long, value_enum, hide = true)]
-    sabotage: Option<Broken>,
+    sabotage: Option<BrokenRule>,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
 enum Baseline {
-    /// Even weights over all listed nodes, written at once.
+    /// Equal weights over all listed nodes, published without pacing.
     Even,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum Broken {
+enum BrokenRule {
     EmptyTable,
     Repeat,
     KeepDrained,
@@ -51,10 +51,10 @@
     Overfill,
 }
 
-const RULE_BROKEN: u8 = 1;
-const BAD_SCRIPT: u8 = 2;
-/// The drill could not be played, which says nothing of the rules.
-const NOT_PLAYED: u8 = 3;
+const RULE_VIOLATED: u8 = 1;
+const INVALID_SCRIPT: u8 = 2;
+/// The drill could not run, so no rule was checked.
+const NOT_RUN: u8 = 3;
 
 fn script(arguments: &DrillArguments) -> Result<DayScript, ScriptError> {
     let script = match &arguments.script {
@@ -85,7 +85,7 @@
         Ok(script) => script,
         Err(error) => {
             eprintln!("{error}");
-            return ExitCode::from(BAD_SCRIPT);
+            return ExitCode::from(INVALID_SCRIPT);
         }
     };
     if arguments.streams {
@@ -97,19 +97,19 @@
     let program = match std::env::current_exe() {
         Ok(program) => program,
         Err(error) => {
-            eprintln!("this program can't be found: {error}");
-            return ExitCode::from(NOT_PLAYED);
+            eprintln!("cannot determine the path of the running executable: {error}");
+            return ExitCode::from(NOT_RUN);
         }
     };
     for kind in &not_injected {
-        eprintln!("not injected, as it can't be here: {kind}");
+        eprintln!("fault kind not supported by the drill, not injected: {kind}");
     }
-    let sabotage = arguments.sabotage.map(|broken| match broken {
-        Broken::EmptyTable => Sabotage::EmptyTable,
-        Broken::Repeat => Sabotage::Repeat,
-        Broken::KeepDrained => Sabotage::KeepDrained,
-        Broken::FloodCold => Sabotage::FloodCold,
-        Broken::Overfill => Sabotage::Overfill,
+    let sabotage = arguments.sabotage.map(|broken_rule| match broken_rule {
+        BrokenRule::EmptyTable => Sabotage::EmptyTable,
+        BrokenRule::Repeat => Sabotage::Repeat,
+        BrokenRule::KeepDrained => Sabotage::KeepDrained,
+        BrokenRule::FloodCold => Sabotage::FloodCold,
+        BrokenRule::Overfill => Sabotage::Overfill,
     });
     let mut progress = |text: &str| eprintln!("{text}");
     let options = Options {
@@ -126,23 +126,23 @@
         Ok(report) => report,
         Err(error) => {
             eprintln!("{error}");
-            return ExitCode::from(NOT_PLAYED);
+            return ExitCode::from(NOT_RUN);
         }
     };
     if arguments.json {
         match serde_json::to_string(&report) {
-            Ok(text) => say!("{text}"),
+            Ok(text) => print_line!("{text}"),
             Err(error) => {
                 eprintln!("{error}");
-                return ExitCode::from(NOT_PLAYED);
+                return ExitCode::from(NOT_RUN);
             }
         }
     } else {
-        say!("{}", report.table().trim_end());
+        print_line!("{}", report.table().trim_end());
     }
     if report.verdict.all_rules_hold() {
         ExitCode::SUCCESS
     } else {
-        ExitCode::from(RULE_BROKEN)
+        ExitCode::from(RULE_VIOLATED)
     }
 }
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -37,7 +37,7 @@
 }
 
 impl CliError {
-    /// What the process exits with.
+    /// The exit code of the process.
     pub fn exit_code(&self) -> ExitCode {
         let code = match self {
             CliError::Serve(error) => error.exit_code(),
--- a/crates/cli/src/error_chain.rs
+++ b/crates/cli/src/error_chain.rs
@@ -1,8 +1,9 @@
-//! How an error is printed: its causes in one line.
+//! Formats an error and its causes as one line.
 
 use std::error::Error;
 
-/// An error and its causes in one line. Some errors repeat their cause in their own text; it is then not added again.
+/// The text of an error followed by its causes, as one line. A cause whose text the line already contains is not added
+/// again, as some errors include their cause in their own text.
 pub fn error_chain(error: &(dyn Error + 'static)) -> String {
     let mut text = error.to_string();
     let mut cause = error.source();
--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -1,9 +1,9 @@
 //! Exit codes that several subcommands share.
 
-/// The order or the call holds everywhere.
+/// Every controller answered or carried the order out.
 pub const SUCCESS: u8 = 0;
-/// A controller refused, or something else speaks against what was asked for.
-pub const NOT_CARRIED_OUT: u8 = 1;
+/// A controller refused the order, a check forbids the change, or controllers disagree.
+pub const REFUSED: u8 = 1;
 /// A file or an argument is invalid.
 pub const BAD_INPUT: u8 = 2;
 /// A controller could not be reached, or did not answer in time.
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,4 +1,4 @@
-//! `wheelspread fleet`: queries and orders for many controllers.
+//! `wheelspread fleet`: sends queries and orders to the controllers of a fleet.
 
 mod order;
 mod top;
@@ -20,20 +20,21 @@
 
 /// Arguments of `wheelspread fleet`.
 ///
-/// Exit codes: 0 all answered, or the order holds everywhere; 1 refused by one at least, or controllers
-/// disagree; 2 an invalid fleet file or call; 3 some did not answer, or the order holds at a part.
+/// Exit codes: 0 if all controllers answered or carried the order out; 1 if at least one refused, or controllers
+/// disagree; 2 for an invalid fleet file or argument; 3 if some controllers did not answer, or only a part of them
+/// carried the order out.
 #[derive(Args)]
 #[command(
-    after_help = "Exit codes: 0 all answered, or the order holds everywhere; 1 refused by one at least, or \
-                        controllers disagree; 2 a call or a fleet file that can't be; 3 some did not answer."
+    after_help = "Exit codes: 0 if all controllers answered or carried the order out; 1 if at least one refused, \
+                        or controllers disagree; 2 for an invalid fleet file or argument; 3 if some controllers did not answer."
 )]
 pub struct FleetArguments {
     /// YAML: conductors (name, root or address), roots, tls, within; see docs/fleet.md
     fleet: PathBuf,
-    /// How long a complete answer may take; left out: as in the fleet file.
+    /// The time limit for the answers of all controllers; default: the fleet file's.
     #[arg(long, value_parser = span_format::read, global = true)]
     within: Option<Span>,
-    /// One JSON object instead of tables; lines of them with `watch`.
+    /// Prints one JSON object instead of tables; with `watch`, one per line.
     #[arg(long, global = true)]
     json: bool,
     #[command(subcommand)]
@@ -42,78 +43,78 @@
 
 #[derive(Subcommand)]
 enum Operation {
-    /// Each controller in a line: endpoint list, nodes, proxies, load reports, update queue, configuration; and where
-    /// they disagree.
+    /// Shows one line per controller (endpoint list, nodes, proxies, load reports, update queue, configuration), and
+    /// where controllers disagree.
     Status,
-    /// Which versions the proxies of each controller hold.
+    /// Shows the table versions that the proxies of each controller hold.
     Tables,
-    /// How full each controller's update queue is.
+    /// Shows how full each controller's update queue is.
     Channels,
-    /// When each controller last received load reports, and their contents.
+    /// Shows when each controller last received load reports, and their contents.
     Sums,
     /// Drains a node at all controllers.
     Drain(order::DrainArguments),
-    /// Withdraws a drain: the endpoint list decides again.
+    /// Withdraws a drain order, so that the node's state follows the endpoint list again.
     Undrain(order::DrainArguments),
-    /// Sends controllers the orders that they missed while they were away, as the others hold them.
+    /// Sends each controller the drain orders that it missed while it was unreachable, as the others hold them.
     Sync,
-    /// In which state each controller holds a node, and which proxies' tables name it.
+    /// Shows a node's state at each controller, and the proxies whose tables contain it.
     Where { node: String },
     /// Prints the status at an interval.
     Watch {
         #[arg(long, value_parser = span_format::read, default_value = "2s")]
         every: Span,
-        /// Ends after so many.
+        /// The number of times to print the status; default: no limit.
         #[arg(long)]
         times: Option<u64>,
     },
-    /// The fleet in a terminal, updated at an interval; q ends it.
+    /// Shows the fleet in the terminal, updated at an interval; q quits.
     Top {
         #[arg(long, value_parser = span_format::read, default_value = "1s")]
         every: Span,
     },
 }
 
-/// Why no controller was asked at all.
+/// Why the command could not run.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetCommandError {
-    /// The fleet file can't be read or is invalid.
+    /// The fleet file could not be read or is invalid.
     #[error(transparent)]
     File(#[from] FleetError),
-    /// The terminal can't be used.
-    #[error("the terminal")]
+    /// The terminal could not be used.
+    #[error("cannot use the terminal")]
     Terminal(#[from] io::Error),
 }
 
 impl FleetCommandError {
-    /// What the process exits with.
+    /// The exit code of the process.
     pub fn exit_code(&self) -> u8 {
         BAD_INPUT
     }
 }
 
-/// Queries or orders all controllers of a fleet.
+/// Runs a query or an order at the controllers of a fleet.
 pub fn fleet(arguments: &FleetArguments) -> Result<ExitCode, FleetCommandError> {
     let mut fleet = FleetFile::read(&arguments.fleet)?.open()?;
     if let Some(within) = arguments.within {
         fleet.within = Duration::from_secs_f64(within.seconds().max(MIN_ANSWER_SECONDS));
     }
-    let as_object = arguments.json;
+    let json_output = arguments.json;
     let code = match &arguments.operation {
-        Operation::Status => status(&fleet, as_object),
-        Operation::Tables => query(&fleet, as_object, "/v1/tables", view::tables),
-        Operation::Channels => query(&fleet, as_object, "/v1/channel", view::channels),
-        Operation::Sums => query(&fleet, as_object, "/v1/sums", view::load_reports),
+        Operation::Status => status(&fleet, json_output),
+        Operation::Tables => query(&fleet, json_output, "/v1/tables", view::tables),
+        Operation::Channels => query(&fleet, json_output, "/v1/channel", view::channels),
+        Operation::Sums => query(&fleet, json_output, "/v1/sums", view::load_reports),
         Operation::Where { node } => query(
             &fleet,
-            as_object,
+            json_output,
             &format!("/v1/where/{node}"),
-            view::whereabouts,
+            view::node_state,
         ),
-        Operation::Sync => order::sync(&fleet, as_object),
-        Operation::Drain(drain) => order::drain(&fleet, as_object, drain, DrainAction::Drain),
-        Operation::Undrain(drain) => order::drain(&fleet, as_object, drain, DrainAction::Undrain),
-        Operation::Watch { every, times } => watch(&fleet, as_object, *every, *times),
+        Operation::Sync => order::sync(&fleet, json_output),
+        Operation::Drain(drain) => order::drain(&fleet, json_output, drain, DrainAction::Drain),
+        Operation::Undrain(drain) => order::drain(&fleet, json_output, drain, DrainAction::Undrain),
+        Operation::Watch { every, times } => watch(&fleet, json_output, *every, *times),
         Operation::Top { every } => {
             top::run(&fleet, interval(*every))?;
             SUCCESS
@@ -122,9 +123,9 @@
     Ok(ExitCode::from(code))
 }
 
-/// The shortest time that controllers are given to answer.
+/// The minimum time limit for an answer.
 const MIN_ANSWER_SECONDS: f64 = 0.05;
-/// The shortest interval between two rounds of queries.
+/// The minimum interval between two rounds of queries.
 const MIN_INTERVAL_SECONDS: f64 = 0.1;
 
 fn interval(every: Span) -> Duration {
@@ -133,7 +134,7 @@
 
 type Answers = BTreeMap<String, Result<Value, Failed>>;
 
-/// Who did not answer, by name.
+/// The reason of failure of each controller that did not answer, by the controller's name.
 fn missing(answers: &Answers) -> BTreeMap<&str, String> {
     let failed = answers
         .iter()
@@ -151,35 +152,37 @@
     Value::Object(each.collect())
 }
 
-/// Asks all controllers the same and prints their answers.
+/// Sends the same query to all controllers and prints their answers.
 fn query(
     fleet: &Fleet,
-    as_object: bool,
+    json_output: bool,
     target: &str,
     table: impl Fn(&str, &Value) -> Vec<String>,
 ) -> u8 {
     let begin = Instant::now();
     let answers = fleet.ask(&Request::get(target), fleet.within);
-    if as_object {
+    if json_output {
         let seconds = begin.elapsed().as_secs_f64();
-        say!(
+        print_line!(
             "{}",
             json!({ "conductors": as_json(&answers), "seconds": seconds })
         );
     } else {
         for (name, answer) in &answers {
             if let Ok(body) = answer {
-                table(name, body).iter().for_each(|line| say!("{line}"));
+                table(name, body)
+                    .iter()
+                    .for_each(|line| print_line!("{line}"));
             }
         }
         for (name, why) in missing(&answers) {
-            say!("{name}: {why}");
+            print_line!("{name}: {why}");
         }
     }
     exit_code(&answers)
 }
 
-/// Whether all answered, as an exit code.
+/// The exit code that shows whether all controllers answered.
 fn exit_code(answers: &Answers) -> u8 {
     if missing(answers).is_empty() {
         SUCCESS
@@ -188,17 +191,20 @@
     }
 }
 
-fn status(fleet: &Fleet, as_object: bool) -> u8 {
+fn status(fleet: &Fleet, json_output: bool) -> u8 {
     let snapshot = Snapshot::take(fleet);
-    if as_object {
-        say!("{}", snapshot.json());
+    if json_output {
+        print_line!("{}", snapshot.json());
     } else {
-        snapshot.lines().iter().for_each(|line| say!("{line}"));
+        snapshot
+            .lines()
+            .iter()
+            .for_each(|line| print_line!("{line}"));
     }
     snapshot.exit_code()
 }
 
-fn watch(fleet: &Fleet, as_object: bool, every: Span, times: Option<u64>) -> u8 {
+fn watch(fleet: &Fleet, json_output: bool, every: Span, times: Option<u64>) -> u8 {
     let every = interval(every);
     let mut code = SUCCESS;
     for round in 0.. {
@@ -206,10 +212,10 @@
             break;
         }
         let begin = Instant::now();
-        if round > 0 && !as_object {
-            say!();
+        if round > 0 && !json_output {
+            print_line!();
         }
-        code = status(fleet, as_object);
+        code = status(fleet, json_output);
         if times != Some(round + 1) {
             std::thread::sleep(every.saturating_sub(begin.elapsed()));
         }
--- a/crates/cli/src/fleet/order.rs
+++ b/crates/cli/src/fleet/order.rs
@@ -1,7 +1,7 @@
-//! Drains given to all controllers of a fleet, and the orders that a controller missed.
+//! Sends drain orders to all controllers of a fleet, and repeats orders for controllers that missed them.
 
 use super::{exit_code, missing};
-use crate::exit::{CONTROLLER_UNREACHABLE, NOT_CARRIED_OUT, SUCCESS};
+use crate::exit::{CONTROLLER_UNREACHABLE, REFUSED, SUCCESS};
 use clap::Args;
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,26 +12,26 @@
 use wheelspread_drain::{Drain, DrainAction, Outcome, Reply};
 use wheelspread_fleet::{drain_order, Fleet, Ordered, Request};
 
-/// A node and who drains it.
+/// Arguments of `wheelspread fleet drain` and `undrain`.
 #[derive(Args)]
 pub struct DrainArguments {
-    /// As 127.0.0.1:9000
+    /// The node's address and port, such as 127.0.0.1:9000
     node: String,
-    /// Who orders, for the record.
-    #[arg(long, default_value_t = user())]
+    /// Who gives the order; recorded with it.
+    #[arg(long, default_value_t = default_user())]
     by: String,
-    /// Names a check that is to be overridden, as `pool`, `cold` or `capacity`; it is logged.
+    /// A check to override: `pool`, `cold` or `capacity`. The controller logs the override.
     #[arg(long, value_name = "CHECK")]
     force: Vec<String>,
-    /// Waits until no proxy sends there any more, and prints the evidence.
+    /// Waits until no proxy sends requests to the node any more, and prints the evidence.
     #[arg(long)]
     wait: bool,
-    /// How long the order is retried where it failed, and waited for; left out: as in the fleet file.
+    /// The time limit for retries at controllers that failed and for `--wait`; default: the fleet file's.
     #[arg(long, value_parser = span_format::read)]
     order_within: Option<Span>,
 }
 
-fn user() -> String {
+fn default_user() -> String {
     std::env::var("USER")
         .ok()
         .filter(|user| !user.is_empty())
@@ -41,7 +41,7 @@
 /// Drains a node at all controllers, or withdraws its drain; returns the exit code.
 pub fn drain(
     fleet: &Fleet,
-    as_object: bool,
+    json_output: bool,
     arguments: &DrainArguments,
     action: DrainAction,
 ) -> u8 {
@@ -50,25 +50,25 @@
     let body = drain_order(&arguments.node, action, &arguments.by, &arguments.force);
     let request = Request::post("/v1/drains", body.clone());
     let ordered = fleet.order(&request, within, u64::from(std::process::id()));
-    let taken = controllers_that_took(&ordered);
-    let waited = (arguments.wait && !taken.is_empty()).then(|| {
-        let until = begin + Duration::from_secs_f64(within.seconds());
-        wait(fleet, &arguments.node, action, &taken, until)
+    let accepted_by = accepting_controllers(&ordered);
+    let drain_wait = (arguments.wait && !accepted_by.is_empty()).then(|| {
+        let deadline = begin + Duration::from_secs_f64(within.seconds());
+        wait_for_drain(fleet, &arguments.node, action, &accepted_by, deadline)
     });
-    if as_object {
+    if json_output {
         let seconds = begin.elapsed().as_secs_f64();
-        say!(
+        print_line!(
             "{}",
-            json!({ "order": body, "told": ordered, "waited": waited, "seconds": seconds })
+            json!({ "order": body, "told": ordered, "waited": drain_wait, "seconds": seconds })
         );
     } else {
         print_order(&ordered);
-        let lines = waited.iter().flat_map(|waited| &waited.lines);
-        lines.for_each(|line| say!("{line}"));
+        let lines = drain_wait.iter().flat_map(|drain_wait| &drain_wait.lines);
+        lines.for_each(|line| print_line!("{line}"));
     }
     let code = order_exit_code(&ordered);
-    match waited {
-        Some(waited) if !waited.done => code.max(CONTROLLER_UNREACHABLE),
+    match drain_wait {
+        Some(drain_wait) if !drain_wait.done => code.max(CONTROLLER_UNREACHABLE),
         _ => code,
     }
 }
@@ -80,12 +80,12 @@
         .any(|(_, reply)| matches!(reply, Some(Reply::Refused { .. })));
     match ordered.outcome {
         Outcome::Everywhere => SUCCESS,
-        _ if is_refused => NOT_CARRIED_OUT,
+        _ if is_refused => REFUSED,
         Outcome::Partly | Outcome::Nowhere => CONTROLLER_UNREACHABLE,
     }
 }
 
-fn controllers_that_took(ordered: &Ordered) -> BTreeSet<String> {
+fn accepting_controllers(ordered: &Ordered) -> BTreeSet<String> {
     ordered
         .conductors
         .iter()
@@ -100,35 +100,35 @@
             Some(Reply::Accepted { state }) => state.clone(),
             Some(Reply::Refused { reason }) => format!("refused: {reason}"),
             Some(Reply::Failed { reason }) => {
-                format!("not told, after {attempts} tries: {reason}")
+                format!("not delivered, after {attempts} attempts: {reason}")
             }
             None => "no answer".to_string(),
         };
-        say!("{name}: {result}");
+        print_line!("{name}: {result}");
     }
     let outcome = match ordered.outcome {
-        Outcome::Everywhere => "it holds at all conductors",
-        Outcome::Partly => "it holds at a part of the conductors only: tell it again",
-        Outcome::Nowhere => "it holds nowhere",
+        Outcome::Everywhere => "accepted by all conductors",
+        Outcome::Partly => "accepted by a part of the conductors only: repeat the order",
+        Outcome::Nowhere => "accepted by no conductor",
     };
-    say!("{outcome}");
+    print_line!("{outcome}");
 }
 
-/// An order that was repeated for a controller that missed it.
+/// An order that was sent again to a controller that had missed it.
 struct Resent {
     order: Value,
     result: String,
     code: u8,
 }
 
-/// Sends each controller the orders that others hold and it does not; returns the exit code.
-pub fn sync(fleet: &Fleet, as_object: bool) -> u8 {
+/// Sends each controller the drain orders that other controllers hold and it lacks; returns the exit code.
+pub fn sync(fleet: &Fleet, json_output: bool) -> u8 {
     let answers = fleet.ask(&Request::get("/v1/drains"), fleet.within);
-    let held = answers.iter().filter_map(|(name, answer)| {
+    let held_drains = answers.iter().filter_map(|(name, answer)| {
         let drains = serde_json::from_value::<Vec<Drain>>(answer.as_ref().ok()?.clone());
         Some((name.clone(), drains.ok()?))
     });
-    let resent: Vec<(String, Resent)> = missing_orders(&held.collect())
+    let resent: Vec<(String, Resent)> = missing_orders(&held_drains.collect())
         .into_iter()
         .map(|missed| (missed.controller.clone(), resend(fleet, missed)))
         .collect();
@@ -137,8 +137,8 @@
         .map(|(_, resent)| resent.code)
         .fold(exit_code(&answers), u8::max);
     let missing = missing(&answers);
-    if as_object {
-        print_sync_object(&resent, &missing);
+    if json_output {
+        print_sync_json(&resent, &missing);
     } else {
         print_sync(&resent, &missing);
     }
@@ -146,11 +146,11 @@
 }
 
 fn resend(fleet: &Fleet, missed: MissingOrder) -> Resent {
-    let one = BTreeSet::from([missed.controller.clone()]);
+    let target = BTreeSet::from([missed.controller.clone()]);
     let order = json!(missed.order);
     let request = Request::post("/v1/drains", order.clone());
     let answer = fleet
-        .ask_some(&one, &request, Instant::now() + fleet.within)
+        .ask_some(&target, &request, Instant::now() + fleet.within)
         .remove(&missed.controller);
     let (result, code) = match answer {
         Some(Ok(drain)) => {
@@ -158,7 +158,7 @@
             (state.to_string(), SUCCESS)
         }
         Some(Err(failed)) if failed.passes() => (failed.to_string(), CONTROLLER_UNREACHABLE),
-        Some(Err(failed)) => (failed.to_string(), NOT_CARRIED_OUT),
+        Some(Err(failed)) => (failed.to_string(), REFUSED),
         None => ("not asked".to_string(), SUCCESS),
     };
     Resent {
@@ -168,49 +168,57 @@
     }
 }
 
-fn print_sync_object(resent: &[(String, Resent)], missing: &BTreeMap<&str, String>) {
+fn print_sync_json(resent: &[(String, Resent)], missing: &BTreeMap<&str, String>) {
     let resent: Vec<Value> = resent
         .iter()
         .map(|(name, resent)| {
             json!({ "conductor": name, "order": resent.order, "result": resent.result })
         })
         .collect();
-    say!("{}", json!({ "told": resent, "missing": missing }));
+    print_line!("{}", json!({ "told": resent, "missing": missing }));
 }
 
 fn print_sync(resent: &[(String, Resent)], missing: &BTreeMap<&str, String>) {
     for (name, Resent { order, result, .. }) in resent {
         let text = |field: &str| order[field].as_str().unwrap_or("").to_string();
         let (action, node, by) = (text("word"), text("node"), text("by"));
-        say!("{name}: {action} {node} by {by}: {result}");
+        print_line!("{name}: {action} {node} by {by}: {result}");
     }
     missing
         .iter()
-        .for_each(|(name, reason)| say!("{name}: {reason}"));
-    say!("{} orders told that had been missed", resent.len());
+        .for_each(|(name, reason)| print_line!("{name}: {reason}"));
+    print_line!(
+        "{} orders told to controllers that had missed them",
+        resent.len()
+    );
 }
 
-/// How far a drain had come when the wait for it ended.
+/// The progress of a drain when the wait for it ended.
 #[derive(serde::Serialize)]
-struct Waited {
+struct DrainWait {
     done: bool,
     lines: Vec<String>,
 }
 
-/// Between two queries for a drain that is waited for.
+/// The interval between two queries for the progress of a drain.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Until the controllers that took an order report that nothing is sent there, or that the drain is withdrawn.
-fn wait(
+/// Waits until each controller that accepted the order reports that no proxy sends requests to the node or, for
+/// `undrain`, that the drain is withdrawn; ends at `deadline` at the latest.
+fn wait_for_drain(
     fleet: &Fleet,
     node: &str,
     action: DrainAction,
-    taken: &BTreeSet<String>,
-    until: Instant,
-) -> Waited {
+    accepted_by: &BTreeSet<String>,
+    deadline: Instant,
+) -> DrainWait {
     loop {
-        let round = (Instant::now() + fleet.within).min(until + POLL_INTERVAL);
-        let answers = fleet.ask_some(taken, &Request::get(format!("/v1/where/{node}")), round);
+        let round = (Instant::now() + fleet.within).min(deadline + POLL_INTERVAL);
+        let answers = fleet.ask_some(
+            accepted_by,
+            &Request::get(format!("/v1/where/{node}")),
+            round,
+        );
         let mut lines = Vec::new();
         let mut done = true;
         for (name, answer) in &answers {
@@ -221,37 +229,39 @@
             done &= is_done;
             lines.push(format!("{name}: {line}"));
         }
-        if done || Instant::now() >= until {
-            return Waited { done, lines };
+        if done || Instant::now() >= deadline {
+            return DrainWait { done, lines };
         }
         std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// Whether an order is complete at a controller, and the evidence for it.
+/// Whether the order has taken full effect at a controller, and a text with the evidence.
 fn drain_evidence(drain: &Value, action: DrainAction) -> (bool, String) {
-    let state = drain["state"].as_str().unwrap_or("not known");
+    let state = drain["state"].as_str().unwrap_or("unknown");
     if action == DrainAction::Undrain {
         return (state == "withdrawn", state.to_string());
     }
     let number = |field: &str| drain["evidence"][field].as_u64().unwrap_or(0);
-    let (named, proxies) = (number("named_by"), number("gateways"));
+    let (naming_proxies, proxies) = (number("named_by"), number("gateways"));
     match state {
         "quiet" => {
-            let (attempts, reporting) = (number("tries"), number("heard"));
+            let (attempts, reporting_proxies) = (number("tries"), number("heard"));
             let text = format!(
-                "quiet: 0 of {proxies} gateways name it, {attempts} tries reported by {reporting} that were heard since"
+                "quiet: 0 of {proxies} gateways name it, {attempts} tries reported by {reporting_proxies} that have reported since"
             );
             (true, text)
         }
         "in-force" if proxies == 0 => (true, "in force: no gateway is joined".to_string()),
         "in-force" => (
             false,
-            format!("in force: {named} of {proxies} gateways name it, nobody heard since yet"),
+            format!(
+                "in force: {naming_proxies} of {proxies} gateways name it, none has reported since"
+            ),
         ),
         _ => (
             false,
-            format!("{state}: {named} of {proxies} gateways name it"),
+            format!("{state}: {naming_proxies} of {proxies} gateways name it"),
         ),
     }
 }
--- a/crates/cli/src/fleet/top.rs
+++ b/crates/cli/src/fleet/top.rs
@@ -1,5 +1,5 @@
-//! A fleet in a terminal. One thread queries, the other draws the last answers and reads keys, so that a
-//! controller that hangs never holds up the screen.
+//! The terminal view of a fleet. One thread queries the controllers, another draws the latest answers and reads keys,
+//! so that a controller that does not answer never blocks the screen.
 
 use super::view::Snapshot;
 use ratatui::crossterm::event::{self, Event, KeyCode, KeyEventKind};
@@ -14,16 +14,16 @@
 use std::time::{Duration, Instant};
 use wheelspread_fleet::{Failed, Fleet};
 
-/// What is shown and from which line on.
+/// The state of the terminal view: the latest snapshot, the scroll position and the filter.
 pub struct Screen {
     snapshot: Option<Snapshot>,
     taken_at: Instant,
-    first: usize,
-    /// Only controllers that did not answer or need attention.
+    first_row: usize,
+    /// Shows only the controllers that did not answer or need attention.
     only_attention: bool,
 }
 
-/// How long a key is waited for between two drawings.
+/// The longest wait for a key between two redraws.
 const KEY_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Shows the fleet until `q` is pressed.
@@ -43,7 +43,7 @@
         match snapshots.try_recv() {
             Ok(snapshot) => screen.show(snapshot),
             Err(TryRecvError::Empty) => {}
-            Err(TryRecvError::Disconnected) => break Err(io::Error::other("nobody asks any more")),
+            Err(TryRecvError::Disconnected) => break Err(io::Error::other("query thread ended")),
         }
         if let Err(error) = terminal.draw(|frame| screen.draw(frame)) {
             break Err(error);
@@ -67,50 +67,50 @@
 }
 
 impl Screen {
-    /// Nothing is known yet.
+    /// A screen without a snapshot.
     pub fn new() -> Screen {
         Screen {
             snapshot: None,
             taken_at: Instant::now(),
-            first: 0,
+            first_row: 0,
             only_attention: false,
         }
     }
 
-    /// Takes over newer answers.
+    /// Replaces the snapshot by a newer one.
     pub fn show(&mut self, snapshot: Snapshot) {
         (self.snapshot, self.taken_at) = (Some(snapshot), Instant::now());
     }
 
-    /// Handles a key; `true` ends the program.
+    /// Handles a key; returns `true` if the program is to end.
     pub fn key(&mut self, key: KeyCode) -> bool {
         match key {
             KeyCode::Char('q') | KeyCode::Esc => return true,
-            KeyCode::Char('t') => (self.only_attention, self.first) = (!self.only_attention, 0),
-            KeyCode::Down | KeyCode::Char('j') => self.first += 1,
-            KeyCode::Up | KeyCode::Char('k') => self.first = self.first.saturating_sub(1),
-            KeyCode::PageDown => self.first += 15,
-            KeyCode::PageUp => self.first = self.first.saturating_sub(15),
+            KeyCode::Char('t') => (self.only_attention, self.first_row) = (!self.only_attention, 0),
+            KeyCode::Down | KeyCode::Char('j') => self.first_row += 1,
+            KeyCode::Up | KeyCode::Char('k') => self.first_row = self.first_row.saturating_sub(1),
+            KeyCode::PageDown => self.first_row += 15,
+            KeyCode::PageUp => self.first_row = self.first_row.saturating_sub(15),
             _ => {}
         }
         false
     }
 
-    /// Draws the last answers.
+    /// Draws the latest snapshot.
     pub fn draw(&mut self, frame: &mut Frame) {
         let Some(snapshot) = &self.snapshot else {
-            return frame.render_widget(Paragraph::new("asking the fleet ..."), frame.area());
+            return frame.render_widget(Paragraph::new("querying the fleet ..."), frame.area());
         };
         let disagreements = snapshot.disagreement_lines();
         let shown_disagreements = disagreements.len().min(MAX_DISAGREEMENTS);
-        let [head, body, foot] = Layout::vertical([
+        let [header, body, footer] = Layout::vertical([
             Constraint::Length(1),
             Constraint::Min(1),
             Constraint::Length((shown_disagreements + 2) as u16),
         ])
         .areas(frame.area());
         let bold = Style::default().add_modifier(Modifier::BOLD);
-        frame.render_widget(Line::styled(Snapshot::HEAD, bold), head);
+        frame.render_widget(Line::styled(Snapshot::HEADER, bold), header);
         let all = snapshot.status.len();
         let rows: Vec<Line> = rows(snapshot)
             .into_iter()
@@ -118,29 +118,29 @@
             .map(|row| row.line)
             .collect();
         let height = usize::from(body.height);
-        self.first = self.first.min(rows.len().saturating_sub(height));
-        let (first, last) = (self.first, (self.first + height).min(rows.len()));
-        frame.render_widget(Paragraph::new(rows[first..last].to_vec()), body);
+        self.first_row = self.first_row.min(rows.len().saturating_sub(height));
+        let (first_row, end_row) = (self.first_row, (self.first_row + height).min(rows.len()));
+        frame.render_widget(Paragraph::new(rows[first_row..end_row].to_vec()), body);
         let answered = snapshot.status.values().filter(|answer| answer.is_ok());
         let summary = format!(
-            "{} of {all} answered in {:.2} s, {:.0} s ago; lines {}-{last} of {}{}",
+            "{} of {all} answered in {:.2} s, {:.0} s ago; lines {}-{end_row} of {}{}",
             answered.count(),
             snapshot.seconds,
             self.taken_at.elapsed().as_secs_f64(),
-            (first + 1).min(last),
-            last.max(first) + rows_after(all, last, self.only_attention),
+            (first_row + 1).min(end_row),
+            end_row.max(first_row) + rows_after(all, end_row, self.only_attention),
             further_disagreements(&disagreements)
         );
         let mut lines = disagreement_lines(&disagreements);
         lines.push(Line::styled(summary, bold));
-        lines.push(Line::from("q ends  t troubled only  up/down scroll"));
-        frame.render_widget(Paragraph::new(lines), foot);
+        lines.push(Line::from("q quits  t attention only  up/down scroll"));
+        frame.render_widget(Paragraph::new(lines), footer);
     }
 }
 
-/// Disagreements that are shown below the controllers; further ones are counted.
+/// The maximum number of disagreements shown below the controllers; further ones are only counted.
 const MAX_DISAGREEMENTS: usize = 4;
-/// A controller whose update queue is fuller than this needs attention.
+/// A controller needs attention if its update queue is filled above this ratio of its limit.
 const ATTENTION_QUEUE_FILL: f64 = 0.5;
 
 /// A controller's line on the screen.
@@ -175,7 +175,8 @@
     Style::default().fg(color)
 }
 
-/// Whether a controller's queue is filling, a change is not everywhere yet, or no proxy is joined.
+/// Whether a controller's update queue is filled above [`ATTENTION_QUEUE_FILL`], some proxies lack the configuration in
+/// force, or no proxy is joined.
 fn needs_attention(status: &Value) -> bool {
     let waiting = status["lines_waiting"].as_f64().unwrap_or(0.0);
     let limit = status["lines_waiting_at_most"].as_f64().unwrap_or(1.0);
@@ -199,16 +200,16 @@
 fn further_disagreements(disagreements: &[String]) -> String {
     match disagreements.len().saturating_sub(MAX_DISAGREEMENTS) {
         0 => String::new(),
-        more => format!(", {more} more of two minds"),
+        more => format!(", {more} more disagreements"),
     }
 }
 
-/// Controllers below the last line that is shown; with a filter only what is shown is counted.
-fn rows_after(all: usize, last: usize, is_filtered: bool) -> usize {
+/// The number of controllers below the last row shown; 0 with a filter, so that only the rows shown are counted.
+fn rows_after(all: usize, end_row: usize, is_filtered: bool) -> usize {
     if is_filtered {
         0
     } else {
-        all.saturating_sub(last)
+        all.saturating_sub(end_row)
     }
 }
 
--- a/crates/cli/src/fleet/top/tests.rs
+++ b/crates/cli/src/fleet/top/tests.rs
@@ -1,4 +1,4 @@
-//! What the terminal shows of a fleet, drawn into memory.
+//! The terminal view of a fleet, drawn into an in-memory terminal.
 
 use super::*;
 use ratatui::backend::TestBackend;
@@ -9,17 +9,17 @@
 use wheelspread_fleet::Failed;
 
 fn snapshot(count: usize) -> Snapshot {
-    let told = json!({ "list": "41", "nodes": { "ready": 318, "draining": 2, "cold": 4 },
+    let status_body = json!({ "list": "41", "nodes": { "ready": 318, "draining": 2, "cold": 4 },
         "gateways": { "joined": 267, "known": 270 }, "sums_heard_s": 0.4, "lines_waiting": 400.0,
         "lines_waiting_at_most": 9000.0, "configuration": 12, "configuration_lacking": 0 });
     let answer = |n: usize| match n % 10 {
         7 => Err(Failed::Silent("2.0 s".into())),
-        _ => Ok(told.clone()),
+        _ => Ok(status_body.clone()),
     };
     let status = (0..count)
         .map(|n| (format!("conductor-{n:02}"), answer(n)))
         .collect();
-    let held = BTreeMap::from([
+    let node_views = BTreeMap::from([
         (
             "draining by order".to_string(),
             vec!["conductor-01".to_string()],
@@ -30,22 +30,25 @@
         ),
     ]);
     let node = Some("127.0.0.1:9001".to_string());
-    let found = Disagreement {
+    let disagreement = Disagreement {
         kind: DisagreementKind::EndpointStatus,
         node,
-        views: held,
+        views: node_views,
         lists_differ: false,
     };
     Snapshot {
         status,
-        disagreements: vec![found],
+        disagreements: vec![disagreement],
         seconds: 1.25,
     }
 }
 
-fn drawn(screen: &mut Screen) -> Vec<String> {
-    let mut terminal = Terminal::new(TestBackend::new(80, 24)).expect("a screen in memory");
-    terminal.draw(|frame| screen.draw(frame)).expect("drawn");
+fn draw_rows(screen: &mut Screen) -> Vec<String> {
+    let mut terminal =
+        Terminal::new(TestBackend::new(80, 24)).expect("create the in-memory terminal");
+    terminal
+        .draw(|frame| screen.draw(frame))
+        .expect("draw the screen");
     let buffer = terminal.backend().buffer().clone();
     let row = |y| {
         (0..80)
@@ -56,11 +59,11 @@
 }
 
 #[test]
-fn thirty_controllers_are_readable_at_80_by_24_and_the_rest_is_a_key_away() {
+fn thirty_controllers_fit_an_80_by_24_terminal_with_paging_and_filter() {
     let mut screen = Screen::new();
-    assert!(drawn(&mut screen)[0].contains("asking"));
+    assert!(draw_rows(&mut screen)[0].contains("querying"));
     screen.show(snapshot(30));
-    let rows = drawn(&mut screen);
+    let rows = draw_rows(&mut screen);
     assert!(
         rows[0].starts_with("conductor") && rows[0].ends_with("version"),
         "{rows:#?}"
@@ -79,10 +82,10 @@
         "{rows:#?}"
     );
     screen.key(KeyCode::PageDown);
-    let rows = drawn(&mut screen);
+    let rows = draw_rows(&mut screen);
     assert!(rows[20].starts_with("conductor-29"), "{rows:#?}");
     screen.key(KeyCode::Char('t'));
-    let rows = drawn(&mut screen);
+    let rows = draw_rows(&mut screen);
     assert!(
         rows[1].starts_with("conductor-07") && rows[3].starts_with("conductor-27"),
         "{rows:#?}"
--- a/crates/cli/src/fleet/view.rs
+++ b/crates/cli/src/fleet/view.rs
@@ -1,25 +1,25 @@
-//! What is known of a fleet at one time, and how it is shown.
+//! A snapshot of the controllers' answers, and the text form of each answer.
 
 use super::{as_json, missing, Answers};
-use crate::exit::{CONTROLLER_UNREACHABLE, NOT_CARRIED_OUT, SUCCESS};
-use crate::operator::{entries, shown};
+use crate::exit::{CONTROLLER_UNREACHABLE, REFUSED, SUCCESS};
+use crate::operator::{array_elements, display_value};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::time::Instant;
 use wheelspread_drain::consistency::{find_disagreements, ControllerView, Disagreement, NodeView};
 use wheelspread_fleet::{Fleet, Request};
 
-/// Status and nodes of all controllers at one time.
+/// The status of all controllers and their disagreements, from one round of queries.
 pub struct Snapshot {
-    /// What each controller answered.
+    /// Each controller's answer or failure, by the controller's name.
     pub status: Answers,
-    /// Where their views differ.
+    /// The nodes and the configuration about which controllers disagree.
     pub disagreements: Vec<Disagreement>,
-    /// How long the answers took.
+    /// The duration of the round of queries, in seconds.
     pub seconds: f64,
 }
 
-/// The states of its nodes that a controller reports.
+/// A controller's view of its nodes and configuration, for the comparison with the other controllers.
 fn controller_view(status: &Value, nodes: &Value) -> ControllerView {
     let view = |node: &Value| {
         let text = |field: &str| node[field].as_str().unwrap_or("").to_string();
@@ -36,12 +36,12 @@
     ControllerView {
         list_version: nodes["list"].as_str().unwrap_or("").to_string(),
         configuration_version: status["configuration"].as_u64().unwrap_or(0),
-        nodes: entries(&nodes["nodes"]).map(view).collect(),
+        nodes: array_elements(&nodes["nodes"]).map(view).collect(),
     }
 }
 
 impl Snapshot {
-    /// Asks all controllers for both their status and their nodes at once.
+    /// Queries the status and the nodes of all controllers in parallel.
     pub fn take(fleet: &Fleet) -> Snapshot {
         let begin = Instant::now();
         let (status, nodes) = std::thread::scope(|scope| {
@@ -51,11 +51,11 @@
                 nodes.join().unwrap_or_default(),
             )
         });
-        let both = status.iter().filter_map(|(name, status)| {
+        let complete = status.iter().filter_map(|(name, status)| {
             let (status, nodes) = (status.as_ref().ok()?, nodes.get(name)?.as_ref().ok()?);
             Some((name.clone(), controller_view(status, nodes)))
         });
-        let all: BTreeMap<String, ControllerView> = both.collect();
+        let all: BTreeMap<String, ControllerView> = complete.collect();
         let disagreements = find_disagreements(&all);
         Snapshot {
             status,
@@ -64,11 +64,11 @@
         }
     }
 
-    /// Whether all answered and agree.
+    /// The exit code that shows whether all controllers answered and agree.
     pub fn exit_code(&self) -> u8 {
         match (missing(&self.status).len(), self.disagreements.len()) {
             (0, 0) => SUCCESS,
-            (0, _) => NOT_CARRIED_OUT,
+            (0, _) => REFUSED,
             _ => CONTROLLER_UNREACHABLE,
         }
     }
@@ -82,10 +82,10 @@
         })
     }
 
-    /// A controller's line, 79 columns wide.
+    /// A controller's row of the status table, 79 columns wide.
     pub fn line(name: &str, answer: &Value) -> String {
         let nodes = &answer["nodes"];
-        let text = |value: &Value| shown(value);
+        let text = |value: &Value| display_value(value);
         let fill = answer["lines_waiting"].as_f64().unwrap_or(0.0)
             / answer["lines_waiting_at_most"]
                 .as_f64()
@@ -111,23 +111,28 @@
         )
     }
 
-    /// The columns of [`Snapshot::line`].
-    pub const HEAD: &str =
+    /// The header of the columns of [`Snapshot::line`].
+    pub const HEADER: &str =
         "conductor         list  ready  drain  cold  gateways     sums  channel   version";
 
-    /// Where controllers disagree, one line each.
+    /// One line for each disagreement.
     pub fn disagreement_lines(&self) -> Vec<String> {
-        let one = |found: &Disagreement| {
-            let sides = found.views.iter().map(|(word, by)| {
-                let some = by.iter().take(3).cloned().collect::<Vec<_>>().join(" ");
-                let more = if by.len() > 3 {
-                    format!(" and {} more", by.len() - 3)
+        let line = |found: &Disagreement| {
+            let views = found.views.iter().map(|(state, controllers)| {
+                let examples = controllers
+                    .iter()
+                    .take(3)
+                    .cloned()
+                    .collect::<Vec<_>>()
+                    .join(" ");
+                let more = if controllers.len() > 3 {
+                    format!(" and {} more", controllers.len() - 3)
                 } else {
                     String::new()
                 };
-                format!("{word}: {some}{more}")
+                format!("{state}: {examples}{more}")
             });
-            let about = found
+            let subject = found
                 .node
                 .clone()
                 .unwrap_or_else(|| "configuration".to_string());
@@ -136,14 +141,14 @@
             } else {
                 ""
             };
-            format!("{about}: {}{lists}", sides.collect::<Vec<_>>().join("; "))
+            format!("{subject}: {}{lists}", views.collect::<Vec<_>>().join("; "))
         };
-        self.disagreements.iter().map(one).collect()
+        self.disagreements.iter().map(line).collect()
     }
 
-    /// The table that is printed.
+    /// The lines of the status table, with the disagreements at the end.
     pub fn lines(&self) -> Vec<String> {
-        let mut lines = vec![Self::HEAD.to_string()];
+        let mut lines = vec![Self::HEADER.to_string()];
         for (name, answer) in &self.status {
             match answer {
                 Ok(answer) => lines.push(Self::line(name, answer)),
@@ -168,12 +173,12 @@
 /// The table version of each proxy of a controller.
 pub fn tables(name: &str, answer: &Value) -> Vec<String> {
     let mut lines = vec![format!(
-        "{name}: list {}, {} lines wait",
-        shown(&answer["list"]),
+        "{name}: list {}, {} queued lines",
+        display_value(&answer["list"]),
         answer["lines_waiting"]
     )];
-    for gateway in entries(&answer["gateways"]) {
-        let text = |field: &str| shown(&gateway[field]);
+    for gateway in array_elements(&answer["gateways"]) {
+        let text = |field: &str| display_value(&gateway[field]);
         lines.push(format!(
             "  {:<20}{:<8}table {:<6}newest {:<9}holds {:<9}since {:<10}refused {}",
             text("gateway"),
@@ -192,7 +197,7 @@
 pub fn channels(name: &str, answer: &Value) -> Vec<String> {
     let number = |field: &str| answer[field].as_f64().unwrap_or(0.0);
     vec![format!(
-        "{name:<20}{:>8.0} of {:>8.0} lines wait ({:>3.0}%), {:>8.0} lines/s, {} messages sent, {} overtaken",
+        "{name:<20}{:>8.0} of {:>8.0} lines queued ({:>3.0}%), {:>8.0} lines/s, {} messages sent, {} superseded",
         number("lines_waiting"),
         number("lines_waiting_at_most"),
         number("lines_waiting") / number("lines_waiting_at_most").max(1.0) * 100.0,
@@ -204,23 +209,23 @@
 
 /// The load reports that a controller received.
 pub fn load_reports(name: &str, answer: &Value) -> Vec<String> {
-    let report_ages: Vec<f64> = entries(&answer["gateways"])
+    let report_ages: Vec<f64> = array_elements(&answer["gateways"])
         .filter_map(|gateway| gateway["heard_s"].as_f64())
         .collect();
     let oldest = report_ages.iter().copied().fold(0.0, f64::max);
-    let silent = entries(&answer["gateways"]).count() - report_ages.len();
+    let never_reported = array_elements(&answer["gateways"]).count() - report_ages.len();
     let mut lines = vec![format!(
-        "{name}: {} gateways heard, the longest ago {oldest:.1} s; {silent} never",
+        "{name}: {} gateways reported, the oldest report {oldest:.1} s ago; {never_reported} never reported",
         report_ages.len()
     )];
-    let over = answer["over_s"].as_f64().unwrap_or(1.0).max(1e-9);
-    for operation in entries(&answer["operations"]) {
-        let rate = |field: &str| operation[field].as_f64().unwrap_or(0.0) / over;
+    let window_s = answer["over_s"].as_f64().unwrap_or(1.0).max(1e-9);
+    for operation in array_elements(&answer["operations"]) {
+        let rate = |field: &str| operation[field].as_f64().unwrap_or(0.0) / window_s;
         let latency = operation["mean_latency_ms"].as_f64();
         let latency = latency.map_or("-".to_string(), |ms| format!("{ms:.0} ms"));
         lines.push(format!(
-            "  {:<20}{:>9.1}/s asked {:>9.1}/s succeeded {:>7.1}/s rate-limited {:>7.1}/s errored tries, {latency}",
-            shown(&operation["operation"]),
+            "  {:<20}{:>9.1}/s requested {:>9.1}/s succeeded {:>7.1}/s rate-limited {:>7.1}/s failed attempts, {latency}",
+            display_value(&operation["operation"]),
             rate("asked"),
             rate("succeeded"),
             rate("rate_limited"),
@@ -230,24 +235,31 @@
     lines
 }
 
-/// In which state a controller holds a node.
-pub fn whereabouts(name: &str, answer: &Value) -> Vec<String> {
-    let named: Vec<String> = entries(&answer["named_by"]).map(shown).collect();
-    let some = named.iter().take(5).cloned().collect::<Vec<_>>().join(" ");
+/// A node's state at a controller, and the proxies whose tables contain it.
+pub fn node_state(name: &str, answer: &Value) -> Vec<String> {
+    let naming_proxies: Vec<String> = array_elements(&answer["named_by"])
+        .map(display_value)
+        .collect();
+    let examples = naming_proxies
+        .iter()
+        .take(5)
+        .cloned()
+        .collect::<Vec<_>>()
+        .join(" ");
     let drain = match answer["drain"]["state"].as_str() {
         Some(state) => {
             let order = &answer["drain"]["order"];
             format!(
                 ", {} by {} is {state}",
-                shown(&order["word"]),
-                shown(&order["by"])
+                display_value(&order["word"]),
+                display_value(&order["by"])
             )
         }
         None => String::new(),
     };
     vec![format!(
-        "{name:<20}{}, named by {} gateways {some}{drain}",
-        shown(&answer["listing"]),
-        named.len()
+        "{name:<20}{}, named by {} gateways {examples}{drain}",
+        display_value(&answer["listing"]),
+        naming_proxies.len()
     )]
 }
--- a/crates/cli/src/import.rs
+++ b/crates/cli/src/import.rs
@@ -1,4 +1,5 @@
-//! `wheelspread import nginx`: pools of an nginx configuration as controllers' files and endpoint lists.
+//! `wheelspread import nginx`: converts the pools of an nginx configuration into controllers' configuration files and
+//! endpoint lists.
 
 use crate::exit::BAD_INPUT;
 use clap::{Args, Subcommand};
@@ -22,38 +23,38 @@
 
 #[derive(Subcommand)]
 enum From {
-    /// Reads nginx's upstream and location blocks; no nginx is needed.
+    /// Reads nginx's upstream and location blocks; nginx need not be installed.
     Nginx {
-        /// The first file, as nginx.conf; `include` is followed from its directory.
+        /// The main file, such as nginx.conf; `include` paths are relative to its directory.
         file: PathBuf,
-        /// Writes a directory for each pool, with conductor.yaml and nodes.json; left out: only reports what it would write.
+        /// Writes a directory for each pool, with conductor.yaml and nodes.json; default: only prints the report.
         #[arg(long, value_name = "DIR")]
         out: Option<PathBuf>,
         /// The zone of all nodes, as nginx has no zones.
         #[arg(long, default_value = "all")]
         zone: String,
-        /// The port of the first controller; the others count up from it.
+        /// The port of the first controller; each further controller gets the next port.
         #[arg(long, default_value_t = 7101)]
         port: u16,
         /// Prints pools and notes as one JSON object.
         #[arg(long)]
         json: bool,
-        /// Fails (exit 1) if anything was left out or assumed.
+        /// Exits with 1 if any directive was not carried over or a value was assumed.
         #[arg(long)]
         strict: bool,
     },
 }
 
-/// The exit code if no pool was found, or if not all was carried over and `--strict` is given.
+/// The exit code if no pool was found, or if `--strict` is given and a directive was not carried over or a value assumed.
 const INCOMPLETE: u8 = 1;
 
-/// Why nothing, or not all, was written.
+/// Why the import failed before all files were written.
 #[derive(Debug, thiserror::Error)]
 pub enum ImportError {
-    /// The configuration can't be read.
+    /// The nginx configuration could not be read.
     #[error(transparent)]
     Load(#[from] IncludeError),
-    /// A pool can't be written.
+    /// The files of a pool could not be written.
     #[error("{pool}")]
     Pool {
         /// The pool's name.
@@ -63,13 +64,13 @@
 }
 
 impl ImportError {
-    /// What the process exits with.
+    /// The exit code of the process.
     pub fn exit_code(&self) -> u8 {
         BAD_INPUT
     }
 }
 
-/// Why the files of a pool can't be written.
+/// Why the files of a pool could not be written.
 #[derive(Debug, thiserror::Error)]
 pub enum PoolError {
     /// A controller would refuse the configuration.
@@ -78,19 +79,19 @@
     /// A controller would refuse the endpoint list.
     #[error("{0}")]
     EndpointList(String),
-    /// The pool's directory can't be written.
+    /// The pool's directory could not be written.
     #[error("{}", directory.display())]
     Write {
         /// The pool's directory.
         directory: PathBuf,
         source: io::Error,
     },
-    /// A file of an earlier import is never overwritten.
-    #[error("{} is there already, it is not written over", .0.display())]
+    /// The file exists; existing files are never overwritten.
+    #[error("{} is there already and is not overwritten", .0.display())]
     Exists(PathBuf),
 }
 
-/// Reads a configuration, writes a controller's files for each of its pools and prints what was carried over.
+/// Reads an nginx configuration, writes a controller's files for each of its pools and prints a report.
 pub fn import(arguments: ImportArguments) -> Result<ExitCode, ImportError> {
     let From::Nginx {
         file,
@@ -111,7 +112,7 @@
         })?;
     }
     if json {
-        say!("{}", as_json(&imported));
+        print_line!("{}", as_json(&imported));
     } else {
         print_report(&imported, out.as_deref());
     }
@@ -127,7 +128,7 @@
     })
 }
 
-/// Writes the files of a pool, after they were read back as a controller reads them.
+/// Writes the files of a pool, after parsing their texts in the way that a controller does.
 fn write(pool: &Pool, zone: &str, listen: &str, out: Option<&Path>) -> Result<(), PoolError> {
     let file = pool.file(zone, listen);
     ControllerFile::parse(&file, Path::new("conductor.yaml"))?;
@@ -200,24 +201,24 @@
             .map(|operation| operation.name.as_str())
             .collect();
         let (nodes, names) = (pool.servers.len(), names.join(", "));
-        let place = out.map_or(String::new(), |out| {
+        let destination = out.map_or(String::new(), |out| {
             format!(", in {}", out.join(plain(&pool.name)).display())
         });
-        say!(
-            "pool {}: {nodes} nodes; operations {names}{place}",
+        print_line!(
+            "pool {}: {nodes} nodes; operations {names}{destination}",
             pool.name
         );
     }
-    for (fate, head) in [
+    for (fate, heading) in [
         (Fate::Left, "not carried over"),
         (Fate::Assumed, "to be looked at"),
     ] {
         let notes: Vec<_> = imported.of(fate).collect();
         if !notes.is_empty() {
-            say!("\n{head}:");
+            print_line!("\n{heading}:");
         }
         for note in notes {
-            say!("  {}  {}\n      {}", note.at, note.text, note.why);
+            print_line!("  {}  {}\n      {}", note.at, note.text, note.why);
         }
     }
     let carried = imported.of(Fate::Carried).count();
@@ -225,7 +226,7 @@
         imported.of(Fate::Left).count(),
         imported.of(Fate::Assumed).count(),
     );
-    say!(
+    print_line!(
         "\n{} directives read: {carried} carried over, {assumed} to be looked at, {left} left",
         imported.read
     );
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,7 +1,7 @@
-//! The `wheelspread` program: one module for each subcommand, or for a few that belong together.
+//! The `wheelspread` program: one module for each subcommand or group of related subcommands.
 
-/// Prints a line to standard output. A reader that closed the pipe is no reason to fail.
-macro_rules! say {
+/// Prints a line to standard output. Write errors are ignored, so that a reader that closes the pipe causes no failure.
+macro_rules! print_line {
     ($($text:tt)*) => {{
         use std::io::Write;
         let _ = writeln!(std::io::stdout(), $($text)*);
@@ -29,7 +29,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Directs the traffic of a fleet of plain proxies.
+/// Publishes weighted tables that direct the traffic of a fleet of proxies.
 #[derive(Parser)]
 #[command(name = "wheelspread", version)]
 struct Cli {
@@ -44,36 +44,36 @@
         /// The configuration: see docs/operating.md
         #[arg(required_unless_present = "platform")]
         file: Option<PathBuf>,
-        /// Runs as a controller of a platform, by the configuration that the platform hands out: see docs/platform.md
+        /// Runs as a controller of a platform, with the configuration that the platform serves: see docs/platform.md
         #[arg(long, value_name = "CONFIG", conflicts_with = "file")]
         platform: Option<PathBuf>,
     },
-    /// Reports what is wrong with a controller's file, or that nothing is.
+    /// Validates a controller's configuration file and reports the errors in it.
     Check { file: PathBuf },
     /// Runs a proxy that follows published tables, until it is stopped.
     Proxy {
         /// The configuration: see docs/proxy.md
         file: PathBuf,
     },
-    /// Plays a day with faults on loopback and judges the five rules by what went over the sockets.
+    /// Runs a scripted day with faults on loopback and checks the five rules against the recorded traffic.
     Drill(drill::DrillArguments),
-    /// Solves weights under capacity and cost for a fleet.
+    /// Computes the weights of a fleet from its capacities and costs.
     Solve(solve::SolveArguments),
-    /// Shows which version each proxy of a running controller holds, and rolls back to older ones.
+    /// Shows the table version that each proxy of a running controller holds, and rolls tables back.
     Tables(tables::TablesArguments),
-    /// Plans, stages, applies and undoes changes of configuration at running controllers.
+    /// Plans, stages, applies and undoes configuration changes at running controllers.
     Change(change::ChangeArguments),
     /// Converts another program's configuration into controllers' files.
     Import(import::ImportArguments),
     /// Queries and operates many controllers at once.
     Fleet(fleet::FleetArguments),
-    /// Inspects, checks and compacts the file that persists changes and facts over crashes.
+    /// Inspects, checks and compacts the state file, in which a controller persists changes and facts.
     State(state::StateArguments),
-    /// Prints completions for a shell.
+    /// Prints shell completions.
     Completions { shell: clap_complete::Shell },
     /// Writes manual pages into a directory.
     Man { directory: PathBuf },
-    /// Measures on this machine what a part of the program costs.
+    /// Measures the latency, CPU time and memory that a part of the program takes on this machine.
     Measure(measure::MeasureArguments),
 }
 
--- a/crates/cli/src/manual.rs
+++ b/crates/cli/src/manual.rs
@@ -1,4 +1,5 @@
-//! `wheelspread completions` and `wheelspread man`: what the program's definition of its arguments generates.
+//! `wheelspread completions` and `wheelspread man`: shell completions and manual pages generated
+//! from the definition of the program's arguments.
 
 use clap_complete::Shell;
 use std::io;
@@ -8,12 +9,12 @@
 #[derive(Debug, thiserror::Error)]
 #[error("{}", directory.display())]
 pub struct ManualError {
-    /// Where they were to be written.
+    /// The directory that the pages are written into.
     directory: PathBuf,
     source: io::Error,
 }
 
-/// Prints the completions of a shell.
+/// Prints the completions for a shell.
 pub fn print_completions(mut command: clap::Command, shell: Shell) {
     clap_complete::generate(shell, &mut command, "wheelspread", &mut io::stdout());
 }
--- a/crates/cli/src/measure.rs
+++ b/crates/cli/src/measure.rs
@@ -1,4 +1,5 @@
-//! `wheelspread measure`: figures of this machine, as ratios within one run.
+//! `wheelspread measure`: measures the latency, CPU time and memory of parts of the program on this machine. Figures are
+//! comparable only within one run.
 
 mod controller;
 mod controller_process;
@@ -28,40 +29,42 @@
 
 #[derive(Subcommand)]
 enum Measurement {
-    /// From a swapped endpoint list to renamed links, and the controller's CPU, at a small and a large fleet.
+    /// Measures the time from a replaced endpoint list to the proxies' swapped links, and the controller's CPU time, at
+    /// three fleet sizes.
     Conductor {
-        /// Seconds at each size.
+        /// The number of rounds of one second at each size.
         #[arg(long, default_value_t = 15)]
         rounds: u32,
         #[arg(long)]
         json: bool,
     },
-    /// Discovery streams beside files: time until all hold a change, bytes and lines, memory and CPU.
+    /// Compares discovery streams with files: time until all clients hold a change, bytes and entries, memory and CPU time.
     Streams {
-        /// Changes at each size, one a second.
+        /// The number of changes at each size, one per second.
         #[arg(long, default_value_t = 10)]
         rounds: u32,
-        /// Streams at the last size, which has 20 nodes.
+        /// The number of streams at the last size, which has 20 nodes.
         #[arg(long, default_value_t = 10_000)]
         many: usize,
-        /// Leaves out all sizes but the last.
+        /// Measures only the last size.
         #[arg(long)]
         last: bool,
     },
-    /// Changes over crashes: writes and bytes of one, and how long a killed controller takes to come back.
+    /// Measures the writes and bytes of one persisted change, and the restart time of a killed controller.
     State,
-    /// A complete answer by the number of controllers, and what being polled ten times a second costs one.
+    /// Measures the time of a complete answer by the number of controllers, and the cost of polling one controller ten
+    /// times per second.
     Fleet {
-        /// Seconds for each of the two.
+        /// The number of rounds of one second for each run of the polled controller.
         #[arg(long, default_value_t = 12)]
         rounds: u32,
     },
-    /// The solver at growing sizes, beside a general solver of linear programs on the same input.
+    /// Compares the solver with a general linear programming solver on the same input, at growing sizes.
     Solve,
-    /// The proxy beside the same client sending straight to the node: throughput, delay, CPU, memory; then
-    /// side-effecting requests with faults, whose effects are counted at the nodes.
+    /// Compares requests through the proxy with requests sent directly to the node: throughput, latency, CPU time and
+    /// memory; then sends side-effecting requests with faults and counts their executions at the nodes.
     Proxy {
-        /// Seconds at each number of connections.
+        /// The seconds of load at each number of connections.
         #[arg(long, default_value_t = 3.0)]
         seconds: f64,
         #[arg(long, default_value_t = 1_000_000)]
@@ -69,10 +72,11 @@
     },
 }
 
-/// Nodes and proxies: as in the first acceptance run, and as the largest deployment is to grow.
+/// Numbers of nodes and proxies, from the size of the first acceptance run to the expected size of the largest
+/// deployment.
 const SIZES: [(usize, usize); 3] = [(20, 12), (100, 220), (400, 890)];
 
-/// Makes one measurement and prints its figures.
+/// Runs one measurement and prints its figures.
 pub fn measure(arguments: MeasureArguments) -> Result<(), MeasureError> {
     match arguments.measurement {
         Measurement::Conductor { rounds, json } => controller::run(rounds, json),
@@ -87,12 +91,12 @@
     }
 }
 
-/// The running executable, which the measurements start as controllers and proxies.
+/// The path of the running executable, which the measurements start as controllers and proxies.
 fn program() -> Result<PathBuf, MeasureError> {
     std::env::current_exe().map_err(MeasureError::Executable)
 }
 
-/// Between two attempts to connect to a process that starts.
+/// The interval between two attempts to connect to a process that is starting.
 const CONNECT_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Waits until a started process accepts connections.
--- a/crates/cli/src/measure/controller.rs
+++ b/crates/cli/src/measure/controller.rs
@@ -1,5 +1,5 @@
-//! How long a controller takes from a changed endpoint list to swapped links, and what CPU it costs, by the size of
-//! the fleet.
+//! Measures, by fleet size, a controller's latency from a changed endpoint list to the proxies' swapped links, and its
+//! CPU time.
 
 use super::controller_process::ControllerProcess;
 use super::error::MeasureError;
@@ -13,31 +13,31 @@
 use wheelspread::time::{Moment, Span};
 use wheelspread_reactor as reactor;
 
-/// Figures of one size.
+/// The figures of one fleet size.
 #[derive(Clone, Debug, Serialize)]
 pub struct Measured {
-    /// Nodes in the endpoint list.
+    /// The number of nodes in the endpoint list.
     pub nodes: usize,
-    /// Proxies that are joined.
+    /// The number of joined proxies.
     pub proxies: usize,
-    /// From a swapped endpoint list to a proxy's swapped link, in milliseconds: the median.
+    /// The median time from a replaced endpoint list to a proxy's swapped link, in milliseconds.
     pub list_to_link_ms_p50: f64,
-    /// The same at the 99th percentile.
+    /// The 99th percentile of the same time, in milliseconds.
     pub list_to_link_ms_p99: f64,
-    /// Links that were swapped.
+    /// The number of link swaps.
     pub swaps: u64,
-    /// Seconds of CPU a second, with load reports of every proxy once a second.
+    /// CPU seconds per second, while every proxy sends a load report once per second.
     pub cpu: f64,
-    /// From the first stream to the last proxy's first tables, in milliseconds.
+    /// The time from the first stream to the last proxy's first tables, in milliseconds.
     pub all_joined_ms: f64,
 }
 
-/// After the load reports, before the endpoint list changes.
+/// The time between the load reports and the change of the endpoint list.
 const SETTLE_TIME: Span = Span::from_seconds(0.6);
-/// After the endpoint list changed, until the round is over.
+/// The time between the change of the endpoint list and the end of the round.
 const SWAP_TIME: Span = Span::from_seconds(0.4);
 
-/// Starts a controller of that size and changes its endpoint list once a second.
+/// Starts a controller for a fleet of this size and changes its endpoint list once per second.
 pub fn measure(
     program: &Path,
     nodes: usize,
@@ -51,7 +51,7 @@
     measure_running(&mut fleet, nodes, proxies, rounds)
 }
 
-/// The same at a controller that runs already.
+/// Makes the same measurement at a controller that is already running.
 pub fn measure_running(
     fleet: &mut FileProxies,
     nodes: usize,
@@ -62,15 +62,15 @@
     let mut latencies = Latencies::new()?;
     let cpu = CpuMeter::start(fleet.controller.pid());
     for round in 0..rounds {
-        let at = reactor::now();
-        fleet.report(at);
-        fleet.turn(at + SETTLE_TIME, |_, _| false);
-        let at = reactor::now();
+        let begin = reactor::now();
+        fleet.report(begin);
+        fleet.run_until(begin + SETTLE_TIME, |_, _| false);
+        let begin = reactor::now();
         let draining = draining_in_round(round, nodes);
         fleet
             .controller
             .swap_list(u64::from(round) + 2, &draining)?;
-        swap_latencies(fleet, at)
+        swap_latencies(fleet, begin)
             .into_iter()
             .for_each(|span| latencies.record(span));
     }
@@ -86,37 +86,37 @@
     })
 }
 
-/// For each proxy whose link is swapped, how long after `at`.
-fn swap_latencies(fleet: &mut FileProxies, at: Moment) -> Vec<Span> {
-    let mut seen = BTreeSet::new();
+/// The time from `begin` to the first link swap, for each proxy whose link is swapped.
+fn swap_latencies(fleet: &mut FileProxies, begin: Moment) -> Vec<Span> {
+    let mut swapped_proxies = BTreeSet::new();
     let mut latencies = Vec::new();
-    fleet.turn(at + SWAP_TIME, |proxy, now| {
-        if seen.insert(proxy) {
-            latencies.push(now - at);
+    fleet.run_until(begin + SWAP_TIME, |proxy, now| {
+        if swapped_proxies.insert(proxy) {
+            latencies.push(now - begin);
         }
         false
     });
     latencies
 }
 
-/// Measures all sizes and prints them.
+/// Measures all fleet sizes and prints the figures.
 pub fn run(rounds: u32, json: bool) -> Result<(), MeasureError> {
     let program = program()?;
-    let mut all = Vec::new();
+    let mut measurements = Vec::new();
     for (nodes, proxies) in SIZES {
         let measured = measure(&program, nodes, proxies, rounds);
-        all.push(measured.map_err(|error| error.at_size(nodes, proxies, "proxies"))?);
+        measurements.push(measured.map_err(|error| error.at_size(nodes, proxies, "proxies"))?);
     }
     if json {
-        say!("{}", serde_json::to_string(&all)?);
+        print_line!("{}", serde_json::to_string(&measurements)?);
     } else {
-        print_table(&all);
+        print_table(&measurements);
     }
     Ok(())
 }
 
-fn print_table(all: &[Measured]) {
-    say!(
+fn print_table(measurements: &[Measured]) {
+    print_line!(
         "{:>6}{:>9}{:>14}{:>14}{:>8}{:>12}{:>16}",
         "nodes",
         "proxies",
@@ -126,21 +126,21 @@
         "CPU s/s",
         "all joined ms"
     );
-    for one in all {
-        say!(
+    for figures in measurements {
+        print_line!(
             "{:>6}{:>9}{:>14.1}{:>14.1}{:>8}{:>12.3}{:>16.0}",
-            one.nodes,
-            one.proxies,
-            one.list_to_link_ms_p50,
-            one.list_to_link_ms_p99,
-            one.swaps,
-            one.cpu,
-            one.all_joined_ms
+            figures.nodes,
+            figures.proxies,
+            figures.list_to_link_ms_p50,
+            figures.list_to_link_ms_p99,
+            figures.swaps,
+            figures.cpu,
+            figures.all_joined_ms
         );
     }
-    if let (Some(first), Some(last)) = (all.first(), all.last()) {
-        let size = (last.nodes * last.proxies) as f64 / (first.nodes * first.proxies) as f64;
-        let cost = last.cpu / first.cpu.max(1e-6);
-        say!("nodes x proxies grow {size:.0}-fold, CPU {cost:.1}-fold");
+    if let (Some(first), Some(last)) = (measurements.first(), measurements.last()) {
+        let size_factor = (last.nodes * last.proxies) as f64 / (first.nodes * first.proxies) as f64;
+        let cpu_factor = last.cpu / first.cpu.max(1e-6);
+        print_line!("nodes x proxies grow by a factor of {size_factor:.0}, CPU by a factor of {cpu_factor:.1}");
     }
 }
--- a/crates/cli/src/measure/controller_process.rs
+++ b/crates/cli/src/measure/controller_process.rs
@@ -1,4 +1,4 @@
-//! A controller process that is measured, with an endpoint list that changes.
+//! The measured controller process and its endpoint list.
 
 use super::error::{io, not_ready, MeasureError};
 use super::fleet_config::endpoint_list;
@@ -12,10 +12,10 @@
 use wheelspread_drill::free_port;
 use wheelspread_files::TableRoot;
 
-/// How long a controller may take until it listens.
+/// The time limit for a started controller to accept connections.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A controller with a directory of its own; it is killed when this is dropped.
+/// A controller process with its own directory; the process is killed on drop.
 pub struct ControllerProcess {
     directory: TempDir,
     listen: SocketAddrV4,
@@ -24,7 +24,7 @@
 }
 
 impl ControllerProcess {
-    /// Its directory and first list; nothing runs yet.
+    /// Creates the directory and the first endpoint list, without starting the controller.
     pub fn new(nodes: usize) -> Result<ControllerProcess, MeasureError> {
         let directory = tempfile::tempdir().map_err(io("a temporary directory"))?;
         let listen = free_port().map_err(io("a port"))?;
@@ -34,7 +34,7 @@
             nodes,
             child: None,
         };
-        process.root().prepare().map_err(io("the root"))?;
+        process.root().prepare().map_err(io("the tables root"))?;
         process.swap_list(1, &BTreeSet::new())?;
         Ok(process)
     }
@@ -43,46 +43,47 @@
         self.directory.path().join(name)
     }
 
-    /// The root of tables that it publishes.
+    /// The tables root into which the controller publishes.
     pub fn root(&self) -> TableRoot {
         TableRoot::new(self.path("tables"))
     }
 
-    /// Where proxies reach it.
+    /// The address and port on which the controller accepts proxies.
     pub fn listen(&self) -> ([u8; 4], u16) {
         (self.listen.ip().octets(), self.listen.port())
     }
 
-    /// Swaps in an endpoint list of a version with these nodes draining.
+    /// Replaces the endpoint list by one with this version, in which the nodes with the indices in `draining` drain.
     pub fn swap_list(&self, version: u64, draining: &BTreeSet<usize>) -> Result<(), MeasureError> {
         let list = endpoint_list(version, self.nodes, draining);
         let text = wheelspread_xds::nodes::write(&list).map_err(not_ready)?;
         wheelspread_files::replace_file_unsynced(&self.path("nodes.json"), &text)
-            .map_err(io("the list"))
+            .map_err(io("the endpoint list"))
     }
 
-    /// Starts the controller with what `file` makes of its address, and waits until it listens.
+    /// Starts the controller with the configuration that `file` returns for its address, and waits until it listens.
     pub fn start(
         &mut self,
         program: &Path,
         file: impl FnOnce(&str) -> String,
     ) -> Result<(), MeasureError> {
         let path = self.path("conductor.yaml");
-        std::fs::write(&path, file(&self.listen.to_string())).map_err(io("a file"))?;
+        std::fs::write(&path, file(&self.listen.to_string()))
+            .map_err(io("the configuration file"))?;
         let started = Command::new(program)
             .arg("run")
             .arg(&path)
             .stdin(Stdio::null())
             .spawn();
         self.child = Some(started.map_err(io("the controller"))?);
-        self.wait_until_it_listens()
+        self.wait_until_ready()
     }
 
-    fn wait_until_it_listens(&self) -> Result<(), MeasureError> {
+    fn wait_until_ready(&self) -> Result<(), MeasureError> {
         wait_until_listening(self.listen, START_TIMEOUT, "the controller does not listen")
     }
 
-    /// Ends it at once, as a crash would.
+    /// Kills the process without a graceful shutdown, like a crash.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Its process id; 0 while it does not run.
+    /// The process id; 0 while no process is running.
     pub fn pid(&self) -> u32 {
         self.child.as_ref().map_or(0, Child::id)
     }
--- a/crates/cli/src/measure/error.rs
+++ b/crates/cli/src/measure/error.rs
@@ -9,12 +9,12 @@
 #[derive(Debug, thiserror::Error)]
 pub enum MeasureError {
     /// The path of the running executable is unknown, so no child process can be started.
-    #[error("this program can't be found")]
+    #[error("cannot determine the path of the running executable")]
     Executable(#[source] io::Error),
-    /// An operating system call on the named thing failed.
+    /// An operating system call on `what` failed.
     #[error("{what}")]
     Io {
-        /// The socket, file or process in question.
+        /// The socket, file or process that the call used.
         what: &'static str,
         /// What the operating system reported.
         source: io::Error,
@@ -25,34 +25,34 @@
     /// A measured process did not reach the state that the measurement starts from.
     #[error("{0}")]
     NotReady(String),
-    /// A controller did not answer an operators' call.
+    /// A controller did not answer a request to the operators' API.
     #[error(transparent)]
     Call(#[from] CallError),
     /// A controller refused a change, or did not carry it out.
     #[error("{0}")]
     Change(String),
-    /// A measurement at one size of the fleet failed.
+    /// A measurement at one fleet size failed.
     #[error("{nodes} nodes, {count} {clients}")]
     AtSize {
         /// Nodes in the endpoint list.
         nodes: usize,
-        /// How many clients there were.
+        /// The number of clients.
         count: usize,
-        /// What the clients are, in the plural.
+        /// The name of the kind of client, in the plural.
         clients: &'static str,
-        /// The failure itself.
+        /// The failure.
         source: Box<MeasureError>,
     },
     /// The figures could not be written as JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
     /// A side-effecting request was executed more than once.
-    #[error("an effect happened twice")]
+    #[error("a side-effecting request was executed twice")]
     DuplicateEffect,
 }
 
 impl MeasureError {
-    /// Names the fleet size at which a measurement failed.
+    /// Adds the fleet size at which a measurement failed.
     pub fn at_size(self, nodes: usize, count: usize, clients: &'static str) -> MeasureError {
         MeasureError::AtSize {
             nodes,
@@ -63,7 +63,7 @@
     }
 }
 
-/// Converts an I/O error into a [`MeasureError`] that names what was being used.
+/// Converts an I/O error into a [`MeasureError`] that names the file, socket or process that was used.
 pub fn io(what: &'static str) -> impl FnOnce(io::Error) -> MeasureError {
     move |source| MeasureError::Io { what, source }
 }
--- a/crates/cli/src/measure/file_proxies.rs
+++ b/crates/cli/src/measure/file_proxies.rs
@@ -1,8 +1,8 @@
-//! Proxies that are load report streams and directories only, for measurements of a controller.
+//! Stand-in proxies for measurements of a controller, each with only a load report stream and a table directory.
 
 use super::controller_process::ControllerProcess;
 use super::error::{io, MeasureError};
-use super::fleet_config::{introduction, zone_of, ZONES};
+use super::fleet_config::{proxy_identity, zone_of, ZONES};
 use super::sampling::FirstTables;
 use prost::Message;
 use std::collections::BTreeMap;
@@ -18,11 +18,11 @@
 use wheelspread_reactor::{self as reactor, Interest, Moved, Poll, Token, Watcher};
 use wheelspread_xds::loads;
 
-/// How long all proxies together may take until they have tables.
+/// The time limit for all proxies to receive their first tables.
 const JOIN_TIMEOUT: Span = Span::from_seconds(20.0);
 /// The interval of a proxy's load reports.
 const REPORT_PERIOD: Span = Span::from_seconds(1.0);
-/// Apart from the proxies' numbers, which are their tokens.
+/// The token of the directory watcher; a proxy's token is its index, which is always smaller.
 const WATCHER: Token = Token(1 << 40);
 
 /// A proxy's connection to the controller.
@@ -32,7 +32,7 @@
     accepted: bool,
 }
 
-/// The load report of a proxy that sent requests to its tables' nodes at the usual rate.
+/// The encoded load report of a proxy that sent requests to `nodes` at the usual rate.
 fn load_report(nodes: &[NodeId]) -> Vec<u8> {
     let operation_report = |operation: &str| OperationReport {
         operation: operation.to_string(),
@@ -69,31 +69,31 @@
     loads::request(&report, |_| String::new()).encode_to_vec()
 }
 
-/// Proxies of one controller, each a load report stream and a directory whose link is swapped.
+/// The stand-in proxies of one controller, each with a load report stream and a directory whose link is swapped.
 pub struct FileProxies {
     poll: Poll,
     watcher: Watcher,
     directories: BTreeMap<PathBuf, usize>,
     peers: Vec<Peer>,
-    /// By zone, the load report that a proxy there sends in each period.
+    /// The load report that a proxy sends in each period, by the proxy's zone.
     reports: BTreeMap<usize, Vec<u8>>,
     reported_at: Moment,
-    /// The controller that they are served by.
+    /// The controller that serves the proxies.
     pub controller: ControllerProcess,
 }
 
 impl FileProxies {
-    /// Prepares the proxies' directories; nothing connects yet.
+    /// Creates and watches the proxies' directories, without opening connections.
     pub fn new(controller: ControllerProcess, proxies: usize) -> Result<FileProxies, MeasureError> {
         let root = controller.root();
         let poll = Poll::new().map_err(io("epoll"))?;
         let mut watcher = Watcher::new(&poll, WATCHER).map_err(io("inotify"))?;
         let mut directories: BTreeMap<PathBuf, usize> = BTreeMap::new();
         for proxy in 0..proxies {
-            let gateway = root.proxy(&proxy_name(proxy));
-            std::fs::create_dir_all(&gateway).map_err(io("a directory"))?;
-            watcher.add(&gateway).map_err(io("a watch"))?;
-            directories.insert(gateway, proxy);
+            let directory = root.proxy(&proxy_name(proxy));
+            std::fs::create_dir_all(&directory).map_err(io("a directory"))?;
+            watcher.add(&directory).map_err(io("a watch"))?;
+            directories.insert(directory, proxy);
         }
         Ok(FileProxies {
             poll,
@@ -106,8 +106,9 @@
         })
     }
 
-    /// Lets streams go on until `until`; `swapped` gets each proxy whose link was swapped and when, and ends it with `true`.
-    pub fn turn(&mut self, until: Moment, mut swapped: impl FnMut(usize, Moment) -> bool) {
+    /// Handles events until `until`. Calls `swapped` with each proxy whose link was swapped and the time of the swap, and
+    /// returns early if it returns `true`.
+    pub fn run_until(&mut self, until: Moment, mut swapped: impl FnMut(usize, Moment) -> bool) {
         let mut ready = Vec::new();
         loop {
             let now = reactor::now();
@@ -145,11 +146,11 @@
         swapped.collect()
     }
 
-    /// Every proxy opens its stream; how many milliseconds until the last has tables.
+    /// Opens every proxy's stream; returns the time until the last proxy has tables, in milliseconds.
     pub fn join(&mut self, proxies: usize) -> Result<f64, MeasureError> {
         let listen = self.controller.listen();
         let begin = reactor::now();
-        // Connections to a controller that was killed.
+        // Drop the connections to a controller that was killed.
         self.peers.clear();
         for proxy in 0..proxies {
             let socket = reactor::connect(listen.0, listen.1).map_err(io("a stream"))?;
@@ -158,23 +159,23 @@
                 .map_err(io("a stream"))?;
             let mut connection =
                 ClientConnection::new(begin, socket, loads::METHOD, Limits::default());
-            connection.send(&loads::identity_request(&introduction(proxy)).encode_to_vec());
+            connection.send(&loads::identity_request(&proxy_identity(proxy)).encode_to_vec());
             self.peers.push(Peer {
                 connection,
                 zone: zone_of(proxy),
                 accepted: false,
             });
         }
-        let mut first = FirstTables::since(begin);
-        self.turn(begin + JOIN_TIMEOUT, |proxy, at| {
-            first.record(proxy, at) == proxies
+        let mut first_tables = FirstTables::since(begin);
+        self.run_until(begin + JOIN_TIMEOUT, |proxy, at| {
+            first_tables.record(proxy, at) == proxies
         });
-        let all_joined_ms = first.all_joined_ms(proxies, "proxies")?;
+        let all_joined_ms = first_tables.all_joined_ms(proxies, "proxies")?;
         self.prepare_reports(proxies);
         Ok(all_joined_ms)
     }
 
-    /// Reports follow the nodes in each zone's first tables.
+    /// Prepares each zone's load report from the nodes in the zone's first tables.
     fn prepare_reports(&mut self, proxies: usize) {
         for zone in 0..ZONES.len().min(proxies) {
             let tables = read_tables(&self.controller.root().proxy(&proxy_name(zone)))
@@ -192,22 +193,22 @@
         }
     }
 
-    /// Lets streams go on for `wait` seconds; first sends reports if the last ones are a period old.
+    /// Sends reports if the last ones are at least a period old, then handles events for `wait` seconds.
     pub fn report_and_wait(&mut self, wait: f64) {
         let at = reactor::now();
         if at - self.reported_at >= REPORT_PERIOD {
             self.reported_at = at;
             self.report(at);
         }
-        self.turn(at + Span::from_seconds(wait), |_, _| false);
+        self.run_until(at + Span::from_seconds(wait), |_, _| false);
     }
 
-    /// Every proxy sends its load report.
+    /// Sends every proxy's load report.
     pub fn report(&mut self, at: Moment) {
-        for (number, peer) in self.peers.iter_mut().enumerate() {
+        for (index, peer) in self.peers.iter_mut().enumerate() {
             peer.connection.send(&self.reports[&peer.zone]);
             peer.connection.turn(at);
-            debug_assert!(peer.accepted, "stream {number}");
+            debug_assert!(peer.accepted, "stream {index}");
         }
     }
 }
--- a/crates/cli/src/measure/fleet.rs
+++ b/crates/cli/src/measure/fleet.rs
@@ -1,5 +1,5 @@
-//! What operating many controllers costs: the time of a complete answer by their number, and what being polled costs
-//! one of them.
+//! Measures the cost of operating many controllers: the time of a complete answer by the number of controllers, and
+//! the cost that polling adds to one controller.
 
 use super::controller::{self, Measured};
 use super::controller_process::ControllerProcess;
@@ -18,18 +18,18 @@
 use wheelspread::time::Span;
 use wheelspread_fleet::{Fleet, Line, Request};
 
-/// Nodes in the answers of a stand-in.
+/// The number of nodes in the answers of a stand-in.
 const NODES: usize = 400;
 
-/// Controllers of a fleet, stand-ins in this process.
+/// The fleet sizes; the controllers are stand-ins in this process.
 const CONTROLLER_COUNTS: [usize; 6] = [1, 3, 10, 30, 100, 300];
-/// The targets that a polled controller is asked for in turn.
+/// The targets that the polling thread requests in turn.
 const POLLED_TARGETS: [&str; 4] = ["/v1/status", "/v1/nodes", "/v1/tables", "/v1/sums"];
 
-/// Serves every connection with the answers of a controller of 400 nodes.
+/// Answers every connection like a controller with [`NODES`] nodes.
 fn start_stand_in(listener: UnixListener) {
-    let node = |at: usize| {
-        json!({ "node": format!("127.0.{}.{}:9000", at / 200, at % 200), "zone": "north", "listing": "ready",
+    let node = |index: usize| {
+        json!({ "node": format!("127.0.{}.{}:9000", index / 200, index % 200), "zone": "north", "listing": "ready",
                 "cold": false, "by_order": false, "weight": 1.0 })
     };
     let nodes =
@@ -57,9 +57,9 @@
     });
 }
 
-/// Milliseconds for status and nodes of all, the median of some rounds.
+/// The median time, over `rounds`, in which all controllers answer both queries (status and nodes), in milliseconds.
 fn complete_answer_ms(count: usize, rounds: usize) -> Result<f64, MeasureError> {
-    let directory = tempfile::tempdir().map_err(io("a directory"))?;
+    let directory = tempfile::tempdir().map_err(io("a temporary directory"))?;
     let mut conductors = BTreeMap::new();
     for number in 0..count {
         let path = directory.path().join(format!("{number}.sock"));
@@ -72,7 +72,7 @@
         within,
         order_within: Span::from_seconds(10.0),
     };
-    let mut times = Vec::new();
+    let mut durations_ms = Vec::new();
     for _ in 0..rounds {
         let begin = Instant::now();
         for target in ["/v1/status", "/v1/nodes"] {
@@ -81,29 +81,29 @@
                 return Err(MeasureError::NotReady(format!("{name}: {failed}")));
             }
         }
-        times.push(begin.elapsed().as_secs_f64() * 1e3);
+        durations_ms.push(begin.elapsed().as_secs_f64() * 1e3);
     }
-    Ok(median(&mut times))
+    Ok(median(&mut durations_ms))
 }
 
-/// A controller's figures while it is polled.
+/// The figures of a controller that is being polled.
 struct Polled {
     figures: Measured,
     answers: u64,
     mean_answer_ms: f64,
 }
 
-/// Polls `line` until `over`; counts the answers and the microseconds that they took.
+/// Polls `line` until `stop` is set; counts the answers and adds up their durations in microseconds.
 fn poll(
     line: &Line,
     per_second: u32,
-    over: &AtomicBool,
+    stop: &AtomicBool,
     answers: &AtomicU64,
     answer_micros: &AtomicU64,
 ) {
     let interval = Duration::from_secs_f64(1.0 / f64::from(per_second));
     for target in POLLED_TARGETS.iter().cycle() {
-        if over.load(Ordering::Relaxed) {
+        if stop.load(Ordering::Relaxed) {
             return;
         }
         let begin = Instant::now();
@@ -116,7 +116,7 @@
     }
 }
 
-/// Measures one controller that is polled `per_second` times a second, or not at all.
+/// Measures one controller that is polled `per_second` times per second; 0 disables polling.
 fn measure_polled(
     program: &Path,
     nodes: usize,
@@ -129,14 +129,14 @@
         .controller
         .start(program, |listen| controller_file(listen, proxies))?;
     let line = Line::Unix(fleet.controller.root().path().join("admin.sock"));
-    let over = AtomicBool::new(false);
+    let stop = AtomicBool::new(false);
     let (answers, answer_micros) = (AtomicU64::new(0), AtomicU64::new(0));
     let figures = std::thread::scope(|scope| {
         if per_second > 0 {
-            scope.spawn(|| poll(&line, per_second, &over, &answers, &answer_micros));
+            scope.spawn(|| poll(&line, per_second, &stop, &answers, &answer_micros));
         }
         let figures = controller::measure_running(&mut fleet, nodes, proxies, rounds);
-        over.store(true, Ordering::Relaxed);
+        stop.store(true, Ordering::Relaxed);
         figures
     })?;
     let answers = answers.into_inner();
@@ -147,27 +147,27 @@
     })
 }
 
-/// Measures both and prints them.
+/// Runs both measurements and prints the figures.
 pub fn run(rounds: u32) -> Result<(), MeasureError> {
-    say!("{:>12}{:>18}", "conductors", "whole answer ms");
+    print_line!("{:>12}{:>18}", "conductors", "answer ms");
     for count in CONTROLLER_COUNTS {
         let ms = complete_answer_ms(count, 9)?;
-        say!("{count:>12}{ms:>18.1}");
+        print_line!("{count:>12}{ms:>18.1}");
     }
     let program = program()?;
     let (nodes, proxies) = SIZES[2];
-    say!(
+    print_line!(
         "{:>16}{:>14}{:>14}{:>10}{:>10}{:>14}",
-        "asked a second",
+        "polls per s",
         "p50 ms",
         "p99 ms",
         "CPU s/s",
         "answers",
-        "each ms"
+        "mean ms"
     );
     for per_second in [0, 10, 0, 10] {
         let polled = measure_polled(&program, nodes, proxies, rounds, per_second)?;
-        say!(
+        print_line!(
             "{per_second:>16}{:>14.1}{:>14.1}{:>10.3}{:>10}{:>14.1}",
             polled.figures.list_to_link_ms_p50,
             polled.figures.list_to_link_ms_p99,
--- a/crates/cli/src/measure/fleet_config.rs
+++ b/crates/cli/src/measure/fleet_config.rs
@@ -1,4 +1,4 @@
-//! Configuration, endpoint list and proxy identities of a measured controller.
+//! The configuration, endpoint lists and proxy identities of the measured fleet.
 
 use std::collections::BTreeSet;
 use wheelspread::ids::NodeId;
@@ -6,10 +6,10 @@
 use wheelspread_controller_core::membership::ProxyIdentity;
 use wheelspread_drill::proxy_name;
 
-/// The zones of the measured fleet; nodes and proxies are spread over them in turn.
+/// The zones of the measured fleet; nodes and proxies are assigned to them in turn.
 pub const ZONES: [&str; 3] = ["a", "b", "c"];
 
-/// The controller's configuration file.
+/// The text of the controller's configuration file.
 pub fn controller_file(listen: &str, proxies: usize) -> String {
     format!(
         "conductor: {{name: measured, listen: \"{listen}\", tables: tables, list: nodes.json}}
@@ -29,17 +29,17 @@
     )
 }
 
-/// An endpoint list of `nodes` nodes, those numbered in `draining` draining.
+/// An endpoint list of `nodes` nodes, in which the nodes with the indices in `draining` drain.
 pub fn endpoint_list(version: u64, nodes: usize, draining: &BTreeSet<usize>) -> EndpointSnapshot {
-    let record = |at: usize| EndpointRecord {
+    let record = |index: usize| EndpointRecord {
         node: NodeId {
-            address: [127, 0, 1 + (at / 200) as u8, 1 + (at % 200) as u8],
+            address: [127, 0, 1 + (index / 200) as u8, 1 + (index % 200) as u8],
             port: 9000,
         },
-        zone: ZONES[at % ZONES.len()].to_string(),
+        zone: ZONES[index % ZONES.len()].to_string(),
         kind: String::new(),
         cell: String::new(),
-        draining: draining.contains(&at),
+        draining: draining.contains(&index),
         weight: 1.0,
         started: None,
     };
@@ -49,8 +49,8 @@
     }
 }
 
-/// The nodes that drain in a measurement's round: one starts and the one of the round before returns, so that
-/// entries of every table change.
+/// The indices of the nodes that drain in a round: one node starts to drain and that of the previous round becomes
+/// ready again, so that entries of every table change.
 pub fn draining_in_round(round: u32, nodes: usize) -> BTreeSet<usize> {
     BTreeSet::from([(round as usize * 7) % nodes])
 }
@@ -60,8 +60,8 @@
     proxy % ZONES.len()
 }
 
-/// How a proxy introduces itself to the controller.
-pub fn introduction(proxy: usize) -> ProxyIdentity {
+/// The identity that a proxy sends to the controller.
+pub fn proxy_identity(proxy: usize) -> ProxyIdentity {
     ProxyIdentity {
         name: proxy_name(proxy),
         zone: ZONES[zone_of(proxy)].to_string(),
--- a/crates/cli/src/measure/proxy.rs
+++ b/crates/cli/src/measure/proxy.rs
@@ -1,4 +1,4 @@
-//! What a proxy costs beside the same client that sends straight to the node, in one run.
+//! Measures the cost of a proxy: compares, in one run, requests through the proxy with requests sent directly to the node.
 
 use super::error::{io, not_ready, MeasureError};
 use super::sampling::resident_kib;
@@ -19,12 +19,12 @@
 use wheelspread_files::{Swap, TableRoot};
 use wheelspread_xds::tables;
 
-/// One way from client to node.
+/// The figures of one route from client to node.
 #[derive(Clone, Debug)]
-struct Way {
-    way: &'static str,
+struct Route {
+    route: &'static str,
     loaded: Loaded,
-    /// CPU of the proxy for each request, in microseconds.
+    /// The proxy's CPU time per request, in microseconds; none on the direct route.
     cpu_us: Option<f64>,
 }
 
@@ -38,12 +38,12 @@
 channel: {lines_waiting_at_most: 1000, lines_per_second: 1000, delay_at_most: 500ms}
 ";
 
-/// Requests of this length warm a way up before it is measured.
+/// The duration of the requests that are sent on a route before it is measured.
 const WARM_UP_SECONDS: f64 = 0.3;
-/// How long the proxy may take until it listens.
+/// The time limit for the started proxy to accept connections.
 const START_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// One table with all nodes at equal weight.
+/// A table set with one table that contains all nodes at equal weight.
 fn table_set(nodes: &[SocketAddrV4]) -> TableSet {
     let entry = |address: &SocketAddrV4| TableEntry {
         node: NodeId {
@@ -68,10 +68,10 @@
     }
 }
 
-/// Publishes the table into the proxy's root, as a controller would.
+/// Publishes the table set into the proxy's tables root, as a controller does.
 fn publish_tables(directory: &Path, nodes: &[SocketAddrV4]) -> Result<(), MeasureError> {
     let root = TableRoot::new(directory.join("tables"));
-    root.prepare().map_err(io("the root"))?;
+    root.prepare().map_err(io("the tables root"))?;
     let deployment: Deployment = serde_yaml_ng::from_str(DEPLOYMENT).map_err(not_ready)?;
     let set = table_set(nodes);
     let documents = tables::write(&set, &deployment).map_err(not_ready)?;
@@ -80,7 +80,7 @@
     Ok(())
 }
 
-/// A proxy process that goes by one published table; it is killed when this is dropped.
+/// A proxy process that uses one published table; the process is killed on drop.
 struct ProxyProcess {
     _directory: tempfile::TempDir,
     child: Child,
@@ -94,7 +94,8 @@
         let address = free_port().map_err(io("a port"))?;
         let no_controller = free_port().map_err(io("a port"))?;
         let path = directory.path().join("proxy.yaml");
-        std::fs::write(&path, proxy_file(address, no_controller)).map_err(io("a file"))?;
+        std::fs::write(&path, proxy_file(address, no_controller))
+            .map_err(io("the configuration file"))?;
         let child = Command::new(program)
             .arg("proxy")
             .arg(&path)
@@ -107,16 +108,16 @@
             child,
             address,
         };
-        process.wait_until_it_listens()?;
+        process.wait_until_ready()?;
         Ok(process)
     }
 
-    fn wait_until_it_listens(&self) -> Result<(), MeasureError> {
+    fn wait_until_ready(&self) -> Result<(), MeasureError> {
         wait_until_listening(self.address, START_TIMEOUT, "the proxy does not listen")
     }
 }
 
-/// The proxy's configuration; nobody listens where it sends its reports.
+/// The text of the proxy's configuration; no process listens at the address for its load reports.
 fn proxy_file(address: SocketAddrV4, no_controller: SocketAddrV4) -> String {
     format!(
         "proxy: {{name: g, zone: north, listen: \"{address}\"}}\n\
@@ -133,20 +134,21 @@
     }
 }
 
-/// Straight, and through a proxy, with so many connections that each wait for their answer.
-fn measure_ways(
+/// Measures the direct route and the route through a proxy. Each of the `connections` connections has one request in
+/// flight at a time.
+fn measure_routes(
     program: &Path,
     connections: usize,
     seconds: f64,
-) -> Result<Vec<Way>, MeasureError> {
+) -> Result<Vec<Route>, MeasureError> {
     let nodes = FastNodes::start(4, false, 1).map_err(io("nodes"))?;
     let proxy = ProxyProcess::start(program, &nodes.addresses)?;
-    let ways = [
+    let routes = [
         ("direct", nodes.addresses[0], None),
         ("proxy", proxy.address, Some(proxy.child.id())),
     ];
     let mut measured = Vec::new();
-    for (way, target, pid) in ways {
+    for (route, target, pid) in routes {
         let requests = |seconds: f64| Load {
             target,
             operation: "book",
@@ -159,8 +161,8 @@
         let cpu_before = pid.map_or(0.0, cpu_of);
         let loaded = load(requests(seconds)).map_err(io("the load"))?;
         let cpu_us = pid.map(|pid| (cpu_of(pid) - cpu_before) * 1e6 / loaded.total().max(1) as f64);
-        measured.push(Way {
-            way,
+        measured.push(Route {
+            route,
             loaded,
             cpu_us,
         });
@@ -168,7 +170,7 @@
     Ok(measured)
 }
 
-/// Idle connections, and the bytes of memory that they cost.
+/// The number of idle connections and the memory that they take, in bytes.
 struct Idle {
     connections: usize,
     bytes: u64,
@@ -181,7 +183,7 @@
     let before = resident();
     let mut open = Vec::new();
     for _ in 0..count {
-        // One machine may allow fewer open files than this.
+        // The machine may allow fewer open files.
         match TcpStream::connect(proxy.address) {
             Ok(stream) => open.push(stream),
             Err(_) => break,
@@ -194,7 +196,7 @@
     })
 }
 
-/// Side-effecting requests while nodes reset, lose, fail and refuse.
+/// The results of side-effecting requests to nodes that reset connections, never answer, fail and refuse requests.
 struct Effects {
     sent: u64,
     executed: usize,
@@ -230,18 +232,18 @@
     })
 }
 
-/// Connections at which throughput and latency are measured.
+/// The numbers of connections at which throughput and latency are measured.
 const CONNECTION_COUNTS: [usize; 4] = [1, 10, 100, 1000];
-/// Idle connections that are opened.
+/// The number of idle connections to open.
 const IDLE_CONNECTIONS: usize = 10_000;
 
-/// Measures throughput, idle connections and side effects, and prints them.
+/// Measures throughput, the memory of idle connections and side effects, and prints the figures.
 pub fn run(seconds: f64, effects: u64) -> Result<(), MeasureError> {
     let program = program()?;
-    say!(
+    print_line!(
         "{:>12}{:>9}{:>12}{:>10}{:>10}{:>10}{:>14}",
         "connections",
-        "way",
+        "route",
         "per second",
         "p50 ms",
         "p99 ms",
@@ -249,17 +251,20 @@
         "CPU us each"
     );
     for connections in CONNECTION_COUNTS {
-        print_ways(connections, &measure_ways(&program, connections, seconds)?);
+        print_routes(
+            connections,
+            &measure_routes(&program, connections, seconds)?,
+        );
     }
     let idle = measure_idle(&program, IDLE_CONNECTIONS)?;
-    say!(
+    print_line!(
         "{} idle connections: {:.1} kB each",
         idle.connections,
         idle.bytes as f64 / 1e3 / idle.connections as f64
     );
     let effects = measure_effects(&program, effects)?;
-    say!(
-        "{} side-effecting invocations with faults: {} took effect, {} twice",
+    print_line!(
+        "{} side-effecting invocations with faults: {} executed, {} executed more than once",
         effects.sent,
         effects.executed,
         effects.executed_twice
@@ -270,23 +275,25 @@
     Ok(())
 }
 
-fn print_ways(connections: usize, ways: &[Way]) {
-    for way in ways {
-        say!(
+fn print_routes(connections: usize, routes: &[Route]) {
+    for route in routes {
+        print_line!(
             "{connections:>12}{:>9}{:>12.0}{:>10.3}{:>10.3}{:>10.3}{:>14}",
-            way.way,
-            way.loaded.per_second(),
-            way.loaded.ms(0.5),
-            way.loaded.ms(0.99),
-            way.loaded.ms(0.999),
-            way.cpu_us.map_or("-".to_string(), |us| format!("{us:.1}"))
+            route.route,
+            route.loaded.per_second(),
+            route.loaded.ms(0.5),
+            route.loaded.ms(0.99),
+            route.loaded.ms(0.999),
+            route
+                .cpu_us
+                .map_or("-".to_string(), |us| format!("{us:.1}"))
         );
     }
-    if let [direct, proxied] = ways {
-        let part = proxied.loaded.per_second() / direct.loaded.per_second().max(1.0);
-        let added = (proxied.loaded.ms(0.5) - direct.loaded.ms(0.5)) * 1e3;
-        say!(
-            "{:>12}  {part:.2} of the direct throughput, {added:.0} us added at the median",
+    if let [direct, proxied] = routes {
+        let throughput_ratio = proxied.loaded.per_second() / direct.loaded.per_second().max(1.0);
+        let added_us = (proxied.loaded.ms(0.5) - direct.loaded.ms(0.5)) * 1e3;
+        print_line!(
+            "{:>12}  {throughput_ratio:.2} of the direct throughput, {added_us:.0} us added at the median",
             ""
         );
     }
--- a/crates/cli/src/measure/sampling.rs
+++ b/crates/cli/src/measure/sampling.rs
@@ -1,4 +1,4 @@
-//! What all measurements sample: latencies, CPU, resident memory, and when each client first had tables.
+//! Samples shared by the measurements: latencies, CPU time, resident memory, and the time of each client's first tables.
 
 use super::error::{not_ready, MeasureError};
 use hdrhistogram::Histogram;
@@ -7,22 +7,22 @@
 use wheelspread_drill::cpu_of;
 use wheelspread_reactor as reactor;
 
-/// Durations, kept in microseconds and reported in milliseconds.
+/// A histogram of durations, recorded in microseconds and reported in milliseconds.
 pub struct Latencies(Histogram<u64>);
 
 impl Latencies {
-    /// An empty histogram of three significant digits.
+    /// An empty histogram with three significant digits.
     pub fn new() -> Result<Latencies, MeasureError> {
         Histogram::new(3).map(Latencies).map_err(not_ready)
     }
 
-    /// Adds a duration; less than a microsecond counts as one.
+    /// Records a duration; one below a microsecond is recorded as one microsecond.
     pub fn record(&mut self, span: Span) {
-        // The histogram grows by itself, so that no value is out of its range.
+        // The histogram resizes itself, so no value is out of range.
         let _ = self.0.record(span.micros().max(1) as u64);
     }
 
-    /// How many durations were recorded.
+    /// The number of recorded durations.
     pub fn count(&self) -> u64 {
         self.0.len()
     }
@@ -33,7 +33,7 @@
     }
 }
 
-/// CPU time that a process uses from a moment on.
+/// Measures the CPU time that a process uses after the start of the measurement.
 pub struct CpuMeter {
     pid: u32,
     cpu_before: f64,
@@ -41,7 +41,7 @@
 }
 
 impl CpuMeter {
-    /// Starts to measure the process.
+    /// Starts the measurement of a process.
     pub fn start(pid: u32) -> CpuMeter {
         CpuMeter {
             pid,
@@ -55,13 +55,13 @@
         (reactor::now() - self.since).seconds()
     }
 
-    /// Seconds of CPU used since the start, for each of `seconds`.
+    /// CPU seconds used since the start, divided by `seconds`.
     pub fn per_second(&self, seconds: f64) -> f64 {
         (cpu_of(self.pid) - self.cpu_before) / seconds
     }
 }
 
-/// Which of many clients have their first tables, and when the last of them got them.
+/// Records which clients have received their first tables, and the time of the last first receipt.
 pub struct FirstTables {
     begin: Moment,
     last: Moment,
@@ -69,7 +69,7 @@
 }
 
 impl FirstTables {
-    /// Nobody has tables yet.
+    /// Starts at `begin`, with no client that has tables.
     pub fn since(begin: Moment) -> FirstTables {
         FirstTables {
             begin,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Notes that a client has tables; returns how many have.
+    /// Records that a client has tables; returns the number of clients that have them.
     pub fn record(&mut self, client: usize, at: Moment) -> usize {
         if self.clients.insert(client) {
             self.last = at;
@@ -86,19 +86,19 @@
         self.clients.len()
     }
 
-    /// Milliseconds until the last of `expected` clients had tables, or an error if some never had.
+    /// The time from the start until the last of `expected` clients had tables, in milliseconds; an error if a client has none.
     pub fn all_joined_ms(&self, expected: usize, clients: &str) -> Result<f64, MeasureError> {
         let joined = self.clients.len();
         if joined < expected {
             return Err(MeasureError::NotReady(format!(
-                "{joined} of {expected} {clients} got tables"
+                "{joined} of {expected} {clients} received tables"
             )));
         }
         Ok((self.last - self.begin).seconds() * 1e3)
     }
 }
 
-/// The median of some figures (the upper one of an even count); the order of `figures` changes.
+/// The median of `figures`, which are sorted in place; the upper median if their count is even.
 pub fn median(figures: &mut [f64]) -> f64 {
     figures.sort_by(f64::total_cmp);
     figures.get(figures.len() / 2).copied().unwrap_or(f64::NAN)
--- a/crates/cli/src/measure/solver.rs
+++ b/crates/cli/src/measure/solver.rs
@@ -1,29 +1,34 @@
-//! The weight solver at growing sizes, beside a general solver of linear programs on the same input.
+//! Compares the weight solver with a general linear programming solver on the same input, at growing sizes.
 
-/// A fleet whose hosts all have prices of their own, so that the solver can join none of them.
+/// A fleet whose hosts all have different prices, so that the solver cannot merge any of them.
 fn generated_fleet(hosts: usize, gateways: usize) -> wheelspread_solve::Fleet {
     use wheelspread_solve::{Fleet, Gateway, Host, HostState, Operation};
     let zones = ["a", "b", "c"];
-    // Numbers that look random and are the same in each run.
-    let drawn = |at: usize, of: u64| {
-        ((at as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15 ^ of) >> 40) as f64
+    // Pseudo-random numbers from 0 to below 1 that are the same in each run.
+    let rand = |index: usize, salt: u64| {
+        ((index as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15 ^ salt) >> 40) as f64
             / (1u64 << 24) as f64
     };
-    let host = |at: usize| Host {
-        id: format!("h{at}"),
-        zone: zones[at % 3].to_string(),
-        capacity: 2.0 + 3.0 * drawn(at, 1),
+    let host = |index: usize| Host {
+        id: format!("h{index}"),
+        zone: zones[index % 3].to_string(),
+        capacity: 2.0 + 3.0 * rand(index, 1),
         state: HostState::Ready,
-        price: 0.5 * drawn(at, 2),
+        price: 0.5 * rand(index, 2),
         load_at_most: None,
         kind: String::new(),
     };
     let rate = 3.2 * hosts as f64 / gateways as f64;
-    let gateway = |at: usize| Gateway {
-        id: format!("g{at}"),
-        zone: zones[at % 3].to_string(),
+    let gateway = |index: usize| Gateway {
+        id: format!("g{index}"),
+        zone: zones[index % 3].to_string(),
         demand: [("quote", 0.6), ("plan", 0.4)]
-            .map(|(name, part)| (name.to_string(), rate / 0.22 * part * (0.5 + drawn(at, 3))))
+            .map(|(name, ratio)| {
+                (
+                    name.to_string(),
+                    rate / 0.22 * ratio * (0.5 + rand(index, 3)),
+                )
+            })
             .into(),
     };
     let operation = |name: &str, billed_value, stays_in_zone| Operation {
@@ -49,12 +54,12 @@
     }
 }
 
-/// The objective of the same problem, zone by operation to host by step, as a general solver of linear programs
-/// finds it.
+/// The objective that a general linear programming solver finds for the same problem. Its variables are the work of
+/// each operation from each zone at each host and each step of the cost curve.
 fn reference_objective(fleet: &wheelspread_solve::Fleet) -> f64 {
     use microlp::{ComparisonOp, OptimizationDirection, Problem};
     let mut problem = Problem::new(OptimizationDirection::Maximize);
-    let dearest = fleet
+    let max_value_per_work = fleet
         .operations
         .iter()
         .map(|o| o.billed_value / o.work)
@@ -63,36 +68,41 @@
         vec![vec![Vec::new(); fleet.steps.len()]; fleet.hosts.len()];
     for zone in ["a", "b", "c"] {
         for operation in &fleet.operations {
-            let asked = fleet.gateways.iter().filter(|gateway| gateway.zone == zone);
-            let amount: f64 = asked
+            let local_gateways = fleet.gateways.iter().filter(|gateway| gateway.zone == zone);
+            let demanded_work: f64 = local_gateways
                 .map(|gateway| gateway.demand[&operation.name] * operation.work)
                 .sum();
-            let mut sum = Vec::new();
-            for (at, host) in fleet.hosts.iter().enumerate() {
-                let away = host.zone != zone;
-                if away && operation.stays_in_zone {
+            let mut terms = Vec::new();
+            for (index, host) in fleet.hosts.iter().enumerate() {
+                let is_remote = host.zone != zone;
+                if is_remote && operation.stays_in_zone {
                     continue;
                 }
-                let crossing = if away { fleet.cross_zone_price } else { 0.0 };
-                let gain = (operation.billed_value - crossing) / operation.work - host.price;
+                let cross_zone_cost = if is_remote {
+                    fleet.cross_zone_price
+                } else {
+                    0.0
+                };
+                let gain = (operation.billed_value - cross_zone_cost) / operation.work - host.price;
                 for (step, (_, cost)) in fleet.steps.iter().enumerate() {
-                    let var = problem.add_var(gain - cost * dearest, (0.0, f64::INFINITY));
-                    capacity_terms[at][step].push((var, 1.0));
-                    sum.push((var, 1.0));
+                    let variable =
+                        problem.add_var(gain - cost * max_value_per_work, (0.0, f64::INFINITY));
+                    capacity_terms[index][step].push((variable, 1.0));
+                    terms.push((variable, 1.0));
                 }
             }
-            problem.add_constraint(&sum[..], ComparisonOp::Le, amount);
+            problem.add_constraint(&terms[..], ComparisonOp::Le, demanded_work);
         }
     }
     for (host, steps) in fleet.hosts.iter().zip(&capacity_terms) {
-        let mut before = 0.0;
-        for ((until, _), vars) in fleet.steps.iter().zip(steps) {
+        let mut lower_bound = 0.0;
+        for ((upper_bound, _), variables) in fleet.steps.iter().zip(steps) {
             problem.add_constraint(
-                &vars[..],
+                &variables[..],
                 ComparisonOp::Le,
-                fleet.room(host) * (until - before),
+                fleet.room(host) * (upper_bound - lower_bound),
             );
-            before = *until;
+            lower_bound = *upper_bound;
         }
     }
     problem
@@ -100,18 +110,18 @@
         .map_or(f64::NAN, |solution| solution.objective())
 }
 
-/// Measures all sizes and prints them.
+/// Runs both solvers at all sizes and prints the figures.
 pub fn run() {
-    say!(
+    print_line!(
         "{:>7}{:>10}{:>12}{:>12}{:>10}{:>14}",
         "hosts",
         "gateways",
-        "ours ms",
-        "plain ms",
+        "solver ms",
+        "general ms",
         "ratio",
-        "objective off"
+        "rel. error"
     );
-    let mut times = Vec::new();
+    let mut durations = Vec::new();
     for (hosts, gateways) in [(32, 27), (100, 84), (318, 267), (1006, 844), (3180, 2670)] {
         let fleet = generated_fleet(hosts, gateways);
         let timed = |run: &mut dyn FnMut() -> f64| {
@@ -123,27 +133,27 @@
             wheelspread_solve::solve(&fleet, &mut || false)
                 .map_or(f64::NAN, |solution| solution.objective)
         };
-        let (ours, objective) = timed(&mut || solve());
-        times.push((hosts as f64, ours));
+        let (solver_ms, objective) = timed(&mut || solve());
+        durations.push((hosts as f64, solver_ms));
         if hosts <= 1006 {
-            let (theirs, reference) = timed(&mut || reference_objective(&fleet));
-            let off = (objective - reference).abs() / reference.abs();
-            say!(
-                "{hosts:>7}{gateways:>10}{ours:>12.2}{theirs:>12.1}{:>10.1}{off:>14.1e}",
-                theirs / ours
+            let (reference_ms, reference) = timed(&mut || reference_objective(&fleet));
+            let deviation = (objective - reference).abs() / reference.abs();
+            print_line!(
+                "{hosts:>7}{gateways:>10}{solver_ms:>12.2}{reference_ms:>12.1}{:>10.1}{deviation:>14.1e}",
+                reference_ms / solver_ms
             );
         } else {
-            say!(
-                "{hosts:>7}{gateways:>10}{ours:>12.2}{:>12}{:>10}{:>14}",
+            print_line!(
+                "{hosts:>7}{gateways:>10}{solver_ms:>12.2}{:>12}{:>10}{:>14}",
                 "-",
                 "-",
                 "-"
             );
         }
     }
-    if let [.., middle, _, last] = &times[..] {
-        say!(
-            "time grows with hosts to the power of {:.2}",
+    if let [.., middle, _, last] = &durations[..] {
+        print_line!(
+            "time grows as the number of hosts to the power of {:.2}",
             (last.1 / middle.1).ln() / (last.0 / middle.0).ln()
         );
     }
--- a/crates/cli/src/measure/state.rs
+++ b/crates/cli/src/measure/state.rs
@@ -1,5 +1,5 @@
-//! What it costs to persist changes, and how long a controller takes to recover from a crash: by the size of the
-//! fleet and by how many changes it remembers.
+//! Measures the cost of persisting changes and the recovery time of a controller after a crash, by the size of the
+//! fleet and the number of changes in the state file.
 
 use super::controller_process::ControllerProcess;
 use super::error::{io, MeasureError};
@@ -16,53 +16,54 @@
 use wheelspread_config_transaction::{Change, ChangeId, ChangeState, Commit, Configuration};
 use wheelspread_store::{Inspection, Store};
 
-/// How long a start takes, in milliseconds.
+/// The durations of a start, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 struct Start {
-    /// Until the controller listens.
+    /// The time until the controller listens.
     listens_ms: f64,
-    /// Until every proxy has tables of the new run.
+    /// The time until every proxy has tables from the started controller.
     all_joined_ms: f64,
 }
 
-/// Size of the state file, and how often it was written.
+/// The size of the state file and the number of commits in it.
 struct StateSize {
     commits: u64,
     bytes: u64,
 }
 
-/// One change from its order to its acknowledgement.
+/// The time from applying one change to its acknowledgement, and the size of the request that staged it.
 struct Applied {
     milliseconds: f64,
     request_bytes: usize,
 }
 
-/// Figures of one size.
+/// The figures of one fleet size.
 #[derive(Clone, Debug)]
 struct Measured {
     nodes: usize,
     proxies: usize,
     changes: usize,
     state_bytes: u64,
-    /// After a kill.
+    /// The restart after a kill.
     with_state: Start,
-    /// After a kill and the loss of the state file.
+    /// The restart after a kill and the loss of the state file.
     without_state: Start,
-    /// Writes to the state, each with an fsync, and bytes of them, for one change from staged to kept.
+    /// State writes, each with an fsync, for one change from staged to kept.
     commits: f64,
+    /// Bytes of these writes.
     bytes: f64,
-    /// Bytes of the request that stages a change.
+    /// The size of the request that stages a change, in bytes.
     request_bytes: usize,
-    /// From the order until every proxy has acknowledged it.
+    /// The time from applying a change until every proxy has acknowledged it, in milliseconds.
     applied_ms: f64,
 }
 
-/// Changes that are measured at each size.
+/// The number of changes measured at each size.
 const MEASURED_CHANGES: usize = 5;
-/// How long a change may take until it is kept.
+/// The time limit for an applied change to be kept.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A change that was applied and kept.
+/// The record of a change that was applied and kept.
 fn applied_change(number: usize) -> ChangeRecord {
     let path = format!(
         "nodes.127.0.{}.{}:9000.weight",
@@ -88,7 +89,7 @@
     }
 }
 
-/// Writes a state with that many changes, none of whose values is in force any more.
+/// Writes a state file with this number of changes, none of whose values is still in force.
 fn write_state(path: &Path, changes: usize) -> Result<(), MeasureError> {
     let (mut store, _) = Store::open(path)?;
     let configuration = Configuration {
@@ -114,7 +115,7 @@
     })
 }
 
-/// Starts the controller and lets all proxies join.
+/// Starts the controller and waits until all proxies have joined.
 fn start(fleet: &mut FileProxies, program: &Path, proxies: usize) -> Result<Start, MeasureError> {
     let begin = Instant::now();
     let changes = "changes: {watch: 1s}\n";
@@ -129,12 +130,12 @@
     })
 }
 
-/// Asks the controller for a resource of the operators' API.
+/// Reads a resource of the controller's operators' API.
 fn get(root: &Path, target: &str) -> Result<Value, MeasureError> {
     Ok(call(root, "GET", target, None)?.body)
 }
 
-/// Gives the controller an order about a change.
+/// Sends the controller a request about a change.
 fn post(root: &Path, order: &str, body: Value) -> Result<(), MeasureError> {
     let answer = call(root, "POST", &format!("/v1/changes/{order}"), Some(body))?;
     if answer.is_ok() {
@@ -143,7 +144,7 @@
     Err(MeasureError::Change(format!("{order}: {}", answer.body)))
 }
 
-/// Stages and applies a change, and waits until every proxy has acknowledged it and it is kept.
+/// Stages and applies a change, and waits until the change is kept. Records when every proxy has acknowledged it.
 fn apply(fleet: &mut FileProxies, root: &Path, number: usize) -> Result<Applied, MeasureError> {
     let id = format!("m{number}");
     let node = format!("nodes.127.0.1.{}:9000.weight", 1 + number);
@@ -165,7 +166,9 @@
                 return Err(MeasureError::Change(change["why"].to_string()))
             }
             _ if begin.elapsed() > CHANGE_TIMEOUT => {
-                return Err(MeasureError::Change("a change hangs".to_string()))
+                return Err(MeasureError::Change(
+                    "a change was not kept within the time limit".to_string(),
+                ))
             }
             _ => {}
         }
@@ -177,13 +180,13 @@
     })
 }
 
-/// Whether every proxy holds the configuration in force and no node is between pools.
+/// Whether every proxy holds the configuration in force and no node is migrating between pools.
 fn is_acknowledged(configuration: &Value) -> bool {
     let lacking = configuration["lacking"].as_array();
     lacking.is_some_and(Vec::is_empty) && configuration["between_pools"] == 0
 }
 
-/// Measures a fleet of that size whose controller remembers so many changes.
+/// Measures a fleet of this size whose controller has this number of changes in its state file.
 fn measure(
     program: &Path,
     nodes: usize,
@@ -195,7 +198,7 @@
     write_state(&root.join("state"), changes)?;
     let mut fleet = FileProxies::new(controller, proxies)?;
     start(&mut fleet, program, proxies)?;
-    // Capacities and the endpoint list are persisted before the cost of a change is counted.
+    // Let the controller persist capacities and the endpoint list, so that these writes are not counted as a change's.
     for _ in 0..12 {
         fleet.report_and_wait(0.25);
     }
@@ -211,7 +214,7 @@
     let state_bytes = state_size(&root)?.bytes;
     let with_state = start(&mut fleet, program, proxies)?;
     fleet.controller.kill();
-    std::fs::remove_file(root.join("state")).map_err(io("the state"))?;
+    std::fs::remove_file(root.join("state")).map_err(io("the state file"))?;
     let without_state = start(&mut fleet, program, proxies)?;
     fleet.controller.swap_list(2, &BTreeSet::new())?;
     let per_change = |from: u64, to: u64| to.saturating_sub(from) as f64 / MEASURED_CHANGES as f64;
@@ -229,30 +232,30 @@
     })
 }
 
-/// Changes that the controller remembers, at each size.
+/// The number of changes in the state file, at each size.
 const REMEMBERED_CHANGES: [usize; 3] = [100, 1000, 10_000];
 
-/// Measures all sizes and prints them.
+/// Measures all fleet sizes and prints the figures.
 pub fn run() -> Result<(), MeasureError> {
     let program = program()?;
-    say!(
+    print_line!(
         "{:>6}{:>9}{:>9}{:>12}{:>14}{:>14}{:>16}{:>16}{:>10}{:>8}{:>8}{:>12}",
         "nodes",
         "proxies",
         "changes",
         "state KiB",
         "listens ms",
-        "all have ms",
+        "joined ms",
         "(no state) ms",
         "(no state) ms",
         "writes",
         "bytes",
-        "told",
+        "request",
         "in force ms"
     );
     for ((nodes, proxies), changes) in SIZES.into_iter().zip(REMEMBERED_CHANGES) {
         let figures = measure(&program, nodes, proxies, changes)?;
-        say!(
+        print_line!(
             "{:>6}{:>9}{:>9}{:>12.0}{:>14.0}{:>14.0}{:>16.0}{:>16.0}{:>10.1}{:>8.0}{:>8}{:>12.0}",
             figures.nodes,
             figures.proxies,
--- a/crates/cli/src/measure/streams.rs
+++ b/crates/cli/src/measure/streams.rs
@@ -1,10 +1,10 @@
-//! How long a change takes to be held by all clients of discovery streams, what goes over the sockets for it,
-//! and what a stream costs the controller.
+//! Measures discovery streams: the time until all clients hold a change, the traffic for a change, and the controller's
+//! memory and CPU time per stream.
 
 use super::controller;
 use super::controller_process::ControllerProcess;
 use super::error::{io, not_ready, MeasureError};
-use super::fleet_config::{controller_file, draining_in_round, introduction};
+use super::fleet_config::{controller_file, draining_in_round, proxy_identity};
 use super::sampling::{resident_kib, CpuMeter, FirstTables, Latencies};
 use super::{program, SIZES};
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,55 +16,55 @@
 use wheelspread_reactor::{self as reactor, Interest, Poll, Token};
 use wheelspread_xds::discovery;
 
-/// Messages to one client, on average over all.
+/// The traffic to one client, averaged over all clients.
 #[derive(Clone, Copy, Debug)]
 pub struct Traffic {
-    /// Bytes of the messages.
+    /// The size of the messages, in bytes.
     pub bytes: f64,
-    /// Entries of tables in them, changed or removed.
+    /// The number of changed and removed table entries in the messages.
     pub entries: f64,
 }
 
-/// Figures of one size.
+/// The figures of one fleet size.
 #[derive(Clone, Debug)]
 pub struct Measured {
-    /// From a swapped endpoint list to a client that has all of the version, in milliseconds: the median.
+    /// The median time from a replaced endpoint list until a client has the complete version, in milliseconds.
     pub list_to_held_ms_p50: f64,
-    /// The same at the 99th percentile.
+    /// The 99th percentile of the same time, in milliseconds.
     pub list_to_held_ms_p99: f64,
-    /// To the last whose tables it changed, at the slowest change.
+    /// The time until the last client whose tables changed has the version, at the slowest change, in milliseconds.
     pub list_to_all_ms: f64,
-    /// From the first connection to the last client's first tables, in milliseconds.
+    /// The time from the first connection to the last client's first tables, in milliseconds.
     pub all_joined_ms: f64,
-    /// The same after all streams broke at once.
-    pub all_again_ms: f64,
-    /// Traffic to one client for its first tables.
+    /// The same time after all streams were closed at once, in milliseconds.
+    pub all_rejoined_ms: f64,
+    /// The traffic to one client for its first tables.
     pub first_tables: Traffic,
-    /// Traffic to one client for one change.
+    /// The traffic to one client for one change.
     pub change: Traffic,
-    /// Memory of the controller for each stream.
+    /// The controller's resident memory per stream, in KiB.
     pub memory_kib: f64,
-    /// Seconds of the controller's CPU a second while the endpoint list changes each second.
+    /// The controller's CPU seconds per second while the endpoint list changes once per second.
     pub cpu: f64,
 }
 
 /// A client of a discovery stream.
 struct StreamClient {
     connection: ClientConnection,
-    introduction: ProxyIdentity,
+    proxy_identity: ProxyIdentity,
     bytes: u64,
     entries: u64,
 }
 
-/// How long all clients together may take until they have tables.
+/// The time limit for all clients to receive their first tables.
 const JOIN_TIMEOUT: Span = Span::from_seconds(60.0);
-/// After the join, before the endpoint list changes.
+/// The time between the join and the first change of the endpoint list.
 const SETTLE_TIME: Span = Span::from_seconds(3.0);
-/// Between two changes of the endpoint list.
+/// The time between two changes of the endpoint list.
 const ROUND_TIME: Span = Span::from_seconds(1.0);
-/// More proxies than this are not measured with files.
-const FILE_PROXIES_AT_MOST: usize = 890;
-/// What each client subscribes to: a resource type and the prefix of its names.
+/// The maximum number of proxies for which the measurement is repeated with files.
+const MAX_FILE_PROXIES: usize = 890;
+/// The resource types that each client subscribes to, each with the prefix of its resource names.
 const SUBSCRIPTIONS: [(ResourceType, &str); 3] = [
     (ResourceType::Endpoints, discovery::LEDS_ASSIGNMENT_PREFIX),
     (ResourceType::Entries, discovery::ENTRY_PREFIX),
@@ -90,7 +90,7 @@
 }
 
 impl StreamClient {
-    /// Reads and answers what has come; `true` if it now has all of another version.
+    /// Reads and acknowledges the received messages; returns `true` if they complete a version.
     fn turn(&mut self, now: Moment) -> Result<bool, MeasureError> {
         let mut complete = false;
         loop {
@@ -100,18 +100,18 @@
                 return close_reason.map_or(Ok(complete), ended);
             }
             for event in events {
-                complete |= self.event(event)?;
+                complete |= self.handle_event(event)?;
             }
         }
     }
 
-    fn event(&mut self, event: ClientEvent) -> Result<bool, MeasureError> {
+    fn handle_event(&mut self, event: ClientEvent) -> Result<bool, MeasureError> {
         match event {
             ClientEvent::Opened => {
-                for (at, (resource_type, prefix)) in SUBSCRIPTIONS.iter().enumerate() {
-                    let introduction = (at == 0).then_some(&self.introduction);
+                for (index, (resource_type, prefix)) in SUBSCRIPTIONS.iter().enumerate() {
+                    let proxy_identity = (index == 0).then_some(&self.proxy_identity);
                     self.connection.send(&discovery::encode_delta_request(
-                        introduction,
+                        proxy_identity,
                         None,
                         &subscribe(*resource_type, prefix),
                     ));
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Counts and acknowledges a response; `true` if it is the last of its version.
+    /// Counts and acknowledges a response; returns `true` if it is the last one of its version.
     fn handle_message(&mut self, bytes: &[u8]) -> Result<bool, MeasureError> {
         let response = discovery::decode_delta_response(bytes).map_err(not_ready)?;
         self.bytes += bytes.len() as u64;
@@ -140,7 +140,8 @@
     }
 }
 
-/// Lets streams go on until `until`, or until `done` says so of one that has another version.
+/// Handles events until `until`. Calls `done` with each client that completes a version and the time, and returns early
+/// if it returns `true`.
 fn turn(
     poll: &mut Poll,
     clients: &mut [StreamClient],
@@ -154,16 +155,16 @@
             return Ok(());
         }
         for ready in ready.drain(..) {
-            let number = ready.token.0 as usize;
+            let client = ready.token.0 as usize;
             let now = reactor::now();
-            if clients[number].turn(now)? && done(number, now) {
+            if clients[client].turn(now)? && done(client, now) {
                 return Ok(());
             }
         }
     }
 }
 
-/// Starts a controller of that size and changes its endpoint list once a second.
+/// Starts a controller for a fleet of this size and changes its endpoint list once per second.
 pub fn measure(
     program: &Path,
     nodes: usize,
@@ -175,7 +176,7 @@
     measure_running(&controller, nodes, streams, rounds)
 }
 
-/// The configuration of a controller that publishes by streams only.
+/// The text of the configuration of a controller that publishes tables over streams only.
 fn streams_file(listen: &str, streams: usize) -> String {
     controller_file(listen, streams)
         .replace(
@@ -192,7 +193,7 @@
         )
 }
 
-/// Connects all at once; how long until each has tables, in milliseconds.
+/// Connects all clients at once; returns them and the time until each has tables, in milliseconds.
 fn join(
     poll: &mut Poll,
     listen: ([u8; 4], u16),
@@ -200,9 +201,9 @@
 ) -> Result<(Vec<StreamClient>, f64), MeasureError> {
     let mut clients = Vec::new();
     let begin = reactor::now();
-    for number in 0..streams {
+    for client in 0..streams {
         let socket = reactor::connect(listen.0, listen.1).map_err(io("a stream"))?;
-        poll.add(&socket, Token(number as u64), Interest::Edges)
+        poll.add(&socket, Token(client as u64), Interest::Edges)
             .map_err(io("a stream"))?;
         clients.push(StreamClient {
             connection: ClientConnection::new(
@@ -211,19 +212,19 @@
                 discovery::DELTA_METHOD,
                 Limits::default(),
             ),
-            introduction: introduction(number),
+            proxy_identity: proxy_identity(client),
             bytes: 0,
             entries: 0,
         });
     }
-    let mut first = FirstTables::since(begin);
-    turn(poll, &mut clients, begin + JOIN_TIMEOUT, |number, at| {
-        first.record(number, at) == streams
+    let mut first_tables = FirstTables::since(begin);
+    turn(poll, &mut clients, begin + JOIN_TIMEOUT, |client, at| {
+        first_tables.record(client, at) == streams
     })?;
-    Ok((clients, first.all_joined_ms(streams, "clients")?))
+    Ok((clients, first_tables.all_joined_ms(streams, "clients")?))
 }
 
-/// What the clients received so far, each on average.
+/// The mean traffic to a client so far.
 fn mean_traffic(clients: &[StreamClient]) -> Traffic {
     let mean = |of: fn(&StreamClient) -> u64| {
         clients.iter().map(of).sum::<u64>() as f64 / clients.len() as f64
@@ -234,13 +235,13 @@
     }
 }
 
-/// How long the clients take to hold a change.
+/// The times until the clients hold a change.
 struct ChangeLatencies {
     all: Latencies,
     slowest_seconds: f64,
 }
 
-/// Changes the endpoint list once a second.
+/// Changes the endpoint list once per second and measures the time until the clients hold each change.
 fn change_list(
     controller: &ControllerProcess,
     poll: &mut Poll,
@@ -253,13 +254,13 @@
         slowest_seconds: 0.0,
     };
     for round in 0..rounds {
-        let at = reactor::now();
+        let begin = reactor::now();
         controller.swap_list(u64::from(round) + 2, &draining_in_round(round, nodes))?;
-        let mut seen = BTreeSet::new();
-        turn(poll, clients, at + ROUND_TIME, |number, now| {
-            if seen.insert(number) {
-                latencies.all.record(now - at);
-                latencies.slowest_seconds = latencies.slowest_seconds.max((now - at).seconds());
+        let mut updated_clients = BTreeSet::new();
+        turn(poll, clients, begin + ROUND_TIME, |client, now| {
+            if updated_clients.insert(client) {
+                latencies.all.record(now - begin);
+                latencies.slowest_seconds = latencies.slowest_seconds.max((now - begin).seconds());
             }
             false
         })?;
@@ -286,16 +287,16 @@
     let seconds = cpu.elapsed_seconds();
     let changed = mean_traffic(&clients);
     let memory_kib = (resident_kib(pid) - kib_before) / streams as f64;
-    // All lose their streams at once and join again, without versions that they hold.
+    // All clients lose their streams at once and join again, without naming versions that they already hold.
     drop(clients);
-    let (_, all_again_ms) = join(&mut poll, listen, streams)?;
+    let (_, all_rejoined_ms) = join(&mut poll, listen, streams)?;
     let per_change = |from: f64, to: f64| (to - from) / f64::from(rounds.max(1));
     Ok(Measured {
         list_to_held_ms_p50: latencies.all.milliseconds_at(0.5),
         list_to_held_ms_p99: latencies.all.milliseconds_at(0.99),
         list_to_all_ms: latencies.slowest_seconds * 1e3,
         all_joined_ms,
-        all_again_ms,
+        all_rejoined_ms,
         first_tables,
         change: Traffic {
             bytes: per_change(settled.bytes, changed.bytes),
@@ -306,22 +307,22 @@
     })
 }
 
-/// Measures all sizes and prints them, the small ones beside proxies that read files.
+/// Measures all sizes and prints the figures; up to [`MAX_FILE_PROXIES`] proxies also with files.
 pub fn run(rounds: u32, many: usize, last: bool) -> Result<(), MeasureError> {
     let program = program()?;
-    say!("nodes x streams: change held by p50, p99, all (ms); joined, all again (ms); bytes and lines of a first table, of a change; KiB a stream; CPU");
+    print_line!("nodes x streams: change held by p50, p99, all (ms); joined, rejoined (ms); bytes and entries of the first tables, of a change; KiB per stream; CPU");
     let skipped = if last { SIZES.len() + 1 } else { 0 };
     let sizes = SIZES.into_iter().chain([(20, 1000), (20, many)]);
     for (nodes, count) in sizes.skip(skipped) {
         let measured = measure(&program, nodes, count, rounds)
             .map_err(|error| error.at_size(nodes, count, "streams"))?;
-        say!(
+        print_line!(
             "{nodes} x {count}: {:.0}, {:.0}, {:.0}; {:.0}, {:.0}; {:.0} and {:.0}, {:.0} and {:.1}; {:.1}; {:.2}",
             measured.list_to_held_ms_p50,
             measured.list_to_held_ms_p99,
             measured.list_to_all_ms,
             measured.all_joined_ms,
-            measured.all_again_ms,
+            measured.all_rejoined_ms,
             measured.first_tables.bytes,
             measured.first_tables.entries,
             measured.change.bytes,
@@ -329,11 +330,11 @@
             measured.memory_kib,
             measured.cpu
         );
-        if count <= FILE_PROXIES_AT_MOST {
+        if count <= MAX_FILE_PROXIES {
             let files = controller::measure(&program, nodes, count, rounds)
                 .map_err(|error| error.at_size(nodes, count, "proxies"))?;
-            say!(
-                "  files: {:.0}, {:.0}; {:.0}; CPU with sums {:.2}",
+            print_line!(
+                "  files: {:.0}, {:.0}; {:.0}; CPU with load reports {:.2}",
                 files.list_to_link_ms_p50,
                 files.list_to_link_ms_p99,
                 files.all_joined_ms,
--- a/crates/cli/src/operator.rs
+++ b/crates/cli/src/operator.rs
@@ -1,52 +1,57 @@
-//! The operators' API of a controller on this machine, as the subcommands use it.
+//! Client of the operators' API of controllers on this machine, used by the subcommands.
 
 use serde_json::{json, Value};
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 use wheelspread_fleet::{Failed, Line, Request};
 
-/// How long a controller may take to answer.
+/// The longest time that a controller may take to answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
-/// The status of an order that was carried out.
-const OK: u16 = 200;
+/// The HTTP status of a request that was carried out.
+const HTTP_OK: u16 = 200;
 
 /// No usable answer came from a controller.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// The call itself failed.
+    /// The request could not be sent, or no valid answer arrived in time.
     #[error("{}", root.display())]
     Failed {
-        /// The controller's root of tables.
+        /// The controller's tables root, in which its socket lies.
         root: PathBuf,
         source: Failed,
     },
     /// The thread that called one of several controllers panicked.
-    #[error("the thread that asked is gone")]
-    ThreadLost,
+    #[error("the thread that called the controller panicked")]
+    ThreadPanicked,
 }
 
-/// A controller's answer, whether it carried the order out or refused it.
+/// A controller's answer to a request that it carried out or refused.
 pub struct Answer {
-    /// The status of HTTP.
+    /// The HTTP status.
     pub status: u16,
-    /// JSON; of a refusal, an object with its reason as `error`.
+    /// The JSON body; for a refusal, an object with the reason as `error`.
     pub body: Value,
 }
 
 impl Answer {
-    /// Whether the order was carried out.
+    /// Whether the request was carried out.
     pub fn is_ok(&self) -> bool {
-        self.status == OK
+        self.status == HTTP_OK
     }
 
-    /// An answer to an order that was carried out.
+    /// An answer to a request that was carried out.
     pub fn ok(body: Value) -> Answer {
-        Answer { status: OK, body }
+        Answer {
+            status: HTTP_OK,
+            body,
+        }
     }
 
-    /// Why the order was refused.
+    /// The reason of a refusal, or a fixed text if the answer has none.
     pub fn refusal(&self) -> &str {
-        self.body["error"].as_str().unwrap_or("not carried out")
+        self.body["error"]
+            .as_str()
+            .unwrap_or("refused without a reason")
     }
 }
 
@@ -75,7 +80,7 @@
     }
 }
 
-/// Calls several controllers at once; their answers are in the order of `roots`.
+/// Calls several controllers in parallel; the answers are in the order of `roots`.
 pub fn call_all(
     roots: &[PathBuf],
     method: &str,
@@ -89,18 +94,18 @@
             .collect();
         calls
             .into_iter()
-            .map(|thread| thread.join().unwrap_or(Err(CallError::ThreadLost)))
+            .map(|thread| thread.join().unwrap_or(Err(CallError::ThreadPanicked)))
             .collect()
     })
 }
 
-/// The elements of a list in an answer.
-pub fn entries(value: &Value) -> impl Iterator<Item = &Value> {
+/// The elements of a JSON array; none if the value is not an array.
+pub fn array_elements(value: &Value) -> impl Iterator<Item = &Value> {
     value.as_array().into_iter().flatten()
 }
 
-/// A value of an answer as people read it.
-pub fn shown(value: &Value) -> String {
+/// A JSON value as text for a person: `-` for null, and a fractional number as seconds.
+pub fn display_value(value: &Value) -> String {
     match value {
         Value::Null => "-".to_string(),
         Value::String(text) => text.clone(),
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -1,4 +1,4 @@
-//! `wheelspread run`, `check` and `proxy`: the long-running programs and the check of their configuration.
+//! `wheelspread run`, `check` and `proxy`: runs controllers and proxies, and validates a controller's configuration file.
 
 use crate::exit::{BAD_INPUT, FAILURE};
 use std::io;
@@ -6,7 +6,7 @@
 use wheelspread_controller::{log, Controller, ControllerFile, ControllerFileError, LogSettings};
 use wheelspread_proxy::{serve, NoObserver, ProxyConfig};
 
-/// Why a controller or proxy did not start, or stopped.
+/// Why a controller or proxy did not start, or stopped with an error.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
     /// The controller's configuration file is invalid.
@@ -15,27 +15,27 @@
     /// The proxy's configuration file is invalid.
     #[error(transparent)]
     ProxyFile(#[from] wheelspread_proxy::ConfigError),
-    /// The controller could not start with a valid file.
+    /// The controller's file is valid, but the controller could not start.
     #[error("{}", file.display())]
     Start {
-        /// Its configuration file.
+        /// The configuration file.
         file: PathBuf,
         source: wheelspread_controller::StartError,
     },
     /// A controller of a platform could not start.
     #[error(transparent)]
     PlatformStart(wheelspread_platform::StartError),
-    /// The program ran and stopped with an error.
+    /// The controller or proxy started and then stopped with an error.
     #[error("{}", file.display())]
     Run {
-        /// Its configuration file.
+        /// The configuration file.
         file: PathBuf,
         source: io::Error,
     },
 }
 
 impl ServeError {
-    /// What the process exits with.
+    /// The exit code of the process.
     pub fn exit_code(&self) -> u8 {
         match self {
             ServeError::ControllerFile(_)
@@ -57,7 +57,7 @@
 pub fn check(path: &Path) -> Result<(), ServeError> {
     let file = ControllerFile::read(path)?;
     let deployment = &file.deployment;
-    say!(
+    print_line!(
         "{}: conductor {} of {}, {} zones, {} operations: nothing is wrong",
         path.display(),
         file.conductor.name,
@@ -83,7 +83,7 @@
     Ok(())
 }
 
-/// Runs a controller of a platform until it is stopped; a stop while it starts is no error.
+/// Runs a controller of a platform until it is stopped. Being stopped during the start is not an error.
 pub fn run_platform_controller(path: &Path) -> Result<(), ServeError> {
     log::start(&LogSettings::default());
     match wheelspread_platform::Service::start(path) {
--- a/crates/cli/src/solve.rs
+++ b/crates/cli/src/solve.rs
@@ -1,4 +1,4 @@
-//! `wheelspread solve`: weights of a fleet under capacity and cost.
+//! `wheelspread solve`: computes the weights of a fleet from its capacities and costs.
 
 use crate::exit::BAD_INPUT;
 use clap::Args;
@@ -13,96 +13,97 @@
 /// Arguments of `wheelspread solve`.
 #[derive(Args)]
 pub struct SolveArguments {
-    /// The fleet: see docs/solver.md
+    /// The fleet file: see docs/solver.md
     fleet: PathBuf,
     #[arg(long)]
     json: bool,
-    /// Why a host got its weight.
+    /// Prints why this host got its weight.
     #[arg(long, value_name = "HOST")]
     explain: Option<String>,
-    /// Capacities may be wrong by this part either way: chooses weights that serve more in the worst case.
+    /// Capacities may be wrong by this ratio either way: chooses weights by the mean of the worst case and the stated
+    /// capacities.
     #[arg(long, value_name = "PART")]
     wrong_by: Option<f64>,
-    /// What is served if hosts of a kind have this part of their stated capacity, as `large=0.5`.
-    #[arg(long, value_name = "KIND=PART", value_parser = kind_part)]
+    /// Prints what is served if hosts of a kind have this ratio of their stated capacity, for example `large=0.5`.
+    #[arg(long, value_name = "KIND=PART", value_parser = parse_kind_ratio)]
     what_if: Vec<(String, f64)>,
-    /// After so many milliseconds the best solution so far is printed.
+    /// The time limit in milliseconds; when it has passed, the best solution so far is printed.
     #[arg(long, default_value_t = 1000)]
     deadline_ms: u64,
 }
 
 /// Why a `KIND=PART` argument is invalid.
 #[derive(Debug, thiserror::Error)]
-enum KindPartError {
-    #[error("KIND=PART is expected")]
-    NoPart,
-    #[error("`{0}` is no number")]
+enum KindRatioError {
+    #[error("expected KIND=PART")]
+    MissingRatio,
+    #[error("`{0}` is not a number")]
     NotANumber(String),
-    #[error("{0}: between 0 and 100 is possible")]
+    #[error("{0}: must be between 0 and 100")]
     OutOfRange(f64),
 }
 
-fn kind_part(text: &str) -> Result<(String, f64), KindPartError> {
-    let (kind, part) = text.split_once('=').ok_or(KindPartError::NoPart)?;
-    let part: f64 = part
+fn parse_kind_ratio(text: &str) -> Result<(String, f64), KindRatioError> {
+    let (kind, ratio) = text.split_once('=').ok_or(KindRatioError::MissingRatio)?;
+    let ratio: f64 = ratio
         .parse()
-        .map_err(|_| KindPartError::NotANumber(part.to_string()))?;
-    if (0.0..=100.0).contains(&part) {
-        Ok((kind.to_string(), part))
+        .map_err(|_| KindRatioError::NotANumber(ratio.to_string()))?;
+    if (0.0..=100.0).contains(&ratio) {
+        Ok((kind.to_string(), ratio))
     } else {
-        Err(KindPartError::OutOfRange(part))
+        Err(KindRatioError::OutOfRange(ratio))
     }
 }
 
-/// The solver ran into its deadline; the best solution so far was printed.
+/// The solver reached its deadline; the best solution so far was printed.
 const CUT_SHORT: u8 = 4;
 
 /// Why there is no solution to print.
 #[derive(Debug, thiserror::Error)]
 pub enum SolveError {
-    /// The fleet can't be solved.
+    /// No solution could be computed for the fleet.
     #[error("{}", fleet.display())]
     Refused {
-        /// The file of the fleet.
+        /// The fleet file.
         fleet: PathBuf,
         source: Refusal,
     },
-    /// `--explain` names no host of the fleet.
+    /// The argument of `--explain` is not a host of the fleet.
     #[error("`{0}` is no host of this fleet")]
     UnknownHost(String),
 }
 
-/// Why a fleet can't be solved.
+/// Why no solution could be computed or written.
 #[derive(Debug, thiserror::Error)]
 pub enum Refusal {
-    /// The file can't be read.
+    /// The fleet file could not be read.
     #[error(transparent)]
     Read(#[from] std::io::Error),
-    /// The file is no fleet.
+    /// The file is not a valid fleet file.
     #[error(transparent)]
     Parse(#[from] serde_yaml_ng::Error),
-    /// `--wrong-by` is no part.
-    #[error("--wrong-by {0}: between 0 and 1 is possible")]
+    /// The argument of `--wrong-by` is out of range.
+    #[error("--wrong-by {0}: must be at least 0 and below 1")]
     WrongBy(f64),
-    /// `--what-if` names a kind that no host is of.
+    /// No host has a kind that `--what-if` names.
     #[error("no host is of kind `{0}`")]
     UnknownKind(String),
     /// The solver refused the fleet.
     #[error(transparent)]
     Solver(#[from] SolveInputError),
-    /// The solution can't be written as JSON.
+    /// The solution could not be written as JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
 }
 
 impl SolveError {
-    /// What the process exits with.
+    /// The exit code of the process.
     pub fn exit_code(&self) -> u8 {
         BAD_INPUT
     }
 }
 
-/// The JSON that is printed.
+/// The JSON output.
 #[derive(Serialize)]
 struct Output<'a> {
     #[serde(flatten)]
@@ -115,15 +116,15 @@
 #[derive(Serialize)]
 struct WhatIf {
     value_per_s: f64,
-    /// Hosts that are given more than they then can do, and how many times as much.
+    /// The hosts whose load then exceeds their capacity, each with the ratio of load to capacity.
     overrun: Vec<(String, f64)>,
 }
 
-/// Solves a fleet and prints its weights, or why a host got its weight.
+/// Computes the weights of a fleet and prints them, or prints why one host got its weight.
 pub fn solve(arguments: &SolveArguments) -> Result<ExitCode, SolveError> {
     let refused = |refusal: Refusal| {
         if arguments.json {
-            say!(
+            print_line!(
                 "{}",
                 json!({ "status": "refused", "reason": refusal.to_string() })
             );
@@ -148,7 +149,7 @@
             what_if,
         };
         let text = serde_json::to_string(&output).map_err(|error| refused(error.into()))?;
-        say!("{text}");
+        print_line!("{text}");
     } else {
         print_table(&solution, solve_ms, what_if.as_ref());
     }
@@ -163,73 +164,76 @@
     Ok(serde_yaml_ng::from_str(&text)?)
 }
 
-/// Solves the fleet as it is stated, or hedged against wrong capacities.
+/// Solves the fleet with the stated capacities or, with `--wrong-by`, hedged against wrong capacities.
 fn find_solution(
     fleet: &Fleet,
     arguments: &SolveArguments,
     begin: Instant,
 ) -> Result<Solution, Refusal> {
     let deadline = begin + Duration::from_millis(arguments.deadline_ms);
-    let mut is_over = || Instant::now() >= deadline;
-    let Some(part) = arguments.wrong_by else {
-        return Ok(solve_fleet(fleet, &mut is_over)?);
+    let mut is_past_deadline = || Instant::now() >= deadline;
+    let Some(ratio) = arguments.wrong_by else {
+        return Ok(solve_fleet(fleet, &mut is_past_deadline)?);
     };
-    if !(0.0..1.0).contains(&part) {
-        return Err(Refusal::WrongBy(part));
+    if !(0.0..1.0).contains(&ratio) {
+        return Err(Refusal::WrongBy(ratio));
     }
-    let wrong = Wrong {
-        least: 1.0 - part,
-        most: 1.0 / (1.0 - part),
+    let capacity_error = Wrong {
+        least: 1.0 - ratio,
+        most: 1.0 / (1.0 - ratio),
     };
-    let (solution, held) = hedge(fleet, wrong, &mut is_over)?;
-    let worst = guaranteed(fleet, &solution, wrong);
+    let (solution, planned_ratio) = hedge(fleet, capacity_error, &mut is_past_deadline)?;
+    let worst = guaranteed(fleet, &solution, capacity_error);
     eprintln!(
-        "goes by {held:.2} of the capacities; at worst {:.3} a second is served",
+        "planned with {planned_ratio:.2} of the stated capacities; at worst, a value of {:.3} per second is served",
         worst.value_per_s
     );
     Ok(solution)
 }
 
-/// What is served if hosts of some kinds have a part of their capacity only; nothing if no kind is named.
+/// What is served if hosts of the named kinds have only a ratio of their capacity; `None` if no kind is named.
 fn what_if(
     fleet: &Fleet,
     solution: &Solution,
-    parts: &[(String, f64)],
+    ratios: &[(String, f64)],
 ) -> Result<Option<WhatIf>, Refusal> {
     let is_unknown = |kind: &str| fleet.hosts.iter().all(|host| host.kind != kind);
-    if let Some((kind, _)) = parts.iter().find(|(kind, _)| is_unknown(kind)) {
+    if let Some((kind, _)) = ratios.iter().find(|(kind, _)| is_unknown(kind)) {
         return Err(Refusal::UnknownKind(kind.clone()));
     }
-    if parts.is_empty() {
+    if ratios.is_empty() {
         return Ok(None);
     }
-    let part_of = |host: &Host| {
-        let stated = parts.iter().find(|(kind, _)| host.kind == *kind);
-        stated.map_or(1.0, |(_, part)| *part)
+    let capacity_ratio = |host: &Host| {
+        let stated = ratios.iter().find(|(kind, _)| host.kind == *kind);
+        stated.map_or(1.0, |(_, ratio)| *ratio)
     };
-    let result = served(fleet, solution, &part_of);
+    let result = served(fleet, solution, &capacity_ratio);
     Ok(Some(WhatIf {
         value_per_s: result.value_per_s,
         overrun: result.overrun,
     }))
 }
 
-/// Prints a line for each host, rejecting proxy and overrun host, and a summary.
+/// Prints a line for each host, each proxy that rejects requests and each overloaded host, and a summary.
 fn print_table(solution: &Solution, solve_ms: f64, what_if: Option<&WhatIf>) {
     print_hosts(solution);
     let rejecting = solution.gateways.iter();
     for gateway in rejecting.filter(|gateway| gateway.admitted < 1.0 - 1e-9) {
-        say!(
-            "{} lets in {:.3} of {}",
+        print_line!(
+            "{} admits a ratio of {:.3} of {}",
             gateway.id,
             gateway.admitted,
             gateway.operation
         );
     }
     if let Some(what_if) = what_if {
-        say!("then {:.3} a second is served", what_if.value_per_s);
-        for (id, times) in &what_if.overrun {
-            say!("  {id} is given {times:.2} times what it can do");
+        print_line!(
+            "a value of {:.3} per second is then served",
+            what_if.value_per_s
+        );
+        for (id, overrun_factor) in &what_if.overrun {
+            print_line!("  {id} is given {overrun_factor:.2} times what it can do");
         }
     }
     let status = if solution.status == Status::Optimal {
@@ -237,8 +241,8 @@
     } else {
         "cut short"
     };
-    say!(
-        "{status}: value {:.3} a second, objective {:.3}, {} steps in {solve_ms:.2} ms",
+    print_line!(
+        "{status}: value {:.3} per second, objective {:.3}, {} steps in {solve_ms:.2} ms",
         solution.value_per_s,
         solution.objective,
         solution.paths
@@ -246,7 +250,7 @@
 }
 
 fn print_hosts(solution: &Solution) {
-    say!(
+    print_line!(
         "{:<20}{:<12}{:>8}{:>10}{:>10}{:>10}  binds",
         "host",
         "zone",
@@ -256,7 +260,7 @@
         "worth"
     );
     for host in &solution.hosts {
-        say!(
+        print_line!(
             "{:<20}{:<12}{:>8.3}{:>10.3}{:>10.3}{:>10.3}  {}",
             host.id,
             host.zone,
@@ -273,8 +277,8 @@
     let Some(explanation) = wheelspread_solve::explain::explain(fleet, solution, id) else {
         return Err(SolveError::UnknownHost(id.to_string()));
     };
-    say!(
-        "{} in {}: weight {:.3}, {:.3} of at most {:.3} seconds of work a second",
+    print_line!(
+        "{} in {}: weight {:.3}, {:.3} of at most {:.3} seconds of work per second",
         explanation.id,
         explanation.zone,
         explanation.weight,
@@ -284,9 +288,9 @@
     explanation
         .reasons
         .iter()
-        .for_each(|reason| say!("  {reason}"));
-    say!(
-        "  loaded alike with: {}",
+        .for_each(|reason| print_line!("  {reason}"));
+    print_line!(
+        "  hosts with the same load: {}",
         if explanation.alike.is_empty() {
             "none".to_string()
         } else {
@@ -294,7 +298,9 @@
         }
     );
     for (operation, from, invocations) in &explanation.gets {
-        say!("  its zone gets {invocations:.2} {operation} a second from {from}");
+        print_line!(
+            "  its zone receives {invocations:.2} {operation} requests per second from {from}"
+        );
     }
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/cli/src/state.rs
+++ b/crates/cli/src/state.rs
@@ -1,4 +1,4 @@
-//! `wheelspread state`: inspects, checks and compacts the file that persists changes and facts over crashes.
+//! `wheelspread state`: inspects, checks and compacts the state file, in which a controller persists changes and facts.
 
 use crate::exit::BAD_INPUT;
 use clap::{Args, Subcommand};
@@ -15,18 +15,18 @@
 
 #[derive(Subcommand)]
 enum Operation {
-    /// Prints all that is persisted, as JSON; repairs nothing.
+    /// Prints the persisted state as JSON; leaves the file unchanged.
     Inspect { file: PathBuf },
-    /// Checks whether every byte is sound; exit 1 if not. Repairs nothing.
+    /// Checks whether every byte is valid; exits with 1 if not. Leaves the file unchanged.
     Verify { file: PathBuf },
-    /// Rewrites it as one commit, after repairing what can be; a damaged file is kept aside.
+    /// Rewrites the file as one commit. A torn last commit is cut off; a copy of a damaged file is kept.
     Compact { file: PathBuf },
 }
 
 /// Why a state file could not be used.
 #[derive(Debug, thiserror::Error)]
 pub enum StateError {
-    /// There is nothing to compact.
+    /// The file to compact does not exist.
     #[error("{}: no such file", file.display())]
     NoSuchFile {
         /// The state file.
@@ -38,14 +38,14 @@
 }
 
 impl StateError {
-    /// What the process exits with.
+    /// The exit code of the process.
     pub fn exit_code(&self) -> u8 {
         BAD_INPUT
     }
 }
 
 /// The exit code of `verify` for a file with damaged bytes.
-const NOT_SOUND: u8 = 1;
+const DAMAGED: u8 = 1;
 
 /// Inspects, checks or compacts a state file.
 pub fn state(arguments: StateArguments) -> Result<ExitCode, StateError> {
@@ -59,21 +59,21 @@
 fn inspect(file: &Path) -> Result<ExitCode, StateError> {
     let inspection = Store::inspect(file)?;
     let text = serde_json::to_string_pretty(&inspection.state).unwrap_or_default();
-    say!("{text}");
+    print_line!("{text}");
     Ok(ExitCode::SUCCESS)
 }
 
 fn verify(file: &Path) -> Result<ExitCode, StateError> {
     let inspection = Store::inspect(file)?;
     let commits = inspection.state.commits;
-    let (sound, all) = (inspection.valid_bytes, inspection.total_bytes);
+    let (valid, total) = (inspection.valid_bytes, inspection.total_bytes);
     let name = file.display();
     if inspection.is_valid() {
-        say!("{name}: {commits} commits in {all} bytes, all sound");
+        print_line!("{name}: {commits} commits in {total} bytes, all valid");
         return Ok(ExitCode::SUCCESS);
     }
-    say!("{name}: {commits} commits, sound up to byte {sound} of {all}");
-    Ok(ExitCode::from(NOT_SOUND))
+    print_line!("{name}: {commits} commits, valid up to byte {valid} of {total}");
+    Ok(ExitCode::from(DAMAGED))
 }
 
 fn compact(file: PathBuf) -> Result<ExitCode, StateError> {
@@ -85,12 +85,12 @@
     store.compact()?;
     match &outcome {
         OpenOutcome::Fresh | OpenOutcome::Valid => {}
-        OpenOutcome::TornTail { bytes } => say!("a torn commit of {bytes} bytes was cut off"),
-        OpenOutcome::Damaged { aside, at, bytes } => say!(
-            "damaged at byte {at}: {bytes} bytes not gone on with, the whole is kept as {}",
+        OpenOutcome::TornTail { bytes } => print_line!("cut off a torn commit of {bytes} bytes"),
+        OpenOutcome::Damaged { aside, at, bytes } => print_line!(
+            "damaged at byte {at}: {bytes} bytes discarded, the damaged file is kept as {}",
             aside.display()
         ),
     }
-    say!("{}: {before} bytes, now {}", file.display(), store.bytes());
+    print_line!("{}: {before} bytes, now {}", file.display(), store.bytes());
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/cli/src/tables.rs
+++ b/crates/cli/src/tables.rs
@@ -1,7 +1,8 @@
-//! `wheelspread tables`: what each proxy of a running controller holds, and rollbacks.
+//! `wheelspread tables`: shows the table version that each proxy of a running controller holds, and starts and ends
+//! rollbacks.
 
-use crate::exit::{CONTROLLER_UNREACHABLE, NOT_CARRIED_OUT};
-use crate::operator::{call, entries, shown, CallError};
+use crate::exit::{CONTROLLER_UNREACHABLE, REFUSED};
+use crate::operator::{array_elements, call, display_value, CallError};
 use clap::{Args, Subcommand};
 use serde_json::{json, Value};
 use std::path::PathBuf;
@@ -9,21 +10,21 @@
 /// Arguments of `wheelspread tables`.
 #[derive(Args)]
 pub struct TablesArguments {
-    /// The controller's root of tables, in which its socket lies.
+    /// The controller's tables root, in which its socket lies.
     #[arg(long, value_name = "ROOT", default_value = "tables")]
     at: PathBuf,
-    /// Prints the controller's answer as it came.
+    /// Prints the controller's answer as JSON, unchanged.
     #[arg(long)]
     json: bool,
     #[command(subcommand)]
-    order: Option<Order>,
+    operation: Option<Operation>,
 }
 
 #[derive(Subcommand)]
-enum Order {
-    /// Rolls back to an older version of a table, without nodes that now drain, are gone or warming up.
+enum Operation {
+    /// Rolls a table back to an older version, without the nodes that are now draining, removed or warming.
     Back { table: u32, version: u64 },
-    /// Ends a rollback: weights follow the endpoint list again.
+    /// Ends a rollback: weights are computed from the endpoint list again.
     Free,
 }
 
@@ -33,36 +34,36 @@
     /// The controller did not answer.
     #[error(transparent)]
     Call(#[from] CallError),
-    /// The controller refused the order.
+    /// The controller refused the operation.
     #[error("{0}")]
     Refused(String),
 }
 
 impl TablesError {
-    /// What the process exits with.
+    /// The exit code of the process.
     pub fn exit_code(&self) -> u8 {
         match self {
             TablesError::Call(_) => CONTROLLER_UNREACHABLE,
-            TablesError::Refused(_) => NOT_CARRIED_OUT,
+            TablesError::Refused(_) => REFUSED,
         }
     }
 }
 
-/// Shows the tables of a controller, or gives it an order about them.
+/// Shows a controller's tables, or starts or ends a rollback there.
 pub fn tables(arguments: &TablesArguments) -> Result<(), TablesError> {
-    let answer = match &arguments.order {
+    let answer = match &arguments.operation {
         None => call(&arguments.at, "GET", "/v1/tables", None),
-        Some(Order::Back { table, version }) => {
+        Some(Operation::Back { table, version }) => {
             let body = json!({ "table": table, "version": version });
             call(&arguments.at, "POST", "/v1/tables/back", Some(body))
         }
-        Some(Order::Free) => call(&arguments.at, "POST", "/v1/tables/free", None),
+        Some(Operation::Free) => call(&arguments.at, "POST", "/v1/tables/free", None),
     }?;
     if !answer.is_ok() {
         return Err(TablesError::Refused(answer.refusal().to_string()));
     }
-    match (&arguments.order, arguments.json) {
-        (_, true) => say!("{}", answer.body),
+    match (&arguments.operation, arguments.json) {
+        (_, true) => print_line!("{}", answer.body),
         (None, _) => print_tables(&answer.body),
         (Some(_), _) => print_rollback(&answer.body),
     }
@@ -70,7 +71,7 @@
 }
 
 fn print_tables(answer: &Value) {
-    say!(
+    print_line!(
         "{:<20}{:<8}{:<8}{:>6}{:>9}{:>9}{:>10}{:>9}",
         "gateway",
         "joined",
@@ -81,33 +82,36 @@
         "since",
         "refused"
     );
-    for gateway in entries(&answer["gateways"]) {
-        say!(
+    for gateway in array_elements(&answer["gateways"]) {
+        print_line!(
             "{:<20}{:<8}{:<8}{:>6}{:>9}{:>9}{:>10}{:>9}",
-            shown(&gateway["gateway"]),
-            shown(&gateway["joined"]),
-            shown(&gateway["front"]),
-            shown(&gateway["table"]),
-            shown(&gateway["newest"]),
-            shown(&gateway["holds"]),
-            shown(&gateway["held_for_s"]),
-            shown(&gateway["refused"])
+            display_value(&gateway["gateway"]),
+            display_value(&gateway["joined"]),
+            display_value(&gateway["front"]),
+            display_value(&gateway["table"]),
+            display_value(&gateway["newest"]),
+            display_value(&gateway["holds"]),
+            display_value(&gateway["held_for_s"]),
+            display_value(&gateway["refused"])
         );
     }
-    for retained in entries(&answer["tables"]) {
-        let versions = entries(&retained["versions"]);
-        let versions = versions.map(shown).collect::<Vec<_>>().join(" ");
-        say!("table {}: can go back to {versions}", retained["table"]);
+    for retained in array_elements(&answer["tables"]) {
+        let versions = array_elements(&retained["versions"]);
+        let versions = versions.map(display_value).collect::<Vec<_>>().join(" ");
+        print_line!(
+            "table {}: versions available for rollback: {versions}",
+            retained["table"]
+        );
     }
     if !answer["stepped_back_to"].is_null() {
-        say!("stepped back to version {}", answer["stepped_back_to"]);
+        print_line!("rolled back to version {}", answer["stepped_back_to"]);
     }
 }
 
 fn print_rollback(answer: &Value) {
-    say!("version {}: {} lines", answer["version"], answer["lines"]);
-    for out in entries(&answer["left_out"]) {
-        let text = |field: &str| out[field].as_str().unwrap_or("").to_string();
-        say!("  left out: {} ({})", text("node"), text("why"));
+    print_line!("version {}: {} lines", answer["version"], answer["lines"]);
+    for omitted in array_elements(&answer["left_out"]) {
+        let text = |field: &str| omitted[field].as_str().unwrap_or("").to_string();
+        print_line!("  left out: {} ({})", text("node"), text("why"));
     }
 }
--- a/examples/fleet-python/desk.py
+++ b/examples/fleet-python/desk.py
@@ -1,9 +1,9 @@
-"""Asks conductors from Python with nothing but its standard library.
+"""Queries conductors from Python, using only the standard library.
 
     python desk.py ROOT [ROOT ...]
 
-ROOT is a conductor's root of tables (`conductor.tables`), in which its sockets lie. `docs/api.yaml` describes
-all that can be asked; whoever may only open `read.sock` can ask everything and order nothing.
+ROOT is a conductor's tables root (`conductor.tables`), in which its sockets lie. `docs/api.yaml` describes the
+requests. `read.sock` accepts queries only; `admin.sock` accepts orders as well.
 """
 import http.client
 import json
@@ -13,11 +13,11 @@
 
 
 class Conductor(http.client.HTTPConnection):
-    """One conductor, by its socket; an answer is over within `timeout` seconds or fails."""
+    """A connection to one conductor's socket; each socket operation fails after `timeout` seconds."""
 
-    def __init__(self, root, timeout=2.0, may_order=False):
+    def __init__(self, root, timeout=2.0, allow_orders=False):
         super().__init__("conductor", timeout=timeout)
-        self.path = str(pathlib.Path(root) / ("admin.sock" if may_order else "read.sock"))
+        self.path = str(pathlib.Path(root) / ("admin.sock" if allow_orders else "read.sock"))
 
     def connect(self):
         self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
@@ -25,29 +25,29 @@
         self.sock.connect(self.path)
 
     def ask(self, target, order=None):
-        """The answer as it came; `order`: the body of what is ordered."""
+        """Sends a query, or `order` as the body of an order; returns the decoded answer."""
         body = None if order is None else json.dumps(order)
         self.request("GET" if order is None else "POST", target, body=body)
         response = self.getresponse()
-        told = json.loads(response.read())
+        answer = json.loads(response.read())
         self.close()
         if response.status != 200:
-            raise RuntimeError(f"{response.status}: {told['error']}")
-        return told
+            raise RuntimeError(f"{response.status}: {answer['error']}")
+        return answer
 
 
 def main(roots):
     failed = 0
     for root in roots:
         try:
-            told = Conductor(root).ask("/v1/status")
+            answer = Conductor(root).ask("/v1/status")
         except (OSError, ValueError, RuntimeError, http.client.HTTPException) as error:
             print(f"{root}: {error!r}")
             failed += 1
             continue
-        nodes, gateways = told["nodes"], told["gateways"]
-        print(f"{told['name']}: {nodes['ready']} nodes ready, {gateways['joined']} gateways joined, "
-              f"{told['lines_waiting']:.0f} lines wait, configuration {told['configuration']}")
+        nodes, gateways = answer["nodes"], answer["gateways"]
+        print(f"{answer['name']}: {nodes['ready']} nodes ready, {gateways['joined']} gateways joined, "
+              f"{answer['lines_waiting']:.0f} lines wait, configuration {answer['configuration']}")
     return failed
 
 
--- a/examples/grpc-python/check.py
+++ b/examples/grpc-python/check.py
@@ -1,4 +1,4 @@
-"""Starts a conductor and three stand-in nodes on loopback and sees gRPC's own client follow their weights and a drain.
+"""Starts a conductor and three stand-in nodes on loopback and checks that the gRPC client follows weights and a drain.
 
     python check.py PROGRAM
 
@@ -17,7 +17,7 @@
 
 import follow
 
-PLAN = """
+CONDUCTOR_FILE = """
 conductor: {name: c0, listen: "127.0.0.1:%d", tables: tables, list: nodes.json}
 deployment:
   zones: [north]
@@ -31,13 +31,13 @@
 
 
 def free_port():
-    with socket.socket() as taken:
-        taken.bind(("127.0.0.1", 0))
-        return taken.getsockname()[1]
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", 0))
+        return listener.getsockname()[1]
 
 
 def node():
-    """A stand-in that answers every call with its own address."""
+    """Starts a stand-in node that answers every call with its own address."""
     import grpc
     server = grpc.server(futures.ThreadPoolExecutor(4))
     port = server.add_insecure_port("127.0.0.1:0")
@@ -48,7 +48,7 @@
 
 
 def publish(directory, version, nodes):
-    """Swaps a list in: (port, weight, drains) of each node."""
+    """Replaces the endpoint list; `nodes` has (port, weight, drains) of each node."""
     url = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
     endpoints = [{
         "endpoint": {"address": {"socketAddress": {"address": "127.0.0.1", "portValue": port}}},
@@ -56,11 +56,11 @@
         "loadBalancingWeight": weight,
     } for port, weight, drains in nodes]
     entries = [{"locality": {"zone": "north"}, "lbEndpoints": endpoints}]
-    listed = {"versionInfo": str(version), "typeUrl": url,
-              "resources": [{"@type": url, "clusterName": "nodes", "endpoints": entries}]}
-    draft = directory / ".nodes.json"
-    draft.write_text(json.dumps(listed))
-    draft.rename(directory / "nodes.json")
+    endpoint_list = {"versionInfo": str(version), "typeUrl": url,
+                     "resources": [{"@type": url, "clusterName": "nodes", "endpoints": entries}]}
+    temporary_file = directory / ".nodes.json"
+    temporary_file.write_text(json.dumps(endpoint_list))
+    temporary_file.rename(directory / "nodes.json")
 
 
 def shares(channel, calls):
@@ -69,7 +69,7 @@
 
 
 def until(what, wanted, seconds=15.0):
-    """Asks again until it is as wanted; fails with what was seen last."""
+    """Calls `what` until `wanted` accepts its result; on timeout, exits with the last result."""
     end = time.monotonic() + seconds
     while True:
         seen = what()
@@ -83,13 +83,13 @@
     port = free_port()
     with tempfile.TemporaryDirectory() as name:
         directory = pathlib.Path(name)
-        (directory / "conductor.yaml").write_text(PLAN % port)
+        (directory / "conductor.yaml").write_text(CONDUCTOR_FILE % port)
         os.environ["GRPC_XDS_BOOTSTRAP_CONFIG"] = follow.bootstrap(f"127.0.0.1:{port}", "python-1", "north")
         servers = [node() for _ in range(3)]
         ports = [port for _, port in servers]
         publish(directory, 1, [(port, 1, False) for port in ports])
         log = open(directory / "log", "w")
-        # The client is there first: it waits for a conductor that starts later.
+        # The client starts first and waits for the conductor, which starts later.
         channel = follow.dial(f"127.0.0.1:{port}", "python-1", "north", "quote")
         ready = follow.ready(channel)
         time.sleep(0.3)
@@ -101,12 +101,12 @@
             publish(directory, 2, [(ports[0], 4, False), (ports[1], 1, False), (ports[2], 1, False)])
             heavy = until(lambda: shares(channel, 600), lambda seen: seen.get(ports[0], 0) > 0.5)
             print("one of four times the weight:", heavy)
-            began = time.monotonic()
+            started_at = time.monotonic()
             publish(directory, 3, [(ports[0], 4, True), (ports[1], 1, False), (ports[2], 1, False)])
             until(lambda: shares(channel, 20), lambda seen: ports[0] not in seen)
-            took = time.monotonic() - began
-            print(f"it drains: nothing goes there after {took:.2f} s")
-            if took > 2.0:
+            duration = time.monotonic() - started_at
+            print(f"it drains: nothing goes there after {duration:.2f} s")
+            if duration > 2.0:
                 raise SystemExit("FAILED: the grace is 2 s")
             conductor.terminate()
             conductor.wait(10)
