--- a/crates/cli/src/drill.rs
+++ b/crates/cli/src/drill.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 use wheelspread_controller_core::deployment::TableDeliveryConfig;
-use wheelspread_drill::{run, DayScript, Options, Sabotage, Script, ScriptError, BUILT_IN};
+use wheelspread_drill::{run, DayScript, Options, RuleViolation, Script, ScriptError, BUILT_IN};
 
 /// Arguments of `wheelspread drill`.
 #[derive(Args)]
@@ -105,20 +105,20 @@
         eprintln!("not injected, as it can't be here: {kind}");
     }
     let sabotage = arguments.sabotage.map(|broken| match broken {
-        Broken::EmptyTable => Sabotage::EmptyTable,
-        Broken::Repeat => Sabotage::Repeat,
-        Broken::KeepDrained => Sabotage::KeepDrained,
-        Broken::FloodCold => Sabotage::FloodCold,
-        Broken::Overfill => Sabotage::Overfill,
+        Broken::EmptyTable => RuleViolation::EmptyTable,
+        Broken::Repeat => RuleViolation::RetryUnsafe,
+        Broken::KeepDrained => RuleViolation::KeepDrained,
+        Broken::FloodCold => RuleViolation::OverloadWarming,
+        Broken::Overfill => RuleViolation::ExceedMessageCap,
     });
     let mut progress = |text: &str| eprintln!("{text}");
     let options = Options {
         program,
         seed: arguments.seed,
-        even: arguments.baseline.is_some() || sabotage.is_some(),
-        sabotage,
-        forget: arguments.forget,
-        keep: arguments.keep.clone(),
+        even_weights: arguments.baseline.is_some() || sabotage.is_some(),
+        violation: sabotage,
+        discard_state: arguments.forget,
+        keep_directory: arguments.keep.clone(),
         not_injected,
         progress: &mut progress,
     };
--- a/crates/cli/src/measure/proxy.rs
+++ b/crates/cli/src/measure/proxy.rs
@@ -14,7 +14,7 @@
     BundleId, OperationTable, TableEntry, TableSet, Version,
 };
 use wheelspread_controller_core::Deployment;
-use wheelspread_drill::load::{load, FastNodes, Faults, Load, Loaded};
+use wheelspread_drill::load::{load, FastNodes, Faults, Load, LoadResult};
 use wheelspread_drill::{cpu_of, free_port};
 use wheelspread_files::{Swap, TableRoot};
 use wheelspread_xds::tables;
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug)]
 struct Way {
     way: &'static str,
-    loaded: Loaded,
+    loaded: LoadResult,
     /// CPU of the proxy for each request, in microseconds.
     cpu_us: Option<f64>,
 }
@@ -152,8 +152,8 @@
             operation: "book",
             connections,
             invocations: u64::MAX,
-            at_most: Span::from_seconds(seconds),
-            from: 0,
+            max_duration: Span::from_seconds(seconds),
+            first_id: 0,
         };
         load(requests(WARM_UP_SECONDS)).map_err(io("warming up"))?;
         let cpu_before = pid.map_or(0.0, cpu_of);
@@ -217,11 +217,11 @@
         operation: "book",
         connections: 128,
         invocations: count,
-        at_most: Span::from_seconds(600.0),
-        from: 0,
+        max_duration: Span::from_seconds(600.0),
+        first_id: 0,
     });
     let loaded = loaded.map_err(io("the load"))?;
-    let effects = nodes.seen().effects;
+    let effects = nodes.execution_counts().effects;
     let executed_twice = effects.values().filter(|times| **times > 1).count();
     Ok(Effects {
         sent: loaded.total(),
@@ -275,16 +275,17 @@
         say!(
             "{connections:>12}{:>9}{:>12.0}{:>10.3}{:>10.3}{:>10.3}{:>14}",
             way.way,
-            way.loaded.per_second(),
-            way.loaded.ms(0.5),
-            way.loaded.ms(0.99),
-            way.loaded.ms(0.999),
+            way.loaded.successes_per_second(),
+            way.loaded.latency_ms(0.5),
+            way.loaded.latency_ms(0.99),
+            way.loaded.latency_ms(0.999),
             way.cpu_us.map_or("-".to_string(), |us| format!("{us:.1}"))
         );
     }
     if let [direct, proxied] = ways {
-        let part = proxied.loaded.per_second() / direct.loaded.per_second().max(1.0);
-        let added = (proxied.loaded.ms(0.5) - direct.loaded.ms(0.5)) * 1e3;
+        let part =
+            proxied.loaded.successes_per_second() / direct.loaded.successes_per_second().max(1.0);
+        let added = (proxied.loaded.latency_ms(0.5) - direct.loaded.latency_ms(0.5)) * 1e3;
         say!(
             "{:>12}  {part:.2} of the direct throughput, {added:.0} us added at the median",
             ""
--- a/crates/cli/tests/drills.rs
+++ b/crates/cli/tests/drills.rs
@@ -3,19 +3,19 @@
 
 use std::path::PathBuf;
 use test_case::test_case;
-use wheelspread_drill::{run, Options, Report, Sabotage, Script};
+use wheelspread_drill::{run, Options, Report, RuleViolation, Script};
 
 const SHORT: &str = include_str!("../../drill/days/short.yaml");
 
-fn play(text: &str, sabotage: Option<Sabotage>) -> Report {
+fn play(text: &str, sabotage: Option<RuleViolation>) -> Report {
     let script = Script::parse(text).expect("the script is fine");
     let options = Options {
         program: PathBuf::from(env!("CARGO_BIN_EXE_wheelspread")),
         seed: 1,
-        even: sabotage.is_some(),
-        sabotage,
-        keep: None,
-        forget: false,
+        even_weights: sabotage.is_some(),
+        violation: sabotage,
+        keep_directory: None,
+        discard_state: false,
         not_injected: Vec::new(),
         progress: &mut |_| {},
     };
@@ -83,12 +83,12 @@
         .replace("length: 10s", "length: 7s")
 }
 
-#[test_case(Sabotage::EmptyTable, 1, 90; "an empty table")]
-#[test_case(Sabotage::Repeat, 2, 90; "a repeat of what has effects")]
-#[test_case(Sabotage::KeepDrained, 3, 90; "a drained node that is kept")]
-#[test_case(Sabotage::FloodCold, 4, 400; "a cold node that is flooded")]
-#[test_case(Sabotage::Overfill, 5, 90; "a channel that is overfilled")]
-fn each_sabotage_breaks_its_rule_and_no_other(sabotage: Sabotage, rule: u8, rate: u32) {
+#[test_case(RuleViolation::EmptyTable, 1, 90; "an empty table")]
+#[test_case(RuleViolation::RetryUnsafe, 2, 90; "a repeat of what has effects")]
+#[test_case(RuleViolation::KeepDrained, 3, 90; "a drained node that is kept")]
+#[test_case(RuleViolation::OverloadWarming, 4, 400; "a cold node that is flooded")]
+#[test_case(RuleViolation::ExceedMessageCap, 5, 90; "a channel that is overfilled")]
+fn each_sabotage_breaks_its_rule_and_no_other(sabotage: RuleViolation, rule: u8, rate: u32) {
     let report = play(
         &script_without_faults().replace("rate: 90", &format!("rate: {rate}")),
         Some(sabotage),
--- a/crates/cli/tests/proxy.rs
+++ b/crates/cli/tests/proxy.rs
@@ -15,7 +15,7 @@
     BundleId, OperationTable, TableEntry, TableSet, Version,
 };
 use wheelspread_controller_core::Deployment;
-use wheelspread_drill::load::{load, FastNodes, Faults, Load, Loaded};
+use wheelspread_drill::load::{load, FastNodes, Faults, Load, LoadResult};
 use wheelspread_files::{read_tables, Swap, TableRoot};
 use wheelspread_xds::{status, tables};
 
@@ -125,16 +125,22 @@
         }
     }
 
-    fn load(&self, operation: &str, connections: usize, invocations: u64, from: u64) -> Loaded {
-        let at_most = Span::from_seconds(120.0);
+    fn load(
+        &self,
+        operation: &str,
+        connections: usize,
+        invocations: u64,
+        first_id: u64,
+    ) -> LoadResult {
+        let max_duration = Span::from_seconds(120.0);
         let target = self.address;
         load(Load {
             target,
             operation,
             connections,
             invocations,
-            at_most,
-            from,
+            max_duration,
+            first_id,
         })
         .expect("all have an end")
     }
@@ -196,7 +202,7 @@
     );
     let mut last = vec![0; 6];
     let mut judge = |weights: &[f64], first_tries: f64| {
-        let executed = nodes.seen().executed;
+        let executed = nodes.execution_counts().executed;
         let sum: f64 = weights.iter().sum();
         for (node, weight) in weights.iter().enumerate() {
             let share = (executed[node] - last[node]) as f64 / first_tries;
@@ -211,7 +217,7 @@
         last = executed;
     };
     let loaded = stage.load("quote", 32, 100_000, 0);
-    assert_eq!(loaded.answers, BTreeMap::from([(200, 100_000)]));
+    assert_eq!(loaded.responses, BTreeMap::from([(200, 100_000)]));
     judge(&weights, 100_000.0);
     // Other weights from here on, judged by what is executed under them.
     let turned = [13.0, 8.0, 5.0, 3.0, 2.0, 1.0];
@@ -228,14 +234,14 @@
     let mut stage = Stage::new("", &equal_weights(&nodes), RetryPolicy::IfUnprocessed);
     let address = stage.address;
     let under_load = std::thread::spawn(move || {
-        let at_most = Span::from_seconds(60.0);
+        let max_duration = Span::from_seconds(60.0);
         let wish = Load {
             target: address,
             operation: "quote",
             connections: 16,
             invocations: 40_000,
-            at_most,
-            from: 0,
+            max_duration,
+            first_id: 0,
         };
         load(wish).expect("all have an end")
     });
@@ -250,10 +256,10 @@
     }
     let loaded = under_load.join().expect("it ends");
     assert_eq!(
-        loaded.answers.get(&200),
+        loaded.responses.get(&200),
         Some(&40_000),
         "{:?}",
-        loaded.answers
+        loaded.responses
     );
     stage.publish(
         &equal_weights(&nodes)[..1],
@@ -261,9 +267,9 @@
         None,
     );
     stage.wait();
-    let before = nodes.seen().executed;
+    let before = nodes.execution_counts().executed;
     stage.load("quote", 8, 1000, 0);
-    let after = nodes.seen().executed;
+    let after = nodes.execution_counts().executed;
     assert_eq!(
         (after[0] - before[0], &after[1..]),
         (1000, &before[1..]),
@@ -289,20 +295,20 @@
         RetryPolicy::TwiceOnAnyFailure,
     );
     let loaded = stage.load("book", 64, 30_000, 0);
-    let effects = nodes.seen().effects;
+    let effects = nodes.execution_counts().effects;
     assert_eq!(effects.values().filter(|count| **count > 1).count(), 0);
     assert!(effects.len() > 28_000, "{}", effects.len());
     // Errors and resets reach the client; refusals are mostly made good at another node.
-    let count = |status: u16| loaded.answers.get(&status).copied().unwrap_or(0);
+    let count = |status: u16| loaded.responses.get(&status).copied().unwrap_or(0);
     assert!(
         count(500) > 1000 && count(502) > 300 && count(504) > 0 && count(503) < 400,
         "{:?}",
-        loaded.answers
+        loaded.responses
     );
     // What may run twice is repeated, and nearly all of it succeeds.
     let loaded = stage.load("quote", 64, 10_000, 1_000_000);
-    let succeeded = loaded.answers.get(&200).copied().unwrap_or(0);
-    assert!(succeeded > 9_960, "{:?}", loaded.answers);
+    let succeeded = loaded.responses.get(&200).copied().unwrap_or(0);
+    assert!(succeeded > 9_960, "{:?}", loaded.responses);
 }
 
 #[test]
@@ -321,12 +327,12 @@
         RetryPolicy::OnceOnAnyFailure,
     );
     stage.load("quote", 4, 2000, 0);
-    let shunned = nodes.seen().executed[0];
+    let shunned = nodes.execution_counts().executed[0];
     assert!((3..40).contains(&shunned), "{shunned} of 2000 went there");
     nodes.set_faults(0, Faults::default());
     std::thread::sleep(Duration::from_millis(3000));
     stage.load("quote", 4, 3000, 0);
-    let back = nodes.seen().executed[0] - shunned;
+    let back = nodes.execution_counts().executed[0] - shunned;
     assert!(back > 600, "{back} of 3000");
 }
 
@@ -345,15 +351,15 @@
     let mut stage = Stage::new("", &lines, RetryPolicy::IfUnprocessed);
     let loaded = stage.load("quote", 8, 4000, 0);
     // Half of the weight is at nodes that refuse: nearly all is made good by one more try.
-    let succeeded = loaded.answers.get(&200).copied().unwrap_or(0);
-    assert!(succeeded > 2600, "{:?}", loaded.answers);
+    let succeeded = loaded.responses.get(&200).copied().unwrap_or(0);
+    assert!(succeeded > 2600, "{:?}", loaded.responses);
     assert!(
         loaded
-            .answers
+            .responses
             .keys()
             .all(|status| [200, 502].contains(status)),
         "{:?}",
-        loaded.answers
+        loaded.responses
     );
     stage.publish(&[], RetryPolicy::Never, None);
     stage.wait();
@@ -405,7 +411,7 @@
         std::thread::sleep(Duration::from_millis(5));
     }
     assert_eq!(
-        stage.load("quote", 4, 500, 0).answers,
+        stage.load("quote", 4, 500, 0).responses,
         BTreeMap::from([(200, 500)])
     );
 }
@@ -426,7 +432,10 @@
         "{answer}"
     );
     assert_eq!(
-        (answer.matches("HTTP/1.1").count(), nodes.seen().executed[0]),
+        (
+            answer.matches("HTTP/1.1").count(),
+            nodes.execution_counts().executed[0]
+        ),
         (1, 0),
         "{answer}"
     );
--- a/crates/drill/src/audit.rs
+++ b/crates/drill/src/audit.rs
@@ -9,14 +9,14 @@
 mod verdict;
 mod without_node;
 
-pub use self::drained_node::drain_order_times;
+pub use self::drained_node::drain_order_durations;
 use self::drained_node::judge_sends_to_drained_nodes;
-use self::joined::Joined;
+use self::joined::JoinedControllers;
 use self::repeated_effects::judge_repeated_effects;
-use self::service::rate_service;
+use self::service::compute_service;
 use self::slow_start_overload::judge_slow_start_overload;
 use self::update_queue::judge_update_queue;
-pub use self::verdict::{Judged, RuleJudged, Verdict};
+pub use self::verdict::{CheckedValue, RuleResult, Verdict};
 use self::without_node::judge_time_without_node;
 use crate::records::{Record, Records};
 use crate::script::Script;
@@ -24,7 +24,7 @@
 
 /// How long each rule's limit is stretched while a controller's channel is slowed, as it is told the limit
 /// for its usual pace.
-pub struct Slowed {
+pub struct SlowedPeriod {
     /// Seconds since the drill began.
     pub from: f64,
     /// Seconds since the drill began.
@@ -34,18 +34,18 @@
 }
 
 /// Judges the five rules over a drill's records. `slowed` names when the rules allow more time.
-pub fn judge(records: &Records, script: &Script, slowed: &[Slowed]) -> Verdict {
-    let plan = &script.deployment;
-    let (effects_twice, repeated_effects) = judge_repeated_effects(records, plan);
-    let (invocations, service, service_by_operation) = rate_service(records, plan);
-    let half_read = |record: &Record| {
+pub fn judge(records: &Records, script: &Script, slowed_periods: &[SlowedPeriod]) -> Verdict {
+    let deployment = &script.deployment;
+    let (effects_twice, repeated_effects) = judge_repeated_effects(records, deployment);
+    let (invocations, service, service_by_operation) = compute_service(records, deployment);
+    let is_unreadable = |record: &Record| {
         matches!(
             record,
-            Record::TablesRefused { .. } | Record::SwapUnreadable { .. }
+            Record::TablesRejected { .. } | Record::SwapUnreadable { .. }
         )
     };
     let sent = |first: bool| {
-        let counts = |record: &Record| matches!(record, Record::Sent { number, .. } if (*number == 1) == first);
+        let counts = |record: &Record| matches!(record, Record::AttemptSent { number, .. } if (*number == 1) == first);
         records
             .0
             .iter()
@@ -54,11 +54,11 @@
     };
     Verdict {
         rules: vec![
-            judge_time_without_node(records, plan).finish(),
+            judge_time_without_node(records, deployment).finish(),
             repeated_effects.finish(),
-            judge_sends_to_drained_nodes(records, plan, slowed).finish(),
-            judge_slow_start_overload(records, plan).finish(),
-            judge_update_queue(records, plan).finish(),
+            judge_sends_to_drained_nodes(records, deployment, slowed_periods).finish(),
+            judge_slow_start_overload(records, deployment).finish(),
+            judge_update_queue(records, deployment).finish(),
         ],
         invocations,
         service,
@@ -67,7 +67,7 @@
         half_read_tables: records
             .0
             .iter()
-            .filter(|(_, record)| half_read(record))
+            .filter(|(_, record)| is_unreadable(record))
             .count() as u64
             + count_conflicting_versions(records),
         repeats: sent(false) / sent(true).max(1.0),
@@ -76,11 +76,11 @@
 
 /// Tables that a proxy held under a name by which another held something else.
 fn count_conflicting_versions(records: &Records) -> u64 {
-    let mut names: BTreeMap<(usize, u64), &str> = BTreeMap::new();
-    let (mut joined, mut conflicting) = (Joined::default(), 0);
+    let mut hashes_by_version: BTreeMap<(usize, u64), &str> = BTreeMap::new();
+    let (mut joined, mut conflicting) = (JoinedControllers::default(), 0);
     for (t, record) in &records.0 {
         joined.follow(*t, record);
-        if let Record::Tables {
+        if let Record::TablesApplied {
             proxy,
             controller,
             version,
@@ -92,7 +92,12 @@
             if joined.0.get(proxy).is_none_or(|(to, _)| to != controller) {
                 continue;
             }
-            conflicting += u64::from(*names.entry((*controller, *version)).or_insert(hash) != hash);
+            conflicting += u64::from(
+                *hashes_by_version
+                    .entry((*controller, *version))
+                    .or_insert(hash)
+                    != hash,
+            );
         }
     }
     conflicting
--- a/crates/drill/src/audit/drained_node.rs
+++ b/crates/drill/src/audit/drained_node.rs
@@ -1,40 +1,40 @@
 //! Rule 3: nothing is sent to a node that drains or is gone; and how long drains by order took.
 
-use super::joined::Joined;
-use super::verdict::RuleJudged;
-use super::Slowed;
-use crate::records::{Listed, Record, Records};
+use super::joined::JoinedControllers;
+use super::verdict::RuleResult;
+use super::SlowedPeriod;
+use crate::records::{ListedNodeState, Record, Records};
 use std::collections::{BTreeMap, BTreeSet};
 use wheelspread_controller_core::deployment::Deployment;
 
 /// Rule 3: how long after its controller was told that a node drains or is gone a joined proxy sent there.
 pub(super) fn judge_sends_to_drained_nodes(
     records: &Records,
-    plan: &Deployment,
-    slowed: &[Slowed],
-) -> RuleJudged {
-    let mut judged = RuleJudged::new(3);
-    let grace = plan.rules.drain_grace.seconds();
-    let mut joined = Joined::default();
-    let mut closed = ClosedNodes::default();
+    deployment: &Deployment,
+    slowed_periods: &[SlowedPeriod],
+) -> RuleResult {
+    let mut judged = RuleResult::new(3);
+    let grace = deployment.rules.drain_grace.seconds();
+    let mut joined = JoinedControllers::default();
+    let mut unavailable = UnavailableNodes::default();
     for (t, record) in &records.0 {
         joined.follow(*t, record);
-        closed.follow(*t, record);
-        let Record::Sent { proxy, node, .. } = record else {
+        unavailable.follow(*t, record);
+        let Record::AttemptSent { proxy, node, .. } = record else {
             continue;
         };
         let Some((controller, since)) = joined.0.get(proxy) else {
             continue;
         };
-        let Some(told) = closed.told_at(*controller, node) else {
+        let Some(known_since) = unavailable.known_since(*controller, node) else {
             judged.checked += 1;
             continue;
         };
-        let from = told.max(*since);
-        let stretch = slowed
+        let from = known_since.max(*since);
+        let overlapping = slowed_periods
             .iter()
-            .filter(|slow| from <= slow.to && *t >= slow.from);
-        let factor = stretch.map(|slow| slow.factor).fold(1.0, f64::max);
+            .filter(|period| from <= period.to && *t >= period.from);
+        let factor = overlapping.map(|period| period.factor).fold(1.0, f64::max);
         judged.check(t - from, grace * factor, *t, || {
             format!("gateway {proxy} to {node}")
         });
@@ -44,7 +44,7 @@
 
 /// Since when each controller knows that a node is not to be used, by controller and node.
 #[derive(Default)]
-struct ClosedNodes {
+struct UnavailableNodes {
     /// By the list: it drains there or is gone from it.
     by_list: BTreeMap<(usize, String), f64>,
     /// By an operator's order.
@@ -53,30 +53,35 @@
     listed: BTreeMap<usize, BTreeSet<String>>,
 }
 
-impl ClosedNodes {
+impl UnavailableNodes {
     fn follow(&mut self, t: f64, record: &Record) {
         match record {
             // An order is kept over kills.
-            Record::Ordered {
+            Record::DrainOrdered {
                 controller,
                 node,
-                out,
+                drains,
                 ..
             } => {
                 let key = (*controller, node.clone());
-                match out {
+                match drains {
                     true => drop(self.by_order.entry(key).or_insert(t)),
                     false => drop(self.by_order.remove(&key)),
                 }
             }
-            Record::Listed {
+            Record::ListPublished {
                 controller, nodes, ..
             } => self.follow_list(t, *controller, nodes),
             _ => {}
         }
     }
 
-    fn follow_list(&mut self, t: f64, controller: usize, nodes: &BTreeMap<String, Listed>) {
+    fn follow_list(
+        &mut self,
+        t: f64,
+        controller: usize,
+        nodes: &BTreeMap<String, ListedNodeState>,
+    ) {
         let known = self.listed.entry(controller).or_default();
         known.extend(nodes.keys().cloned());
         for node in known.iter() {
@@ -88,42 +93,42 @@
         }
     }
 
-    fn told_at(&self, controller: usize, node: &str) -> Option<f64> {
+    fn known_since(&self, controller: usize, node: &str) -> Option<f64> {
         let key = (controller, node.to_string());
-        let told = [self.by_list.get(&key), self.by_order.get(&key)];
-        told.into_iter().flatten().copied().reduce(f64::min)
+        let known_since = [self.by_list.get(&key), self.by_order.get(&key)];
+        known_since.into_iter().flatten().copied().reduce(f64::min)
     }
 }
 
 /// Seconds from an order to drain until the last try of a proxy that was joined to the controller which took
 /// it, one figure for each controller and node; 0: none came after it.
-pub fn drain_order_times(records: &Records) -> Vec<f64> {
+pub fn drain_order_durations(records: &Records) -> Vec<f64> {
     // The answer to an order comes after the order was given: tries between the two count.
     let mut spans: BTreeMap<(usize, String), Vec<(f64, f64)>> = BTreeMap::new();
     for (t, record) in &records.0 {
-        let Record::Ordered {
+        let Record::DrainOrdered {
             controller,
             node,
-            out,
-            asked,
+            drains,
+            ordered_at,
         } = record
         else {
             continue;
         };
         let spans = spans.entry((*controller, node.clone())).or_default();
-        match (out, spans.last_mut()) {
+        match (drains, spans.last_mut()) {
             // Ordered again while it is in force, it goes on.
             (true, Some((_, end))) if end.is_infinite() => {}
-            (true, _) => spans.push((*asked, f64::INFINITY)),
+            (true, _) => spans.push((*ordered_at, f64::INFINITY)),
             (false, Some(last)) => last.1 = last.1.min(*t),
             (false, None) => {}
         }
     }
-    let mut joined = Joined::default();
+    let mut joined = JoinedControllers::default();
     let mut last: BTreeMap<(usize, String, usize), f64> = BTreeMap::new();
     for (t, record) in &records.0 {
         joined.follow(*t, record);
-        let Record::Sent { proxy, node, .. } = record else {
+        let Record::AttemptSent { proxy, node, .. } = record else {
             continue;
         };
         let Some((controller, _)) = joined.0.get(proxy) else {
--- a/crates/drill/src/audit/repeated_effects.rs
+++ b/crates/drill/src/audit/repeated_effects.rs
@@ -1,25 +1,28 @@
 //! Rule 2: no invocation takes effect twice through a retry.
 
-use super::verdict::RuleJudged;
+use super::verdict::RuleResult;
 use crate::records::{Record, Records};
 use std::collections::{BTreeMap, BTreeSet};
 use wheelspread_controller_core::deployment::{Deployment, RetryClass};
 
 /// Rule 2: effects that a proxy's repeats brought about twice.
-pub(super) fn judge_repeated_effects(records: &Records, plan: &Deployment) -> (u64, RuleJudged) {
-    let mut judged = RuleJudged::new(2);
+pub(super) fn judge_repeated_effects(
+    records: &Records,
+    deployment: &Deployment,
+) -> (u64, RuleResult) {
+    let mut judged = RuleResult::new(2);
     let mut effects: BTreeMap<&str, u64> = BTreeMap::new();
-    let binding: BTreeSet<&str> = plan
+    let non_idempotent: BTreeSet<&str> = deployment
         .operations
         .iter()
         .filter(|operation| operation.retry_class != RetryClass::Idempotent)
         .map(|operation| operation.name.as_str())
         .collect();
     for (t, record) in &records.0 {
-        let Record::Effect { id, operation, .. } = record else {
+        let Record::RequestExecuted { id, operation, .. } = record else {
             continue;
         };
-        if binding.contains(operation.as_str()) && !id.is_empty() {
+        if non_idempotent.contains(operation.as_str()) && !id.is_empty() {
             let count = effects.entry(id).or_insert(0);
             *count += 1;
             judged.check(*count as f64, 1.0, *t, || format!("{operation} {id}"));
--- a/crates/drill/src/audit/service.rs
+++ b/crates/drill/src/audit/service.rs
@@ -5,14 +5,14 @@
 use std::collections::BTreeMap;
 use wheelspread_controller_core::deployment::Deployment;
 
-pub(super) fn rate_service(
+pub(super) fn compute_service(
     records: &Records,
-    plan: &Deployment,
+    deployment: &Deployment,
 ) -> (Invocations, f64, BTreeMap<String, f64>) {
     let mut count = Invocations::default();
     let mut sums: BTreeMap<String, (f64, f64)> = BTreeMap::new();
     for (_, record) in &records.0 {
-        let Record::Done {
+        let Record::InvocationEnded {
             operation,
             latency,
             outcome,
@@ -21,31 +21,35 @@
         else {
             continue;
         };
-        let Some(told) = plan.operations.iter().find(|told| told.name == *operation) else {
+        let Some(config) = deployment
+            .operations
+            .iter()
+            .find(|config| config.name == *operation)
+        else {
             continue;
         };
         count.offered += 1;
         let sum = sums.entry(operation.clone()).or_insert((0.0, 0.0));
-        sum.1 += told.billed_value;
+        sum.1 += config.billed_value;
         match outcome {
-            ClientOutcome::Succeeded if *latency <= told.latency_objective.seconds() => {
+            ClientOutcome::Succeeded if *latency <= config.latency_objective.seconds() => {
                 count.succeeded += 1;
-                sum.0 += told.billed_value;
+                sum.0 += config.billed_value;
             }
             ClientOutcome::Succeeded => {
                 count.late += 1;
-                sum.0 += told.billed_value * told.late_share;
+                sum.0 += config.billed_value * config.late_share;
             }
             ClientOutcome::RateLimited => count.rate_limited += 1,
-            ClientOutcome::Errored | ClientOutcome::GivenUp => count.errored += 1,
+            ClientOutcome::Errored | ClientOutcome::TimedOut => count.errored += 1,
         }
     }
-    let (won, asked) = sums
+    let (earned, requested) = sums
         .values()
         .fold((0.0, 0.0), |all, one| (all.0 + one.0, all.1 + one.1));
     let each = sums
         .iter()
-        .map(|(name, (won, asked))| (name.clone(), won / asked.max(1e-9)))
+        .map(|(name, (earned, requested))| (name.clone(), earned / requested.max(1e-9)))
         .collect();
-    (count, won / f64::max(asked, 1e-9), each)
+    (count, earned / f64::max(requested, 1e-9), each)
 }
--- a/crates/drill/src/audit/verdict.rs
+++ b/crates/drill/src/audit/verdict.rs
@@ -5,7 +5,7 @@
 
 /// What the records say of one rule.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct RuleJudged {
+pub struct RuleResult {
     /// The rule's number, 1 to 5.
     pub rule: u8,
     /// How many things were looked at.
@@ -13,12 +13,12 @@
     /// How many of them were beyond what is allowed.
     pub broken: u64,
     /// The worst of them, broken or not, beside what is allowed.
-    pub worst: Judged,
+    pub worst: CheckedValue,
 }
 
 /// One thing that a rule was checked on.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Judged {
+pub struct CheckedValue {
     /// What was measured, in the rule's own unit.
     pub value: f64,
     /// What the rule allows, in the same unit.
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug, Serialize)]
 pub struct Verdict {
     /// One entry a rule, in the order of their numbers.
-    pub rules: Vec<RuleJudged>,
+    pub rules: Vec<RuleResult>,
     /// How the clients' invocations ended.
     pub invocations: Invocations,
     /// Billed value within the latency objective over the value asked for.
@@ -70,16 +70,16 @@
     }
 }
 
-impl RuleJudged {
-    pub(super) fn new(rule: u8) -> RuleJudged {
-        let worst = Judged {
+impl RuleResult {
+    pub(super) fn new(rule: u8) -> RuleResult {
+        let worst = CheckedValue {
             value: f64::NEG_INFINITY,
-            ..Judged::default()
+            ..CheckedValue::default()
         };
-        RuleJudged {
+        RuleResult {
             rule,
             worst,
-            ..RuleJudged::default()
+            ..RuleResult::default()
         }
     }
 
@@ -96,7 +96,7 @@
         if value - allowed > self.worst.value - self.worst.allowed
             || self.worst.value == f64::NEG_INFINITY
         {
-            self.worst = Judged {
+            self.worst = CheckedValue {
                 value,
                 allowed,
                 at_s: at,
@@ -105,7 +105,7 @@
         }
     }
 
-    pub(super) fn finish(mut self) -> RuleJudged {
+    pub(super) fn finish(mut self) -> RuleResult {
         if self.worst.value == f64::NEG_INFINITY {
             self.worst.value = 0.0;
         }
--- a/crates/drill/src/audit/without_node.rs
+++ b/crates/drill/src/audit/without_node.rs
@@ -1,73 +1,78 @@
 //! Rule 1: no joined proxy is without a node for longer than allowed.
 
-use super::joined::Joined;
-use super::verdict::RuleJudged;
-use crate::records::{Lines, Listed, Record, Records};
+use super::joined::JoinedControllers;
+use super::verdict::RuleResult;
+use crate::records::{EntriesByOperation, ListedNodeState, Record, Records};
 use std::collections::BTreeMap;
 use wheelspread_controller_core::deployment::Deployment;
 
 /// Rule 1: how long a joined proxy lacked a line for an operation while its controller's list showed an
 /// open node ready that was no longer cold.
-pub(super) fn judge_time_without_node(records: &Records, plan: &Deployment) -> RuleJudged {
-    let mut judged = RuleJudged::new(1);
-    let allowed = plan.rules.without_node_at_most.seconds();
-    let warm = plan.rules.warm_after.seconds();
-    let mut joined = Joined::default();
-    let mut lists: BTreeMap<usize, BTreeMap<String, Listed>> = BTreeMap::new();
-    let mut tables: BTreeMap<usize, Lines> = BTreeMap::new();
-    let mut lacking: BTreeMap<(usize, String), f64> = BTreeMap::new();
+pub(super) fn judge_time_without_node(records: &Records, deployment: &Deployment) -> RuleResult {
+    let mut judged = RuleResult::new(1);
+    let allowed = deployment.rules.without_node_at_most.seconds();
+    let warm_after = deployment.rules.warm_after.seconds();
+    let mut joined = JoinedControllers::default();
+    let mut lists: BTreeMap<usize, BTreeMap<String, ListedNodeState>> = BTreeMap::new();
+    let mut tables: BTreeMap<usize, EntriesByOperation> = BTreeMap::new();
+    let mut without_node_since: BTreeMap<(usize, String), f64> = BTreeMap::new();
     let mut zones: BTreeMap<usize, usize> = BTreeMap::new();
     for (t, record) in &records.0 {
         joined.follow(*t, record);
         match record {
-            Record::Listed {
+            Record::ListPublished {
                 controller, nodes, ..
             } => drop(lists.insert(*controller, nodes.clone())),
-            Record::Tables { proxy, lines, .. } => drop(tables.insert(*proxy, lines.clone())),
-            Record::Died { proxy } => drop(tables.remove(proxy)),
-            Record::Came { proxy, .. } => drop(zones.entry(*proxy).or_insert(0)),
-            Record::Joined { .. } | Record::Left { .. } | Record::Swapped { .. } => {}
+            Record::TablesApplied { proxy, entries, .. } => {
+                drop(tables.insert(*proxy, entries.clone()))
+            }
+            Record::ProxyKilled { proxy } => drop(tables.remove(proxy)),
+            Record::RequestArrived { proxy, .. } => drop(zones.entry(*proxy).or_insert(0)),
+            Record::Joined { .. } | Record::Left { .. } | Record::TablesSwapped { .. } => {}
             _ => continue,
         }
         for (proxy, (controller, _)) in &joined.0 {
-            for operation in &plan.operations {
-                let has = tables
+            for operation in &deployment.operations {
+                let has_entry = tables
                     .get(proxy)
-                    .and_then(|lines| lines.get(&operation.name));
-                let has = has.is_some_and(|lines| lines.iter().any(|(_, weight)| *weight > 0.0));
-                let zone = proxy % plan.zones.len();
-                let open = |listed: &Listed| {
+                    .and_then(|entries| entries.get(&operation.name));
+                let has_entry = has_entry
+                    .is_some_and(|entries| entries.iter().any(|(_, weight)| *weight > 0.0));
+                let zone = proxy % deployment.zones.len();
+                let is_available = |listed: &ListedNodeState| {
                     !listed.draining
-                        && t - listed.started >= warm
+                        && t - listed.started >= warm_after
                         && (!operation.stays_in_zone || listed.zone == zone)
                 };
-                let could = lists
+                let node_available = lists
                     .get(controller)
-                    .is_some_and(|list| list.values().any(open));
+                    .is_some_and(|list| list.values().any(is_available));
                 let key = (*proxy, operation.name.clone());
-                match lacking.get(&key) {
-                    None if !has && could => drop(lacking.insert(key, *t)),
-                    Some(since) if has || !could => {
+                match without_node_since.get(&key) {
+                    None if !has_entry && node_available => {
+                        drop(without_node_since.insert(key, *t))
+                    }
+                    Some(since) if has_entry || !node_available => {
                         judged.check(t - since, allowed, *since, || {
                             format!("gateway {proxy}, {}", operation.name)
                         });
-                        lacking.remove(&key);
+                        without_node_since.remove(&key);
                     }
                     _ => {}
                 }
             }
         }
         // Who left or died is not looked at until it joins again.
-        lacking.retain(|(proxy, _), _| joined.0.contains_key(proxy));
+        without_node_since.retain(|(proxy, _), _| joined.0.contains_key(proxy));
     }
     let end = records.0.last().map_or(0.0, |(t, _)| *t);
-    for ((proxy, operation), since) in lacking {
+    for ((proxy, operation), since) in without_node_since {
         judged.check(end - since, allowed, since, || {
             format!("gateway {proxy}, {operation}, to the end")
         });
     }
     judged.checked = judged
         .checked
-        .max((zones.len() * plan.operations.len()) as u64);
+        .max((zones.len() * deployment.operations.len()) as u64);
     judged
 }
--- a/crates/drill/src/client_population.rs
+++ b/crates/drill/src/client_population.rs
@@ -18,12 +18,12 @@
 
 pub enum ClientCommand {
     /// Times the usual rate, of all proxies or of some.
-    Rate {
+    SetRate {
         proxies: Option<Vec<usize>>,
         factor: f64,
     },
     /// A proxy listens somewhere else, or not at all.
-    At {
+    SetAddress {
         proxy: usize,
         address: Option<SocketAddr>,
     },
@@ -51,27 +51,27 @@
         let proxies = rates
             .iter()
             .zip(addresses)
-            .map(|(rate, at)| ProxyTarget {
-                at,
-                usual: *rate,
+            .map(|(rate, address)| ProxyTarget {
+                address,
+                base_rate: *rate,
                 factor: 1.0,
             })
             .collect();
         let worker = Worker::spawn("clients", Poll::new()?, move |poll, inbox| {
-            let mut crowd = PopulationLoop {
+            let mut population = PopulationLoop {
                 script,
                 recorder,
-                chance: Pcg::new(seed),
+                rng: Pcg::new(seed),
                 poll,
                 inbox,
                 proxies,
                 connections: Slab::new(),
                 idle: BTreeMap::new(),
                 due: BTreeMap::new(),
-                next: 0,
+                last_sequence: 0,
                 finishing: false,
             };
-            crowd.run();
+            population.run();
         })?;
         Ok(ClientPopulation { worker })
     }
@@ -84,14 +84,14 @@
 struct PopulationLoop {
     script: Script,
     recorder: Recorder,
-    chance: Pcg,
+    rng: Pcg,
     poll: Poll,
     inbox: Inbox<ClientCommand>,
     proxies: Vec<ProxyTarget>,
     connections: Slab<Connection>,
     idle: BTreeMap<usize, Vec<usize>>,
     due: BTreeMap<(Moment, u64), Due>,
-    next: u64,
+    last_sequence: u64,
     finishing: bool,
 }
 
@@ -104,7 +104,7 @@
             let now = reactor::now();
             while let Some(entry) = self.due.first_entry().filter(|entry| entry.key().0 <= now) {
                 match entry.remove() {
-                    Due::Arrival { proxy } => self.arrive(now, proxy),
+                    Due::Arrival { proxy } => self.start_invocation(now, proxy),
                     Due::Retry(invocation) => self.invoke(now, invocation),
                     Due::Timeout { slot, use_number } => self.on_timeout(now, slot, use_number),
                 }
@@ -113,8 +113,8 @@
                 .connections
                 .iter()
                 .any(|(_, connection)| connection.invocation.is_some());
-            let again = self.due.values().any(|due| matches!(due, Due::Retry(_)));
-            if self.finishing && !busy && !again {
+            let retry_pending = self.due.values().any(|due| matches!(due, Due::Retry(_)));
+            if self.finishing && !busy && !retry_pending {
                 return;
             }
             let wait = self
@@ -127,8 +127,8 @@
             let now = reactor::now();
             for ready in ready.drain(..) {
                 if ready.token == INBOX {
-                    for order in self.inbox.take() {
-                        self.execute(order);
+                    for command in self.inbox.take() {
+                        self.execute(command);
                     }
                 } else {
                     self.on_ready(now, ready.token.0 as usize);
@@ -137,48 +137,48 @@
         }
     }
 
-    fn execute(&mut self, order: ClientCommand) {
-        match order {
-            ClientCommand::Rate { proxies, factor } => {
+    fn execute(&mut self, command: ClientCommand) {
+        match command {
+            ClientCommand::SetRate { proxies, factor } => {
                 for (number, proxy) in self.proxies.iter_mut().enumerate() {
                     if proxies.as_ref().is_none_or(|some| some.contains(&number)) {
                         proxy.factor = factor;
                     }
                 }
             }
-            ClientCommand::At { proxy, address } => self.proxies[proxy].at = address,
+            ClientCommand::SetAddress { proxy, address } => self.proxies[proxy].address = address,
             ClientCommand::Finish => self.finishing = true,
         }
     }
 
-    fn later(&mut self, at: Moment, due: Due) {
-        self.next += 1;
-        self.due.insert((at, self.next), due);
+    fn schedule(&mut self, at: Moment, due: Due) {
+        self.last_sequence += 1;
+        self.due.insert((at, self.last_sequence), due);
     }
 
     fn exponential(&mut self) -> f64 {
-        -(1.0 - self.chance.unit()).ln()
+        -(1.0 - self.rng.unit()).ln()
     }
 
     fn schedule_arrival(&mut self, now: Moment, proxy: usize) {
-        let rate = self.proxies[proxy].usual * self.proxies[proxy].factor;
+        let rate = self.proxies[proxy].base_rate * self.proxies[proxy].factor;
         let wait = if rate > 0.0 {
             self.exponential() / rate
         } else {
             0.1
         };
-        self.later(
+        self.schedule(
             now + Span::from_seconds(wait.min(5.0)),
             Due::Arrival { proxy },
         );
     }
 
-    fn arrive(&mut self, now: Moment, proxy: usize) {
+    fn start_invocation(&mut self, now: Moment, proxy: usize) {
         if self.finishing {
             return;
         }
         self.schedule_arrival(now, proxy);
-        if self.proxies[proxy].usual <= 0.0 {
+        if self.proxies[proxy].base_rate <= 0.0 {
             return;
         }
         let shares: f64 = self
@@ -188,20 +188,20 @@
             .iter()
             .map(|operation| operation.share)
             .sum();
-        let mut mark = self.chance.unit() * shares;
+        let mut draw = self.rng.unit() * shares;
         let mut chosen = 0;
         for (at, operation) in self.script.traffic.operations.iter().enumerate() {
             chosen = at;
-            mark -= operation.share;
-            if mark < 0.0 {
+            draw -= operation.share;
+            if draw < 0.0 {
                 break;
             }
         }
         // Half of the work is fixed, the rest by chance.
         let mean = self.script.traffic.operations[chosen].work.seconds();
         let work = mean * (0.5 + 0.5 * self.exponential().min(6.0));
-        self.next += 1;
-        let id = format!("{:x}-{:x}", self.next, self.chance.draw());
+        self.last_sequence += 1;
+        let id = format!("{:x}-{:x}", self.last_sequence, self.rng.draw());
         self.invoke(
             now,
             Invocation {
@@ -215,32 +215,32 @@
         );
     }
 
-    fn plan(
+    fn operation_config(
         &self,
         invocation: &Invocation,
     ) -> &wheelspread_controller_core::deployment::OperationConfig {
         let name = &self.script.traffic.operations[invocation.operation].name;
-        let plans = &self.script.deployment.operations;
-        plans
+        let operations = &self.script.deployment.operations;
+        operations
             .iter()
-            .find(|plan| plan.name == *name)
-            .unwrap_or(&plans[0])
+            .find(|operation| operation.name == *name)
+            .unwrap_or(&operations[0])
     }
 
     fn end(&mut self, now: Moment, invocation: Invocation, outcome: ClientOutcome, unsent: bool) {
-        let plan = self.plan(&invocation);
-        let (deadline, repeat) = (
-            invocation.arrived + plan.integration_timeout,
-            plan.retry_class,
+        let config = self.operation_config(&invocation);
+        let (deadline, retry_class) = (
+            invocation.arrived + config.integration_timeout,
+            config.retry_class,
         );
-        let safe = unsent || repeat == RetryClass::Idempotent;
-        let may = invocation.attempt < self.script.traffic.retries && safe;
-        let wait = Span::from_seconds(0.1 + 0.2 * self.chance.unit());
+        let is_safe = unsent || retry_class == RetryClass::Idempotent;
+        let may_retry = invocation.attempt < self.script.traffic.retries && is_safe;
+        let wait = Span::from_seconds(0.1 + 0.2 * self.rng.unit());
         if matches!(outcome, ClientOutcome::RateLimited | ClientOutcome::Errored)
-            && may
+            && may_retry
             && now + wait < deadline
         {
-            return self.later(
+            return self.schedule(
                 now + wait,
                 Due::Retry(Invocation {
                     attempt: invocation.attempt + 1,
@@ -253,9 +253,9 @@
             .clone();
         let (proxy, id, attempt) = (invocation.proxy, invocation.id, invocation.attempt);
         let latency = (now - invocation.arrived).seconds();
-        self.recorder.note(
+        self.recorder.record(
             now,
-            Record::Done {
+            Record::InvocationEnded {
                 proxy,
                 id,
                 operation,
--- a/crates/drill/src/client_population/connections.rs
+++ b/crates/drill/src/client_population/connections.rs
@@ -12,7 +12,7 @@
 
 impl PopulationLoop {
     pub(super) fn invoke(&mut self, now: Moment, invocation: Invocation) {
-        let deadline = invocation.arrived + self.plan(&invocation).integration_timeout;
+        let deadline = invocation.arrived + self.operation_config(&invocation).integration_timeout;
         let name = &self.script.traffic.operations[invocation.operation].name;
         // Attempts of the client's own are invocations of their own: only the proxy repeats one.
         let output = format!(
@@ -23,27 +23,27 @@
         let Some(slot) = self.connection_to(proxy) else {
             return self.end(now, invocation, ClientOutcome::Errored, false);
         };
-        self.next += 1;
-        let use_number = self.next;
+        self.last_sequence += 1;
+        let use_number = self.last_sequence;
         let connection = &mut self.connections[slot];
         (
             connection.invocation,
             connection.output,
             connection.use_number,
         ) = (Some(invocation), output.into_bytes(), use_number);
-        self.later(deadline, Due::Timeout { slot, use_number });
+        self.schedule(deadline, Due::Timeout { slot, use_number });
         self.on_ready(now, slot);
     }
 
     pub(super) fn connection_to(&mut self, proxy: usize) -> Option<usize> {
-        let address = self.proxies[proxy].at?;
+        let address = self.proxies[proxy].address?;
         while let Some(slot) = self.idle.get_mut(&proxy).and_then(Vec::pop) {
-            let here = self
+            let is_current = self
                 .connections
                 .get(slot)
                 .and_then(|connection| connection.socket.peer_addr().ok())
                 == Some(address);
-            if here {
+            if is_current {
                 return Some(slot);
             }
             self.connections.try_remove(slot);
@@ -82,11 +82,11 @@
                 _ => break,
             }
         }
-        let mut piece = [0u8; 4096];
-        let over = loop {
-            match connection.socket.read(&mut piece) {
+        let mut buffer = [0u8; 4096];
+        let closed = loop {
+            match connection.socket.read(&mut buffer) {
                 Ok(0) => break true,
-                Ok(count) => connection.input.extend_from_slice(&piece[..count]),
+                Ok(count) => connection.input.extend_from_slice(&buffer[..count]),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => break false,
                 Err(error) if error.kind() == ErrorKind::NotConnected => break false,
                 Err(_) => break true,
@@ -101,11 +101,11 @@
             }
             _ => None,
         };
-        match (status, over) {
+        match (status, closed) {
             (Some((status, length, keep_alive)), _) => {
                 connection.input.drain(..length);
                 let invocation = connection.invocation.take();
-                if keep_alive && !over {
+                if keep_alive && !closed {
                     let proxy = connection.proxy;
                     self.idle.entry(proxy).or_default().push(slot);
                 } else {
@@ -133,15 +133,15 @@
     }
 
     pub(super) fn on_timeout(&mut self, now: Moment, slot: usize, use_number: u64) {
-        let waits = self.connections.get(slot).is_some_and(|connection| {
+        let is_pending = self.connections.get(slot).is_some_and(|connection| {
             connection.use_number == use_number && connection.invocation.is_some()
         });
-        if waits {
+        if is_pending {
             let connection = self.connections.remove(slot);
             connection
                 .invocation
                 .into_iter()
-                .for_each(|invocation| self.end(now, invocation, ClientOutcome::GivenUp, false));
+                .for_each(|invocation| self.end(now, invocation, ClientOutcome::TimedOut, false));
         }
     }
 }
--- a/crates/drill/src/client_population/state.rs
+++ b/crates/drill/src/client_population/state.rs
@@ -5,8 +5,8 @@
 
 /// Where clients reach a proxy, and how much they ask of it.
 pub(super) struct ProxyTarget {
-    pub(super) at: Option<SocketAddr>,
-    pub(super) usual: f64,
+    pub(super) address: Option<SocketAddr>,
+    pub(super) base_rate: f64,
     pub(super) factor: f64,
 }
 
--- a/crates/drill/src/even_publisher.rs
+++ b/crates/drill/src/even_publisher.rs
@@ -17,17 +17,17 @@
 
 /// Which rule is broken on purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sabotage {
+pub enum RuleViolation {
     /// One proxy is given a table without entries.
     EmptyTable,
     /// Requests with side effects are retried after any failure.
-    Repeat,
+    RetryUnsafe,
     /// Drained nodes stay in the tables.
     KeepDrained,
     /// A node that has just started gets everything.
-    FloodCold,
+    OverloadWarming,
     /// Tables are swapped again and again.
-    Overfill,
+    ExceedMessageCap,
 }
 
 /// What the list says of a node.
@@ -44,22 +44,22 @@
 }
 
 /// Writes tables with even weights.
-pub struct EvenPublisher {
+pub struct EvenWeightPublisher {
     root: TableRoot,
     version: u64,
     /// The rule that it breaks.
-    pub sabotage: Option<Sabotage>,
+    pub violation: Option<RuleViolation>,
     /// Nodes that were listed once, for a publisher that keeps drained nodes.
     ever_listed: Vec<ListedNode>,
 }
 
-impl EvenPublisher {
+impl EvenWeightPublisher {
     /// A publisher that has written nothing.
-    pub fn new(root: TableRoot, sabotage: Option<Sabotage>) -> EvenPublisher {
-        EvenPublisher {
+    pub fn new(root: TableRoot, violation: Option<RuleViolation>) -> EvenWeightPublisher {
+        EvenWeightPublisher {
             root,
             version: 0,
-            sabotage,
+            violation,
             ever_listed: Vec::new(),
         }
     }
@@ -75,13 +75,16 @@
         for (proxy, zone) in zones.iter().enumerate() {
             let is_written_before = self.version >= zones.len() as u64;
             // One proxy is enough to be written to too often.
-            if self.sabotage == Some(Sabotage::Overfill) && proxy > 0 && is_written_before {
+            if self.violation == Some(RuleViolation::ExceedMessageCap)
+                && proxy > 0
+                && is_written_before
+            {
                 break;
             }
             self.version += 1;
             let is_rewritten = self.version > zones.len() as u64;
             let is_emptied =
-                self.sabotage == Some(Sabotage::EmptyTable) && proxy == 0 && is_rewritten;
+                self.violation == Some(RuleViolation::EmptyTable) && proxy == 0 && is_rewritten;
             let nodes = if is_emptied { &[][..] } else { &nodes[..] };
             let set = TableSet {
                 bundle: BundleId(proxy as u32),
@@ -97,7 +100,7 @@
     }
 
     fn nodes_to_publish(&mut self, listed: &[ListedNode]) -> Vec<ListedNode> {
-        if self.sabotage != Some(Sabotage::KeepDrained) {
+        if self.violation != Some(RuleViolation::KeepDrained) {
             let is_open = |node: &&ListedNode| !node.draining;
             return listed.iter().filter(is_open).cloned().collect();
         }
@@ -116,9 +119,9 @@
         nodes: &[ListedNode],
         zone: usize,
     ) -> Vec<OperationTable> {
-        let is_flooding =
-            self.sabotage == Some(Sabotage::FloodCold) && nodes.iter().any(|node| node.cold);
-        let retry = if self.sabotage == Some(Sabotage::Repeat) {
+        let sends_only_to_warming = self.violation == Some(RuleViolation::OverloadWarming)
+            && nodes.iter().any(|node| node.cold);
+        let retry = if self.violation == Some(RuleViolation::RetryUnsafe) {
             RetryPolicy::OnceOnAnyFailure
         } else {
             RetryPolicy::IfUnprocessed
@@ -126,7 +129,7 @@
         let operation_table = |(at, operation): (usize, &OperationConfig)| {
             let is_reachable = |node: &&ListedNode| {
                 (!operation.stays_in_zone || node.zone == zone)
-                    && (!is_flooding || node.cold || operation.stays_in_zone)
+                    && (!sends_only_to_warming || node.cold || operation.stays_in_zone)
             };
             let reachable = nodes.iter().filter(is_reachable);
             OperationTable {
@@ -144,7 +147,7 @@
     /// How often an overfilled proxy is written to must not depend on the disk, so that sabotage does not wait
     /// for it: on a busy disk it once wrote 55 messages where 61 break the rule.
     fn swap(&self, swap: &Swap) -> Result<(), SwapError> {
-        if self.sabotage != Some(Sabotage::Overfill) {
+        if self.violation != Some(RuleViolation::ExceedMessageCap) {
             return swap.run();
         }
         let is_sync =
--- a/crates/drill/src/lib.rs
+++ b/crates/drill/src/lib.rs
@@ -17,9 +17,9 @@
 mod watch;
 mod worker;
 
-pub use audit::{judge, Judged, RuleJudged, Verdict};
+pub use audit::{judge, CheckedValue, RuleResult, Verdict};
 pub use error::{DrillError, PublishError, ScriptError};
-pub use even_publisher::Sabotage;
+pub use even_publisher::RuleViolation;
 pub use machine::{cpu_of, free_port, own_port};
 pub use proxies::proxy_name;
 pub use records::{Record, Records};
--- a/crates/drill/src/load.rs
+++ b/crates/drill/src/load.rs
@@ -42,28 +42,29 @@
     /// Where each of them listens.
     pub addresses: Vec<SocketAddrV4>,
     /// What they have executed so far.
-    pub met: Arc<Mutex<ExecutionCounts>>,
+    pub counts: Arc<Mutex<ExecutionCounts>>,
     /// The faults of each.
     pub faults: Arc<Mutex<Vec<Faults>>>,
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
-const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-const ERROR: &[u8] = b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n";
-const FULL: &[u8] = b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\nRetry-After: 1\r\n\r\n";
-const LISTENERS: u64 = 1 << 40;
+const RESPONSE_OK: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+const RESPONSE_ERROR: &[u8] = b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n";
+const RESPONSE_UNAVAILABLE: &[u8] =
+    b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\nRetry-After: 1\r\n\r\n";
+const FIRST_LISTENER_TOKEN: u64 = 1 << 40;
 
 impl FastNodes {
     /// Starts this many. With `keep_ids` executions are counted by invocation too.
     pub fn start(count: usize, keep_ids: bool, seed: u64) -> std::io::Result<FastNodes> {
         let mut poll = Poll::new()?;
         let (mut listeners, mut addresses) = (Vec::new(), Vec::new());
-        for number in 0..count {
+        for index in 0..count {
             let listener = reactor::listen(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0))?;
             poll.add(
                 &listener,
-                Token(LISTENERS + number as u64),
+                Token(FIRST_LISTENER_TOKEN + index as u64),
                 Interest::Readable,
             )?;
             if let SocketAddr::V4(address) = listener.local_addr()? {
@@ -71,30 +72,31 @@
             }
             listeners.push(listener);
         }
-        let met = Arc::new(Mutex::new(ExecutionCounts {
+        let counts = Arc::new(Mutex::new(ExecutionCounts {
             executed: vec![0; count],
             effects: HashMap::new(),
         }));
         let faults = Arc::new(Mutex::new(vec![Faults::default(); count]));
         let stop = Arc::new(AtomicBool::new(false));
-        let (told, book, wrong) = (stop.clone(), met.clone(), faults.clone());
+        let (stop_requested, shared_counts, shared_faults) =
+            (stop.clone(), counts.clone(), faults.clone());
         let run = move || {
             let mut nodes = NodeLoop {
                 listeners,
-                calls: Slab::new(),
-                book,
-                wrong,
+                connections: Slab::new(),
+                shared_counts,
+                shared_faults,
                 keep_ids,
-                chance: Pcg::new(seed),
+                rng: Pcg::new(seed),
             };
             let mut ready = Vec::new();
-            while !told.load(Ordering::Relaxed) {
+            while !stop_requested.load(Ordering::Relaxed) {
                 if poll.wait(Span::from_seconds(0.05), &mut ready).is_err() {
                     return;
                 }
                 for ready in ready.drain(..) {
-                    match ready.token.0.checked_sub(LISTENERS) {
-                        Some(number) => nodes.accept(&poll, number as usize),
+                    match ready.token.0.checked_sub(FIRST_LISTENER_TOKEN) {
+                        Some(index) => nodes.accept(&poll, index as usize),
                         None => nodes.serve(ready.token.0 as usize),
                     }
                 }
@@ -105,7 +107,7 @@
             .spawn(run)?;
         Ok(FastNodes {
             addresses,
-            met,
+            counts,
             faults,
             stop,
             thread: Some(thread),
@@ -120,8 +122,11 @@
     }
 
     /// A copy of what they have executed so far.
-    pub fn seen(&self) -> ExecutionCounts {
-        self.met.lock().map(|met| met.clone()).unwrap_or_default()
+    pub fn execution_counts(&self) -> ExecutionCounts {
+        self.counts
+            .lock()
+            .map(|counts| counts.clone())
+            .unwrap_or_default()
     }
 }
 
@@ -136,85 +141,93 @@
 
 struct NodeLoop {
     listeners: Vec<TcpListener>,
-    calls: Slab<(usize, TcpStream, Vec<u8>)>,
-    book: Arc<Mutex<ExecutionCounts>>,
-    wrong: Arc<Mutex<Vec<Faults>>>,
+    connections: Slab<(usize, TcpStream, Vec<u8>)>,
+    shared_counts: Arc<Mutex<ExecutionCounts>>,
+    shared_faults: Arc<Mutex<Vec<Faults>>>,
     keep_ids: bool,
-    chance: Pcg,
+    rng: Pcg,
 }
 
 impl NodeLoop {
-    fn accept(&mut self, poll: &Poll, number: usize) {
-        for socket in reactor::accept(&self.listeners[number]).0 {
-            let slot = self.calls.insert((number, socket, Vec::new()));
+    fn accept(&mut self, poll: &Poll, index: usize) {
+        for socket in reactor::accept(&self.listeners[index]).0 {
+            let slot = self.connections.insert((index, socket, Vec::new()));
             if poll
-                .add(&self.calls[slot].1, Token(slot as u64), Interest::Edges)
+                .add(
+                    &self.connections[slot].1,
+                    Token(slot as u64),
+                    Interest::Edges,
+                )
                 .is_err()
             {
-                self.calls.remove(slot);
+                self.connections.remove(slot);
             }
         }
     }
 
     fn serve(&mut self, slot: usize) {
-        let Some((node, socket, input)) = self.calls.get_mut(slot) else {
+        let Some((node, socket, input)) = self.connections.get_mut(slot) else {
             return;
         };
-        let mut piece = [0u8; 16384];
-        let over = loop {
-            match socket.read(&mut piece) {
+        let mut buffer = [0u8; 16384];
+        let closed = loop {
+            match socket.read(&mut buffer) {
                 Ok(0) => break true,
-                Ok(count) => input.extend_from_slice(&piece[..count]),
+                Ok(count) => input.extend_from_slice(&buffer[..count]),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => break false,
                 Err(_) => break true,
             }
         };
         let node = *node;
-        let mut ends = over;
-        while let Some(end) = input.windows(4).position(|four| four == b"\r\n\r\n") {
+        let mut closes_connection = closed;
+        while let Some(end) = input.windows(4).position(|window| window == b"\r\n\r\n") {
             let id = if self.keep_ids {
                 request_id(&input[..end])
             } else {
                 None
             };
             input.drain(..end + 4);
-            let faults = self.wrong.lock().map(|all| all[node]).unwrap_or_default();
-            let mut draw = self.chance.unit();
-            let mut strikes = |part: f64| {
-                draw -= part;
-                draw < 0.0 && draw >= -part
+            let faults = self
+                .shared_faults
+                .lock()
+                .map(|all| all[node])
+                .unwrap_or_default();
+            let mut draw = self.rng.unit();
+            let mut is_drawn = |ratio: f64| {
+                draw -= ratio;
+                draw < 0.0 && draw >= -ratio
             };
-            let kinds = [
+            let ratios = [
                 faults.refuse,
                 faults.reset,
                 faults.silent,
                 faults.error,
                 faults.close,
             ];
-            let struck = kinds.map(&mut strikes);
-            if !struck[0] {
-                if let Ok(mut book) = self.book.lock() {
-                    book.executed[node] += 1;
+            let drawn = ratios.map(&mut is_drawn);
+            if !drawn[0] {
+                if let Ok(mut shared_counts) = self.shared_counts.lock() {
+                    shared_counts.executed[node] += 1;
                     if let Some(id) = id {
-                        *book.effects.entry(id).or_insert(0) += 1;
+                        *shared_counts.effects.entry(id).or_insert(0) += 1;
                     }
                 }
             }
-            let answer: &[u8] = match struck {
-                [true, ..] => FULL,
+            let response: &[u8] = match drawn {
+                [true, ..] => RESPONSE_UNAVAILABLE,
                 [_, true, ..] => {
-                    let (_, socket, _) = self.calls.remove(slot);
+                    let (_, socket, _) = self.connections.remove(slot);
                     return reactor::reset(socket);
                 }
                 [_, _, true, ..] => continue,
-                [_, _, _, true, _] => ERROR,
-                _ => ANSWER,
+                [_, _, _, true, _] => RESPONSE_ERROR,
+                _ => RESPONSE_OK,
             };
             // Answers are short; a socket that takes none of one is as good as gone.
-            ends |= socket.write(answer).is_err() || struck[4];
+            closes_connection |= socket.write(response).is_err() || drawn[4];
         }
-        if ends {
-            self.calls.remove(slot);
+        if closes_connection {
+            self.connections.remove(slot);
         }
     }
 }
@@ -228,31 +241,31 @@
 
 /// What a client saw.
 #[derive(Clone, Debug)]
-pub struct Loaded {
+pub struct LoadResult {
     /// Answers by HTTP status.
-    pub answers: BTreeMap<u16, u64>,
+    pub responses: BTreeMap<u16, u64>,
     /// Ended without an answer.
-    pub broken: u64,
+    pub failed: u64,
     /// Latencies in microseconds.
-    pub micros: Histogram<u64>,
+    pub latencies_us: Histogram<u64>,
     /// How long the load lasted.
     pub seconds: f64,
 }
 
-impl Loaded {
+impl LoadResult {
     /// All answers.
     pub fn total(&self) -> u64 {
-        self.answers.values().sum::<u64>() + self.broken
+        self.responses.values().sum::<u64>() + self.failed
     }
 
     /// Answers a second.
-    pub fn per_second(&self) -> f64 {
-        self.answers.get(&200).copied().unwrap_or(0) as f64 / self.seconds.max(1e-9)
+    pub fn successes_per_second(&self) -> f64 {
+        self.responses.get(&200).copied().unwrap_or(0) as f64 / self.seconds.max(1e-9)
     }
 
     /// The latency at this quantile, in milliseconds.
-    pub fn ms(&self, quantile: f64) -> f64 {
-        self.micros.value_at_quantile(quantile) as f64 / 1e3
+    pub fn latency_ms(&self, quantile: f64) -> f64 {
+        self.latencies_us.value_at_quantile(quantile) as f64 / 1e3
     }
 }
 
@@ -268,135 +281,140 @@
     /// Ends after so many invocations, or after so long.
     pub invocations: u64,
     /// The longest time that the load lasts.
-    pub at_most: Span,
+    pub max_duration: Span,
     /// The first id.
-    pub from: u64,
+    pub first_id: u64,
 }
 
 struct ClientConnection {
     socket: TcpStream,
     input: Vec<u8>,
-    since: Moment,
-    open: bool,
+    sent_at: Moment,
+    in_flight: bool,
 }
 
 /// Each connection sends its next request when it has its answer.
-pub fn load(load: Load) -> std::io::Result<Loaded> {
+pub fn load(load: Load) -> std::io::Result<LoadResult> {
     let mut poll = Poll::new()?;
-    let micros = Histogram::new(3).map_err(|error| std::io::Error::other(error.to_string()))?;
-    let mut loaded = Loaded {
-        answers: BTreeMap::new(),
-        broken: 0,
-        micros,
+    let latencies_us =
+        Histogram::new(3).map_err(|error| std::io::Error::other(error.to_string()))?;
+    let mut result = LoadResult {
+        responses: BTreeMap::new(),
+        failed: 0,
+        latencies_us,
         seconds: 0.0,
     };
-    let begin = reactor::now();
-    let mut lines: Vec<Option<ClientConnection>> = (0..load.connections).map(|_| None).collect();
-    let (mut sent, mut open) = (0, 0);
+    let started = reactor::now();
+    let mut connections: Vec<Option<ClientConnection>> =
+        (0..load.connections).map(|_| None).collect();
+    let (mut sent, mut in_flight) = (0, 0);
     let mut ready = Vec::new();
-    let mut free: Vec<usize> = (0..load.connections).collect();
-    let mut piece = [0u8; 16384];
+    let mut free_slots: Vec<usize> = (0..load.connections).collect();
+    let mut buffer = [0u8; 16384];
     loop {
         let now = reactor::now();
-        let over = now - begin > load.at_most;
-        while let Some(slot) = free.pop() {
-            if sent >= load.invocations || over {
-                free.push(slot);
+        let expired = now - started > load.max_duration;
+        while let Some(slot) = free_slots.pop() {
+            if sent >= load.invocations || expired {
+                free_slots.push(slot);
                 break;
             }
-            let fresh = lines[slot].is_none();
-            if fresh {
+            let is_new = connections[slot].is_none();
+            if is_new {
                 let socket = reactor::connect(load.target.ip().octets(), load.target.port())?;
                 poll.add(&socket, Token(slot as u64), Interest::Edges)?;
-                lines[slot] = Some(ClientConnection {
+                connections[slot] = Some(ClientConnection {
                     socket,
                     input: Vec::new(),
-                    since: now,
-                    open: false,
+                    sent_at: now,
+                    in_flight: false,
                 });
             }
-            let Some(line) = &mut lines[slot] else {
+            let Some(connection) = &mut connections[slot] else {
                 continue;
             };
-            (line.since, line.open) = (now, true);
-            open += 1;
-            if !fresh {
-                write(line, &load, &mut sent);
+            (connection.sent_at, connection.in_flight) = (now, true);
+            in_flight += 1;
+            if !is_new {
+                write(connection, &load, &mut sent);
             }
         }
-        if open == 0 && (sent >= load.invocations || over) {
-            loaded.seconds = (reactor::now() - begin).seconds();
-            return Ok(loaded);
+        if in_flight == 0 && (sent >= load.invocations || expired) {
+            result.seconds = (reactor::now() - started).seconds();
+            return Ok(result);
         }
-        if now - begin > load.at_most + Span::from_seconds(10.0) {
+        if now - started > load.max_duration + Span::from_seconds(10.0) {
             return Err(std::io::Error::other(format!(
-                "{open} invocations got no end"
+                "{in_flight} invocations got no end"
             )));
         }
         poll.wait(Span::from_seconds(0.1), &mut ready)?;
         let now = reactor::now();
         for ready in ready.drain(..) {
             let slot = ready.token.0 as usize;
-            let Some(line) = &mut lines[slot] else {
+            let Some(connection) = &mut connections[slot] else {
                 continue;
             };
-            if line.open && line.input.is_empty() && line.since == Moment::default() {
+            if connection.in_flight
+                && connection.input.is_empty()
+                && connection.sent_at == Moment::default()
+            {
                 continue;
             }
             // A connection that has just come about sends its first request.
-            if ready.writable && line.open && line.input.capacity() == 0 {
-                line.input.reserve(256);
-                line.since = now;
-                write(line, &load, &mut sent);
+            if ready.writable && connection.in_flight && connection.input.capacity() == 0 {
+                connection.input.reserve(256);
+                connection.sent_at = now;
+                write(connection, &load, &mut sent);
             }
-            let over = loop {
-                match line.socket.read(&mut piece) {
+            let closed = loop {
+                match connection.socket.read(&mut buffer) {
                     Ok(0) => break true,
-                    Ok(count) => line.input.extend_from_slice(&piece[..count]),
+                    Ok(count) => connection.input.extend_from_slice(&buffer[..count]),
                     Err(error) if error.kind() == ErrorKind::WouldBlock => break false,
                     Err(error) if error.kind() == ErrorKind::NotConnected => break false,
                     Err(_) => break true,
                 }
             };
-            let answered = complete_response(&line.input);
-            if let (Some((status, closes)), true) = (answered, line.open) {
-                *loaded.answers.entry(status).or_insert(0) += 1;
-                let _ = loaded
-                    .micros
-                    .record((now - line.since).micros().max(1) as u64);
-                line.input.clear();
-                line.open = false;
-                open -= 1;
-                if closes || over {
-                    lines[slot] = None;
+            let response = complete_response(&connection.input);
+            if let (Some((status, closes_after)), true) = (response, connection.in_flight) {
+                *result.responses.entry(status).or_insert(0) += 1;
+                let _ = result
+                    .latencies_us
+                    .record((now - connection.sent_at).micros().max(1) as u64);
+                connection.input.clear();
+                connection.in_flight = false;
+                in_flight -= 1;
+                if closes_after || expired {
+                    connections[slot] = None;
                 }
-                free.push(slot);
-            } else if over {
-                if line.open {
-                    loaded.broken += 1;
-                    open -= 1;
-                    free.push(slot);
+                free_slots.push(slot);
+            } else if closed {
+                if connection.in_flight {
+                    result.failed += 1;
+                    in_flight -= 1;
+                    free_slots.push(slot);
                 }
-                lines[slot] = None;
+                connections[slot] = None;
             }
         }
     }
 }
 
-fn write(line: &mut ClientConnection, load: &Load, sent: &mut u64) {
-    let id = load.from + *sent;
+fn write(connection: &mut ClientConnection, load: &Load, sent: &mut u64) {
+    let id = load.first_id + *sent;
     *sent += 1;
     let text = format!(
         "GET /{} HTTP/1.1\r\nHost: load\r\nx-request-id: {id}\r\n\r\n",
         load.operation
     );
     // Requests are short; what can't be written shows as a connection that ends.
-    let _ = line.socket.write(text.as_bytes());
+    let _ = connection.socket.write(text.as_bytes());
 }
 
 /// The status of an answer that has arrived completely, and whether the connection ends with it.
 fn complete_response(input: &[u8]) -> Option<(u16, bool)> {
-    let end = input.windows(4).position(|four| four == b"\r\n\r\n")?;
+    let end = input.windows(4).position(|window| window == b"\r\n\r\n")?;
     let head = std::str::from_utf8(&input[..end]).ok()?;
     let status = head.get(9..12)?.parse().ok()?;
     let lower = head.to_ascii_lowercase();
--- a/crates/drill/src/network.rs
+++ b/crates/drill/src/network.rs
@@ -12,13 +12,13 @@
 
 pub enum NetworkCommand {
     /// Breaks the streams of these proxies.
-    Break(BTreeSet<usize>),
+    ResetStreams(BTreeSet<usize>),
     /// These proxies reach no controller: what they have breaks, what they try comes to nothing.
-    Refuse(BTreeSet<usize>),
+    RefuseConnections(BTreeSet<usize>),
     /// Nothing passes for these proxies, and nothing breaks.
-    Hold(BTreeSet<usize>),
+    Pause(BTreeSet<usize>),
     /// Seconds that sums take longer.
-    Late(f64),
+    SetReportDelay(f64),
     End,
 }
 
@@ -27,26 +27,26 @@
 }
 
 pub struct Network {
-    pub ports: Vec<SocketAddrV4>,
+    pub addresses: Vec<SocketAddrV4>,
     worker: Worker<NetworkCommand>,
 }
 
-const LISTENERS: u64 = 1 << 40;
+const FIRST_LISTENER_TOKEN: u64 = 1 << 40;
 
 impl Network {
     /// A port for each controller that is passed on to where that one listens.
     pub fn start(controllers: Vec<SocketAddrV4>) -> std::io::Result<Network> {
         let poll = Poll::new()?;
-        let (mut listeners, mut ports) = (Vec::new(), Vec::new());
-        for (number, to) in controllers.iter().enumerate() {
+        let (mut listeners, mut addresses) = (Vec::new(), Vec::new());
+        for (index, to) in controllers.iter().enumerate() {
             let listener = reactor::listen(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0))?;
             poll.add(
                 &listener,
-                Token(LISTENERS + number as u64),
+                Token(FIRST_LISTENER_TOKEN + index as u64),
                 Interest::Readable,
             )?;
-            if let SocketAddr::V4(port) = listener.local_addr()? {
-                ports.push(port);
+            if let SocketAddr::V4(address) = listener.local_addr()? {
+                addresses.push(address);
             }
             listeners.push((listener, *to));
         }
@@ -57,12 +57,12 @@
                 listeners,
                 streams: Slab::new(),
                 refused: BTreeSet::new(),
-                held: BTreeSet::new(),
-                late: Span::ZERO,
+                paused: BTreeSet::new(),
+                report_delay: Span::ZERO,
             };
             relay.run();
         })?;
-        Ok(Network { ports, worker })
+        Ok(Network { addresses, worker })
     }
 
     pub fn send(&self, command: NetworkCommand) {
@@ -72,10 +72,10 @@
 
 struct Stream {
     proxy: usize,
-    below: TcpStream,
-    above: TcpStream,
-    up: VecDeque<(Moment, Vec<u8>)>,
-    down: Vec<u8>,
+    proxy_side: TcpStream,
+    controller_side: TcpStream,
+    to_controller: VecDeque<(Moment, Vec<u8>)>,
+    to_proxy: Vec<u8>,
 }
 
 struct NetworkLoop {
@@ -84,8 +84,8 @@
     listeners: Vec<(TcpListener, SocketAddrV4)>,
     streams: Slab<Stream>,
     refused: BTreeSet<usize>,
-    held: BTreeSet<usize>,
-    late: Span,
+    paused: BTreeSet<usize>,
+    report_delay: Span,
 }
 
 impl NetworkLoop {
@@ -96,7 +96,7 @@
             let due = self
                 .streams
                 .iter()
-                .filter_map(|(_, stream)| stream.up.front())
+                .filter_map(|(_, stream)| stream.to_controller.front())
                 .map(|(at, _)| *at)
                 .min();
             let wait = due.map_or(Span::from_seconds(1.0), |at| {
@@ -106,126 +106,143 @@
                 return;
             }
             let now = reactor::now();
-            let mut touched: BTreeSet<usize> = self
+            let mut pending: BTreeSet<usize> = self
                 .streams
                 .iter()
-                .filter(|(_, s)| s.up.front().is_some_and(|(at, _)| *at <= now))
-                .map(|(n, _)| n)
+                .filter(|(_, stream)| {
+                    stream
+                        .to_controller
+                        .front()
+                        .is_some_and(|(at, _)| *at <= now)
+                })
+                .map(|(slot, _)| slot)
                 .collect();
             for ready in ready.drain(..) {
                 match ready.token {
                     INBOX => {
-                        for order in self.inbox.take() {
-                            if matches!(order, NetworkCommand::End) {
+                        for command in self.inbox.take() {
+                            if matches!(command, NetworkCommand::End) {
                                 return;
                             }
-                            self.execute(order);
+                            self.execute(command);
                         }
-                        touched.extend(self.streams.iter().map(|(slot, _)| slot));
+                        pending.extend(self.streams.iter().map(|(slot, _)| slot));
                     }
-                    Token(token) if token >= LISTENERS => self.accept((token - LISTENERS) as usize),
-                    Token(token) => drop(touched.insert(token as usize / 2)),
+                    Token(token) if token >= FIRST_LISTENER_TOKEN => {
+                        self.accept((token - FIRST_LISTENER_TOKEN) as usize)
+                    }
+                    Token(token) => drop(pending.insert(token as usize / 2)),
                 }
             }
-            for slot in touched {
-                self.pass(now, slot);
+            for slot in pending {
+                self.forward(now, slot);
             }
         }
     }
 
-    fn execute(&mut self, order: NetworkCommand) {
-        match order {
-            NetworkCommand::Break(proxies) => self.cut(&proxies),
-            NetworkCommand::Refuse(proxies) => {
-                self.cut(&proxies);
+    fn execute(&mut self, command: NetworkCommand) {
+        match command {
+            NetworkCommand::ResetStreams(proxies) => self.reset_streams(&proxies),
+            NetworkCommand::RefuseConnections(proxies) => {
+                self.reset_streams(&proxies);
                 self.refused = proxies;
             }
-            NetworkCommand::Hold(proxies) => self.held = proxies,
-            NetworkCommand::Late(seconds) => self.late = Span::from_seconds(seconds),
+            NetworkCommand::Pause(proxies) => self.paused = proxies,
+            NetworkCommand::SetReportDelay(seconds) => {
+                self.report_delay = Span::from_seconds(seconds)
+            }
             NetworkCommand::End => {}
         }
     }
 
-    fn cut(&mut self, proxies: &BTreeSet<usize>) {
-        let cut: Vec<usize> = self
+    fn reset_streams(&mut self, proxies: &BTreeSet<usize>) {
+        let slots: Vec<usize> = self
             .streams
             .iter()
-            .filter(|(_, s)| proxies.contains(&s.proxy))
+            .filter(|(_, stream)| proxies.contains(&stream.proxy))
             .map(|(slot, _)| slot)
             .collect();
-        for slot in cut {
+        for slot in slots {
             let stream = self.streams.remove(slot);
-            reactor::reset(stream.below);
-            reactor::reset(stream.above);
+            reactor::reset(stream.proxy_side);
+            reactor::reset(stream.controller_side);
         }
     }
 
-    fn accept(&mut self, number: usize) {
-        let (listener, to) = &self.listeners[number];
-        for below in reactor::accept(listener).0 {
-            let proxy = below.peer_addr().map(|peer| proxy_of(peer.ip()).1);
-            let above = reactor::connect(to.ip().octets(), to.port());
-            let (Ok(proxy), Ok(above)) = (proxy, above) else {
+    fn accept(&mut self, index: usize) {
+        let (listener, to) = &self.listeners[index];
+        for proxy_side in reactor::accept(listener).0 {
+            let proxy = proxy_side.peer_addr().map(|peer| proxy_of(peer.ip()).1);
+            let controller_side = reactor::connect(to.ip().octets(), to.port());
+            let (Ok(proxy), Ok(controller_side)) = (proxy, controller_side) else {
                 continue;
             };
             if self.refused.contains(&proxy) {
-                reactor::reset(below);
+                reactor::reset(proxy_side);
                 continue;
             }
             let slot = self.streams.insert(Stream {
                 proxy,
-                below,
-                above,
-                up: VecDeque::new(),
-                down: Vec::new(),
+                proxy_side,
+                controller_side,
+                to_controller: VecDeque::new(),
+                to_proxy: Vec::new(),
             });
             let stream = &self.streams[slot];
-            let below = self
-                .poll
-                .add(&stream.below, Token(slot as u64 * 2), Interest::Edges);
-            let above = self
-                .poll
-                .add(&stream.above, Token(slot as u64 * 2 + 1), Interest::Edges);
-            if below.and(above).is_err() {
+            let proxy_side =
+                self.poll
+                    .add(&stream.proxy_side, Token(slot as u64 * 2), Interest::Edges);
+            let controller_side = self.poll.add(
+                &stream.controller_side,
+                Token(slot as u64 * 2 + 1),
+                Interest::Edges,
+            );
+            if proxy_side.and(controller_side).is_err() {
                 self.streams.remove(slot);
             }
         }
     }
 
-    fn pass(&mut self, now: Moment, slot: usize) {
+    fn forward(&mut self, now: Moment, slot: usize) {
         let Some(stream) = self.streams.get_mut(slot) else {
             return;
         };
-        if self.held.contains(&stream.proxy) {
+        if self.paused.contains(&stream.proxy) {
             return;
         }
-        let mut came = Vec::new();
-        let mut over = drain(&stream.below, &mut came);
-        if !came.is_empty() {
-            stream.up.push_back((now + self.late, came));
+        let mut received = Vec::new();
+        let mut closed = read_available(&stream.proxy_side, &mut received);
+        if !received.is_empty() {
+            stream
+                .to_controller
+                .push_back((now + self.report_delay, received));
         }
-        over |= drain(&stream.above, &mut stream.down);
-        while let Some((_, bytes)) = stream.up.front_mut().filter(|(at, _)| *at <= now) {
-            over |= push(&stream.above, bytes);
+        closed |= read_available(&stream.controller_side, &mut stream.to_proxy);
+        while let Some((_, bytes)) = stream
+            .to_controller
+            .front_mut()
+            .filter(|(at, _)| *at <= now)
+        {
+            closed |= write_available(&stream.controller_side, bytes);
             if !bytes.is_empty() {
                 break;
             }
-            stream.up.pop_front();
+            stream.to_controller.pop_front();
         }
-        over |= push(&stream.below, &mut stream.down);
-        if over {
+        closed |= write_available(&stream.proxy_side, &mut stream.to_proxy);
+        if closed {
             self.streams.remove(slot);
         }
     }
 }
 
 /// Reads all there is; `true`: the end.
-fn drain(mut socket: &TcpStream, into: &mut Vec<u8>) -> bool {
-    let mut piece = [0u8; 16384];
+fn read_available(mut socket: &TcpStream, into: &mut Vec<u8>) -> bool {
+    let mut buffer = [0u8; 16384];
     loop {
-        match socket.read(&mut piece) {
+        match socket.read(&mut buffer) {
             Ok(0) => return true,
-            Ok(count) => into.extend_from_slice(&piece[..count]),
+            Ok(count) => into.extend_from_slice(&buffer[..count]),
             Err(error) => {
                 return !matches!(
                     error.kind(),
@@ -236,7 +253,7 @@
     }
 }
 
-fn push(mut socket: &TcpStream, bytes: &mut Vec<u8>) -> bool {
+fn write_available(mut socket: &TcpStream, bytes: &mut Vec<u8>) -> bool {
     while !bytes.is_empty() {
         match socket.write(bytes) {
             Ok(count) => drop(bytes.drain(..count)),
@@ -252,7 +269,7 @@
 }
 
 /// By zone, for cuts.
-pub fn proxies_in(zones: &BTreeMap<usize, usize>, zone: usize) -> BTreeSet<usize> {
+pub fn proxies_in_zone(zones: &BTreeMap<usize, usize>, zone: usize) -> BTreeSet<usize> {
     zones
         .iter()
         .filter(|(_, at)| **at == zone)
--- a/crates/drill/src/proxies.rs
+++ b/crates/drill/src/proxies.rs
@@ -1,6 +1,6 @@
 //! The proxies of a drill: real proxies, several on one loop, and what they did written down.
 
-use crate::records::{Lines, Record, Recorder};
+use crate::records::{EntriesByOperation, Record, Recorder};
 use crate::script::Script;
 use crate::stand_in_server::proxy_address;
 use crate::worker::{Inbox, Worker, WorkerCommand, INBOX};
@@ -27,7 +27,7 @@
 /// What the proxies' thread is told.
 pub enum ProxyCommand {
     /// The proxy of this number ends without notice.
-    Die(usize),
+    Kill(usize),
     /// It comes back, on a new port, knowing nothing; the address is told.
     Start(Box<ProxyConfig>, usize, Sender<Option<SocketAddr>>),
     /// The thread ends.
@@ -39,30 +39,33 @@
 }
 
 /// Proxies that hold tables.
-type Holding = Arc<Mutex<BTreeSet<usize>>>;
+type ProxiesWithTables = Arc<Mutex<BTreeSet<usize>>>;
 
 /// The handle of the thread in which all proxies of a drill run.
 pub struct Proxies {
-    holding: Holding,
+    proxies_with_tables: ProxiesWithTables,
     worker: Worker<ProxyCommand>,
 }
 
 impl Proxies {
     /// Starts the thread without proxies. `joined_always`: there is no controller to join.
-    pub fn start(recorder: Recorder, joined_always: bool) -> std::io::Result<Proxies> {
-        let holding = Holding::default();
-        let held = holding.clone();
+    pub fn start(recorder: Recorder, always_joined: bool) -> std::io::Result<Proxies> {
+        let proxies_with_tables = ProxiesWithTables::default();
+        let shared = proxies_with_tables.clone();
         let worker = Worker::spawn("gateways", Poll::new()?, move |poll, inbox| {
-            run(poll, inbox, recorder, joined_always, held);
+            run(poll, inbox, recorder, always_joined, shared);
         })?;
-        Ok(Proxies { holding, worker })
+        Ok(Proxies {
+            proxies_with_tables,
+            worker,
+        })
     }
 
     /// Whether a proxy ever held tables.
-    pub fn held(&self, proxy: usize) -> bool {
-        self.holding
+    pub fn has_tables(&self, proxy: usize) -> bool {
+        self.proxies_with_tables
             .lock()
-            .is_ok_and(|holding| holding.contains(&proxy))
+            .is_ok_and(|proxies_with_tables| proxies_with_tables.contains(&proxy))
     }
 
     /// Sends a command to the thread.
@@ -71,10 +74,10 @@
     }
 
     /// Starts a proxy and waits for its address; none: it did not start.
-    pub fn add(&self, plan: ProxyConfig, number: usize) -> Option<SocketAddr> {
-        let (tell, told) = channel();
-        self.send(ProxyCommand::Start(Box::new(plan), number, tell));
-        told.recv().ok().flatten()
+    pub fn add(&self, config: ProxyConfig, number: usize) -> Option<SocketAddr> {
+        let (reply, replied) = channel();
+        self.send(ProxyCommand::Start(Box::new(config), number, reply));
+        replied.recv().ok().flatten()
     }
 }
 
@@ -82,10 +85,10 @@
     mut poll: Poll,
     inbox: Inbox<ProxyCommand>,
     recorder: Recorder,
-    joined_always: bool,
-    holding: Holding,
+    always_joined: bool,
+    proxies_with_tables: ProxiesWithTables,
 ) {
-    let mut proxies: Vec<Option<Proxy<Seen>>> = Vec::new();
+    let mut proxies: Vec<Option<Proxy<ProxyRecorder>>> = Vec::new();
     let mut ready = Vec::new();
     loop {
         let now = reactor::now();
@@ -107,27 +110,27 @@
                 }
                 continue;
             }
-            for order in inbox.take() {
-                match order {
+            for command in inbox.take() {
+                match command {
                     ProxyCommand::End => return,
-                    ProxyCommand::Die(proxy) => {
+                    ProxyCommand::Kill(proxy) => {
                         proxies[proxy] = None;
-                        recorder.note(now, Record::Died { proxy });
+                        recorder.record(now, Record::ProxyKilled { proxy });
                     }
-                    ProxyCommand::Start(plan, proxy, tell) => {
+                    ProxyCommand::Start(config, proxy, reply) => {
                         if proxies.len() <= proxy {
                             proxies.resize_with(proxy + 1, || None);
                         }
-                        let streams = plan.table_source == TableSource::Stream;
-                        let seen = Seen {
+                        let streams = config.table_source == TableSource::Stream;
+                        let proxy_recorder = ProxyRecorder {
                             recorder: recorder.clone(),
-                            holding: holding.clone(),
+                            proxies_with_tables: proxies_with_tables.clone(),
                             proxy,
                             controller: 0,
                             streams,
                         };
-                        if joined_always {
-                            recorder.note(
+                        if always_joined {
+                            recorder.record(
                                 now,
                                 Record::Joined {
                                     proxy,
@@ -135,8 +138,9 @@
                                 },
                             );
                         }
-                        let started = Proxy::start(&poll, now, proxy as u32, *plan, seen).ok();
-                        let _ = tell.send(started.as_ref().and_then(|proxy| proxy.address().ok()));
+                        let started =
+                            Proxy::start(&poll, now, proxy as u32, *config, proxy_recorder).ok();
+                        let _ = reply.send(started.as_ref().and_then(|proxy| proxy.address().ok()));
                         proxies[proxy] = started;
                     }
                 }
@@ -146,14 +150,14 @@
 }
 
 /// Proxies as the script has them, calling from addresses that tell who they are.
-pub fn plan(
+pub fn proxy_config(
     script: &Script,
     proxy: usize,
     zone: usize,
     endpoints: &[(SocketAddrV4, PathBuf)],
     seed: u64,
-    trusting: bool,
-    follows: bool,
+    treats_all_as_idempotent: bool,
+    follows_unjoined: bool,
 ) -> ProxyConfig {
     let deployment = &script.deployment;
     let count = endpoints.len();
@@ -163,7 +167,7 @@
             name: operation.name.clone(),
             retry_safety: match operation.retry_class {
                 // A proxy that trusts its tables blindly, to see the audit find what comes of it.
-                _ if trusting => RetrySafety::Idempotent,
+                _ if treats_all_as_idempotent => RetrySafety::Idempotent,
                 RetryClass::Idempotent => RetrySafety::Idempotent,
                 RetryClass::Fingerprinted => RetrySafety::Fingerprinted {
                     window: operation.retry_window,
@@ -208,7 +212,7 @@
             ..Timeouts::default()
         },
         publishes_status: true,
-        follows_unjoined: follows,
+        follows_unjoined: follows_unjoined,
         tls: None,
         table_source: if deployment.table_delivery.files {
             TableSource::Files
@@ -224,34 +228,34 @@
 }
 
 /// Writes down what one proxy does.
-struct Seen {
+struct ProxyRecorder {
     recorder: Recorder,
-    holding: Holding,
+    proxies_with_tables: ProxiesWithTables,
     proxy: usize,
     controller: usize,
     streams: bool,
 }
 
 /// The entries of tables that a reader holds.
-pub fn lines(held: &LoadedTables) -> Lines {
-    let line =
-        |line: &wheelspread_controller_core::TableEntry| (format_node(line.node), line.weight);
-    let of = |told: &wheelspread_xds::tables::ProxyTable| {
+pub fn entries_by_operation(loaded: &LoadedTables) -> EntriesByOperation {
+    let entry =
+        |entry: &wheelspread_controller_core::TableEntry| (format_node(entry.node), entry.weight);
+    let by_operation = |table: &wheelspread_xds::tables::ProxyTable| {
         (
-            told.operation.clone(),
-            told.entries.iter().map(line).collect(),
+            table.operation.clone(),
+            table.entries.iter().map(entry).collect(),
         )
     };
-    held.tables.operations.iter().map(of).collect()
+    loaded.tables.operations.iter().map(by_operation).collect()
 }
 
-impl RequestObserver for Seen {
+impl RequestObserver for ProxyRecorder {
     fn attempt_sent(&mut self, now: Moment, id: &str, operation: &str, node: NodeId, number: u32) {
         let (proxy, id, node) = (self.proxy, id.to_string(), format_node(node));
         let operation = operation.to_string();
-        self.recorder.note(
+        self.recorder.record(
             now,
-            Record::Sent {
+            Record::AttemptSent {
                 proxy,
                 id,
                 operation,
@@ -273,9 +277,9 @@
             format!("{failure:?}").to_lowercase()
         });
         let (proxy, id, node) = (self.proxy, id.to_string(), format_node(node));
-        self.recorder.note(
+        self.recorder.record(
             now,
-            Record::Ended {
+            Record::AttemptEnded {
                 proxy,
                 id,
                 node,
@@ -293,9 +297,9 @@
             RequestOutcome::Failed(failure) => format!("{failure:?}").to_lowercase(),
             RequestOutcome::ClientGone => "client-gone".to_string(),
         };
-        self.recorder.note(
+        self.recorder.record(
             now,
-            Record::Answered {
+            Record::RequestFinished {
                 proxy: self.proxy,
                 id: id.to_string(),
                 outcome,
@@ -303,42 +307,42 @@
         );
     }
 
-    fn tables_applied(&mut self, now: Moment, held: &LoadedTables) {
-        let (version, hash) = (held.tables.version.0, held.hash.clone());
+    fn tables_applied(&mut self, now: Moment, loaded: &LoadedTables) {
+        let (version, hash) = (loaded.tables.version.0, loaded.hash.clone());
         let (proxy, controller) = (self.proxy, self.controller);
-        if let Ok(mut holding) = self.holding.lock() {
-            holding.insert(proxy);
+        if let Ok(mut proxies_with_tables) = self.proxies_with_tables.lock() {
+            proxies_with_tables.insert(proxy);
         }
         if self.streams {
             // No directory shows what was sent: what came over its stream does.
-            let (hash, lines) = (hash.clone(), lines(held));
-            self.recorder.note(
+            let (hash, entries) = (hash.clone(), entries_by_operation(loaded));
+            self.recorder.record(
                 now,
-                Record::Swapped {
+                Record::TablesSwapped {
                     controller,
                     proxy,
                     version,
                     hash,
-                    lines,
+                    entries,
                 },
             );
         }
-        self.recorder.note(
+        self.recorder.record(
             now,
-            Record::Tables {
+            Record::TablesApplied {
                 proxy,
                 controller,
                 version,
                 hash,
-                lines: lines(held),
+                entries: entries_by_operation(loaded),
             },
         );
     }
 
     fn tables_rejected(&mut self, now: Moment, reason: &str) {
-        self.recorder.note(
+        self.recorder.record(
             now,
-            Record::TablesRefused {
+            Record::TablesRejected {
                 proxy: self.proxy,
                 reason: reason.to_string(),
             },
@@ -348,7 +352,7 @@
     fn controller_joined(&mut self, now: Moment, controller: usize, of: usize) {
         // Told by its place among the proxy's own controllers, which begin with its usual one.
         self.controller = (self.proxy + controller) % of;
-        self.recorder.note(
+        self.recorder.record(
             now,
             Record::Joined {
                 proxy: self.proxy,
@@ -358,6 +362,7 @@
     }
 
     fn controller_left(&mut self, now: Moment, _reason: &str) {
-        self.recorder.note(now, Record::Left { proxy: self.proxy });
+        self.recorder
+            .record(now, Record::Left { proxy: self.proxy });
     }
 }
--- a/crates/drill/src/records.rs
+++ b/crates/drill/src/records.rs
@@ -8,7 +8,7 @@
 use wheelspread::time::Moment;
 
 /// The entries of tables by operation: node and weight.
-pub type Lines = BTreeMap<String, Vec<(String, f64)>>;
+pub type EntriesByOperation = BTreeMap<String, Vec<(String, f64)>>;
 
 /// One line of a log. `docs/drills.md` describes each.
 #[derive(Clone, Debug, PartialEq, Serialize)]
@@ -31,13 +31,15 @@
         proxy: usize,
     },
     /// A proxy was ended.
-    Died {
+    #[serde(rename = "died")]
+    ProxyKilled {
         /// The proxy's number.
         #[serde(rename = "gateway")]
         proxy: usize,
     },
     /// A proxy took tables.
-    Tables {
+    #[serde(rename = "tables")]
+    TablesApplied {
         /// The proxy's number.
         #[serde(rename = "gateway")]
         proxy: usize,
@@ -49,10 +51,12 @@
         /// SHA-256 of both documents.
         hash: String,
         /// The entries, by operation.
-        lines: Lines,
+        #[serde(rename = "lines")]
+        entries: EntriesByOperation,
     },
     /// A proxy could not read tables.
-    TablesRefused {
+    #[serde(rename = "tables_refused")]
+    TablesRejected {
         /// The proxy's number.
         #[serde(rename = "gateway")]
         proxy: usize,
@@ -60,7 +64,8 @@
         reason: String,
     },
     /// A proxy sent an attempt to a node.
-    Sent {
+    #[serde(rename = "sent")]
+    AttemptSent {
         /// The proxy's number.
         #[serde(rename = "gateway")]
         proxy: usize,
@@ -74,7 +79,8 @@
         number: u32,
     },
     /// An attempt of a proxy ended.
-    Ended {
+    #[serde(rename = "ended")]
+    AttemptEnded {
         /// The proxy's number.
         #[serde(rename = "gateway")]
         proxy: usize,
@@ -88,7 +94,8 @@
         outcome: String,
     },
     /// A proxy answered its client.
-    Answered {
+    #[serde(rename = "answered")]
+    RequestFinished {
         /// The proxy's number.
         #[serde(rename = "gateway")]
         proxy: usize,
@@ -99,7 +106,8 @@
     },
     // ---- nodes ----
     /// A node started, or came back.
-    Started {
+    #[serde(rename = "started")]
+    NodeStarted {
         /// The node's address.
         node: String,
         /// The number of the node's zone.
@@ -112,7 +120,8 @@
         cold: bool,
     },
     /// A request arrived at a node.
-    Came {
+    #[serde(rename = "came")]
+    RequestArrived {
         /// The node's address.
         node: String,
         /// The proxy's number.
@@ -126,7 +135,8 @@
         work: f64,
     },
     /// A request took effect at a node.
-    Effect {
+    #[serde(rename = "effect")]
+    RequestExecuted {
         /// The node's address.
         node: String,
         /// The `x-request-id`.
@@ -135,18 +145,21 @@
         operation: String,
     },
     /// A cold node got more work than it can take, and failed.
-    Fell {
+    #[serde(rename = "fell")]
+    NodeOverloaded {
         /// The node's address.
         node: String,
     },
     /// A node ended.
-    Ceased {
+    #[serde(rename = "ceased")]
+    NodeStopped {
         /// The node's address.
         node: String,
     },
     // ---- what the directories and lists showed ----
     /// Tables were swapped into a proxy's directory.
-    Swapped {
+    #[serde(rename = "swapped")]
+    TablesSwapped {
         /// The controller's number.
         #[serde(rename = "conductor")]
         controller: usize,
@@ -158,7 +171,8 @@
         /// SHA-256 of both documents.
         hash: String,
         /// The entries, by operation.
-        lines: Lines,
+        #[serde(rename = "lines")]
+        entries: EntriesByOperation,
     },
     /// What was swapped into a directory could not be read.
     SwapUnreadable {
@@ -172,18 +186,20 @@
         reason: String,
     },
     /// A controller's list of nodes changed.
-    Listed {
+    #[serde(rename = "listed")]
+    ListPublished {
         /// The controller's number.
         #[serde(rename = "conductor")]
         controller: usize,
         /// The version, as it is named there.
         version: u64,
         /// The listed nodes, by address.
-        nodes: BTreeMap<String, Listed>,
+        nodes: BTreeMap<String, ListedNodeState>,
     },
     // ---- clients ----
     /// An invocation of a client ended.
-    Done {
+    #[serde(rename = "done")]
+    InvocationEnded {
         /// The proxy's number.
         #[serde(rename = "gateway")]
         proxy: usize,
@@ -224,19 +240,23 @@
         controller: usize,
     },
     /// A controller took an order to drain a node, or to take that back; `asked`: when it was given.
-    Ordered {
+    #[serde(rename = "ordered")]
+    DrainOrdered {
         /// The controller's number.
         #[serde(rename = "conductor")]
         controller: usize,
         /// The node's address.
         node: String,
         /// Drained, or taken back.
-        out: bool,
+        #[serde(rename = "out")]
+        drains: bool,
         /// When the order was given.
-        asked: f64,
+        #[serde(rename = "asked")]
+        ordered_at: f64,
     },
     /// A controller answered to a change of configuration that was told to it, or to its undo.
-    Changed {
+    #[serde(rename = "changed")]
+    ChangeAnswered {
         /// The controller's number.
         #[serde(rename = "conductor")]
         controller: usize,
@@ -245,13 +265,14 @@
         /// Whether it is the change's undo.
         undo: bool,
         /// Whether the controller took it.
-        taken: bool,
+        #[serde(rename = "taken")]
+        accepted: bool,
     },
 }
 
 /// What a list says of a node.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Listed {
+pub struct ListedNodeState {
     /// The number of its zone.
     pub zone: usize,
     /// Whether it drains.
@@ -271,38 +292,50 @@
     /// Answered with an error, or not at all.
     Errored,
     /// The client's timeout passed.
-    GivenUp,
+    #[serde(rename = "given-up")]
+    TimedOut,
 }
 
 impl Record {
     /// Which log file it belongs to.
-    fn log(&self) -> String {
+    fn log_name(&self) -> String {
         use Record::*;
         match self {
-            Joined { proxy, .. } | Left { proxy } | Died { proxy } | Tables { proxy, .. } => {
+            Joined { proxy, .. }
+            | Left { proxy }
+            | ProxyKilled { proxy }
+            | TablesApplied { proxy, .. } => {
                 format!("gateway-{proxy:03}")
             }
-            TablesRefused { proxy, .. } | Sent { proxy, .. } => format!("gateway-{proxy:03}"),
-            Ended { proxy, .. } | Answered { proxy, .. } => format!("gateway-{proxy:03}"),
-            Started { node, .. } | Came { node, .. } | Effect { node, .. } => {
-                format!("node-{}", plain(node))
+            TablesRejected { proxy, .. } | AttemptSent { proxy, .. } => {
+                format!("gateway-{proxy:03}")
+            }
+            AttemptEnded { proxy, .. } | RequestFinished { proxy, .. } => {
+                format!("gateway-{proxy:03}")
+            }
+            NodeStarted { node, .. }
+            | RequestArrived { node, .. }
+            | RequestExecuted { node, .. } => {
+                format!("node-{}", node_file_name(node))
+            }
+            NodeOverloaded { node } | NodeStopped { node } => {
+                format!("node-{}", node_file_name(node))
             }
-            Fell { node } | Ceased { node } => format!("node-{}", plain(node)),
-            Swapped { controller, .. } | SwapUnreadable { controller, .. } => {
+            TablesSwapped { controller, .. } | SwapUnreadable { controller, .. } => {
                 format!("directory-{controller}")
             }
-            Listed { controller, .. } => format!("list-{controller}"),
-            Done { .. } => "clients".to_string(),
+            ListPublished { controller, .. } => format!("list-{controller}"),
+            InvocationEnded { .. } => "clients".to_string(),
             Fault { .. }
             | ControllerStarted { .. }
             | ControllerKilled { .. }
-            | Changed { .. }
-            | Ordered { .. } => "drill".to_string(),
+            | ChangeAnswered { .. }
+            | DrainOrdered { .. } => "drill".to_string(),
         }
     }
 }
 
-fn plain(node: &str) -> String {
+fn node_file_name(node: &str) -> String {
     node.replace([':', '.'], "-")
 }
 
@@ -312,20 +345,20 @@
 
 impl Records {
     /// A log for each proxy, node, directory and list, one JSON object a line.
-    pub fn keep(&self, directory: &Path) -> io::Result<()> {
+    pub fn write_logs(&self, directory: &Path) -> io::Result<()> {
         std::fs::create_dir_all(directory)?;
         let mut logs: BTreeMap<String, Vec<u8>> = BTreeMap::new();
         for (t, record) in &self.0 {
             #[derive(Serialize)]
-            struct Dated<'a> {
+            struct TimedRecord<'a> {
                 t: f64,
                 #[serde(flatten)]
                 record: &'a Record,
             }
-            let log = logs.entry(record.log()).or_default();
+            let log = logs.entry(record.log_name()).or_default();
             serde_json::to_writer(
                 &mut *log,
-                &Dated {
+                &TimedRecord {
                     t: (t * 1e6).round() / 1e6,
                     record,
                 },
@@ -343,25 +376,25 @@
 #[derive(Clone)]
 pub struct Recorder {
     start: Moment,
-    to: Sender<(f64, Record)>,
+    sender: Sender<(f64, Record)>,
 }
 
 impl Recorder {
     /// A recorder whose times begin here, and where its records arrive.
     pub fn new(start: Moment) -> (Recorder, Receiver<(f64, Record)>) {
-        let (to, from) = channel();
-        (Recorder { start, to }, from)
+        let (sender, receiver) = channel();
+        (Recorder { start, sender }, receiver)
     }
 
     /// Seconds since the drill began.
-    pub fn at(&self, now: Moment) -> f64 {
+    pub fn seconds_at(&self, now: Moment) -> f64 {
         (now - self.start).seconds()
     }
 
     /// Notes a record at this time.
-    pub fn note(&self, now: Moment, record: Record) {
+    pub fn record(&self, now: Moment, record: Record) {
         // The other end is gone only when the drill is over.
-        let _ = self.to.send((self.at(now), record));
+        let _ = self.sender.send((self.seconds_at(now), record));
     }
 }
 
--- a/crates/drill/src/records/tests.rs
+++ b/crates/drill/src/records/tests.rs
@@ -1,10 +1,10 @@
 //! The spelling of the records on disk, which `docs/drills.md` describes and tools read.
 
-use super::{ClientOutcome, Listed, Record};
+use super::{ClientOutcome, ListedNodeState, Record};
 use serde_json::json;
 use std::collections::BTreeMap;
 
-fn written(record: Record) -> serde_json::Value {
+fn serialize(record: Record) -> serde_json::Value {
     serde_json::to_value(record).expect("it is JSON")
 }
 
@@ -15,22 +15,22 @@
         controller: 1,
     };
     assert_eq!(
-        written(joined),
+        serialize(joined),
         json!({"what": "joined", "gateway": 3, "conductor": 1})
     );
-    let swapped = Record::Swapped {
+    let swapped = Record::TablesSwapped {
         controller: 1,
         proxy: 3,
         version: 7,
         hash: "ab".to_string(),
-        lines: BTreeMap::from([("Get".to_string(), vec![("n:1".to_string(), 0.5)])]),
+        entries: BTreeMap::from([("Get".to_string(), vec![("n:1".to_string(), 0.5)])]),
     };
     assert_eq!(
-        written(swapped),
+        serialize(swapped),
         json!({"what": "swapped", "gateway": 3, "conductor": 1, "version": 7, "hash": "ab",
             "lines": {"Get": [["n:1", 0.5]]}})
     );
-    let done = Record::Done {
+    let done = Record::InvocationEnded {
         proxy: 3,
         id: "a.0".to_string(),
         operation: "Get".to_string(),
@@ -39,7 +39,7 @@
         outcome: ClientOutcome::RateLimited,
     };
     assert_eq!(
-        written(done),
+        serialize(done),
         json!({"what": "done", "gateway": 3, "id": "a.0", "operation": "Get", "attempt": 0,
             "latency": 0.25, "outcome": "rate-limited"})
     );
@@ -53,7 +53,7 @@
         span: 2.0,
     };
     assert_eq!(
-        written(fault),
+        serialize(fault),
         json!({"what": "trouble", "kind": "vanish", "injected": true, "span": 2.0})
     );
 }
@@ -61,25 +61,25 @@
 #[test]
 fn what_the_drill_does_to_controllers_is_written_as_before() {
     assert_eq!(
-        written(Record::ControllerStarted { controller: 0 }),
+        serialize(Record::ControllerStarted { controller: 0 }),
         json!({"what": "conductor_started", "conductor": 0})
     );
     assert_eq!(
-        written(Record::ControllerKilled { controller: 0 }),
+        serialize(Record::ControllerKilled { controller: 0 }),
         json!({"what": "conductor_killed", "conductor": 0})
     );
-    let node = Listed {
+    let node = ListedNodeState {
         zone: 2,
         draining: false,
         started: -4.0,
     };
-    let listed = Record::Listed {
+    let listed = Record::ListPublished {
         controller: 0,
         version: 5,
         nodes: BTreeMap::from([("n:1".to_string(), node)]),
     };
     assert_eq!(
-        written(listed),
+        serialize(listed),
         json!({"what": "listed", "conductor": 0, "version": 5,
             "nodes": {"n:1": {"zone": 2, "draining": false, "started": -4.0}}})
     );
--- a/crates/drill/src/run.rs
+++ b/crates/drill/src/run.rs
@@ -13,10 +13,10 @@
 use self::fleet::FleetNode;
 pub use self::report::{FaultReport, Report};
 use self::step::Step;
-use crate::audit::Slowed;
+use crate::audit::SlowedPeriod;
 use crate::client_population::ClientPopulation;
 use crate::error::DrillError;
-use crate::even_publisher::{EvenPublisher, Sabotage};
+use crate::even_publisher::{EvenWeightPublisher, RuleViolation};
 use crate::machine::own_port;
 use crate::network::Network;
 use crate::proxies::Proxies;
@@ -38,20 +38,20 @@
     /// Seeds all random draws.
     pub seed: u64,
     /// Even weights instead of controllers.
-    pub even: bool,
+    pub even_weights: bool,
     /// A rule to be broken on purpose.
-    pub sabotage: Option<Sabotage>,
+    pub violation: Option<RuleViolation>,
     /// Where all that was published and the records are kept; none: nowhere.
-    pub keep: Option<PathBuf>,
+    pub keep_directory: Option<PathBuf>,
     /// Controllers that are killed lose what they kept: they start as if they had never run.
-    pub forget: bool,
+    pub discard_state: bool,
     /// Kinds of fault that were asked for and can't be injected, to be told.
     pub not_injected: Vec<String>,
     /// Told of each step that a person waits for.
     pub progress: &'a mut dyn FnMut(&str),
 }
 
-fn named(what: impl Into<String>) -> impl FnOnce(io::Error) -> DrillError {
+fn io_error(what: impl Into<String>) -> impl FnOnce(io::Error) -> DrillError {
     let what = what.into();
     move |source| DrillError::Io { what, source }
 }
@@ -59,7 +59,7 @@
 struct Drill<'a> {
     script: Script,
     options: Options<'a>,
-    chance: Pcg,
+    rng: Pcg,
     recorder: Recorder,
     directory: PathBuf,
     begin: Moment,
@@ -70,25 +70,25 @@
     proxies: Proxies,
     zones: Vec<usize>,
     /// What usually comes to each proxy, a second.
-    usual: Vec<f64>,
+    base_rates: Vec<f64>,
     clients: Option<ClientPopulation>,
-    even: Option<EvenPublisher>,
+    even_publisher: Option<EvenWeightPublisher>,
     steps: BTreeMap<(Moment, u64), Step>,
-    next: u64,
+    last_sequence: u64,
     list_version: u64,
     list_delay: Span,
-    slowed: Vec<Slowed>,
-    cpu: f64,
+    slowed_periods: Vec<SlowedPeriod>,
+    controller_cpu_s: f64,
 }
 
 /// Plays a script and judges its records.
 pub fn run(script: &Script, options: Options) -> Result<Report, DrillError> {
-    let temporary = tempfile::tempdir().map_err(named("a temporary directory"))?;
+    let temporary = tempfile::tempdir().map_err(io_error("a temporary directory"))?;
     let directory = options
-        .keep
+        .keep_directory
         .clone()
         .unwrap_or_else(|| temporary.path().to_path_buf());
-    std::fs::create_dir_all(&directory).map_err(named(directory.display().to_string()))?;
+    std::fs::create_dir_all(&directory).map_err(io_error(directory.display().to_string()))?;
     let (recorder, from) = Recorder::new(reactor::now());
     let mut drill = Drill::prepare(script.clone(), options, directory, recorder)?;
     drill.play()?;
@@ -102,44 +102,45 @@
         directory: PathBuf,
         recorder: Recorder,
     ) -> Result<Drill<'a>, DrillError> {
-        let plan_of = &script.deployment;
-        let nodes = StandInServers::start(plan_of.clone(), recorder.clone(), options.seed)
-            .map_err(named("nodes"))?;
+        let deployment = &script.deployment;
+        let nodes = StandInServers::start(deployment.clone(), recorder.clone(), options.seed)
+            .map_err(io_error("nodes"))?;
         let mut controllers = Vec::new();
-        for number in 0..plan_of.controllers.count as usize {
+        for number in 0..deployment.controllers.count as usize {
             let directory = directory.join(format!("conductor-{number}"));
             TableRoot::new(directory.join("tables"))
                 .prepare()
-                .map_err(named(directory.display().to_string()))?;
+                .map_err(io_error(directory.display().to_string()))?;
             controllers.push(ControllerProcess {
                 directory,
-                listen: own_port().map_err(named("a free port"))?,
+                listen: own_port().map_err(io_error("a free port"))?,
                 child: None,
             });
         }
         let network = Network::start(controllers.iter().map(|process| process.listen).collect())
-            .map_err(named("wires"))?;
-        let proxies = Proxies::start(recorder.clone(), options.even).map_err(named("gateways"))?;
+            .map_err(io_error("wires"))?;
+        let proxies =
+            Proxies::start(recorder.clone(), options.even_weights).map_err(io_error("gateways"))?;
         let zones = (0..script.proxies)
-            .map(|proxy| proxy % plan_of.zones.len())
+            .map(|proxy| proxy % deployment.zones.len())
             .collect();
-        let even = options.even.then(|| {
-            EvenPublisher::new(
+        let even_publisher = options.even_weights.then(|| {
+            EvenWeightPublisher::new(
                 TableRoot::new(controllers[0].directory.join("tables")),
-                options.sabotage,
+                options.violation,
             )
         });
         Ok(Drill {
-            chance: Pcg::new(options.seed),
+            rng: Pcg::new(options.seed),
             list_delay: script.list_delay,
             begin: reactor::now(),
             clients: None,
             fleet: Vec::new(),
             steps: BTreeMap::new(),
-            next: 0,
+            last_sequence: 0,
             list_version: 0,
-            slowed: Vec::new(),
-            cpu: 0.0,
+            slowed_periods: Vec::new(),
+            controller_cpu_s: 0.0,
             recorder,
             directory,
             nodes,
@@ -147,8 +148,8 @@
             network,
             proxies,
             zones,
-            usual: Vec::new(),
-            even,
+            base_rates: Vec::new(),
+            even_publisher,
             script,
             options,
         })
--- a/crates/drill/src/run/collection.rs
+++ b/crates/drill/src/run/collection.rs
@@ -1,8 +1,8 @@
 //! The end of a drill: everything stops, the records are collected, kept and judged.
 
 use super::report::round_to_millis;
-use super::{named, Drill, DrillError, FaultReport, Report};
-use crate::audit::{drain_order_times, judge};
+use super::{io_error, Drill, DrillError, FaultReport, Report};
+use crate::audit::{drain_order_durations, judge};
 use crate::machine::cpu_of;
 use crate::records::{Record, Records};
 use rustix::process::Signal;
@@ -20,32 +20,32 @@
             nodes,
             proxies,
             network,
-            slowed,
+            slowed_periods,
             directory,
             recorder,
             begin,
-            cpu,
+            controller_cpu_s,
             ..
         } = self;
         drop((nodes, proxies, network));
-        let begin = recorder.at(begin);
+        let begin = recorder.seconds_at(begin);
         drop(recorder);
         let mut records = Records(from.try_iter().collect());
         records.0.sort_by(|a, b| a.0.total_cmp(&b.0));
-        if options.keep.is_some() {
+        if options.keep_directory.is_some() {
             records
-                .keep(&directory.join("records"))
-                .map_err(named("the records"))?;
+                .write_logs(&directory.join("records"))
+                .map_err(io_error("the records"))?;
         }
-        let drains = drain_order_times(&records);
+        let drains = drain_order_durations(&records);
         Ok(Report {
             drill: script.name.clone(),
             seed: options.seed,
-            baseline: options.even.then(|| "even".to_string()),
-            verdict: judge(&records, &script, &slowed),
+            baseline: options.even_weights.then(|| "even".to_string()),
+            verdict: judge(&records, &script, &slowed_periods),
             faults: fault_reports(&records, begin),
             table_swaps: count_swaps(&records),
-            controller_cpu_s: round_to_millis(cpu),
+            controller_cpu_s: round_to_millis(controller_cpu_s),
             drain_orders_s: drains.into_iter().map(round_to_millis).collect(),
             changes_told: count_changes(&records),
         })
@@ -61,8 +61,8 @@
             stopping.extend(self.controllers[number].child.take());
         }
         for mut child in stopping {
-            self.cpu += cpu_of(child.id());
-            child.wait().map_err(named("a conductor"))?;
+            self.controller_cpu_s += cpu_of(child.id());
+            child.wait().map_err(io_error("a conductor"))?;
         }
         Ok(())
     }
@@ -86,7 +86,7 @@
 }
 
 fn count_swaps(records: &Records) -> u64 {
-    let is_swap = |record: &Record| matches!(record, Record::Swapped { .. });
+    let is_swap = |record: &Record| matches!(record, Record::TablesSwapped { .. });
     let swaps = records.0.iter().filter(|(_, record)| is_swap(record));
     swaps.count() as u64
 }
@@ -94,10 +94,10 @@
 /// How many changes and undoes controllers answered, and how many of them they took.
 fn count_changes(records: &Records) -> (usize, usize) {
     let answers = records.0.iter().filter_map(|(_, record)| match record {
-        Record::Changed { taken, .. } => Some(*taken),
+        Record::ChangeAnswered { accepted, .. } => Some(*accepted),
         _ => None,
     });
-    answers.fold((0, 0), |(all, took), taken| {
-        (all + 1, took + usize::from(taken))
+    answers.fold((0, 0), |(all, accepted_count), accepted| {
+        (all + 1, accepted_count + usize::from(accepted))
     })
 }
--- a/crates/drill/src/run/controllers.rs
+++ b/crates/drill/src/run/controllers.rs
@@ -1,6 +1,6 @@
 //! The controller processes of a drill: configuration file, start, kill, signals, operators' requests.
 
-use super::{named, Drill, DrillError};
+use super::{io_error, Drill, DrillError};
 use crate::machine::cpu_of;
 use crate::records::Record;
 use rustix::process::{kill_process, Pid, Signal};
@@ -34,16 +34,16 @@
 }
 
 impl Drill<'_> {
-    pub(super) fn write_file(
+    pub(super) fn write_configuration(
         &self,
         number: usize,
-        lines_per_second: f64,
+        entries_per_second: f64,
     ) -> Result<PathBuf, DrillError> {
         let process = &self.controllers[number];
         let mut deployment = self.script.deployment.clone();
-        deployment.update_queue.entries_per_second = lines_per_second;
+        deployment.update_queue.entries_per_second = entries_per_second;
         #[derive(Serialize)]
-        struct Place<'a> {
+        struct ControllerSection<'a> {
             name: String,
             number: usize,
             seed: u64,
@@ -54,11 +54,11 @@
         #[derive(Serialize)]
         struct File<'a> {
             #[serde(rename = "conductor")]
-            controller: Place<'a>,
+            controller: ControllerSection<'a>,
             log: BTreeMap<&'a str, &'a str>,
             deployment: wheelspread_controller_core::Deployment,
         }
-        let place = Place {
+        let place = ControllerSection {
             name: format!("conductor-{number}"),
             number,
             seed: self.options.seed + number as u64,
@@ -74,15 +74,15 @@
         });
         let text = text.map_err(DrillError::Configuration)?;
         let path = process.directory.join("conductor.yaml");
-        replace_file(&path, &text).map_err(named(path.display().to_string()))?;
+        replace_file(&path, &text).map_err(io_error(path.display().to_string()))?;
         Ok(path)
     }
 
     pub(super) fn start_controller(&mut self, number: usize) -> Result<(), DrillError> {
-        if self.even.is_some() {
+        if self.even_publisher.is_some() {
             return Ok(());
         }
-        let path = self.write_file(
+        let path = self.write_configuration(
             number,
             self.script.deployment.update_queue.entries_per_second,
         )?;
@@ -91,7 +91,7 @@
             .create(true)
             .append(true)
             .open(&log)
-            .map_err(named(log.display().to_string()))?;
+            .map_err(io_error(log.display().to_string()))?;
         let child = Command::new(&self.options.program)
             .arg("run")
             .arg(&path)
@@ -99,9 +99,9 @@
             .stdout(Stdio::null())
             .stderr(log)
             .spawn()
-            .map_err(named(self.options.program.display().to_string()))?;
+            .map_err(io_error(self.options.program.display().to_string()))?;
         self.controllers[number].child = Some(child);
-        self.recorder.note(
+        self.recorder.record(
             reactor::now(),
             Record::ControllerStarted { controller: number },
         );
@@ -110,14 +110,14 @@
 
     pub(super) fn kill_controller(&mut self, number: usize) {
         if let Some(mut child) = self.controllers[number].child.take() {
-            self.cpu += cpu_of(child.id());
+            self.controller_cpu_s += cpu_of(child.id());
             let _ = child.kill();
             let _ = child.wait();
-            if self.options.forget {
+            if self.options.discard_state {
                 let _ =
                     std::fs::remove_file(self.controllers[number].directory.join("tables/state"));
             }
-            self.recorder.note(
+            self.recorder.record(
                 reactor::now(),
                 Record::ControllerKilled { controller: number },
             );
@@ -125,30 +125,30 @@
     }
 
     /// As an operator's tool does it, at each controller by itself.
-    pub(super) fn order(&self, node: String, word: DrainAction, within: Span) {
+    pub(super) fn order_drain(&self, node: String, action: DrainAction, within: Span) {
         let now = reactor::now();
-        let asked = self.recorder.at(now);
+        let ordered_at = self.recorder.seconds_at(now);
         // Whatever checks say: the drill knows what it does.
         let overrides = ["pool", "cold", "capacity"].map(str::to_string);
-        let body = drain_order(&node, word, "drill", &overrides);
-        let out = word == DrainAction::Drain;
-        self.tell(
+        let body = drain_order(&node, action, "drill", &overrides);
+        let drains = action == DrainAction::Drain;
+        self.send_to_controllers(
             vec![Request::post("/v1/drains", body)],
             within,
-            move |controller, taken| {
+            move |controller, accepted| {
                 let node = node.clone();
-                taken.then_some(Record::Ordered {
+                accepted.then_some(Record::DrainOrdered {
                     controller,
                     node,
-                    out,
-                    asked,
+                    drains,
+                    ordered_at,
                 })
             },
         );
     }
 
     /// Nodes move to the next zone, by a change of configuration; or that is taken back.
-    pub(super) fn change(&self, id: &str, nodes: &[usize], undo: bool, within: Span) {
+    pub(super) fn change_zones(&self, id: &str, nodes: &[usize], undo: bool, within: Span) {
         let zones = &self.script.deployment.zones;
         let moved = nodes.iter().map(|node| {
             let node = &self.fleet[*node];
@@ -156,30 +156,30 @@
             (format!("nodes.{}.zone", node.address), next)
         });
         let sets: BTreeMap<String, String> = moved.collect();
-        let named = serde_json::json!({ "id": id });
+        let change_id = serde_json::json!({ "id": id });
         let requests = match undo {
-            true => vec![Request::post("/v1/changes/undo", named)],
+            true => vec![Request::post("/v1/changes/undo", change_id)],
             false => vec![
                 Request::post(
                     "/v1/changes/stage",
                     serde_json::json!({ "id": id, "by": "drill", "sets": sets }),
                 ),
-                Request::post("/v1/changes/apply", named),
+                Request::post("/v1/changes/apply", change_id),
             ],
         };
         let change = id.to_string();
-        self.tell(requests, within, move |controller, taken| {
-            Some(Record::Changed {
+        self.send_to_controllers(requests, within, move |controller, accepted| {
+            Some(Record::ChangeAnswered {
                 controller,
                 change: change.clone(),
                 undo,
-                taken,
+                accepted,
             })
         });
     }
 
     /// Tells each controller by itself, one request after the other, each again where it failed.
-    fn tell(
+    fn send_to_controllers(
         &self,
         requests: Vec<Request>,
         within: Span,
@@ -195,13 +195,13 @@
             let (recorder, requests, record) =
                 (self.recorder.clone(), requests.clone(), record.clone());
             std::thread::spawn(move || {
-                let taken = |request| {
+                let accepted = |request| {
                     fleet.order(request, within, number as u64).outcome == Outcome::Everywhere
                 };
-                let all = requests.iter().all(taken);
+                let all = requests.iter().all(accepted);
                 record(number, all)
                     .into_iter()
-                    .for_each(|record| recorder.note(reactor::now(), record));
+                    .for_each(|record| recorder.record(reactor::now(), record));
             });
         }
     }
--- a/crates/drill/src/run/execution.rs
+++ b/crates/drill/src/run/execution.rs
@@ -14,14 +14,14 @@
 
 impl Drill<'_> {
     /// Schedules a step. Steps of one time are taken in the order of their scheduling.
-    pub(super) fn at(&mut self, at: Moment, step: Step) {
-        self.next += 1;
-        self.steps.insert((at, self.next), step);
+    pub(super) fn schedule(&mut self, at: Moment, step: Step) {
+        self.last_sequence += 1;
+        self.steps.insert((at, self.last_sequence), step);
     }
 
-    pub(super) fn go_through(&mut self) -> Result<(), DrillError> {
+    pub(super) fn run_steps(&mut self) -> Result<(), DrillError> {
         let end = self.begin + self.script.length;
-        let mut told = -1;
+        let mut reported_second = -1;
         loop {
             let now = reactor::now();
             while let Some(entry) = self
@@ -30,11 +30,11 @@
                 .filter(|entry| entry.key().0 <= now)
             {
                 let step = entry.remove();
-                self.take(step)?;
+                self.execute_step(step)?;
             }
             let second = (now - self.begin).seconds() as i64;
-            if second != told && second >= 0 && second % 2 == 0 {
-                told = second;
+            if second != reported_second && second >= 0 && second % 2 == 0 {
+                reported_second = second;
                 let length = self.script.length.seconds();
                 (self.options.progress)(&format!("{second:>3} of {length:.0} s"));
             }
@@ -51,7 +51,7 @@
         }
     }
 
-    fn take(&mut self, step: Step) -> Result<(), DrillError> {
+    fn execute_step(&mut self, step: Step) -> Result<(), DrillError> {
         match step {
             Step::Announce(kind) => (self.options.progress)(&format!("trouble: {kind}")),
             Step::Nodes(commands) => {
@@ -61,14 +61,14 @@
             }
             Step::Network(command) => self.network.send(command),
             Step::Rate { proxies, factor } => self.set_rate(proxies, factor),
-            Step::ShiftTraffic { from, to, part } => self.shift_traffic(from, to, part),
+            Step::ShiftTraffic { from, to, ratio } => self.shift_traffic(from, to, ratio),
             Step::DrainBatch { out, drain } => self.drain_batch(out, drain),
             Step::ReplaceNodes { out } => self.replace_nodes(out),
             Step::AddNodes { count } => self.add_nodes(count),
             Step::SilenceNodes(nodes) => self.silence_nodes(nodes),
             Step::RestoreNodes(nodes) => self.restore_nodes(nodes),
             Step::SetListDelay(delay) => self.list_delay = delay,
-            Step::PublishList(list, plain) => self.publish(&list, &plain)?,
+            Step::PublishList(list, listed) => self.publish_list(&list, &listed)?,
             Step::KillControllers(numbers) => {
                 for number in numbers {
                     self.kill_controller(number);
@@ -92,7 +92,7 @@
                 nodes,
                 undo,
                 within,
-            } => self.change(&id, &nodes, undo, within),
+            } => self.change_zones(&id, &nodes, undo, within),
             Step::KillProxies(proxies) => self.kill_proxies(proxies),
             Step::StartProxies(proxies) => {
                 for proxy in proxies {
@@ -106,27 +106,28 @@
 
     fn set_rate(&self, proxies: Option<Vec<usize>>, factor: f64) {
         if let Some(clients) = &self.clients {
-            clients.send(ClientCommand::Rate { proxies, factor });
+            clients.send(ClientCommand::SetRate { proxies, factor });
         }
     }
 
-    fn shift_traffic(&self, from: usize, to: usize, part: f64) {
+    fn shift_traffic(&self, from: usize, to: usize, ratio: f64) {
         let zones = self.script.deployment.zones.len();
-        let of = |zone: usize| (0..self.usual.len()).filter(move |proxy| proxy % zones == zone);
-        let sum = |zone: usize| of(zone).map(|proxy| self.usual[proxy]).sum::<f64>();
-        let (lost, gained) = (1.0 - part, 1.0 + part * sum(from) / sum(to).max(1e-9));
+        let of =
+            |zone: usize| (0..self.base_rates.len()).filter(move |proxy| proxy % zones == zone);
+        let sum = |zone: usize| of(zone).map(|proxy| self.base_rates[proxy]).sum::<f64>();
+        let (lost, gained) = (1.0 - ratio, 1.0 + ratio * sum(from) / sum(to).max(1e-9));
         for (zone, factor) in [(from, lost), (to, gained)] {
             self.set_rate(Some(of(zone).collect()), factor);
         }
     }
 
     fn drain_batch(&mut self, out: Vec<usize>, drain: Span) {
-        let out = self.still_there(out);
+        let out = self.without_stopped_nodes(out);
         for node in &out {
             self.fleet[*node].draining = true;
         }
-        self.list_changes();
-        self.at(reactor::now() + drain, Step::ReplaceNodes { out });
+        self.schedule_list_publication();
+        self.schedule(reactor::now() + drain, Step::ReplaceNodes { out });
     }
 
     fn replace_nodes(&mut self, out: Vec<usize>) {
@@ -137,7 +138,7 @@
             self.nodes.send(NodeCommand::Stop(self.fleet[node].key));
             self.add_cold_node_like(node);
         }
-        self.list_changes();
+        self.schedule_list_publication();
     }
 
     fn add_nodes(&mut self, count: usize) {
@@ -145,7 +146,7 @@
             // The fleet grows with each: the numbers wrap at its length by then.
             self.add_cold_node_like(number % self.fleet.len());
         }
-        self.list_changes();
+        self.schedule_list_publication();
     }
 
     fn add_cold_node_like(&mut self, node: usize) {
@@ -157,25 +158,27 @@
     }
 
     fn silence_nodes(&mut self, nodes: Vec<usize>) {
-        for node in self.still_there(nodes) {
-            let known = &mut self.fleet[node];
-            known.silent = true;
-            self.nodes.send(NodeCommand::Silent(known.key, true));
+        for node in self.without_stopped_nodes(nodes) {
+            let fleet_node = &mut self.fleet[node];
+            fleet_node.silent = true;
+            self.nodes
+                .send(NodeCommand::SetSilent(fleet_node.key, true));
         }
     }
 
     fn restore_nodes(&mut self, nodes: Vec<usize>) {
         for node in nodes {
-            let known = &mut self.fleet[node];
-            if std::mem::take(&mut known.silent) && !known.gone {
-                known.started = reactor::now();
-                self.nodes.send(NodeCommand::Silent(known.key, false));
+            let fleet_node = &mut self.fleet[node];
+            if std::mem::take(&mut fleet_node.silent) && !fleet_node.gone {
+                fleet_node.started = reactor::now();
+                self.nodes
+                    .send(NodeCommand::SetSilent(fleet_node.key, false));
             }
         }
-        self.list_changes();
+        self.schedule_list_publication();
     }
 
-    fn still_there(&self, mut nodes: Vec<usize>) -> Vec<usize> {
+    fn without_stopped_nodes(&self, mut nodes: Vec<usize>) -> Vec<usize> {
         nodes.retain(|node| !self.fleet[*node].gone);
         nodes
     }
@@ -187,25 +190,25 @@
     }
 
     fn slow_channel(&self, factor: f64) -> Result<(), DrillError> {
-        let usual = self.script.deployment.update_queue.entries_per_second;
+        let base_rate = self.script.deployment.update_queue.entries_per_second;
         for number in 0..self.controllers.len() {
-            self.write_file(number, usual / factor)?;
+            self.write_configuration(number, base_rate / factor)?;
             self.signal(number, Signal::HUP);
         }
         Ok(())
     }
 
     fn order_drains(&self, nodes: Vec<usize>, action: DrainAction, within: Span) {
-        for node in self.still_there(nodes) {
-            self.order(self.fleet[node].address.to_string(), action, within);
+        for node in self.without_stopped_nodes(nodes) {
+            self.order_drain(self.fleet[node].address.to_string(), action, within);
         }
     }
 
     fn kill_proxies(&self, proxies: Vec<usize>) {
         for proxy in proxies {
-            self.proxies.send(ProxyCommand::Die(proxy));
+            self.proxies.send(ProxyCommand::Kill(proxy));
             if let Some(clients) = &self.clients {
-                clients.send(ClientCommand::At {
+                clients.send(ClientCommand::SetAddress {
                     proxy,
                     address: None,
                 });
@@ -214,14 +217,14 @@
     }
 
     fn republish(&mut self, until: Moment) -> Result<(), DrillError> {
-        let (_, plain) = self.list();
-        if let Some(even) = &mut self.even {
-            even.publish(&self.script, &plain, &self.zones)?;
+        let (_, listed) = self.snapshot_nodes();
+        if let Some(even) = &mut self.even_publisher {
+            even.publish(&self.script, &listed, &self.zones)?;
         }
         let now = reactor::now();
         if now < until {
             let next = now + REPUBLISH_INTERVAL;
-            self.at(next, Step::RepublishUntil(until));
+            self.schedule(next, Step::RepublishUntil(until));
         }
         Ok(())
     }
--- a/crates/drill/src/run/fault_plan.rs
+++ b/crates/drill/src/run/fault_plan.rs
@@ -6,7 +6,7 @@
 mod traffic;
 
 use super::{Drill, Step};
-use crate::even_publisher::Sabotage;
+use crate::even_publisher::RuleViolation;
 use crate::records::Record;
 use crate::script::{Fault, FaultKind};
 use crate::stand_in_server::{NodeCommand, NodeKey};
@@ -28,30 +28,30 @@
             end: begin + fault.span,
         };
         let kind = fault.kind.name();
-        self.at(begin, Step::Announce(kind.clone()));
+        self.schedule(begin, Step::Announce(kind.clone()));
         match fault.kind {
             FaultKind::Deploy => self.plan_deploy(fault, window),
             FaultKind::DrainOrder => self.plan_drain_order(fault, window),
-            FaultKind::Change => self.plan_change(fault, window),
+            FaultKind::ZoneChange => self.plan_change(fault, window),
             FaultKind::Vanish => self.plan_vanish(fault, window),
             FaultKind::Flapping => self.plan_flapping(fault, window),
             FaultKind::FastErrors => self.plan_fast_errors(fault, window),
             FaultKind::AnswerLost => self.plan_lost_answers(fault, window),
-            FaultKind::ConnSqueeze => self.plan_connection_squeeze(fault, window),
-            FaultKind::OneSided => self.plan_one_sided(fault, window),
-            FaultKind::SharedSlow => self.plan_shared_slowness(fault, window),
+            FaultKind::ConnectionLimit => self.plan_connection_squeeze(fault, window),
+            FaultKind::SlowForOneController => self.plan_one_sided(fault, window),
+            FaultKind::AllNodesSlow => self.plan_shared_slowness(fault, window),
             FaultKind::SlowLink => self.plan_slow_link(fault, window),
             FaultKind::Preempt => self.plan_preemption(fault, window),
-            FaultKind::Grow => self.plan_growth(fault, window),
+            FaultKind::FleetGrowth => self.plan_growth(fault, window),
             FaultKind::HotCaller => self.plan_hot_caller(fault, window),
-            FaultKind::Shift => self.plan_shift(fault, window),
+            FaultKind::TrafficShift => self.plan_shift(fault, window),
             FaultKind::Overload => self.plan_overload(fault, window),
             FaultKind::Reconnect => self.plan_reconnect(fault, window),
-            FaultKind::CounterDown => self.plan_unreachable_controllers(fault, window),
+            FaultKind::ControllersUnreachable => self.plan_unreachable_controllers(fault, window),
             FaultKind::ReportLate => self.plan_late_reports(fault, window),
             FaultKind::ZoneCut => self.plan_zone_cut(window),
-            FaultKind::OriginSlow => self.plan_slow_channel(fault, window),
-            FaultKind::BalancerCrash if fault.whom.as_deref() == Some("gateway") => {
+            FaultKind::UpdateChannelSlow => self.plan_slow_channel(fault, window),
+            FaultKind::BalancerCrash if fault.target.as_deref() == Some("gateway") => {
                 self.plan_proxy_crash(fault, window);
             }
             FaultKind::BalancerCrash => self.plan_controller_crash(fault, window),
@@ -63,35 +63,35 @@
             injected: true,
             span: fault.span.seconds(),
         };
-        self.recorder.note(begin, record);
+        self.recorder.record(begin, record);
     }
 
     /// One step when the fault begins, one when it ends.
     fn between(&mut self, window: FaultWindow, on: Step, off: Step) {
-        self.at(window.begin, on);
-        self.at(window.end, off);
+        self.schedule(window.begin, on);
+        self.schedule(window.end, off);
     }
 
     /// What a sabotaged run needs besides its publisher.
-    pub(super) fn plan_sabotage(&mut self) {
+    pub(super) fn plan_violation(&mut self) {
         let at = self.begin + Span::from_seconds(1.0);
-        match self.options.sabotage {
-            Some(Sabotage::Repeat) => {
+        match self.options.violation {
+            Some(RuleViolation::RetryUnsafe) => {
                 let keys: Vec<NodeKey> = self.fleet.iter().map(|node| node.key).collect();
-                let lose = |key| NodeCommand::AnswersLost(key, 0.3);
-                self.at(at, Step::Nodes(keys.into_iter().map(lose).collect()));
+                let lose = |key| NodeCommand::SetResponseLossRatio(key, 0.3);
+                self.schedule(at, Step::Nodes(keys.into_iter().map(lose).collect()));
             }
-            Some(Sabotage::KeepDrained) => {
+            Some(RuleViolation::KeepDrained) => {
                 let out = self.sample_nodes(0.1);
                 let drain = Span::from_seconds(60.0);
-                self.at(at, Step::DrainBatch { out, drain });
+                self.schedule(at, Step::DrainBatch { out, drain });
             }
-            Some(Sabotage::FloodCold | Sabotage::EmptyTable) => {
-                self.at(at, Step::AddNodes { count: 1 });
+            Some(RuleViolation::OverloadWarming | RuleViolation::EmptyTable) => {
+                self.schedule(at, Step::AddNodes { count: 1 });
             }
-            Some(Sabotage::Overfill) => {
+            Some(RuleViolation::ExceedMessageCap) => {
                 let until = at + Span::from_seconds(5.0);
-                self.at(at, Step::RepublishUntil(until));
+                self.schedule(at, Step::RepublishUntil(until));
             }
             None => {}
         }
--- a/crates/drill/src/run/fault_plan/control_plane.rs
+++ b/crates/drill/src/run/fault_plan/control_plane.rs
@@ -1,8 +1,8 @@
 //! Faults of controllers and proxies, of the network between them, and of the endpoint list.
 
 use super::{Drill, FaultWindow, Step};
-use crate::audit::Slowed;
-use crate::network::{proxies_in, NetworkCommand};
+use crate::audit::SlowedPeriod;
+use crate::network::{proxies_in_zone, NetworkCommand};
 use crate::script::Fault;
 use crate::stand_in_server::NodeCommand;
 use std::collections::BTreeSet;
@@ -11,19 +11,19 @@
 impl Drill<'_> {
     pub(super) fn plan_reconnect(&mut self, fault: &Fault, window: FaultWindow) {
         let proxies = self.sample_proxies(fault.size.clamp(0.0, 1.0));
-        let streams = NetworkCommand::Break(proxies.into_iter().collect());
-        self.at(window.begin, Step::Network(streams));
+        let streams = NetworkCommand::ResetStreams(proxies.into_iter().collect());
+        self.schedule(window.begin, Step::Network(streams));
     }
 
     pub(super) fn plan_unreachable_controllers(&mut self, fault: &Fault, window: FaultWindow) {
-        let proxies = self.sample_proxies(fault.part);
-        let refuse = |proxies| Step::Network(NetworkCommand::Refuse(proxies));
+        let proxies = self.sample_proxies(fault.ratio);
+        let refuse = |proxies| Step::Network(NetworkCommand::RefuseConnections(proxies));
         let on = refuse(proxies.into_iter().collect());
         self.between(window, on, refuse(BTreeSet::new()));
     }
 
     pub(super) fn plan_late_reports(&mut self, fault: &Fault, window: FaultWindow) {
-        let late = |seconds| Step::Network(NetworkCommand::Late(seconds));
+        let late = |seconds| Step::Network(NetworkCommand::SetReportDelay(seconds));
         self.between(window, late(fault.size.clamp(0.0, 10.0)), late(0.0));
     }
 
@@ -31,18 +31,18 @@
     pub(super) fn plan_zone_cut(&mut self, window: FaultWindow) {
         let zone = self.script.deployment.zones.len() - 1;
         let zones = self.zones.iter().copied().enumerate().collect();
-        let cut = |zone| Step::Nodes(vec![NodeCommand::Cut(zone)]);
-        let hold = |proxies| Step::Network(NetworkCommand::Hold(proxies));
+        let cut = |zone| Step::Nodes(vec![NodeCommand::SetZoneCut(zone)]);
+        let hold = |proxies| Step::Network(NetworkCommand::Pause(proxies));
         self.between(window, cut(Some(zone)), cut(None));
-        let held = hold(proxies_in(&zones, zone));
+        let held = hold(proxies_in_zone(&zones, zone));
         self.between(window, held, hold(BTreeSet::new()));
     }
 
     pub(super) fn plan_slow_channel(&mut self, fault: &Fault, window: FaultWindow) {
         let factor = fault.size.max(1.0);
-        self.slowed.push(Slowed {
-            from: self.recorder.at(window.begin),
-            to: self.recorder.at(window.end),
+        self.slowed_periods.push(SlowedPeriod {
+            from: self.recorder.seconds_at(window.begin),
+            to: self.recorder.seconds_at(window.end),
             factor,
         });
         let slow = |factor| Step::SlowChannel { factor };
@@ -50,27 +50,27 @@
     }
 
     pub(super) fn plan_proxy_crash(&mut self, fault: &Fault, window: FaultWindow) {
-        let proxies = self.sample_proxies(fault.part);
+        let proxies = self.sample_proxies(fault.ratio);
         let kill = Step::KillProxies(proxies.clone());
         self.between(window, kill, Step::StartProxies(proxies));
     }
 
     pub(super) fn plan_controller_crash(&mut self, fault: &Fault, window: FaultWindow) {
-        let controllers = self.sample_controllers(fault.part);
+        let controllers = self.sample_controllers(fault.ratio);
         let kill = Step::KillControllers(controllers.clone());
         self.between(window, kill, Step::StartControllers(controllers));
     }
 
     pub(super) fn plan_controller_stall(&mut self, fault: &Fault, window: FaultWindow) {
-        let controllers = self.sample_controllers(fault.part);
+        let controllers = self.sample_controllers(fault.ratio);
         let pause = Step::PauseControllers(controllers.clone());
         self.between(window, pause, Step::ResumeControllers(controllers));
     }
 
     pub(super) fn plan_late_list(&mut self, fault: &Fault, window: FaultWindow) {
-        let usual = self.script.list_delay;
-        let late = usual + Span::from_seconds(fault.size.clamp(0.0, 20.0));
+        let base_delay = self.script.list_delay;
+        let late = base_delay + Span::from_seconds(fault.size.clamp(0.0, 20.0));
         let delay = Step::SetListDelay(late);
-        self.between(window, delay, Step::SetListDelay(usual));
+        self.between(window, delay, Step::SetListDelay(base_delay));
     }
 }
--- a/crates/drill/src/run/fault_plan/nodes.rs
+++ b/crates/drill/src/run/fault_plan/nodes.rs
@@ -1,6 +1,6 @@
 //! Faults of nodes, and planned work on them.
 
-use super::sampling::count_of;
+use super::sampling::sample_size;
 use super::{Drill, FaultWindow, Step};
 use crate::script::Fault;
 use crate::stand_in_server::{NodeCommand, NodeKey};
@@ -9,7 +9,7 @@
 use wheelspread_drain::DrainAction;
 
 /// The part of a fault's span in which operators' orders are retried; the rest is for their effect.
-const ORDER_SPAN_PART: f64 = 0.9;
+const ORDER_RETRY_RATIO: f64 = 0.9;
 /// How long taking a drained node back is retried.
 const UNDRAIN_RETRY: Span = Span::from_seconds(5.0);
 /// How long the undo of a configuration change is retried.
@@ -22,23 +22,23 @@
 
 impl Drill<'_> {
     pub(super) fn plan_deploy(&mut self, fault: &Fault, window: FaultWindow) {
-        let all = self.sample_nodes(fault.part);
-        let batch = count_of(self.fleet.len(), fault.size);
+        let all = self.sample_nodes(fault.ratio);
+        let batch = sample_size(self.fleet.len(), fault.size);
         let batches: Vec<Vec<usize>> = all.chunks(batch).map(<[usize]>::to_vec).collect();
         let every = fault.span * (1.0 / batches.len().max(1) as f64);
         let drain = Span::from_seconds(fault.extra.clamp(0.5, 10.0));
         for (number, out) in batches.into_iter().enumerate() {
             let at = window.begin + every * number as f64;
-            self.at(at, Step::DrainBatch { out, drain });
+            self.schedule(at, Step::DrainBatch { out, drain });
         }
     }
 
     pub(super) fn plan_drain_order(&mut self, fault: &Fault, window: FaultWindow) {
-        let nodes = self.sample_nodes(fault.part);
+        let nodes = self.sample_nodes(fault.ratio);
         let drain = Step::OrderDrain {
             nodes: nodes.clone(),
             action: DrainAction::Drain,
-            within: fault.span * ORDER_SPAN_PART,
+            within: fault.span * ORDER_RETRY_RATIO,
         };
         let undrain = Step::OrderDrain {
             nodes,
@@ -49,7 +49,7 @@
     }
 
     pub(super) fn plan_change(&mut self, fault: &Fault, window: FaultWindow) {
-        let nodes = self.sample_nodes(fault.part);
+        let nodes = self.sample_nodes(fault.ratio);
         let id = format!("moved-at-{}", fault.at.seconds());
         let change = |undo, within| Step::ChangeZones {
             id: id.clone(),
@@ -57,49 +57,51 @@
             undo,
             within,
         };
-        let apply = change(false, fault.span * ORDER_SPAN_PART);
+        let apply = change(false, fault.span * ORDER_RETRY_RATIO);
         let undo = change(true, UNDO_RETRY);
         self.between(window, apply, undo);
     }
 
     pub(super) fn plan_vanish(&mut self, fault: &Fault, window: FaultWindow) {
-        let nodes = self.sample_nodes(fault.part);
+        let nodes = self.sample_nodes(fault.ratio);
         let silence = Step::SilenceNodes(nodes.clone());
         self.between(window, silence, Step::RestoreNodes(nodes));
     }
 
     pub(super) fn plan_flapping(&mut self, fault: &Fault, window: FaultWindow) {
-        let nodes = self.sample_nodes(fault.part);
+        let nodes = self.sample_nodes(fault.ratio);
         let every = fault.span * (1.0 / nodes.len().max(1) as f64);
         for (number, node) in nodes.into_iter().enumerate() {
             let silent = window.begin + every * number as f64;
             let back = window.begin + every * (number as f64 + 0.8);
-            self.at(silent, Step::SilenceNodes(vec![node]));
-            self.at(back, Step::RestoreNodes(vec![node]));
+            self.schedule(silent, Step::SilenceNodes(vec![node]));
+            self.schedule(back, Step::RestoreNodes(vec![node]));
         }
     }
 
     pub(super) fn plan_fast_errors(&mut self, fault: &Fault, window: FaultWindow) {
-        let keys = self.sample_node_keys(fault.part);
-        let on = for_each(&keys, |key| NodeCommand::Errors(key, fault.size));
-        let off = for_each(&keys, |key| NodeCommand::Errors(key, 0.0));
+        let keys = self.sample_node_keys(fault.ratio);
+        let on = for_each(&keys, |key| NodeCommand::SetErrorRatio(key, fault.size));
+        let off = for_each(&keys, |key| NodeCommand::SetErrorRatio(key, 0.0));
         self.between(window, on, off);
     }
 
     pub(super) fn plan_lost_answers(&mut self, fault: &Fault, window: FaultWindow) {
-        let keys = self.sample_node_keys(fault.part);
-        let on = for_each(&keys, |key| NodeCommand::AnswersLost(key, fault.size));
-        let off = for_each(&keys, |key| NodeCommand::AnswersLost(key, 0.0));
+        let keys = self.sample_node_keys(fault.ratio);
+        let on = for_each(&keys, |key| {
+            NodeCommand::SetResponseLossRatio(key, fault.size)
+        });
+        let off = for_each(&keys, |key| NodeCommand::SetResponseLossRatio(key, 0.0));
         self.between(window, on, off);
     }
 
     pub(super) fn plan_connection_squeeze(&mut self, fault: &Fault, window: FaultWindow) {
-        let keys = self.sample_node_keys(fault.part);
+        let keys = self.sample_node_keys(fault.ratio);
         let usual = self.script.nodes.connections;
         // As many connections as a fifth of the size says, four at least.
         let few = ((usual as f64 * fault.size.clamp(0.02, 1.0) * 0.2) as usize).max(4);
-        let on = for_each(&keys, |key| NodeCommand::Connections(key, few));
-        let off = for_each(&keys, |key| NodeCommand::Connections(key, usual));
+        let on = for_each(&keys, |key| NodeCommand::SetConnectionLimit(key, few));
+        let off = for_each(&keys, |key| NodeCommand::SetConnectionLimit(key, usual));
         self.between(window, on, off);
     }
 
@@ -109,12 +111,12 @@
         let proxies: BTreeSet<usize> = (0..self.script.proxies)
             .filter(|at| at % count == 0)
             .collect();
-        let kind = usize::from(self.script.nodes.kinds.len() > 1 && fault.part < 0.5);
+        let kind = usize::from(self.script.nodes.kinds.len() > 1 && fault.ratio < 0.5);
         let one_sided = |proxies, slow| {
-            Step::Nodes(vec![NodeCommand::OneSided {
+            Step::Nodes(vec![NodeCommand::SetOneSidedFault {
                 kind,
                 proxies,
-                slow,
+                work_factor: slow,
                 refuse: false,
             }])
         };
@@ -124,27 +126,27 @@
     }
 
     pub(super) fn plan_shared_slowness(&mut self, fault: &Fault, window: FaultWindow) {
-        let slow = |factor| Step::Nodes(vec![NodeCommand::Slow(factor)]);
+        let slow = |factor| Step::Nodes(vec![NodeCommand::SetWorkFactor(factor)]);
         self.between(window, slow(fault.size.max(1.0)), slow(1.0));
     }
 
     pub(super) fn plan_slow_link(&mut self, fault: &Fault, window: FaultWindow) {
-        let slow = |seconds| Step::Nodes(vec![NodeCommand::SlowLink(seconds)]);
+        let slow = |seconds| Step::Nodes(vec![NodeCommand::SetResponseDelay(seconds)]);
         self.between(window, slow(fault.size.clamp(0.0, 0.4)), slow(0.0));
     }
 
     pub(super) fn plan_preemption(&mut self, fault: &Fault, window: FaultWindow) {
-        let nodes = self.sample_nodes(fault.part);
+        let nodes = self.sample_nodes(fault.ratio);
         let every = fault.span * (1.0 / nodes.len().max(1) as f64);
         for (number, node) in nodes.into_iter().enumerate() {
             let at = window.begin + every * number as f64;
-            self.at(at, Step::ReplaceNodes { out: vec![node] });
+            self.schedule(at, Step::ReplaceNodes { out: vec![node] });
         }
     }
 
     pub(super) fn plan_growth(&mut self, fault: &Fault, window: FaultWindow) {
-        let part = fault.part.min(fault.size.max(0.05));
-        let count = count_of(self.fleet.len(), part);
-        self.at(window.begin, Step::AddNodes { count });
+        let part = fault.ratio.min(fault.size.max(0.05));
+        let count = sample_size(self.fleet.len(), part);
+        self.schedule(window.begin, Step::AddNodes { count });
     }
 }
--- a/crates/drill/src/run/fault_plan/traffic.rs
+++ b/crates/drill/src/run/fault_plan/traffic.rs
@@ -5,7 +5,7 @@
 
 impl Drill<'_> {
     pub(super) fn plan_hot_caller(&mut self, fault: &Fault, window: FaultWindow) {
-        let proxies = self.sample_proxies(fault.part);
+        let proxies = self.sample_proxies(fault.ratio);
         let factor = 1.0 + fault.size * self.script.proxies as f64 / proxies.len() as f64;
         let rate = |factor| Step::Rate {
             proxies: Some(proxies.clone()),
@@ -17,13 +17,13 @@
     /// It moves for good: nothing takes the shift back at the end.
     pub(super) fn plan_shift(&mut self, fault: &Fault, window: FaultWindow) {
         let zones = self.script.deployment.zones.len();
-        let from = ((self.chance.unit() * zones as f64) as usize).min(zones - 1);
+        let from = ((self.rng.unit() * zones as f64) as usize).min(zones - 1);
         let shift = Step::ShiftTraffic {
             from,
             to: (from + 1) % zones,
-            part: fault.size.clamp(0.0, 1.0),
+            ratio: fault.size.clamp(0.0, 1.0),
         };
-        self.at(window.begin, shift);
+        self.schedule(window.begin, shift);
     }
 
     pub(super) fn plan_overload(&mut self, fault: &Fault, window: FaultWindow) {
--- a/crates/drill/src/run/fleet.rs
+++ b/crates/drill/src/run/fleet.rs
@@ -1,8 +1,8 @@
 //! The stand-in nodes of a drill and the endpoint list that names them.
 
-use super::{named, Drill, DrillError, Step};
+use super::{io_error, Drill, DrillError, Step};
 use crate::even_publisher::ListedNode;
-use crate::records::{Listed, Record};
+use crate::records::{ListedNodeState, Record};
 use crate::stand_in_server::{NodeKey, NodeSpec};
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -28,8 +28,8 @@
         let Some((key, address)) = self.nodes.add(spec.clone()) else {
             return;
         };
-        let long_ago = now - self.script.deployment.rules.warm_after * 10.0;
-        let started = if spec.cold { now } else { long_ago };
+        let already_warm = now - self.script.deployment.rules.warm_after * 10.0;
+        let started = if spec.cold { now } else { already_warm };
         let node = FleetNode {
             key,
             spec,
@@ -42,7 +42,7 @@
         self.fleet.push(node);
     }
 
-    pub(super) fn first_nodes(&mut self) {
+    pub(super) fn add_initial_nodes(&mut self) {
         let plan = self.script.nodes.clone();
         let mut zone = 0;
         for (kind, of) in plan.kinds.iter().enumerate() {
@@ -52,7 +52,7 @@
                     kind,
                     kind_name: of.name.clone(),
                     cores: of.cores,
-                    speed: of.speed * (1.0 + of.speed_spread * (2.0 * self.chance.unit() - 1.0)),
+                    speed: of.speed * (1.0 + of.speed_spread * (2.0 * self.rng.unit() - 1.0)),
                     cold: false,
                     queue: plan.queue,
                     connections: plan.connections,
@@ -63,7 +63,7 @@
         }
     }
 
-    pub(super) fn list(&mut self) -> (EndpointSnapshot, Vec<ListedNode>) {
+    pub(super) fn snapshot_nodes(&mut self) -> (EndpointSnapshot, Vec<ListedNode>) {
         self.list_version += 1;
         let (now, wall) = (reactor::now(), reactor::wall());
         let listed: Vec<&FleetNode> = self.fleet.iter().filter(|node| !node.gone).collect();
@@ -87,28 +87,28 @@
             records: listed.iter().map(record).collect(),
         };
         let warm = self.script.deployment.rules.warm_after;
-        let plain = listed.iter().map(|node| ListedNode {
+        let listed_nodes = listed.iter().map(|node| ListedNode {
             address: node.address,
             zone: node.spec.zone,
             draining: node.draining,
             cold: now - node.started < warm,
         });
-        (list, plain.collect())
+        (list, listed_nodes.collect())
     }
 
     /// The list as it is now, to be seen by controllers after its delay.
-    pub(super) fn list_changes(&mut self) {
-        let (list, plain) = self.list();
-        self.at(
+    pub(super) fn schedule_list_publication(&mut self) {
+        let (list, listed_nodes) = self.snapshot_nodes();
+        self.schedule(
             reactor::now() + self.list_delay,
-            Step::PublishList(list, plain),
+            Step::PublishList(list, listed_nodes),
         );
     }
 
-    pub(super) fn publish(
+    pub(super) fn publish_list(
         &mut self,
         list: &EndpointSnapshot,
-        plain: &[ListedNode],
+        listed_nodes: &[ListedNode],
     ) -> Result<(), DrillError> {
         let text = wheelspread_xds::nodes::write(list).map_err(DrillError::EndpointList)?;
         let now = reactor::now();
@@ -120,35 +120,35 @@
                 .as_ref()
                 .and_then(|(run, _)| run.parse().ok())
                 .unwrap_or(0.0);
-            let seen = Listed {
+            let seen = ListedNodeState {
                 zone: zones
                     .iter()
                     .position(|zone| *zone == record.zone)
                     .unwrap_or(0),
                 draining: record.draining,
-                started: self.recorder.at(now) - (wall - started),
+                started: self.recorder.seconds_at(now) - (wall - started),
             };
             (
                 wheelspread_controller_core::endpoint_list::format_node(record.node),
                 seen,
             )
         };
-        let nodes: BTreeMap<String, Listed> = list.records.iter().map(listed).collect();
+        let nodes: BTreeMap<String, ListedNodeState> = list.records.iter().map(listed).collect();
         for (controller, process) in self.controllers.iter().enumerate() {
             replace_file(&process.directory.join("nodes.json"), &text)
-                .map_err(named("the list of nodes"))?;
+                .map_err(io_error("the list of nodes"))?;
             let version = list.version.parse().unwrap_or(0);
-            self.recorder.note(
+            self.recorder.record(
                 reactor::now(),
-                Record::Listed {
+                Record::ListPublished {
                     controller,
                     version,
                     nodes: nodes.clone(),
                 },
             );
         }
-        if let Some(even) = &mut self.even {
-            even.publish(&self.script, plain, &self.zones)?;
+        if let Some(even) = &mut self.even_publisher {
+            even.publish(&self.script, listed_nodes, &self.zones)?;
         }
         Ok(())
     }
--- a/crates/drill/src/run/report.rs
+++ b/crates/drill/src/run/report.rs
@@ -1,6 +1,6 @@
 //! The report of a drill, as data and as a person reads it.
 
-use crate::audit::{RuleJudged, Verdict};
+use crate::audit::{RuleResult, Verdict};
 use serde::Serialize;
 use wheelspread::time::Span;
 use wheelspread_controller_core::span_format;
@@ -89,7 +89,7 @@
             "rule", "checked", "broken", "worst", "allowed"
         );
         let rules = self.verdict.rules.iter().zip(RULE_NAMES);
-        let line = |(rule, name): (&RuleJudged, &str)| {
+        let line = |(rule, name): (&RuleResult, &str)| {
             let worst = &rule.worst;
             format!(
                 "{name:<44}{:>10}{:>10}{:>10.2}{:>12.2}  {:.1} s {}",
@@ -148,8 +148,8 @@
     }
 
     fn change_line(&self) -> Option<String> {
-        let (told, took) = self.changes_told;
-        (told > 0).then(|| format!("changes and undoes told: {told}, taken: {took}"))
+        let (answered, accepted) = self.changes_told;
+        (answered > 0).then(|| format!("changes and undoes told: {answered}, taken: {accepted}"))
     }
 }
 
--- a/crates/drill/src/run/report/tests.rs
+++ b/crates/drill/src/run/report/tests.rs
@@ -1,7 +1,7 @@
 //! The report as JSON, which `drill --json` prints.
 
 use super::{FaultReport, Report};
-use crate::audit::{Judged, RuleJudged, Verdict};
+use crate::audit::{CheckedValue, RuleResult, Verdict};
 use serde_json::json;
 
 #[test]
@@ -53,11 +53,11 @@
 
 #[test]
 fn the_table_names_rules_service_faults_drains_changes_and_the_judgement() {
-    let rule = |rule, broken| RuleJudged {
+    let rule = |rule, broken| RuleResult {
         rule,
         checked: 100,
         broken,
-        worst: Judged {
+        worst: CheckedValue {
             value: 0.5,
             allowed: 3.0,
             at_s: 1.25,
--- a/crates/drill/src/run/setup.rs
+++ b/crates/drill/src/run/setup.rs
@@ -1,11 +1,11 @@
 //! Set-up of a drill: nodes, controllers, proxies and clients start, and the first tables are awaited.
 
-use super::{named, Drill, DrillError};
+use super::{io_error, Drill, DrillError};
 use crate::client_population::{ClientCommand, ClientPopulation};
-use crate::even_publisher::Sabotage;
-use crate::proxies::{plan, proxy_name};
+use crate::even_publisher::RuleViolation;
+use crate::proxies::{proxy_config, proxy_name};
 use crate::records::Record;
-use crate::watch::Watch;
+use crate::watch::TableDirectoryWatch;
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 use std::path::PathBuf;
@@ -20,28 +20,28 @@
     fn add_proxy(&mut self, proxy: usize) -> Result<std::net::SocketAddr, DrillError> {
         let controllers: Vec<(SocketAddrV4, PathBuf)> = self
             .network
-            .ports
+            .addresses
             .iter()
             .zip(&self.controllers)
-            .map(|(port, process)| (*port, process.directory.join("tables")))
+            .map(|(address, process)| (*address, process.directory.join("tables")))
             .collect();
-        let (seed, even) = (self.options.seed, self.even.is_some());
-        let trusting = self.options.sabotage == Some(Sabotage::Repeat);
+        let (seed, even) = (self.options.seed, self.even_publisher.is_some());
+        let treats_all_as_idempotent = self.options.violation == Some(RuleViolation::RetryUnsafe);
         let controllers = if even {
             &controllers[..1]
         } else {
             &controllers[..]
         };
-        let plan = plan(
+        let config = proxy_config(
             &self.script,
             proxy,
             self.zones[proxy],
             controllers,
             seed,
-            trusting,
+            treats_all_as_idempotent,
             even,
         );
-        let address = self.proxies.add(plan, proxy);
+        let address = self.proxies.add(config, proxy);
         address.ok_or(DrillError::ProxyNotStarted { proxy })
     }
 
@@ -49,26 +49,26 @@
         let address = Some(self.add_proxy(proxy)?);
         self.clients
             .iter()
-            .for_each(|clients| clients.send(ClientCommand::At { proxy, address }));
+            .for_each(|clients| clients.send(ClientCommand::SetAddress { proxy, address }));
         Ok(())
     }
 
     pub(super) fn play(&mut self) -> Result<(), DrillError> {
-        self.first_nodes();
-        let (list, plain) = self.list();
+        self.add_initial_nodes();
+        let (list, listed) = self.snapshot_nodes();
         let mut directories = BTreeMap::new();
         for (controller, process) in self.controllers.iter().enumerate() {
             for proxy in 0..self.script.proxies {
                 let directory =
                     TableRoot::new(process.directory.join("tables")).proxy(&proxy_name(proxy));
                 std::fs::create_dir_all(&directory)
-                    .map_err(named(directory.display().to_string()))?;
+                    .map_err(io_error(directory.display().to_string()))?;
                 directories.insert(directory, (controller, proxy));
             }
         }
-        let watch =
-            Watch::start(directories.clone(), self.recorder.clone()).map_err(named("a watch"))?;
-        self.publish(&list, &plain)?;
+        let watch = TableDirectoryWatch::start(directories.clone(), self.recorder.clone())
+            .map_err(io_error("a watch"))?;
+        self.publish_list(&list, &listed)?;
         for number in 0..self.controllers.len() {
             self.start_controller(number)?;
         }
@@ -78,8 +78,8 @@
         }
         self.wait_for_tables(&directories)?;
         self.begin = reactor::now() + Span::from_seconds(0.2);
-        let rates = self.rates();
-        self.usual = rates.clone();
+        let rates = self.initial_rates();
+        self.base_rates = rates.clone();
         let clients = ClientPopulation::start(
             &self.script,
             rates,
@@ -87,12 +87,12 @@
             self.recorder.clone(),
             self.options.seed ^ 0x5eed,
         );
-        self.clients = Some(clients.map_err(named("clients"))?);
+        self.clients = Some(clients.map_err(io_error("clients"))?);
         for fault in self.script.faults.clone() {
             self.plan_fault(&fault);
         }
         for kind in self.options.not_injected.clone() {
-            self.recorder.note(
+            self.recorder.record(
                 self.begin,
                 Record::Fault {
                     kind,
@@ -101,18 +101,18 @@
                 },
             );
         }
-        if self.options.sabotage.is_some() {
-            self.plan_sabotage();
+        if self.options.violation.is_some() {
+            self.plan_violation();
         }
-        self.go_through()?;
+        self.run_steps()?;
         drop(watch);
         Ok(())
     }
 
-    fn rates(&mut self) -> Vec<f64> {
+    fn initial_rates(&mut self) -> Vec<f64> {
         let spread = self.script.traffic.spread;
         let weights: Vec<f64> = (0..self.script.proxies)
-            .map(|_| spread.powf(self.chance.unit()))
+            .map(|_| spread.powf(self.rng.unit()))
             .collect();
         let sum: f64 = weights.iter().sum();
         weights
@@ -126,18 +126,18 @@
         directories: &BTreeMap<PathBuf, (usize, usize)>,
     ) -> Result<(), DrillError> {
         let deadline = reactor::now() + FIRST_TABLES_TIMEOUT;
-        let preferred = |(_, (controller, proxy)): &(&PathBuf, &(usize, usize))| {
-            let usual = if self.even.is_some() {
+        let is_preferred = |(_, (controller, proxy)): &(&PathBuf, &(usize, usize))| {
+            let preferred_controller = if self.even_publisher.is_some() {
                 0
             } else {
                 proxy % self.controllers.len()
             };
-            *controller == usual
+            *controller == preferred_controller
         };
-        for (directory, (_, proxy)) in directories.iter().filter(preferred) {
+        for (directory, (_, proxy)) in directories.iter().filter(is_preferred) {
             let streams = !self.script.deployment.table_delivery.files;
             let waits = || match streams {
-                true => !self.proxies.held(*proxy),
+                true => !self.proxies.has_tables(*proxy),
                 false => !directory.join(wheelspread_files::CURRENT).exists(),
             };
             while waits() {
--- a/crates/drill/src/run/step.rs
+++ b/crates/drill/src/run/step.rs
@@ -19,7 +19,7 @@
         factor: f64,
     },
     /// A part of what comes to a zone's proxies comes to another zone's from then on.
-    ShiftTraffic { from: usize, to: usize, part: f64 },
+    ShiftTraffic { from: usize, to: usize, ratio: f64 },
     /// Nodes drain for this long and are replaced then.
     DrainBatch { out: Vec<usize>, drain: Span },
     /// Nodes end, and new ones of the same kind start cold in their place.
--- a/crates/drill/src/script.rs
+++ b/crates/drill/src/script.rs
@@ -22,11 +22,14 @@
     /// Controllers are stopped and go on later.
     BalancerStall,
     /// Nodes move to another zone by a change of configuration, and back.
-    Change,
+    #[serde(rename = "change")]
+    ZoneChange,
     /// Nodes accept few connections.
-    ConnSqueeze,
+    #[serde(rename = "conn_squeeze")]
+    ConnectionLimit,
     /// Proxies reach no controller.
-    CounterDown,
+    #[serde(rename = "counter_down")]
+    ControllersUnreachable,
     /// Batches of nodes drain, end and come again cold.
     Deploy,
     /// Nodes are drained by order and taken back.
@@ -36,15 +39,18 @@
     /// Nodes fall silent and come back by turns.
     Flapping,
     /// Nodes are added, cold.
-    Grow,
+    #[serde(rename = "grow")]
+    FleetGrowth,
     /// More traffic comes to some proxies.
     HotCaller,
     /// The list of nodes is later still.
     LateList,
     /// Nodes of one kind are slow for the proxies of one controller.
-    OneSided,
+    #[serde(rename = "one_sided")]
+    SlowForOneController,
     /// The pace of the update channel falls.
-    OriginSlow,
+    #[serde(rename = "origin_slow")]
+    UpdateChannelSlow,
     /// More traffic comes to all proxies.
     Overload,
     /// Nodes end without a drain and are replaced.
@@ -54,9 +60,11 @@
     /// Load reports take longer.
     ReportLate,
     /// All work takes longer.
-    SharedSlow,
+    #[serde(rename = "shared_slow")]
+    AllNodesSlow,
     /// Traffic of one zone comes to another, for good.
-    Shift,
+    #[serde(rename = "shift")]
+    TrafficShift,
     /// Answers take longer on their way.
     SlowLink,
     /// Nodes fall silent and come back cold.
@@ -84,27 +92,27 @@
     #[serde(with = "span_format")]
     pub at: Span,
     /// How long it lasts.
-    #[serde(default = "moment", rename = "for", with = "span_format")]
+    #[serde(default = "zero_span", rename = "for", with = "span_format")]
     pub span: Span,
     /// Of those that it can strike.
-    #[serde(default = "one")]
-    pub part: f64,
+    #[serde(default = "default_one", rename = "part")]
+    pub ratio: f64,
     /// How hard: a factor, a share or seconds, by kind.
-    #[serde(default = "one")]
+    #[serde(default = "default_one")]
     pub size: f64,
     /// A further figure, by kind.
     #[serde(default)]
     pub extra: f64,
     /// `conductor` (a controller) or `gateway` (a proxy), for what can strike both.
-    #[serde(default)]
-    pub whom: Option<String>,
+    #[serde(default, rename = "whom")]
+    pub target: Option<String>,
 }
 
-fn moment() -> Span {
+fn zero_span() -> Span {
     Span::from_seconds(0.0)
 }
 
-fn one() -> f64 {
+fn default_one() -> f64 {
     1.0
 }
 
@@ -121,11 +129,11 @@
     /// How fast a core works; 1 is the usual.
     pub speed: f64,
     /// Nodes are faster or slower than their kind by up to this part, at random.
-    #[serde(default = "tenth")]
+    #[serde(default = "default_speed_spread")]
     pub speed_spread: f64,
 }
 
-fn tenth() -> f64 {
+fn default_speed_spread() -> f64 {
     0.1
 }
 
@@ -166,7 +174,7 @@
     #[serde(default)]
     pub retries: u32,
     /// How unequal proxies are: the largest over the smallest.
-    #[serde(default = "one")]
+    #[serde(default = "default_one")]
     pub spread: f64,
 }
 
@@ -189,14 +197,14 @@
     /// The deployment that controllers are told.
     pub deployment: Deployment,
     /// How late the list of nodes is.
-    #[serde(default = "list_delay", with = "span_format")]
+    #[serde(default = "default_list_delay", with = "span_format")]
     pub list_delay: Span,
     /// The faults, each at its time.
     #[serde(default, rename = "troubles")]
     pub faults: Vec<Fault>,
 }
 
-fn list_delay() -> Span {
+fn default_list_delay() -> Span {
     Span::from_seconds(0.8)
 }
 
@@ -305,7 +313,7 @@
     fn validate_faults(&self, errors: &mut Vec<String>) {
         for (at, fault) in self.faults.iter().enumerate() {
             if fault.at > self.length
-                || !(0.0..=1.0).contains(&fault.part)
+                || !(0.0..=1.0).contains(&fault.ratio)
                 || !fault.size.is_finite()
             {
                 errors.push(format!(
@@ -326,54 +334,54 @@
             .get("troubles")
             .and_then(Value::as_array)
             .ok_or(ScriptError::DayLacks { field: "troubles" })?;
-        let many = |name: &str| {
+        let array_len = |name: &str| {
             day.get(name)
                 .and_then(Value::as_array)
                 .map_or(1, Vec::len)
                 .max(1) as f64
         };
-        let (servers, balancers) = (many("servers"), many("balancers"));
+        let (servers, balancers) = (array_len("servers"), array_len("balancers"));
         let scale = self.length.seconds() / length;
         let mut unknown = Vec::new();
         self.faults.clear();
-        for told in faults {
-            let kind = told.get("kind").and_then(Value::as_str).unwrap_or("");
+        for entry in faults {
+            let kind = entry.get("kind").and_then(Value::as_str).unwrap_or("");
             let Ok(known) = serde_json::from_value::<FaultKind>(Value::String(kind.to_string()))
             else {
                 unknown.push(kind.to_string());
                 continue;
             };
             let count = |value: Option<&Value>| value.and_then(Value::as_array).map_or(0, Vec::len);
-            let steps = told
+            let steps = entry
                 .get("steps")
                 .and_then(Value::as_array)
                 .into_iter()
                 .flatten();
-            let stepped: usize = steps
+            let affected_by_steps: usize = steps
                 .map(|step| count(step.get("stop")).max(count(step.get("start"))))
                 .sum();
-            let struck = count(told.get("on")).max(stepped) as f64;
-            let whole = match known {
-                FaultKind::BalancerCrash | FaultKind::CounterDown | FaultKind::HotCaller => {
-                    balancers
-                }
+            let affected = count(entry.get("on")).max(affected_by_steps) as f64;
+            let total = match known {
+                FaultKind::BalancerCrash
+                | FaultKind::ControllersUnreachable
+                | FaultKind::HotCaller => balancers,
                 _ => servers,
             };
-            let part = if struck > 0.0 {
-                (struck / whole).clamp(0.0, 1.0)
+            let ratio = if affected > 0.0 {
+                (affected / total).clamp(0.0, 1.0)
             } else {
                 1.0
             };
-            let size = number(told, "size").unwrap_or(1.0);
+            let size = number(entry, "size").unwrap_or(1.0);
             // A share of streams is told as size there; late reports come later by seconds.
             self.faults.push(Fault {
                 kind: known,
-                at: Span::from_seconds(number(told, "at").unwrap_or(0.0) * scale),
-                span: Span::from_seconds(number(told, "len").unwrap_or(0.0) * scale),
-                part,
+                at: Span::from_seconds(number(entry, "at").unwrap_or(0.0) * scale),
+                span: Span::from_seconds(number(entry, "len").unwrap_or(0.0) * scale),
+                ratio,
                 size,
-                extra: number(told, "extra").unwrap_or(0.0),
-                whom: None,
+                extra: number(entry, "extra").unwrap_or(0.0),
+                target: None,
             });
         }
         self.name = format!("{} with the troubles of a day", self.name);
--- a/crates/drill/src/script/tests.rs
+++ b/crates/drill/src/script/tests.rs
@@ -18,7 +18,7 @@
         (vec!["meteor".to_string()], 1)
     );
     let fault = &script.faults[0];
-    assert_eq!((fault.kind, fault.part), (FaultKind::Vanish, 0.25));
+    assert_eq!((fault.kind, fault.ratio), (FaultKind::Vanish, 0.25));
     assert!((fault.at.seconds() - length / 2.0).abs() < 1e-6);
 }
 
--- a/crates/drill/src/stand_in_server.rs
+++ b/crates/drill/src/stand_in_server.rs
@@ -10,7 +10,7 @@
 
 pub use self::address::{proxy_address, proxy_of};
 use self::event_loop::ServerLoop;
-pub use self::work::SLACK;
+pub use self::work::WARMING_OVERLOAD_TOLERANCE;
 use crate::records::Recorder;
 use crate::worker::{Worker, WorkerCommand};
 use std::collections::BTreeSet;
@@ -39,25 +39,25 @@
     /// The process ends.
     Stop(NodeKey),
     /// No reset, no answer; on again: it comes back cold.
-    Silent(NodeKey, bool),
+    SetSilent(NodeKey, bool),
     /// A share of what comes errs at once.
-    Errors(NodeKey, f64),
+    SetErrorRatio(NodeKey, f64),
     /// A share of the answers is lost on the way back.
-    AnswersLost(NodeKey, f64),
-    Connections(NodeKey, usize),
+    SetResponseLossRatio(NodeKey, f64),
+    SetConnectionLimit(NodeKey, usize),
     /// Times the work that everything takes.
-    Slow(f64),
+    SetWorkFactor(f64),
     /// What proxies of these numbers meet at nodes of a kind: slower by a factor, or refused.
-    OneSided {
+    SetOneSidedFault {
         kind: usize,
         proxies: BTreeSet<usize>,
-        slow: f64,
+        work_factor: f64,
         refuse: bool,
     },
     /// No bytes pass between this zone and the others.
-    Cut(Option<usize>),
+    SetZoneCut(Option<usize>),
     /// Seconds that answers take longer on their way.
-    SlowLink(f64),
+    SetResponseDelay(f64),
     End,
 }
 
@@ -71,12 +71,12 @@
 
 impl StandInServers {
     pub fn start(
-        plan: Deployment,
+        deployment: Deployment,
         recorder: Recorder,
         seed: u64,
     ) -> std::io::Result<StandInServers> {
         let worker = Worker::spawn("nodes", Poll::new()?, move |poll, inbox| {
-            ServerLoop::new(plan, recorder, seed, poll, inbox).run();
+            ServerLoop::new(deployment, recorder, seed, poll, inbox).run();
         })?;
         Ok(StandInServers { worker })
     }
@@ -86,8 +86,8 @@
     }
 
     pub fn add(&self, spec: NodeSpec) -> Option<(NodeKey, SocketAddrV4)> {
-        let (tell, told) = channel();
-        self.send(NodeCommand::Start(spec, tell));
-        told.recv().ok()
+        let (reply, replied) = channel();
+        self.send(NodeCommand::Start(spec, reply));
+        replied.recv().ok()
     }
 }
--- a/crates/drill/src/stand_in_server/connections.rs
+++ b/crates/drill/src/stand_in_server/connections.rs
@@ -52,8 +52,8 @@
     }
 
     pub(super) fn passes(&self, key: NodeKey, zone: usize) -> bool {
-        self.cut
-            .is_none_or(|cut| (self.nodes[key].spec.zone == cut) == (zone == cut))
+        self.cut_zone
+            .is_none_or(|cut_zone| (self.nodes[key].spec.zone == cut_zone) == (zone == cut_zone))
     }
 
     pub(super) fn on_ready(&mut self, now: Moment, key: NodeKey, slot: usize) {
@@ -64,11 +64,11 @@
             return;
         }
         let connection = &mut self.nodes[key].connections[slot];
-        let mut piece = [0u8; 4096];
-        let over = loop {
-            match connection.socket.read(&mut piece) {
+        let mut buffer = [0u8; 4096];
+        let closed = loop {
+            match connection.socket.read(&mut buffer) {
                 Ok(0) => break true,
-                Ok(count) => connection.input.extend_from_slice(&piece[..count]),
+                Ok(count) => connection.input.extend_from_slice(&buffer[..count]),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => break false,
                 Err(_) => break true,
             }
@@ -79,7 +79,7 @@
                 _ => break,
             }
         }
-        if over {
+        if closed {
             // Work that has begun goes on.
             self.nodes[key].connections.remove(slot);
             return;
@@ -126,9 +126,9 @@
         connection.busy = true;
         let node = self.nodes[key].name.clone();
         let (id, operation) = (job.id.clone(), job.operation.clone());
-        self.recorder.note(
+        self.recorder.record(
             now,
-            Record::Came {
+            Record::RequestArrived {
                 node,
                 proxy,
                 id,
@@ -141,9 +141,9 @@
 
     pub(super) fn answer(&mut self, now: Moment, key: NodeKey, connection: usize, bytes: Vec<u8>) {
         let generation = self.nodes[key].generation;
-        if self.slow_link > 0.0 {
-            let at = now + Span::from_seconds(self.slow_link);
-            return self.later(
+        if self.response_delay > 0.0 {
+            let at = now + Span::from_seconds(self.response_delay);
+            return self.schedule(
                 at,
                 Due::Answer {
                     node: key,
--- a/crates/drill/src/stand_in_server/event_loop.rs
+++ b/crates/drill/src/stand_in_server/event_loop.rs
@@ -11,44 +11,44 @@
 use wheelspread_reactor::{self as reactor, Poll, Readiness};
 
 pub(super) struct ServerLoop {
-    pub(super) plan: Deployment,
+    pub(super) deployment: Deployment,
     pub(super) recorder: Recorder,
-    pub(super) chance: Pcg,
+    pub(super) rng: Pcg,
     pub(super) poll: Poll,
     pub(super) inbox: Inbox<NodeCommand>,
     pub(super) nodes: Vec<Node>,
     pub(super) due: BTreeMap<(Moment, u64), Due>,
-    pub(super) next: u64,
-    pub(super) slow: f64,
+    pub(super) last_sequence: u64,
+    pub(super) work_factor: f64,
     pub(super) one_sided: Option<OneSidedFault>,
-    pub(super) cut: Option<usize>,
-    pub(super) slow_link: f64,
+    pub(super) cut_zone: Option<usize>,
+    pub(super) response_delay: f64,
     /// When a fingerprint was first seen, for nodes that drop repeats together.
-    pub(super) seen: HashMap<String, Moment>,
+    pub(super) fingerprints_first_seen: HashMap<String, Moment>,
 }
 
 impl ServerLoop {
     pub(super) fn new(
-        plan: Deployment,
+        deployment: Deployment,
         recorder: Recorder,
         seed: u64,
         poll: Poll,
         inbox: Inbox<NodeCommand>,
     ) -> ServerLoop {
         ServerLoop {
-            plan,
+            deployment,
             recorder,
-            chance: Pcg::new(seed),
+            rng: Pcg::new(seed),
             poll,
             inbox,
             nodes: Vec::new(),
             due: BTreeMap::new(),
-            next: 0,
-            slow: 1.0,
+            last_sequence: 0,
+            work_factor: 1.0,
             one_sided: None,
-            cut: None,
-            slow_link: 0.0,
-            seen: HashMap::new(),
+            cut_zone: None,
+            response_delay: 0.0,
+            fingerprints_first_seen: HashMap::new(),
         }
     }
 
@@ -70,11 +70,11 @@
             let now = reactor::now();
             for ready in ready.drain(..) {
                 if ready.token == INBOX {
-                    for order in self.inbox.take() {
-                        if matches!(order, NodeCommand::End) {
+                    for command in self.inbox.take() {
+                        if matches!(command, NodeCommand::End) {
                             return;
                         }
-                        self.execute(now, order);
+                        self.execute(now, command);
                     }
                     continue;
                 }
@@ -90,54 +90,57 @@
         }
     }
 
-    pub(super) fn execute(&mut self, now: Moment, order: NodeCommand) {
-        match order {
-            NodeCommand::Start(spec, tell) => {
-                if let Some(told) = self.start(now, spec) {
-                    let _ = tell.send(told);
+    pub(super) fn execute(&mut self, now: Moment, command: NodeCommand) {
+        match command {
+            NodeCommand::Start(spec, reply) => {
+                if let Some(started_node) = self.start(now, spec) {
+                    let _ = reply.send(started_node);
                 }
             }
             NodeCommand::Stop(key) => {
-                self.recorder.note(
+                self.recorder.record(
                     now,
-                    Record::Ceased {
+                    Record::NodeStopped {
                         node: self.nodes[key].name.clone(),
                     },
                 );
                 self.close(key);
             }
-            NodeCommand::Silent(key, true) => self.nodes[key].silent = true,
-            NodeCommand::Silent(key, false) => self.come_back(now, key),
-            NodeCommand::Errors(key, share) => self.nodes[key].errors = share,
-            NodeCommand::AnswersLost(key, share) => self.nodes[key].lost = share,
-            NodeCommand::Connections(key, most) => {
+            NodeCommand::SetSilent(key, true) => self.nodes[key].silent = true,
+            NodeCommand::SetSilent(key, false) => self.restart(now, key),
+            NodeCommand::SetErrorRatio(key, share) => self.nodes[key].error_ratio = share,
+            NodeCommand::SetResponseLossRatio(key, share) => {
+                self.nodes[key].response_loss_ratio = share
+            }
+            NodeCommand::SetConnectionLimit(key, max_connections) => {
                 let node = &mut self.nodes[key];
-                node.max_connections = most;
-                let over: Vec<usize> = node
+                node.max_connections = max_connections;
+                let excess: Vec<usize> = node
                     .connections
                     .iter()
                     .map(|(slot, _)| slot)
-                    .skip(most)
+                    .skip(max_connections)
                     .collect();
-                over.into_iter()
+                excess
+                    .into_iter()
                     .for_each(|slot| reactor::reset(node.connections.remove(slot).socket));
             }
-            NodeCommand::Slow(factor) => self.slow = factor,
-            NodeCommand::OneSided {
+            NodeCommand::SetWorkFactor(factor) => self.work_factor = factor,
+            NodeCommand::SetOneSidedFault {
                 kind,
                 proxies,
-                slow,
+                work_factor,
                 refuse,
             } => {
                 self.one_sided = (!proxies.is_empty()).then_some(OneSidedFault {
                     kind,
                     proxies,
-                    slow,
+                    work_factor,
                     refuse,
                 });
             }
-            NodeCommand::Cut(zone) => {
-                self.cut = zone;
+            NodeCommand::SetZoneCut(zone) => {
+                self.cut_zone = zone;
                 // What was held back on the way comes through.
                 for key in 0..self.nodes.len() {
                     let connections: Vec<usize> = self.nodes[key]
@@ -150,14 +153,14 @@
                         .for_each(|connection| self.on_ready(now, key, connection));
                 }
             }
-            NodeCommand::SlowLink(seconds) => self.slow_link = seconds,
+            NodeCommand::SetResponseDelay(seconds) => self.response_delay = seconds,
             NodeCommand::End => {}
         }
     }
 
-    pub(super) fn later(&mut self, at: Moment, due: Due) {
-        self.next += 1;
-        self.due.insert((at, self.next), due);
+    pub(super) fn schedule(&mut self, at: Moment, due: Due) {
+        self.last_sequence += 1;
+        self.due.insert((at, self.last_sequence), due);
     }
 
     pub(super) fn on_due(&mut self, now: Moment, due: Due) {
@@ -175,13 +178,15 @@
                 generation,
                 job,
             } if self.nodes[key].generation == generation => {
-                self.count_busy(now, key);
+                self.update_utilization(now, key);
                 self.nodes[key].running -= 1;
                 if let Some(next) = self.nodes[key].waiting.pop_front() {
-                    self.begin(now, key, next);
+                    self.start_job(now, key, next);
                 }
                 self.record_effect(now, key, &job);
-                if self.nodes[key].lost > 0.0 && self.chance.unit() < self.nodes[key].lost {
+                if self.nodes[key].response_loss_ratio > 0.0
+                    && self.rng.unit() < self.nodes[key].response_loss_ratio
+                {
                     return; // it ran, and nobody hears of it
                 }
                 let bytes = format!(
--- a/crates/drill/src/stand_in_server/lifecycle.rs
+++ b/crates/drill/src/stand_in_server/lifecycle.rs
@@ -20,25 +20,25 @@
         self.poll
             .add(&listener, Token((key as u64) << 32), Interest::Readable)
             .ok()?;
-        let long_ago = now - self.plan.rules.warm_after * 10.0;
+        let already_warm = now - self.deployment.rules.warm_after * 10.0;
         let max_connections = spec.connections;
         let node = Node {
             name: address.to_string(),
             address,
             listener: Some(listener),
             connections: Slab::new(),
-            started: if spec.cold { now } else { long_ago },
+            started: if spec.cold { now } else { already_warm },
             generation: 0,
             silent: false,
             down: false,
-            errors: 0.0,
-            lost: 0.0,
+            error_ratio: 0.0,
+            response_loss_ratio: 0.0,
             max_connections,
             running: 0,
             waiting: VecDeque::new(),
-            came: VecDeque::new(),
-            busy: 0.0,
-            busy_at: now,
+            recent_work: VecDeque::new(),
+            utilization: 0.0,
+            utilization_at: now,
             spec,
         };
         self.record_start(now, &node, node.spec.cold);
@@ -47,9 +47,9 @@
     }
 
     pub(super) fn record_start(&self, now: Moment, node: &Node, cold: bool) {
-        self.recorder.note(
+        self.recorder.record(
             now,
-            Record::Started {
+            Record::NodeStarted {
                 node: node.name.clone(),
                 zone: node.spec.zone,
                 kind: node.spec.kind_name.clone(),
@@ -69,7 +69,7 @@
         }
     }
 
-    pub(super) fn come_back(&mut self, now: Moment, key: NodeKey) {
+    pub(super) fn restart(&mut self, now: Moment, key: NodeKey) {
         self.close(key);
         let Ok(listener) = TcpListener::bind(self.nodes[key].address) else {
             return;
@@ -82,7 +82,7 @@
             .add(&listener, Token((key as u64) << 32), Interest::Readable);
         let node = &mut self.nodes[key];
         (node.listener, node.down, node.silent, node.started) = (Some(listener), false, false, now);
-        node.came.clear();
+        node.recent_work.clear();
         let node = &self.nodes[key];
         self.record_start(now, node, true);
     }
--- a/crates/drill/src/stand_in_server/state.rs
+++ b/crates/drill/src/stand_in_server/state.rs
@@ -32,15 +32,15 @@
     pub(super) generation: u32,
     pub(super) silent: bool,
     pub(super) down: bool,
-    pub(super) errors: f64,
-    pub(super) lost: f64,
+    pub(super) error_ratio: f64,
+    pub(super) response_loss_ratio: f64,
     pub(super) max_connections: usize,
     pub(super) running: usize,
     pub(super) waiting: VecDeque<Job>,
     /// What came lately, to see whether a cold one is pushed over.
-    pub(super) came: VecDeque<(Moment, f64)>,
-    pub(super) busy: f64,
-    pub(super) busy_at: Moment,
+    pub(super) recent_work: VecDeque<(Moment, f64)>,
+    pub(super) utilization: f64,
+    pub(super) utilization_at: Moment,
 }
 
 pub(super) enum Due {
@@ -62,6 +62,6 @@
     pub(super) kind: usize,
     pub(super) proxies: BTreeSet<usize>,
     /// Times the work that everything takes.
-    pub(super) slow: f64,
+    pub(super) work_factor: f64,
     pub(super) refuse: bool,
 }
--- a/crates/drill/src/watch.rs
+++ b/crates/drill/src/watch.rs
@@ -1,6 +1,6 @@
 //! Looks at the directories as any reader would, and writes down each swap and what then lay there.
 
-use crate::proxies::lines;
+use crate::proxies::entries_by_operation;
 use crate::records::{Record, Recorder};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -11,27 +11,27 @@
 use wheelspread_files::{read_tables, CURRENT};
 use wheelspread_reactor::{self as reactor, Moved, Poll, Token, Watcher};
 
-pub struct Watch {
+pub struct TableDirectoryWatch {
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Watch {
+impl TableDirectoryWatch {
     /// `directories`: by path, whose they are: controller and proxy.
     pub fn start(
         directories: BTreeMap<PathBuf, (usize, usize)>,
         recorder: Recorder,
-    ) -> std::io::Result<Watch> {
+    ) -> std::io::Result<TableDirectoryWatch> {
         let mut poll = Poll::new()?;
         let mut watcher = Watcher::new(&poll, Token(0))?;
         for directory in directories.keys() {
             watcher.add(directory)?;
         }
         let stop = Arc::new(AtomicBool::new(false));
-        let told = stop.clone();
+        let stop_requested = stop.clone();
         let run = move || {
             let mut ready = Vec::new();
-            while !told.load(Ordering::Relaxed) {
+            while !stop_requested.load(Ordering::Relaxed) {
                 if poll.wait(Span::from_seconds(0.1), &mut ready).is_err() {
                     return;
                 }
@@ -48,14 +48,14 @@
                         continue;
                     };
                     let record = match read_tables(&directory) {
-                        Ok(Some(held)) => {
-                            let (version, hash) = (held.tables.version.0, held.hash.clone());
-                            Record::Swapped {
+                        Ok(Some(loaded)) => {
+                            let (version, hash) = (loaded.tables.version.0, loaded.hash.clone());
+                            Record::TablesSwapped {
                                 controller,
                                 proxy,
                                 version,
                                 hash,
-                                lines: lines(&held),
+                                entries: entries_by_operation(&loaded),
                             }
                         }
                         Ok(None) => Record::SwapUnreadable {
@@ -69,21 +69,21 @@
                             reason: error.to_string(),
                         },
                     };
-                    recorder.note(now, record);
+                    recorder.record(now, record);
                 }
             }
         };
         let thread = std::thread::Builder::new()
             .name("watch".to_string())
             .spawn(run)?;
-        Ok(Watch {
+        Ok(TableDirectoryWatch {
             stop,
             thread: Some(thread),
         })
     }
 }
 
-impl Drop for Watch {
+impl Drop for TableDirectoryWatch {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
