--- a/crates/drill/src/audit.rs
+++ b/crates/drill/src/audit.rs
@@ -1,4 +1,4 @@
-//! The five rules, judged by the records alone; one module a rule.
+//! The audit: the five rules, checked on the records alone, with one module for each rule.
 
 mod drained_node;
 mod joined;
@@ -22,18 +22,18 @@
 use crate::script::Script;
 use std::collections::BTreeMap;
 
-/// How long each rule's limit is stretched while a controller's channel is slowed, as it is told the limit
-/// for its usual pace.
+/// A period in which the update channel of controllers is slowed down. The drain grace period is extended,
+/// as controllers are configured with the grace period for the normal pace.
 pub struct SlowedPeriod {
-    /// Seconds since the drill began.
+    /// The begin, in seconds since the drill began.
     pub from: f64,
-    /// Seconds since the drill began.
+    /// The end, in seconds since the drill began.
     pub to: f64,
-    /// By which the limit is stretched.
+    /// The factor on the limit.
     pub factor: f64,
 }
 
-/// Judges the five rules over a drill's records. `slowed` names when the rules allow more time.
+/// Checks the five rules on the records of a drill. In `slowed_periods`, rule 3 allows more time.
 pub fn judge(records: &Records, script: &Script, slowed_periods: &[SlowedPeriod]) -> Verdict {
     let deployment = &script.deployment;
     let (effects_twice, repeated_effects) = judge_repeated_effects(records, deployment);
@@ -74,13 +74,13 @@
     }
 }
 
-/// Tables that a proxy held under a name by which another held something else.
+/// Counts applied tables whose content differs from other tables of the same controller and version.
 fn count_conflicting_versions(records: &Records) -> u64 {
     let mut hashes_by_version: BTreeMap<(usize, u64), &str> = BTreeMap::new();
     let (mut joined, mut conflicting) = (JoinedControllers::default(), 0);
     for (t, record) in &records.0 {
-        joined.follow(*t, record);
-        if let Record::TablesApplied {
+        joined.update(*t, record);
+        if let Record::Tables {
             proxy,
             controller,
             version,
@@ -88,7 +88,7 @@
             ..
         } = record
         {
-            // Before it joined a proxy goes by what lies there, of whichever controller.
+            // A proxy that has not joined uses the tables of any controller.
             if joined.0.get(proxy).is_none_or(|(to, _)| to != controller) {
                 continue;
             }
--- a/crates/drill/src/audit/drained_node.rs
+++ b/crates/drill/src/audit/drained_node.rs
@@ -1,4 +1,4 @@
-//! Rule 3: nothing is sent to a node that drains or is gone; and how long drains by order took.
+//! Rule 3: nothing is sent to a node that drains or was removed; and the durations of drains by order.
 
 use super::joined::JoinedControllers;
 use super::verdict::RuleResult;
@@ -7,7 +7,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use wheelspread_controller_core::deployment::Deployment;
 
-/// Rule 3: how long after its controller was told that a node drains or is gone a joined proxy sent there.
+/// Rule 3: the time from when a controller learns that a node drains or was removed to each later attempt that
+/// its joined proxies send to the node.
 pub(super) fn judge_sends_to_drained_nodes(
     records: &Records,
     deployment: &Deployment,
@@ -18,8 +19,8 @@
     let mut joined = JoinedControllers::default();
     let mut unavailable = UnavailableNodes::default();
     for (t, record) in &records.0 {
-        joined.follow(*t, record);
-        unavailable.follow(*t, record);
+        joined.update(*t, record);
+        unavailable.update(*t, record);
         let Record::AttemptSent { proxy, node, .. } = record else {
             continue;
         };
@@ -42,21 +43,21 @@
     judged
 }
 
-/// Since when each controller knows that a node is not to be used, by controller and node.
+/// Since when each controller knows that a node must not be used.
 #[derive(Default)]
 struct UnavailableNodes {
-    /// By the list: it drains there or is gone from it.
+    /// From the endpoint list, by controller and node: the node drains or was removed.
     by_list: BTreeMap<(usize, String), f64>,
-    /// By an operator's order.
+    /// From operators' orders, by controller and node.
     by_order: BTreeMap<(usize, String), f64>,
-    /// All nodes that a controller's list ever had.
+    /// All nodes that a controller's list ever contained.
     listed: BTreeMap<usize, BTreeSet<String>>,
 }
 
 impl UnavailableNodes {
-    fn follow(&mut self, t: f64, record: &Record) {
+    fn update(&mut self, t: f64, record: &Record) {
         match record {
-            // An order is kept over kills.
+            // Orders survive the kill of a controller.
             Record::DrainOrdered {
                 controller,
                 node,
@@ -71,12 +72,12 @@
             }
             Record::ListPublished {
                 controller, nodes, ..
-            } => self.follow_list(t, *controller, nodes),
+            } => self.update_list(t, *controller, nodes),
             _ => {}
         }
     }
 
-    fn follow_list(
+    fn update_list(
         &mut self,
         t: f64,
         controller: usize,
@@ -100,10 +101,10 @@
     }
 }
 
-/// Seconds from an order to drain until the last try of a proxy that was joined to the controller which took
-/// it, one figure for each controller and node; 0: none came after it.
+/// Seconds from each drain order to the last attempt that a proxy joined to the ordered controller sent to the
+/// node, one value for each order, controller and node, in ascending order; 0 if no attempt followed.
 pub fn drain_order_durations(records: &Records) -> Vec<f64> {
-    // The answer to an order comes after the order was given: tries between the two count.
+    // A span starts when the order was given, not when it was answered: attempts between the two count.
     let mut spans: BTreeMap<(usize, String), Vec<(f64, f64)>> = BTreeMap::new();
     for (t, record) in &records.0 {
         let Record::DrainOrdered {
@@ -117,7 +118,7 @@
         };
         let spans = spans.entry((*controller, node.clone())).or_default();
         match (drains, spans.last_mut()) {
-            // Ordered again while it is in force, it goes on.
+            // A repeated order does not start a new span.
             (true, Some((_, end))) if end.is_infinite() => {}
             (true, _) => spans.push((*ordered_at, f64::INFINITY)),
             (false, Some(last)) => last.1 = last.1.min(*t),
@@ -127,7 +128,7 @@
     let mut joined = JoinedControllers::default();
     let mut last: BTreeMap<(usize, String, usize), f64> = BTreeMap::new();
     for (t, record) in &records.0 {
-        joined.follow(*t, record);
+        joined.update(*t, record);
         let Record::AttemptSent { proxy, node, .. } = record else {
             continue;
         };
@@ -143,12 +144,12 @@
             last.insert((key.0, key.1.clone(), number), t - spans[&key][number].0);
         }
     }
-    let each = spans
+    let orders = spans
         .iter()
         .flat_map(|(key, spans)| (0..spans.len()).map(|n| (key.0, key.1.clone(), n)));
-    let mut done: Vec<f64> = each
+    let mut durations: Vec<f64> = orders
         .map(|key| last.get(&key).copied().unwrap_or(0.0))
         .collect();
-    done.sort_by(f64::total_cmp);
-    done
+    durations.sort_by(f64::total_cmp);
+    durations
 }
--- a/crates/drill/src/audit/joined.rs
+++ b/crates/drill/src/audit/joined.rs
@@ -1,14 +1,14 @@
-//! Which controller each proxy is joined to, as the records show it.
+//! The controllers that proxies are joined to, from the records.
 
 use crate::records::Record;
 use std::collections::BTreeMap;
 
-/// Which controller each proxy is joined to at the moment, and since when.
+/// The controller that each proxy is currently joined to, and since when (seconds since the drill began).
 #[derive(Default)]
 pub(super) struct JoinedControllers(pub(super) BTreeMap<usize, (usize, f64)>);
 
 impl JoinedControllers {
-    pub(super) fn follow(&mut self, t: f64, record: &Record) {
+    pub(super) fn update(&mut self, t: f64, record: &Record) {
         match record {
             Record::Joined { proxy, controller } => drop(self.0.insert(*proxy, (*controller, t))),
             Record::Left { proxy } | Record::ProxyKilled { proxy } => drop(self.0.remove(proxy)),
--- a/crates/drill/src/audit/repeated_effects.rs
+++ b/crates/drill/src/audit/repeated_effects.rs
@@ -1,11 +1,11 @@
-//! Rule 2: no invocation takes effect twice through a retry.
+//! Rule 2: no non-idempotent request takes effect twice because of a retry.
 
 use super::verdict::RuleResult;
 use crate::records::{Record, Records};
 use std::collections::{BTreeMap, BTreeSet};
 use wheelspread_controller_core::deployment::{Deployment, RetryClass};
 
-/// Rule 2: effects that a proxy's repeats brought about twice.
+/// Rule 2: how often each non-idempotent request took effect. Also returns how many took effect more than once.
 pub(super) fn judge_repeated_effects(
     records: &Records,
     deployment: &Deployment,
--- a/crates/drill/src/audit/service.rs
+++ b/crates/drill/src/audit/service.rs
@@ -1,10 +1,11 @@
-//! The service that clients got: billed value won over the value asked for.
+//! The service that clients received: billed value earned, as a ratio of the billed value requested.
 
 use super::verdict::Invocations;
 use crate::records::{ClientOutcome, Record, Records};
 use std::collections::BTreeMap;
 use wheelspread_controller_core::deployment::Deployment;
 
+/// Counts the outcomes of invocations; computes the service in total and by operation.
 pub(super) fn compute_service(
     records: &Records,
     deployment: &Deployment,
@@ -41,7 +42,7 @@
                 sum.0 += config.billed_value * config.late_share;
             }
             ClientOutcome::RateLimited => count.rate_limited += 1,
-            ClientOutcome::Errored | ClientOutcome::TimedOut => count.errored += 1,
+            ClientOutcome::Errored | ClientOutcome::Timeout => count.errored += 1,
         }
     }
     let (earned, requested) = sums
--- a/crates/drill/src/audit/slow_start_overload.rs
+++ b/crates/drill/src/audit/slow_start_overload.rs
@@ -1,18 +1,19 @@
-//! Rule 4: no node that warms up gets more work than it can do.
+//! Rule 4: no warming node receives more work than it can execute.
 
 use super::verdict::RuleResult;
 use crate::records::{Record, Records};
 use std::collections::BTreeMap;
 use wheelspread_controller_core::deployment::Deployment;
 
-/// A node since its start, with what came to it lately.
+/// A warming node since its start, with time and work of recent requests.
 struct WarmingNode {
     started: f64,
     capacity: f64,
     recent_work: Vec<(f64, f64)>,
 }
 
-/// Rule 4: what came to a cold node over what it could do, at most, in any window of the stated span.
+/// Rule 4: the work that a warming node received, as a ratio of the work it could execute, in windows of
+/// `cold_overload_span`. A node that failed from overload always violates the rule.
 pub(super) fn judge_slow_start_overload(records: &Records, deployment: &Deployment) -> RuleResult {
     let mut judged = RuleResult::new(4);
     let rules = &deployment.rules;
--- a/crates/drill/src/audit/update_queue.rs
+++ b/crates/drill/src/audit/update_queue.rs
@@ -1,4 +1,4 @@
-//! Rule 5: few queued entries over a controller's proxies, few messages to one proxy in the window.
+//! Rule 5: limits on the queued entries of a controller and on the messages to one proxy in a window.
 
 use super::joined::JoinedControllers;
 use super::verdict::RuleResult;
@@ -6,8 +6,8 @@
 use std::collections::BTreeMap;
 use wheelspread_controller_core::deployment::Deployment;
 
-/// Rule 5: entries that were swapped in and not taken yet, over all proxies of a controller, and messages to
-/// one proxy in the window.
+/// Rule 5: the queued entries (published and not yet applied) over all proxies of a controller, and the messages
+/// to one proxy in the window.
 pub(super) fn judge_update_queue(records: &Records, deployment: &Deployment) -> RuleResult {
     let mut judged = RuleResult::new(5);
     let channel = &deployment.update_queue;
@@ -17,8 +17,8 @@
     let mut queue = UpdateQueue::default();
     let mut messages: BTreeMap<ControllerProxy, Vec<f64>> = BTreeMap::new();
     for (t, record) in &records.0 {
-        joined.follow(*t, record);
-        queue.follow(record);
+        joined.update(*t, record);
+        queue.update(record);
         let Record::TablesSwapped {
             controller,
             proxy,
@@ -29,12 +29,12 @@
         else {
             continue;
         };
-        // Others still swap files in for it, which it does not read.
+        // Other controllers still publish files for the proxy, which it does not read.
         if joined.0.get(proxy).is_none_or(|(to, _)| to != controller) {
             continue;
         }
         let key = (*controller, *proxy);
-        queue.swapped(key, *version, entries, channel.message_overhead_entries);
+        queue.add_swap(key, *version, entries, channel.message_overhead_entries);
         let queued = queue.queued_at(*controller);
         judged.check(queued, channel.max_queued_entries, *t, || {
             format!("lines at conductor {controller}")
@@ -50,23 +50,23 @@
     judged
 }
 
-/// A controller and a proxy, by their numbers.
+/// The numbers of a controller and a proxy.
 type ControllerProxy = (usize, usize);
 
-/// Tables that a proxy has taken.
+/// Tables that a proxy has applied.
 struct TakenTables {
     version: u64,
     entries: EntriesByOperation,
 }
 
-/// Tables that were swapped in and not taken yet.
+/// Tables that were published and not yet applied.
 struct QueuedTables {
     version: u64,
-    /// Entries that differ from what the proxy has, heads included.
-    entries: f64,
+    /// Entries that differ from the applied tables, plus the overhead per message.
+    queued_entries: f64,
 }
 
-/// What each controller has published that its proxies have not taken yet.
+/// The tables that proxies have applied, and those that are published and not yet applied.
 #[derive(Default)]
 struct UpdateQueue {
     taken: BTreeMap<ControllerProxy, TakenTables>,
@@ -74,9 +74,9 @@
 }
 
 impl UpdateQueue {
-    fn follow(&mut self, record: &Record) {
+    fn update(&mut self, record: &Record) {
         match record {
-            Record::TablesApplied {
+            Record::Tables {
                 proxy,
                 controller,
                 version,
@@ -91,7 +91,7 @@
                     self.queued.remove(&key);
                 }
             }
-            // A controller that died has no channel; a proxy that died takes nothing.
+            // A proxy that was killed, or has left its controller, applies nothing more.
             Record::ProxyKilled { proxy } | Record::Left { proxy } => {
                 self.queued.retain(|key, _| key.1 != *proxy);
             }
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Takes note of a swap, unless the proxy has this version or a later one already.
-    fn swapped(
+    /// Adds published tables to the queue, unless the proxy has already applied this version or a later one.
+    fn add_swap(
         &mut self,
         key: ControllerProxy,
         version: u64,
@@ -117,18 +117,18 @@
             key,
             QueuedTables {
                 version,
-                entries: queued_entries,
+                queued_entries,
             },
         );
     }
 
     fn queued_at(&self, controller: usize) -> f64 {
         let queued = self.queued.iter().filter(|(key, _)| key.0 == controller);
-        queued.map(|(_, queued)| queued.entries).sum()
+        queued.map(|(_, queued)| queued.queued_entries).sum()
     }
 }
 
-/// How many entries differ between two tables.
+/// How many entries differ between two sets of tables.
 fn count_differing_entries(from: Option<&EntriesByOperation>, to: &EntriesByOperation) -> f64 {
     let mut differing = 0;
     for (operation, entries) in to {
--- a/crates/drill/src/audit/verdict.rs
+++ b/crates/drill/src/audit/verdict.rs
@@ -1,70 +1,71 @@
-//! The verdict on a drill: each rule's checks and breaches, and the service that clients got.
+//! The verdict on a drill: checks and violations of each rule, and the service that clients received.
 
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// What the records say of one rule.
+/// The result of one rule.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct RuleResult {
-    /// The rule's number, 1 to 5.
+    /// The number of the rule, 1 to 5.
     pub rule: u8,
-    /// How many things were looked at.
+    /// How many values were checked.
     pub checked: u64,
-    /// How many of them were beyond what is allowed.
+    /// How many values exceeded the limit.
     pub broken: u64,
-    /// The worst of them, broken or not, beside what is allowed.
+    /// The value closest to its limit, or furthest beyond it.
     pub worst: CheckedValue,
 }
 
-/// One thing that a rule was checked on.
+/// One checked value of a rule.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct CheckedValue {
-    /// What was measured, in the rule's own unit.
+    /// The measured value, in the unit of the rule.
     pub value: f64,
-    /// What the rule allows, in the same unit.
+    /// The limit, in the same unit.
     pub allowed: f64,
-    /// Seconds since the drill began.
+    /// When it was measured, in seconds since the drill began.
     pub at_s: f64,
-    /// Whom it concerns, as a person reads it.
+    /// The proxy, node or request concerned, as text for people.
     pub who: String,
 }
 
-/// How the clients' invocations ended.
+/// Counts of the clients' invocations by outcome.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Invocations {
-    /// All that were counted.
+    /// All invocations.
     pub offered: u64,
     /// Answered within the latency objective.
     pub succeeded: u64,
-    /// Rejected by the rate limit.
+    /// Answered with 429.
     pub rate_limited: u64,
-    /// Failed, or given up.
+    /// Failed or timed out.
     pub errored: u64,
     /// Answered after the latency objective.
     pub late: u64,
 }
 
-/// All that the audit says of a drill.
+/// The verdict of the audit on a drill.
 #[derive(Clone, Debug, Serialize)]
 pub struct Verdict {
-    /// One entry a rule, in the order of their numbers.
+    /// The results of the rules, ordered by number.
     pub rules: Vec<RuleResult>,
-    /// How the clients' invocations ended.
+    /// Counts of the clients' invocations by outcome.
     pub invocations: Invocations,
-    /// Billed value within the latency objective over the value asked for.
+    /// Billed value earned as a ratio of the billed value requested. Late responses earn the operation's
+    /// `late_share`.
     pub service: f64,
-    /// The same for each operation.
+    /// The service of each operation.
     pub service_by_operation: BTreeMap<String, f64>,
-    /// Invocations with more than one effect.
+    /// Non-idempotent requests that took effect more than once.
     pub effects_twice: u64,
-    /// Documents that a reader could not read as a whole, and versions that name two things.
+    /// Tables that a reader could not read, plus versions that were used for different tables.
     pub half_read_tables: u64,
-    /// Tries more than the first, over first tries.
+    /// Retries of proxies as a ratio of first attempts.
     pub repeats: f64,
 }
 
 impl Verdict {
-    /// Whether no rule was broken and no table was half read.
+    /// Whether no rule was violated and `half_read_tables` is 0.
     pub fn all_rules_hold(&self) -> bool {
         self.rules.iter().all(|rule| rule.broken == 0) && self.half_read_tables == 0
     }
@@ -92,7 +93,7 @@
     ) {
         self.checked += 1;
         self.broken += u64::from(value > allowed);
-        // The nearest to what is allowed, or the furthest beyond it.
+        // Keeps the value closest to its limit, or furthest beyond it.
         if value - allowed > self.worst.value - self.worst.allowed
             || self.worst.value == f64::NEG_INFINITY
         {
--- a/crates/drill/src/audit/without_node.rs
+++ b/crates/drill/src/audit/without_node.rs
@@ -1,4 +1,4 @@
-//! Rule 1: no joined proxy is without a node for longer than allowed.
+//! Rule 1: no joined proxy lacks a node for longer than the limit.
 
 use super::joined::JoinedControllers;
 use super::verdict::RuleResult;
@@ -6,8 +6,8 @@
 use std::collections::BTreeMap;
 use wheelspread_controller_core::deployment::Deployment;
 
-/// Rule 1: how long a joined proxy lacked a line for an operation while its controller's list showed an
-/// open node ready that was no longer cold.
+/// Rule 1: how long a joined proxy had no entry with a positive weight for an operation, while its controller's
+/// list contained a ready node for it: not draining and no longer warming.
 pub(super) fn judge_time_without_node(records: &Records, deployment: &Deployment) -> RuleResult {
     let mut judged = RuleResult::new(1);
     let allowed = deployment.rules.without_node_at_most.seconds();
@@ -15,17 +15,15 @@
     let mut joined = JoinedControllers::default();
     let mut lists: BTreeMap<usize, BTreeMap<String, ListedNodeState>> = BTreeMap::new();
     let mut tables: BTreeMap<usize, EntriesByOperation> = BTreeMap::new();
-    let mut without_node_since: BTreeMap<(usize, String), f64> = BTreeMap::new();
+    let mut no_node_since: BTreeMap<(usize, String), f64> = BTreeMap::new();
     let mut zones: BTreeMap<usize, usize> = BTreeMap::new();
     for (t, record) in &records.0 {
-        joined.follow(*t, record);
+        joined.update(*t, record);
         match record {
             Record::ListPublished {
                 controller, nodes, ..
             } => drop(lists.insert(*controller, nodes.clone())),
-            Record::TablesApplied { proxy, entries, .. } => {
-                drop(tables.insert(*proxy, entries.clone()))
-            }
+            Record::Tables { proxy, entries, .. } => drop(tables.insert(*proxy, entries.clone())),
             Record::ProxyKilled { proxy } => drop(tables.remove(proxy)),
             Record::RequestArrived { proxy, .. } => drop(zones.entry(*proxy).or_insert(0)),
             Record::Joined { .. } | Record::Left { .. } | Record::TablesSwapped { .. } => {}
@@ -48,25 +46,23 @@
                     .get(controller)
                     .is_some_and(|list| list.values().any(is_available));
                 let key = (*proxy, operation.name.clone());
-                match without_node_since.get(&key) {
-                    None if !has_entry && node_available => {
-                        drop(without_node_since.insert(key, *t))
-                    }
+                match no_node_since.get(&key) {
+                    None if !has_entry && node_available => drop(no_node_since.insert(key, *t)),
                     Some(since) if has_entry || !node_available => {
                         judged.check(t - since, allowed, *since, || {
                             format!("gateway {proxy}, {}", operation.name)
                         });
-                        without_node_since.remove(&key);
+                        no_node_since.remove(&key);
                     }
                     _ => {}
                 }
             }
         }
-        // Who left or died is not looked at until it joins again.
-        without_node_since.retain(|(proxy, _), _| joined.0.contains_key(proxy));
+        // Proxies that have left or were killed are not checked until they join again.
+        no_node_since.retain(|(proxy, _), _| joined.0.contains_key(proxy));
     }
     let end = records.0.last().map_or(0.0, |(t, _)| *t);
-    for ((proxy, operation), since) in without_node_since {
+    for ((proxy, operation), since) in no_node_since {
         judged.check(end - since, allowed, since, || {
             format!("gateway {proxy}, {operation}, to the end")
         });
--- a/crates/drill/src/client_population.rs
+++ b/crates/drill/src/client_population.rs
@@ -1,5 +1,5 @@
-//! Stand-in clients: invocations that come by chance and don't wait for each other, with a patience of
-//! their own and, where it is safe, another attempt.
+//! Stand-in clients: an open-loop load with random arrivals, a timeout for each invocation and, where it is
+//! safe, retries.
 
 mod connections;
 mod state;
@@ -17,17 +17,17 @@
 use wheelspread_reactor::{self as reactor, Poll};
 
 pub enum ClientCommand {
-    /// Times the usual rate, of all proxies or of some.
+    /// Sets the factor on the base rate of the given proxies, or of all.
     SetRate {
         proxies: Option<Vec<usize>>,
         factor: f64,
     },
-    /// A proxy listens somewhere else, or not at all.
+    /// Sets the address of a proxy; `None` while it is down.
     SetAddress {
         proxy: usize,
         address: Option<SocketAddr>,
     },
-    /// No new invocations; ends when those under way are done.
+    /// Starts no further invocations, and ends when those in flight have ended.
     Finish,
 }
 
@@ -197,7 +197,7 @@
                 break;
             }
         }
-        // Half of the work is fixed, the rest by chance.
+        // Half of the mean work is fixed, the other half is exponentially distributed.
         let mean = self.script.traffic.operations[chosen].work.seconds();
         let work = mean * (0.5 + 0.5 * self.exponential().min(6.0));
         self.last_sequence += 1;
@@ -227,7 +227,13 @@
             .unwrap_or(&operations[0])
     }
 
-    fn end(&mut self, now: Moment, invocation: Invocation, outcome: ClientOutcome, unsent: bool) {
+    fn finish(
+        &mut self,
+        now: Moment,
+        invocation: Invocation,
+        outcome: ClientOutcome,
+        unsent: bool,
+    ) {
         let config = self.operation_config(&invocation);
         let (deadline, retry_class) = (
             invocation.arrived + config.integration_timeout,
--- a/crates/drill/src/client_population/connections.rs
+++ b/crates/drill/src/client_population/connections.rs
@@ -1,4 +1,4 @@
-//! Connections of the stand-in clients: sending invocations, reading answers, timeouts.
+//! Connections of the stand-in clients: sending requests, reading responses, timeouts.
 
 use super::state::{Connection, Due, Invocation};
 use super::PopulationLoop;
@@ -14,14 +14,14 @@
     pub(super) fn invoke(&mut self, now: Moment, invocation: Invocation) {
         let deadline = invocation.arrived + self.operation_config(&invocation).integration_timeout;
         let name = &self.script.traffic.operations[invocation.operation].name;
-        // Attempts of the client's own are invocations of their own: only the proxy repeats one.
+        // Each client attempt has its own request id, so that only retries of the proxy repeat an id.
         let output = format!(
             "POST /{name} HTTP/1.1\r\nHost: drill\r\nx-request-id: {}.{}\r\nx-work: {:.5}\r\nContent-Length: 0\r\n\r\n",
             invocation.id, invocation.attempt, invocation.work
         );
         let proxy = invocation.proxy;
         let Some(slot) = self.connection_to(proxy) else {
-            return self.end(now, invocation, ClientOutcome::Errored, false);
+            return self.finish(now, invocation, ClientOutcome::Errored, false);
         };
         self.last_sequence += 1;
         let use_number = self.last_sequence;
@@ -116,16 +116,16 @@
                     429 => ClientOutcome::RateLimited,
                     _ => ClientOutcome::Errored,
                 };
-                // The proxy said itself that it sent nothing.
+                // With these statuses the proxy states that it sent nothing to a node.
                 let unsent = matches!(status, 429 | 503);
                 invocation
                     .into_iter()
-                    .for_each(|invocation| self.end(now, invocation, outcome, unsent));
+                    .for_each(|invocation| self.finish(now, invocation, outcome, unsent));
             }
             (None, true) => {
                 let connection = self.connections.remove(slot);
                 connection.invocation.into_iter().for_each(|invocation| {
-                    self.end(now, invocation, ClientOutcome::Errored, false);
+                    self.finish(now, invocation, ClientOutcome::Errored, false);
                 });
             }
             (None, false) => {}
@@ -141,7 +141,7 @@
             connection
                 .invocation
                 .into_iter()
-                .for_each(|invocation| self.end(now, invocation, ClientOutcome::TimedOut, false));
+                .for_each(|invocation| self.finish(now, invocation, ClientOutcome::Timeout, false));
         }
     }
 }
--- a/crates/drill/src/client_population/state.rs
+++ b/crates/drill/src/client_population/state.rs
@@ -1,16 +1,16 @@
-//! The state of the stand-in clients and what they have scheduled.
+//! The state of the stand-in clients and their scheduled events.
 
 use std::net::{SocketAddr, TcpStream};
 use wheelspread::time::Moment;
 
-/// Where clients reach a proxy, and how much they ask of it.
+/// The address of a proxy, its base rate per second and the current factor on it.
 pub(super) struct ProxyTarget {
     pub(super) address: Option<SocketAddr>,
     pub(super) base_rate: f64,
     pub(super) factor: f64,
 }
 
-/// What a client wants done, over all its attempts.
+/// An invocation of a client, over all of its attempts.
 #[derive(Clone)]
 pub(super) struct Invocation {
     pub(super) proxy: usize,
@@ -21,7 +21,7 @@
     pub(super) attempt: u32,
 }
 
-/// A connection to a proxy, idle between invocations.
+/// A connection to a proxy; `invocation` is `None` while it is idle.
 pub(super) struct Connection {
     pub(super) socket: TcpStream,
     pub(super) proxy: usize,
@@ -31,7 +31,7 @@
     pub(super) use_number: u64,
 }
 
-/// What the clients have scheduled.
+/// A scheduled event of the clients.
 pub(super) enum Due {
     Arrival { proxy: usize },
     Retry(Invocation),
--- a/crates/drill/src/error.rs
+++ b/crates/drill/src/error.rs
@@ -1,50 +1,52 @@
-//! Why a drill could not be played, or a script not be read.
+//! Errors of drills and scripts.
 
 use std::io;
 use std::path::{Path, PathBuf};
 use wheelspread_files::SwapError;
 use wheelspread_xds::EncodeError;
 
-/// Why a drill could not be played. It says nothing of the rules.
+/// Why a drill could not be run. Such an error is no verdict on the rules.
 #[derive(Debug, thiserror::Error)]
 pub enum DrillError {
-    /// The machine refused something.
+    /// An operation of the operating system failed.
     #[error("{what}: {source}")]
     Io {
-        /// What was refused.
+        /// The operation or the path that failed.
         what: String,
-        /// The machine's answer.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The list of nodes can't be written.
-    #[error("the list of nodes: {0}")]
+    /// The endpoint list cannot be encoded.
+    #[error("cannot encode the endpoint list: {0}")]
     EndpointList(EncodeError),
-    /// A controller's configuration file can't be written.
-    #[error("{0}")]
+    /// A controller's configuration file cannot be encoded.
+    #[error("cannot encode a controller's configuration file: {0}")]
     Configuration(serde_yaml_ng::Error),
-    /// The even publisher failed.
+    /// The even-weight publisher failed.
     #[error(transparent)]
     Publish(#[from] PublishError),
-    /// A proxy did not start.
-    #[error("gateway {proxy} does not start")]
+    /// A proxy failed to start.
+    #[error("proxy {proxy} did not start")]
     ProxyNotStarted {
-        /// Its number.
+        /// The proxy's number.
         proxy: usize,
     },
-    /// A proxy had no tables in time.
-    #[error("gateway {proxy} got no tables within {within_seconds} s; see the logs under --keep")]
+    /// No tables were published to a proxy in time.
+    #[error(
+        "proxy {proxy} got no tables within {within_seconds} s; the controllers' logs are kept with --keep"
+    )]
     NoTables {
-        /// Its number.
+        /// The proxy's number.
         proxy: usize,
-        /// How long they were awaited.
+        /// The timeout in seconds.
         within_seconds: f64,
     },
 }
 
-/// Why the even publisher could not publish a table.
+/// Why the even-weight publisher could not publish tables.
 #[derive(Debug, thiserror::Error)]
 pub enum PublishError {
-    /// The documents can't be written.
+    /// The table documents cannot be encoded.
     #[error(transparent)]
     Documents(#[from] EncodeError),
     /// The swap into the directory failed.
@@ -52,44 +54,44 @@
     Swap(#[from] SwapError),
 }
 
-/// Why a script or a day can't be used.
+/// Why a script or a day file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ScriptError {
-    /// The file can't be read.
+    /// The file cannot be read.
     #[error("{}: {source}", path.display())]
     Unreadable {
-        /// The script's path.
+        /// The path of the file.
         path: PathBuf,
-        /// The machine's answer.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// An error in a file of this path.
+    /// An error in the content of a file.
     #[error("{}: {error}", path.display())]
     InFile {
-        /// The file's path.
+        /// The path of the file.
         path: PathBuf,
-        /// What is wrong in it.
+        /// The error.
         error: Box<ScriptError>,
     },
-    /// The script is no YAML, or has fields that are not known.
+    /// The script is not valid YAML, lacks a field or has an unknown one.
     #[error(transparent)]
     Syntax(#[from] serde_yaml_ng::Error),
-    /// Values that are not possible, one text each.
+    /// Invalid values, one message each.
     #[error("{}", .0.join("\n"))]
     Invalid(Vec<String>),
-    /// The day is no JSON.
-    #[error("the day is no JSON: {0}")]
+    /// The day file is not valid JSON.
+    #[error("the day file is not valid JSON: {0}")]
     DayIsNoJson(serde_json::Error),
-    /// The day lacks a field.
-    #[error("the day has no {field}")]
+    /// The day file lacks a field, or its value is invalid.
+    #[error("the day file has no valid field `{field}`")]
     DayLacks {
-        /// The field's name.
+        /// The name of the field.
         field: &'static str,
     },
 }
 
 impl ScriptError {
-    /// The same error, with the path of the file that it is in.
+    /// Adds the path of the file in which the error was found.
     pub fn in_file(self, path: &Path) -> ScriptError {
         ScriptError::InFile {
             path: path.to_path_buf(),
--- a/crates/drill/src/even_publisher.rs
+++ b/crates/drill/src/even_publisher.rs
@@ -1,5 +1,5 @@
-//! The baseline: even weights over the listed nodes, written at once whenever the list changes. It also
-//! breaks a rule on purpose, so that the audit can be seen to find it.
+//! The baseline: even weights over the listed nodes, published immediately whenever the list changes. It can
+//! also violate one rule on purpose, so that tests show that the audit detects the violation.
 
 use crate::error::PublishError;
 use crate::proxies::proxy_name;
@@ -15,46 +15,46 @@
 use wheelspread_files::{Swap, SwapError, SwapStep, TableRoot};
 use wheelspread_xds::tables;
 
-/// Which rule is broken on purpose.
+/// The rule that a drill violates on purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RuleViolation {
-    /// One proxy is given a table without entries.
+    /// Rule 1: one proxy gets tables without entries.
     EmptyTable,
-    /// Requests with side effects are retried after any failure.
+    /// Rule 2: side-effecting requests are retried after any failure.
     RetryUnsafe,
-    /// Drained nodes stay in the tables.
+    /// Rule 3: drained nodes stay in the tables.
     KeepDrained,
-    /// A node that has just started gets everything.
+    /// Rule 4: a cold node gets all traffic.
     OverloadWarming,
-    /// Tables are swapped again and again.
+    /// Rule 5: tables are republished more often than the message cap allows.
     ExceedMessageCap,
 }
 
-/// What the list says of a node.
+/// A node of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct ListedNode {
     /// The node's address.
     pub address: SocketAddrV4,
-    /// Its zone, by the script's order.
+    /// The index of its zone in the deployment.
     pub zone: usize,
-    /// Whether it drains.
+    /// Whether the node drains.
     pub draining: bool,
-    /// Whether it has just started.
+    /// Whether the node is still warming.
     pub cold: bool,
 }
 
-/// Writes tables with even weights.
+/// Publishes tables with even weights.
 pub struct EvenWeightPublisher {
     root: TableRoot,
     version: u64,
-    /// The rule that it breaks.
+    /// The rule that is violated on purpose, if any.
     pub violation: Option<RuleViolation>,
-    /// Nodes that were listed once, for a publisher that keeps drained nodes.
+    /// All nodes that were ever listed, for [`RuleViolation::KeepDrained`].
     ever_listed: Vec<ListedNode>,
 }
 
 impl EvenWeightPublisher {
-    /// A publisher that has written nothing.
+    /// A publisher that has published nothing yet.
     pub fn new(root: TableRoot, violation: Option<RuleViolation>) -> EvenWeightPublisher {
         EvenWeightPublisher {
             root,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Writes the tables of all proxies; `zones` are theirs.
+    /// Publishes the tables of all proxies; `zones` holds the zone index of each proxy.
     pub fn publish(
         &mut self,
         script: &Script,
@@ -74,7 +74,7 @@
         let nodes = self.nodes_to_publish(listed);
         for (proxy, zone) in zones.iter().enumerate() {
             let is_written_before = self.version >= zones.len() as u64;
-            // One proxy is enough to be written to too often.
+            // Exceeding the message cap of one proxy is enough.
             if self.violation == Some(RuleViolation::ExceedMessageCap)
                 && proxy > 0
                 && is_written_before
@@ -101,8 +101,8 @@
 
     fn nodes_to_publish(&mut self, listed: &[ListedNode]) -> Vec<ListedNode> {
         if self.violation != Some(RuleViolation::KeepDrained) {
-            let is_open = |node: &&ListedNode| !node.draining;
-            return listed.iter().filter(is_open).cloned().collect();
+            let accepts_requests = |node: &&ListedNode| !node.draining;
+            return listed.iter().filter(accepts_requests).cloned().collect();
         }
         for node in listed {
             let is_known = |known: &ListedNode| known.address == node.address;
@@ -144,8 +144,8 @@
         operations.map(operation_table).collect()
     }
 
-    /// How often an overfilled proxy is written to must not depend on the disk, so that sabotage does not wait
-    /// for it: on a busy disk it once wrote 55 messages where 61 break the rule.
+    /// Runs a swap. For [`RuleViolation::ExceedMessageCap`] the sync steps are skipped, so that the message rate
+    /// does not depend on the disk: on a busy disk, 55 messages were written where 61 violate the rule.
     fn swap(&self, swap: &Swap) -> Result<(), SwapError> {
         if self.violation != Some(RuleViolation::ExceedMessageCap) {
             return swap.run();
--- a/crates/drill/src/lib.rs
+++ b/crates/drill/src/lib.rs
@@ -1,6 +1,6 @@
-//! Drills: a fleet of stand-ins on loopback, real controllers, a script of faults, and afterwards the
-//! five rules judged by what went over sockets and into directories. Nothing that a controller says of
-//! itself is used.
+//! Drills: a fleet of stand-in nodes and clients on loopback, real proxies and controllers, and a script of
+//! faults. Afterwards the five rules are checked on what was observed on sockets and in directories; nothing
+//! that a controller reports about itself is used.
 
 mod audit;
 mod client_population;
--- a/crates/drill/src/load.rs
+++ b/crates/drill/src/load.rs
@@ -1,5 +1,5 @@
-//! Fast stand-in nodes and a closed-loop client, to see what a proxy does and costs at full speed. Nodes
-//! here do no work; they count, and go wrong as often as they are told.
+//! Fast stand-in nodes and a closed-loop client for measuring a proxy at full speed. The nodes do no work:
+//! they count requests and inject faults at configured ratios.
 
 use hdrhistogram::Histogram;
 use slab::Slab;
@@ -13,37 +13,37 @@
 use wheelspread::time::{Moment, Span};
 use wheelspread_reactor::{self as reactor, Interest, Poll, Token};
 
-/// Of the requests at a node, the parts that go wrong in each way.
+/// Faults of a node, each as a ratio of the requests that it receives.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
-    /// Executed; the connection is reset instead of an answer.
+    /// The request is executed; the connection is reset instead of a response.
     pub reset: f64,
-    /// Executed; no answer ever comes.
+    /// The request is executed; no response is sent.
     pub silent: f64,
-    /// Executed; answered with 500.
+    /// The request is executed; the response is 500.
     pub error: f64,
-    /// Not executed; answered with 503.
+    /// The request is not executed; the response is 503.
     pub refuse: f64,
-    /// Executed and answered; then the connection is closed without a word.
+    /// The request is executed and answered; the connection is closed without a `Connection: close` header.
     pub close: f64,
 }
 
-/// What the nodes executed.
+/// How many requests the nodes executed.
 #[derive(Clone, Debug, Default)]
 pub struct ExecutionCounts {
-    /// By node, how often an invocation was executed there.
+    /// Executed requests by node.
     pub executed: Vec<u64>,
-    /// By invocation, how often it was executed, if ids are kept.
+    /// Executions by request id; empty unless the nodes were started with `keep_ids`.
     pub effects: HashMap<u64, u32>,
 }
 
-/// Stand-in servers that answer at once, for measurements of proxies.
+/// Stand-in servers that answer immediately, for measurements of proxies.
 pub struct FastNodes {
-    /// Where each of them listens.
+    /// The listening address of each node.
     pub addresses: Vec<SocketAddrV4>,
-    /// What they have executed so far.
+    /// Counts of the requests executed so far.
     pub counts: Arc<Mutex<ExecutionCounts>>,
-    /// The faults of each.
+    /// The current fault ratios of each node.
     pub faults: Arc<Mutex<Vec<Faults>>>,
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
@@ -53,10 +53,11 @@
 const RESPONSE_ERROR: &[u8] = b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n";
 const RESPONSE_UNAVAILABLE: &[u8] =
     b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\nRetry-After: 1\r\n\r\n";
-const FIRST_LISTENER_TOKEN: u64 = 1 << 40;
+/// The first token of listeners; smaller tokens are indices of connections.
+const LISTENERS: u64 = 1 << 40;
 
 impl FastNodes {
-    /// Starts this many. With `keep_ids` executions are counted by invocation too.
+    /// Starts `count` nodes on one thread. With `keep_ids`, executions are counted by request id too.
     pub fn start(count: usize, keep_ids: bool, seed: u64) -> std::io::Result<FastNodes> {
         let mut poll = Poll::new()?;
         let (mut listeners, mut addresses) = (Vec::new(), Vec::new());
@@ -64,7 +65,7 @@
             let listener = reactor::listen(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0))?;
             poll.add(
                 &listener,
-                Token(FIRST_LISTENER_TOKEN + index as u64),
+                Token(LISTENERS + index as u64),
                 Interest::Readable,
             )?;
             if let SocketAddr::V4(address) = listener.local_addr()? {
@@ -95,7 +96,7 @@
                     return;
                 }
                 for ready in ready.drain(..) {
-                    match ready.token.0.checked_sub(FIRST_LISTENER_TOKEN) {
+                    match ready.token.0.checked_sub(LISTENERS) {
                         Some(index) => nodes.accept(&poll, index as usize),
                         None => nodes.serve(ready.token.0 as usize),
                     }
@@ -114,14 +115,14 @@
         })
     }
 
-    /// Sets the faults of one node from now on.
+    /// Replaces the fault ratios of one node.
     pub fn set_faults(&self, node: usize, faults: Faults) {
         if let Ok(mut all) = self.faults.lock() {
             all[node] = faults;
         }
     }
 
-    /// A copy of what they have executed so far.
+    /// A copy of the counts of the requests executed so far.
     pub fn execution_counts(&self) -> ExecutionCounts {
         self.counts
             .lock()
@@ -223,7 +224,7 @@
                 [_, _, _, true, _] => RESPONSE_ERROR,
                 _ => RESPONSE_OK,
             };
-            // Answers are short; a socket that takes none of one is as good as gone.
+            // Responses fit the socket buffer; a failed write means that the connection is gone.
             closes_connection |= socket.write(response).is_err() || drawn[4];
         }
         if closes_connection {
@@ -232,57 +233,57 @@
     }
 }
 
-/// The number in `x-request-id`.
+/// The numeric value of the header `x-request-id`, if there is one.
 fn request_id(head: &[u8]) -> Option<u64> {
     let text = std::str::from_utf8(head).ok()?;
     let (_, rest) = text.split_once("x-request-id: ")?;
     rest.split("\r\n").next()?.parse().ok()
 }
 
-/// What a client saw.
+/// The result of a load, as the client saw it.
 #[derive(Clone, Debug)]
 pub struct LoadResult {
-    /// Answers by HTTP status.
+    /// Responses by HTTP status.
     pub responses: BTreeMap<u16, u64>,
-    /// Ended without an answer.
+    /// Requests whose connection ended without a response.
     pub failed: u64,
-    /// Latencies in microseconds.
+    /// Latencies of responses in microseconds.
     pub latencies_us: Histogram<u64>,
-    /// How long the load lasted.
+    /// The duration of the load in seconds.
     pub seconds: f64,
 }
 
 impl LoadResult {
-    /// All answers.
+    /// All requests that ended, with or without a response.
     pub fn total(&self) -> u64 {
         self.responses.values().sum::<u64>() + self.failed
     }
 
-    /// Answers a second.
+    /// Responses with status 200 per second.
     pub fn successes_per_second(&self) -> f64 {
         self.responses.get(&200).copied().unwrap_or(0) as f64 / self.seconds.max(1e-9)
     }
 
-    /// The latency at this quantile, in milliseconds.
+    /// The latency at a quantile (0 to 1), in milliseconds.
     pub fn latency_ms(&self, quantile: f64) -> f64 {
         self.latencies_us.value_at_quantile(quantile) as f64 / 1e3
     }
 }
 
-/// A load to be put on a proxy.
+/// The parameters of a closed-loop load on a proxy.
 #[derive(Clone, Copy, Debug)]
 pub struct Load<'a> {
-    /// Where the proxy listens.
+    /// The proxy's listening address.
     pub target: SocketAddrV4,
-    /// The operation that is invoked.
+    /// The operation that is requested.
     pub operation: &'a str,
-    /// Connections that are open at once.
+    /// How many connections are open at the same time.
     pub connections: usize,
-    /// Ends after so many invocations, or after so long.
+    /// How many requests are sent at most.
     pub invocations: u64,
-    /// The longest time that the load lasts.
+    /// The time after which no further requests are sent.
     pub max_duration: Span,
-    /// The first id.
+    /// The id of the first request; each further request adds 1.
     pub first_id: u64,
 }
 
@@ -293,7 +294,8 @@
     in_flight: bool,
 }
 
-/// Each connection sends its next request when it has its answer.
+/// Puts a load on a proxy: each connection sends its next request when the response to the last one is
+/// complete. Requests that are in flight 10 s after `max_duration` are an error.
 pub fn load(load: Load) -> std::io::Result<LoadResult> {
     let mut poll = Poll::new()?;
     let latencies_us =
@@ -345,7 +347,7 @@
         }
         if now - started > load.max_duration + Span::from_seconds(10.0) {
             return Err(std::io::Error::other(format!(
-                "{in_flight} invocations got no end"
+                "{in_flight} requests had no response 10 s after the end of the load"
             )));
         }
         poll.wait(Span::from_seconds(0.1), &mut ready)?;
@@ -361,7 +363,7 @@
             {
                 continue;
             }
-            // A connection that has just come about sends its first request.
+            // A connection that has just been established sends its first request.
             if ready.writable && connection.in_flight && connection.input.capacity() == 0 {
                 connection.input.reserve(256);
                 connection.sent_at = now;
@@ -385,7 +387,7 @@
                 connection.input.clear();
                 connection.in_flight = false;
                 in_flight -= 1;
-                if closes_after || expired {
+                if closes_after || closed {
                     connections[slot] = None;
                 }
                 free_slots.push(slot);
@@ -408,11 +410,11 @@
         "GET /{} HTTP/1.1\r\nHost: load\r\nx-request-id: {id}\r\n\r\n",
         load.operation
     );
-    // Requests are short; what can't be written shows as a connection that ends.
+    // Requests fit the socket buffer; a failed write is seen as the end of the connection.
     let _ = connection.socket.write(text.as_bytes());
 }
 
-/// The status of an answer that has arrived completely, and whether the connection ends with it.
+/// The status of a completely received response, and whether it closes the connection.
 fn complete_response(input: &[u8]) -> Option<(u16, bool)> {
     let end = input.windows(4).position(|window| window == b"\r\n\r\n")?;
     let head = std::str::from_utf8(&input[..end]).ok()?;
--- a/crates/drill/src/machine.rs
+++ b/crates/drill/src/machine.rs
@@ -1,4 +1,4 @@
-//! What the machine lends a drill: free ports, and the CPU time of a process.
+//! Free ports and the CPU time of processes.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -6,7 +6,7 @@
 use std::path::Path;
 use std::sync::Mutex;
 
-/// A port that is free now.
+/// A loopback address with a port that is free at the time of the call.
 pub fn free_port() -> io::Result<SocketAddrV4> {
     match TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?.local_addr()? {
         std::net::SocketAddr::V4(address) => Ok(address),
@@ -14,16 +14,16 @@
     }
 }
 
-/// A place to listen for a controller that starts later. Each process has a loopback address of its own and
-/// names no port twice: on the common address a drill beside this one, or any connection that was dialled
-/// meanwhile, took the port now and then, and the controller could not start.
+/// A listen address for a controller that starts later. The loopback address is derived from the process id
+/// and no port is returned twice. With ports of 127.0.0.1, a concurrent drill or an outgoing connection
+/// sometimes took the port first, and the controller could not start.
 pub fn own_port() -> io::Result<SocketAddrV4> {
-    static NAMED: Mutex<BTreeSet<u16>> = Mutex::new(BTreeSet::new());
+    static RETURNED_PORTS: Mutex<BTreeSet<u16>> = Mutex::new(BTreeSet::new());
     let [_, high, middle, low] = std::process::id().to_be_bytes();
     let address = Ipv4Addr::new(127, 64 | (high & 63), middle, low.clamp(1, 254));
     loop {
         let port = TcpListener::bind((address, 0))?.local_addr()?.port();
-        if NAMED
+        if RETURNED_PORTS
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)
             .insert(port)
@@ -33,7 +33,7 @@
     }
 }
 
-/// CPU seconds of a process so far, by what the kernel tells of it.
+/// The CPU time of a process so far in seconds (user and system), from `/proc`; 0 if it cannot be read.
 pub fn cpu_of(pid: u32) -> f64 {
     let stat = std::fs::read_to_string(Path::new("/proc").join(pid.to_string()).join("stat"))
         .unwrap_or_default();
--- a/crates/drill/src/network.rs
+++ b/crates/drill/src/network.rs
@@ -1,5 +1,5 @@
-//! The network between proxies and controllers, as a relay that can lose streams, hold them up, make what
-//! goes up late, or let nobody through.
+//! The network between proxies and controllers: a relay that can reset streams, pause them, delay data to
+//! controllers, or refuse connections.
 
 use crate::stand_in_server::proxy_of;
 use crate::worker::{Inbox, Worker, WorkerCommand, INBOX};
@@ -11,14 +11,15 @@
 use wheelspread_reactor::{self as reactor, Interest, Poll, Token};
 
 pub enum NetworkCommand {
-    /// Breaks the streams of these proxies.
+    /// Resets the streams of these proxies.
     ResetStreams(BTreeSet<usize>),
-    /// These proxies reach no controller: what they have breaks, what they try comes to nothing.
+    /// Resets the streams of these proxies and refuses their new connections, until the next command of this
+    /// kind.
     RefuseConnections(BTreeSet<usize>),
-    /// Nothing passes for these proxies, and nothing breaks.
+    /// Forwards no data for these proxies; their streams stay open.
     Pause(BTreeSet<usize>),
-    /// Seconds that sums take longer.
-    SetReportDelay(f64),
+    /// The delay of all data to controllers (load reports), in seconds.
+    SetDelay(f64),
     End,
 }
 
@@ -31,10 +32,11 @@
     worker: Worker<NetworkCommand>,
 }
 
-const FIRST_LISTENER_TOKEN: u64 = 1 << 40;
+/// The first token of listeners; smaller tokens belong to streams, two to each.
+const LISTENERS: u64 = 1 << 40;
 
 impl Network {
-    /// A port for each controller that is passed on to where that one listens.
+    /// Starts a relay with one listener for each controller address.
     pub fn start(controllers: Vec<SocketAddrV4>) -> std::io::Result<Network> {
         let poll = Poll::new()?;
         let (mut listeners, mut addresses) = (Vec::new(), Vec::new());
@@ -42,7 +44,7 @@
             let listener = reactor::listen(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0))?;
             poll.add(
                 &listener,
-                Token(FIRST_LISTENER_TOKEN + index as u64),
+                Token(LISTENERS + index as u64),
                 Interest::Readable,
             )?;
             if let SocketAddr::V4(address) = listener.local_addr()? {
@@ -128,9 +130,7 @@
                         }
                         pending.extend(self.streams.iter().map(|(slot, _)| slot));
                     }
-                    Token(token) if token >= FIRST_LISTENER_TOKEN => {
-                        self.accept((token - FIRST_LISTENER_TOKEN) as usize)
-                    }
+                    Token(token) if token >= LISTENERS => self.accept((token - LISTENERS) as usize),
                     Token(token) => drop(pending.insert(token as usize / 2)),
                 }
             }
@@ -148,9 +148,7 @@
                 self.refused = proxies;
             }
             NetworkCommand::Pause(proxies) => self.paused = proxies,
-            NetworkCommand::SetReportDelay(seconds) => {
-                self.report_delay = Span::from_seconds(seconds)
-            }
+            NetworkCommand::SetDelay(seconds) => self.report_delay = Span::from_seconds(seconds),
             NetworkCommand::End => {}
         }
     }
@@ -236,7 +234,7 @@
     }
 }
 
-/// Reads all there is; `true`: the end.
+/// Reads all available bytes; `true` if the connection has ended.
 fn read_available(mut socket: &TcpStream, into: &mut Vec<u8>) -> bool {
     let mut buffer = [0u8; 16384];
     loop {
@@ -253,6 +251,7 @@
     }
 }
 
+/// Writes as much as the socket accepts; `true` if the connection has ended.
 fn write_available(mut socket: &TcpStream, bytes: &mut Vec<u8>) -> bool {
     while !bytes.is_empty() {
         match socket.write(bytes) {
@@ -268,7 +267,7 @@
     false
 }
 
-/// By zone, for cuts.
+/// The proxies of a zone; `zones` maps proxies to zones.
 pub fn proxies_in_zone(zones: &BTreeMap<usize, usize>, zone: usize) -> BTreeSet<usize> {
     zones
         .iter()
--- a/crates/drill/src/proxies.rs
+++ b/crates/drill/src/proxies.rs
@@ -1,4 +1,4 @@
-//! The proxies of a drill: real proxies, several on one loop, and what they did written down.
+//! The proxies of a drill: real proxies, all on one event loop, with a recorder of what they do.
 
 use crate::records::{EntriesByOperation, Record, Recorder};
 use crate::script::Script;
@@ -24,13 +24,13 @@
 };
 use wheelspread_reactor::{self as reactor, Poll};
 
-/// What the proxies' thread is told.
+/// Commands to the thread of the proxies.
 pub enum ProxyCommand {
-    /// The proxy of this number ends without notice.
+    /// Kills a proxy without notice.
     Kill(usize),
-    /// It comes back, on a new port, knowing nothing; the address is told.
+    /// Starts a proxy on a new port and without tables; sends its address, or `None` if it did not start.
     Start(Box<ProxyConfig>, usize, Sender<Option<SocketAddr>>),
-    /// The thread ends.
+    /// Ends the thread.
     End,
 }
 
@@ -38,7 +38,7 @@
     const STOP: ProxyCommand = ProxyCommand::End;
 }
 
-/// Proxies that hold tables.
+/// The numbers of the proxies that have applied tables.
 type ProxiesWithTables = Arc<Mutex<BTreeSet<usize>>>;
 
 /// The handle of the thread in which all proxies of a drill run.
@@ -48,7 +48,8 @@
 }
 
 impl Proxies {
-    /// Starts the thread without proxies. `joined_always`: there is no controller to join.
+    /// Starts the thread, without proxies. With `always_joined`, each proxy is recorded as joined to controller
+    /// 0 at its start, for drills without controllers.
     pub fn start(recorder: Recorder, always_joined: bool) -> std::io::Result<Proxies> {
         let proxies_with_tables = ProxiesWithTables::default();
         let shared = proxies_with_tables.clone();
@@ -61,7 +62,7 @@
         })
     }
 
-    /// Whether a proxy ever held tables.
+    /// Whether a proxy has ever applied tables.
     pub fn has_tables(&self, proxy: usize) -> bool {
         self.proxies_with_tables
             .lock()
@@ -73,7 +74,7 @@
         self.worker.send(command);
     }
 
-    /// Starts a proxy and waits for its address; none: it did not start.
+    /// Starts a proxy and waits for its address; `None` if it did not start.
     pub fn add(&self, config: ProxyConfig, number: usize) -> Option<SocketAddr> {
         let (reply, replied) = channel();
         self.send(ProxyCommand::Start(Box::new(config), number, reply));
@@ -105,7 +106,7 @@
             if ready.token != INBOX {
                 let number = (ready.token.0 >> 32) as usize;
                 if let Some(proxy) = proxies.get_mut(number).and_then(Option::as_mut) {
-                    // A watch that fails shows as tables that are never taken.
+                    // A failed watch shows in the records: the proxy applies no tables.
                     let _ = proxy.on_ready(&poll, now, ready);
                 }
                 continue;
@@ -149,7 +150,7 @@
     }
 }
 
-/// Proxies as the script has them, calling from addresses that tell who they are.
+/// The configuration of a proxy. Its source address identifies its zone and number.
 pub fn proxy_config(
     script: &Script,
     proxy: usize,
@@ -157,7 +158,7 @@
     endpoints: &[(SocketAddrV4, PathBuf)],
     seed: u64,
     treats_all_as_idempotent: bool,
-    follows_unjoined: bool,
+    without_controllers: bool,
 ) -> ProxyConfig {
     let deployment = &script.deployment;
     let count = endpoints.len();
@@ -166,7 +167,7 @@
         |operation: &wheelspread_controller_core::deployment::OperationConfig| OperationRules {
             name: operation.name.clone(),
             retry_safety: match operation.retry_class {
-                // A proxy that trusts its tables blindly, to see the audit find what comes of it.
+                // For the violation of rule 2: the proxy retries whatever its tables allow.
                 _ if treats_all_as_idempotent => RetrySafety::Idempotent,
                 RetryClass::Idempotent => RetrySafety::Idempotent,
                 RetryClass::Fingerprinted => RetrySafety::Fingerprinted {
@@ -212,7 +213,7 @@
             ..Timeouts::default()
         },
         publishes_status: true,
-        follows_unjoined: follows_unjoined,
+        follows_unjoined: without_controllers,
         tls: None,
         table_source: if deployment.table_delivery.files {
             TableSource::Files
@@ -222,12 +223,12 @@
     }
 }
 
-/// The name of a proxy by its number, as controllers and directories know it.
+/// The name of a proxy, as used by controllers and directories.
 pub fn proxy_name(proxy: usize) -> String {
     format!("gateway-{proxy:03}")
 }
 
-/// Writes down what one proxy does.
+/// Records what one proxy does.
 struct ProxyRecorder {
     recorder: Recorder,
     proxies_with_tables: ProxiesWithTables,
@@ -236,7 +237,7 @@
     streams: bool,
 }
 
-/// The entries of tables that a reader holds.
+/// The entries of loaded tables, by operation.
 pub fn entries_by_operation(loaded: &LoadedTables) -> EntriesByOperation {
     let entry =
         |entry: &wheelspread_controller_core::TableEntry| (format_node(entry.node), entry.weight);
@@ -314,7 +315,7 @@
             proxies_with_tables.insert(proxy);
         }
         if self.streams {
-            // No directory shows what was sent: what came over its stream does.
+            // No directory shows published tables, so that their arrival over the stream counts as the swap.
             let (hash, entries) = (hash.clone(), entries_by_operation(loaded));
             self.recorder.record(
                 now,
@@ -329,7 +330,7 @@
         }
         self.recorder.record(
             now,
-            Record::TablesApplied {
+            Record::Tables {
                 proxy,
                 controller,
                 version,
@@ -350,7 +351,7 @@
     }
 
     fn controller_joined(&mut self, now: Moment, controller: usize, of: usize) {
-        // Told by its place among the proxy's own controllers, which begin with its usual one.
+        // `controller` is an index into the proxy's own list, which starts with its preferred controller.
         self.controller = (self.proxy + controller) % of;
         self.recorder.record(
             now,
--- a/crates/drill/src/records.rs
+++ b/crates/drill/src/records.rs
@@ -1,4 +1,5 @@
-//! What was seen, by whom. Times are seconds since the drill began, by the machine's monotonic clock.
+//! The records of a drill: what was observed, by whom and when. Times are seconds since the drill began, by
+//! the monotonic clock.
 
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -7,10 +8,10 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use wheelspread::time::Moment;
 
-/// The entries of tables by operation: node and weight.
+/// Table entries by operation: node address and weight.
 pub type EntriesByOperation = BTreeMap<String, Vec<(String, f64)>>;
 
-/// One line of a log. `docs/drills.md` describes each.
+/// One line of a log file. `docs/drills.md` describes each.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum Record {
@@ -30,37 +31,36 @@
         #[serde(rename = "gateway")]
         proxy: usize,
     },
-    /// A proxy was ended.
+    /// A proxy was killed.
     #[serde(rename = "died")]
     ProxyKilled {
         /// The proxy's number.
         #[serde(rename = "gateway")]
         proxy: usize,
     },
-    /// A proxy took tables.
-    #[serde(rename = "tables")]
-    TablesApplied {
+    /// A proxy applied tables.
+    Tables {
         /// The proxy's number.
         #[serde(rename = "gateway")]
         proxy: usize,
         /// The controller's number.
         #[serde(rename = "conductor")]
         controller: usize,
-        /// The version, as it is named there.
+        /// The version of the tables.
         version: u64,
-        /// SHA-256 of both documents.
+        /// SHA-256 over both table documents.
         hash: String,
-        /// The entries, by operation.
+        /// The table entries by operation.
         #[serde(rename = "lines")]
         entries: EntriesByOperation,
     },
-    /// A proxy could not read tables.
+    /// A proxy rejected tables that it could not read.
     #[serde(rename = "tables_refused")]
     TablesRejected {
         /// The proxy's number.
         #[serde(rename = "gateway")]
         proxy: usize,
-        /// Why, as the reader says it.
+        /// The reader's error.
         reason: String,
     },
     /// A proxy sent an attempt to a node.
@@ -75,10 +75,10 @@
         operation: String,
         /// The node's address.
         node: String,
-        /// Which attempt it is, from 1.
+        /// The number of the attempt, from 1.
         number: u32,
     },
-    /// An attempt of a proxy ended.
+    /// An attempt that a proxy had sent ended.
     #[serde(rename = "ended")]
     AttemptEnded {
         /// The proxy's number.
@@ -88,12 +88,12 @@
         id: String,
         /// The node's address.
         node: String,
-        /// Which attempt it is, from 1.
+        /// The number of the attempt, from 1.
         number: u32,
-        /// How it ended.
+        /// The outcome: `succeeded` or the kind of failure.
         outcome: String,
     },
-    /// A proxy answered its client.
+    /// A request ended at a proxy, usually with a response to the client.
     #[serde(rename = "answered")]
     RequestFinished {
         /// The proxy's number.
@@ -101,22 +101,23 @@
         proxy: usize,
         /// The `x-request-id`.
         id: String,
-        /// How it ended.
+        /// The outcome: `node-` and the node's status, `rate-limited`, `no-node`, `client-gone` or the kind of
+        /// failure.
         outcome: String,
     },
     // ---- nodes ----
-    /// A node started, or came back.
+    /// A node started or returned.
     #[serde(rename = "started")]
     NodeStarted {
         /// The node's address.
         node: String,
-        /// The number of the node's zone.
+        /// The index of the node's zone.
         zone: usize,
-        /// The kind, as scripts spell it.
+        /// The node kind, as named in the script.
         kind: String,
-        /// Seconds of work a second.
+        /// Capacity in seconds of work per second.
         capacity: f64,
-        /// Whether it has to warm up.
+        /// Whether the node has to warm up.
         cold: bool,
     },
     /// A request arrived at a node.
@@ -131,10 +132,10 @@
         id: String,
         /// The operation's name.
         operation: String,
-        /// Seconds at a core of speed 1.
+        /// The work of the request in seconds on a core of speed 1.
         work: f64,
     },
-    /// A request took effect at a node.
+    /// A node executed a request, with its effect.
     #[serde(rename = "effect")]
     RequestExecuted {
         /// The node's address.
@@ -144,20 +145,20 @@
         /// The operation's name.
         operation: String,
     },
-    /// A cold node got more work than it can take, and failed.
+    /// A warming node received more work than it can execute, and failed.
     #[serde(rename = "fell")]
     NodeOverloaded {
         /// The node's address.
         node: String,
     },
-    /// A node ended.
+    /// A node stopped.
     #[serde(rename = "ceased")]
     NodeStopped {
         /// The node's address.
         node: String,
     },
-    // ---- what the directories and lists showed ----
-    /// Tables were swapped into a proxy's directory.
+    // ---- table directories and endpoint lists ----
+    /// Tables were published to a proxy, by a swap in its directory or over its stream.
     #[serde(rename = "swapped")]
     TablesSwapped {
         /// The controller's number.
@@ -166,15 +167,15 @@
         /// The proxy's number.
         #[serde(rename = "gateway")]
         proxy: usize,
-        /// The version, as it is named there.
+        /// The version of the tables.
         version: u64,
-        /// SHA-256 of both documents.
+        /// SHA-256 over both table documents.
         hash: String,
-        /// The entries, by operation.
+        /// The table entries by operation.
         #[serde(rename = "lines")]
         entries: EntriesByOperation,
     },
-    /// What was swapped into a directory could not be read.
+    /// Tables that were swapped into a directory could not be read.
     SwapUnreadable {
         /// The controller's number.
         #[serde(rename = "conductor")]
@@ -182,22 +183,22 @@
         /// The proxy's number.
         #[serde(rename = "gateway")]
         proxy: usize,
-        /// Why, as the reader says it.
+        /// The reader's error.
         reason: String,
     },
-    /// A controller's list of nodes changed.
+    /// An endpoint list was written for a controller.
     #[serde(rename = "listed")]
     ListPublished {
         /// The controller's number.
         #[serde(rename = "conductor")]
         controller: usize,
-        /// The version, as it is named there.
+        /// The version of the list.
         version: u64,
         /// The listed nodes, by address.
         nodes: BTreeMap<String, ListedNodeState>,
     },
     // ---- clients ----
-    /// An invocation of a client ended.
+    /// A client's invocation ended, after all of its attempts.
     #[serde(rename = "done")]
     InvocationEnded {
         /// The proxy's number.
@@ -207,22 +208,22 @@
         id: String,
         /// The operation's name.
         operation: String,
-        /// The client's attempt, from 0.
+        /// The number of the client's last attempt, from 0.
         attempt: u32,
-        /// Seconds from the first attempt's arrival.
+        /// Seconds since the invocation arrived.
         latency: f64,
-        /// How it ended.
+        /// The outcome.
         outcome: ClientOutcome,
     },
     // ---- the drill ----
     /// A fault began, or could not be injected.
     #[serde(rename = "trouble")]
     Fault {
-        /// The kind, as scripts spell it.
+        /// The fault kind, as named in scripts.
         kind: String,
-        /// Whether it could be injected here.
+        /// Whether a drill can inject this kind.
         injected: bool,
-        /// How long it lasts, in seconds.
+        /// The duration of the fault in seconds.
         span: f64,
     },
     /// A controller was started.
@@ -239,7 +240,7 @@
         #[serde(rename = "conductor")]
         controller: usize,
     },
-    /// A controller took an order to drain a node, or to take that back; `asked`: when it was given.
+    /// A controller accepted an order to drain a node, or to undo the drain.
     #[serde(rename = "ordered")]
     DrainOrdered {
         /// The controller's number.
@@ -247,64 +248,64 @@
         controller: usize,
         /// The node's address.
         node: String,
-        /// Drained, or taken back.
+        /// `true` for a drain, `false` for its undo.
         #[serde(rename = "out")]
         drains: bool,
-        /// When the order was given.
+        /// When the order was given, in seconds since the drill began.
         #[serde(rename = "asked")]
         ordered_at: f64,
     },
-    /// A controller answered to a change of configuration that was told to it, or to its undo.
+    /// A controller answered a configuration change or its undo.
     #[serde(rename = "changed")]
     ChangeAnswered {
         /// The controller's number.
         #[serde(rename = "conductor")]
         controller: usize,
-        /// The change's id.
+        /// The id of the change.
         change: String,
-        /// Whether it is the change's undo.
+        /// Whether this is the undo of the change.
         undo: bool,
-        /// Whether the controller took it.
+        /// Whether the controller accepted it.
         #[serde(rename = "taken")]
         accepted: bool,
     },
 }
 
-/// What a list says of a node.
+/// The state of a node in an endpoint list.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ListedNodeState {
-    /// The number of its zone.
+    /// The index of the node's zone.
     pub zone: usize,
-    /// Whether it drains.
+    /// Whether the node drains.
     pub draining: bool,
-    /// Seconds since the drill began; below 0: before it.
+    /// When the node started, in seconds since the drill began; negative if it started earlier.
     pub started: f64,
 }
 
-/// How a client's invocation ended.
+/// The outcome of a client's invocation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ClientOutcome {
-    /// Answered with success.
+    /// A response with status 2xx.
     Succeeded,
-    /// Rejected by the rate limit.
+    /// A response with status 429.
     RateLimited,
-    /// Answered with an error, or not at all.
+    /// A response with another status, or none.
     Errored,
-    /// The client's timeout passed.
+    /// The client's timeout expired.
     #[serde(rename = "given-up")]
-    TimedOut,
+    Timeout,
 }
 
 impl Record {
-    /// Which log file it belongs to.
+    /// The log file of the record, without its extension.
     fn log_name(&self) -> String {
         use Record::*;
         match self {
             Joined { proxy, .. }
             | Left { proxy }
             | ProxyKilled { proxy }
-            | TablesApplied { proxy, .. } => {
+            | Tables { proxy, .. } => {
                 format!("gateway-{proxy:03}")
             }
             TablesRejected { proxy, .. } | AttemptSent { proxy, .. } => {
@@ -339,12 +340,13 @@
     node.replace([':', '.'], "-")
 }
 
-/// What was seen, in the order of time.
+/// Records with their times in seconds since the drill began, ordered by time.
 #[derive(Clone, Debug, Default)]
 pub struct Records(pub Vec<(f64, Record)>);
 
 impl Records {
-    /// A log for each proxy, node, directory and list, one JSON object a line.
+    /// Writes one JSON Lines file for each proxy, node, directory and list, one for the clients and one for
+    /// the drill.
     pub fn write_logs(&self, directory: &Path) -> io::Result<()> {
         std::fs::create_dir_all(directory)?;
         let mut logs: BTreeMap<String, Vec<u8>> = BTreeMap::new();
@@ -372,7 +374,7 @@
     }
 }
 
-/// Notes what was seen, from any thread.
+/// Collects records from any thread.
 #[derive(Clone)]
 pub struct Recorder {
     start: Moment,
@@ -380,20 +382,20 @@
 }
 
 impl Recorder {
-    /// A recorder whose times begin here, and where its records arrive.
+    /// A recorder whose time 0 is `start`, and the receiver of its records.
     pub fn new(start: Moment) -> (Recorder, Receiver<(f64, Record)>) {
         let (sender, receiver) = channel();
         (Recorder { start, sender }, receiver)
     }
 
-    /// Seconds since the drill began.
+    /// Seconds from the drill's beginning to `now`.
     pub fn seconds_at(&self, now: Moment) -> f64 {
         (now - self.start).seconds()
     }
 
-    /// Notes a record at this time.
+    /// Records an event at `now`.
     pub fn record(&self, now: Moment, record: Record) {
-        // The other end is gone only when the drill is over.
+        // The receiver is dropped only at the end of the drill.
         let _ = self.sender.send((self.seconds_at(now), record));
     }
 }
--- a/crates/drill/src/records/tests.rs
+++ b/crates/drill/src/records/tests.rs
@@ -1,11 +1,11 @@
-//! The spelling of the records on disk, which `docs/drills.md` describes and tools read.
+//! The names in the records on disk, which `docs/drills.md` describes and tools read.
 
 use super::{ClientOutcome, ListedNodeState, Record};
 use serde_json::json;
 use std::collections::BTreeMap;
 
 fn serialize(record: Record) -> serde_json::Value {
-    serde_json::to_value(record).expect("it is JSON")
+    serde_json::to_value(record).expect("records are serializable")
 }
 
 #[test]
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn what_the_drill_does_to_controllers_is_written_as_before() {
+fn controller_starts_and_kills_and_endpoint_lists_are_written_under_their_outer_names() {
     assert_eq!(
         serialize(Record::ControllerStarted { controller: 0 }),
         json!({"what": "conductor_started", "conductor": 0})
--- a/crates/drill/src/run.rs
+++ b/crates/drill/src/run.rs
@@ -1,4 +1,5 @@
-//! Plays a script: starts everything, injects the faults at their times, ends everything, and judges.
+//! Runs a script: starts all processes and stand-ins, injects the faults at their times, stops everything
+//! and judges the records.
 
 mod collection;
 mod controllers;
@@ -31,23 +32,23 @@
 use wheelspread_files::TableRoot;
 use wheelspread_reactor as reactor;
 
-/// How a script is played.
+/// Options of a drill.
 pub struct Options<'a> {
-    /// The program whose `run` is a controller.
+    /// The program that runs a controller with its subcommand `run`.
     pub program: PathBuf,
-    /// Seeds all random draws.
+    /// The seed of all random draws.
     pub seed: u64,
-    /// Even weights instead of controllers.
+    /// Publishes even weights instead of running controllers.
     pub even_weights: bool,
-    /// A rule to be broken on purpose.
+    /// A rule to violate on purpose.
     pub violation: Option<RuleViolation>,
-    /// Where all that was published and the records are kept; none: nowhere.
+    /// Where the published tables, the logs and the records are kept; a temporary directory if `None`.
     pub keep_directory: Option<PathBuf>,
-    /// Controllers that are killed lose what they kept: they start as if they had never run.
+    /// Deletes the state of a controller when it is killed, so that it restarts without state.
     pub discard_state: bool,
-    /// Kinds of fault that were asked for and can't be injected, to be told.
+    /// Requested fault kinds that a drill cannot inject, for the report.
     pub not_injected: Vec<String>,
-    /// Told of each step that a person waits for.
+    /// Called with a progress message at each step.
     pub progress: &'a mut dyn FnMut(&str),
 }
 
@@ -69,7 +70,7 @@
     network: Network,
     proxies: Proxies,
     zones: Vec<usize>,
-    /// What usually comes to each proxy, a second.
+    /// The base rate of each proxy, in first attempts per second.
     base_rates: Vec<f64>,
     clients: Option<ClientPopulation>,
     even_publisher: Option<EvenWeightPublisher>,
@@ -81,9 +82,9 @@
     controller_cpu_s: f64,
 }
 
-/// Plays a script and judges its records.
+/// Runs a script and judges its records.
 pub fn run(script: &Script, options: Options) -> Result<Report, DrillError> {
-    let temporary = tempfile::tempdir().map_err(io_error("a temporary directory"))?;
+    let temporary = tempfile::tempdir().map_err(io_error("cannot create a temporary directory"))?;
     let directory = options
         .keep_directory
         .clone()
@@ -91,7 +92,7 @@
     std::fs::create_dir_all(&directory).map_err(io_error(directory.display().to_string()))?;
     let (recorder, from) = Recorder::new(reactor::now());
     let mut drill = Drill::prepare(script.clone(), options, directory, recorder)?;
-    drill.play()?;
+    drill.run()?;
     drill.finish(from)
 }
 
@@ -104,7 +105,7 @@
     ) -> Result<Drill<'a>, DrillError> {
         let deployment = &script.deployment;
         let nodes = StandInServers::start(deployment.clone(), recorder.clone(), options.seed)
-            .map_err(io_error("nodes"))?;
+            .map_err(io_error("cannot start the stand-in nodes"))?;
         let mut controllers = Vec::new();
         for number in 0..deployment.controllers.count as usize {
             let directory = directory.join(format!("conductor-{number}"));
@@ -113,14 +114,16 @@
                 .map_err(io_error(directory.display().to_string()))?;
             controllers.push(ControllerProcess {
                 directory,
-                listen: own_port().map_err(io_error("a free port"))?,
+                listen: own_port().map_err(io_error("cannot find a free port"))?,
                 child: None,
             });
         }
         let network = Network::start(controllers.iter().map(|process| process.listen).collect())
-            .map_err(io_error("wires"))?;
-        let proxies =
-            Proxies::start(recorder.clone(), options.even_weights).map_err(io_error("gateways"))?;
+            .map_err(io_error(
+                "cannot start the relay between proxies and controllers",
+            ))?;
+        let proxies = Proxies::start(recorder.clone(), options.even_weights)
+            .map_err(io_error("cannot start the proxies' thread"))?;
         let zones = (0..script.proxies)
             .map(|proxy| proxy % deployment.zones.len())
             .collect();
--- a/crates/drill/src/run/collection.rs
+++ b/crates/drill/src/run/collection.rs
@@ -1,4 +1,4 @@
-//! The end of a drill: everything stops, the records are collected, kept and judged.
+//! The end of a drill: everything is stopped, the records are collected, written and judged.
 
 use super::report::round_to_millis;
 use super::{io_error, Drill, DrillError, FaultReport, Report};
@@ -11,7 +11,7 @@
 impl Drill<'_> {
     /// Stops everything, collects the records, and judges them.
     pub(super) fn finish(mut self, from: Receiver<(f64, Record)>) -> Result<Report, DrillError> {
-        (self.options.progress)("waiting for what is under way");
+        (self.options.progress)("waiting for requests in flight");
         self.clients = None;
         self.stop_controllers()?;
         let Drill {
@@ -35,7 +35,7 @@
         if options.keep_directory.is_some() {
             records
                 .write_logs(&directory.join("records"))
-                .map_err(io_error("the records"))?;
+                .map_err(io_error("cannot write the records"))?;
         }
         let drains = drain_order_durations(&records);
         Ok(Report {
@@ -51,18 +51,20 @@
         })
     }
 
-    /// Ends the controllers in an orderly way and adds up their CPU time.
+    /// Stops the controllers with SIGTERM, waits for their end and adds up their CPU time.
     fn stop_controllers(&mut self) -> Result<(), DrillError> {
         let mut stopping = Vec::new();
         for number in 0..self.controllers.len() {
-            // A controller that is stopped by a fault would not see the request to end.
+            // A controller that a fault has paused handles SIGTERM only after SIGCONT.
             self.signal(number, Signal::CONT);
             self.signal(number, Signal::TERM);
             stopping.extend(self.controllers[number].child.take());
         }
         for mut child in stopping {
             self.controller_cpu_s += cpu_of(child.id());
-            child.wait().map_err(io_error("a conductor"))?;
+            child
+                .wait()
+                .map_err(io_error("cannot wait for a controller process"))?;
         }
         Ok(())
     }
@@ -91,7 +93,7 @@
     swaps.count() as u64
 }
 
-/// How many changes and undoes controllers answered, and how many of them they took.
+/// How many configuration changes and undoes controllers answered, and how many they accepted.
 fn count_changes(records: &Records) -> (usize, usize) {
     let answers = records.0.iter().filter_map(|(_, record)| match record {
         Record::ChangeAnswered { accepted, .. } => Some(*accepted),
--- a/crates/drill/src/run/controllers.rs
+++ b/crates/drill/src/run/controllers.rs
@@ -1,4 +1,4 @@
-//! The controller processes of a drill: configuration file, start, kill, signals, operators' requests.
+//! The controller processes of a drill: configuration file, start, kill, signals and operators' requests.
 
 use super::{io_error, Drill, DrillError};
 use crate::machine::cpu_of;
@@ -24,7 +24,7 @@
 }
 
 impl Drop for ControllerProcess {
-    /// A drill that comes to nothing leaves no controller behind.
+    /// Kills the controller, so that a drill that fails leaves no process behind.
     fn drop(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -124,11 +124,11 @@
         }
     }
 
-    /// As an operator's tool does it, at each controller by itself.
+    /// Sends a drain order to each controller, as an operator's tool does.
     pub(super) fn order_drain(&self, node: String, action: DrainAction, within: Span) {
         let now = reactor::now();
         let ordered_at = self.recorder.seconds_at(now);
-        // Whatever checks say: the drill knows what it does.
+        // The drill overrides the safety checks: its drains may exceed what they allow.
         let overrides = ["pool", "cold", "capacity"].map(str::to_string);
         let body = drain_order(&node, action, "drill", &overrides);
         let drains = action == DrainAction::Drain;
@@ -147,7 +147,7 @@
         );
     }
 
-    /// Nodes move to the next zone, by a change of configuration; or that is taken back.
+    /// Moves nodes to the next zone by a configuration change, or undoes that change.
     pub(super) fn change_zones(&self, id: &str, nodes: &[usize], undo: bool, within: Span) {
         let zones = &self.script.deployment.zones;
         let moved = nodes.iter().map(|node| {
@@ -178,7 +178,7 @@
         });
     }
 
-    /// Tells each controller by itself, one request after the other, each again where it failed.
+    /// Sends the requests to each controller, in order, each retried until `within` has passed.
     fn send_to_controllers(
         &self,
         requests: Vec<Request>,
--- a/crates/drill/src/run/execution.rs
+++ b/crates/drill/src/run/execution.rs
@@ -1,4 +1,4 @@
-//! Execution of the plan: each step at its time, until the drill's end.
+//! Execution of the plan: each step at its time, until the end of the drill.
 
 use super::{Drill, DrillError, Step};
 use crate::client_population::ClientCommand;
@@ -9,11 +9,11 @@
 use wheelspread_drain::DrainAction;
 use wheelspread_reactor as reactor;
 
-/// How often a sabotaged run swaps tables when it writes too often.
+/// The interval of the swaps that exceed the message cap on purpose.
 const REPUBLISH_INTERVAL: Span = Span::from_seconds(0.05);
 
 impl Drill<'_> {
-    /// Schedules a step. Steps of one time are taken in the order of their scheduling.
+    /// Schedules a step. Steps of the same time run in the order in which they were scheduled.
     pub(super) fn schedule(&mut self, at: Moment, step: Step) {
         self.last_sequence += 1;
         self.steps.insert((at, self.last_sequence), step);
@@ -54,16 +54,16 @@
     fn execute_step(&mut self, step: Step) -> Result<(), DrillError> {
         match step {
             Step::Announce(kind) => (self.options.progress)(&format!("trouble: {kind}")),
-            Step::Nodes(commands) => {
+            Step::SendToNodes(commands) => {
                 for command in commands {
                     self.nodes.send(command);
                 }
             }
-            Step::Network(command) => self.network.send(command),
-            Step::Rate { proxies, factor } => self.set_rate(proxies, factor),
+            Step::SendToNetwork(command) => self.network.send(command),
+            Step::SetRate { proxies, factor } => self.set_rate(proxies, factor),
             Step::ShiftTraffic { from, to, ratio } => self.shift_traffic(from, to, ratio),
-            Step::DrainBatch { out, drain } => self.drain_batch(out, drain),
-            Step::ReplaceNodes { out } => self.replace_nodes(out),
+            Step::DrainBatch { nodes, drain } => self.drain_batch(nodes, drain),
+            Step::ReplaceNodes { nodes } => self.replace_nodes(nodes),
             Step::AddNodes { count } => self.add_nodes(count),
             Step::SilenceNodes(nodes) => self.silence_nodes(nodes),
             Step::RestoreNodes(nodes) => self.restore_nodes(nodes),
@@ -112,27 +112,31 @@
 
     fn shift_traffic(&self, from: usize, to: usize, ratio: f64) {
         let zones = self.script.deployment.zones.len();
-        let of =
+        let in_zone =
             |zone: usize| (0..self.base_rates.len()).filter(move |proxy| proxy % zones == zone);
-        let sum = |zone: usize| of(zone).map(|proxy| self.base_rates[proxy]).sum::<f64>();
+        let sum = |zone: usize| {
+            in_zone(zone)
+                .map(|proxy| self.base_rates[proxy])
+                .sum::<f64>()
+        };
         let (lost, gained) = (1.0 - ratio, 1.0 + ratio * sum(from) / sum(to).max(1e-9));
         for (zone, factor) in [(from, lost), (to, gained)] {
-            self.set_rate(Some(of(zone).collect()), factor);
+            self.set_rate(Some(in_zone(zone).collect()), factor);
         }
     }
 
-    fn drain_batch(&mut self, out: Vec<usize>, drain: Span) {
-        let out = self.without_stopped_nodes(out);
-        for node in &out {
+    fn drain_batch(&mut self, nodes: Vec<usize>, drain: Span) {
+        let nodes = self.without_stopped_nodes(nodes);
+        for node in &nodes {
             self.fleet[*node].draining = true;
         }
         self.schedule_list_publication();
-        self.schedule(reactor::now() + drain, Step::ReplaceNodes { out });
+        self.schedule(reactor::now() + drain, Step::ReplaceNodes { nodes });
     }
 
-    fn replace_nodes(&mut self, out: Vec<usize>) {
-        for node in out {
-            if std::mem::replace(&mut self.fleet[node].gone, true) {
+    fn replace_nodes(&mut self, nodes: Vec<usize>) {
+        for node in nodes {
+            if std::mem::replace(&mut self.fleet[node].stopped, true) {
                 continue;
             }
             self.nodes.send(NodeCommand::Stop(self.fleet[node].key));
@@ -143,7 +147,7 @@
 
     fn add_nodes(&mut self, count: usize) {
         for number in 0..count {
-            // The fleet grows with each: the numbers wrap at its length by then.
+            // The fleet grows with each added node, so that the modulus grows too.
             self.add_cold_node_like(number % self.fleet.len());
         }
         self.schedule_list_publication();
@@ -169,7 +173,7 @@
     fn restore_nodes(&mut self, nodes: Vec<usize>) {
         for node in nodes {
             let fleet_node = &mut self.fleet[node];
-            if std::mem::take(&mut fleet_node.silent) && !fleet_node.gone {
+            if std::mem::take(&mut fleet_node.silent) && !fleet_node.stopped {
                 fleet_node.started = reactor::now();
                 self.nodes
                     .send(NodeCommand::SetSilent(fleet_node.key, false));
@@ -179,7 +183,7 @@
     }
 
     fn without_stopped_nodes(&self, mut nodes: Vec<usize>) -> Vec<usize> {
-        nodes.retain(|node| !self.fleet[*node].gone);
+        nodes.retain(|node| !self.fleet[*node].stopped);
         nodes
     }
 
--- a/crates/drill/src/run/fault_plan.rs
+++ b/crates/drill/src/run/fault_plan.rs
@@ -1,4 +1,4 @@
-//! The fault plan: which steps each fault of the script takes, when, and whom it strikes.
+//! The fault plan: the steps of each fault of the script, their times and their targets.
 
 mod control_plane;
 mod nodes;
@@ -20,7 +20,7 @@
 }
 
 impl Drill<'_> {
-    /// Schedules the steps of a fault and notes it in the records.
+    /// Schedules the steps of a fault and records it.
     pub(super) fn plan_fault(&mut self, fault: &Fault) {
         let begin = self.begin + fault.at;
         let window = FaultWindow {
@@ -32,7 +32,7 @@
         match fault.kind {
             FaultKind::Deploy => self.plan_deploy(fault, window),
             FaultKind::DrainOrder => self.plan_drain_order(fault, window),
-            FaultKind::ZoneChange => self.plan_change(fault, window),
+            FaultKind::ZoneChange => self.plan_zone_change(fault, window),
             FaultKind::Vanish => self.plan_vanish(fault, window),
             FaultKind::Flapping => self.plan_flapping(fault, window),
             FaultKind::FastErrors => self.plan_fast_errors(fault, window),
@@ -44,7 +44,7 @@
             FaultKind::Preempt => self.plan_preemption(fault, window),
             FaultKind::FleetGrowth => self.plan_growth(fault, window),
             FaultKind::HotCaller => self.plan_hot_caller(fault, window),
-            FaultKind::TrafficShift => self.plan_shift(fault, window),
+            FaultKind::TrafficShift => self.plan_traffic_shift(fault, window),
             FaultKind::Overload => self.plan_overload(fault, window),
             FaultKind::Reconnect => self.plan_reconnect(fault, window),
             FaultKind::ControllersUnreachable => self.plan_unreachable_controllers(fault, window),
@@ -66,25 +66,25 @@
         self.recorder.record(begin, record);
     }
 
-    /// One step when the fault begins, one when it ends.
-    fn between(&mut self, window: FaultWindow, on: Step, off: Step) {
+    /// Schedules one step at the begin of a fault and one at its end.
+    fn schedule_window(&mut self, window: FaultWindow, on: Step, off: Step) {
         self.schedule(window.begin, on);
         self.schedule(window.end, off);
     }
 
-    /// What a sabotaged run needs besides its publisher.
+    /// Schedules the steps that a violation needs in addition to its publisher.
     pub(super) fn plan_violation(&mut self) {
         let at = self.begin + Span::from_seconds(1.0);
         match self.options.violation {
             Some(RuleViolation::RetryUnsafe) => {
                 let keys: Vec<NodeKey> = self.fleet.iter().map(|node| node.key).collect();
-                let lose = |key| NodeCommand::SetResponseLossRatio(key, 0.3);
-                self.schedule(at, Step::Nodes(keys.into_iter().map(lose).collect()));
+                let lose = |key| NodeCommand::SetLossRatio(key, 0.3);
+                self.schedule(at, Step::SendToNodes(keys.into_iter().map(lose).collect()));
             }
             Some(RuleViolation::KeepDrained) => {
-                let out = self.sample_nodes(0.1);
+                let nodes = self.sample_nodes(0.1);
                 let drain = Span::from_seconds(60.0);
-                self.schedule(at, Step::DrainBatch { out, drain });
+                self.schedule(at, Step::DrainBatch { nodes, drain });
             }
             Some(RuleViolation::OverloadWarming | RuleViolation::EmptyTable) => {
                 self.schedule(at, Step::AddNodes { count: 1 });
--- a/crates/drill/src/run/fault_plan/control_plane.rs
+++ b/crates/drill/src/run/fault_plan/control_plane.rs
@@ -12,30 +12,30 @@
     pub(super) fn plan_reconnect(&mut self, fault: &Fault, window: FaultWindow) {
         let proxies = self.sample_proxies(fault.size.clamp(0.0, 1.0));
         let streams = NetworkCommand::ResetStreams(proxies.into_iter().collect());
-        self.schedule(window.begin, Step::Network(streams));
+        self.schedule(window.begin, Step::SendToNetwork(streams));
     }
 
     pub(super) fn plan_unreachable_controllers(&mut self, fault: &Fault, window: FaultWindow) {
         let proxies = self.sample_proxies(fault.ratio);
-        let refuse = |proxies| Step::Network(NetworkCommand::RefuseConnections(proxies));
+        let refuse = |proxies| Step::SendToNetwork(NetworkCommand::RefuseConnections(proxies));
         let on = refuse(proxies.into_iter().collect());
-        self.between(window, on, refuse(BTreeSet::new()));
+        self.schedule_window(window, on, refuse(BTreeSet::new()));
     }
 
     pub(super) fn plan_late_reports(&mut self, fault: &Fault, window: FaultWindow) {
-        let late = |seconds| Step::Network(NetworkCommand::SetReportDelay(seconds));
-        self.between(window, late(fault.size.clamp(0.0, 10.0)), late(0.0));
+        let late = |seconds| Step::SendToNetwork(NetworkCommand::SetDelay(seconds));
+        self.schedule_window(window, late(fault.size.clamp(0.0, 10.0)), late(0.0));
     }
 
-    /// Cuts off the last zone, which no controller stands in where there are fewer of them than zones.
+    /// Cuts off the last zone. It contains no controller if there are fewer controllers than zones.
     pub(super) fn plan_zone_cut(&mut self, window: FaultWindow) {
         let zone = self.script.deployment.zones.len() - 1;
         let zones = self.zones.iter().copied().enumerate().collect();
-        let cut = |zone| Step::Nodes(vec![NodeCommand::SetZoneCut(zone)]);
-        let hold = |proxies| Step::Network(NetworkCommand::Pause(proxies));
-        self.between(window, cut(Some(zone)), cut(None));
+        let cut = |zone| Step::SendToNodes(vec![NodeCommand::SetZoneCut(zone)]);
+        let hold = |proxies| Step::SendToNetwork(NetworkCommand::Pause(proxies));
+        self.schedule_window(window, cut(Some(zone)), cut(None));
         let held = hold(proxies_in_zone(&zones, zone));
-        self.between(window, held, hold(BTreeSet::new()));
+        self.schedule_window(window, held, hold(BTreeSet::new()));
     }
 
     pub(super) fn plan_slow_channel(&mut self, fault: &Fault, window: FaultWindow) {
@@ -46,31 +46,31 @@
             factor,
         });
         let slow = |factor| Step::SlowChannel { factor };
-        self.between(window, slow(factor), slow(1.0));
+        self.schedule_window(window, slow(factor), slow(1.0));
     }
 
     pub(super) fn plan_proxy_crash(&mut self, fault: &Fault, window: FaultWindow) {
         let proxies = self.sample_proxies(fault.ratio);
         let kill = Step::KillProxies(proxies.clone());
-        self.between(window, kill, Step::StartProxies(proxies));
+        self.schedule_window(window, kill, Step::StartProxies(proxies));
     }
 
     pub(super) fn plan_controller_crash(&mut self, fault: &Fault, window: FaultWindow) {
         let controllers = self.sample_controllers(fault.ratio);
         let kill = Step::KillControllers(controllers.clone());
-        self.between(window, kill, Step::StartControllers(controllers));
+        self.schedule_window(window, kill, Step::StartControllers(controllers));
     }
 
     pub(super) fn plan_controller_stall(&mut self, fault: &Fault, window: FaultWindow) {
         let controllers = self.sample_controllers(fault.ratio);
         let pause = Step::PauseControllers(controllers.clone());
-        self.between(window, pause, Step::ResumeControllers(controllers));
+        self.schedule_window(window, pause, Step::ResumeControllers(controllers));
     }
 
     pub(super) fn plan_late_list(&mut self, fault: &Fault, window: FaultWindow) {
         let base_delay = self.script.list_delay;
         let late = base_delay + Span::from_seconds(fault.size.clamp(0.0, 20.0));
         let delay = Step::SetListDelay(late);
-        self.between(window, delay, Step::SetListDelay(base_delay));
+        self.schedule_window(window, delay, Step::SetListDelay(base_delay));
     }
 }
--- a/crates/drill/src/run/fault_plan/traffic.rs
+++ b/crates/drill/src/run/fault_plan/traffic.rs
@@ -1,4 +1,4 @@
-//! Faults of traffic: what comes to the proxies, and from where.
+//! Faults of traffic: changes of the rates of proxies and zones.
 
 use super::{Drill, FaultWindow, Step};
 use crate::script::Fault;
@@ -7,15 +7,15 @@
     pub(super) fn plan_hot_caller(&mut self, fault: &Fault, window: FaultWindow) {
         let proxies = self.sample_proxies(fault.ratio);
         let factor = 1.0 + fault.size * self.script.proxies as f64 / proxies.len() as f64;
-        let rate = |factor| Step::Rate {
+        let rate = |factor| Step::SetRate {
             proxies: Some(proxies.clone()),
             factor,
         };
-        self.between(window, rate(factor), rate(1.0));
+        self.schedule_window(window, rate(factor), rate(1.0));
     }
 
-    /// It moves for good: nothing takes the shift back at the end.
-    pub(super) fn plan_shift(&mut self, fault: &Fault, window: FaultWindow) {
+    /// Moves traffic from a random zone to the next. The shift is permanent.
+    pub(super) fn plan_traffic_shift(&mut self, fault: &Fault, window: FaultWindow) {
         let zones = self.script.deployment.zones.len();
         let from = ((self.rng.unit() * zones as f64) as usize).min(zones - 1);
         let shift = Step::ShiftTraffic {
@@ -27,10 +27,10 @@
     }
 
     pub(super) fn plan_overload(&mut self, fault: &Fault, window: FaultWindow) {
-        let rate = |factor| Step::Rate {
+        let rate = |factor| Step::SetRate {
             proxies: None,
             factor,
         };
-        self.between(window, rate(fault.size), rate(1.0));
+        self.schedule_window(window, rate(fault.size), rate(1.0));
     }
 }
--- a/crates/drill/src/run/fleet.rs
+++ b/crates/drill/src/run/fleet.rs
@@ -1,4 +1,4 @@
-//! The stand-in nodes of a drill and the endpoint list that names them.
+//! The stand-in nodes of a drill and the endpoint list that contains them.
 
 use super::{io_error, Drill, DrillError, Step};
 use crate::even_publisher::ListedNode;
@@ -17,7 +17,7 @@
     pub(super) spec: NodeSpec,
     pub(super) address: SocketAddrV4,
     pub(super) draining: bool,
-    pub(super) gone: bool,
+    pub(super) stopped: bool,
     pub(super) silent: bool,
     pub(super) started: Moment,
 }
@@ -35,7 +35,7 @@
             spec,
             address,
             draining: false,
-            gone: false,
+            stopped: false,
             silent: false,
             started,
         };
@@ -66,7 +66,7 @@
     pub(super) fn snapshot_nodes(&mut self) -> (EndpointSnapshot, Vec<ListedNode>) {
         self.list_version += 1;
         let (now, wall) = (reactor::now(), reactor::wall());
-        let listed: Vec<&FleetNode> = self.fleet.iter().filter(|node| !node.gone).collect();
+        let listed: Vec<&FleetNode> = self.fleet.iter().filter(|node| !node.stopped).collect();
         let record = |node: &&FleetNode| {
             let started = ((wall - (now - node.started).seconds()) * 1e3).round() / 1e3;
             EndpointRecord {
@@ -96,7 +96,7 @@
         (list, listed_nodes.collect())
     }
 
-    /// The list as it is now, to be seen by controllers after its delay.
+    /// Schedules the publication of the current endpoint list after the list delay.
     pub(super) fn schedule_list_publication(&mut self) {
         let (list, listed_nodes) = self.snapshot_nodes();
         self.schedule(
@@ -136,7 +136,7 @@
         let nodes: BTreeMap<String, ListedNodeState> = list.records.iter().map(listed).collect();
         for (controller, process) in self.controllers.iter().enumerate() {
             replace_file(&process.directory.join("nodes.json"), &text)
-                .map_err(io_error("the list of nodes"))?;
+                .map_err(io_error("cannot write the endpoint list"))?;
             let version = list.version.parse().unwrap_or(0);
             self.recorder.record(
                 reactor::now(),
--- a/crates/drill/src/run/report.rs
+++ b/crates/drill/src/run/report.rs
@@ -1,50 +1,50 @@
-//! The report of a drill, as data and as a person reads it.
+//! The report of a drill, as data and as a table for people.
 
 use crate::audit::{RuleResult, Verdict};
 use serde::Serialize;
 use wheelspread::time::Span;
 use wheelspread_controller_core::span_format;
 
-/// A fault as it was played.
+/// A fault of the drill.
 #[derive(Clone, Debug, Serialize)]
 pub struct FaultReport {
-    /// The kind as scripts spell it.
+    /// The fault kind, as named in scripts.
     pub kind: String,
-    /// Seconds since the script's beginning.
+    /// When the fault began, in seconds since the beginning of the script.
     pub at_s: f64,
-    /// How long it lasted.
+    /// The duration of the fault in seconds.
     pub for_s: f64,
-    /// Whether it could be injected here.
+    /// Whether a drill can inject this kind.
     pub injected: bool,
 }
 
 /// The result of a drill.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// The script's name.
+    /// The name of the script.
     pub drill: String,
-    /// The seed that was played.
+    /// The seed of the drill.
     pub seed: u64,
-    /// The plain policy that stood in for controllers, if any.
+    /// The baseline policy that replaced the controllers, if any.
     pub baseline: Option<String>,
-    /// The judgement of the rules.
+    /// The verdict on the rules.
     #[serde(flatten)]
     pub verdict: Verdict,
-    /// The faults in the order of their beginning.
+    /// The faults, ordered by begin.
     #[serde(rename = "troubles")]
     pub faults: Vec<FaultReport>,
-    /// Tables that were published.
+    /// How many tables were published.
     pub table_swaps: u64,
-    /// CPU seconds of all controllers.
+    /// The CPU time of all controllers in seconds.
     #[serde(rename = "conductor_cpu_s")]
     pub controller_cpu_s: f64,
-    /// From orders to drain to the last try there, by controller and node.
+    /// Seconds from each drain order to the last attempt sent to the node, for each controller and node.
     pub drain_orders_s: Vec<f64>,
-    /// Changes and undoes that were told to controllers, and how many took them.
+    /// How many configuration changes and undoes controllers answered, and how many they accepted.
     pub changes_told: (usize, usize),
 }
 
-/// The rules as the table names them, in the order of their numbers.
+/// The names of the rules in the table, ordered by number.
 const RULE_NAMES: [&str; 5] = [
     "1 no gateway without a node (s)",
     "2 no effect twice (effects of one invocation)",
@@ -54,7 +54,7 @@
 ];
 
 impl Report {
-    /// As a person reads it.
+    /// The report as a table for people.
     pub fn table(&self) -> String {
         let mut lines = vec![self.title()];
         lines.extend(self.rule_lines());
@@ -153,7 +153,7 @@
     }
 }
 
-/// Figures of a report are seconds with three decimals.
+/// Rounds to three decimals, as all durations in the report.
 pub(super) fn round_to_millis(seconds: f64) -> f64 {
     (seconds * 1000.0).round() / 1000.0
 }
--- a/crates/drill/src/run/report/tests.rs
+++ b/crates/drill/src/run/report/tests.rs
@@ -1,4 +1,4 @@
-//! The report as JSON, which `drill --json` prints.
+//! The report as JSON, as printed by `drill --json`, and as a table.
 
 use super::{FaultReport, Report};
 use crate::audit::{CheckedValue, RuleResult, Verdict};
@@ -30,7 +30,7 @@
         drain_orders_s: vec![0.25],
         changes_told: (2, 1),
     };
-    let written = serde_json::to_value(report).expect("it is JSON");
+    let written = serde_json::to_value(report).expect("the report is serializable");
     let expected = json!({
         "drill": "short",
         "seed": 3,
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn the_table_names_rules_service_faults_drains_changes_and_the_judgement() {
+fn the_table_lists_rules_service_faults_drains_changes_and_the_verdict() {
     let rule = |rule, broken| RuleResult {
         rule,
         checked: 100,
--- a/crates/drill/src/run/setup.rs
+++ b/crates/drill/src/run/setup.rs
@@ -1,4 +1,4 @@
-//! Set-up of a drill: nodes, controllers, proxies and clients start, and the first tables are awaited.
+//! Set-up of a drill: starts nodes, controllers, proxies and clients, and waits for the first tables.
 
 use super::{io_error, Drill, DrillError};
 use crate::client_population::{ClientCommand, ClientPopulation};
@@ -13,7 +13,7 @@
 use wheelspread_files::TableRoot;
 use wheelspread_reactor as reactor;
 
-/// How long the first tables are awaited.
+/// The timeout for the first tables of all proxies.
 const FIRST_TABLES_TIMEOUT: Span = Span::from_seconds(8.0);
 
 impl Drill<'_> {
@@ -53,7 +53,7 @@
         Ok(())
     }
 
-    pub(super) fn play(&mut self) -> Result<(), DrillError> {
+    pub(super) fn run(&mut self) -> Result<(), DrillError> {
         self.add_initial_nodes();
         let (list, listed) = self.snapshot_nodes();
         let mut directories = BTreeMap::new();
@@ -67,7 +67,7 @@
             }
         }
         let watch = TableDirectoryWatch::start(directories.clone(), self.recorder.clone())
-            .map_err(io_error("a watch"))?;
+            .map_err(io_error("cannot watch the table directories"))?;
         self.publish_list(&list, &listed)?;
         for number in 0..self.controllers.len() {
             self.start_controller(number)?;
@@ -87,7 +87,7 @@
             self.recorder.clone(),
             self.options.seed ^ 0x5eed,
         );
-        self.clients = Some(clients.map_err(io_error("clients"))?);
+        self.clients = Some(clients.map_err(io_error("cannot start the stand-in clients"))?);
         for fault in self.script.faults.clone() {
             self.plan_fault(&fault);
         }
--- a/crates/drill/src/run/step.rs
+++ b/crates/drill/src/run/step.rs
@@ -1,4 +1,4 @@
-//! The steps of a drill's plan.
+//! The steps of the plan of a drill.
 
 use crate::even_publisher::ListedNode;
 use crate::network::NetworkCommand;
@@ -7,62 +7,62 @@
 use wheelspread_controller_core::endpoint_list::EndpointSnapshot;
 use wheelspread_drain::DrainAction;
 
-/// What is to be done at a time. Nodes, proxies and controllers are told by their numbers in the drill.
+/// A scheduled step. Nodes, proxies and controllers are identified by their indices in the drill.
 pub(super) enum Step {
-    /// Commands to the stand-in servers.
-    Nodes(Vec<NodeCommand>),
-    /// A command to the network between proxies and controllers.
-    Network(NetworkCommand),
-    /// The usual rate times this factor, at some proxies or at all.
-    Rate {
+    /// Sends commands to the stand-in servers.
+    SendToNodes(Vec<NodeCommand>),
+    /// Sends a command to the network between proxies and controllers.
+    SendToNetwork(NetworkCommand),
+    /// Sets the factor on the base rate of the given proxies, or of all.
+    SetRate {
         proxies: Option<Vec<usize>>,
         factor: f64,
     },
-    /// A part of what comes to a zone's proxies comes to another zone's from then on.
+    /// Moves a ratio of the traffic from the proxies of one zone to those of another, permanently.
     ShiftTraffic { from: usize, to: usize, ratio: f64 },
-    /// Nodes drain for this long and are replaced then.
-    DrainBatch { out: Vec<usize>, drain: Span },
-    /// Nodes end, and new ones of the same kind start cold in their place.
-    ReplaceNodes { out: Vec<usize> },
-    /// More nodes start, cold.
+    /// Drains nodes for the duration `drain` and replaces them then.
+    DrainBatch { nodes: Vec<usize>, drain: Span },
+    /// Stops nodes and starts cold nodes of the same kinds in their place.
+    ReplaceNodes { nodes: Vec<usize> },
+    /// Starts additional cold nodes.
     AddNodes { count: usize },
-    /// Nodes stop answering; the list still shows them.
+    /// Makes nodes unresponsive; they remain in the endpoint list.
     SilenceNodes(Vec<usize>),
-    /// Silent nodes come back cold.
+    /// Restarts unresponsive nodes, cold.
     RestoreNodes(Vec<usize>),
-    /// How late the list of nodes is from then on.
+    /// Sets the delay of the endpoint list.
     SetListDelay(Span),
-    /// The list as it was when it changed, for controllers and for the even publisher.
+    /// Publishes an endpoint list, as of the time of its change, to controllers and to the even-weight publisher.
     PublishList(EndpointSnapshot, Vec<ListedNode>),
-    /// Controllers are killed without notice.
+    /// Kills controllers without notice.
     KillControllers(Vec<usize>),
-    /// Killed controllers start again.
+    /// Starts killed controllers again.
     StartControllers(Vec<usize>),
-    /// Controllers are stopped by a signal.
+    /// Pauses controllers with SIGSTOP.
     PauseControllers(Vec<usize>),
-    /// Stopped controllers go on.
+    /// Resumes paused controllers with SIGCONT.
     ResumeControllers(Vec<usize>),
-    /// The pace of the update channel over this factor, by file and SIGHUP.
+    /// Divides the pacing rate of the update channel by a factor, by configuration file and SIGHUP.
     SlowChannel { factor: f64 },
-    /// A drain, or its undo, told to all controllers, again where it failed, until this long after.
+    /// Sends a drain order or its undo to all controllers, retried on failure until `within` has passed.
     OrderDrain {
         nodes: Vec<usize>,
         action: DrainAction,
         within: Span,
     },
-    /// A change of configuration that moves nodes to the next zone, or its undo, told in the same way.
+    /// Sends a configuration change that moves nodes to the next zone, or its undo, with the same retries.
     ChangeZones {
         id: String,
         nodes: Vec<usize>,
         undo: bool,
         within: Span,
     },
-    /// Proxies end without notice.
+    /// Kills proxies without notice.
     KillProxies(Vec<usize>),
-    /// Ended proxies start again, on new ports.
+    /// Starts killed proxies again, on new ports.
     StartProxies(Vec<usize>),
-    /// The even publisher swaps its tables again and again until then.
+    /// Republishes the tables of the even-weight publisher repeatedly until a time.
     RepublishUntil(Moment),
-    /// The progress output names a fault that begins.
+    /// Writes the kind of a fault that begins to the progress output.
     Announce(String),
 }
--- a/crates/drill/src/script.rs
+++ b/crates/drill/src/script.rs
@@ -1,5 +1,6 @@
-//! What a drill plays: fleet, traffic, faults. Scripts are YAML; a day of the operators' bench is read
-//! for its faults, which are played at the same parts of the drill, scaled to its fleet.
+//! Scripts of drills: fleet, traffic and faults, as YAML. A day file of the operators' bench (JSON) can
+//! replace a script's faults; their times are scaled to the script's length, the affected servers and
+//! balancers to ratios of the script's fleet.
 
 use crate::error::ScriptError;
 use serde::{Deserialize, Serialize};
@@ -8,73 +9,73 @@
 use wheelspread::time::Span;
 use wheelspread_controller_core::{span_format, Deployment};
 
-/// The bad day that is played without a script.
+/// The script that is run when none is given.
 pub const BUILT_IN: &str = include_str!("../days/bad-day.yaml");
 
-/// The kinds of fault; `docs/drills.md` describes each.
+/// The kinds of faults; `docs/drills.md` describes each.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// A share of the answers is lost after the work.
+    /// A ratio of the responses is lost after the request was executed.
     AnswerLost,
-    /// Controllers, or proxies, are killed and started again.
+    /// Controllers, or proxies, are killed and restarted.
     BalancerCrash,
-    /// Controllers are stopped and go on later.
+    /// Controllers are paused with SIGSTOP and resumed with SIGCONT.
     BalancerStall,
-    /// Nodes move to another zone by a change of configuration, and back.
+    /// Nodes move to the next zone by a configuration change, which is undone at the end.
     #[serde(rename = "change")]
     ZoneChange,
-    /// Nodes accept few connections.
+    /// Nodes accept fewer connections.
     #[serde(rename = "conn_squeeze")]
     ConnectionLimit,
-    /// Proxies reach no controller.
+    /// Proxies cannot connect to any controller.
     #[serde(rename = "counter_down")]
     ControllersUnreachable,
-    /// Batches of nodes drain, end and come again cold.
+    /// A rolling update: batches of nodes drain, stop and are replaced by cold nodes.
     Deploy,
-    /// Nodes are drained by order and taken back.
+    /// Nodes are drained by an operator's order, which is undone at the end.
     DrainOrder,
-    /// A share of the requests fails at once.
+    /// A ratio of the requests fails immediately.
     FastErrors,
-    /// Nodes fall silent and come back by turns.
+    /// Nodes stop responding and return cold, one after the other.
     Flapping,
-    /// Nodes are added, cold.
+    /// Cold nodes are added.
     #[serde(rename = "grow")]
     FleetGrowth,
-    /// More traffic comes to some proxies.
+    /// Some proxies receive more traffic.
     HotCaller,
-    /// The list of nodes is later still.
+    /// The delay of the endpoint list grows.
     LateList,
-    /// Nodes of one kind are slow for the proxies of one controller.
+    /// Nodes of one kind are slow for the proxies of one controller only.
     #[serde(rename = "one_sided")]
     SlowForOneController,
-    /// The pace of the update channel falls.
+    /// The pacing limit of the update channel is lowered.
     #[serde(rename = "origin_slow")]
     UpdateChannelSlow,
-    /// More traffic comes to all proxies.
+    /// All proxies receive more traffic.
     Overload,
-    /// Nodes end without a drain and are replaced.
+    /// Nodes stop without a drain and are replaced by cold nodes.
     Preempt,
-    /// Streams of load reports break.
+    /// Streams between proxies and controllers are reset.
     Reconnect,
-    /// Load reports take longer.
+    /// Load reports are delayed.
     ReportLate,
-    /// All work takes longer.
+    /// Work takes longer at all nodes.
     #[serde(rename = "shared_slow")]
     AllNodesSlow,
-    /// Traffic of one zone comes to another, for good.
+    /// Traffic moves from one zone to the next, permanently.
     #[serde(rename = "shift")]
     TrafficShift,
-    /// Answers take longer on their way.
+    /// Responses of nodes are delayed.
     SlowLink,
-    /// Nodes fall silent and come back cold.
+    /// Nodes stop responding and return cold.
     Vanish,
-    /// No byte passes between one zone and the others.
+    /// No bytes pass between one zone and the others.
     ZoneCut,
 }
 
 impl FaultKind {
-    /// The kind as scripts and records spell it.
+    /// The name of the kind in scripts and records.
     pub fn name(self) -> String {
         let kind = serde_json::to_value(self).ok();
         kind.and_then(|kind| kind.as_str().map(str::to_string))
@@ -86,24 +87,24 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// What happens.
+    /// The kind of the fault.
     pub kind: FaultKind,
-    /// When it begins, from the script's beginning.
+    /// When the fault begins, from the beginning of the script.
     #[serde(with = "span_format")]
     pub at: Span,
-    /// How long it lasts.
+    /// How long the fault lasts.
     #[serde(default = "zero_span", rename = "for", with = "span_format")]
     pub span: Span,
-    /// Of those that it can strike.
+    /// The ratio of the candidates (nodes, proxies or controllers) that are affected, 0 to 1.
     #[serde(default = "default_one", rename = "part")]
     pub ratio: f64,
-    /// How hard: a factor, a share or seconds, by kind.
+    /// The strength of the fault: a factor, a ratio or seconds, depending on the kind.
     #[serde(default = "default_one")]
     pub size: f64,
-    /// A further figure, by kind.
+    /// A second parameter, which depends on the kind.
     #[serde(default)]
     pub extra: f64,
-    /// `conductor` (a controller) or `gateway` (a proxy), for what can strike both.
+    /// `conductor` (controllers) or `gateway` (proxies), for kinds that can affect both.
     #[serde(default, rename = "whom")]
     pub target: Option<String>,
 }
@@ -120,15 +121,15 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeKind {
-    /// The kind's name, one of the deployment's.
+    /// The name of the kind, one of `deployment.kinds`.
     pub name: String,
-    /// How many there are.
+    /// How many nodes of the kind there are.
     pub count: usize,
-    /// How many requests one executes at once.
+    /// How many requests a node executes concurrently.
     pub cores: u32,
-    /// How fast a core works; 1 is the usual.
+    /// The speed of a core; at 1, work takes its nominal time.
     pub speed: f64,
-    /// Nodes are faster or slower than their kind by up to this part, at random.
+    /// The random deviation of a node's speed from `speed`, as a ratio: 0.1 means up to 10 % faster or slower.
     #[serde(default = "default_speed_spread")]
     pub speed_spread: f64,
 }
@@ -137,15 +138,15 @@
     0.1
 }
 
-/// The fleet at the beginning.
+/// The nodes at the beginning of a drill.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodePlan {
-    /// The kinds and how many there are of each.
+    /// The node kinds and the count of each.
     pub kinds: Vec<NodeKind>,
-    /// Invocations that may wait at a node; it turns away more.
+    /// The queue capacity of a node; it answers further requests with 503.
     pub queue: usize,
-    /// Connections that a node accepts at once.
+    /// The maximum number of open connections of a node.
     pub connections: usize,
 }
 
@@ -153,53 +154,53 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperationTraffic {
-    /// The operation's name, one of the deployment's.
+    /// The name of the operation, one of `deployment.operations`.
     pub name: String,
-    /// Its part of the traffic, beside the others' shares.
+    /// Its share of the traffic, relative to the sum of all shares.
     pub share: f64,
-    /// Mean work, at a core of speed 1.
+    /// Mean execution time on a core of speed 1.
     #[serde(with = "span_format")]
     pub work: Span,
 }
 
-/// What clients ask for.
+/// The traffic that clients offer.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TrafficPlan {
-    /// First tries a second, over all proxies.
+    /// First attempts per second, over all proxies.
     pub rate: f64,
     /// The traffic of each operation.
     pub operations: Vec<OperationTraffic>,
-    /// Times that a client comes again after a failure.
+    /// The maximum number of client retries after a failure.
     #[serde(default)]
     pub retries: u32,
-    /// How unequal proxies are: the largest over the smallest.
+    /// The maximum ratio between the rates of the busiest and the least busy proxy.
     #[serde(default = "default_one")]
     pub spread: f64,
 }
 
-/// What a drill plays.
+/// A script: fleet, traffic and faults of a drill.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Script {
-    /// The script's name, for the report.
+    /// The name of the script, for the report.
     pub name: String,
-    /// How long it lasts.
+    /// The duration of the drill.
     #[serde(with = "span_format")]
     pub length: Span,
-    /// How many proxies there are.
+    /// The number of proxies.
     #[serde(rename = "gateways")]
     pub proxies: usize,
-    /// The fleet at the beginning.
+    /// The nodes at the beginning.
     pub nodes: NodePlan,
-    /// What clients ask for.
+    /// The traffic that clients offer.
     pub traffic: TrafficPlan,
-    /// The deployment that controllers are told.
+    /// The deployment section of the controllers' configuration.
     pub deployment: Deployment,
-    /// How late the list of nodes is.
+    /// The delay between a change of the fleet and its appearance in the endpoint list.
     #[serde(default = "default_list_delay", with = "span_format")]
     pub list_delay: Span,
-    /// The faults, each at its time.
+    /// The faults to inject.
     #[serde(default, rename = "troubles")]
     pub faults: Vec<Fault>,
 }
@@ -208,17 +209,17 @@
     Span::from_seconds(0.8)
 }
 
-/// A script with the faults of a day in place of its own.
+/// A script whose faults were replaced by those of a day file.
 #[derive(Clone, Debug)]
 pub struct DayScript {
-    /// The script with the day's faults.
+    /// The script with the faults of the day file.
     pub script: Script,
-    /// Kinds of fault in the day that can't be injected here.
+    /// Fault kinds of the day file that a drill cannot inject.
     pub not_injected: Vec<String>,
 }
 
 impl Script {
-    /// Reads a script and checks its values.
+    /// Parses a script and validates its values.
     pub fn parse(text: &str) -> Result<Script, ScriptError> {
         let script: Script = serde_yaml_ng::from_str(text)?;
         let errors = script.validate();
@@ -229,7 +230,7 @@
         }
     }
 
-    /// Reads the script of this path.
+    /// Reads, parses and validates the script at a path.
     pub fn read(path: &Path) -> Result<Script, ScriptError> {
         let text = std::fs::read_to_string(path).map_err(|source| ScriptError::Unreadable {
             path: path.to_path_buf(),
@@ -238,7 +239,7 @@
         Script::parse(&text).map_err(|error| error.in_file(path))
     }
 
-    /// Texts of all values that are not possible.
+    /// The errors of all invalid values.
     fn validate(&self) -> Vec<String> {
         let mut errors: Vec<String> = self
             .deployment
@@ -257,18 +258,18 @@
 
     fn validate_size(&self, errors: &mut Vec<String>) {
         if !(2.0..=3600.0).contains(&self.length.seconds()) {
-            errors.push("length: between 2s and 1h is possible".to_string());
+            errors.push("length: must be between 2s and 1h".to_string());
         }
         if self.proxies == 0 || self.proxies > 200 {
             errors.push(format!(
-                "gateways: {}, between 1 and 200 are possible on one machine",
+                "gateways: {}, must be between 1 and 200 (all run on one machine)",
                 self.proxies
             ));
         }
         let count: usize = self.nodes.kinds.iter().map(|kind| kind.count).sum();
         if count == 0 || count > 400 {
             errors.push(format!(
-                "nodes.kinds: {count} nodes, between 1 and 400 are possible"
+                "nodes.kinds: {count} nodes in total, must be between 1 and 400"
             ));
         }
     }
@@ -282,12 +283,12 @@
         }
         if !(0.0..1.0).contains(&kind.speed_spread) {
             errors.push(format!(
-                "nodes.kinds: the speed_spread of `{name}` should lie between 0 and 1"
+                "nodes.kinds: the speed_spread of `{name}` must be at least 0 and less than 1"
             ));
         }
         if kind.cores == 0 || !(0.01..=100.0).contains(&kind.speed) {
             errors.push(format!(
-                "nodes.kinds: `{name}` needs cores and a speed between 0.01 and 100"
+                "nodes.kinds: `{name}` must have at least 1 core and a speed between 0.01 and 100"
             ));
         }
     }
@@ -304,8 +305,7 @@
         }
         if !(0.0..=20_000.0).contains(&traffic.rate) || !(1.0..=1000.0).contains(&traffic.spread) {
             errors.push(
-                "traffic: rate should lie between 0 and 20000, spread between 1 and 1000"
-                    .to_string(),
+                "traffic: rate must be between 0 and 20000, spread between 1 and 1000".to_string(),
             );
         }
     }
@@ -317,13 +317,13 @@
                 || !fault.size.is_finite()
             {
                 errors.push(format!(
-                    "troubles.{at}: it should begin within the drill and strike a part between 0 and 1"
+                    "troubles.{at}: `at` must lie within the drill, `part` between 0 and 1, and `size` must be finite"
                 ));
             }
         }
     }
 
-    /// The same fleet with the faults of a day. What can't be injected is named.
+    /// Replaces the faults with those of a day file. Kinds that cannot be injected are returned by name.
     pub fn with_day(mut self, text: &str) -> Result<DayScript, ScriptError> {
         let day: Value = serde_json::from_str(text).map_err(ScriptError::DayIsNoJson)?;
         let number = |value: &Value, name: &str| value.get(name).and_then(Value::as_f64);
@@ -373,7 +373,8 @@
                 1.0
             };
             let size = number(entry, "size").unwrap_or(1.0);
-            // A share of streams is told as size there; late reports come later by seconds.
+            // `size` has the same meaning in day files: a ratio of streams for reconnects, seconds for late
+            // reports.
             self.faults.push(Fault {
                 kind: known,
                 at: Span::from_seconds(number(entry, "at").unwrap_or(0.0) * scale),
--- a/crates/drill/src/script/tests.rs
+++ b/crates/drill/src/script/tests.rs
@@ -1,10 +1,10 @@
-//! Scripts and days of the operators' bench.
+//! Scripts and day files of the operators' bench.
 
 use super::*;
 
 #[test]
-fn the_built_in_day_is_fine_and_a_day_of_the_bench_is_scaled_to_it() {
-    let script = Script::parse(BUILT_IN).expect("it is fine");
+fn the_built_in_script_is_valid_and_the_faults_of_a_day_file_are_scaled_to_it() {
+    let script = Script::parse(BUILT_IN).expect("the built-in script is valid");
     let day = r#"{"length": 100000000, "servers": [1,2,3,4], "troubles": [
         {"kind": "vanish", "at": 50000000, "len": 10000000, "on": [2], "size": 0},
         {"kind": "meteor", "at": 1, "len": 1}]}"#;
@@ -12,7 +12,7 @@
     let DayScript {
         script,
         not_injected,
-    } = script.with_day(day).expect("it is a day");
+    } = script.with_day(day).expect("the day file is valid");
     assert_eq!(
         (not_injected, script.faults.len()),
         (vec!["meteor".to_string()], 1)
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_script_that_cannot_be_is_named() {
+fn errors_name_the_invalid_value_of_a_script() {
     let wrong = BUILT_IN
         .replace("gateways: ", "gateways: 9")
         .replace("kind: deploy", "kind: earthquake");
--- a/crates/drill/src/stand_in_server.rs
+++ b/crates/drill/src/stand_in_server.rs
@@ -1,5 +1,5 @@
-//! Stand-in servers for the nodes, all in one thread: a few cores, a queue, a cold start, loads told in
-//! answers, and everything that can go wrong with them or on the way to them.
+//! Stand-in servers for the nodes, all in one thread. Each has cores, a queue, a slow start and load reports in
+//! its responses. Faults of the nodes, and of the network to them, can be injected.
 
 mod address;
 mod connections;
@@ -31,32 +31,34 @@
     pub connections: usize,
 }
 
-/// A node's number in its thread.
+/// The index of a node in the thread of the stand-in servers.
 pub type NodeKey = usize;
 
 pub enum NodeCommand {
     Start(NodeSpec, Sender<(NodeKey, SocketAddrV4)>),
-    /// The process ends.
+    /// Stops a node.
     Stop(NodeKey),
-    /// No reset, no answer; on again: it comes back cold.
+    /// `true`: the node accepts and answers nothing, without resets; `false`: it restarts, cold.
     SetSilent(NodeKey, bool),
-    /// A share of what comes errs at once.
+    /// Sets the ratio of requests that fail immediately with 500.
     SetErrorRatio(NodeKey, f64),
-    /// A share of the answers is lost on the way back.
-    SetResponseLossRatio(NodeKey, f64),
+    /// Sets the ratio of responses that are lost.
+    SetLossRatio(NodeKey, f64),
+    /// Sets the maximum number of connections of a node; excess connections are reset.
     SetConnectionLimit(NodeKey, usize),
-    /// Times the work that everything takes.
+    /// Sets the factor on the work of all requests.
     SetWorkFactor(f64),
-    /// What proxies of these numbers meet at nodes of a kind: slower by a factor, or refused.
+    /// Slows down requests of the given proxies at nodes of a kind by a factor, or answers them with 503; no
+    /// proxies end the fault.
     SetOneSidedFault {
         kind: usize,
         proxies: BTreeSet<usize>,
         work_factor: f64,
         refuse: bool,
     },
-    /// No bytes pass between this zone and the others.
+    /// Lets no bytes pass between a zone and the others; `None` ends the cut.
     SetZoneCut(Option<usize>),
-    /// Seconds that answers take longer on their way.
+    /// Sets the delay of responses in seconds.
     SetResponseDelay(f64),
     End,
 }
--- a/crates/drill/src/stand_in_server/address.rs
+++ b/crates/drill/src/stand_in_server/address.rs
@@ -1,8 +1,8 @@
-//! Proxies call from loopback addresses of their own, so that the stand-ins can tell zone and proxy.
+//! Loopback source addresses of proxies, from which the stand-ins derive zone and number.
 
 use std::net::{IpAddr, Ipv4Addr};
 
-/// Proxies call from addresses of their own, which tell zone and number.
+/// The source address of a proxy, which encodes its zone and number.
 pub fn proxy_address(zone: usize, proxy: usize) -> Ipv4Addr {
     Ipv4Addr::new(
         127,
@@ -12,6 +12,7 @@
     )
 }
 
+/// The zone and the number of the proxy with this source address.
 pub fn proxy_of(address: IpAddr) -> (usize, usize) {
     match address {
         IpAddr::V4(v4) => {
--- a/crates/drill/src/stand_in_server/connections.rs
+++ b/crates/drill/src/stand_in_server/connections.rs
@@ -1,4 +1,4 @@
-//! Connections of the stand-in servers: accepting, reading requests, sending answers.
+//! Connections of the stand-in servers: accepting, reading requests, sending responses.
 
 use super::address::proxy_of;
 use super::event_loop::ServerLoop;
@@ -51,7 +51,7 @@
             .for_each(|connection| self.on_ready(now, key, connection));
     }
 
-    pub(super) fn passes(&self, key: NodeKey, zone: usize) -> bool {
+    pub(super) fn is_reachable_from(&self, key: NodeKey, zone: usize) -> bool {
         self.cut_zone
             .is_none_or(|cut_zone| (self.nodes[key].spec.zone == cut_zone) == (zone == cut_zone))
     }
@@ -60,7 +60,7 @@
         let Some(connection) = self.nodes[key].connections.get(slot) else {
             return;
         };
-        if self.nodes[key].silent || !self.passes(key, connection.zone) {
+        if self.nodes[key].silent || !self.is_reachable_from(key, connection.zone) {
             return;
         }
         let connection = &mut self.nodes[key].connections[slot];
@@ -80,17 +80,17 @@
             }
         }
         if closed {
-            // Work that has begun goes on.
+            // Jobs that have started continue; their responses are dropped.
             self.nodes[key].connections.remove(slot);
             return;
         }
         if !connection.busy {
-            self.take_request(now, key, slot);
+            self.read_request(now, key, slot);
         }
     }
 
-    /// Takes the next request of a connection, if it is here as a whole.
-    pub(super) fn take_request(&mut self, now: Moment, key: NodeKey, slot: usize) {
+    /// Reads and admits the next request of a connection, if it has arrived completely.
+    pub(super) fn read_request(&mut self, now: Moment, key: NodeKey, slot: usize) {
         let Some(connection) = self.nodes[key].connections.get_mut(slot) else {
             return;
         };
@@ -139,13 +139,19 @@
         self.admit_request(now, key, proxy, job);
     }
 
-    pub(super) fn answer(&mut self, now: Moment, key: NodeKey, connection: usize, bytes: Vec<u8>) {
+    pub(super) fn send_response(
+        &mut self,
+        now: Moment,
+        key: NodeKey,
+        connection: usize,
+        bytes: Vec<u8>,
+    ) {
         let generation = self.nodes[key].generation;
         if self.response_delay > 0.0 {
             let at = now + Span::from_seconds(self.response_delay);
             return self.schedule(
                 at,
-                Due::Answer {
+                Due::SendResponse {
                     node: key,
                     generation,
                     connection,
@@ -153,11 +159,17 @@
                 },
             );
         }
-        self.send(now, key, connection, bytes);
+        self.write_response(now, key, connection, bytes);
     }
 
-    pub(super) fn send(&mut self, now: Moment, key: NodeKey, slot: usize, bytes: Vec<u8>) {
-        // A slot that was given to another connection meanwhile is not busy with this.
+    pub(super) fn write_response(
+        &mut self,
+        now: Moment,
+        key: NodeKey,
+        slot: usize,
+        bytes: Vec<u8>,
+    ) {
+        // The connection may have ended and its slot been reused; one that is not busy awaits no response.
         let Some(connection) = self.nodes[key]
             .connections
             .get_mut(slot)
--- a/crates/drill/src/stand_in_server/event_loop.rs
+++ b/crates/drill/src/stand_in_server/event_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop of the stand-in servers: commands, connections, work that is due.
+//! The event loop of the stand-in servers: commands, connections and scheduled events.
 
 use super::state::{Due, Node, OneSidedFault};
 use super::NodeCommand;
@@ -23,7 +23,7 @@
     pub(super) one_sided: Option<OneSidedFault>,
     pub(super) cut_zone: Option<usize>,
     pub(super) response_delay: f64,
-    /// When a fingerprint was first seen, for nodes that drop repeats together.
+    /// When each fingerprint (request id) was first executed. Shared by all nodes, as they deduplicate together.
     pub(super) fingerprints_first_seen: HashMap<String, Moment>,
 }
 
@@ -108,10 +108,8 @@
             }
             NodeCommand::SetSilent(key, true) => self.nodes[key].silent = true,
             NodeCommand::SetSilent(key, false) => self.restart(now, key),
-            NodeCommand::SetErrorRatio(key, share) => self.nodes[key].error_ratio = share,
-            NodeCommand::SetResponseLossRatio(key, share) => {
-                self.nodes[key].response_loss_ratio = share
-            }
+            NodeCommand::SetErrorRatio(key, ratio) => self.nodes[key].error_ratio = ratio,
+            NodeCommand::SetLossRatio(key, ratio) => self.nodes[key].loss_ratio = ratio,
             NodeCommand::SetConnectionLimit(key, max_connections) => {
                 let node = &mut self.nodes[key];
                 node.max_connections = max_connections;
@@ -141,7 +139,7 @@
             }
             NodeCommand::SetZoneCut(zone) => {
                 self.cut_zone = zone;
-                // What was held back on the way comes through.
+                // Reads and writes what the cut has held back.
                 for key in 0..self.nodes.len() {
                     let connections: Vec<usize> = self.nodes[key]
                         .connections
@@ -165,15 +163,15 @@
 
     pub(super) fn on_due(&mut self, now: Moment, due: Due) {
         match due {
-            Due::Answer {
+            Due::SendResponse {
                 node,
                 generation,
                 connection,
                 bytes,
             } if self.nodes[node].generation == generation => {
-                self.send(now, node, connection, bytes);
+                self.write_response(now, node, connection, bytes);
             }
-            Due::Done {
+            Due::FinishJob {
                 node: key,
                 generation,
                 job,
@@ -184,16 +182,15 @@
                     self.start_job(now, key, next);
                 }
                 self.record_effect(now, key, &job);
-                if self.nodes[key].response_loss_ratio > 0.0
-                    && self.rng.unit() < self.nodes[key].response_loss_ratio
+                if self.nodes[key].loss_ratio > 0.0 && self.rng.unit() < self.nodes[key].loss_ratio
                 {
-                    return; // it ran, and nobody hears of it
+                    return; // executed, but the response is lost
                 }
                 let bytes = format!(
                     "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n{}\r\nok",
                     self.load_header(now, key)
                 );
-                self.answer(now, key, job.connection, bytes.into_bytes());
+                self.send_response(now, key, job.connection, bytes.into_bytes());
             }
             _ => {}
         }
--- a/crates/drill/src/stand_in_server/lifecycle.rs
+++ b/crates/drill/src/stand_in_server/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Start, end and return of a stand-in server.
+//! Start, stop and restart of a stand-in server.
 
 use super::event_loop::ServerLoop;
 use super::state::Node;
@@ -32,7 +32,7 @@
             silent: false,
             down: false,
             error_ratio: 0.0,
-            response_loss_ratio: 0.0,
+            loss_ratio: 0.0,
             max_connections,
             running: 0,
             waiting: VecDeque::new(),
--- a/crates/drill/src/stand_in_server/state.rs
+++ b/crates/drill/src/stand_in_server/state.rs
@@ -1,4 +1,4 @@
-//! The state of the stand-in servers and what they have scheduled.
+//! The state of the stand-in servers and their scheduled events.
 
 use super::{NodeKey, NodeSpec};
 use slab::Slab;
@@ -33,23 +33,23 @@
     pub(super) silent: bool,
     pub(super) down: bool,
     pub(super) error_ratio: f64,
-    pub(super) response_loss_ratio: f64,
+    pub(super) loss_ratio: f64,
     pub(super) max_connections: usize,
     pub(super) running: usize,
     pub(super) waiting: VecDeque<Job>,
-    /// What came lately, to see whether a cold one is pushed over.
+    /// Time and work of recent requests, from which the overload of a warming node is detected.
     pub(super) recent_work: VecDeque<(Moment, f64)>,
     pub(super) utilization: f64,
     pub(super) utilization_at: Moment,
 }
 
 pub(super) enum Due {
-    Done {
+    FinishJob {
         node: NodeKey,
         generation: u32,
         job: Job,
     },
-    Answer {
+    SendResponse {
         node: NodeKey,
         generation: u32,
         connection: usize,
@@ -57,11 +57,11 @@
     },
 }
 
-/// What proxies of these numbers meet at nodes of a kind: slower work, or refusal.
+/// Slower work, or rejection, of requests of the given proxies at nodes of a kind.
 pub(super) struct OneSidedFault {
     pub(super) kind: usize,
     pub(super) proxies: BTreeSet<usize>,
-    /// Times the work that everything takes.
+    /// The factor on the work of these requests.
     pub(super) work_factor: f64,
     pub(super) refuse: bool,
 }
--- a/crates/drill/src/stand_in_server/work.rs
+++ b/crates/drill/src/stand_in_server/work.rs
@@ -1,4 +1,4 @@
-//! The work of the stand-in servers: a few cores, a queue, a cold start, effects, loads told in answers.
+//! The work of the stand-in servers: cores, queue, slow start, effects and load reports in responses.
 
 use super::event_loop::ServerLoop;
 use super::state::{Due, Job};
@@ -8,10 +8,10 @@
 use wheelspread_controller_core::deployment::RetryClass;
 use wheelspread_xds::orca;
 
-/// How far back utilization looks.
+/// The time constant of the exponential average of utilization, in seconds.
 const UTILIZATION_TIME_CONSTANT_S: f64 = 0.5;
 
-/// Over the budget by which rule 4 is counted; chance alone may go a little beyond it.
+/// The factor on the work that rule 4 allows a warming node, as random arrivals may exceed it slightly.
 pub const WARMING_OVERLOAD_TOLERANCE: f64 = 1.1;
 
 impl ServerLoop {
@@ -41,7 +41,7 @@
                 "HTTP/1.1 {status}\r\nContent-Length: 0\r\n{retry_after}{}\r\n",
                 self.load_header(now, key)
             );
-            return self.answer(now, key, job.connection, bytes.into_bytes());
+            return self.send_response(now, key, job.connection, bytes.into_bytes());
         }
         let job = Job {
             work: job.work * work_factor,
@@ -95,7 +95,7 @@
         let generation = node.generation;
         self.schedule(
             now + Span::from_seconds(duration_s),
-            Due::Done {
+            Due::FinishJob {
                 node: key,
                 generation,
                 job,
@@ -122,20 +122,18 @@
     }
 
     pub(super) fn record_effect(&mut self, now: Moment, key: NodeKey, job: &Job) {
-        let operation_config = self
+        let config = self
             .deployment
             .operations
             .iter()
             .find(|operation| operation.name == job.operation);
-        let Some(operation_config) = operation_config else {
-            return;
-        };
-        if operation_config.retry_class == RetryClass::Fingerprinted {
+        let Some(config) = config else { return };
+        if config.retry_class == RetryClass::Fingerprinted {
             let first = *self
                 .fingerprints_first_seen
                 .entry(job.id.clone())
                 .or_insert(now);
-            if first != now && now - first < operation_config.retry_window {
+            if first != now && now - first < config.retry_window {
                 return;
             }
         }
--- a/crates/drill/src/watch.rs
+++ b/crates/drill/src/watch.rs
@@ -1,4 +1,4 @@
-//! Looks at the directories as any reader would, and writes down each swap and what then lay there.
+//! Watches the table directories as a reader would, and records each swap with the tables it published.
 
 use crate::proxies::entries_by_operation;
 use crate::records::{Record, Recorder};
@@ -17,7 +17,7 @@
 }
 
 impl TableDirectoryWatch {
-    /// `directories`: by path, whose they are: controller and proxy.
+    /// Starts the watch; `directories` maps each path to the numbers of its controller and proxy.
     pub fn start(
         directories: BTreeMap<PathBuf, (usize, usize)>,
         recorder: Recorder,
--- a/crates/drill/src/worker.rs
+++ b/crates/drill/src/worker.rs
@@ -1,35 +1,35 @@
-//! A thread that runs an event loop and takes commands: the handle that its owner holds and the inbox that
-//! the thread reads. Every stand-in of a drill (nodes, clients, proxies, network) is such a worker.
+//! Worker threads that run an event loop and execute commands. The owner holds a handle, the thread an
+//! inbox. The nodes, clients, proxies and network of a drill each run on one worker.
 
 use std::io;
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::thread::JoinHandle;
 use wheelspread_reactor::{Poll, Token, Waker};
 
-/// The token by which the event loop of a worker sees that commands have arrived.
+/// The readiness token for commands in a worker's inbox.
 pub const INBOX: Token = Token(u64::MAX);
 
-/// What a worker is told to do.
+/// A command of a worker.
 pub trait WorkerCommand: Send + 'static {
-    /// Ends the worker. It is sent when the handle is dropped.
+    /// The command that stops the worker. It is sent when the handle is dropped.
     const STOP: Self;
 }
 
-/// The owner's handle. Dropping it stops the thread and waits for its end.
+/// The handle of a worker. Dropping it stops the thread and joins it.
 pub struct Worker<Command: WorkerCommand> {
     commands: Sender<Command>,
     waker: Waker,
     thread: Option<JoinHandle<()>>,
 }
 
-/// The thread's end of the command channel.
+/// The receiving end of a worker's command channel.
 pub struct Inbox<Command> {
     waker: Waker,
     commands: Receiver<Command>,
 }
 
 impl<Command: WorkerCommand> Worker<Command> {
-    /// Starts a thread of this name. It takes over the poll, which reports [`INBOX`] when commands wait.
+    /// Starts a thread named `name`. It owns the poll, which reports [`INBOX`] when commands are queued.
     pub fn spawn(
         name: &str,
         poll: Poll,
@@ -51,7 +51,7 @@
         })
     }
 
-    /// Sends a command and wakes the thread. A thread that has ended ignores it.
+    /// Sends a command and wakes the thread. No effect if the thread has ended.
     pub fn send(&self, command: Command) {
         let _ = self.commands.send(command);
         self.waker.wake();
@@ -68,8 +68,8 @@
 }
 
 impl<Command> Inbox<Command> {
-    /// All commands that wait, in the order of their sending. The waker is reset first: a command that is
-    /// sent meanwhile wakes the loop again.
+    /// Takes all queued commands, in the order in which they were sent. The waker is reset first, so that a
+    /// command sent concurrently wakes the loop again.
     pub fn take(&self) -> Vec<Command> {
         self.waker.rest();
         self.commands.try_iter().collect()
--- a/crates/drill/src/worker/tests.rs
+++ b/crates/drill/src/worker/tests.rs
@@ -1,4 +1,4 @@
-//! The handle and the inbox of a worker.
+//! Workers: command order and the stop on drop.
 
 use super::{Worker, WorkerCommand, INBOX};
 use std::sync::mpsc::channel;
@@ -18,27 +18,27 @@
 #[test]
 fn commands_arrive_in_order_and_dropping_the_handle_stops_the_thread() {
     let (seen, received) = channel();
-    let poll = Poll::new().expect("a poll");
+    let poll = Poll::new().expect("a poll can be created");
     let worker = Worker::spawn("test", poll, move |mut poll, inbox| {
         let mut ready = Vec::new();
         loop {
             poll.wait(Span::from_seconds(10.0), &mut ready)
-                .expect("it waits");
+                .expect("the poll waits");
             assert!(ready.drain(..).all(|ready| ready.token == INBOX));
             for command in inbox.take() {
                 let stop = command == Command::Stop;
-                seen.send(command).expect("the test listens");
+                seen.send(command).expect("the receiver is alive");
                 if stop {
                     return;
                 }
             }
         }
     });
-    let worker = worker.expect("it starts");
+    let worker = worker.expect("the worker starts");
     worker.send(Command::Number(1));
     worker.send(Command::Number(2));
     drop(worker);
-    // The sender went with the thread, so that this ends.
+    // The thread has ended and dropped its sender, so that the iteration ends.
     let all: Vec<Command> = received.iter().collect();
     let expected = [Command::Number(1), Command::Number(2), Command::Stop];
     assert_eq!(all, expected);
