--- a/crates/drill/src/error.rs
+++ b/crates/drill/src/error.rs
@@ -81,10 +81,10 @@
     Invalid(Vec<String>),
     /// The day file is not valid JSON.
     #[error("the day file is not valid JSON: {0}")]
-    DayIsNoJson(serde_json::Error),
+    InvalidDayJson(serde_json::Error),
     /// The day file lacks a field, or its value is invalid.
     #[error("the day file has no valid field `{field}`")]
-    DayLacks {
+    InvalidDayField {
         /// The name of the field.
         field: &'static str,
     },
--- a/crates/drill/src/script.rs
+++ b/crates/drill/src/script.rs
@@ -325,15 +325,15 @@
 
     /// Replaces the faults with those of a day file. Kinds that cannot be injected are returned by name.
     pub fn with_day(mut self, text: &str) -> Result<DayScript, ScriptError> {
-        let day: Value = serde_json::from_str(text).map_err(ScriptError::DayIsNoJson)?;
+        let day: Value = serde_json::from_str(text).map_err(ScriptError::InvalidDayJson)?;
         let number = |value: &Value, name: &str| value.get(name).and_then(Value::as_f64);
         let length = number(&day, "length")
             .filter(|length| *length > 0.0)
-            .ok_or(ScriptError::DayLacks { field: "length" })?;
+            .ok_or(ScriptError::InvalidDayField { field: "length" })?;
         let faults = day
             .get("troubles")
             .and_then(Value::as_array)
-            .ok_or(ScriptError::DayLacks { field: "troubles" })?;
+            .ok_or(ScriptError::InvalidDayField { field: "troubles" })?;
         let array_len = |name: &str| {
             day.get(name)
                 .and_then(Value::as_array)
