--- a/crates/proxy/src/report_stream.rs
+++ b/crates/proxy/src/report_stream.rs
@@ -143,8 +143,8 @@
         let State::Dialing(connection) = &mut self.state else {
             return None;
         };
-        let introduction = loads::introduce(&self.identity).encode_to_vec();
-        connection.send(&introduction);
+        let identity_request = loads::identity_request(&self.identity).encode_to_vec();
+        connection.send(&identity_request);
         connection.push(now).map(StreamError::Connection)
     }
 
