--- a/crates/cli/src/measure/file_proxies.rs
+++ b/crates/cli/src/measure/file_proxies.rs
@@ -15,7 +15,7 @@
 use wheelspread_drill::proxy_name;
 use wheelspread_files::{read_tables, CURRENT};
 use wheelspread_grpc::{ClientConnection, ClientEvent, Limits};
-use wheelspread_reactor::{self as reactor, Interest, Moved, Poll, Token, Watcher};
+use wheelspread_reactor::{self as reactor, DirEvent, Interest, Poll, Token, Watcher};
 use wheelspread_xds::loads;
 
 /// How long all proxies together may take until they have tables.
@@ -135,9 +135,9 @@
 
     /// Proxies whose links were swapped since the last call.
     fn swapped_links(&mut self) -> Vec<usize> {
-        let moved = self.watcher.moved().unwrap_or_default();
+        let moved = self.watcher.events().unwrap_or_default();
         let swapped = moved.into_iter().filter_map(|moved| match moved {
-            Moved::Into { directory, name } if name == CURRENT => {
+            DirEvent::Written { directory, name } if name == CURRENT => {
                 self.directories.get(&directory).copied()
             }
             _ => None,
--- a/crates/cli/tests/streams.rs
+++ b/crates/cli/tests/streams.rs
@@ -331,15 +331,17 @@
         certificate: put("client.pem", &certificate),
         key: put("client.key", &key),
     });
-    let plan =
-        wheelspread_grpc::tls::client(&put("client-roots.pem", &roots.0.pem()), keys.as_ref());
+    let plan = wheelspread_grpc::tls::client_config(
+        &put("client-roots.pem", &roots.0.pem()),
+        keys.as_ref(),
+    );
     let socket = reactor::connect(stage.listen.ip().octets(), stage.listen.port()).expect("dials");
     let server = wheelspread_grpc::ServerName::try_from("conductor").expect("a name");
     let (now, path) = (reactor::now(), discovery::DELTA_METHOD);
     let plan = plan.expect("keys that fit");
     let mut client = Client::dial(stage, name, "north");
     client.connection =
-        ClientConnection::secured(now, socket, path, Limits::default(), plan, server)
+        ClientConnection::with_tls(now, socket, path, Limits::default(), plan, server)
             .expect("begins");
     client
 }
--- a/crates/controller/src/admin/connection.rs
+++ b/crates/controller/src/admin/connection.rs
@@ -8,7 +8,7 @@
 use std::os::fd::{AsFd, BorrowedFd};
 use std::os::unix::net::UnixStream;
 use wheelspread::time::Moment;
-use wheelspread_grpc::tls::speaks_for;
+use wheelspread_grpc::tls::is_valid_for_name;
 use wheelspread_grpc::Socket;
 
 /// Size of the buffer for one read from a socket.
@@ -49,7 +49,7 @@
     fn flush(&mut self) -> io::Result<()> {
         match self {
             AdminSocket::Unix(_) => Ok(()),
-            AdminSocket::Tls(socket) => socket.push(),
+            AdminSocket::Tls(socket) => socket.flush(),
         }
     }
 }
@@ -134,9 +134,12 @@
         let AdminSocket::Tls(socket) = &self.socket else {
             return false;
         };
-        let peer = socket.peer();
-        peer.get()
-            .is_some_and(|certificate| names.iter().any(|name| speaks_for(certificate, name)))
+        let peer = socket.peer_certificate();
+        peer.get().is_some_and(|certificate| {
+            names
+                .iter()
+                .any(|name| is_valid_for_name(certificate, name))
+        })
     }
 
     /// The name of the listener that accepted the connection, for the audit log.
--- a/crates/controller/src/admin/drains.rs
+++ b/crates/controller/src/admin/drains.rs
@@ -59,7 +59,7 @@
 fn parse_order(request: DrainRequest) -> Result<DrainOrder, ApiError> {
     check_name("id", &request.id)?;
     check_name("by", &request.by)?;
-    let now_ms = (reactor::wall() * 1e3) as u64;
+    let now_ms = (reactor::unix_seconds() * 1e3) as u64;
     let given_ms = request.given_ms.unwrap_or(now_ms);
     if given_ms > now_ms + CLOCK_LEAD_LIMIT_MS {
         let seconds = (given_ms - now_ms) / 1000;
--- a/crates/controller/src/admin/request.rs
+++ b/crates/controller/src/admin/request.rs
@@ -4,7 +4,7 @@
 use super::REQUEST_LIMIT_BYTES;
 use serde::Deserialize;
 use std::ops::Range;
-use wheelspread_http1::{request, Framing, Limits};
+use wheelspread_http1::{parse_request, Framing, Limits};
 
 /// A complete request.
 pub struct AdminRequest {
@@ -19,7 +19,7 @@
 impl AdminRequest {
     /// Parses the received bytes; `None` while the request is incomplete.
     pub fn parse(input: &[u8]) -> Result<Option<AdminRequest>, ApiError> {
-        let Some(head) = request(input, Limits::default())? else {
+        let Some(head) = parse_request(input, Limits::default())? else {
             return Ok(None);
         };
         let body_length = match head.framing {
--- a/crates/controller/src/service/file_watch.rs
+++ b/crates/controller/src/service/file_watch.rs
@@ -10,7 +10,7 @@
 use wheelspread_controller_core::endpoint_list::{EndpointSnapshot, SnapshotReadError};
 use wheelspread_controller_core::Observation;
 use wheelspread_files::read_text;
-use wheelspread_reactor::{self as reactor, Moved};
+use wheelspread_reactor::{self as reactor, DirEvent};
 use wheelspread_xds::{nodes, status};
 
 /// The endpoint list's file, as last read.
@@ -50,7 +50,7 @@
             )),
             ListFile::Unreadable { reason } => Err(SnapshotReadError::new(reason)),
             ListFile::Text(text) => {
-                nodes::read(text, reactor::wall()).map_err(SnapshotReadError::new)
+                nodes::read(text, reactor::unix_seconds()).map_err(SnapshotReadError::new)
             }
         }
     }
@@ -68,7 +68,7 @@
     pub(super) fn handle_file_events(&mut self, now: Moment) -> io::Result<()> {
         let list_directory = list_directory(&self.file);
         let mut changed = ChangedFiles::default();
-        for event in self.watcher.moved()? {
+        for event in self.watcher.events()? {
             self.collect_file_event(event, &list_directory, &mut changed);
         }
         if changed.endpoint_list {
@@ -82,21 +82,23 @@
 
     fn collect_file_event(
         &mut self,
-        event: Moved,
+        event: DirEvent,
         list_directory: &Path,
         changed: &mut ChangedFiles,
     ) {
         match event {
             // A name that begins with a dot is a temporary file that is still being written.
-            Moved::Into { name, .. } if name.starts_with('.') => {}
-            Moved::Into { directory, name } if directory == self.root.statuses() => {
+            DirEvent::Written { name, .. } if name.starts_with('.') => {}
+            DirEvent::Written { directory, name } if directory == self.root.statuses() => {
                 let proxy = name.strip_suffix(".json").map(str::to_string);
                 changed.statuses.extend(proxy);
             }
-            Moved::Into { directory, .. } => changed.endpoint_list |= directory == list_directory,
-            Moved::Gone { directory } => drop(self.unwatched_directories.insert(directory)),
+            DirEvent::Written { directory, .. } => {
+                changed.endpoint_list |= directory == list_directory
+            }
+            DirEvent::Removed { directory } => drop(self.unwatched_directories.insert(directory)),
             // Events were lost, so everything is read again.
-            Moved::Overflow => {
+            DirEvent::Overflow => {
                 changed.endpoint_list = true;
                 let members = self.core.members().members();
                 changed
--- a/crates/controller/src/service/maintenance.rs
+++ b/crates/controller/src/service/maintenance.rs
@@ -30,7 +30,7 @@
     /// Persists the last published version, endpoints and capacity snapshots, where they have changed.
     pub(super) fn persist_facts(&mut self) {
         self.state_writer.persist_changes(
-            reactor::wall(),
+            reactor::unix_seconds(),
             self.core.last_version(),
             self.core.endpoint_list(),
             self.core.capacity_snapshots(),
--- a/crates/controller/src/service/startup.rs
+++ b/crates/controller/src/service/startup.rs
@@ -118,7 +118,7 @@
             let text = tables.to_string();
             warn!(text, "unreadable file found under the root of tables");
         }
-        state_writer::restore_core_state(persisted, reactor::wall(), &mut scan.recovered);
+        state_writer::restore_core_state(persisted, reactor::unix_seconds(), &mut scan.recovered);
         (scan.recovered.configuration, scan.recovered.node_values) =
             (configured.version, configured.node_values);
         scan.recovered.migrating = migrating;
@@ -149,7 +149,7 @@
         let sources = EventSources::open(&file, &root)?;
         let (state_writer, persisted) = StateWriter::start(
             &file.conductor.tables.join("state"),
-            reactor::wall(),
+            reactor::unix_seconds(),
             sources.waker.clone(),
         )?;
         let now = reactor::now();
--- a/crates/controller/src/service/table_results.rs
+++ b/crates/controller/src/service/table_results.rs
@@ -11,7 +11,7 @@
 
 impl Controller {
     pub(super) fn handle_write_results(&mut self, now: Moment) {
-        self.waker.rest();
+        self.waker.reset();
         self.handle_state_results(now);
         let finished: Vec<WriteResult> = self
             .table_writer
--- a/crates/controller/src/service/tls_keys.rs
+++ b/crates/controller/src/service/tls_keys.rs
@@ -75,7 +75,7 @@
         certificate: settings.certificate.clone(),
         key: settings.key.clone(),
     };
-    tls::server(&keys, settings.clients.as_deref())
+    tls::server_config(&keys, settings.clients.as_deref())
 }
 
 /// TLS for the operators' port: callers need a certificate that is signed by one of the given roots.
@@ -86,5 +86,5 @@
         certificate: settings.certificate.clone(),
         key: settings.key.clone(),
     };
-    tls::plain_server(&keys, &settings.clients)
+    tls::http1_server_config(&keys, &settings.clients)
 }
--- a/crates/controller/src/streams.rs
+++ b/crates/controller/src/streams.rs
@@ -12,7 +12,7 @@
 use wheelspread_controller_core::membership::StreamId;
 use wheelspread_controller_core::Observation;
 use wheelspread_discovery::Request;
-use wheelspread_grpc::tls::speaks_for;
+use wheelspread_grpc::tls::is_valid_for_name;
 use wheelspread_grpc::{Limits, ServerConfig, ServerConnection, ServerEvent, Status, StreamKey};
 use wheelspread_reactor::Token;
 
@@ -122,8 +122,8 @@
             return Ok(());
         }
         let connection = self.connections.get(&token);
-        let certificate = connection.and_then(ServerConnection::peer);
-        if certificate.is_some_and(|certificate| speaks_for(certificate, name)) {
+        let certificate = connection.and_then(ServerConnection::peer_certificate);
+        if certificate.is_some_and(|certificate| is_valid_for_name(certificate, name)) {
             return Ok(());
         }
         Err(IdentityError {
@@ -148,7 +148,7 @@
             None => ServerConnection::new(now, socket, self.limits),
             Some(listener) => {
                 let tls = listener.tls.clone();
-                match ServerConnection::secured(now, socket, self.limits, tls) {
+                match ServerConnection::with_tls(now, socket, self.limits, tls) {
                     Ok(connection) => connection,
                     Err(error) => return warn!(%error, "connection rejected"),
                 }
@@ -272,7 +272,7 @@
         let queued_bytes = |id: &StreamId| {
             let stream = self.discovery_streams.get(id)?;
             let connection = self.connections.get(&stream.connection)?;
-            Some(connection.queued(stream.key))
+            Some(connection.queued_bytes(stream.key))
         };
         let writable = std::mem::take(&mut self.writable);
         writable
--- a/crates/drill/src/client_population/connections.rs
+++ b/crates/drill/src/client_population/connections.rs
@@ -7,7 +7,7 @@
 use std::io::{ErrorKind, Read, Write};
 use std::net::SocketAddr;
 use wheelspread::time::Moment;
-use wheelspread_http1::{response, Body};
+use wheelspread_http1::{parse_response, Body};
 use wheelspread_reactor::{self as reactor, Interest, Token};
 
 impl PopulationLoop {
@@ -92,11 +92,11 @@
                 Err(_) => break true,
             }
         };
-        let status = match response(&connection.input, false, Default::default()) {
+        let status = match parse_response(&connection.input, false, Default::default()) {
             Ok(Some(head)) => {
                 let mut body = Body::new(head.framing);
                 let taken = body.take(&connection.input[head.length..]).unwrap_or(0);
-                body.done()
+                body.is_complete()
                     .then_some((head.status, head.length + taken, head.keep_alive))
             }
             _ => None,
--- a/crates/drill/src/run/fleet.rs
+++ b/crates/drill/src/run/fleet.rs
@@ -65,7 +65,7 @@
 
     pub(super) fn list(&mut self) -> (EndpointSnapshot, Vec<ListedNode>) {
         self.list_version += 1;
-        let (now, wall) = (reactor::now(), reactor::wall());
+        let (now, wall) = (reactor::now(), reactor::unix_seconds());
         let listed: Vec<&FleetNode> = self.fleet.iter().filter(|node| !node.gone).collect();
         let record = |node: &&FleetNode| {
             let started = ((wall - (now - node.started).seconds()) * 1e3).round() / 1e3;
@@ -113,7 +113,7 @@
         let text = wheelspread_xds::nodes::write(list).map_err(DrillError::EndpointList)?;
         let now = reactor::now();
         let zones = &self.script.deployment.zones;
-        let wall = reactor::wall();
+        let wall = reactor::unix_seconds();
         let listed = |record: &EndpointRecord| {
             let started: f64 = record
                 .started
--- a/crates/drill/src/stand_in_server/connections.rs
+++ b/crates/drill/src/stand_in_server/connections.rs
@@ -7,7 +7,7 @@
 use crate::records::Record;
 use std::io::{ErrorKind, Read, Write};
 use wheelspread::time::{Moment, Span};
-use wheelspread_http1::{request, Body};
+use wheelspread_http1::{parse_request, Body};
 use wheelspread_reactor::{self as reactor, Interest, Token};
 
 impl ServerLoop {
@@ -94,14 +94,14 @@
         let Some(connection) = self.nodes[key].connections.get_mut(slot) else {
             return;
         };
-        let Ok(Some(head)) = request(&connection.input, Default::default()) else {
+        let Ok(Some(head)) = parse_request(&connection.input, Default::default()) else {
             return;
         };
         let mut body = Body::new(head.framing);
         let Ok(taken) = body.take(&connection.input[head.length..]) else {
             return;
         };
-        if !body.done() {
+        if !body.is_complete() {
             return;
         }
         let text = |range: &std::ops::Range<usize>| {
--- a/crates/drill/src/watch.rs
+++ b/crates/drill/src/watch.rs
@@ -9,7 +9,7 @@
 use std::thread::JoinHandle;
 use wheelspread::time::Span;
 use wheelspread_files::{read_tables, CURRENT};
-use wheelspread_reactor::{self as reactor, Moved, Poll, Token, Watcher};
+use wheelspread_reactor::{self as reactor, DirEvent, Poll, Token, Watcher};
 
 pub struct Watch {
     stop: Arc<AtomicBool>,
@@ -36,8 +36,8 @@
                     return;
                 }
                 let now = reactor::now();
-                for moved in watcher.moved().unwrap_or_default() {
-                    let Moved::Into { directory, name } = moved else {
+                for moved in watcher.events().unwrap_or_default() {
+                    let DirEvent::Written { directory, name } = moved else {
                         continue;
                     };
                     let Some((controller, proxy)) = directories
--- a/crates/drill/src/worker.rs
+++ b/crates/drill/src/worker.rs
@@ -71,7 +71,7 @@
     /// All commands that wait, in the order of their sending. The waker is reset first: a command that is
     /// sent meanwhile wakes the loop again.
     pub fn take(&self) -> Vec<Command> {
-        self.waker.rest();
+        self.waker.reset();
         self.commands.try_iter().collect()
     }
 }
--- a/crates/fleet/src/call.rs
+++ b/crates/fleet/src/call.rs
@@ -10,7 +10,7 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 use std::time::Instant;
-use wheelspread_http1::{response, Framing, Limits};
+use wheelspread_http1::{parse_response, Framing, Limits};
 
 /// Where a controller can be called.
 #[derive(Clone, Debug)]
@@ -182,7 +182,7 @@
 /// An answer once it is complete: the inner result is the controller's, the outer error an answer that cannot
 /// be read.
 fn parse_answer(bytes: &[u8], target: &str) -> Result<Option<Result<Value, Failed>>, Failed> {
-    let head = response(bytes, false, Limits::default());
+    let head = parse_response(bytes, false, Limits::default());
     let Some(head) = head.map_err(|error| Failed::Garbage(error.to_string()))? else {
         return Ok(None);
     };
--- a/crates/fleet/src/file.rs
+++ b/crates/fleet/src/file.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use wheelspread::time::Span;
 use wheelspread_controller_core::span_format;
-use wheelspread_grpc::tls::{plain_client, KeyError, KeyFiles};
+use wheelspread_grpc::tls::{http1_client_config, KeyError, KeyFiles};
 
 /// One controller: its root of tables on this machine, or its port.
 #[derive(Clone, Debug, Deserialize)]
@@ -219,7 +219,7 @@
             certificate: tls.certificate.clone(),
             key: tls.key.clone(),
         };
-        plain_client(&tls.servers, &keys)
+        http1_client_config(&tls.servers, &keys)
             .map(Secured)
             .map_err(|error| problems.push(FleetProblem::Keys(error)))
             .ok()
--- a/crates/grpc/src/client.rs
+++ b/crates/grpc/src/client.rs
@@ -38,7 +38,7 @@
 enum State {
     Handshaking(Handshake),
     Open(Box<Open>),
-    Over,
+    Closed,
 }
 
 struct Open {
@@ -59,17 +59,17 @@
     started_at: Moment,
     queue: SendQueue,
     events: Vec<ClientEvent>,
-    failed: Option<ConnectionError>,
+    failure: Option<ConnectionError>,
 }
 
 impl ClientConnection {
     /// Takes a connecting or connected socket, and the path of the stream to open on it.
     pub fn new(now: Moment, socket: TcpStream, path: &str, limits: Limits) -> ClientConnection {
-        ClientConnection::on_socket(now, Socket::plain(socket), path, limits)
+        ClientConnection::from_socket(now, Socket::plain(socket), path, limits)
     }
 
     /// As [`ClientConnection::new`] under TLS, with a peer that has a certificate for `name`.
-    pub fn secured(
+    pub fn with_tls(
         now: Moment,
         socket: TcpStream,
         path: &str,
@@ -78,7 +78,7 @@
         name: rustls::pki_types::ServerName<'static>,
     ) -> Result<ClientConnection, rustls::Error> {
         let tls = rustls::ClientConnection::new(tls, name)?;
-        Ok(ClientConnection::on_socket(
+        Ok(ClientConnection::from_socket(
             now,
             Socket::tls(socket, tls),
             path,
@@ -86,7 +86,7 @@
         ))
     }
 
-    fn on_socket(now: Moment, socket: Socket, path: &str, limits: Limits) -> ClientConnection {
+    fn from_socket(now: Moment, socket: Socket, path: &str, limits: Limits) -> ClientConnection {
         let handshake = h2::client::Builder::new()
             .initial_window_size(STREAM_WINDOW_BYTES)
             .max_header_list_size(MAX_HEADER_LIST_BYTES)
@@ -99,38 +99,39 @@
             started_at: now,
             queue: SendQueue::default(),
             events: Vec::new(),
-            failed: None,
+            failure: None,
         }
     }
 
     /// Reads and writes until the socket would block. Returns the events, and why the connection is over if
     /// it is.
     pub fn turn(&mut self, now: Moment) -> (Vec<ClientEvent>, Option<String>) {
-        let over = self.push(now);
-        (std::mem::take(&mut self.events), over)
+        let close_reason = self.advance(now);
+        (std::mem::take(&mut self.events), close_reason)
     }
 
     /// As [`ClientConnection::turn`], but the events stay for the next turn.
-    pub fn push(&mut self, now: Moment) -> Option<String> {
+    pub fn advance(&mut self, now: Moment) -> Option<String> {
         let mut context = Context::from_waker(Waker::noop());
         for _ in 0..MAX_STEPS_PER_TURN {
             match self.step(now, &mut context) {
                 Ok(true) => {}
                 Ok(false) => break,
                 Err(reason) => {
-                    self.failed = Some(reason);
+                    self.failure = Some(reason);
                     break;
                 }
             }
         }
-        let is_late = now - self.started_at > self.limits.progress_timeout;
-        if is_late && matches!(self.state, State::Handshaking(_)) {
-            self.failed.get_or_insert(ConnectionError::HandshakeTimeout);
+        let is_past_timeout = now - self.started_at > self.limits.progress_timeout;
+        if is_past_timeout && matches!(self.state, State::Handshaking(_)) {
+            self.failure
+                .get_or_insert(ConnectionError::HandshakeTimeout);
         }
-        if self.failed.is_some() {
-            self.state = State::Over;
+        if self.failure.is_some() {
+            self.state = State::Closed;
         }
-        self.failed.as_ref().map(ToString::to_string)
+        self.failure.as_ref().map(ToString::to_string)
     }
 
     /// Whether anything moved.
@@ -149,7 +150,7 @@
             State::Open(open) => {
                 open.step(now, self.limits, &mut self.queue, &mut self.events, context)
             }
-            State::Over => Ok(false),
+            State::Closed => Ok(false),
         }
     }
 
--- a/crates/grpc/src/client/keepalive.rs
+++ b/crates/grpc/src/client/keepalive.rs
@@ -42,7 +42,7 @@
                 Poll::Ready(Err(error)) => Err(error.into()),
                 Poll::Pending if now - sent_at > limits.timeout => {
                     let timeout = limits.timeout;
-                    Err(ConnectionError::ServerSilent { timeout })
+                    Err(ConnectionError::ServerPingTimeout { timeout })
                 }
                 Poll::Pending => Ok(false),
             };
--- a/crates/grpc/src/error.rs
+++ b/crates/grpc/src/error.rs
@@ -19,9 +19,9 @@
     #[error("the peer closed the connection")]
     ClosedByPeer,
     #[error("no answer to a ping for {} s", .timeout.seconds())]
-    ServerSilent { timeout: Span },
+    ServerPingTimeout { timeout: Span },
     #[error("no answer to a ping")]
-    ClientSilent,
+    ClientPingTimeout,
     #[error("answered with {0}")]
     ResponseStatus(http::StatusCode),
     #[error("ended with status {status}: {message}")]
--- a/crates/grpc/src/frame.rs
+++ b/crates/grpc/src/frame.rs
@@ -3,17 +3,17 @@
 use bytes::{BufMut, Bytes, BytesMut};
 
 /// The longest message in bytes; a load report of the largest fleets is well below it.
-pub const LONGEST_MESSAGE: usize = 4 << 20;
+pub const MAX_MESSAGE_BYTES: usize = 4 << 20;
 
 /// Why bytes are not a message.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    #[error("a message of {length} bytes, {most} at most are taken")]
-    TooLong { length: usize, most: usize },
+    #[error("a message of {length} bytes, {max} at most are taken")]
+    TooLong { length: usize, max: usize },
     #[error("a compressed message, compression was not agreed on")]
     Compressed,
     #[error("{0} is no message flag")]
-    Flag(u8),
+    InvalidFlag(u8),
 }
 
 /// The flag byte and the length of a frame.
@@ -41,12 +41,12 @@
     }
 
     /// Whether a message has begun that is not complete yet.
-    pub fn partial(&self) -> bool {
+    pub fn has_partial_message(&self) -> bool {
         !self.buffer.is_empty()
     }
 
     /// Bytes of the message that is not complete yet.
-    pub fn buffered(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.buffer.len()
     }
 
@@ -58,13 +58,13 @@
         match head[0] {
             0 => {}
             1 => return Err(FrameError::Compressed),
-            other => return Err(FrameError::Flag(other)),
+            other => return Err(FrameError::InvalidFlag(other)),
         }
         let length = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize;
         if length > self.max_message_bytes {
             return Err(FrameError::TooLong {
                 length,
-                most: self.max_message_bytes,
+                max: self.max_message_bytes,
             });
         }
         if self.buffer.len() < HEADER_BYTES + length {
--- a/crates/grpc/src/frame/tests.rs
+++ b/crates/grpc/src/frame/tests.rs
@@ -16,7 +16,7 @@
             }
         }
         prop_assert_eq!(out, messages);
-        prop_assert!(!deframer.partial());
+        prop_assert!(!deframer.has_partial_message());
     }
 
     #[test]
@@ -37,7 +37,7 @@
         deframer.take_message(),
         Err(FrameError::TooLong {
             length: 100 << 20,
-            most: 1000
+            max: 1000
         })
     );
 }
--- a/crates/grpc/src/io.rs
+++ b/crates/grpc/src/io.rs
@@ -16,7 +16,7 @@
 pub struct Socket {
     tcp: TcpStream,
     tls: Option<Box<rustls::Connection>>,
-    peer: PeerCertificate,
+    peer_certificate: PeerCertificate,
 }
 
 /// `WouldBlock` is pending: the loop polls again when the socket is ready.
@@ -43,7 +43,7 @@
         Socket {
             tcp,
             tls: None,
-            peer: PeerCertificate::default(),
+            peer_certificate: PeerCertificate::default(),
         }
     }
 
@@ -52,17 +52,17 @@
         Socket {
             tcp,
             tls: Some(Box::new(tls.into())),
-            peer: PeerCertificate::default(),
+            peer_certificate: PeerCertificate::default(),
         }
     }
 
     /// The cell that gets the peer's certificate.
-    pub fn peer(&self) -> PeerCertificate {
-        self.peer.clone()
+    pub fn peer_certificate(&self) -> PeerCertificate {
+        self.peer_certificate.clone()
     }
 
     /// Sends encrypted bytes that wait; an error of kind `WouldBlock` leaves the rest for later.
-    pub fn push(&mut self) -> std::io::Result<()> {
+    pub fn flush(&mut self) -> std::io::Result<()> {
         let Some(tls) = &mut self.tls else {
             return Ok(());
         };
@@ -87,7 +87,7 @@
             match retry_interrupted(|| tls.read_tls(&mut self.tcp)) {
                 Ok(0) => return Ok(0),
                 Ok(_) => {}
-                Err(error) => return Err(self.push_failure().unwrap_or(error)),
+                Err(error) => return Err(self.flush_error().unwrap_or(error)),
             }
             if let Err(error) = tls.process_new_packets() {
                 // The alert tells the peer why, as far as it goes out at once.
@@ -95,16 +95,16 @@
                 return Err(std::io::Error::new(ErrorKind::InvalidData, error));
             }
             self.record_peer_certificate();
-            if let Some(error) = self.push_failure() {
+            if let Some(error) = self.flush_error() {
                 return Err(error);
             }
         }
     }
 
     /// Sends encrypted bytes that wait; an error other than `WouldBlock`.
-    fn push_failure(&mut self) -> Option<std::io::Error> {
-        let pushed = self.push();
-        pushed
+    fn flush_error(&mut self) -> Option<std::io::Error> {
+        let flushed = self.flush();
+        flushed
             .err()
             .filter(|error| error.kind() != ErrorKind::WouldBlock)
     }
@@ -114,7 +114,8 @@
             return;
         };
         if let Some(certificate) = tls.peer_certificates().and_then(<[_]>::first) {
-            self.peer.get_or_init(|| certificate.clone().into_owned());
+            self.peer_certificate
+                .get_or_init(|| certificate.clone().into_owned());
         }
     }
 
@@ -125,7 +126,7 @@
         };
         // TLS bounds its own buffer; encrypted bytes that do not go out now go with the next call.
         let taken = tls.writer().write(bytes)?;
-        match self.push() {
+        match self.flush() {
             Err(error) if error.kind() == ErrorKind::WouldBlock && taken > 0 => Ok(taken),
             Err(error) => Err(error),
             Ok(()) if taken == 0 && !bytes.is_empty() => Err(ErrorKind::WouldBlock.into()),
@@ -161,7 +162,7 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context) -> Poll<std::io::Result<()>> {
-        would_block_is_pending(self.get_mut().push())
+        would_block_is_pending(self.get_mut().flush())
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context) -> Poll<std::io::Result<()>> {
@@ -169,7 +170,7 @@
         if let Some(tls) = &mut socket.tls {
             tls.send_close_notify();
         }
-        if would_block_is_pending(socket.push()).is_pending() {
+        if would_block_is_pending(socket.flush()).is_pending() {
             return Poll::Pending;
         }
         match socket.tcp.shutdown(std::net::Shutdown::Write) {
--- a/crates/grpc/src/lib.rs
+++ b/crates/grpc/src/lib.rs
@@ -14,7 +14,7 @@
 pub mod tls;
 
 pub use client::{ClientConnection, ClientEvent};
-pub use frame::{Deframer, LONGEST_MESSAGE};
+pub use frame::{Deframer, MAX_MESSAGE_BYTES};
 pub use io::Socket;
 pub use rustls::ServerConnection as TlsServer;
 pub use server::{ServerConnection, ServerEvent, StreamKey};
@@ -62,7 +62,7 @@
 impl Default for Limits {
     fn default() -> Self {
         Limits {
-            max_message_bytes: LONGEST_MESSAGE,
+            max_message_bytes: MAX_MESSAGE_BYTES,
             max_streams: 100,
             max_queued_bytes: 1 << 20,
             progress_timeout: Span::from_seconds(10.0),
--- a/crates/grpc/src/server.rs
+++ b/crates/grpc/src/server.rs
@@ -52,7 +52,7 @@
 enum State {
     Handshaking(Handshake<Socket, Bytes>),
     Open(Connection<Socket, Bytes>),
-    Over,
+    Closed,
 }
 
 /// The window of a connection for all its streams together.
@@ -72,9 +72,9 @@
     streams: BTreeMap<StreamKey, Stream>,
     next_key: u32,
     events: Vec<ServerEvent>,
-    failed: Option<ConnectionError>,
+    failure: Option<ConnectionError>,
     is_stopping: bool,
-    peer: PeerCertificate,
+    peer_certificate: PeerCertificate,
     pings: Option<PingPong>,
     ping_sent_at: Option<Moment>,
     last_received_at: Moment,
@@ -83,18 +83,18 @@
 impl ServerConnection {
     /// Takes an accepted socket.
     pub fn new(now: Moment, socket: TcpStream, limits: Limits) -> ServerConnection {
-        ServerConnection::on_socket(now, Socket::plain(socket), limits)
+        ServerConnection::from_socket(now, Socket::plain(socket), limits)
     }
 
     /// As [`ServerConnection::new`] under TLS.
-    pub fn secured(
+    pub fn with_tls(
         now: Moment,
         socket: TcpStream,
         limits: Limits,
         tls: Arc<rustls::ServerConfig>,
     ) -> Result<ServerConnection, rustls::Error> {
         let tls = rustls::ServerConnection::new(tls)?;
-        Ok(ServerConnection::on_socket(
+        Ok(ServerConnection::from_socket(
             now,
             Socket::tls(socket, tls),
             limits,
@@ -102,12 +102,12 @@
     }
 
     /// The peer's certificate, once the handshake is complete.
-    pub fn peer(&self) -> Option<&rustls::pki_types::CertificateDer<'static>> {
-        self.peer.get()
+    pub fn peer_certificate(&self) -> Option<&rustls::pki_types::CertificateDer<'static>> {
+        self.peer_certificate.get()
     }
 
-    fn on_socket(now: Moment, socket: Socket, limits: Limits) -> ServerConnection {
-        let peer = socket.peer();
+    fn from_socket(now: Moment, socket: Socket, limits: Limits) -> ServerConnection {
+        let peer_certificate = socket.peer_certificate();
         let handshake = h2::server::Builder::new()
             .max_concurrent_streams(limits.max_streams)
             .max_header_list_size(MAX_HEADER_LIST_BYTES)
@@ -124,9 +124,9 @@
             streams: BTreeMap::new(),
             next_key: 0,
             events: Vec::new(),
-            failed: None,
+            failure: None,
             is_stopping: false,
-            peer,
+            peer_certificate,
             pings: None,
             ping_sent_at: None,
             last_received_at: now,
@@ -139,27 +139,28 @@
         let mut context = Context::from_waker(Waker::noop());
         // Progress in one part may let another go on, so all are polled until nothing moves.
         for _ in 0..MAX_STEPS_PER_TURN {
-            let has_moved = self.poll_connection(&mut context)
+            let has_progressed = self.poll_connection(&mut context)
                 | self.read_streams(now, &mut context)
                 | self.write_streams(&mut context);
-            if !has_moved || self.failed.is_some() {
+            if !has_progressed || self.failure.is_some() {
                 break;
             }
         }
         self.check_keepalive(now, &mut context);
-        let is_late = now - self.started_at > self.limits.progress_timeout;
-        if is_late && matches!(self.state, State::Handshaking(_)) {
-            self.failed.get_or_insert(ConnectionError::HandshakeTimeout);
+        let is_past_timeout = now - self.started_at > self.limits.progress_timeout;
+        if is_past_timeout && matches!(self.state, State::Handshaking(_)) {
+            self.failure
+                .get_or_insert(ConnectionError::HandshakeTimeout);
         }
-        let failed = self.failed.as_ref().map(ToString::to_string);
-        if let Some(reason) = &failed {
-            self.state = State::Over;
+        let failure = self.failure.as_ref().map(ToString::to_string);
+        if let Some(reason) = &failure {
+            self.state = State::Closed;
             for stream in std::mem::take(&mut self.streams).into_keys() {
                 let reason = reason.clone();
                 self.events.push(ServerEvent::Closed { stream, reason });
             }
         }
-        (std::mem::take(&mut self.events), failed)
+        (std::mem::take(&mut self.events), failure)
     }
 
     /// Whether anything moved.
@@ -170,16 +171,16 @@
                     self.pings = connection.ping_pong();
                     self.state = State::Open(connection);
                 }
-                Poll::Ready(Err(error)) => self.failed = Some(ConnectionError::Handshake(error)),
+                Poll::Ready(Err(error)) => self.failure = Some(ConnectionError::Handshake(error)),
                 Poll::Pending => return false,
             },
             State::Open(connection) => match connection.poll_accept(context) {
                 Poll::Ready(Some(Ok((request, respond)))) => self.accept(request, respond),
-                Poll::Ready(Some(Err(error))) => self.failed = Some(error.into()),
-                Poll::Ready(None) => self.failed = Some(ConnectionError::ClosedByPeer),
+                Poll::Ready(Some(Err(error))) => self.failure = Some(error.into()),
+                Poll::Ready(None) => self.failure = Some(ConnectionError::ClosedByPeer),
                 Poll::Pending => return false,
             },
-            State::Over => return false,
+            State::Closed => return false,
         }
         true
     }
@@ -195,7 +196,8 @@
                     self.last_received_at = now;
                 }
                 Poll::Pending if now - sent_at >= limits.timeout => {
-                    self.failed.get_or_insert(ConnectionError::ClientSilent);
+                    self.failure
+                        .get_or_insert(ConnectionError::ClientPingTimeout);
                 }
                 Poll::Ready(Err(_)) | Poll::Pending => {}
             },
@@ -234,7 +236,7 @@
 
     /// Whether anything moved.
     fn read_streams(&mut self, now: Moment, context: &mut Context) -> bool {
-        let mut has_moved = false;
+        let mut has_progressed = false;
         let mut ends: Vec<(StreamKey, StreamEnd)> = Vec::new();
         for (key, stream) in &mut self.streams {
             let result = stream.read(now, context, |bytes| {
@@ -244,24 +246,24 @@
             if result.has_received {
                 self.last_received_at = now;
             }
-            has_moved |= result.has_moved;
+            has_progressed |= result.has_progressed;
             ends.extend(result.end.map(|end| (*key, end)));
-            let stalled = stream.stalled(now, self.limits.progress_timeout);
+            let stalled = stream.end_if_stalled(now, self.limits.progress_timeout);
             ends.extend(stalled.map(|end| (*key, end)));
         }
         for (key, end) in ends {
-            has_moved |= self.close(key, end.status, &end.reason);
+            has_progressed |= self.close(key, end.status, &end.reason);
         }
-        has_moved
+        has_progressed
     }
 
     /// Whether anything moved.
     fn write_streams(&mut self, context: &mut Context) -> bool {
-        let mut has_moved = false;
+        let mut has_progressed = false;
         for stream in self.streams.values_mut() {
-            has_moved |= stream.write(context);
+            has_progressed |= stream.write(context);
         }
-        has_moved
+        has_progressed
     }
 
     /// Queues a message. `false`: the queue is full because the peer reads too slowly, or the stream is gone.
@@ -273,8 +275,8 @@
     }
 
     /// Bytes that wait to be sent on a stream.
-    pub fn queued(&self, stream: StreamKey) -> usize {
-        self.streams.get(&stream).map_or(0, Stream::queued)
+    pub fn queued_bytes(&self, stream: StreamKey) -> usize {
+        self.streams.get(&stream).map_or(0, Stream::queued_bytes)
     }
 
     /// Ends a stream with a status and a reason for the peer. `false`: the stream is gone already.
@@ -282,7 +284,7 @@
         let Some(stream) = self.streams.remove(&key) else {
             return false;
         };
-        stream.end(status, reason);
+        stream.finish(status, reason);
         self.events.push(ServerEvent::Closed {
             stream: key,
             reason: reason.to_string(),
--- a/crates/grpc/src/server/stream.rs
+++ b/crates/grpc/src/server/stream.rs
@@ -35,7 +35,7 @@
     /// Data arrived.
     pub has_received: bool,
     /// Data or the stream's end arrived.
-    pub has_moved: bool,
+    pub has_progressed: bool,
     pub end: Option<StreamEnd>,
 }
 
@@ -64,7 +64,7 @@
             match self.receive.poll_data(context) {
                 Poll::Ready(Some(Ok(piece))) => {
                     result.has_received = true;
-                    result.has_moved = true;
+                    result.has_progressed = true;
                     result.end = self.receive_piece(now, &piece, &mut on_message);
                 }
                 Poll::Ready(Some(Err(error))) => {
@@ -75,8 +75,8 @@
                 }
                 Poll::Ready(None) => {
                     self.has_ended = true;
-                    result.has_moved = true;
-                    result.end = Some(self.ended_by_peer());
+                    result.has_progressed = true;
+                    result.end = Some(self.end_by_peer());
                 }
                 Poll::Pending => break,
             }
@@ -100,7 +100,7 @@
                 Err(error) => break Some(error),
             }
         };
-        let is_partial = self.deframer.partial();
+        let is_partial = self.deframer.has_partial_message();
         self.partial_since = is_partial.then(|| self.partial_since.unwrap_or(now));
         error.map(|error| StreamEnd {
             status: Status::ResourceExhausted,
@@ -108,8 +108,8 @@
         })
     }
 
-    fn ended_by_peer(&self) -> StreamEnd {
-        let reason = if self.deframer.partial() {
+    fn end_by_peer(&self) -> StreamEnd {
+        let reason = if self.deframer.has_partial_message() {
             "the peer ended it within a message"
         } else {
             "the peer ended it"
@@ -121,13 +121,13 @@
     }
 
     /// The end of a stream whose peer began a message and did not complete it in time.
-    pub fn stalled(&self, now: Moment, timeout: Span) -> Option<StreamEnd> {
+    pub fn end_if_stalled(&self, now: Moment, timeout: Span) -> Option<StreamEnd> {
         let since = self.partial_since?;
         (now - since > timeout).then(|| StreamEnd {
             status: Status::DeadlineExceeded,
             reason: format!(
                 "the rest of a message did not come, {} bytes had",
-                self.deframer.buffered()
+                self.deframer.buffered_bytes()
             ),
         })
     }
@@ -147,7 +147,7 @@
     }
 
     /// Bytes that wait to be sent.
-    pub fn queued(&self) -> usize {
+    pub fn queued_bytes(&self) -> usize {
         self.queue.bytes()
     }
 
@@ -176,16 +176,16 @@
     }
 
     /// Sends the status. Dropping the stream then resets what the peer still sends.
-    pub fn end(mut self, status: Status, reason: &str) {
+    pub fn finish(mut self, status: Status, reason: &str) {
         let mut trailers = HeaderMap::new();
         trailers.insert("grpc-status", HeaderValue::from(status.code()));
         // Printable ASCII without the escape character needs no percent-encoding.
-        let plain: String = reason
+        let printable: String = reason
             .chars()
             .filter(|c| (' '..='~').contains(c) && *c != '%')
             .take(MAX_REASON_CHARS)
             .collect();
-        if let Ok(text) = HeaderValue::from_str(&plain) {
+        if let Ok(text) = HeaderValue::from_str(&printable) {
             trailers.insert("grpc-message", text);
         }
         let _ = self.send.send_trailers(trailers);
--- a/crates/grpc/src/tls.rs
+++ b/crates/grpc/src/tls.rs
@@ -72,20 +72,25 @@
     Ok(store)
 }
 
-fn provider() -> Arc<rustls::crypto::CryptoProvider> {
+fn crypto_provider() -> Arc<rustls::crypto::CryptoProvider> {
     Arc::new(rustls::crypto::ring::default_provider())
 }
 
 /// For a gRPC server. With `clients`, only clients with a certificate under these roots are accepted.
-pub fn server(keys: &KeyFiles, clients: Option<&Path>) -> Result<Arc<ServerConfig>, KeyError> {
-    let builder =
-        ServerConfig::builder_with_provider(provider()).with_safe_default_protocol_versions();
+pub fn server_config(
+    keys: &KeyFiles,
+    client_roots: Option<&Path>,
+) -> Result<Arc<ServerConfig>, KeyError> {
+    let builder = ServerConfig::builder_with_provider(crypto_provider())
+        .with_safe_default_protocol_versions();
     let builder = builder.map_err(KeyError::Pair)?;
-    let builder = match clients {
+    let builder = match client_roots {
         None => builder.with_no_client_auth(),
         Some(path) => {
-            let verifier =
-                WebPkiClientVerifier::builder_with_provider(Arc::new(roots(path)?), provider());
+            let verifier = WebPkiClientVerifier::builder_with_provider(
+                Arc::new(roots(path)?),
+                crypto_provider(),
+            );
             builder.with_client_cert_verifier(
                 verifier
                     .build()
@@ -101,26 +106,35 @@
 }
 
 /// For an HTTP/1.1 server that accepts only clients with a certificate under these roots.
-pub fn plain_server(keys: &KeyFiles, clients: &Path) -> Result<Arc<ServerConfig>, KeyError> {
-    let mut config = ServerConfig::clone(&*server(keys, Some(clients))?);
+pub fn http1_server_config(
+    keys: &KeyFiles,
+    client_roots: &Path,
+) -> Result<Arc<ServerConfig>, KeyError> {
+    let mut config = ServerConfig::clone(&*server_config(keys, Some(client_roots))?);
     config.alpn_protocols = vec![HTTP1.to_vec()];
     Ok(Arc::new(config))
 }
 
 /// For an HTTP/1.1 client with a certificate of its own.
-pub fn plain_client(servers: &Path, keys: &KeyFiles) -> Result<Arc<ClientConfig>, KeyError> {
-    let mut config = ClientConfig::clone(&*client(servers, Some(keys))?);
+pub fn http1_client_config(
+    server_roots: &Path,
+    keys: &KeyFiles,
+) -> Result<Arc<ClientConfig>, KeyError> {
+    let mut config = ClientConfig::clone(&*client_config(server_roots, Some(keys))?);
     config.alpn_protocols = vec![HTTP1.to_vec()];
     Ok(Arc::new(config))
 }
 
 /// For a gRPC client: the roots it trusts, and its own certificate if it has one.
-pub fn client(servers: &Path, keys: Option<&KeyFiles>) -> Result<Arc<ClientConfig>, KeyError> {
-    let builder =
-        ClientConfig::builder_with_provider(provider()).with_safe_default_protocol_versions();
+pub fn client_config(
+    server_roots: &Path,
+    keys: Option<&KeyFiles>,
+) -> Result<Arc<ClientConfig>, KeyError> {
+    let builder = ClientConfig::builder_with_provider(crypto_provider())
+        .with_safe_default_protocol_versions();
     let builder = builder
         .map_err(KeyError::Pair)?
-        .with_root_certificates(roots(servers)?);
+        .with_root_certificates(roots(server_roots)?);
     let mut config = match keys {
         None => builder.with_no_client_auth(),
         Some(keys) => {
@@ -135,7 +149,7 @@
 }
 
 /// Whether a certificate is valid for this name.
-pub fn speaks_for(certificate: &CertificateDer, name: &str) -> bool {
+pub fn is_valid_for_name(certificate: &CertificateDer, name: &str) -> bool {
     let Ok(name) = ServerName::try_from(name) else {
         return false;
     };
--- a/crates/grpc/tests/streams.rs
+++ b/crates/grpc/tests/streams.rs
@@ -150,7 +150,7 @@
         stage.turn(now());
         let server = stage.server.as_mut().expect("open");
         refused += usize::from(!server.send(stream, &[1; 100_000]));
-        assert!(server.queued(stream) <= 400_000);
+        assert!(server.queued_bytes(stream) <= 400_000);
     }
     assert!(
         refused > 100,
--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -68,7 +68,7 @@
     }
 
     /// Whether the whole body was read.
-    pub fn done(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.0 == State::Done
     }
 
@@ -79,15 +79,15 @@
 
     /// How many of these bytes belong to the body.
     pub fn take(&mut self, bytes: &[u8]) -> Result<usize, MessageError> {
-        self.follow(bytes, |_| {})
+        self.advance(bytes, |_| {})
     }
 
     /// As [`Body::take`]; appends the data, without chunk framing, to `content`.
     pub fn read(&mut self, bytes: &[u8], content: &mut Vec<u8>) -> Result<usize, MessageError> {
-        self.follow(bytes, |data| content.extend_from_slice(data))
+        self.advance(bytes, |data| content.extend_from_slice(data))
     }
 
-    fn follow(
+    fn advance(
         &mut self,
         bytes: &[u8],
         mut on_data: impl FnMut(&[u8]),
@@ -136,22 +136,22 @@
         (State::ChunkSizeEnd(size), b'\n') => Ok(State::ChunkData(size)),
         (State::ChunkDataEnd, b'\r') => Ok(State::ChunkDataEndLine),
         (State::ChunkDataEndLine, b'\n') => Ok(CHUNK_START),
-        (State::ChunkDataEnd | State::ChunkDataEndLine, _) => Err(MessageError::ChunkEnd),
+        (State::ChunkDataEnd | State::ChunkDataEndLine, _) => Err(MessageError::MissingChunkEnd),
         (State::Trailer(trailer), _) => in_trailer(trailer, byte),
         (State::TrailerEnd(Trailer { line_bytes: 0, .. }), b'\n') => Ok(State::Done),
         (State::TrailerEnd(Trailer { bytes, .. }), b'\n') => Ok(State::Trailer(Trailer {
             bytes,
             line_bytes: 0,
         })),
-        (State::TrailerEnd(_), _) => Err(MessageError::Trailer),
-        _ => Err(MessageError::ChunkSize),
+        (State::TrailerEnd(_), _) => Err(MessageError::InvalidTrailer),
+        _ => Err(MessageError::InvalidChunkSize),
     }
 }
 
 fn in_chunk_size(size: ChunkSize, byte: u8) -> Result<State, MessageError> {
     if !size.in_extension && byte.is_ascii_hexdigit() {
         if size.digits >= MAX_SIZE_DIGITS {
-            return Err(MessageError::ChunkSize);
+            return Err(MessageError::InvalidChunkSize);
         }
         let digit = (byte as char).to_digit(16).unwrap_or(0);
         return Ok(State::ChunkSize(ChunkSize {
@@ -161,14 +161,14 @@
         }));
     }
     if size.digits == 0 {
-        return Err(MessageError::ChunkSize);
+        return Err(MessageError::InvalidChunkSize);
     }
     if byte == b'\r' {
         return Ok(State::ChunkSizeEnd(size.value));
     }
     let is_extension = size.in_extension || byte == b';';
     if !is_extension || byte == b'\n' || size.extension_bytes >= MAX_EXTENSION_BYTES {
-        return Err(MessageError::ChunkSize);
+        return Err(MessageError::InvalidChunkSize);
     }
     Ok(State::ChunkSize(ChunkSize {
         in_extension: true,
@@ -180,8 +180,8 @@
 fn in_trailer(trailer: Trailer, byte: u8) -> Result<State, MessageError> {
     match byte {
         b'\r' => Ok(State::TrailerEnd(trailer)),
-        b'\n' => Err(MessageError::Trailer),
-        _ if trailer.bytes >= MAX_TRAILER_BYTES => Err(MessageError::Trailer),
+        b'\n' => Err(MessageError::InvalidTrailer),
+        _ if trailer.bytes >= MAX_TRAILER_BYTES => Err(MessageError::InvalidTrailer),
         _ => Ok(State::Trailer(Trailer {
             bytes: trailer.bytes + 1,
             line_bytes: trailer.line_bytes + 1,
--- a/crates/http1/src/body/tests.rs
+++ b/crates/http1/src/body/tests.rs
@@ -11,7 +11,7 @@
         let with_next = format!("{text}GET / HTTP/1.1");
         let (mut body, mut taken) = (Body::new(Framing::Chunked), 0);
         let (mut reading, mut carried) = (body, Vec::new());
-        while !body.done() {
+        while !body.is_complete() {
             let end = (taken + cut).min(with_next.len());
             let some = &with_next.as_bytes()[taken..end];
             taken += body.take(some).expect("fine");
@@ -25,14 +25,14 @@
     }
 }
 
-#[test_case("\r\n", MessageError::ChunkSize; "no size")]
-#[test_case("5\nhello", MessageError::ChunkSize; "a bare line feed")]
-#[test_case("-5\r\n", MessageError::ChunkSize; "a sign")]
-#[test_case("0x5\r\n", MessageError::ChunkSize; "a prefix")]
-#[test_case("1000000000000000\r\n", MessageError::ChunkSize; "a size that overflows")]
-#[test_case("5 \r\nhello", MessageError::ChunkSize; "a space")]
-#[test_case("5\r\nhello!\r\n", MessageError::ChunkEnd; "longer than it says")]
-#[test_case("0\r\nX: y\n\r\n", MessageError::Trailer; "a bare line feed in the trailer")]
+#[test_case("\r\n", MessageError::InvalidChunkSize; "no size")]
+#[test_case("5\nhello", MessageError::InvalidChunkSize; "a bare line feed")]
+#[test_case("-5\r\n", MessageError::InvalidChunkSize; "a sign")]
+#[test_case("0x5\r\n", MessageError::InvalidChunkSize; "a prefix")]
+#[test_case("1000000000000000\r\n", MessageError::InvalidChunkSize; "a size that overflows")]
+#[test_case("5 \r\nhello", MessageError::InvalidChunkSize; "a space")]
+#[test_case("5\r\nhello!\r\n", MessageError::MissingChunkEnd; "longer than it says")]
+#[test_case("0\r\nX: y\n\r\n", MessageError::InvalidTrailer; "a bare line feed in the trailer")]
 fn chunks_that_could_be_read_in_two_ways_are_refused(text: &str, why: MessageError) {
     assert_eq!(Body::new(Framing::Chunked).take(text.as_bytes()), Err(why));
 }
@@ -41,20 +41,24 @@
 fn lengths_and_ends() {
     let mut body = Body::new(Framing::Length(3));
     assert_eq!(
-        (body.take(b"ab"), body.done(), body.ends_with_connection()),
+        (
+            body.take(b"ab"),
+            body.is_complete(),
+            body.ends_with_connection()
+        ),
         (Ok(2), false, false)
     );
-    assert_eq!((body.take(b"cde"), body.done()), (Ok(1), true));
+    assert_eq!((body.take(b"cde"), body.is_complete()), (Ok(1), true));
     let mut body = Body::new(Framing::UntilClose);
     assert_eq!(
         (
             body.take(b"anything"),
-            body.done(),
+            body.is_complete(),
             body.ends_with_connection()
         ),
         (Ok(8), false, true)
     );
-    assert!(Body::new(Framing::None).done());
+    assert!(Body::new(Framing::None).is_complete());
 }
 
 proptest! {
--- a/crates/http1/src/head.rs
+++ b/crates/http1/src/head.rs
@@ -55,7 +55,7 @@
     pub length: usize,
 }
 
-/// The parser's header table; `Limits::headers` cannot exceed it.
+/// The parser's header table; `Limits::max_headers` cannot exceed it.
 const MAX_HEADERS: usize = 100;
 
 /// `Content-Length` with more digits is refused; 18 digits fit a `u64`.
@@ -64,7 +64,7 @@
 /// The length of a complete head; `None` while its empty line has not arrived. Every line must end with CR LF.
 fn head_length(bytes: &[u8], limits: Limits) -> Result<Option<usize>, MessageError> {
     let mut line = 0;
-    for (at, byte) in bytes.iter().enumerate().take(limits.head) {
+    for (at, byte) in bytes.iter().enumerate().take(limits.max_head_bytes) {
         if *byte != b'\n' {
             continue;
         }
@@ -77,8 +77,8 @@
         }
         line = at + 1;
     }
-    if bytes.len() >= limits.head {
-        Err(MessageError::HeadTooLong(limits.head))
+    if bytes.len() >= limits.max_head_bytes {
+        Err(MessageError::HeadTooLong(limits.max_head_bytes))
     } else {
         Ok(None)
     }
@@ -86,7 +86,7 @@
 
 fn syntax_error(error: httparse::Error, limits: Limits) -> MessageError {
     match error {
-        httparse::Error::TooManyHeaders => MessageError::TooManyHeaders(limits.headers),
+        httparse::Error::TooManyHeaders => MessageError::TooManyHeaders(limits.max_headers),
         httparse::Error::HeaderName => MessageError::Syntax("a header's name"),
         httparse::Error::HeaderValue => MessageError::Syntax("a header's value"),
         httparse::Error::Token => MessageError::Syntax("the first line"),
@@ -124,7 +124,7 @@
             found.add(header.name, header.value)?;
         }
         if found.is_chunked && found.content_length.is_some() {
-            return Err(MessageError::LengthAndChunked);
+            return Err(MessageError::ContentLengthAndChunked);
         }
         Ok(found)
     }
@@ -133,12 +133,12 @@
         if name.eq_ignore_ascii_case("content-length") {
             // Equal lengths are refused too: other readers may take the list differently.
             if self.content_length.is_some() {
-                return Err(MessageError::TwoLengths);
+                return Err(MessageError::DuplicateContentLength);
             }
             self.content_length = Some(content_length(value)?);
         } else if name.eq_ignore_ascii_case("transfer-encoding") {
             if self.is_chunked || !value.eq_ignore_ascii_case(b"chunked") {
-                return Err(MessageError::Coding);
+                return Err(MessageError::UnsupportedTransferCoding);
             }
             self.is_chunked = true;
         } else if name.eq_ignore_ascii_case("connection") {
@@ -165,12 +165,12 @@
 fn content_length(value: &[u8]) -> Result<u64, MessageError> {
     if value.is_empty() || value.len() > MAX_LENGTH_DIGITS || !value.iter().all(u8::is_ascii_digit)
     {
-        return Err(MessageError::BadLength);
+        return Err(MessageError::InvalidContentLength);
     }
     std::str::from_utf8(value)
         .ok()
         .and_then(|text| text.parse().ok())
-        .ok_or(MessageError::BadLength)
+        .ok_or(MessageError::InvalidContentLength)
 }
 
 fn header_ranges(head: &[u8], headers: &[httparse::Header]) -> Vec<HeaderRanges> {
@@ -199,13 +199,13 @@
 }
 
 /// Reads a request's head; `None` while it is incomplete.
-pub fn request(bytes: &[u8], limits: Limits) -> Result<Option<Request>, MessageError> {
+pub fn parse_request(bytes: &[u8], limits: Limits) -> Result<Option<Request>, MessageError> {
     let Some(length) = head_length(bytes, limits)? else {
         return Ok(None);
     };
     let head = &bytes[..length];
     let mut table = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    let headers = &mut table[..limits.headers.min(MAX_HEADERS)];
+    let headers = &mut table[..limits.max_headers.min(MAX_HEADERS)];
     let mut parsed = httparse::Request::new(headers);
     check_complete(parsed.parse(head), length, limits)?;
     let (Some(method), Some(target), Some(version)) = (parsed.method, parsed.path, parsed.version)
@@ -214,10 +214,10 @@
     };
     let connection = ConnectionHeaders::read(parsed.headers)?;
     if version == 1 && connection.host_count != 1 || connection.host_count > 1 {
-        return Err(MessageError::Host);
+        return Err(MessageError::InvalidHost);
     }
     if version == 0 && connection.is_chunked {
-        return Err(MessageError::ChunkedInOld);
+        return Err(MessageError::ChunkedInHttp10);
     }
     let framing = match (connection.is_chunked, connection.content_length) {
         (true, _) => Framing::Chunked,
@@ -236,10 +236,10 @@
     }))
 }
 
-/// Reads a response's head; `None` while it is incomplete. `to_head`: the request's method was HEAD.
-pub fn response(
+/// Reads a response's head; `None` while it is incomplete. `is_reply_to_head`: the request's method was HEAD.
+pub fn parse_response(
     bytes: &[u8],
-    to_head: bool,
+    is_reply_to_head: bool,
     limits: Limits,
 ) -> Result<Option<Response>, MessageError> {
     let Some(length) = head_length(bytes, limits)? else {
@@ -247,15 +247,19 @@
     };
     let head = &bytes[..length];
     let mut table = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    let headers = &mut table[..limits.headers.min(MAX_HEADERS)];
+    let headers = &mut table[..limits.max_headers.min(MAX_HEADERS)];
     let mut parsed = httparse::Response::new(headers);
     check_complete(parsed.parse(head), length, limits)?;
     let (Some(status), Some(version)) = (parsed.code, parsed.version) else {
         return Err(MessageError::Syntax("the first line"));
     };
     let connection = ConnectionHeaders::read(parsed.headers)?;
-    let bodiless = to_head || status / 100 == 1 || status == 204 || status == 304;
-    let framing = match (bodiless, connection.is_chunked, connection.content_length) {
+    let has_no_body = is_reply_to_head || status / 100 == 1 || status == 204 || status == 304;
+    let framing = match (
+        has_no_body,
+        connection.is_chunked,
+        connection.content_length,
+    ) {
         (true, ..) => Framing::None,
         (_, true, _) => Framing::Chunked,
         (_, _, Some(0)) => Framing::None,
--- a/crates/http1/src/head/tests.rs
+++ b/crates/http1/src/head/tests.rs
@@ -3,7 +3,7 @@
 use test_case::test_case;
 
 fn read(text: &str) -> Result<Option<Request>, MessageError> {
-    request(text.as_bytes(), Limits::default())
+    parse_request(text.as_bytes(), Limits::default())
 }
 
 #[test]
@@ -26,19 +26,19 @@
 }
 
 #[test_case("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n",
-    MessageError::LengthAndChunked; "both framings")]
+    MessageError::ContentLengthAndChunked; "both framings")]
 #[test_case("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nContent-Length: 5\r\n\r\n",
-    MessageError::TwoLengths; "two lengths, though equal")]
-#[test_case("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 5, 5\r\n\r\n", MessageError::BadLength; "a list of lengths")]
-#[test_case("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: +5\r\n\r\n", MessageError::BadLength; "a signed length")]
-#[test_case("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", MessageError::Coding; "another coding")]
-#[test_case("POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n", MessageError::ChunkedInOld; "chunked in 1.0")]
+    MessageError::DuplicateContentLength; "two lengths, though equal")]
+#[test_case("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 5, 5\r\n\r\n", MessageError::InvalidContentLength; "a list of lengths")]
+#[test_case("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: +5\r\n\r\n", MessageError::InvalidContentLength; "a signed length")]
+#[test_case("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", MessageError::UnsupportedTransferCoding; "another coding")]
+#[test_case("POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n", MessageError::ChunkedInHttp10; "chunked in 1.0")]
 #[test_case("GET / HTTP/1.1\nHost: a\n\n", MessageError::BareLineFeed; "bare line feeds")]
 #[test_case("GET / HTTP/1.1\r\nHost: a\r\nX: 1\n\r\n", MessageError::BareLineFeed; "one bare line feed")]
 #[test_case("GET / HTTP/1.1\r\nHost : a\r\n\r\n", MessageError::Syntax("a header's name"); "a space before the colon")]
 #[test_case("GET / HTTP/1.1\r\nHost: a\r\n folded\r\n\r\n", MessageError::Syntax("a header's name"); "a folded line")]
-#[test_case("GET / HTTP/1.1\r\n\r\n", MessageError::Host; "no host")]
-#[test_case("GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", MessageError::Host; "two hosts")]
+#[test_case("GET / HTTP/1.1\r\n\r\n", MessageError::InvalidHost; "no host")]
+#[test_case("GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", MessageError::InvalidHost; "two hosts")]
 #[test_case("GET / HTTP/2.0\r\nHost: a\r\n\r\n", MessageError::Syntax("the version"); "another version")]
 fn what_could_be_read_in_two_ways_is_refused(text: &str, why: MessageError) {
     assert_eq!(read(text), Err(why));
@@ -47,16 +47,19 @@
 #[test]
 fn a_head_that_never_ends_is_refused_at_its_limit() {
     let limits = Limits {
-        head: 100,
-        headers: 2,
+        max_head_bytes: 100,
+        max_headers: 2,
     };
-    assert_eq!(request(&[b'a'; 99], limits), Ok(None));
+    assert_eq!(parse_request(&[b'a'; 99], limits), Ok(None));
     assert_eq!(
-        request(&[b'a'; 100], limits),
+        parse_request(&[b'a'; 100], limits),
         Err(MessageError::HeadTooLong(100))
     );
     let many = b"GET / HTTP/1.1\r\nHost: a\r\nB: 1\r\nC: 2\r\n\r\n";
-    assert_eq!(request(many, limits), Err(MessageError::TooManyHeaders(2)));
+    assert_eq!(
+        parse_request(many, limits),
+        Err(MessageError::TooManyHeaders(2))
+    );
 }
 
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n", false, Framing::Length(3), true; "a length")]
@@ -65,8 +68,13 @@
 #[test_case("HTTP/1.1 204 No Content\r\n\r\n", false, Framing::None, true; "no content")]
 #[test_case("HTTP/1.0 200 OK\r\nContent-Length: 3\r\n\r\n", false, Framing::Length(3), false; "of 1.0")]
 #[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", false, Framing::Chunked, true; "chunked")]
-fn a_responses_end_is_known(text: &str, to_head: bool, framing: Framing, keep_alive: bool) {
-    let read = response(text.as_bytes(), to_head, Limits::default())
+fn a_responses_end_is_known(
+    text: &str,
+    is_reply_to_head: bool,
+    framing: Framing,
+    keep_alive: bool,
+) {
+    let read = parse_response(text.as_bytes(), is_reply_to_head, Limits::default())
         .expect("fine")
         .expect("whole");
     assert_eq!((read.framing, read.keep_alive), (framing, keep_alive));
@@ -75,8 +83,8 @@
 proptest! {
     #[test]
     fn no_bytes_panic_and_more_bytes_change_no_verdict(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
-        let _ = response(&bytes, false, Limits::default());
-        if let Ok(Some(read)) = request(&bytes, Limits::default()) {
+        let _ = parse_response(&bytes, false, Limits::default());
+        if let Ok(Some(read)) = parse_request(&bytes, Limits::default()) {
             prop_assert!(read.length <= bytes.len());
         }
     }
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -8,22 +8,22 @@
 mod head;
 
 pub use body::Body;
-pub use head::{request, response, Framing, Request, Response};
+pub use head::{parse_request, parse_response, Framing, Request, Response};
 
 /// What a peer's head may cost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// The longest head in bytes.
-    pub head: usize,
+    pub max_head_bytes: usize,
     /// The most header fields.
-    pub headers: usize,
+    pub max_headers: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Limits {
-            head: 16 << 10,
-            headers: 64,
+            max_head_bytes: 16 << 10,
+            max_headers: 64,
         }
     }
 }
@@ -45,29 +45,29 @@
     Syntax(&'static str),
     /// Both `Content-Length` and `Transfer-Encoding`.
     #[error("it has a length and is chunked as well")]
-    LengthAndChunked,
+    ContentLengthAndChunked,
     /// More than one `Content-Length`.
     #[error("it names its length more than once")]
-    TwoLengths,
+    DuplicateContentLength,
     /// `Content-Length` is not a decimal number.
     #[error("its length is no number")]
-    BadLength,
+    InvalidContentLength,
     /// A transfer coding other than `chunked`.
     #[error("a transfer coding other than chunked")]
-    Coding,
+    UnsupportedTransferCoding,
     /// `chunked` in an HTTP/1.0 request.
     #[error("chunked in HTTP/1.0")]
-    ChunkedInOld,
+    ChunkedInHttp10,
     /// `Host` is missing in HTTP/1.1, or there is more than one.
     #[error("a request of HTTP/1.1 names its host once")]
-    Host,
+    InvalidHost,
     /// A chunk-size line is malformed or too long.
     #[error("a chunk's size can't be read")]
-    ChunkSize,
+    InvalidChunkSize,
     /// A chunk's data is not followed by CR LF.
     #[error("a chunk does not end where it says")]
-    ChunkEnd,
+    MissingChunkEnd,
     /// The trailer section is malformed or too long.
     #[error("a trailer that can't be read, or is too long")]
-    Trailer,
+    InvalidTrailer,
 }
--- a/crates/platform/src/clock.rs
+++ b/crates/platform/src/clock.rs
@@ -16,7 +16,7 @@
     /// A clock that starts now.
     pub fn start() -> Clock {
         Clock {
-            started_at: Moment::from_seconds(reactor::wall()),
+            started_at: Moment::from_seconds(reactor::unix_seconds()),
             monotonic_start: reactor::now(),
         }
     }
--- a/crates/platform/src/exchange.rs
+++ b/crates/platform/src/exchange.rs
@@ -2,7 +2,7 @@
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddrV4, TcpStream};
-use wheelspread_http1::{response, Body, Limits, MessageError};
+use wheelspread_http1::{parse_response, Body, Limits, MessageError};
 use wheelspread_reactor as reactor;
 
 /// Limit of the bytes of a response body that were received and not taken out yet.
@@ -122,7 +122,7 @@
             decoder.read(bytes, &mut self.body)?;
         } else {
             self.head.extend_from_slice(bytes);
-            let Some(head) = response(&self.head, false, Limits::default())? else {
+            let Some(head) = parse_response(&self.head, false, Limits::default())? else {
                 return Ok(false);
             };
             let head_bytes = std::mem::take(&mut self.head);
@@ -133,7 +133,7 @@
         if self.body.len() > BODY_BYTES_MAX {
             return Err(ExchangeError::TooLong(BODY_BYTES_MAX));
         }
-        Ok(self.body_decoder.as_ref().is_some_and(Body::done))
+        Ok(self.body_decoder.as_ref().is_some_and(Body::is_complete))
     }
 
     /// Takes the complete lines out of the body, without empty ones. No byte is searched twice, since a long list may
--- a/crates/platform/src/service/listener.rs
+++ b/crates/platform/src/service/listener.rs
@@ -59,7 +59,7 @@
         if self.connections.len() >= self.connection_limit() && !self.evict(now) {
             return self.reject_one(now);
         }
-        let (accepted, error) = reactor::accept_at_most(&self.listener.socket, 1);
+        let (accepted, error) = reactor::accept_up_to(&self.listener.socket, 1);
         if let Some(error) = error {
             warn!(%error, connections = self.connections.len(), "accept failed");
             if !self.evict(now) {
@@ -92,7 +92,7 @@
             self.pause_listener(accepted_at + span(EVICTION_GRACE));
             return false;
         }
-        let (rejected, error) = reactor::accept_at_most(&self.listener.socket, 1);
+        let (rejected, error) = reactor::accept_up_to(&self.listener.socket, 1);
         self.report.counters.unidentified_closed += rejected.len() as u64;
         if rejected.is_empty() && error.is_some() {
             self.pause_listener(now + span(EVICTION_GRACE));
--- a/crates/proxy/src/http/tests.rs
+++ b/crates/proxy/src/http/tests.rs
@@ -13,7 +13,7 @@
 #[test]
 fn a_forwarded_request_has_no_hop_by_hop_headers() {
     let text = b"POST /quote HTTP/1.1\r\nHost: a\r\nConnection: close\r\nExpect: 100-continue\r\nX: y\r\nContent-Length: 2\r\n\r\nhi";
-    let request = wheelspread_http1::request(text, Default::default())
+    let request = wheelspread_http1::parse_request(text, Default::default())
         .expect("fine")
         .expect("whole");
     let out = forward_request(text, &request, b"hi");
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -96,7 +96,7 @@
             report_stream: ReportStream::new(now, &config, tokens.token(Source::ReportStream)),
             next_maintenance: now,
             limits: Limits {
-                head: config.max_head_bytes,
+                max_head_bytes: config.max_head_bytes,
                 ..Limits::default()
             },
             changed_clients: Vec::new(),
--- a/crates/proxy/src/proxy/client_side.rs
+++ b/crates/proxy/src/proxy/client_side.rs
@@ -9,7 +9,7 @@
 use crate::upstream::UpstreamConnection;
 use std::rc::Rc;
 use wheelspread::time::Moment;
-use wheelspread_http1::{request, Body, Framing, MessageError, Request};
+use wheelspread_http1::{parse_request, Body, Framing, MessageError, Request};
 use wheelspread_proxy_core::RequestHandle;
 use wheelspread_reactor::{self as reactor, Interest, Poll};
 
@@ -104,7 +104,7 @@
         if input.is_empty() {
             return false;
         }
-        match request(input, self.limits) {
+        match parse_request(input, self.limits) {
             Ok(None) => false,
             Ok(Some(head)) => self.start_body(now, slot, head),
             Err(MessageError::HeadTooLong(_) | MessageError::TooManyHeaders(_)) => {
@@ -141,7 +141,7 @@
                         "the body is too long",
                     );
                 }
-                if !body.done() {
+                if !body.is_complete() {
                     return false;
                 }
                 let (head, body_length) = (head.clone(), *received);
--- a/crates/proxy/src/proxy/upstream_side.rs
+++ b/crates/proxy/src/proxy/upstream_side.rs
@@ -7,7 +7,7 @@
 use crate::observer::{RequestObserver, RequestOutcome};
 use crate::upstream::UpstreamResponse;
 use wheelspread::time::Moment;
-use wheelspread_http1::{response, Body, Framing, Response};
+use wheelspread_http1::{parse_response, Body, Framing, Response};
 use wheelspread_proxy_core::{Action, AttemptOutcome, Decision, Failure};
 use wheelspread_reactor::Poll;
 use wheelspread_xds::orca;
@@ -39,7 +39,7 @@
         let limit = if unsent >= MAX_UNSENT_RESPONSE_BYTES {
             0
         } else {
-            MAX_BUFFERED_RESPONSE_BYTES + self.limits.head
+            MAX_BUFFERED_RESPONSE_BYTES + self.limits.max_head_bytes
         };
         // A response that came before the connection broke still counts, so it is read after a failed write too.
         let read_failed =
@@ -81,7 +81,7 @@
         let output = self.clients.get_mut(client)?.output();
         output.extend_from_slice(&connection.input[..length]);
         connection.input.drain(..length);
-        if response.body.done() || (ended && response.body.ends_with_connection()) {
+        if response.body.is_complete() || (ended && response.body.ends_with_connection()) {
             self.finish_response(now, slot, client);
             return None;
         }
@@ -102,7 +102,7 @@
         loop {
             let connection = self.upstreams.get_mut(slot)?;
             let pending = self.clients.get(client)?.pending.as_ref()?;
-            let failure = match response(&connection.input, pending.is_head, self.limits) {
+            let failure = match parse_response(&connection.input, pending.is_head, self.limits) {
                 Ok(Some(head)) if is_informational(head.status) => {
                     connection.input.drain(..head.length);
                     continue;
--- a/crates/proxy/src/report_stream.rs
+++ b/crates/proxy/src/report_stream.rs
@@ -145,7 +145,7 @@
         };
         let hello = loads::introduce(&self.introduction).encode_to_vec();
         connection.send(&hello);
-        connection.push(now).map(StreamError::Connection)
+        connection.advance(now).map(StreamError::Connection)
     }
 
     /// A controller says how often it wants reports; the first time it accepts the stream by that.
@@ -201,7 +201,7 @@
         let zone = |_: &NodeReport| self.introduction.zone.clone();
         let request = loads::request(&report, zone).encode_to_vec();
         let is_queued = stream.connection.send(&request);
-        let closed = stream.connection.push(now);
+        let closed = stream.connection.advance(now);
         if !is_queued {
             return Some(StreamError::ReportNotTaken);
         }
--- a/crates/proxy/src/table_files.rs
+++ b/crates/proxy/src/table_files.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, SystemTime};
 use wheelspread_controller_core::publication::Version;
 use wheelspread_files::{read_tables, LoadedTables, ReadError, TableRoot, CURRENT};
-use wheelspread_reactor::{Moved, Poll, Token, Watcher};
+use wheelspread_reactor::{DirEvent, Poll, Token, Watcher};
 use wheelspread_xds::status::{self, Status};
 
 /// File systems date by a clock that may lie behind by a tick.
@@ -102,8 +102,8 @@
 
     /// Handles events of the watch.
     pub fn on_watch_event(&mut self) -> io::Result<TableUpdate> {
-        let events = self.watcher.moved()?;
-        let is_gone = |event: &Moved| matches!(event, Moved::Gone { .. });
+        let events = self.watcher.events()?;
+        let is_gone = |event: &DirEvent| matches!(event, DirEvent::Removed { .. });
         if events.iter().any(is_gone) {
             self.watched = None;
         }
@@ -162,10 +162,10 @@
 }
 
 /// Whether an event of the watch may mean other tables.
-fn may_change_tables(event: &Moved) -> bool {
+fn may_change_tables(event: &DirEvent) -> bool {
     match event {
-        Moved::Into { name, .. } => name == CURRENT,
-        Moved::Overflow | Moved::Gone { .. } => true,
+        DirEvent::Written { name, .. } => name == CURRENT,
+        DirEvent::Overflow | DirEvent::Removed { .. } => true,
     }
 }
 
--- a/crates/proxy/src/tls.rs
+++ b/crates/proxy/src/tls.rs
@@ -6,7 +6,7 @@
 use std::net::TcpStream;
 use std::path::{Path, PathBuf};
 use wheelspread::time::Moment;
-use wheelspread_grpc::tls::{client, KeyFiles};
+use wheelspread_grpc::tls::{client_config, KeyFiles};
 use wheelspread_grpc::{ClientConnection, Limits, ServerName};
 
 /// The proxy's side of TLS.
@@ -77,8 +77,8 @@
     let Some(side) = tls else {
         return Ok(ClientConnection::new(now, socket, path, Limits::default()));
     };
-    let config = client(&side.roots, side.key_files().as_ref()).map_err(io::Error::other)?;
+    let config = client_config(&side.roots, side.key_files().as_ref()).map_err(io::Error::other)?;
     let name = ServerName::try_from(side.name.clone()).map_err(io::Error::other)?;
-    ClientConnection::secured(now, socket, path, Limits::default(), config, name)
+    ClientConnection::with_tls(now, socket, path, Limits::default(), config, name)
         .map_err(io::Error::other)
 }
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -131,8 +131,8 @@
     /// Whether the whole request went out and the whole response came: another attempt may follow on it.
     pub fn is_reusable(&self) -> bool {
         let response = self.response.as_ref();
-        let is_complete =
-            response.is_some_and(|response| response.head.keep_alive && response.body.done());
+        let is_complete = response
+            .is_some_and(|response| response.head.keep_alive && response.body.is_complete());
         is_complete
             && self.sent == self.request.len()
             && self.input.is_empty()
--- a/crates/reactor/src/clock.rs
+++ b/crates/reactor/src/clock.rs
@@ -9,7 +9,7 @@
 }
 
 /// Seconds since 1970, for timestamps that people and other programs read.
-pub fn wall() -> f64 {
+pub fn unix_seconds() -> f64 {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::Realtime);
     time.tv_sec as f64 + time.tv_nsec as f64 / 1e9
 }
--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -9,11 +9,11 @@
 mod wake;
 mod watch;
 
-pub use clock::{now, wall};
+pub use clock::{now, unix_seconds};
 pub use poll::{Interest, Poll, Readiness, Token};
-pub use socket::{accept, accept_at_most, connect, connect_from, listen, reset};
+pub use socket::{accept, accept_up_to, connect, connect_from, listen, reset};
 pub use wake::{Signals, Waker, INTERRUPT, RELOAD, TERMINATE};
-pub use watch::{Moved, Watcher};
+pub use watch::{DirEvent, Watcher};
 
 #[cfg(test)]
 mod tests;
--- a/crates/reactor/src/socket.rs
+++ b/crates/reactor/src/socket.rs
@@ -20,11 +20,11 @@
 
 /// Accepts all waiting connections; also returns the error that ended it early, such as a lack of descriptors.
 pub fn accept(listener: &TcpListener) -> (Vec<TcpStream>, Option<io::Error>) {
-    accept_at_most(listener, usize::MAX)
+    accept_up_to(listener, usize::MAX)
 }
 
 /// As [`accept`], but at most `limit` connections: for a caller that has few descriptors and chooses between peers.
-pub fn accept_at_most(listener: &TcpListener, limit: usize) -> (Vec<TcpStream>, Option<io::Error>) {
+pub fn accept_up_to(listener: &TcpListener, limit: usize) -> (Vec<TcpStream>, Option<io::Error>) {
     let mut accepted = Vec::new();
     while accepted.len() < limit {
         match listener.accept() {
--- a/crates/reactor/src/tests.rs
+++ b/crates/reactor/src/tests.rs
@@ -15,7 +15,7 @@
     poll.wait(Span::from_seconds(10.0), &mut ready)
         .expect("waits");
     assert_eq!(ready.first().map(|ready| ready.token), Some(Token(7)));
-    waker.rest();
+    waker.reset();
     poll.wait(Span::ZERO, &mut ready).expect("waits");
     assert!(ready.is_empty(), "it was seen");
     thread.join().expect("it ends");
--- a/crates/reactor/src/wake.rs
+++ b/crates/reactor/src/wake.rs
@@ -26,7 +26,7 @@
     }
 
     /// Resets the waker once the loop has noticed it.
-    pub fn rest(&self) {
+    pub fn reset(&self) {
         let _ = rustix::io::read(&*self.0, &mut [0u8; 8]);
     }
 }
--- a/crates/reactor/src/watch.rs
+++ b/crates/reactor/src/watch.rs
@@ -11,9 +11,9 @@
 
 /// What happened in a watched directory.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Moved {
+pub enum DirEvent {
     /// A name was moved into the directory, or a file there was written and closed.
-    Into {
+    Written {
         /// The directory, as it was added.
         directory: PathBuf,
         /// The name within it.
@@ -22,7 +22,7 @@
     /// The kernel's queue overflowed and events were lost: the owner has to read everything again.
     Overflow,
     /// The directory itself was removed or renamed.
-    Gone {
+    Removed {
         /// The directory, as it was added.
         directory: PathBuf,
     },
@@ -61,29 +61,29 @@
     }
 
     /// The events since the last call.
-    pub fn moved(&mut self) -> io::Result<Vec<Moved>> {
-        let mut moved = Vec::new();
+    pub fn events(&mut self) -> io::Result<Vec<DirEvent>> {
+        let mut events = Vec::new();
         let mut buffer = [MaybeUninit::<u8>::uninit(); 16384];
         let mut reader = inotify::Reader::new(&self.fd, &mut buffer);
         loop {
             let event = match reader.next() {
                 Ok(event) => event,
-                Err(Errno::AGAIN) => return Ok(moved),
+                Err(Errno::AGAIN) => return Ok(events),
                 Err(Errno::INTR) => continue,
                 Err(error) => return Err(error.into()),
             };
             if event.events().contains(inotify::ReadFlags::QUEUE_OVERFLOW) {
-                moved.push(Moved::Overflow);
+                events.push(DirEvent::Overflow);
                 continue;
             }
             let Some(directory) = self.directories.get(&event.wd()).cloned() else {
                 continue;
             };
-            let gone = inotify::ReadFlags::DELETE_SELF | inotify::ReadFlags::MOVE_SELF;
-            if event.events().intersects(gone) {
-                moved.push(Moved::Gone { directory });
+            let removed = inotify::ReadFlags::DELETE_SELF | inotify::ReadFlags::MOVE_SELF;
+            if event.events().intersects(removed) {
+                events.push(DirEvent::Removed { directory });
             } else if let Some(name) = event.file_name().and_then(|name| name.to_str().ok()) {
-                moved.push(Moved::Into {
+                events.push(DirEvent::Written {
                     directory,
                     name: name.to_string(),
                 });
--- a/crates/reactor/src/watch/tests.rs
+++ b/crates/reactor/src/watch/tests.rs
@@ -17,16 +17,16 @@
     poll.wait(Span::from_seconds(5.0), &mut ready)
         .expect("waits");
     let name = "current".to_string();
-    let wanted = Moved::Into {
+    let wanted = DirEvent::Written {
         directory: directory.path().to_path_buf(),
         name,
     };
-    assert_eq!(watcher.moved().expect("reads"), [wanted]);
+    assert_eq!(watcher.events().expect("reads"), [wanted]);
     std::fs::remove_file(directory.path().join("current")).expect("removed");
     std::fs::remove_dir(directory.path()).expect("removed");
     assert!(watcher
-        .moved()
+        .events()
         .expect("reads")
         .iter()
-        .any(|moved| matches!(moved, Moved::Gone { .. })));
+        .any(|moved| matches!(moved, DirEvent::Removed { .. })));
 }
--- a/crates/resp/src/decoder.rs
+++ b/crates/resp/src/decoder.rs
@@ -9,9 +9,9 @@
 /// The end of a header and of a bulk string.
 pub(crate) const LINE_END: &[u8; 2] = b"\r\n";
 /// Digits of a length, at most.
-const LENGTH_DIGITS_MAX: usize = 9;
+const MAX_LENGTH_DIGITS: usize = 9;
 /// The shortest bulk string on the wire, `$0\r\n\r\n`.
-const BULK_STRING_BYTES_MIN: usize = 6;
+const MIN_BULK_STRING_BYTES: usize = 6;
 
 /// How large a message may be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -77,7 +77,7 @@
     searched: usize,
     state: State,
     /// Strings of the current message that are still to come.
-    missing_strings: usize,
+    remaining_strings: usize,
     strings: Vec<Range<usize>>,
     error: Option<DecodeError>,
 }
@@ -92,7 +92,7 @@
             position: 0,
             searched: 0,
             state: State::ArrayHeader,
-            missing_strings: 0,
+            remaining_strings: 0,
             strings: Vec::new(),
             error: None,
         }
@@ -181,7 +181,7 @@
         loop {
             let has_advanced = match self.state {
                 State::ArrayHeader => self.decode_array_header()?,
-                State::StringHeader if self.missing_strings == 0 => return Ok(true),
+                State::StringHeader if self.remaining_strings == 0 => return Ok(true),
                 State::StringHeader => self.decode_string_header()?,
                 State::String { end } => self.decode_string(end)?,
             };
@@ -201,7 +201,7 @@
                 max: self.limits.strings,
             });
         }
-        self.missing_strings = count;
+        self.remaining_strings = count;
         self.state = State::StringHeader;
         Ok(true)
     }
@@ -211,8 +211,8 @@
             return Ok(false);
         };
         let decoded = self.position - self.message_start;
-        let least_rest = (self.missing_strings - 1) * BULK_STRING_BYTES_MIN;
-        if decoded + length + LINE_END.len() + least_rest > self.limits.message_bytes {
+        let min_rest_bytes = (self.remaining_strings - 1) * MIN_BULK_STRING_BYTES;
+        if decoded + length + LINE_END.len() + min_rest_bytes > self.limits.message_bytes {
             return Err(DecodeError::MessageTooLong {
                 max: self.limits.message_bytes,
             });
@@ -233,7 +233,7 @@
         }
         self.strings.push(self.position..end);
         (self.position, self.searched) = (line_end, line_end);
-        self.missing_strings -= 1;
+        self.remaining_strings -= 1;
         self.state = State::StringHeader;
         Ok(true)
     }
@@ -277,7 +277,7 @@
             return Ok(Some(unsearched + offset));
         }
         self.searched = self.bytes.len();
-        if self.bytes.len() - self.position > LENGTH_DIGITS_MAX + 1 {
+        if self.bytes.len() - self.position > MAX_LENGTH_DIGITS + 1 {
             return Err(DecodeError::InvalidLength);
         }
         Ok(None)
@@ -286,7 +286,7 @@
 
 fn parse_length(digits: &[u8]) -> Result<usize, DecodeError> {
     let is_number = !digits.is_empty()
-        && digits.len() <= LENGTH_DIGITS_MAX
+        && digits.len() <= MAX_LENGTH_DIGITS
         && digits.iter().all(u8::is_ascii_digit);
     if !is_number {
         return Err(DecodeError::InvalidLength);
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -59,8 +59,8 @@
     };
 
     fn contains(&self, number: f64) -> bool {
-        let is_above = number > self.min || (self.min_is_allowed && number == self.min);
-        number.is_finite() && is_above && number <= self.max
+        let is_above_min = number > self.min || (self.min_is_allowed && number == self.min);
+        number.is_finite() && is_above_min && number <= self.max
     }
 }
 
@@ -151,7 +151,7 @@
 });
 
 /// Numbers of zones, kinds, operations and proxies are bounded by what ids hold.
-const FORMS: &[SettingForm] = &[
+const SETTING_FORMS: &[SettingForm] = &[
     required("zones", Form::List { min: 1, max: 250 }),
     required("zones.*", Form::Text),
     required("kinds", Form::List { min: 1, max: 255 }),
@@ -193,11 +193,11 @@
 const UNIQUE_PATHS: &[&str] = &["zones.*", "kinds.*", "classes.*.name"];
 
 /// Characters of a bad value that go into an error.
-const QUOTED_CHARS: usize = 40;
+const MAX_QUOTED_CHARS: usize = 40;
 
 /// Reports the first setting that can't be used.
 pub fn check(settings: &Value) -> Result<(), ConfigError> {
-    for setting in FORMS {
+    for setting in SETTING_FORMS {
         for (field, value) in resolve_path(settings, setting.path) {
             check_form(setting, value).map_err(|problem| ConfigError { field, problem })?;
         }
@@ -214,7 +214,7 @@
         _ if setting.form.accepts(value) => Ok(()),
         _ => Err(Problem::Invalid {
             expected: setting.form.to_string(),
-            found: value.to_string().chars().take(QUOTED_CHARS).collect(),
+            found: value.to_string().chars().take(MAX_QUOTED_CHARS).collect(),
         }),
     }
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,4 +1,4 @@
-//! Settings by their names on the wire and by ours, in one copy for all that read them: the adapter to the
+//! Settings by their names on the wire and by internal, in one copy for all that read them: the adapter to the
 //! simulator, and the controller on a platform, which finds the same settings in its configuration.
 
 mod check;
@@ -66,7 +66,7 @@
 fn insert_length(path: &str, length: usize, settings: &mut Settings) {
     if let Some(name) = LIST_LENGTH_NAMES.iter().find(|name| name.wire == path) {
         let length = SettingValue::Number(length as f64);
-        settings.0.insert(name.ours.to_string(), length);
+        settings.0.insert(name.internal.to_string(), length);
     }
 }
 
@@ -85,7 +85,7 @@
     SETTING_NAMES
         .iter()
         .find(|name| name.wire == path)
-        .map(|name| name.ours.to_string())
+        .map(|name| name.internal.to_string())
 }
 
 fn list_item_name(path: &str) -> Option<String> {
@@ -93,7 +93,7 @@
         let (head, tail) = name.wire.split_once('*')?;
         let position = path.strip_prefix(head)?.strip_suffix(tail)?;
         let is_position = position.parse::<usize>().is_ok();
-        is_position.then(|| name.ours.replace('*', position))
+        is_position.then(|| name.internal.replace('*', position))
     })
 }
 
@@ -102,7 +102,7 @@
     VALUE_NAMES
         .iter()
         .find(|name| setting.contains(name.setting) && name.wire == text)
-        .map_or(text, |name| name.ours)
+        .map_or(text, |name| name.internal)
 }
 
 /// What a platform's messages call things, each in the order of its list in the settings.
--- a/crates/settings/src/wire_names.rs
+++ b/crates/settings/src/wire_names.rs
@@ -1,13 +1,13 @@
-//! The tables of names: on the wire (the simulator's and the platform's) and ours.
+//! The tables of names: on the wire (the simulator's and the platform's) and internal.
 
 /// A setting by its path on the wire and by its name here. In a pattern, `*` stands for a position in a list.
 pub(crate) struct SettingName {
     pub(crate) wire: &'static str,
-    pub(crate) ours: &'static str,
+    pub(crate) internal: &'static str,
 }
 
-const fn named(wire: &'static str, ours: &'static str) -> SettingName {
-    SettingName { wire, ours }
+const fn named(wire: &'static str, internal: &'static str) -> SettingName {
+    SettingName { wire, internal }
 }
 
 /// Settings that stand alone.
@@ -95,14 +95,14 @@
     /// A part of our name of the settings that hold it.
     pub(crate) setting: &'static str,
     pub(crate) wire: &'static str,
-    pub(crate) ours: &'static str,
+    pub(crate) internal: &'static str,
 }
 
-const fn value(setting: &'static str, wire: &'static str, ours: &'static str) -> ValueName {
+const fn value(setting: &'static str, wire: &'static str, internal: &'static str) -> ValueName {
     ValueName {
         setting,
         wire,
-        ours,
+        internal,
     }
 }
 
