--- a/crates/cli/src/measure/file_proxies.rs
+++ b/crates/cli/src/measure/file_proxies.rs
@@ -15,7 +15,7 @@
 use wheelspread_drill::proxy_name;
 use wheelspread_files::{read_tables, CURRENT};
 use wheelspread_grpc::{ClientConnection, ClientEvent, Limits};
-use wheelspread_reactor::{self as reactor, DirEvent, Interest, Poll, Token, Watcher};
+use wheelspread_reactor::{self as reactor, FsEvent, Interest, Poll, Token, Watcher};
 use wheelspread_xds::loads;
 
 /// How long all proxies together may take until they have tables.
@@ -137,7 +137,7 @@
     fn swapped_links(&mut self) -> Vec<usize> {
         let moved = self.watcher.events().unwrap_or_default();
         let swapped = moved.into_iter().filter_map(|moved| match moved {
-            DirEvent::Written { directory, name } if name == CURRENT => {
+            FsEvent::File { directory, name } if name == CURRENT => {
                 self.directories.get(&directory).copied()
             }
             _ => None,
--- a/crates/controller/src/admin/connection.rs
+++ b/crates/controller/src/admin/connection.rs
@@ -8,7 +8,7 @@
 use std::os::fd::{AsFd, BorrowedFd};
 use std::os::unix::net::UnixStream;
 use wheelspread::time::Moment;
-use wheelspread_grpc::tls::is_valid_for_name;
+use wheelspread_grpc::tls::valid_for;
 use wheelspread_grpc::Socket;
 
 /// Size of the buffer for one read from a socket.
@@ -135,11 +135,8 @@
             return false;
         };
         let peer = socket.peer_certificate();
-        peer.get().is_some_and(|certificate| {
-            names
-                .iter()
-                .any(|name| is_valid_for_name(certificate, name))
-        })
+        peer.get()
+            .is_some_and(|certificate| names.iter().any(|name| valid_for(certificate, name)))
     }
 
     /// The name of the listener that accepted the connection, for the audit log.
--- a/crates/controller/src/service/file_watch.rs
+++ b/crates/controller/src/service/file_watch.rs
@@ -10,7 +10,7 @@
 use wheelspread_controller_core::endpoint_list::{EndpointSnapshot, SnapshotReadError};
 use wheelspread_controller_core::Observation;
 use wheelspread_files::read_text;
-use wheelspread_reactor::{self as reactor, DirEvent};
+use wheelspread_reactor::{self as reactor, FsEvent};
 use wheelspread_xds::{nodes, status};
 
 /// The endpoint list's file, as last read.
@@ -82,23 +82,21 @@
 
     fn collect_file_event(
         &mut self,
-        event: DirEvent,
+        event: FsEvent,
         list_directory: &Path,
         changed: &mut ChangedFiles,
     ) {
         match event {
             // A name that begins with a dot is a temporary file that is still being written.
-            DirEvent::Written { name, .. } if name.starts_with('.') => {}
-            DirEvent::Written { directory, name } if directory == self.root.statuses() => {
+            FsEvent::File { name, .. } if name.starts_with('.') => {}
+            FsEvent::File { directory, name } if directory == self.root.statuses() => {
                 let proxy = name.strip_suffix(".json").map(str::to_string);
                 changed.statuses.extend(proxy);
             }
-            DirEvent::Written { directory, .. } => {
-                changed.endpoint_list |= directory == list_directory
-            }
-            DirEvent::Removed { directory } => drop(self.unwatched_directories.insert(directory)),
+            FsEvent::File { directory, .. } => changed.endpoint_list |= directory == list_directory,
+            FsEvent::Removed { directory } => drop(self.unwatched_directories.insert(directory)),
             // Events were lost, so everything is read again.
-            DirEvent::Overflow => {
+            FsEvent::Overflow => {
                 changed.endpoint_list = true;
                 let members = self.core.members().members();
                 changed
--- a/crates/controller/src/streams.rs
+++ b/crates/controller/src/streams.rs
@@ -12,7 +12,7 @@
 use wheelspread_controller_core::membership::StreamId;
 use wheelspread_controller_core::Observation;
 use wheelspread_discovery::Request;
-use wheelspread_grpc::tls::is_valid_for_name;
+use wheelspread_grpc::tls::valid_for;
 use wheelspread_grpc::{Limits, ServerConfig, ServerConnection, ServerEvent, Status, StreamKey};
 use wheelspread_reactor::Token;
 
@@ -123,7 +123,7 @@
         }
         let connection = self.connections.get(&token);
         let certificate = connection.and_then(ServerConnection::peer_certificate);
-        if certificate.is_some_and(|certificate| is_valid_for_name(certificate, name)) {
+        if certificate.is_some_and(|certificate| valid_for(certificate, name)) {
             return Ok(());
         }
         Err(IdentityError {
--- a/crates/drill/src/watch.rs
+++ b/crates/drill/src/watch.rs
@@ -9,7 +9,7 @@
 use std::thread::JoinHandle;
 use wheelspread::time::Span;
 use wheelspread_files::{read_tables, CURRENT};
-use wheelspread_reactor::{self as reactor, DirEvent, Poll, Token, Watcher};
+use wheelspread_reactor::{self as reactor, FsEvent, Poll, Token, Watcher};
 
 pub struct Watch {
     stop: Arc<AtomicBool>,
@@ -37,7 +37,7 @@
                 }
                 let now = reactor::now();
                 for moved in watcher.events().unwrap_or_default() {
-                    let DirEvent::Written { directory, name } = moved else {
+                    let FsEvent::File { directory, name } = moved else {
                         continue;
                     };
                     let Some((controller, proxy)) = directories
--- a/crates/grpc/src/tls.rs
+++ b/crates/grpc/src/tls.rs
@@ -149,7 +149,7 @@
 }
 
 /// Whether a certificate is valid for this name.
-pub fn is_valid_for_name(certificate: &CertificateDer, name: &str) -> bool {
+pub fn valid_for(certificate: &CertificateDer, name: &str) -> bool {
     let Ok(name) = ServerName::try_from(name) else {
         return false;
     };
--- a/crates/proxy/src/table_files.rs
+++ b/crates/proxy/src/table_files.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, SystemTime};
 use wheelspread_controller_core::publication::Version;
 use wheelspread_files::{read_tables, LoadedTables, ReadError, TableRoot, CURRENT};
-use wheelspread_reactor::{DirEvent, Poll, Token, Watcher};
+use wheelspread_reactor::{FsEvent, Poll, Token, Watcher};
 use wheelspread_xds::status::{self, Status};
 
 /// File systems date by a clock that may lie behind by a tick.
@@ -103,7 +103,7 @@
     /// Handles events of the watch.
     pub fn on_watch_event(&mut self) -> io::Result<TableUpdate> {
         let events = self.watcher.events()?;
-        let is_gone = |event: &DirEvent| matches!(event, DirEvent::Removed { .. });
+        let is_gone = |event: &FsEvent| matches!(event, FsEvent::Removed { .. });
         if events.iter().any(is_gone) {
             self.watched = None;
         }
@@ -162,10 +162,10 @@
 }
 
 /// Whether an event of the watch may mean other tables.
-fn may_change_tables(event: &DirEvent) -> bool {
+fn may_change_tables(event: &FsEvent) -> bool {
     match event {
-        DirEvent::Written { name, .. } => name == CURRENT,
-        DirEvent::Overflow | DirEvent::Removed { .. } => true,
+        FsEvent::File { name, .. } => name == CURRENT,
+        FsEvent::Overflow | FsEvent::Removed { .. } => true,
     }
 }
 
--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -13,7 +13,7 @@
 pub use poll::{Interest, Poll, Readiness, Token};
 pub use socket::{accept, accept_up_to, connect, connect_from, listen, reset};
 pub use wake::{Signals, Waker, INTERRUPT, RELOAD, TERMINATE};
-pub use watch::{DirEvent, Watcher};
+pub use watch::{FsEvent, Watcher};
 
 #[cfg(test)]
 mod tests;
--- a/crates/reactor/src/watch.rs
+++ b/crates/reactor/src/watch.rs
@@ -11,9 +11,9 @@
 
 /// What happened in a watched directory.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum DirEvent {
+pub enum FsEvent {
     /// A name was moved into the directory, or a file there was written and closed.
-    Written {
+    File {
         /// The directory, as it was added.
         directory: PathBuf,
         /// The name within it.
@@ -61,7 +61,7 @@
     }
 
     /// The events since the last call.
-    pub fn events(&mut self) -> io::Result<Vec<DirEvent>> {
+    pub fn events(&mut self) -> io::Result<Vec<FsEvent>> {
         let mut events = Vec::new();
         let mut buffer = [MaybeUninit::<u8>::uninit(); 16384];
         let mut reader = inotify::Reader::new(&self.fd, &mut buffer);
@@ -73,7 +73,7 @@
                 Err(error) => return Err(error.into()),
             };
             if event.events().contains(inotify::ReadFlags::QUEUE_OVERFLOW) {
-                events.push(DirEvent::Overflow);
+                events.push(FsEvent::Overflow);
                 continue;
             }
             let Some(directory) = self.directories.get(&event.wd()).cloned() else {
@@ -81,9 +81,9 @@
             };
             let removed = inotify::ReadFlags::DELETE_SELF | inotify::ReadFlags::MOVE_SELF;
             if event.events().intersects(removed) {
-                events.push(DirEvent::Removed { directory });
+                events.push(FsEvent::Removed { directory });
             } else if let Some(name) = event.file_name().and_then(|name| name.to_str().ok()) {
-                events.push(DirEvent::Written {
+                events.push(FsEvent::File {
                     directory,
                     name: name.to_string(),
                 });
--- a/crates/reactor/src/watch/tests.rs
+++ b/crates/reactor/src/watch/tests.rs
@@ -17,7 +17,7 @@
     poll.wait(Span::from_seconds(5.0), &mut ready)
         .expect("waits");
     let name = "current".to_string();
-    let wanted = DirEvent::Written {
+    let wanted = FsEvent::File {
         directory: directory.path().to_path_buf(),
         name,
     };
@@ -28,5 +28,5 @@
         .events()
         .expect("reads")
         .iter()
-        .any(|moved| matches!(moved, DirEvent::Removed { .. })));
+        .any(|moved| matches!(moved, FsEvent::Removed { .. })));
 }
