--- a/crates/grpc/src/client.rs
+++ b/crates/grpc/src/client.rs
@@ -1,4 +1,4 @@
-//! The client side: one connection with one stream, on which both sides may send at any time.
+//! The client side: a connection with one bidirectional stream.
 
 mod keepalive;
 mod stream;
@@ -20,14 +20,14 @@
 use stream::Stream;
 use wheelspread::time::Moment;
 
-/// What happened on a client's connection.
+/// An event on a client connection.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientEvent {
-    /// The stream is open; messages may be sent.
+    /// The HTTP/2 handshake is complete and the request was sent.
     Opened,
-    /// The peer sent a message.
+    /// A message arrived from the peer.
     Message {
-        /// The message without its frame.
+        /// The message without its frame header.
         bytes: Bytes,
     },
 }
@@ -44,14 +44,14 @@
 struct Open {
     connection: Connection<Socket, Bytes>,
     keepalive: KeepAliveState,
-    /// Why the connection ended; what arrived before is still read.
+    /// Why the connection ended. Data that arrived before the end is still read.
     closed: Option<ConnectionError>,
-    /// The connection stays open as long as this exists.
+    /// Kept because h2 closes the connection once the last handle is dropped.
     _requests: SendRequest<Bytes>,
     stream: Stream,
 }
 
-/// A client's connection with its one stream.
+/// A client connection with its single stream.
 pub struct ClientConnection {
     state: State,
     path: String,
@@ -63,12 +63,12 @@
 }
 
 impl ClientConnection {
-    /// Takes a connecting or connected socket, and the path of the stream to open on it.
+    /// Creates a connection on a connecting or connected socket. `path` is the path of the stream to open.
     pub fn new(now: Moment, socket: TcpStream, path: &str, limits: Limits) -> ClientConnection {
         ClientConnection::from_socket(now, Socket::plain(socket), path, limits)
     }
 
-    /// As [`ClientConnection::new`] under TLS, with a peer that has a certificate for `name`.
+    /// As [`ClientConnection::new`] with TLS; the peer must present a certificate for `name`.
     pub fn with_tls(
         now: Moment,
         socket: TcpStream,
@@ -103,14 +103,14 @@
         }
     }
 
-    /// Reads and writes until the socket would block. Returns the events, and why the connection is over if
-    /// it is.
+    /// Reads and writes until the socket would block. Returns the events and, if the connection is closed, the
+    /// reason.
     pub fn turn(&mut self, now: Moment) -> (Vec<ClientEvent>, Option<String>) {
         let close_reason = self.advance(now);
         (std::mem::take(&mut self.events), close_reason)
     }
 
-    /// As [`ClientConnection::turn`], but the events stay for the next turn.
+    /// As [`ClientConnection::turn`], but keeps the events for the next turn.
     pub fn advance(&mut self, now: Moment) -> Option<String> {
         let mut context = Context::from_waker(Waker::noop());
         for _ in 0..MAX_STEPS_PER_TURN {
@@ -134,7 +134,7 @@
         self.failure.as_ref().map(ToString::to_string)
     }
 
-    /// Whether anything moved.
+    /// Polls the handshake or the open connection once. Returns whether there was progress.
     fn step(&mut self, now: Moment, context: &mut Context) -> Result<bool, ConnectionError> {
         match &mut self.state {
             State::Handshaking(handshake) => match handshake.as_mut().poll(context) {
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Queues a message. `false`: the queue is full, because the peer reads too slowly.
+    /// Queues a message. Returns `false` without queueing it if the message would exceed `max_queued_bytes`.
     pub fn send(&mut self, message: &[u8]) -> bool {
         if self.queue.bytes() + message.len() > self.limits.max_queued_bytes {
             return false;
@@ -163,14 +163,14 @@
         true
     }
 
-    /// Queues bytes as they are, for tests of malformed frames.
+    /// Queues bytes without a frame header, for tests of malformed frames.
     pub fn send_raw(&mut self, bytes: &[u8]) {
         self.queue.push(Bytes::copy_from_slice(bytes));
     }
 }
 
 impl Open {
-    /// Opens the stream.
+    /// Sends the request that opens the stream.
     fn new(
         now: Moment,
         mut requests: SendRequest<Bytes>,
@@ -196,7 +196,7 @@
         })
     }
 
-    /// Whether anything moved.
+    /// Polls the connection, its stream and the keep-alive once. Returns whether there was progress.
     fn step(
         &mut self,
         now: Moment,
@@ -211,7 +211,7 @@
                 self.closed = Some(reason.unwrap_or(ConnectionError::ClosedByPeer));
             }
         }
-        // What arrived before the end still counts, above all the status that gives the reason.
+        // Data that arrived before the connection ended is still read, in particular the status, which has the reason.
         let has_read = self.stream.read(events, context)?;
         if self.closed.is_some() && has_read {
             return Ok(true);
--- a/crates/grpc/src/client/keepalive.rs
+++ b/crates/grpc/src/client/keepalive.rs
@@ -1,4 +1,5 @@
-//! A client's pings: a peer that hangs keeps its connection, so only an answer shows that it is there.
+//! Keep-alive pings of a client. A server process that hangs keeps its connection open, so only an acknowledged ping
+//! shows that the server still responds.
 
 use crate::error::ConnectionError;
 use crate::KeepAlive;
@@ -9,20 +10,20 @@
 pub(super) struct KeepAliveState {
     pings: Option<PingPong>,
     ping_sent_at: Option<Moment>,
-    last_answer_at: Moment,
+    last_pong_at: Moment,
 }
 
 impl KeepAliveState {
-    /// `pings`: the connection's pings, which exist once.
+    /// `pings`: the ping handle of the connection, which h2 hands out only once.
     pub fn new(now: Moment, pings: Option<PingPong>) -> KeepAliveState {
         KeepAliveState {
             pings,
             ping_sent_at: None,
-            last_answer_at: now,
+            last_pong_at: now,
         }
     }
 
-    /// Whether anything moved.
+    /// Sends a ping or reads its acknowledgement. Returns whether there was progress.
     pub fn step(
         &mut self,
         now: Moment,
@@ -36,7 +37,7 @@
             return match pings.poll_pong(context) {
                 Poll::Ready(Ok(_)) => {
                     self.ping_sent_at = None;
-                    self.last_answer_at = now;
+                    self.last_pong_at = now;
                     Ok(true)
                 }
                 Poll::Ready(Err(error)) => Err(error.into()),
@@ -47,7 +48,7 @@
                 Poll::Pending => Ok(false),
             };
         }
-        if now - self.last_answer_at < limits.interval {
+        if now - self.last_pong_at < limits.interval {
             return Ok(false);
         }
         pings.send_ping(Ping::opaque())?;
--- a/crates/grpc/src/client/stream.rs
+++ b/crates/grpc/src/client/stream.rs
@@ -14,15 +14,15 @@
 
 pub(super) struct Stream {
     send: SendStream<Bytes>,
-    /// Until the response's head arrives.
+    /// Set until the response head arrives.
     response: Option<ResponseFuture>,
-    /// From then on.
+    /// The response body; set once the response head has arrived.
     receive: Option<RecvStream>,
     deframer: Deframer,
 }
 
 impl Stream {
-    /// A stream whose response has not arrived.
+    /// Creates a stream whose response head has not arrived yet.
     pub fn new(
         send: SendStream<Bytes>,
         response: ResponseFuture,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Whether anything was read.
+    /// Reads the response head or data. Returns whether anything was read.
     pub fn read(
         &mut self,
         events: &mut Vec<ClientEvent>,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Whether anything was written.
+    /// Sends queued frames as flow control allows. Returns whether anything was sent.
     pub fn write(
         &mut self,
         queue: &mut SendQueue,
--- a/crates/grpc/src/error.rs
+++ b/crates/grpc/src/error.rs
@@ -1,14 +1,14 @@
-//! Why a connection or its stream is over.
+//! Reasons for which a connection or its stream was closed.
 
 use crate::frame::FrameError;
 use wheelspread::time::Span;
 
-/// Why a connection is over. Owners get its text, which they log.
+/// Why a connection was closed. The owner of the connection gets and logs the text.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ConnectionError {
-    #[error("no handshake in time")]
+    #[error("handshake timed out")]
     HandshakeTimeout,
-    #[error("handshake: {0}")]
+    #[error("handshake failed: {0}")]
     Handshake(h2::Error),
     #[error(transparent)]
     Http2(#[from] h2::Error),
@@ -16,18 +16,18 @@
     Request(#[from] http::Error),
     #[error(transparent)]
     Frame(#[from] FrameError),
-    #[error("the peer closed the connection")]
+    #[error("connection closed by peer")]
     ClosedByPeer,
-    #[error("no answer to a ping for {} s", .timeout.seconds())]
+    #[error("server did not acknowledge a ping within {} s", .timeout.seconds())]
     ServerPingTimeout { timeout: Span },
-    #[error("no answer to a ping")]
+    #[error("client did not acknowledge a ping in time")]
     ClientPingTimeout,
-    #[error("answered with {0}")]
+    #[error("unexpected response status {0}")]
     ResponseStatus(http::StatusCode),
     #[error("ended with status {status}: {message}")]
     StreamEnded { status: String, message: String },
-    #[error("ended")]
+    #[error("stream ended without a gRPC status")]
     StreamEndedWithoutStatus,
-    #[error("the stream takes no more")]
+    #[error("stream closed for sending")]
     StreamNotWritable,
 }
--- a/crates/grpc/src/frame.rs
+++ b/crates/grpc/src/frame.rs
@@ -1,25 +1,25 @@
-//! The length-prefixed messages of a stream, in bounded memory.
+//! Length-prefixed gRPC messages: framing, and deframing in bounded memory.
 
 use bytes::{BufMut, Bytes, BytesMut};
 
-/// The longest message in bytes; a load report of the largest fleets is well below it.
+/// Default maximum length of a message. A load report of the largest fleets is well below it.
 pub const MAX_MESSAGE_BYTES: usize = 4 << 20;
 
-/// Why bytes are not a message.
+/// Why bytes are not a valid gRPC frame.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    #[error("a message of {length} bytes, {max} at most are taken")]
+    #[error("message of {length} bytes exceeds the limit of {max} bytes")]
     TooLong { length: usize, max: usize },
-    #[error("a compressed message, compression was not agreed on")]
+    #[error("compressed message, but compression was not negotiated")]
     Compressed,
-    #[error("{0} is no message flag")]
+    #[error("invalid compression flag {0} in a message header")]
     InvalidFlag(u8),
 }
 
-/// The flag byte and the length of a frame.
+/// Length of a frame header: the compression flag byte and the 4-byte message length.
 const HEADER_BYTES: usize = 5;
 
-/// Assembles messages from pieces of a stream.
+/// Reassembles messages from the data of a stream.
 #[derive(Debug)]
 pub struct Deframer {
     buffer: BytesMut,
@@ -27,7 +27,7 @@
 }
 
 impl Deframer {
-    /// For messages of `max_message_bytes` at most.
+    /// Creates a deframer for messages of up to `max_message_bytes`.
     pub fn new(max_message_bytes: usize) -> Deframer {
         Deframer {
             buffer: BytesMut::new(),
@@ -35,22 +35,22 @@
         }
     }
 
-    /// Adds bytes as they arrived.
+    /// Appends received bytes.
     pub fn push(&mut self, piece: &[u8]) {
         self.buffer.extend_from_slice(piece);
     }
 
-    /// Whether a message has begun that is not complete yet.
+    /// Whether a part of an incomplete message is buffered.
     pub fn has_partial_message(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Bytes of the message that is not complete yet.
+    /// Number of buffered bytes of an incomplete message, frame header included.
     pub fn buffered_bytes(&self) -> usize {
         self.buffer.len()
     }
 
-    /// The next complete message. One that is too long is refused as soon as its length is known.
+    /// Returns the next complete message. A message that is too long is rejected as soon as its header is read.
     pub fn take_message(&mut self) -> Result<Option<Bytes>, FrameError> {
         let Some(head) = self.buffer.first_chunk::<HEADER_BYTES>() else {
             return Ok(None);
@@ -75,7 +75,7 @@
     }
 }
 
-/// A message with its header, uncompressed.
+/// Frames a message: uncompressed, with its header.
 pub fn frame(message: &[u8]) -> Bytes {
     let mut out = BytesMut::with_capacity(HEADER_BYTES + message.len());
     out.put_u8(0);
--- a/crates/grpc/src/io.rs
+++ b/crates/grpc/src/io.rs
@@ -1,4 +1,4 @@
-//! A non-blocking socket, plain or under TLS, as the HTTP/2 library reads and writes it.
+//! A non-blocking socket, plain or TLS, with the I/O traits that the HTTP/2 library needs.
 
 use rustls::pki_types::CertificateDer;
 use std::io::{ErrorKind, Read, Write};
@@ -9,17 +9,17 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// The peer's certificate, once the handshake is complete.
+/// The peer's certificate; set once the TLS handshake is complete.
 pub type PeerCertificate = Arc<OnceLock<CertificateDer<'static>>>;
 
-/// A non-blocking TCP socket, with TLS or without.
+/// A non-blocking TCP socket, with or without TLS.
 pub struct Socket {
     tcp: TcpStream,
     tls: Option<Box<rustls::Connection>>,
     peer_certificate: PeerCertificate,
 }
 
-/// `WouldBlock` is pending: the loop polls again when the socket is ready.
+/// Maps `WouldBlock` to `Poll::Pending`: the event loop polls again when the socket is ready.
 fn would_block_is_pending<T>(result: std::io::Result<T>) -> Poll<std::io::Result<T>> {
     match result {
         Err(error) if error.kind() == ErrorKind::WouldBlock => Poll::Pending,
@@ -27,7 +27,7 @@
     }
 }
 
-/// Repeats a call that a signal interrupted.
+/// Repeats a system call that was interrupted by a signal.
 fn retry_interrupted<T>(mut call: impl FnMut() -> std::io::Result<T>) -> std::io::Result<T> {
     loop {
         match call() {
@@ -38,7 +38,7 @@
 }
 
 impl Socket {
-    /// Without TLS.
+    /// Creates a socket without TLS.
     pub fn plain(tcp: TcpStream) -> Socket {
         Socket {
             tcp,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Under TLS, whose handshake takes place with the first reads and writes.
+    /// Creates a socket with TLS. The handshake takes place during the first reads and writes.
     pub fn tls(tcp: TcpStream, tls: impl Into<rustls::Connection>) -> Socket {
         Socket {
             tcp,
@@ -56,12 +56,12 @@
         }
     }
 
-    /// The cell that gets the peer's certificate.
+    /// The cell in which the peer's certificate is stored after the TLS handshake.
     pub fn peer_certificate(&self) -> PeerCertificate {
         self.peer_certificate.clone()
     }
 
-    /// Sends encrypted bytes that wait; an error of kind `WouldBlock` leaves the rest for later.
+    /// Sends buffered encrypted bytes. On an error of kind `WouldBlock` the rest stays buffered.
     pub fn flush(&mut self) -> std::io::Result<()> {
         let Some(tls) = &mut self.tls else {
             return Ok(());
@@ -72,7 +72,7 @@
         Ok(())
     }
 
-    /// Reads decrypted bytes; 0 is the end of the connection.
+    /// Reads and decrypts bytes; 0 means the end of the connection.
     pub fn read(&mut self, into: &mut [u8]) -> std::io::Result<usize> {
         loop {
             let Some(tls) = &mut self.tls else {
@@ -80,7 +80,7 @@
             };
             match tls.reader().read(into) {
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {}
-                // A peer that ends without a close notification has ended too.
+                // A peer that closes the connection without a TLS close_notify alert counts as closed too.
                 Err(error) if error.kind() == ErrorKind::UnexpectedEof => return Ok(0),
                 other => return other,
             }
@@ -90,7 +90,7 @@
                 Err(error) => return Err(self.flush_error().unwrap_or(error)),
             }
             if let Err(error) = tls.process_new_packets() {
-                // The alert tells the peer why, as far as it goes out at once.
+                // The alert gives the peer the reason; it is lost if the socket cannot take it at once.
                 let _ = tls.write_tls(&mut self.tcp);
                 return Err(std::io::Error::new(ErrorKind::InvalidData, error));
             }
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Sends encrypted bytes that wait; an error other than `WouldBlock`.
+    /// Sends buffered encrypted bytes and returns an error other than `WouldBlock`.
     fn flush_error(&mut self) -> Option<std::io::Error> {
         let flushed = self.flush();
         flushed
@@ -119,12 +119,12 @@
         }
     }
 
-    /// Encrypts and sends bytes; how many were taken.
+    /// Encrypts and sends bytes; returns how many of `bytes` were accepted.
     pub fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         let Some(tls) = &mut self.tls else {
             return retry_interrupted(|| self.tcp.write(bytes));
         };
-        // TLS bounds its own buffer; encrypted bytes that do not go out now go with the next call.
+        // The TLS library bounds its buffer; encrypted bytes that cannot be sent now are sent by the next call.
         let taken = tls.writer().write(bytes)?;
         match self.flush() {
             Err(error) if error.kind() == ErrorKind::WouldBlock && taken > 0 => Ok(taken),
--- a/crates/grpc/src/lib.rs
+++ b/crates/grpc/src/lib.rs
@@ -1,9 +1,9 @@
-//! gRPC streams in both directions, for a loop that polls.
+//! Bidirectional gRPC streams for a polling event loop.
 //!
-//! [`ServerConnection`] and [`ClientConnection`] each own a non-blocking socket. The loop calls `turn` when the
-//! socket is ready, or after it queued something, and gets events; nothing wakes by itself. What a peer can make
-//! this side hold is bounded: one message of the longest length a stream, the send queue, and the number of
-//! streams.
+//! [`ServerConnection`] and [`ClientConnection`] each own a non-blocking socket. The event loop calls `turn` when
+//! the socket is ready or after queueing a message, and gets events back; connections never wake the loop. The
+//! memory that a peer can occupy is bounded: per stream by one message of maximum length and the send queue, and
+//! by the maximum number of streams.
 
 mod client;
 mod error;
@@ -24,38 +24,38 @@
 pub use rustls::{ClientConfig, ServerConfig};
 use wheelspread::time::Span;
 
-/// The most header bytes of a request or response.
+/// Maximum size of the header list of a request or response.
 const MAX_HEADER_LIST_BYTES: u32 = 16 << 10;
 
-/// The flow-control window of a stream.
+/// Flow-control window of a stream.
 const STREAM_WINDOW_BYTES: u32 = 256 << 10;
 
-/// A turn ends after so many steps, so that a busy peer cannot hold the loop.
+/// Maximum number of steps per turn, so that a busy peer cannot block the event loop.
 const MAX_STEPS_PER_TURN: usize = 1000;
 
-/// How a side finds out that its peer is gone.
+/// Keep-alive pings, by which one side detects that its peer no longer responds.
 #[derive(Clone, Copy, Debug)]
 pub struct KeepAlive {
-    /// How long nothing arrives before a ping is sent.
+    /// Idle time after which a ping is sent.
     pub interval: Span,
-    /// How long the answer to a ping may take.
+    /// Maximum time until a ping is acknowledged.
     pub timeout: Span,
 }
 
-/// What a connection may cost.
+/// Resource limits and time limits of a connection.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// The longest message in bytes.
+    /// Maximum length of a message in bytes.
     pub max_message_bytes: usize,
-    /// The most streams of a connection at a time.
+    /// Maximum number of concurrent streams of a connection.
     pub max_streams: u32,
-    /// The most bytes that may wait to be sent on one stream.
+    /// Maximum number of bytes queued for sending on one stream.
     pub max_queued_bytes: usize,
-    /// For the handshake, and for the rest of a message that has begun.
+    /// Maximum duration of the handshake, and of receiving the rest of a partly received message.
     pub progress_timeout: Span,
-    /// The pings of a client, which sends one whenever the last answer is older than the interval.
+    /// Keep-alive of a client, which sends a ping once the last acknowledgement is older than the interval.
     pub client_keepalive: KeepAlive,
-    /// The pings of a server, which sends one only after nothing arrived for the interval.
+    /// Keep-alive of a server, which sends a ping only after receiving nothing for the interval.
     pub server_keepalive: KeepAlive,
 }
 
@@ -78,22 +78,22 @@
     }
 }
 
-/// The gRPC status codes that are used here.
+/// The gRPC status codes that this project uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// The stream ended as intended.
+    /// The stream ended without an error.
     Ok,
-    /// The request is malformed, whatever the server's state.
+    /// The request is malformed, regardless of the server's state.
     InvalidArgument,
     /// The peer took too long.
     DeadlineExceeded,
     /// A limit or quota is exceeded.
     ResourceExhausted,
-    /// The peer may not do this.
+    /// The peer lacks the permission for the request.
     PermissionDenied,
-    /// The method is not served here.
+    /// The server does not implement the method.
     Unimplemented,
-    /// The service cannot answer now; a retry may succeed.
+    /// The service is currently unavailable; a retry may succeed.
     Unavailable,
 }
 
--- a/crates/grpc/src/send_queue.rs
+++ b/crates/grpc/src/send_queue.rs
@@ -1,4 +1,4 @@
-//! Frames that wait until the peer's flow-control window opens.
+//! Frames queued until the peer's flow-control window has room.
 
 use bytes::Bytes;
 use std::collections::VecDeque;
@@ -10,7 +10,7 @@
 }
 
 impl SendQueue {
-    /// Bytes that wait.
+    /// Number of queued bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
@@ -21,12 +21,12 @@
         self.frames.push_back(frame);
     }
 
-    /// The length of the next frame, or of what is left of it.
+    /// The length of the unsent part of the first frame.
     pub fn next_length(&self) -> Option<usize> {
         self.frames.front().map(Bytes::len)
     }
 
-    /// The next piece, of `capacity` bytes at most.
+    /// Takes up to `capacity` bytes of the first frame.
     pub fn take(&mut self, capacity: usize) -> Option<Bytes> {
         let mut frame = self.frames.pop_front()?;
         let piece = frame.split_to(capacity.min(frame.len()));
--- a/crates/grpc/src/server.rs
+++ b/crates/grpc/src/server.rs
@@ -1,4 +1,4 @@
-//! The server side. Each stream of a connection has a key; its messages come as events.
+//! The server side. Each stream of a connection has a key, and its messages are returned as events.
 
 mod stream;
 
@@ -19,32 +19,32 @@
 use stream::{Stream, StreamEnd};
 use wheelspread::time::{Moment, Span};
 
-/// A stream of one connection. A key is never used again on its connection.
+/// Identifies a stream of a connection. Keys are not reused on their connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StreamKey(pub u32);
 
-/// What happened on a server's connection.
+/// An event on a server connection.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ServerEvent {
     /// The peer opened a stream.
     Opened {
         /// The new stream.
         stream: StreamKey,
-        /// The path of the request: the method that is called.
+        /// The request path, which names the called gRPC method.
         path: String,
     },
-    /// The peer sent a message.
+    /// A message arrived from the peer.
     Message {
-        /// The stream that it came on.
+        /// The stream on which the message arrived.
         stream: StreamKey,
-        /// The message without its frame.
+        /// The message without its frame header.
         bytes: Bytes,
     },
-    /// The stream is over: the peer ended or reset it, violated a limit, or it was closed here.
+    /// The stream was closed: by the peer, because of a violated limit, or by [`ServerConnection::close`].
     Closed {
-        /// The stream that is over.
+        /// The closed stream.
         stream: StreamKey,
-        /// Why it is over.
+        /// Why the stream was closed.
         reason: String,
     },
 }
@@ -55,16 +55,16 @@
     Closed,
 }
 
-/// The window of a connection for all its streams together.
+/// Flow-control window of a connection, shared by all its streams.
 const CONNECTION_WINDOW_BYTES: u32 = 1 << 20;
 
-/// Streams that a peer reset, kept for frames that are still under way.
+/// Maximum number of reset streams that are remembered, to ignore frames for them that are still in transit.
 const MAX_RESET_STREAMS: usize = 20;
 
-/// Limits are compared with `>`, so the loop wakes just after they are over.
+/// Time-outs are compared with `>`, so the event loop wakes this long after they expire.
 const WAKE_MARGIN: Duration = Duration::from_millis(1);
 
-/// A server's connection with its streams.
+/// A server connection with its streams.
 pub struct ServerConnection {
     state: State,
     limits: Limits,
@@ -81,12 +81,12 @@
 }
 
 impl ServerConnection {
-    /// Takes an accepted socket.
+    /// Creates a connection on an accepted socket.
     pub fn new(now: Moment, socket: TcpStream, limits: Limits) -> ServerConnection {
         ServerConnection::from_socket(now, Socket::plain(socket), limits)
     }
 
-    /// As [`ServerConnection::new`] under TLS.
+    /// As [`ServerConnection::new`] with TLS.
     pub fn with_tls(
         now: Moment,
         socket: TcpStream,
@@ -101,7 +101,7 @@
         ))
     }
 
-    /// The peer's certificate, once the handshake is complete.
+    /// The peer's certificate; `None` before the TLS handshake is complete and without a client certificate.
     pub fn peer_certificate(&self) -> Option<&rustls::pki_types::CertificateDer<'static>> {
         self.peer_certificate.get()
     }
@@ -133,11 +133,11 @@
         }
     }
 
-    /// Reads and writes until the socket would block. Returns the events, and why the connection is over if
-    /// it is.
+    /// Reads and writes until the socket would block. Returns the events and, if the connection is closed, the
+    /// reason.
     pub fn turn(&mut self, now: Moment) -> (Vec<ServerEvent>, Option<String>) {
         let mut context = Context::from_waker(Waker::noop());
-        // Progress in one part may let another go on, so all are polled until nothing moves.
+        // Progress in one part may unblock another, so all are polled until none makes progress.
         for _ in 0..MAX_STEPS_PER_TURN {
             let has_progressed = self.poll_connection(&mut context)
                 | self.read_streams(now, &mut context)
@@ -163,7 +163,7 @@
         (std::mem::take(&mut self.events), failure)
     }
 
-    /// Whether anything moved.
+    /// Polls the handshake, or accepts a stream. Returns whether there was progress.
     fn poll_connection(&mut self, context: &mut Context) -> bool {
         match &mut self.state {
             State::Handshaking(handshake) => match Pin::new(handshake).poll(context) {
@@ -185,7 +185,8 @@
         true
     }
 
-    /// Table streams may be idle for hours; only an answer to a ping shows that the peer is still there.
+    /// Closes the connection of a peer that does not acknowledge a ping. Table streams may be idle for hours, so only
+    /// an acknowledged ping shows that the peer still responds.
     fn check_keepalive(&mut self, now: Moment, context: &mut Context) {
         let Some(pings) = &mut self.pings else { return };
         let limits = self.limits.server_keepalive;
@@ -205,7 +206,7 @@
                 && pings.send_ping(Ping::opaque()).is_ok() =>
             {
                 self.ping_sent_at = Some(now);
-                // Polled again so that the ping goes out with this turn and not the next.
+                // Polled again so that the ping is sent in this turn and not in the next.
                 self.poll_connection(context);
             }
             None => {}
@@ -234,7 +235,7 @@
         self.events.push(ServerEvent::Opened { stream: key, path });
     }
 
-    /// Whether anything moved.
+    /// Reads all streams and closes those that ended or stalled. Returns whether there was progress.
     fn read_streams(&mut self, now: Moment, context: &mut Context) -> bool {
         let mut has_progressed = false;
         let mut ends: Vec<(StreamKey, StreamEnd)> = Vec::new();
@@ -257,7 +258,7 @@
         has_progressed
     }
 
-    /// Whether anything moved.
+    /// Sends queued frames of all streams. Returns whether there was progress.
     fn write_streams(&mut self, context: &mut Context) -> bool {
         let mut has_progressed = false;
         for stream in self.streams.values_mut() {
@@ -266,7 +267,8 @@
         has_progressed
     }
 
-    /// Queues a message. `false`: the queue is full because the peer reads too slowly, or the stream is gone.
+    /// Queues a message. Returns `false` without queueing it if the message would exceed `max_queued_bytes` or the
+    /// stream is closed.
     pub fn send(&mut self, stream: StreamKey, message: &[u8]) -> bool {
         let limit = self.limits.max_queued_bytes;
         self.streams
@@ -274,12 +276,12 @@
             .is_some_and(|stream| stream.send(message, limit))
     }
 
-    /// Bytes that wait to be sent on a stream.
+    /// Number of bytes queued for sending on a stream; 0 if the stream is closed.
     pub fn queued_bytes(&self, stream: StreamKey) -> usize {
         self.streams.get(&stream).map_or(0, Stream::queued_bytes)
     }
 
-    /// Ends a stream with a status and a reason for the peer. `false`: the stream is gone already.
+    /// Closes a stream with a status and a reason for the peer. Returns `false` if the stream was closed already.
     pub fn close(&mut self, key: StreamKey, status: Status, reason: &str) -> bool {
         let Some(stream) = self.streams.remove(&key) else {
             return false;
@@ -292,7 +294,7 @@
         true
     }
 
-    /// Accepts no more streams; open streams may end by themselves.
+    /// Starts a graceful shutdown: new streams are not accepted, open streams stay open.
     pub fn stop(&mut self) {
         if let (State::Open(connection), false) = (&mut self.state, self.is_stopping) {
             connection.graceful_shutdown();
@@ -300,7 +302,7 @@
         }
     }
 
-    /// When `turn` should be called even though the socket is not ready.
+    /// When `turn` is to be called even if the socket is not ready: the next time-out or ping.
     pub fn wake_at(&self) -> Option<Moment> {
         let margin = Span::from_seconds(WAKE_MARGIN.as_secs_f64());
         let is_handshaking = matches!(self.state, State::Handshaking(_));
--- a/crates/grpc/src/server/stream.rs
+++ b/crates/grpc/src/server/stream.rs
@@ -1,4 +1,4 @@
-//! One stream of a server's connection.
+//! One stream of a server connection.
 
 use crate::frame::{frame, Deframer};
 use crate::send_queue::SendQueue;
@@ -9,27 +9,27 @@
 use std::task::{Context, Poll};
 use wheelspread::time::{Moment, Span};
 
-/// The longest reason sent to a peer, in characters.
+/// Maximum length of a reason sent to a peer; the rest is cut off.
 const MAX_REASON_CHARS: usize = 200;
 
 pub(super) struct Stream {
     receive: RecvStream,
     send: SendStream<Bytes>,
     deframer: Deframer,
-    /// Since when a message has begun that is not complete.
+    /// When the first bytes of the incomplete message arrived.
     partial_since: Option<Moment>,
     queue: SendQueue,
-    /// The peer has ended its side.
+    /// The peer has ended its direction of the stream.
     has_ended: bool,
 }
 
-/// How a stream is to be closed.
+/// The status and reason with which a stream is to be closed.
 pub(super) struct StreamEnd {
     pub status: Status,
     pub reason: String,
 }
 
-/// What reading from a stream brought.
+/// The result of reading from a stream.
 #[derive(Default)]
 pub(super) struct ReadResult {
     /// Data arrived.
@@ -40,7 +40,7 @@
 }
 
 impl Stream {
-    /// A stream that was just accepted.
+    /// Creates a newly accepted stream.
     pub fn new(receive: RecvStream, send: SendStream<Bytes>, max_message_bytes: usize) -> Stream {
         Stream {
             receive,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Reads all that has arrived.
+    /// Reads all data that has arrived.
     pub fn read(
         &mut self,
         now: Moment,
@@ -91,7 +91,8 @@
         on_message: &mut impl FnMut(Bytes),
     ) -> Option<StreamEnd> {
         self.deframer.push(piece);
-        // The window opens by what was taken in, so no more than one message waits here.
+        // The flow-control window reopens as data is read; complete messages are handed on below, so at most one
+        // incomplete message stays buffered.
         let _ = self.receive.flow_control().release_capacity(piece.len());
         let error = loop {
             match self.deframer.take_message() {
@@ -110,9 +111,9 @@
 
     fn end_by_peer(&self) -> StreamEnd {
         let reason = if self.deframer.has_partial_message() {
-            "the peer ended it within a message"
+            "stream ended by peer within a message"
         } else {
-            "the peer ended it"
+            "stream ended by peer"
         };
         StreamEnd {
             status: Status::Ok,
@@ -120,24 +121,24 @@
         }
     }
 
-    /// The end of a stream whose peer began a message and did not complete it in time.
+    /// The end with `DEADLINE_EXCEEDED` if a message has been incomplete for more than `timeout`.
     pub fn end_if_stalled(&self, now: Moment, timeout: Span) -> Option<StreamEnd> {
         let since = self.partial_since?;
         (now - since > timeout).then(|| StreamEnd {
             status: Status::DeadlineExceeded,
             reason: format!(
-                "the rest of a message did not come, {} bytes had",
+                "message timed out while incomplete, {} bytes received",
                 self.deframer.buffered_bytes()
             ),
         })
     }
 
-    /// Since when a message has begun that is not complete.
+    /// When the first bytes of the incomplete message arrived.
     pub fn partial_since(&self) -> Option<Moment> {
         self.partial_since
     }
 
-    /// Queues a message if the queue stays within `limit` bytes.
+    /// Queues a message if the queue would not exceed `limit` bytes; returns whether it was queued.
     pub fn send(&mut self, message: &[u8], limit: usize) -> bool {
         if self.queue.bytes() + message.len() > limit {
             return false;
@@ -146,18 +147,18 @@
         true
     }
 
-    /// Bytes that wait to be sent.
+    /// Number of bytes queued for sending.
     pub fn queued_bytes(&self) -> usize {
         self.queue.bytes()
     }
 
-    /// Whether anything was written.
+    /// Sends queued frames as flow control allows. Returns whether anything was sent.
     pub fn write(&mut self, context: &mut Context) -> bool {
         let mut has_written = false;
         while let Some(length) = self.queue.next_length() {
             self.send.reserve_capacity(length);
             if self.send.capacity() == 0 {
-                // Polled so that more capacity is reported; what is queued goes out with the next turn.
+                // Polled to request capacity; without capacity the queued frames are sent in a later turn.
                 let _ = self.send.poll_capacity(context);
                 if self.send.capacity() == 0 {
                     break;
@@ -175,11 +176,11 @@
         has_written
     }
 
-    /// Sends the status. Dropping the stream then resets what the peer still sends.
+    /// Ends the stream with a status and a reason. Dropping the stream then resets the peer's direction.
     pub fn finish(mut self, status: Status, reason: &str) {
         let mut trailers = HeaderMap::new();
         trailers.insert("grpc-status", HeaderValue::from(status.code()));
-        // Printable ASCII without the escape character needs no percent-encoding.
+        // `grpc-message` is percent-encoded; printable ASCII without `%` needs no encoding, and all else is dropped.
         let printable: String = reason
             .chars()
             .filter(|c| (' '..='~').contains(c) && *c != '%')
--- a/crates/grpc/src/tls.rs
+++ b/crates/grpc/src/tls.rs
@@ -1,6 +1,7 @@
-//! TLS keys, certificates and roots from files, for both sides.
+//! TLS configurations of servers and clients from files with private keys, certificates and trusted roots.
 //!
-//! All files are read and checked together, so that a certificate that was swapped in before its key is not used.
+//! All files are read and checked together, so that a certificate that was replaced before its key is not
+//! used.
 
 use rustls::pki_types::pem::PemObject;
 use rustls::pki_types::{CertificateDer, PrivateKeyDer, ServerName};
@@ -9,7 +10,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// The files with one side's keys.
+/// The files with the certificate chain and private key of one side.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyFiles {
     /// The certificate chain, PEM.
@@ -18,10 +19,10 @@
     pub key: PathBuf,
 }
 
-/// Why keys cannot be used.
+/// Why a TLS configuration cannot be built.
 #[derive(Debug, thiserror::Error)]
 pub enum KeyError {
-    /// A file cannot be read, or lacks what it should hold.
+    /// A file cannot be read or does not have the expected content.
     #[error("{path}: {text}", path = .path.display())]
     File {
         /// The file.
@@ -29,11 +30,11 @@
         /// What is wrong with it.
         text: String,
     },
-    /// The certificate and the key do not belong together, or are of no supported kind.
-    #[error("the certificate and its key: {0}")]
+    /// The certificate and the private key do not match or are of an unsupported type.
+    #[error("certificate and private key cannot be used: {0}")]
     Pair(rustls::Error),
-    /// The roots cannot be used.
-    #[error("the roots: {0}")]
+    /// The root certificates cannot be used.
+    #[error("root certificates cannot be used: {0}")]
     Roots(String),
 }
 
@@ -76,7 +77,8 @@
     Arc::new(rustls::crypto::ring::default_provider())
 }
 
-/// For a gRPC server. With `clients`, only clients with a certificate under these roots are accepted.
+/// The configuration of a gRPC server. With `client_roots`, only clients with a certificate issued under these roots
+/// are accepted.
 pub fn server_config(
     keys: &KeyFiles,
     client_roots: Option<&Path>,
@@ -105,7 +107,8 @@
     Ok(Arc::new(config))
 }
 
-/// For an HTTP/1.1 server that accepts only clients with a certificate under these roots.
+/// The configuration of an HTTP/1.1 server that accepts only clients with a certificate issued under
+/// `client_roots`.
 pub fn http1_server_config(
     keys: &KeyFiles,
     client_roots: &Path,
@@ -115,7 +118,7 @@
     Ok(Arc::new(config))
 }
 
-/// For an HTTP/1.1 client with a certificate of its own.
+/// The configuration of an HTTP/1.1 client with a client certificate.
 pub fn http1_client_config(
     server_roots: &Path,
     keys: &KeyFiles,
@@ -125,7 +128,7 @@
     Ok(Arc::new(config))
 }
 
-/// For a gRPC client: the roots it trusts, and its own certificate if it has one.
+/// The configuration of a gRPC client: the trusted `server_roots`, and the client certificate if there is one.
 pub fn client_config(
     server_roots: &Path,
     keys: Option<&KeyFiles>,
@@ -148,7 +151,7 @@
     Ok(Arc::new(config))
 }
 
-/// Whether a certificate is valid for this name.
+/// Whether a certificate is valid for a DNS name or IP address.
 pub fn valid_for(certificate: &CertificateDer, name: &str) -> bool {
     let Ok(name) = ServerName::try_from(name) else {
         return false;
--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -1,27 +1,28 @@
-//! Finds where a body ends.
+//! Tracking of a message body up to its end.
 
 use crate::{Framing, MessageError};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// So many bytes of a body with a stated length are outstanding.
+    /// This many bytes of a body with a `Content-Length` are outstanding.
     Length(u64),
     UntilClose,
     ChunkSize(ChunkSize),
-    /// CR after a chunk's size was read; LF follows.
+    /// CR after a chunk's size was read; LF must follow. Holds the size.
     ChunkSizeEnd(u64),
-    /// So many bytes of a chunk's data are outstanding.
+    /// This many bytes of a chunk's data are outstanding.
     ChunkData(u64),
-    /// CR LF follow a chunk's data.
+    /// A chunk's data was read; CR LF must follow.
     ChunkDataEnd,
+    /// CR after a chunk's data was read; LF must follow.
     ChunkDataEndLine,
     Trailer(Trailer),
-    /// CR in the trailer was read; LF follows.
+    /// CR in the trailer section was read; LF must follow.
     TrailerEnd(Trailer),
     Done,
 }
 
-/// A chunk's size line, as far as it was read.
+/// The part of a chunk's size line read so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct ChunkSize {
     digits: u8,
@@ -31,18 +32,19 @@
     extension_bytes: u16,
 }
 
-/// The trailer section, as far as it was read.
+/// The number of bytes of the trailer section and of its current line read so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Trailer {
     bytes: u16,
     line_bytes: u16,
 }
 
-/// Chunk extensions and trailers are forwarded, but not at any length.
+/// Maximum length of the extensions of a chunk. Extensions and trailers are forwarded, but bounded.
 const MAX_EXTENSION_BYTES: u16 = 4096;
+/// Maximum length of the trailer section without line ends.
 const MAX_TRAILER_BYTES: u16 = 4096;
 
-/// More hexadecimal digits could overflow a chunk's size.
+/// Maximum number of hexadecimal digits of a chunk's size, so that the size cannot overflow.
 const MAX_SIZE_DIGITS: u8 = 15;
 
 const CHUNK_START: State = State::ChunkSize(ChunkSize {
@@ -52,12 +54,12 @@
     extension_bytes: 0,
 });
 
-/// Follows a body through the bytes that carry it.
+/// Tracks the position in a body as its bytes arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Body(State);
 
 impl Body {
-    /// A body of which nothing was read yet.
+    /// Creates the state at the start of a body.
     pub fn new(framing: Framing) -> Body {
         Body(match framing {
             Framing::None => State::Done,
@@ -67,7 +69,7 @@
         })
     }
 
-    /// Whether the whole body was read.
+    /// Whether the body was read to its end.
     pub fn is_complete(&self) -> bool {
         self.0 == State::Done
     }
@@ -77,12 +79,12 @@
         matches!(self.0, State::UntilClose | State::Done)
     }
 
-    /// How many of these bytes belong to the body.
+    /// Advances by `bytes` and returns how many of them belong to the body, chunk framing included.
     pub fn take(&mut self, bytes: &[u8]) -> Result<usize, MessageError> {
         self.advance(bytes, |_| {})
     }
 
-    /// As [`Body::take`]; appends the data, without chunk framing, to `content`.
+    /// As [`Body::take`], and appends the data without chunk framing to `content`.
     pub fn read(&mut self, bytes: &[u8], content: &mut Vec<u8>) -> Result<usize, MessageError> {
         self.advance(bytes, |data| content.extend_from_slice(data))
     }
@@ -119,16 +121,16 @@
     }
 }
 
-/// What is still outstanding after these bytes, and how many of them were taken.
+/// Returns how many bytes are still outstanding after `bytes`, and how many of `bytes` were consumed.
 fn consume(outstanding: u64, bytes: &[u8]) -> (u64, usize) {
     let taken = outstanding.min(bytes.len() as u64);
     (outstanding - taken, taken as usize)
 }
 
-/// One byte of the framing around chunks.
+/// Returns the state after one byte of the chunk framing.
 fn next_state(state: State, byte: u8) -> Result<State, MessageError> {
     match (state, byte) {
-        (State::ChunkSize(size), _) => in_chunk_size(size, byte),
+        (State::ChunkSize(size), _) => advance_chunk_size(size, byte),
         (State::ChunkSizeEnd(0), b'\n') => Ok(State::Trailer(Trailer {
             bytes: 0,
             line_bytes: 0,
@@ -137,7 +139,7 @@
         (State::ChunkDataEnd, b'\r') => Ok(State::ChunkDataEndLine),
         (State::ChunkDataEndLine, b'\n') => Ok(CHUNK_START),
         (State::ChunkDataEnd | State::ChunkDataEndLine, _) => Err(MessageError::MissingChunkEnd),
-        (State::Trailer(trailer), _) => in_trailer(trailer, byte),
+        (State::Trailer(trailer), _) => advance_trailer(trailer, byte),
         (State::TrailerEnd(Trailer { line_bytes: 0, .. }), b'\n') => Ok(State::Done),
         (State::TrailerEnd(Trailer { bytes, .. }), b'\n') => Ok(State::Trailer(Trailer {
             bytes,
@@ -148,7 +150,7 @@
     }
 }
 
-fn in_chunk_size(size: ChunkSize, byte: u8) -> Result<State, MessageError> {
+fn advance_chunk_size(size: ChunkSize, byte: u8) -> Result<State, MessageError> {
     if !size.in_extension && byte.is_ascii_hexdigit() {
         if size.digits >= MAX_SIZE_DIGITS {
             return Err(MessageError::InvalidChunkSize);
@@ -177,7 +179,7 @@
     }))
 }
 
-fn in_trailer(trailer: Trailer, byte: u8) -> Result<State, MessageError> {
+fn advance_trailer(trailer: Trailer, byte: u8) -> Result<State, MessageError> {
     match byte {
         b'\r' => Ok(State::TrailerEnd(trailer)),
         b'\n' => Err(MessageError::InvalidTrailer),
--- a/crates/http1/src/body/tests.rs
+++ b/crates/http1/src/body/tests.rs
@@ -5,22 +5,22 @@
 #[test_case("5\r\nhello\r\n0\r\n\r\n", 5; "one chunk")]
 #[test_case("5;name=value\r\nhello\r\n00\r\nX: y\r\nZ: 1\r\n\r\n", 5; "extensions and trailers")]
 #[test_case("A\r\n0123456789\r\n1\r\nx\r\n0\r\n\r\n", 11; "hexadecimal")]
-#[test_case("0\r\n\r\n", 0; "nothing")]
-fn chunks_are_followed_to_their_end(text: &str, carries: u64) {
-    for cut in 1..=text.len() {
+#[test_case("0\r\n\r\n", 0; "empty body")]
+fn chunked_bodies_are_tracked_to_their_end_for_any_read_size(text: &str, content_bytes: u64) {
+    for read_bytes in 1..=text.len() {
         let with_next = format!("{text}GET / HTTP/1.1");
         let (mut body, mut taken) = (Body::new(Framing::Chunked), 0);
-        let (mut reading, mut carried) = (body, Vec::new());
+        let (mut reader, mut content) = (body, Vec::new());
         while !body.is_complete() {
-            let end = (taken + cut).min(with_next.len());
-            let some = &with_next.as_bytes()[taken..end];
-            taken += body.take(some).expect("fine");
-            reading.read(some, &mut carried).expect("fine");
+            let end = (taken + read_bytes).min(with_next.len());
+            let piece = &with_next.as_bytes()[taken..end];
+            taken += body.take(piece).expect("valid");
+            reader.read(piece, &mut content).expect("valid");
         }
         assert_eq!(
-            (taken, carried.len() as u64),
-            (text.len(), carries),
-            "cut by {cut}"
+            (taken, content.len() as u64),
+            (text.len(), content_bytes),
+            "reads of {read_bytes} bytes"
         );
     }
 }
@@ -31,14 +31,17 @@
 #[test_case("0x5\r\n", MessageError::InvalidChunkSize; "a prefix")]
 #[test_case("1000000000000000\r\n", MessageError::InvalidChunkSize; "a size that overflows")]
 #[test_case("5 \r\nhello", MessageError::InvalidChunkSize; "a space")]
-#[test_case("5\r\nhello!\r\n", MessageError::MissingChunkEnd; "longer than it says")]
+#[test_case("5\r\nhello!\r\n", MessageError::MissingChunkEnd; "data longer than the chunk size")]
 #[test_case("0\r\nX: y\n\r\n", MessageError::InvalidTrailer; "a bare line feed in the trailer")]
-fn chunks_that_could_be_read_in_two_ways_are_refused(text: &str, why: MessageError) {
-    assert_eq!(Body::new(Framing::Chunked).take(text.as_bytes()), Err(why));
+fn ambiguous_chunk_framing_is_rejected(text: &str, expected: MessageError) {
+    assert_eq!(
+        Body::new(Framing::Chunked).take(text.as_bytes()),
+        Err(expected)
+    );
 }
 
 #[test]
-fn lengths_and_ends() {
+fn bodies_with_a_length_and_until_close_end_as_framed() {
     let mut body = Body::new(Framing::Length(3));
     assert_eq!(
         (
@@ -63,7 +66,7 @@
 
 proptest! {
     #[test]
-    fn no_bytes_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = Body::new(Framing::Chunked).take(&bytes);
     }
 }
--- a/crates/http1/src/head.rs
+++ b/crates/http1/src/head.rs
@@ -1,69 +1,70 @@
-//! Reads the heads of requests and responses.
+//! Parsing of request and response heads.
 
 use crate::{Limits, MessageError};
 use std::ops::Range;
 
-/// How the end of a message's body is known.
+/// How the end of a message body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
     /// The message has no body.
     None,
     /// The body has this many bytes.
     Length(u64),
-    /// The body is in the chunked transfer coding.
+    /// The body has the chunked transfer coding.
     Chunked,
-    /// The body of a response ends with the connection.
+    /// The body of a response ends when the connection is closed.
     UntilClose,
 }
 
-/// Where a header field's name and value stand in the bytes of a head.
+/// The ranges of a header field's name and value in the bytes of a head.
 pub type HeaderRanges = (Range<usize>, Range<usize>);
 
-/// A request's head. Ranges are within the bytes it was read from.
+/// A request head. Ranges refer to the bytes from which it was parsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
     /// The method.
     pub method: Range<usize>,
-    /// The request target as it was sent.
+    /// The request target, unchanged.
     pub target: Range<usize>,
-    /// All header fields in their order.
+    /// All header fields in the order of the head.
     pub headers: Vec<HeaderRanges>,
-    /// How the body ends.
+    /// How the end of the body is determined.
     pub framing: Framing,
-    /// The connection may be used for another request.
+    /// Whether the connection may be used for another request.
     pub keep_alive: bool,
-    /// The client waits for `100 Continue` before it sends the body.
+    /// Whether the client waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
-    /// The method is HEAD, so the response has no body.
+    /// Whether the method is HEAD, so that the response has no body.
     pub is_head: bool,
     /// The length of the head in bytes.
     pub length: usize,
 }
 
-/// A response's head. Ranges are within the bytes it was read from.
+/// A response head. Ranges refer to the bytes from which it was parsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
     /// The status code.
     pub status: u16,
-    /// All header fields in their order.
+    /// All header fields in the order of the head.
     pub headers: Vec<HeaderRanges>,
-    /// How the body ends.
+    /// How the end of the body is determined.
     pub framing: Framing,
-    /// The connection may be used for another request.
+    /// Whether the connection may be used for another request.
     pub keep_alive: bool,
     /// The length of the head in bytes.
     pub length: usize,
 }
 
-/// The parser's header table; `Limits::max_headers` cannot exceed it.
+/// Capacity of the parser's header table. A larger `Limits::max_headers` is reduced to it.
 const MAX_HEADERS: usize = 100;
 
-/// `Content-Length` with more digits is refused; 18 digits fit a `u64`.
+/// Maximum number of digits of `Content-Length`; 18 digits fit a `u64`.
 const MAX_LENGTH_DIGITS: usize = 18;
 
-/// The length of a complete head; `None` while its empty line has not arrived. Every line must end with CR LF.
+/// Returns the length of a complete head, or `None` until its final empty line has arrived. Every line must end with
+/// CR LF.
 fn head_length(bytes: &[u8], limits: Limits) -> Result<Option<usize>, MessageError> {
-    let mut line = 0;
+    let mut line_start = 0;
     for (at, byte) in bytes.iter().enumerate().take(limits.max_head_bytes) {
         if *byte != b'\n' {
             continue;
@@ -71,11 +72,11 @@
         if at == 0 || bytes[at - 1] != b'\r' {
             return Err(MessageError::BareLineFeed);
         }
-        // An empty line ends the head, but not one before the request line.
-        if at - 1 == line && line > 0 {
+        // An empty line ends the head, except before the first line.
+        if at - 1 == line_start && line_start > 0 {
             return Ok(Some(at + 1));
         }
-        line = at + 1;
+        line_start = at + 1;
     }
     if bytes.len() >= limits.max_head_bytes {
         Err(MessageError::HeadTooLong(limits.max_head_bytes))
@@ -87,16 +88,16 @@
 fn syntax_error(error: httparse::Error, limits: Limits) -> MessageError {
     match error {
         httparse::Error::TooManyHeaders => MessageError::TooManyHeaders(limits.max_headers),
-        httparse::Error::HeaderName => MessageError::Syntax("a header's name"),
-        httparse::Error::HeaderValue => MessageError::Syntax("a header's value"),
-        httparse::Error::Token => MessageError::Syntax("the first line"),
-        httparse::Error::Version => MessageError::Syntax("the version"),
-        httparse::Error::Status => MessageError::Syntax("the status"),
-        httparse::Error::NewLine => MessageError::Syntax("a line's end"),
+        httparse::Error::HeaderName => MessageError::Syntax("header field name"),
+        httparse::Error::HeaderValue => MessageError::Syntax("header field value"),
+        httparse::Error::Token => MessageError::Syntax("start line"),
+        httparse::Error::Version => MessageError::Syntax("HTTP version"),
+        httparse::Error::Status => MessageError::Syntax("status code"),
+        httparse::Error::NewLine => MessageError::Syntax("line end"),
     }
 }
 
-/// Where a part lies in the bytes that it is a slice of.
+/// Returns the range of `part` within `whole`, of which it must be a slice; otherwise an empty range.
 fn range_within(whole: &[u8], part: &[u8]) -> Range<usize> {
     let start = (part.as_ptr() as usize).wrapping_sub(whole.as_ptr() as usize);
     if start <= whole.len() && start + part.len() <= whole.len() {
@@ -106,7 +107,7 @@
     }
 }
 
-/// What the header fields say about framing and about the connection.
+/// The values of the header fields that concern the framing and the connection.
 #[derive(Default)]
 struct ConnectionHeaders {
     content_length: Option<u64>,
@@ -131,7 +132,7 @@
 
     fn add(&mut self, name: &str, value: &[u8]) -> Result<(), MessageError> {
         if name.eq_ignore_ascii_case("content-length") {
-            // Equal lengths are refused too: other readers may take the list differently.
+            // Equal lengths are rejected too, because other parsers may handle repeated fields differently.
             if self.content_length.is_some() {
                 return Err(MessageError::DuplicateContentLength);
             }
@@ -155,13 +156,13 @@
         Ok(())
     }
 
-    /// HTTP/1.1 keeps a connection unless told otherwise; HTTP/1.0 closes it unless told otherwise.
+    /// Whether the connection stays open: by default in HTTP/1.1, and only with `keep-alive` in HTTP/1.0.
     fn keep_alive(&self, minor_version: u8) -> bool {
         !self.has_close && (minor_version == 1 || self.has_keep_alive)
     }
 }
 
-/// Digits only, and few enough that the number cannot overflow.
+/// Parses `Content-Length`: only digits, and few enough that the number cannot overflow.
 fn content_length(value: &[u8]) -> Result<u64, MessageError> {
     if value.is_empty() || value.len() > MAX_LENGTH_DIGITS || !value.iter().all(u8::is_ascii_digit)
     {
@@ -185,7 +186,7 @@
         .collect()
 }
 
-/// The parser has to agree with `head_length` on where the head ends.
+/// Checks that the parser found the same end of the head as `head_length`.
 fn check_complete(
     parsed: httparse::Result<usize>,
     length: usize,
@@ -193,12 +194,12 @@
 ) -> Result<(), MessageError> {
     match parsed {
         Ok(httparse::Status::Complete(read)) if read == length => Ok(()),
-        Ok(_) => Err(MessageError::Syntax("a line's end")),
+        Ok(_) => Err(MessageError::Syntax("line end")),
         Err(error) => Err(syntax_error(error, limits)),
     }
 }
 
-/// Reads a request's head; `None` while it is incomplete.
+/// Parses a request head; returns `None` while it is incomplete.
 pub fn parse_request(bytes: &[u8], limits: Limits) -> Result<Option<Request>, MessageError> {
     let Some(length) = head_length(bytes, limits)? else {
         return Ok(None);
@@ -210,7 +211,7 @@
     check_complete(parsed.parse(head), length, limits)?;
     let (Some(method), Some(target), Some(version)) = (parsed.method, parsed.path, parsed.version)
     else {
-        return Err(MessageError::Syntax("the first line"));
+        return Err(MessageError::Syntax("start line"));
     };
     let connection = ConnectionHeaders::read(parsed.headers)?;
     if version == 1 && connection.host_count != 1 || connection.host_count > 1 {
@@ -236,7 +237,8 @@
     }))
 }
 
-/// Reads a response's head; `None` while it is incomplete. `is_reply_to_head`: the request's method was HEAD.
+/// Parses a response head; returns `None` while it is incomplete. `is_reply_to_head`: the method of the request was
+/// HEAD.
 pub fn parse_response(
     bytes: &[u8],
     is_reply_to_head: bool,
@@ -251,7 +253,7 @@
     let mut parsed = httparse::Response::new(headers);
     check_complete(parsed.parse(head), length, limits)?;
     let (Some(status), Some(version)) = (parsed.code, parsed.version) else {
-        return Err(MessageError::Syntax("the first line"));
+        return Err(MessageError::Syntax("start line"));
     };
     let connection = ConnectionHeaders::read(parsed.headers)?;
     let has_no_body = is_reply_to_head || status / 100 == 1 || status == 204 || status == 304;
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -1,8 +1,8 @@
 //! HTTP/1.1 messages as bytes, without sockets.
 //!
-//! Heads are read strictly: what two readers could understand differently is refused and not repaired, because
-//! such differences are how requests are smuggled past a proxy. Bodies are tracked and not buffered: [`Body`]
-//! says how many of the next bytes belong to a message, so they can be forwarded as they are.
+//! Heads are parsed strictly: ambiguous input, which two parsers could interpret differently, is rejected and not
+//! repaired, because such differences allow request smuggling past a proxy. Bodies are tracked and not buffered:
+//! [`Body`] says how many of the next bytes belong to a message, so they can be forwarded unchanged.
 
 mod body;
 mod head;
@@ -10,12 +10,12 @@
 pub use body::Body;
 pub use head::{parse_request, parse_response, Framing, Request, Response};
 
-/// What a peer's head may cost.
+/// Limits of a message head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// The longest head in bytes.
+    /// Maximum length of a head in bytes.
     pub max_head_bytes: usize,
-    /// The most header fields.
+    /// Maximum number of header fields.
     pub max_headers: usize,
 }
 
@@ -28,46 +28,46 @@
     }
 }
 
-/// Why bytes are not a message.
+/// Why bytes are rejected as an HTTP/1.1 message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
-    /// The head is longer than the limit in bytes.
-    #[error("the head is longer than {0} bytes")]
+    /// The head is longer than this limit in bytes.
+    #[error("head exceeds the limit of {0} bytes")]
     HeadTooLong(usize),
-    /// The head has more header fields than the limit.
-    #[error("more than {0} headers")]
+    /// The head has more header fields than this limit.
+    #[error("head exceeds the limit of {0} header fields")]
     TooManyHeaders(usize),
-    /// A line ends with LF alone.
-    #[error("a line ends without a carriage return")]
+    /// A line of the head ends with LF and not with CR LF.
+    #[error("a line of the head ends with LF and not with CR LF")]
     BareLineFeed,
-    /// The named part of the head is not HTTP/1.1.
-    #[error("the head can't be read: {0}")]
+    /// The named part of the head does not follow the syntax of HTTP/1.1.
+    #[error("invalid syntax in the head: {0}")]
     Syntax(&'static str),
-    /// Both `Content-Length` and `Transfer-Encoding`.
-    #[error("it has a length and is chunked as well")]
+    /// The head has both `Content-Length` and `Transfer-Encoding`.
+    #[error("both Content-Length and Transfer-Encoding")]
     ContentLengthAndChunked,
-    /// More than one `Content-Length`.
-    #[error("it names its length more than once")]
+    /// The head has more than one `Content-Length`, whether equal or not.
+    #[error("more than one Content-Length")]
     DuplicateContentLength,
-    /// `Content-Length` is not a decimal number.
-    #[error("its length is no number")]
+    /// `Content-Length` is not a decimal number, or has too many digits.
+    #[error("Content-Length is not a decimal number of at most 18 digits")]
     InvalidContentLength,
-    /// A transfer coding other than `chunked`.
-    #[error("a transfer coding other than chunked")]
+    /// `Transfer-Encoding` is repeated, or other than `chunked`.
+    #[error("Transfer-Encoding is repeated or not chunked")]
     UnsupportedTransferCoding,
-    /// `chunked` in an HTTP/1.0 request.
-    #[error("chunked in HTTP/1.0")]
+    /// A chunked body in an HTTP/1.0 request.
+    #[error("chunked body in an HTTP/1.0 request")]
     ChunkedInHttp10,
-    /// `Host` is missing in HTTP/1.1, or there is more than one.
-    #[error("a request of HTTP/1.1 names its host once")]
+    /// `Host` is missing in an HTTP/1.1 request, or there is more than one.
+    #[error("request without Host, or with more than one")]
     InvalidHost,
     /// A chunk-size line is malformed or too long.
-    #[error("a chunk's size can't be read")]
+    #[error("invalid or too long chunk size line")]
     InvalidChunkSize,
     /// A chunk's data is not followed by CR LF.
-    #[error("a chunk does not end where it says")]
+    #[error("chunk data is not followed by CR LF")]
     MissingChunkEnd,
     /// The trailer section is malformed or too long.
-    #[error("a trailer that can't be read, or is too long")]
+    #[error("invalid or too long trailer section")]
     InvalidTrailer,
 }
--- a/crates/resp/src/decoder.rs
+++ b/crates/resp/src/decoder.rs
@@ -1,89 +1,89 @@
-//! Incremental decoding of messages.
+//! Incremental decoding of messages: arrays of bulk strings.
 
 use std::ops::Range;
 
-/// The first byte of an array.
+/// Type byte of an array.
 pub(crate) const ARRAY_TYPE: u8 = b'*';
-/// The first byte of a bulk string.
+/// Type byte of a bulk string.
 pub(crate) const BULK_STRING_TYPE: u8 = b'$';
-/// The end of a header and of a bulk string.
+/// Terminator of a header and of a bulk string.
 pub(crate) const LINE_END: &[u8; 2] = b"\r\n";
-/// Digits of a length, at most.
+/// Maximum number of digits of a length.
 const MAX_LENGTH_DIGITS: usize = 9;
-/// The shortest bulk string on the wire, `$0\r\n\r\n`.
+/// Encoded length of an empty bulk string, `$0\r\n\r\n`.
 const MIN_BULK_STRING_BYTES: usize = 6;
 
-/// How large a message may be.
+/// Maximum size of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of a whole message, framing included.
+    /// Maximum length of an encoded message in bytes, framing included.
     pub message_bytes: usize,
-    /// Strings in one message.
+    /// Maximum number of strings in a message.
     pub strings: usize,
 }
 
-/// Why bytes are no message. Nothing after them can be told apart any more.
+/// Why bytes cannot be decoded. The start of the next message cannot be found after an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// Another byte where an array should begin.
-    #[error("a message begins with {0:#04x} and not with `*`")]
+    /// A message does not start with the type byte of an array.
+    #[error("message starts with byte {0:#04x}, expected `*`")]
     NotAnArray(u8),
-    /// Another byte where a bulk string should begin.
-    #[error("a string begins with {0:#04x} and not with `$`")]
+    /// A string does not start with the type byte of a bulk string.
+    #[error("string starts with byte {0:#04x}, expected `$`")]
     NotAString(u8),
-    /// A length that is no number, or is too long for one.
-    #[error("a length that is no number")]
+    /// A length is not a decimal number, or has too many digits.
+    #[error("length is not a decimal number of at most 9 digits")]
     InvalidLength,
-    /// An array of more strings than the limits allow.
-    #[error("an array of {count} strings: {max} at most are read")]
+    /// An array declares more strings than the limit.
+    #[error("array of {count} strings exceeds the limit of {max}")]
     TooManyStrings {
-        /// What the array declares.
+        /// The declared number of strings.
         count: usize,
-        /// The limit.
+        /// The maximum number of strings.
         max: usize,
     },
-    /// A message that can't be within the limits.
-    #[error("a message of more than {max} bytes")]
+    /// A message whose declared lengths exceed the limit.
+    #[error("message exceeds the limit of {max} bytes")]
     MessageTooLong {
-        /// The limit.
+        /// The maximum length in bytes.
         max: usize,
     },
-    /// A header or a string without the end of its line.
-    #[error("a line or a string does not end where it says")]
+    /// A header or a string is not terminated by CR LF.
+    #[error("header or string is not terminated by CR LF")]
     MissingLineEnd,
 }
 
-/// What the next byte belongs to.
+/// The element to which the next byte belongs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     ArrayHeader,
     StringHeader,
-    /// A string up to this position, and the end of its line.
+    /// A string that ends before this position, and its terminator.
     String {
         end: usize,
     },
 }
 
-/// Decodes messages out of bytes that are fed in.
+/// Decodes messages from the bytes that are fed in.
 #[derive(Debug)]
 pub struct Decoder {
     limits: Limits,
     bytes: Vec<u8>,
-    /// Where the current message begins.
+    /// Start of the current message in `bytes`.
     message_start: usize,
-    /// How far the current message has been decoded.
+    /// End of the decoded part of the current message in `bytes`.
     position: usize,
-    /// How far the end of a header has been searched for.
+    /// Position up to which the end of a header has been searched for.
     searched: usize,
     state: State,
-    /// Strings of the current message that are still to come.
+    /// Number of strings of the current message that are not decoded yet.
     remaining_strings: usize,
     strings: Vec<Range<usize>>,
     error: Option<DecodeError>,
 }
 
 impl Decoder {
-    /// A decoder at the beginning of a message.
+    /// Creates a decoder that expects the start of a message.
     pub fn new(limits: Limits) -> Decoder {
         Decoder {
             limits,
@@ -103,7 +103,7 @@
         self.limits = limits;
     }
 
-    /// Takes the next bytes of the input.
+    /// Appends the next bytes of the input. After an error they are discarded.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.discard_decoded();
         if self.error.is_none() {
@@ -111,8 +111,8 @@
         }
     }
 
-    /// Drops the messages that were taken out. This happens once for each feeding, so that no byte is moved
-    /// for every message.
+    /// Removes the messages that were returned. It is done once per call of `feed`, so that the remaining bytes are not
+    /// moved once per message.
     fn discard_decoded(&mut self) {
         if self.message_start == self.bytes.len() {
             self.bytes.clear();
@@ -130,17 +130,17 @@
         }
     }
 
-    /// Bytes of a message that is not complete.
+    /// Number of buffered bytes that belong to no returned message.
     pub fn pending_bytes(&self) -> usize {
         self.bytes.len() - self.message_start
     }
 
-    /// Bytes of memory that the buffer takes.
+    /// Capacity of the buffer in bytes.
     pub fn buffer_bytes(&self) -> usize {
         self.bytes.capacity()
     }
 
-    /// Gives back memory that a burst took, where no message is pending.
+    /// Frees the memory of the buffer, which may have grown in a burst, if no message is pending.
     pub fn release_memory(&mut self) {
         if self.message_start == self.bytes.len() && self.state == State::ArrayHeader {
             self.bytes = Vec::new();
@@ -149,7 +149,8 @@
         }
     }
 
-    /// The next complete message; `None` until more bytes come. After an error there are no more messages.
+    /// Returns the next complete message, or `None` if more bytes are needed. After an error, every call returns the same
+    /// error.
     pub fn next_message(&mut self) -> Result<Option<Vec<&[u8]>>, DecodeError> {
         if let Some(error) = self.error {
             return Err(error);
@@ -176,7 +177,7 @@
             .collect()
     }
 
-    /// Decodes as far as the bytes go. Whether a message is complete.
+    /// Decodes the buffered bytes up to the end of a message. Returns whether a message is complete.
     fn advance(&mut self) -> Result<bool, DecodeError> {
         loop {
             let has_advanced = match self.state {
@@ -238,7 +239,7 @@
         Ok(true)
     }
 
-    /// Decodes a type byte and a length, if they are all there.
+    /// Decodes a type byte and a length, or returns `None` if the header is incomplete.
     fn decode_header(
         &mut self,
         type_byte: u8,
@@ -267,7 +268,7 @@
         }
     }
 
-    /// The position of the carriage return that ends the header.
+    /// Returns the position of the CR that ends the header, or `None` if it has not arrived.
     fn find_header_end(&mut self) -> Result<Option<usize>, DecodeError> {
         let unsearched = self.searched.max(self.position + 1);
         let found = self.bytes[unsearched..]
--- a/crates/resp/src/encoder.rs
+++ b/crates/resp/src/encoder.rs
@@ -1,4 +1,4 @@
-//! Encoding of messages.
+//! Encoding of messages: arrays of bulk strings.
 
 use crate::decoder::{ARRAY_TYPE, BULK_STRING_TYPE, LINE_END};
 
--- a/crates/resp/src/lib.rs
+++ b/crates/resp/src/lib.rs
@@ -1,7 +1,7 @@
-//! RESP2 as bytes, as far as arrays of bulk strings go: incremental decoding within limits, and encoding.
+//! The subset of RESP2 that consists of arrays of bulk strings: incremental decoding within limits, and encoding.
 //!
-//! Input may come in any pieces. Each byte is looked at once, and no length that a peer declares is believed
-//! before it is within the limits. There are no sockets here.
+//! Input may arrive in pieces of any size. Each byte is scanned once, and a length that a peer declares is checked
+//! against the limits before it is used. This crate has no sockets.
 
 mod decoder;
 mod encoder;
--- a/crates/resp/src/tests.rs
+++ b/crates/resp/src/tests.rs
@@ -1,4 +1,4 @@
-//! Decoding of valid and invalid messages, cut into pieces of any size.
+//! Decoding of valid and invalid messages in pieces of any size.
 
 use super::*;
 use proptest::prelude::*;
@@ -9,7 +9,7 @@
     strings: 8,
 };
 
-fn all(decoder: &mut Decoder) -> Result<Vec<Vec<Vec<u8>>>, DecodeError> {
+fn decode_all(decoder: &mut Decoder) -> Result<Vec<Vec<Vec<u8>>>, DecodeError> {
     let mut messages = Vec::new();
     while let Some(message) = decoder.next_message()? {
         messages.push(message.into_iter().map(<[u8]>::to_vec).collect());
@@ -18,26 +18,26 @@
 }
 
 #[test_case("GET / HTTP/1.1\r\n", DecodeError::NotAnArray(b'G'); "another protocol")]
-#[test_case("*1\r\n:5\r\n", DecodeError::NotAString(b':'); "a number for a string")]
+#[test_case("*1\r\n:5\r\n", DecodeError::NotAString(b':'); "a number instead of a string")]
 #[test_case("*-1\r\n", DecodeError::InvalidLength; "a nil array")]
 #[test_case("*1\r\n$-1\r\n", DecodeError::InvalidLength; "a nil string")]
-#[test_case("*1\r\n$9999999999", DecodeError::InvalidLength; "a length without end")]
+#[test_case("*1\r\n$9999999999", DecodeError::InvalidLength; "a length with too many digits")]
 #[test_case("*9\r\n", DecodeError::TooManyStrings { count: 9, max: 8 }; "too many strings")]
-#[test_case("*1\r\n$200\r\n", DecodeError::MessageTooLong { max: 200 }; "a string that can't fit")]
-#[test_case("*8\r\n$150\r\n", DecodeError::MessageTooLong { max: 200 }; "strings that can't all fit")]
+#[test_case("*1\r\n$200\r\n", DecodeError::MessageTooLong { max: 200 }; "a string above the length limit")]
+#[test_case("*8\r\n$150\r\n", DecodeError::MessageTooLong { max: 200 }; "strings that together exceed the length limit")]
 #[test_case("*1\n$4\nping\n", DecodeError::InvalidLength; "bare line feeds")]
-#[test_case("*1\r\n$4\r\npings!", DecodeError::MissingLineEnd; "longer than it says")]
-fn undecodable_bytes_are_rejected_as_soon_as_it_shows(text: &str, why: DecodeError) {
-    for cut in [1, 3, text.len()] {
+#[test_case("*1\r\n$4\r\npings!", DecodeError::MissingLineEnd; "a string longer than its declared length")]
+fn invalid_bytes_are_rejected_for_any_read_size(text: &str, expected: DecodeError) {
+    for piece_bytes in [1, 3, text.len()] {
         let mut decoder = Decoder::new(LIMITS);
-        let results = text.as_bytes().chunks(cut).map(|some| {
-            decoder.feed(some);
-            all(&mut decoder)
+        let results = text.as_bytes().chunks(piece_bytes).map(|piece| {
+            decoder.feed(piece);
+            decode_all(&mut decoder)
         });
         assert_eq!(
-            results.last().expect("some bytes"),
-            Err(why),
-            "cut by {cut}"
+            results.last().expect("at least one piece"),
+            Err(expected),
+            "pieces of {piece_bytes} bytes"
         );
     }
 }
@@ -62,16 +62,16 @@
 
 proptest! {
     #[test]
-    fn encoded_messages_are_decoded_in_whatever_pieces_they_come(
+    fn encoded_messages_are_decoded_unchanged_for_any_piece_size(
         messages in prop::collection::vec(prop::collection::vec("[a-z\r\n*$]{0,9}", 0..6), 1..6),
-        cut in 1usize..40,
+        piece_bytes in 1usize..40,
     ) {
         let mut bytes = Vec::new();
         messages.iter().for_each(|strings| encode(strings, &mut bytes));
         let (mut decoder, mut read) = (Decoder::new(LIMITS), Vec::new());
-        for some in bytes.chunks(cut) {
-            decoder.feed(some);
-            read.extend(all(&mut decoder).expect("fine"));
+        for piece in bytes.chunks(piece_bytes) {
+            decoder.feed(piece);
+            read.extend(decode_all(&mut decoder).expect("valid messages"));
         }
         let texts: Vec<Vec<Vec<u8>>> =
             messages.into_iter().map(|m| m.into_iter().map(String::into_bytes).collect()).collect();
@@ -79,11 +79,11 @@
     }
 
     #[test]
-    fn no_input_panics(bytes in prop::collection::vec(any::<u8>(), 0..300), cut in 1usize..30) {
+    fn arbitrary_bytes_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..300), piece_bytes in 1usize..30) {
         let mut decoder = Decoder::new(LIMITS);
-        for some in bytes.chunks(cut) {
-            decoder.feed(some);
-            let _ = all(&mut decoder);
+        for piece in bytes.chunks(piece_bytes) {
+            decoder.feed(piece);
+            let _ = decode_all(&mut decoder);
         }
     }
 }
