--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -1,7 +1,7 @@
-//! What an event loop needs of a Linux machine: readiness by epoll, clocks, wake-ups from other threads,
-//! signals, non-blocking sockets and watched directories.
+//! Building blocks of an event loop on Linux: readiness by epoll, clocks, wake-ups from other threads, signals,
+//! non-blocking sockets and directory watches.
 //!
-//! There is no runtime: the owner of the loop calls [`Poll::wait`] and acts on what it returns.
+//! There is no async runtime: the owner of the event loop calls [`Poll::wait`] and handles what it returns.
 
 mod clock;
 mod poll;
--- a/crates/reactor/src/poll.rs
+++ b/crates/reactor/src/poll.rs
@@ -1,4 +1,4 @@
-//! Readiness of file descriptors, by epoll.
+//! Readiness of file descriptors by epoll.
 
 use rustix::event::{epoll, Timespec};
 use rustix::fd::{AsFd, OwnedFd};
@@ -7,29 +7,30 @@
 use std::mem::MaybeUninit;
 use wheelspread::time::Span;
 
-/// The name under which the owner of the loop registers a file descriptor.
+/// Identifies a registered file descriptor to the owner of the event loop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Token(pub u64);
 
-/// What a registered file descriptor is ready for.
+/// The readiness of a registered file descriptor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Readiness {
-    /// The name it was registered under.
+    /// The token of the registration.
     pub token: Token,
-    /// Reading does not block.
+    /// Whether reading does not block.
     pub readable: bool,
-    /// Writing does not block.
+    /// Whether writing does not block.
     pub writable: bool,
-    /// The peer is gone or the socket failed; reading shows which.
+    /// Whether the peer closed the connection or the socket failed; reading shows which.
     pub closed: bool,
 }
 
-/// When [`Poll::wait`] reports a file descriptor.
+/// The conditions under which [`Poll::wait`] reports a file descriptor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Interest {
-    /// Level-triggered: reported by each wait while there is something to read.
+    /// Level-triggered: reported by every wait while the descriptor is readable.
     Readable,
-    /// Edge-triggered in both directions: reported once a change; the owner reads and writes until it would block.
+    /// Edge-triggered for reading and writing: reported once per change, so the owner must read and write until the
+    /// descriptor would block.
     Edges,
 }
 
@@ -39,11 +40,11 @@
     epoll: OwnedFd,
 }
 
-/// Events taken from the kernel in one call.
+/// Maximum number of events fetched from the kernel by one wait.
 const MAX_EVENTS_PER_WAIT: usize = 512;
 
 impl Poll {
-    /// A new epoll instance, without registrations.
+    /// Creates an epoll instance without registrations.
     pub fn new() -> io::Result<Poll> {
         let epoll = epoll::create(epoll::CreateFlags::CLOEXEC)?;
         Ok(Poll { epoll })
@@ -68,13 +69,13 @@
         )?)
     }
 
-    /// Ends the registration of a file descriptor.
+    /// Removes the registration of a file descriptor.
     pub fn remove(&self, fd: impl AsFd) -> io::Result<()> {
         Ok(epoll::delete(&self.epoll, fd)?)
     }
 
-    /// Waits until something is ready or the timeout is over, and puts what is ready into `ready`. An
-    /// interruption by a signal is not an error.
+    /// Waits until a file descriptor is ready or the timeout expires, and replaces the content of `ready` by the
+    /// ready descriptors. An interruption by a signal is not an error.
     pub fn wait(&mut self, timeout: Span, ready: &mut Vec<Readiness>) -> io::Result<()> {
         ready.clear();
         let micros = timeout.micros().max(0);
--- a/crates/reactor/src/socket.rs
+++ b/crates/reactor/src/socket.rs
@@ -1,4 +1,4 @@
-//! TCP sockets that never block.
+//! Non-blocking TCP sockets.
 
 use rustix::fd::OwnedFd;
 use rustix::io::Errno;
@@ -6,10 +6,10 @@
 use std::io;
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener, TcpStream};
 
-/// Connections that may wait to be accepted: all proxies of a large fleet may connect at once.
+/// Maximum number of connections that wait to be accepted. All proxies of a large fleet may connect at once.
 const LISTEN_BACKLOG: i32 = 4096;
 
-/// A non-blocking listener.
+/// Creates a non-blocking listener.
 pub fn listen(address: SocketAddrV4) -> io::Result<TcpListener> {
     let socket = tcp_socket()?;
     rustix::net::sockopt::set_socket_reuseaddr(&socket, true)?;
@@ -18,12 +18,14 @@
     Ok(TcpListener::from(socket))
 }
 
-/// Accepts all waiting connections; also returns the error that ended it early, such as a lack of descriptors.
+/// Accepts all waiting connections. If accepting ended early, also returns the error, such as a lack of file
+/// descriptors.
 pub fn accept(listener: &TcpListener) -> (Vec<TcpStream>, Option<io::Error>) {
     accept_up_to(listener, usize::MAX)
 }
 
-/// As [`accept`], but at most `limit` connections: for a caller that has few descriptors and chooses between peers.
+/// As [`accept`], but accepts at most `limit` connections, for a caller that has few file descriptors and decides for
+/// each peer whether to keep it.
 pub fn accept_up_to(listener: &TcpListener, limit: usize) -> (Vec<TcpStream>, Option<io::Error>) {
     let mut accepted = Vec::new();
     while accepted.len() < limit {
@@ -42,12 +44,12 @@
     (accepted, None)
 }
 
-/// Starts to connect; the socket becomes writable once it is connected, or closed if that failed.
+/// Starts to connect. The socket is reported as writable once connected, and as closed if connecting failed.
 pub fn connect(address: [u8; 4], port: u16) -> io::Result<TcpStream> {
     connect_from(None, address, port)
 }
 
-/// As [`connect`], from a given source address.
+/// As [`connect`], with an optional source address.
 pub fn connect_from(
     source: Option<Ipv4Addr>,
     address: [u8; 4],
@@ -66,7 +68,7 @@
     Ok(stream)
 }
 
-/// Closes with a TCP reset, so that the peer sees a failure and not an orderly end.
+/// Closes a connection with a TCP reset, so that the peer sees a failure and not an orderly close.
 pub fn reset(stream: TcpStream) {
     let _ = rustix::net::sockopt::set_socket_linger(&stream, Some(std::time::Duration::ZERO));
 }
--- a/crates/reactor/src/tests.rs
+++ b/crates/reactor/src/tests.rs
@@ -3,7 +3,7 @@
 use wheelspread::time::Span;
 
 #[test]
-fn a_waker_wakes_and_time_passes() {
+fn wait_returns_on_a_wake_up_and_after_its_timeout() {
     let mut poll = Poll::new().expect("epoll");
     let waker = Waker::new(&poll, Token(7)).expect("eventfd");
     let (before, mut ready) = (now(), Vec::new());
@@ -17,17 +17,17 @@
     assert_eq!(ready.first().map(|ready| ready.token), Some(Token(7)));
     waker.reset();
     poll.wait(Span::ZERO, &mut ready).expect("waits");
-    assert!(ready.is_empty(), "it was seen");
-    thread.join().expect("it ends");
+    assert!(ready.is_empty(), "the waker was reset");
+    thread.join().expect("the thread ends");
 }
 
 #[test]
-fn a_connection_that_nobody_takes_fails_and_one_that_is_taken_is_writable() {
+fn connecting_is_reported_as_writable_with_a_listener_and_as_closed_without() {
     let listener = listen(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0)).expect("listens");
     let port = listener.local_addr().expect("bound").port();
     let mut poll = Poll::new().expect("epoll");
     let mut ready = Vec::new();
-    let stream = connect([127, 0, 0, 1], port).expect("begins");
+    let stream = connect([127, 0, 0, 1], port).expect("starts to connect");
     poll.add(&stream, Token(1), Interest::Edges)
         .expect("registers");
     poll.wait(Span::from_seconds(5.0), &mut ready)
@@ -35,7 +35,7 @@
     assert!(ready[0].writable && !ready[0].closed);
     assert_eq!(accept(&listener).0.len(), 1);
     drop(listener);
-    let failing = connect([127, 0, 0, 1], port).expect("begins");
+    let failing = connect([127, 0, 0, 1], port).expect("starts to connect");
     poll.remove(&stream).expect("was registered");
     poll.add(&failing, Token(2), Interest::Edges)
         .expect("registers");
--- a/crates/reactor/src/wake.rs
+++ b/crates/reactor/src/wake.rs
@@ -1,4 +1,4 @@
-//! What wakes a loop apart from its sockets: other threads and signals.
+//! Wake-ups of an event loop by other threads and by signals.
 
 use crate::{Interest, Poll, Token};
 use rustix::event::{eventfd, EventfdFlags};
@@ -7,31 +7,31 @@
 use std::os::unix::net::UnixStream;
 use std::sync::Arc;
 
-/// Wakes a loop from another thread.
+/// Wakes an event loop from another thread.
 #[derive(Clone, Debug)]
 pub struct Waker(Arc<OwnedFd>);
 
 impl Waker {
-    /// Registers a new waker; [`Poll::wait`] reports it under `token`.
+    /// Creates and registers a waker; [`Poll::wait`] reports its wake-ups with `token`.
     pub fn new(poll: &Poll, token: Token) -> io::Result<Waker> {
         let fd = eventfd(0, EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK)?;
         poll.add(&fd, token, Interest::Readable)?;
         Ok(Waker(Arc::new(fd)))
     }
 
-    /// Wakes the loop, from any thread.
+    /// Wakes the event loop. May be called from any thread.
     pub fn wake(&self) {
-        // The only possible failure is a full counter, and then the loop is being woken already.
+        // Writing fails only if the counter is full, and then the event loop is being woken already.
         let _ = rustix::io::write(&*self.0, &1u64.to_ne_bytes());
     }
 
-    /// Resets the waker once the loop has noticed it.
+    /// Resets the waker after the event loop has handled the wake-up.
     pub fn reset(&self) {
         let _ = rustix::io::read(&*self.0, &mut [0u8; 8]);
     }
 }
 
-/// Signals, delivered through sockets that a loop polls.
+/// Signals that are delivered through sockets in an event loop.
 #[derive(Debug)]
 pub struct Signals {
     sources: Vec<SignalSource>,
@@ -45,7 +45,7 @@
 pub const RELOAD: i32 = 1;
 
 impl Signals {
-    /// Registers handlers for `signals`; [`Poll::wait`] reports them all under `token`.
+    /// Registers handlers for `signals`; [`Poll::wait`] reports all of them with `token`.
     pub fn new(poll: &Poll, token: Token, signals: &[i32]) -> io::Result<Signals> {
         let mut sources = Vec::new();
         for signal in signals {
@@ -78,7 +78,7 @@
 }
 
 impl SignalSource {
-    /// Whether the signal arrived since the last call.
+    /// Returns whether the signal was received since the last call.
     fn drain(&self) -> bool {
         let mut buffer = [0u8; 64];
         matches!(io::Read::read(&mut &self.receiver, &mut buffer), Ok(count) if count > 0)
--- a/crates/reactor/src/watch.rs
+++ b/crates/reactor/src/watch.rs
@@ -1,4 +1,4 @@
-//! Directories watched, by inotify, for names that are moved into them, as an atomic swap by rename does.
+//! Directory watches by inotify for files that are replaced by an atomic rename, or written in place.
 
 use crate::{Interest, Poll, Token};
 use rustix::fd::OwnedFd;
@@ -9,35 +9,35 @@
 use std::mem::MaybeUninit;
 use std::path::{Path, PathBuf};
 
-/// What happened in a watched directory.
+/// An event in a watched directory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FsEvent {
-    /// A name was moved into the directory, or a file there was written and closed.
+    /// A file or symbolic link was moved into the directory, or a file in it was written and closed.
     File {
-        /// The directory, as it was added.
+        /// The path with which the directory was added.
         directory: PathBuf,
-        /// The name within it.
+        /// The file name within the directory.
         name: String,
     },
-    /// The kernel's queue overflowed and events were lost: the owner has to read everything again.
+    /// The event queue of the kernel overflowed and events were lost, so the owner must read all watched files again.
     Overflow,
-    /// The directory itself was removed or renamed.
+    /// The directory itself was deleted or renamed.
     Removed {
-        /// The directory, as it was added.
+        /// The path with which the directory was added.
         directory: PathBuf,
     },
 }
 
-/// An inotify instance with the directories that it watches.
+/// An inotify instance and its watched directories.
 #[derive(Debug)]
 pub struct Watcher {
     fd: OwnedFd,
-    /// By watch descriptor.
+    /// The watched directories by watch descriptor.
     directories: BTreeMap<i32, PathBuf>,
 }
 
 impl Watcher {
-    /// Registers a new watcher; [`Poll::wait`] reports it under `token`.
+    /// Creates and registers a watcher; [`Poll::wait`] reports its events with `token`.
     pub fn new(poll: &Poll, token: Token) -> io::Result<Watcher> {
         let fd = inotify::init(inotify::CreateFlags::CLOEXEC | inotify::CreateFlags::NONBLOCK)?;
         poll.add(&fd, token, Interest::Readable)?;
@@ -47,8 +47,8 @@
         })
     }
 
-    /// Watches a directory. Files written in place are reported too, when their writer closes them, because not
-    /// every writer swaps.
+    /// Watches a directory. Files written in place are also reported, when their writer closes them, because not all
+    /// writers replace files by rename.
     pub fn add(&mut self, directory: &Path) -> io::Result<()> {
         let flags = inotify::WatchFlags::MOVED_TO
             | inotify::WatchFlags::CLOSE_WRITE
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -1,44 +1,44 @@
-//! Whether settings can be used. Errors name a setting by its path on the wire.
+//! Validation of settings. Errors name a setting by its path on the wire.
 
 use crate::child_path;
 use serde_json::Value;
 use std::fmt;
 
-/// A setting that can't be used.
+/// An invalid setting.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("`{field}` {problem}")]
 pub struct ConfigError {
-    /// The setting's path on the wire.
+    /// The path of the setting on the wire.
     pub field: String,
-    /// What is wrong with it.
+    /// Why the setting is invalid.
     pub problem: Problem,
 }
 
-/// What is wrong with a setting.
+/// Why a setting is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Problem {
-    /// It is needed and not there.
+    /// The setting is required and missing.
     #[error("is missing")]
     Missing,
-    /// It has another form, or is out of range.
-    #[error("should be {expected}, it is {found}")]
+    /// The setting has the wrong type or is out of range.
+    #[error("should be {expected}, found {found}")]
     Invalid {
-        /// The form it should have.
+        /// The allowed type and range.
         expected: String,
-        /// The beginning of what it is.
+        /// The beginning of the invalid value.
         found: String,
     },
-    /// A name that is given twice: messages could not tell the two apart.
-    #[error("is {value}, as `{first}` is")]
+    /// A name occurs twice, so messages could not distinguish the two items.
+    #[error("is {value}, the same name as `{first}`")]
     Duplicate {
         /// The name.
         value: String,
-        /// The path of the setting that has it as well.
+        /// The path of the earlier setting with the same name.
         first: String,
     },
 }
 
-/// The numbers that a setting may be.
+/// The allowed range of a number.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct NumberRange {
     min: f64,
@@ -70,18 +70,18 @@
         match (self.min_is_allowed, self.max == f64::MAX) {
             (true, true) => write!(f, "a number of at least {min}"),
             (false, true) => write!(f, "a number above {min}"),
-            _ => write!(f, "a number above {min}, {max} at most"),
+            _ => write!(f, "a number above {min} and at most {max}"),
         }
     }
 }
 
-/// What a setting has to be where it is there.
+/// The allowed type and range of a setting that is present.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Form {
     Number(NumberRange),
     Flag,
     Text,
-    /// A list of so many items.
+    /// A list of `min` to `max` items.
     List {
         min: usize,
         max: usize,
@@ -106,37 +106,37 @@
         match self {
             Form::Number(range) => range.fmt(f),
             Form::Flag => f.write_str("true or false"),
-            Form::Text => f.write_str("a text"),
-            Form::List { min, max } => write!(f, "a list of {min} to {max}"),
+            Form::Text => f.write_str("a non-empty text"),
+            Form::List { min, max } => write!(f, "a list of {min} to {max} items"),
         }
     }
 }
 
-/// Whether decisions need a setting.
+/// Whether a setting must be present.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Presence {
     Required,
     Optional,
 }
 
-/// What is known of a setting.
-struct SettingForm {
-    /// On the wire; `*` stands for each item of a list.
+/// The validation rule of a setting.
+struct SettingRule {
+    /// The path on the wire; `*` stands for every item of a list.
     path: &'static str,
     form: Form,
     presence: Presence,
 }
 
-const fn required(path: &'static str, form: Form) -> SettingForm {
-    SettingForm {
+const fn required(path: &'static str, form: Form) -> SettingRule {
+    SettingRule {
         path,
         form,
         presence: Presence::Required,
     }
 }
 
-const fn optional(path: &'static str, form: Form) -> SettingForm {
-    SettingForm {
+const fn optional(path: &'static str, form: Form) -> SettingRule {
+    SettingRule {
         path,
         form,
         presence: Presence::Optional,
@@ -150,8 +150,9 @@
     ..NumberRange::POSITIVE
 });
 
-/// Numbers of zones, kinds, operations and proxies are bounded by what ids hold.
-const SETTING_FORMS: &[SettingForm] = &[
+/// The validation rules. The maximum counts of zones, kinds, operations and proxies follow from the range of their
+/// ids.
+const SETTING_RULES: &[SettingRule] = &[
     required("zones", Form::List { min: 1, max: 250 }),
     required("zones.*", Form::Text),
     required("kinds", Form::List { min: 1, max: 255 }),
@@ -189,15 +190,15 @@
     required("rules.warm_after", NON_NEGATIVE),
 ];
 
-/// Names by which messages tell things apart.
+/// Paths of names that must be unique, because messages identify items by them.
 const UNIQUE_PATHS: &[&str] = &["zones.*", "kinds.*", "classes.*.name"];
 
-/// Characters of a bad value that go into an error.
+/// Maximum number of characters of an invalid value that are quoted in an error.
 const MAX_QUOTED_CHARS: usize = 40;
 
-/// Reports the first setting that can't be used.
+/// Validates settings; the error names the first invalid one.
 pub fn check(settings: &Value) -> Result<(), ConfigError> {
-    for setting in SETTING_FORMS {
+    for setting in SETTING_RULES {
         for (field, value) in resolve_path(settings, setting.path) {
             check_form(setting, value).map_err(|problem| ConfigError { field, problem })?;
         }
@@ -207,7 +208,7 @@
         .try_for_each(|path| check_unique(settings, path))
 }
 
-fn check_form(setting: &SettingForm, value: &Value) -> Result<(), Problem> {
+fn check_form(setting: &SettingRule, value: &Value) -> Result<(), Problem> {
     match (value, setting.presence) {
         (Value::Null, Presence::Optional) => Ok(()),
         (Value::Null, Presence::Required) => Err(Problem::Missing),
@@ -221,8 +222,8 @@
 
 fn check_unique(settings: &Value, path: &str) -> Result<(), ConfigError> {
     let named = resolve_path(settings, path);
-    for (position, (field, value)) in named.iter().enumerate() {
-        let mut earlier = named[..position].iter();
+    for (index, (field, value)) in named.iter().enumerate() {
+        let mut earlier = named[..index].iter();
         if let Some((first, _)) = earlier.find(|(_, other)| other == value) {
             return Err(ConfigError {
                 field: field.clone(),
@@ -236,24 +237,25 @@
     Ok(())
 }
 
-/// All places that a path names, with what stands there; `Null` where nothing does.
+/// Returns the path and value of every setting that matches a path pattern; the value is `Null` where a setting is
+/// missing.
 fn resolve_path<'a>(value: &'a Value, path: &str) -> Vec<(String, &'a Value)> {
-    let mut places = vec![(String::new(), value)];
-    for word in path.split('.') {
-        places = places
+    let mut matches = vec![(String::new(), value)];
+    for key in path.split('.') {
+        matches = matches
             .into_iter()
-            .flat_map(|(at, value)| children(&at, value, word))
+            .flat_map(|(path, value)| children(&path, value, key))
             .collect();
     }
-    places
+    matches
 }
 
-fn children<'a>(path: &str, value: &'a Value, word: &str) -> Vec<(String, &'a Value)> {
-    if word != "*" {
-        return vec![(child_path(path, word), &value[word])];
+fn children<'a>(path: &str, value: &'a Value, key: &str) -> Vec<(String, &'a Value)> {
+    if key != "*" {
+        return vec![(child_path(path, key), &value[key])];
     }
     let items = value.as_array().into_iter().flatten().enumerate();
     items
-        .map(|(position, item)| (child_path(path, &position.to_string()), item))
+        .map(|(index, item)| (child_path(path, &index.to_string()), item))
         .collect()
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! Settings by their names on the wire and by internal, in one copy for all that read them: the adapter to the
-//! simulator, and the controller on a platform, which finds the same settings in its configuration.
+//! Validation of settings, and their translation from the names on the wire to internal names. Shared by the adapter
+//! to the simulator and by the controller on a platform, which has the same settings in its configuration file.
 
 mod check;
 mod wire_names;
@@ -10,27 +10,27 @@
 use wheelspread::settings::{SettingValue, Settings};
 use wire_names::{LIST_ITEM_NAMES, LIST_LENGTH_NAMES, SETTING_NAMES, VALUE_NAMES};
 
-/// Why text holds no settings.
+/// Why a text cannot be parsed as settings.
 #[derive(Debug, thiserror::Error)]
 pub enum ParseError {
-    /// It is no JSON.
-    #[error("settings are no JSON: {0}")]
+    /// The text is not valid JSON.
+    #[error("settings are not valid JSON: {0}")]
     Syntax(#[from] serde_json::Error),
 }
 
-/// Reads settings from JSON text in the wire's names.
+/// Parses settings from JSON with names on the wire.
 pub fn parse(text: &str) -> Result<Settings, ParseError> {
     Ok(from_wire(&serde_json::from_str(text)?))
 }
 
-/// Translates settings from the wire's names. Settings without a name here are skipped.
+/// Translates settings from the names on the wire to internal names. Settings without an internal name are skipped.
 pub fn from_wire(value: &Value) -> Settings {
     let mut settings = Settings::default();
     flatten("", value, &mut settings);
     settings
 }
 
-/// Adds everything below a path of the wire.
+/// Adds all settings at and below a path on the wire.
 fn flatten(path: &str, value: &Value, settings: &mut Settings) {
     match value {
         Value::Object(fields) => {
@@ -40,8 +40,8 @@
         }
         Value::Array(items) => {
             insert_length(path, items.len(), settings);
-            for (position, value) in items.iter().enumerate() {
-                flatten(&child_path(path, &position.to_string()), value, settings);
+            for (index, value) in items.iter().enumerate() {
+                flatten(&child_path(path, &index.to_string()), value, settings);
             }
         }
         Value::Number(number) => {
@@ -54,7 +54,7 @@
     }
 }
 
-/// The path of a field or an item.
+/// Returns the path of a field of an object or an item of a list.
 pub(crate) fn child_path(path: &str, key: &str) -> String {
     if path.is_empty() {
         key.to_string()
@@ -90,14 +90,14 @@
 
 fn list_item_name(path: &str) -> Option<String> {
     LIST_ITEM_NAMES.iter().find_map(|name| {
-        let (head, tail) = name.wire.split_once('*')?;
-        let position = path.strip_prefix(head)?.strip_suffix(tail)?;
-        let is_position = position.parse::<usize>().is_ok();
-        is_position.then(|| name.internal.replace('*', position))
+        let (prefix, suffix) = name.wire.split_once('*')?;
+        let index = path.strip_prefix(prefix)?.strip_suffix(suffix)?;
+        let is_index = index.parse::<usize>().is_ok();
+        is_index.then(|| name.internal.replace('*', index))
     })
 }
 
-/// Our word for a value of the setting of this name.
+/// The internal name of a value of the setting with this internal name; the value itself if it has none.
 fn value_name<'a>(setting: &str, text: &'a str) -> &'a str {
     VALUE_NAMES
         .iter()
@@ -105,21 +105,21 @@
         .map_or(text, |name| name.internal)
 }
 
-/// What a platform's messages call things, each in the order of its list in the settings.
+/// The names that messages of a platform use, each in the order of its list in the settings.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Names {
-    /// Zones by [`wheelspread::ids::ZoneId`].
+    /// Names of zones by [`wheelspread::ids::ZoneId`].
     pub zones: Vec<String>,
-    /// Types of machine by [`wheelspread::ids::KindId`].
+    /// Names of machine kinds by [`wheelspread::ids::KindId`].
     pub kinds: Vec<String>,
-    /// Operations by [`wheelspread::ids::OperationId`].
+    /// Names of operations by [`wheelspread::ids::OperationId`].
     pub operations: Vec<String>,
-    /// Metrics of a load report, in our words.
+    /// Internal names of the metrics of a load report.
     pub metrics: Vec<String>,
 }
 
 impl Names {
-    /// The names in settings in the wire's form.
+    /// Reads the names from settings in the format on the wire.
     pub fn from_wire(settings: &Value) -> Names {
         let texts = |list: &Value, text_of: &dyn Fn(&Value) -> Option<String>| {
             list.as_array()
@@ -128,11 +128,11 @@
                 .map(|item| text_of(item).unwrap_or_default())
                 .collect()
         };
-        let plain = |item: &Value| item.as_str().map(str::to_string);
+        let as_text = |item: &Value| item.as_str().map(str::to_string);
         Names {
-            zones: texts(&settings["zones"], &plain),
-            kinds: texts(&settings["kinds"], &plain),
-            operations: texts(&settings["classes"], &|item| plain(&item["name"])),
+            zones: texts(&settings["zones"], &as_text),
+            kinds: texts(&settings["kinds"], &as_text),
+            operations: texts(&settings["classes"], &|item| as_text(&item["name"])),
             metrics: texts(&settings["feedback"]["fields"], &|item| {
                 Some(metric_name(item.as_str()?).to_string())
             }),
@@ -140,7 +140,7 @@
     }
 }
 
-/// Our word for a metric of a load report.
+/// The internal name of a metric of a load report; the name itself if it has none.
 pub fn metric_name(text: &str) -> &str {
     value_name("field", text)
 }
--- a/crates/settings/src/wire_names.rs
+++ b/crates/settings/src/wire_names.rs
@@ -1,6 +1,6 @@
-//! The tables of names: on the wire (the simulator's and the platform's) and internal.
+//! Tables that map names on the wire of the simulator and the platform to internal names.
 
-/// A setting by its path on the wire and by its name here. In a pattern, `*` stands for a position in a list.
+/// The path of a setting on the wire and its internal name. In a pattern, `*` stands for an index in a list.
 pub(crate) struct SettingName {
     pub(crate) wire: &'static str,
     pub(crate) internal: &'static str,
@@ -10,7 +10,7 @@
     SettingName { wire, internal }
 }
 
-/// Settings that stand alone.
+/// Settings outside of lists.
 pub(crate) const SETTING_NAMES: &[SettingName] = &[
     named("az", "conductor.zone"),
     named("me", "conductor.number"),
@@ -68,7 +68,7 @@
     named("rules.gone_is_advice", "rules.gone_is_advice"),
 ];
 
-/// Settings of each operation, and of each item of other lists.
+/// Settings of every operation, and of every item of other lists.
 pub(crate) const LIST_ITEM_NAMES: &[SettingName] = &[
     named("classes.*.aim", "operation.*.latency_objective"),
     named("classes.*.aim_stretch", "operation.*.objective_stretch"),
@@ -83,16 +83,16 @@
     named("feedback.fields.*", "report.field.*"),
 ];
 
-/// Lists whose length is a setting as well.
+/// Lists whose length is an internal setting.
 pub(crate) const LIST_LENGTH_NAMES: &[SettingName] = &[
     named("classes", "operation.count"),
     named("feedback.fields", "report.field.count"),
     named("zones", "zone.count"),
 ];
 
-/// A value that has another word here.
+/// The name of a value on the wire and its different internal name.
 pub(crate) struct ValueName {
-    /// A part of our name of the settings that hold it.
+    /// A part of the internal names of the settings that can have the value.
     pub(crate) setting: &'static str,
     pub(crate) wire: &'static str,
     pub(crate) internal: &'static str,
@@ -106,7 +106,7 @@
     }
 }
 
-/// Names of values.
+/// Values with a different internal name.
 pub(crate) const VALUE_NAMES: &[ValueName] = &[
     value("repeat", "read_like", "idempotent"),
     value("repeat", "idempotency_key", "fingerprinted"),
@@ -118,7 +118,7 @@
     value("field", "q", "queue"),
     value("field", "lat_ms", "service-ms"),
     value("field", "rif", "in-flight"),
-    // A platform's messages use the simulator's own words for the same metrics.
+    // Messages of a platform use the original metric names of the simulator.
     value("field", "util", "utilization"),
     value("field", "latency_ms", "service-ms"),
     value("field", "inflight", "in-flight"),
