--- a/crates/config-rollout/src/values.rs
+++ b/crates/config-rollout/src/values.rs
@@ -1,10 +1,10 @@
-//! Values that a change may set while a controller runs, by their paths:
+//! The values that a change may set while a controller runs, by path:
 //!
-//! - `nodes.ADDRESS:PORT.zone`, `.cell`, `.weight`, `.service` (`draining` or `out`): they override the endpoint list;
-//! - the fields under `deployment` of the controller's file that `MUTABLE_FIELDS` lists, with operations by name
+//! - `nodes.ADDRESS:PORT.zone`, `.cell`, `.weight` and `.service` (`draining` or `out`) override the endpoint list;
+//! - the fields under `deployment` in the controller's file that `MUTABLE_FIELDS` lists, with operations by name
 //!   (`operations.quote.billed_value`).
 //!
-//! Everything else needs a restart and is refused by its path.
+//! All other values need a restart; the error for such a value contains its path.
 
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -15,8 +15,8 @@
 use wheelspread_controller_core::deployment::{ConfigError, ConfigErrorKind};
 use wheelspread_controller_core::{Deployment, NodeValues, ServiceState};
 
-/// Fields that may change; `*` stands for the name of an operation. What decides whether a retry can take effect twice
-/// is not among them: while a change propagates, proxies would have tables that disagree about it.
+/// Fields that a change may set; `*` stands for the name of an operation. The fields that decide whether a retry can
+/// take effect twice are excluded: while a change propagates, the tables of the proxies would differ in them.
 const MUTABLE_FIELDS: &[&str] = &[
     "operations.*.billed_value",
     "operations.*.late_share",
@@ -39,9 +39,9 @@
     "solver.least_share",
     "solver.fill_at_most",
 ];
-/// Paths of node values begin with this.
+/// The prefix of the paths of node values.
 const NODE_PREFIX: &str = "nodes.";
-/// Weights that a change may give to a node.
+/// The weights that a change may set for a node.
 const NODE_WEIGHT_RANGE: RangeInclusive<f64> = 1e-3..=1e6;
 
 fn config_error(path: &str, text: impl Into<String>) -> ConfigError {
@@ -53,16 +53,16 @@
 
 fn is_mutable(path: &str) -> bool {
     let matches = |field: &str| {
-        let (wanted, parts) = (field.split('.'), path.split('.'));
-        wanted.clone().count() == parts.clone().count()
-            && wanted
+        let (patterns, parts) = (field.split('.'), path.split('.'));
+        patterns.clone().count() == parts.clone().count()
+            && patterns
                 .zip(parts)
-                .all(|(wanted, part)| wanted == part || wanted == "*")
+                .all(|(pattern, part)| pattern == part || pattern == "*")
     };
     MUTABLE_FIELDS.iter().any(|field| matches(field))
 }
 
-/// Reads an address as `127.0.0.1:9000`.
+/// Parses an address such as `127.0.0.1:9000`.
 pub fn parse_node(text: &str) -> Option<NodeId> {
     let address: std::net::SocketAddrV4 = text.parse().ok()?;
     Some(NodeId {
@@ -71,7 +71,7 @@
     })
 }
 
-/// Finds the value at a path; an item of an array is found by its `name`.
+/// Finds the value at a path; the items of an array are looked up by their `name`.
 fn find_value<'a>(file: &'a mut Value, path: &str) -> Option<&'a mut Value> {
     let mut value = file;
     for part in path.split('.') {
@@ -84,15 +84,15 @@
     Some(value)
 }
 
-/// Reads a value as it is written in a change: a number, `true`, `false`, or otherwise a text.
+/// Parses a value as written in a change: a number, `true` or `false`, and any other text as a string.
 fn parse_value(text: &str) -> Value {
     match serde_json::from_str::<Value>(text) {
-        Ok(plain @ (Value::Number(_) | Value::Bool(_))) => plain,
+        Ok(scalar @ (Value::Number(_) | Value::Bool(_))) => scalar,
         _ => Value::String(text.to_string()),
     }
 }
 
-/// Sets one value of a node.
+/// Sets one value of a node. `path` is the full path, for errors; `field` is its last part.
 fn set_node_value(
     values: &mut NodeValues,
     path: &str,
@@ -136,7 +136,7 @@
     Ok(())
 }
 
-/// The deployment with one field set to another value.
+/// Returns the deployment with one field set to a new value.
 fn with_field(deployment: &Deployment, path: &str, text: &str) -> Result<Deployment, ConfigError> {
     let invalid = |error: serde_json::Error| config_error(path, error.to_string());
     let mut file = serde_json::to_value(deployment).map_err(invalid)?;
@@ -147,24 +147,24 @@
     serde_json::from_value(file).map_err(invalid)
 }
 
-/// The controller's file with the values of a configuration.
+/// The deployment of the controller's file, merged with the values of a configuration.
 struct MergedValues {
     deployment: Deployment,
     nodes: BTreeMap<NodeId, NodeValues>,
-    /// Every value that can't be used.
+    /// The errors of all invalid values.
     errors: Vec<ConfigError>,
 }
 
 impl MergedValues {
-    fn new(base: &Deployment, configuration: &Configuration) -> MergedValues {
+    fn new(base_deployment: &Deployment, configuration: &Configuration) -> MergedValues {
         let mut merged = MergedValues {
-            deployment: base.clone(),
+            deployment: base_deployment.clone(),
             nodes: BTreeMap::new(),
             errors: Vec::new(),
         };
         for (path, text) in &configuration.values {
             let result = match path.strip_prefix(NODE_PREFIX) {
-                Some(rest) => merged.merge_node_value(base, path, rest, text),
+                Some(node_path) => merged.merge_node_value(base_deployment, path, node_path, text),
                 None => merged.merge_field(path, text),
             };
             merged.errors.extend(result.err());
@@ -172,20 +172,20 @@
         merged
     }
 
-    /// `rest`: the path without its prefix.
+    /// `node_path`: the path without `NODE_PREFIX`.
     fn merge_node_value(
         &mut self,
-        base: &Deployment,
+        base_deployment: &Deployment,
         path: &str,
-        rest: &str,
+        node_path: &str,
         text: &str,
     ) -> Result<(), ConfigError> {
-        let (node, field) = rest
+        let (node, field) = node_path
             .rsplit_once('.')
             .and_then(|(address, field)| Some((parse_node(address)?, field)))
             .ok_or_else(|| config_error(path, "should be nodes.ADDRESS:PORT.FIELD"))?;
         let values = self.nodes.entry(node).or_default();
-        set_node_value(values, path, field, text, base)
+        set_node_value(values, path, field, text, base_deployment)
     }
 
     fn merge_field(&mut self, path: &str, text: &str) -> Result<(), ConfigError> {
@@ -198,12 +198,12 @@
     }
 }
 
-/// What a configuration comes to, or every reason why it can't be used.
+/// Returns the update that a configuration results in, or the errors of all invalid values.
 pub fn config_update(
-    base: &Deployment,
+    base_deployment: &Deployment,
     configuration: &Configuration,
 ) -> Result<ConfigUpdate, Vec<ConfigError>> {
-    let mut merged = MergedValues::new(base, configuration);
+    let mut merged = MergedValues::new(base_deployment, configuration);
     merged.errors.extend(merged.deployment.validate());
     if !merged.errors.is_empty() {
         return Err(merged.errors);
@@ -215,16 +215,18 @@
     })
 }
 
-/// What a configuration comes to without the values that do not fit the controller's file any more, and those values.
+/// Returns the update that the valid values of a configuration result in, and the errors of the other values. Values of
+/// an earlier run can become invalid when the controller's file changes. If the merged deployment is invalid as a
+/// whole, the deployment of the controller's file is used.
 pub fn config_update_of_valid_values(
-    base: &Deployment,
+    base_deployment: &Deployment,
     configuration: &Configuration,
 ) -> (ConfigUpdate, Vec<ConfigError>) {
-    let mut merged = MergedValues::new(base, configuration);
+    let mut merged = MergedValues::new(base_deployment, configuration);
     let errors = merged.deployment.validate();
     let deployment = match errors.is_empty() {
         true => merged.deployment,
-        false => base.clone(),
+        false => base_deployment.clone(),
     };
     merged.errors.extend(errors);
     let update = ConfigUpdate {
@@ -235,7 +237,7 @@
     (update, merged.errors)
 }
 
-/// Nodes that a change migrates to another pool.
+/// Returns the nodes that a change migrates to another pool: those whose zone it sets.
 pub fn migrating_nodes(change: &Change) -> Vec<NodeId> {
     let migrating = |path: &String| {
         let address = path.strip_prefix(NODE_PREFIX)?.strip_suffix(".zone")?;
@@ -244,12 +246,13 @@
     change.sets.keys().filter_map(migrating).collect()
 }
 
-/// The value at a path in the controller's file, as it would be written in a change.
-pub fn value_in_file(base: &Deployment, path: &str) -> Option<String> {
-    let mut file = serde_json::to_value(base).ok()?;
+/// Returns the value at a path in the controller's file, as it would be written in a change; `None` if there is none or
+/// it is not a single value.
+pub fn value_in_file(base_deployment: &Deployment, path: &str) -> Option<String> {
+    let mut file = serde_json::to_value(base_deployment).ok()?;
     match find_value(&mut file, path)? {
         Value::String(text) => Some(text.clone()),
         Value::Null | Value::Object(_) | Value::Array(_) => None,
-        plain => Some(plain.to_string()),
+        scalar => Some(scalar.to_string()),
     }
 }
--- a/crates/controller/src/admin/changes.rs
+++ b/crates/controller/src/admin/changes.rs
@@ -202,6 +202,6 @@
         lagging_proxies: progress.outdated_proxies,
         absent_proxies: progress.disconnected_count,
         migrating_nodes: progress.migrating_count,
-        unwritten_commits: rollout.unwritten(),
+        unwritten_commits: rollout.pending_write_count(),
     })
 }
