--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,30 +1,30 @@
-//! Why a store can't be opened or written.
+//! Errors of opening and writing a store.
 
 use crate::format::FORMAT_VERSION;
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Why a store can't be opened or written.
+/// The error of opening or writing a store.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The disk refused an operation.
+    /// A file operation failed.
     #[error("{path}: {source}", path = .path.display())]
-    Disk {
+    Io {
         /// The file.
         path: PathBuf,
-        /// What the disk said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The file was written by a newer program.
-    #[error("{path} is of format {found}, this program reads none above {FORMAT_VERSION}", path = .path.display())]
-    Newer {
+    /// The file has a newer format version than this program reads.
+    #[error("{path} has format version {found}; this program reads versions up to {FORMAT_VERSION}", path = .path.display())]
+    NewerFormat {
         /// The file.
         path: PathBuf,
-        /// The version of its format.
+        /// The format version in the file's header.
         found: u32,
     },
-    /// Another program has the file open.
-    #[error("{path} is in use by another program", path = .path.display())]
+    /// Another process holds the file's lock.
+    #[error("{path} is in use by another process", path = .path.display())]
     InUse {
         /// The file.
         path: PathBuf,
@@ -32,9 +32,9 @@
 }
 
 impl StoreError {
-    /// Wraps an error of the disk with the path of the file.
-    pub(crate) fn disk(path: &Path) -> impl Fn(io::Error) -> StoreError + '_ {
-        |source| StoreError::Disk {
+    /// Adds the path of the file to an I/O error.
+    pub(crate) fn io(path: &Path) -> impl Fn(io::Error) -> StoreError + '_ {
+        |source| StoreError::Io {
             path: path.to_path_buf(),
             source,
         }
