--- a/crates/discovery/src/rejection/state.rs
+++ b/crates/discovery/src/rejection/state.rs
@@ -1,47 +1,47 @@
-//! The state of a table set by how many clients reject its versions.
+//! The state of a table set, which depends on how many clients reject its versions.
 
-/// How a table set's changes are treated.
+/// How changes of a table set are handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RejectionState {
     /// All changes are sent.
     Normal,
-    /// Ordinary changes wait.
+    /// Ordinary changes are paused.
     Paused,
-    /// An older version was rolled back to.
+    /// The table set was rolled back to an older version.
     RolledBack,
 }
 
-/// How clients voted on a version.
+/// The result of the votes of clients on a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Tally {
-    FewReject,
-    MostReject,
-    /// For so many versions in a row that a rollback is due.
-    MostRejectRepeatedly,
-    MostAcknowledge,
+    MinorityRejects,
+    MajorityRejects,
+    /// The majority rejected as many versions in a row as lead to a rollback.
+    MajorityRejectsRepeatedly,
+    MajorityAcknowledges,
 }
 
-/// What follows from a tally.
+/// The action after a tally.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Effect {
     None,
     Pause,
     RollBack,
-    Release,
+    Resume,
 }
 
 impl RejectionState {
-    /// The state after a tally, and what follows from it.
+    /// Returns the state after a tally, and the action to take.
     pub(super) fn on_tally(self, tally: Tally) -> (RejectionState, Effect) {
         use RejectionState::{Normal, Paused, RolledBack};
         match (self, tally) {
-            (state, Tally::FewReject) => (state, Effect::None),
-            (Normal, Tally::MostAcknowledge) => (Normal, Effect::None),
-            (Paused | RolledBack, Tally::MostAcknowledge) => (Normal, Effect::Release),
-            (Normal | Paused, Tally::MostReject) => (Paused, Effect::Pause),
-            (Normal | Paused, Tally::MostRejectRepeatedly) => (RolledBack, Effect::RollBack),
-            // What was rolled back to is rejected as well: there is nothing better.
-            (RolledBack, Tally::MostReject | Tally::MostRejectRepeatedly) => {
+            (state, Tally::MinorityRejects) => (state, Effect::None),
+            (Normal, Tally::MajorityAcknowledges) => (Normal, Effect::None),
+            (Paused | RolledBack, Tally::MajorityAcknowledges) => (Normal, Effect::Resume),
+            (Normal | Paused, Tally::MajorityRejects) => (Paused, Effect::Pause),
+            (Normal | Paused, Tally::MajorityRejectsRepeatedly) => (RolledBack, Effect::RollBack),
+            // The rollback target is rejected as well, and there is no better version to roll back to.
+            (RolledBack, Tally::MajorityRejects | Tally::MajorityRejectsRepeatedly) => {
                 (RolledBack, Effect::Pause)
             }
         }
