--- a/crates/drill/src/worker.rs
+++ b/crates/drill/src/worker.rs
@@ -71,7 +71,7 @@
     /// Takes all queued commands, in the order in which they were sent. The waker is reset first, so that a
     /// command sent concurrently wakes the loop again.
     pub fn take(&self) -> Vec<Command> {
-        self.waker.rest();
+        self.waker.reset();
         self.commands.try_iter().collect()
     }
 }
--- a/crates/proxy/src/report_stream.rs
+++ b/crates/proxy/src/report_stream.rs
@@ -145,7 +145,7 @@
         };
         let identity_request = loads::identity_request(&self.identity).encode_to_vec();
         connection.send(&identity_request);
-        connection.push(now).map(StreamError::Connection)
+        connection.advance(now).map(StreamError::Connection)
     }
 
     /// Handles a message of the controller, which sets the report period. The first message accepts the stream.
@@ -201,7 +201,7 @@
         let zone = |_: &NodeReport| self.identity.zone.clone();
         let request = loads::request(&report, zone).encode_to_vec();
         let is_queued = stream.connection.send(&request);
-        let closed = stream.connection.push(now);
+        let closed = stream.connection.advance(now);
         if !is_queued {
             return Some(StreamError::ReportNotTaken);
         }
--- a/crates/proxy/src/table_files.rs
+++ b/crates/proxy/src/table_files.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, SystemTime};
 use wheelspread_controller_core::publication::Version;
 use wheelspread_files::{read_tables, LoadedTables, ReadError, TableRoot, CURRENT};
-use wheelspread_reactor::{Moved, Poll, Token, Watcher};
+use wheelspread_reactor::{FsEvent, Poll, Token, Watcher};
 use wheelspread_xds::status::{self, Status};
 
 /// File systems may take modification times from a clock that is one tick behind the system clock.
@@ -103,8 +103,8 @@
 
     /// Handles the events of the watch.
     pub fn on_watch_event(&mut self) -> io::Result<TableUpdate> {
-        let events = self.watcher.moved()?;
-        let is_gone = |event: &Moved| matches!(event, Moved::Gone { .. });
+        let events = self.watcher.events()?;
+        let is_gone = |event: &FsEvent| matches!(event, FsEvent::Removed { .. });
         if events.iter().any(is_gone) {
             self.watched = None;
         }
@@ -164,10 +164,10 @@
 }
 
 /// Whether a watch event may mean that the tables changed.
-fn may_change_tables(event: &Moved) -> bool {
+fn may_change_tables(event: &FsEvent) -> bool {
     match event {
-        Moved::Into { name, .. } => name == CURRENT,
-        Moved::Overflow | Moved::Gone { .. } => true,
+        FsEvent::File { name, .. } => name == CURRENT,
+        FsEvent::Overflow | FsEvent::Removed { .. } => true,
     }
 }
 
