--- a/crates/drill/src/audit/drained_node.rs
+++ b/crates/drill/src/audit/drained_node.rs
@@ -1,40 +1,41 @@
-//! Rule 3: nothing is sent to a node that drains or is gone; and how long drains by order took.
+//! Rule 3: nothing is sent to a node that drains or was removed; and the durations of drains by order.
 
-use super::joined::Joined;
-use super::verdict::RuleJudged;
-use super::Slowed;
-use crate::records::{Listed, Record, Records};
+use super::joined::JoinedControllers;
+use super::verdict::RuleResult;
+use super::SlowedPeriod;
+use crate::records::{ListedNodeState, Record, Records};
 use std::collections::{BTreeMap, BTreeSet};
 use wheelspread_controller_core::deployment::Deployment;
 
-/// Rule 3: how long after its controller was told that a node drains or is gone a joined proxy sent there.
+/// Rule 3: the time from when a controller learns that a node drains or was removed to each later attempt that
+/// its joined proxies send to the node.
 pub(super) fn judge_sends_to_drained_nodes(
     records: &Records,
-    plan: &Deployment,
-    slowed: &[Slowed],
-) -> RuleJudged {
-    let mut judged = RuleJudged::new(3);
-    let grace = plan.rules.drain_grace.seconds();
-    let mut joined = Joined::default();
-    let mut closed = ClosedNodes::default();
+    deployment: &Deployment,
+    slowed_periods: &[SlowedPeriod],
+) -> RuleResult {
+    let mut judged = RuleResult::new(3);
+    let grace = deployment.rules.drain_grace.seconds();
+    let mut joined = JoinedControllers::default();
+    let mut unavailable = UnavailableNodes::default();
     for (t, record) in &records.0 {
-        joined.follow(*t, record);
-        closed.follow(*t, record);
-        let Record::Sent { proxy, node, .. } = record else {
+        joined.update(*t, record);
+        unavailable.update(*t, record);
+        let Record::AttemptSent { proxy, node, .. } = record else {
             continue;
         };
         let Some((controller, since)) = joined.0.get(proxy) else {
             continue;
         };
-        let Some(told) = closed.told_at(*controller, node) else {
+        let Some(known_since) = unavailable.known_since(*controller, node) else {
             judged.checked += 1;
             continue;
         };
-        let from = told.max(*since);
-        let stretch = slowed
+        let from = known_since.max(*since);
+        let overlapping = slowed_periods
             .iter()
-            .filter(|slow| from <= slow.to && *t >= slow.from);
-        let factor = stretch.map(|slow| slow.factor).fold(1.0, f64::max);
+            .filter(|period| from <= period.to && *t >= period.from);
+        let factor = overlapping.map(|period| period.factor).fold(1.0, f64::max);
         judged.check(t - from, grace * factor, *t, || {
             format!("gateway {proxy} to {node}")
         });
@@ -42,41 +43,46 @@
     judged
 }
 
-/// Since when each controller knows that a node is not to be used, by controller and node.
+/// Since when each controller knows that a node must not be used.
 #[derive(Default)]
-struct ClosedNodes {
-    /// By the list: it drains there or is gone from it.
+struct UnavailableNodes {
+    /// From the endpoint list, by controller and node: the node drains or was removed.
     by_list: BTreeMap<(usize, String), f64>,
-    /// By an operator's order.
+    /// From operators' orders, by controller and node.
     by_order: BTreeMap<(usize, String), f64>,
-    /// All nodes that a controller's list ever had.
+    /// All nodes that a controller's list ever contained.
     listed: BTreeMap<usize, BTreeSet<String>>,
 }
 
-impl ClosedNodes {
-    fn follow(&mut self, t: f64, record: &Record) {
+impl UnavailableNodes {
+    fn update(&mut self, t: f64, record: &Record) {
         match record {
-            // An order is kept over kills.
-            Record::Ordered {
+            // Orders survive the kill of a controller.
+            Record::DrainOrdered {
                 controller,
                 node,
-                out,
+                drains,
                 ..
             } => {
                 let key = (*controller, node.clone());
-                match out {
+                match drains {
                     true => drop(self.by_order.entry(key).or_insert(t)),
                     false => drop(self.by_order.remove(&key)),
                 }
             }
-            Record::Listed {
+            Record::ListPublished {
                 controller, nodes, ..
-            } => self.follow_list(t, *controller, nodes),
+            } => self.update_list(t, *controller, nodes),
             _ => {}
         }
     }
 
-    fn follow_list(&mut self, t: f64, controller: usize, nodes: &BTreeMap<String, Listed>) {
+    fn update_list(
+        &mut self,
+        t: f64,
+        controller: usize,
+        nodes: &BTreeMap<String, ListedNodeState>,
+    ) {
         let known = self.listed.entry(controller).or_default();
         known.extend(nodes.keys().cloned());
         for node in known.iter() {
@@ -88,42 +94,42 @@
         }
     }
 
-    fn told_at(&self, controller: usize, node: &str) -> Option<f64> {
+    fn known_since(&self, controller: usize, node: &str) -> Option<f64> {
         let key = (controller, node.to_string());
-        let told = [self.by_list.get(&key), self.by_order.get(&key)];
-        told.into_iter().flatten().copied().reduce(f64::min)
+        let known_since = [self.by_list.get(&key), self.by_order.get(&key)];
+        known_since.into_iter().flatten().copied().reduce(f64::min)
     }
 }
 
-/// Seconds from an order to drain until the last try of a proxy that was joined to the controller which took
-/// it, one figure for each controller and node; 0: none came after it.
-pub fn drain_order_times(records: &Records) -> Vec<f64> {
-    // The answer to an order comes after the order was given: tries between the two count.
+/// Seconds from each drain order to the last attempt that a proxy joined to the ordered controller sent to the
+/// node, one value for each order, controller and node, in ascending order; 0 if no attempt followed.
+pub fn drain_order_durations(records: &Records) -> Vec<f64> {
+    // A span starts when the order was given, not when it was answered: attempts between the two count.
     let mut spans: BTreeMap<(usize, String), Vec<(f64, f64)>> = BTreeMap::new();
     for (t, record) in &records.0 {
-        let Record::Ordered {
+        let Record::DrainOrdered {
             controller,
             node,
-            out,
-            asked,
+            drains,
+            ordered_at,
         } = record
         else {
             continue;
         };
         let spans = spans.entry((*controller, node.clone())).or_default();
-        match (out, spans.last_mut()) {
-            // Ordered again while it is in force, it goes on.
+        match (drains, spans.last_mut()) {
+            // A repeated order does not start a new span.
             (true, Some((_, end))) if end.is_infinite() => {}
-            (true, _) => spans.push((*asked, f64::INFINITY)),
+            (true, _) => spans.push((*ordered_at, f64::INFINITY)),
             (false, Some(last)) => last.1 = last.1.min(*t),
             (false, None) => {}
         }
     }
-    let mut joined = Joined::default();
+    let mut joined = JoinedControllers::default();
     let mut last: BTreeMap<(usize, String, usize), f64> = BTreeMap::new();
     for (t, record) in &records.0 {
-        joined.follow(*t, record);
-        let Record::Sent { proxy, node, .. } = record else {
+        joined.update(*t, record);
+        let Record::AttemptSent { proxy, node, .. } = record else {
             continue;
         };
         let Some((controller, _)) = joined.0.get(proxy) else {
@@ -138,12 +144,12 @@
             last.insert((key.0, key.1.clone(), number), t - spans[&key][number].0);
         }
     }
-    let each = spans
+    let orders = spans
         .iter()
         .flat_map(|(key, spans)| (0..spans.len()).map(|n| (key.0, key.1.clone(), n)));
-    let mut done: Vec<f64> = each
+    let mut durations: Vec<f64> = orders
         .map(|key| last.get(&key).copied().unwrap_or(0.0))
         .collect();
-    done.sort_by(f64::total_cmp);
-    done
+    durations.sort_by(f64::total_cmp);
+    durations
 }
