--- a/crates/cli/src/measure/proxy.rs
+++ b/crates/cli/src/measure/proxy.rs
@@ -14,7 +14,7 @@
     BundleId, OperationTable, TableEntry, TableSet, Version,
 };
 use wheelspread_controller_core::Deployment;
-use wheelspread_drill::load::{load, FastNodes, Faults, Load, Loaded};
+use wheelspread_drill::load::{load, FastNodes, Faults, Load, LoadResult};
 use wheelspread_drill::{cpu_of, free_port};
 use wheelspread_files::{Swap, TableRoot};
 use wheelspread_xds::tables;
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug)]
 struct Route {
     route: &'static str,
-    loaded: Loaded,
+    loaded: LoadResult,
     /// The proxy's CPU time per request, in microseconds; none on the direct route.
     cpu_us: Option<f64>,
 }
@@ -154,8 +154,8 @@
             operation: "book",
             connections,
             invocations: u64::MAX,
-            at_most: Span::from_seconds(seconds),
-            from: 0,
+            max_duration: Span::from_seconds(seconds),
+            first_id: 0,
         };
         load(requests(WARM_UP_SECONDS)).map_err(io("warming up"))?;
         let cpu_before = pid.map_or(0.0, cpu_of);
@@ -219,11 +219,11 @@
         operation: "book",
         connections: 128,
         invocations: count,
-        at_most: Span::from_seconds(600.0),
-        from: 0,
+        max_duration: Span::from_seconds(600.0),
+        first_id: 0,
     });
     let loaded = loaded.map_err(io("the load"))?;
-    let effects = nodes.seen().effects;
+    let effects = nodes.execution_counts().effects;
     let executed_twice = effects.values().filter(|times| **times > 1).count();
     Ok(Effects {
         sent: loaded.total(),
@@ -280,18 +280,19 @@
         print_line!(
             "{connections:>12}{:>9}{:>12.0}{:>10.3}{:>10.3}{:>10.3}{:>14}",
             route.route,
-            route.loaded.per_second(),
-            route.loaded.ms(0.5),
-            route.loaded.ms(0.99),
-            route.loaded.ms(0.999),
+            route.loaded.successes_per_second(),
+            route.loaded.latency_ms(0.5),
+            route.loaded.latency_ms(0.99),
+            route.loaded.latency_ms(0.999),
             route
                 .cpu_us
                 .map_or("-".to_string(), |us| format!("{us:.1}"))
         );
     }
     if let [direct, proxied] = routes {
-        let throughput_ratio = proxied.loaded.per_second() / direct.loaded.per_second().max(1.0);
-        let added_us = (proxied.loaded.ms(0.5) - direct.loaded.ms(0.5)) * 1e3;
+        let throughput_ratio =
+            proxied.loaded.successes_per_second() / direct.loaded.successes_per_second().max(1.0);
+        let added_us = (proxied.loaded.latency_ms(0.5) - direct.loaded.latency_ms(0.5)) * 1e3;
         print_line!(
             "{:>12}  {throughput_ratio:.2} of the direct throughput, {added_us:.0} us added at the median",
             ""
--- a/crates/cli/src/measure/solver.rs
+++ b/crates/cli/src/measure/solver.rs
@@ -9,26 +9,21 @@
         ((index as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15 ^ salt) >> 40) as f64
             / (1u64 << 24) as f64
     };
-    let host = |index: usize| Host {
-        id: format!("h{index}"),
-        zone: zones[index % 3].to_string(),
-        capacity: 2.0 + 3.0 * rand(index, 1),
+    let host = |i: usize| Host {
+        id: format!("h{i}"),
+        zone: zones[i % 3].to_string(),
+        capacity: 2.0 + 3.0 * rand(i, 1),
         state: HostState::Ready,
-        price: 0.5 * rand(index, 2),
+        price: 0.5 * rand(i, 2),
         load_at_most: None,
         kind: String::new(),
     };
     let rate = 3.2 * hosts as f64 / gateways as f64;
-    let gateway = |index: usize| Gateway {
-        id: format!("g{index}"),
-        zone: zones[index % 3].to_string(),
+    let gateway = |i: usize| Gateway {
+        id: format!("g{i}"),
+        zone: zones[i % 3].to_string(),
         demand: [("quote", 0.6), ("plan", 0.4)]
-            .map(|(name, ratio)| {
-                (
-                    name.to_string(),
-                    rate / 0.22 * ratio * (0.5 + rand(index, 3)),
-                )
-            })
+            .map(|(name, ratio)| (name.to_string(), rate / 0.22 * ratio * (0.5 + rand(i, 3))))
             .into(),
     };
     let operation = |name: &str, billed_value, stays_in_zone| Operation {
--- a/crates/drill/src/even_publisher.rs
+++ b/crates/drill/src/even_publisher.rs
@@ -1,5 +1,5 @@
-//! The baseline: even weights over the listed nodes, written at once whenever the list changes. It also
-//! breaks a rule on purpose, so that the audit can be seen to find it.
+//! The baseline: even weights over the listed nodes, published immediately whenever the list changes. It can
+//! also violate one rule on purpose, so that tests show that the audit detects the violation.
 
 use crate::error::PublishError;
 use crate::proxies::proxy_name;
@@ -15,56 +15,56 @@
 use wheelspread_files::{Swap, SwapError, SwapStep, TableRoot};
 use wheelspread_xds::tables;
 
-/// Which rule is broken on purpose.
+/// The rule that a drill violates on purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sabotage {
-    /// One proxy is given a table without entries.
+pub enum RuleViolation {
+    /// Rule 1: one proxy gets tables without entries.
     EmptyTable,
-    /// Requests with side effects are retried after any failure.
-    Repeat,
-    /// Drained nodes stay in the tables.
+    /// Rule 2: side-effecting requests are retried after any failure.
+    RetryUnsafe,
+    /// Rule 3: drained nodes stay in the tables.
     KeepDrained,
-    /// A node that has just started gets everything.
-    FloodCold,
-    /// Tables are swapped again and again.
-    Overfill,
+    /// Rule 4: a cold node gets all traffic.
+    OverloadWarming,
+    /// Rule 5: tables are republished more often than the message cap allows.
+    ExceedMessageCap,
 }
 
-/// What the list says of a node.
+/// A node of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct ListedNode {
     /// The node's address.
     pub address: SocketAddrV4,
-    /// Its zone, by the script's order.
+    /// The index of its zone in the deployment.
     pub zone: usize,
-    /// Whether it drains.
+    /// Whether the node drains.
     pub draining: bool,
-    /// Whether it has just started.
+    /// Whether the node is still warming.
     pub cold: bool,
 }
 
-/// Writes tables with even weights.
-pub struct EvenPublisher {
+/// Publishes tables with even weights.
+pub struct EvenWeightPublisher {
     root: TableRoot,
     version: u64,
-    /// The rule that it breaks.
-    pub sabotage: Option<Sabotage>,
-    /// Nodes that were listed once, for a publisher that keeps drained nodes.
+    /// The rule that is violated on purpose, if any.
+    pub violation: Option<RuleViolation>,
+    /// All nodes that were ever listed, for [`RuleViolation::KeepDrained`].
     ever_listed: Vec<ListedNode>,
 }
 
-impl EvenPublisher {
-    /// A publisher that has written nothing.
-    pub fn new(root: TableRoot, sabotage: Option<Sabotage>) -> EvenPublisher {
-        EvenPublisher {
+impl EvenWeightPublisher {
+    /// A publisher that has published nothing yet.
+    pub fn new(root: TableRoot, violation: Option<RuleViolation>) -> EvenWeightPublisher {
+        EvenWeightPublisher {
             root,
             version: 0,
-            sabotage,
+            violation,
             ever_listed: Vec::new(),
         }
     }
 
-    /// Writes the tables of all proxies; `zones` are theirs.
+    /// Publishes the tables of all proxies; `zones` holds the zone index of each proxy.
     pub fn publish(
         &mut self,
         script: &Script,
@@ -74,14 +74,17 @@
         let nodes = self.nodes_to_publish(listed);
         for (proxy, zone) in zones.iter().enumerate() {
             let is_written_before = self.version >= zones.len() as u64;
-            // One proxy is enough to be written to too often.
-            if self.sabotage == Some(Sabotage::Overfill) && proxy > 0 && is_written_before {
+            // Exceeding the message cap of one proxy is enough.
+            if self.violation == Some(RuleViolation::ExceedMessageCap)
+                && proxy > 0
+                && is_written_before
+            {
                 break;
             }
             self.version += 1;
             let is_rewritten = self.version > zones.len() as u64;
             let is_emptied =
-                self.sabotage == Some(Sabotage::EmptyTable) && proxy == 0 && is_rewritten;
+                self.violation == Some(RuleViolation::EmptyTable) && proxy == 0 && is_rewritten;
             let nodes = if is_emptied { &[][..] } else { &nodes[..] };
             let set = TableSet {
                 bundle: BundleId(proxy as u32),
@@ -97,9 +100,9 @@
     }
 
     fn nodes_to_publish(&mut self, listed: &[ListedNode]) -> Vec<ListedNode> {
-        if self.sabotage != Some(Sabotage::KeepDrained) {
-            let is_open = |node: &&ListedNode| !node.draining;
-            return listed.iter().filter(is_open).cloned().collect();
+        if self.violation != Some(RuleViolation::KeepDrained) {
+            let accepts_requests = |node: &&ListedNode| !node.draining;
+            return listed.iter().filter(accepts_requests).cloned().collect();
         }
         for node in listed {
             let is_known = |known: &ListedNode| known.address == node.address;
@@ -116,9 +119,9 @@
         nodes: &[ListedNode],
         zone: usize,
     ) -> Vec<OperationTable> {
-        let is_flooding =
-            self.sabotage == Some(Sabotage::FloodCold) && nodes.iter().any(|node| node.cold);
-        let retry = if self.sabotage == Some(Sabotage::Repeat) {
+        let sends_only_to_warming = self.violation == Some(RuleViolation::OverloadWarming)
+            && nodes.iter().any(|node| node.cold);
+        let retry = if self.violation == Some(RuleViolation::RetryUnsafe) {
             RetryPolicy::OnceOnAnyFailure
         } else {
             RetryPolicy::IfUnprocessed
@@ -126,7 +129,7 @@
         let operation_table = |(at, operation): (usize, &OperationConfig)| {
             let is_reachable = |node: &&ListedNode| {
                 (!operation.stays_in_zone || node.zone == zone)
-                    && (!is_flooding || node.cold || operation.stays_in_zone)
+                    && (!sends_only_to_warming || node.cold || operation.stays_in_zone)
             };
             let reachable = nodes.iter().filter(is_reachable);
             OperationTable {
@@ -141,10 +144,10 @@
         operations.map(operation_table).collect()
     }
 
-    /// How often an overfilled proxy is written to must not depend on the disk, so that sabotage does not wait
-    /// for it: on a busy disk it once wrote 55 messages where 61 break the rule.
+    /// Runs a swap. For [`RuleViolation::ExceedMessageCap`] the sync steps are skipped, so that the message rate
+    /// does not depend on the disk: on a busy disk, 55 messages were written where 61 violate the rule.
     fn swap(&self, swap: &Swap) -> Result<(), SwapError> {
-        if self.sabotage != Some(Sabotage::Overfill) {
+        if self.violation != Some(RuleViolation::ExceedMessageCap) {
             return swap.run();
         }
         let is_sync =
--- a/crates/drill/src/load.rs
+++ b/crates/drill/src/load.rs
@@ -1,5 +1,5 @@
-//! Fast stand-in nodes and a closed-loop client, to see what a proxy does and costs at full speed. Nodes
-//! here do no work; they count, and go wrong as often as they are told.
+//! Fast stand-in nodes and a closed-loop client for measuring a proxy at full speed. The nodes do no work:
+//! they count requests and inject faults at configured ratios.
 
 use hdrhistogram::Histogram;
 use slab::Slab;
@@ -13,57 +13,59 @@
 use wheelspread::time::{Moment, Span};
 use wheelspread_reactor::{self as reactor, Interest, Poll, Token};
 
-/// Of the requests at a node, the parts that go wrong in each way.
+/// Faults of a node, each as a ratio of the requests that it receives.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
-    /// Executed; the connection is reset instead of an answer.
+    /// The request is executed; the connection is reset instead of a response.
     pub reset: f64,
-    /// Executed; no answer ever comes.
+    /// The request is executed; no response is sent.
     pub silent: f64,
-    /// Executed; answered with 500.
+    /// The request is executed; the response is 500.
     pub error: f64,
-    /// Not executed; answered with 503.
+    /// The request is not executed; the response is 503.
     pub refuse: f64,
-    /// Executed and answered; then the connection is closed without a word.
+    /// The request is executed and answered; the connection is closed without a `Connection: close` header.
     pub close: f64,
 }
 
-/// What the nodes executed.
+/// How many requests the nodes executed.
 #[derive(Clone, Debug, Default)]
 pub struct ExecutionCounts {
-    /// By node, how often an invocation was executed there.
+    /// Executed requests by node.
     pub executed: Vec<u64>,
-    /// By invocation, how often it was executed, if ids are kept.
+    /// Executions by request id; empty unless the nodes were started with `keep_ids`.
     pub effects: HashMap<u64, u32>,
 }
 
-/// Stand-in servers that answer at once, for measurements of proxies.
+/// Stand-in servers that answer immediately, for measurements of proxies.
 pub struct FastNodes {
-    /// Where each of them listens.
+    /// The listening address of each node.
     pub addresses: Vec<SocketAddrV4>,
-    /// What they have executed so far.
-    pub met: Arc<Mutex<ExecutionCounts>>,
-    /// The faults of each.
+    /// Counts of the requests executed so far.
+    pub counts: Arc<Mutex<ExecutionCounts>>,
+    /// The current fault ratios of each node.
     pub faults: Arc<Mutex<Vec<Faults>>>,
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
-const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-const ERROR: &[u8] = b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n";
-const FULL: &[u8] = b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\nRetry-After: 1\r\n\r\n";
+const RESPONSE_OK: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+const RESPONSE_ERROR: &[u8] = b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n";
+const RESPONSE_UNAVAILABLE: &[u8] =
+    b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\nRetry-After: 1\r\n\r\n";
+/// The first token of listeners; smaller tokens are indices of connections.
 const LISTENERS: u64 = 1 << 40;
 
 impl FastNodes {
-    /// Starts this many. With `keep_ids` executions are counted by invocation too.
+    /// Starts `count` nodes on one thread. With `keep_ids`, executions are counted by request id too.
     pub fn start(count: usize, keep_ids: bool, seed: u64) -> std::io::Result<FastNodes> {
         let mut poll = Poll::new()?;
         let (mut listeners, mut addresses) = (Vec::new(), Vec::new());
-        for number in 0..count {
+        for index in 0..count {
             let listener = reactor::listen(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0))?;
             poll.add(
                 &listener,
-                Token(LISTENERS + number as u64),
+                Token(LISTENERS + index as u64),
                 Interest::Readable,
             )?;
             if let SocketAddr::V4(address) = listener.local_addr()? {
@@ -71,30 +73,31 @@
             }
             listeners.push(listener);
         }
-        let met = Arc::new(Mutex::new(ExecutionCounts {
+        let counts = Arc::new(Mutex::new(ExecutionCounts {
             executed: vec![0; count],
             effects: HashMap::new(),
         }));
         let faults = Arc::new(Mutex::new(vec![Faults::default(); count]));
         let stop = Arc::new(AtomicBool::new(false));
-        let (told, book, wrong) = (stop.clone(), met.clone(), faults.clone());
+        let (stop_requested, shared_counts, shared_faults) =
+            (stop.clone(), counts.clone(), faults.clone());
         let run = move || {
             let mut nodes = NodeLoop {
                 listeners,
-                calls: Slab::new(),
-                book,
-                wrong,
+                connections: Slab::new(),
+                shared_counts,
+                shared_faults,
                 keep_ids,
-                chance: Pcg::new(seed),
+                rng: Pcg::new(seed),
             };
             let mut ready = Vec::new();
-            while !told.load(Ordering::Relaxed) {
+            while !stop_requested.load(Ordering::Relaxed) {
                 if poll.wait(Span::from_seconds(0.05), &mut ready).is_err() {
                     return;
                 }
                 for ready in ready.drain(..) {
                     match ready.token.0.checked_sub(LISTENERS) {
-                        Some(number) => nodes.accept(&poll, number as usize),
+                        Some(index) => nodes.accept(&poll, index as usize),
                         None => nodes.serve(ready.token.0 as usize),
                     }
                 }
@@ -105,23 +108,26 @@
             .spawn(run)?;
         Ok(FastNodes {
             addresses,
-            met,
+            counts,
             faults,
             stop,
             thread: Some(thread),
         })
     }
 
-    /// Sets the faults of one node from now on.
+    /// Replaces the fault ratios of one node.
     pub fn set_faults(&self, node: usize, faults: Faults) {
         if let Ok(mut all) = self.faults.lock() {
             all[node] = faults;
         }
     }
 
-    /// A copy of what they have executed so far.
-    pub fn seen(&self) -> ExecutionCounts {
-        self.met.lock().map(|met| met.clone()).unwrap_or_default()
+    /// A copy of the counts of the requests executed so far.
+    pub fn execution_counts(&self) -> ExecutionCounts {
+        self.counts
+            .lock()
+            .map(|counts| counts.clone())
+            .unwrap_or_default()
     }
 }
 
@@ -136,267 +142,281 @@
 
 struct NodeLoop {
     listeners: Vec<TcpListener>,
-    calls: Slab<(usize, TcpStream, Vec<u8>)>,
-    book: Arc<Mutex<ExecutionCounts>>,
-    wrong: Arc<Mutex<Vec<Faults>>>,
+    connections: Slab<(usize, TcpStream, Vec<u8>)>,
+    shared_counts: Arc<Mutex<ExecutionCounts>>,
+    shared_faults: Arc<Mutex<Vec<Faults>>>,
     keep_ids: bool,
-    chance: Pcg,
+    rng: Pcg,
 }
 
 impl NodeLoop {
-    fn accept(&mut self, poll: &Poll, number: usize) {
-        for socket in reactor::accept(&self.listeners[number]).0 {
-            let slot = self.calls.insert((number, socket, Vec::new()));
+    fn accept(&mut self, poll: &Poll, index: usize) {
+        for socket in reactor::accept(&self.listeners[index]).0 {
+            let slot = self.connections.insert((index, socket, Vec::new()));
             if poll
-                .add(&self.calls[slot].1, Token(slot as u64), Interest::Edges)
+                .add(
+                    &self.connections[slot].1,
+                    Token(slot as u64),
+                    Interest::Edges,
+                )
                 .is_err()
             {
-                self.calls.remove(slot);
+                self.connections.remove(slot);
             }
         }
     }
 
     fn serve(&mut self, slot: usize) {
-        let Some((node, socket, input)) = self.calls.get_mut(slot) else {
+        let Some((node, socket, input)) = self.connections.get_mut(slot) else {
             return;
         };
-        let mut piece = [0u8; 16384];
-        let over = loop {
-            match socket.read(&mut piece) {
+        let mut buffer = [0u8; 16384];
+        let closed = loop {
+            match socket.read(&mut buffer) {
                 Ok(0) => break true,
-                Ok(count) => input.extend_from_slice(&piece[..count]),
+                Ok(count) => input.extend_from_slice(&buffer[..count]),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => break false,
                 Err(_) => break true,
             }
         };
         let node = *node;
-        let mut ends = over;
-        while let Some(end) = input.windows(4).position(|four| four == b"\r\n\r\n") {
+        let mut closes_connection = closed;
+        while let Some(end) = input.windows(4).position(|window| window == b"\r\n\r\n") {
             let id = if self.keep_ids {
                 request_id(&input[..end])
             } else {
                 None
             };
             input.drain(..end + 4);
-            let faults = self.wrong.lock().map(|all| all[node]).unwrap_or_default();
-            let mut draw = self.chance.unit();
-            let mut strikes = |part: f64| {
-                draw -= part;
-                draw < 0.0 && draw >= -part
+            let faults = self
+                .shared_faults
+                .lock()
+                .map(|all| all[node])
+                .unwrap_or_default();
+            let mut draw = self.rng.unit();
+            let mut is_drawn = |ratio: f64| {
+                draw -= ratio;
+                draw < 0.0 && draw >= -ratio
             };
-            let kinds = [
+            let ratios = [
                 faults.refuse,
                 faults.reset,
                 faults.silent,
                 faults.error,
                 faults.close,
             ];
-            let struck = kinds.map(&mut strikes);
-            if !struck[0] {
-                if let Ok(mut book) = self.book.lock() {
-                    book.executed[node] += 1;
+            let drawn = ratios.map(&mut is_drawn);
+            if !drawn[0] {
+                if let Ok(mut shared_counts) = self.shared_counts.lock() {
+                    shared_counts.executed[node] += 1;
                     if let Some(id) = id {
-                        *book.effects.entry(id).or_insert(0) += 1;
+                        *shared_counts.effects.entry(id).or_insert(0) += 1;
                     }
                 }
             }
-            let answer: &[u8] = match struck {
-                [true, ..] => FULL,
+            let response: &[u8] = match drawn {
+                [true, ..] => RESPONSE_UNAVAILABLE,
                 [_, true, ..] => {
-                    let (_, socket, _) = self.calls.remove(slot);
+                    let (_, socket, _) = self.connections.remove(slot);
                     return reactor::reset(socket);
                 }
                 [_, _, true, ..] => continue,
-                [_, _, _, true, _] => ERROR,
-                _ => ANSWER,
+                [_, _, _, true, _] => RESPONSE_ERROR,
+                _ => RESPONSE_OK,
             };
-            // Answers are short; a socket that takes none of one is as good as gone.
-            ends |= socket.write(answer).is_err() || struck[4];
+            // Responses fit the socket buffer; a failed write means that the connection is gone.
+            closes_connection |= socket.write(response).is_err() || drawn[4];
         }
-        if ends {
-            self.calls.remove(slot);
+        if closes_connection {
+            self.connections.remove(slot);
         }
     }
 }
 
-/// The number in `x-request-id`.
+/// The numeric value of the header `x-request-id`, if there is one.
 fn request_id(head: &[u8]) -> Option<u64> {
     let text = std::str::from_utf8(head).ok()?;
     let (_, rest) = text.split_once("x-request-id: ")?;
     rest.split("\r\n").next()?.parse().ok()
 }
 
-/// What a client saw.
+/// The result of a load, as the client saw it.
 #[derive(Clone, Debug)]
-pub struct Loaded {
-    /// Answers by HTTP status.
-    pub answers: BTreeMap<u16, u64>,
-    /// Ended without an answer.
-    pub broken: u64,
-    /// Latencies in microseconds.
-    pub micros: Histogram<u64>,
-    /// How long the load lasted.
+pub struct LoadResult {
+    /// Responses by HTTP status.
+    pub responses: BTreeMap<u16, u64>,
+    /// Requests whose connection ended without a response.
+    pub failed: u64,
+    /// Latencies of responses in microseconds.
+    pub latencies_us: Histogram<u64>,
+    /// The duration of the load in seconds.
     pub seconds: f64,
 }
 
-impl Loaded {
-    /// All answers.
+impl LoadResult {
+    /// All requests that ended, with or without a response.
     pub fn total(&self) -> u64 {
-        self.answers.values().sum::<u64>() + self.broken
+        self.responses.values().sum::<u64>() + self.failed
     }
 
-    /// Answers a second.
-    pub fn per_second(&self) -> f64 {
-        self.answers.get(&200).copied().unwrap_or(0) as f64 / self.seconds.max(1e-9)
+    /// Responses with status 200 per second.
+    pub fn successes_per_second(&self) -> f64 {
+        self.responses.get(&200).copied().unwrap_or(0) as f64 / self.seconds.max(1e-9)
     }
 
-    /// The latency at this quantile, in milliseconds.
-    pub fn ms(&self, quantile: f64) -> f64 {
-        self.micros.value_at_quantile(quantile) as f64 / 1e3
+    /// The latency at a quantile (0 to 1), in milliseconds.
+    pub fn latency_ms(&self, quantile: f64) -> f64 {
+        self.latencies_us.value_at_quantile(quantile) as f64 / 1e3
     }
 }
 
-/// A load to be put on a proxy.
+/// The parameters of a closed-loop load on a proxy.
 #[derive(Clone, Copy, Debug)]
 pub struct Load<'a> {
-    /// Where the proxy listens.
+    /// The proxy's listening address.
     pub target: SocketAddrV4,
-    /// The operation that is invoked.
+    /// The operation that is requested.
     pub operation: &'a str,
-    /// Connections that are open at once.
+    /// How many connections are open at the same time.
     pub connections: usize,
-    /// Ends after so many invocations, or after so long.
+    /// How many requests are sent at most.
     pub invocations: u64,
-    /// The longest time that the load lasts.
-    pub at_most: Span,
-    /// The first id.
-    pub from: u64,
+    /// The time after which no further requests are sent.
+    pub max_duration: Span,
+    /// The id of the first request; each further request adds 1.
+    pub first_id: u64,
 }
 
 struct ClientConnection {
     socket: TcpStream,
     input: Vec<u8>,
-    since: Moment,
-    open: bool,
+    sent_at: Moment,
+    in_flight: bool,
 }
 
-/// Each connection sends its next request when it has its answer.
-pub fn load(load: Load) -> std::io::Result<Loaded> {
+/// Puts a load on a proxy: each connection sends its next request when the response to the last one is
+/// complete. Requests that are in flight 10 s after `max_duration` are an error.
+pub fn load(load: Load) -> std::io::Result<LoadResult> {
     let mut poll = Poll::new()?;
-    let micros = Histogram::new(3).map_err(|error| std::io::Error::other(error.to_string()))?;
-    let mut loaded = Loaded {
-        answers: BTreeMap::new(),
-        broken: 0,
-        micros,
+    let latencies_us =
+        Histogram::new(3).map_err(|error| std::io::Error::other(error.to_string()))?;
+    let mut result = LoadResult {
+        responses: BTreeMap::new(),
+        failed: 0,
+        latencies_us,
         seconds: 0.0,
     };
-    let begin = reactor::now();
-    let mut lines: Vec<Option<ClientConnection>> = (0..load.connections).map(|_| None).collect();
-    let (mut sent, mut open) = (0, 0);
+    let started = reactor::now();
+    let mut connections: Vec<Option<ClientConnection>> =
+        (0..load.connections).map(|_| None).collect();
+    let (mut sent, mut in_flight) = (0, 0);
     let mut ready = Vec::new();
-    let mut free: Vec<usize> = (0..load.connections).collect();
-    let mut piece = [0u8; 16384];
+    let mut free_slots: Vec<usize> = (0..load.connections).collect();
+    let mut buffer = [0u8; 16384];
     loop {
         let now = reactor::now();
-        let over = now - begin > load.at_most;
-        while let Some(slot) = free.pop() {
-            if sent >= load.invocations || over {
-                free.push(slot);
+        let expired = now - started > load.max_duration;
+        while let Some(slot) = free_slots.pop() {
+            if sent >= load.invocations || expired {
+                free_slots.push(slot);
                 break;
             }
-            let fresh = lines[slot].is_none();
-            if fresh {
+            let is_new = connections[slot].is_none();
+            if is_new {
                 let socket = reactor::connect(load.target.ip().octets(), load.target.port())?;
                 poll.add(&socket, Token(slot as u64), Interest::Edges)?;
-                lines[slot] = Some(ClientConnection {
+                connections[slot] = Some(ClientConnection {
                     socket,
                     input: Vec::new(),
-                    since: now,
-                    open: false,
+                    sent_at: now,
+                    in_flight: false,
                 });
             }
-            let Some(line) = &mut lines[slot] else {
+            let Some(connection) = &mut connections[slot] else {
                 continue;
             };
-            (line.since, line.open) = (now, true);
-            open += 1;
-            if !fresh {
-                write(line, &load, &mut sent);
+            (connection.sent_at, connection.in_flight) = (now, true);
+            in_flight += 1;
+            if !is_new {
+                write(connection, &load, &mut sent);
             }
         }
-        if open == 0 && (sent >= load.invocations || over) {
-            loaded.seconds = (reactor::now() - begin).seconds();
-            return Ok(loaded);
+        if in_flight == 0 && (sent >= load.invocations || expired) {
+            result.seconds = (reactor::now() - started).seconds();
+            return Ok(result);
         }
-        if now - begin > load.at_most + Span::from_seconds(10.0) {
+        if now - started > load.max_duration + Span::from_seconds(10.0) {
             return Err(std::io::Error::other(format!(
-                "{open} invocations got no end"
+                "{in_flight} requests had no response 10 s after the end of the load"
             )));
         }
         poll.wait(Span::from_seconds(0.1), &mut ready)?;
         let now = reactor::now();
         for ready in ready.drain(..) {
             let slot = ready.token.0 as usize;
-            let Some(line) = &mut lines[slot] else {
+            let Some(connection) = &mut connections[slot] else {
                 continue;
             };
-            if line.open && line.input.is_empty() && line.since == Moment::default() {
+            if connection.in_flight
+                && connection.input.is_empty()
+                && connection.sent_at == Moment::default()
+            {
                 continue;
             }
-            // A connection that has just come about sends its first request.
-            if ready.writable && line.open && line.input.capacity() == 0 {
-                line.input.reserve(256);
-                line.since = now;
-                write(line, &load, &mut sent);
+            // A connection that has just been established sends its first request.
+            if ready.writable && connection.in_flight && connection.input.capacity() == 0 {
+                connection.input.reserve(256);
+                connection.sent_at = now;
+                write(connection, &load, &mut sent);
             }
-            let over = loop {
-                match line.socket.read(&mut piece) {
+            let closed = loop {
+                match connection.socket.read(&mut buffer) {
                     Ok(0) => break true,
-                    Ok(count) => line.input.extend_from_slice(&piece[..count]),
+                    Ok(count) => connection.input.extend_from_slice(&buffer[..count]),
                     Err(error) if error.kind() == ErrorKind::WouldBlock => break false,
                     Err(error) if error.kind() == ErrorKind::NotConnected => break false,
                     Err(_) => break true,
                 }
             };
-            let answered = complete_response(&line.input);
-            if let (Some((status, closes)), true) = (answered, line.open) {
-                *loaded.answers.entry(status).or_insert(0) += 1;
-                let _ = loaded
-                    .micros
-                    .record((now - line.since).micros().max(1) as u64);
-                line.input.clear();
-                line.open = false;
-                open -= 1;
-                if closes || over {
-                    lines[slot] = None;
+            let response = complete_response(&connection.input);
+            if let (Some((status, closes_after)), true) = (response, connection.in_flight) {
+                *result.responses.entry(status).or_insert(0) += 1;
+                let _ = result
+                    .latencies_us
+                    .record((now - connection.sent_at).micros().max(1) as u64);
+                connection.input.clear();
+                connection.in_flight = false;
+                in_flight -= 1;
+                if closes_after || closed {
+                    connections[slot] = None;
                 }
-                free.push(slot);
-            } else if over {
-                if line.open {
-                    loaded.broken += 1;
-                    open -= 1;
-                    free.push(slot);
+                free_slots.push(slot);
+            } else if closed {
+                if connection.in_flight {
+                    result.failed += 1;
+                    in_flight -= 1;
+                    free_slots.push(slot);
                 }
-                lines[slot] = None;
+                connections[slot] = None;
             }
         }
     }
 }
 
-fn write(line: &mut ClientConnection, load: &Load, sent: &mut u64) {
-    let id = load.from + *sent;
+fn write(connection: &mut ClientConnection, load: &Load, sent: &mut u64) {
+    let id = load.first_id + *sent;
     *sent += 1;
     let text = format!(
         "GET /{} HTTP/1.1\r\nHost: load\r\nx-request-id: {id}\r\n\r\n",
         load.operation
     );
-    // Requests are short; what can't be written shows as a connection that ends.
-    let _ = line.socket.write(text.as_bytes());
+    // Requests fit the socket buffer; a failed write is seen as the end of the connection.
+    let _ = connection.socket.write(text.as_bytes());
 }
 
-/// The status of an answer that has arrived completely, and whether the connection ends with it.
+/// The status of a completely received response, and whether it closes the connection.
 fn complete_response(input: &[u8]) -> Option<(u16, bool)> {
-    let end = input.windows(4).position(|four| four == b"\r\n\r\n")?;
+    let end = input.windows(4).position(|window| window == b"\r\n\r\n")?;
     let head = std::str::from_utf8(&input[..end]).ok()?;
     let status = head.get(9..12)?.parse().ok()?;
     let lower = head.to_ascii_lowercase();
--- a/crates/drill/src/stand_in_server.rs
+++ b/crates/drill/src/stand_in_server.rs
@@ -1,5 +1,5 @@
-//! Stand-in servers for the nodes, all in one thread: a few cores, a queue, a cold start, loads told in
-//! answers, and everything that can go wrong with them or on the way to them.
+//! Stand-in servers for the nodes, all in one thread. Each has cores, a queue, a slow start and load reports in
+//! its responses. Faults of the nodes, and of the network to them, can be injected.
 
 mod address;
 mod connections;
@@ -10,7 +10,7 @@
 
 pub use self::address::{proxy_address, proxy_of};
 use self::event_loop::ServerLoop;
-pub use self::work::SLACK;
+pub use self::work::WARMING_OVERLOAD_TOLERANCE;
 use crate::records::Recorder;
 use crate::worker::{Worker, WorkerCommand};
 use std::collections::BTreeSet;
@@ -31,33 +31,35 @@
     pub connections: usize,
 }
 
-/// A node's number in its thread.
+/// The index of a node in the thread of the stand-in servers.
 pub type NodeKey = usize;
 
 pub enum NodeCommand {
     Start(NodeSpec, Sender<(NodeKey, SocketAddrV4)>),
-    /// The process ends.
+    /// Stops a node.
     Stop(NodeKey),
-    /// No reset, no answer; on again: it comes back cold.
-    Silent(NodeKey, bool),
-    /// A share of what comes errs at once.
-    Errors(NodeKey, f64),
-    /// A share of the answers is lost on the way back.
-    AnswersLost(NodeKey, f64),
-    Connections(NodeKey, usize),
-    /// Times the work that everything takes.
-    Slow(f64),
-    /// What proxies of these numbers meet at nodes of a kind: slower by a factor, or refused.
-    OneSided {
+    /// `true`: the node accepts and answers nothing, without resets; `false`: it restarts, cold.
+    SetSilent(NodeKey, bool),
+    /// Sets the ratio of requests that fail immediately with 500.
+    SetErrorRatio(NodeKey, f64),
+    /// Sets the ratio of responses that are lost.
+    SetLossRatio(NodeKey, f64),
+    /// Sets the maximum number of connections of a node; excess connections are reset.
+    SetConnectionLimit(NodeKey, usize),
+    /// Sets the factor on the work of all requests.
+    SetWorkFactor(f64),
+    /// Slows down requests of the given proxies at nodes of a kind by a factor, or answers them with 503; no
+    /// proxies end the fault.
+    SetOneSidedFault {
         kind: usize,
         proxies: BTreeSet<usize>,
-        slow: f64,
+        work_factor: f64,
         refuse: bool,
     },
-    /// No bytes pass between this zone and the others.
-    Cut(Option<usize>),
-    /// Seconds that answers take longer on their way.
-    SlowLink(f64),
+    /// Lets no bytes pass between a zone and the others; `None` ends the cut.
+    SetZoneCut(Option<usize>),
+    /// Sets the delay of responses in seconds.
+    SetResponseDelay(f64),
     End,
 }
 
@@ -71,12 +73,12 @@
 
 impl StandInServers {
     pub fn start(
-        plan: Deployment,
+        deployment: Deployment,
         recorder: Recorder,
         seed: u64,
     ) -> std::io::Result<StandInServers> {
         let worker = Worker::spawn("nodes", Poll::new()?, move |poll, inbox| {
-            ServerLoop::new(plan, recorder, seed, poll, inbox).run();
+            ServerLoop::new(deployment, recorder, seed, poll, inbox).run();
         })?;
         Ok(StandInServers { worker })
     }
@@ -86,8 +88,8 @@
     }
 
     pub fn add(&self, spec: NodeSpec) -> Option<(NodeKey, SocketAddrV4)> {
-        let (tell, told) = channel();
-        self.send(NodeCommand::Start(spec, tell));
-        told.recv().ok()
+        let (reply, replied) = channel();
+        self.send(NodeCommand::Start(spec, reply));
+        replied.recv().ok()
     }
 }
--- a/crates/grpc/src/tls.rs
+++ b/crates/grpc/src/tls.rs
@@ -1,6 +1,7 @@
-//! TLS keys, certificates and roots from files, for both sides.
+//! TLS configurations of servers and clients from files with private keys, certificates and trusted roots.
 //!
-//! All files are read and checked together, so that a certificate that was swapped in before its key is not used.
+//! All files are read and checked together, so that a certificate that was replaced before its key is not
+//! used.
 
 use rustls::pki_types::pem::PemObject;
 use rustls::pki_types::{CertificateDer, PrivateKeyDer, ServerName};
@@ -9,7 +10,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// The files with one side's keys.
+/// The files with the certificate chain and private key of one side.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyFiles {
     /// The certificate chain, PEM.
@@ -18,10 +19,10 @@
     pub key: PathBuf,
 }
 
-/// Why keys cannot be used.
+/// Why a TLS configuration cannot be built.
 #[derive(Debug, thiserror::Error)]
 pub enum KeyError {
-    /// A file cannot be read, or lacks what it should hold.
+    /// A file cannot be read or does not have the expected content.
     #[error("{path}: {text}", path = .path.display())]
     File {
         /// The file.
@@ -29,11 +30,11 @@
         /// What is wrong with it.
         text: String,
     },
-    /// The certificate and the key do not belong together, or are of no supported kind.
-    #[error("the certificate and its key: {0}")]
+    /// The certificate and the private key do not match or are of an unsupported type.
+    #[error("certificate and private key cannot be used: {0}")]
     Pair(rustls::Error),
-    /// The roots cannot be used.
-    #[error("the roots: {0}")]
+    /// The root certificates cannot be used.
+    #[error("root certificates cannot be used: {0}")]
     Roots(String),
 }
 
@@ -72,20 +73,26 @@
     Ok(store)
 }
 
-fn provider() -> Arc<rustls::crypto::CryptoProvider> {
+fn crypto_provider() -> Arc<rustls::crypto::CryptoProvider> {
     Arc::new(rustls::crypto::ring::default_provider())
 }
 
-/// For a gRPC server. With `clients`, only clients with a certificate under these roots are accepted.
-pub fn server(keys: &KeyFiles, clients: Option<&Path>) -> Result<Arc<ServerConfig>, KeyError> {
-    let builder =
-        ServerConfig::builder_with_provider(provider()).with_safe_default_protocol_versions();
+/// The configuration of a gRPC server. With `client_roots`, only clients with a certificate issued under these roots
+/// are accepted.
+pub fn server_config(
+    keys: &KeyFiles,
+    client_roots: Option<&Path>,
+) -> Result<Arc<ServerConfig>, KeyError> {
+    let builder = ServerConfig::builder_with_provider(crypto_provider())
+        .with_safe_default_protocol_versions();
     let builder = builder.map_err(KeyError::Pair)?;
-    let builder = match clients {
+    let builder = match client_roots {
         None => builder.with_no_client_auth(),
         Some(path) => {
-            let verifier =
-                WebPkiClientVerifier::builder_with_provider(Arc::new(roots(path)?), provider());
+            let verifier = WebPkiClientVerifier::builder_with_provider(
+                Arc::new(roots(path)?),
+                crypto_provider(),
+            );
             builder.with_client_cert_verifier(
                 verifier
                     .build()
@@ -100,27 +107,37 @@
     Ok(Arc::new(config))
 }
 
-/// For an HTTP/1.1 server that accepts only clients with a certificate under these roots.
-pub fn plain_server(keys: &KeyFiles, clients: &Path) -> Result<Arc<ServerConfig>, KeyError> {
-    let mut config = ServerConfig::clone(&*server(keys, Some(clients))?);
+/// The configuration of an HTTP/1.1 server that accepts only clients with a certificate issued under
+/// `client_roots`.
+pub fn http1_server_config(
+    keys: &KeyFiles,
+    client_roots: &Path,
+) -> Result<Arc<ServerConfig>, KeyError> {
+    let mut config = ServerConfig::clone(&*server_config(keys, Some(client_roots))?);
     config.alpn_protocols = vec![HTTP1.to_vec()];
     Ok(Arc::new(config))
 }
 
-/// For an HTTP/1.1 client with a certificate of its own.
-pub fn plain_client(servers: &Path, keys: &KeyFiles) -> Result<Arc<ClientConfig>, KeyError> {
-    let mut config = ClientConfig::clone(&*client(servers, Some(keys))?);
+/// The configuration of an HTTP/1.1 client with a client certificate.
+pub fn http1_client_config(
+    server_roots: &Path,
+    keys: &KeyFiles,
+) -> Result<Arc<ClientConfig>, KeyError> {
+    let mut config = ClientConfig::clone(&*client_config(server_roots, Some(keys))?);
     config.alpn_protocols = vec![HTTP1.to_vec()];
     Ok(Arc::new(config))
 }
 
-/// For a gRPC client: the roots it trusts, and its own certificate if it has one.
-pub fn client(servers: &Path, keys: Option<&KeyFiles>) -> Result<Arc<ClientConfig>, KeyError> {
-    let builder =
-        ClientConfig::builder_with_provider(provider()).with_safe_default_protocol_versions();
+/// The configuration of a gRPC client: the trusted `server_roots`, and the client certificate if there is one.
+pub fn client_config(
+    server_roots: &Path,
+    keys: Option<&KeyFiles>,
+) -> Result<Arc<ClientConfig>, KeyError> {
+    let builder = ClientConfig::builder_with_provider(crypto_provider())
+        .with_safe_default_protocol_versions();
     let builder = builder
         .map_err(KeyError::Pair)?
-        .with_root_certificates(roots(servers)?);
+        .with_root_certificates(roots(server_roots)?);
     let mut config = match keys {
         None => builder.with_no_client_auth(),
         Some(keys) => {
@@ -134,8 +151,8 @@
     Ok(Arc::new(config))
 }
 
-/// Whether a certificate is valid for this name.
-pub fn speaks_for(certificate: &CertificateDer, name: &str) -> bool {
+/// Whether a certificate is valid for a DNS name or IP address.
+pub fn valid_for(certificate: &CertificateDer, name: &str) -> bool {
     let Ok(name) = ServerName::try_from(name) else {
         return false;
     };
