--- a/crates/cli/src/measure/solver.rs
+++ b/crates/cli/src/measure/solver.rs
@@ -90,7 +90,7 @@
             problem.add_constraint(
                 &vars[..],
                 ComparisonOp::Le,
-                fleet.room(host) * (until - before),
+                fleet.load_limit(host) * (until - before),
             );
             before = *until;
         }
--- a/crates/cli/src/solve.rs
+++ b/crates/cli/src/solve.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
-use wheelspread_solve::robust::{guaranteed, hedge, served, Wrong};
+use wheelspread_solve::robust::{hedge, served, worst_case, CapacityRange};
 use wheelspread_solve::{solve as solve_fleet, Fleet, Host, Solution, SolveInputError, Status};
 
 /// Arguments of `wheelspread solve`.
@@ -177,12 +177,12 @@
     if !(0.0..1.0).contains(&part) {
         return Err(Refusal::WrongBy(part));
     }
-    let wrong = Wrong {
-        least: 1.0 - part,
-        most: 1.0 / (1.0 - part),
+    let wrong = CapacityRange {
+        min_ratio: 1.0 - part,
+        max_ratio: 1.0 / (1.0 - part),
     };
     let (solution, held) = hedge(fleet, wrong, &mut is_over)?;
-    let worst = guaranteed(fleet, &solution, wrong);
+    let worst = worst_case(fleet, &solution, wrong);
     eprintln!(
         "goes by {held:.2} of the capacities; at worst {:.3} a second is served",
         worst.value_per_s
@@ -210,7 +210,7 @@
     let result = served(fleet, solution, &part_of);
     Ok(Some(WhatIf {
         value_per_s: result.value_per_s,
-        overrun: result.overrun,
+        overrun: result.overloaded,
     }))
 }
 
@@ -279,7 +279,7 @@
         explanation.zone,
         explanation.weight,
         explanation.load,
-        explanation.room
+        explanation.load_limit
     );
     explanation
         .reasons
@@ -287,13 +287,13 @@
         .for_each(|reason| say!("  {reason}"));
     say!(
         "  loaded alike with: {}",
-        if explanation.alike.is_empty() {
+        if explanation.peers.is_empty() {
             "none".to_string()
         } else {
-            explanation.alike.join(", ")
+            explanation.peers.join(", ")
         }
     );
-    for (operation, from, invocations) in &explanation.gets {
+    for (operation, from, invocations) in &explanation.zone_flows {
         say!("  its zone gets {invocations:.2} {operation} a second from {from}");
     }
     Ok(ExitCode::SUCCESS)
--- a/crates/config-rollout/src/measured_fleet.rs
+++ b/crates/config-rollout/src/measured_fleet.rs
@@ -131,7 +131,9 @@
 
 fn host_state(now: Moment, entry: &EndpointEntry, deployment: &Deployment) -> HostState {
     match entry.status {
-        EndpointStatus::Ready if deployment.rules.is_warming(now, entry.started) => HostState::Cold,
+        EndpointStatus::Ready if deployment.rules.is_warming(now, entry.started) => {
+            HostState::Warming
+        }
         EndpointStatus::Ready => HostState::Ready,
         _ => HostState::Draining,
     }
--- a/crates/config-transaction/src/checks.rs
+++ b/crates/config-transaction/src/checks.rs
@@ -71,7 +71,8 @@
 /// Counts the hosts with capacity that serve an operation for a zone: those in the zone if the operation stays in its
 /// zone, otherwise all.
 fn serving_hosts(fleet: &Fleet, zone: &str, stays_in_zone: bool) -> usize {
-    let serves = |host: &&Host| fleet.room(host) > 0.0 && (!stays_in_zone || host.zone == zone);
+    let serves =
+        |host: &&Host| fleet.load_limit(host) > 0.0 && (!stays_in_zone || host.zone == zone);
     fleet.hosts.iter().filter(serves).count()
 }
 
@@ -150,7 +151,7 @@
         .hosts
         .iter()
         .zip(&solved_after.hosts)
-        .filter(|(host, _)| host.state == HostState::Cold);
+        .filter(|(host, _)| host.state == HostState::Warming);
     let (hosts, warming_load) = warming.fold((0, 0.0), |(count, load), (_, solved)| {
         (count + 1, load + solved.load)
     });
@@ -170,7 +171,7 @@
 /// Returns the zone and the rounded capacity of each host by id. The table entries of a host change when either does.
 fn host_placements(fleet: &Fleet) -> BTreeMap<String, (String, u64)> {
     let placement = |host: &Host| {
-        let capacity_steps = (fleet.room(host) * CAPACITY_STEPS_PER_UNIT).round() as u64;
+        let capacity_steps = (fleet.load_limit(host) * CAPACITY_STEPS_PER_UNIT).round() as u64;
         (host.id.clone(), (host.zone.clone(), capacity_steps))
     };
     fleet.hosts.iter().map(placement).collect()
--- a/crates/config-transaction/tests/checks.rs
+++ b/crates/config-transaction/tests/checks.rs
@@ -85,7 +85,7 @@
 #[test_case(|fleet| fleet.hosts.iter_mut().for_each(|host| host.capacity = 0.7),
     &["capacity: value served 60.00 a second now, 44.80 after (-25.3%, 5.0% may be lost), 4 of 4 hosts full"];
     "insufficient capacity")]
-#[test_case(|fleet| fleet.hosts.iter_mut().for_each(|host| host.state = HostState::Cold),
+#[test_case(|fleet| fleet.hosts.iter_mut().for_each(|host| host.state = HostState::Warming),
     &["capacity: ", "cold: 4 cold hosts would carry 100.0% of the work (30.0% may be)"]; "all hosts in slow start")]
 fn changes_that_lose_too_much_value_or_load_hosts_in_slow_start_are_forbidden(
     change: fn(&mut Fleet),
--- a/crates/controller-core/src/weight_solver.rs
+++ b/crates/controller-core/src/weight_solver.rs
@@ -14,8 +14,8 @@
 use wheelspread::ids::{NodeId, OperationId, ZoneId};
 use wheelspread::time::Moment;
 use wheelspread::{EndpointEntry, EndpointStatus, Event};
-use wheelspread_solve::estimate::{Estimate, Seen};
-use wheelspread_solve::steady::{next, Steadiness};
+use wheelspread_solve::estimate::{CapacityEstimate, Observation};
+use wheelspread_solve::steady::{damp, Damping};
 use wheelspread_solve::{solve, Fleet, Host, Solution, SolveInputError, Status};
 
 /// Step limit of one solve, so that a solve does not block the controller's loop for long; the largest fleets
@@ -33,7 +33,7 @@
 /// Capacity estimates, smoothed demand and the weights of the last solve.
 #[derive(Clone, Debug, Default)]
 pub struct WeightSolver {
-    estimates: BTreeMap<NodeId, Estimate>,
+    estimates: BTreeMap<NodeId, CapacityEstimate>,
     /// Smoothed requests per second, by zone and operation.
     demand: BTreeMap<(ZoneId, OperationId), f64>,
     /// The weights in force, by node address as [`format_node`] writes it.
@@ -107,16 +107,16 @@
         mean_work_seconds: f64,
         configured: f64,
     ) {
-        let seen = Seen {
+        let observed = Observation {
             load: observation.attempt_rate * mean_work_seconds,
             utilization: observation.utilization,
-            late_or_errored: observation.failures / observation.attempts.max(1.0),
-            tries: observation.attempts,
+            late_or_failed_ratio: observation.failures / observation.attempts.max(1.0),
+            attempts: observation.attempts,
         };
         self.estimates
             .entry(node)
-            .or_insert_with(|| Estimate::new(configured))
-            .see(seen);
+            .or_insert_with(|| CapacityEstimate::new(configured))
+            .observe(observed);
     }
 
     /// Mean work of a request in seconds, weighted by demand. Without demand it is the work of the most expensive
@@ -182,7 +182,7 @@
             .collect();
         let current = fleet.hosts.iter().map(|host| self.current_weight(host));
         let current: BTreeMap<String, f64> = current.collect();
-        let damped_weights = next(&current, &solved, Steadiness::default());
+        let damped_weights = damp(&current, &solved, Damping::default());
         let before = std::mem::replace(&mut self.weights, damped_weights);
         endpoints
             .listed()
--- a/crates/controller-core/src/weight_solver/problem.rs
+++ b/crates/controller-core/src/weight_solver/problem.rs
@@ -7,7 +7,7 @@
 use wheelspread::ids::{OperationId, ZoneId};
 use wheelspread::time::Span;
 use wheelspread::{EndpointEntry, EndpointStatus};
-use wheelspread_solve::estimate::Estimate;
+use wheelspread_solve::estimate::CapacityEstimate;
 use wheelspread_solve::{Fleet, Gateway, Host, HostState, Operation};
 
 /// Work of one request of an operation for which the settings name none.
@@ -49,7 +49,7 @@
             zone: record.zone.clone(),
             capacity: estimate.map_or_else(
                 || configured_capacity(config, &record.kind),
-                Estimate::capacity,
+                CapacityEstimate::capacity,
             ),
             // A warming node counts as ready, since the balancer ramps up its traffic by itself.
             state: match entry.status {
--- a/crates/solve/src/fleet.rs
+++ b/crates/solve/src/fleet.rs
@@ -13,8 +13,9 @@
     /// It may be filled.
     #[default]
     Ready,
-    /// It is in slow start and may be given a part of its capacity.
-    Cold,
+    /// The host is in slow start: its load limit is reduced to `cold_share` of the normal limit.
+    #[serde(rename = "cold")]
+    Warming,
     /// It is given nothing.
     Draining,
 }
@@ -128,7 +129,7 @@
 
 impl Fleet {
     /// What the hosts of one zone and price carry now together, each up to its limit.
-    pub fn carried_now(&self, zone: &str, price: f64) -> f64 {
+    pub fn current_load(&self, zone: &str, price: f64) -> f64 {
         let alike = self
             .hosts
             .iter()
@@ -139,13 +140,13 @@
                     .get(&host.id)
                     .copied()
                     .unwrap_or(0.0)
-                    .min(self.room(host))
+                    .min(self.load_limit(host))
             })
             .sum()
     }
 
     /// The price of an invocation's way: crossing zones, and its connection while that is in use.
-    pub fn way(&self, operation: &Operation, crosses_zones: bool) -> f64 {
+    pub fn route_cost(&self, operation: &Operation, crosses_zones: bool) -> f64 {
         let (crossing, longer) = if crosses_zones {
             (self.cross_zone_price, self.crossing_seconds)
         } else {
@@ -155,10 +156,10 @@
     }
 
     /// A host's limit: seconds of work a second that it may be given.
-    pub fn room(&self, host: &Host) -> f64 {
+    pub fn load_limit(&self, host: &Host) -> f64 {
         let part = match host.state {
             HostState::Ready => 1.0,
-            HostState::Cold => self.cold_share,
+            HostState::Warming => self.cold_share,
             HostState::Draining => 0.0,
         };
         (host.capacity * part * self.fill_at_most).min(host.load_at_most.unwrap_or(f64::INFINITY))
--- a/crates/solve/src/fleet/checks.rs
+++ b/crates/solve/src/fleet/checks.rs
@@ -14,7 +14,7 @@
     NoOperations,
     /// Two things have the same name.
     #[error("{what} `{name}` is named twice")]
-    Twice {
+    DuplicateName {
         /// What has the name.
         what: &'static str,
         /// The name.
@@ -66,7 +66,7 @@
     },
     /// A figure of the fleet is out of range.
     #[error("{field}: {value} can't be")]
-    Figure {
+    Value {
         /// The field.
         field: &'static str,
         /// Its value.
@@ -80,7 +80,7 @@
     NoCapacity,
     /// An operation that stays in its zone has no host there.
     #[error("zone `{zone}` asks for `{operation}`, which stays there, and has no host for it")]
-    Stranded {
+    NoHostInZone {
         /// The zone.
         zone: String,
         /// The operation.
@@ -89,13 +89,13 @@
 }
 
 /// The largest price, capacity, value or rate.
-const MAX_FIGURE: f64 = 1e9;
+const MAX_VALUE: f64 = 1e9;
 
 /// The longest time in seconds.
 const MAX_SECONDS: f64 = 1e6;
 
-fn is_figure(value: f64) -> bool {
-    (0.0..=MAX_FIGURE).contains(&value)
+fn is_in_range(value: f64) -> bool {
+    (0.0..=MAX_VALUE).contains(&value)
 }
 
 impl Fleet {
@@ -110,7 +110,7 @@
         let hosts = self.check_hosts()?;
         let operations = self.check_operations()?;
         self.check_gateways(&operations)?;
-        self.check_figures()?;
+        self.check_values()?;
         self.check_standing(&hosts)?;
         self.check_steps()?;
         self.check_reachable()
@@ -121,7 +121,7 @@
         let mut ids = BTreeSet::new();
         for host in &self.hosts {
             if !ids.insert(host.id.as_str()) {
-                return Err(named_twice("host", &host.id));
+                return Err(duplicate_name("host", &host.id));
             }
             check_host(host)?;
         }
@@ -133,7 +133,7 @@
         let mut names = BTreeSet::new();
         for operation in &self.operations {
             if !names.insert(operation.name.as_str()) {
-                return Err(named_twice("operation", &operation.name));
+                return Err(duplicate_name("operation", &operation.name));
             }
             check_operation(operation)?;
         }
@@ -144,7 +144,7 @@
         let mut ids = BTreeSet::new();
         for gateway in &self.gateways {
             if !ids.insert(&gateway.id) {
-                return Err(named_twice("gateway", &gateway.id));
+                return Err(duplicate_name("gateway", &gateway.id));
             }
             for (operation, value) in &gateway.demand {
                 if !operations.contains(operation.as_str()) {
@@ -153,7 +153,7 @@
                         operation: operation.clone(),
                     });
                 }
-                if !is_figure(*value) {
+                if !is_in_range(*value) {
                     return Err(SolveInputError::Demand {
                         id: gateway.id.clone(),
                         operation: operation.clone(),
@@ -165,17 +165,17 @@
         Ok(())
     }
 
-    fn check_figures(&self) -> Result<(), SolveInputError> {
-        for (field, value, most) in [
-            ("cross_zone_price", self.cross_zone_price, MAX_FIGURE),
-            ("connection_price", self.connection_price, MAX_FIGURE),
+    fn check_values(&self) -> Result<(), SolveInputError> {
+        for (field, value, max) in [
+            ("cross_zone_price", self.cross_zone_price, MAX_VALUE),
+            ("connection_price", self.connection_price, MAX_VALUE),
             ("crossing_seconds", self.crossing_seconds, MAX_SECONDS),
-            ("change_price", self.change_price, MAX_FIGURE),
+            ("change_price", self.change_price, MAX_VALUE),
             ("fill_at_most", self.fill_at_most, 1.0),
             ("cold_share", self.cold_share, 1.0),
         ] {
-            if !(0.0..=most).contains(&value) {
-                return Err(SolveInputError::Figure { field, value });
+            if !(0.0..=max).contains(&value) {
+                return Err(SolveInputError::Value { field, value });
             }
         }
         Ok(())
@@ -186,8 +186,8 @@
             if !hosts.contains(id.as_str()) {
                 return Err(SolveInputError::UnknownHost { id: id.clone() });
             }
-            if !is_figure(*value) {
-                return Err(host_figure(id, "standing", *value));
+            if !is_in_range(*value) {
+                return Err(host_out_of_range(id, "standing", *value));
             }
         }
         Ok(())
@@ -195,19 +195,19 @@
 
     /// Steps rise to 1, and their costs do not fall.
     fn check_steps(&self) -> Result<(), SolveInputError> {
-        let rises = self
+        let is_ascending = self
             .steps
             .windows(2)
-            .all(|two| two[0].0 < two[1].0 && two[0].1 <= two[1].1);
-        let starts = self
+            .all(|pair| pair[0].0 < pair[1].0 && pair[0].1 <= pair[1].1);
+        let is_start_valid = self
             .steps
             .first()
             .is_some_and(|(until, cost)| *until > 0.0 && *cost >= 0.0);
-        let ends = self
+        let is_end_valid = self
             .steps
             .last()
             .is_some_and(|(until, cost)| *until == 1.0 && cost.is_finite());
-        if rises && starts && ends {
+        if is_ascending && is_start_valid && is_end_valid {
             Ok(())
         } else {
             Err(SolveInputError::Steps)
@@ -216,21 +216,24 @@
 
     /// There is a host that may be given something, also in each zone with demand that stays there.
     fn check_reachable(&self) -> Result<(), SolveInputError> {
-        let open: BTreeSet<&str> = self
+        let reachable_zones: BTreeSet<&str> = self
             .hosts
             .iter()
-            .filter(|host| self.room(host) > 0.0)
+            .filter(|host| self.load_limit(host) > 0.0)
             .map(|host| host.zone.as_str())
             .collect();
-        if open.is_empty() {
+        if reachable_zones.is_empty() {
             return Err(SolveInputError::NoCapacity);
         }
         for gateway in &self.gateways {
-            let staying = self.operations.iter().filter(|of| of.stays_in_zone);
-            for operation in staying {
+            let zone_bound = self
+                .operations
+                .iter()
+                .filter(|operation| operation.stays_in_zone);
+            for operation in zone_bound {
                 let demand = gateway.demand.get(&operation.name).copied().unwrap_or(0.0);
-                if demand > 0.0 && !open.contains(gateway.zone.as_str()) {
-                    return Err(SolveInputError::Stranded {
+                if demand > 0.0 && !reachable_zones.contains(gateway.zone.as_str()) {
+                    return Err(SolveInputError::NoHostInZone {
                         zone: gateway.zone.clone(),
                         operation: operation.name.clone(),
                     });
@@ -247,8 +250,8 @@
         ("price", host.price),
         ("load_at_most", host.load_at_most.unwrap_or(0.0)),
     ] {
-        if !is_figure(value) {
-            return Err(host_figure(&host.id, field, value));
+        if !is_in_range(value) {
+            return Err(host_out_of_range(&host.id, field, value));
         }
     }
     Ok(())
@@ -256,14 +259,14 @@
 
 fn check_operation(operation: &Operation) -> Result<(), SolveInputError> {
     let holds = operation.holds.unwrap_or(0.0);
-    let has_work = operation.work > 0.0 && operation.work <= MAX_SECONDS;
+    let is_work_valid = operation.work > 0.0 && operation.work <= MAX_SECONDS;
     for (field, value, is_valid) in [
         (
             "billed_value",
             operation.billed_value,
-            is_figure(operation.billed_value),
+            is_in_range(operation.billed_value),
         ),
-        ("work", operation.work, has_work),
+        ("work", operation.work, is_work_valid),
         ("holds", holds, (0.0..=MAX_SECONDS).contains(&holds)),
         (
             "least_share",
@@ -282,12 +285,12 @@
     Ok(())
 }
 
-fn named_twice(what: &'static str, name: &str) -> SolveInputError {
+fn duplicate_name(what: &'static str, name: &str) -> SolveInputError {
     let name = name.to_string();
-    SolveInputError::Twice { what, name }
+    SolveInputError::DuplicateName { what, name }
 }
 
-fn host_figure(id: &str, field: &'static str, value: f64) -> SolveInputError {
+fn host_out_of_range(id: &str, field: &'static str, value: f64) -> SolveInputError {
     let id = id.to_string();
     SolveInputError::Host { id, field, value }
 }
--- a/crates/solve/src/flow.rs
+++ b/crates/solve/src/flow.rs
@@ -47,20 +47,20 @@
 }
 
 /// Amounts below this part of all work count as nothing.
-const NEGLIGIBLE_PART: f64 = 1e-12;
+const NEGLIGIBLE_RATIO: f64 = 1e-12;
 
 /// Gains closer than this part of the largest count as equal.
-const EQUAL_GAIN_PART: f64 = 1e-10;
+const GAIN_TOLERANCE_RATIO: f64 = 1e-10;
 
 /// Keeps tolerances and divisors above zero.
-const SMALLEST: f64 = 1e-300;
+const MIN_POSITIVE: f64 = 1e-300;
 
 /// The sinks of one class, cheapest first. To every source they differ by their cost alone, so they fill in this
 /// order whatever flows there: a class is one place that becomes more expensive as it fills.
 struct Class {
     sinks: Vec<usize>,
     /// How many sinks are full.
-    full: usize,
+    full_count: usize,
     /// What the next sink has left.
     free: f64,
 }
@@ -68,14 +68,14 @@
 impl Class {
     /// The empty sinks of a class, in the order in which they fill.
     fn new(class: usize, sinks: &[Sink]) -> Class {
-        let mut members: Vec<usize> = (0..sinks.len())
-            .filter(|at| sinks[*at].class == class)
+        let mut class_sinks: Vec<usize> = (0..sinks.len())
+            .filter(|index| sinks[*index].class == class)
             .collect();
-        members.sort_by(|a, b| sinks[*a].cost.total_cmp(&sinks[*b].cost));
-        let free = members.first().map_or(0.0, |sink| sinks[*sink].amount);
+        class_sinks.sort_by(|a, b| sinks[*a].cost.total_cmp(&sinks[*b].cost));
+        let free = class_sinks.first().map_or(0.0, |sink| sinks[*sink].amount);
         Class {
-            sinks: members,
-            full: 0,
+            sinks: class_sinks,
+            full_count: 0,
             free,
         }
     }
@@ -93,17 +93,17 @@
     /// Amounts up to this count as nothing.
     negligible: f64,
     /// Gains closer than this count as equal.
-    equal: f64,
+    gain_tolerance: f64,
 }
 
 impl Transport<'_> {
     fn new<'a>(sources: &'a [Source], sinks: &'a [Sink]) -> Transport<'a> {
         let class_count = sinks.iter().map(|sink| sink.class + 1).max().unwrap_or(0);
-        let all: f64 = sources
+        let total: f64 = sources
             .iter()
             .map(|source| source.amount)
             .sum::<f64>()
-            .max(SMALLEST);
+            .max(MIN_POSITIVE);
         let costs = sinks.iter().map(|sink| sink.cost.abs());
         let gains = sources
             .iter()
@@ -118,8 +118,8 @@
                 .collect(),
             work: vec![vec![0.0; class_count]; sources.len()],
             unplaced: sources.iter().map(|source| source.amount).collect(),
-            negligible: all * NEGLIGIBLE_PART,
-            equal: (largest * EQUAL_GAIN_PART).max(SMALLEST),
+            negligible: total * NEGLIGIBLE_RATIO,
+            gain_tolerance: (largest * GAIN_TOLERANCE_RATIO).max(MIN_POSITIVE),
         };
         (0..class_count).for_each(|class| transport.skip_full_sinks(class));
         transport
@@ -130,23 +130,23 @@
     }
 
     /// What the next unit costs in a class; `None`: it is full.
-    fn next_cost(&self, class: usize) -> Option<f64> {
+    fn marginal_cost(&self, class: usize) -> Option<f64> {
         let class = &self.classes[class];
-        let sink = class.sinks.get(class.full)?;
+        let sink = class.sinks.get(class.full_count)?;
         Some(self.sinks[*sink].cost)
     }
 
     fn skip_full_sinks(&mut self, class: usize) {
         let class = &mut self.classes[class];
-        while class.free <= self.negligible && class.full < class.sinks.len() {
-            class.full += 1;
-            let next = class.sinks.get(class.full);
+        while class.free <= self.negligible && class.full_count < class.sinks.len() {
+            class.full_count += 1;
+            let next = class.sinks.get(class.full_count);
             class.free = next.map_or(0.0, |sink| self.sinks[*sink].amount);
         }
     }
 
     /// Moves as much along a path as it takes.
-    fn push(&mut self, path: &Path) {
+    fn augment(&mut self, path: &Path) {
         let taken_back = path
             .steps
             .iter()
@@ -170,16 +170,16 @@
     /// Divides what flows to each class among its sinks, in their order.
     fn work_by_sink(&self) -> Vec<Vec<f64>> {
         let mut work = vec![vec![0.0; self.sinks.len()]; self.sources.len()];
-        for (at, class) in self.classes.iter().enumerate() {
+        for (index, class) in self.classes.iter().enumerate() {
             let mut sinks = class.sinks.iter().copied();
             let mut sink = sinks.next();
             let mut free = sink.map_or(0.0, |sink| self.sinks[sink].amount);
             for (source, flows) in self.work.iter().enumerate() {
-                let mut outstanding = flows[at];
-                while let Some(current) = sink.filter(|_| outstanding > self.negligible) {
-                    let taken = outstanding.min(free);
+                let mut remaining = flows[index];
+                while let Some(current) = sink.filter(|_| remaining > self.negligible) {
+                    let taken = remaining.min(free);
                     work[source][current] += taken;
-                    outstanding -= taken;
+                    remaining -= taken;
                     free -= taken;
                     if free <= self.negligible {
                         sink = sinks.next();
@@ -192,27 +192,27 @@
     }
 }
 
-/// The flows of greatest gain. `is_over` says whether to stop with the best so far.
+/// The flows of greatest gain. `should_stop` says whether to stop with the best so far.
 pub fn maximize_gain(
     sources: &[Source],
     sinks: &[Sink],
-    is_over: &mut dyn FnMut() -> bool,
+    should_stop: &mut dyn FnMut() -> bool,
 ) -> Flows {
     let mut transport = Transport::new(sources, sinks);
     let mut flows = Flows::default();
     loop {
-        if is_over() {
+        if should_stop() {
             flows.cut_short = true;
             break;
         }
         let Some(path) = transport.best_path() else {
             break;
         };
-        transport.push(&path);
+        transport.augment(&path);
         flows.paths += 1;
     }
     let prices = transport.prices();
-    flows.sink_price = prices.of_sinks(&transport);
+    flows.sink_price = prices.sink_prices(&transport);
     flows.source_price = prices.sources;
     flows.work = transport.work_by_sink();
     flows
--- a/crates/solve/src/flow/path.rs
+++ b/crates/solve/src/flow/path.rs
@@ -79,7 +79,7 @@
                 let Some(gain) = transport.gain(source, class) else {
                     continue;
                 };
-                if label.gain + gain > target.gain + transport.equal {
+                if label.gain + gain > target.gain + transport.gain_tolerance {
                     *target = Label {
                         gain: label.gain + gain,
                         from: Predecessor::Source(source),
@@ -100,10 +100,10 @@
                 if !is_used || target.from == Predecessor::Start {
                     continue;
                 }
-                let back = label.gain - transport.gain(source, class).unwrap_or(0.0);
-                if back > target.gain + transport.equal {
+                let back_gain = label.gain - transport.gain(source, class).unwrap_or(0.0);
+                if back_gain > target.gain + transport.gain_tolerance {
                     *target = Label {
-                        gain: back,
+                        gain: back_gain,
                         from: Predecessor::Class(class),
                     };
                     has_changed = true;
@@ -117,12 +117,12 @@
     fn best_end(&self, transport: &Transport) -> Option<usize> {
         let mut best: Option<(usize, f64)> = None;
         for (class, label) in self.classes.iter().enumerate() {
-            let Some(cost) = transport.next_cost(class) else {
+            let Some(cost) = transport.marginal_cost(class) else {
                 continue;
             };
             let gain = label.gain - cost;
-            let is_better = best.is_none_or(|(_, best)| gain > best + transport.equal);
-            if gain > transport.equal && is_better {
+            let is_better = best.is_none_or(|(_, best)| gain > best + transport.gain_tolerance);
+            if gain > transport.gain_tolerance && is_better {
                 best = Some((class, gain));
             }
         }
@@ -131,7 +131,7 @@
 
     /// Follows the predecessors from a class back to the start.
     fn path_to(&self, end: usize) -> Option<Path> {
-        let longest = 2 * (self.sources.len() + self.classes.len());
+        let max_steps = 2 * (self.sources.len() + self.classes.len());
         let mut steps = Vec::new();
         let mut class = end;
         loop {
@@ -144,7 +144,7 @@
                 direction: Direction::Forward,
             });
             match self.sources[source].from {
-                Predecessor::Class(back) if steps.len() <= longest => {
+                Predecessor::Class(back) if steps.len() <= max_steps => {
                     steps.push(Step {
                         source,
                         class: back,
@@ -167,9 +167,9 @@
         let mut labels = Labels::new(self);
         // A path visits no class twice, which bounds the rounds.
         for _ in 0..=self.classes.len() {
-            let is_forward = labels.extend_forward(self);
-            let is_back = labels.extend_back(self);
-            if !is_forward && !is_back {
+            let has_forward_change = labels.extend_forward(self);
+            let has_back_change = labels.extend_back(self);
+            if !has_forward_change && !has_back_change {
                 break;
             }
         }
--- a/crates/solve/src/flow/prices.rs
+++ b/crates/solve/src/flow/prices.rs
@@ -11,7 +11,7 @@
 
 impl Prices {
     /// What one more unit of each sink would be worth.
-    pub fn of_sinks(&self, transport: &Transport) -> Vec<f64> {
+    pub fn sink_prices(&self, transport: &Transport) -> Vec<f64> {
         let sinks = transport.sinks.iter();
         sinks
             .map(|sink| (self.classes[sink.class] - sink.cost).max(0.0))
@@ -37,11 +37,11 @@
     fn raise_classes(&mut self, transport: &Transport) -> bool {
         let mut has_changed = false;
         for (class, price) in self.classes.iter_mut().enumerate() {
-            let most = (0..self.sources.len())
+            let max = (0..self.sources.len())
                 .filter_map(|source| Some(transport.gain(source, class)? - self.sources[source]))
                 .fold(f64::NEG_INFINITY, f64::max);
-            if most > *price + transport.equal {
-                *price = most;
+            if max > *price + transport.gain_tolerance {
+                *price = max;
                 has_changed = true;
             }
         }
@@ -55,9 +55,14 @@
             if *price != f64::INFINITY {
                 continue;
             }
-            let gains = classes.iter().enumerate().filter_map(|(class, worth)| {
-                Some(transport.gain(source, class)? - worth.max(transport.least_cost(class)))
-            });
+            let gains = classes
+                .iter()
+                .enumerate()
+                .filter_map(|(class, class_price)| {
+                    Some(
+                        transport.gain(source, class)? - class_price.max(transport.min_cost(class)),
+                    )
+                });
             *price = gains.fold(0.0, f64::max);
         }
     }
@@ -88,10 +93,10 @@
         let class = &self.classes[class];
         let partly_used = class
             .sinks
-            .get(class.full)
+            .get(class.full_count)
             .filter(|sink| class.free < self.sinks[**sink].amount - self.negligible);
         let last_full = class
-            .full
+            .full_count
             .checked_sub(1)
             .and_then(|last| class.sinks.get(last));
         partly_used
@@ -100,7 +105,7 @@
     }
 
     /// What the cheapest sink of a class costs; infinite without sinks, as nothing can go there.
-    fn least_cost(&self, class: usize) -> f64 {
+    fn min_cost(&self, class: usize) -> f64 {
         self.classes[class]
             .sinks
             .first()
--- a/crates/solve/src/robust.rs
+++ b/crates/solve/src/robust.rs
@@ -9,11 +9,11 @@
 
 /// How capacities may be wrong: true ones lie between these parts of the stated ones.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Wrong {
+pub struct CapacityRange {
     /// The least part.
-    pub least: f64,
+    pub min_ratio: f64,
     /// The largest part.
-    pub most: f64,
+    pub max_ratio: f64,
 }
 
 /// What a solution serves under other capacities.
@@ -22,7 +22,7 @@
     /// Billed value a second of what is answered in time.
     pub value_per_s: f64,
     /// Hosts with more load than they can serve in time, and how many times as much; worst first.
-    pub overrun: Vec<(String, f64)>,
+    pub overloaded: Vec<(String, f64)>,
 }
 
 /// Work of one operation that a zone gets.
@@ -55,54 +55,54 @@
         .iter()
         .map(|work| work.value * work.amount)
         .sum::<f64>();
-    value / amount.max(SMALLEST)
+    value / amount.max(MIN_POSITIVE)
 }
 
-/// What is served if each host has `true_part` of its stated capacity.
-pub fn served(fleet: &Fleet, solution: &Solution, true_part: &dyn Fn(&Host) -> f64) -> Served {
+/// What is served if each host has `capacity_ratio` of its stated capacity.
+pub fn served(fleet: &Fleet, solution: &Solution, capacity_ratio: &dyn Fn(&Host) -> f64) -> Served {
     let zones = work_by_zone(fleet, solution);
     let mut value_per_s = 0.0;
-    let mut overrun = Vec::new();
+    let mut overloaded = Vec::new();
     for (host, result) in fleet.hosts.iter().zip(&solution.hosts) {
         let Some(work) = zones.get(&host.zone).filter(|_| result.load > 0.0) else {
             continue;
         };
         // Each host of a zone gets the zone's mix; one that is overrun is late with all of it alike.
-        let capacity = host.capacity * true_part(host) * fleet.fill_at_most;
+        let capacity = host.capacity * capacity_ratio(host) * fleet.fill_at_most;
         value_per_s += result.load.min(capacity) * mean_value(work);
-        if result.load > capacity * (1.0 + OVERRUN_TOLERANCE) {
-            overrun.push((host.id.clone(), result.load / capacity.max(SMALLEST)));
+        if result.load > capacity * (1.0 + OVERLOAD_TOLERANCE) {
+            overloaded.push((host.id.clone(), result.load / capacity.max(MIN_POSITIVE)));
         }
     }
-    overrun.sort_by(|a, b| b.1.total_cmp(&a.1).then_with(|| a.0.cmp(&b.0)));
+    overloaded.sort_by(|a, b| b.1.total_cmp(&a.1).then_with(|| a.0.cmp(&b.0)));
     Served {
         value_per_s,
-        overrun,
+        overloaded,
     }
 }
 
 /// The least that is served whatever the capacities are within their bounds: each host at its least.
-pub fn guaranteed(fleet: &Fleet, solution: &Solution, wrong: Wrong) -> Served {
-    served(fleet, solution, &|_| wrong.least)
+pub fn worst_case(fleet: &Fleet, solution: &Solution, range: CapacityRange) -> Served {
+    served(fleet, solution, &|_| range.min_ratio)
 }
 
 /// Parts of the capacities that `hedge` solves with, from all of them down to what is certain.
-const HEDGE_STEPS: usize = 6;
+const HEDGE_STEP_COUNT: usize = 6;
 
 /// The least part of the capacities that `hedge` solves with.
-const MIN_HEDGE_PART: f64 = 0.05;
+const MIN_HEDGE_RATIO: f64 = 0.05;
 
 /// Loads and scores closer than this part count as equal.
-const OVERRUN_TOLERANCE: f64 = 1e-9;
+const OVERLOAD_TOLERANCE: f64 = 1e-9;
 const SCORE_TOLERANCE: f64 = 1e-9;
 
 /// Keeps divisors above zero.
-const SMALLEST: f64 = 1e-300;
+const MIN_POSITIVE: f64 = 1e-300;
 
 struct Candidate {
     score: f64,
     solution: Solution,
-    part: f64,
+    ratio: f64,
 }
 
 /// The solution with the best score, and the part of the capacities that it was solved with. The score is the
@@ -110,20 +110,20 @@
 /// otherwise it admits less than could be served if the capacities are right.
 pub fn hedge(
     fleet: &Fleet,
-    wrong: Wrong,
-    is_over: &mut dyn FnMut() -> bool,
+    range: CapacityRange,
+    should_stop: &mut dyn FnMut() -> bool,
 ) -> Result<(Solution, f64), SolveInputError> {
-    let held_back = 1.0 - wrong.least.clamp(MIN_HEDGE_PART, 1.0);
+    let held_back_ratio = 1.0 - range.min_ratio.clamp(MIN_HEDGE_RATIO, 1.0);
     let mut best: Option<Candidate> = None;
-    for step in 0..HEDGE_STEPS {
-        let part = 1.0 - held_back * step as f64 / (HEDGE_STEPS - 1) as f64;
+    for step in 0..HEDGE_STEP_COUNT {
+        let ratio = 1.0 - held_back_ratio * step as f64 / (HEDGE_STEP_COUNT - 1) as f64;
         let mut reduced = fleet.clone();
         reduced
             .hosts
             .iter_mut()
-            .for_each(|host| host.capacity *= part);
-        let solution = solve(&reduced, is_over)?;
-        let worst = guaranteed(fleet, &solution, wrong).value_per_s;
+            .for_each(|host| host.capacity *= ratio);
+        let solution = solve(&reduced, should_stop)?;
+        let worst = worst_case(fleet, &solution, range).value_per_s;
         let as_stated = served(fleet, &solution, &|_| 1.0).value_per_s;
         let score = (worst + as_stated) / 2.0;
         // The first of equals uses more of the stated capacities.
@@ -134,11 +134,11 @@
             best = Some(Candidate {
                 score,
                 solution,
-                part,
+                ratio,
             });
         }
     }
-    best.map(|best| (best.solution, best.part))
+    best.map(|best| (best.solution, best.ratio))
         .ok_or(SolveInputError::NoCapacity)
 }
 
--- a/crates/solve/src/robust/tests.rs
+++ b/crates/solve/src/robust/tests.rs
@@ -37,36 +37,36 @@
     }
 }
 
-const HALF: Wrong = Wrong {
-    least: 0.5,
-    most: 2.0,
+const HALF: CapacityRange = CapacityRange {
+    min_ratio: 0.5,
+    max_ratio: 2.0,
 };
 
 #[test]
 fn with_little_to_do_nothing_is_lost_though_all_capacities_are_half() {
     let fleet = fleet(30.0);
     let solution = solve(&fleet, &mut || false).expect("solved");
-    let worst = guaranteed(&fleet, &solution, HALF);
-    assert!((worst.value_per_s - 60.0).abs() < 1e-9 && worst.overrun.is_empty());
+    let worst = worst_case(&fleet, &solution, HALF);
+    assert!((worst.value_per_s - 60.0).abs() < 1e-9 && worst.overloaded.is_empty());
 }
 
 #[test]
 fn a_kind_that_does_half_loses_half_of_what_it_was_given_and_is_named() {
     let fleet = fleet(80.0);
     let solution = solve(&fleet, &mut || false).expect("solved");
-    let told = served(&fleet, &solution, &|host| {
+    let result = served(&fleet, &solution, &|host| {
         if host.id == "fast" {
             0.5
         } else {
             1.0
         }
     });
-    assert_eq!(told.overrun.len(), 1);
-    assert!((told.overrun[0].1 - 2.0).abs() < 1e-6 && told.overrun[0].0 == "fast");
+    assert_eq!(result.overloaded.len(), 1);
+    assert!((result.overloaded[0].1 - 2.0).abs() < 1e-6 && result.overloaded[0].0 == "fast");
     assert!(
-        (told.value_per_s - (160.0 - 48.0)).abs() < 1e-6,
+        (result.value_per_s - (160.0 - 48.0)).abs() < 1e-6,
         "{}",
-        told.value_per_s
+        result.value_per_s
     );
 }
 
@@ -75,9 +75,9 @@
     for demand in [10.0, 40.0, 70.0, 200.0] {
         let fleet = fleet(demand);
         let plain = solve(&fleet, &mut || false).expect("solved");
-        let (hedged, part) = hedge(&fleet, HALF, &mut || false).expect("solved");
-        let worst = |solution: &Solution| guaranteed(&fleet, solution, HALF).value_per_s;
+        let (hedged, ratio) = hedge(&fleet, HALF, &mut || false).expect("solved");
+        let worst = |solution: &Solution| worst_case(&fleet, solution, HALF).value_per_s;
         assert!(worst(&hedged) >= worst(&plain) - 1e-9, "{demand}");
-        assert!(demand > 30.0 || part == 1.0, "{demand}: {part}");
+        assert!(demand > 30.0 || ratio == 1.0, "{demand}: {ratio}");
     }
 }
--- a/crates/solve/src/solution.rs
+++ b/crates/solve/src/solution.rs
@@ -85,13 +85,13 @@
     pub paths: usize,
 }
 
-/// Solves a fleet. `is_over` is called between steps and says whether to stop with the best so far.
+/// Solves a fleet. `should_stop` is called between steps and says whether to stop with the best so far.
 pub fn solve(
     fleet: &Fleet,
-    is_over: &mut dyn FnMut() -> bool,
+    should_stop: &mut dyn FnMut() -> bool,
 ) -> Result<Solution, SolveInputError> {
     fleet.check()?;
     let problem = Problem::new(fleet);
-    let flows = maximize_gain(&problem.sources, &problem.sinks, is_over);
+    let flows = maximize_gain(&problem.sources, &problem.sinks, should_stop);
     Ok(Report::new(&problem, &flows).solution())
 }
--- a/crates/solve/src/solution/problem.rs
+++ b/crates/solve/src/solution/problem.rs
@@ -25,7 +25,7 @@
 
 /// What a source stands for.
 pub(super) struct Demand<'a> {
-    pub of: ZoneOperation<'a>,
+    pub zone_operation: ZoneOperation<'a>,
     /// Demand up to the operation's least share, which comes before all else.
     pub is_guaranteed: bool,
 }
@@ -83,7 +83,7 @@
                 });
                 self.host_classes.len() - 1
             });
-            self.host_classes[class].limit += self.fleet.room(host);
+            self.host_classes[class].limit += self.fleet.load_limit(host);
             self.class_of_host.push(class);
         }
     }
@@ -91,27 +91,27 @@
     /// Each part of the hosts' limit that costs the same is a sink.
     fn add_sinks(&mut self, zones: &[&str]) {
         let fleet = self.fleet;
-        let highest_value = highest_value(fleet);
-        for (at, class) in self.host_classes.iter().enumerate() {
+        let max_work_value = max_work_value(fleet);
+        for (index, class) in self.host_classes.iter().enumerate() {
             let zone = zones.iter().position(|zone| *zone == class.zone);
-            let carried = fleet.carried_now(class.zone, class.price);
-            for part in limit_parts(fleet, class.limit, carried) {
+            let current_load = fleet.current_load(class.zone, class.price);
+            for part in limit_parts(fleet, class.limit, current_load) {
                 self.sinks.push(Sink {
                     class: zone.unwrap_or(0),
                     amount: part.amount,
-                    cost: part.filling * highest_value + part.change + class.price,
+                    cost: part.fill_cost * max_work_value + part.move_cost + class.price,
                 });
-                self.class_of_sink.push(at);
+                self.class_of_sink.push(index);
             }
         }
     }
 
     fn add_sources(&mut self, zones: &[&str]) {
-        for (of, work) in &self.work {
-            let operation = &self.fleet.operations[of.operation];
+        for (zone_operation, work) in &self.work {
+            let operation = &self.fleet.operations[zone_operation.operation];
             let guaranteed = work * operation.least_share;
-            let other = work * (1.0 - operation.least_share);
-            for (amount, is_guaranteed) in [(guaranteed, true), (other, false)] {
+            let not_guaranteed = work * (1.0 - operation.least_share);
+            for (amount, is_guaranteed) in [(guaranteed, true), (not_guaranteed, false)] {
                 if amount <= 0.0 {
                     continue;
                 }
@@ -122,10 +122,10 @@
                 };
                 self.sources.push(Source {
                     amount,
-                    gains: gains(self.fleet, operation, of.zone, zones, bonus),
+                    gains: gains(self.fleet, operation, zone_operation.zone, zones, bonus),
                 });
                 self.demands.push(Demand {
-                    of: *of,
+                    zone_operation: *zone_operation,
                     is_guaranteed,
                 });
             }
@@ -136,11 +136,11 @@
 fn demanded_work(fleet: &Fleet) -> BTreeMap<ZoneOperation<'_>, f64> {
     let mut work = BTreeMap::new();
     for gateway in &fleet.gateways {
-        for (at, operation) in fleet.operations.iter().enumerate() {
+        for (index, operation) in fleet.operations.iter().enumerate() {
             let demand = gateway.demand.get(&operation.name).copied().unwrap_or(0.0);
             let key = ZoneOperation {
                 zone: &gateway.zone,
-                operation: at,
+                operation: index,
             };
             *work.entry(key).or_insert(0.0) += demand * operation.work;
         }
@@ -160,7 +160,7 @@
 }
 
 /// The highest value of a second of work.
-fn highest_value(fleet: &Fleet) -> f64 {
+fn max_work_value(fleet: &Fleet) -> f64 {
     let values = fleet.operations.iter();
     values
         .map(|operation| operation.billed_value / operation.work)
@@ -169,15 +169,15 @@
 
 /// More than any gain or cost in the fleet, so that guaranteed demand is served first.
 fn guarantee_bonus(fleet: &Fleet) -> f64 {
-    let value = highest_value(fleet);
+    let max_value = max_work_value(fleet);
     let prices = fleet.hosts.iter().map(|host| host.price);
-    let last_step = fleet.steps.last().map_or(0.0, |step| step.1 * value);
-    let highest = value + prices.fold(0.0, f64::max) + fleet.change_price + last_step;
-    let ways = fleet.operations.iter();
-    let way = ways
-        .map(|operation| fleet.way(operation, true) / operation.work)
+    let last_step = fleet.steps.last().map_or(0.0, |step| step.1 * max_value);
+    let max_gain_and_cost = max_value + prices.fold(0.0, f64::max) + fleet.change_price + last_step;
+    let operations = fleet.operations.iter();
+    let max_route_cost = operations
+        .map(|operation| fleet.route_cost(operation, true) / operation.work)
         .fold(0.0, f64::max);
-    GUARANTEE_FACTOR * (highest + way)
+    GUARANTEE_FACTOR * (max_gain_and_cost + max_route_cost)
 }
 
 /// The gain of a second of work in each zone; `None`: the operation stays in its own zone.
@@ -190,7 +190,7 @@
 ) -> Vec<Option<f64>> {
     let gain = |zone: &&str| {
         let crosses = *zone != from;
-        let gain = (operation.billed_value - fleet.way(operation, crosses)) / operation.work;
+        let gain = (operation.billed_value - fleet.route_cost(operation, crosses)) / operation.work;
         (!(crosses && operation.stays_in_zone)).then_some(gain + bonus)
     };
     zones.iter().map(gain).collect()
@@ -200,39 +200,39 @@
 struct LimitPart {
     amount: f64,
     /// As a part of the highest value of a second of work.
-    filling: f64,
+    fill_cost: f64,
     /// For work that would have to move here.
-    change: f64,
+    move_cost: f64,
 }
 
 /// Divides a limit where it becomes more expensive: at the steps of filling hosts, and at what they carry now.
 /// What they carry already is never more expensive than what would come, so the parts fill in their order.
-fn limit_parts(fleet: &Fleet, limit: f64, carried: f64) -> Vec<LimitPart> {
-    let change = if fleet.standing.is_empty() {
+fn limit_parts(fleet: &Fleet, limit: f64, current_load: f64) -> Vec<LimitPart> {
+    let move_cost = if fleet.standing.is_empty() {
         0.0
     } else {
         fleet.change_price
     };
     let mut parts = Vec::new();
-    let mut before = 0.0;
-    for (until, filling) in &fleet.steps {
-        let until = limit * until;
-        let carried = carried.clamp(before, until);
-        if carried > before {
+    let mut start = 0.0;
+    for (end, fill_cost) in &fleet.steps {
+        let end = limit * end;
+        let current_load = current_load.clamp(start, end);
+        if current_load > start {
             parts.push(LimitPart {
-                amount: carried - before,
-                filling: *filling,
-                change: 0.0,
+                amount: current_load - start,
+                fill_cost: *fill_cost,
+                move_cost: 0.0,
             });
         }
-        if until > carried || until <= before {
+        if end > current_load || end <= start {
             parts.push(LimitPart {
-                amount: (until - carried).max(0.0),
-                filling: *filling,
-                change,
+                amount: (end - current_load).max(0.0),
+                fill_cost: *fill_cost,
+                move_cost,
             });
         }
-        before = until;
+        start = end;
     }
     parts
 }
--- a/crates/solve/src/solution/report.rs
+++ b/crates/solve/src/solution/report.rs
@@ -10,7 +10,7 @@
 const FULL_TOLERANCE: f64 = 1e-9;
 
 /// Keeps divisors above zero.
-const SMALLEST: f64 = 1e-300;
+const MIN_POSITIVE: f64 = 1e-300;
 
 /// An operation's way between two zones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -27,7 +27,7 @@
     objective: f64,
     value_per_s: f64,
     /// Seconds of work a second by class of hosts.
-    carried: Vec<f64>,
+    load_by_class: Vec<f64>,
     admitted: BTreeMap<ZoneOperation<'a>, f64>,
     /// Invocations a second.
     routes: BTreeMap<Route<'a>, f64>,
@@ -41,7 +41,7 @@
             flows,
             objective: 0.0,
             value_per_s: 0.0,
-            carried: vec![0.0; problem.host_classes.len()],
+            load_by_class: vec![0.0; problem.host_classes.len()],
             admitted: BTreeMap::new(),
             routes: BTreeMap::new(),
         };
@@ -59,7 +59,7 @@
     fn add(&mut self, source: usize, sink: usize, work: f64) {
         let problem = self.problem;
         let demand = &problem.demands[source];
-        let operation = &problem.fleet.operations[demand.of.operation];
+        let operation = &problem.fleet.operations[demand.zone_operation.operation];
         let to = &problem.sinks[sink];
         let class = problem.class_of_sink[sink];
         let gain = problem.sources[source].gains[to.class].unwrap_or(0.0);
@@ -70,11 +70,11 @@
         };
         self.objective += work * (gain - to.cost - bonus);
         self.value_per_s += work / operation.work * operation.billed_value;
-        self.carried[class] += work;
-        *self.admitted.entry(demand.of).or_insert(0.0) += work;
+        self.load_by_class[class] += work;
+        *self.admitted.entry(demand.zone_operation).or_insert(0.0) += work;
         let route = Route {
-            operation: demand.of.operation,
-            from: demand.of.zone,
+            operation: demand.zone_operation.operation,
+            from: demand.zone_operation.zone,
             to: problem.host_classes[class].zone,
         };
         *self.routes.entry(route).or_insert(0.0) += work / operation.work;
@@ -98,7 +98,7 @@
     }
 
     fn hosts(&self) -> Vec<HostResult> {
-        let all: f64 = self.carried.iter().sum();
+        let total: f64 = self.load_by_class.iter().sum();
         let hosts = || {
             self.problem
                 .fleet
@@ -106,14 +106,14 @@
                 .iter()
                 .zip(&self.problem.class_of_host)
         };
-        let is_busy = |host: &Host, class: usize| {
-            self.problem.fleet.room(host) > 0.0 && self.carried[class] > 0.0
+        let is_loaded = |host: &Host, class: usize| {
+            self.problem.fleet.load_limit(host) > 0.0 && self.load_by_class[class] > 0.0
         };
-        let busy = hosts().filter(|(host, class)| is_busy(host, **class));
-        let busy_count = busy.count().max(1) as f64;
+        let loaded = hosts().filter(|(host, class)| is_loaded(host, **class));
+        let loaded_count = loaded.count().max(1) as f64;
         let weight = |load: f64| {
-            if all > 0.0 {
-                load / all * busy_count
+            if total > 0.0 {
+                load / total * loaded_count
             } else {
                 0.0
             }
@@ -124,10 +124,10 @@
     }
 
     fn host(&self, host: &Host, class: usize, weight: &dyn Fn(f64) -> f64) -> HostResult {
-        let limit = self.problem.fleet.room(host);
+        let limit = self.problem.fleet.load_limit(host);
         let class_limit = self.problem.host_classes[class].limit;
         let load = if class_limit > 0.0 {
-            self.carried[class] * limit / class_limit
+            self.load_by_class[class] * limit / class_limit
         } else {
             0.0
         };
@@ -150,9 +150,9 @@
     /// The price of the last sink of a class, in which its limit ends.
     fn shadow_price(&self, class: usize) -> f64 {
         let sinks = &self.problem.class_of_sink;
-        let last = sinks.iter().rposition(|of_sink| *of_sink == class);
-        let price = last
-            .and_then(|last| self.flows.sink_price.get(last))
+        let last_sink = sinks.iter().rposition(|sink_class| *sink_class == class);
+        let price = last_sink
+            .and_then(|last_sink| self.flows.sink_price.get(last_sink))
             .copied()
             .unwrap_or(0.0);
         // The bonus of guaranteed demand is no value.
@@ -168,17 +168,17 @@
         let fleet = self.problem.fleet;
         let mut results = Vec::new();
         for gateway in &fleet.gateways {
-            for (at, operation) in fleet.operations.iter().enumerate() {
+            for (index, operation) in fleet.operations.iter().enumerate() {
                 let demand = gateway.demand.get(&operation.name).copied().unwrap_or(0.0);
                 if demand <= 0.0 {
                     continue;
                 }
                 let key = ZoneOperation {
                     zone: &gateway.zone,
-                    operation: at,
+                    operation: index,
                 };
                 let admitted = self.admitted.get(&key).copied().unwrap_or(0.0);
-                let share = admitted / self.problem.work[&key].max(SMALLEST);
+                let share = admitted / self.problem.work[&key].max(MIN_POSITIVE);
                 results.push(AdmissionResult {
                     id: gateway.id.clone(),
                     operation: operation.name.clone(),
--- a/crates/solve/src/steady/tests.rs
+++ b/crates/solve/src/steady/tests.rs
@@ -14,19 +14,19 @@
 #[test_case(Some(1.0), 0.1, Some(0.5); "and down")]
 #[test_case(Some(1.0), 0.0, None; "what drains leaves at once")]
 #[test_case(None, 1.0, Some(0.5); "who comes begins with a part")]
-fn weights_hold_still(held: Option<f64>, solved: f64, wanted: Option<f64>) {
+fn weights_hold_still(current: Option<f64>, solved: f64, wanted: Option<f64>) {
     assert_eq!(
-        next(&one(held), &one(Some(solved)), Steadiness::default()),
+        damp(&one(current), &one(Some(solved)), Damping::default()),
         one(wanted)
     );
 }
 
 #[test]
 fn steps_end_where_they_should() {
-    let (mut held, solved) = (one(Some(1.0)), one(Some(9.0)));
+    let (mut current, solved) = (one(Some(1.0)), one(Some(9.0)));
     let rounds = (1..20).find(|_| {
-        held = next(&held, &solved, Steadiness::default());
-        (held["a"] - 9.0).abs() <= 9.0 * 0.05
+        current = damp(&current, &solved, Damping::default());
+        (current["a"] - 9.0).abs() <= 9.0 * 0.05
     });
     assert_eq!(rounds, Some(6));
 }
--- a/crates/solve/tests/reference.rs
+++ b/crates/solve/tests/reference.rs
@@ -194,7 +194,7 @@
     let refused = solve(&stranded, &mut || false).expect_err("plans of zone b have no host");
     assert_eq!(
         refused,
-        SolveInputError::Stranded {
+        SolveInputError::NoHostInZone {
             zone: "b".into(),
             operation: "plan".into()
         }
@@ -249,7 +249,7 @@
 #[test]
 fn warming_hosts_carry_their_share_and_draining_hosts_nothing() {
     let mut cold = fleet(30.0, 10.0);
-    cold.hosts[0].state = HostState::Cold;
+    cold.hosts[0].state = HostState::Warming;
     cold.hosts[3].state = HostState::Draining;
     let solution = solve(&cold, &mut || false).expect("it can be solved");
     assert!(solution.hosts[0].load <= 4.0 * 0.2 * 0.8 + 1e-9);
@@ -334,7 +334,7 @@
     );
     assert!(served(&doubled) >= served(&usual));
     let mut cold = fleet(25.0, 20.0);
-    (0..2).for_each(|at| cold.hosts[2 * at].state = HostState::Cold);
+    (0..2).for_each(|at| cold.hosts[2 * at].state = HostState::Warming);
     assert!(admitted(&cold, "g2", "quote") > admitted(&cold, "g2", "plan"));
     // All take three times as long: the same hosts in the same parts, less of everything.
     let mut slow = fleet(25.0, 20.0);
@@ -351,11 +351,11 @@
     short.hosts[3].load_at_most = Some(0.5);
     let solution = solve(&short, &mut || false).expect("it can be solved");
     let why = |id: &str| explain(&short, &solution, id).expect("a host").reasons;
-    assert!(matches!(why("a1")[..], [Reason::Full { worth }] if worth > 5.0));
+    assert!(matches!(why("a1")[..], [Reason::Full { shadow_price }] if shadow_price > 5.0));
     assert_eq!(why("a2"), [Reason::Draining]);
     assert!(matches!(
         why("b2")[..],
-        [Reason::Limited { load: 0.5 }, Reason::Full { .. }]
+        [Reason::LoadLimit { limit: 0.5 }, Reason::Full { .. }]
     ));
     assert_eq!(explain(&short, &solution, "nobody"), None);
 }
