--- a/crates/solve/src/estimate/tests.rs
+++ b/crates/solve/src/estimate/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 use test_case::test_case;
 
-#[test_case(0.5; "half of what was told")]
-#[test_case(1.0; "as told")]
-#[test_case(2.0; "twice as much")]
-fn an_estimate_that_was_wrong_by_half_is_mended_within_ten_periods(truth: f64) {
+#[test_case(0.5; "half of the nominal capacity")]
+#[test_case(1.0; "the nominal capacity")]
+#[test_case(2.0; "twice the nominal capacity")]
+fn an_estimate_converges_to_the_real_capacity_within_ten_periods(ratio: f64) {
     let mut estimate = CapacityEstimate::new(4.0);
-    let real = 4.0 * truth;
+    let real = 4.0 * ratio;
     for _ in 0..10 {
         let load = 0.6 * estimate.capacity().min(real / 0.7);
         let observation = Observation {
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn what_is_overrun_and_tells_nothing_is_believed_to_do_less() {
+fn failures_lower_the_estimate_of_an_overloaded_host_without_utilization() {
     let mut estimate = CapacityEstimate::new(4.0);
     for _ in 0..10 {
         estimate.observe(Observation {
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn little_seen_moves_little_and_nothing_moves_it_beyond_its_bounds() {
+fn few_attempts_change_the_estimate_little_and_the_correction_is_bounded() {
     let mut estimate = CapacityEstimate::new(4.0);
     estimate.observe(Observation {
         load: 0.001,
--- a/crates/solve/src/explain.rs
+++ b/crates/solve/src/explain.rs
@@ -1,39 +1,39 @@
-//! Explains a host's weight from the solution alone.
+//! Explains a host's weight from the fleet and its solution, without solving again.
 
 use crate::fleet::{Fleet, Host, HostState};
 use crate::solution::{HostResult, Solution};
 use std::fmt;
 
-/// What decided a weight, in the order of the checks.
+/// A reason for a host's weight, in the order in which reasons are checked.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reason {
-    /// It drains.
+    /// The host is draining.
     Draining,
-    /// It is in slow start.
+    /// The host is in slow start.
     SlowStart {
-        /// The part of its capacity that it may be given.
+        /// The ratio of its normal load limit that applies during slow start.
         ratio: f64,
     },
-    /// Its capacity is 0.
+    /// The host's capacity is 0.
     NoCapacity,
-    /// Its own limit is below what its capacity would allow.
+    /// The host's `load_at_most` is not above the limit that its capacity allows.
     LoadLimit {
-        /// The limit, in seconds of work a second.
+        /// The value of `load_at_most`, in seconds of work a second.
         limit: f64,
     },
-    /// All it may be given is used.
+    /// The host's load has reached its limit.
     Full {
-        /// The value of one more second of work a second.
+        /// The value a second that one more second of work a second would bring.
         shadow_price: f64,
     },
-    /// Demand is less than what hosts may be given.
+    /// The host's load is below its limit.
     BelowLimit {
-        /// The part of its limit that is used.
+        /// The ratio of its load to its limit.
         utilization: f64,
     },
-    /// It costs more than it would gain, while cheaper hosts have headroom.
+    /// The host has a price and no load: cheaper hosts have headroom, or work there would cost more than it gains.
     TooExpensive {
-        /// The price of a second of work there.
+        /// The price of a second of work at the host.
         price: f64,
     },
 }
@@ -41,57 +41,60 @@
 impl fmt::Display for Reason {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Reason::Draining => write!(f, "it drains: it is given nothing"),
+            Reason::Draining => write!(f, "it drains and gets no load"),
             Reason::SlowStart { ratio } => {
-                write!(f, "it is cold: it may be given {ratio} of its capacity")
+                write!(
+                    f,
+                    "it is in slow start: its limit is {ratio} of the normal limit"
+                )
             }
             Reason::NoCapacity => write!(f, "its capacity is 0"),
-            Reason::LoadLimit { limit } => write!(f, "its own limit of {limit} binds"),
+            Reason::LoadLimit { limit } => write!(f, "its own load limit of {limit} applies"),
             Reason::Full { shadow_price } => {
                 write!(
                     f,
-                    "it is full; one more second of work a second there is worth {shadow_price:.3}"
+                    "it is at its limit; one more second of work a second would be worth {shadow_price:.3}"
                 )
             }
             Reason::BelowLimit { utilization } => {
                 write!(
                     f,
-                    "there is room to spare: it is filled to {:.0}% of what it may be given",
+                    "it is below its limit: its load is {:.0}% of the limit",
                     utilization * 100.0
                 )
             }
             Reason::TooExpensive { price } => {
                 write!(
                     f,
-                    "a second of work costs {price} there, and cheaper hosts have room"
+                    "a second of work costs {price} at this host, and cheaper hosts have headroom"
                 )
             }
         }
     }
 }
 
-/// Why a host got its weight.
+/// A host's weight with the reasons for it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Explanation {
     /// The host.
     pub id: String,
-    /// Its zone.
+    /// The host's zone.
     pub zone: String,
-    /// Its weight.
+    /// The host's weight.
     pub weight: f64,
-    /// Seconds of work a second that it is given.
+    /// The host's load, in seconds of work a second.
     pub load: f64,
-    /// Seconds of work a second that it may be given.
+    /// The maximum load of the host, in seconds of work a second.
     pub load_limit: f64,
-    /// What decided.
+    /// The reasons for the weight.
     pub reasons: Vec<Reason>,
-    /// Other hosts of its zone and price, which are loaded like it.
+    /// Other hosts of the same zone and price, which have the same ratio of load to limit.
     pub peers: Vec<String>,
-    /// What its zone gets: the operation, the zone it comes from, and invocations a second.
+    /// Flows into the host's zone: the operation, the zone of its proxies, and invocations a second.
     pub zone_flows: Vec<(String, String, f64)>,
 }
 
-/// Loads and limits closer than these parts of a limit count as equal.
+/// Loads and limits that differ by less than these ratios of a limit count as equal.
 const FULL_TOLERANCE: f64 = 1e-9;
 const LIMIT_TOLERANCE: f64 = 1e-12;
 
--- a/crates/solve/src/fleet/checks.rs
+++ b/crates/solve/src/fleet/checks.rs
@@ -1,4 +1,4 @@
-//! Checks of a fleet before it is solved.
+//! Validation of a fleet before it is solved.
 
 use super::{Fleet, Host, Operation};
 use std::collections::BTreeSet;
@@ -12,15 +12,15 @@
     /// The fleet has no operation.
     #[error("no operation")]
     NoOperations,
-    /// Two things have the same name.
+    /// Two hosts, gateways or operations have the same name.
     #[error("{what} `{name}` is named twice")]
     DuplicateName {
-        /// What has the name.
+        /// What the name belongs to.
         what: &'static str,
         /// The name.
         name: String,
     },
-    /// A host's figure is out of range.
+    /// A value of a host is out of range.
     #[error("host `{id}`: {field} {value} should be between 0 and 1e9")]
     Host {
         /// The name.
@@ -30,8 +30,8 @@
         /// Its value.
         value: f64,
     },
-    /// An operation's figure is out of range.
-    #[error("operation `{name}`: {field} {value} can't be")]
+    /// A value of an operation is out of range.
+    #[error("operation `{name}`: {field} {value} can't be accepted")]
     Operation {
         /// The name.
         name: String,
@@ -40,8 +40,8 @@
         /// Its value.
         value: f64,
     },
-    /// A gateway's demand is out of range.
-    #[error("gateway `{id}`: {value} invocations a second of `{operation}`")]
+    /// A demand of a gateway is out of range.
+    #[error("gateway `{id}`: {value} invocations a second of `{operation}`: should be between 0 and 1e9")]
     Demand {
         /// The name.
         id: String,
@@ -50,36 +50,36 @@
         /// Its value.
         value: f64,
     },
-    /// A gateway asks for an operation that the fleet does not have.
-    #[error("gateway `{id}` asks for `{operation}`, which is no operation")]
+    /// A gateway has demand for an operation that the fleet does not define.
+    #[error("gateway `{id}` has demand for `{operation}`, which is not among the operations")]
     UnknownOperation {
         /// The name.
         id: String,
         /// The operation.
         operation: String,
     },
-    /// `standing` names a host that the fleet does not have.
-    #[error("standing: `{id}` is no host")]
+    /// `standing` names a host that the fleet does not define.
+    #[error("standing: `{id}` is not among the hosts")]
     UnknownHost {
         /// The name.
         id: String,
     },
-    /// A figure of the fleet is out of range.
-    #[error("{field}: {value} can't be")]
+    /// A value of the fleet itself is out of range.
+    #[error("{field}: {value} can't be accepted")]
     Value {
         /// The field.
         field: &'static str,
         /// Its value.
         value: f64,
     },
-    /// `steps` are not in order, or do not end at 1.
-    #[error("steps should rise to 1, their costs too")]
+    /// `steps` is empty, is not in ascending order, or does not end at 1.
+    #[error("steps should rise to 1, and their costs should not fall")]
     Steps,
-    /// No host may be given anything.
-    #[error("hosts have no capacity left: all drain, or theirs is 0")]
+    /// Every host has a load limit of 0.
+    #[error("hosts have no capacity left: each is draining or has a load limit of 0")]
     NoCapacity,
-    /// An operation that stays in its zone has no host there.
-    #[error("zone `{zone}` asks for `{operation}`, which stays there, and has no host for it")]
+    /// A zone has demand for an operation with `stays_in_zone`, and no host with a load limit above 0.
+    #[error("zone `{zone}` asks for `{operation}`, which stays in its zone, and has no host with capacity")]
     NoHostInZone {
         /// The zone.
         zone: String,
@@ -88,10 +88,10 @@
     },
 }
 
-/// The largest price, capacity, value or rate.
+/// The maximum price, capacity, billed value or rate.
 const MAX_VALUE: f64 = 1e9;
 
-/// The longest time in seconds.
+/// The maximum duration in seconds.
 const MAX_SECONDS: f64 = 1e6;
 
 fn is_in_range(value: f64) -> bool {
@@ -99,7 +99,7 @@
 }
 
 impl Fleet {
-    /// Whether the fleet can be solved; otherwise the first reason why not.
+    /// Checks whether the fleet can be solved; the error is the first problem found.
     pub fn check(&self) -> Result<(), SolveInputError> {
         if self.hosts.is_empty() {
             return Err(SolveInputError::NoHosts);
@@ -116,7 +116,7 @@
         self.check_reachable()
     }
 
-    /// The names of all hosts.
+    /// Checks the hosts and returns their names.
     fn check_hosts(&self) -> Result<BTreeSet<&str>, SolveInputError> {
         let mut ids = BTreeSet::new();
         for host in &self.hosts {
@@ -128,7 +128,7 @@
         Ok(ids)
     }
 
-    /// The names of all operations.
+    /// Checks the operations and returns their names.
     fn check_operations(&self) -> Result<BTreeSet<&str>, SolveInputError> {
         let mut names = BTreeSet::new();
         for operation in &self.operations {
@@ -193,7 +193,7 @@
         Ok(())
     }
 
-    /// Steps rise to 1, and their costs do not fall.
+    /// Checks that steps rise to 1 and that their costs do not fall.
     fn check_steps(&self) -> Result<(), SolveInputError> {
         let is_ascending = self
             .steps
@@ -214,7 +214,7 @@
         }
     }
 
-    /// There is a host that may be given something, also in each zone with demand that stays there.
+    /// Checks that a host has a load limit above 0, and that one does in each zone with demand that stays there.
     fn check_reachable(&self) -> Result<(), SolveInputError> {
         let reachable_zones: BTreeSet<&str> = self
             .hosts
--- a/crates/solve/src/flow.rs
+++ b/crates/solve/src/flow.rs
@@ -1,9 +1,10 @@
-//! The core of the solver: work flows from sources to sinks at the greatest gain.
+//! The core of the solver: assigns work from sources to sinks with the maximum total gain.
 //!
-//! This is a transportation problem, solved by successive best paths. Each path exhausts a source or a sink, so
-//! there are about as many paths as sources and sinks. Work is the unit throughout: a second of it is a second
-//! wherever it comes from, and no flow gains or loses on its way. The sinks of a class differ by their cost
-//! alone, so paths are sought between sources and classes: a few dozen places, however many hosts there are.
+//! This is a transportation problem, solved by successive augmenting paths of maximum gain. Each path exhausts a
+//! source, a sink or an existing flow, so there are about as many paths as sources and sinks. All amounts are in
+//! seconds of work a second, and a flow has the same amount at its source and its sink. The sinks of a class differ
+//! by their cost alone, so paths are searched between sources and classes: a few dozen vertices, regardless of the
+//! number of hosts.
 
 mod path;
 mod prices;
@@ -11,62 +12,62 @@
 use path::Direction;
 use path::Path;
 
-/// Work that wants a place.
+/// Work to assign to sinks.
 #[derive(Clone, Debug)]
 pub struct Source {
     /// Seconds of work a second.
     pub amount: f64,
-    /// The gain of a unit in each class of sinks; `None`: it may not go there.
+    /// The gain of a unit by class of sinks; `None` where the source may not use the class.
     pub gains: Vec<Option<f64>>,
 }
 
-/// A place for work. Sinks that are alike stand together as one.
+/// An amount of work that can be served at one cost. Hosts with the same zone and cost form one sink.
 #[derive(Clone, Debug)]
 pub struct Sink {
-    /// Sinks of a class give a source the same gain.
+    /// The index of the class; all sinks of a class give a source the same gain.
     pub class: usize,
     /// Seconds of work a second.
     pub amount: f64,
-    /// What a unit costs here.
+    /// The cost of a unit.
     pub cost: f64,
 }
 
-/// The result.
+/// The flows and prices that [`maximize_gain`] computes.
 #[derive(Clone, Debug, Default)]
 pub struct Flows {
     /// Work by source and sink.
     pub work: Vec<Vec<f64>>,
-    /// What one more unit of a sink would be worth.
+    /// Shadow price by sink: the gain of one more unit of the sink.
     pub sink_price: Vec<f64>,
-    /// What one unit less of a source would cost.
+    /// Shadow price by source: the gain lost with one unit less of the source.
     pub source_price: Vec<f64>,
-    /// Best paths found.
+    /// The number of augmenting paths.
     pub paths: usize,
-    /// The deadline came first: the flows are feasible, but may not be the best.
+    /// Whether the search was stopped early: the flows are feasible, but may not be optimal.
     pub cut_short: bool,
 }
 
-/// Amounts below this part of all work count as nothing.
+/// Amounts up to this ratio of the total work count as zero.
 const NEGLIGIBLE_RATIO: f64 = 1e-12;
 
-/// Gains closer than this part of the largest count as equal.
+/// Gains that differ by less than this ratio of the largest gain or cost count as equal.
 const GAIN_TOLERANCE_RATIO: f64 = 1e-10;
 
-/// Keeps tolerances and divisors above zero.
+/// Lower bound that keeps tolerances above zero.
 const MIN_POSITIVE: f64 = 1e-300;
 
-/// The sinks of one class, cheapest first. To every source they differ by their cost alone, so they fill in this
-/// order whatever flows there: a class is one place that becomes more expensive as it fills.
+/// The sinks of one class, cheapest first. For every source they differ by their cost alone, so they are filled in
+/// this order. The search treats a class as one vertex whose marginal cost rises as it is filled.
 struct Class {
     sinks: Vec<usize>,
-    /// How many sinks are full.
+    /// The number of full sinks, which is the index of the sink to fill next.
     full_count: usize,
-    /// What the next sink has left.
+    /// The remaining amount of the sink to fill next.
     free: f64,
 }
 
 impl Class {
-    /// The empty sinks of a class, in the order in which they fill.
+    /// Creates a class with all its sinks empty.
     fn new(class: usize, sinks: &[Sink]) -> Class {
         let mut class_sinks: Vec<usize> = (0..sinks.len())
             .filter(|index| sinks[*index].class == class)
@@ -81,18 +82,18 @@
     }
 }
 
-/// The problem with the flows found so far.
+/// A transportation problem with the flows found so far.
 struct Transport<'a> {
     sources: &'a [Source],
     sinks: &'a [Sink],
     classes: Vec<Class>,
-    /// By source and class.
+    /// Assigned work by source and class.
     work: Vec<Vec<f64>>,
-    /// By source: what has no place yet.
+    /// Unassigned work by source.
     unplaced: Vec<f64>,
-    /// Amounts up to this count as nothing.
+    /// Amounts up to this count as zero.
     negligible: f64,
-    /// Gains closer than this count as equal.
+    /// Gains that differ by less than this count as equal.
     gain_tolerance: f64,
 }
 
@@ -129,7 +130,7 @@
         self.sources[source].gains.get(class).copied().flatten()
     }
 
-    /// What the next unit costs in a class; `None`: it is full.
+    /// The cost of the next unit in a class; `None` if the class is full.
     fn marginal_cost(&self, class: usize) -> Option<f64> {
         let class = &self.classes[class];
         let sink = class.sinks.get(class.full_count)?;
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Moves as much along a path as it takes.
+    /// Moves the maximum amount along a path.
     fn augment(&mut self, path: &Path) {
         let taken_back = path
             .steps
@@ -167,7 +168,7 @@
         self.skip_full_sinks(path.end);
     }
 
-    /// Divides what flows to each class among its sinks, in their order.
+    /// Divides the work of each class among its sinks, cheapest first.
     fn work_by_sink(&self) -> Vec<Vec<f64>> {
         let mut work = vec![vec![0.0; self.sinks.len()]; self.sources.len()];
         for (index, class) in self.classes.iter().enumerate() {
@@ -192,7 +193,8 @@
     }
 }
 
-/// The flows of greatest gain. `should_stop` says whether to stop with the best so far.
+/// Computes the flows with the maximum total gain. `should_stop` is called before each path; if it returns `true`,
+/// the result holds the flows found so far.
 pub fn maximize_gain(
     sources: &[Source],
     sinks: &[Sink],
--- a/crates/solve/src/flow/path.rs
+++ b/crates/solve/src/flow/path.rs
@@ -1,5 +1,5 @@
-//! Best paths: from work without a place, forward along gains and back along what flows already, to a class
-//! that has room.
+//! The search for augmenting paths. A path starts at a source with unassigned work, goes forward from sources to
+//! classes and backward along existing flows, and ends at a class that is not full.
 
 use super::Transport;
 
@@ -7,7 +7,7 @@
 pub(super) enum Direction {
     /// Work is added.
     Forward,
-    /// Work is taken back, to go elsewhere.
+    /// Work is removed from a class, so that its source can use another one.
     Back,
 }
 
@@ -18,16 +18,16 @@
     pub direction: Direction,
 }
 
-/// A path, from its end to its start.
+/// An augmenting path, with its steps in order from the end to the start.
 pub(super) struct Path {
     pub steps: Vec<Step>,
-    /// The source whose work is placed.
+    /// The source whose unassigned work is assigned.
     pub start: usize,
-    /// The class whose free sink is used.
+    /// The class in which the additional work is served.
     pub end: usize,
 }
 
-/// Where the best way to a place comes from.
+/// The predecessor of a source or class on the best path to it.
 #[derive(Clone, Copy, PartialEq)]
 enum Predecessor {
     Unreached,
@@ -36,7 +36,7 @@
     Class(usize),
 }
 
-/// The best way to a place known so far.
+/// The best path to a source or class found so far.
 #[derive(Clone, Copy)]
 struct Label {
     gain: f64,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Extends ways from sources to classes; whether one became better.
+    /// Extends paths from sources to classes. Returns whether any path improved.
     fn extend_forward(&mut self, transport: &Transport) -> bool {
         let mut has_changed = false;
         for (source, label) in self.sources.iter().enumerate() {
@@ -91,7 +91,7 @@
         has_changed
     }
 
-    /// Extends ways from classes back to sources whose work they hold; whether one became better.
+    /// Extends paths from classes back to the sources of their work. Returns whether any path improved.
     fn extend_back(&mut self, transport: &Transport) -> bool {
         let mut has_changed = false;
         for (class, label) in self.classes.iter().enumerate() {
@@ -113,7 +113,8 @@
         has_changed
     }
 
-    /// The class with the best way that has room; the first of equals, so that ties are always decided alike.
+    /// The class with the best path among those that are not full and give a positive gain. Of equal classes it is
+    /// the first, so that the result is deterministic.
     fn best_end(&self, transport: &Transport) -> Option<usize> {
         let mut best: Option<(usize, f64)> = None;
         for (class, label) in self.classes.iter().enumerate() {
@@ -129,7 +130,7 @@
         best.map(|(class, _)| class)
     }
 
-    /// Follows the predecessors from a class back to the start.
+    /// The path to a class, by its predecessors; `None` if no path reaches the class.
     fn path_to(&self, end: usize) -> Option<Path> {
         let max_steps = 2 * (self.sources.len() + self.classes.len());
         let mut steps = Vec::new();
@@ -162,10 +163,10 @@
 }
 
 impl Transport<'_> {
-    /// The path of greatest gain; `None` if there is none with a gain.
+    /// The path of maximum gain; `None` if no path has a positive gain.
     pub(super) fn best_path(&self) -> Option<Path> {
         let mut labels = Labels::new(self);
-        // A path visits no class twice, which bounds the rounds.
+        // A path visits no class twice, which bounds the number of rounds.
         for _ in 0..=self.classes.len() {
             let has_forward_change = labels.extend_forward(self);
             let has_back_change = labels.extend_back(self);
--- a/crates/solve/src/flow/prices.rs
+++ b/crates/solve/src/flow/prices.rs
@@ -1,16 +1,17 @@
-//! Shadow prices, by which nothing can be gained any more: what a unit of a source is worth (0 where some has no
-//! place) and what a unit of a sink is worth (0 where some is free). Work flows where both together make up the gain.
+//! Shadow prices of sources and sinks: the dual solution of the transportation problem. The price of a source with
+//! unassigned work is 0, and so is the price of a sink that is not full. Work flows only where the price of the
+//! source and the price of the sink add up to the net gain of the flow.
 
 use super::Transport;
 
 pub(super) struct Prices {
     pub sources: Vec<f64>,
-    /// What a unit of a class would be worth if it cost nothing.
+    /// The value of a unit of each class, before its cost.
     classes: Vec<f64>,
 }
 
 impl Prices {
-    /// What one more unit of each sink would be worth.
+    /// The gain of one more unit of each sink.
     pub fn sink_prices(&self, transport: &Transport) -> Vec<f64> {
         let sinks = transport.sinks.iter();
         sinks
@@ -18,7 +19,7 @@
             .collect()
     }
 
-    /// A source is worth what its least profitable flow gains over the class it goes to.
+    /// Sets the price of each source to the minimum net gain among its flows.
     fn update_sources(&mut self, transport: &Transport) {
         for (source, price) in self.sources.iter_mut().enumerate() {
             *price = if transport.unplaced[source] > transport.negligible {
@@ -32,8 +33,8 @@
         }
     }
 
-    /// A class is worth what the best work that could move into it would gain over what it has now. Whether one
-    /// became worth more.
+    /// Raises the price of each class to the maximum of what a source would gain there beyond the source's price.
+    /// Returns whether any price rose.
     fn raise_classes(&mut self, transport: &Transport) -> bool {
         let mut has_changed = false;
         for (class, price) in self.classes.iter_mut().enumerate() {
@@ -48,7 +49,7 @@
         has_changed
     }
 
-    /// A source without work is worth what a little of it would gain.
+    /// Sets the price of each source without flows to the gain of its first unit, or to 0 if that would be a loss.
     fn price_idle_sources(&mut self, transport: &Transport) {
         let Prices { sources, classes } = self;
         for (source, price) in sources.iter_mut().enumerate() {
@@ -77,7 +78,8 @@
                 .map(|class| self.last_cost(class))
                 .collect(),
         };
-        // From below; each round carries a price one class further, and a path visits no class twice.
+        // Prices rise from their lower bounds. Each round propagates a price by one class, and a path visits no
+        // class twice.
         for _ in 0..=class_count + 1 {
             prices.update_sources(self);
             if !prices.raise_classes(self) {
@@ -88,7 +90,7 @@
         prices
     }
 
-    /// What the most expensive sink in use costs.
+    /// The cost of the most expensive sink in use; negative infinity if none is in use.
     fn last_cost(&self, class: usize) -> f64 {
         let class = &self.classes[class];
         let partly_used = class
@@ -104,7 +106,7 @@
             .map_or(f64::NEG_INFINITY, |sink| self.sinks[*sink].cost)
     }
 
-    /// What the cheapest sink of a class costs; infinite without sinks, as nothing can go there.
+    /// The cost of the cheapest sink of a class; infinite without sinks, because the class can't serve anything.
     fn min_cost(&self, class: usize) -> f64 {
         self.classes[class]
             .sinks
--- a/crates/solve/src/lib.rs
+++ b/crates/solve/src/lib.rs
@@ -1,9 +1,9 @@
-//! Target weights under each host's capacity and at a cost that favours billed value.
+//! Computes target weights that maximize billed value, less prices, within the capacity of each host.
 //!
-//! [`solve`] takes a [`Fleet`] and returns loads, weights, admitted shares and shadow prices. [`explain`] says why a
-//! host got its weight, [`robust`] what a solution is worth if capacities are wrong, [`steady`] damps weights, and
-//! [`estimate`] corrects capacities by what was observed. There is no I/O and no clock: the caller brings its
-//! deadline as a function.
+//! [`solve`] takes a [`Fleet`] and returns loads, weights, admission ratios and shadow prices. [`explain`] gives the
+//! reasons for a host's weight, [`robust`] evaluates a solution under capacities that differ from the nominal ones,
+//! [`steady`] damps changes of weights, and [`estimate`] corrects capacities by observations. The crate does no I/O
+//! and reads no clock: the caller passes a function that reports whether its deadline has passed.
 
 pub mod estimate;
 pub mod explain;
--- a/crates/solve/src/robust.rs
+++ b/crates/solve/src/robust.rs
@@ -1,31 +1,33 @@
-//! What a solution is worth when capacities are not as stated.
+//! The value that a solution serves if real capacities differ from the nominal ones.
 //!
-//! Loads stay as solved; a host whose capacity is less than its load serves what it can, of each kind of work the
-//! same part. [`hedge`] solves with a part of each capacity held back where that serves more in the worst case.
+//! Loads stay as solved. A host whose capacity is less than its load serves the same ratio of every operation's work.
+//! [`hedge`] solves with reduced capacities where that gives a better balance between the worst case and the nominal
+//! capacities.
 
 use crate::fleet::{Fleet, Host, SolveInputError};
 use crate::solution::{solve, Solution};
 use std::collections::BTreeMap;
 
-/// How capacities may be wrong: true ones lie between these parts of the stated ones.
+/// The range of real capacities, as ratios of the nominal ones.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CapacityRange {
-    /// The least part.
+    /// The minimum ratio.
     pub min_ratio: f64,
-    /// The largest part.
+    /// The maximum ratio.
     pub max_ratio: f64,
 }
 
-/// What a solution serves under other capacities.
+/// The result of a solution under other capacities.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Served {
-    /// Billed value a second of what is answered in time.
+    /// Billed value a second of the responses within their latency objective.
     pub value_per_s: f64,
-    /// Hosts with more load than they can serve in time, and how many times as much; worst first.
+    /// Hosts whose load exceeds what they can serve within the latency objective, with the ratio of the two; highest
+    /// ratio first.
     pub overloaded: Vec<(String, f64)>,
 }
 
-/// Work of one operation that a zone gets.
+/// The work of one operation in a zone.
 struct ZoneWork {
     /// The value of a second of work.
     value: f64,
@@ -48,7 +50,7 @@
     zones
 }
 
-/// The value of a second of a zone's work, on the mean.
+/// The mean value of a second of a zone's work.
 fn mean_value(work: &[ZoneWork]) -> f64 {
     let amount: f64 = work.iter().map(|work| work.amount).sum();
     let value = work
@@ -58,7 +60,7 @@
     value / amount.max(MIN_POSITIVE)
 }
 
-/// What is served if each host has `capacity_ratio` of its stated capacity.
+/// Evaluates a solution with the capacity of each host multiplied by `capacity_ratio`.
 pub fn served(fleet: &Fleet, solution: &Solution, capacity_ratio: &dyn Fn(&Host) -> f64) -> Served {
     let zones = work_by_zone(fleet, solution);
     let mut value_per_s = 0.0;
@@ -67,7 +69,7 @@
         let Some(work) = zones.get(&host.zone).filter(|_| result.load > 0.0) else {
             continue;
         };
-        // Each host of a zone gets the zone's mix; one that is overrun is late with all of it alike.
+        // Each host of a zone gets the zone's mix of operations, and an overloaded host is late equally with all.
         let capacity = host.capacity * capacity_ratio(host) * fleet.fill_at_most;
         value_per_s += result.load.min(capacity) * mean_value(work);
         if result.load > capacity * (1.0 + OVERLOAD_TOLERANCE) {
@@ -81,22 +83,22 @@
     }
 }
 
-/// The least that is served whatever the capacities are within their bounds: each host at its least.
+/// The minimum that is served for any capacities within the range: every host at the minimum ratio.
 pub fn worst_case(fleet: &Fleet, solution: &Solution, range: CapacityRange) -> Served {
     served(fleet, solution, &|_| range.min_ratio)
 }
 
-/// Parts of the capacities that `hedge` solves with, from all of them down to what is certain.
+/// The number of capacity ratios that `hedge` tries, from 1 down to the minimum ratio of the range.
 const HEDGE_STEP_COUNT: usize = 6;
 
-/// The least part of the capacities that `hedge` solves with.
+/// The minimum capacity ratio that `hedge` tries.
 const MIN_HEDGE_RATIO: f64 = 0.05;
 
-/// Loads and scores closer than this part count as equal.
+/// Loads and scores that differ by less than these ratios count as equal.
 const OVERLOAD_TOLERANCE: f64 = 1e-9;
 const SCORE_TOLERANCE: f64 = 1e-9;
 
-/// Keeps divisors above zero.
+/// Lower bound that keeps divisors above zero.
 const MIN_POSITIVE: f64 = 1e-300;
 
 struct Candidate {
@@ -105,9 +107,9 @@
     ratio: f64,
 }
 
-/// The solution with the best score, and the part of the capacities that it was solved with. The score is the
-/// mean of the worst case and of the stated capacities: holding back costs nothing while all demand fits, and
-/// otherwise it admits less than could be served if the capacities are right.
+/// Returns the solution with the best score, and the ratio of the capacities that it was solved with. The score is
+/// the mean of the values served in the worst case and with the nominal capacities: a lower ratio costs nothing while
+/// all demand is served, and otherwise admits less than could be served if the nominal capacities are right.
 pub fn hedge(
     fleet: &Fleet,
     range: CapacityRange,
@@ -124,9 +126,9 @@
             .for_each(|host| host.capacity *= ratio);
         let solution = solve(&reduced, should_stop)?;
         let worst = worst_case(fleet, &solution, range).value_per_s;
-        let as_stated = served(fleet, &solution, &|_| 1.0).value_per_s;
-        let score = (worst + as_stated) / 2.0;
-        // The first of equals uses more of the stated capacities.
+        let nominal = served(fleet, &solution, &|_| 1.0).value_per_s;
+        let score = (worst + nominal) / 2.0;
+        // Of equal candidates the first stays, which uses more of the nominal capacities.
         let is_better = best
             .as_ref()
             .is_none_or(|best| score > best.score * (1.0 + SCORE_TOLERANCE));
--- a/crates/solve/src/robust/tests.rs
+++ b/crates/solve/src/robust/tests.rs
@@ -43,7 +43,7 @@
 };
 
 #[test]
-fn with_little_to_do_nothing_is_lost_though_all_capacities_are_half() {
+fn low_demand_is_served_in_full_with_half_of_all_capacities() {
     let fleet = fleet(30.0);
     let solution = solve(&fleet, &mut || false).expect("solved");
     let worst = worst_case(&fleet, &solution, HALF);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_kind_that_does_half_loses_half_of_what_it_was_given_and_is_named() {
+fn a_host_with_half_of_its_capacity_serves_half_of_its_load_and_is_listed_as_overloaded() {
     let fleet = fleet(80.0);
     let solution = solve(&fleet, &mut || false).expect("solved");
     let result = served(&fleet, &solution, &|host| {
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_hedge_serves_no_less_in_the_worst_case_and_holds_nothing_back_for_nothing() {
+fn a_hedge_serves_no_less_in_the_worst_case_and_keeps_full_capacities_at_low_demand() {
     for demand in [10.0, 40.0, 70.0, 200.0] {
         let fleet = fleet(demand);
         let plain = solve(&fleet, &mut || false).expect("solved");
--- a/crates/solve/src/solution.rs
+++ b/crates/solve/src/solution.rs
@@ -1,8 +1,8 @@
-//! Solves a fleet: its weights, the share of demand that is admitted, and shadow prices.
+//! Solves a fleet: its weights, the admitted ratio of demand, and shadow prices.
 //!
-//! Gateways of a zone that ask for the same operation are one source, hosts of a zone and price are one class, and
-//! what a class carries is divided among its hosts by what they may be given, so that hosts that are alike are
-//! loaded alike.
+//! The demand of a zone's proxies for one operation is one source, or two if a part of it is guaranteed. Hosts of the
+//! same zone and price are one class, and the load of a class is divided among its hosts in proportion to their load
+//! limits, so that they have the same ratio of load to limit.
 
 mod problem;
 mod report;
@@ -13,43 +13,43 @@
 use report::Report;
 use serde::Serialize;
 
-/// How far the solver came.
+/// Whether the solver finished.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Status {
-    /// The solution is the best.
+    /// The solution is optimal.
     Optimal,
-    /// The deadline came first: the solution is feasible, but may not be the best.
+    /// The deadline passed first: the solution is feasible, but may not be optimal.
     CutShort,
 }
 
-/// What a host is given.
+/// The result for a host.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct HostResult {
-    /// The host.
+    /// The host's name.
     pub id: String,
-    /// Its zone.
+    /// The host's zone.
     pub zone: String,
-    /// Its part of all work, times the number of hosts that carry any: 1 is an even part.
+    /// The host's share of all work, times the number of hosts with work: 1 is an equal share.
     pub weight: f64,
-    /// Seconds of work a second.
+    /// Load in seconds of work a second.
     pub load: f64,
-    /// Its capacity as the fleet states it.
+    /// The capacity from the fleet, in seconds of work a second.
     pub capacity: f64,
     /// Value a second that one more second of work a second would bring; 0 where the limit is not reached.
     pub shadow_price: f64,
-    /// What keeps it from carrying more.
+    /// The constraint that keeps the load from being higher.
     pub binds: &'static str,
 }
 
-/// What a gateway may admit of an operation.
+/// The admission ratio of an operation at a proxy.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct AdmissionResult {
-    /// The gateway.
+    /// The proxy's name.
     pub id: String,
     /// The operation.
     pub operation: String,
-    /// The admitted part of its demand.
+    /// The admitted ratio of the proxy's demand for the operation.
     pub admitted: f64,
 }
 
@@ -58,7 +58,7 @@
 pub struct FlowResult {
     /// The operation.
     pub operation: String,
-    /// The zone of the gateways.
+    /// The zone of the proxies.
     pub from: String,
     /// The zone of the hosts.
     pub to: String,
@@ -69,23 +69,24 @@
 /// The solution of a fleet.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Solution {
-    /// How far the solver came.
+    /// Whether the solver finished.
     pub status: Status,
-    /// Value a second less the prices of hosts, of crossing zones, of connections and of filling hosts far.
+    /// Billed value a second, less the prices of hosts, zone crossings, connections, moved work and load steps.
     pub objective: f64,
     /// Billed value a second of what is admitted.
     pub value_per_s: f64,
     /// Each host, in the fleet's order.
     pub hosts: Vec<HostResult>,
-    /// Each gateway and operation with demand.
+    /// Results by proxy and operation with demand.
     pub gateways: Vec<AdmissionResult>,
     /// Flows between zones.
     pub flows: Vec<FlowResult>,
-    /// Best paths that the method found.
+    /// The number of augmenting paths.
     pub paths: usize,
 }
 
-/// Solves a fleet. `should_stop` is called between steps and says whether to stop with the best so far.
+/// Solves a fleet. `should_stop` is called between augmenting paths; if it returns `true`, the solution so far is
+/// returned with [`Status::CutShort`].
 pub fn solve(
     fleet: &Fleet,
     should_stop: &mut dyn FnMut() -> bool,
--- a/crates/solve/src/solution/problem.rs
+++ b/crates/solve/src/solution/problem.rs
@@ -1,17 +1,17 @@
-//! From a fleet to sources and sinks.
+//! Converts a fleet to a transportation problem of sources and sinks.
 
 use crate::fleet::{Fleet, Operation};
 use crate::flow::{Sink, Source};
 use std::collections::BTreeMap;
 
-/// An operation's guaranteed share gains so many times the largest gain more than all else.
+/// The bonus of guaranteed demand, as a multiple of the maximum sum of gains and costs in the fleet.
 const GUARANTEE_FACTOR: f64 = 4.0;
 
-/// An operation as a zone's gateways ask for it.
+/// An operation with demand from the proxies of a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ZoneOperation<'a> {
     pub zone: &'a str,
-    /// Its place in the fleet.
+    /// The operation's index in the fleet.
     pub operation: usize,
 }
 
@@ -19,37 +19,37 @@
 pub(super) struct HostClass<'a> {
     pub zone: &'a str,
     pub price: f64,
-    /// Seconds of work a second that they may be given together.
+    /// The sum of the hosts' load limits, in seconds of work a second.
     pub limit: f64,
 }
 
-/// What a source stands for.
+/// The demand that a source represents.
 pub(super) struct Demand<'a> {
     pub zone_operation: ZoneOperation<'a>,
-    /// Demand up to the operation's least share, which comes before all else.
+    /// Whether this is the demand up to the operation's `least_share`, which is served before any other.
     pub is_guaranteed: bool,
 }
 
 /// A fleet as a transportation problem.
 pub(super) struct Problem<'a> {
     pub fleet: &'a Fleet,
-    /// Seconds of work a second that are asked for.
+    /// Demand in seconds of work a second.
     pub work: BTreeMap<ZoneOperation<'a>, f64>,
     pub host_classes: Vec<HostClass<'a>>,
-    /// By host, in the fleet's order.
+    /// The index in `host_classes` by host, in the fleet's order.
     pub class_of_host: Vec<usize>,
     pub sinks: Vec<Sink>,
-    /// The hosts that a sink stands for, by sink. (A sink's own class is its zone.)
+    /// The index in `host_classes` by sink. ([`Sink::class`] is the index of the zone.)
     pub class_of_sink: Vec<usize>,
     pub sources: Vec<Source>,
-    /// By source.
+    /// The demand by source.
     pub demands: Vec<Demand<'a>>,
-    /// What guaranteed demand gains over its own gain.
+    /// The additional gain of a second of guaranteed work.
     pub guarantee_bonus: f64,
 }
 
 impl<'a> Problem<'a> {
-    /// The problem of a fleet that was checked.
+    /// Converts a fleet, which has to be checked before.
     pub fn new(fleet: &'a Fleet) -> Problem<'a> {
         let mut problem = Problem {
             fleet,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Each part of the hosts' limit that costs the same is a sink.
+    /// Adds a sink for each part of a class's limit that has the same cost.
     fn add_sinks(&mut self, zones: &[&str]) {
         let fleet = self.fleet;
         let max_work_value = max_work_value(fleet);
@@ -167,7 +167,7 @@
         .fold(0.0, f64::max)
 }
 
-/// More than any gain or cost in the fleet, so that guaranteed demand is served first.
+/// A bonus above any gain or cost in the fleet, so that guaranteed demand is served first.
 fn guarantee_bonus(fleet: &Fleet) -> f64 {
     let max_value = max_work_value(fleet);
     let prices = fleet.hosts.iter().map(|host| host.price);
@@ -180,7 +180,7 @@
     GUARANTEE_FACTOR * (max_gain_and_cost + max_route_cost)
 }
 
-/// The gain of a second of work in each zone; `None`: the operation stays in its own zone.
+/// The gain of a second of work by zone; `None` where the operation has to stay in its own zone.
 fn gains(
     fleet: &Fleet,
     operation: &Operation,
@@ -196,17 +196,17 @@
     zones.iter().map(gain).collect()
 }
 
-/// A part of what hosts may be given, all of which costs the same.
+/// A part of a class's load limit in which every unit has the same cost.
 struct LimitPart {
     amount: f64,
-    /// As a part of the highest value of a second of work.
+    /// The cost of the load step, as a ratio of the maximum value of a second of work.
     fill_cost: f64,
-    /// For work that would have to move here.
+    /// The price of moving a second of work to this class; 0 within the current load.
     move_cost: f64,
 }
 
-/// Divides a limit where it becomes more expensive: at the steps of filling hosts, and at what they carry now.
-/// What they carry already is never more expensive than what would come, so the parts fill in their order.
+/// Divides a limit where the cost rises: at the load steps, and at the current load. The current load is never more
+/// expensive than additional load, so the parts are filled in order.
 fn limit_parts(fleet: &Fleet, limit: f64, current_load: f64) -> Vec<LimitPart> {
     let move_cost = if fleet.standing.is_empty() {
         0.0
--- a/crates/solve/src/solution/report.rs
+++ b/crates/solve/src/solution/report.rs
@@ -1,4 +1,4 @@
-//! From flows back to hosts, gateways and zones.
+//! Converts flows to the results of hosts, proxies and zones.
 
 use super::problem::{Problem, ZoneOperation};
 use super::{AdmissionResult, FlowResult, HostResult, Solution, Status};
@@ -6,13 +6,13 @@
 use crate::flow::Flows;
 use std::collections::BTreeMap;
 
-/// A host whose load is closer to its limit than this part of it is full.
+/// A host counts as full if its load is below its limit by no more than this ratio of the limit.
 const FULL_TOLERANCE: f64 = 1e-9;
 
-/// Keeps divisors above zero.
+/// Lower bound that keeps divisors above zero.
 const MIN_POSITIVE: f64 = 1e-300;
 
-/// An operation's way between two zones.
+/// An operation with the zone of its proxies and the zone of its hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Route<'a> {
     operation: usize,
@@ -20,13 +20,13 @@
     to: &'a str,
 }
 
-/// The flows, added up as the solution states them.
+/// Sums of flows, from which the solution is built.
 pub(super) struct Report<'a> {
     problem: &'a Problem<'a>,
     flows: &'a Flows,
     objective: f64,
     value_per_s: f64,
-    /// Seconds of work a second by class of hosts.
+    /// Load by class of hosts, in seconds of work a second.
     load_by_class: Vec<f64>,
     admitted: BTreeMap<ZoneOperation<'a>, f64>,
     /// Invocations a second.
@@ -34,7 +34,7 @@
 }
 
 impl<'a> Report<'a> {
-    /// Adds up the flows of a problem.
+    /// Sums the flows of a problem.
     pub fn new(problem: &'a Problem<'a>, flows: &'a Flows) -> Report<'a> {
         let mut report = Report {
             problem,
@@ -80,7 +80,7 @@
         *self.routes.entry(route).or_insert(0.0) += work / operation.work;
     }
 
-    /// The result as users read it.
+    /// Builds the solution.
     pub fn solution(&self) -> Solution {
         Solution {
             status: if self.flows.cut_short {
@@ -147,7 +147,7 @@
         }
     }
 
-    /// The price of the last sink of a class, in which its limit ends.
+    /// The shadow price of the last and most expensive sink of a class, at which the limit ends.
     fn shadow_price(&self, class: usize) -> f64 {
         let sinks = &self.problem.class_of_sink;
         let last_sink = sinks.iter().rposition(|sink_class| *sink_class == class);
@@ -155,7 +155,7 @@
             .and_then(|last_sink| self.flows.sink_price.get(last_sink))
             .copied()
             .unwrap_or(0.0);
-        // The bonus of guaranteed demand is no value.
+        // The bonus of guaranteed demand is not part of the value.
         let bonus = self.problem.guarantee_bonus;
         if price > bonus {
             price - bonus
@@ -202,7 +202,7 @@
     }
 }
 
-/// What keeps a host from carrying more, as the solution states it.
+/// The constraint that keeps a host's load from being higher, as text for the solution.
 fn binding_constraint(limit: f64, load: f64) -> &'static str {
     if limit <= 0.0 {
         "draining or without capacity"
--- a/crates/solve/src/steady.rs
+++ b/crates/solve/src/steady.rs
@@ -1,14 +1,15 @@
-//! Damping of weights: a solved weight is adopted when it differs enough to matter, and then in steps, so that a
-//! fluctuating estimate moves no traffic and a wrong one moves it gradually.
+//! Damping of weights: a solved weight replaces the current one only if it differs by more than a dead band, and then
+//! in limited steps. So a fluctuating capacity estimate moves no traffic, and a wrong one moves traffic gradually.
 
 use std::collections::BTreeMap;
 
-/// How strongly weights are damped.
+/// The parameters of damping.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Damping {
-    /// The dead band, as a part of the weight: smaller changes are not made.
+    /// The dead band as a ratio of the larger weight: changes up to this are ignored.
     pub dead_band: f64,
-    /// The largest change at once, as a part of the weight. A new host starts with this part of its weight.
+    /// The maximum change of one call, as a ratio of the current weight. A new host starts with this ratio of its
+    /// solved weight.
     pub max_step: f64,
 }
 
@@ -21,7 +22,7 @@
     }
 }
 
-/// The next weights, from the current and the solved ones.
+/// Computes the next weights from the current and the solved ones. Hosts with a solved weight of 0 are omitted.
 pub fn damp(
     current: &BTreeMap<String, f64>,
     solved: &BTreeMap<String, f64>,
@@ -37,9 +38,9 @@
     damped
 }
 
-/// `None`: the host is left out.
+/// The next weight of a host; `None` if the host is omitted.
 fn damped_weight(current: Option<f64>, solved: f64, damping: Damping) -> Option<f64> {
-    // A host that should carry nothing leaves at once: it may be draining.
+    // A host with a solved weight of 0 is omitted at once, without steps, because it may be draining.
     let carries_work = solved > 0.0;
     if !carries_work {
         return None;
--- a/crates/solve/src/steady/tests.rs
+++ b/crates/solve/src/steady/tests.rs
@@ -1,29 +1,33 @@
 use super::*;
 use test_case::test_case;
 
-fn one(weight: Option<f64>) -> BTreeMap<String, f64> {
+fn weights(weight: Option<f64>) -> BTreeMap<String, f64> {
     weight
         .map(|weight| ("a".to_string(), weight))
         .into_iter()
         .collect()
 }
 
-#[test_case(Some(1.0), 1.04, Some(1.0); "a flutter moves nothing")]
-#[test_case(Some(1.0), 1.2, Some(1.2); "a move within a step")]
-#[test_case(Some(1.0), 4.0, Some(1.5); "a jump goes in steps up")]
-#[test_case(Some(1.0), 0.1, Some(0.5); "and down")]
-#[test_case(Some(1.0), 0.0, None; "what drains leaves at once")]
-#[test_case(None, 1.0, Some(0.5); "who comes begins with a part")]
-fn weights_hold_still(current: Option<f64>, solved: f64, wanted: Option<f64>) {
+#[test_case(Some(1.0), 1.04, Some(1.0); "a change within the dead band is ignored")]
+#[test_case(Some(1.0), 1.2, Some(1.2); "a change within one step is made in full")]
+#[test_case(Some(1.0), 4.0, Some(1.5); "a large increase is limited to one step")]
+#[test_case(Some(1.0), 0.1, Some(0.5); "a large decrease is limited to one step")]
+#[test_case(Some(1.0), 0.0, None; "a weight of zero removes the host at once")]
+#[test_case(None, 1.0, Some(0.5); "a new host starts with one step of its weight")]
+fn changes_are_damped(current: Option<f64>, solved: f64, expected: Option<f64>) {
     assert_eq!(
-        damp(&one(current), &one(Some(solved)), Damping::default()),
-        one(wanted)
+        damp(
+            &weights(current),
+            &weights(Some(solved)),
+            Damping::default()
+        ),
+        weights(expected)
     );
 }
 
 #[test]
-fn steps_end_where_they_should() {
-    let (mut current, solved) = (one(Some(1.0)), one(Some(9.0)));
+fn repeated_steps_reach_the_solved_weight() {
+    let (mut current, solved) = (weights(Some(1.0)), weights(Some(9.0)));
     let rounds = (1..20).find(|_| {
         current = damp(&current, &solved, Damping::default());
         (current["a"] - 9.0).abs() <= 9.0 * 0.05
--- a/crates/solve/tests/reference.rs
+++ b/crates/solve/tests/reference.rs
@@ -1,4 +1,5 @@
-//! The method beside a plain solver of linear programs, on random problems, and fleets whose answer is known.
+//! Compares the solver with a general linear-programming solver on random problems, and checks fleets with known
+//! solutions.
 
 use microlp::{ComparisonOp, OptimizationDirection, Problem};
 use proptest::prelude::*;
@@ -9,6 +10,7 @@
     solve, Fleet, Gateway, Host, HostState, Operation, SolveInputError, Status,
 };
 
+/// The optimal objective, from a general linear-programming solver.
 fn reference(sources: &[Source], sinks: &[Sink]) -> f64 {
     let mut problem = Problem::new(OptimizationDirection::Maximize);
     let mut vars = vec![vec![None; sinks.len()]; sources.len()];
@@ -31,7 +33,7 @@
             .collect();
         problem.add_constraint(&sum[..], ComparisonOp::Le, sink.amount);
     }
-    problem.solve().expect("it has an answer").objective()
+    problem.solve().expect("a solution").objective()
 }
 
 fn problem() -> impl Strategy<Value = (Vec<Source>, Vec<Sink>)> {
@@ -55,7 +57,7 @@
     #![proptest_config(ProptestConfig::with_cases(600))]
 
     #[test]
-    fn the_objective_is_that_of_a_plain_solver_and_the_prices_prove_it((sources, sinks) in problem()) {
+    fn the_objective_equals_the_reference_and_the_shadow_prices_prove_it_optimal((sources, sinks) in problem()) {
         let flows = maximize_gain(&sources, &sinks, &mut || false);
         let mut objective = 0.0;
         for (s, source) in sources.iter().enumerate() {
@@ -71,9 +73,10 @@
         for (r, sink) in sinks.iter().enumerate() {
             prop_assert!(flows.work.iter().map(|of| of[r]).sum::<f64>() <= sink.amount * (1.0 + 1e-9) + 1e-9);
         }
-        let wanted = reference(&sources, &sinks);
-        prop_assert!((objective - wanted).abs() <= 1e-6 * wanted.abs().max(1.0), "{objective} for {wanted}");
-        // Prices that nothing can beat, and that add up to the objective: a proof of their own.
+        let expected = reference(&sources, &sinks);
+        prop_assert!((objective - expected).abs() <= 1e-6 * expected.abs().max(1.0), "{objective} for {expected}");
+        // Shadow prices that are feasible for the dual problem and add up to the objective prove it optimal without
+        // the reference.
         let mut bound = 0.0;
         for (s, source) in sources.iter().enumerate() {
             bound += source.amount * flows.source_price[s];
@@ -85,7 +88,7 @@
             }
         }
         bound += sinks.iter().zip(&flows.sink_price).map(|(sink, price)| sink.amount * price).sum::<f64>();
-        prop_assert!((bound - wanted).abs() <= 1e-6 * wanted.abs().max(1.0), "bound {bound} for {wanted}");
+        prop_assert!((bound - expected).abs() <= 1e-6 * expected.abs().max(1.0), "bound {bound} for {expected}");
     }
 }
 
@@ -110,7 +113,7 @@
     }
 }
 
-/// Two zones of two hosts each; a quote is worth twice a plan, and both take 0.1 s of work.
+/// Two zones of two hosts each. The billed value of a quote is twice that of a plan, and both take 0.1 s of work.
 fn fleet(quote: f64, plan: f64) -> Fleet {
     let operation = |name: &str, billed_value, stays_in_zone| Operation {
         name: name.into(),
@@ -144,20 +147,23 @@
 }
 
 fn admitted(fleet: &Fleet, gateway: &str, operation: &str) -> f64 {
-    let solution = solve(fleet, &mut || false).expect("it can be solved");
+    let solution = solve(fleet, &mut || false).expect("a solution");
     assert_eq!(solution.status, Status::Optimal);
     let found = solution
         .gateways
         .iter()
-        .find(|told| told.id == gateway && told.operation == operation);
-    found.expect("it asks for it").admitted
+        .find(|result| result.id == gateway && result.operation == operation);
+    found.expect("an admission result").admitted
 }
 
 #[test]
 fn with_enough_capacity_equal_hosts_get_equal_loads_and_nothing_crosses_zones() {
     let fleet = fleet(10.0, 10.0);
-    let solution = solve(&fleet, &mut || false).expect("it can be solved");
-    assert!(solution.gateways.iter().all(|told| told.admitted == 1.0));
+    let solution = solve(&fleet, &mut || false).expect("a solution");
+    assert!(solution
+        .gateways
+        .iter()
+        .all(|result| result.admitted == 1.0));
     assert!(solution.flows.iter().all(|flow| flow.from == flow.to));
     for host in &solution.hosts {
         assert!(
@@ -170,13 +176,13 @@
 }
 
 #[test]
-fn when_capacity_is_short_a_plan_is_slowed_before_a_quote_is_lost_and_none_is_starved() {
-    // Each zone can do 48 a second and is asked for 60.
+fn insufficient_capacity_rejects_plans_before_quotes_down_to_the_least_share() {
+    // Each zone has capacity for 48 requests a second and a demand of 60.
     let short = fleet(40.0, 20.0);
     assert!((admitted(&short, "g1", "quote") - 1.0).abs() < 1e-9);
     assert!((admitted(&short, "g1", "plan") - 0.4).abs() < 1e-9);
-    let solution = solve(&short, &mut || false).expect("it can be solved");
-    // One more second of work would be ten plans.
+    let solution = solve(&short, &mut || false).expect("a solution");
+    // One more second of work would serve ten plans.
     let price = solution.hosts[0].shadow_price;
     assert!((price - (10.0 - 0.02 * 20.0)).abs() < 1e-6, "{price}");
     assert_eq!(solution.hosts[0].binds, "its capacity");
@@ -185,13 +191,13 @@
 }
 
 #[test]
-fn a_zone_without_hosts_sends_what_may_cross_and_names_what_may_not() {
-    let mut lost = fleet(20.0, 0.0);
-    lost.hosts.truncate(2);
-    assert!((admitted(&lost, "g2", "quote") - 1.0).abs() < 1e-9);
-    let mut stranded = fleet(20.0, 5.0);
-    stranded.hosts.truncate(2);
-    let refused = solve(&stranded, &mut || false).expect_err("plans of zone b have no host");
+fn a_zone_without_hosts_crosses_zones_or_is_an_error_for_a_zone_bound_operation() {
+    let mut crossing = fleet(20.0, 0.0);
+    crossing.hosts.truncate(2);
+    assert!((admitted(&crossing, "g2", "quote") - 1.0).abs() < 1e-9);
+    let mut zone_bound = fleet(20.0, 5.0);
+    zone_bound.hosts.truncate(2);
+    let refused = solve(&zone_bound, &mut || false).expect_err("plans of zone b have no host");
     assert_eq!(
         refused,
         SolveInputError::NoHostInZone {
@@ -201,18 +207,21 @@
     );
 }
 
-/// A quote keeps its connection ten times as long as a plan.
-fn holding(connection_price: f64, crossing_seconds: f64) -> Fleet {
+/// A fleet in which a quote occupies its connection for ten times as long as a plan.
+fn long_connection_fleet(connection_price: f64, crossing_seconds: f64) -> Fleet {
     let mut fleet = fleet(200.0, 20.0);
     fleet.operations[0].holds = Some(1.0);
     (fleet.connection_price, fleet.crossing_seconds) = (connection_price, crossing_seconds);
     fleet
 }
 
-#[test_case(0.0, true; "for nothing the dearer one goes first")]
-#[test_case(1.5, false; "a quote that keeps a connection of 1.5 for a second is worth less than a plan")]
-fn an_operation_that_holds_connections_yields_less(price: f64, quotes_first: bool) {
-    let fleet = holding(price, 0.0);
+#[test_case(0.0, true; "without a connection price the higher billed value is served first")]
+#[test_case(1.5, false; "at a connection price of 1.5 a quote gains less than a plan")]
+fn a_connection_price_lowers_the_gain_of_an_operation_with_long_connections(
+    price: f64,
+    quotes_first: bool,
+) {
+    let fleet = long_connection_fleet(price, 0.0);
     assert_eq!(
         admitted(&fleet, "g1", "plan") < 0.5,
         quotes_first,
@@ -222,8 +231,8 @@
 }
 
 #[test]
-fn a_way_that_keeps_connections_longer_than_it_earns_is_not_taken() {
-    let only_a = |fleet: Fleet| {
+fn a_route_whose_connections_cost_more_than_the_billed_value_is_not_used() {
+    let crossing_admitted = |fleet: Fleet| {
         let mut fleet = fleet;
         fleet.hosts.retain(|host| host.zone == "a");
         fleet.gateways = vec![gateway("g1", "a", 1.0, 1.0), gateway("g2", "b", 20.0, 0.0)];
@@ -233,25 +242,25 @@
             .for_each(|operation| operation.stays_in_zone = false);
         admitted(&fleet, "g2", "quote")
     };
-    assert!(only_a(holding(0.1, 1.0)) > 0.99);
+    assert!(crossing_admitted(long_connection_fleet(0.1, 1.0)) > 0.99);
     assert!(
-        (only_a(holding(0.1, 100.0)) - 0.1).abs() < 1e-9,
+        (crossing_admitted(long_connection_fleet(0.1, 100.0)) - 0.1).abs() < 1e-9,
         "its least share alone"
     );
-    let mut dear = holding(0.1, 100.0);
-    dear.operations[0].holds = Some(-1.0);
+    let mut invalid = long_connection_fleet(0.1, 100.0);
+    invalid.operations[0].holds = Some(-1.0);
     assert!(matches!(
-        solve(&dear, &mut || false),
+        solve(&invalid, &mut || false),
         Err(SolveInputError::Operation { field: "holds", .. })
     ));
 }
 
 #[test]
-fn warming_hosts_carry_their_share_and_draining_hosts_nothing() {
-    let mut cold = fleet(30.0, 10.0);
-    cold.hosts[0].state = HostState::Warming;
-    cold.hosts[3].state = HostState::Draining;
-    let solution = solve(&cold, &mut || false).expect("it can be solved");
+fn warming_hosts_have_a_reduced_limit_and_draining_hosts_no_load() {
+    let mut warming = fleet(30.0, 10.0);
+    warming.hosts[0].state = HostState::Warming;
+    warming.hosts[3].state = HostState::Draining;
+    let solution = solve(&warming, &mut || false).expect("a solution");
     assert!(solution.hosts[0].load <= 4.0 * 0.2 * 0.8 + 1e-9);
     assert_eq!(
         (solution.hosts[3].load, solution.hosts[3].weight),
@@ -265,7 +274,7 @@
         let mut fleet = fleet(35.0, 20.0);
         fleet.hosts[0].capacity = capacity;
         solve(&fleet, &mut || false)
-            .expect("it can be solved")
+            .expect("a solution")
             .hosts
             .iter()
             .map(|h| h.weight)
@@ -274,18 +283,22 @@
     for (before, after) in weights(4.0).iter().zip(weights(4.04)) {
         assert!((before - after).abs() < 0.05, "{before} and {after}");
     }
-    assert_eq!(weights(4.0), weights(4.0), "ties fall alike");
+    assert_eq!(
+        weights(4.0),
+        weights(4.0),
+        "ties are decided deterministically"
+    );
 }
 
 #[test]
-fn a_deadline_gives_the_best_so_far() {
+fn a_deadline_returns_a_feasible_solution_marked_as_cut_short() {
     let mut rounds = 0;
     let mut over = || {
         rounds += 1;
         rounds > 2
     };
-    let cut = solve(&fleet(40.0, 20.0), &mut over).expect("it can be solved");
-    let whole = solve(&fleet(40.0, 20.0), &mut || false).expect("it can be solved");
+    let cut = solve(&fleet(40.0, 20.0), &mut over).expect("a solution");
+    let whole = solve(&fleet(40.0, 20.0), &mut || false).expect("a solution");
     assert_eq!(cut.status, Status::CutShort);
     assert!(
         cut.objective <= whole.objective
@@ -299,70 +312,66 @@
 #[test_case(|f| f.hosts.clear(), "no host"; "no hosts")]
 #[test_case(|f| f.operations.clear(), "no operation"; "no operations")]
 #[test_case(|f| f.hosts.iter_mut().for_each(|h| h.capacity = 0.0), "no capacity left"; "capacities of zero")]
-#[test_case(|f| f.hosts[1].capacity = f64::NAN, "host `a2`: capacity NaN"; "no number")]
+#[test_case(|f| f.hosts[1].capacity = f64::NAN, "host `a2`: capacity NaN"; "a capacity that is not a number")]
 #[test_case(|f| f.gateways[0] = gateway("g1", "a", -1.0, 0.0), "`g1`: -1 invocations"; "negative demand")]
-#[test_case(|f| f.gateways[1].id = "g1".into(), "gateway `g1` is named twice"; "a gateway twice")]
-#[test_case(|f| f.operations[0].work = 0.0, "work 0 can't be"; "work of nothing")]
-#[test_case(|f| f.steps = vec![(0.5, 0.0)], "steps should rise to 1"; "steps that don't reach the end")]
-fn what_cannot_be_solved_is_named(spoil: fn(&mut Fleet), said: &str) {
+#[test_case(|f| f.gateways[1].id = "g1".into(), "gateway `g1` is named twice"; "a duplicate gateway")]
+#[test_case(|f| f.operations[0].work = 0.0, "work 0 can't be"; "an operation without work")]
+#[test_case(|f| f.steps = vec![(0.5, 0.0)], "steps should rise to 1"; "steps that do not reach 1")]
+fn an_invalid_fleet_is_an_error_that_names_the_problem(invalidate: fn(&mut Fleet), expected: &str) {
     let mut fleet = fleet(10.0, 10.0);
-    spoil(&mut fleet);
+    invalidate(&mut fleet);
     let refused = solve(&fleet, &mut || false)
-        .expect_err("it can't be")
+        .expect_err("the fleet is invalid")
         .to_string();
-    assert!(refused.contains(said), "{refused}");
+    assert!(refused.contains(expected), "{refused}");
 }
 
 #[test]
-fn doubled_demand_with_warming_and_slow_hosts_is_admitted_by_value() {
-    let served = |fleet: &Fleet| {
-        solve(fleet, &mut || false)
-            .expect("it can be solved")
-            .value_per_s
-    };
-    let usual = fleet(25.0, 20.0);
+fn demand_beyond_capacity_is_admitted_by_billed_value() {
+    let served = |fleet: &Fleet| solve(fleet, &mut || false).expect("a solution").value_per_s;
+    let normal = fleet(25.0, 20.0);
     assert!(
-        (served(&usual) - 2.0 * (25.0 * 2.0 + 20.0)).abs() < 1e-6,
-        "all of it"
+        (served(&normal) - 2.0 * (25.0 * 2.0 + 20.0)).abs() < 1e-6,
+        "all demand is served"
     );
-    // Twice as much is asked for: all quotes first, then what is left for plans.
+    // Twice the demand: quotes are admitted first, and plans get the remaining capacity.
     let doubled = fleet(50.0, 40.0);
     let quotes = admitted(&doubled, "g1", "quote");
     assert!(
         quotes > 0.85 && admitted(&doubled, "g1", "plan") < 0.15,
         "{quotes}"
     );
-    assert!(served(&doubled) >= served(&usual));
-    let mut cold = fleet(25.0, 20.0);
-    (0..2).for_each(|at| cold.hosts[2 * at].state = HostState::Warming);
-    assert!(admitted(&cold, "g2", "quote") > admitted(&cold, "g2", "plan"));
-    // All take three times as long: the same hosts in the same parts, less of everything.
+    assert!(served(&doubled) >= served(&normal));
+    let mut warming = fleet(25.0, 20.0);
+    (0..2).for_each(|at| warming.hosts[2 * at].state = HostState::Warming);
+    assert!(admitted(&warming, "g2", "quote") > admitted(&warming, "g2", "plan"));
+    // A third of all capacities: load is still divided among hosts in proportion to capacity.
     let mut slow = fleet(25.0, 20.0);
     slow.hosts.iter_mut().for_each(|host| host.capacity /= 3.0);
-    let solution = solve(&slow, &mut || false).expect("it can be solved");
+    let solution = solve(&slow, &mut || false).expect("a solution");
     assert!((solution.hosts[0].load / solution.hosts[1].load - 2.0).abs() < 1e-9);
 }
 
 #[test]
-fn a_host_says_why_it_got_its_weight() {
+fn an_explanation_gives_the_reasons_for_a_hosts_weight() {
     use wheelspread_solve::explain::{explain, Reason};
     let mut short = fleet(40.0, 20.0);
     short.hosts[1].state = HostState::Draining;
     short.hosts[3].load_at_most = Some(0.5);
-    let solution = solve(&short, &mut || false).expect("it can be solved");
-    let why = |id: &str| explain(&short, &solution, id).expect("a host").reasons;
-    assert!(matches!(why("a1")[..], [Reason::Full { shadow_price }] if shadow_price > 5.0));
-    assert_eq!(why("a2"), [Reason::Draining]);
+    let solution = solve(&short, &mut || false).expect("a solution");
+    let reasons = |id: &str| explain(&short, &solution, id).expect("a host").reasons;
+    assert!(matches!(reasons("a1")[..], [Reason::Full { shadow_price }] if shadow_price > 5.0));
+    assert_eq!(reasons("a2"), [Reason::Draining]);
     assert!(matches!(
-        why("b2")[..],
+        reasons("b2")[..],
         [Reason::LoadLimit { limit: 0.5 }, Reason::Full { .. }]
     ));
     assert_eq!(explain(&short, &solution, "nobody"), None);
 }
 
 #[test]
-fn what_stands_moves_only_for_more_than_it_costs_to_move() {
-    // Hosts of zone b get a little cheaper; crossing costs 0.5 of value for a second of work.
+fn load_moves_only_for_a_gain_above_the_change_price() {
+    // Hosts of zone a have a price, those of zone b none; crossing costs 0.5 of value for a second of work.
     let with = |gain: f64, change_price| {
         let mut fleet = fleet(20.0, 0.0);
         fleet.gateways.truncate(1);
@@ -374,7 +383,7 @@
             .for_each(|host| host.price = gain);
         fleet.standing = BTreeMap::from([("a1".to_string(), 1.4), ("a2".to_string(), 0.6)]);
         fleet.change_price = change_price;
-        let solution = solve(&fleet, &mut || false).expect("it can be solved");
+        let solution = solve(&fleet, &mut || false).expect("a solution");
         solution
             .hosts
             .iter()
@@ -382,18 +391,18 @@
             .map(|host| host.load)
             .sum::<f64>()
     };
-    assert_eq!(with(0.4, 0.0), 0.0, "crossing costs more than is gained");
+    assert_eq!(with(0.4, 0.0), 0.0, "crossing costs more than the gain");
     assert!(
         (with(0.6, 0.0) - 2.0).abs() < 1e-9,
-        "it all moves for a little"
+        "without a change price all load moves for a small gain"
     );
     assert_eq!(
         with(0.6, 0.2),
         0.0,
-        "but not if moving costs more than that"
+        "no load moves if the change price is above the gain"
     );
     assert!(
         (with(0.9, 0.2) - 2.0).abs() < 1e-9,
-        "and for much it moves all the same"
+        "all load moves if the gain is above the change price"
     );
 }
