--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -16,7 +16,7 @@
 use wheelspread::time::Span;
 use wheelspread_controller_core::span_format;
 use wheelspread_drain::DrainAction;
-use wheelspread_fleet::{Failed, Fleet, FleetError, FleetFile, Request};
+use wheelspread_fleet::{Fleet, FleetError, FleetFile, Request, RequestError};
 
 /// Arguments of `wheelspread fleet`.
 ///
@@ -96,7 +96,7 @@
 pub fn fleet(arguments: &FleetArguments) -> Result<ExitCode, FleetCommandError> {
     let mut fleet = FleetFile::read(&arguments.fleet)?.open()?;
     if let Some(within) = arguments.within {
-        fleet.within = Duration::from_secs_f64(within.seconds().max(MIN_ANSWER_SECONDS));
+        fleet.answer_timeout = Duration::from_secs_f64(within.seconds().max(MIN_ANSWER_SECONDS));
     }
     let as_object = arguments.json;
     let code = match &arguments.operation {
@@ -131,7 +131,7 @@
     Duration::from_secs_f64(every.seconds().max(MIN_INTERVAL_SECONDS))
 }
 
-type Answers = BTreeMap<String, Result<Value, Failed>>;
+type Answers = BTreeMap<String, Result<Value, RequestError>>;
 
 /// Who did not answer, by name.
 fn missing(answers: &Answers) -> BTreeMap<&str, String> {
@@ -159,7 +159,7 @@
     table: impl Fn(&str, &Value) -> Vec<String>,
 ) -> u8 {
     let begin = Instant::now();
-    let answers = fleet.ask(&Request::get(target), fleet.within);
+    let answers = fleet.call_all(&Request::get(target), fleet.answer_timeout);
     if as_object {
         let seconds = begin.elapsed().as_secs_f64();
         say!(
--- a/crates/cli/src/fleet/order.rs
+++ b/crates/cli/src/fleet/order.rs
@@ -10,7 +10,7 @@
 use wheelspread_controller_core::span_format;
 use wheelspread_drain::consistency::{missing_orders, MissingOrder};
 use wheelspread_drain::{Drain, DrainAction, Outcome, Reply};
-use wheelspread_fleet::{drain_order, Fleet, Ordered, Request};
+use wheelspread_fleet::{drain_order, Fleet, OrderResult, Request};
 
 /// A node and who drains it.
 #[derive(Args)]
@@ -46,7 +46,7 @@
     action: DrainAction,
 ) -> u8 {
     let begin = Instant::now();
-    let within = arguments.order_within.unwrap_or(fleet.order_within);
+    let within = arguments.order_within.unwrap_or(fleet.order_timeout);
     let body = drain_order(&arguments.node, action, &arguments.by, &arguments.force);
     let request = Request::post("/v1/drains", body.clone());
     let ordered = fleet.order(&request, within, u64::from(std::process::id()));
@@ -73,9 +73,9 @@
     }
 }
 
-fn order_exit_code(ordered: &Ordered) -> u8 {
+fn order_exit_code(ordered: &OrderResult) -> u8 {
     let is_refused = ordered
-        .conductors
+        .controllers
         .values()
         .any(|(_, reply)| matches!(reply, Some(Reply::Refused { .. })));
     match ordered.outcome {
@@ -85,17 +85,17 @@
     }
 }
 
-fn controllers_that_took(ordered: &Ordered) -> BTreeSet<String> {
+fn controllers_that_took(ordered: &OrderResult) -> BTreeSet<String> {
     ordered
-        .conductors
+        .controllers
         .iter()
         .filter(|(_, (_, reply))| matches!(reply, Some(Reply::Accepted { .. })))
         .map(|(name, _)| name.clone())
         .collect()
 }
 
-fn print_order(ordered: &Ordered) {
-    for (name, (attempts, reply)) in &ordered.conductors {
+fn print_order(ordered: &OrderResult) {
+    for (name, (attempts, reply)) in &ordered.controllers {
         let result = match reply {
             Some(Reply::Accepted { state }) => state.clone(),
             Some(Reply::Refused { reason }) => format!("refused: {reason}"),
@@ -123,7 +123,7 @@
 
 /// Sends each controller the orders that others hold and it does not; returns the exit code.
 pub fn sync(fleet: &Fleet, as_object: bool) -> u8 {
-    let answers = fleet.ask(&Request::get("/v1/drains"), fleet.within);
+    let answers = fleet.call_all(&Request::get("/v1/drains"), fleet.answer_timeout);
     let held = answers.iter().filter_map(|(name, answer)| {
         let drains = serde_json::from_value::<Vec<Drain>>(answer.as_ref().ok()?.clone());
         Some((name.clone(), drains.ok()?))
@@ -150,14 +150,14 @@
     let order = json!(missed.order);
     let request = Request::post("/v1/drains", order.clone());
     let answer = fleet
-        .ask_some(&one, &request, Instant::now() + fleet.within)
+        .call_some(&one, &request, Instant::now() + fleet.answer_timeout)
         .remove(&missed.controller);
     let (result, code) = match answer {
         Some(Ok(drain)) => {
             let state = drain["state"].as_str().unwrap_or("taken");
             (state.to_string(), SUCCESS)
         }
-        Some(Err(failed)) if failed.passes() => (failed.to_string(), CONTROLLER_UNREACHABLE),
+        Some(Err(failed)) if failed.is_transient() => (failed.to_string(), CONTROLLER_UNREACHABLE),
         Some(Err(failed)) => (failed.to_string(), NOT_CARRIED_OUT),
         None => ("not asked".to_string(), SUCCESS),
     };
@@ -209,8 +209,8 @@
     until: Instant,
 ) -> Waited {
     loop {
-        let round = (Instant::now() + fleet.within).min(until + POLL_INTERVAL);
-        let answers = fleet.ask_some(taken, &Request::get(format!("/v1/where/{node}")), round);
+        let round = (Instant::now() + fleet.answer_timeout).min(until + POLL_INTERVAL);
+        let answers = fleet.call_some(taken, &Request::get(format!("/v1/where/{node}")), round);
         let mut lines = Vec::new();
         let mut done = true;
         for (name, answer) in &answers {
--- a/crates/cli/src/fleet/top.rs
+++ b/crates/cli/src/fleet/top.rs
@@ -12,7 +12,7 @@
 use std::io;
 use std::sync::mpsc::{channel, TryRecvError};
 use std::time::{Duration, Instant};
-use wheelspread_fleet::{Failed, Fleet};
+use wheelspread_fleet::{Fleet, RequestError};
 
 /// What is shown and from which line on.
 pub struct Screen {
@@ -150,7 +150,7 @@
 }
 
 fn rows(snapshot: &Snapshot) -> Vec<Row> {
-    let row = |(name, answer): (&String, &Result<Value, Failed>)| match answer {
+    let row = |(name, answer): (&String, &Result<Value, RequestError>)| match answer {
         Err(failed) => Row {
             needs_attention: true,
             line: Line::styled(format!("{name:<14.14}{failed}"), color(Color::Red)),
--- a/crates/cli/src/fleet/top/tests.rs
+++ b/crates/cli/src/fleet/top/tests.rs
@@ -6,14 +6,14 @@
 use serde_json::json;
 use std::collections::BTreeMap;
 use wheelspread_drain::consistency::{Disagreement, DisagreementKind};
-use wheelspread_fleet::Failed;
+use wheelspread_fleet::RequestError;
 
 fn snapshot(count: usize) -> Snapshot {
     let told = json!({ "list": "41", "nodes": { "ready": 318, "draining": 2, "cold": 4 },
         "gateways": { "joined": 267, "known": 270 }, "sums_heard_s": 0.4, "lines_waiting": 400.0,
         "lines_waiting_at_most": 9000.0, "configuration": 12, "configuration_lacking": 0 });
     let answer = |n: usize| match n % 10 {
-        7 => Err(Failed::Silent("2.0 s".into())),
+        7 => Err(RequestError::Timeout("2.0 s".into())),
         _ => Ok(told.clone()),
     };
     let status = (0..count)
--- a/crates/cli/src/fleet/view.rs
+++ b/crates/cli/src/fleet/view.rs
@@ -45,9 +45,10 @@
     pub fn take(fleet: &Fleet) -> Snapshot {
         let begin = Instant::now();
         let (status, nodes) = std::thread::scope(|scope| {
-            let nodes = scope.spawn(|| fleet.ask(&Request::get("/v1/nodes"), fleet.within));
+            let nodes =
+                scope.spawn(|| fleet.call_all(&Request::get("/v1/nodes"), fleet.answer_timeout));
             (
-                fleet.ask(&Request::get("/v1/status"), fleet.within),
+                fleet.call_all(&Request::get("/v1/status"), fleet.answer_timeout),
                 nodes.join().unwrap_or_default(),
             )
         });
--- a/crates/cli/src/measure/fleet.rs
+++ b/crates/cli/src/measure/fleet.rs
@@ -16,7 +16,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 use wheelspread::time::Span;
-use wheelspread_fleet::{Fleet, Line, Request};
+use wheelspread_fleet::{ControllerAddress, Fleet, Request};
 
 /// Nodes in the answers of a stand-in.
 const NODES: usize = 400;
@@ -64,19 +64,19 @@
     for number in 0..count {
         let path = directory.path().join(format!("{number}.sock"));
         start_stand_in(UnixListener::bind(&path).map_err(io("a socket"))?);
-        conductors.insert(format!("c{number:03}"), Line::Unix(path));
+        conductors.insert(format!("c{number:03}"), ControllerAddress::Unix(path));
     }
     let within = Duration::from_secs(10);
     let fleet = Fleet {
-        conductors,
-        within,
-        order_within: Span::from_seconds(10.0),
+        controllers: conductors,
+        answer_timeout: within,
+        order_timeout: Span::from_seconds(10.0),
     };
     let mut times = Vec::new();
     for _ in 0..rounds {
         let begin = Instant::now();
         for target in ["/v1/status", "/v1/nodes"] {
-            let answers = fleet.ask(&Request::get(target), within);
+            let answers = fleet.call_all(&Request::get(target), within);
             if let Some((name, Err(failed))) = answers.iter().find(|(_, answer)| answer.is_err()) {
                 return Err(MeasureError::NotReady(format!("{name}: {failed}")));
             }
@@ -95,7 +95,7 @@
 
 /// Polls `line` until `over`; counts the answers and the microseconds that they took.
 fn poll(
-    line: &Line,
+    line: &ControllerAddress,
     per_second: u32,
     over: &AtomicBool,
     answers: &AtomicU64,
@@ -128,7 +128,7 @@
     fleet
         .controller
         .start(program, |listen| controller_file(listen, proxies))?;
-    let line = Line::Unix(fleet.controller.root().path().join("admin.sock"));
+    let line = ControllerAddress::Unix(fleet.controller.root().path().join("admin.sock"));
     let over = AtomicBool::new(false);
     let (answers, answer_micros) = (AtomicU64::new(0), AtomicU64::new(0));
     let figures = std::thread::scope(|scope| {
--- a/crates/cli/src/operator.rs
+++ b/crates/cli/src/operator.rs
@@ -3,7 +3,7 @@
 use serde_json::{json, Value};
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
-use wheelspread_fleet::{Failed, Line, Request};
+use wheelspread_fleet::{ControllerAddress, Request, RequestError};
 
 /// How long a controller may take to answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
@@ -18,7 +18,7 @@
     Failed {
         /// The controller's root of tables.
         root: PathBuf,
-        source: Failed,
+        source: RequestError,
     },
     /// The thread that called one of several controllers panicked.
     #[error("the thread that asked is gone")]
@@ -57,14 +57,14 @@
     target: &str,
     body: Option<Value>,
 ) -> Result<Answer, CallError> {
-    let line = Line::Unix(root.join("admin.sock"));
+    let address = ControllerAddress::Unix(root.join("admin.sock"));
     let request = match (method, body) {
         ("GET", _) => Request::get(target),
         (_, body) => Request::post(target, body.unwrap_or(Value::Null)),
     };
-    match wheelspread_fleet::call(&line, &request, Instant::now() + ANSWER_TIMEOUT) {
+    match wheelspread_fleet::call(&address, &request, Instant::now() + ANSWER_TIMEOUT) {
         Ok(body) => Ok(Answer::ok(body)),
-        Err(Failed::Refused { status, reason }) => Ok(Answer {
+        Err(RequestError::Refused { status, reason }) => Ok(Answer {
             status,
             body: json!({ "error": reason }),
         }),
--- a/crates/drill/src/run/controllers.rs
+++ b/crates/drill/src/run/controllers.rs
@@ -14,7 +14,7 @@
 use wheelspread::time::Span;
 use wheelspread_drain::{DrainAction, Outcome};
 use wheelspread_files::replace_file;
-use wheelspread_fleet::{drain_order, Fleet, Line, Request};
+use wheelspread_fleet::{drain_order, ControllerAddress, Fleet, Request};
 use wheelspread_reactor as reactor;
 
 pub(super) struct ControllerProcess {
@@ -186,11 +186,11 @@
         record: impl Fn(usize, bool) -> Option<Record> + Clone + Send + 'static,
     ) {
         for (number, process) in self.controllers.iter().enumerate() {
-            let line = Line::Unix(process.directory.join("tables").join("admin.sock"));
+            let line = ControllerAddress::Unix(process.directory.join("tables").join("admin.sock"));
             let fleet = Fleet {
-                conductors: BTreeMap::from([(number.to_string(), line)]),
-                within: Duration::from_millis(500),
-                order_within: within,
+                controllers: BTreeMap::from([(number.to_string(), line)]),
+                answer_timeout: Duration::from_millis(500),
+                order_timeout: within,
             };
             let (recorder, requests, record) =
                 (self.recorder.clone(), requests.clone(), record.clone());
--- a/crates/fleet/examples/drain.rs
+++ b/crates/fleet/examples/drain.rs
@@ -12,11 +12,14 @@
         return Err("a fleet file and a node are expected".into());
     };
     let fleet = FleetFile::read(Path::new(file))?.open()?;
-    for (name, answer) in fleet.ask(&Request::get(format!("/v1/where/{node}")), fleet.within) {
+    for (name, answer) in fleet.call_all(
+        &Request::get(format!("/v1/where/{node}")),
+        fleet.answer_timeout,
+    ) {
         println!("{name}: {answer:?}");
     }
     let body = drain_order(node, DrainAction::Drain, "example", &[]);
-    let ordered = fleet.order(&Request::post("/v1/drains", body), fleet.order_within, 1);
-    println!("{:?}: {:#?}", ordered.outcome, ordered.conductors);
+    let ordered = fleet.order(&Request::post("/v1/drains", body), fleet.order_timeout, 1);
+    println!("{:?}: {:#?}", ordered.outcome, ordered.controllers);
     Ok(())
 }
--- a/crates/fleet/src/call.rs
+++ b/crates/fleet/src/call.rs
@@ -1,5 +1,5 @@
-//! One request to one controller, which returns by its deadline whatever the other side does: it may hang within
-//! an answer, accept and never answer, answer with something other than HTTP, or with a gigabyte.
+//! One request to one controller. The call returns by its deadline even if the controller stops in the middle of an
+//! answer, accepts the connection and never answers, sends something other than HTTP, or sends a very large answer.
 
 mod connection;
 
@@ -12,27 +12,27 @@
 use std::time::Instant;
 use wheelspread_http1::{response, Framing, Limits};
 
-/// Where a controller can be called.
+/// The address of a controller's API for operators.
 #[derive(Clone, Debug)]
-pub enum Line {
-    /// A socket on this machine.
+pub enum ControllerAddress {
+    /// The path of a Unix socket on this machine.
     Unix(PathBuf),
-    /// A port, under TLS with a client certificate.
+    /// A TCP port that requires TLS with a client certificate.
     Tls {
-        /// The port.
+        /// The IP address and port.
         address: SocketAddrV4,
         /// The name in the controller's certificate.
         server_name: String,
-        /// The client's keys.
-        secured: Secured,
+        /// The client's TLS configuration.
+        tls: ClientTls,
     },
 }
 
-/// The client's TLS configuration, with its keys.
+/// The client's TLS configuration. Its `Debug` text omits the keys.
 #[derive(Clone)]
-pub struct Secured(pub Arc<rustls::ClientConfig>);
+pub struct ClientTls(pub Arc<rustls::ClientConfig>);
 
-impl std::fmt::Debug for Secured {
+impl std::fmt::Debug for ClientTls {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         f.write_str("Secured")
     }
@@ -79,25 +79,25 @@
     }
 }
 
-/// Why there is no usable answer.
+/// Why a call has no usable answer.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Failed {
-    /// The connection cannot be made, or broke before anything was answered.
+pub enum RequestError {
+    /// The connection cannot be opened, or failed before the first byte of the answer.
     #[error("nobody listens: {0}")]
     Unreachable(String),
-    /// Nothing was answered in this time.
+    /// The controller sent no byte of the answer within this time.
     #[error("no answer within {0}")]
-    Silent(String),
-    /// The answer ended after so many bytes, before it was complete.
+    Timeout(String),
+    /// The answer stopped after this number of bytes, before it was complete.
     #[error("its answer stopped after {0} bytes")]
-    Stopped(usize),
-    /// The answer is longer than so many MiB.
+    Truncated(usize),
+    /// The body of the answer is longer than this number of MiB.
     #[error("its answer is longer than {0} MiB")]
     TooLong(usize),
-    /// The answer is not HTTP with a JSON body.
+    /// The answer is not HTTP with a stated length and a JSON body.
     #[error("its answer can't be read: {0}")]
-    Garbage(String),
-    /// The request was understood and refused.
+    Malformed(String),
+    /// The controller refused the request.
     #[error("{reason}")]
     Refused {
         /// The HTTP status.
@@ -105,29 +105,36 @@
         /// The controller's reason.
         reason: String,
     },
-    /// The controller does not know the path, because it is older.
+    /// The controller does not serve the path, because its program is older than the client.
     #[error("it does not serve {0}: an older program")]
-    Older(String),
+    UnsupportedPath(String),
 }
 
-impl Failed {
-    /// Whether a retry could have another result.
-    pub fn passes(&self) -> bool {
-        !matches!(self, Failed::Refused { .. } | Failed::Older(_))
+impl RequestError {
+    /// Whether a retry could have a different result.
+    pub fn is_transient(&self) -> bool {
+        !matches!(
+            self,
+            RequestError::Refused { .. } | RequestError::UnsupportedPath(_)
+        )
     }
 }
 
-/// The longest body that is read, in bytes.
+/// The maximum length of a body, in bytes.
 const MAX_BODY_BYTES: usize = 16 << 20;
 
 const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// Sends a request and reads the answer; returns by `until`.
-pub fn call(line: &Line, request: &Request, until: Instant) -> Result<Value, Failed> {
+/// Sends a request and reads the answer. Returns by `until`.
+pub fn call(
+    address: &ControllerAddress,
+    request: &Request,
+    until: Instant,
+) -> Result<Value, RequestError> {
     let allowed = until
         .saturating_duration_since(Instant::now())
         .as_secs_f64();
-    let mut connection = connect(line, until)?;
+    let mut connection = connect(address, until)?;
     let text = request.text();
     let mut unsent = text.as_bytes();
     let mut received = Vec::new();
@@ -136,14 +143,14 @@
         let left = until.saturating_duration_since(Instant::now());
         if left.is_zero() {
             return Err(if received.is_empty() {
-                Failed::Silent(format!("{allowed:.1} s"))
+                RequestError::Timeout(format!("{allowed:.1} s"))
             } else {
-                Failed::Stopped(received.len())
+                RequestError::Truncated(received.len())
             });
         }
         connection
             .set_timeout(left)
-            .map_err(|error| Failed::Unreachable(error.to_string()))?;
+            .map_err(|error| RequestError::Unreachable(error.to_string()))?;
         let progress = if unsent.is_empty() {
             connection.read(&mut buffer).map(|count| {
                 received.extend_from_slice(&buffer[..count]);
@@ -156,22 +163,22 @@
             })
         };
         match progress {
-            Ok(has_ended) => {
+            Ok(is_closed) => {
                 if let Some(answer) = parse_answer(&received, &request.target)? {
                     return answer;
                 }
-                if has_ended {
-                    return Err(Failed::Stopped(received.len()));
+                if is_closed {
+                    return Err(RequestError::Truncated(received.len()));
                 }
             }
             Err(error) if is_temporary(&error) => {}
-            Err(_) if !received.is_empty() => return Err(Failed::Stopped(received.len())),
-            Err(error) => return Err(Failed::Unreachable(error.to_string())),
+            Err(_) if !received.is_empty() => return Err(RequestError::Truncated(received.len())),
+            Err(error) => return Err(RequestError::Unreachable(error.to_string())),
         }
     }
 }
 
-/// Interrupted, or a timeout, which the loop checks itself.
+/// Whether the read or write can be repeated: it was interrupted or timed out. The loop checks the deadline itself.
 fn is_temporary(error: &io::Error) -> bool {
     matches!(
         error.kind(),
@@ -179,27 +186,34 @@
     )
 }
 
-/// An answer once it is complete: the inner result is the controller's, the outer error an answer that cannot
-/// be read.
-fn parse_answer(bytes: &[u8], target: &str) -> Result<Option<Result<Value, Failed>>, Failed> {
+/// Parses an answer; `None` if it is not complete yet. The inner result is the controller's answer, the outer error
+/// means that the bytes cannot be parsed.
+fn parse_answer(
+    bytes: &[u8],
+    target: &str,
+) -> Result<Option<Result<Value, RequestError>>, RequestError> {
     let head = response(bytes, false, Limits::default());
-    let Some(head) = head.map_err(|error| Failed::Garbage(error.to_string()))? else {
+    let Some(head) = head.map_err(|error| RequestError::Malformed(error.to_string()))? else {
         return Ok(None);
     };
     let rest = &bytes[head.length..];
     let body = match head.framing {
         Framing::Length(length) if length > MAX_BODY_BYTES as u64 => {
-            return Err(Failed::TooLong(MAX_BODY_BYTES >> 20))
+            return Err(RequestError::TooLong(MAX_BODY_BYTES >> 20))
         }
         Framing::Length(length) => rest.get(..length as usize),
         Framing::None => Some(&rest[..0]),
-        _ => return Err(Failed::Garbage("it has no stated length".to_string())),
+        _ => {
+            return Err(RequestError::Malformed(
+                "it has no stated length".to_string(),
+            ))
+        }
     };
     let Some(body) = body else {
         return Ok(None);
     };
     let value = serde_json::from_slice::<Value>(body)
-        .map_err(|error| Failed::Garbage(error.to_string()))?;
+        .map_err(|error| RequestError::Malformed(error.to_string()))?;
     if head.status == 200 {
         return Ok(Some(Ok(value)));
     }
@@ -207,11 +221,12 @@
         .as_str()
         .unwrap_or("it says no reason")
         .to_string();
-    // An unknown path is an older program; an unknown thing under a known path is not.
+    // A 404 with this text means that the path is unknown, as with an older program. A 404 with another text is about
+    // an unknown item under a known path.
     if head.status == 404 && reason.ends_with("is not served here") {
-        return Ok(Some(Err(Failed::Older(target.to_string()))));
+        return Ok(Some(Err(RequestError::UnsupportedPath(target.to_string()))));
     }
-    Ok(Some(Err(Failed::Refused {
+    Ok(Some(Err(RequestError::Refused {
         status: head.status,
         reason,
     })))
--- a/crates/fleet/src/call/connection.rs
+++ b/crates/fleet/src/call/connection.rs
@@ -1,6 +1,6 @@
 //! Connections to controllers, over a Unix socket or TLS.
 
-use super::{Failed, Line};
+use super::{ControllerAddress, RequestError};
 use rustix::net::{AddressFamily, SocketAddrUnix, SocketFlags, SocketType};
 use rustls::pki_types::ServerName;
 use std::io::{self, Read, Write};
@@ -9,10 +9,10 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Between two attempts at a socket whose controller does not accept.
+/// The interval between two attempts to connect to a Unix socket whose queue of connections is full.
 const CONNECT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A timeout of zero would mean none.
+/// The minimum timeout of reads and writes; a socket rejects a timeout of zero.
 const MIN_TIMEOUT: Duration = Duration::from_millis(1);
 
 /// An open connection to a controller.
@@ -22,7 +22,7 @@
 }
 
 impl Connection {
-    /// Bounds the next read and write.
+    /// Sets the timeout of following reads and writes.
     pub fn set_timeout(&self, left: Duration) -> io::Result<()> {
         let left = Some(left.max(MIN_TIMEOUT));
         match self {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Reads decrypted bytes; 0 is the end of the connection.
+    /// Reads plaintext bytes and returns their number; 0 means that the connection is closed.
     pub fn read(&mut self, into: &mut [u8]) -> io::Result<usize> {
         match self {
             Connection::Unix(stream) => stream.read(into),
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Writes bytes; how many were taken.
+    /// Writes plaintext bytes and returns how many were accepted.
     pub fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         match self {
             Connection::Unix(stream) => stream.write(bytes),
@@ -55,10 +55,12 @@
     }
 }
 
-/// A Unix socket whose controller hangs accepts no more connections; connecting must not wait for it forever.
-fn connect_unix(path: &Path, until: Instant) -> Result<UnixStream, Failed> {
-    let failed =
-        |error: rustix::io::Errno| Failed::Unreachable(format!("{}: {error}", path.display()));
+/// Connects to a Unix socket by `until`. The socket of a controller that hangs accepts no more connections once its
+/// queue is full, and a blocking connect would wait forever.
+fn connect_unix(path: &Path, until: Instant) -> Result<UnixStream, RequestError> {
+    let failed = |error: rustix::io::Errno| {
+        RequestError::Unreachable(format!("{}: {error}", path.display()))
+    };
     let address = SocketAddrUnix::new(path).map_err(failed)?;
     loop {
         let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
@@ -70,7 +72,7 @@
                 let blocking = stream.set_nonblocking(false);
                 return blocking
                     .map(|()| stream)
-                    .map_err(|e| Failed::Unreachable(e.to_string()));
+                    .map_err(|e| RequestError::Unreachable(e.to_string()));
             }
             Err(rustix::io::Errno::AGAIN) if Instant::now() + CONNECT_RETRY_INTERVAL < until => {
                 std::thread::sleep(CONNECT_RETRY_INTERVAL);
@@ -80,24 +82,27 @@
     }
 }
 
-/// Connects before `until`.
-pub(super) fn connect(line: &Line, until: Instant) -> Result<Connection, Failed> {
+/// Connects to a controller by `until`.
+pub(super) fn connect(
+    address: &ControllerAddress,
+    until: Instant,
+) -> Result<Connection, RequestError> {
     let left = until
         .saturating_duration_since(Instant::now())
         .max(MIN_TIMEOUT);
-    match line {
-        Line::Unix(path) => connect_unix(path, until).map(Connection::Unix),
-        Line::Tls {
+    match address {
+        ControllerAddress::Unix(path) => connect_unix(path, until).map(Connection::Unix),
+        ControllerAddress::Tls {
             address,
             server_name,
-            secured,
+            tls,
         } => {
-            let failed = |text: String| Failed::Unreachable(format!("{address}: {text}"));
+            let failed = |text: String| RequestError::Unreachable(format!("{address}: {text}"));
             let socket = TcpStream::connect_timeout(&(*address).into(), left);
             let socket = socket.map_err(|error| failed(error.to_string()))?;
             let name = ServerName::try_from(server_name.clone())
                 .map_err(|error| failed(error.to_string()))?;
-            let tls = rustls::ClientConnection::new(secured.0.clone(), name);
+            let tls = rustls::ClientConnection::new(tls.0.clone(), name);
             let tls = tls.map_err(|error| failed(error.to_string()))?;
             Ok(Connection::Tls(Box::new(rustls::StreamOwned::new(
                 tls, socket,
--- a/crates/fleet/src/file.rs
+++ b/crates/fleet/src/file.rs
@@ -1,6 +1,6 @@
-//! The YAML file that names a fleet's controllers.
+//! The fleet file: a YAML file that lists the controllers of a fleet.
 
-use crate::call::{Line, Secured};
+use crate::call::{ClientTls, ControllerAddress};
 use crate::fleet::Fleet;
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -11,55 +11,63 @@
 use wheelspread_controller_core::span_format;
 use wheelspread_grpc::tls::{plain_client, KeyError, KeyFiles};
 
-/// One controller: its root of tables on this machine, or its port.
+/// A controller in a fleet file: by its root of tables on this machine, or by its port.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Place {
+pub struct ControllerEntry {
     /// The controller's name in answers.
     pub name: String,
-    /// Its root of tables, for a controller on this machine.
+    /// The root of tables of a controller on this machine.
     #[serde(default)]
     pub root: Option<PathBuf>,
-    /// Its port for operators, which needs keys.
+    /// The IP address and port of the API for operators; it requires `tls` in the file.
     #[serde(default)]
     pub address: Option<SocketAddrV4>,
-    /// The name in its certificate; its address by default.
+    /// The name in the controller's certificate; the IP address by default.
     #[serde(default)]
     pub server_name: Option<String>,
 }
 
-/// The keys that ports need.
+/// The certificates and key for controllers with an address.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetKeys {
-    /// The roots of the controllers' certificates.
+    /// The file of the CA certificates that sign the controllers' certificates.
     pub servers: PathBuf,
-    /// The caller's certificate.
+    /// The file of the client's certificate.
     pub certificate: PathBuf,
-    /// The caller's private key.
+    /// The file of the client's private key.
     pub key: PathBuf,
 }
 
-/// The file as it is written.
+/// A fleet file as it is written.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetFile {
-    /// Controllers by name.
-    #[serde(default)]
-    pub conductors: Vec<Place>,
-    /// A directory in which each directory is a controller's root of tables, or holds one as `tables`; its name
-    /// is the controller's.
+    /// Controllers that are listed by name.
+    #[serde(default, rename = "conductors")]
+    pub controllers: Vec<ControllerEntry>,
+    /// A directory in which each subdirectory is a controller's root of tables, or contains one as `tables`. The name
+    /// of the subdirectory is the name of the controller.
     #[serde(default)]
     pub roots: Option<PathBuf>,
-    /// Keys for controllers with an address.
+    /// The certificates and key for controllers with an address.
     #[serde(default)]
     pub tls: Option<FleetKeys>,
-    /// How long a complete answer may take.
-    #[serde(default = "default_answer_timeout", with = "span_format")]
-    pub within: Span,
-    /// How long an order is retried until every controller has answered.
-    #[serde(default = "default_order_timeout", with = "span_format")]
-    pub order_within: Span,
+    /// The maximum time for a complete answer.
+    #[serde(
+        rename = "within",
+        default = "default_answer_timeout",
+        with = "span_format"
+    )]
+    pub answer_timeout: Span,
+    /// The maximum time for which an order is retried until every controller has answered.
+    #[serde(
+        rename = "order_within",
+        default = "default_order_timeout",
+        with = "span_format"
+    )]
+    pub order_timeout: Span,
 }
 
 fn default_answer_timeout() -> Span {
@@ -73,7 +81,7 @@
 /// Why a fleet file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
-    /// The file cannot be read, or is not of its form.
+    /// The file cannot be read, or is not a valid fleet file.
     #[error("{path}: {text}", path = .path.display())]
     File {
         /// The file.
@@ -81,7 +89,7 @@
         /// What is wrong with it.
         text: String,
     },
-    /// The file's values do not make a fleet; all problems at once.
+    /// Values of the file are invalid; the list holds all problems.
     #[error("{}", joined(.0))]
     Invalid(Vec<FleetProblem>),
 }
@@ -94,32 +102,32 @@
 /// What is wrong with one value of a fleet file.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetProblem {
-    /// The keys cannot be used.
+    /// The certificates or the key cannot be used.
     #[error("tls: {0}")]
     Keys(KeyError),
-    /// A controller has an address, and there are no keys.
-    #[error("conductors.{at}: an address needs the keys of `tls`")]
+    /// A controller has an address, and the file has no `tls`.
+    #[error("conductors.{index}: an address needs the keys of `tls`")]
     KeysMissing {
         /// The controller's place in the file.
-        at: usize,
+        index: usize,
     },
     /// A controller has both a root and an address, or neither.
-    #[error("conductors.{at}: either a root or an address is expected")]
+    #[error("conductors.{index}: either a root or an address is expected")]
     RootOrAddress {
         /// The controller's place in the file.
-        at: usize,
+        index: usize,
     },
     /// A controller has no name.
-    #[error("conductors.{at}: a name is expected")]
+    #[error("conductors.{index}: a name is expected")]
     NameMissing {
         /// The controller's place in the file.
-        at: usize,
+        index: usize,
     },
     /// Two controllers have the same name.
-    #[error("conductors.{at}: `{name}` is named twice")]
+    #[error("conductors.{index}: `{name}` is named twice")]
     DuplicateName {
         /// The second controller's place in the file.
-        at: usize,
+        index: usize,
         /// The name.
         name: String,
     },
@@ -131,22 +139,22 @@
         /// Why it cannot be read.
         error: std::io::Error,
     },
-    /// There is no controller at all.
+    /// The file lists no controller, and none was found under `roots`.
     #[error("no conductor is named, and none was found under `roots`")]
     NoControllers,
-    /// The time for an answer is out of range.
+    /// `within` is out of range.
     #[error("within: should lie between 50ms and 10m")]
     AnswerTimeout,
 }
 
-/// The operators' socket in a controller's root.
-const SOCKET: &str = "admin.sock";
+/// The file name of the operators' socket in a controller's root of tables.
+const SOCKET_FILE_NAME: &str = "admin.sock";
 
-/// The times for an answer that are accepted, in seconds.
+/// The allowed range of `within`, in seconds.
 const ANSWER_TIMEOUT_SECONDS: std::ops::RangeInclusive<f64> = 0.05..=600.0;
 
 impl FleetFile {
-    /// Reads a file; relative paths in it are taken from its directory.
+    /// Reads a fleet file. Relative paths in it are relative to its directory.
     pub fn read(path: &Path) -> Result<FleetFile, FleetError> {
         let bad = |text: String| FleetError::File {
             path: path.to_path_buf(),
@@ -156,8 +164,8 @@
         let mut file: FleetFile =
             serde_yaml_ng::from_str(&text).map_err(|error| bad(error.to_string()))?;
         let base = path.parent().unwrap_or(Path::new("."));
-        for place in &mut file.conductors {
-            place.root = place.root.take().map(|root| base.join(root));
+        for entry in &mut file.controllers {
+            entry.root = entry.root.take().map(|root| base.join(root));
         }
         file.roots = file.roots.take().map(|roots| base.join(roots));
         if let Some(tls) = &mut file.tls {
@@ -171,99 +179,99 @@
     /// Checks all values, finds the controllers under `roots`, and reads the keys.
     pub fn open(&self) -> Result<Fleet, FleetError> {
         let mut problems = Vec::new();
-        let mut conductors = BTreeMap::new();
-        let secured = self.client_keys(&mut problems);
-        for (at, place) in self.conductors.iter().enumerate() {
-            let line = match self.endpoint(at, place, secured.as_ref()) {
-                Ok(line) => line,
+        let mut controllers = BTreeMap::new();
+        let tls = self.client_keys(&mut problems);
+        for (index, entry) in self.controllers.iter().enumerate() {
+            let address = match self.controller_address(index, entry, tls.as_ref()) {
+                Ok(address) => address,
                 Err(problem) => {
                     problems.push(problem);
                     None
                 }
             };
-            if place.name.is_empty() {
-                problems.push(FleetProblem::NameMissing { at });
+            if entry.name.is_empty() {
+                problems.push(FleetProblem::NameMissing { index });
             }
-            let Some(line) = line else { continue };
-            if conductors.insert(place.name.clone(), line).is_some() {
-                let name = place.name.clone();
-                problems.push(FleetProblem::DuplicateName { at, name });
+            let Some(address) = address else { continue };
+            if controllers.insert(entry.name.clone(), address).is_some() {
+                let name = entry.name.clone();
+                problems.push(FleetProblem::DuplicateName { index, name });
             }
         }
         if let Some(path) = &self.roots {
-            if let Err(error) = find_controllers(path, &mut conductors) {
+            if let Err(error) = add_controllers_in(path, &mut controllers) {
                 let path = path.clone();
                 problems.push(FleetProblem::Roots { path, error });
             }
         }
-        if conductors.is_empty() && problems.is_empty() {
+        if controllers.is_empty() && problems.is_empty() {
             problems.push(FleetProblem::NoControllers);
         }
-        let within = self.within.seconds();
-        if !ANSWER_TIMEOUT_SECONDS.contains(&within) {
+        let timeout = self.answer_timeout.seconds();
+        if !ANSWER_TIMEOUT_SECONDS.contains(&timeout) {
             problems.push(FleetProblem::AnswerTimeout);
         }
         if !problems.is_empty() {
             return Err(FleetError::Invalid(problems));
         }
         Ok(Fleet {
-            conductors,
-            within: Duration::from_secs_f64(within),
-            order_within: self.order_within,
+            controllers,
+            answer_timeout: Duration::from_secs_f64(timeout),
+            order_timeout: self.order_timeout,
         })
     }
 
-    fn client_keys(&self, problems: &mut Vec<FleetProblem>) -> Option<Secured> {
+    fn client_keys(&self, problems: &mut Vec<FleetProblem>) -> Option<ClientTls> {
         let tls = self.tls.as_ref()?;
         let keys = KeyFiles {
             certificate: tls.certificate.clone(),
             key: tls.key.clone(),
         };
         plain_client(&tls.servers, &keys)
-            .map(Secured)
+            .map(ClientTls)
             .map_err(|error| problems.push(FleetProblem::Keys(error)))
             .ok()
     }
 
-    /// Where a controller is called; `None` if that needs keys that were found unusable.
-    fn endpoint(
+    /// The address of a controller; `None` if it requires keys that cannot be used, which is reported elsewhere.
+    fn controller_address(
         &self,
-        at: usize,
-        place: &Place,
-        secured: Option<&Secured>,
-    ) -> Result<Option<Line>, FleetProblem> {
-        match (&place.root, place.address, secured) {
-            (Some(root), None, _) => Ok(Some(Line::Unix(root.join(SOCKET)))),
-            (None, Some(address), Some(secured)) => Ok(Some(Line::Tls {
+        index: usize,
+        entry: &ControllerEntry,
+        tls: Option<&ClientTls>,
+    ) -> Result<Option<ControllerAddress>, FleetProblem> {
+        match (&entry.root, entry.address, tls) {
+            (Some(root), None, _) => Ok(Some(ControllerAddress::Unix(root.join(SOCKET_FILE_NAME)))),
+            (None, Some(address), Some(tls)) => Ok(Some(ControllerAddress::Tls {
                 address,
-                server_name: place
+                server_name: entry
                     .server_name
                     .clone()
                     .unwrap_or_else(|| address.ip().to_string()),
-                secured: secured.clone(),
+                tls: tls.clone(),
             })),
             (None, Some(_), None) if self.tls.is_some() => Ok(None),
-            (None, Some(_), None) => Err(FleetProblem::KeysMissing { at }),
-            _ => Err(FleetProblem::RootOrAddress { at }),
+            (None, Some(_), None) => Err(FleetProblem::KeysMissing { index }),
+            _ => Err(FleetProblem::RootOrAddress { index }),
         }
     }
 }
 
-/// Adds the controllers whose roots lie in a directory and that are not named already.
-fn find_controllers(
+/// Adds the controllers whose roots are in a directory. Controllers that are listed by name take precedence.
+fn add_controllers_in(
     directory: &Path,
-    conductors: &mut BTreeMap<String, Line>,
+    controllers: &mut BTreeMap<String, ControllerAddress>,
 ) -> std::io::Result<()> {
     let entries = std::fs::read_dir(directory)?.flatten();
     for entry in entries.filter(|entry| entry.path().is_dir()) {
         let inner = entry.path().join("tables");
         let root = if inner.is_dir() { inner } else { entry.path() };
-        // A controller that is down left its lock: it is listed and does not answer.
-        if root.join("lock").exists() || root.join(SOCKET).exists() {
+        // A controller that is down leaves its lock file, so it is added and will be reported as unreachable.
+        if root.join("lock").exists() || root.join(SOCKET_FILE_NAME).exists() {
             let name = entry.file_name().to_string_lossy().into_owned();
-            conductors
+            controllers
                 .entry(name)
-                .or_insert_with(|| Line::Unix(root.join(SOCKET)));
+                .or_insert_with(|| ControllerAddress::Unix(root.join(SOCKET_FILE_NAME)));
         }
     }
     Ok(())
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,15 +1,15 @@
-//! The client of the controllers' API for operators, as docs/api.yaml describes it.
+//! A client of the controllers' API for operators, which docs/api.yaml describes.
 //!
-//! [`FleetFile`] names the controllers. [`Fleet::ask`] calls all of them at the same time and returns what each
-//! answered by the deadline. [`Fleet::order`] delivers an order to all, retries where that failed, and says how far it came.
-//! `examples/drain.rs` uses all three.
+//! [`FleetFile`] lists the controllers. [`Fleet::call_all`] calls all of them concurrently and returns each answer or
+//! error by the deadline. [`Fleet::order`] delivers an order to all of them, retries transient failures, and returns
+//! the outcome by controller. `examples/drain.rs` uses all three.
 
 mod call;
 mod file;
 mod fleet;
 mod order;
 
-pub use call::{call, Failed, Line, Request, Secured};
-pub use file::{FleetError, FleetFile, FleetKeys, FleetProblem, Place};
+pub use call::{call, ClientTls, ControllerAddress, Request, RequestError};
+pub use file::{ControllerEntry, FleetError, FleetFile, FleetKeys, FleetProblem};
 pub use fleet::Fleet;
-pub use order::{drain_order, Ordered};
+pub use order::{drain_order, OrderResult};
--- a/crates/fleet/src/order.rs
+++ b/crates/fleet/src/order.rs
@@ -1,6 +1,6 @@
-//! An order for a whole fleet, delivered to each controller until it has answered, within a time budget.
+//! Orders for a whole fleet: an order is sent to each controller until it has answered or the timeout has passed.
 
-use crate::call::{Failed, Request};
+use crate::call::{Request, RequestError};
 use crate::fleet::Fleet;
 use serde::Serialize;
 use serde_json::{json, Value};
@@ -10,41 +10,42 @@
 use wheelspread::time::{Moment, Span};
 use wheelspread_drain::{DrainAction, OrderDelivery, Outcome, Reply, RetryBudget};
 
-/// How far an order came.
+/// The result of an order.
 #[derive(Clone, Debug, Serialize)]
-pub struct Ordered {
-    /// Whether all, some or no controllers accepted it.
+pub struct OrderResult {
+    /// Whether all, some or no controllers accepted the order.
     pub outcome: Outcome,
-    /// By controller: the attempts, and the last reply; `null` if there was none. (A pair, because the JSON of the
-    /// `fleet` command is an array.)
-    pub conductors: BTreeMap<String, (u32, Option<Reply>)>,
+    /// The number of attempts and the last reply by controller; `null` without a reply. It is a pair because the
+    /// `fleet` command prints it as a JSON array.
+    #[serde(rename = "conductors")]
+    pub controllers: BTreeMap<String, (u32, Option<Reply>)>,
 }
 
-/// The first and the longest backoff, as parts of the time that one answer may take.
-const INITIAL_BACKOFF_PART: f64 = 0.05;
-const MAX_BACKOFF_PART: f64 = 0.5;
+/// The initial and the maximum backoff, as ratios of the fleet's answer timeout.
+const INITIAL_BACKOFF_RATIO: f64 = 0.05;
+const MAX_BACKOFF_RATIO: f64 = 0.5;
 
-/// The delivery loop waits for replies at least this long at a time.
+/// The minimum time for which the delivery loop waits for replies.
 const MIN_WAIT: Duration = Duration::from_millis(1);
 
-/// The body of a drain order. Its id holds who gave it and when, so that the same order given later is another
-/// one.
+/// The body of a drain order. Its id contains its author, its time and the process id, so that the same order given
+/// later has a different id.
 pub fn drain_order(node: &str, word: DrainAction, by: &str, overrides: &[String]) -> Value {
     let since = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
     let given_ms = since.as_millis() as u64;
-    let tool = std::process::id();
-    let id = format!("{by}-{given_ms}-{tool}");
+    let process_id = std::process::id();
+    let id = format!("{by}-{given_ms}-{process_id}");
     json!({ "id": id, "node": node, "word": word, "by": by, "given_ms": given_ms, "overrides": overrides })
 }
 
-fn reply_from(answer: Result<Value, Failed>) -> Reply {
+fn reply_from(answer: Result<Value, RequestError>) -> Reply {
     match answer {
         Ok(value) => Reply::Accepted {
             state: value["state"].as_str().unwrap_or("taken").to_string(),
         },
-        Err(failed) if failed.passes() => Reply::Failed {
+        Err(failed) if failed.is_transient() => Reply::Failed {
             reason: failed.to_string(),
         },
         Err(failed) => Reply::Refused {
@@ -54,22 +55,23 @@
 }
 
 impl Fleet {
-    /// Sends a request to all controllers and retries where it failed. It has to be idempotent.
-    pub fn order(&self, request: &Request, within: Span, seed: u64) -> Ordered {
+    /// Sends a request to all controllers and retries transient failures. The request has to be idempotent.
+    pub fn order(&self, request: &Request, order_timeout: Span, seed: u64) -> OrderResult {
         let begin = Instant::now();
         let now = || Moment::from_seconds(begin.elapsed().as_secs_f64());
-        let answer_timeout = Span::from_seconds(self.within.as_secs_f64());
+        let answer_timeout = Span::from_seconds(self.answer_timeout.as_secs_f64());
         let budget = RetryBudget {
-            timeout: within,
-            initial_backoff: answer_timeout * INITIAL_BACKOFF_PART,
-            max_backoff: answer_timeout * MAX_BACKOFF_PART,
+            timeout: order_timeout,
+            initial_backoff: answer_timeout * INITIAL_BACKOFF_RATIO,
+            max_backoff: answer_timeout * MAX_BACKOFF_RATIO,
         };
-        let mut delivery = OrderDelivery::new(now(), seed, budget, self.conductors.keys().cloned());
+        let mut delivery =
+            OrderDelivery::new(now(), seed, budget, self.controllers.keys().cloned());
         let (sender, replies) = std::sync::mpsc::channel();
         while !delivery.is_over(now()) {
             for name in delivery.due(now()) {
                 let left = duration(delivery.deadline() - now());
-                let until = Instant::now() + left.min(self.within);
+                let until = Instant::now() + left.min(self.answer_timeout);
                 self.spawn_attempt(name, request.clone(), until, sender.clone());
             }
             let next = delivery
@@ -87,12 +89,12 @@
                 (reply.attempts, reply.last.cloned()),
             )
         });
-        Ordered {
+        OrderResult {
             outcome: delivery.outcome(),
-            conductors: replies.collect(),
+            controllers: replies.collect(),
         }
     }
-    /// One attempt at one controller, on a thread of its own.
+    /// Starts a thread that makes one attempt at one controller.
     fn spawn_attempt(
         &self,
         name: String,
@@ -103,16 +105,16 @@
         let fleet = self.clone();
         std::thread::spawn(move || {
             let names = BTreeSet::from([name.clone()]);
-            let answer = fleet.ask_some(&names, &request, until).remove(&name);
-            let missing = Failed::Unreachable("it is not known".to_string());
+            let answer = fleet.call_some(&names, &request, until).remove(&name);
+            let missing = RequestError::Unreachable("it is not known".to_string());
             let reply = reply_from(answer.unwrap_or(Err(missing)));
-            // The receiver is gone if the order is over already.
+            // The receiver no longer exists if the order has ended.
             drop(replies.send((name, reply)));
         });
     }
 }
 
-/// A span as a wait; a negative one is none.
+/// Converts a span to a duration; a negative span becomes zero.
 fn duration(span: Span) -> Duration {
     Duration::from_secs_f64(span.seconds().max(0.0))
 }
