--- a/crates/cli/src/import.rs
+++ b/crates/cli/src/import.rs
@@ -10,8 +10,8 @@
 use wheelspread::time::Span;
 use wheelspread_controller::{ControllerFile, ControllerFileError};
 use wheelspread_controller_core::endpoint_list::{EndpointRecord, EndpointSnapshot};
-use wheelspread_import::pools::plain;
-use wheelspread_import::{load, pools, Fate, Imported, IncludeError, Pool};
+use wheelspread_import::pools::sanitized_name;
+use wheelspread_import::{load, pools, Disposition, Imported, IncludeError, Pool};
 
 /// Arguments of `wheelspread import`.
 #[derive(Args)]
@@ -102,7 +102,7 @@
     } = arguments.from;
     let loaded = load(&file)?;
     let imported = pools(&loaded);
-    let zone = plain(&zone);
+    let zone = sanitized_name(&zone);
     for (number, pool) in imported.pools.iter().enumerate() {
         let listen = format!("127.0.0.1:{}", port.saturating_add(number as u16));
         write(pool, &zone, &listen, out.as_deref()).map_err(|source| ImportError::Pool {
@@ -116,8 +116,8 @@
         print_report(&imported, out.as_deref());
     }
     let is_incomplete = imported
-        .of(Fate::Left)
-        .chain(imported.of(Fate::Assumed))
+        .with_disposition(Disposition::Left)
+        .chain(imported.with_disposition(Disposition::Assumed))
         .next()
         .is_some();
     Ok(if imported.pools.is_empty() || (strict && is_incomplete) {
@@ -133,7 +133,7 @@
     ControllerFile::parse(&file, Path::new("conductor.yaml"))?;
     let list = endpoint_list_text(pool, zone)?;
     let Some(out) = out else { return Ok(()) };
-    let directory = out.join(plain(&pool.name));
+    let directory = out.join(sanitized_name(&pool.name));
     let failed = |source: io::Error| PoolError::Write {
         directory: directory.clone(),
         source,
@@ -175,20 +175,20 @@
             "name": pool.name,
             "nodes": pool.servers.iter().map(|server| {
                 json!({ "node": wheelspread_controller_core::endpoint_list::format_node(server.node), "weight": server.weight,
-                        "at": server.place.to_string() })
+                        "at": server.position.to_string() })
             }).collect::<Vec<_>>(),
             "operations": pool.operations.iter().map(|operation| {
-                json!({ "name": operation.name, "location": operation.location, "repeat": operation.repeat,
+                json!({ "name": operation.name, "location": operation.location, "repeat": operation.retry_class,
                         "integration_timeout_s": operation.integration_timeout.seconds() })
             }).collect::<Vec<_>>(),
-            "errors_until_avoided": pool.errors_until_avoided,
-            "connection_idle_s": pool.connection_idle.map(Span::seconds),
+            "errors_until_avoided": pool.errors_until_ejected,
+            "connection_idle_s": pool.idle_timeout.map(Span::seconds),
         })
     };
     json!({
         "pools": imported.pools.iter().map(pool).collect::<Vec<_>>(),
         "notes": imported.outcomes,
-        "directives_read": imported.read,
+        "directives_read": imported.directive_count,
     })
 }
 
@@ -201,7 +201,7 @@
             .collect();
         let (nodes, names) = (pool.servers.len(), names.join(", "));
         let place = out.map_or(String::new(), |out| {
-            format!(", in {}", out.join(plain(&pool.name)).display())
+            format!(", in {}", out.join(sanitized_name(&pool.name)).display())
         });
         say!(
             "pool {}: {nodes} nodes; operations {names}{place}",
@@ -209,24 +209,24 @@
         );
     }
     for (fate, head) in [
-        (Fate::Left, "not carried over"),
-        (Fate::Assumed, "to be looked at"),
+        (Disposition::Left, "not carried over"),
+        (Disposition::Assumed, "to be looked at"),
     ] {
-        let notes: Vec<_> = imported.of(fate).collect();
+        let notes: Vec<_> = imported.with_disposition(fate).collect();
         if !notes.is_empty() {
             say!("\n{head}:");
         }
         for note in notes {
-            say!("  {}  {}\n      {}", note.at, note.text, note.why);
+            say!("  {}  {}\n      {}", note.position, note.text, note.reason);
         }
     }
-    let carried = imported.of(Fate::Carried).count();
+    let carried = imported.with_disposition(Disposition::Carried).count();
     let (left, assumed) = (
-        imported.of(Fate::Left).count(),
-        imported.of(Fate::Assumed).count(),
+        imported.with_disposition(Disposition::Left).count(),
+        imported.with_disposition(Disposition::Assumed).count(),
     );
     say!(
         "\n{} directives read: {carried} carried over, {assumed} to be looked at, {left} left",
-        imported.read
+        imported.directive_count
     );
 }
--- a/crates/import/src/lib.rs
+++ b/crates/import/src/lib.rs
@@ -1,13 +1,13 @@
-//! Reads nginx configurations.
+//! Imports nginx configurations.
 //!
-//! [`parse()`] turns text into directives, [`load()`] follows `include`, [`pools()`] makes pools of nodes with their
-//! operations from them and records what became of every directive: carried over, assumed, or left with the
-//! reason. nginx is neither needed nor run.
+//! [`parse()`] parses text to directives, [`load()`] reads files and resolves `include`, and [`pools()`] converts
+//! directives to pools of nodes with their operations. It records an outcome with a reason for every directive:
+//! carried over, assumed, or left out. nginx is not needed and not run.
 
 pub mod load;
 pub mod parse;
 pub mod pools;
 
 pub use load::{load, IncludeError, Loaded, MissingInclude};
-pub use parse::{parse, Directive, Place, SyntaxError};
-pub use pools::{pools, DirectiveOutcome, Fate, Imported, Operation, Pool, Server};
+pub use parse::{parse, Directive, SourcePosition, SyntaxError};
+pub use pools::{pools, DirectiveOutcome, Disposition, Imported, Operation, Pool, Server};
--- a/crates/import/src/load.rs
+++ b/crates/import/src/load.rs
@@ -1,7 +1,8 @@
-//! Reads a configuration from its files. `include` is followed where it stands, with patterns, from the directory
-//! of the first file as nginx does it. An included file that cannot be read is recorded, and reading goes on.
+//! Reads a configuration from its files. Each `include` is replaced by the directives of the files that match its
+//! pattern, which is relative to the directory of the first file, as in nginx. An included file that cannot be read
+//! is recorded, and reading continues.
 
-use crate::parse::{parse, Directive, Place, SyntaxError};
+use crate::parse::{parse, Directive, SourcePosition, SyntaxError};
 use std::path::{Path, PathBuf};
 
 /// Why a configuration cannot be read.
@@ -15,30 +16,30 @@
         /// Why it cannot be read.
         text: String,
     },
-    /// A file is not in nginx's notation, or files include each other too deeply.
+    /// A file has a syntax error, or includes are nested too deeply or name too many files.
     #[error(transparent)]
     Syntax(#[from] SyntaxError),
 }
 
-/// What was read, with `include` replaced by what it names.
+/// A configuration whose includes are resolved.
 #[derive(Debug, Default)]
 pub struct Loaded {
-    /// All directives but the includes.
+    /// All directives except the includes.
     pub directives: Vec<Directive>,
     /// The files that were read.
     pub files: Vec<PathBuf>,
-    /// Includes that brought nothing.
+    /// Includes that failed or matched no file.
     pub missing: Vec<MissingInclude>,
-    /// How many includes were followed.
-    pub followed: usize,
+    /// The number of includes that were resolved.
+    pub followed_includes: usize,
 }
 
-/// An include that brought nothing.
+/// An include that failed or matched no file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MissingInclude {
     /// The include.
     pub directive: Directive,
-    /// Why it brought nothing.
+    /// Why it failed.
     pub reason: String,
 }
 
@@ -49,11 +50,11 @@
     }
 }
 
-/// The depth of includes at which a file that includes itself is noticed.
-const MAX_DEPTH: usize = 16;
+/// The maximum nesting depth of includes, which ends the reading of files that include themselves.
+const MAX_NESTING_DEPTH: usize = 16;
 const MAX_FILES: usize = 10_000;
 
-/// Reads a configuration, beginning with its first file.
+/// Reads a configuration from its first file and the files that it includes.
 pub fn load(first: &Path) -> Result<Loaded, IncludeError> {
     let base = first
         .parent()
@@ -75,14 +76,14 @@
         path: path.to_path_buf(),
         text: error.to_string(),
     })?;
-    // Bytes that are not UTF-8 can only stand in comments and strings that are not carried over.
+    // Bytes that are not UTF-8 occur only in comments and in strings that are not carried over.
     let directives = parse(&String::from_utf8_lossy(&text), path)?;
     loaded.files.push(path.to_path_buf());
-    follow(directives, base, depth, loaded)
+    resolve_includes(directives, base, depth, loaded)
 }
 
-/// Replaces the includes among directives by what they name.
-fn follow(
+/// Replaces each include by the directives of its files, also within blocks.
+fn resolve_includes(
     directives: Vec<Directive>,
     base: &Path,
     depth: usize,
@@ -95,7 +96,7 @@
             continue;
         }
         if let Some(block) = directive.block.take() {
-            directive.block = Some(follow(block, base, depth, loaded)?);
+            directive.block = Some(resolve_includes(block, base, depth, loaded)?);
         }
         all.push(directive);
     }
@@ -113,10 +114,12 @@
         loaded.add_missing(directive, "one path is expected");
         return Ok(());
     };
-    if depth >= MAX_DEPTH || loaded.files.len() >= MAX_FILES {
+    if depth >= MAX_NESTING_DEPTH || loaded.files.len() >= MAX_FILES {
         return Err(IncludeError::Syntax(SyntaxError {
-            place: Place::clone(&directive.place),
-            what: format!("files include each other more than {MAX_DEPTH} deep, or are too many"),
+            position: SourcePosition::clone(&directive.position),
+            problem: format!(
+                "files include each other more than {MAX_NESTING_DEPTH} deep, or are too many"
+            ),
         }));
     }
     let paths = match matching_files(&base.join(pattern)) {
@@ -127,7 +130,7 @@
         Ok(paths) => paths,
     };
     if paths.is_empty() {
-        // A pattern may match nothing; a plain name of a file that does not exist is a configuration error.
+        // A pattern may match no file; a file name without a pattern has to exist.
         let is_pattern = pattern.contains(['*', '?', '[']);
         let reason = if is_pattern {
             "it matches no file"
@@ -137,7 +140,7 @@
         loaded.add_missing(directive, reason);
         return Ok(());
     }
-    loaded.followed += 1;
+    loaded.followed_includes += 1;
     for path in paths {
         match read(&path, base, depth + 1, loaded) {
             Ok(directives) => all.extend(directives),
--- a/crates/import/src/parse.rs
+++ b/crates/import/src/parse.rs
@@ -1,20 +1,20 @@
-//! Parses nginx's notation: words, `;` and blocks. Words may be quoted, with backslashes; `#` starts a comment
-//! where a word could start; `${name}` belongs to its word.
+//! Parses nginx's syntax: words, `;` and blocks. Words may be quoted, with backslash escapes; `#` starts a comment
+//! only at the start of a word; the braces of `${name}` are part of the word.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// Where a directive stands.
+/// A position in a configuration file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
+pub struct SourcePosition {
     /// The file.
     pub file: Arc<PathBuf>,
-    /// The line, from 1.
+    /// The line number, from 1.
     pub line: usize,
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for SourcePosition {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "{}:{}", self.file.display(), self.line)
     }
@@ -29,8 +29,8 @@
     pub arguments: Vec<String>,
     /// The directives in its block, if it has one.
     pub block: Option<Vec<Directive>>,
-    /// Where its name stands.
-    pub place: Place,
+    /// The position of its name.
+    pub position: SourcePosition,
 }
 
 impl Directive {
@@ -40,7 +40,7 @@
         words.map(String::as_str).collect::<Vec<_>>().join(" ")
     }
 
-    /// How many directives it is with all in its block.
+    /// The number of directives, including itself and all those nested in its block.
     pub fn count(&self) -> usize {
         1 + self
             .block
@@ -51,14 +51,14 @@
     }
 }
 
-/// Text that is not in nginx's notation.
+/// A syntax error in a configuration file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{place}: {what}")]
+#[error("{position}: {problem}")]
 pub struct SyntaxError {
-    /// Where the error is.
-    pub place: Place,
+    /// The position of the error.
+    pub position: SourcePosition,
     /// What is wrong there.
-    pub what: String,
+    pub problem: String,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -78,23 +78,23 @@
     line: usize,
 }
 
-/// Blocks within blocks.
-const MAX_DEPTH: usize = 64;
-/// Blocks in another language, in which braces and semicolons mean something else.
+/// The maximum nesting depth of blocks.
+const MAX_NESTING_DEPTH: usize = 64;
+/// The end of the names of directives whose block is Lua code, in which semicolons do not end directives.
 const FOREIGN_BLOCK_SUFFIX: &str = "_by_lua_block";
 
 impl Parser<'_> {
-    fn place(&self) -> Place {
-        Place {
+    fn position(&self) -> SourcePosition {
+        SourcePosition {
             file: self.file.clone(),
             line: self.line,
         }
     }
 
-    fn error(&self, what: impl Into<String>) -> SyntaxError {
+    fn error(&self, problem: impl Into<String>) -> SyntaxError {
         SyntaxError {
-            place: self.place(),
-            what: what.into(),
+            position: self.position(),
+            problem: problem.into(),
         }
     }
 
@@ -104,7 +104,7 @@
         Some(next)
     }
 
-    fn token(&mut self) -> Result<Option<(Token, Place)>, SyntaxError> {
+    fn token(&mut self) -> Result<Option<(Token, SourcePosition)>, SyntaxError> {
         loop {
             match self.text.peek() {
                 None => return Ok(None),
@@ -113,7 +113,7 @@
                 Some(_) => break,
             }
         }
-        let place = self.place();
+        let position = self.position();
         let token = match self.text.peek().copied() {
             Some(';') => Token::Semicolon,
             Some('{') => Token::BlockStart,
@@ -122,26 +122,26 @@
                 self.take();
                 return self
                     .quoted(quote)
-                    .map(|word| Some((Token::Word(word), place)));
+                    .map(|word| Some((Token::Word(word), position)));
             }
-            _ => return Ok(Some((Token::Word(self.word()), place))),
+            _ => return Ok(Some((Token::Word(self.word()), position))),
         };
         self.take();
-        Ok(Some((token, place)))
+        Ok(Some((token, position)))
     }
 
     fn quoted(&mut self, quote: char) -> Result<String, SyntaxError> {
-        let start = self.place();
+        let start = self.position();
         let mut word = String::new();
         loop {
             match self.take() {
                 None => {
                     return Err(SyntaxError {
-                        place: start,
-                        what: format!("a {quote} is not closed"),
+                        position: start,
+                        problem: format!("a {quote} is not closed"),
                     })
                 }
-                // A backslash before another character, as in regular expressions, stays.
+                // A backslash before any other character is kept, as regular expressions need it.
                 Some('\\') => match self.take() {
                     Some(c @ ('"' | '\'' | '\\')) => word.push(c),
                     other => word.extend(std::iter::once('\\').chain(other)),
@@ -180,9 +180,9 @@
         word
     }
 
-    /// Skips a block of another language, by its braces.
+    /// Skips a block of Lua code, whose end is found by counting braces.
     fn skip_foreign_block(&mut self) -> Result<(), SyntaxError> {
-        let start = self.place();
+        let start = self.position();
         let mut open = 1;
         while open > 0 {
             match self.take() {
@@ -195,46 +195,49 @@
         Ok(())
     }
 
-    /// The directives up to the block's end; `opened`: where its brace stands, `None` for a whole file.
+    /// Parses directives up to the end of the block. `opened` is the position of its opening brace, or `None` at the
+    /// top level of a file.
     fn block(
         &mut self,
         depth: usize,
-        opened: Option<&Place>,
+        opened: Option<&SourcePosition>,
     ) -> Result<Vec<Directive>, SyntaxError> {
-        if depth > MAX_DEPTH {
-            return Err(self.error(format!("more than {MAX_DEPTH} blocks within each other")));
+        if depth > MAX_NESTING_DEPTH {
+            return Err(self.error(format!(
+                "more than {MAX_NESTING_DEPTH} blocks within each other"
+            )));
         }
         let mut directives = Vec::new();
         let mut words: Vec<String> = Vec::new();
-        let mut start = self.place();
-        while let Some((token, place)) = self.token()? {
+        let mut start = self.position();
+        while let Some((token, position)) = self.token()? {
             match token {
                 Token::Word(word) => {
                     if words.is_empty() {
-                        start = place;
+                        start = position;
                     }
                     words.push(word);
                 }
                 Token::BlockEnd => {
                     return match (words.first(), opened) {
-                        (Some(word), _) => Err(unterminated(word, place)),
+                        (Some(word), _) => Err(unterminated(word, position)),
                         (None, Some(_)) => Ok(directives),
                         (None, None) => Err(SyntaxError {
-                            place,
-                            what: "a } closes nothing".to_string(),
+                            position,
+                            problem: "a } closes nothing".to_string(),
                         }),
                     };
                 }
                 Token::Semicolon | Token::BlockStart if words.is_empty() => {
-                    let what = "a directive without a name".to_string();
-                    return Err(SyntaxError { place, what });
+                    let problem = "a directive without a name".to_string();
+                    return Err(SyntaxError { position, problem });
                 }
                 Token::Semicolon => {
                     directives.push(directive(std::mem::take(&mut words), None, start.clone()));
                 }
                 Token::BlockStart => {
                     let words = std::mem::take(&mut words);
-                    let block = self.inner_block(&words[0], depth, &place)?;
+                    let block = self.inner_block(&words[0], depth, &position)?;
                     directives.push(directive(words, Some(block), start.clone()));
                 }
             }
@@ -246,12 +249,12 @@
         }
     }
 
-    /// The block of a directive, after its opening brace.
+    /// Parses the block of a directive, after its opening brace.
     fn inner_block(
         &mut self,
         name: &str,
         depth: usize,
-        opened: &Place,
+        opened: &SourcePosition,
     ) -> Result<Vec<Directive>, SyntaxError> {
         if name.ends_with(FOREIGN_BLOCK_SUFFIX) {
             self.skip_foreign_block()?;
@@ -261,28 +264,32 @@
     }
 }
 
-fn unclosed_block(place: Place) -> SyntaxError {
-    let what = "a block is not closed".to_string();
-    SyntaxError { place, what }
+fn unclosed_block(position: SourcePosition) -> SyntaxError {
+    let problem = "a block is not closed".to_string();
+    SyntaxError { position, problem }
 }
 
-fn unterminated(word: &str, place: Place) -> SyntaxError {
-    let what = format!("`{word}` has no ; at its end");
-    SyntaxError { place, what }
+fn unterminated(word: &str, position: SourcePosition) -> SyntaxError {
+    let problem = format!("`{word}` has no ; at its end");
+    SyntaxError { position, problem }
 }
 
-/// A directive from its words, of which there is at least one.
-fn directive(mut words: Vec<String>, block: Option<Vec<Directive>>, place: Place) -> Directive {
+/// Builds a directive from its words, of which there is at least one.
+fn directive(
+    mut words: Vec<String>,
+    block: Option<Vec<Directive>>,
+    position: SourcePosition,
+) -> Directive {
     let name = words.remove(0);
     Directive {
         name,
         arguments: words,
         block,
-        place,
+        position,
     }
 }
 
-/// Parses a file's text.
+/// Parses the text of a file.
 pub fn parse(text: &str, file: &Path) -> Result<Vec<Directive>, SyntaxError> {
     let mut parser = Parser {
         text: text.chars().peekable(),
--- a/crates/import/src/pools.rs
+++ b/crates/import/src/pools.rs
@@ -1,5 +1,5 @@
-//! From directives to pools: an `upstream` is a pool of nodes, each `location` that passes to it is an operation
-//! of the pool. Every directive that was read has a recorded outcome, so that nothing is dropped silently.
+//! Converts directives to pools: an `upstream` becomes a pool of nodes, and each `location` with a `proxy_pass` to it
+//! becomes an operation of the pool. Every directive has a recorded outcome, so that none is dropped silently.
 
 mod controller_file;
 mod location;
@@ -7,7 +7,7 @@
 mod upstream;
 
 use crate::load::Loaded;
-use crate::parse::{Directive, Place};
+use crate::parse::{Directive, SourcePosition};
 use location::Inherited;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,79 +15,82 @@
 use wheelspread::time::Span;
 use wheelspread_controller_core::deployment::RetryClass;
 
-/// What became of a directive.
+/// Whether a directive was carried over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Fate {
-    /// Carried over as it is.
+pub enum Disposition {
+    /// Carried over unchanged.
     Carried,
-    /// Something had to be chosen that the file does not say; a person should check it.
+    /// Carried over with assumptions that the file does not state; the operator should check them.
     Assumed,
     /// Not carried over.
     Left,
 }
 
-/// A directive, what became of it, and why.
+/// The outcome of a directive.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct DirectiveOutcome {
-    /// Its file and line.
-    pub at: String,
+    /// The directive's file and line; empty for a pool that is left out.
+    #[serde(rename = "at")]
+    pub position: String,
     /// The directive without its block.
     pub text: String,
-    /// What became of it.
-    pub fate: Fate,
-    /// Why.
-    pub why: String,
+    /// Whether the directive was carried over.
+    #[serde(rename = "fate")]
+    pub disposition: Disposition,
+    /// Why it was left out, what was assumed, or what it became.
+    #[serde(rename = "why")]
+    pub reason: String,
 }
 
 /// A server of an upstream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Server {
-    /// Its address.
+    /// The server's address and port.
     pub node: NodeId,
-    /// Its weight, 1 by default.
+    /// The server's weight, 1 by default.
     pub weight: f64,
-    /// Where it stands.
-    pub place: Place,
+    /// The position of the `server` directive, or of the `proxy_pass` that names the server.
+    pub position: SourcePosition,
 }
 
 /// An operation, made from a location.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Operation {
-    /// Its name in settings.
+    /// The operation's name in settings.
     pub name: String,
     /// The location's arguments as they are written.
     pub location: String,
-    /// What a client waits at most.
+    /// The maximum time that a client waits for a response.
     pub integration_timeout: Span,
-    /// Whether a retry can take effect twice.
-    pub repeat: RetryClass,
+    /// Whether a retried request can take effect twice.
+    pub retry_class: RetryClass,
 }
 
 /// A pool, made from an upstream or from a location that names a server.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Pool {
-    /// The upstream's name, or the server.
+    /// The name of the upstream, or the address in the `proxy_pass`.
     pub name: String,
-    /// Its servers in their order.
+    /// Servers in the order of the file.
     pub servers: Vec<Server>,
-    /// Its operations in their order.
+    /// Operations in the order of the file.
     pub operations: Vec<Operation>,
-    /// Failures in a row until a proxy ejects a node.
-    pub errors_until_avoided: u32,
-    /// How long an unused connection stays open.
-    pub connection_idle: Option<Span>,
+    /// The number of consecutive failures after which a proxy ejects a node.
+    pub errors_until_ejected: u32,
+    /// The time after which an unused connection is closed.
+    pub idle_timeout: Option<Span>,
 }
 
-/// What an import brought.
+/// The result of an import.
 #[derive(Debug, Default)]
 pub struct Imported {
     /// Pools that have servers and operations.
     pub pools: Vec<Pool>,
-    /// What became of each directive.
+    /// The outcome of each directive.
     pub outcomes: Vec<DirectiveOutcome>,
-    /// Directives that were read, includes among them.
-    pub read: usize,
+    /// The number of directives that were read, including includes.
+    pub directive_count: usize,
 }
 
 /// nginx's default of `max_fails`.
@@ -100,20 +103,20 @@
     imported: Imported,
     pools: BTreeMap<String, Pool>,
     /// Names of pools in the order of the file.
-    order: Vec<String>,
+    pool_names: Vec<String>,
     /// Names of operations by pool.
-    names: BTreeMap<String, BTreeSet<String>>,
+    operation_names: BTreeMap<String, BTreeSet<String>>,
 }
 
-/// Makes pools from directives, and records what became of each directive.
+/// Converts directives to pools, and records the outcome of each directive.
 pub fn pools(loaded: &Loaded) -> Imported {
     let mut importer = Importer::default();
     let directives = &loaded.directives;
-    importer.imported.read = directives.iter().map(Directive::count).sum::<usize>()
+    importer.imported.directive_count = directives.iter().map(Directive::count).sum::<usize>()
         + loaded.missing.len()
-        + loaded.followed;
+        + loaded.followed_includes;
     for missing in &loaded.missing {
-        importer.record(&missing.directive, Fate::Left, &missing.reason);
+        importer.record(&missing.directive, Disposition::Left, &missing.reason);
     }
     importer.upstreams(directives, true);
     importer.blocks(directives, &Inherited::default(), true);
@@ -121,36 +124,36 @@
 }
 
 impl Importer {
-    fn record(&mut self, directive: &Directive, fate: Fate, why: &str) {
+    fn record(&mut self, directive: &Directive, disposition: Disposition, reason: &str) {
         self.imported.outcomes.push(DirectiveOutcome {
-            at: directive.place.to_string(),
+            position: directive.position.to_string(),
             text: directive.text(),
-            fate,
-            why: why.to_string(),
+            disposition,
+            reason: reason.to_string(),
         });
     }
 
-    /// Records that a directive is not carried over, and neither is each one in its block.
-    fn leave(&mut self, directive: &Directive, why: &str) {
-        self.record(directive, Fate::Left, why);
+    /// Records that a directive and all directives in its block are not carried over.
+    fn skip(&mut self, directive: &Directive, reason: &str) {
+        self.record(directive, Disposition::Left, reason);
         for inner in directive.block.iter().flatten() {
-            self.leave(inner, "it stands in a block that is left");
+            self.skip(inner, "in a block that is not carried over");
         }
     }
 
-    /// Pools without servers or operations are left out.
+    /// Collects the pools; those without servers or operations are left out.
     fn finish(self) -> Imported {
         let Importer {
             mut imported,
             mut pools,
-            order,
+            pool_names,
             ..
         } = self;
-        for name in order {
+        for name in pool_names {
             let Some(pool) = pools.remove(&name) else {
                 continue;
             };
-            let lacks = if pool.servers.is_empty() {
+            let missing = if pool.servers.is_empty() {
                 "server that can be listed"
             } else if pool.operations.is_empty() {
                 "location"
@@ -159,10 +162,10 @@
                 continue;
             };
             imported.outcomes.push(DirectiveOutcome {
-                at: String::new(),
+                position: String::new(),
                 text: format!("upstream {name}"),
-                fate: Fate::Left,
-                why: format!("no {lacks}: nothing is written for it"),
+                disposition: Disposition::Left,
+                reason: format!("no {missing}: nothing is written for it"),
             });
         }
         imported
@@ -170,15 +173,18 @@
 }
 
 impl Imported {
-    /// The directives with one fate.
-    pub fn of(&self, fate: Fate) -> impl Iterator<Item = &DirectiveOutcome> {
+    /// The outcomes with one disposition.
+    pub fn with_disposition(
+        &self,
+        disposition: Disposition,
+    ) -> impl Iterator<Item = &DirectiveOutcome> {
         let outcomes = self.outcomes.iter();
-        outcomes.filter(move |outcome| outcome.fate == fate)
+        outcomes.filter(move |outcome| outcome.disposition == disposition)
     }
 }
 
-/// A name that paths and settings accept: other characters become `-`.
-pub fn plain(name: &str) -> String {
+/// Converts a name to one that paths and settings accept: other characters become `-`, and the length is limited.
+pub fn sanitized_name(name: &str) -> String {
     let replaced = |c: char| {
         if c.is_ascii_alphanumeric() || c == '-' || c == '_' {
             c
--- a/crates/import/src/pools/location.rs
+++ b/crates/import/src/pools/location.rs
@@ -1,7 +1,7 @@
-//! `location` blocks: an operation each, of the pool that it passes to.
+//! Converts `location` blocks: each becomes an operation of the pool that its `proxy_pass` names.
 
 use super::notation::{address, span};
-use super::{Fate, Importer, Operation, Pool, Server, DEFAULT_MAX_FAILS};
+use super::{Disposition, Importer, Operation, Pool, Server, DEFAULT_MAX_FAILS};
 use crate::parse::Directive;
 use std::time::Duration;
 use wheelspread::time::Span;
@@ -12,15 +12,15 @@
 
 const MAX_OPERATION_NAME_BYTES: usize = 80;
 
-/// What applies to locations unless they say otherwise; handed down from block to block.
+/// Settings that blocks inherit from their enclosing blocks and may override.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Inherited {
     read_timeout: Option<Span>,
-    next_timeout: Option<Span>,
-    next: Option<Vec<String>>,
+    next_upstream_timeout: Option<Span>,
+    next_upstream: Option<Vec<String>>,
 }
 
-/// Where a `proxy_pass` goes.
+/// The parts of the URL in a `proxy_pass`.
 struct PassTarget<'a> {
     host: &'a str,
     path: &'a str,
@@ -41,22 +41,23 @@
         })
     }
 
-    /// What of it is not carried over.
-    fn lost(&self) -> Option<String> {
+    /// Describes the part of the URL that is not carried over, if there is one.
+    fn not_carried_over(&self) -> Option<String> {
         if self.is_https {
-            return Some("https is not: how gateways reach nodes is theirs".to_string());
+            return Some("https is not carried over: proxies have their own settings for connections to nodes".to_string());
         }
         let path = self.path;
-        (!path.is_empty())
-            .then(|| format!("its path `{path}` is not: gateways pass paths on as they come"))
+        (!path.is_empty()).then(|| {
+            format!("its path `{path}` is not carried over: proxies forward paths unchanged")
+        })
     }
 }
 
 impl Importer {
-    /// Reads the blocks below, apart from upstreams.
+    /// Converts the blocks among directives, except upstreams.
     pub(super) fn blocks(&mut self, directives: &[Directive], from: &Inherited, http: bool) {
         let mut inherited = from.clone();
-        // What a block says about its locations applies also to those that stand before it.
+        // A setting applies to all locations of its block, including those that precede the setting.
         for directive in directives {
             self.inherit(directive, &mut inherited);
         }
@@ -68,56 +69,60 @@
                     None,
                 ) => {}
                 (name @ ("http" | "server"), Some(block)) => {
-                    self.record(directive, Fate::Carried, "read through for its blocks");
+                    self.record(
+                        directive,
+                        Disposition::Carried,
+                        "searched for upstreams and locations",
+                    );
                     self.blocks(block, &inherited, name == "http");
                 }
                 ("location", Some(block)) => self.location(directive, block, &inherited),
-                ("stream", Some(_)) => self.leave(directive, "only HTTP is carried over"),
+                ("stream", Some(_)) => self.skip(directive, "only HTTP is carried over"),
                 ("events" | "mail", Some(_)) => {
-                    self.leave(directive, "of the workings of nginx itself");
+                    self.skip(directive, "concerns nginx itself");
                 }
-                ("upstream", Some(_)) => self.leave(directive, "only HTTP is carried over"),
-                _ => self.leave(directive, "of no pool and no operation"),
+                ("upstream", Some(_)) => self.skip(directive, "only HTTP is carried over"),
+                _ => self.skip(directive, "does not belong to a pool or an operation"),
             }
         }
     }
 
-    /// Takes in what applies to the locations below; recorded once, where it stands.
+    /// Applies a directive to the inherited settings, and records its outcome once, in the block that contains it.
     fn inherit(&mut self, directive: &Directive, inherited: &mut Inherited) {
         let (name, arguments) = (directive.name.as_str(), &directive.arguments);
         match (name, &arguments[..]) {
             ("proxy_read_timeout" | "proxy_next_upstream_timeout", [text]) => {
                 let timeout = span(text);
                 if timeout.is_none() && text != "0" {
-                    return self.leave(directive, "no span of time");
+                    return self.skip(directive, "not a valid duration");
                 }
                 if name == "proxy_read_timeout" {
                     inherited.read_timeout = timeout;
                 } else {
-                    inherited.next_timeout = timeout;
+                    inherited.next_upstream_timeout = timeout;
                 }
                 self.record(
                     directive,
-                    Fate::Carried,
+                    Disposition::Carried,
                     "integration_timeout of the locations here",
                 );
             }
             ("proxy_next_upstream", words) if !words.is_empty() => {
-                inherited.next = Some(words.to_vec());
+                inherited.next_upstream = Some(words.to_vec());
                 self.record(
                     directive,
-                    Fate::Carried,
-                    "how operations here may be repeated",
+                    Disposition::Carried,
+                    "retry class of the operations here",
                 );
             }
             ("proxy_read_timeout" | "proxy_next_upstream_timeout" | "proxy_next_upstream", _) => {
-                self.leave(directive, "its arguments can't be read");
+                self.skip(directive, "its arguments can't be read");
             }
             _ => {}
         }
     }
 
-    /// Reads a location: an operation, if it passes to a pool.
+    /// Converts a location to an operation, if it has a `proxy_pass` to a pool.
     fn location(&mut self, directive: &Directive, block: &[Directive], from: &Inherited) {
         let mut inherited = from.clone();
         for inner in block {
@@ -127,8 +132,12 @@
         let target = passes.find_map(|pass| pass.arguments.first().map(|text| (pass, text)));
         let nested = block.iter().any(|inner| inner.name == "location");
         match target {
-            None if nested => self.record(directive, Fate::Carried, "read through for its blocks"),
-            None => self.record(directive, Fate::Left, "it passes nothing on"),
+            None if nested => self.record(
+                directive,
+                Disposition::Carried,
+                "searched for upstreams and locations",
+            ),
+            None => self.record(directive, Disposition::Left, "it has no proxy_pass"),
             Some((pass, text)) => self.pass(directive, pass, text, &inherited),
         }
         let pass = target.map(|(pass, _)| pass);
@@ -141,57 +150,57 @@
         }
     }
 
-    /// What stands in a location, apart from its pass and locations within it.
+    /// Records the outcome of a directive in a location, except its `proxy_pass` and nested locations.
     fn in_location(&mut self, directive: &Directive) {
         match (directive.name.as_str(), &directive.block) {
             (
                 "proxy_read_timeout" | "proxy_next_upstream_timeout" | "proxy_next_upstream",
                 None,
             ) => {}
-            ("if" | "limit_except", Some(_)) => self.leave(
-                directive,
-                "what depends on a request is not known to tables",
-            ),
+            ("if" | "limit_except", Some(_)) => {
+                self.skip(directive, "tables can't express conditions on requests")
+            }
             ("limit_req" | "limit_conn" | "limit_rate", _) => {
-                self.leave(directive, "admission is the conductor's to decide");
+                self.skip(directive, "the controller decides about admission");
             }
-            ("proxy_next_upstream_tries", _) => self.leave(
+            ("proxy_next_upstream_tries", _) => self.skip(
                 directive,
-                "how often something is repeated is the conductor's to decide",
+                "the controller decides about the number of attempts",
             ),
             ("proxy_connect_timeout" | "proxy_send_timeout", _) => {
-                self.leave(directive, "gateways have their own");
+                self.skip(directive, "proxies have timeouts of their own");
             }
-            _ => self.leave(directive, "of no pool and no operation"),
+            _ => self.skip(directive, "does not belong to a pool or an operation"),
         }
     }
 
     fn pass(&mut self, location: &Directive, pass: &Directive, text: &str, inherited: &Inherited) {
         let Some(target) = PassTarget::parse(text) else {
-            self.record(location, Fate::Left, "it passes to no pool");
-            return self.leave(pass, "only http:// and https:// are carried over");
+            self.record(location, Disposition::Left, "its proxy_pass names no pool");
+            return self.skip(pass, "only http:// and https:// are carried over");
         };
         if target.host.contains('$') {
-            let why = "where it passes to is only known with a request";
-            self.record(location, Fate::Left, why);
-            return self.leave(pass, "a variable names no pool");
+            let reason = "its proxy_pass depends on the request";
+            self.record(location, Disposition::Left, reason);
+            return self.skip(pass, "a variable can't name a pool");
         }
         if !self.ensure_pool(target.host, pass) {
-            self.record(location, Fate::Left, "it passes to no pool");
-            let why = "no upstream of this name was read, and it is no address";
-            return self.leave(pass, why);
+            self.record(location, Disposition::Left, "its proxy_pass names no pool");
+            let reason = "no upstream of this name was read, and it is not an address";
+            return self.skip(pass, reason);
         }
-        match target.lost() {
-            None => self.record(pass, Fate::Carried, "the pool of the operation"),
-            Some(lost) => {
-                let why = format!("the pool of the operation; {lost}");
-                self.record(pass, Fate::Assumed, &why);
+        match target.not_carried_over() {
+            None => self.record(pass, Disposition::Carried, "the pool of the operation"),
+            Some(not_carried_over) => {
+                let reason = format!("the pool of the operation; {not_carried_over}");
+                self.record(pass, Disposition::Assumed, &reason);
             }
         }
         self.add_operation(location, target.host, inherited);
     }
 
-    /// A location may name a server itself: that is a pool of one. `false`: there is no such pool.
+    /// Ensures that the pool of a `proxy_pass` exists. A `proxy_pass` to an address makes a pool with one server.
+    /// Returns `false` if there is no such pool and the name is not an address.
     fn ensure_pool(&mut self, host: &str, pass: &Directive) -> bool {
         if self.pools.contains_key(host) {
             return true;
@@ -202,15 +211,15 @@
         let server = Server {
             node,
             weight: 1.0,
-            place: pass.place.clone(),
+            position: pass.position.clone(),
         };
         let pool = Pool {
             name: host.to_string(),
             servers: vec![server],
-            errors_until_avoided: DEFAULT_MAX_FAILS,
+            errors_until_ejected: DEFAULT_MAX_FAILS,
             ..Pool::default()
         };
-        self.order.push(host.to_string());
+        self.pool_names.push(host.to_string());
         self.pools.insert(host.to_string(), pool);
         true
     }
@@ -218,29 +227,29 @@
     fn add_operation(&mut self, location: &Directive, pool: &str, inherited: &Inherited) {
         let written = location.arguments.join(" ");
         let name = self.operation_name(pool, &written);
-        let (repeat, repeat_why) = retry_safety(inherited.next.as_deref());
-        let timeout = inherited.next_timeout.or(inherited.read_timeout);
+        let (retry_class, retry_reason) = retry_safety(inherited.next_upstream.as_deref());
+        let timeout = inherited.next_upstream_timeout.or(inherited.read_timeout);
         let default_timeout = DEFAULT_READ_TIMEOUT.as_secs_f64();
-        let timeout_why = match timeout {
+        let timeout_reason = match timeout {
             Some(_) => String::new(),
             None => format!("; integration_timeout is nginx's own {default_timeout:.0} s"),
         };
-        let why = format!(
-            "operation `{name}`, {repeat_why}{timeout_why}; latency_objective and billed_value are not in the file"
+        let reason = format!(
+            "operation `{name}`, {retry_reason}{timeout_reason}; latency_objective and billed_value are not in the file"
         );
-        self.record(location, Fate::Assumed, &why);
+        self.record(location, Disposition::Assumed, &reason);
         let operation = Operation {
             name,
             location: written,
             integration_timeout: timeout.unwrap_or(Span::from_seconds(default_timeout)),
-            repeat,
+            retry_class,
         };
         if let Some(pool) = self.pools.get_mut(pool) {
             pool.operations.push(operation);
         }
     }
 
-    /// A name for an operation that settings accept, unlike the others of its pool.
+    /// A name for an operation that settings accept and that is unique in its pool.
     fn operation_name(&mut self, pool: &str, location: &str) -> String {
         let plain: String = location
             .chars()
@@ -261,7 +270,7 @@
         if name.is_empty() {
             name = "all".to_string();
         }
-        let taken = self.names.entry(pool.to_string()).or_default();
+        let taken = self.operation_names.entry(pool.to_string()).or_default();
         let mut free = name.clone();
         let mut number = 2;
         while !taken.insert(free.clone()) {
@@ -272,16 +281,17 @@
     }
 }
 
-/// Whether an operation may be retried. The file does not say what an operation does, so nothing is retried but
-/// what the file allows to be retried whatever it does.
-fn retry_safety(next: Option<&[String]>) -> (RetryClass, &'static str) {
-    let has = |word: &str| next.is_some_and(|words| words.iter().any(|known| known == word));
+/// The retry class of an operation, with the reason. The file does not state what an operation does, so only an
+/// operation with `non_idempotent` in `proxy_next_upstream`, and without `off`, counts as idempotent.
+fn retry_safety(next_upstream: Option<&[String]>) -> (RetryClass, &'static str) {
+    let has =
+        |word: &str| next_upstream.is_some_and(|words| words.iter().any(|known| known == word));
     match (has("off"), has("non_idempotent")) {
         (false, true) => (RetryClass::Idempotent, "idempotent as non_idempotent says"),
         (true, _) => (RetryClass::SideEffecting, "side-effecting as off says"),
         (false, false) => (
             RetryClass::SideEffecting,
-            "taken to be side-effecting: make it idempotent if all of it may run again",
+            "assumed to be side-effecting: set it to idempotent if every request may be retried",
         ),
     }
 }
--- a/crates/import/src/pools/notation.rs
+++ b/crates/import/src/pools/notation.rs
@@ -1,28 +1,28 @@
-//! How nginx writes addresses and durations.
+//! Parses nginx's addresses and durations.
 
 use wheelspread::ids::NodeId;
 use wheelspread::time::Span;
 
 const DEFAULT_PORT: u16 = 80;
 
-const MAX_SPAN_SECONDS: f64 = 30.0 * 86400.0;
+const SPAN_LIMIT_SECONDS: f64 = 30.0 * 86400.0;
 
 /// Why a server cannot be listed as a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum AddressError {
-    #[error("a Unix socket is no node that gateways elsewhere could reach")]
+    #[error("a Unix socket can't be reached by proxies on other machines")]
     UnixSocket,
-    #[error("nodes have IPv4 addresses")]
+    #[error("only IPv4 addresses are supported")]
     Ipv6,
-    #[error("a variable has no address")]
+    #[error("a variable is not an address")]
     Variable,
     #[error("its port can't be read")]
     Port,
-    #[error("a name has to be looked up: list its addresses")]
+    #[error("host names are not resolved: list the addresses instead")]
     HostName,
 }
 
-/// A server's address: IPv4 with a port, 80 where it has none.
+/// Parses a server's address: IPv4 with an optional port, 80 by default.
 pub(super) fn address(text: &str) -> Result<NodeId, AddressError> {
     if text.starts_with("unix:") {
         return Err(AddressError::UnixSocket);
@@ -44,7 +44,8 @@
     })
 }
 
-/// nginx's durations: `60`, `60s`, `1m30s`, `500ms`; `None` for other text, zero, or 30 days and more.
+/// Parses nginx's durations, such as `60`, `60s`, `1m30s` or `500ms`; `None` for other text, for zero, and for 30 days
+/// or more.
 pub(super) fn span(text: &str) -> Option<Span> {
     let mut seconds = 0.0;
     let mut rest = text;
@@ -70,5 +71,5 @@
         seconds += number * factor;
         rest = &rest[unit_end..];
     }
-    (seconds > 0.0 && seconds < MAX_SPAN_SECONDS).then(|| Span::from_seconds(seconds))
+    (seconds > 0.0 && seconds < SPAN_LIMIT_SECONDS).then(|| Span::from_seconds(seconds))
 }
--- a/crates/import/src/pools/upstream.rs
+++ b/crates/import/src/pools/upstream.rs
@@ -1,11 +1,11 @@
-//! `upstream` blocks: a pool each, with its servers.
+//! Converts `upstream` blocks: each becomes a pool with its servers.
 
 use super::notation::{address, span};
-use super::{Fate, Importer, Pool, Server, DEFAULT_MAX_FAILS};
+use super::{Disposition, Importer, Pool, Server, DEFAULT_MAX_FAILS};
 use crate::parse::Directive;
 use std::collections::BTreeSet;
 
-/// What the parameters of a `server` say.
+/// The parameters of a `server` directive.
 struct ServerParameters<'a> {
     weight: f64,
     max_fails: u32,
@@ -16,9 +16,11 @@
 /// Why a `server` is not listed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 enum ServerError {
-    #[error("marked down: it is not listed")]
+    #[error("marked down: not listed")]
     Down,
-    #[error("a backup serves only when all others are down: list it when it should serve")]
+    #[error(
+        "a backup server serves only while all others are down: list it if it should serve always"
+    )]
     Backup,
     #[error("its weight can't be read")]
     Weight,
@@ -44,7 +46,7 @@
             "max_fails" => {
                 parameters.max_fails = value.parse().map_err(|_| ServerError::MaxFails)?;
             }
-            // `fail_timeout` among them: proxies have an ejection time of their own.
+            // This includes `fail_timeout`, because proxies have an ejection time of their own.
             _ => parameters.ignored.push(word),
         }
     }
@@ -52,7 +54,8 @@
 }
 
 impl Importer {
-    /// Reads the `upstream` blocks. They come first, because a location may stand before the one it names.
+    /// Converts the `upstream` blocks. They are converted before locations, because a location may precede the
+    /// upstream that it names.
     pub(super) fn upstreams(&mut self, directives: &[Directive], http: bool) {
         for directive in directives {
             match (directive.name.as_str(), &directive.block) {
@@ -65,34 +68,34 @@
 
     fn upstream(&mut self, directive: &Directive, block: &[Directive]) {
         let [name] = &directive.arguments[..] else {
-            return self.leave(directive, "an upstream has one name");
+            return self.skip(directive, "an upstream needs exactly one name");
         };
         if self.pools.contains_key(name) {
-            return self.leave(directive, "an upstream of this name was read before");
+            return self.skip(directive, "an upstream of this name already exists");
         }
-        self.record(directive, Fate::Carried, "a pool");
+        self.record(directive, Disposition::Carried, "a pool");
         let mut pool = Pool {
             name: name.clone(),
             ..Pool::default()
         };
-        // The different `max_fails` of the servers.
+        // The distinct values of `max_fails` among the servers.
         let mut max_fails: BTreeSet<u32> = BTreeSet::new();
         for inner in block {
             self.in_upstream(inner, &mut pool, &mut max_fails);
         }
-        pool.errors_until_avoided = max_fails
+        pool.errors_until_ejected = max_fails
             .iter()
             .next_back()
             .copied()
             .unwrap_or(DEFAULT_MAX_FAILS);
         if max_fails.len() > 1 {
-            let why = format!(
-                "servers have different max_fails: the largest, {}, goes for all",
-                pool.errors_until_avoided
+            let reason = format!(
+                "servers have different max_fails: the maximum, {}, is used for all",
+                pool.errors_until_ejected
             );
-            self.record(directive, Fate::Assumed, &why);
+            self.record(directive, Disposition::Assumed, &reason);
         }
-        self.order.push(name.clone());
+        self.pool_names.push(name.clone());
         self.pools.insert(name.clone(), pool);
     }
 
@@ -110,29 +113,26 @@
             }
             ("keepalive_timeout", [text]) => match span(text) {
                 Some(idle) => {
-                    pool.connection_idle = Some(idle);
-                    self.record(directive, Fate::Carried, "proxies.connection_idle");
+                    pool.idle_timeout = Some(idle);
+                    self.record(directive, Disposition::Carried, "proxies.connection_idle");
                 }
-                None => self.leave(directive, "no span of time"),
+                None => self.skip(directive, "not a valid duration"),
             },
             (
                 "least_conn" | "ip_hash" | "hash" | "random" | "least_time" | "sticky" | "ntlm",
                 _,
-            ) => self.leave(
-                directive,
-                "how servers are picked is the conductor's to decide",
-            ),
+            ) => self.skip(directive, "the controller decides how nodes are selected"),
             ("keepalive" | "keepalive_requests" | "keepalive_time" | "queue", _) => {
-                self.leave(directive, "gateways keep their connections by themselves");
+                self.skip(directive, "proxies manage their own connections");
             }
             ("zone" | "state" | "resolver" | "resolver_timeout", _) => {
-                self.leave(directive, "of the workings of nginx itself");
+                self.skip(directive, "concerns nginx itself");
             }
-            _ => self.leave(directive, "not known in an upstream"),
+            _ => self.skip(directive, "not supported in an upstream"),
         }
     }
 
-    /// Lists a server; its `max_fails` if it was listed.
+    /// Adds a server to the pool and returns its `max_fails`; `None` if it was not added.
     fn server(
         &mut self,
         directive: &Directive,
@@ -141,29 +141,29 @@
         pool: &mut Pool,
     ) -> Option<u32> {
         let node = address(text)
-            .map_err(|error| self.leave(directive, &error.to_string()))
+            .map_err(|error| self.skip(directive, &error.to_string()))
             .ok()?;
         let parameters = server_parameters(words)
-            .map_err(|error| self.leave(directive, &error.to_string()))
+            .map_err(|error| self.skip(directive, &error.to_string()))
             .ok()?;
         if pool.servers.iter().any(|server| server.node == node) {
-            self.leave(
+            self.skip(
                 directive,
-                "listed before in this pool: a node is listed once",
+                "already listed in this pool: a node is listed once",
             );
             return None;
         }
         pool.servers.push(Server {
             node,
             weight: parameters.weight,
-            place: directive.place.clone(),
+            position: directive.position.clone(),
         });
         if parameters.ignored.is_empty() {
-            self.record(directive, Fate::Carried, "a node");
+            self.record(directive, Disposition::Carried, "a node");
         } else {
             let ignored = parameters.ignored.join(" ");
-            let why = format!("a node; not carried over: {ignored}");
-            self.record(directive, Fate::Assumed, &why);
+            let reason = format!("a node; not carried over: {ignored}");
+            self.record(directive, Disposition::Assumed, &reason);
         }
         Some(parameters.max_fails)
     }
