--- a/crates/drill/src/lib.rs
+++ b/crates/drill/src/lib.rs
@@ -1,6 +1,6 @@
-//! Drills: a fleet of stand-ins on loopback, real controllers, a script of faults, and afterwards the
-//! five rules judged by what went over sockets and into directories. Nothing that a controller says of
-//! itself is used.
+//! Drills: a fleet of stand-in nodes and clients on loopback, real proxies and controllers, and a script of
+//! faults. Afterwards the five rules are checked on what was observed on sockets and in directories; nothing
+//! that a controller reports about itself is used.
 
 mod audit;
 mod client_population;
@@ -17,9 +17,9 @@
 mod watch;
 mod worker;
 
-pub use audit::{judge, Judged, RuleJudged, Verdict};
+pub use audit::{judge, CheckedValue, RuleResult, Verdict};
 pub use error::{DrillError, PublishError, ScriptError};
-pub use even_publisher::Sabotage;
+pub use even_publisher::RuleViolation;
 pub use machine::{cpu_of, free_port, own_port};
 pub use proxies::proxy_name;
 pub use records::{Record, Records};
--- a/crates/drill/src/run.rs
+++ b/crates/drill/src/run.rs
@@ -1,4 +1,5 @@
-//! Plays a script: starts everything, injects the faults at their times, ends everything, and judges.
+//! Runs a script: starts all processes and stand-ins, injects the faults at their times, stops everything
+//! and judges the records.
 
 mod collection;
 mod controllers;
@@ -13,10 +14,10 @@
 use self::fleet::FleetNode;
 pub use self::report::{FaultReport, Report};
 use self::step::Step;
-use crate::audit::Slowed;
+use crate::audit::SlowedPeriod;
 use crate::client_population::ClientPopulation;
 use crate::error::DrillError;
-use crate::even_publisher::{EvenPublisher, Sabotage};
+use crate::even_publisher::{EvenWeightPublisher, RuleViolation};
 use crate::machine::own_port;
 use crate::network::Network;
 use crate::proxies::Proxies;
@@ -31,27 +32,27 @@
 use wheelspread_files::TableRoot;
 use wheelspread_reactor as reactor;
 
-/// How a script is played.
+/// Options of a drill.
 pub struct Options<'a> {
-    /// The program whose `run` is a controller.
+    /// The program that runs a controller with its subcommand `run`.
     pub program: PathBuf,
-    /// Seeds all random draws.
+    /// The seed of all random draws.
     pub seed: u64,
-    /// Even weights instead of controllers.
-    pub even: bool,
-    /// A rule to be broken on purpose.
-    pub sabotage: Option<Sabotage>,
-    /// Where all that was published and the records are kept; none: nowhere.
-    pub keep: Option<PathBuf>,
-    /// Controllers that are killed lose what they kept: they start as if they had never run.
-    pub forget: bool,
-    /// Kinds of fault that were asked for and can't be injected, to be told.
+    /// Publishes even weights instead of running controllers.
+    pub even_weights: bool,
+    /// A rule to violate on purpose.
+    pub violation: Option<RuleViolation>,
+    /// Where the published tables, the logs and the records are kept; a temporary directory if `None`.
+    pub keep_directory: Option<PathBuf>,
+    /// Deletes the state of a controller when it is killed, so that it restarts without state.
+    pub discard_state: bool,
+    /// Requested fault kinds that a drill cannot inject, for the report.
     pub not_injected: Vec<String>,
-    /// Told of each step that a person waits for.
+    /// Called with a progress message at each step.
     pub progress: &'a mut dyn FnMut(&str),
 }
 
-fn named(what: impl Into<String>) -> impl FnOnce(io::Error) -> DrillError {
+fn io_error(what: impl Into<String>) -> impl FnOnce(io::Error) -> DrillError {
     let what = what.into();
     move |source| DrillError::Io { what, source }
 }
@@ -59,7 +60,7 @@
 struct Drill<'a> {
     script: Script,
     options: Options<'a>,
-    chance: Pcg,
+    rng: Pcg,
     recorder: Recorder,
     directory: PathBuf,
     begin: Moment,
@@ -69,29 +70,29 @@
     network: Network,
     proxies: Proxies,
     zones: Vec<usize>,
-    /// What usually comes to each proxy, a second.
-    usual: Vec<f64>,
+    /// The base rate of each proxy, in first attempts per second.
+    base_rates: Vec<f64>,
     clients: Option<ClientPopulation>,
-    even: Option<EvenPublisher>,
+    even_publisher: Option<EvenWeightPublisher>,
     steps: BTreeMap<(Moment, u64), Step>,
-    next: u64,
+    last_sequence: u64,
     list_version: u64,
     list_delay: Span,
-    slowed: Vec<Slowed>,
-    cpu: f64,
+    slowed_periods: Vec<SlowedPeriod>,
+    controller_cpu_s: f64,
 }
 
-/// Plays a script and judges its records.
+/// Runs a script and judges its records.
 pub fn run(script: &Script, options: Options) -> Result<Report, DrillError> {
-    let temporary = tempfile::tempdir().map_err(named("a temporary directory"))?;
+    let temporary = tempfile::tempdir().map_err(io_error("cannot create a temporary directory"))?;
     let directory = options
-        .keep
+        .keep_directory
         .clone()
         .unwrap_or_else(|| temporary.path().to_path_buf());
-    std::fs::create_dir_all(&directory).map_err(named(directory.display().to_string()))?;
+    std::fs::create_dir_all(&directory).map_err(io_error(directory.display().to_string()))?;
     let (recorder, from) = Recorder::new(reactor::now());
     let mut drill = Drill::prepare(script.clone(), options, directory, recorder)?;
-    drill.play()?;
+    drill.run()?;
     drill.finish(from)
 }
 
@@ -102,44 +103,47 @@
         directory: PathBuf,
         recorder: Recorder,
     ) -> Result<Drill<'a>, DrillError> {
-        let plan_of = &script.deployment;
-        let nodes = StandInServers::start(plan_of.clone(), recorder.clone(), options.seed)
-            .map_err(named("nodes"))?;
+        let deployment = &script.deployment;
+        let nodes = StandInServers::start(deployment.clone(), recorder.clone(), options.seed)
+            .map_err(io_error("cannot start the stand-in nodes"))?;
         let mut controllers = Vec::new();
-        for number in 0..plan_of.controllers.count as usize {
+        for number in 0..deployment.controllers.count as usize {
             let directory = directory.join(format!("conductor-{number}"));
             TableRoot::new(directory.join("tables"))
                 .prepare()
-                .map_err(named(directory.display().to_string()))?;
+                .map_err(io_error(directory.display().to_string()))?;
             controllers.push(ControllerProcess {
                 directory,
-                listen: own_port().map_err(named("a free port"))?,
+                listen: own_port().map_err(io_error("cannot find a free port"))?,
                 child: None,
             });
         }
         let network = Network::start(controllers.iter().map(|process| process.listen).collect())
-            .map_err(named("wires"))?;
-        let proxies = Proxies::start(recorder.clone(), options.even).map_err(named("gateways"))?;
+            .map_err(io_error(
+                "cannot start the relay between proxies and controllers",
+            ))?;
+        let proxies = Proxies::start(recorder.clone(), options.even_weights)
+            .map_err(io_error("cannot start the proxies' thread"))?;
         let zones = (0..script.proxies)
-            .map(|proxy| proxy % plan_of.zones.len())
+            .map(|proxy| proxy % deployment.zones.len())
             .collect();
-        let even = options.even.then(|| {
-            EvenPublisher::new(
+        let even_publisher = options.even_weights.then(|| {
+            EvenWeightPublisher::new(
                 TableRoot::new(controllers[0].directory.join("tables")),
-                options.sabotage,
+                options.violation,
             )
         });
         Ok(Drill {
-            chance: Pcg::new(options.seed),
+            rng: Pcg::new(options.seed),
             list_delay: script.list_delay,
             begin: reactor::now(),
             clients: None,
             fleet: Vec::new(),
             steps: BTreeMap::new(),
-            next: 0,
+            last_sequence: 0,
             list_version: 0,
-            slowed: Vec::new(),
-            cpu: 0.0,
+            slowed_periods: Vec::new(),
+            controller_cpu_s: 0.0,
             recorder,
             directory,
             nodes,
@@ -147,8 +151,8 @@
             network,
             proxies,
             zones,
-            usual: Vec::new(),
-            even,
+            base_rates: Vec::new(),
+            even_publisher,
             script,
             options,
         })
--- a/crates/drill/src/stand_in_server/connections.rs
+++ b/crates/drill/src/stand_in_server/connections.rs
@@ -1,4 +1,4 @@
-//! Connections of the stand-in servers: accepting, reading requests, sending answers.
+//! Connections of the stand-in servers: accepting, reading requests, sending responses.
 
 use super::address::proxy_of;
 use super::event_loop::ServerLoop;
@@ -7,7 +7,7 @@
 use crate::records::Record;
 use std::io::{ErrorKind, Read, Write};
 use wheelspread::time::{Moment, Span};
-use wheelspread_http1::{request, Body};
+use wheelspread_http1::{parse_request, Body};
 use wheelspread_reactor::{self as reactor, Interest, Token};
 
 impl ServerLoop {
@@ -51,24 +51,24 @@
             .for_each(|connection| self.on_ready(now, key, connection));
     }
 
-    pub(super) fn passes(&self, key: NodeKey, zone: usize) -> bool {
-        self.cut
-            .is_none_or(|cut| (self.nodes[key].spec.zone == cut) == (zone == cut))
+    pub(super) fn is_reachable_from(&self, key: NodeKey, zone: usize) -> bool {
+        self.cut_zone
+            .is_none_or(|cut_zone| (self.nodes[key].spec.zone == cut_zone) == (zone == cut_zone))
     }
 
     pub(super) fn on_ready(&mut self, now: Moment, key: NodeKey, slot: usize) {
         let Some(connection) = self.nodes[key].connections.get(slot) else {
             return;
         };
-        if self.nodes[key].silent || !self.passes(key, connection.zone) {
+        if self.nodes[key].silent || !self.is_reachable_from(key, connection.zone) {
             return;
         }
         let connection = &mut self.nodes[key].connections[slot];
-        let mut piece = [0u8; 4096];
-        let over = loop {
-            match connection.socket.read(&mut piece) {
+        let mut buffer = [0u8; 4096];
+        let closed = loop {
+            match connection.socket.read(&mut buffer) {
                 Ok(0) => break true,
-                Ok(count) => connection.input.extend_from_slice(&piece[..count]),
+                Ok(count) => connection.input.extend_from_slice(&buffer[..count]),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => break false,
                 Err(_) => break true,
             }
@@ -79,29 +79,29 @@
                 _ => break,
             }
         }
-        if over {
-            // Work that has begun goes on.
+        if closed {
+            // Jobs that have started continue; their responses are dropped.
             self.nodes[key].connections.remove(slot);
             return;
         }
         if !connection.busy {
-            self.take_request(now, key, slot);
+            self.read_request(now, key, slot);
         }
     }
 
-    /// Takes the next request of a connection, if it is here as a whole.
-    pub(super) fn take_request(&mut self, now: Moment, key: NodeKey, slot: usize) {
+    /// Reads and admits the next request of a connection, if it has arrived completely.
+    pub(super) fn read_request(&mut self, now: Moment, key: NodeKey, slot: usize) {
         let Some(connection) = self.nodes[key].connections.get_mut(slot) else {
             return;
         };
-        let Ok(Some(head)) = request(&connection.input, Default::default()) else {
+        let Ok(Some(head)) = parse_request(&connection.input, Default::default()) else {
             return;
         };
         let mut body = Body::new(head.framing);
         let Ok(taken) = body.take(&connection.input[head.length..]) else {
             return;
         };
-        if !body.done() {
+        if !body.is_complete() {
             return;
         }
         let text = |range: &std::ops::Range<usize>| {
@@ -126,9 +126,9 @@
         connection.busy = true;
         let node = self.nodes[key].name.clone();
         let (id, operation) = (job.id.clone(), job.operation.clone());
-        self.recorder.note(
+        self.recorder.record(
             now,
-            Record::Came {
+            Record::RequestArrived {
                 node,
                 proxy,
                 id,
@@ -139,13 +139,19 @@
         self.admit_request(now, key, proxy, job);
     }
 
-    pub(super) fn answer(&mut self, now: Moment, key: NodeKey, connection: usize, bytes: Vec<u8>) {
+    pub(super) fn send_response(
+        &mut self,
+        now: Moment,
+        key: NodeKey,
+        connection: usize,
+        bytes: Vec<u8>,
+    ) {
         let generation = self.nodes[key].generation;
-        if self.slow_link > 0.0 {
-            let at = now + Span::from_seconds(self.slow_link);
-            return self.later(
+        if self.response_delay > 0.0 {
+            let at = now + Span::from_seconds(self.response_delay);
+            return self.schedule(
                 at,
-                Due::Answer {
+                Due::SendResponse {
                     node: key,
                     generation,
                     connection,
@@ -153,11 +159,17 @@
                 },
             );
         }
-        self.send(now, key, connection, bytes);
+        self.write_response(now, key, connection, bytes);
     }
 
-    pub(super) fn send(&mut self, now: Moment, key: NodeKey, slot: usize, bytes: Vec<u8>) {
-        // A slot that was given to another connection meanwhile is not busy with this.
+    pub(super) fn write_response(
+        &mut self,
+        now: Moment,
+        key: NodeKey,
+        slot: usize,
+        bytes: Vec<u8>,
+    ) {
+        // The connection may have ended and its slot been reused; one that is not busy awaits no response.
         let Some(connection) = self.nodes[key]
             .connections
             .get_mut(slot)
--- a/crates/fleet/src/call.rs
+++ b/crates/fleet/src/call.rs
@@ -10,7 +10,7 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 use std::time::Instant;
-use wheelspread_http1::{response, Framing, Limits};
+use wheelspread_http1::{parse_response, Framing, Limits};
 
 /// The address of a controller's API for operators.
 #[derive(Clone, Debug)]
@@ -192,7 +192,7 @@
     bytes: &[u8],
     target: &str,
 ) -> Result<Option<Result<Value, RequestError>>, RequestError> {
-    let head = response(bytes, false, Limits::default());
+    let head = parse_response(bytes, false, Limits::default());
     let Some(head) = head.map_err(|error| RequestError::Malformed(error.to_string()))? else {
         return Ok(None);
     };
--- a/crates/fleet/src/file.rs
+++ b/crates/fleet/src/file.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use wheelspread::time::Span;
 use wheelspread_controller_core::span_format;
-use wheelspread_grpc::tls::{plain_client, KeyError, KeyFiles};
+use wheelspread_grpc::tls::{http1_client_config, KeyError, KeyFiles};
 
 /// A controller in a fleet file: by its root of tables on this machine, or by its port.
 #[derive(Clone, Debug, Deserialize)]
@@ -227,7 +227,7 @@
             certificate: tls.certificate.clone(),
             key: tls.key.clone(),
         };
-        plain_client(&tls.servers, &keys)
+        http1_client_config(&tls.servers, &keys)
             .map(ClientTls)
             .map_err(|error| problems.push(FleetProblem::Keys(error)))
             .ok()
--- a/crates/import/src/pools/location.rs
+++ b/crates/import/src/pools/location.rs
@@ -157,9 +157,10 @@
                 "proxy_read_timeout" | "proxy_next_upstream_timeout" | "proxy_next_upstream",
                 None,
             ) => {}
-            ("if" | "limit_except", Some(_)) => {
-                self.skip(directive, "tables can't express conditions on requests")
-            }
+            ("if" | "limit_except", Some(_)) => self.skip(
+                directive,
+                "tables can't express conditions that depend on a single request",
+            ),
             ("limit_req" | "limit_conn" | "limit_rate", _) => {
                 self.skip(directive, "the controller decides about admission");
             }
--- a/crates/proxy/src/proxy/upstream_side.rs
+++ b/crates/proxy/src/proxy/upstream_side.rs
@@ -7,7 +7,7 @@
 use crate::observer::{RequestObserver, RequestOutcome};
 use crate::upstream::UpstreamResponse;
 use wheelspread::time::Moment;
-use wheelspread_http1::{response, Body, Framing, Response};
+use wheelspread_http1::{parse_response, Body, Framing, Response};
 use wheelspread_proxy_core::{Action, AttemptOutcome, Decision, Failure};
 use wheelspread_reactor::Poll;
 use wheelspread_xds::orca;
@@ -40,7 +40,7 @@
         let limit = if unsent_bytes >= MAX_UNSENT_RESPONSE_BYTES {
             0
         } else {
-            MAX_BUFFERED_RESPONSE_BYTES + self.limits.head
+            MAX_BUFFERED_RESPONSE_BYTES + self.limits.max_head_bytes
         };
         // A response that arrived before the connection broke is still valid, so it is read even after a failed write.
         let read_failed =
@@ -82,7 +82,7 @@
         let output = self.clients.get_mut(client)?.output();
         output.extend_from_slice(&connection.input[..length]);
         connection.input.drain(..length);
-        if response.body.done() || (is_ended && response.body.ends_with_connection()) {
+        if response.body.is_complete() || (is_ended && response.body.ends_with_connection()) {
             self.finish_response(now, slot, client);
             return None;
         }
@@ -104,7 +104,7 @@
         loop {
             let connection = self.upstreams.get_mut(slot)?;
             let pending = self.clients.get(client)?.pending.as_ref()?;
-            let failure = match response(&connection.input, pending.is_head, self.limits) {
+            let failure = match parse_response(&connection.input, pending.is_head, self.limits) {
                 Ok(Some(head)) if is_informational(head.status) => {
                     connection.input.drain(..head.length);
                     continue;
--- a/crates/proxy/src/tls.rs
+++ b/crates/proxy/src/tls.rs
@@ -6,7 +6,7 @@
 use std::net::TcpStream;
 use std::path::{Path, PathBuf};
 use wheelspread::time::Moment;
-use wheelspread_grpc::tls::{client, KeyFiles};
+use wheelspread_grpc::tls::{client_config, KeyFiles};
 use wheelspread_grpc::{ClientConnection, Limits, ServerName};
 
 /// TLS settings of the proxy's streams to controllers.
@@ -78,8 +78,8 @@
         return Ok(ClientConnection::new(now, socket, path, Limits::default()));
     };
     let config =
-        client(&settings.roots, settings.key_files().as_ref()).map_err(io::Error::other)?;
+        client_config(&settings.roots, settings.key_files().as_ref()).map_err(io::Error::other)?;
     let name = ServerName::try_from(settings.name.clone()).map_err(io::Error::other)?;
-    ClientConnection::secured(now, socket, path, Limits::default(), config, name)
+    ClientConnection::with_tls(now, socket, path, Limits::default(), config, name)
         .map_err(io::Error::other)
 }
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -134,8 +134,8 @@
     /// the node keeps the connection open.
     pub fn is_reusable(&self) -> bool {
         let response = self.response.as_ref();
-        let is_complete =
-            response.is_some_and(|response| response.head.keep_alive && response.body.done());
+        let is_complete = response
+            .is_some_and(|response| response.head.keep_alive && response.body.is_complete());
         is_complete
             && self.sent_bytes == self.request.len()
             && self.input.is_empty()
--- a/crates/xds/src/orca.rs
+++ b/crates/xds/src/orca.rs
@@ -1,23 +1,24 @@
-//! Load metrics in a node's responses: the header `endpoint-load-metrics` of the published ORCA form, as `TEXT` (pairs
-//! of names and values) or `JSON`.
+//! Load metrics in the responses of a node: the header `endpoint-load-metrics` of the published ORCA format, as `TEXT`
+//! (pairs of names and values) or `JSON`.
 
 use std::collections::BTreeMap;
 
 /// The name of the header.
 pub const HEADER: &str = "endpoint-load-metrics";
-/// Figures of a header that are read at most.
-const MAX_FIGURES: usize = 32;
+/// The maximum number of metrics read from a header, and from each object nested in its JSON.
+const MAX_METRICS: usize = 32;
 
-/// Writes figures as a `TEXT` report.
-pub fn write(figures: &[(&str, f64)]) -> String {
-    let pairs: Vec<String> = figures
+/// Writes metrics as a `TEXT` header value.
+pub fn write(metrics: &[(&str, f64)]) -> String {
+    let pairs: Vec<String> = metrics
         .iter()
         .map(|(name, value)| format!("{name}={value}"))
         .collect();
     format!("TEXT {}", pairs.join(","))
 }
 
-/// Figures by name; named metrics as `named_metrics.NAME`. What can't be read is skipped.
+/// Reads metrics by name; named metrics get the name `named_metrics.NAME`. Values that are invalid, negative or not
+/// finite are skipped.
 pub fn read(header: &str) -> BTreeMap<String, f64> {
     let is_valid = |(_, value): &(String, f64)| value.is_finite() && *value >= 0.0;
     match header.split_once(' ') {
@@ -28,7 +29,7 @@
             };
             pairs
                 .split(',')
-                .take(MAX_FIGURES)
+                .take(MAX_METRICS)
                 .filter_map(pair)
                 .filter(is_valid)
                 .collect()
@@ -37,27 +38,27 @@
             let Ok(serde_json::Value::Object(fields)) = serde_json::from_str(text) else {
                 return BTreeMap::new();
             };
-            let mut figures = BTreeMap::new();
-            for (name, value) in fields.iter().take(MAX_FIGURES) {
-                let inner = value.as_object().into_iter().flatten().take(MAX_FIGURES);
+            let mut metrics = BTreeMap::new();
+            for (name, value) in fields.iter().take(MAX_METRICS) {
+                let inner = value.as_object().into_iter().flatten().take(MAX_METRICS);
                 let inner = inner.filter_map(|(key, value)| {
                     Some((format!("{}.{key}", to_snake_case(name)), value.as_f64()?))
                 });
-                figures.extend(inner.filter(is_valid));
-                figures.extend(
+                metrics.extend(inner.filter(is_valid));
+                metrics.extend(
                     value
                         .as_f64()
                         .map(|value| (to_snake_case(name), value))
                         .filter(is_valid),
                 );
             }
-            figures
+            metrics
         }
         _ => BTreeMap::new(),
     }
 }
 
-/// JSON names come in lowerCamelCase.
+/// Converts the lowerCamelCase names of JSON fields.
 fn to_snake_case(name: &str) -> String {
     let mut out = String::with_capacity(name.len() + 2);
     for c in name.chars() {
