--- a/crates/solve/src/flow.rs
+++ b/crates/solve/src/flow.rs
@@ -1,9 +1,10 @@
-//! The core of the solver: work flows from sources to sinks at the greatest gain.
+//! The core of the solver: assigns work from sources to sinks with the maximum total gain.
 //!
-//! This is a transportation problem, solved by successive best paths. Each path exhausts a source or a sink, so
-//! there are about as many paths as sources and sinks. Work is the unit throughout: a second of it is a second
-//! wherever it comes from, and no flow gains or loses on its way. The sinks of a class differ by their cost
-//! alone, so paths are sought between sources and classes: a few dozen places, however many hosts there are.
+//! This is a transportation problem, solved by successive augmenting paths of maximum gain. Each path exhausts a
+//! source, a sink or an existing flow, so there are about as many paths as sources and sinks. All amounts are in
+//! seconds of work a second, and a flow has the same amount at its source and its sink. The sinks of a class differ
+//! by their cost alone, so paths are searched between sources and classes: a few dozen vertices, regardless of the
+//! number of hosts.
 
 mod path;
 mod prices;
@@ -11,99 +12,99 @@
 use path::Direction;
 use path::Path;
 
-/// Work that wants a place.
+/// Work to assign to sinks.
 #[derive(Clone, Debug)]
 pub struct Source {
     /// Seconds of work a second.
     pub amount: f64,
-    /// The gain of a unit in each class of sinks; `None`: it may not go there.
+    /// The gain of a unit by class of sinks; `None` where the source may not use the class.
     pub gains: Vec<Option<f64>>,
 }
 
-/// A place for work. Sinks that are alike stand together as one.
+/// An amount of work that can be served at one cost. Hosts with the same zone and cost form one sink.
 #[derive(Clone, Debug)]
 pub struct Sink {
-    /// Sinks of a class give a source the same gain.
+    /// The index of the class; all sinks of a class give a source the same gain.
     pub class: usize,
     /// Seconds of work a second.
     pub amount: f64,
-    /// What a unit costs here.
+    /// The cost of a unit.
     pub cost: f64,
 }
 
-/// The result.
+/// The flows and prices that [`maximize_gain`] computes.
 #[derive(Clone, Debug, Default)]
 pub struct Flows {
     /// Work by source and sink.
     pub work: Vec<Vec<f64>>,
-    /// What one more unit of a sink would be worth.
+    /// Shadow price by sink: the gain of one more unit of the sink.
     pub sink_price: Vec<f64>,
-    /// What one unit less of a source would cost.
+    /// Shadow price by source: the gain lost with one unit less of the source.
     pub source_price: Vec<f64>,
-    /// Best paths found.
+    /// The number of augmenting paths.
     pub paths: usize,
-    /// The deadline came first: the flows are feasible, but may not be the best.
+    /// Whether the search was stopped early: the flows are feasible, but may not be optimal.
     pub cut_short: bool,
 }
 
-/// Amounts below this part of all work count as nothing.
-const NEGLIGIBLE_PART: f64 = 1e-12;
+/// Amounts up to this ratio of the total work count as zero.
+const NEGLIGIBLE_RATIO: f64 = 1e-12;
 
-/// Gains closer than this part of the largest count as equal.
-const EQUAL_GAIN_PART: f64 = 1e-10;
+/// Gains that differ by less than this ratio of the largest gain or cost count as equal.
+const GAIN_TOLERANCE_RATIO: f64 = 1e-10;
 
-/// Keeps tolerances and divisors above zero.
-const SMALLEST: f64 = 1e-300;
+/// Lower bound that keeps tolerances above zero.
+const MIN_POSITIVE: f64 = 1e-300;
 
-/// The sinks of one class, cheapest first. To every source they differ by their cost alone, so they fill in this
-/// order whatever flows there: a class is one place that becomes more expensive as it fills.
+/// The sinks of one class, cheapest first. For every source they differ by their cost alone, so they are filled in
+/// this order. The search treats a class as one vertex whose marginal cost rises as it is filled.
 struct Class {
     sinks: Vec<usize>,
-    /// How many sinks are full.
-    full: usize,
-    /// What the next sink has left.
+    /// The number of full sinks, which is the index of the sink to fill next.
+    full_count: usize,
+    /// The remaining amount of the sink to fill next.
     free: f64,
 }
 
 impl Class {
-    /// The empty sinks of a class, in the order in which they fill.
+    /// Creates a class with all its sinks empty.
     fn new(class: usize, sinks: &[Sink]) -> Class {
-        let mut members: Vec<usize> = (0..sinks.len())
-            .filter(|at| sinks[*at].class == class)
+        let mut class_sinks: Vec<usize> = (0..sinks.len())
+            .filter(|index| sinks[*index].class == class)
             .collect();
-        members.sort_by(|a, b| sinks[*a].cost.total_cmp(&sinks[*b].cost));
-        let free = members.first().map_or(0.0, |sink| sinks[*sink].amount);
+        class_sinks.sort_by(|a, b| sinks[*a].cost.total_cmp(&sinks[*b].cost));
+        let free = class_sinks.first().map_or(0.0, |sink| sinks[*sink].amount);
         Class {
-            sinks: members,
-            full: 0,
+            sinks: class_sinks,
+            full_count: 0,
             free,
         }
     }
 }
 
-/// The problem with the flows found so far.
+/// A transportation problem with the flows found so far.
 struct Transport<'a> {
     sources: &'a [Source],
     sinks: &'a [Sink],
     classes: Vec<Class>,
-    /// By source and class.
+    /// Assigned work by source and class.
     work: Vec<Vec<f64>>,
-    /// By source: what has no place yet.
+    /// Unassigned work by source.
     unplaced: Vec<f64>,
-    /// Amounts up to this count as nothing.
+    /// Amounts up to this count as zero.
     negligible: f64,
-    /// Gains closer than this count as equal.
-    equal: f64,
+    /// Gains that differ by less than this count as equal.
+    gain_tolerance: f64,
 }
 
 impl Transport<'_> {
     fn new<'a>(sources: &'a [Source], sinks: &'a [Sink]) -> Transport<'a> {
         let class_count = sinks.iter().map(|sink| sink.class + 1).max().unwrap_or(0);
-        let all: f64 = sources
+        let total: f64 = sources
             .iter()
             .map(|source| source.amount)
             .sum::<f64>()
-            .max(SMALLEST);
+            .max(MIN_POSITIVE);
         let costs = sinks.iter().map(|sink| sink.cost.abs());
         let gains = sources
             .iter()
@@ -118,8 +119,8 @@
                 .collect(),
             work: vec![vec![0.0; class_count]; sources.len()],
             unplaced: sources.iter().map(|source| source.amount).collect(),
-            negligible: all * NEGLIGIBLE_PART,
-            equal: (largest * EQUAL_GAIN_PART).max(SMALLEST),
+            negligible: total * NEGLIGIBLE_RATIO,
+            gain_tolerance: (largest * GAIN_TOLERANCE_RATIO).max(MIN_POSITIVE),
         };
         (0..class_count).for_each(|class| transport.skip_full_sinks(class));
         transport
@@ -129,24 +130,24 @@
         self.sources[source].gains.get(class).copied().flatten()
     }
 
-    /// What the next unit costs in a class; `None`: it is full.
-    fn next_cost(&self, class: usize) -> Option<f64> {
+    /// The cost of the next unit in a class; `None` if the class is full.
+    fn marginal_cost(&self, class: usize) -> Option<f64> {
         let class = &self.classes[class];
-        let sink = class.sinks.get(class.full)?;
+        let sink = class.sinks.get(class.full_count)?;
         Some(self.sinks[*sink].cost)
     }
 
     fn skip_full_sinks(&mut self, class: usize) {
         let class = &mut self.classes[class];
-        while class.free <= self.negligible && class.full < class.sinks.len() {
-            class.full += 1;
-            let next = class.sinks.get(class.full);
+        while class.free <= self.negligible && class.full_count < class.sinks.len() {
+            class.full_count += 1;
+            let next = class.sinks.get(class.full_count);
             class.free = next.map_or(0.0, |sink| self.sinks[*sink].amount);
         }
     }
 
-    /// Moves as much along a path as it takes.
-    fn push(&mut self, path: &Path) {
+    /// Moves the maximum amount along a path.
+    fn augment(&mut self, path: &Path) {
         let taken_back = path
             .steps
             .iter()
@@ -167,19 +168,19 @@
         self.skip_full_sinks(path.end);
     }
 
-    /// Divides what flows to each class among its sinks, in their order.
+    /// Divides the work of each class among its sinks, cheapest first.
     fn work_by_sink(&self) -> Vec<Vec<f64>> {
         let mut work = vec![vec![0.0; self.sinks.len()]; self.sources.len()];
-        for (at, class) in self.classes.iter().enumerate() {
+        for (index, class) in self.classes.iter().enumerate() {
             let mut sinks = class.sinks.iter().copied();
             let mut sink = sinks.next();
             let mut free = sink.map_or(0.0, |sink| self.sinks[sink].amount);
             for (source, flows) in self.work.iter().enumerate() {
-                let mut outstanding = flows[at];
-                while let Some(current) = sink.filter(|_| outstanding > self.negligible) {
-                    let taken = outstanding.min(free);
+                let mut remaining = flows[index];
+                while let Some(current) = sink.filter(|_| remaining > self.negligible) {
+                    let taken = remaining.min(free);
                     work[source][current] += taken;
-                    outstanding -= taken;
+                    remaining -= taken;
                     free -= taken;
                     if free <= self.negligible {
                         sink = sinks.next();
@@ -192,27 +193,28 @@
     }
 }
 
-/// The flows of greatest gain. `is_over` says whether to stop with the best so far.
+/// Computes the flows with the maximum total gain. `should_stop` is called before each path; if it returns `true`,
+/// the result holds the flows found so far.
 pub fn maximize_gain(
     sources: &[Source],
     sinks: &[Sink],
-    is_over: &mut dyn FnMut() -> bool,
+    should_stop: &mut dyn FnMut() -> bool,
 ) -> Flows {
     let mut transport = Transport::new(sources, sinks);
     let mut flows = Flows::default();
     loop {
-        if is_over() {
+        if should_stop() {
             flows.cut_short = true;
             break;
         }
         let Some(path) = transport.best_path() else {
             break;
         };
-        transport.push(&path);
+        transport.augment(&path);
         flows.paths += 1;
     }
     let prices = transport.prices();
-    flows.sink_price = prices.of_sinks(&transport);
+    flows.sink_price = prices.sink_prices(&transport);
     flows.source_price = prices.sources;
     flows.work = transport.work_by_sink();
     flows
