--- a/crates/cli/src/measure/solver.rs
+++ b/crates/cli/src/measure/solver.rs
@@ -95,7 +95,7 @@
             problem.add_constraint(
                 &variables[..],
                 ComparisonOp::Le,
-                fleet.room(host) * (upper_bound - lower_bound),
+                fleet.load_limit(host) * (upper_bound - lower_bound),
             );
             lower_bound = *upper_bound;
         }
--- a/crates/cli/src/solve.rs
+++ b/crates/cli/src/solve.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
-use wheelspread_solve::robust::{guaranteed, hedge, served, Wrong};
+use wheelspread_solve::robust::{hedge, served, worst_case, CapacityRange};
 use wheelspread_solve::{solve as solve_fleet, Fleet, Host, Solution, SolveInputError, Status};
 
 /// Arguments of `wheelspread solve`.
@@ -178,12 +178,12 @@
     if !(0.0..1.0).contains(&ratio) {
         return Err(Refusal::WrongBy(ratio));
     }
-    let capacity_error = Wrong {
-        least: 1.0 - ratio,
-        most: 1.0 / (1.0 - ratio),
+    let capacity_error = CapacityRange {
+        min_ratio: 1.0 - ratio,
+        max_ratio: 1.0 / (1.0 - ratio),
     };
     let (solution, planned_ratio) = hedge(fleet, capacity_error, &mut is_past_deadline)?;
-    let worst = guaranteed(fleet, &solution, capacity_error);
+    let worst = worst_case(fleet, &solution, capacity_error);
     eprintln!(
         "planned with {planned_ratio:.2} of the stated capacities; at worst, a value of {:.3} per second is served",
         worst.value_per_s
@@ -211,7 +211,7 @@
     let result = served(fleet, solution, &capacity_ratio);
     Ok(Some(WhatIf {
         value_per_s: result.value_per_s,
-        overrun: result.overrun,
+        overrun: result.overloaded,
     }))
 }
 
@@ -283,7 +283,7 @@
         explanation.zone,
         explanation.weight,
         explanation.load,
-        explanation.room
+        explanation.load_limit
     );
     explanation
         .reasons
@@ -291,13 +291,13 @@
         .for_each(|reason| print_line!("  {reason}"));
     print_line!(
         "  hosts with the same load: {}",
-        if explanation.alike.is_empty() {
+        if explanation.peers.is_empty() {
             "none".to_string()
         } else {
-            explanation.alike.join(", ")
+            explanation.peers.join(", ")
         }
     );
-    for (operation, from, invocations) in &explanation.gets {
+    for (operation, from, invocations) in &explanation.zone_flows {
         print_line!(
             "  its zone receives {invocations:.2} {operation} requests per second from {from}"
         );
