--- a/crates/cli/tests/endings.rs
+++ b/crates/cli/tests/endings.rs
@@ -464,12 +464,12 @@
     let mut platform = Platform::prepare(agent.address, 64);
     let held = TcpListener::bind(platform.listen).expect("a port");
     platform.spawn();
-    platform.wait_for_log("still held", || {});
+    platform.wait_for_log("listen address in use, retrying", || {});
     platform.signal(Signal::TERM);
     let ended = platform.wait_for_exit();
     assert!(ended.success(), "{ended}");
     platform.spawn();
-    platform.wait_for_log("still held", || {});
+    platform.wait_for_log("listen address in use, retrying", || {});
     // A reload while it starts is no reason to end either.
     platform.signal(Signal::HUP);
     drop(held);
