--- a/crates/cli/tests/streams.rs
+++ b/crates/cli/tests/streams.rs
@@ -364,7 +364,7 @@
     let mut strangers = [
         (
             secured(&stage, "x2", &authority, Some(authority.issue("x9"))),
-            "not one for `x2`",
+            "certificate is not valid for node id `x2`",
         ),
         (secured(&stage, "x3", &authority, None), ""),
         (
