--- a/crates/cli/tests/changes.rs
+++ b/crates/cli/tests/changes.rs
@@ -1,10 +1,10 @@
-//! Changes of configuration at conductor processes that are killed on the way, told from what gateways get:
-//! files, streams, and the versions that lie under the root.
+//! Configuration changes at controller processes that are killed on the way. The results are judged by what proxies
+//! receive over files and streams, and by the table versions on disk.
 
 mod common;
 
 use common::client::Client;
-use common::{run_to_end, Stage, Stream, PROGRAM};
+use common::{run_to_end, ControllerProcess, ReportStream, PROGRAM};
 use std::collections::BTreeMap;
 use std::process::Command;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -16,7 +16,8 @@
 use wheelspread_xds::{loads, tables::ProxyTables};
 
 const PORTS: [u16; 6] = [9101, 9102, 9103, 9104, 9105, 9106];
-const MOVED: u16 = 9101;
+/// Port of the node that the change moves from zone `north` to `south`.
+const MOVED_PORT: u16 = 9101;
 
 const DEPLOYMENT: &str = "
 changes: {watch: 400ms, apply_at_most: 5s}
@@ -34,31 +35,35 @@
 const CHANGE: &str = "{id: spring, by: dispatch, sets: {\"nodes.127.0.0.1:9101.zone\": south,
   operations.quote.integration_timeout: 2500ms}}";
 
-struct World {
-    stage: Stage,
-    files: BTreeMap<&'static str, Stream>,
-    stream: Option<Client>,
-    reported: Instant,
-    /// What each gateway held, one after the other.
-    held: BTreeMap<&'static str, Vec<ProxyTables>>,
+struct Setup {
+    controller: ControllerProcess,
+    /// Load report streams of the proxies that read files.
+    report_streams: BTreeMap<&'static str, ReportStream>,
+    /// The proxy that reads a discovery stream.
+    discovery_client: Option<Client>,
+    /// When the last load reports were sent.
+    last_report: Instant,
+    /// The tables that each proxy received, in order; repeated reads of one version count once.
+    received: BTreeMap<&'static str, Vec<ProxyTables>>,
 }
 
-fn zone_of(gateway: &str) -> &'static str {
-    if gateway.starts_with('n') {
+fn zone_of(proxy: &str) -> &'static str {
+    if proxy.starts_with('n') {
         "north"
     } else {
         "south"
     }
 }
 
-fn list(version: u64) -> String {
+/// An endpoint list with the first three nodes in zone `north` and the others in `south`.
+fn endpoint_list(version: u64) -> String {
     let url = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment";
     let zone = |name: &str, ports: &[u16]| {
         let address = |port: &u16| serde_json::json!({ "address": "127.0.0.1", "portValue": port });
-        let each = ports
+        let endpoints_of_zone = ports
             .iter()
             .map(|port| serde_json::json!({ "endpoint": { "address": { "socketAddress": address(port) } } }));
-        serde_json::json!({ "locality": { "zone": name }, "lbEndpoints": each.collect::<Vec<_>>() })
+        serde_json::json!({ "locality": { "zone": name }, "lbEndpoints": endpoints_of_zone.collect::<Vec<_>>() })
     };
     let endpoints = [zone("north", &PORTS[..3]), zone("south", &PORTS[3..])];
     let listed =
@@ -67,61 +72,68 @@
         .to_string()
 }
 
-impl World {
-    fn new(faults: &str) -> World {
-        let mut stage = Stage::new();
-        let place = format!(
+impl Setup {
+    fn new(failpoints: &str) -> Setup {
+        let mut controller = ControllerProcess::new();
+        let controller_settings = format!(
             "conductor: {{name: c0, listen: \"{}\", tables: tables, list: nodes.json}}",
-            stage.listen
+            controller.listen
         );
-        let text = format!("{place}\nlog: {{form: json, level: debug}}\n{DEPLOYMENT}");
-        std::fs::write(stage.path("conductor.yaml"), text).expect("written");
-        std::fs::write(stage.path("change.yaml"), CHANGE).expect("written");
-        common::write(&stage.path("nodes.json"), &list(1));
-        stage.start_with(faults);
-        let (files, held) = (BTreeMap::new(), BTreeMap::new());
-        World {
-            stage,
-            files,
-            stream: None,
-            reported: Instant::now(),
-            held,
+        let text =
+            format!("{controller_settings}\nlog: {{form: json, level: debug}}\n{DEPLOYMENT}");
+        std::fs::write(controller.path("conductor.yaml"), text).expect("written");
+        std::fs::write(controller.path("change.yaml"), CHANGE).expect("written");
+        common::write(&controller.path("nodes.json"), &endpoint_list(1));
+        controller.start_with_failpoints(failpoints);
+        let (report_streams, received) = (BTreeMap::new(), BTreeMap::new());
+        Setup {
+            controller,
+            report_streams,
+            discovery_client: None,
+            last_report: Instant::now(),
+            received,
         }
     }
 
-    /// Gateways dial, read, tell; a conductor that was killed is started again, without faults.
-    fn turn(&mut self) {
-        if !self.stage.runs() {
-            self.files.clear();
-            self.stream = None;
-            self.stage.start();
+    /// Lets each proxy connect, read its tables and send load reports. A controller that was killed is started again
+    /// without failpoints.
+    fn poll(&mut self) {
+        if !self.controller.is_running() {
+            self.report_streams.clear();
+            self.discovery_client = None;
+            self.controller.start();
         }
         for name in ["n1", "s1"] {
-            let stage = &self.stage;
+            let controller = &self.controller;
             let stream = self
-                .files
+                .report_streams
                 .entry(name)
-                .or_insert_with(|| stage.stream(name, zone_of(name)));
-            stream.turn();
-            if let Ok(Some(told)) = read_tables(&stage.gateway(name)) {
-                note(&mut self.held, name, told.tables);
+                .or_insert_with(|| controller.open_report_stream(name, zone_of(name)));
+            stream.poll();
+            if let Ok(Some(published)) = read_tables(&controller.proxy_directory(name)) {
+                record_tables(&mut self.received, name, published.tables);
             }
         }
         let client = self
-            .stream
-            .get_or_insert_with(|| Client::dial(&self.stage, "n2", "north"));
-        client.turn();
-        if let Some(orders) = &client.orders {
-            note(&mut self.held, "n2", orders.clone());
+            .discovery_client
+            .get_or_insert_with(|| Client::dial(&self.controller, "n2", "north"));
+        client.poll();
+        if let Some(tables) = &client.tables {
+            record_tables(&mut self.received, "n2", tables.clone());
         }
-        if self.files.values().any(|stream| stream.over.is_some()) {
-            self.files.retain(|_, stream| stream.over.is_none());
+        if self
+            .report_streams
+            .values()
+            .any(|stream| stream.close_reason.is_some())
+        {
+            self.report_streams
+                .retain(|_, stream| stream.close_reason.is_none());
         }
-        if client.over.is_some() {
-            self.stream = None;
+        if client.close_reason.is_some() {
+            self.discovery_client = None;
         }
-        if self.reported.elapsed() > Duration::from_millis(100) {
-            self.reported = Instant::now();
+        if self.last_report.elapsed() > Duration::from_millis(100) {
+            self.last_report = Instant::now();
             let node = wheelspread::ids::NodeId {
                 address: [127, 0, 0, 1],
                 port: PORTS[4],
@@ -142,23 +154,23 @@
                 operations: vec![quote],
             };
             let report = common::encode(&loads::request(&report, |_| String::new()));
-            self.files.values_mut().for_each(|stream| {
+            self.report_streams.values_mut().for_each(|stream| {
                 stream.connection.send(&report);
             });
         }
         std::thread::sleep(Duration::from_millis(3));
     }
 
-    fn change(&self, arguments: &[&str]) -> (i32, String) {
-        change_at(&[&self.stage], arguments)
+    fn run_change(&self, arguments: &[&str]) -> (i32, String) {
+        run_change_at(&[&self.controller], arguments)
     }
 
-    /// Tells an order again, as an operator would, until a conductor has answered it.
-    fn insist(&mut self, arguments: &[&str]) -> String {
+    /// Repeats a command, as an operator would, until a controller has answered it.
+    fn retry_until_answered(&mut self, arguments: &[&str]) -> String {
         let begin = Instant::now();
         loop {
-            self.turn();
-            match self.change(arguments) {
+            self.poll();
+            match self.run_change(arguments) {
                 (3, text) => assert!(
                     begin.elapsed() < Duration::from_secs(15),
                     "{arguments:?}: {text}"
@@ -168,103 +180,117 @@
         }
     }
 
-    fn until_state(&mut self, id: &str, wanted: &str) {
+    /// Waits until a change is in a state.
+    fn wait_for_state(&mut self, id: &str, wanted: &str) {
         let begin = Instant::now();
         loop {
-            self.turn();
-            let (_, text) = self.change(&["show", id, "--json"]);
+            self.poll();
+            let (_, text) = self.run_change(&["show", id, "--json"]);
             if text.contains(&format!("\"state\":\"{wanted}\"")) {
                 break;
             }
-            let late = begin.elapsed() > Duration::from_secs(15);
-            assert!(!late, "{id} is not {wanted}: {text}\n{}", self.stage.log());
+            let timed_out = begin.elapsed() > Duration::from_secs(15);
+            assert!(
+                !timed_out,
+                "{id} is not {wanted}: {text}\n{}",
+                self.controller.log()
+            );
         }
     }
 
-    fn staged(&mut self) {
-        let file = self.stage.path("change.yaml").display().to_string();
+    /// Waits until each proxy has tables, then stages the change.
+    fn stage_change(&mut self) {
+        let file = self.controller.path("change.yaml").display().to_string();
         let begin = Instant::now();
-        while self.held.len() < 3 {
-            self.turn();
+        while self.received.len() < 3 {
+            self.poll();
             assert!(
                 begin.elapsed() < Duration::from_secs(15),
                 "{:?}",
-                self.held.keys()
+                self.received.keys()
             );
         }
-        let told = self.insist(&["stage", &file]);
+        let output = self.retry_until_answered(&["stage", &file]);
         assert!(
-            told.contains("staged") || told.contains("checked"),
-            "{told}"
+            output.contains("staged") || output.contains("checked"),
+            "{output}"
         );
     }
 
-    /// No version that any gateway could have read says one thing of the old configuration and another of the
-    /// new, and nobody went back.
-    fn judge(&self, new_at_end: bool) {
-        for (name, held) in &self.held {
-            let mut newest = false;
-            let mut turns = 0;
-            for orders in held {
-                let new = is_new(name, orders).unwrap_or_else(|mix| panic!("{name}: {mix}"));
-                turns += u32::from(new != newest);
-                newest = new;
+    /// Checks that no table set which a proxy received mixes the old configuration with the new one, and that no proxy
+    /// switched between them more often than the change and its undo require.
+    fn assert_unmixed_tables(&self, expect_new: bool) {
+        for (name, received) in &self.received {
+            let mut last_matches_new = false;
+            let mut switches = 0;
+            for tables in received {
+                let matches_new = matches_new_configuration(name, tables)
+                    .unwrap_or_else(|mismatch| panic!("{name}: {mismatch}"));
+                switches += u32::from(matches_new != last_matches_new);
+                last_matches_new = matches_new;
             }
-            assert_eq!(newest, new_at_end, "{name}: {held:?}");
+            assert_eq!(last_matches_new, expect_new, "{name}: {received:?}");
             assert!(
-                turns <= if new_at_end { 1 } else { 2 },
-                "{name} was told twice: {held:?}"
+                switches <= if expect_new { 1 } else { 2 },
+                "{name} switched configurations too often: {received:?}"
             );
         }
     }
 
-    /// The same for every version that still lies under the root, whoever was pointed at it.
-    fn judge_versions(&self) -> usize {
+    /// Checks the same of every version on disk, whether or not a proxy was pointed at it. Returns how many there are.
+    fn assert_unmixed_versions(&self) -> usize {
         let mut count = 0;
-        for entry in std::fs::read_dir(self.stage.path("tables/versions"))
-            .expect("there")
+        for entry in std::fs::read_dir(self.controller.path("tables/versions"))
+            .expect("the directory exists")
             .flatten()
         {
-            let link = self.stage.path("looked-at");
-            std::fs::create_dir_all(&link).expect("made");
-            let current = link.join("current");
+            let proxy_directory = self.controller.path("looked-at");
+            std::fs::create_dir_all(&proxy_directory).expect("created");
+            let current = proxy_directory.join("current");
             let _ = std::fs::remove_file(&current);
             std::os::unix::fs::symlink(entry.path(), &current).expect("linked");
-            let Ok(Some(told)) = read_tables(&link) else {
+            let Ok(Some(published)) = read_tables(&proxy_directory) else {
                 continue;
             };
-            // Of which gateways they are is told by their nodes.
-            let south = told.tables.operations[0]
+            // The zone of the tables follows from their nodes.
+            let is_in_south = published.tables.operations[0]
                 .entries
                 .iter()
-                .any(|line| line.node.port >= PORTS[3]);
-            let gateway = if south { "s1" } else { "n1" };
-            is_new(gateway, &told.tables)
-                .unwrap_or_else(|mix| panic!("version {:?}: {mix}", entry.path()));
+                .any(|entry| entry.node.port >= PORTS[3]);
+            let proxy = if is_in_south { "s1" } else { "n1" };
+            matches_new_configuration(proxy, &published.tables)
+                .unwrap_or_else(|mismatch| panic!("version {:?}: {mismatch}", entry.path()));
             count += 1;
         }
         count
     }
 }
 
-fn note(
-    held: &mut BTreeMap<&'static str, Vec<ProxyTables>>,
+/// Appends tables that differ in version from the last ones received.
+fn record_tables(
+    received: &mut BTreeMap<&'static str, Vec<ProxyTables>>,
     name: &'static str,
-    orders: ProxyTables,
+    tables: ProxyTables,
 ) {
-    let all = held.entry(name).or_default();
-    if all.last().is_none_or(|last| last.version != orders.version) {
-        all.push(orders);
+    let versions = received.entry(name).or_default();
+    if versions
+        .last()
+        .is_none_or(|last| last.version != tables.version)
+    {
+        versions.push(tables);
     }
 }
 
-/// Whether tables are of the new configuration; what is of both, or of neither, is an error.
-fn is_new(gateway: &str, orders: &ProxyTables) -> Result<bool, String> {
-    let told = &orders.operations[0];
-    let moved = told.entries.iter().any(|line| line.node.port == MOVED);
-    let seconds = told.timeout.map_or(0.0, wheelspread::time::Span::seconds);
-    match (zone_of(gateway), seconds, moved) {
-        (_, 3.0, moved) if moved == (zone_of(gateway) == "north") || !moved => Ok(false),
+/// Whether tables match the new configuration. Tables that match neither, or a mix of both, are an error.
+fn matches_new_configuration(proxy: &str, tables: &ProxyTables) -> Result<bool, String> {
+    let table = &tables.operations[0];
+    let moved = table
+        .entries
+        .iter()
+        .any(|entry| entry.node.port == MOVED_PORT);
+    let seconds = table.timeout.map_or(0.0, wheelspread::time::Span::seconds);
+    match (zone_of(proxy), seconds, moved) {
+        (_, 3.0, moved) if moved == (zone_of(proxy) == "north") || !moved => Ok(false),
         ("north", 2.5, false) | ("south", 2.5, _) => Ok(true),
         (zone, timeout, moved) => Err(format!(
             "a mix in {zone}: timeout {timeout} s, moved node there: {moved}"
@@ -272,46 +298,47 @@
     }
 }
 
-fn change_at(stages: &[&Stage], arguments: &[&str]) -> (i32, String) {
+fn run_change_at(controllers: &[&ControllerProcess], arguments: &[&str]) -> (i32, String) {
     let mut command = Command::new(PROGRAM);
     command.arg("change");
-    for stage in stages {
-        command.arg("--at").arg(stage.path("tables"));
+    for controller in controllers {
+        command.arg("--at").arg(controller.path("tables"));
     }
     run_to_end(command.args(arguments))
 }
 
-/// Plays a change with a fault; returns whether the conductor was killed.
-fn play(faults: &str, undo: bool) -> bool {
-    let mut world = World::new(faults);
-    let first = world.stage.pid();
-    world.staged();
-    world.insist(&["apply", "spring"]);
+/// Runs one change with failpoints, and its undo if requested. Returns whether a failpoint killed the controller.
+fn run_case(failpoints: &str, undo: bool) -> bool {
+    let mut setup = Setup::new(failpoints);
+    let first_pid = setup.controller.pid();
+    setup.stage_change();
+    setup.retry_until_answered(&["apply", "spring"]);
     if undo {
-        world.insist(&["undo", "spring", "--why", "not liked"]);
+        setup.retry_until_answered(&["undo", "spring", "--why", "not liked"]);
     }
-    world.until_state("spring", if undo { "undone" } else { "kept" });
+    setup.wait_for_state("spring", if undo { "undone" } else { "kept" });
     for _ in 0..30 {
-        world.turn();
+        setup.poll();
     }
-    world.judge(!undo);
-    assert!(world.judge_versions() > 0);
-    let log = world.stage.log();
+    setup.assert_unmixed_tables(!undo);
+    assert!(setup.assert_unmixed_versions() > 0);
+    let log = setup.controller.log();
     let made = log
         .matches("\"message\":\"configuration in force\",\"configuration\":2")
         .count();
-    assert!(made <= 1, "applied twice: {log}");
-    world.stage.pid() != first
+    assert!(made <= 1, "change applied twice: {log}");
+    setup.controller.pid() != first_pid
 }
 
-/// Runs cases on a few threads at once.
-fn all(cases: Vec<(String, bool)>) -> usize {
+/// Runs cases on six threads; returns how many killed their controller.
+fn run_cases(cases: Vec<(String, bool)>) -> usize {
     let (next, killed) = (AtomicUsize::new(0), AtomicUsize::new(0));
     std::thread::scope(|scope| {
         for _ in 0..6 {
             scope.spawn(|| {
-                while let Some((faults, undo)) = cases.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    killed.fetch_add(usize::from(play(faults, *undo)), Ordering::Relaxed);
+                while let Some((failpoints, undo)) = cases.get(next.fetch_add(1, Ordering::Relaxed))
+                {
+                    killed.fetch_add(usize::from(run_case(failpoints, *undo)), Ordering::Relaxed);
                 }
             });
         }
@@ -323,7 +350,7 @@
 fn no_proxy_holds_a_mixed_configuration_when_the_controller_is_killed_at_any_failpoint() {
     let mut cases = vec![(String::new(), false), (String::new(), true)];
     for point in wheelspread_faults::NAMES {
-        // The first time, and later times, which fall into the change and into its undo.
+        // The first pass over a failpoint, and later ones, which fall into the change and into its undo.
         for skipped in [0, 3, 6] {
             cases.push((
                 format!("{point}={skipped}*off->1*return(kill)->off"),
@@ -331,74 +358,81 @@
             ));
         }
     }
-    let killed = all(cases);
+    let killed = run_cases(cases);
     assert!(
         killed >= 30,
-        "{killed} runs came by the place where they were to be killed"
+        "only {killed} runs reached the failpoint that kills the controller"
     );
 }
 
-#[test_case("store.begin=1*off->8*return(full)->off", "configuration change waits for the disk"; "full for a while")]
-#[test_case("store.written=4*off->3*sleep(700)->off", "\"kept\""; "slow")]
-fn a_failing_disk_delays_a_change_but_no_table_update(faults: &str, said: &str) {
-    let mut world = World::new(faults);
-    world.staged();
-    world.insist(&["apply", "spring"]);
-    // Meanwhile nodes that go are taken out as ever.
-    let drained = list(2).replacen(
+#[test_case("store.begin=1*off->8*return(full)->off", "configuration change waits for the disk"; "disk full for a while")]
+#[test_case("store.written=4*off->3*sleep(700)->off", "\"kept\""; "slow disk")]
+fn a_failing_disk_delays_a_change_but_no_table_update(failpoints: &str, expected: &str) {
+    let mut setup = Setup::new(failpoints);
+    setup.stage_change();
+    setup.retry_until_answered(&["apply", "spring"]);
+    // Draining nodes are removed from tables meanwhile, as at any time.
+    let drained = endpoint_list(2).replacen(
         r#"{"endpoint""#,
         r#"{"healthStatus":"DRAINING","endpoint""#,
         3,
     );
-    common::write(&world.stage.path("nodes.json"), &drained);
+    common::write(&setup.controller.path("nodes.json"), &drained);
     let begin = Instant::now();
-    let names = |world: &World, port: u16| {
-        world.held["n1"]
-            .last()
-            .is_some_and(|o| o.operations[0].entries.iter().any(|l| l.node.port == port))
+    let names_port = |setup: &Setup, port: u16| {
+        setup.received["n1"].last().is_some_and(|tables| {
+            tables.operations[0]
+                .entries
+                .iter()
+                .any(|entry| entry.node.port == port)
+        })
     };
-    while names(&world, PORTS[1]) {
-        world.turn();
+    while names_port(&setup, PORTS[1]) {
+        setup.poll();
         assert!(
             begin.elapsed() < Duration::from_secs(2),
-            "a drain waits for the disk of changes"
+            "a drain waits for the disk write of a change"
         );
     }
-    world.until_state("spring", "kept");
-    assert!(world.stage.log().contains(said), "{}", world.stage.log());
+    setup.wait_for_state("spring", "kept");
+    assert!(
+        setup.controller.log().contains(expected),
+        "{}",
+        setup.controller.log()
+    );
 }
 
 #[test]
 fn a_conflict_names_both_operators_and_a_plan_prints_each_setting() {
-    let mut world = World::new("");
-    let other = world.stage.path("other.yaml");
+    let mut setup = Setup::new("");
+    let other_file = setup.controller.path("other.yaml");
     let text = "{id: summer, by: bob, base: 1, sets: {operations.quote.integration_timeout: 4s}}";
-    std::fs::write(&other, text).expect("written");
-    let other = other.display().to_string();
-    world.staged();
-    let (code, plan) = world.change(&["plan", &other]);
+    std::fs::write(&other_file, text).expect("written");
+    let other_file = other_file.display().to_string();
+    setup.stage_change();
+    let (code, plan) = setup.run_change(&["plan", &other_file]);
     assert_eq!(code, 0, "{plan}");
-    for line in [
+    for expected in [
         "against version 1",
         "- operations.quote.integration_timeout: 3s",
         "+ operations.quote.integration_timeout: 4s",
     ] {
-        assert!(plan.contains(line), "{plan}");
+        assert!(plan.contains(expected), "{plan}");
     }
-    world.insist(&["stage", &other]);
-    world.insist(&["apply", "spring"]);
-    world.until_state("spring", "kept");
-    let (code, told) = world.change(&["apply", "summer"]);
-    assert_eq!(code, 1, "{told}");
+    setup.retry_until_answered(&["stage", &other_file]);
+    setup.retry_until_answered(&["apply", "spring"]);
+    setup.wait_for_state("spring", "kept");
+    let (code, output) = setup.run_change(&["apply", "summer"]);
+    assert_eq!(code, 1, "{output}");
     for name in [
         "summer by bob",
         "spring by dispatch",
         "operations.quote.integration_timeout",
     ] {
-        assert!(told.contains(name), "{told}");
+        assert!(output.contains(name), "{output}");
     }
-    // What can't be is refused with its path; the same name with other content too.
-    for (text, said) in [
+    // Invalid changes are refused with the path of the setting, and so is an id already used for other content.
+    for (text, expected) in [
         (
             "{id: x1, by: bob, sets: {operations.quote.repeat: side-effecting}}",
             "can't change while",
@@ -429,49 +463,68 @@
             "letters, digits",
         ),
     ] {
-        std::fs::write(world.stage.path("bad.yaml"), text).expect("written");
-        let (code, told) =
-            world.change(&["stage", &world.stage.path("bad.yaml").display().to_string()]);
+        std::fs::write(setup.controller.path("bad.yaml"), text).expect("written");
+        let (code, output) = setup.run_change(&[
+            "stage",
+            &setup.controller.path("bad.yaml").display().to_string(),
+        ]);
         assert!(code == 1 || code == 2, "{text}: {code}");
-        assert!(told.contains(said), "{text}: {told}");
+        assert!(output.contains(expected), "{text}: {output}");
     }
 }
 
 #[test]
 fn a_controller_that_was_unreachable_takes_the_change_when_it_is_sent_again() {
-    let mut worlds = [World::new(""), World::new(""), World::new("")];
-    let file = worlds[0].stage.path("change.yaml").display().to_string();
-    worlds[2].stage.kill();
-    let stages: Vec<&Stage> = worlds.iter().map(|world| &world.stage).collect();
+    let mut setups = [Setup::new(""), Setup::new(""), Setup::new("")];
+    let file = setups[0]
+        .controller
+        .path("change.yaml")
+        .display()
+        .to_string();
+    setups[2].controller.kill();
+    let controllers: Vec<&ControllerProcess> =
+        setups.iter().map(|setup| &setup.controller).collect();
     for arguments in [["stage", file.as_str()], ["apply", "spring"]] {
-        let (code, told) = change_at(&stages, &arguments);
-        assert_eq!(code, 3, "one did not answer, which is no success: {told}");
-        assert!(told.contains("admin.sock"), "it is named: {told}");
+        let (code, output) = run_change_at(&controllers, &arguments);
+        assert_eq!(
+            code, 3,
+            "one controller did not answer, so the command must fail: {output}"
+        );
+        assert!(
+            output.contains("admin.sock"),
+            "the controller that did not answer is not named: {output}"
+        );
     }
-    for world in &mut worlds[..2] {
-        world.until_state("spring", "kept");
+    for setup in &mut setups[..2] {
+        setup.wait_for_state("spring", "kept");
     }
-    // A later change rests on one that it does not have yet.
-    let late = &mut worlds[2];
-    late.stage.start();
+    // The restarted controller refuses a later change, whose base version it does not have yet.
+    let restarted = &mut setups[2];
+    restarted.controller.start();
     std::fs::write(
-        late.stage.path("next.yaml"),
+        restarted.controller.path("next.yaml"),
         "{id: next, by: dispatch, base: 2, sets: {cross_zone_price: 0.1}}",
     )
     .expect("written");
-    let next = late.stage.path("next.yaml").display().to_string();
-    let told = late.insist(&["stage", &next]);
-    assert!(told.contains("version 2 was never in force"), "{told}");
-    // The same orders to all again: those who have it do nothing, the late one catches up.
-    let stages: Vec<&Stage> = worlds.iter().map(|world| &world.stage).collect();
+    let next = restarted.controller.path("next.yaml").display().to_string();
+    let output = restarted.retry_until_answered(&["stage", &next]);
+    assert!(output.contains("version 2 was never in force"), "{output}");
+    // The commands are repeated at all controllers: those that have the change do nothing, and the restarted one applies
+    // it.
+    let controllers: Vec<&ControllerProcess> =
+        setups.iter().map(|setup| &setup.controller).collect();
     for arguments in [["stage", file.as_str()], ["apply", "spring"]] {
-        let (code, told) = change_at(&stages, &arguments);
-        assert_eq!(code, 0, "{told}");
+        let (code, output) = run_change_at(&controllers, &arguments);
+        assert_eq!(code, 0, "{output}");
     }
-    worlds[2].until_state("spring", "kept");
-    for world in &worlds {
+    setups[2].wait_for_state("spring", "kept");
+    for setup in &setups {
         assert_eq!(
-            world.stage.log().matches("configuration in force").count(),
+            setup
+                .controller
+                .log()
+                .matches("configuration in force")
+                .count(),
             1
         );
     }
@@ -479,45 +532,51 @@
 
 #[test]
 fn the_endpoint_list_survives_a_crash_and_the_loss_of_its_file() {
-    let mut world = World::new("");
-    while world.held.len() < 3 {
-        world.turn();
+    let mut setup = Setup::new("");
+    while setup.received.len() < 3 {
+        setup.poll();
     }
-    // The list is kept within a second or so.
+    // The controller writes the list to its state within about a second.
     let begin = Instant::now();
     while begin.elapsed() < Duration::from_millis(1500) {
-        world.turn();
+        setup.poll();
     }
-    world.stage.kill();
-    std::fs::remove_file(world.stage.path("nodes.json")).expect("it was there");
-    world.held.clear();
-    while world.held.len() < 3 || world.held.values().any(|held| held.len() < 2) {
-        world.turn();
+    setup.controller.kill();
+    std::fs::remove_file(setup.controller.path("nodes.json")).expect("the file exists");
+    setup.received.clear();
+    while setup.received.len() < 3 || setup.received.values().any(|received| received.len() < 2) {
+        setup.poll();
         assert!(
             begin.elapsed() < Duration::from_secs(15),
             "{}",
-            world.stage.log()
+            setup.controller.log()
         );
     }
-    assert!(world
-        .stage
+    assert!(setup
+        .controller
         .log()
         .contains("the last accepted one stays in force"));
-    for (name, held) in &world.held {
-        let lines = held
+    for (name, received) in &setup.received {
+        let entry_count = received
             .last()
-            .map_or(0, |orders| orders.operations[0].entries.len());
-        assert_eq!(lines, 3, "{name}");
+            .map_or(0, |tables| tables.operations[0].entries.len());
+        assert_eq!(entry_count, 3, "{name}");
     }
-    // The same list, back again, is taken though its version is the one remembered.
-    common::write(&world.stage.path("nodes.json"), &list(1));
-    while world.stage.log().matches("endpoint list accepted").count() < 3 {
-        world.turn();
+    // The same list is accepted when its file is back, although its version equals the persisted one.
+    common::write(&setup.controller.path("nodes.json"), &endpoint_list(1));
+    while setup
+        .controller
+        .log()
+        .matches("endpoint list accepted")
+        .count()
+        < 3
+    {
+        setup.poll();
         assert!(
             begin.elapsed() < Duration::from_secs(20),
             "{}",
-            world.stage.log()
+            setup.controller.log()
         );
     }
-    assert!(!world.stage.log().contains("not newer than version"));
+    assert!(!setup.controller.log().contains("not newer than version"));
 }
--- a/crates/cli/tests/common/client.rs
+++ b/crates/cli/tests/common/client.rs
@@ -1,6 +1,6 @@
-//! A client of discovery streams that follows tables, and can be told to refuse what it gets.
+//! A client of discovery streams that applies the tables it receives, or rejects them if a test asks for that.
 
-use super::Stage;
+use super::ControllerProcess;
 use std::collections::BTreeSet;
 use wheelspread_controller_core::membership::ProxyIdentity;
 use wheelspread_controller_core::publication::Version;
@@ -9,21 +9,25 @@
 use wheelspread_reactor as reactor;
 use wheelspread_xds::{discovery, tables::ProxyTables};
 
-/// A client of lines that can be told to refuse what it gets.
+/// A discovery stream client that can reject every version it receives.
 pub struct Client {
-    pub who: ProxyIdentity,
+    pub identity: ProxyIdentity,
     pub connection: ClientConnection,
-    pub reader: DeltaClient,
-    pub silent: bool,
-    pub refuses: bool,
-    pub orders: Option<ProxyTables>,
-    pub over: Option<String>,
-    pub refused: BTreeSet<Version>,
+    pub delta_client: DeltaClient,
+    /// Whether the first request of the current stream, which carries the identity, is still to be sent.
+    pub identity_pending: bool,
+    /// Whether responses are rejected.
+    pub rejects: bool,
+    /// The last complete version that was accepted.
+    pub tables: Option<ProxyTables>,
+    /// Why the connection ended; `None` while it is open.
+    pub close_reason: Option<String>,
+    pub rejected: BTreeSet<Version>,
 }
 
 impl Client {
-    pub fn dial(stage: &Stage, name: &str, zone: &str) -> Client {
-        let kinds = vec![
+    pub fn dial(controller: &ControllerProcess, name: &str, zone: &str) -> Client {
+        let subscriptions = vec![
             TypeSubscription::new(
                 ResourceType::Endpoints,
                 vec![format!("{}quote", discovery::LEDS_ASSIGNMENT_PREFIX)],
@@ -38,100 +42,109 @@
             ),
         ];
         Client {
-            who: ProxyIdentity {
+            identity: ProxyIdentity {
                 name: name.into(),
                 zone: zone.into(),
                 usual_rate: None,
             },
-            connection: connect(stage),
-            reader: DeltaClient::new(kinds),
-            silent: true,
-            refuses: false,
-            orders: None,
-            over: None,
-            refused: BTreeSet::new(),
+            connection: connect(controller),
+            delta_client: DeltaClient::new(subscriptions),
+            identity_pending: true,
+            rejects: false,
+            tables: None,
+            close_reason: None,
+            rejected: BTreeSet::new(),
         }
     }
 
-    /// A new stream of the same client, which tells what it holds.
-    pub fn again(&mut self, stage: &Stage) {
-        (self.connection, self.silent, self.over) = (connect(stage), true, None);
+    /// Opens a new stream, whose first requests state the resources that the client holds.
+    pub fn reconnect(&mut self, controller: &ControllerProcess) {
+        (self.connection, self.identity_pending, self.close_reason) =
+            (connect(controller), true, None);
     }
 
-    pub fn turn(&mut self) {
+    pub fn poll(&mut self) {
         loop {
-            let (events, over) = self.connection.turn(reactor::now());
-            self.over = self.over.take().or(over);
+            let (events, close_reason) = self.connection.turn(reactor::now());
+            self.close_reason = self.close_reason.take().or(close_reason);
             if events.is_empty() {
                 return;
             }
-            events.into_iter().for_each(|event| self.event(event));
+            events
+                .into_iter()
+                .for_each(|event| self.handle_event(event));
         }
     }
 
-    fn event(&mut self, event: ClientEvent) {
+    fn handle_event(&mut self, event: ClientEvent) {
         match event {
             ClientEvent::Opened => {
-                for ask in self.reader.initial_requests() {
-                    let who = std::mem::take(&mut self.silent).then_some(&self.who);
+                for request in self.delta_client.initial_requests() {
+                    let identity =
+                        std::mem::take(&mut self.identity_pending).then_some(&self.identity);
                     self.connection.send(&discovery::encode_delta_request(
-                        who,
-                        self.reader.version(),
-                        &ask,
+                        identity,
+                        self.delta_client.version(),
+                        &request,
                     ));
                 }
             }
-            ClientEvent::Message { bytes } => self.told(&bytes),
+            ClientEvent::Message { bytes } => self.handle_message(&bytes),
         }
     }
 
-    fn told(&mut self, bytes: &[u8]) {
-        let told = discovery::decode_delta_response(bytes).expect("of the published form");
-        let (refuses, mut made) = (self.refuses, None);
-        let step = self.reader.handle_response(&told, |reader, version| {
-            let values = |kind| reader.resources(kind).map(|(_, bytes)| bytes);
-            let lines = reader.resources(ResourceType::Entries);
-            made = discovery::decode_tables(
-                version,
-                lines,
-                values(ResourceType::Endpoints),
-                values(ResourceType::Routes),
-            )
-            .ok();
-            if refuses {
-                Err("it does not please".to_string())
-            } else {
-                Ok(())
-            }
-        });
+    fn handle_message(&mut self, bytes: &[u8]) {
+        let response = discovery::decode_delta_response(bytes).expect("a valid delta response");
+        let (rejects, mut decoded) = (self.rejects, None);
+        let outcome = self
+            .delta_client
+            .handle_response(&response, |delta_client, version| {
+                let values = |kind| delta_client.resources(kind).map(|(_, bytes)| bytes);
+                let entries = delta_client.resources(ResourceType::Entries);
+                decoded = discovery::decode_tables(
+                    version,
+                    entries,
+                    values(ResourceType::Endpoints),
+                    values(ResourceType::Routes),
+                )
+                .ok();
+                if rejects {
+                    Err("rejected by the test".to_string())
+                } else {
+                    Ok(())
+                }
+            });
         assert_eq!(
-            step.restart_reason, None,
-            "every delta comes to what it says"
+            outcome.restart_reason, None,
+            "a delta response must fit the resources held"
         );
-        if step.reply.error.is_some() {
-            self.refused.extend(told.version);
-        } else if step.completed_version.is_some() {
-            self.orders = made;
+        if outcome.reply.error.is_some() {
+            self.rejected.extend(response.version);
+        } else if outcome.completed_version.is_some() {
+            self.tables = decoded;
         }
         self.connection
-            .send(&discovery::encode_delta_request(None, None, &step.reply));
+            .send(&discovery::encode_delta_request(None, None, &outcome.reply));
     }
 
+    /// Ports of the nodes in the tables; empty before the first version.
     pub fn ports(&self) -> Vec<u16> {
-        let lines = self
-            .orders
+        let entries = self
+            .tables
             .iter()
-            .flat_map(|orders| &orders.operations[0].entries);
-        lines.map(|line| line.node.port).collect()
+            .flat_map(|tables| &tables.operations[0].entries);
+        entries.map(|entry| entry.node.port).collect()
     }
 
+    /// Version of the tables; 0 before the first one.
     pub fn version(&self) -> u64 {
-        self.orders.as_ref().map_or(0, |orders| orders.version.0)
+        self.tables.as_ref().map_or(0, |tables| tables.version.0)
     }
 }
 
-pub fn connect(stage: &Stage) -> ClientConnection {
-    let socket = reactor::connect(stage.listen.ip().octets(), stage.listen.port()).expect("dials");
+pub fn connect(controller: &ControllerProcess) -> ClientConnection {
+    let socket = reactor::connect(controller.listen.ip().octets(), controller.listen.port())
+        .expect("connection started");
     ClientConnection::new(
         reactor::now(),
         socket,
--- a/crates/cli/tests/common/keys.rs
+++ b/crates/cli/tests/common/keys.rs
@@ -1,22 +1,24 @@
-//! Certificates for tests.
+//! Certificates and keys for tests.
 
-/// Signs certificates that are made for a test.
+/// A certificate authority of one test: its own certificate and key.
 pub struct Authority(pub rcgen::Certificate, pub rcgen::KeyPair);
 
 impl Authority {
     pub fn new() -> Authority {
         let key = rcgen::KeyPair::generate().expect("a key");
-        let mut told = rcgen::CertificateParams::new(Vec::new()).expect("no names");
-        told.is_ca = rcgen::IsCa::Ca(rcgen::BasicConstraints::Unconstrained);
-        Authority(told.self_signed(&key).expect("signed"), key)
+        let mut params =
+            rcgen::CertificateParams::new(Vec::new()).expect("parameters without names");
+        params.is_ca = rcgen::IsCa::Ca(rcgen::BasicConstraints::Unconstrained);
+        Authority(params.self_signed(&key).expect("signed"), key)
     }
 
-    /// Certificate and key, as files have them.
+    /// Issues a certificate for `name`; returns the certificate and its key in PEM form.
     pub fn issue(&self, name: &str) -> (String, String) {
         let key = rcgen::KeyPair::generate().expect("a key");
-        let told = rcgen::CertificateParams::new(vec![name.to_string()]).expect("a name");
+        let params = rcgen::CertificateParams::new(vec![name.to_string()]).expect("a valid name");
         (
-            told.signed_by(&key, &self.0, &self.1)
+            params
+                .signed_by(&key, &self.0, &self.1)
                 .expect("signed")
                 .pem(),
             key.serialize_pem(),
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A controller process on a directory of its own, and load report streams as proxies open them.
+//! A controller process with a directory of its own, and load report streams opened as proxies open them.
 
-#![allow(dead_code)] // each test binary uses its part
+#![allow(dead_code)] // Each test binary uses some of these items.
 
 pub mod client;
 pub mod keys;
@@ -17,8 +17,8 @@
 
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_wheelspread");
 
-/// A controller with its files; it is killed when this is dropped.
-pub struct Stage {
+/// A controller process and its files. Dropping it kills the process.
+pub struct ControllerProcess {
     pub directory: tempfile::TempDir,
     pub listen: SocketAddrV4,
     child: Option<Child>,
@@ -37,29 +37,30 @@
   sums: {period: 300ms, loads: [utilization]}
 ";
 
-impl Stage {
-    pub fn new() -> Stage {
+impl ControllerProcess {
+    pub fn new() -> ControllerProcess {
         let directory = tempfile::tempdir().expect("a directory");
-        let listen = wheelspread_drill::own_port().expect("a port");
-        let stage = Stage {
+        let listen = wheelspread_drill::own_port().expect("a free port");
+        let controller = ControllerProcess {
             directory,
             listen,
             child: None,
             version: 0,
         };
-        stage.write_file("list: nodes.json");
-        stage
+        controller.write_config("list: nodes.json");
+        controller
     }
 
-    pub fn write_file(&self, list: &str) {
-        let place = format!(
-            "conductor: {{name: c0, listen: \"{}\", tables: tables, {list}}}",
+    /// Writes the configuration file; `endpoint_list` holds the settings of the endpoint list.
+    pub fn write_config(&self, endpoint_list: &str) {
+        let address_settings = format!(
+            "conductor: {{name: c0, listen: \"{}\", tables: tables, {endpoint_list}}}",
             self.listen
         );
         let log = "log: {form: json, level: debug}";
         std::fs::write(
             self.path("conductor.yaml"),
-            format!("{place}\n{log}\n{DEPLOYMENT}"),
+            format!("{address_settings}\n{log}\n{DEPLOYMENT}"),
         )
         .expect("written");
     }
@@ -69,56 +70,58 @@
     }
 
     pub fn start(&mut self) {
-        self.start_with("");
+        self.start_with_failpoints("");
     }
 
-    /// Starts it with failpoints, as `FAILPOINTS` takes them, and waits until it listens.
-    pub fn start_with(&mut self, faults: &str) {
+    /// Starts the process with failpoints in the format of `FAILPOINTS`, and waits until it listens.
+    pub fn start_with_failpoints(&mut self, failpoints: &str) {
         let log = File::options()
             .create(true)
             .append(true)
             .open(self.path("log"))
-            .expect("a log");
+            .expect("a log file");
         let child = Command::new(PROGRAM)
             .arg("run")
             .arg(self.path("conductor.yaml"))
             .stdin(Stdio::null())
             .stderr(log)
-            .env("FAILPOINTS", faults)
+            .env("FAILPOINTS", failpoints)
             .spawn()
-            .expect("it starts");
+            .expect("the process starts");
         self.child = Some(child);
         let listen = self.listen;
-        let operators = self.path("tables").join("admin.sock");
+        let admin_socket = self.path("tables").join("admin.sock");
         let listens = || {
             std::net::TcpStream::connect(listen).is_ok()
-                && std::os::unix::net::UnixStream::connect(&operators).is_ok()
+                && std::os::unix::net::UnixStream::connect(&admin_socket).is_ok()
         };
-        // One that is made to end at once never listens.
-        self.until("it listens", |stage| listens() || !stage.runs());
+        // A process that a failpoint ends during its start never listens.
+        self.wait_until("the controller listens", |controller| {
+            listens() || !controller.is_running()
+        });
     }
 
     pub fn pid(&self) -> u32 {
-        self.child.as_ref().expect("it runs").id()
+        self.child.as_ref().expect("the process runs").id()
     }
 
-    /// Kills it as a crash would.
+    /// Kills the process (SIGKILL), as a crash would.
     pub fn kill(&mut self) {
-        let mut child = self.child.take().expect("it runs");
+        let mut child = self.child.take().expect("the process runs");
         child.kill().expect("killed");
-        child.wait().expect("gone");
+        child.wait().expect("the process has exited");
     }
 
-    /// Asks it to stop (SIGTERM) and waits until it has ended.
+    /// Sends SIGTERM and waits until the process has exited.
     pub fn terminate(&mut self) -> ExitStatus {
-        let mut child = self.child.take().expect("it runs");
-        let pid = rustix_pid(child.id());
+        let mut child = self.child.take().expect("the process runs");
+        let pid = process_id(child.id());
         pid.and_then(|pid| rustix::process::kill_process(pid, rustix::process::Signal::TERM).ok())
-            .expect("told");
-        child.wait().expect("gone")
+            .expect("signal sent");
+        child.wait().expect("the process has exited")
     }
 
-    pub fn runs(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         self.child
             .as_mut()
             .is_some_and(|child| child.try_wait().is_ok_and(|status| status.is_none()))
@@ -128,35 +131,41 @@
         std::fs::read_to_string(self.path("log")).unwrap_or_default()
     }
 
-    /// Swaps an endpoint list in: ports, and those of them that drain.
-    pub fn list(&mut self, ports: &[u16], draining: &[u16]) {
+    /// Replaces the endpoint list file: nodes at `ports`, of which those in `draining` drain.
+    pub fn publish_endpoint_list(&mut self, ports: &[u16], draining: &[u16]) {
         self.version += 1;
-        let text = list_text(self.version, ports, draining);
-        wheelspread_files::replace_file(&self.path("nodes.json"), &text).expect("swapped");
+        let text = endpoint_list_text(self.version, ports, draining);
+        wheelspread_files::replace_file(&self.path("nodes.json"), &text).expect("file replaced");
     }
 
-    pub fn gateway(&self, name: &str) -> PathBuf {
+    /// Directory of a proxy's table files.
+    pub fn proxy_directory(&self, name: &str) -> PathBuf {
         self.path("tables").join("gateways").join(name)
     }
 
-    /// The version of a proxy's tables and the ports that they name.
-    pub fn held(&self, name: &str) -> Option<(u64, Vec<u16>)> {
-        let held = read_tables(&self.gateway(name)).expect("whole tables at any time")?;
-        let ports = held.tables.operations[0]
+    /// Version of a proxy's tables on disk, and the ports of their entries.
+    pub fn published(&self, name: &str) -> Option<(u64, Vec<u16>)> {
+        let published =
+            read_tables(&self.proxy_directory(name)).expect("complete tables at any time")?;
+        let ports = published.tables.operations[0]
             .entries
             .iter()
-            .map(|line| line.node.port)
+            .map(|entry| entry.node.port)
             .collect();
-        Some((held.tables.version.0, ports))
+        Some((published.tables.version.0, ports))
     }
 
-    /// Waits for a condition, and fails with the log if it does not come within 15 s.
-    pub fn until(&mut self, what: &str, mut done: impl FnMut(&mut Stage) -> bool) -> Duration {
+    /// Waits until a condition holds; returns how long that took. Fails with the controller's log after 15 s.
+    pub fn wait_until(
+        &mut self,
+        what: &str,
+        mut condition: impl FnMut(&mut ControllerProcess) -> bool,
+    ) -> Duration {
         let begin = Instant::now();
-        while !done(self) {
+        while !condition(self) {
             assert!(
                 begin.elapsed() < Duration::from_secs(15),
-                "not seen: {what}\n{}",
+                "timed out waiting for: {what}\n{}",
                 self.log()
             );
             std::thread::sleep(Duration::from_millis(5));
@@ -164,30 +173,32 @@
         begin.elapsed()
     }
 
-    /// Opens the load report stream of a proxy.
-    pub fn stream(&self, name: &str, zone: &str) -> Stream {
-        let socket =
-            reactor::connect(self.listen.ip().octets(), self.listen.port()).expect("dials");
+    /// Opens the load report stream of a proxy and sends the proxy's identity.
+    pub fn open_report_stream(&self, name: &str, zone: &str) -> ReportStream {
+        let socket = reactor::connect(self.listen.ip().octets(), self.listen.port())
+            .expect("connection started");
         let connection =
             ClientConnection::new(reactor::now(), socket, loads::METHOD, Limits::default());
-        let mut stream = Stream {
+        let mut stream = ReportStream {
             connection,
             accepted: false,
-            over: None,
+            close_reason: None,
         };
-        let who = wheelspread_controller_core::membership::ProxyIdentity {
+        let identity = wheelspread_controller_core::membership::ProxyIdentity {
             name: name.to_string(),
             zone: zone.to_string(),
             usual_rate: None,
         };
-        stream.connection.send(&encode(&loads::introduce(&who)));
+        stream
+            .connection
+            .send(&encode(&loads::introduce(&identity)));
         stream
     }
 }
 
-/// Runs a command to its end; its exit code, and what it wrote to both streams.
+/// Runs a command to its end; returns its exit code, and its standard output followed by its standard error.
 pub fn run_to_end(command: &mut Command) -> (i32, String) {
-    let output = command.output().expect("it runs");
+    let output = command.output().expect("the process runs");
     let text = [output.stdout, output.stderr].concat();
     (
         output.status.code().unwrap_or(-1),
@@ -195,23 +206,23 @@
     )
 }
 
-/// Resident memory of a process in KiB; an unreadable figure fails the test.
+/// Resident memory of a process in KiB. The test fails if it can't be read.
 pub fn resident_kib(pid: u32) -> u64 {
-    let status = std::fs::read_to_string(format!("/proc/{pid}/status")).expect("it runs");
+    let status = std::fs::read_to_string(format!("/proc/{pid}/status")).expect("the process runs");
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
     let kib = line.and_then(|line| line.split_whitespace().nth(1));
-    kib.and_then(|kib| kib.parse().ok()).expect("a figure")
+    kib.and_then(|kib| kib.parse().ok()).expect("a VmRSS value")
 }
 
 pub fn encode(message: &impl prost::Message) -> Vec<u8> {
     message.encode_to_vec()
 }
 
-fn rustix_pid(pid: u32) -> Option<rustix::process::Pid> {
+fn process_id(pid: u32) -> Option<rustix::process::Pid> {
     rustix::process::Pid::from_raw(pid as i32)
 }
 
-impl Drop for Stage {
+impl Drop for ControllerProcess {
     fn drop(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -221,23 +232,26 @@
 }
 
 /// The load report stream of a proxy.
-pub struct Stream {
+pub struct ReportStream {
     pub connection: ClientConnection,
+    /// Whether the controller has answered.
     pub accepted: bool,
-    pub over: Option<String>,
+    /// Why the connection ended; `None` while it is open.
+    pub close_reason: Option<String>,
 }
 
-impl Stream {
-    pub fn turn(&mut self) {
-        let (events, over) = self.connection.turn(reactor::now());
+impl ReportStream {
+    pub fn poll(&mut self) {
+        let (events, close_reason) = self.connection.turn(reactor::now());
         self.accepted |= events
             .iter()
             .any(|event| matches!(event, ClientEvent::Message { .. }));
-        self.over = self.over.take().or(over);
+        self.close_reason = self.close_reason.take().or(close_reason);
     }
 }
 
-pub fn list_text(version: u64, ports: &[u16], draining: &[u16]) -> String {
+/// An endpoint list of nodes at `ports` in zone `north`, of which those in `draining` drain.
+pub fn endpoint_list_text(version: u64, ports: &[u16], draining: &[u16]) -> String {
     let endpoint = |port: &u16| {
         let health = if draining.contains(port) {
             "DRAINING"
@@ -258,6 +272,7 @@
     )
 }
 
+/// Replaces a file in one step.
 pub fn write(path: &Path, text: &str) {
-    wheelspread_files::replace_file(path, text).expect("swapped");
+    wheelspread_files::replace_file(path, text).expect("file replaced");
 }
--- a/crates/cli/tests/common/platform.rs
+++ b/crates/cli/tests/common/platform.rs
@@ -1,7 +1,7 @@
-//! A controller on a platform as a process on loopback. Discovery's agent, proxies, collectors and unidentified
-//! peers are stand-ins that send what docs/platform.md describes.
+//! A controller process that runs with `--platform` on loopback. The discovery agent, proxies, collectors and
+//! unidentified peers are stand-ins that send the messages described in docs/platform.md.
 
-#![allow(dead_code)] // each test binary uses its part
+#![allow(dead_code)] // Each test binary uses some of these items.
 
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
@@ -17,37 +17,39 @@
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_wheelspread");
 pub const TIMEOUT: Duration = Duration::from_secs(10);
 
+/// An endpoint entry.
 pub fn entry(name: &str, status: &str) -> Value {
     json!({"name": name, "address": "127.0.0.9:9000", "zone": "a", "type": "k", "group": 1,
         "status": status, "weight": 1.0, "since_ms": 0})
 }
 
-/// Objects of the watch so far; the first is the full list.
+/// The watch's objects in the order of their publication; the first is the complete list.
 pub type Objects = Arc<Mutex<Vec<Value>>>;
 
-/// An agent of discovery. It sends all objects so far, and closes its connections when it is moved away.
-pub struct Agent {
+/// A discovery agent. It sends all objects published so far and each new one, and closes its connections when it
+/// is stopped.
+pub struct DiscoveryAgent {
     pub address: SocketAddr,
     pub objects: Objects,
-    pub moved: Arc<AtomicBool>,
+    pub stopped: Arc<AtomicBool>,
 }
 
-impl Agent {
-    pub fn start(objects: Objects) -> Agent {
-        let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
+impl DiscoveryAgent {
+    pub fn start(objects: Objects) -> DiscoveryAgent {
+        let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free port");
         listener.set_nonblocking(true).expect("a listener");
-        let address = listener.local_addr().expect("bound");
-        let agent = Agent {
+        let address = listener.local_addr().expect("a local address");
+        let agent = DiscoveryAgent {
             address,
             objects: objects.clone(),
-            moved: Arc::default(),
+            stopped: Arc::default(),
         };
-        let moved = agent.moved.clone();
+        let stopped = agent.stopped.clone();
         std::thread::spawn(move || {
-            while !moved.load(Ordering::Relaxed) {
+            while !stopped.load(Ordering::Relaxed) {
                 if let Ok((stream, _)) = listener.accept() {
-                    let (objects, moved) = (objects.clone(), moved.clone());
-                    std::thread::spawn(move || serve(stream, &objects, &moved));
+                    let (objects, stopped) = (objects.clone(), stopped.clone());
+                    std::thread::spawn(move || serve_discovery(stream, &objects, &stopped));
                 }
                 sleep(Duration::from_millis(2));
             }
@@ -56,19 +58,25 @@
     }
 
     pub fn publish(&self, object: Value) {
-        self.objects.lock().expect("nobody failed").push(object);
+        self.objects
+            .lock()
+            .expect("the lock is not poisoned")
+            .push(object);
     }
 }
 
-pub fn serve(stream: TcpStream, objects: &Objects, moved: &AtomicBool) {
+pub fn serve_discovery(stream: TcpStream, objects: &Objects, stopped: &AtomicBool) {
     stream.set_nonblocking(false).expect("a stream");
     let mut reader = BufReader::new(&stream);
     let mut line = String::new();
     let _ = reader.read_line(&mut line);
-    let known = || objects.lock().expect("nobody failed").clone();
+    let published = || objects.lock().expect("the lock is not poisoned").clone();
     let mut out = &stream;
     if !line.contains("watch=1") {
-        let text = known().first().map(Value::to_string).unwrap_or_default();
+        let text = published()
+            .first()
+            .map(Value::to_string)
+            .unwrap_or_default();
         let _ = write!(
             out,
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}",
@@ -78,27 +86,27 @@
     }
     let _ = out.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     let (mut sent, mut sent_at) = (0, Instant::now());
-    while !moved.load(Ordering::Relaxed) {
-        let known = known();
-        let news: String = known[sent..]
+    while !stopped.load(Ordering::Relaxed) {
+        let published = published();
+        let new_lines: String = published[sent..]
             .iter()
             .map(|object| format!("{object}\n"))
             .collect();
-        let text = if news.is_empty() && sent_at.elapsed() > Duration::from_secs(1) {
+        let text = if new_lines.is_empty() && sent_at.elapsed() > Duration::from_secs(1) {
             "\n"
         } else {
-            &news
+            &new_lines
         };
-        // Chunks end within lines, as they may.
-        for some in text.as_bytes().chunks(70) {
-            let head = format!("{:x}\r\n", some.len());
-            let chunk = [head.as_bytes(), some, b"\r\n"].concat();
+        // Chunks end within lines, which HTTP permits.
+        for piece in text.as_bytes().chunks(70) {
+            let head = format!("{:x}\r\n", piece.len());
+            let chunk = [head.as_bytes(), piece, b"\r\n"].concat();
             if out.write_all(&chunk).is_err() {
                 return;
             }
             sent_at = Instant::now();
         }
-        sent = known.len();
+        sent = published.len();
         sleep(Duration::from_millis(5));
     }
 }
@@ -111,7 +119,7 @@
 
 impl Peer {
     pub fn dial(to: SocketAddr) -> Peer {
-        let stream = TcpStream::connect(to).expect("it listens");
+        let stream = TcpStream::connect(to).expect("the controller listens");
         stream
             .set_read_timeout(Some(Duration::from_millis(20)))
             .expect("a stream");
@@ -127,31 +135,31 @@
     pub fn send(&mut self, text: &str) {
         let mut bytes = Vec::new();
         encode(&text.split(' ').collect::<Vec<_>>(), &mut bytes);
-        // In pieces, as a network may bring them.
+        // Written in pieces, since a network may deliver them so.
         bytes
             .chunks(7)
-            .for_each(|some| self.stream.write_all(some).expect("it reads"));
+            .for_each(|piece| self.stream.write_all(piece).expect("the controller reads"));
     }
 
-    /// The next message; `None` when the connection is over.
+    /// The next message; `None` once the connection has ended.
     pub fn receive(&mut self) -> Option<String> {
         let begin = Instant::now();
-        let mut room = [0; 4096];
+        let mut buffer = [0; 4096];
         loop {
-            if let Some(strings) = self.decoder.next_message().expect("messages") {
-                let words: Vec<_> = strings
+            if let Some(strings) = self.decoder.next_message().expect("valid messages") {
+                let message: Vec<_> = strings
                     .iter()
                     .map(|string| String::from_utf8_lossy(string))
                     .collect();
-                return Some(words.join(" "));
+                return Some(message.join(" "));
             }
             assert!(
                 begin.elapsed() < TIMEOUT,
-                "nothing is received and nothing is closed"
+                "no message received and the connection still open"
             );
-            match self.stream.read(&mut room) {
+            match self.stream.read(&mut buffer) {
                 Ok(0) => return None,
-                Ok(count) => self.decoder.feed(&room[..count]),
+                Ok(count) => self.decoder.feed(&buffer[..count]),
                 Err(error)
                     if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
                 Err(_) => return None,
@@ -159,59 +167,60 @@
         }
     }
 
-    pub fn receive_until(&mut self, words: &str) -> String {
+    pub fn receive_until(&mut self, text: &str) -> String {
         loop {
             let message = self
                 .receive()
-                .unwrap_or_else(|| panic!("closed before {words} was received"));
-            if message.contains(words) {
+                .unwrap_or_else(|| panic!("connection closed before `{text}` was received"));
+            if message.contains(text) {
                 return message;
             }
         }
     }
 
-    /// Acknowledges the marker of a message.
+    /// Acknowledges the version marker of a message.
     pub fn acknowledge(&mut self, proxy: u16, message: &str) {
         let marker = message
             .split("stamp ")
             .nth(1)
             .and_then(|rest| rest.split(' ').next())
-            .expect("a marker");
+            .expect("a version marker");
         self.send(&format!(
             "applied sidecar {proxy} version {marker} lag_ms 2.5"
         ));
     }
 }
 
-pub struct Platform {
+/// A controller process and its directory. Dropping it kills the process.
+pub struct ControllerProcess {
     pub directory: tempfile::TempDir,
     pub listen: SocketAddr,
     pub child: Option<Child>,
 }
 
-impl Platform {
-    pub fn start(discovery: SocketAddr, sockets: usize) -> Platform {
-        let mut platform = Platform::prepare(discovery, sockets);
-        platform.spawn();
-        platform.wait_until_listening();
-        platform
+impl ControllerProcess {
+    pub fn start(discovery: SocketAddr, sockets: usize) -> ControllerProcess {
+        let mut controller = ControllerProcess::prepare(discovery, sockets);
+        controller.spawn();
+        controller.wait_until_listening();
+        controller
     }
 
-    /// A place and a configuration; nothing runs yet.
-    pub fn prepare(discovery: SocketAddr, sockets: usize) -> Platform {
-        let listen = wheelspread_drill::own_port().expect("a port").into();
+    /// Reserves an address and writes a configuration without starting the process.
+    pub fn prepare(discovery: SocketAddr, sockets: usize) -> ControllerProcess {
+        let listen = wheelspread_drill::own_port().expect("a free port").into();
         let directory = tempfile::tempdir().expect("a directory");
-        let platform = Platform {
+        let controller = ControllerProcess {
             directory,
             listen,
             child: None,
         };
-        platform.configure(discovery, sockets, 3.0);
-        platform
+        controller.configure(discovery, sockets, 3.0);
+        controller
     }
 
     pub fn spawn(&mut self) {
-        let log = std::fs::File::create(self.log()).expect("a log");
+        let log = std::fs::File::create(self.log()).expect("a log file");
         let child = Command::new(PROGRAM)
             .args(["run", "--platform"])
             .arg(self.config())
@@ -219,14 +228,14 @@
             .stdout(Stdio::null())
             .stderr(log)
             .spawn()
-            .expect("it starts");
+            .expect("the process starts");
         self.child = Some(child);
     }
 
     pub fn wait_until_listening(&self) {
         let begin = Instant::now();
         while TcpStream::connect(self.listen).is_err() {
-            assert!(begin.elapsed() < TIMEOUT, "it does not listen");
+            assert!(begin.elapsed() < TIMEOUT, "the controller does not listen");
             sleep(Duration::from_millis(5));
         }
     }
@@ -235,32 +244,39 @@
         self.directory.path().join("log")
     }
 
-    pub fn wait_for_log(&self, words: &str, mut meanwhile: impl FnMut()) {
+    pub fn wait_for_log(&self, text: &str, mut meanwhile: impl FnMut()) {
         let begin = Instant::now();
-        while !std::fs::read_to_string(self.log()).is_ok_and(|log| log.contains(words)) {
-            assert!(begin.elapsed() < TIMEOUT, "it does not say {words}");
+        while !std::fs::read_to_string(self.log()).is_ok_and(|log| log.contains(text)) {
+            assert!(
+                begin.elapsed() < TIMEOUT,
+                "the log does not contain `{text}`"
+            );
             meanwhile();
             sleep(Duration::from_millis(5));
         }
     }
 
-    /// Waits for the end of the process.
+    /// Waits until the process has exited.
     pub fn wait_for_exit(&mut self) -> std::process::ExitStatus {
-        let mut child = self.child.take().expect("it runs");
+        let mut child = self.child.take().expect("the process runs");
         let begin = Instant::now();
         loop {
             if let Some(status) = child.try_wait().expect("a child") {
                 return status;
             }
-            assert!(begin.elapsed() < TIMEOUT, "it does not end");
+            assert!(begin.elapsed() < TIMEOUT, "the process does not exit");
             sleep(Duration::from_millis(2));
         }
     }
 
-    /// Runs something while the controller is stopped: it finds all of it at once afterwards.
+    /// Runs `meanwhile` while the process is stopped (SIGSTOP), so that the controller finds everything sent in that
+    /// time at once when it continues.
     pub fn while_stopped<T>(&self, meanwhile: impl FnOnce() -> T) -> T {
         self.signal(rustix::process::Signal::STOP);
-        let stat = format!("/proc/{}/stat", self.child.as_ref().expect("it runs").id());
+        let stat = format!(
+            "/proc/{}/stat",
+            self.child.as_ref().expect("the process runs").id()
+        );
         let begin = Instant::now();
         let state = || std::fs::read_to_string(&stat).expect("a process");
         while !state()
@@ -268,7 +284,7 @@
             .next()
             .is_some_and(|rest| rest.trim_start().starts_with('T'))
         {
-            assert!(begin.elapsed() < TIMEOUT, "it does not halt");
+            assert!(begin.elapsed() < TIMEOUT, "the process does not stop");
             std::thread::yield_now();
         }
         let result = meanwhile();
@@ -280,19 +296,20 @@
         self.directory.path().join("config.json")
     }
 
-    pub fn configure(&self, discovery: SocketAddr, sockets: usize, grace: f64) {
+    pub fn configure(&self, discovery: SocketAddr, sockets: usize, drain_grace: f64) {
         let settings = json!({"az": 0, "me": 0, "peers_total": 1, "discovery": "push", "tick": 0.005,
             "zones": ["a"], "kinds": ["k"],
             "classes": [{"name": "lookup", "aim": 1.0, "deadline": 3.0, "idempotency": "read_like"}],
             "feedback": {"fields": ["busy"], "via": "piggyback"},
             "rules": {"overload_factor": 4.0, "start_capacity": 0.2, "warm_after": 10.0,
-                "stop_sending_within": grace},
+                "stop_sending_within": drain_grace},
             "extra": {"admit": "ratio", "backlog": 9000.0, "bare": 2.0, "head": 4.0, "period": 1.0,
                 "proxy_count": 8, "push_delay_max": 0.5, "push_rate": 9000.0, "pushes_allowed": 20,
                 "update_window": 10.0}});
-        let known = json!({"index": 1, "snapshot": true, "endpoints": [entry("old", "Ready")]});
+        let cached_list =
+            json!({"index": 1, "snapshot": true, "endpoints": [entry("old", "Ready")]});
         let config = json!({"name": "n0", "listen": self.listen.to_string(), "seed": "8c1f30d27a5be964",
-            "discovery": discovery.to_string(), "known": known, "settings": settings,
+            "discovery": discovery.to_string(), "known": cached_list, "settings": settings,
             "limits": {"cores": 1.0, "memory_mb": 32, "sockets": sockets}});
         self.write_config(&config.to_string());
     }
@@ -302,13 +319,13 @@
     }
 
     pub fn signal(&self, signal: rustix::process::Signal) {
-        let id = self.child.as_ref().expect("it runs").id();
+        let id = self.child.as_ref().expect("the process runs").id();
         let pid = rustix::process::Pid::from_raw(id as i32).expect("a process");
         rustix::process::kill_process(pid, signal).expect("the signal is sent");
     }
 }
 
-impl Drop for Platform {
+impl Drop for ControllerProcess {
     fn drop(&mut self) {
         if let Some(child) = &mut self.child {
             let _ = child.kill();
@@ -317,14 +334,15 @@
     }
 }
 
-pub fn objects(names: &[&str]) -> Objects {
+/// A watch whose first object is the complete list of these nodes, all ready.
+pub fn ready_nodes(names: &[&str]) -> Objects {
     let entries: Vec<Value> = names.iter().map(|name| entry(name, "Ready")).collect();
     Arc::new(Mutex::new(vec![
         json!({"index": 5, "snapshot": true, "endpoints": entries}),
     ]))
 }
 
-/// Discovery whose every answer a test gives itself.
+/// A discovery agent whose every response is written by the test.
 pub struct ManualDiscovery {
     listener: TcpListener,
     pub address: SocketAddr,
@@ -332,13 +350,13 @@
 
 impl ManualDiscovery {
     pub fn start() -> ManualDiscovery {
-        let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
+        let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free port");
         listener.set_nonblocking(true).expect("a listener");
-        let address = listener.local_addr().expect("bound");
+        let address = listener.local_addr().expect("a local address");
         ManualDiscovery { listener, address }
     }
 
-    /// The next request to discovery.
+    /// Waits for the next request to discovery.
     pub fn next_request(&self) -> DiscoveryRequest {
         let begin = Instant::now();
         loop {
@@ -353,17 +371,18 @@
                     line.clear();
                     assert!(
                         reader.read_line(&mut line).expect("a request") > 0,
-                        "a head without an end"
+                        "the request head is incomplete"
                     );
                 }
                 return DiscoveryRequest { stream, target };
             }
-            assert!(begin.elapsed() < TIMEOUT, "discovery gets no request");
+            assert!(begin.elapsed() < TIMEOUT, "no request to discovery");
             sleep(Duration::from_millis(1));
         }
     }
 
-    /// The two requests of a start and of a new address, in whatever order: the watch, and the complete list.
+    /// The two requests that a controller sends when it starts or gets a new discovery address, which arrive in any
+    /// order: the watch, and the read of the complete list.
     pub fn watch_and_list(&self) -> (DiscoveryRequest, DiscoveryRequest) {
         let (first, second) = (self.next_request(), self.next_request());
         match first.is_watch() {
@@ -373,7 +392,7 @@
     }
 }
 
-/// A request to discovery, not answered yet.
+/// A request to discovery that is not answered yet.
 pub struct DiscoveryRequest {
     pub stream: TcpStream,
     pub target: String,
@@ -388,7 +407,7 @@
         let _ = self.stream.write_all(text.as_bytes());
     }
 
-    /// Sends a complete response.
+    /// Sends a complete response and closes the connection.
     pub fn respond(mut self, list: &Value) {
         let text = list.to_string();
         self.send_raw(&format!(
@@ -409,20 +428,21 @@
         self.send_chunk(&format!("{list}\n"));
     }
 
-    /// Waits until the controller has closed it.
+    /// Waits until the controller has closed the connection.
     pub fn wait_until_closed(&mut self) {
-        let mut room = [0; 64];
+        let mut buffer = [0; 64];
         assert!(
-            matches!(self.stream.read(&mut room), Ok(0) | Err(_)),
-            "it sends more"
+            matches!(self.stream.read(&mut buffer), Ok(0) | Err(_)),
+            "the controller sends more"
         );
     }
 }
 
-pub fn list(version: u64, full: bool, nodes: &[(&str, &str)]) -> Value {
+/// An endpoint list, complete or of changes only; each node has a name and a status.
+pub fn endpoint_list(version: u64, complete: bool, nodes: &[(&str, &str)]) -> Value {
     let entries: Vec<Value> = nodes
         .iter()
         .map(|(name, status)| entry(name, status))
         .collect();
-    json!({"index": version, "snapshot": full, "endpoints": entries})
+    json!({"index": version, "snapshot": complete, "endpoints": entries})
 }
--- a/crates/cli/tests/drills.rs
+++ b/crates/cli/tests/drills.rs
@@ -1,5 +1,5 @@
-//! Short drills with real controller processes, and sabotaged ones, each of which must be found to break
-//! its rule and no other.
+//! Short drills with real controller processes, and drills with a sabotage, each of which must be reported to break the
+//! sabotaged rule and no other.
 
 use std::path::PathBuf;
 use test_case::test_case;
@@ -7,8 +7,8 @@
 
 const SHORT: &str = include_str!("../../drill/days/short.yaml");
 
-fn play(text: &str, sabotage: Option<Sabotage>) -> Report {
-    let script = Script::parse(text).expect("the script is fine");
+fn run_drill(text: &str, sabotage: Option<Sabotage>) -> Report {
+    let script = Script::parse(text).expect("a valid script");
     let options = Options {
         program: PathBuf::from(env!("CARGO_BIN_EXE_wheelspread")),
         seed: 1,
@@ -19,10 +19,10 @@
         not_injected: Vec::new(),
         progress: &mut |_| {},
     };
-    run(&script, options).expect("it can be played")
+    run(&script, options).expect("the drill runs")
 }
 
-/// All rules were put to the test and kept, and most requests were served.
+/// Checks that every rule was checked at least once and kept, and that more than 90 % of the billed value was served.
 fn assert_all_rules_checked_and_kept(report: &Report) {
     assert!(report.verdict.all_rules_hold(), "{}", report.table());
     assert!(
@@ -35,7 +35,7 @@
 
 #[test]
 fn a_short_drill_keeps_all_rules() {
-    let report = play(SHORT, None);
+    let report = run_drill(SHORT, None);
     assert_all_rules_checked_and_kept(&report);
     assert_eq!(report.faults.len(), 4);
 }
@@ -46,35 +46,35 @@
         "\ndeployment:\n",
         "\ndeployment:\n  fronts: {files: false, streams: true}\n",
     );
-    let report = play(&text, None);
+    let report = run_drill(&text, None);
     assert_all_rules_checked_and_kept(&report);
     assert!(
         report.table_swaps > 50,
-        "they came over streams: {}",
+        "too few table updates over streams: {}",
         report.table()
     );
 }
 
 #[test]
 fn two_proxies_restarted_under_load_during_a_rolling_update_keep_all_rules() {
-    let troubles = "troubles:
+    let faults = "troubles:
   - {kind: deploy, at: 1s, for: 4s, part: 0.6, size: 0.2, extra: 1}
   - {kind: balancer_crash, at: 2s, for: 700ms, part: 0.34, whom: gateway}
   - {kind: answer_lost, at: 3s, for: 3s, part: 0.2, size: 0.5}
 ";
-    let report = play(
+    let report = run_drill(
         &format!(
-            "{}{troubles}",
+            "{}{faults}",
             script_without_faults().replace("length: 7s", "length: 9s")
         ),
         None,
     );
     assert!(report.verdict.all_rules_hold(), "{}", report.table());
-    // Whom a dead gateway had taken in is lost; the others go on.
+    // Requests that a killed proxy had accepted are lost; all others are served.
     assert!(report.verdict.service > 0.8, "{}", report.table());
 }
 
-/// The short day without its faults.
+/// The short script without its faults, 7 s long.
 fn script_without_faults() -> String {
     SHORT
         .split("troubles:")
@@ -84,12 +84,12 @@
 }
 
 #[test_case(Sabotage::EmptyTable, 1, 90; "an empty table")]
-#[test_case(Sabotage::Repeat, 2, 90; "a repeat of what has effects")]
-#[test_case(Sabotage::KeepDrained, 3, 90; "a drained node that is kept")]
-#[test_case(Sabotage::FloodCold, 4, 400; "a cold node that is flooded")]
-#[test_case(Sabotage::Overfill, 5, 90; "a channel that is overfilled")]
+#[test_case(Sabotage::Repeat, 2, 90; "a retry of a side-effecting request")]
+#[test_case(Sabotage::KeepDrained, 3, 90; "a drained node that stays in tables")]
+#[test_case(Sabotage::FloodCold, 4, 400; "a cold node that gets all requests")]
+#[test_case(Sabotage::Overfill, 5, 90; "table updates above the rate limit")]
 fn each_sabotage_breaks_its_rule_and_no_other(sabotage: Sabotage, rule: u8, rate: u32) {
-    let report = play(
+    let report = run_drill(
         &script_without_faults().replace("rate: 90", &format!("rate: {rate}")),
         Some(sabotage),
     );
@@ -97,8 +97,8 @@
         .verdict
         .rules
         .iter()
-        .filter(|judged| judged.broken > 0)
-        .map(|judged| judged.rule)
+        .filter(|result| result.broken > 0)
+        .map(|result| result.rule)
         .collect();
     assert_eq!(broken, [rule], "{}", report.table());
     assert!(!report.verdict.all_rules_hold());
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -1,10 +1,10 @@
-//! `wheelspread fleet`: controllers that hang, are down or give invalid answers; orders that reach a part of the
-//! fleet, cross each other, and meet restarts.
+//! `wheelspread fleet`: controllers that hang, are down or give invalid answers; orders that reach only some of the
+//! controllers, conflict with each other, or coincide with restarts.
 
 mod common;
 
 use common::keys::Authority;
-use common::{run_to_end, Stage, Stream, PROGRAM};
+use common::{run_to_end, ControllerProcess, ReportStream, PROGRAM};
 use serde_json::Value;
 use std::io::{Read, Write};
 use std::os::unix::net::{UnixListener, UnixStream};
@@ -17,21 +17,23 @@
 use wheelspread_controller_core::load_report::{LoadReport, NodeReport, OperationReport};
 use wheelspread_xds::loads;
 
-/// Tests with bounds on time share the machine with each other, but not with the one that starts thirty conductors:
-/// beside it a sound one took longer than the 0.6 s that it is given.
-static MACHINE: RwLock<()> = RwLock::new(());
+/// Held exclusively by the test that starts thirty controllers, and shared by the tests with time limits: beside those
+/// thirty, a healthy controller took longer than its limit of 0.6 s.
+static MACHINE_LOCK: RwLock<()> = RwLock::new(());
 
 const PORTS: [u16; 4] = [9201, 9202, 9203, 9204];
 
-fn fleet(file: &Path, arguments: &[&str]) -> (i32, String, Duration) {
+/// Runs `wheelspread fleet`; returns its exit code, its output and how long it took.
+fn run_fleet(path: &Path, arguments: &[&str]) -> (i32, String, Duration) {
     let begin = Instant::now();
     let mut command = Command::new(PROGRAM);
-    let (code, text) = run_to_end(command.arg("fleet").arg(file).args(arguments));
+    let (code, text) = run_to_end(command.arg("fleet").arg(path).args(arguments));
     (code, text, begin.elapsed())
 }
 
-fn json(file: &Path, arguments: &[&str]) -> (i32, Value, Duration) {
-    let (code, text, took) = fleet(file, &[arguments, &["--json"]].concat());
+/// Runs `wheelspread fleet` with `--json`.
+fn run_fleet_json(path: &Path, arguments: &[&str]) -> (i32, Value, Duration) {
+    let (code, text, took) = run_fleet(path, &[arguments, &["--json"]].concat());
     (
         code,
         serde_json::from_str(&text).unwrap_or_else(|error| panic!("{error}: {text}")),
@@ -39,8 +41,8 @@
     )
 }
 
-/// A fleet file over roots, by name.
-fn file(directory: &Path, roots: &[(&str, PathBuf)]) -> PathBuf {
+/// Writes a fleet file that names controllers and their root directories.
+fn write_fleet_file(directory: &Path, roots: &[(&str, PathBuf)]) -> PathBuf {
     let lines = roots
         .iter()
         .map(|(name, root)| format!("  - {{name: {name}, root: {}}}\n", root.display()));
@@ -53,69 +55,75 @@
     path
 }
 
-fn started(count: usize) -> Vec<Stage> {
-    let mut stages: Vec<Stage> = (0..count).map(|_| Stage::new()).collect();
-    for stage in &mut stages {
-        stage.list(&PORTS, &[]);
-        stage.start();
+fn start_controllers(count: usize) -> Vec<ControllerProcess> {
+    let mut controllers: Vec<ControllerProcess> =
+        (0..count).map(|_| ControllerProcess::new()).collect();
+    for controller in &mut controllers {
+        controller.publish_endpoint_list(&PORTS, &[]);
+        controller.start();
     }
-    stages
+    controllers
 }
 
-fn signal(stage: &Stage, signal: rustix::process::Signal) {
-    let pid = rustix::process::Pid::from_raw(stage.pid() as i32).expect("it runs");
-    rustix::process::kill_process(pid, signal).expect("told");
+fn send_signal(controller: &ControllerProcess, signal: rustix::process::Signal) {
+    let pid = rustix::process::Pid::from_raw(controller.pid() as i32).expect("the process runs");
+    rustix::process::kill_process(pid, signal).expect("signal sent");
 }
 
 #[test]
 fn thirty_controllers_answer_within_the_deadline_while_five_hang_and_three_are_down() {
-    let _alone = MACHINE.write().unwrap_or_else(PoisonError::into_inner);
-    let mut stages = started(30);
+    let _exclusive = MACHINE_LOCK.write().unwrap_or_else(PoisonError::into_inner);
+    let mut controllers = start_controllers(30);
     let names: Vec<String> = (0..30).map(|n| format!("c{n:02}")).collect();
     let directory = tempfile::tempdir().expect("a directory");
     let roots: Vec<(&str, PathBuf)> = names
         .iter()
-        .zip(&stages)
-        .map(|(name, stage)| (name.as_str(), stage.path("tables")))
+        .zip(&controllers)
+        .map(|(name, controller)| (name.as_str(), controller.path("tables")))
         .collect();
-    let path = file(directory.path(), &roots);
-    let (code, told, took) = json(&path, &["status"]);
+    let path = write_fleet_file(directory.path(), &roots);
+    let (code, output, took) = run_fleet_json(&path, &["status"]);
     assert_eq!(
         (
             code,
-            told["conductors"].as_object().map(serde_json::Map::len)
+            output["conductors"].as_object().map(serde_json::Map::len)
         ),
         (0, Some(30)),
-        "{told}"
+        "{output}"
     );
-    assert!(took < Duration::from_secs(2), "all sound: {took:?}");
-    stages[..5]
+    assert!(
+        took < Duration::from_secs(2),
+        "all controllers answer: {took:?}"
+    );
+    controllers[..5]
         .iter()
-        .for_each(|stage| signal(stage, rustix::process::Signal::STOP));
-    stages[5..8].iter_mut().for_each(Stage::kill);
-    let (code, told, took) = json(&path, &["status", "--within", "1s"]);
+        .for_each(|controller| send_signal(controller, rustix::process::Signal::STOP));
+    controllers[5..8]
+        .iter_mut()
+        .for_each(ControllerProcess::kill);
+    let (code, output, took) = run_fleet_json(&path, &["status", "--within", "1s"]);
     assert_eq!(code, 3);
     assert!(took < Duration::from_millis(1900), "{took:?}");
-    let said = |n: usize| {
-        told["conductors"][&names[n]]["failed"]
+    let failure = |n: usize| {
+        output["conductors"][&names[n]]["failed"]
             .as_str()
             .map(str::to_string)
     };
     for n in 0..30 {
         match n {
             0..5 => assert!(
-                said(n).is_some_and(|why| why.contains("no answer within")),
-                "{told}"
+                failure(n).is_some_and(|reason| reason.contains("no answer within")),
+                "{output}"
             ),
             5..8 => assert!(
-                said(n).is_some_and(|why| why.contains("nobody listens")),
-                "{told}"
+                failure(n).is_some_and(|reason| reason.contains("nobody listens")),
+                "{output}"
             ),
-            _ => assert_eq!(said(n), None, "{told}"),
+            _ => assert_eq!(failure(n), None, "{output}"),
         }
     }
-    // A drain reaches those that live, and is said to be a part.
-    let (code, told, took) = json(
+    // A drain reaches the controllers that run, and is reported as partly done.
+    let (code, output, took) = run_fleet_json(
         &path,
         &[
             "drain",
@@ -127,62 +135,66 @@
         ],
     );
     assert_eq!(
-        (code, told["told"]["outcome"].as_str()),
+        (code, output["told"]["outcome"].as_str()),
         (3, Some("partly")),
-        "{told}"
+        "{output}"
     );
     assert!(took < Duration::from_secs(3), "{took:?}");
-    let taken = told["told"]["conductors"]
+    let accepted = output["told"]["conductors"]
         .as_object()
-        .expect("all")
+        .expect("an object of controllers")
         .values();
     assert_eq!(
-        taken.filter(|reply| reply[1]["taken"].is_object()).count(),
+        accepted
+            .filter(|reply| reply[1]["taken"].is_object())
+            .count(),
         22,
-        "{told}"
+        "{output}"
     );
-    // Those that hung had it in their sockets or not; told again, all that live have it.
-    stages[..5]
+    // The stopped controllers may or may not have received the order. After `sync` all thirty have it.
+    controllers[..5]
         .iter()
-        .for_each(|stage| signal(stage, rustix::process::Signal::CONT));
-    stages[5..8].iter_mut().for_each(Stage::start);
-    let (code, told, _) = json(&path, &["status"]);
-    assert!(code == 1 || code == 0, "{told}");
-    let (code, told, _) = json(&path, &["sync"]);
-    assert_eq!(code, 0, "{told}");
-    let (code, told, _) = json(&path, &["status"]);
+        .for_each(|controller| send_signal(controller, rustix::process::Signal::CONT));
+    controllers[5..8]
+        .iter_mut()
+        .for_each(ControllerProcess::start);
+    let (code, output, _) = run_fleet_json(&path, &["status"]);
+    assert!(code == 1 || code == 0, "{output}");
+    let (code, output, _) = run_fleet_json(&path, &["sync"]);
+    assert_eq!(code, 0, "{output}");
+    let (code, output, _) = run_fleet_json(&path, &["status"]);
     assert_eq!(
-        (code, told["disagreements"].as_array().map(Vec::len)),
+        (code, output["disagreements"].as_array().map(Vec::len)),
         (0, Some(0)),
-        "{told}"
+        "{output}"
     );
-    let drains = told["conductors"]
+    let drains = output["conductors"]
         .as_object()
-        .expect("all")
+        .expect("an object of controllers")
         .values()
-        .map(|told| told["drains"].as_u64());
-    assert!(drains.clone().all(|count| count == Some(1)), "{told}");
+        .map(|status| status["drains"].as_u64());
+    assert!(drains.clone().all(|count| count == Some(1)), "{output}");
 }
 
-/// What a stand-in does with a caller.
+/// How a stand-in controller behaves towards a client.
 #[derive(Clone, Copy, Debug)]
-enum Manner {
+enum Behavior {
     NeverAccepts,
     NeverAnswers,
-    StopsHalfWay,
-    ClosesHalfWay,
-    Garbage,
-    Gigabyte,
-    SaysAGigabyte,
-    NoJson,
-    Older,
+    StopsWithinAnswer,
+    ClosesWithinAnswer,
+    NotHttp,
+    EndlessHead,
+    AnnouncesGibibyte,
+    NotJson,
+    OlderInterface,
 }
 
-fn stand_in(root: &Path, manner: Manner) -> Option<UnixListener> {
-    std::fs::create_dir_all(root).expect("made");
-    let listener = UnixListener::bind(root.join("admin.sock")).expect("bound");
-    if let Manner::NeverAccepts = manner {
-        // Its queue is filled, so that another caller can't even connect.
+fn start_stand_in(root: &Path, behavior: Behavior) -> Option<UnixListener> {
+    std::fs::create_dir_all(root).expect("created");
+    let listener = UnixListener::bind(root.join("admin.sock")).expect("socket bound");
+    if let Behavior::NeverAccepts = behavior {
+        // The listen queue is filled, so that no other client can connect.
         let mut open = Vec::new();
         listener.set_nonblocking(true).expect("set");
         while open.len() < 5000 {
@@ -205,24 +217,24 @@
     }
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            std::thread::spawn(move || behave(stream, manner));
+            std::thread::spawn(move || answer_as(stream, behavior));
         }
     });
     None
 }
 
-fn behave(mut stream: UnixStream, manner: Manner) {
+fn answer_as(mut stream: UnixStream, behavior: Behavior) {
     let _ = stream.read(&mut [0; 4096]);
     let head = |length: usize| format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n");
-    let _ = match manner {
-        Manner::NeverAccepts | Manner::NeverAnswers => Ok(()),
-        Manner::StopsHalfWay | Manner::ClosesHalfWay => {
+    let _ = match behavior {
+        Behavior::NeverAccepts | Behavior::NeverAnswers => Ok(()),
+        Behavior::StopsWithinAnswer | Behavior::ClosesWithinAnswer => {
             stream.write_all(format!("{}{{\"name\":", head(500)).as_bytes())
         }
-        Manner::Garbage => stream.write_all(b"\x16\x03\x01 what you sent is not for me\r\n\r\n"),
-        Manner::NoJson => stream.write_all(format!("{}<html>hello</html>", head(18)).as_bytes()),
-        Manner::SaysAGigabyte => stream.write_all(head(1 << 30).as_bytes()),
-        Manner::Older => {
+        Behavior::NotHttp => stream.write_all(b"\x16\x03\x01 what you sent is not for me\r\n\r\n"),
+        Behavior::NotJson => stream.write_all(format!("{}<html>hello</html>", head(18)).as_bytes()),
+        Behavior::AnnouncesGibibyte => stream.write_all(head(1 << 30).as_bytes()),
+        Behavior::OlderInterface => {
             let body = "{\"error\":\"GET /v1/status is not served here\"}";
             let head = format!(
                 "HTTP/1.1 404 Not Found\r\ncontent-length: {}\r\n\r\n",
@@ -230,79 +242,88 @@
             );
             stream.write_all(format!("{head}{body}").as_bytes())
         }
-        Manner::Gigabyte => {
+        Behavior::EndlessHead => {
             let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nx: ");
             while stream.write_all(&[b'a'; 65536]).is_ok() {}
             Ok(())
         }
     };
     if !matches!(
-        manner,
-        Manner::ClosesHalfWay | Manner::Garbage | Manner::NoJson | Manner::Older
+        behavior,
+        Behavior::ClosesWithinAnswer
+            | Behavior::NotHttp
+            | Behavior::NotJson
+            | Behavior::OlderInterface
     ) {
         std::thread::sleep(Duration::from_secs(5));
     }
 }
 
-#[test_case(Manner::NeverAccepts, "nobody listens"; "never accepts")]
-#[test_case(Manner::NeverAnswers, "no answer within"; "accepts and never answers")]
-#[test_case(Manner::StopsHalfWay, "stopped after"; "hangs half way through")]
-#[test_case(Manner::ClosesHalfWay, "stopped after"; "closes half way through")]
-#[test_case(Manner::Garbage, "can't be read"; "answers garbage")]
-#[test_case(Manner::NoJson, "can't be read"; "answers what is no JSON")]
-#[test_case(Manner::Gigabyte, "can't be read"; "answers a head without end")]
-#[test_case(Manner::SaysAGigabyte, "longer than 16 MiB"; "answers a gigabyte")]
-#[test_case(Manner::Older, "an older program"; "serves an older interface")]
-fn a_faulty_controller_is_reported_and_delays_no_other(manner: Manner, said: &str) {
-    let _shared = MACHINE.read().unwrap_or_else(PoisonError::into_inner);
-    let mut sound = Stage::new();
-    sound.list(&PORTS, &[]);
-    sound.start();
+#[test_case(Behavior::NeverAccepts, "nobody listens"; "never accepts")]
+#[test_case(Behavior::NeverAnswers, "no answer within"; "accepts and never answers")]
+#[test_case(Behavior::StopsWithinAnswer, "stopped after"; "hangs within the answer")]
+#[test_case(Behavior::ClosesWithinAnswer, "stopped after"; "closes within the answer")]
+#[test_case(Behavior::NotHttp, "can't be read"; "answers bytes that are not HTTP")]
+#[test_case(Behavior::NotJson, "can't be read"; "answers a body that is not JSON")]
+#[test_case(Behavior::EndlessHead, "can't be read"; "answers an endless head")]
+#[test_case(Behavior::AnnouncesGibibyte, "longer than 16 MiB"; "announces a body of one GiB")]
+#[test_case(Behavior::OlderInterface, "an older program"; "serves an older interface")]
+fn a_faulty_controller_is_reported_and_delays_no_other(behavior: Behavior, expected: &str) {
+    let _shared = MACHINE_LOCK.read().unwrap_or_else(PoisonError::into_inner);
+    let mut healthy = ControllerProcess::new();
+    healthy.publish_endpoint_list(&PORTS, &[]);
+    healthy.start();
     let directory = tempfile::tempdir().expect("a directory");
-    // It listens before its first turn is over, in which it writes and syncs what it keeps.
-    let alone = file(directory.path(), &[("good", sound.path("tables"))]);
-    sound.until("it answers", |_| {
-        json(&alone, &["status"]).1["conductors"]["good"]["nodes"]["ready"] == 4
+    // The controller listens before the end of its first turn, in which it writes and syncs its state.
+    let single_controller_file =
+        write_fleet_file(directory.path(), &[("good", healthy.path("tables"))]);
+    healthy.wait_until("the healthy controller to answer", |_| {
+        run_fleet_json(&single_controller_file, &["status"]).1["conductors"]["good"]["nodes"]
+            ["ready"]
+            == 4
     });
     let root = directory.path().join("bad");
-    let kept = stand_in(&root, manner);
-    let path = file(
+    let listener = start_stand_in(&root, behavior);
+    let path = write_fleet_file(
         directory.path(),
-        &[("bad", root), ("good", sound.path("tables"))],
+        &[("bad", root), ("good", healthy.path("tables"))],
     );
-    let (code, told, took) = json(&path, &["status", "--within", "600ms"]);
-    assert_eq!(code, 3, "{told}");
+    let (code, output, took) = run_fleet_json(&path, &["status", "--within", "600ms"]);
+    assert_eq!(code, 3, "{output}");
     assert!(took < Duration::from_millis(1500), "{took:?}");
-    let why = told["conductors"]["bad"]["failed"]
+    let reason = output["conductors"]["bad"]["failed"]
         .as_str()
         .unwrap_or_default();
-    assert!(why.contains(said), "{told}");
-    assert_eq!(told["conductors"]["good"]["nodes"]["ready"], 4, "{told}");
-    drop(kept);
+    assert!(reason.contains(expected), "{output}");
+    assert_eq!(
+        output["conductors"]["good"]["nodes"]["ready"], 4,
+        "{output}"
+    );
+    drop(listener);
 }
 
-/// A gateway that reports what its tables would make it send.
-struct Gateway {
-    stream: Stream,
-    sent: Instant,
+/// A proxy that reports load at the nodes of its tables.
+struct Proxy {
+    stream: ReportStream,
+    last_report: Instant,
 }
 
-impl Gateway {
-    fn new(stage: &Stage) -> Gateway {
-        Gateway {
-            stream: stage.stream("g1", "north"),
-            sent: Instant::now(),
+impl Proxy {
+    fn new(controller: &ControllerProcess) -> Proxy {
+        Proxy {
+            stream: controller.open_report_stream("g1", "north"),
+            last_report: Instant::now(),
         }
     }
 
-    fn turn(&mut self, stage: &Stage) {
-        self.stream.turn();
-        if self.sent.elapsed() < Duration::from_millis(150) {
+    fn poll(&mut self, controller: &ControllerProcess) {
+        self.stream.poll();
+        if self.last_report.elapsed() < Duration::from_millis(150) {
             return;
         }
-        let over = Span::from_seconds(self.sent.elapsed().as_secs_f64());
-        self.sent = Instant::now();
-        let met = |port: u16| NodeReport {
+        let elapsed = Span::from_seconds(self.last_report.elapsed().as_secs_f64());
+        self.last_report = Instant::now();
+        let node_report = |port: u16| NodeReport {
             node: Some(wheelspread::ids::NodeId {
                 address: [127, 0, 0, 1],
                 port,
@@ -310,16 +331,16 @@
             succeeded: 5,
             ..NodeReport::default()
         };
-        let nodes = stage
-            .held("g1")
-            .map_or(Vec::new(), |held| held.1.into_iter().map(met).collect());
+        let nodes = controller.published("g1").map_or(Vec::new(), |published| {
+            published.1.into_iter().map(node_report).collect()
+        });
         let operation = OperationReport {
             operation: "quote".into(),
             nodes,
             ..OperationReport::default()
         };
         let report = LoadReport {
-            window: over,
+            window: elapsed,
             operations: vec![operation],
         };
         let message = common::encode(&loads::request(&report, |_| "north".to_string()));
@@ -329,126 +350,143 @@
 
 #[test]
 fn waiting_for_a_drain_ends_when_load_reports_show_no_traffic_to_the_node() {
-    let mut stages = started(1);
-    let stage = &mut stages[0];
+    let mut controllers = start_controllers(1);
+    let controller = &mut controllers[0];
     let directory = tempfile::tempdir().expect("a directory");
-    let path = file(directory.path(), &[("c0", stage.path("tables"))]);
-    let mut gateway = Gateway::new(stage);
-    stage.until("tables", |stage| {
-        gateway.turn(stage);
-        stage.held("g1").is_some_and(|held| held.1.len() == 4)
+    let path = write_fleet_file(directory.path(), &[("c0", controller.path("tables"))]);
+    let mut proxy = Proxy::new(controller);
+    controller.wait_until("tables", |controller| {
+        proxy.poll(controller);
+        controller
+            .published("g1")
+            .is_some_and(|published| published.1.len() == 4)
     });
-    let tool = std::thread::spawn({
+    let client = std::thread::spawn({
         let path = path.clone();
-        move || json(&path, &["drain", "127.0.0.1:9202", "--wait", "--by", "ada"])
+        move || run_fleet_json(&path, &["drain", "127.0.0.1:9202", "--wait", "--by", "ada"])
     });
-    stage.until("the tool", |stage| {
-        gateway.turn(stage);
-        tool.is_finished()
+    controller.wait_until("the end of the command", |controller| {
+        proxy.poll(controller);
+        client.is_finished()
     });
-    let (code, told, _) = tool.join().expect("it ran");
-    assert_eq!(code, 0, "{told}");
-    let line = told["waited"]["lines"][0].as_str().unwrap_or_default();
+    let (code, output, _) = client.join().expect("the thread finished");
+    assert_eq!(code, 0, "{output}");
+    let progress = output["waited"]["lines"][0].as_str().unwrap_or_default();
     assert!(
-        line.contains("quiet: 0 of 1 gateways name it, 0 tries reported by 1"),
-        "{told}"
+        progress.contains("quiet: 0 of 1 gateways name it, 0 tries reported by 1"),
+        "{output}"
     );
     assert_eq!(
-        stage.held("g1").map(|held| held.1),
+        controller.published("g1").map(|published| published.1),
         Some(vec![9201, 9203, 9204])
     );
-    // It stays in force over a kill, from the first table on, and is taken back by order.
-    stage.kill();
-    stage.start();
-    let mut gateway = Gateway::new(stage);
+    // After a kill the drain is in force from the first table on, until an order cancels it.
+    controller.kill();
+    controller.start();
+    let mut proxy = Proxy::new(controller);
     for _ in 0..100 {
-        gateway.turn(stage);
+        proxy.poll(controller);
         assert!(
-            !stage.held("g1").expect("held").1.contains(&9202),
-            "it came back by itself"
+            !controller
+                .published("g1")
+                .expect("published")
+                .1
+                .contains(&9202),
+            "the node came back without an order"
         );
         std::thread::sleep(Duration::from_millis(10));
     }
-    let (code, told, _) = json(
+    let (code, output, _) = run_fleet_json(
         &path,
         &["undrain", "127.0.0.1:9202", "--by", "bob", "--wait"],
     );
-    assert_eq!(code, 0, "{told}");
-    stage.until("it is back", |stage| {
-        gateway.turn(stage);
-        stage.held("g1").is_some_and(|held| held.1.contains(&9202))
+    assert_eq!(code, 0, "{output}");
+    controller.wait_until("the node to be back", |controller| {
+        proxy.poll(controller);
+        controller
+            .published("g1")
+            .is_some_and(|published| published.1.contains(&9202))
     });
-    let log = stage.log();
+    let log = controller.log();
     assert!(
         log.contains("\"audit\":true") && log.contains("\\\"by\\\":\\\"ada\\\""),
-        "orders leave audit lines"
+        "the order has no audit line"
     );
 }
 
 #[test]
 fn a_drain_that_would_empty_a_pool_is_refused_unless_forced_and_then_audited() {
-    let stages = started(1);
+    let controllers = start_controllers(1);
     let directory = tempfile::tempdir().expect("a directory");
-    let path = file(directory.path(), &[("c0", stages[0].path("tables"))]);
+    let path = write_fleet_file(directory.path(), &[("c0", controllers[0].path("tables"))]);
     for port in &PORTS[..3] {
-        assert_eq!(fleet(&path, &["drain", &format!("127.0.0.1:{port}")]).0, 0);
+        assert_eq!(
+            run_fleet(&path, &["drain", &format!("127.0.0.1:{port}")]).0,
+            0
+        );
     }
-    let (code, told, _) = fleet(&path, &["drain", "127.0.0.1:9204"]);
+    let (code, output, _) = run_fleet(&path, &["drain", "127.0.0.1:9204"]);
     assert!(
-        code == 1 && told.contains("pool: no node would be left for `quote`"),
-        "{told}"
+        code == 1 && output.contains("pool: no node would be left for `quote`"),
+        "{output}"
     );
-    let (code, told, _) = fleet(&path, &["drain", "127.0.0.1:9204", "--force", "cold"]);
+    let (code, output, _) = run_fleet(&path, &["drain", "127.0.0.1:9204", "--force", "cold"]);
     assert!(
-        code == 1 && told.contains("pool:"),
-        "another check is no override: {told}"
+        code == 1 && output.contains("pool:"),
+        "forcing another check must not override this one: {output}"
     );
     assert_eq!(
-        fleet(&path, &["drain", "127.0.0.1:9204", "--force", "pool"]).0,
+        run_fleet(&path, &["drain", "127.0.0.1:9204", "--force", "pool"]).0,
         0
     );
-    assert!(stages[0].log().contains("drain order overrides checks"));
-    for (node, said) in [
+    assert!(controllers[0]
+        .log()
+        .contains("drain order overrides checks"));
+    for (node, expected) in [
         ("nonsense", "should be an address"),
         ("127.0.0.1:7", "is not listed"),
     ] {
-        let (code, told, _) = fleet(&path, &["drain", node]);
-        assert!(code == 1 && told.contains(said), "{told}");
+        let (code, output, _) = run_fleet(&path, &["drain", node]);
+        assert!(code == 1 && output.contains(expected), "{output}");
     }
 }
 
 #[test]
 fn the_later_of_two_orders_wins_at_every_controller_though_one_was_unreachable_between_them() {
-    let mut stages = started(3);
+    let mut controllers = start_controllers(3);
     let directory = tempfile::tempdir().expect("a directory");
     let roots: Vec<(&str, PathBuf)> = ["c0", "c1", "c2"]
         .into_iter()
-        .zip(&stages)
-        .map(|(name, stage)| (name, stage.path("tables")))
+        .zip(&controllers)
+        .map(|(name, controller)| (name, controller.path("tables")))
         .collect();
-    let path = file(directory.path(), &roots);
-    // A tool that is killed in the middle: one conductor has its order, the others never heard of it.
-    let one = directory.path().join("one");
-    std::fs::create_dir_all(&one).expect("made");
-    let alone = file(&one, &roots[..1]);
+    let path = write_fleet_file(directory.path(), &roots);
+    // Stands for a client that is killed midway: one controller has its order, the others never received it.
+    let subdirectory = directory.path().join("one");
+    std::fs::create_dir_all(&subdirectory).expect("created");
+    let single_controller_file = write_fleet_file(&subdirectory, &roots[..1]);
     assert_eq!(
-        fleet(&alone, &["drain", "127.0.0.1:9203", "--by", "ada"]).0,
+        run_fleet(
+            &single_controller_file,
+            &["drain", "127.0.0.1:9203", "--by", "ada"]
+        )
+        .0,
         0
     );
-    let (code, told, _) = fleet(&path, &["status"]);
+    let (code, output, _) = run_fleet(&path, &["status"]);
     assert!(
-        code == 1 && told.contains("two minds: 127.0.0.1:9203: draining by order: c0"),
-        "{told}"
+        code == 1 && output.contains("two minds: 127.0.0.1:9203: draining by order: c0"),
+        "{output}"
     );
-    // Run again it reaches all.
+    // The repeated command reaches all controllers.
     assert_eq!(
-        fleet(&path, &["drain", "127.0.0.1:9203", "--by", "ada"]).0,
+        run_fleet(&path, &["drain", "127.0.0.1:9203", "--by", "ada"]).0,
         0
     );
-    assert_eq!(fleet(&path, &["status"]).0, 0);
-    // One is away while it is taken back by another, and comes back with the older order in force.
-    stages[2].kill();
-    let (code, told, _) = fleet(
+    assert_eq!(run_fleet(&path, &["status"]).0, 0);
+    // One controller is down while another operator cancels the drain, and restarts with the older order in force.
+    controllers[2].kill();
+    let (code, output, _) = run_fleet(
         &path,
         &[
             "undrain",
@@ -460,47 +498,49 @@
         ],
     );
     assert!(
-        code == 3 && told.contains("a part of the conductors only"),
-        "{told}"
-    );
-    stages[2].start();
-    let (code, told, _) = fleet(&path, &["status"]);
-    assert!(code == 1 && told.contains("c2"), "{told}");
-    let (code, told, _) = fleet(&path, &["sync"]);
-    assert!(code == 0 && told.contains("1 orders told"), "{told}");
-    assert_eq!(fleet(&path, &["status"]).0, 0);
-    // An order that was given before the one in force changes nothing, wherever it comes late.
-    let late = r#"{"id":"late","node":"127.0.0.1:9203","word":"drain","by":"ada","given_ms":5}"#;
-    let told = raw(
-        &stages[1].path("tables/admin.sock"),
+        code == 3 && output.contains("a part of the conductors only"),
+        "{output}"
+    );
+    controllers[2].start();
+    let (code, output, _) = run_fleet(&path, &["status"]);
+    assert!(code == 1 && output.contains("c2"), "{output}");
+    let (code, output, _) = run_fleet(&path, &["sync"]);
+    assert!(code == 0 && output.contains("1 orders told"), "{output}");
+    assert_eq!(run_fleet(&path, &["status"]).0, 0);
+    // An order given before the one in force changes nothing when it arrives late.
+    let older_order =
+        r#"{"id":"late","node":"127.0.0.1:9203","word":"drain","by":"ada","given_ms":5}"#;
+    let output = send_request(
+        &controllers[1].path("tables/admin.sock"),
         "POST",
         "/v1/drains",
-        late,
+        older_order,
     );
     assert!(
-        told.starts_with("HTTP/1.1 409") && told.contains("given later, goes before it"),
-        "{told}"
+        output.starts_with("HTTP/1.1 409") && output.contains("given later, goes before it"),
+        "{output}"
     );
 }
 
-fn raw(socket: &Path, method: &str, target: &str, body: &str) -> String {
-    let mut stream = UnixStream::connect(socket).expect("it listens");
+/// Sends one HTTP request to an administration socket; returns the complete response.
+fn send_request(socket: &Path, method: &str, target: &str, body: &str) -> String {
+    let mut stream = UnixStream::connect(socket).expect("the process listens");
     let head = format!(
         "{method} {target} HTTP/1.1\r\nhost: x\r\ncontent-length: {}\r\n\r\n{body}",
         body.len()
     );
     stream.write_all(head.as_bytes()).expect("taken");
-    let mut told = String::new();
-    stream.read_to_string(&mut told).expect("answered");
-    told
+    let mut output = String::new();
+    stream.read_to_string(&mut output).expect("answered");
+    output
 }
 
 #[test]
 fn a_client_with_read_access_can_not_give_orders() {
-    let mut stage = Stage::new();
+    let mut controller = ControllerProcess::new();
     let (authority, port) = (
         Authority::new(),
-        wheelspread_drill::free_port().expect("a port"),
+        wheelspread_drill::free_port().expect("a free port"),
     );
     for (name, file) in [
         ("localhost", "server"),
@@ -508,160 +548,191 @@
         ("guest", "guest"),
     ] {
         let (certificate, key) = authority.issue(name);
-        std::fs::write(stage.path(&format!("{file}.pem")), certificate).expect("written");
-        std::fs::write(stage.path(&format!("{file}.key")), key).expect("written");
+        std::fs::write(controller.path(&format!("{file}.pem")), certificate).expect("written");
+        std::fs::write(controller.path(&format!("{file}.key")), key).expect("written");
     }
-    std::fs::write(stage.path("roots.pem"), authority.0.pem()).expect("written");
-    let plan = format!(
+    std::fs::write(controller.path("roots.pem"), authority.0.pem()).expect("written");
+    let administration = format!(
         "administration: {{listen: \"{port}\", certificate: server.pem, key: server.key, clients: roots.pem, writers: [desk]}}"
     );
-    let text = std::fs::read_to_string(stage.path("conductor.yaml")).expect("written");
-    std::fs::write(stage.path("conductor.yaml"), format!("{plan}\n{text}")).expect("written");
-    stage.list(&PORTS, &[]);
-    stage.start();
+    let text = std::fs::read_to_string(controller.path("conductor.yaml")).expect("written");
+    std::fs::write(
+        controller.path("conductor.yaml"),
+        format!("{administration}\n{text}"),
+    )
+    .expect("written");
+    controller.publish_endpoint_list(&PORTS, &[]);
+    controller.start();
     let order = r#"{"id":"o1","node":"127.0.0.1:9203","word":"drain","by":"ada"}"#;
-    let told = raw(&stage.path("tables/read.sock"), "GET", "/v1/status", "");
-    assert!(told.starts_with("HTTP/1.1 200"), "{told}");
-    let told = raw(&stage.path("tables/read.sock"), "POST", "/v1/drains", order);
-    assert!(told.starts_with("HTTP/1.1 403"), "{told}");
-    let desk = |who: &str, arguments: &[&str]| {
-        let path = stage.path(&format!("fleet-{who}.yaml"));
-        let keys = format!("tls: {{servers: roots.pem, certificate: {who}.pem, key: {who}.key}}");
-        let place =
+    let output = send_request(
+        &controller.path("tables/read.sock"),
+        "GET",
+        "/v1/status",
+        "",
+    );
+    assert!(output.starts_with("HTTP/1.1 200"), "{output}");
+    let output = send_request(
+        &controller.path("tables/read.sock"),
+        "POST",
+        "/v1/drains",
+        order,
+    );
+    assert!(output.starts_with("HTTP/1.1 403"), "{output}");
+    let run_fleet_as = |client_name: &str, arguments: &[&str]| {
+        let path = controller.path(&format!("fleet-{client_name}.yaml"));
+        let keys = format!(
+            "tls: {{servers: roots.pem, certificate: {client_name}.pem, key: {client_name}.key}}"
+        );
+        let controller_entry =
             format!("conductors: [{{name: c0, address: \"{port}\", server_name: localhost}}]");
-        std::fs::write(&path, format!("{keys}\n{place}\norder_within: 2s\n")).expect("written");
-        fleet(&path, arguments)
+        std::fs::write(
+            &path,
+            format!("{keys}\n{controller_entry}\norder_within: 2s\n"),
+        )
+        .expect("written");
+        run_fleet(&path, arguments)
     };
-    let (code, told, _) = desk("guest", &["status"]);
-    assert!(code == 0 && told.contains("1 of 1 answered"), "{told}");
-    let (code, told, _) = desk("guest", &["drain", "127.0.0.1:9203"]);
+    let (code, output, _) = run_fleet_as("guest", &["status"]);
+    assert!(code == 0 && output.contains("1 of 1 answered"), "{output}");
+    let (code, output, _) = run_fleet_as("guest", &["drain", "127.0.0.1:9203"]);
     assert!(
-        code == 1 && told.contains("may ask and not order"),
-        "{told}"
+        code == 1 && output.contains("may ask and not order"),
+        "{output}"
     );
-    let (code, told, _) = desk("desk", &["drain", "127.0.0.1:9203"]);
-    assert!(code == 0, "{told}");
-    // A certificate of somebody else's authority is not heard at all.
+    let (code, output, _) = run_fleet_as("desk", &["drain", "127.0.0.1:9203"]);
+    assert!(code == 0, "{output}");
+    // A client with a certificate of another authority gets no answer.
     let (certificate, key) = Authority::new().issue("desk");
-    std::fs::write(stage.path("stranger.pem"), certificate).expect("written");
-    std::fs::write(stage.path("stranger.key"), key).expect("written");
-    let (code, told, _) = desk("stranger", &["status", "--within", "500ms"]);
-    assert_eq!(code, 3, "{told}");
+    std::fs::write(controller.path("stranger.pem"), certificate).expect("written");
+    std::fs::write(controller.path("stranger.key"), key).expect("written");
+    let (code, output, _) = run_fleet_as("stranger", &["status", "--within", "500ms"]);
+    assert_eq!(code, 3, "{output}");
 }
 
-#[test_case("{}", "no conductor is named"; "empty")]
-#[test_case("{conductors: [{name: a}]}", "conductors.0: either a root or an address"; "neither")]
-#[test_case("{conductors: [{name: a, address: \"127.0.0.1:1\"}]}", "needs the keys of `tls`"; "no keys")]
-#[test_case("{conductors: [{name: a, root: x}, {name: a, root: y}]}", "`a` is named twice"; "twice")]
-#[test_case("{roots: nowhere}", "nowhere"; "no directory")]
-#[test_case("{conductor: []}", "unknown field"; "misspelt")]
-#[test_case("{conductors: [{name: a, root: x}], within: 1}", "is not a time span"; "no unit")]
-fn an_invalid_fleet_file_is_rejected_with_a_reason(text: &str, said: &str) {
+#[test_case("{}", "no conductor is named"; "no controller")]
+#[test_case("{conductors: [{name: a}]}", "conductors.0: either a root or an address"; "neither root nor address")]
+#[test_case("{conductors: [{name: a, address: \"127.0.0.1:1\"}]}", "needs the keys of `tls`"; "address without keys")]
+#[test_case("{conductors: [{name: a, root: x}, {name: a, root: y}]}", "`a` is named twice"; "duplicate name")]
+#[test_case("{roots: nowhere}", "nowhere"; "missing directory")]
+#[test_case("{conductor: []}", "unknown field"; "unknown field")]
+#[test_case("{conductors: [{name: a, root: x}], within: 1}", "is not a time span"; "time span without unit")]
+fn an_invalid_fleet_file_is_rejected_with_a_reason(text: &str, expected: &str) {
     let directory = tempfile::tempdir().expect("a directory");
     let path = directory.path().join("fleet.yaml");
     std::fs::write(&path, text).expect("written");
-    let (code, told, _) = fleet(&path, &["status"]);
-    assert_eq!(code, 2, "{told}");
-    assert!(told.contains(said), "{told}");
+    let (code, output, _) = run_fleet(&path, &["status"]);
+    assert_eq!(code, 2, "{output}");
+    assert!(output.contains(expected), "{output}");
 }
 
 #[test]
 fn a_directory_of_roots_is_a_fleet_that_includes_unreachable_controllers() {
-    let mut stages = started(2);
+    let mut controllers = start_controllers(2);
     let directory = tempfile::tempdir().expect("a directory");
     let roots = directory.path().join("roots");
-    for (name, stage) in ["c0", "c1"].into_iter().zip(&stages) {
-        std::fs::create_dir_all(roots.join(name)).expect("made");
-        std::os::unix::fs::symlink(stage.path("tables"), roots.join(name).join("tables"))
+    for (name, controller) in ["c0", "c1"].into_iter().zip(&controllers) {
+        std::fs::create_dir_all(roots.join(name)).expect("created");
+        std::os::unix::fs::symlink(controller.path("tables"), roots.join(name).join("tables"))
             .expect("linked");
     }
-    std::fs::create_dir_all(roots.join("nothing")).expect("made");
+    std::fs::create_dir_all(roots.join("nothing")).expect("created");
     let path = directory.path().join("fleet.yaml");
     std::fs::write(&path, "{roots: roots, within: 1s}").expect("written");
-    let (code, told, _) = fleet(&path, &["status"]);
-    assert!(code == 0 && told.contains("2 of 2 answered"), "{told}");
-    stages[1].kill();
-    let (code, told, _) = fleet(&path, &["status"]);
+    let (code, output, _) = run_fleet(&path, &["status"]);
+    assert!(code == 0 && output.contains("2 of 2 answered"), "{output}");
+    controllers[1].kill();
+    let (code, output, _) = run_fleet(&path, &["status"]);
     assert!(
-        code == 3 && told.contains("1 of 2 answered") && told.contains("c1"),
-        "{told}"
+        code == 3 && output.contains("1 of 2 answered") && output.contains("c1"),
+        "{output}"
     );
-    // The same again and again, as a watcher has it.
-    let (code, told, _) = fleet(&path, &["watch", "--every", "100ms", "--times", "2"]);
+    // `watch` prints the same status repeatedly.
+    let (code, output, _) = run_fleet(&path, &["watch", "--every", "100ms", "--times", "2"]);
     assert_eq!(
-        (code, told.matches("1 of 2 answered").count()),
+        (code, output.matches("1 of 2 answered").count()),
         (3, 2),
-        "{told}"
+        "{output}"
     );
 }
 
-/// A drain, and one that is taken back, at a conductor that is killed at a named place and a tool that is killed
-/// after some milliseconds and run again.
-fn ordered_with_kills(faults: &str, tool_lives: Option<u64>) -> bool {
-    let mut stage = Stage::new();
-    stage.list(&PORTS, &[]);
-    stage.start_with(faults);
-    let first = stage.pid();
+/// Gives three orders (drain, undrain, drain) to a controller that failpoints kill. With `client_lifetime_ms`, the
+/// client of each order is killed after that time and run again. Returns whether the controller was restarted after a
+/// kill by a failpoint.
+fn run_orders_with_kills(failpoints: &str, client_lifetime_ms: Option<u64>) -> bool {
+    let mut controller = ControllerProcess::new();
+    controller.publish_endpoint_list(&PORTS, &[]);
+    controller.start_with_failpoints(failpoints);
+    let first_pid = controller.pid();
     let directory = tempfile::tempdir().expect("a directory");
-    let path = file(directory.path(), &[("c0", stage.path("tables"))]);
-    let tool = |stage: &mut Stage, word: &str, lives: Option<u64>| {
-        let order = [
-            word,
-            "127.0.0.1:9202",
-            "--by",
-            "ada",
-            "--within",
-            "300ms",
-            "--order-within",
-            "3s",
-        ];
-        let mut child = Command::new(PROGRAM)
-            .arg("fleet")
-            .arg(&path)
-            .args(order)
-            .stdout(std::process::Stdio::null())
-            .spawn()
-            .expect("it runs");
-        let begin = Instant::now();
-        loop {
-            if !stage.runs() {
-                stage.start();
-            }
-            if lives.is_some_and(|ms| begin.elapsed() >= Duration::from_millis(ms)) {
-                let _ = child.kill();
-            }
-            if let Some(status) = child.try_wait().expect("ours") {
-                return status.code();
+    let path = write_fleet_file(directory.path(), &[("c0", controller.path("tables"))]);
+    let run_client =
+        |controller: &mut ControllerProcess, command: &str, lifetime_ms: Option<u64>| {
+            let arguments = [
+                command,
+                "127.0.0.1:9202",
+                "--by",
+                "ada",
+                "--within",
+                "300ms",
+                "--order-within",
+                "3s",
+            ];
+            let mut child = Command::new(PROGRAM)
+                .arg("fleet")
+                .arg(&path)
+                .args(arguments)
+                .stdout(std::process::Stdio::null())
+                .spawn()
+                .expect("the process runs");
+            let begin = Instant::now();
+            loop {
+                if !controller.is_running() {
+                    controller.start();
+                }
+                if lifetime_ms.is_some_and(|ms| begin.elapsed() >= Duration::from_millis(ms)) {
+                    let _ = child.kill();
+                }
+                if let Some(status) = child.try_wait().expect("a child process") {
+                    return status.code();
+                }
+                std::thread::sleep(Duration::from_millis(2));
             }
-            std::thread::sleep(Duration::from_millis(2));
-        }
-    };
-    for word in ["drain", "undrain", "drain"] {
-        if tool_lives.is_some() {
-            tool(&mut stage, word, tool_lives);
+        };
+    for command in ["drain", "undrain", "drain"] {
+        if client_lifetime_ms.is_some() {
+            run_client(&mut controller, command, client_lifetime_ms);
         }
         assert_eq!(
-            tool(&mut stage, word, None),
+            run_client(&mut controller, command, None),
             Some(0),
-            "{faults} {word}\n{}",
-            stage.log()
+            "{failpoints} {command}\n{}",
+            controller.log()
         );
     }
-    stage.kill();
-    stage.start();
-    let told = raw(
-        &stage.path("tables/admin.sock"),
+    controller.kill();
+    controller.start();
+    let output = send_request(
+        &controller.path("tables/admin.sock"),
         "GET",
         "/v1/where/127.0.0.1:9202",
         "",
     );
     assert!(
-        told.contains("\"listing\":\"draining\"") && told.contains("\"word\":\"drain\""),
-        "{faults}: {told}"
+        output.contains("\"listing\":\"draining\"") && output.contains("\"word\":\"drain\""),
+        "{failpoints}: {output}"
+    );
+    let output = send_request(
+        &controller.path("tables/admin.sock"),
+        "GET",
+        "/v1/drains",
+        "",
+    );
+    assert_eq!(
+        output.matches("\"order\"").count(),
+        1,
+        "{failpoints}: {output}"
     );
-    let told = raw(&stage.path("tables/admin.sock"), "GET", "/v1/drains", "");
-    assert_eq!(told.matches("\"order\"").count(), 1, "{faults}: {told}");
-    stage.pid() != first && stage.log().matches("controller starting").count() > 2
+    controller.pid() != first_pid && controller.log().matches("controller starting").count() > 2
 }
 
 #[test]
@@ -674,22 +745,28 @@
         "store.synced",
         "store.told",
     ] {
-        // The list is written at the start, then each of the three orders.
+        // The endpoint list is written at the start, then each of the three orders.
         for skipped in 0..4 {
-            let lives = [None, Some(8), Some(20)][skipped % 3];
-            cases.push((format!("{point}={skipped}*off->1*return(kill)->off"), lives));
+            let lifetime_ms = [None, Some(8), Some(20)][skipped % 3];
+            cases.push((
+                format!("{point}={skipped}*off->1*return(kill)->off"),
+                lifetime_ms,
+            ));
         }
     }
     let (next, killed) = (
         std::sync::atomic::AtomicUsize::new(0),
         std::sync::atomic::AtomicUsize::new(0),
     );
-    let one = std::sync::atomic::Ordering::Relaxed;
+    let relaxed = std::sync::atomic::Ordering::Relaxed;
     std::thread::scope(|scope| {
         for _ in 0..5 {
             scope.spawn(|| {
-                while let Some((faults, lives)) = cases.get(next.fetch_add(1, one)) {
-                    killed.fetch_add(usize::from(ordered_with_kills(faults, *lives)), one);
+                while let Some((failpoints, lifetime_ms)) = cases.get(next.fetch_add(1, relaxed)) {
+                    killed.fetch_add(
+                        usize::from(run_orders_with_kills(failpoints, *lifetime_ms)),
+                        relaxed,
+                    );
                 }
             });
         }
@@ -697,6 +774,6 @@
     let killed = killed.into_inner();
     assert!(
         killed >= 15,
-        "{killed} came by the place where they were to be killed"
+        "only {killed} runs reached the failpoint that kills the controller"
     );
 }
--- a/crates/cli/tests/import.rs
+++ b/crates/cli/tests/import.rs
@@ -1,4 +1,4 @@
-//! `wheelspread import nginx`: a controller takes what it writes, and nothing is overwritten.
+//! `wheelspread import nginx`: controllers accept the files that it writes, and existing files are never overwritten.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use std::process::Command;
 use test_case::test_case;
 
-fn run(arguments: &[&str]) -> (i32, String) {
+fn run_program(arguments: &[&str]) -> (i32, String) {
     run_to_end(Command::new(PROGRAM).args(arguments))
 }
 
@@ -17,12 +17,12 @@
 }
 
 #[test_case("plain.conf", &["quotes"]; "one pool")]
-#[test_case("odd.conf", &["odd", "127-0-0-1-9300"]; "odd places")]
+#[test_case("odd.conf", &["odd", "127-0-0-1-9300"]; "unusual addresses and pool names")]
 #[test_case("included/main.conf", &["a", "b"]; "included files")]
 fn imported_files_are_valid_controller_configurations(name: &str, pools: &[&str]) {
     let directory = tempfile::tempdir().expect("a directory");
     let out = directory.path().join("out").display().to_string();
-    let (code, told) = run(&[
+    let (code, output) = run_program(&[
         "import",
         "nginx",
         &sample(name),
@@ -31,23 +31,26 @@
         "--zone",
         "halle",
     ]);
-    assert_eq!(code, 0, "{told}");
+    assert_eq!(code, 0, "{output}");
     assert!(
-        told.contains("not carried over:") && told.contains("to be looked at:"),
-        "{told}"
+        output.contains("not carried over:") && output.contains("to be looked at:"),
+        "{output}"
     );
     for pool in pools {
         let file = format!("{out}/{pool}/conductor.yaml");
-        let (code, told) = run(&["check", &file]);
-        assert!(code == 0 && told.contains("nothing is wrong"), "{told}");
+        let (code, output) = run_program(&["check", &file]);
+        assert!(code == 0 && output.contains("nothing is wrong"), "{output}");
     }
     assert_eq!(
         std::fs::read_dir(&out).expect("written").count(),
         pools.len()
     );
-    let (code, told) = run(&["import", "nginx", &sample(name), "--out", &out]);
-    assert!(code == 2 && told.contains("is there already"), "{told}");
-    assert_eq!(run(&["import", "nginx", &sample(name), "--strict"]).0, 1);
+    let (code, output) = run_program(&["import", "nginx", &sample(name), "--out", &out]);
+    assert!(code == 2 && output.contains("is there already"), "{output}");
+    assert_eq!(
+        run_program(&["import", "nginx", &sample(name), "--strict"]).0,
+        1
+    );
 }
 
 #[test]
@@ -56,7 +59,7 @@
     let path = directory.path().join("nginx.conf");
     let out = directory.path().join("out");
     let (file, out_text) = (path.display().to_string(), out.display().to_string());
-    for (text, said) in [
+    for (text, expected) in [
         (
             "upstream a { server 127.0.0.1:1; }\nserver { location / { proxy_pass http://a }",
             ":2: `proxy_pass` has no ;",
@@ -64,16 +67,16 @@
         ("include nginx.conf;", "include each other"),
     ] {
         std::fs::write(&path, text).expect("written");
-        let (code, told) = run(&["import", "nginx", &file, "--out", &out_text]);
-        assert!(code == 2 && told.contains(said), "{told}");
+        let (code, output) = run_program(&["import", "nginx", &file, "--out", &out_text]);
+        assert!(code == 2 && output.contains(expected), "{output}");
     }
     std::fs::write(&path, "events { }").expect("written");
     assert_eq!(
-        run(&["import", "nginx", &file, "--out", &out_text]).0,
+        run_program(&["import", "nginx", &file, "--out", &out_text]).0,
         1,
-        "there is no pool in it"
+        "a configuration without a pool must fail"
     );
     assert!(!out.exists());
-    let (code, told) = run(&["import", "nginx", &format!("{file}.none")]);
-    assert!(code == 2 && told.contains("nginx.conf.none"), "{told}");
+    let (code, output) = run_program(&["import", "nginx", &format!("{file}.none")]);
+    assert!(code == 2 && output.contains("nginx.conf.none"), "{output}");
 }
--- a/crates/cli/tests/proxy.rs
+++ b/crates/cli/tests/proxy.rs
@@ -1,4 +1,4 @@
-//! The proxy as a process: picks, repeats, clients and nodes that misbehave, tables that change.
+//! A proxy process: node selection, retries, faulty clients and nodes, table changes.
 
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -19,7 +19,7 @@
 use wheelspread_files::{read_tables, Swap, TableRoot};
 use wheelspread_xds::{status, tables};
 
-const PLAN: &str = r#"{
+const DEPLOYMENT: &str = r#"{
   "zones": ["north"], "operations": [
     {"name": "quote", "latency_objective": "200ms", "integration_timeout": "600ms", "billed_value": 1,
      "repeat": "idempotent"},
@@ -29,46 +29,51 @@
             "warm_after": "10s", "cold_overload_factor": 4, "cold_overload_span": "2s"},
   "channel": {"lines_waiting_at_most": 1000, "lines_per_second": 1000, "delay_at_most": "500ms"}}"#;
 
-struct Stage {
+struct ProxyProcess {
     directory: tempfile::TempDir,
     address: SocketAddrV4,
     child: Child,
     version: u64,
-    plan: Deployment,
+    deployment: Deployment,
 }
 
-fn free() -> SocketAddrV4 {
-    wheelspread_drill::own_port().expect("a port")
+fn unused_address() -> SocketAddrV4 {
+    wheelspread_drill::own_port().expect("a free port")
 }
 
-impl Stage {
-    /// A proxy that goes by what is swapped into a directory; no conductor is there.
-    fn new(more: &str, lines: &[(SocketAddrV4, f64)], retry: RetryPolicy) -> Stage {
+impl ProxyProcess {
+    /// Starts a proxy that reads its tables from a directory, without a controller. `more_settings` is
+    /// appended to its configuration.
+    fn new(
+        more_settings: &str,
+        entries: &[(SocketAddrV4, f64)],
+        retry: RetryPolicy,
+    ) -> ProxyProcess {
         let directory = tempfile::tempdir().expect("a directory");
         TableRoot::new(directory.path().join("tables"))
             .prepare()
-            .expect("made");
-        let address = free();
+            .expect("created");
+        let address = unused_address();
         let text = format!(
             "proxy: {{name: g1, zone: north, listen: \"{address}\", seed: 11}}\n\
              conductors: [{{reports: \"{}\", tables: tables}}]\n\
              operations:\n  - {{name: quote, repeat: idempotent, integration_timeout: 600ms}}\n  \
              - {{name: book, repeat: side-effecting, integration_timeout: 600ms}}\n\
-             follows_unjoined: true\nrepeats: {{part: 1, at_once: 1000}}\n{more}\n",
-            free()
+             follows_unjoined: true\nrepeats: {{part: 1, at_once: 1000}}\n{more_settings}\n",
+            unused_address()
         );
         std::fs::write(directory.path().join("proxy.yaml"), text).expect("written");
-        let plan: Deployment = serde_json::from_str(PLAN).expect("a plan");
-        let mut stage = Stage {
+        let deployment: Deployment = serde_json::from_str(DEPLOYMENT).expect("a valid deployment");
+        let mut proxy = ProxyProcess {
             child: start(&directory),
             directory,
             address,
             version: 0,
-            plan,
+            deployment,
         };
-        stage.publish(lines, retry, None);
-        stage.wait();
-        stage
+        proxy.publish(entries, retry, None);
+        proxy.wait_until_applied();
+        proxy
     }
 
     fn root(&self) -> TableRoot {
@@ -79,9 +84,9 @@
         self.directory.path().join(name)
     }
 
-    fn publish(&mut self, lines: &[(SocketAddrV4, f64)], retry: RetryPolicy, quota: Option<f64>) {
+    fn publish(&mut self, entries: &[(SocketAddrV4, f64)], retry: RetryPolicy, limit: Option<f64>) {
         self.version += 1;
-        let line = |(address, weight): &(SocketAddrV4, f64)| TableEntry {
+        let entry = |(address, weight): &(SocketAddrV4, f64)| TableEntry {
             node: NodeId {
                 address: address.ip().octets(),
                 port: address.port(),
@@ -92,8 +97,8 @@
         let table = |operation| OperationTable {
             operation: OperationId(operation),
             table: TableId(0),
-            entries: lines.iter().map(line).collect(),
-            admission_limit: quota,
+            entries: entries.iter().map(entry).collect(),
+            admission_limit: limit,
             retry,
         };
         let set = TableSet {
@@ -102,14 +107,14 @@
             version: Version(self.version),
             operations: vec![table(0), table(1)],
         };
-        let documents = tables::write(&set, &self.plan).expect("written");
+        let documents = tables::write(&set, &self.deployment).expect("written");
         Swap::new(&self.root(), set.version, &documents, "g1")
             .run()
-            .expect("swapped");
+            .expect("file replaced");
     }
 
-    /// Until the proxy says that it holds what was published last.
-    fn wait(&self) {
+    /// Waits until the proxy's status file names the version that was published last.
+    fn wait_until_applied(&self) {
         let begin = Instant::now();
         let holds = || {
             let text = std::fs::read_to_string(self.root().status("g1")).ok()?;
@@ -118,7 +123,7 @@
         while holds() != Some(self.version) {
             assert!(
                 begin.elapsed() < Duration::from_secs(10),
-                "it holds {:?}",
+                "the proxy has version {:?}",
                 holds()
             );
             std::thread::sleep(Duration::from_millis(5));
@@ -136,19 +141,19 @@
             at_most,
             from,
         })
-        .expect("all have an end")
+        .expect("the load run ends")
     }
 
     fn client(&self) -> TcpStream {
-        let stream = TcpStream::connect(self.address).expect("it listens");
+        let stream = TcpStream::connect(self.address).expect("the process listens");
         stream
             .set_read_timeout(Some(Duration::from_secs(10)))
             .expect("set");
         stream
     }
 
-    /// Sends bytes and reads until the proxy closes, or says nothing for a while.
-    fn talk(&self, bytes: &[u8]) -> String {
+    /// Sends bytes, and reads until the proxy closes the connection or sends nothing for 900 ms.
+    fn exchange(&self, bytes: &[u8]) -> String {
         let mut stream = self.client();
         stream.write_all(bytes).expect("sent");
         stream
@@ -166,10 +171,10 @@
         .arg(directory.path().join("proxy.yaml"))
         .stderr(Stdio::null())
         .spawn()
-        .expect("it starts")
+        .expect("the process starts")
 }
 
-impl Drop for Stage {
+impl Drop for ProxyProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -185,51 +190,57 @@
 }
 
 #[test]
-fn picks_match_published_weights() {
+fn selections_match_published_weights() {
     let nodes = FastNodes::start(6, false, 1).expect("nodes");
     let weights = [1.0, 2.0, 3.0, 5.0, 8.0, 13.0];
-    let lines: Vec<_> = nodes.addresses.iter().copied().zip(weights).collect();
-    let mut stage = Stage::new(
+    let entries: Vec<_> = nodes.addresses.iter().copied().zip(weights).collect();
+    let mut proxy = ProxyProcess::new(
         "avoid: {after_errors: 0}",
-        &lines,
+        &entries,
         RetryPolicy::IfUnprocessed,
     );
     let mut last = vec![0; 6];
-    let mut judge = |weights: &[f64], first_tries: f64| {
+    let mut assert_shares = |weights: &[f64], first_attempts: f64| {
         let executed = nodes.seen().executed;
         let sum: f64 = weights.iter().sum();
         for (node, weight) in weights.iter().enumerate() {
-            let share = (executed[node] - last[node]) as f64 / first_tries;
-            // Two percent, or what chance does to the smallest share (three standard deviations).
-            let wanted = weight / sum;
-            let off = (wanted * 0.02).max(3.0 * (wanted * (1.0 - wanted) / first_tries).sqrt());
+            let share = (executed[node] - last[node]) as f64 / first_attempts;
+            // Tolerance: 2 % of the expected share, or three standard deviations of it if that is more.
+            let expected_share = weight / sum;
+            let tolerance = (expected_share * 0.02)
+                .max(3.0 * (expected_share * (1.0 - expected_share) / first_attempts).sqrt());
             assert!(
-                (share - wanted).abs() <= off,
-                "seed 11, node {node}: {share:.4} for {wanted:.4}"
+                (share - expected_share).abs() <= tolerance,
+                "seed 11, node {node}: share {share:.4}, expected {expected_share:.4}"
             );
         }
         last = executed;
     };
-    let loaded = stage.load("quote", 32, 100_000, 0);
+    let loaded = proxy.load("quote", 32, 100_000, 0);
     assert_eq!(loaded.answers, BTreeMap::from([(200, 100_000)]));
-    judge(&weights, 100_000.0);
-    // Other weights from here on, judged by what is executed under them.
-    let turned = [13.0, 8.0, 5.0, 3.0, 2.0, 1.0];
-    let lines: Vec<_> = nodes.addresses.iter().copied().zip(turned).collect();
-    stage.publish(&lines, RetryPolicy::IfUnprocessed, None);
-    stage.wait();
-    stage.load("quote", 32, 60_000, 100_000);
-    judge(&turned, 60_000.0);
+    assert_shares(&weights, 100_000.0);
+    // New weights, checked by the requests executed after their publication.
+    let reversed_weights = [13.0, 8.0, 5.0, 3.0, 2.0, 1.0];
+    let entries: Vec<_> = nodes
+        .addresses
+        .iter()
+        .copied()
+        .zip(reversed_weights)
+        .collect();
+    proxy.publish(&entries, RetryPolicy::IfUnprocessed, None);
+    proxy.wait_until_applied();
+    proxy.load("quote", 32, 60_000, 100_000);
+    assert_shares(&reversed_weights, 60_000.0);
 }
 
 #[test]
 fn a_table_change_under_load_fails_no_request_and_takes_effect_at_once() {
     let nodes = FastNodes::start(4, false, 1).expect("nodes");
-    let mut stage = Stage::new("", &equal_weights(&nodes), RetryPolicy::IfUnprocessed);
-    let address = stage.address;
-    let under_load = std::thread::spawn(move || {
+    let mut proxy = ProxyProcess::new("", &equal_weights(&nodes), RetryPolicy::IfUnprocessed);
+    let address = proxy.address;
+    let load_thread = std::thread::spawn(move || {
         let at_most = Span::from_seconds(60.0);
-        let wish = Load {
+        let options = Load {
             target: address,
             operation: "quote",
             connections: 16,
@@ -237,37 +248,37 @@
             at_most,
             from: 0,
         };
-        load(wish).expect("all have an end")
+        load(options).expect("the load run ends")
     });
     for round in 0..20 {
-        let lines: Vec<_> = equal_weights(&nodes)
+        let entries: Vec<_> = equal_weights(&nodes)
             .into_iter()
             .skip(round % 3)
             .take(2)
             .collect();
-        stage.publish(&lines, RetryPolicy::IfUnprocessed, None);
+        proxy.publish(&entries, RetryPolicy::IfUnprocessed, None);
         std::thread::sleep(Duration::from_millis(15));
     }
-    let loaded = under_load.join().expect("it ends");
+    let loaded = load_thread.join().expect("the thread finishes");
     assert_eq!(
         loaded.answers.get(&200),
         Some(&40_000),
         "{:?}",
         loaded.answers
     );
-    stage.publish(
+    proxy.publish(
         &equal_weights(&nodes)[..1],
         RetryPolicy::IfUnprocessed,
         None,
     );
-    stage.wait();
+    proxy.wait_until_applied();
     let before = nodes.seen().executed;
-    stage.load("quote", 8, 1000, 0);
+    proxy.load("quote", 8, 1000, 0);
     let after = nodes.seen().executed;
     assert_eq!(
         (after[0] - before[0], &after[1..]),
         (1000, &before[1..]),
-        "nothing goes to a node that left"
+        "a removed node must get no request"
     );
 }
 
@@ -282,25 +293,25 @@
         close: 0.05,
     };
     (0..4).for_each(|node| nodes.set_faults(node, faults));
-    // Tables order repeats after any failure, as for another operation: the proxy knows better.
-    let stage = Stage::new(
+    // The tables allow retries after any failure; the proxy must not retry a side-effecting request nevertheless.
+    let proxy = ProxyProcess::new(
         "avoid: {after_errors: 0}",
         &equal_weights(&nodes),
         RetryPolicy::TwiceOnAnyFailure,
     );
-    let loaded = stage.load("book", 64, 30_000, 0);
+    let loaded = proxy.load("book", 64, 30_000, 0);
     let effects = nodes.seen().effects;
     assert_eq!(effects.values().filter(|count| **count > 1).count(), 0);
     assert!(effects.len() > 28_000, "{}", effects.len());
-    // Errors and resets reach the client; refusals are mostly made good at another node.
+    // Errors and resets reach the client; most refusals are retried at another node with success.
     let count = |status: u16| loaded.answers.get(&status).copied().unwrap_or(0);
     assert!(
         count(500) > 1000 && count(502) > 300 && count(504) > 0 && count(503) < 400,
         "{:?}",
         loaded.answers
     );
-    // What may run twice is repeated, and nearly all of it succeeds.
-    let loaded = stage.load("quote", 64, 10_000, 1_000_000);
+    // Requests of an idempotent operation are retried, and nearly all succeed.
+    let loaded = proxy.load("quote", 64, 10_000, 1_000_000);
     let succeeded = loaded.answers.get(&200).copied().unwrap_or(0);
     assert!(succeeded > 9_960, "{:?}", loaded.answers);
 }
@@ -315,36 +326,45 @@
             ..Faults::default()
         },
     );
-    let stage = Stage::new(
+    let proxy = ProxyProcess::new(
         "avoid: {after_errors: 3, span: 700ms}",
         &equal_weights(&nodes),
         RetryPolicy::OnceOnAnyFailure,
     );
-    stage.load("quote", 4, 2000, 0);
-    let shunned = nodes.seen().executed[0];
-    assert!((3..40).contains(&shunned), "{shunned} of 2000 went there");
+    proxy.load("quote", 4, 2000, 0);
+    let requests_while_silent = nodes.seen().executed[0];
+    assert!(
+        (3..40).contains(&requests_while_silent),
+        "{requests_while_silent} of 2000 requests went to the silent node"
+    );
     nodes.set_faults(0, Faults::default());
     std::thread::sleep(Duration::from_millis(3000));
-    stage.load("quote", 4, 3000, 0);
-    let back = nodes.seen().executed[0] - shunned;
-    assert!(back > 600, "{back} of 3000");
+    proxy.load("quote", 4, 3000, 0);
+    let requests_after_return = nodes.seen().executed[0] - requests_while_silent;
+    assert!(
+        requests_after_return > 600,
+        "{requests_after_return} of 3000 requests went to the returned node"
+    );
 }
 
 #[test]
 fn requests_succeed_beside_refusing_nodes_zero_weights_and_a_thousand_entries() {
     let nodes = FastNodes::start(2, false, 5).expect("nodes");
-    let mut lines = equal_weights(&nodes);
-    let dead: Vec<_> = (0..1000)
+    let mut entries = equal_weights(&nodes);
+    let refusing: Vec<_> = (0..1000)
         .map(|_| (SocketAddrV4::new(Ipv4Addr::new(127, 9, 9, 9), 9), 0.002))
         .collect();
-    lines.extend(
-        dead.into_iter().enumerate().map(|(at, (address, weight))| {
-            (SocketAddrV4::new(*address.ip(), 1 + at as u16), weight)
-        }),
+    entries.extend(
+        refusing
+            .into_iter()
+            .enumerate()
+            .map(|(index, (address, weight))| {
+                (SocketAddrV4::new(*address.ip(), 1 + index as u16), weight)
+            }),
     );
-    let mut stage = Stage::new("", &lines, RetryPolicy::IfUnprocessed);
-    let loaded = stage.load("quote", 8, 4000, 0);
-    // Half of the weight is at nodes that refuse: nearly all is made good by one more try.
+    let mut proxy = ProxyProcess::new("", &entries, RetryPolicy::IfUnprocessed);
+    let loaded = proxy.load("quote", 8, 4000, 0);
+    // Nodes that refuse connections have half of the weight: one retry recovers most of those requests.
     let succeeded = loaded.answers.get(&200).copied().unwrap_or(0);
     assert!(succeeded > 2600, "{:?}", loaded.answers);
     assert!(
@@ -355,15 +375,15 @@
         "{:?}",
         loaded.answers
     );
-    stage.publish(&[], RetryPolicy::Never, None);
-    stage.wait();
-    assert!(stage
-        .talk(b"GET /quote HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
+    proxy.publish(&[], RetryPolicy::Never, None);
+    proxy.wait_until_applied();
+    assert!(proxy
+        .exchange(b"GET /quote HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
         .starts_with("HTTP/1.1 503"));
-    // A level of nothing turns away at once and says when to come again.
-    stage.publish(&equal_weights(&nodes), RetryPolicy::Never, Some(0.0));
-    stage.wait();
-    let answer = stage.talk(b"GET /quote HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
+    // With an admission limit of 0 the proxy answers 429 at once, with a `Retry-After` header.
+    proxy.publish(&equal_weights(&nodes), RetryPolicy::Never, Some(0.0));
+    proxy.wait_until_applied();
+    let answer = proxy.exchange(b"GET /quote HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
     assert!(
         answer.starts_with("HTTP/1.1 429") && answer.contains("Retry-After: 1"),
         "{answer}"
@@ -373,30 +393,34 @@
 #[test]
 fn an_incomplete_table_is_rejected_and_reported() {
     let nodes = FastNodes::start(2, false, 5).expect("nodes");
-    let stage = Stage::new("", &equal_weights(&nodes), RetryPolicy::Never);
-    let root = stage.root();
-    let held = read_tables(&root.proxy("g1"))
-        .expect("whole")
-        .expect("there");
-    let torn = root.version(Version(7));
-    std::fs::create_dir_all(&torn).expect("made");
-    std::fs::write(torn.join("eds.json"), "{\"versionInfo\": \"7\", \"reso").expect("torn");
-    std::fs::write(torn.join("rds.json"), "{}").expect("written");
+    let proxy = ProxyProcess::new("", &equal_weights(&nodes), RetryPolicy::Never);
+    let root = proxy.root();
+    let published = read_tables(&root.proxy("g1"))
+        .expect("complete tables")
+        .expect("tables exist");
+    let incomplete_version = root.version(Version(7));
+    std::fs::create_dir_all(&incomplete_version).expect("created");
+    std::fs::write(
+        incomplete_version.join("eds.json"),
+        "{\"versionInfo\": \"7\", \"reso",
+    )
+    .expect("written");
+    std::fs::write(incomplete_version.join("rds.json"), "{}").expect("written");
     std::os::unix::fs::symlink("../../versions/000000000007", root.proxy("g1").join("next"))
-        .expect("made");
+        .expect("created");
     std::fs::rename(
         root.proxy("g1").join("next"),
         root.proxy("g1").join("current"),
     )
-    .expect("swapped");
+    .expect("file replaced");
     let begin = Instant::now();
     loop {
-        let text = std::fs::read_to_string(root.status("g1")).expect("there");
-        let told = status::read(&text).expect("whole");
-        if let Some((version, reason)) = told.refused {
+        let text = std::fs::read_to_string(root.status("g1")).expect("the status file exists");
+        let status_file = status::read(&text).expect("a complete status file");
+        if let Some((version, reason)) = status_file.refused {
             assert_eq!(
-                (version, told.version),
-                (Version(7), held.tables.version),
+                (version, status_file.version),
+                (Version(7), published.tables.version),
                 "{reason}"
             );
             break;
@@ -405,22 +429,22 @@
         std::thread::sleep(Duration::from_millis(5));
     }
     assert_eq!(
-        stage.load("quote", 4, 500, 0).answers,
+        proxy.load("quote", 4, 500, 0).answers,
         BTreeMap::from([(200, 500)])
     );
 }
 
-#[test_case("POST /quote HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400; "both framings")]
-#[test_case("POST /quote HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nhello", 400; "two lengths")]
+#[test_case("POST /quote HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400; "a content length with chunked encoding")]
+#[test_case("POST /quote HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nhello", 400; "two content lengths")]
 #[test_case("GET /quote HTTP/1.1\nHost: a\n\n", 400; "bare line feeds")]
-#[test_case("POST /quote HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", 400; "a bad chunk")]
-#[test_case("GET /nothing HTTP/1.1\r\nHost: a\r\n\r\n", 404; "no such operation")]
+#[test_case("POST /quote HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", 400; "an invalid chunk size")]
+#[test_case("GET /nothing HTTP/1.1\r\nHost: a\r\n\r\n", 404; "an unknown operation")]
 #[test_case("POST /quote HTTP/1.1\r\nHost: a\r\nContent-Length: 99999999\r\n\r\n", 413; "a body too long")]
 fn unsupported_requests_are_answered_and_the_connection_closed(text: &str, status: u16) {
     let nodes = FastNodes::start(1, false, 5).expect("nodes");
-    let stage = Stage::new("", &equal_weights(&nodes), RetryPolicy::Never);
-    // A request that would be smuggled behind it must not reach the node.
-    let answer = stage.talk(format!("{text}GET /quote HTTP/1.1\r\nHost: b\r\n\r\n").as_bytes());
+    let proxy = ProxyProcess::new("", &equal_weights(&nodes), RetryPolicy::Never);
+    // A request smuggled behind the invalid one must not reach the node.
+    let answer = proxy.exchange(format!("{text}GET /quote HTTP/1.1\r\nHost: b\r\n\r\n").as_bytes());
     assert!(
         answer.starts_with(&format!("HTTP/1.1 {status} ")),
         "{answer}"
@@ -435,17 +459,17 @@
         "GET /quote HTTP/1.1\r\nHost: a\r\nX: {}\r\n\r\n",
         "y".repeat(20_000)
     );
-    assert!(stage.talk(long.as_bytes()).starts_with("HTTP/1.1 431 "));
+    assert!(proxy.exchange(long.as_bytes()).starts_with("HTTP/1.1 431 "));
 }
 
-/// A node that the test plays by hand.
-fn by_hand(retry: RetryPolicy) -> (TcpListener, Stage) {
-    let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
-    let std::net::SocketAddr::V4(address) = listener.local_addr().expect("bound") else {
+/// Starts a proxy with one node, a listener whose connections the test serves itself.
+fn start_with_manual_node(retry: RetryPolicy) -> (TcpListener, ProxyProcess) {
+    let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free port");
+    let std::net::SocketAddr::V4(address) = listener.local_addr().expect("a local address") else {
         panic!("IPv4")
     };
-    let stage = Stage::new("sizes: {connections_per_node: 4}", &[(address, 1.0)], retry);
-    (listener, stage)
+    let proxy = ProxyProcess::new("sizes: {connections_per_node: 4}", &[(address, 1.0)], retry);
+    (listener, proxy)
 }
 
 fn read_until(stream: &mut TcpStream, end: &str) -> String {
@@ -464,8 +488,8 @@
 
 #[test]
 fn bodies_are_forwarded_complete_in_both_directions_and_connections_are_reused() {
-    let (listener, stage) = by_hand(RetryPolicy::Never);
-    let mut client = stage.client();
+    let (listener, proxy) = start_with_manual_node(RetryPolicy::Never);
+    let mut client = proxy.client();
     client
         .write_all(
             b"POST /quote HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nTransfer-Encoding: chunked\r\n\r\n",
@@ -476,14 +500,14 @@
         client.write_all(piece.as_bytes()).expect("sent");
         std::thread::sleep(Duration::from_millis(10));
     }
-    let (mut node, _) = listener.accept().expect("dialled");
+    let (mut node, _) = listener.accept().expect("connection accepted");
     let request = read_until(&mut node, "0\r\n\r\n");
     assert!(
         request.ends_with("\r\n\r\n4\r\nwhol\r\n1\r\ne\r\n0\r\n\r\n")
             && !request.contains("Expect"),
         "{request}"
     );
-    // An answer much longer than what is held, taken slowly: nothing of it is lost.
+    // A response much longer than the proxy's buffers, read slowly by the client, must arrive complete.
     let long = vec![b'x'; 3_000_000];
     let expected = long.len();
     let sender = std::thread::spawn(move || {
@@ -491,7 +515,7 @@
             format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", long.len()).as_bytes(),
         )
         .expect("sent");
-        node.write_all(&long).expect("taken in time");
+        node.write_all(&long).expect("read in time");
         node
     });
     read_until(&mut client, "\r\n\r\n");
@@ -501,7 +525,7 @@
         got += client.read(&mut piece).expect("more");
     }
     let mut node = sender.join().expect("sent");
-    // A second request on both connections, from a client that ends its side meanwhile.
+    // A second request on the same two connections; the client closes its sending side meanwhile.
     client
         .write_all(b"GET /quote HTTP/1.1\r\nHost: a\r\n\r\n")
         .expect("sent");
@@ -518,67 +542,73 @@
 }
 
 #[test]
-fn a_pooled_connection_closed_under_a_request_is_distinguished_from_one_that_took_it() {
-    let (listener, stage) = by_hand(RetryPolicy::IfUnprocessed);
-    let ask = |client: &mut TcpStream| {
+fn a_connection_closed_while_idle_is_replaced_and_one_closed_under_a_request_is_not_retried() {
+    let (listener, proxy) = start_with_manual_node(RetryPolicy::IfUnprocessed);
+    let send_request = |client: &mut TcpStream| {
         client
             .write_all(b"GET /book HTTP/1.1\r\nHost: a\r\nx-request-id: 1\r\n\r\n")
             .expect("sent");
     };
-    let mut client = stage.client();
-    ask(&mut client);
-    let (mut node, _) = listener.accept().expect("dialled");
+    let mut client = proxy.client();
+    send_request(&mut client);
+    let (mut node, _) = listener.accept().expect("connection accepted");
     read_until(&mut node, "\r\n\r\n");
     node.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         .expect("sent");
     read_until(&mut client, "\r\n\r\n");
-    // Closed while idle: seen before anything is written, so the next goes by a new connection.
+    // The node closes the idle connection. The proxy notices before it writes, so the next request goes over a new one.
     drop(node);
     std::thread::sleep(Duration::from_millis(50));
-    ask(&mut client);
-    let (mut node, _) = listener.accept().expect("dialled anew");
+    send_request(&mut client);
+    let (mut node, _) = listener.accept().expect("new connection accepted");
     read_until(&mut node, "\r\n\r\n");
     node.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         .expect("sent");
     read_until(&mut client, "\r\n\r\n");
-    // Closed after it was written and before an answer: it may have run, and is not made again.
-    ask(&mut client);
+    // The node closes after it has read the request and before it answers: the request may have been executed, so the
+    // proxy does not retry it.
+    send_request(&mut client);
     read_until(&mut node, "\r\n\r\n");
     drop(node);
     assert!(read_until(&mut client, "\r\n\r\n").starts_with("HTTP/1.1 502 "));
     listener.set_nonblocking(true).expect("set");
     std::thread::sleep(Duration::from_millis(100));
-    assert!(listener.accept().is_err(), "nobody dials again");
+    assert!(
+        listener.accept().is_err(),
+        "the proxy must not connect again"
+    );
 }
 
 #[test]
 fn a_disconnected_client_frees_its_node_and_a_slow_node_times_out() {
-    let (listener, stage) = by_hand(RetryPolicy::Never);
-    let mut client = stage.client();
+    let (listener, proxy) = start_with_manual_node(RetryPolicy::Never);
+    let mut client = proxy.client();
     client
         .write_all(b"GET /quote HTTP/1.1\r\nHost: a\r\n\r\n")
         .expect("sent");
-    let (mut node, _) = listener.accept().expect("dialled");
+    let (mut node, _) = listener.accept().expect("connection accepted");
     read_until(&mut node, "\r\n\r\n");
-    let gone = Arc::new(client);
-    wheelspread_reactor::reset(Arc::try_unwrap(gone).expect("one holder"));
+    let client_handle = Arc::new(client);
+    wheelspread_reactor::reset(Arc::try_unwrap(client_handle).expect("a single owner"));
     node.set_read_timeout(Some(Duration::from_secs(5)))
         .expect("set");
     assert!(
         matches!(node.read(&mut [0u8; 1]), Ok(0) | Err(_)),
-        "the node sees that nobody waits"
+        "the proxy must close the connection to the node"
     );
     let begin = Instant::now();
-    let answer = stage.talk(b"GET /quote HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
+    let answer = proxy.exchange(b"GET /quote HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
     assert!(answer.starts_with("HTTP/1.1 504 "), "{answer}");
     assert!(
         (500..900).contains(&begin.elapsed().as_millis()),
         "{:?}",
         begin.elapsed()
     );
-    // A request that stops half-way is let go, though not at once.
-    let mut slow = stage.client();
-    slow.write_all(b"GET /quote HTTP/1.1\r\nHo").expect("sent");
-    drop(slow);
-    assert!(stage.path("proxy.yaml").exists());
+    // A client that disconnects within a request.
+    let mut disconnecting = proxy.client();
+    disconnecting
+        .write_all(b"GET /quote HTTP/1.1\r\nHo")
+        .expect("sent");
+    drop(disconnecting);
+    assert!(proxy.path("proxy.yaml").exists());
 }
--- a/crates/cli/tests/solve.rs
+++ b/crates/cli/tests/solve.rs
@@ -1,4 +1,4 @@
-//! `wheelspread solve` as it is called.
+//! `wheelspread solve` as a process: its output and exit codes.
 
 use std::process::{Command, Output};
 
@@ -9,17 +9,18 @@
         .arg(fleet)
         .args(arguments)
         .output()
-        .expect("it runs")
+        .expect("the process runs")
 }
 
 #[test]
 fn a_fleet_is_solved_with_json_and_text_output() {
     let output = solve(&["--json"]);
     assert!(output.status.success());
-    let told: serde_json::Value = serde_json::from_slice(&output.stdout).expect("one JSON object");
-    assert_eq!(told["status"], "optimal");
-    assert!(told["value_per_s"].as_f64() >= told["objective"].as_f64());
-    let loads: f64 = told["hosts"]
+    let result: serde_json::Value =
+        serde_json::from_slice(&output.stdout).expect("one JSON object");
+    assert_eq!(result["status"], "optimal");
+    assert!(result["value_per_s"].as_f64() >= result["objective"].as_f64());
+    let loads: f64 = result["hosts"]
         .as_array()
         .expect("hosts")
         .iter()
@@ -27,20 +28,22 @@
         .sum();
     assert!(
         (loads - 43.0 * 0.22).abs() < 1e-6,
-        "all 43 invocations a second: {loads}"
+        "the load of all 43 invocations per second: {loads}"
     );
-    assert!(told["solve_ms"].as_f64().is_some_and(|ms| ms < 1000.0) && told["flows"].is_array());
-    let said = String::from_utf8_lossy(&solve(&["--explain", "s2"]).stdout).into_owned();
-    assert!(said.contains("it drains"), "{said}");
-    let said = String::from_utf8_lossy(&solve(&["--wrong-by", "0.5"]).stderr).into_owned();
-    assert!(said.contains("at worst"), "{said}");
-    let said = String::from_utf8_lossy(&solve(&["--what-if", "large=0.5"]).stdout).into_owned();
     assert!(
-        said.contains("n1 is given 1.99 times what it can do"),
-        "{said}"
+        result["solve_ms"].as_f64().is_some_and(|ms| ms < 1000.0) && result["flows"].is_array()
     );
-    let said = String::from_utf8_lossy(&solve(&["--what-if", "huge=0.5"]).stderr).into_owned();
-    assert!(said.contains("no host is of kind `huge`"), "{said}");
+    let text = String::from_utf8_lossy(&solve(&["--explain", "s2"]).stdout).into_owned();
+    assert!(text.contains("it drains"), "{text}");
+    let text = String::from_utf8_lossy(&solve(&["--wrong-by", "0.5"]).stderr).into_owned();
+    assert!(text.contains("at worst"), "{text}");
+    let text = String::from_utf8_lossy(&solve(&["--what-if", "large=0.5"]).stdout).into_owned();
+    assert!(
+        text.contains("n1 is given 1.99 times what it can do"),
+        "{text}"
+    );
+    let text = String::from_utf8_lossy(&solve(&["--what-if", "huge=0.5"]).stderr).into_owned();
+    assert!(text.contains("no host is of kind `huge`"), "{text}");
 }
 
 #[test]
@@ -63,14 +66,14 @@
             .arg(&path)
             .arg("--json")
             .output();
-        let output = output.expect("it runs");
+        let output = output.expect("the process runs");
         assert_eq!(output.status.code(), Some(2));
-        let told: serde_json::Value = serde_json::from_slice(&output.stdout).expect("JSON");
+        let result: serde_json::Value = serde_json::from_slice(&output.stdout).expect("JSON");
         assert!(
-            told["status"] == "refused"
-                && told["reason"]
+            result["status"] == "refused"
+                && result["reason"]
                     .as_str()
-                    .is_some_and(|said| said.contains(reason))
+                    .is_some_and(|text| text.contains(reason))
         );
     }
 }
