--- a/crates/drain/src/registry.rs
+++ b/crates/drain/src/registry.rs
@@ -1,5 +1,5 @@
-//! The drains that a controller knows. Of several orders for one node the newest counts, so controllers that get them
-//! in different sequences, or late, end with the same one.
+//! The drains that a controller knows. Only the newest order for each node takes effect, so controllers that receive
+//! orders late or in different sequences converge to the same one.
 
 use crate::order::{DrainAction, DrainError, DrainOrder, FailedCheck, OrderId};
 use crate::state::{DrainEvent, DrainState};
@@ -7,46 +7,48 @@
 use std::collections::BTreeMap;
 use wheelspread::time::{Moment, Span};
 
-/// How many nodes may have orders.
+/// The maximum count of nodes with an order.
 const MAX_ORDERS: usize = 10_000;
-/// Withdrawn orders are remembered for this many grace periods, so that a late order is known to be overtaken.
-const WITHDRAWN_MEMORY_GRACE_PERIODS: f64 = 600.0;
+/// The time for which withdrawn orders are kept, in grace periods, so that an older order that arrives late is
+/// recognized as superseded.
+const WITHDRAWN_RETENTION_GRACE_PERIODS: f64 = 600.0;
 
-/// What shows that nothing is sent to a node.
+/// The evidence of whether proxies still send attempts to a drained node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
-    /// Joined proxies whose tables still have the node.
-    pub named_by: usize,
-    /// Joined proxies.
+    /// The count of joined proxies whose tables still have the node or are unknown.
+    #[serde(rename = "named_by")]
+    pub proxies_with_node: usize,
+    /// The count of joined proxies.
     #[serde(rename = "gateways")]
     pub proxies: usize,
-    /// Attempts at the node that were reported since the order came into force.
+    /// The count of attempts at the node that were reported since the drain came into force.
     #[serde(rename = "tries")]
     pub attempts: u64,
-    /// Proxies that have reported since.
+    /// The count of proxies that have reported since the drain came into force.
     #[serde(rename = "heard")]
     pub reporting_proxies: usize,
 }
 
-/// The newest order for a node, and how far it has come.
+/// The newest order for a node, with its state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Drain {
     /// The order.
     pub order: DrainOrder,
-    /// How far it has come.
+    /// The state of the order.
     pub state: DrainState,
-    /// By what that is known.
+    /// The latest evidence; all counts are 0 until some is recorded.
     #[serde(default)]
     pub evidence: Evidence,
     #[serde(skip)]
     entered_state_at: Moment,
-    /// When the proxies began to get tables without the node; the grace period begins then.
+    /// The start of the grace period: the time from which tables without the node are published.
     #[serde(skip)]
     propagating_since: Option<Moment>,
 }
 
 impl Drain {
-    /// An order that has just been accepted.
+    /// The drain of an order that was accepted at `now`.
     fn accepted(now: Moment, order: DrainOrder) -> Drain {
         Drain {
             order,
@@ -57,13 +59,13 @@
         }
     }
 
-    /// Whether it keeps the node out of tables.
+    /// Whether the drain excludes the node from tables.
     pub fn is_active(&self) -> bool {
         self.order.action == DrainAction::Drain && self.state != DrainState::Accepted
     }
 
-    /// The disk has the order.
-    fn begin(&mut self, now: Moment) {
+    /// Enters the state that follows once the order is persisted.
+    fn on_persisted(&mut self, now: Moment) {
         self.state = match self.order.action {
             DrainAction::Drain => DrainState::Propagating,
             DrainAction::Undrain => DrainState::Withdrawn,
@@ -72,40 +74,45 @@
         self.propagating_since = Some(now);
     }
 
-    /// What the evidence shows of an active drain; `None`: nothing new.
-    fn event_by(&self, now: Moment, grace: Span, evidence: Evidence) -> Option<DrainEvent> {
-        let is_grace_over = self
+    /// The event that follows from the evidence; `None` if the state does not change.
+    fn event_from_evidence(
+        &self,
+        now: Moment,
+        grace: Span,
+        evidence: Evidence,
+    ) -> Option<DrainEvent> {
+        let is_grace_period_over = self
             .propagating_since
             .is_some_and(|since| now - since >= grace);
-        let is_in_no_table = evidence.named_by == 0 && evidence.proxies > 0;
-        let is_without_traffic = evidence.attempts == 0 && evidence.reporting_proxies > 0;
+        let is_not_in_tables = evidence.proxies_with_node == 0 && evidence.proxies > 0;
+        let has_no_traffic = evidence.attempts == 0 && evidence.reporting_proxies > 0;
         match self.state {
-            DrainState::Propagating if is_in_no_table => Some(DrainEvent::NotInTables),
-            DrainState::Propagating if is_grace_over => Some(DrainEvent::GraceOver),
-            DrainState::InForce if is_without_traffic => Some(DrainEvent::NoTraffic),
+            DrainState::Propagating if is_not_in_tables => Some(DrainEvent::NotInTables),
+            DrainState::Propagating if is_grace_period_over => Some(DrainEvent::GraceOver),
+            DrainState::InForce if has_no_traffic => Some(DrainEvent::NoTraffic),
             DrainState::Drained if evidence.attempts > 0 => Some(DrainEvent::TrafficSeen),
             _ => None,
         }
     }
 }
 
-/// What is to be done.
+/// A side effect that the caller has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DrainEffect {
-    /// Persist the drain of a node; `None` removes it.
-    Write {
+    /// Persist the drain of a node, or remove it from the persisted state.
+    Persist {
         /// The node.
         node: String,
-        /// Its drain.
+        /// The drain to be persisted; `None` to remove it.
         drain: Option<Box<Drain>>,
     },
     /// Log that a drain entered a state.
     StateChanged {
         /// The node.
         node: String,
-        /// The state.
+        /// The state that the drain is in now.
         state: DrainState,
-        /// The order.
+        /// The id of the drain's order.
         order: OrderId,
     },
 }
@@ -118,13 +125,14 @@
 }
 
 impl DrainRegistry {
-    /// Takes up the drains of an earlier run.
+    /// Restores the persisted drains of an earlier run. Grace periods begin again at `now`, and earlier evidence is
+    /// discarded.
     pub fn recover(now: Moment, persisted: impl Iterator<Item = Drain>) -> DrainRegistry {
         let mut registry = DrainRegistry::default();
         for mut drain in persisted {
-            // An order that was read from the disk has been written.
+            // The controller was stopped after the order was persisted, but before that was reported to the registry.
             if drain.state == DrainState::Accepted {
-                drain.begin(now);
+                drain.on_persisted(now);
             }
             drain.entered_state_at = now;
             drain.propagating_since = Some(now);
@@ -147,7 +155,7 @@
         self.drains.get(node)
     }
 
-    /// Nodes that are kept out of tables.
+    /// The nodes that are excluded from tables.
     pub fn drained_nodes(&self) -> impl Iterator<Item = &str> {
         self.drains
             .values()
@@ -155,8 +163,9 @@
             .map(|drain| drain.order.node.as_str())
     }
 
-    /// Takes an order in. One that takes back a drain which never came is remembered too: the drain may be on its way
-    /// and is older. `failed_checks`: what is against a drain; the order has to override all of it.
+    /// Accepts an order, or refuses it. An order that withdraws an unknown drain is kept too, because an older order to
+    /// drain the node may still arrive. A drain has to override all of `failed_checks`; a withdrawal is accepted
+    /// whatever they are.
     pub fn submit(
         &mut self,
         now: Moment,
@@ -165,7 +174,7 @@
     ) -> Result<&Drain, DrainError> {
         let node = order.node.clone();
         if self.is_known(&order)? {
-            // Known means that the node has a drain.
+            // A known order is the order of the node's drain, so the node has one.
             return Ok(&self.drains[&node]);
         }
         let failed_checks = order.not_overridden(failed_checks);
@@ -174,14 +183,14 @@
         }
         let active = self.drains.get(&node).filter(|known| known.is_active());
         let drain = match active {
-            // A drain of a node that is drained already goes on in its state, under the newer order.
+            // A newer order to drain a node that is drained already replaces the order and keeps the state.
             Some(known) if order.action == DrainAction::Drain => Drain {
                 order,
                 ..known.clone()
             },
             _ => Drain::accepted(now, order),
         };
-        self.effects.push(DrainEffect::Write {
+        self.effects.push(DrainEffect::Persist {
             node: node.clone(),
             drain: Some(Box::new(drain.clone())),
         });
@@ -189,22 +198,22 @@
         Ok(self.drains.entry(node).insert_entry(drain).into_mut())
     }
 
-    /// Whether an order is the one that counts for its node already. Fails if it can't become that one.
+    /// Whether an order is already the newest order for its node. Fails if the order cannot become the newest.
     fn is_known(&self, order: &DrainOrder) -> Result<bool, DrainError> {
         let Some(known) = self.drains.get(&order.node) else {
             return match self.drains.len() < MAX_ORDERS {
                 true => Ok(false),
-                false => Err(DrainError::Full(MAX_ORDERS)),
+                false => Err(DrainError::TooManyOrders(MAX_ORDERS)),
             };
         };
         if known.order.id == order.id {
             return match known.order == *order {
                 true => Ok(true),
-                false => Err(DrainError::OtherContent(order.id.0.clone())),
+                false => Err(DrainError::ConflictingContent(order.id.0.clone())),
             };
         }
         if known.order.rank() > order.rank() {
-            return Err(DrainError::Overtaken {
+            return Err(DrainError::Superseded {
                 newer: known.order.id.0.clone(),
                 by: known.order.by.clone(),
             });
@@ -220,8 +229,8 @@
         });
     }
 
-    /// The disk has an order.
-    pub fn written(&mut self, now: Moment, node: &str, id: &OrderId) {
+    /// Reports that an order is persisted. Ignored if a newer order for the node was accepted meanwhile.
+    pub fn on_persisted(&mut self, now: Moment, node: &str, id: &OrderId) {
         let drain = self.drains.get_mut(node);
         let Some(drain) = drain.filter(|drain| drain.order.id == *id) else {
             return;
@@ -229,18 +238,19 @@
         if drain.state != DrainState::Accepted {
             return;
         }
-        drain.begin(now);
+        drain.on_persisted(now);
         let drain = drain.clone();
         self.push_state_changed(&drain);
     }
 
-    /// Takes in what is known of a drained node. Attempts count from the moment at which the drain came into force.
+    /// Records the evidence for a drained node and changes the state of its drain accordingly. `evidence.attempts` is
+    /// counted from the time at which the drain came into force.
     pub fn record_evidence(&mut self, now: Moment, node: &str, grace: Span, evidence: Evidence) {
         let drain = self.drains.get_mut(node);
         let Some(drain) = drain.filter(|drain| drain.is_active()) else {
             return;
         };
-        let event = drain.event_by(now, grace, evidence);
+        let event = drain.event_from_evidence(now, grace, evidence);
         drain.evidence = evidence;
         if let Some(next) = event.and_then(|event| drain.state.on_event(event)) {
             drain.state = next;
@@ -250,11 +260,11 @@
         }
     }
 
-    /// Removes orders that were withdrawn long ago.
+    /// Removes drains that were withdrawn at least `WITHDRAWN_RETENTION_GRACE_PERIODS` ago.
     pub fn expire_withdrawn(&mut self, now: Moment, grace: Span) {
-        let memory = grace * WITHDRAWN_MEMORY_GRACE_PERIODS;
+        let retention = grace * WITHDRAWN_RETENTION_GRACE_PERIODS;
         let is_expired = |drain: &Drain| {
-            drain.state == DrainState::Withdrawn && now - drain.entered_state_at >= memory
+            drain.state == DrainState::Withdrawn && now - drain.entered_state_at >= retention
         };
         let expired: Vec<String> = self
             .drains
@@ -264,11 +274,12 @@
             .collect();
         for node in expired {
             self.drains.remove(&node);
-            self.effects.push(DrainEffect::Write { node, drain: None });
+            self.effects
+                .push(DrainEffect::Persist { node, drain: None });
         }
     }
 
-    /// What is to be done since the last call.
+    /// The side effects since the last call, in order.
     pub fn take_effects(&mut self) -> Vec<DrainEffect> {
         std::mem::take(&mut self.effects)
     }
--- a/crates/files/src/writer/publisher.rs
+++ b/crates/files/src/writer/publisher.rs
@@ -1,4 +1,4 @@
-//! Carries out the writer's jobs.
+//! Execution of the writer's jobs.
 
 use super::sync_thread::SyncThread;
 use super::{PublishError, WriteJob, WriteResult};
@@ -10,10 +10,11 @@
 use wheelspread_controller_core::Deployment;
 use wheelspread_xds::tables::{self, Documents};
 
-/// Documents that are cached, so that a version that many proxies are pointed at is encoded once.
+/// The maximum count of versions whose documents are cached, so that a version for many proxies is encoded once. At the
+/// limit the oldest version is evicted.
 const CACHED_DOCUMENTS_LIMIT: usize = 64;
 
-/// Carries out the writer's jobs.
+/// Executes the writer's jobs.
 pub(super) struct Publisher {
     pub(super) root: TableRoot,
     deployment: Deployment,
@@ -31,7 +32,7 @@
         }
     }
 
-    pub(super) fn carry_out(&mut self, job: WriteJob) -> Vec<WriteResult> {
+    pub(super) fn execute(&mut self, job: WriteJob) -> Vec<WriteResult> {
         match job {
             WriteJob::Publish { proxy, set } => self.publish_and_report(proxy, &set),
             WriteJob::Remove { version } => self.remove(version).into_iter().collect(),
@@ -46,7 +47,7 @@
         let version = set.version;
         let result = self.publish(&proxy, set);
         let mut results = Vec::new();
-        if self.sync.take_unfinished() {
+        if self.sync.take_unsynced() {
             results.push(WriteResult::PublishedUnsynced { version });
         }
         results.push(WriteResult::Published {
@@ -67,7 +68,7 @@
         }
         let documents = &self.documents[&set.version];
         let swap = Swap::new(&self.root, set.version, documents, proxy);
-        swap.run_with(&mut |files| self.sync.sync(files))?;
+        swap.run_with_sync(&mut |files| self.sync.sync(files))?;
         Ok(())
     }
 
