--- a/crates/cli/tests/streams.rs
+++ b/crates/cli/tests/streams.rs
@@ -161,7 +161,7 @@
         .expect("the process runs");
     let error_output = String::from_utf8_lossy(&refused.stderr).into_owned();
     assert!(
-        !refused.status.success() && error_output.contains("is of format 9"),
+        !refused.status.success() && error_output.contains("has format version 9"),
         "{error_output}"
     );
 }
