--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -191,7 +191,7 @@
         };
         stream
             .connection
-            .send(&encode(&loads::introduce(&identity)));
+            .send(&encode(&loads::identity_request(&identity)));
         stream
     }
 }
--- a/crates/cli/tests/drills.rs
+++ b/crates/cli/tests/drills.rs
@@ -1,21 +1,21 @@
-//! Short drills with real controller processes, and drills with a sabotage, each of which must be reported to break the
-//! sabotaged rule and no other.
+//! Short drills with real controller processes, and drills that violate a rule on purpose, each of which must be
+//! reported to break that rule and no other.
 
 use std::path::PathBuf;
 use test_case::test_case;
-use wheelspread_drill::{run, Options, Report, Sabotage, Script};
+use wheelspread_drill::{run, Options, Report, RuleViolation, Script};
 
 const SHORT: &str = include_str!("../../drill/days/short.yaml");
 
-fn run_drill(text: &str, sabotage: Option<Sabotage>) -> Report {
+fn run_drill(text: &str, violation: Option<RuleViolation>) -> Report {
     let script = Script::parse(text).expect("a valid script");
     let options = Options {
         program: PathBuf::from(env!("CARGO_BIN_EXE_wheelspread")),
         seed: 1,
-        even: sabotage.is_some(),
-        sabotage,
-        keep: None,
-        forget: false,
+        even_weights: violation.is_some(),
+        violation,
+        keep_directory: None,
+        discard_state: false,
         not_injected: Vec::new(),
         progress: &mut |_| {},
     };
@@ -83,15 +83,15 @@
         .replace("length: 10s", "length: 7s")
 }
 
-#[test_case(Sabotage::EmptyTable, 1, 90; "an empty table")]
-#[test_case(Sabotage::Repeat, 2, 90; "a retry of a side-effecting request")]
-#[test_case(Sabotage::KeepDrained, 3, 90; "a drained node that stays in tables")]
-#[test_case(Sabotage::FloodCold, 4, 400; "a cold node that gets all requests")]
-#[test_case(Sabotage::Overfill, 5, 90; "table updates above the rate limit")]
-fn each_sabotage_breaks_its_rule_and_no_other(sabotage: Sabotage, rule: u8, rate: u32) {
+#[test_case(RuleViolation::EmptyTable, 1, 90; "an empty table")]
+#[test_case(RuleViolation::RetryUnsafe, 2, 90; "a retry of a side-effecting request")]
+#[test_case(RuleViolation::KeepDrained, 3, 90; "a drained node that stays in tables")]
+#[test_case(RuleViolation::OverloadWarming, 4, 400; "a cold node that gets all requests")]
+#[test_case(RuleViolation::ExceedMessageCap, 5, 90; "table updates above the rate limit")]
+fn each_violation_breaks_its_rule_and_no_other(violation: RuleViolation, rule: u8, rate: u32) {
     let report = run_drill(
         &script_without_faults().replace("rate: 90", &format!("rate: {rate}")),
-        Some(sabotage),
+        Some(violation),
     );
     let broken: Vec<u8> = report
         .verdict
--- a/crates/cli/tests/proxy.rs
+++ b/crates/cli/tests/proxy.rs
@@ -15,7 +15,7 @@
     BundleId, OperationTable, TableEntry, TableSet, Version,
 };
 use wheelspread_controller_core::Deployment;
-use wheelspread_drill::load::{load, FastNodes, Faults, Load, Loaded};
+use wheelspread_drill::load::{load, FastNodes, Faults, Load, LoadResult};
 use wheelspread_files::{read_tables, Swap, TableRoot};
 use wheelspread_xds::{status, tables};
 
@@ -130,16 +130,22 @@
         }
     }
 
-    fn load(&self, operation: &str, connections: usize, invocations: u64, from: u64) -> Loaded {
-        let at_most = Span::from_seconds(120.0);
+    fn load(
+        &self,
+        operation: &str,
+        connections: usize,
+        invocations: u64,
+        first_id: u64,
+    ) -> LoadResult {
+        let max_duration = Span::from_seconds(120.0);
         let target = self.address;
         load(Load {
             target,
             operation,
             connections,
             invocations,
-            at_most,
-            from,
+            max_duration,
+            first_id,
         })
         .expect("the load run ends")
     }
@@ -201,7 +207,7 @@
     );
     let mut last = vec![0; 6];
     let mut assert_shares = |weights: &[f64], first_attempts: f64| {
-        let executed = nodes.seen().executed;
+        let executed = nodes.execution_counts().executed;
         let sum: f64 = weights.iter().sum();
         for (node, weight) in weights.iter().enumerate() {
             let share = (executed[node] - last[node]) as f64 / first_attempts;
@@ -217,7 +223,7 @@
         last = executed;
     };
     let loaded = proxy.load("quote", 32, 100_000, 0);
-    assert_eq!(loaded.answers, BTreeMap::from([(200, 100_000)]));
+    assert_eq!(loaded.responses, BTreeMap::from([(200, 100_000)]));
     assert_shares(&weights, 100_000.0);
     // New weights, checked by the requests executed after their publication.
     let reversed_weights = [13.0, 8.0, 5.0, 3.0, 2.0, 1.0];
@@ -239,14 +245,14 @@
     let mut proxy = ProxyProcess::new("", &equal_weights(&nodes), RetryPolicy::IfUnprocessed);
     let address = proxy.address;
     let load_thread = std::thread::spawn(move || {
-        let at_most = Span::from_seconds(60.0);
+        let max_duration = Span::from_seconds(60.0);
         let options = Load {
             target: address,
             operation: "quote",
             connections: 16,
             invocations: 40_000,
-            at_most,
-            from: 0,
+            max_duration,
+            first_id: 0,
         };
         load(options).expect("the load run ends")
     });
@@ -261,10 +267,10 @@
     }
     let loaded = load_thread.join().expect("the thread finishes");
     assert_eq!(
-        loaded.answers.get(&200),
+        loaded.responses.get(&200),
         Some(&40_000),
         "{:?}",
-        loaded.answers
+        loaded.responses
     );
     proxy.publish(
         &equal_weights(&nodes)[..1],
@@ -272,9 +278,9 @@
         None,
     );
     proxy.wait_until_applied();
-    let before = nodes.seen().executed;
+    let before = nodes.execution_counts().executed;
     proxy.load("quote", 8, 1000, 0);
-    let after = nodes.seen().executed;
+    let after = nodes.execution_counts().executed;
     assert_eq!(
         (after[0] - before[0], &after[1..]),
         (1000, &before[1..]),
@@ -300,20 +306,20 @@
         RetryPolicy::TwiceOnAnyFailure,
     );
     let loaded = proxy.load("book", 64, 30_000, 0);
-    let effects = nodes.seen().effects;
+    let effects = nodes.execution_counts().effects;
     assert_eq!(effects.values().filter(|count| **count > 1).count(), 0);
     assert!(effects.len() > 28_000, "{}", effects.len());
     // Errors and resets reach the client; most refusals are retried at another node with success.
-    let count = |status: u16| loaded.answers.get(&status).copied().unwrap_or(0);
+    let count = |status: u16| loaded.responses.get(&status).copied().unwrap_or(0);
     assert!(
         count(500) > 1000 && count(502) > 300 && count(504) > 0 && count(503) < 400,
         "{:?}",
-        loaded.answers
+        loaded.responses
     );
     // Requests of an idempotent operation are retried, and nearly all succeed.
     let loaded = proxy.load("quote", 64, 10_000, 1_000_000);
-    let succeeded = loaded.answers.get(&200).copied().unwrap_or(0);
-    assert!(succeeded > 9_960, "{:?}", loaded.answers);
+    let succeeded = loaded.responses.get(&200).copied().unwrap_or(0);
+    assert!(succeeded > 9_960, "{:?}", loaded.responses);
 }
 
 #[test]
@@ -332,7 +338,7 @@
         RetryPolicy::OnceOnAnyFailure,
     );
     proxy.load("quote", 4, 2000, 0);
-    let requests_while_silent = nodes.seen().executed[0];
+    let requests_while_silent = nodes.execution_counts().executed[0];
     assert!(
         (3..40).contains(&requests_while_silent),
         "{requests_while_silent} of 2000 requests went to the silent node"
@@ -340,7 +346,7 @@
     nodes.set_faults(0, Faults::default());
     std::thread::sleep(Duration::from_millis(3000));
     proxy.load("quote", 4, 3000, 0);
-    let requests_after_return = nodes.seen().executed[0] - requests_while_silent;
+    let requests_after_return = nodes.execution_counts().executed[0] - requests_while_silent;
     assert!(
         requests_after_return > 600,
         "{requests_after_return} of 3000 requests went to the returned node"
@@ -365,15 +371,15 @@
     let mut proxy = ProxyProcess::new("", &entries, RetryPolicy::IfUnprocessed);
     let loaded = proxy.load("quote", 8, 4000, 0);
     // Nodes that refuse connections have half of the weight: one retry recovers most of those requests.
-    let succeeded = loaded.answers.get(&200).copied().unwrap_or(0);
-    assert!(succeeded > 2600, "{:?}", loaded.answers);
+    let succeeded = loaded.responses.get(&200).copied().unwrap_or(0);
+    assert!(succeeded > 2600, "{:?}", loaded.responses);
     assert!(
         loaded
-            .answers
+            .responses
             .keys()
             .all(|status| [200, 502].contains(status)),
         "{:?}",
-        loaded.answers
+        loaded.responses
     );
     proxy.publish(&[], RetryPolicy::Never, None);
     proxy.wait_until_applied();
@@ -417,7 +423,7 @@
     loop {
         let text = std::fs::read_to_string(root.status("g1")).expect("the status file exists");
         let status_file = status::read(&text).expect("a complete status file");
-        if let Some((version, reason)) = status_file.refused {
+        if let Some((version, reason)) = status_file.rejected {
             assert_eq!(
                 (version, status_file.version),
                 (Version(7), published.tables.version),
@@ -429,7 +435,7 @@
         std::thread::sleep(Duration::from_millis(5));
     }
     assert_eq!(
-        proxy.load("quote", 4, 500, 0).answers,
+        proxy.load("quote", 4, 500, 0).responses,
         BTreeMap::from([(200, 500)])
     );
 }
@@ -450,7 +456,10 @@
         "{answer}"
     );
     assert_eq!(
-        (answer.matches("HTTP/1.1").count(), nodes.seen().executed[0]),
+        (
+            answer.matches("HTTP/1.1").count(),
+            nodes.execution_counts().executed[0]
+        ),
         (1, 0),
         "{answer}"
     );
--- a/crates/cli/tests/streams.rs
+++ b/crates/cli/tests/streams.rs
@@ -358,7 +358,7 @@
         certificate: write_file("client.pem", &certificate),
         key: write_file("client.key", &key),
     });
-    let tls_config = wheelspread_grpc::tls::client(
+    let tls_config = wheelspread_grpc::tls::client_config(
         &write_file("client-roots.pem", &roots.0.pem()),
         keys.as_ref(),
     );
@@ -369,7 +369,7 @@
     let tls_config = tls_config.expect("a matching key pair");
     let mut client = Client::dial(controller, name, "north");
     client.connection =
-        ClientConnection::secured(now, socket, path, Limits::default(), tls_config, server)
+        ClientConnection::with_tls(now, socket, path, Limits::default(), tls_config, server)
             .expect("handshake started");
     client
 }
--- a/crates/drill/src/run/report/tests.rs
+++ b/crates/drill/src/run/report/tests.rs
@@ -1,7 +1,7 @@
-//! The report as JSON, which `drill --json` prints.
+//! The report as JSON, as printed by `drill --json`, and as a table.
 
 use super::{FaultReport, Report};
-use crate::audit::{Judged, RuleJudged, Verdict};
+use crate::audit::{CheckedValue, RuleResult, Verdict};
 use serde_json::json;
 
 #[test]
@@ -30,7 +30,7 @@
         drain_orders_s: vec![0.25],
         changes_told: (2, 1),
     };
-    let written = serde_json::to_value(report).expect("it is JSON");
+    let written = serde_json::to_value(report).expect("the report is serializable");
     let expected = json!({
         "drill": "short",
         "seed": 3,
@@ -52,12 +52,12 @@
 }
 
 #[test]
-fn the_table_names_rules_service_faults_drains_changes_and_the_judgement() {
-    let rule = |rule, broken| RuleJudged {
+fn the_table_lists_rules_service_faults_drains_changes_and_the_verdict() {
+    let rule = |rule, broken| RuleResult {
         rule,
         checked: 100,
         broken,
-        worst: Judged {
+        worst: CheckedValue {
             value: 0.5,
             allowed: 3.0,
             at_s: 1.25,
