--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -72,7 +72,7 @@
         for name in pending {
             all.insert(
                 name,
-                Err(RequestError::Timeout("the time asked for".to_string())),
+                Err(RequestError::Timeout("the requested time".to_string())),
             );
         }
         all
