--- a/crates/cli/src/import.rs
+++ b/crates/cli/src/import.rs
@@ -209,11 +209,11 @@
             pool.name
         );
     }
-    for (fate, heading) in [
+    for (disposition, heading) in [
         (Disposition::Left, "not carried over"),
         (Disposition::Assumed, "to be looked at"),
     ] {
-        let notes: Vec<_> = imported.with_disposition(fate).collect();
+        let notes: Vec<_> = imported.with_disposition(disposition).collect();
         if !notes.is_empty() {
             print_line!("\n{heading}:");
         }
