--- a/crates/cli/src/fleet/top.rs
+++ b/crates/cli/src/fleet/top.rs
@@ -189,7 +189,7 @@
 fn disagreement_lines(disagreements: &[String]) -> Vec<Line<'static>> {
     let line = |text: &String| {
         Line::from(vec![
-            Span::styled("two minds: ", color(Color::Red)),
+            Span::styled("controllers disagree: ", color(Color::Red)),
             text.clone().into(),
         ])
     };
--- a/crates/cli/src/fleet/view.rs
+++ b/crates/cli/src/fleet/view.rs
@@ -165,7 +165,7 @@
         lines.extend(
             self.disagreement_lines()
                 .into_iter()
-                .map(|text| format!("two minds: {text}")),
+                .map(|text| format!("controllers disagree: {text}")),
         );
         lines
     }
--- a/crates/cli/src/solve.rs
+++ b/crates/cli/src/solve.rs
@@ -69,7 +69,7 @@
         source: Refusal,
     },
     /// The argument of `--explain` is not a host of the fleet.
-    #[error("`{0}` is no host of this fleet")]
+    #[error("`{0}` is not among the hosts of this fleet")]
     UnknownHost(String),
 }
 
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -116,7 +116,7 @@
                 "{output}"
             ),
             5..8 => assert!(
-                failure(n).is_some_and(|reason| reason.contains("nobody listens")),
+                failure(n).is_some_and(|reason| reason.contains("no process accepts connections")),
                 "{output}"
             ),
             _ => assert_eq!(failure(n), None, "{output}"),
@@ -259,7 +259,7 @@
     }
 }
 
-#[test_case(Behavior::NeverAccepts, "nobody listens"; "never accepts")]
+#[test_case(Behavior::NeverAccepts, "no process accepts connections"; "never accepts")]
 #[test_case(Behavior::NeverAnswers, "no answer within"; "accepts and never answers")]
 #[test_case(Behavior::StopsWithinAnswer, "stopped after"; "hangs within the answer")]
 #[test_case(Behavior::ClosesWithinAnswer, "stopped after"; "closes within the answer")]
@@ -475,7 +475,7 @@
     );
     let (code, output, _) = run_fleet(&path, &["status"]);
     assert!(
-        code == 1 && output.contains("two minds: 127.0.0.1:9203: draining by order: c0"),
+        code == 1 && output.contains("controllers disagree: 127.0.0.1:9203: draining by order: c0"),
         "{output}"
     );
     // The repeated command reaches all controllers.
--- a/crates/config-rollout/src/values.rs
+++ b/crates/config-rollout/src/values.rs
@@ -190,7 +190,7 @@
 
     fn merge_field(&mut self, path: &str, text: &str) -> Result<(), ConfigError> {
         if !is_mutable(path) {
-            let text = "can't change while the conductor runs";
+            let text = "can't change while the controller runs";
             return Err(config_error(path, text));
         }
         self.deployment = with_field(&self.deployment, path, text)?;
--- a/crates/config-rollout/tests/values.rs
+++ b/crates/config-rollout/tests/values.rs
@@ -37,8 +37,8 @@
 #[test_case("nodes.127.0.0.1:9001.service", "in" => "`in` should be draining or out"; "an unknown service state")]
 #[test_case("nodes.127.0.0.1:9001.kind", "large" => "a node has zone, cell, weight and service"; "an unknown field of a node")]
 #[test_case("nodes.somewhere.zone", "north" => "should be nodes.ADDRESS:PORT.FIELD"; "an invalid address")]
-#[test_case("operations.quote.repeat", "never" => "can't change while the conductor runs"; "a field that decides whether a retry can take effect twice")]
-#[test_case("zones", "north" => "can't change while the conductor runs"; "a list in the file")]
+#[test_case("operations.quote.repeat", "never" => "can't change while the controller runs"; "a field that decides whether a retry can take effect twice")]
+#[test_case("zones", "north" => "can't change while the controller runs"; "a list in the file")]
 #[test_case("operations.order.billed_value", "3" => "there is no such value"; "an unknown operation")]
 fn an_invalid_value_is_refused_with_its_path(path: &str, text: &str) -> String {
     let errors = config_update(&deployment(), &configuration(path, text)).expect_err("refused");
--- a/crates/fleet/src/call.rs
+++ b/crates/fleet/src/call.rs
@@ -83,7 +83,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
     /// The connection cannot be opened, or failed before the first byte of the answer.
-    #[error("nobody listens: {0}")]
+    #[error("no process accepts connections: {0}")]
     Unreachable(String),
     /// The controller sent no byte of the answer within this time.
     #[error("no answer within {0}")]
