--- a/crates/cli/src/measure/fleet_config.rs
+++ b/crates/cli/src/measure/fleet_config.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use wheelspread::ids::NodeId;
 use wheelspread_controller_core::endpoint_list::{EndpointRecord, EndpointSnapshot};
-use wheelspread_controller_core::membership::Introduction;
+use wheelspread_controller_core::membership::ProxyIdentity;
 use wheelspread_drill::proxy_name;
 
 /// The zones of the measured fleet; nodes and proxies are spread over them in turn.
@@ -61,8 +61,8 @@
 }
 
 /// How a proxy introduces itself to the controller.
-pub fn introduction(proxy: usize) -> Introduction {
-    Introduction {
+pub fn introduction(proxy: usize) -> ProxyIdentity {
+    ProxyIdentity {
         name: proxy_name(proxy),
         zone: ZONES[zone_of(proxy)].to_string(),
         usual_rate: None,
--- a/crates/cli/src/measure/streams.rs
+++ b/crates/cli/src/measure/streams.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 use wheelspread::time::{Moment, Span};
-use wheelspread_controller_core::membership::Introduction;
+use wheelspread_controller_core::membership::ProxyIdentity;
 use wheelspread_discovery::{Request, ResourceType};
 use wheelspread_grpc::{ClientConnection, ClientEvent, Limits};
 use wheelspread_reactor::{self as reactor, Interest, Poll, Token};
@@ -51,7 +51,7 @@
 /// A client of a discovery stream.
 struct StreamClient {
     connection: ClientConnection,
-    introduction: Introduction,
+    introduction: ProxyIdentity,
     bytes: u64,
     entries: u64,
 }
--- a/crates/config-rollout/src/measured_fleet.rs
+++ b/crates/config-rollout/src/measured_fleet.rs
@@ -35,8 +35,9 @@
             .capacity_snapshots()
             .map(|snapshot| (snapshot.node, snapshot.capacity.exp()))
             .collect();
-        let window =
-            Span::from_seconds(core.plan().load_reports.period.seconds() * DEMAND_WINDOW_PERIODS);
+        let window = Span::from_seconds(
+            core.deployment().load_reports.period.seconds() * DEMAND_WINDOW_PERIODS,
+        );
         let (tallies, seconds) = core.service_history().between(now - window, now);
         let rate = |count: f64| if seconds > 0.0 { count / seconds } else { 0.0 };
         let demand = tallies
--- a/crates/config-rollout/src/pool_risk.rs
+++ b/crates/config-rollout/src/pool_risk.rs
@@ -192,8 +192,8 @@
     loss_share_limit: f64,
     core: &ControllerCore,
 ) -> Vec<DrainObjection> {
-    let deployment = core.plan();
-    let before: Vec<EndpointEntry> = core.serving().collect();
+    let deployment = core.deployment();
+    let before: Vec<EndpointEntry> = core.effective_entries().collect();
     let Some(entry) = before.iter().find(|entry| entry.node == node) else {
         return vec![DrainObjection::NotListed(node)];
     };
--- a/crates/config-rollout/src/rollout.rs
+++ b/crates/config-rollout/src/rollout.rs
@@ -213,7 +213,7 @@
         // While a change is in progress, the regular checks come before any deadline of the ledger.
         let in_progress = self.propagating.is_some() || self.watched_since.is_some();
         let check_at = match in_progress {
-            true => Some(now + check_interval(core.plan())),
+            true => Some(now + check_interval(core.deployment())),
             false => self.ledger.wake_at(),
         };
         [check_at, self.next_write_at(now)]
--- a/crates/config-rollout/src/rollout/apply.rs
+++ b/crates/config-rollout/src/rollout/apply.rs
@@ -53,9 +53,9 @@
         let progress = core.rollout_progress();
         // A proxy that is away gets the newest tables when it comes back; it is waited for until the grace is over.
         let is_over_for_away =
-            progress.disconnected == 0 || now - since >= core.plan().rules.drain_grace;
+            progress.disconnected_count == 0 || now - since >= core.deployment().rules.drain_grace;
         let is_current = progress.configuration == self.ledger.configuration().version;
-        let is_everywhere = progress.outdated.is_empty() && progress.migrating == 0;
+        let is_everywhere = progress.outdated_proxies.is_empty() && progress.migrating_count == 0;
         if is_current && is_over_for_away && is_everywhere {
             self.propagating = None;
             let event = ChangeEvent::InForce;
--- a/crates/config-rollout/src/rollout/proposal.rs
+++ b/crates/config-rollout/src/rollout/proposal.rs
@@ -92,8 +92,12 @@
 
 /// Nodes that have values and are not in the endpoint list now.
 fn unlisted_nodes(update: &ConfigUpdate, core: &ControllerCore) -> Vec<ProposalFinding> {
-    let listed: Vec<NodeId> = core.nodes().listed().map(|(_, entry)| entry.node).collect();
-    let nodes = update.values.keys().copied();
+    let listed: Vec<NodeId> = core
+        .endpoint_list()
+        .listed()
+        .map(|(_, entry)| entry.node)
+        .collect();
+    let nodes = update.node_values.keys().copied();
     nodes
         .filter(|node| !listed.contains(node))
         .map(ProposalFinding::UnlistedNode)
@@ -145,18 +149,18 @@
                 return CheckReport(findings.map(Finding::from).collect());
             }
         };
-        let before: Vec<EndpointEntry> = core.serving().collect();
-        let after = core.serving_with(&update);
+        let before: Vec<EndpointEntry> = core.effective_entries().collect();
+        let after = core.effective_entries_with(&update);
         let mut found = unlisted_nodes(&update, core);
-        let risks = pool_risks(now, &before, &after, core.plan(), &update.plan);
+        let risks = pool_risks(now, &before, &after, core.deployment(), &update.deployment);
         found.extend(risks.into_iter().map(ProposalFinding::Pool));
         let measured = MeasuredFleet::from_core(now, core);
         if !measured.is_sufficient() {
             found.push(ProposalFinding::NotMeasured);
             return CheckReport(found.into_iter().map(Finding::from).collect());
         }
-        let fleet_before = measured.fleet(now, &before, core.plan());
-        let fleet_after = measured.fleet(now, &after, &update.plan);
+        let fleet_before = measured.fleet(now, &before, core.deployment());
+        let fleet_after = measured.fleet(now, &after, &update.deployment);
         let propagation = propagation(&update, core);
         let mut findings: Vec<Finding> = found.into_iter().map(Finding::from).collect();
         findings.extend(
@@ -174,7 +178,7 @@
 
 /// What it costs to send the tables of an update to the proxies.
 fn propagation(update: &ConfigUpdate, core: &ControllerCore) -> Propagation {
-    let queue = &update.plan.channel;
+    let queue = &update.deployment.channel;
     Propagation {
         proxies: core.members().members().count() as u32,
         entries_per_second: queue.lines_per_second,
--- a/crates/config-rollout/src/rollout/watching.rs
+++ b/crates/config-rollout/src/rollout/watching.rs
@@ -25,7 +25,7 @@
     pub(super) fn measure_baseline(&mut self, now: Moment, core: &ControllerCore) {
         let begin = now - self.settings.deadlines.watch;
         let (tallies, _) = core.service_history().between(begin, now);
-        self.baseline = Baseline::from_tallies(&tallies, core.plan());
+        self.baseline = Baseline::from_tallies(&tallies, core.deployment());
     }
 
     /// Undoes the change that is watched if it broke a condition.
@@ -54,7 +54,7 @@
         watched_since: Moment,
         core: &ControllerCore,
     ) -> Option<BrokenCondition> {
-        let deployment = core.plan();
+        let deployment = core.deployment();
         let proxies = core.proxies_without_entries();
         self.missing_entries_since = match proxies.is_empty() {
             true => None,
--- a/crates/config-rollout/src/values.rs
+++ b/crates/config-rollout/src/values.rs
@@ -210,8 +210,8 @@
     }
     Ok(ConfigUpdate {
         version: configuration.version,
-        plan: merged.deployment,
-        values: merged.nodes,
+        deployment: merged.deployment,
+        node_values: merged.nodes,
     })
 }
 
@@ -222,15 +222,15 @@
 ) -> (ConfigUpdate, Vec<ConfigError>) {
     let mut merged = MergedValues::new(base, configuration);
     let errors = merged.deployment.validate();
-    let plan = match errors.is_empty() {
+    let deployment = match errors.is_empty() {
         true => merged.deployment,
         false => base.clone(),
     };
     merged.errors.extend(errors);
     let update = ConfigUpdate {
         version: configuration.version,
-        plan,
-        values: merged.nodes,
+        deployment,
+        node_values: merged.nodes,
     };
     (update, merged.errors)
 }
--- a/crates/controller-core/src/acknowledgement.rs
+++ b/crates/controller-core/src/acknowledgement.rs
@@ -12,7 +12,7 @@
 use wheelspread::Event;
 
 /// The design's wait for an acknowledgement (DESIGN-wheelspread.md).
-const ASSUMED_AFTER: Duration = Duration::from_secs(1);
+const ASSUMED_APPLIED_AFTER: Duration = Duration::from_secs(1);
 /// Markers that wait for one proxy; the balancer gives up older ones by itself.
 const MAX_PENDING_MARKERS: usize = 64;
 
@@ -48,11 +48,11 @@
 impl ProxyAcknowledgements {
     /// The delivered version, if it is assumed to be held. A proxy that is silent, or rejects for good, holds up
     /// nobody else: after the wait the balancer goes on without it.
-    fn assumed(&self, now: Moment) -> Option<Version> {
+    fn assumed_version(&self, now: Moment) -> Option<Version> {
         let delivered = self.delivered?;
-        let speaks = self.reported.is_some() || self.rejected >= Some(delivered.version);
-        let is_overdue = now - delivered.since >= assumed_after();
-        (is_overdue && (self.reads_stream || !speaks)).then_some(delivered.version)
+        let has_responded = self.reported.is_some() || self.rejected >= Some(delivered.version);
+        let is_overdue = now - delivered.since >= assumed_applied_after();
+        (is_overdue && (self.reads_stream || !has_responded)).then_some(delivered.version)
     }
 
     /// When its delivered version may be assumed to be held, if a marker waits for that.
@@ -60,12 +60,12 @@
         let is_waiting = (self.reported.is_none() || self.reads_stream) && !self.pending.is_empty();
         self.delivered
             .filter(|_| is_waiting)
-            .map(|delivered| delivered.since + assumed_after())
+            .map(|delivered| delivered.since + assumed_applied_after())
     }
 }
 
-fn assumed_after() -> Span {
-    Span::from_seconds(ASSUMED_AFTER.as_secs_f64())
+fn assumed_applied_after() -> Span {
+    Span::from_seconds(ASSUMED_APPLIED_AFTER.as_secs_f64())
 }
 
 /// The markers that wait for each proxy, and what each is known to hold.
@@ -139,7 +139,7 @@
     pub fn take_acknowledged(&mut self, now: Moment) -> Vec<Event> {
         let mut events = Vec::new();
         for (proxy, state) in &mut self.proxies {
-            let held = state.reported.max(state.assumed(now));
+            let held = state.reported.max(state.assumed_version(now));
             while let Some(pending) = state
                 .pending
                 .pop_front_if(|pending| Some(pending.version) <= held)
--- a/crates/controller-core/src/controller_core.rs
+++ b/crates/controller-core/src/controller_core.rs
@@ -37,9 +37,9 @@
 use crate::transport::{Transport, Transports};
 use crate::update_queue::{UpdateCounts, UpdateQueue};
 use crate::weight_solver::WeightSolver;
-use configuration::ConfigurationInForce;
+use configuration::ActiveConfiguration;
 use deliveries::Deliveries;
-use recovery::{PendingRestore, UnclaimedProxies, PRUNE_AFTER_DRAIN_GRACES};
+use recovery::{PendingRestore, RecoveredTables, PRUNE_AFTER_DRAIN_GRACES};
 use schedule::RoundSchedule;
 use std::sync::Arc;
 use versions::{RetainedVersions, StoredVersions};
@@ -61,9 +61,9 @@
 
 /// A controller without its sockets, files and clock.
 pub struct ControllerCore {
-    plan: Deployment,
+    deployment: Deployment,
     /// This controller's among those of the deployment.
-    number: u32,
+    controller_index: u32,
     started_at: Moment,
     balancer: Balancer,
     schedule: RoundSchedule,
@@ -83,9 +83,9 @@
     deliveries: Deliveries,
     acknowledgements: Acknowledgements,
     stored_versions: StoredVersions,
-    unclaimed: UnclaimedProxies,
+    recovered_tables: RecoveredTables,
     pending_restore: PendingRestore,
-    configuration: ConfigurationInForce,
+    configuration: ActiveConfiguration,
     effects: Vec<Effect>,
 }
 
@@ -94,46 +94,46 @@
     pub fn start(
         now: Moment,
         seed: u64,
-        plan: Deployment,
-        number: u32,
+        deployment: Deployment,
+        controller_index: u32,
         recovered: RecoveredState,
     ) -> Result<ControllerCore, StartError> {
-        let balancer = start_balancer(now, seed, &plan, number)?;
+        let balancer = start_balancer(now, seed, &deployment, controller_index)?;
         let last_version = recovered.last_version();
-        let mut publication = Publication::new(plan.operations.len(), last_version);
+        let mut publication = Publication::new(deployment.operations.len(), last_version);
         publication.set_configuration(recovered.configuration);
         let mut endpoints = EndpointList::default();
-        let overrides = recovered.node_overrides(now, &plan, &mut endpoints);
-        let prune_at = now + plan.rules.drain_grace * PRUNE_AFTER_DRAIN_GRACES;
+        let overrides = recovered.node_overrides(now, &deployment, &mut endpoints);
+        let prune_at = now + deployment.rules.drain_grace * PRUNE_AFTER_DRAIN_GRACES;
         Ok(ControllerCore {
-            number,
+            controller_index,
             started_at: now,
             balancer,
-            schedule: RoundSchedule::new(now, plan.load_reports.period),
+            schedule: RoundSchedule::new(now, deployment.load_reports.period),
             endpoints,
             overrides,
             solver: WeightSolver::default(),
             rollback: RollbackWeights::default(),
             members: Membership::default(),
-            transports: Transports::new(plan.fronts.files),
+            transports: Transports::new(deployment.fronts.files),
             aggregator: LoadAggregator::default(),
-            history: ServiceHistory::new(plan.load_reports.period),
+            history: ServiceHistory::new(deployment.load_reports.period),
             evidence: DrainEvidence::default(),
             publication,
             retained_versions: RetainedVersions::default(),
-            queue: UpdateQueue::new(now, &plan.channel),
+            queue: UpdateQueue::new(now, &deployment.channel),
             queue_was_over_limit: false,
             deliveries: Deliveries::default(),
             acknowledgements: Acknowledgements::default(),
             stored_versions: StoredVersions::new(now, recovered.versions),
-            unclaimed: UnclaimedProxies::new(recovered.tables, prune_at),
+            recovered_tables: RecoveredTables::new(recovered.tables, prune_at),
             pending_restore: PendingRestore::new(recovered.endpoint_list, recovered.capacities),
-            configuration: ConfigurationInForce {
+            configuration: ActiveConfiguration {
                 version: recovered.configuration,
-                tables_above: last_version,
+                last_version_before: last_version,
             },
             effects: Vec::new(),
-            plan,
+            deployment,
         })
     }
 
@@ -142,10 +142,9 @@
         self.schedule.request_round();
         match observation {
             Observation::EndpointList(list) => self.on_endpoint_list(now, list),
-            Observation::StreamOpened {
-                stream,
-                introduction,
-            } => self.on_stream_opened(now, stream, &introduction),
+            Observation::StreamOpened { stream, identity } => {
+                self.on_stream_opened(now, stream, &identity)
+            }
             Observation::StreamClosed { stream } => self.on_stream_closed(now, stream),
             Observation::LoadReport { stream, report } => {
                 self.on_load_report(now, stream, &report);
@@ -160,14 +159,14 @@
                 version,
                 result,
             } => self.on_tables_written(now, proxy, version, result),
-            Observation::PaceChanged { entries_per_second } => {
-                self.queue.set_pace(entries_per_second);
+            Observation::PacingChanged { entries_per_second } => {
+                self.queue.set_pacing(entries_per_second);
             }
             Observation::Subscribed {
                 stream,
-                introduction,
+                identity,
                 initial_version,
-            } => self.on_subscribed(now, stream, &introduction, initial_version),
+            } => self.on_subscribed(now, stream, &identity, initial_version),
             Observation::Unsubscribed { stream } => self.on_unsubscribed(now, stream),
             Observation::UpdatesPaused { bundle, until } => self.pause_updates(now, bundle, until),
             Observation::RollBack {
@@ -188,12 +187,12 @@
     }
 
     /// The deployment's settings in force.
-    pub fn plan(&self) -> &Deployment {
-        &self.plan
+    pub fn deployment(&self) -> &Deployment {
+        &self.deployment
     }
 
     /// The last version that was made.
-    pub fn version(&self) -> Version {
+    pub fn last_version(&self) -> Version {
         self.publication.last_version()
     }
 
@@ -208,7 +207,7 @@
     }
 
     /// The endpoint list in force.
-    pub fn nodes(&self) -> &EndpointList {
+    pub fn endpoint_list(&self) -> &EndpointList {
         &self.endpoints
     }
 
@@ -276,18 +275,20 @@
 fn start_balancer(
     now: Moment,
     seed: u64,
-    plan: &Deployment,
-    number: u32,
+    deployment: &Deployment,
+    controller_index: u32,
 ) -> Result<Balancer, StartError> {
-    let errors = plan.validate();
+    let errors = deployment.validate();
     if !errors.is_empty() {
         return Err(StartError::InvalidSettings(errors));
     }
-    Balancer::start(now, seed, plan.to_settings(number, None)).map_err(StartError::Balancer)
+    Balancer::start(now, seed, deployment.to_settings(controller_index, None))
+        .map_err(StartError::Balancer)
 }
 
-fn zone_of(plan: &Deployment, name: &str) -> Option<ZoneId> {
-    plan.zones
+fn zone_of(deployment: &Deployment, name: &str) -> Option<ZoneId> {
+    deployment
+        .zones
         .iter()
         .position(|zone| zone == name)
         .map(|index| ZoneId(index as u16))
--- a/crates/controller-core/src/controller_core/configuration.rs
+++ b/crates/controller-core/src/controller_core/configuration.rs
@@ -10,10 +10,10 @@
 use wheelspread::time::Moment;
 
 /// The configuration in force.
-pub(super) struct ConfigurationInForce {
+pub(super) struct ActiveConfiguration {
     pub(super) version: u64,
     /// Tables above this version were made under it.
-    pub(super) tables_above: Version,
+    pub(super) last_version_before: Version,
 }
 
 /// How far a configuration has come.
@@ -22,23 +22,23 @@
     /// The configuration's version.
     pub configuration: u64,
     /// Joined proxies that still hold tables of an older one.
-    pub outdated: Vec<String>,
+    pub outdated_proxies: Vec<String>,
     /// Known proxies that are not joined: they take the newest tables when they come back.
-    pub disconnected: usize,
+    pub disconnected_count: usize,
     /// Nodes that migrate between two pools.
-    pub migrating: usize,
+    pub migrating_count: usize,
 }
 
 /// A joined proxy's tables, as a migration depends on them.
-struct TableReader<'a> {
+struct HeldTables<'a> {
     applied: Option<Version>,
     newest: &'a Arc<TableSet>,
 }
 
-impl TableReader<'_> {
+impl HeldTables<'_> {
     /// Whether the proxy may send requests to the node.
-    fn may_name(&self, node: NodeId) -> bool {
-        self.applied < Some(self.newest.version) || self.newest.names(node)
+    fn may_have_entry_for(&self, node: NodeId) -> bool {
+        self.applied < Some(self.newest.version) || self.newest.has_entry_for(node)
     }
 }
 
@@ -48,29 +48,29 @@
     pub(super) fn apply_configuration(&mut self, now: Moment, update: ConfigUpdate) {
         let ConfigUpdate {
             version,
-            plan,
-            values,
+            deployment,
+            node_values,
         } = update;
         if let Err(error) = self
             .balancer
-            .reconfigure(plan.to_settings(self.number, None))
+            .reconfigure(deployment.to_settings(self.controller_index, None))
         {
             return self.log(LogEvent::ConfigRejected {
                 configuration: version,
                 reason: error.to_string(),
             });
         }
-        self.queue.reconfigure(&plan.channel);
-        self.plan = plan;
-        let (plan, endpoints) = (&self.plan, &mut self.endpoints);
+        self.queue.reconfigure(&deployment.channel);
+        self.deployment = deployment;
+        let (deployment, endpoints) = (&self.deployment, &mut self.endpoints);
         let changed = self.overrides.set(
-            values,
-            |zone| zone_of(plan, zone),
+            node_values,
+            |zone| zone_of(deployment, zone),
             |cell| endpoints.cell_id(cell),
         );
-        self.configuration = ConfigurationInForce {
+        self.configuration = ActiveConfiguration {
             version,
-            tables_above: self.publication.last_version(),
+            last_version_before: self.publication.last_version(),
         };
         self.publication.set_configuration(version);
         let changed: BTreeSet<NodeId> = changed.into_iter().collect();
@@ -87,10 +87,10 @@
             return;
         }
         let (publication, acknowledgements) = (&self.publication, &self.acknowledgements);
-        let readers: Vec<TableReader> = self
+        let held_tables: Vec<HeldTables> = self
             .joined_members()
             .filter_map(|(_, member)| {
-                Some(TableReader {
+                Some(HeldTables {
                     applied: acknowledgements
                         .applied(member.id)
                         .map(|applied| applied.version),
@@ -98,18 +98,19 @@
                 })
             })
             .collect();
-        let grace = self.plan.rules.drain_grace;
+        let grace = self.deployment.rules.drain_grace;
         // Soon after a start any proxy may still come and hold what an earlier run gave it.
-        let may_be_unknown = now - self.started_at < grace;
-        let may_be_named =
-            |node: NodeId| may_be_unknown || readers.iter().any(|reader| reader.may_name(node));
-        let arrived: BTreeSet<NodeId> = self
+        let is_startup_grace = now - self.started_at < grace;
+        let may_have_entry = |node: NodeId| {
+            is_startup_grace || held_tables.iter().any(|held| held.may_have_entry_for(node))
+        };
+        let migrated: BTreeSet<NodeId> = self
             .overrides
-            .complete_migrations(now, grace, may_be_named)
+            .complete_migrations(now, grace, may_have_entry)
             .into_iter()
             .collect();
-        if !arrived.is_empty() {
-            self.relist(now, |entry| arrived.contains(&entry.node));
+        if !migrated.is_empty() {
+            self.relist(now, |entry| migrated.contains(&entry.node));
         }
     }
 
@@ -117,23 +118,23 @@
     pub fn rollout_progress(&self) -> RolloutProgress {
         let is_outdated = |member: &Member| {
             self.publication.bundle_of(member.id).is_some()
-                && self.applied_version(member) <= Some(self.configuration.tables_above)
+                && self.applied_version(member) <= Some(self.configuration.last_version_before)
         };
-        let outdated = self
+        let outdated_proxies = self
             .joined_members()
             .filter(|(_, member)| is_outdated(member))
             .map(|(name, _)| name.to_string())
             .collect();
-        let absent = self
+        let disconnected_members = self
             .members
             .members()
             .filter(|(_, m)| !m.is_joined())
             .count();
         RolloutProgress {
             configuration: self.configuration.version,
-            outdated,
-            disconnected: self.unclaimed.len() + absent,
-            migrating: self.overrides.migration_count(),
+            outdated_proxies,
+            disconnected_count: self.recovered_tables.proxy_count() + disconnected_members,
+            migrating_count: self.overrides.migration_count(),
         }
     }
 
--- a/crates/controller-core/src/controller_core/deliveries.rs
+++ b/crates/controller-core/src/controller_core/deliveries.rs
@@ -71,7 +71,7 @@
         result: Result<(), TableWriteError>,
     ) {
         let Some(id) = self.members.member(&proxy).map(|member| member.id) else {
-            return self.unclaimed.on_write_finished(&proxy);
+            return self.recovered_tables.on_write_finished(&proxy);
         };
         let Some(set) = self.deliveries.finish_write(id) else {
             return;
--- a/crates/controller-core/src/controller_core/drains.rs
+++ b/crates/controller-core/src/controller_core/drains.rs
@@ -22,7 +22,7 @@
     pub fn drain_evidence(&self, node: NodeId) -> EvidenceSummary {
         let reported = self.evidence.reported_traffic(node);
         EvidenceSummary {
-            naming_proxies: self.proxies_naming(node).len(),
+            naming_proxies: self.proxies_with_entry_for(node).len(),
             joined_proxies: self.joined_members().count(),
             attempts: reported.attempts,
             reporting_proxies: reported.reporting_proxies,
@@ -30,7 +30,7 @@
     }
 
     /// Joined proxies that hold a table which names a node, or of which it is not known what they hold.
-    pub fn proxies_naming(&self, node: NodeId) -> Vec<String> {
+    pub fn proxies_with_entry_for(&self, node: NodeId) -> Vec<String> {
         self.joined_members()
             .filter(|(_, member)| self.holds_entry_for(member, node).unwrap_or(true))
             .map(|(name, _)| name.to_string())
@@ -46,6 +46,6 @@
         } else {
             self.retained_versions.get(applied)?
         };
-        Some(set.names(node))
+        Some(set.has_entry_for(node))
     }
 }
--- a/crates/controller-core/src/controller_core/endpoints.rs
+++ b/crates/controller-core/src/controller_core/endpoints.rs
@@ -24,9 +24,9 @@
         }
         let outcome = self
             .endpoints
-            .apply_snapshot(now, list, &self.plan, is_first);
-        if let Some(refusal) = outcome.rejection {
-            let reason = refusal.to_string();
+            .apply_snapshot(now, list, &self.deployment, is_first);
+        if let Some(rejection) = outcome.rejection {
+            let reason = rejection.to_string();
             self.log(LogEvent::EndpointListRejected { reason });
         }
         if let Some(event) = outcome.event {
@@ -42,7 +42,7 @@
         });
         let outcome = self
             .endpoints
-            .apply_snapshot(now, Ok(stored), &self.plan, true);
+            .apply_snapshot(now, Ok(stored), &self.deployment, true);
         self.endpoints.mark_restored();
         if let Some(event) = outcome.event {
             self.accept_endpoint_list(now, &event);
@@ -65,8 +65,8 @@
             ready: records.filter(|record| !record.draining).count(),
             changes: entries.len(),
         });
-        let prune_at = now + self.plan.rules.drain_grace * PRUNE_AFTER_DRAIN_GRACES;
-        self.unclaimed.schedule_pruning(prune_at);
+        let prune_at = now + self.deployment.rules.drain_grace * PRUNE_AFTER_DRAIN_GRACES;
+        self.recovered_tables.schedule_pruning(prune_at);
     }
 
     pub(super) fn set_drained_nodes(&mut self, now: Moment, drained: BTreeSet<NodeId>) {
@@ -96,18 +96,18 @@
     }
 
     /// Listed nodes as the configuration has them.
-    pub fn serving(&self) -> impl Iterator<Item = EndpointEntry> + '_ {
+    pub fn effective_entries(&self) -> impl Iterator<Item = EndpointEntry> + '_ {
         self.endpoints
             .listed()
             .map(|(_, entry)| self.overrides.effective_entry(entry))
     }
 
     /// Listed nodes as another configuration would have them.
-    pub fn serving_with(&self, update: &ConfigUpdate) -> Vec<EndpointEntry> {
+    pub fn effective_entries_with(&self, update: &ConfigUpdate) -> Vec<EndpointEntry> {
         let (mut overrides, mut endpoints) = (NodeOverrides::default(), self.endpoints.clone());
         overrides.set(
-            update.values.clone(),
-            |zone| zone_of(&update.plan, zone),
+            update.node_values.clone(),
+            |zone| zone_of(&update.deployment, zone),
             |cell| endpoints.cell_id(cell),
         );
         self.endpoints
--- a/crates/controller-core/src/controller_core/observation.rs
+++ b/crates/controller-core/src/controller_core/observation.rs
@@ -3,7 +3,7 @@
 use crate::deployment::Deployment;
 use crate::endpoint_list::{EndpointSnapshot, SnapshotReadError};
 use crate::load_report::LoadReport;
-use crate::membership::{Introduction, StreamId};
+use crate::membership::{ProxyIdentity, StreamId};
 use crate::node_overrides::NodeValues;
 use crate::publication::{BundleId, Version};
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,9 +16,9 @@
     /// Its version.
     pub version: u64,
     /// The deployment's settings.
-    pub plan: Deployment,
+    pub deployment: Deployment,
     /// What it says of single nodes.
-    pub values: BTreeMap<NodeId, NodeValues>,
+    pub node_values: BTreeMap<NodeId, NodeValues>,
 }
 
 /// Something that happened outside the core.
@@ -31,7 +31,7 @@
         /// The stream.
         stream: StreamId,
         /// How the proxy introduced itself.
-        introduction: Introduction,
+        identity: ProxyIdentity,
     },
     /// A stream of load reports ended.
     StreamClosed {
@@ -64,7 +64,7 @@
         result: Result<(), TableWriteError>,
     },
     /// The operators gave the update queue another pace.
-    PaceChanged {
+    PacingChanged {
         /// The new pace.
         entries_per_second: f64,
     },
@@ -73,7 +73,7 @@
         /// The stream.
         stream: StreamId,
         /// How the proxy introduced itself.
-        introduction: Introduction,
+        identity: ProxyIdentity,
         /// The version that it says it holds.
         initial_version: Option<Version>,
     },
--- a/crates/controller-core/src/controller_core/publishing.rs
+++ b/crates/controller-core/src/controller_core/publishing.rs
@@ -16,24 +16,24 @@
     pub(super) fn publish(&mut self, now: Moment, outcome: RoundOutcome) {
         let published = self.make_versions();
         let bound_proxies: Vec<ProxyId> = self.publication.bound_proxies().collect();
-        let is_concerned = |proxy: &ProxyId| {
+        let is_affected = |proxy: &ProxyId| {
             self.publication
                 .bundle_of(*proxy)
                 .is_some_and(|bundle| published.contains(&bundle))
         };
-        let mut concerned = outcome.bound.clone();
-        concerned.extend(bound_proxies.iter().copied().filter(is_concerned));
+        let mut affected = outcome.bound.clone();
+        affected.extend(bound_proxies.iter().copied().filter(is_affected));
         for bundle in &published {
             self.retain_published(now, *bundle, &bound_proxies);
         }
         if !published.is_empty() {
             self.retained_versions.trim();
         }
-        for proxy in &concerned {
+        for proxy in &affected {
             // A proxy that was bound waits for a delivery, though it may be of tables that it has already.
             self.offer(now, *proxy, outcome.bound.contains(proxy));
         }
-        self.request_acknowledgements(now, &bound_proxies, &concerned, &outcome.markers);
+        self.request_acknowledgements(now, &bound_proxies, &affected, &outcome.markers);
         self.report_queue_limit();
     }
 
@@ -76,7 +76,7 @@
         &mut self,
         now: Moment,
         bound_proxies: &[ProxyId],
-        concerned: &BTreeSet<ProxyId>,
+        affected: &BTreeSet<ProxyId>,
         markers: &[MarkerRequest],
     ) {
         let joined: Vec<ProxyId> = bound_proxies
@@ -86,7 +86,7 @@
             .collect();
         for request in markers {
             for proxy in &joined {
-                if request.to_all || concerned.contains(proxy) {
+                if request.to_all || affected.contains(proxy) {
                     self.request_acknowledgement(now, *proxy, request);
                 }
             }
@@ -120,12 +120,12 @@
     }
 
     /// Queues the newest tables of a proxy, unless they were delivered already and it doesn't start `anew`.
-    pub(super) fn offer(&mut self, now: Moment, proxy: ProxyId, anew: bool) {
+    pub(super) fn offer(&mut self, now: Moment, proxy: ProxyId, is_forced: bool) {
         let Some(newest) = self.publication.newest_for(proxy).cloned() else {
             return;
         };
         let latest = self.deliveries.latest(proxy).cloned();
-        if !anew && latest.as_ref().map(|set| set.version) == Some(newest.version) {
+        if !is_forced && latest.as_ref().map(|set| set.version) == Some(newest.version) {
             return;
         }
         if self.transports.transport(proxy) == Transport::Disconnected {
@@ -154,7 +154,7 @@
 
     /// Gives proxies their newest tables, as far as the update queue lets them go now.
     pub(super) fn deliver(&mut self, now: Moment) {
-        while let Some(id) = self.queue.next(now) {
+        while let Some(id) = self.queue.start_next(now) {
             let newest = self.publication.newest_for(id).cloned();
             let name = self.members.name(id).map(str::to_string);
             match (newest, name) {
--- a/crates/controller-core/src/controller_core/recovery.rs
+++ b/crates/controller-core/src/controller_core/recovery.rs
@@ -29,7 +29,7 @@
     /// The version of the configuration in force.
     pub configuration: u64,
     /// What that configuration says of single nodes.
-    pub values: BTreeMap<NodeId, NodeValues>,
+    pub node_values: BTreeMap<NodeId, NodeValues>,
     /// Nodes that are drained by request.
     pub drained: BTreeSet<NodeId>,
     /// Nodes that were migrating from one pool to another.
@@ -54,13 +54,13 @@
     pub(super) fn node_overrides(
         &self,
         now: Moment,
-        plan: &Deployment,
+        deployment: &Deployment,
         endpoints: &mut EndpointList,
     ) -> NodeOverrides {
         let mut overrides = NodeOverrides::default();
         overrides.set(
-            self.values.clone(),
-            |zone| zone_of(plan, zone),
+            self.node_values.clone(),
+            |zone| zone_of(deployment, zone),
             |cell| endpoints.cell_id(cell),
         );
         overrides.set_drained(self.drained.clone());
@@ -107,7 +107,7 @@
 }
 
 /// Proxies whose files were found at the start and that have not come back since.
-pub(super) struct UnclaimedProxies {
+pub(super) struct RecoveredTables {
     tables: BTreeMap<String, TableSet>,
     /// Pruned tables are being written for these.
     writing: BTreeSet<String>,
@@ -121,9 +121,9 @@
     removed: BTreeSet<NodeId>,
 }
 
-impl UnclaimedProxies {
-    pub(super) fn new(tables: BTreeMap<String, TableSet>, prune_at: Moment) -> UnclaimedProxies {
-        UnclaimedProxies {
+impl RecoveredTables {
+    pub(super) fn new(tables: BTreeMap<String, TableSet>, prune_at: Moment) -> RecoveredTables {
+        RecoveredTables {
             tables,
             writing: BTreeSet::new(),
             prune_at: Some(prune_at),
@@ -131,7 +131,7 @@
     }
 
     /// The proxy came back; returns what its files hold.
-    pub(super) fn claim(&mut self, proxy: &str) -> Option<TableSet> {
+    pub(super) fn take(&mut self, proxy: &str) -> Option<TableSet> {
         self.tables.remove(proxy)
     }
 
@@ -140,7 +140,7 @@
         self.writing.remove(proxy);
     }
 
-    pub(super) fn len(&self) -> usize {
+    pub(super) fn proxy_count(&self) -> usize {
         self.tables.len()
     }
 
@@ -209,15 +209,15 @@
 impl ControllerCore {
     /// After a restart proxies that have not come back yet still read the files of the earlier run. Nodes that
     /// these name and the endpoint list no longer holds ready are taken out; nothing else is changed for them.
-    pub(super) fn prune_unclaimed(&mut self, now: Moment) {
-        if !self.unclaimed.take_due_pruning(now) {
+    pub(super) fn prune_recovered_tables(&mut self, now: Moment) {
+        if !self.recovered_tables.take_due_pruning(now) {
             return;
         }
         if self.endpoints.version().is_empty() {
             return; // the first list sets the time anew
         }
         let ready: BTreeSet<NodeId> = self
-            .serving()
+            .effective_entries()
             .filter(|entry| {
                 entry.status == EndpointStatus::Ready && !self.overrides.is_migrating(entry.node)
             })
@@ -225,7 +225,7 @@
             .collect();
         let publication = &mut self.publication;
         let pruned = self
-            .unclaimed
+            .recovered_tables
             .prune(&ready, || publication.allocate_version());
         for PrunedTables {
             proxy,
--- a/crates/controller-core/src/controller_core/reports.rs
+++ b/crates/controller-core/src/controller_core/reports.rs
@@ -18,7 +18,7 @@
         let endpoints = &self.endpoints;
         let result = self
             .aggregator
-            .add_report(id, zone, report, &self.plan, |node| {
+            .add_report(id, zone, report, &self.deployment, |node| {
                 endpoints.record(node).is_some()
             });
         match result {
@@ -42,7 +42,7 @@
     }
 
     fn record_report(&mut self, now: Moment, proxy: ProxyId, zone: ZoneId, report: &LoadReport) {
-        let operations = &self.plan.operations;
+        let operations = &self.deployment.operations;
         let operation_id = |name: &str| {
             operations
                 .iter()
@@ -55,7 +55,7 @@
 
     /// While a list is doubted, nodes that answered requests are known to be there.
     fn confirm_doubted_nodes(&mut self, now: Moment, report: &LoadReport) {
-        if self.endpoints.doubted_until(&self.plan).is_none() {
+        if self.endpoints.doubted_until(&self.deployment).is_none() {
             return;
         }
         let interval_start = now - report.window;
--- a/crates/controller-core/src/controller_core/rollbacks.rs
+++ b/crates/controller-core/src/controller_core/rollbacks.rs
@@ -44,7 +44,7 @@
             .filter(|set| set.bundle == bundle)
             .cloned()
             .ok_or(RollbackError::VersionNotRetained(version))?;
-        let result = self.step_towards(now, &target)?;
+        let result = self.step_rollback(now, &target)?;
         let excluded = result.excluded.iter();
         self.log(LogEvent::RolledBack {
             version,
@@ -55,20 +55,22 @@
     }
 
     /// Works out the listed weights that lead to the target, and lists all ready nodes with them.
-    fn step_towards(
+    fn step_rollback(
         &mut self,
         now: Moment,
         target: &Arc<TableSet>,
     ) -> Result<RollbackResult, RollbackError> {
         let newest = self.publication.newest(target.bundle);
         let current = newest.cloned().ok_or(RollbackError::NeverPublished)?;
-        let listed: BTreeMap<NodeId, EndpointEntry> =
-            self.serving().map(|entry| (entry.node, entry)).collect();
+        let listed: BTreeMap<NodeId, EndpointEntry> = self
+            .effective_entries()
+            .map(|entry| (entry.node, entry))
+            .collect();
         let request = RollbackRequest {
             target,
             current: &current,
             listed: &listed,
-            rules: &self.plan.rules,
+            rules: &self.deployment.rules,
         };
         let result = self.rollback.step(now, &request);
         self.relist(now, |entry| entry.status == EndpointStatus::Ready);
@@ -79,7 +81,7 @@
     pub(super) fn correct_rollback(&mut self, now: Moment) {
         if let Some(target) = self.rollback.due_correction(now) {
             // A table that is not published any more is not corrected.
-            let _ = self.step_towards(now, &target);
+            let _ = self.step_rollback(now, &target);
         }
     }
 
--- a/crates/controller-core/src/controller_core/rounds.rs
+++ b/crates/controller-core/src/controller_core/rounds.rs
@@ -26,17 +26,20 @@
 impl ControllerCore {
     /// Runs a decision round if one is due, and appends what is to be done to `out`.
     pub fn settle(&mut self, now: Moment, out: &mut Vec<Effect>) {
-        if let Some(event) = self.endpoints.resolve_doubt(now, &self.plan) {
+        if let Some(event) = self.endpoints.resolve_doubt(now, &self.deployment) {
             self.accept_endpoint_list(now, &event);
             self.schedule.request_round();
         }
         let acknowledgement_at = self.acknowledgements.wake_at();
         if self.schedule.is_round_due(now, acknowledgement_at) {
-            let (period, tick) = (self.plan.load_reports.period, self.plan.controllers.tick);
+            let (period, tick) = (
+                self.deployment.load_reports.period,
+                self.deployment.controllers.tick,
+            );
             self.schedule.start_round(now, period, tick);
             self.run_round(now);
         }
-        self.prune_unclaimed(now);
+        self.prune_recovered_tables(now);
         for proxy in self.transports.take_resumed(now) {
             self.offer(now, proxy, false);
         }
@@ -48,13 +51,13 @@
     pub fn wake_at(&self, now: Moment) -> Moment {
         let causes = [
             self.acknowledgements.wake_at(),
-            self.unclaimed.prune_at(),
-            self.endpoints.doubted_until(&self.plan),
+            self.recovered_tables.prune_at(),
+            self.endpoints.doubted_until(&self.deployment),
             self.transports.wake_at(),
         ];
         let round_at = self
             .schedule
-            .wake_at(now, self.plan.load_reports.period, causes);
+            .wake_at(now, self.deployment.load_reports.period, causes);
         let delivery_at = self.queue.wake_at(now);
         delivery_at.map_or(round_at, |at| round_at.min(at))
     }
@@ -65,7 +68,7 @@
         }
         if self
             .schedule
-            .start_period_if_due(now, self.plan.load_reports.period)
+            .start_period_if_due(now, self.deployment.load_reports.period)
         {
             self.run_period(now);
         }
@@ -90,7 +93,7 @@
         }
         self.solve_weights(now, &events);
         self.correct_rollback(now);
-        for proxy in self.members.forget(now, &self.plan) {
+        for proxy in self.members.forget(now, &self.deployment) {
             self.log(LogEvent::ProxyForgotten { proxy });
         }
         self.release_forgotten_proxies();
@@ -99,14 +102,19 @@
 
     /// Where the deployment has weights solved: now and then other weights are listed, by what was reported.
     fn solve_weights(&mut self, now: Moment, events: &[Event]) {
-        let Some(settings) = &self.plan.solver else {
+        let Some(settings) = &self.deployment.solver else {
             return;
         };
-        self.solver
-            .record_reports(events, &self.plan, settings, &self.members, &self.endpoints);
+        self.solver.record_reports(
+            events,
+            &self.deployment,
+            settings,
+            &self.members,
+            &self.endpoints,
+        );
         match self
             .solver
-            .solve_if_due(now, &self.plan, settings, &self.endpoints)
+            .solve_if_due(now, &self.deployment, settings, &self.endpoints)
         {
             Some(SolverOutcome::Changed(entries)) => {
                 self.log(LogEvent::WeightsSolved {
--- a/crates/controller-core/src/controller_core/schedule.rs
+++ b/crates/controller-core/src/controller_core/schedule.rs
@@ -61,13 +61,13 @@
     }
 
     /// A round starts. `least_interval`: until the next.
-    pub(super) fn start_round(&mut self, now: Moment, period: Span, least_interval: Span) {
+    pub(super) fn start_round(&mut self, now: Moment, period: Span, min_interval: Span) {
         let second_round = self
             .requested
             .then_some(now + period * SECOND_ROUND_DELAY_PERIODS);
         self.second_round = second_round.or(self.second_round.filter(|at| *at > now));
         self.requested = false;
-        self.earliest_round = now + least_interval;
+        self.earliest_round = now + min_interval;
     }
 
     /// Whether a report period ended; then the next one starts. A loop that stalled for several periods makes up
@@ -99,7 +99,7 @@
         &self,
         now: Moment,
         period: Span,
-        others: impl IntoIterator<Item = Option<Moment>>,
+        other_causes: impl IntoIterator<Item = Option<Moment>>,
     ) -> Moment {
         let mut at = if self.started {
             self.next_period
@@ -109,8 +109,8 @@
         if self.requested && self.started {
             at = at.min(self.earliest_round);
         }
-        let own = [self.next_timer(), self.second_round];
-        for cause in own.into_iter().chain(others).flatten() {
+        let own_causes = [self.next_timer(), self.second_round];
+        for cause in own_causes.into_iter().chain(other_causes).flatten() {
             at = at.min(cause.max(self.earliest_round));
         }
         at
--- a/crates/controller-core/src/controller_core/streams.rs
+++ b/crates/controller-core/src/controller_core/streams.rs
@@ -1,7 +1,7 @@
 //! Streams: load reports and tables, and the proxies that join and leave with them.
 
 use super::ControllerCore;
-use crate::membership::{Introduction, Member, OpenedStream, StreamId};
+use crate::membership::{Member, OpenedStream, ProxyIdentity, StreamId};
 use crate::publication::Version;
 use crate::{Effect, LogEvent};
 use std::sync::Arc;
@@ -13,24 +13,24 @@
         &mut self,
         now: Moment,
         stream: StreamId,
-        introduction: &Introduction,
+        identity: &ProxyIdentity,
     ) {
-        let Some(opened) = self.open_member_stream(now, stream, introduction) else {
+        let Some(opened) = self.open_member_stream(now, stream, identity) else {
             return;
         };
         // A stream of tables goes on beside one of load reports.
         let superseded = opened.superseded;
         if let Some(old) = superseded.filter(|old| !self.transports.is_table_stream(*old)) {
-            self.close_superseded(old, &introduction.name);
+            self.close_superseded(old, &identity.name);
         }
         self.effects.push(Effect::AcceptStream {
             stream,
-            period: self.plan.load_reports.period,
+            period: self.deployment.load_reports.period,
         });
-        self.on_joined(now, &opened, introduction);
-        let member = self.members.member(&introduction.name);
-        let claimed = self.unclaimed.claim(&introduction.name);
-        if let (Some(set), Some(member)) = (claimed, member) {
+        self.on_joined(now, &opened, identity);
+        let member = self.members.member(&identity.name);
+        let recovered = self.recovered_tables.take(&identity.name);
+        if let (Some(set), Some(member)) = (recovered, member) {
             self.deliveries.set_delivered(member.id, Arc::new(set));
         }
     }
@@ -53,32 +53,32 @@
         &mut self,
         now: Moment,
         stream: StreamId,
-        introduction: &Introduction,
+        identity: &ProxyIdentity,
         initial_version: Option<Version>,
     ) {
-        if !self.plan.fronts.streams {
+        if !self.deployment.fronts.streams {
             let reason = "tables are not given out by streams here".to_string();
             return self.effects.push(Effect::CloseStream { stream, reason });
         }
-        if !self.has_report_stream(&introduction.name) {
-            let Some(opened) = self.open_member_stream(now, stream, introduction) else {
+        if !self.has_report_stream(&identity.name) {
+            let Some(opened) = self.open_member_stream(now, stream, identity) else {
                 return;
             };
-            self.on_joined(now, &opened, introduction);
+            self.on_joined(now, &opened, identity);
         }
-        let member = self.members.member(&introduction.name);
+        let member = self.members.member(&identity.name);
         let Some(id) = member.map(|member| member.id) else {
             return;
         };
         let initial_version =
             initial_version.filter(|version| self.publication.raise_last_version(*version));
         if let Some(old) = self.transports.open(id, stream, initial_version) {
-            self.close_superseded(old, &introduction.name);
+            self.close_superseded(old, &identity.name);
         }
-        self.unclaimed.claim(&introduction.name);
+        self.recovered_tables.take(&identity.name);
         self.start_subscription(id);
         self.log(LogEvent::ProxySubscribed {
-            proxy: introduction.name.clone(),
+            proxy: identity.name.clone(),
             stream,
         });
         self.offer(now, id, true);
@@ -107,9 +107,9 @@
         &mut self,
         now: Moment,
         stream: StreamId,
-        introduction: &Introduction,
+        identity: &ProxyIdentity,
     ) -> Option<OpenedStream> {
-        match self.members.open(now, stream, introduction, &self.plan) {
+        match self.members.open(now, stream, identity, &self.deployment) {
             Ok(opened) => Some(opened),
             Err(error) => {
                 let reason = error.to_string();
@@ -123,13 +123,13 @@
         }
     }
 
-    fn on_joined(&mut self, now: Moment, opened: &OpenedStream, introduction: &Introduction) {
+    fn on_joined(&mut self, now: Moment, opened: &OpenedStream, identity: &ProxyIdentity) {
         for event in &opened.events {
             self.handle_event(now, event);
         }
         self.log(LogEvent::ProxyJoined {
-            proxy: introduction.name.clone(),
-            zone: introduction.zone.clone(),
+            proxy: identity.name.clone(),
+            zone: identity.zone.clone(),
         });
     }
 
--- a/crates/controller-core/src/controller_core/versions.rs
+++ b/crates/controller-core/src/controller_core/versions.rs
@@ -12,22 +12,22 @@
 /// pointed away from.
 struct RetireDelay {
     /// Multiple of the longest delay of an update.
-    update_delays: f64,
-    at_least: Duration,
+    max_update_delays: f64,
+    min: Duration,
 }
 
 const RETIRE_DELAY: RetireDelay = RetireDelay {
-    update_delays: 10.0,
-    at_least: Duration::from_secs(20),
+    max_update_delays: 10.0,
+    min: Duration::from_secs(20),
 };
 
 /// Versions of each table that it can be rolled back to.
-const RETAINED_PER_TABLE: usize = 16;
+const MAX_RETAINED_PER_TABLE: usize = 16;
 
 impl RetireDelay {
     fn span(&self, max_update_delay: Span) -> Span {
-        let by_updates = max_update_delay.seconds() * self.update_delays;
-        Span::from_seconds(by_updates.max(self.at_least.as_secs_f64()))
+        let by_update_delay = max_update_delay.seconds() * self.max_update_delays;
+        Span::from_seconds(by_update_delay.max(self.min.as_secs_f64()))
     }
 }
 
@@ -89,7 +89,7 @@
             .filter(|(_, set)| {
                 let count = counts.entry(set.bundle).or_insert(0);
                 *count += 1;
-                *count <= RETAINED_PER_TABLE
+                *count <= MAX_RETAINED_PER_TABLE
             })
             .collect();
     }
@@ -103,16 +103,16 @@
 
     /// Has versions removed from the disk that no proxy has read for a while.
     pub(super) fn retire_versions(&mut self, now: Moment) {
-        let newest = self.publication.in_use().map(|set| set.version);
+        let newest = self.publication.newest_in_use().map(|set| set.version);
         let in_use = self
             .deliveries
             .versions()
-            .chain(self.unclaimed.versions())
+            .chain(self.recovered_tables.versions())
             .chain(newest);
         for version in in_use {
             self.stored_versions.mark_used(now, version);
         }
-        let delay = RETIRE_DELAY.span(self.plan.channel.delay_at_most);
+        let delay = RETIRE_DELAY.span(self.deployment.channel.delay_at_most);
         for version in self.stored_versions.take_unused(now, delay) {
             self.effects.push(Effect::RetireVersion { version });
         }
--- a/crates/controller-core/src/controller_core/versions/tests.rs
+++ b/crates/controller-core/src/controller_core/versions/tests.rs
@@ -13,12 +13,12 @@
 fn each_table_keeps_its_newest_versions() {
     let mut retained = RetainedVersions::default();
     retained.insert(set(1, 1));
-    for version in 2..=RETAINED_PER_TABLE as u64 + 3 {
+    for version in 2..=MAX_RETAINED_PER_TABLE as u64 + 3 {
         retained.insert(set(0, version));
     }
     retained.trim();
     let versions: Vec<u64> = retained.iter().map(|set| set.version.0).collect();
-    let newest = 4..=RETAINED_PER_TABLE as u64 + 3;
+    let newest = 4..=MAX_RETAINED_PER_TABLE as u64 + 3;
     assert_eq!(
         versions,
         [1].into_iter().chain(newest).collect::<Vec<u64>>(),
--- a/crates/controller-core/src/load_report/tests.rs
+++ b/crates/controller-core/src/load_report/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::deployment::tests::plan;
-use crate::membership::{Introduction, Membership, StreamId};
+use crate::membership::{Membership, ProxyIdentity, StreamId};
 use test_case::test_case;
 use wheelspread::ids::{ProxyId, ZoneId};
 use wheelspread::time::Moment;
@@ -14,7 +14,7 @@
 fn members(count: u64) -> Membership {
     let mut members = Membership::default();
     for number in 0..count {
-        let who = Introduction {
+        let who = ProxyIdentity {
             name: format!("p{number}"),
             zone: "north".into(),
             usual_rate: None,
--- a/crates/controller-core/src/membership.rs
+++ b/crates/controller-core/src/membership.rs
@@ -9,10 +9,10 @@
 
 const MAX_PROXIES: usize = 60_000;
 /// Of a text that an error repeats.
-const MAX_QUOTED_LENGTH: usize = 100;
+const MAX_QUOTED_CHARS: usize = 100;
 /// Times the span after which a node has warmed up: a proxy away for longer is forgotten, as in the
 /// balancer.
-const AWAY_RETENTION_FACTOR: f64 = 10.0;
+const FORGET_AFTER_WARM_UPS: f64 = 10.0;
 
 /// A stream, by the number that the side with the sockets gave it. Never used again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -20,7 +20,7 @@
 
 /// How a proxy identifies itself on its stream.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Introduction {
+pub struct ProxyIdentity {
     /// Its node id.
     pub name: String,
     /// Name of its zone.
@@ -34,13 +34,13 @@
 pub enum IdentificationError {
     /// The name can't stand in paths and logs.
     #[error("the node id `{0}` should be 1 to 100 letters, digits, - and _")]
-    Unnamed(String),
+    InvalidName(String),
     /// The deployment does not have the zone.
     #[error("zone `{0}` is not one of this deployment")]
     UnknownZone(String),
     /// Every proxy id is in use.
     #[error("{0} proxies are known, no more are possible")]
-    Full(usize),
+    TooManyProxies(usize),
     /// The proxy has a newer stream.
     #[error("`{0}` opened another stream")]
     Superseded(String),
@@ -131,21 +131,21 @@
         &mut self,
         now: Moment,
         stream: StreamId,
-        who: &Introduction,
-        plan: &Deployment,
+        identity: &ProxyIdentity,
+        deployment: &Deployment,
     ) -> Result<OpenedStream, IdentificationError> {
-        let zone = check_identity(who, plan)?;
-        let known = self.members.get(&who.name).map(|member| member.id);
-        if known.is_none() && self.members.len() >= MAX_PROXIES {
-            return Err(IdentificationError::Full(MAX_PROXIES));
+        let zone = check_identity(identity, deployment)?;
+        let known_id = self.members.get(&identity.name).map(|member| member.id);
+        if known_id.is_none() && self.members.len() >= MAX_PROXIES {
+            return Err(IdentificationError::TooManyProxies(MAX_PROXIES));
         }
-        let id = known.unwrap_or_else(|| self.free_id());
-        let superseded = self.attach(now, stream, &who.name, id, zone);
+        let id = known_id.unwrap_or_else(|| self.allocate_id());
+        let superseded = self.attach(now, stream, &identity.name, id, zone);
         let joined = Event::ProxyJoined {
             proxy: id,
             zone,
-            usual_rate: usual_rate(who, plan),
-            fresh: known.is_none(),
+            usual_rate: usual_rate(identity, deployment),
+            fresh: known_id.is_none(),
         };
         let events = match superseded {
             // The break of the old stream was not seen yet.
@@ -170,10 +170,10 @@
             stream: Some(stream),
             since: now,
         };
-        let before = self.members.insert(name.to_string(), member);
+        let previous = self.members.insert(name.to_string(), member);
         self.names.insert(id, name.to_string());
         self.streams.insert(stream, name.to_string());
-        let superseded = before.and_then(|before| before.stream);
+        let superseded = previous.and_then(|previous| previous.stream);
         if let Some(old) = superseded {
             self.streams.remove(&old);
         }
@@ -192,8 +192,8 @@
     }
 
     /// Forgets proxies that have been away for long; returns their names.
-    pub fn forget(&mut self, now: Moment, plan: &Deployment) -> Vec<String> {
-        let retention = plan.rules.warm_after * AWAY_RETENTION_FACTOR;
+    pub fn forget(&mut self, now: Moment, deployment: &Deployment) -> Vec<String> {
+        let retention = deployment.rules.warm_after * FORGET_AFTER_WARM_UPS;
         let mut forgotten = Vec::new();
         for (name, member) in &self.members {
             if !member.is_joined() && now - member.since >= retention {
@@ -208,7 +208,7 @@
     }
 
     /// Numbers go round, so that one in use lately is not given to another proxy.
-    fn free_id(&mut self) -> ProxyId {
+    fn allocate_id(&mut self) -> ProxyId {
         loop {
             let id = ProxyId(self.next_id);
             self.next_id = self.next_id.wrapping_add(1);
@@ -220,21 +220,29 @@
 }
 
 /// Checks a name and a zone, and looks the zone up.
-fn check_identity(who: &Introduction, plan: &Deployment) -> Result<ZoneId, IdentificationError> {
-    let quote = |text: &str| text.chars().take(MAX_QUOTED_LENGTH).collect();
-    if !is_plain_name(&who.name) {
-        return Err(IdentificationError::Unnamed(quote(&who.name)));
+fn check_identity(
+    identity: &ProxyIdentity,
+    deployment: &Deployment,
+) -> Result<ZoneId, IdentificationError> {
+    let quote = |text: &str| text.chars().take(MAX_QUOTED_CHARS).collect();
+    if !is_plain_name(&identity.name) {
+        return Err(IdentificationError::InvalidName(quote(&identity.name)));
     }
-    let position = plan.zones.iter().position(|zone| *zone == who.zone);
-    let position = position.ok_or_else(|| IdentificationError::UnknownZone(quote(&who.zone)))?;
-    Ok(ZoneId(position as u16))
+    let zone_index = deployment
+        .zones
+        .iter()
+        .position(|zone| *zone == identity.zone);
+    let zone_index =
+        zone_index.ok_or_else(|| IdentificationError::UnknownZone(quote(&identity.zone)))?;
+    Ok(ZoneId(zone_index as u16))
 }
 
 /// What the proxy says of itself, where that can be, or what the settings say of all.
-fn usual_rate(who: &Introduction, plan: &Deployment) -> f64 {
-    who.usual_rate
+fn usual_rate(identity: &ProxyIdentity, deployment: &Deployment) -> f64 {
+    identity
+        .usual_rate
         .filter(|rate| rate.is_finite() && *rate >= 0.0)
-        .unwrap_or(plan.proxies.usual_rate)
+        .unwrap_or(deployment.proxies.usual_rate)
 }
 
 #[cfg(test)]
--- a/crates/controller-core/src/publication.rs
+++ b/crates/controller-core/src/publication.rs
@@ -93,7 +93,7 @@
         limit: f64,
         retry: RetryPolicy,
     ) {
-        let operations = self.named_or_all(operations);
+        let operations = self.operations_or_all(operations);
         let policies = match table {
             Some(table) => {
                 self.changed.insert(table);
@@ -120,14 +120,14 @@
 
     /// Binds a proxy's operations (none named: all) to a table; its other operations keep theirs.
     pub fn bind(&mut self, proxy: ProxyId, table: TableId, operations: &[OperationId]) {
-        let operations = self.named_or_all(operations);
+        let operations = self.operations_or_all(operations);
         let bundle = self.bound.entry(proxy).or_default();
         bundle.extend(operations.into_iter().map(|operation| (operation, table)));
         let next_id = BundleId(self.bundle_ids.len() as u32);
         self.bundle_ids.entry(bundle.clone()).or_insert(next_id);
     }
 
-    fn named_or_all(&self, operations: &[OperationId]) -> Vec<OperationId> {
+    fn operations_or_all(&self, operations: &[OperationId]) -> Vec<OperationId> {
         if operations.is_empty() {
             (0..self.operation_count as u8).map(OperationId).collect()
         } else {
@@ -182,7 +182,7 @@
     }
 
     /// The newest versions of the bundles that some proxy is bound to.
-    pub fn in_use(&self) -> impl Iterator<Item = &Arc<TableSet>> {
+    pub fn newest_in_use(&self) -> impl Iterator<Item = &Arc<TableSet>> {
         let in_use: BTreeSet<BundleId> = self
             .bound
             .values()
--- a/crates/controller-core/src/publication/table_set.rs
+++ b/crates/controller-core/src/publication/table_set.rs
@@ -53,7 +53,7 @@
 
 impl TableSet {
     /// Whether some operation's table has an entry for the node.
-    pub fn names(&self, node: NodeId) -> bool {
+    pub fn has_entry_for(&self, node: NodeId) -> bool {
         self.operations
             .iter()
             .any(|operation| operation.entries.iter().any(|entry| entry.node == node))
--- a/crates/controller-core/src/rollback.rs
+++ b/crates/controller-core/src/rollback.rs
@@ -34,7 +34,7 @@
     /// The node is warming up.
     WarmingUp,
     /// The balancer keeps the node out of the table now, as an outlier.
-    KeptOut,
+    OmittedByBalancer,
 }
 
 impl ExclusionReason {
@@ -44,7 +44,7 @@
             ExclusionReason::NotListed => "not listed any more",
             ExclusionReason::Draining => "drains",
             ExclusionReason::WarmingUp => "cold",
-            ExclusionReason::KeptOut => "kept out for what is known of it",
+            ExclusionReason::OmittedByBalancer => "kept out for what is known of it",
         }
     }
 }
@@ -115,7 +115,9 @@
             Some(entry) if self.rules.is_warming(now, entry.started) => {
                 Some(ExclusionReason::WarmingUp)
             }
-            Some(_) if !current_shares.contains_key(&node) => Some(ExclusionReason::KeptOut),
+            Some(_) if !current_shares.contains_key(&node) => {
+                Some(ExclusionReason::OmittedByBalancer)
+            }
             Some(_) => None,
         }
     }
@@ -193,18 +195,20 @@
         request: &RollbackRequest,
         is_included: impl Fn(NodeId) -> bool,
     ) -> usize {
-        let current = summed_shares(&request.current.operations, &is_included);
-        let wanted = summed_shares(&request.target.operations, &is_included);
-        for (node, wanted_share) in &wanted {
-            let (Some(share), Some(entry)) = (current.get(node), request.listed.get(node)) else {
+        let current_shares = summed_shares(&request.current.operations, &is_included);
+        let target_shares = summed_shares(&request.target.operations, &is_included);
+        for (node, target_share) in &target_shares {
+            let (Some(current_share), Some(entry)) =
+                (current_shares.get(node), request.listed.get(node))
+            else {
                 continue;
             };
             let weight = self.weights.get(node).copied().unwrap_or(entry.weight);
-            let scaled = weight * wanted_share / share.max(MIN_SHARE);
+            let scaled = weight * target_share / current_share.max(MIN_SHARE);
             self.weights
                 .insert(*node, scaled.clamp(MIN_WEIGHT, MAX_WEIGHT));
         }
-        wanted.len()
+        target_shares.len()
     }
 
     fn schedule_correction(&mut self, now: Moment, target: &Arc<TableSet>) {
--- a/crates/controller-core/src/transport.rs
+++ b/crates/controller-core/src/transport.rs
@@ -59,14 +59,14 @@
         &mut self,
         proxy: ProxyId,
         stream: StreamId,
-        held_version: Option<Version>,
+        initial_version: Option<Version>,
     ) -> Option<StreamId> {
         let replaced = self.subscribers.insert(proxy, Some(stream)).flatten();
         if let Some(old) = replaced {
             self.proxies_by_stream.remove(&old);
         }
         self.proxies_by_stream.insert(stream, proxy);
-        match held_version {
+        match initial_version {
             Some(version) => self.initial_versions.insert(proxy, version),
             None => self.initial_versions.remove(&proxy),
         };
--- a/crates/controller-core/src/update_queue.rs
+++ b/crates/controller-core/src/update_queue.rs
@@ -64,46 +64,46 @@
     max_delay: Span,
     max_queued_entries: f64,
     queued: BTreeMap<ProxyId, QueuedUpdate>,
-    turns: BTreeSet<(Urgency, Moment, ProxyId)>,
+    send_order: BTreeSet<(Urgency, Moment, ProxyId)>,
     /// Entries that are being written, overhead included.
     in_flight: BTreeMap<ProxyId, f64>,
     failures: BTreeMap<ProxyId, u32>,
-    written: BTreeMap<ProxyId, RollingWindow<f64>>,
-    free_at: Moment,
+    sent_updates: BTreeMap<ProxyId, RollingWindow<f64>>,
+    next_send_at: Moment,
     counts: UpdateCounts,
 }
 
 impl UpdateQueue {
     /// An empty queue with the deployment's limits.
-    pub fn new(now: Moment, plan: &UpdateQueuePlan) -> UpdateQueue {
+    pub fn new(now: Moment, settings: &UpdateQueuePlan) -> UpdateQueue {
         UpdateQueue {
-            entries_per_second: plan.lines_per_second.max(MIN_ENTRIES_PER_SECOND),
-            overhead_entries: plan.head_lines,
-            max_updates: f64::from(plan.messages_at_most),
-            window: plan.messages_window,
-            max_delay: plan.delay_at_most,
-            max_queued_entries: plan.lines_waiting_at_most,
+            entries_per_second: settings.lines_per_second.max(MIN_ENTRIES_PER_SECOND),
+            overhead_entries: settings.head_lines,
+            max_updates: f64::from(settings.messages_at_most),
+            window: settings.messages_window,
+            max_delay: settings.delay_at_most,
+            max_queued_entries: settings.lines_waiting_at_most,
             queued: BTreeMap::new(),
-            turns: BTreeSet::new(),
+            send_order: BTreeSet::new(),
             in_flight: BTreeMap::new(),
             failures: BTreeMap::new(),
-            written: BTreeMap::new(),
-            free_at: now,
+            sent_updates: BTreeMap::new(),
+            next_send_at: now,
             counts: UpdateCounts::default(),
         }
     }
 
     /// Other limits from now on; updates that were written still count.
-    pub fn reconfigure(&mut self, plan: &UpdateQueuePlan) {
-        self.set_pace(plan.lines_per_second);
-        self.overhead_entries = plan.head_lines;
-        self.max_delay = plan.delay_at_most;
-        self.max_queued_entries = plan.lines_waiting_at_most;
-        self.max_updates = f64::from(plan.messages_at_most);
+    pub fn reconfigure(&mut self, settings: &UpdateQueuePlan) {
+        self.set_pacing(settings.lines_per_second);
+        self.overhead_entries = settings.head_lines;
+        self.max_delay = settings.delay_at_most;
+        self.max_queued_entries = settings.lines_waiting_at_most;
+        self.max_updates = f64::from(settings.messages_at_most);
     }
 
     /// Another pace, as when settings are read again.
-    pub fn set_pace(&mut self, entries_per_second: f64) {
+    pub fn set_pacing(&mut self, entries_per_second: f64) {
         self.entries_per_second = entries_per_second.max(MIN_ENTRIES_PER_SECOND);
     }
 
@@ -150,13 +150,14 @@
     }
 
     fn insert(&mut self, proxy: ProxyId, update: QueuedUpdate) {
-        self.turns.insert((update.urgency, update.queued_at, proxy));
+        self.send_order
+            .insert((update.urgency, update.queued_at, proxy));
         self.queued.insert(proxy, update);
     }
 
     fn remove(&mut self, proxy: ProxyId) -> Option<QueuedUpdate> {
         let update = self.queued.remove(&proxy)?;
-        self.turns
+        self.send_order
             .remove(&(update.urgency, update.queued_at, proxy));
         Some(update)
     }
@@ -170,32 +171,32 @@
     /// Nothing is known of a proxy any more and nothing waits for it.
     pub fn forget(&mut self, proxy: ProxyId) {
         self.remove(proxy);
-        self.written.remove(&proxy);
+        self.sent_updates.remove(&proxy);
         self.failures.remove(&proxy);
     }
 
     /// The proxy whose update goes now. It counts as written; [`UpdateQueue::on_written`] or
     /// [`UpdateQueue::on_write_failed`] must follow.
-    pub fn next(&mut self, now: Moment) -> Option<ProxyId> {
-        let ahead = MAX_WRITE_AHEAD.as_secs_f64();
-        let max_in_flight = self.entries_per_second * ahead + self.overhead_entries;
-        if self.free_at > now || self.entries_in_flight() > max_in_flight {
+    pub fn start_next(&mut self, now: Moment) -> Option<ProxyId> {
+        let write_ahead = MAX_WRITE_AHEAD.as_secs_f64();
+        let max_in_flight = self.entries_per_second * write_ahead + self.overhead_entries;
+        if self.next_send_at > now || self.entries_in_flight() > max_in_flight {
             return None;
         }
         let (_, _, proxy) = *self
-            .turns
+            .send_order
             .iter()
-            .find(|(_, _, proxy)| self.may_go(now, *proxy))?;
+            .find(|(_, _, proxy)| self.can_send(now, *proxy))?;
         let update = self.remove(proxy)?;
         let entries = update.entries + self.overhead_entries;
-        self.free_at = self.free_at.max(now - Span::from_seconds(ahead))
+        self.next_send_at = self.next_send_at.max(now - Span::from_seconds(write_ahead))
             + Span::from_seconds(entries / self.entries_per_second);
         self.in_flight.insert(proxy, entries);
-        self.count_written(now, proxy);
+        self.count_sent(now, proxy);
         Some(proxy)
     }
 
-    fn may_go(&self, now: Moment, proxy: ProxyId) -> bool {
+    fn can_send(&self, now: Moment, proxy: ProxyId) -> bool {
         self.queued
             .get(&proxy)
             .is_some_and(|update| update.not_before <= now)
@@ -203,9 +204,9 @@
             && self.is_below_update_cap(now, proxy)
     }
 
-    fn count_written(&mut self, now: Moment, proxy: ProxyId) {
+    fn count_sent(&mut self, now: Moment, proxy: ProxyId) {
         let bucket = Span::from_seconds(self.window.seconds() / WINDOW_BUCKETS as f64);
-        self.written
+        self.sent_updates
             .entry(proxy)
             .or_insert_with(|| RollingWindow::new(bucket, WINDOW_BUCKETS + MARGIN_BUCKETS))
             .add(now, 1.0);
@@ -213,11 +214,11 @@
     }
 
     fn is_below_update_cap(&self, now: Moment, proxy: ProxyId) -> bool {
-        let written = self
-            .written
+        let sent = self
+            .sent_updates
             .get(&proxy)
             .map_or(0.0, |window| window.total(now));
-        self.max_updates <= 0.0 || written + 1.0 <= self.max_updates
+        self.max_updates <= 0.0 || sent + 1.0 <= self.max_updates
     }
 
     /// The update was written for the proxy, or sent to it.
@@ -256,15 +257,15 @@
             .iter()
             .filter(|(proxy, _)| !self.in_flight.contains_key(proxy))
             .map(|(proxy, update)| {
-                let free = if self.is_below_update_cap(now, *proxy) {
+                let allowed_at = if self.is_below_update_cap(now, *proxy) {
                     now
                 } else {
                     now + self.window * (1.0 / WINDOW_BUCKETS as f64)
                 };
-                free.max(update.not_before)
+                allowed_at.max(update.not_before)
             })
             .min()
-            .map(|at| at.max(self.free_at))
+            .map(|at| at.max(self.next_send_at))
     }
 }
 
--- a/crates/controller/src/admin/changes.rs
+++ b/crates/controller/src/admin/changes.rs
@@ -198,9 +198,9 @@
         version: in_force.version,
         values: &in_force.values,
         published_version: progress.configuration,
-        lagging_proxies: progress.outdated,
-        absent_proxies: progress.disconnected,
-        migrating_nodes: progress.migrating,
+        lagging_proxies: progress.outdated_proxies,
+        absent_proxies: progress.disconnected_count,
+        migrating_nodes: progress.migrating_count,
         unwritten_commits: rollout.unwritten(),
     })
 }
--- a/crates/controller/src/admin/drains.rs
+++ b/crates/controller/src/admin/drains.rs
@@ -84,11 +84,14 @@
     let Some(id) = parse_node(text) else {
         return Err(ApiError::InvalidNode(text.to_string()));
     };
-    let entry = context.core.serving().find(|entry| entry.node == id);
+    let entry = context
+        .core
+        .effective_entries()
+        .find(|entry| entry.node == id);
     Ok(json!(NodeLocation {
         node: text,
         listing: entry.map_or("not listed", |entry| listing_name(entry.status)),
-        named_by: context.core.proxies_naming(id),
+        named_by: context.core.proxies_with_entry_for(id),
         drain: context.drains.drain(text),
     }))
 }
--- a/crates/controller/src/admin/status.rs
+++ b/crates/controller/src/admin/status.rs
@@ -134,7 +134,7 @@
         name: &context.identity.name,
         number: context.identity.number,
         uptime_s: seconds_since(now, context.identity.started_at),
-        list: core.nodes().version(),
+        list: core.endpoint_list().version(),
         nodes: count_nodes(now, core),
         proxies: count_proxies(core),
         last_load_report_s: core
@@ -142,10 +142,10 @@
             .latest_report_at()
             .map(|at| seconds_since(now, at)),
         queued_entries: core.queued_entries(),
-        queued_entries_limit: core.plan().channel.lines_waiting_at_most,
-        newest_version: core.version().0,
+        queued_entries_limit: core.deployment().channel.lines_waiting_at_most,
+        newest_version: core.last_version().0,
         configuration: progress.configuration,
-        lagging_proxies: progress.outdated.len(),
+        lagging_proxies: progress.outdated_proxies.len(),
         change_under_way: change_under_way.map(|record| &record.change.id),
         drains: context.drains.active_count(),
         unwritten_commits: rollout.unwritten(),
@@ -154,7 +154,7 @@
 
 fn count_nodes(now: Moment, core: &ControllerCore) -> NodeCounts {
     let mut counts = NodeCounts::default();
-    for entry in core.serving() {
+    for entry in core.effective_entries() {
         match entry.status {
             EndpointStatus::Ready => counts.ready += 1,
             EndpointStatus::Draining => counts.draining += 1,
@@ -176,7 +176,7 @@
 /// `GET /v1/channel`
 pub fn update_channel(core: &ControllerCore) -> Value {
     let counts = core.update_counts();
-    let settings = &core.plan().channel;
+    let settings = &core.deployment().channel;
     json!(ChannelResponse {
         queued_entries: core.queued_entries(),
         queued_entries_limit: settings.lines_waiting_at_most,
@@ -188,7 +188,7 @@
 
 /// `GET /v1/sums`
 pub fn load_reports(now: Moment, core: &ControllerCore) -> Value {
-    let plan = core.plan();
+    let plan = core.deployment();
     let from = now - plan.load_reports.period * LOAD_REPORT_PERIODS;
     let (tallies, seconds) = core.service_history().between(from, now);
     let operations = plan.operations.iter().enumerate().map(|(at, operation)| {
@@ -221,9 +221,9 @@
 /// `GET /v1/nodes`
 pub fn nodes(now: Moment, core: &ControllerCore) -> Value {
     json!(NodesResponse {
-        list: core.nodes().version(),
+        list: core.endpoint_list().version(),
         nodes: core
-            .serving()
+            .effective_entries()
             .map(|entry| node_status(now, core, &entry))
             .collect(),
     })
@@ -241,7 +241,7 @@
 }
 
 fn zone_name(core: &ControllerCore, id: ZoneId) -> String {
-    let zones = &core.plan().zones;
+    let zones = &core.deployment().zones;
     zones.get(usize::from(id.0)).cloned().unwrap_or_default()
 }
 
@@ -255,7 +255,7 @@
 }
 
 fn is_warming(now: Moment, entry: &EndpointEntry, core: &ControllerCore) -> bool {
-    entry.status == EndpointStatus::Ready && core.plan().rules.is_warming(now, entry.started)
+    entry.status == EndpointStatus::Ready && core.deployment().rules.is_warming(now, entry.started)
 }
 
 /// Seconds with three decimals.
--- a/crates/controller/src/admin/tables.rs
+++ b/crates/controller/src/admin/tables.rs
@@ -117,7 +117,7 @@
 /// `GET /v1/tables`
 pub fn tables(now: Moment, core: &ControllerCore) -> Value {
     json!(TablesResponse {
-        list_version: core.nodes().version(),
+        list_version: core.endpoint_list().version(),
         rollback_target: core.rollback_target().map(|version| version.0),
         proxies: core
             .members()
--- a/crates/controller/src/discovery_server.rs
+++ b/crates/controller/src/discovery_server.rs
@@ -73,10 +73,8 @@
     ) {
         let subscribed = match &observation {
             Observation::Subscribed {
-                stream,
-                introduction,
-                ..
-            } => Some((*stream, introduction.name.clone())),
+                stream, identity, ..
+            } => Some((*stream, identity.name.clone())),
             Observation::Unsubscribed { stream } => {
                 self.protocol.close(*stream);
                 None
--- a/crates/controller/src/drains.rs
+++ b/crates/controller/src/drains.rs
@@ -285,7 +285,7 @@
         if now < self.review_at {
             return std::mem::take(&mut self.answers);
         }
-        self.review_at = now + core.plan().load_reports.period * REVIEW_PERIODS;
+        self.review_at = now + core.deployment().load_reports.period * REVIEW_PERIODS;
         self.submit_writes(now, state_writer);
         self.carry_out_effects(now, None);
         let drained = self.drained_nodes();
@@ -294,7 +294,7 @@
         }
         self.review_evidence(now, core);
         self.registry
-            .expire_withdrawn(now, core.plan().rules.drain_grace);
+            .expire_withdrawn(now, core.deployment().rules.drain_grace);
         self.carry_out_effects(now, None);
         std::mem::take(&mut self.answers)
     }
@@ -317,7 +317,7 @@
 
     /// Shows the registry which proxies still name the nodes that are being drained.
     fn review_evidence(&mut self, now: Moment, core: &mut ControllerCore) {
-        let grace = core.plan().rules.drain_grace;
+        let grace = core.deployment().rules.drain_grace;
         let active: Vec<(String, DrainState)> = self
             .drains()
             .filter(|drain| drain.is_active())
--- a/crates/controller/src/service/effects.rs
+++ b/crates/controller/src/service/effects.rs
@@ -69,7 +69,7 @@
         for action in actions {
             self.carry_out_rollout_action(now, action);
         }
-        let earliest = now + self.core.plan().controllers.tick;
+        let earliest = now + self.core.deployment().controllers.tick;
         self.rollout_at = self
             .rollout
             .wake_at(now, &self.core)
@@ -100,8 +100,8 @@
     /// A configuration comes into force: for the decisions, for what is written and for what is streamed.
     fn apply_config_update(&mut self, now: Moment, update: ConfigUpdate) {
         let _ = failpoint("change.configure");
-        self.submit_write(WriteJob::Reconfigure(Box::new(update.plan.clone())));
-        self.discovery.reconfigure(update.plan.clone());
+        self.submit_write(WriteJob::Reconfigure(Box::new(update.deployment.clone())));
+        self.discovery.reconfigure(update.deployment.clone());
         self.core
             .observe(now, Observation::ConfigUpdated(Box::new(update)));
         let _ = failpoint("change.configured");
--- a/crates/controller/src/service/maintenance.rs
+++ b/crates/controller/src/service/maintenance.rs
@@ -31,8 +31,8 @@
     pub(super) fn persist_facts(&mut self) {
         self.state_writer.persist_changes(
             reactor::wall(),
-            self.core.version(),
-            self.core.nodes(),
+            self.core.last_version(),
+            self.core.endpoint_list(),
             self.core.capacity_snapshots(),
         );
     }
--- a/crates/controller/src/service/reload.rs
+++ b/crates/controller/src/service/reload.rs
@@ -47,7 +47,7 @@
         self.file.deployment.channel.lines_per_second = lines_per_second;
         self.core.observe(
             now,
-            Observation::PaceChanged {
+            Observation::PacingChanged {
                 entries_per_second: lines_per_second,
             },
         );
--- a/crates/controller/src/service/startup.rs
+++ b/crates/controller/src/service/startup.rs
@@ -111,7 +111,7 @@
             file.changes.rollout_settings(),
             persisted,
         );
-        let deployment = configured.plan;
+        let deployment = configured.deployment;
         let mut scan =
             scan(root, &deployment).map_err(io_error("what lies under the root of tables"))?;
         for tables in &scan.unreadable {
@@ -119,8 +119,8 @@
             warn!(text, "unreadable file found under the root of tables");
         }
         state_writer::restore_core_state(persisted, reactor::wall(), &mut scan.recovered);
-        (scan.recovered.configuration, scan.recovered.values) =
-            (configured.version, configured.values);
+        (scan.recovered.configuration, scan.recovered.node_values) =
+            (configured.version, configured.node_values);
         scan.recovered.migrating = migrating;
         scan.recovered.drained = drains.drained_nodes();
         info!(
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -8,7 +8,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::{Path, PathBuf};
 use wheelspread::time::Span;
-use wheelspread_controller_core::membership::Introduction;
+use wheelspread_controller_core::membership::ProxyIdentity;
 use wheelspread_controller_core::span_format;
 use wheelspread_proxy_core::CoreConfig;
 
@@ -140,8 +140,8 @@
     }
 
     /// How the proxy introduces itself to controllers.
-    pub(crate) fn introduction(&self) -> Introduction {
-        Introduction {
+    pub(crate) fn introduction(&self) -> ProxyIdentity {
+        ProxyIdentity {
             name: self.name.clone(),
             zone: self.zone.clone(),
             usual_rate: self.usual_rate,
--- a/crates/proxy/src/report_stream.rs
+++ b/crates/proxy/src/report_stream.rs
@@ -9,7 +9,7 @@
 use std::time::SystemTime;
 use wheelspread::time::{Moment, Span};
 use wheelspread_controller_core::load_report::{LoadReport, NodeReport};
-use wheelspread_controller_core::membership::Introduction;
+use wheelspread_controller_core::membership::ProxyIdentity;
 use wheelspread_grpc::{ClientConnection, ClientEvent};
 use wheelspread_proxy_core::dialer::ControllerDialer;
 use wheelspread_reactor::{self as reactor, Interest, Poll, Token};
@@ -36,7 +36,7 @@
 
 /// The load report stream of a proxy.
 pub struct ReportStream {
-    introduction: Introduction,
+    introduction: ProxyIdentity,
     controllers: Vec<SocketAddrV4>,
     source: Option<Ipv4Addr>,
     state: State,
--- a/crates/proxy/src/table_stream.rs
+++ b/crates/proxy/src/table_stream.rs
@@ -7,7 +7,7 @@
 use std::io;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use wheelspread::time::{Moment, Span};
-use wheelspread_controller_core::membership::Introduction;
+use wheelspread_controller_core::membership::ProxyIdentity;
 use wheelspread_discovery::{DeltaClient, Request, ResourceType, TypeSubscription};
 use wheelspread_files::LoadedTables;
 use wheelspread_grpc::{ClientConnection, ClientEvent};
@@ -31,7 +31,7 @@
 
 /// The discovery stream of a proxy.
 pub struct TableStream {
-    introduction: Introduction,
+    introduction: ProxyIdentity,
     addresses: Vec<SocketAddrV4>,
     source: Option<Ipv4Addr>,
     token: Token,
--- a/crates/xds/src/discovery/request.rs
+++ b/crates/xds/src/discovery/request.rs
@@ -3,7 +3,7 @@
 use super::{resource_type, type_url};
 use crate::{loads, DecodeError};
 use prost::Message;
-use wheelspread_controller_core::membership::Introduction;
+use wheelspread_controller_core::membership::ProxyIdentity;
 use wheelspread_controller_core::publication::Version;
 use wheelspread_discovery::{Request, RequestBody};
 use xds_api::pb::envoy::config::core::v3 as core;
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 pub struct DecodedRequest {
     /// Who introduces itself in it.
-    pub introduction: Option<Introduction>,
+    pub introduction: Option<ProxyIdentity>,
     /// What it requests, acknowledges or rejects.
     pub request: Request,
     /// The version that the client says it holds from another stream.
@@ -89,7 +89,7 @@
     names.into_iter().chain(located).collect()
 }
 
-fn introduction(node: Option<&core::Node>) -> Option<Introduction> {
+fn introduction(node: Option<&core::Node>) -> Option<ProxyIdentity> {
     node.filter(|node| !node.id.is_empty())
         .map(loads::node_introduction)
 }
@@ -108,7 +108,7 @@
 /// Encodes a request of the incremental variant. The first one of a stream introduces the client, with the version that
 /// it holds.
 pub fn encode_delta_request(
-    introduction: Option<&Introduction>,
+    introduction: Option<&ProxyIdentity>,
     client_version: Option<Version>,
     request: &Request,
 ) -> Vec<u8> {
@@ -144,7 +144,7 @@
     .encode_to_vec()
 }
 
-fn introducing_node(introduction: &Introduction, client_version: Option<Version>) -> core::Node {
+fn introducing_node(introduction: &ProxyIdentity, client_version: Option<Version>) -> core::Node {
     let mut node = loads::introducing_node(introduction);
     if let Some(version) = client_version {
         let kind = Some(value::Kind::StringValue(version.0.to_string()));
--- a/crates/xds/src/discovery/tests.rs
+++ b/crates/xds/src/discovery/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use proptest::prelude::*;
 use wheelspread::time::{Moment, Span};
-use wheelspread_controller_core::membership::Introduction;
+use wheelspread_controller_core::membership::ProxyIdentity;
 use wheelspread_controller_core::publication::Version;
 use wheelspread_discovery::{Request, RequestBody, Stream};
 
@@ -22,7 +22,7 @@
             subscribe: vec!["quote".into()], unsubscribe: vec!["old".into()],
             initial_versions: [("quote".to_string(), "1".to_string())].into(),
         };
-        let introduction = Introduction { name: "g1".into(), zone: "north".into(), usual_rate: Some(3.0) };
+        let introduction = ProxyIdentity { name: "g1".into(), zone: "north".into(), usual_rate: Some(3.0) };
         let mut bytes = encode_delta_request(Some(&introduction), Some(Version(7)), &Request { resource_type: ResourceType::Entries, nonce: "4".into(), error: None, body });
         let at = at % bytes.len();
         bytes[at] = to;
--- a/crates/xds/src/loads.rs
+++ b/crates/xds/src/loads.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use wheelspread::time::Span;
 use wheelspread_controller_core::load_report::{LoadReport, Metric, NodeReport, OperationReport};
-use wheelspread_controller_core::membership::Introduction;
+use wheelspread_controller_core::membership::ProxyIdentity;
 use xds_api::pb::envoy::config::core::v3 as core;
 use xds_api::pb::envoy::config::endpoint::v3 as endpoint;
 use xds_api::pb::envoy::service::load_stats::v3::{LoadStatsRequest, LoadStatsResponse};
@@ -51,12 +51,12 @@
 }
 
 /// Who introduces itself in a request, if anybody does.
-pub fn introduction(request: &LoadStatsRequest) -> Option<Introduction> {
+pub fn introduction(request: &LoadStatsRequest) -> Option<ProxyIdentity> {
     request.node.as_ref().map(node_introduction)
 }
 
 /// How a node introduces itself, on whichever stream.
-pub(crate) fn node_introduction(node: &core::Node) -> Introduction {
+pub(crate) fn node_introduction(node: &core::Node) -> ProxyIdentity {
     let usual_rate = node
         .metadata
         .as_ref()
@@ -66,7 +66,7 @@
         .locality
         .as_ref()
         .map_or(String::new(), |locality| locality.zone.clone());
-    Introduction {
+    ProxyIdentity {
         name: node.id.clone(),
         zone,
         usual_rate: match usual_rate {
@@ -77,7 +77,7 @@
 }
 
 /// The node by which a proxy introduces itself, on whichever stream.
-pub(crate) fn introducing_node(introduction: &Introduction) -> core::Node {
+pub(crate) fn introducing_node(introduction: &ProxyIdentity) -> core::Node {
     let metadata = introduction.usual_rate.map(|rate| {
         let kind = Some(Kind::NumberValue(rate));
         Struct {
@@ -93,7 +93,7 @@
 }
 
 /// The first request of a stream, from a proxy that introduces itself.
-pub fn introduce(introduction: &Introduction) -> LoadStatsRequest {
+pub fn introduce(introduction: &ProxyIdentity) -> LoadStatsRequest {
     LoadStatsRequest {
         node: Some(introducing_node(introduction)),
         cluster_stats: Vec::new(),
--- a/crates/xds/src/loads/tests.rs
+++ b/crates/xds/src/loads/tests.rs
@@ -49,7 +49,7 @@
 
 #[test]
 fn an_introduction_and_an_interval_are_decoded_as_they_were_encoded() {
-    let who = Introduction {
+    let who = ProxyIdentity {
         name: "g1".into(),
         zone: "north".into(),
         usual_rate: Some(12.5),
