--- a/crates/controller-core/src/acknowledgement.rs
+++ b/crates/controller-core/src/acknowledgement.rs
@@ -1,8 +1,9 @@
-//! Acknowledgement barriers: the balancer sends a marker and waits until a proxy holds the tables sent before it.
+//! Acknowledgement barriers: the balancer sends a version marker and waits until a proxy holds the tables sent
+//! before it.
 //!
-//! A file has no acknowledgement. A proxy that publishes its status says which version it holds; one that never
-//! does is assumed to hold what was written for it after a second. A rejected version acknowledges
-//! nothing.
+//! Files carry no acknowledgement. A proxy that reports its status says which version it holds. A proxy that never
+//! reports one is assumed to hold a version one second after it was written. A rejected version acknowledges no
+//! marker.
 
 use crate::publication::Version;
 use std::collections::{BTreeMap, VecDeque};
@@ -11,9 +12,10 @@
 use wheelspread::time::{Moment, Span};
 use wheelspread::Event;
 
-/// The design's wait for an acknowledgement (DESIGN-wheelspread.md).
+/// Time after a delivery at which a version is assumed to be applied, as specified in DESIGN-wheelspread.md.
 const ASSUMED_APPLIED_AFTER: Duration = Duration::from_secs(1);
-/// Markers that wait for one proxy; the balancer gives up older ones by itself.
+/// Maximum number of pending markers per proxy. The oldest is dropped beyond it, as the balancer stops waiting for
+/// old markers by itself.
 const MAX_PENDING_MARKERS: usize = 64;
 
 /// A version that a proxy holds.
@@ -21,7 +23,7 @@
 pub struct AppliedVersion {
     /// The version.
     pub version: Version,
-    /// Since when it is known.
+    /// When it became known that the proxy holds it.
     pub since: Moment,
 }
 
@@ -35,19 +37,21 @@
 #[derive(Clone, Debug, Default)]
 struct ProxyAcknowledgements {
     pending: VecDeque<PendingMarker>,
-    /// What was last delivered to it.
+    /// The version last delivered to the proxy.
     delivered: Option<AppliedVersion>,
-    /// The newest version that it said it holds; `None` while it never published a status.
+    /// The newest version that the proxy reported to hold; `None` if it never reported a status.
     reported: Option<Version>,
     reported_at: Option<Moment>,
     rejected: Option<Version>,
-    /// It reads a stream, where silence and rejections are waited for no longer than a silent file reader.
+    /// Whether the proxy reads a stream. If it is silent or rejects a version, it is waited for no longer than a
+    /// silent proxy that reads files.
     reads_stream: bool,
 }
 
 impl ProxyAcknowledgements {
-    /// The delivered version, if it is assumed to be held. A proxy that is silent, or rejects for good, holds up
-    /// nobody else: after the wait the balancer goes on without it.
+    /// The delivered version, if the proxy is assumed to hold it. After the wait this applies to a file reader that
+    /// neither reported a status nor rejected the version, and to every stream reader, so that a proxy that is
+    /// silent or keeps rejecting versions does not block the balancer.
     fn assumed_version(&self, now: Moment) -> Option<Version> {
         let delivered = self.delivered?;
         let has_responded = self.reported.is_some() || self.rejected >= Some(delivered.version);
@@ -55,7 +59,7 @@
         (is_overdue && (self.reads_stream || !has_responded)).then_some(delivered.version)
     }
 
-    /// When its delivered version may be assumed to be held, if a marker waits for that.
+    /// When the delivered version may be assumed to be applied, if a marker is pending.
     fn wake_at(&self) -> Option<Moment> {
         let is_waiting = (self.reported.is_none() || self.reads_stream) && !self.pending.is_empty();
         self.delivered
@@ -68,14 +72,14 @@
     Span::from_seconds(ASSUMED_APPLIED_AFTER.as_secs_f64())
 }
 
-/// The markers that wait for each proxy, and what each is known to hold.
+/// The pending markers of each proxy, and the versions that proxies are known to hold.
 #[derive(Clone, Debug, Default)]
 pub struct Acknowledgements {
     proxies: BTreeMap<ProxyId, ProxyAcknowledgements>,
 }
 
 impl Acknowledgements {
-    /// The balancer wants to know when the proxy holds `version`.
+    /// Adds a marker that is acknowledged once the proxy holds `version`.
     pub fn request(&mut self, now: Moment, proxy: ProxyId, marker: MarkerId, version: Version) {
         let pending = &mut self.proxies.entry(proxy).or_default().pending;
         if pending.len() >= MAX_PENDING_MARKERS {
@@ -96,7 +100,7 @@
         });
     }
 
-    /// The proxy said that it holds a version.
+    /// The proxy reported that it holds a version.
     pub fn on_reported(&mut self, now: Moment, proxy: ProxyId, version: Version) {
         let state = self.proxies.entry(proxy).or_default();
         if state.reported < Some(version) {
@@ -104,19 +108,20 @@
         }
     }
 
-    /// The proxy said that it rejects a version.
+    /// The proxy reported that it rejects a version.
     pub fn on_rejected(&mut self, proxy: ProxyId, version: Version) {
         self.proxies.entry(proxy).or_default().rejected = Some(version);
     }
 
-    /// The proxy reads a stream from now on: it says by itself what it holds.
+    /// The proxy reads a stream from now on, by which it reports the version that it holds.
     pub fn on_subscribed(&mut self, proxy: ProxyId) {
         let state = self.proxies.entry(proxy).or_default();
         state.reads_stream = true;
         state.reported = state.reported.max(Some(Version(0)));
     }
 
-    /// The version that a proxy said it holds or, if it never did, that was written for it.
+    /// The version that a proxy reported to hold. For a proxy that reads files and never reported one, the version
+    /// last written for it.
     pub fn applied(&self, proxy: ProxyId) -> Option<AppliedVersion> {
         let state = self.proxies.get(&proxy)?;
         match (state.reported, state.reported_at) {
@@ -130,12 +135,14 @@
         self.proxies.get(&proxy)?.rejected
     }
 
-    /// The proxy's stream broke: its markers stay unacknowledged, and it has to report a status anew.
+    /// Forgets a proxy whose stream ended. Its pending markers are never acknowledged, and its earlier status no
+    /// longer counts.
     pub fn forget(&mut self, proxy: ProxyId) {
         self.proxies.remove(&proxy);
     }
 
-    /// Markers that are acknowledged by now, in the order in which they were sent to each proxy.
+    /// Removes the markers that are acknowledged by now, and returns their events in the order in which the markers
+    /// were sent to each proxy.
     pub fn take_acknowledged(&mut self, now: Moment) -> Vec<Event> {
         let mut events = Vec::new();
         for (proxy, state) in &mut self.proxies {
@@ -154,7 +161,7 @@
         events
     }
 
-    /// When a version may next be assumed to be held.
+    /// When the next version may be assumed to be applied.
     pub fn wake_at(&self) -> Option<Moment> {
         self.proxies
             .values()
--- a/crates/controller-core/src/acknowledgement/tests.rs
+++ b/crates/controller-core/src/acknowledgement/tests.rs
@@ -13,13 +13,13 @@
 }
 
 #[test]
-fn a_proxy_without_status_is_assumed_to_hold_a_delivered_version_after_a_second() {
+fn a_proxy_that_never_reported_is_assumed_to_hold_a_version_one_second_after_delivery() {
     let mut acknowledgements = Acknowledgements::default();
     acknowledgements.request(at(0.0), ProxyId(1), MarkerId(1), Version(5));
     assert_eq!(
         markers(acknowledgements.take_acknowledged(at(9.0))),
         [] as [u32; 0],
-        "it was not delivered yet"
+        "version 5 was not delivered yet"
     );
     acknowledgements.on_delivered(at(9.0), ProxyId(1), Version(5));
     assert_eq!(
@@ -31,8 +31,7 @@
 }
 
 #[test]
-fn a_proxy_with_status_acknowledges_when_it_reports_and_a_newer_version_acknowledges_older_markers()
-{
+fn a_proxy_that_reports_status_acknowledges_all_markers_up_to_the_reported_version() {
     let mut acknowledgements = Acknowledgements::default();
     acknowledgements.on_reported(at(0.0), ProxyId(1), Version(4));
     acknowledgements.request(at(0.0), ProxyId(1), MarkerId(1), Version(5));
@@ -42,7 +41,7 @@
     assert_eq!(
         markers(acknowledgements.take_acknowledged(at(60.0))),
         [] as [u32; 0],
-        "it reported a status before: nothing is assumed"
+        "nothing is assumed of a proxy that reported a status before"
     );
     acknowledgements.on_reported(at(60.0), ProxyId(1), Version(7));
     assert_eq!(
@@ -52,7 +51,7 @@
 }
 
 #[test]
-fn a_stream_that_is_silent_or_rejects_is_waited_for_no_longer_than_a_second() {
+fn a_stream_reader_that_is_silent_or_rejects_is_waited_for_one_second() {
     let mut acknowledgements = Acknowledgements::default();
     acknowledgements.on_subscribed(ProxyId(1));
     acknowledgements.request(at(0.0), ProxyId(1), MarkerId(1), Version(5));
@@ -68,12 +67,12 @@
     assert_eq!(
         acknowledgements.applied(ProxyId(1)),
         None,
-        "and it is not said to hold it"
+        "a rejected version does not count as applied"
     );
 }
 
 #[test]
-fn a_rejected_version_is_not_assumed() {
+fn a_rejected_version_is_not_assumed_to_be_applied() {
     let mut acknowledgements = Acknowledgements::default();
     acknowledgements.request(at(0.0), ProxyId(1), MarkerId(1), Version(5));
     acknowledgements.on_delivered(at(0.0), ProxyId(1), Version(5));
@@ -86,6 +85,6 @@
     assert_eq!(
         markers(acknowledgements.take_acknowledged(at(7.0))),
         [1],
-        "a later version that it did not reject acknowledges it too"
+        "a later version that is not rejected acknowledges the marker"
     );
 }
--- a/crates/controller-core/src/controller_core.rs
+++ b/crates/controller-core/src/controller_core.rs
@@ -1,8 +1,8 @@
 //! The controller's protocol state, without sockets, disk or clock.
 //!
-//! [`ControllerCore::observe`] takes in what happened. [`ControllerCore::settle`] runs a decision round of the
-//! balancer when one is due and hands out the effects to carry out. One loop drives it: observe what came,
-//! settle, carry out the effects, sleep until [`ControllerCore::wake_at`].
+//! [`ControllerCore::observe`] records an observation. [`ControllerCore::settle`] runs a decision round of the
+//! balancer if one is due and returns the effects to carry out. The caller's loop passes pending observations,
+//! settles, carries out the effects and sleeps until [`ControllerCore::wake_at`].
 
 mod configuration;
 mod deliveries;
@@ -47,22 +47,22 @@
 use wheelspread::time::Moment;
 use wheelspread::{Balancer, CapacitySnapshot, Event};
 
-/// The tables of one proxy: what it should hold, and what it holds.
+/// The tables of one proxy: the newest version, and the versions that it applied and rejected.
 pub struct ProxyTableStatus<'a> {
-    /// The newest version for it.
+    /// The newest version published for the proxy.
     pub newest: Option<&'a Arc<TableSet>>,
-    /// How it gets its tables.
+    /// How the proxy gets its tables.
     pub transport: Transport,
-    /// The version that it holds, and since when.
+    /// The version that the proxy holds, and since when.
     pub applied: Option<AppliedVersion>,
-    /// The last version that it rejected.
+    /// The last version that the proxy rejected.
     pub rejected: Option<Version>,
 }
 
-/// A controller without its sockets, files and clock.
+/// The state of a controller, without sockets, files or clock.
 pub struct ControllerCore {
     deployment: Deployment,
-    /// This controller's among those of the deployment.
+    /// Index of this controller among the controllers of the deployment.
     controller_index: u32,
     started_at: Moment,
     balancer: Balancer,
@@ -90,7 +90,8 @@
 }
 
 impl ControllerCore {
-    /// Starts from what an earlier run left. `number`: this controller's among those of the deployment.
+    /// Starts a controller from the state of an earlier run. `controller_index` is the controller's index among
+    /// the controllers of the deployment.
     pub fn start(
         now: Moment,
         seed: u64,
@@ -137,7 +138,7 @@
         })
     }
 
-    /// Takes in something that happened. Effects come with the next [`ControllerCore::settle`].
+    /// Records an observation. The next [`ControllerCore::settle`] returns the resulting effects.
     pub fn observe(&mut self, now: Moment, observation: Observation) {
         self.schedule.request_round();
         match observation {
@@ -186,22 +187,22 @@
         }
     }
 
-    /// The deployment's settings in force.
+    /// The settings of the deployment in force.
     pub fn deployment(&self) -> &Deployment {
         &self.deployment
     }
 
-    /// The last version that was made.
+    /// The highest version allocated so far.
     pub fn last_version(&self) -> Version {
         self.publication.last_version()
     }
 
-    /// Entries in the update queue.
+    /// Entries in the update queue or in flight, overhead included.
     pub fn queued_entries(&self) -> f64 {
         self.queue.queued_entries()
     }
 
-    /// How many updates went to proxies.
+    /// Counts of the updates sent and superseded.
     pub fn update_counts(&self) -> UpdateCounts {
         self.queue.counts()
     }
@@ -211,28 +212,28 @@
         &self.endpoints
     }
 
-    /// The proxies that are joined or were lately.
+    /// The known proxies: joined ones, and disconnected ones that are not forgotten yet.
     pub fn members(&self) -> &Membership {
         &self.members
     }
 
-    /// What load reports of the last periods sum up to.
+    /// Sums of the load reports of recent report periods.
     pub fn service_history(&self) -> &ServiceHistory {
         &self.history
     }
 
-    /// Up to when all joined proxies that report have reported.
+    /// The time up to which every joined proxy that sends load reports has reported.
     pub fn reported_until(&self) -> Option<Moment> {
         let joined = self.joined_members().map(|(_, member)| member.id);
         self.history.known_until(joined)
     }
 
-    /// What the balancer knows of nodes' capacities, to be stored for a restart.
+    /// The balancer's capacity estimates of nodes, to be stored and restored after a restart.
     pub fn capacity_snapshots(&self) -> impl Iterator<Item = CapacitySnapshot> + '_ {
         self.balancer.capacity_snapshots()
     }
 
-    /// The tables of a proxy.
+    /// The status of a proxy's tables.
     pub fn table_status(&self, proxy: ProxyId) -> ProxyTableStatus<'_> {
         ProxyTableStatus {
             newest: self.publication.newest_for(proxy),
@@ -252,7 +253,7 @@
         self.members.by_id(proxy).is_some_and(Member::is_joined)
     }
 
-    /// The version that a proxy is known to hold.
+    /// The version that a proxy is known to hold; `None` if that is unknown.
     fn applied_version(&self, member: &Member) -> Option<Version> {
         self.acknowledgements
             .applied(member.id)
@@ -263,7 +264,7 @@
         self.effects.push(Effect::Log(event));
     }
 
-    /// Hands an event to the balancer.
+    /// Passes an event to the balancer; an event that the balancer rejects is logged.
     fn handle_event(&mut self, now: Moment, event: &Event) {
         if let Err(error) = self.balancer.handle_event(now, event) {
             let reason = error.to_string();
--- a/crates/controller-core/src/controller_core/configuration.rs
+++ b/crates/controller-core/src/controller_core/configuration.rs
@@ -1,4 +1,4 @@
-//! Changes of configuration: putting one in force, moving nodes between pools, and how far proxies have come.
+//! Configuration changes: applying them, completing migrations between pools, and the progress of a rollout.
 
 use super::{zone_of, ConfigUpdate, ControllerCore};
 use crate::membership::Member;
@@ -12,39 +12,40 @@
 /// The configuration in force.
 pub(super) struct ActiveConfiguration {
     pub(super) version: u64,
-    /// Tables above this version were made under it.
+    /// Highest version made before this configuration; table versions above it were made under this configuration.
     pub(super) last_version_before: Version,
 }
 
-/// How far a configuration has come.
+/// Progress of the rollout of a configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RolloutProgress {
     /// The configuration's version.
     pub configuration: u64,
-    /// Joined proxies that still hold tables of an older one.
+    /// Joined proxies that hold tables of an older configuration, or of which the held version is unknown.
     pub outdated_proxies: Vec<String>,
-    /// Known proxies that are not joined: they take the newest tables when they come back.
+    /// Number of known proxies that are not joined; they get the newest tables when they reconnect.
     pub disconnected_count: usize,
-    /// Nodes that migrate between two pools.
+    /// Number of nodes that are migrating between two pools.
     pub migrating_count: usize,
 }
 
-/// A joined proxy's tables, as a migration depends on them.
+/// The version that a joined proxy holds and the newest one, which decide when a migration can complete.
 struct HeldTables<'a> {
     applied: Option<Version>,
     newest: &'a Arc<TableSet>,
 }
 
 impl HeldTables<'_> {
-    /// Whether the proxy may send requests to the node.
+    /// Whether the proxy's tables may contain the node: the proxy does not hold the newest version yet, or the
+    /// newest version contains the node.
     fn may_have_entry_for(&self, node: NodeId) -> bool {
         self.applied < Some(self.newest.version) || self.newest.has_entry_for(node)
     }
 }
 
 impl ControllerCore {
-    /// Puts a configuration in force: the balancer takes its settings and where nodes serve, all at once, and
-    /// every table that is made from now on says that it was made under it.
+    /// Applies a configuration: the balancer gets its settings and the pools of nodes in one step, and every
+    /// table version made from now on carries the configuration's version.
     pub(super) fn apply_configuration(&mut self, now: Moment, update: ConfigUpdate) {
         let ConfigUpdate {
             version,
@@ -81,7 +82,8 @@
         });
     }
 
-    /// Nodes that no proxy of their old pool names any more are listed in the new one.
+    /// Lists migrating nodes in their new pool once no joined proxy's tables may contain them, at the latest after
+    /// one drain grace.
     pub(super) fn finish_migrations(&mut self, now: Moment) {
         if self.overrides.migration_count() == 0 {
             return;
@@ -99,7 +101,8 @@
             })
             .collect();
         let grace = self.deployment.rules.drain_grace;
-        // Soon after a start any proxy may still come and hold what an earlier run gave it.
+        // Within one drain grace after the start, a proxy that has not connected yet may hold tables of an
+        // earlier run.
         let is_startup_grace = now - self.started_at < grace;
         let may_have_entry = |node: NodeId| {
             is_startup_grace || held_tables.iter().any(|held| held.may_have_entry_for(node))
@@ -114,7 +117,7 @@
         }
     }
 
-    /// How far the configuration in force has come.
+    /// Progress of the rollout of the configuration in force.
     pub fn rollout_progress(&self) -> RolloutProgress {
         let is_outdated = |member: &Member| {
             self.publication.bundle_of(member.id).is_some()
--- a/crates/controller-core/src/controller_core/deliveries.rs
+++ b/crates/controller-core/src/controller_core/deliveries.rs
@@ -1,4 +1,4 @@
-//! What each proxy was last given, and what is being written for it.
+//! The tables last delivered to each proxy, and the tables being written for it.
 
 use super::{ControllerCore, TableWriteError};
 use crate::publication::{TableSet, Version};
@@ -9,13 +9,13 @@
 use wheelspread::ids::ProxyId;
 use wheelspread::time::Moment;
 
-/// The tables that were given to proxies. Streams have nothing in flight: what a stream was offered last is what
-/// it will send.
+/// Tables delivered to proxies and table writes in flight. Tables offered to a stream count as delivered at once,
+/// because the stream sends the last version that it was offered.
 #[derive(Default)]
 pub(super) struct Deliveries {
-    /// What each proxy's files were last pointed at, or its stream was offered.
+    /// The tables that each proxy's files were last switched to, or that its stream was last offered.
     delivered: BTreeMap<ProxyId, Arc<TableSet>>,
-    /// What is being written to the disk.
+    /// The tables being written to the disk.
     in_flight: BTreeMap<ProxyId, Arc<TableSet>>,
 }
 
@@ -24,7 +24,7 @@
         self.in_flight.insert(proxy, set);
     }
 
-    /// Returns what was being written.
+    /// Ends a proxy's write in flight and returns its tables.
     pub(super) fn finish_write(&mut self, proxy: ProxyId) -> Option<Arc<TableSet>> {
         self.in_flight.remove(&proxy)
     }
@@ -42,7 +42,7 @@
         self.in_flight.remove(&proxy);
     }
 
-    /// The tables that the proxy will hold once the write in flight is done.
+    /// The tables that the proxy will hold once its write in flight, if any, succeeds.
     pub(super) fn latest(&self, proxy: ProxyId) -> Option<&Arc<TableSet>> {
         self.in_flight
             .get(&proxy)
@@ -53,7 +53,7 @@
         self.delivered.get(&proxy).map(|set| set.version)
     }
 
-    /// Versions that some proxy reads or will read.
+    /// Versions delivered to some proxy, or being written for one.
     pub(super) fn versions(&self) -> impl Iterator<Item = Version> + '_ {
         self.delivered
             .values()
--- a/crates/controller-core/src/controller_core/drains.rs
+++ b/crates/controller-core/src/controller_core/drains.rs
@@ -1,4 +1,4 @@
-//! Drained nodes: whether proxies still name them, and whether requests still reach them.
+//! Drained nodes: whether tables of proxies still contain them, and whether requests still reach them.
 
 use super::ControllerCore;
 use crate::drain_evidence::EvidenceSummary;
@@ -13,12 +13,12 @@
         self.overrides.drained()
     }
 
-    /// From now on requests count that reach a node which should get none.
+    /// Starts to count the requests that reach a drained node.
     pub fn watch_drained_node(&mut self, now: Moment, node: NodeId) {
         self.evidence.watch(now, node);
     }
 
-    /// What is known of a node that should get no requests.
+    /// The drain evidence of a node.
     pub fn drain_evidence(&self, node: NodeId) -> EvidenceSummary {
         let reported = self.evidence.reported_traffic(node);
         EvidenceSummary {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Joined proxies that hold a table which names a node, or of which it is not known what they hold.
+    /// Names of the joined proxies that hold a table with an entry for the node, or whose tables are unknown.
     pub fn proxies_with_entry_for(&self, node: NodeId) -> Vec<String> {
         self.joined_members()
             .filter(|(_, member)| self.holds_entry_for(member, node).unwrap_or(true))
@@ -37,7 +37,7 @@
             .collect()
     }
 
-    /// `None`: it is not known what the proxy holds.
+    /// Whether the proxy's tables have an entry for the node; `None` if its tables are unknown.
     fn holds_entry_for(&self, member: &Member, node: NodeId) -> Option<bool> {
         let newest = self.publication.newest_for(member.id)?;
         let applied = self.applied_version(member)?;
--- a/crates/controller-core/src/controller_core/effect.rs
+++ b/crates/controller-core/src/controller_core/effect.rs
@@ -1,4 +1,4 @@
-//! What the controller core wants done: the outputs of [`ControllerCore::settle`](super::ControllerCore::settle).
+//! Effects: the outputs of [`ControllerCore::settle`](super::ControllerCore::settle).
 
 use crate::membership::StreamId;
 use crate::publication::{BundleId, TableSet, Version};
@@ -7,63 +7,63 @@
 use wheelspread::ids::NodeId;
 use wheelspread::time::Span;
 
-/// Something to carry out outside the core.
+/// An action for the caller to carry out outside the core.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// The stream is accepted.
+    /// Accept a stream of load reports.
     AcceptStream {
         /// The stream.
         stream: StreamId,
-        /// How often it is to report.
+        /// The report period of the stream's proxy.
         period: Span,
     },
-    /// The stream is to be closed.
+    /// Close the stream.
     CloseStream {
         /// The stream.
         stream: StreamId,
-        /// The reason, which the proxy gets.
+        /// The close reason that is sent to the proxy.
         reason: String,
     },
-    /// Write the version if it is not on the disk yet, then point the proxy's files at it.
+    /// Write the version to the disk unless it is there already, then switch the proxy's files to it.
     WriteTables {
         /// The proxy's name.
         proxy: String,
         /// The tables.
         set: Arc<TableSet>,
     },
-    /// Offer the version to a stream, in the place of what was not sent yet.
+    /// Offer the version to a stream; it replaces an older version that was not sent yet.
     SendTables {
         /// The stream.
         stream: StreamId,
         /// The tables.
         set: Arc<TableSet>,
     },
-    /// A rollback, or its end, was carried out or refused.
+    /// A request to roll back, or to end a rollback, was carried out or rejected.
     RollbackFinished {
-        /// The request that asked for it.
+        /// The request's identifier.
         request: u64,
-        /// What it leads to.
+        /// The outcome, or why the request was rejected.
         result: Result<RollbackResult, RollbackError>,
     },
-    /// The version is not in use any more: remove it from the disk.
+    /// Remove a version that is no longer in use from the disk.
     RetireVersion {
         /// The version.
         version: Version,
     },
-    /// Operators should read this.
+    /// Write a log event.
     Log(LogEvent),
 }
 
-/// What operators read in the log.
+/// An event for the operators' log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LogEvent {
     /// An endpoint list was accepted.
     EndpointListAccepted {
         /// The list's version.
         version: String,
-        /// Nodes that are not draining.
+        /// Number of nodes that are not draining.
         ready: usize,
-        /// Entries that changed.
+        /// Number of entries that changed.
         changes: usize,
     },
     /// An endpoint list was rejected, or could not be read.
@@ -71,11 +71,11 @@
         /// Why.
         reason: String,
     },
-    /// No endpoint list can be read; the last one accepted before the restart is in force.
+    /// The endpoint list could not be read at the start; the last list accepted before the restart is in force.
     EndpointListRestored {
         /// The list's version.
         version: String,
-        /// How many nodes it lists.
+        /// Number of nodes that the list contains.
         nodes: usize,
     },
     /// A proxy joined.
@@ -85,12 +85,12 @@
         /// Its zone.
         zone: String,
     },
-    /// A proxy's stream ended.
+    /// The stream by which a proxy was joined ended.
     ProxyLeft {
         /// Its name.
         proxy: String,
     },
-    /// A proxy reads its tables from a stream.
+    /// A proxy opened a stream of tables.
     ProxySubscribed {
         /// Its name.
         proxy: String,
@@ -102,35 +102,36 @@
         /// Its name.
         proxy: String,
     },
-    /// Ordinary updates of a table wait, because most proxies reject it.
+    /// Ordinary updates of a table are paused, because most proxies reject the newest version.
     UpdatesPaused {
         /// The table.
         bundle: BundleId,
-        /// How long.
+        /// Length of the pause.
         wait: Span,
     },
-    /// A table is rolled back.
+    /// A rollback of a table started.
     RolledBack {
-        /// To this version.
+        /// The version to roll back to.
         version: Version,
-        /// Entries that are in force again, or will be.
+        /// Number of entries that get their old weights back.
         entries: usize,
-        /// Nodes that don't come back, and why.
+        /// Nodes of the old version that are excluded, and why.
         excluded: Vec<(NodeId, &'static str)>,
     },
     /// The rollback ended.
     RollbackEnded {
-        /// Nodes whose weight is again the listed one.
+        /// Number of nodes whose weight is the listed one again.
         nodes: usize,
     },
-    /// A configuration is in force.
+    /// A configuration was applied.
     ConfigApplied {
         /// Its version.
         configuration: u64,
-        /// Nodes that it changes.
+        /// Number of nodes that the configuration changes.
         nodes: usize,
     },
-    /// A configuration says what can't change while the controller runs; the one before stays in force.
+    /// The balancer rejected a configuration, as it would change settings that are fixed while the controller
+    /// runs; the previous configuration stays in force.
     ConfigRejected {
         /// Its version.
         configuration: u64,
@@ -144,7 +145,7 @@
         /// Why.
         reason: String,
     },
-    /// A proxy has been away for so long that nothing is written for it any more.
+    /// A proxy was disconnected for so long that it was forgotten and gets no more tables.
     ProxyForgotten {
         /// Its name.
         proxy: String,
@@ -155,11 +156,11 @@
         bundle: BundleId,
         /// The new version.
         version: Version,
-        /// The configuration it was made under.
+        /// Version of the configuration that it was made under.
         configuration: u64,
-        /// Proxies that are bound to it.
+        /// Number of proxies that are bound to the table.
         proxies: usize,
-        /// Entries of its largest operation.
+        /// Number of entries of the operation with the most.
         entries: usize,
     },
     /// A version was written for a proxy.
@@ -177,10 +178,10 @@
         version: Version,
         /// Why.
         reason: String,
-        /// The backoff.
+        /// The backoff before the write is retried.
         retry_in: Span,
     },
-    /// A proxy rejects a version.
+    /// A proxy rejected a version.
     TablesRejected {
         /// The proxy's name.
         proxy: String,
@@ -196,39 +197,40 @@
         /// Why.
         reason: String,
     },
-    /// Load reports name nodes that are not listed.
+    /// Load reports contain nodes that are not listed.
     UnknownNodes {
-        /// How many times.
+        /// How often reports have named an unlisted node.
         count: u64,
     },
-    /// More entries wait in the update queue than the deployment allows.
+    /// The update queue holds more entries than the deployment's limit.
     UpdateQueueFull {
-        /// How many wait.
+        /// Number of queued entries, overhead included.
         entries: f64,
     },
-    /// Nodes that left were taken out of the files of a proxy that has not come back after a restart.
+    /// Nodes that are no longer ready were removed from the files of a proxy that has not reconnected since the
+    /// restart.
     StaleEntriesPruned {
         /// The proxy's name.
         proxy: String,
-        /// The nodes.
+        /// The removed nodes.
         nodes: Vec<String>,
     },
-    /// Solved weights are listed.
+    /// Weights computed by the weight solver were listed to the balancer.
     WeightsSolved {
-        /// For how many nodes they changed.
+        /// Number of nodes whose weight changed.
         nodes: usize,
     },
-    /// Weights could not be solved; the last ones stand.
+    /// The weight solver failed; the last weights stay in force.
     SolverFailed {
         /// Why.
         reason: String,
     },
-    /// The balancer says something of its decisions.
+    /// A message of the balancer about its decisions.
     BalancerMessage {
-        /// The message.
+        /// Text of the message.
         text: String,
     },
-    /// The balancer could not use an event.
+    /// The balancer rejected an event.
     EventIgnored {
         /// Why.
         reason: String,
--- a/crates/controller-core/src/controller_core/endpoints.rs
+++ b/crates/controller-core/src/controller_core/endpoints.rs
@@ -1,4 +1,5 @@
-//! Endpoint lists: accepting them, and listing nodes to the balancer as overrides, solver and rollback have them.
+//! Endpoint lists: accepting them, and listing nodes to the balancer with the changes that node overrides, weight
+//! solver and rollback make to them.
 
 use super::recovery::PRUNE_AFTER_DRAIN_GRACES;
 use super::{zone_of, ConfigUpdate, ControllerCore};
@@ -17,7 +18,7 @@
         list: Result<EndpointSnapshot, SnapshotReadError>,
     ) {
         let is_first = self.schedule.start();
-        // Only the first read falls back on the stored list: later ones fall back on the list in force.
+        // Only the first read falls back to the stored list. If a later one fails, the list in force stays.
         let stored = self.pending_restore.take_endpoint_list();
         if let Some(stored) = stored.filter(|_| is_first && list.is_err()) {
             self.restore_endpoint_list(now, stored);
@@ -34,7 +35,7 @@
         }
     }
 
-    /// No list can be read at the start: the last one accepted before the restart is in force.
+    /// Applies the last list accepted before the restart, because none could be read at the start.
     fn restore_endpoint_list(&mut self, now: Moment, stored: EndpointSnapshot) {
         self.log(LogEvent::EndpointListRestored {
             version: stored.version.clone(),
@@ -54,7 +55,7 @@
             return;
         };
         self.list_endpoints(now, event.clone());
-        // The balancer knows the nodes only now.
+        // Capacities can be restored only for nodes that the balancer knows, so not before the first list.
         let capacities = self.pending_restore.take_capacities();
         if !capacities.is_empty() {
             self.balancer.restore_capacities(&capacities);
@@ -74,7 +75,8 @@
         self.relist(now, |entry| changed.contains(&entry.node));
     }
 
-    /// Lists some nodes to the balancer again, after something that overrides the list has changed.
+    /// Lists the nodes for which `is_changed` holds to the balancer again, after a change of what overrides the
+    /// endpoint list.
     pub(super) fn relist(&mut self, now: Moment, is_changed: impl Fn(&EndpointEntry) -> bool) {
         let entries = self
             .endpoints
@@ -87,7 +89,8 @@
         self.list_endpoints(now, Event::EndpointList { kind, entries });
     }
 
-    /// Lists nodes to the balancer as the configuration, the solver and a rollback have them.
+    /// Passes an endpoint list event to the balancer after applying node overrides, solved weights and the weights
+    /// of a rollback, in this order.
     pub(super) fn list_endpoints(&mut self, now: Moment, event: Event) {
         let event = self.overrides.apply_to_event(now, event);
         let event = self.solver.apply_to_event(event);
@@ -95,14 +98,14 @@
         self.handle_event(now, &event);
     }
 
-    /// Listed nodes as the configuration has them.
+    /// Entries of the listed nodes with the node overrides of the configuration in force applied.
     pub fn effective_entries(&self) -> impl Iterator<Item = EndpointEntry> + '_ {
         self.endpoints
             .listed()
             .map(|(_, entry)| self.overrides.effective_entry(entry))
     }
 
-    /// Listed nodes as another configuration would have them.
+    /// Entries of the listed nodes with the node overrides of another configuration applied.
     pub fn effective_entries_with(&self, update: &ConfigUpdate) -> Vec<EndpointEntry> {
         let (mut overrides, mut endpoints) = (NodeOverrides::default(), self.endpoints.clone());
         overrides.set(
--- a/crates/controller-core/src/controller_core/observation.rs
+++ b/crates/controller-core/src/controller_core/observation.rs
@@ -1,4 +1,4 @@
-//! What happened outside the core: the inputs of [`ControllerCore::observe`](super::ControllerCore::observe).
+//! Observations: the inputs of [`ControllerCore::observe`](super::ControllerCore::observe).
 
 use crate::deployment::Deployment;
 use crate::endpoint_list::{EndpointSnapshot, SnapshotReadError};
@@ -10,27 +10,27 @@
 use wheelspread::ids::NodeId;
 use wheelspread::time::Moment;
 
-/// A configuration that is to be in force from now on.
+/// A configuration to apply.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfigUpdate {
     /// Its version.
     pub version: u64,
     /// The deployment's settings.
     pub deployment: Deployment,
-    /// What it says of single nodes.
+    /// The configuration's values of single nodes.
     pub node_values: BTreeMap<NodeId, NodeValues>,
 }
 
-/// Something that happened outside the core.
+/// An event outside the core.
 #[derive(Clone, Debug)]
 pub enum Observation {
-    /// The endpoint list was swapped in, or could not be read.
+    /// A new endpoint list was read, or reading it failed.
     EndpointList(Result<EndpointSnapshot, SnapshotReadError>),
     /// A proxy opened a stream of load reports.
     StreamOpened {
         /// The stream.
         stream: StreamId,
-        /// How the proxy introduced itself.
+        /// Identity of the proxy.
         identity: ProxyIdentity,
     },
     /// A stream of load reports ended.
@@ -38,14 +38,14 @@
         /// The stream.
         stream: StreamId,
     },
-    /// A load report came.
+    /// A load report was received.
     LoadReport {
-        /// The stream it came by.
+        /// The stream by which it was received.
         stream: StreamId,
-        /// What the proxy reports.
+        /// The report.
         report: LoadReport,
     },
-    /// A proxy published that it holds a version, or why it rejects one.
+    /// A proxy reported that it holds a version, or that it rejects one.
     StatusReported {
         /// The proxy's name.
         proxy: String,
@@ -54,60 +54,59 @@
         /// Why it rejects the version.
         rejection: Option<String>,
     },
-    /// A version was written for a proxy, or that failed.
+    /// A version was written for a proxy, or the write failed.
     TablesWritten {
         /// The proxy's name.
         proxy: String,
         /// The version.
         version: Version,
-        /// Why it could not be written.
+        /// Whether the write succeeded.
         result: Result<(), TableWriteError>,
     },
-    /// The operators gave the update queue another pace.
+    /// An operator changed the pacing of the update queue.
     PacingChanged {
-        /// The new pace.
+        /// The new pacing.
         entries_per_second: f64,
     },
-    /// A proxy opened a stream to read its tables from.
+    /// A proxy opened a stream of tables.
     Subscribed {
         /// The stream.
         stream: StreamId,
-        /// How the proxy introduced itself.
+        /// Identity of the proxy.
         identity: ProxyIdentity,
-        /// The version that it says it holds.
+        /// The version that the proxy reports to hold.
         initial_version: Option<Version>,
     },
-    /// A stream that tables were read from ended.
+    /// A stream of tables ended.
     Unsubscribed {
         /// The stream.
         stream: StreamId,
     },
-    /// Most proxies reject what a table became: its ordinary updates wait.
+    /// Most proxies reject the newest version of a table: its ordinary updates are paused.
     UpdatesPaused {
         /// The table.
         bundle: BundleId,
         /// When the pause ends.
         until: Moment,
     },
-    /// A table is to be rolled back to an older version, because an operator asked for it or most proxies reject
-    /// the newer ones.
+    /// A request to roll a table back to an older version, made by an operator or because most proxies reject the
+    /// newer versions.
     RollBack {
         /// Identifies the request in [`Effect::RollbackFinished`](super::Effect::RollbackFinished).
         request: u64,
         /// The table.
         bundle: BundleId,
-        /// The version to go back to.
+        /// The version to roll back to.
         version: Version,
     },
-    /// The rollback ends: the endpoint list's weights are in force again.
+    /// A request to end the rollback, after which the weights of the endpoint list are in force again.
     EndRollback {
         /// Identifies the request in [`Effect::RollbackFinished`](super::Effect::RollbackFinished).
         request: u64,
     },
-    /// The nodes that are drained by request, whatever the endpoint list says of them; all others are not any
-    /// more.
+    /// The complete set of nodes that are drained by request, regardless of their status in the endpoint list.
     DrainedNodes(BTreeSet<NodeId>),
-    /// A change of configuration comes into force.
+    /// A configuration change is to be applied.
     ConfigUpdated(Box<ConfigUpdate>),
 }
 
@@ -115,12 +114,12 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{reason}")]
 pub struct TableWriteError {
-    /// The writer's account of it.
+    /// The table writer's error text.
     pub reason: String,
 }
 
 impl TableWriteError {
-    /// Takes over the writer's account.
+    /// Makes an error from the table writer's error.
     pub fn new(reason: impl ToString) -> TableWriteError {
         TableWriteError {
             reason: reason.to_string(),
--- a/crates/controller-core/src/controller_core/publishing.rs
+++ b/crates/controller-core/src/controller_core/publishing.rs
@@ -1,4 +1,5 @@
-//! Publishing: new versions of tables, their way through the update queue, and the markers behind them.
+//! Publishing: making new table versions, passing them through the update queue, and requesting the
+//! acknowledgements of version markers.
 
 use super::rounds::{MarkerRequest, RoundOutcome};
 use super::ControllerCore;
@@ -12,7 +13,7 @@
 use wheelspread::time::Moment;
 
 impl ControllerCore {
-    /// Publishes what a round changed, and queues it for the proxies that it concerns.
+    /// Publishes the tables that a round changed and queues them for the affected proxies.
     pub(super) fn publish(&mut self, now: Moment, outcome: RoundOutcome) {
         let published = self.make_versions();
         let bound_proxies: Vec<ProxyId> = self.publication.bound_proxies().collect();
@@ -30,14 +31,15 @@
             self.retained_versions.trim();
         }
         for proxy in &affected {
-            // A proxy that was bound waits for a delivery, though it may be of tables that it has already.
+            // A proxy that was bound in this round is sent its tables even if it holds them already, because it
+            // waits for a delivery.
             self.offer(now, *proxy, outcome.bound.contains(proxy));
         }
         self.request_acknowledgements(now, &bound_proxies, &affected, &outcome.markers);
         self.report_queue_limit();
     }
 
-    /// Makes new versions of the tables that changed.
+    /// Makes new versions of the tables that changed, and returns their bundles.
     fn make_versions(&mut self) -> BTreeSet<BundleId> {
         let (endpoints, overrides) = (&self.endpoints, &self.overrides);
         let zone_of = |node: NodeId| {
@@ -71,7 +73,7 @@
         self.retained_versions.insert(set);
     }
 
-    /// Has markers acknowledged when proxies hold the newest version of their tables.
+    /// Requests that joined proxies acknowledge markers once they hold the newest version of their tables.
     fn request_acknowledgements(
         &mut self,
         now: Moment,
@@ -109,7 +111,7 @@
         self.publication.newest_for(proxy).map(|set| set.version)
     }
 
-    /// Logs once that the update queue is over its limit, until it is below it again.
+    /// Logs that the update queue is over its limit, once until it is within the limit again.
     fn report_queue_limit(&mut self) {
         let is_over_limit = self.queue.is_over_limit();
         if is_over_limit && !self.queue_was_over_limit {
@@ -119,7 +121,8 @@
         self.queue_was_over_limit = is_over_limit;
     }
 
-    /// Queues the newest tables of a proxy, unless they were delivered already and it doesn't start `anew`.
+    /// Queues the newest tables of a proxy. Tables that were delivered already, or are being written, are queued
+    /// again only if `is_forced`.
     pub(super) fn offer(&mut self, now: Moment, proxy: ProxyId, is_forced: bool) {
         let Some(newest) = self.publication.newest_for(proxy).cloned() else {
             return;
@@ -129,7 +132,7 @@
             return;
         }
         if self.transports.transport(proxy) == Transport::Disconnected {
-            return; // it gets the newest tables when it comes back
+            return; // The proxy gets the newest tables when it reconnects.
         }
         let urgency = self.urgency(proxy, latest.as_deref(), &newest);
         let entries = count_entry_changes(latest.as_deref(), &newest) as f64;
@@ -146,13 +149,14 @@
         }
         match latest {
             Some(latest) if removes_entries(latest, newest) => Urgency::Removal,
-            // After a stream broke it is not known what the proxy has taken; what it says of itself counts.
+            // Deliveries are cleared when a stream breaks, as it is unknown which tables the proxy received. A
+            // proxy that reported a version when it subscribed does not need its first tables.
             None if !self.transports.has_initial_version(proxy) => Urgency::FirstTables,
             _ => Urgency::Update,
         }
     }
 
-    /// Gives proxies their newest tables, as far as the update queue lets them go now.
+    /// Delivers the newest tables of every proxy whose update the queue releases now.
     pub(super) fn deliver(&mut self, now: Moment) {
         while let Some(id) = self.queue.start_next(now) {
             let newest = self.publication.newest_for(id).cloned();
@@ -170,7 +174,7 @@
                 self.deliveries.start_write(id, set.clone());
                 self.effects.push(Effect::WriteTables { proxy, set });
             }
-            // A stream keeps no queue: what it was offered last is what it will send.
+            // A stream sends only the last version that it was offered, so this counts as delivered at once.
             Transport::Stream(stream) => {
                 self.queue.on_written(id);
                 self.acknowledgements.on_delivered(now, id, set.version);
--- a/crates/controller-core/src/controller_core/recovery.rs
+++ b/crates/controller-core/src/controller_core/recovery.rs
@@ -1,5 +1,5 @@
-//! What a controller starts from: the files and stored state of an earlier run, and the proxies in them that have
-//! not come back yet.
+//! The state that a controller starts from: files and stored state of an earlier run, and the tables of proxies
+//! that have not reconnected since.
 
 use super::{zone_of, ControllerCore};
 use crate::deployment::{ConfigError, Deployment};
@@ -13,30 +13,29 @@
 use wheelspread::time::Moment;
 use wheelspread::{CapacitySnapshot, EndpointStatus};
 
-/// How long proxies have to come back after a restart before their old files are pruned, as a fraction of the
-/// drain grace.
+/// Time that proxies have to reconnect after a restart before their old files are pruned, in drain graces.
 pub(super) const PRUNE_AFTER_DRAIN_GRACES: f64 = 0.25;
 
-/// What files and stored state held when the controller started.
+/// The contents of files and stored state when the controller started.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RecoveredState {
-    /// By proxy, the tables that its files hold.
+    /// The tables in the files of each proxy, by the proxy's name.
     pub tables: BTreeMap<String, TableSet>,
-    /// Every version on the disk.
+    /// Every version found on the disk.
     pub versions: BTreeSet<Version>,
     /// New versions are above this one.
     pub version_floor: Version,
     /// The version of the configuration in force.
     pub configuration: u64,
-    /// What that configuration says of single nodes.
+    /// That configuration's values of single nodes.
     pub node_values: BTreeMap<NodeId, NodeValues>,
     /// Nodes that are drained by request.
     pub drained: BTreeSet<NodeId>,
     /// Nodes that were migrating from one pool to another.
     pub migrating: Vec<NodeId>,
-    /// The last endpoint list that was accepted: it is in force where none can be read.
+    /// The last endpoint list that was accepted; it is applied if the first list cannot be read.
     pub endpoint_list: Option<EndpointSnapshot>,
-    /// What the balancer knew of nodes' capacities.
+    /// The balancer's stored capacity estimates of nodes.
     pub capacities: Vec<CapacitySnapshot>,
 }
 
@@ -50,7 +49,7 @@
             .unwrap_or_default()
     }
 
-    /// What configuration, drains and migrations make of single nodes.
+    /// The node overrides that result from the configuration, requested drains and migrations.
     pub(super) fn node_overrides(
         &self,
         now: Moment,
@@ -73,14 +72,14 @@
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// Settings that are out of range or contradict each other.
-    #[error("settings that can't be: {}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))]
+    #[error("invalid settings: {}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))]
     InvalidSettings(Vec<ConfigError>),
-    /// The balancer refuses the settings.
-    #[error("the decisions can't start: {0}")]
+    /// The balancer rejected the settings.
+    #[error("the balancer rejected the settings: {0}")]
     Balancer(wheelspread::ConfigError),
 }
 
-/// Stored state that waits for the first endpoint list.
+/// Stored state that is restored with the first endpoint list.
 pub(super) struct PendingRestore {
     endpoint_list: Option<EndpointSnapshot>,
     capacities: Vec<CapacitySnapshot>,
@@ -106,15 +105,15 @@
     }
 }
 
-/// Proxies whose files were found at the start and that have not come back since.
+/// Tables found at the start in the files of proxies that have not reconnected since.
 pub(super) struct RecoveredTables {
     tables: BTreeMap<String, TableSet>,
-    /// Pruned tables are being written for these.
+    /// Proxies for which pruned tables are being written.
     writing: BTreeSet<String>,
     prune_at: Option<Moment>,
 }
 
-/// New tables of an unclaimed proxy.
+/// Pruned tables of a proxy that has not reconnected.
 struct PrunedTables {
     proxy: String,
     set: TableSet,
@@ -130,12 +129,12 @@
         }
     }
 
-    /// The proxy came back; returns what its files hold.
+    /// Removes and returns the tables of a proxy that reconnected.
     pub(super) fn take(&mut self, proxy: &str) -> Option<TableSet> {
         self.tables.remove(proxy)
     }
 
-    /// Pruned tables of the proxy were written, or could not be.
+    /// The write of the proxy's pruned tables succeeded or failed.
     pub(super) fn on_write_finished(&mut self, proxy: &str) {
         self.writing.remove(proxy);
     }
@@ -144,12 +143,12 @@
         self.tables.len()
     }
 
-    /// The versions that their files hold.
+    /// The versions in the files of these proxies.
     pub(super) fn versions(&self) -> impl Iterator<Item = Version> + '_ {
         self.tables.values().map(|set| set.version)
     }
 
-    /// Prunes then, unless that is set already.
+    /// Schedules the pruning unless it is scheduled already.
     pub(super) fn schedule_pruning(&mut self, at: Moment) {
         self.prune_at = self.prune_at.or(Some(at));
     }
@@ -158,12 +157,12 @@
         self.prune_at
     }
 
-    /// Whether it is time to prune; if so, no other time is set.
+    /// Whether pruning is due; if so, its schedule is cleared.
     fn take_due_pruning(&mut self, now: Moment) -> bool {
         self.prune_at.take_if(|at| now >= *at).is_some()
     }
 
-    /// Takes nodes that are not ready out of the tables. A table that would be left empty stays as it is.
+    /// Removes nodes that are not ready from the tables. A table that would become empty is left unchanged.
     fn prune(
         &mut self,
         ready: &BTreeSet<NodeId>,
@@ -179,7 +178,7 @@
                 continue;
             }
             set.version = allocate_version();
-            // A bundle of its own: no other proxy reads it.
+            // An id that no bundle of the publication has, because no other proxy reads these tables.
             set.bundle = BundleId(u32::MAX);
             self.writing.insert(proxy.clone());
             pruned.push(PrunedTables {
@@ -192,7 +191,7 @@
     }
 }
 
-/// Returns the nodes that were removed.
+/// Removes nodes that are not ready from a table set, and returns them.
 fn remove_stale_entries(set: &mut TableSet, ready: &BTreeSet<NodeId>) -> BTreeSet<NodeId> {
     let mut removed = BTreeSet::new();
     for operation in &mut set.operations {
@@ -207,14 +206,14 @@
 }
 
 impl ControllerCore {
-    /// After a restart proxies that have not come back yet still read the files of the earlier run. Nodes that
-    /// these name and the endpoint list no longer holds ready are taken out; nothing else is changed for them.
+    /// Removes nodes that are no longer ready from the files of proxies that have not reconnected. Such a proxy
+    /// still reads the files of the earlier run; nothing else in them is changed.
     pub(super) fn prune_recovered_tables(&mut self, now: Moment) {
         if !self.recovered_tables.take_due_pruning(now) {
             return;
         }
         if self.endpoints.version().is_empty() {
-            return; // the first list sets the time anew
+            return; // The first accepted list schedules the pruning again.
         }
         let ready: BTreeSet<NodeId> = self
             .effective_entries()
--- a/crates/controller-core/src/controller_core/reports.rs
+++ b/crates/controller-core/src/controller_core/reports.rs
@@ -1,4 +1,4 @@
-//! What proxies report: load reports, and status of the versions they hold.
+//! Reports of proxies: load reports, and the status of table versions.
 
 use super::ControllerCore;
 use crate::load_report::LoadReport;
@@ -33,7 +33,7 @@
                 self.log(LogEvent::LoadReportRejected { proxy, reason });
             }
         }
-        // Once in the life of the process: a proxy whose tables lag names such nodes in each report.
+        // Logged once per process: a proxy with outdated tables names unlisted nodes in every report.
         let unknown = self.aggregator.unknown_nodes;
         if unknown > unknown_before && unknown_before == 0 {
             self.log(LogEvent::UnknownNodes { count: unknown });
@@ -53,7 +53,7 @@
         self.evidence.record_report(now, proxy, report);
     }
 
-    /// While a list is doubted, nodes that answered requests are known to be there.
+    /// While the endpoint list is in doubt, records that nodes answered requests, which shows that they still serve.
     fn confirm_doubted_nodes(&mut self, now: Moment, report: &LoadReport) {
         if self.endpoints.doubted_until(&self.deployment).is_none() {
             return;
@@ -82,7 +82,7 @@
             return;
         };
         match rejection {
-            // A version that was never published can't be held.
+            // A proxy cannot hold a version that was never published, so such a status is ignored.
             None if version > self.publication.last_version() => {}
             None => self.acknowledgements.on_reported(now, id, version),
             Some(reason) => {
--- a/crates/controller-core/src/controller_core/rollbacks.rs
+++ b/crates/controller-core/src/controller_core/rollbacks.rs
@@ -1,4 +1,4 @@
-//! Rollback of a table to an older version, and its end.
+//! Starting, correcting and ending the rollback of a table to an older version.
 
 use super::ControllerCore;
 use crate::publication::{BundleId, TableSet, Version};
@@ -25,7 +25,7 @@
             .push(Effect::RollbackFinished { request, result });
     }
 
-    /// Most proxies reject a table: ordinary updates of it wait until then.
+    /// Pauses ordinary updates of a table that most proxies reject.
     pub(super) fn pause_updates(&mut self, now: Moment, bundle: BundleId, until: Moment) {
         self.transports.pause_updates(bundle, until);
         let wait = until - now;
@@ -54,7 +54,7 @@
         Ok(result)
     }
 
-    /// Works out the listed weights that lead to the target, and lists all ready nodes with them.
+    /// Computes listed weights that bring the table closer to the target, and lists all ready nodes with them.
     fn step_rollback(
         &mut self,
         now: Moment,
@@ -77,10 +77,11 @@
         Ok(result)
     }
 
-    /// The balancer combines listed weights with what it knows of nodes: the rest is corrected now and then.
+    /// Corrects the listed weights of a rollback when a correction is due. The balancer combines listed weights
+    /// with its own estimates, so the published weights differ from the target after the first step.
     pub(super) fn correct_rollback(&mut self, now: Moment) {
         if let Some(target) = self.rollback.due_correction(now) {
-            // A table that is not published any more is not corrected.
+            // The error is ignored: a table that is no longer published needs no correction.
             let _ = self.step_rollback(now, &target);
         }
     }
--- a/crates/controller-core/src/controller_core/rounds.rs
+++ b/crates/controller-core/src/controller_core/rounds.rs
@@ -1,4 +1,4 @@
-//! One decision round: what was reported goes to the balancer, its actions are applied to the published tables.
+//! Decision rounds: reports are passed to the balancer, and its actions are applied to the published tables.
 
 use super::ControllerCore;
 use crate::weight_solver::SolverOutcome;
@@ -8,23 +8,23 @@
 use wheelspread::time::Moment;
 use wheelspread::{Action, EndpointListKind, Event};
 
-/// A marker that the balancer sends.
+/// A version marker that the balancer wants acknowledged.
 pub(super) struct MarkerRequest {
     pub(super) marker: MarkerId,
-    /// To every joined proxy, not only to those whose tables change.
+    /// Whether every joined proxy is to acknowledge it, or only those whose tables change in this round.
     pub(super) to_all: bool,
 }
 
-/// What a round leaves to be published.
+/// The bindings and markers of a round, which publishing needs.
 #[derive(Default)]
 pub(super) struct RoundOutcome {
-    /// Proxies that were bound to tables.
+    /// Proxies that were bound to tables in this round.
     pub(super) bound: BTreeSet<ProxyId>,
     pub(super) markers: Vec<MarkerRequest>,
 }
 
 impl ControllerCore {
-    /// Runs a decision round if one is due, and appends what is to be done to `out`.
+    /// Runs a decision round if one is due, and appends the effects to carry out to `out`.
     pub fn settle(&mut self, now: Moment, out: &mut Vec<Effect>) {
         if let Some(event) = self.endpoints.resolve_doubt(now, &self.deployment) {
             self.accept_endpoint_list(now, &event);
@@ -47,7 +47,7 @@
         out.append(&mut self.effects);
     }
 
-    /// When [`ControllerCore::settle`] should be called again though nothing was observed.
+    /// The time of the next [`ControllerCore::settle`] if nothing is observed before.
     pub fn wake_at(&self, now: Moment) -> Moment {
         let causes = [
             self.acknowledgements.wake_at(),
@@ -85,7 +85,7 @@
         self.publish(now, outcome);
     }
 
-    /// What is done once in a report period.
+    /// The tasks that run once per report period.
     fn run_period(&mut self, now: Moment) {
         let events = self.aggregator.take_events(&self.members);
         for event in &events {
@@ -100,7 +100,7 @@
         self.retire_versions(now);
     }
 
-    /// Where the deployment has weights solved: now and then other weights are listed, by what was reported.
+    /// If the deployment uses the weight solver, passes reports to it and lists the weights that it computes.
     fn solve_weights(&mut self, now: Moment, events: &[Event]) {
         let Some(settings) = &self.deployment.solver else {
             return;
@@ -160,13 +160,13 @@
                 outcome.markers.push(MarkerRequest { marker, to_all });
             }
             Action::SetTimer { after, timer } => self.schedule.set_timer(now + after, timer),
-            // The list is watched: what was last accepted is what there is.
+            // New endpoint lists arrive as observations, so the last accepted list is the newest one.
             Action::RequestEndpointList => {
                 let complete = self.endpoints.complete_event();
                 self.list_endpoints(now, complete);
             }
             Action::Log { message: text } => self.log(LogEvent::BalancerMessage { text }),
-            // The settings that this program gives don't allow these.
+            // The controller's settings disable these actions.
             Action::WatchEndpoints { .. }
             | Action::ProbeNode { .. }
             | Action::SendGossip { .. } => {}
--- a/crates/controller-core/src/controller_core/schedule.rs
+++ b/crates/controller-core/src/controller_core/schedule.rs
@@ -1,23 +1,23 @@
-//! When the balancer decides next: report periods, timers, and rounds that an observation asks for.
+//! The schedule of decision rounds: report periods, timers, and rounds requested by observations.
 
 use std::collections::BTreeSet;
 use wheelspread::ids::TimerId;
 use wheelspread::time::{Moment, Span};
 
-/// Delay of the second round after observations, as a fraction of the report period. The balancer takes
-/// observations that come close upon each other together: it decides once more when they are all in.
+/// Delay of the second round after a requested one, in report periods. Observations often arrive in quick
+/// succession; the second round decides on all of them together.
 const SECOND_ROUND_DELAY_PERIODS: f64 = 0.06;
-/// After a stall the next period starts this late, as a fraction of the report period.
+/// Delay of the first report period after the loop stalled, in report periods.
 const STALLED_PERIOD_DELAY_PERIODS: f64 = 0.5;
 
-/// The times at which the balancer decides.
+/// The times of the balancer's decision rounds.
 pub(super) struct RoundSchedule {
-    /// The first endpoint list came, or could not be read: there is something to decide on.
+    /// Whether the first endpoint list was read, or failed to be read; no round runs before.
     started: bool,
-    /// Something was observed since the last round.
+    /// Whether an observation requested a round since the last one.
     requested: bool,
     next_period: Moment,
-    /// Rounds don't follow upon each other sooner.
+    /// Earliest time of the next round, which keeps the minimum interval between rounds.
     earliest_round: Moment,
     second_round: Option<Moment>,
     timers: BTreeSet<(Moment, TimerId)>,
@@ -35,12 +35,12 @@
         }
     }
 
-    /// Rounds are run from now on; `true` the first time.
+    /// Allows rounds to run from now on; returns `true` on the first call.
     pub(super) fn start(&mut self) -> bool {
         !std::mem::replace(&mut self.started, true)
     }
 
-    /// Something was observed that the balancer should decide on.
+    /// Requests a round because of an observation.
     pub(super) fn request_round(&mut self) {
         self.requested = true;
     }
@@ -49,7 +49,7 @@
         self.timers.insert((at, timer));
     }
 
-    /// Whether a round is due, given when an acknowledgement may be assumed.
+    /// Whether a round is due. `acknowledgement_at` is when the next acknowledgement may be assumed.
     pub(super) fn is_round_due(&self, now: Moment, acknowledgement_at: Option<Moment>) -> bool {
         let is_due = |at: Option<Moment>| at.is_some_and(|at| at <= now);
         let has_cause = self.requested
@@ -60,7 +60,7 @@
         self.started && now >= self.earliest_round && has_cause
     }
 
-    /// A round starts. `least_interval`: until the next.
+    /// Records the start of a round. The next one starts after `min_interval` at the earliest.
     pub(super) fn start_round(&mut self, now: Moment, period: Span, min_interval: Span) {
         let second_round = self
             .requested
@@ -70,8 +70,7 @@
         self.earliest_round = now + min_interval;
     }
 
-    /// Whether a report period ended; then the next one starts. A loop that stalled for several periods makes up
-    /// for none of them.
+    /// Whether a report period ended; if so, the next one starts. Periods that a stalled loop missed are skipped.
     pub(super) fn start_period_if_due(&mut self, now: Moment, period: Span) -> bool {
         let is_due = now >= self.next_period;
         if is_due {
@@ -81,7 +80,7 @@
         is_due
     }
 
-    /// Removes a timer that has expired.
+    /// Removes and returns a timer that has expired.
     pub(super) fn take_expired_timer(&mut self, now: Moment) -> Option<TimerId> {
         let (at, timer) = *self.timers.first()?;
         (at <= now).then(|| {
@@ -94,7 +93,7 @@
         self.timers.first().map(|(at, _)| *at)
     }
 
-    /// When the next round may be due; `others`: what else may be a cause.
+    /// The time at which the next round may be due. `other_causes` are the times of causes outside the schedule.
     pub(super) fn wake_at(
         &self,
         now: Moment,
--- a/crates/controller-core/src/controller_core/streams.rs
+++ b/crates/controller-core/src/controller_core/streams.rs
@@ -1,4 +1,4 @@
-//! Streams: load reports and tables, and the proxies that join and leave with them.
+//! Streams of load reports and of tables, by which proxies join and leave.
 
 use super::ControllerCore;
 use crate::membership::{Member, OpenedStream, ProxyIdentity, StreamId};
@@ -18,7 +18,7 @@
         let Some(opened) = self.open_member_stream(now, stream, identity) else {
             return;
         };
-        // A stream of tables goes on beside one of load reports.
+        // A stream of load reports does not close the proxy's stream of tables.
         let superseded = opened.superseded;
         if let Some(old) = superseded.filter(|old| !self.transports.is_table_stream(*old)) {
             self.close_superseded(old, &identity.name);
@@ -57,7 +57,7 @@
         initial_version: Option<Version>,
     ) {
         if !self.deployment.fronts.streams {
-            let reason = "tables are not given out by streams here".to_string();
+            let reason = "this deployment does not serve tables by streams".to_string();
             return self.effects.push(Effect::CloseStream { stream, reason });
         }
         if !self.has_report_stream(&identity.name) {
@@ -94,7 +94,7 @@
         self.on_stream_closed(now, stream);
     }
 
-    /// Whether the proxy is joined by a stream of load reports, beside which one of tables can go.
+    /// Whether the proxy is joined by a stream of load reports; its stream of tables is then opened in addition.
     fn has_report_stream(&self, proxy: &str) -> bool {
         self.members
             .member(proxy)
@@ -102,7 +102,7 @@
             .is_some_and(|stream| !self.transports.is_table_stream(stream))
     }
 
-    /// Opens the stream that a proxy is joined by, or rejects it.
+    /// Opens the stream by which a proxy joins, or rejects it and closes it with the reason.
     fn open_member_stream(
         &mut self,
         now: Moment,
@@ -138,14 +138,15 @@
         self.effects.push(Effect::CloseStream { stream, reason });
     }
 
-    /// The proxy says by itself what it holds from now on: nothing is assumed of it.
+    /// Clears deliveries, queued updates and assumptions about a proxy's tables. A proxy that reads a stream reports
+    /// the version that it holds.
     fn start_subscription(&mut self, proxy: ProxyId) {
         self.deliveries.forget(proxy);
         self.queue.drop_updates(proxy);
         self.acknowledgements.on_subscribed(proxy);
     }
 
-    /// Nothing is published any more for proxies that the membership has forgotten.
+    /// Removes the state of proxies that the membership has forgotten; nothing is published for them any more.
     pub(super) fn release_forgotten_proxies(&mut self) {
         let forgotten: Vec<ProxyId> = self
             .publication
--- a/crates/controller-core/src/controller_core/versions.rs
+++ b/crates/controller-core/src/controller_core/versions.rs
@@ -1,4 +1,4 @@
-//! Versions on the disk, until no proxy reads them, and versions that tables can be rolled back to.
+//! Versions stored on the disk, and versions retained as rollback targets.
 
 use super::ControllerCore;
 use crate::publication::{BundleId, TableSet, Version};
@@ -8,11 +8,12 @@
 use std::time::Duration;
 use wheelspread::time::{Moment, Span};
 
-/// How long a version stays on the disk after its last use. A slow reader may still be at a version that it was
-/// pointed away from.
+/// The time for which a version stays on the disk after its last use. A slow proxy may still read a version after
+/// its files were switched to a newer one.
 struct RetireDelay {
-    /// Multiple of the longest delay of an update.
+    /// The delay as a multiple of the maximum update delay.
     max_update_delays: f64,
+    /// Lower bound of the delay.
     min: Duration,
 }
 
@@ -21,7 +22,7 @@
     min: Duration::from_secs(20),
 };
 
-/// Versions of each table that it can be rolled back to.
+/// Maximum number of retained versions per table.
 const MAX_RETAINED_PER_TABLE: usize = 16;
 
 impl RetireDelay {
@@ -31,7 +32,7 @@
     }
 }
 
-/// Versions on the disk, and when each was last in use.
+/// Versions on the disk, and the time at which each was last in use.
 pub(super) struct StoredVersions {
     last_used: BTreeMap<Version, Moment>,
 }
@@ -47,7 +48,7 @@
         self.last_used.insert(version, now);
     }
 
-    /// Removes versions that have not been in use for so long.
+    /// Removes and returns versions whose last use is at least `delay` ago.
     fn take_unused(&mut self, now: Moment, delay: Span) -> Vec<Version> {
         let unused: Vec<Version> = self
             .last_used
@@ -62,7 +63,7 @@
     }
 }
 
-/// Versions that tables can be rolled back to.
+/// The newest versions of each table, which are the possible rollback targets.
 #[derive(Default)]
 pub(super) struct RetainedVersions {
     sets: BTreeMap<Version, Arc<TableSet>>,
@@ -81,7 +82,7 @@
         self.sets.values()
     }
 
-    /// Drops the oldest versions of tables that have too many.
+    /// Drops the oldest versions of tables that have more than [`MAX_RETAINED_PER_TABLE`].
     pub(super) fn trim(&mut self) {
         let mut counts: BTreeMap<BundleId, usize> = BTreeMap::new();
         let newest_first = std::mem::take(&mut self.sets).into_iter().rev();
@@ -96,12 +97,12 @@
 }
 
 impl ControllerCore {
-    /// Versions that tables can be rolled back to, oldest first.
+    /// The retained versions of all tables, oldest first.
     pub fn retained_versions(&self) -> impl Iterator<Item = &Arc<TableSet>> {
         self.retained_versions.iter()
     }
 
-    /// Has versions removed from the disk that no proxy has read for a while.
+    /// Retires versions that have not been in use for the retire delay.
     pub(super) fn retire_versions(&mut self, now: Moment) {
         let newest = self.publication.newest_in_use().map(|set| set.version);
         let in_use = self
--- a/crates/controller-core/src/lib.rs
+++ b/crates/controller-core/src/lib.rs
@@ -1,9 +1,9 @@
-//! A controller without its sockets, disk and clock.
+//! The controller's state and protocol logic, without sockets, disk or clock.
 //!
-//! [`ControllerCore`] is told what was observed (an endpoint list swapped in, a stream of load reports opened, a
-//! file written) and says what to do (write a version, point a proxy at it, close a stream). The balancer in
-//! `wheelspread` decides; the core feeds it and turns its actions into published tables. Nothing here reads a
-//! clock, a file or a socket, so a test plays whole days in a loop.
+//! [`ControllerCore`] takes observations (an endpoint list was read, a stream of load reports was opened, a file
+//! was written) and returns effects (write a version, switch a proxy to it, close a stream). The balancer in
+//! `wheelspread` makes the decisions; the core passes observations to it and turns its actions into published
+//! tables. Nothing in this crate reads a clock, a file or a socket, so that a test can simulate days in a loop.
 
 pub mod acknowledgement;
 pub mod controller_core;
--- a/crates/controller-core/src/membership.rs
+++ b/crates/controller-core/src/membership.rs
@@ -1,5 +1,5 @@
-//! Which proxies are joined, by their report streams. A stream may break unseen, a proxy may come twice,
-//! return, or find its old stream still open here: the newest stream of a name is the proxy.
+//! Membership: the proxies that are joined by an open stream. A stream may break unnoticed, and a proxy may reconnect
+//! while its old stream is still open here, so the newest stream of a name supersedes older ones.
 
 use crate::deployment::{is_plain_name, Deployment};
 use std::collections::BTreeMap;
@@ -8,70 +8,70 @@
 use wheelspread::Event;
 
 const MAX_PROXIES: usize = 60_000;
-/// Of a text that an error repeats.
+/// Maximum length of a text that an error quotes, in characters.
 const MAX_QUOTED_CHARS: usize = 100;
-/// Times the span after which a node has warmed up: a proxy away for longer is forgotten, as in the
-/// balancer.
+/// Time after which a disconnected proxy is forgotten, as a multiple of the time after which a node counts as warm.
+/// The balancer uses the same retention.
 const FORGET_AFTER_WARM_UPS: f64 = 10.0;
 
-/// A stream, by the number that the side with the sockets gave it. Never used again.
+/// Identifies a stream. The caller, which owns the sockets, assigns each id once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StreamId(pub u64);
 
-/// How a proxy identifies itself on its stream.
+/// The identity that a proxy sends on its stream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProxyIdentity {
-    /// Its node id.
+    /// The proxy's node id.
     pub name: String,
-    /// Name of its zone.
+    /// Name of the proxy's zone.
     pub zone: String,
-    /// Requests a second that usually come to it, where it says so.
+    /// Requests per second that the proxy usually receives, if it states a rate.
     pub usual_rate: Option<f64>,
 }
 
-/// Why a stream is not taken for a proxy's.
+/// Why the identity on a stream was rejected.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum IdentificationError {
-    /// The name can't stand in paths and logs.
+    /// The name contains characters that are not allowed in paths and logs, or has the wrong length.
     #[error("the node id `{0}` should be 1 to 100 letters, digits, - and _")]
     InvalidName(String),
-    /// The deployment does not have the zone.
+    /// The deployment has no zone of this name.
     #[error("zone `{0}` is not one of this deployment")]
     UnknownZone(String),
-    /// Every proxy id is in use.
-    #[error("{0} proxies are known, no more are possible")]
+    /// The maximum number of proxies is known already.
+    #[error("{0} proxies are known already, which is the maximum")]
     TooManyProxies(usize),
-    /// The proxy has a newer stream.
+    /// The proxy opened a newer stream.
     #[error("`{0}` opened another stream")]
     Superseded(String),
 }
 
-/// One proxy, joined or away.
+/// A known proxy, joined or disconnected.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Its number; kept while it is away, until it is forgotten.
+    /// The proxy's id, which is kept until the proxy is forgotten.
     pub id: ProxyId,
-    /// The zone that it last named.
+    /// The zone in the proxy's last identity.
     pub zone: ZoneId,
-    /// Its open stream; without one it is away and goes on with the tables that it holds.
+    /// The proxy's open stream. A proxy without one is disconnected and keeps using the tables that it holds.
     stream: Option<StreamId>,
-    /// When it joined, or left.
+    /// When the proxy last joined or left.
     pub since: Moment,
 }
 
 impl Member {
-    /// Whether it has an open stream.
+    /// Whether the proxy has an open stream.
     pub fn is_joined(&self) -> bool {
         self.stream.is_some()
     }
 
-    /// Its open stream.
+    /// The proxy's open stream.
     pub fn stream(&self) -> Option<StreamId> {
         self.stream
     }
 }
 
-/// All known proxies, by name, stream and number.
+/// All known proxies, by name, stream and id.
 #[derive(Clone, Debug, Default)]
 pub struct Membership {
     members: BTreeMap<String, Member>,
@@ -80,12 +80,12 @@
     next_id: u16,
 }
 
-/// What an opened stream leads to.
+/// The results of opening a stream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OpenedStream {
-    /// For the balancer.
+    /// The events to pass to the balancer.
     pub events: Vec<Event>,
-    /// The stream that the new one takes the place of.
+    /// The open stream that the new one supersedes.
     pub superseded: Option<StreamId>,
 }
 
@@ -95,30 +95,30 @@
         self.members.get(name)
     }
 
-    /// The proxy whose open stream this is.
+    /// The proxy that has this stream open.
     pub fn by_stream(&self, stream: StreamId) -> Option<(&str, &Member)> {
         let name = self.streams.get(&stream)?;
         Some((name.as_str(), self.members.get(name)?))
     }
 
-    /// The name of the proxy with this number.
+    /// The name of the proxy with this id.
     pub fn name(&self, id: ProxyId) -> Option<&str> {
         self.names.get(&id).map(String::as_str)
     }
 
-    /// The proxy with this number.
+    /// The proxy with this id.
     pub fn by_id(&self, id: ProxyId) -> Option<&Member> {
         self.members.get(self.names.get(&id)?)
     }
 
-    /// All proxies by name, joined or away.
+    /// All known proxies with their names, joined or disconnected.
     pub fn members(&self) -> impl Iterator<Item = (&str, &Member)> {
         self.members
             .iter()
             .map(|(name, member)| (name.as_str(), member))
     }
 
-    /// How many proxies are joined in a zone.
+    /// Number of joined proxies in a zone.
     pub fn joined_in(&self, zone: ZoneId) -> usize {
         self.members
             .values()
@@ -126,7 +126,7 @@
             .count()
     }
 
-    /// A stream was opened, and its proxy identified itself.
+    /// Opens a stream for the proxy that identified itself on it.
     pub fn open(
         &mut self,
         now: Moment,
@@ -148,14 +148,14 @@
             fresh: known_id.is_none(),
         };
         let events = match superseded {
-            // The break of the old stream was not seen yet.
+            // The old stream is still open here, so the balancer has to see the proxy leave first.
             Some(_) => vec![Event::ProxyLeft { proxy: id }, joined],
             None => vec![joined],
         };
         Ok(OpenedStream { events, superseded })
     }
 
-    /// Makes a stream that of a proxy; returns the open one that it supersedes.
+    /// Assigns a stream to a proxy; returns the open stream that it supersedes.
     fn attach(
         &mut self,
         now: Moment,
@@ -180,7 +180,7 @@
         superseded
     }
 
-    /// A stream was closed; the event says so if it was the newest of its proxy.
+    /// Closes a stream. Returns the event for the balancer if it was the proxy's newest stream.
     pub fn close(&mut self, now: Moment, stream: StreamId) -> Option<Event> {
         let name = self.streams.remove(&stream)?;
         let member = self.members.get_mut(&name)?;
@@ -191,7 +191,7 @@
         Some(Event::ProxyLeft { proxy: member.id })
     }
 
-    /// Forgets proxies that have been away for long; returns their names.
+    /// Forgets proxies that have been disconnected for the retention time, and returns their names.
     pub fn forget(&mut self, now: Moment, deployment: &Deployment) -> Vec<String> {
         let retention = deployment.rules.warm_after * FORGET_AFTER_WARM_UPS;
         let mut forgotten = Vec::new();
@@ -207,7 +207,7 @@
         forgotten
     }
 
-    /// Numbers go round, so that one in use lately is not given to another proxy.
+    /// Allocates ids in a cycle, so that an id used recently is not given to another proxy.
     fn allocate_id(&mut self) -> ProxyId {
         loop {
             let id = ProxyId(self.next_id);
@@ -219,7 +219,7 @@
     }
 }
 
-/// Checks a name and a zone, and looks the zone up.
+/// Checks the name and the zone of an identity, and returns the zone's id.
 fn check_identity(
     identity: &ProxyIdentity,
     deployment: &Deployment,
@@ -237,7 +237,7 @@
     Ok(ZoneId(zone_index as u16))
 }
 
-/// What the proxy says of itself, where that can be, or what the settings say of all.
+/// The usual rate that the proxy states, if it is valid, or else the rate in the settings.
 fn usual_rate(identity: &ProxyIdentity, deployment: &Deployment) -> f64 {
     identity
         .usual_rate
--- a/crates/controller-core/src/membership/tests.rs
+++ b/crates/controller-core/src/membership/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_proxy_that_dials_again_before_its_break_is_seen_stays_joined() {
+fn a_proxy_that_reconnects_before_its_old_stream_ends_stays_joined() {
     let mut membership = Membership::default();
     membership
         .open(at(0.0), StreamId(1), &identity("a"), &plan())
@@ -31,19 +31,19 @@
     assert_eq!(
         kinds,
         [true, false],
-        "the balancer gets the break, then the join"
+        "the balancer sees the proxy leave, then join"
     );
     assert_eq!(
         membership.close(at(1.1), StreamId(1)),
         None,
-        "the old stream's end is no break"
+        "the end of the superseded stream is no leave"
     );
     assert!(membership.member("a").is_some_and(Member::is_joined));
     assert!(membership.close(at(2.0), StreamId(2)).is_some());
 }
 
 #[test]
-fn a_proxy_that_returns_keeps_its_number_and_one_long_away_loses_it() {
+fn a_proxy_keeps_its_id_until_it_has_been_disconnected_for_the_retention_time() {
     let mut membership = Membership::default();
     membership
         .open(at(0.0), StreamId(1), &identity("a"), &plan())
@@ -63,7 +63,7 @@
     assert_ne!(
         membership.member("b").map(|member| member.id),
         id,
-        "a number is not used again soon"
+        "an id is not reused soon"
     );
 }
 
--- a/crates/controller-core/src/publication.rs
+++ b/crates/controller-core/src/publication.rs
@@ -1,8 +1,7 @@
-//! Published tables: the balancer's shared tables, which proxy is bound to which, and the versions made of them.
+//! Published tables: the balancer's shared tables, the bindings of proxies to them, and the versions made of them.
 //!
-//! Proxies with the same tables share a [`Bundle`], so a change is written once however many proxies use it. A
-//! proxy is given one version that holds all its tables: there is no moment at which it could read one table
-//! old and another new.
+//! Proxies with the same tables share a [`Bundle`], so a change is written once regardless of how many proxies use
+//! it. A proxy gets one version that contains all its tables, so it never reads an old table beside a new one.
 
 mod table_set;
 
@@ -15,13 +14,13 @@
 use wheelspread::ids::{NodeId, OperationId, ProxyId, TableId};
 use wheelspread::RetryPolicy;
 
-/// Versions from here on are not believed: they would leave no room for higher ones.
+/// Versions from this value on are rejected as implausible, as they would leave too few higher ones.
 const VERSION_LIMIT: u64 = 1 << 52;
 
-/// Which table serves each operation of a proxy.
+/// The table that serves each operation of a proxy.
 pub type Bundle = BTreeMap<OperationId, TableId>;
 
-/// The admission limit of an operation and its way to retry.
+/// The admission limit and the retry policy of an operation.
 #[derive(Clone, Copy, Debug)]
 struct OperationPolicy {
     limit: f64,
@@ -34,17 +33,17 @@
     policies: BTreeMap<OperationId, OperationPolicy>,
 }
 
-/// The tables as the balancer set them and the versions made of them.
+/// The tables as the balancer set them, and the versions made of them.
 #[derive(Clone, Debug, Default)]
 pub struct Publication {
     tables: BTreeMap<TableId, Table>,
-    /// For all tables.
+    /// Policies that apply to all tables.
     common_policies: BTreeMap<OperationId, OperationPolicy>,
     ejected: BTreeSet<NodeId>,
     bound: BTreeMap<ProxyId, Bundle>,
     bundle_ids: BTreeMap<Bundle, BundleId>,
     newest: BTreeMap<BundleId, Arc<TableSet>>,
-    /// Tables that changed since versions were last made.
+    /// Tables that changed since the last [`Publication::publish`].
     changed: BTreeSet<TableId>,
     all_changed: bool,
     last_version: Version,
@@ -53,7 +52,7 @@
 }
 
 impl Publication {
-    /// `last_version`: the highest version that is known to have been published before.
+    /// Starts without tables. `last_version` is the highest version that is known to have been published before.
     pub fn new(operation_count: usize, last_version: Version) -> Publication {
         Publication {
             operation_count,
@@ -62,7 +61,7 @@
         }
     }
 
-    /// Tables are made under another configuration from now on; all of them are published anew to say so.
+    /// Sets the version of the configuration in force. If it differs, all tables are published again to carry it.
     pub fn set_configuration(&mut self, configuration: u64) {
         self.all_changed |= self.configuration != configuration;
         self.configuration = configuration;
@@ -85,7 +84,8 @@
         self.changed.insert(table);
     }
 
-    /// Sets admission limit and retry policy of some operations (none named: of all) in a table, or in all tables.
+    /// Sets the admission limit and the retry policy of operations in one table, or in all if `table` is `None`. An
+    /// empty `operations` means all operations.
     pub fn set_admission(
         &mut self,
         table: Option<TableId>,
@@ -108,7 +108,7 @@
         policies.extend(operations.into_iter().map(|operation| (operation, policy)));
     }
 
-    /// Takes a node out of all tables, or lets it back in.
+    /// Ejects a node from all tables, or ends its ejection.
     pub fn set_ejected(&mut self, node: NodeId, ejected: bool) {
         if ejected {
             self.ejected.insert(node);
@@ -118,7 +118,7 @@
         self.all_changed = true;
     }
 
-    /// Binds a proxy's operations (none named: all) to a table; its other operations keep theirs.
+    /// Binds operations of a proxy to a table; an empty `operations` means all. Other operations keep their tables.
     pub fn bind(&mut self, proxy: ProxyId, table: TableId, operations: &[OperationId]) {
         let operations = self.operations_or_all(operations);
         let bundle = self.bound.entry(proxy).or_default();
@@ -135,7 +135,7 @@
         }
     }
 
-    /// A proxy that left, or that comes anew, is bound to no table.
+    /// Removes all bindings of a proxy.
     pub fn unbind(&mut self, proxy: ProxyId) {
         self.bound.remove(&proxy);
     }
@@ -160,13 +160,13 @@
         self.newest(self.bundle_of(proxy)?)
     }
 
-    /// The last version that was made.
+    /// The highest version allocated so far.
     pub fn last_version(&self) -> Version {
         self.last_version
     }
 
-    /// A proxy holds a version of a time that is not remembered here: versions to come are above it. `false`: the
-    /// version leaves no room above it, so nobody published it.
+    /// Raises the last version to one that a proxy reports to hold from an earlier run, so that later versions are
+    /// above it. Returns `false` if the version is implausibly high; it is then ignored.
     pub fn raise_last_version(&mut self, version: Version) -> bool {
         let is_plausible = version.0 < VERSION_LIMIT;
         if is_plausible {
@@ -175,7 +175,7 @@
         is_plausible
     }
 
-    /// A new version for tables that are published beside the bundles.
+    /// Allocates a version for tables that do not belong to a bundle.
     pub fn allocate_version(&mut self) -> Version {
         self.last_version = Version(self.last_version.0 + 1);
         self.last_version
@@ -193,7 +193,8 @@
             .filter_map(|bundle| self.newest.get(&bundle))
     }
 
-    /// Makes new versions of the bundles whose tables changed. `zone_of` tells where a node stands.
+    /// Makes new versions of the bundles whose tables changed, and returns those bundles. `zone_of` returns the zone
+    /// of a node.
     pub fn publish(&mut self, zone_of: impl Fn(NodeId) -> String) -> Vec<BundleId> {
         let changed = std::mem::take(&mut self.changed);
         let all_changed = std::mem::take(&mut self.all_changed);
@@ -253,7 +254,7 @@
             });
         let own = known.and_then(|table| table.policies.get(&operation));
         let common = self.common_policies.get(&operation);
-        // Where both are set the lower limit prevails, and the table's own retry policy.
+        // If both are set, the lower admission limit and the table's own retry policy apply.
         let limit = own
             .into_iter()
             .chain(common)
--- a/crates/controller-core/src/publication/table_set.rs
+++ b/crates/controller-core/src/publication/table_set.rs
@@ -1,53 +1,53 @@
-//! One version of everything that a proxy holds, and how far two versions are apart.
+//! Table sets, each of which is one version of all tables of a proxy, and the difference between two of them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use wheelspread::ids::{NodeId, OperationId, TableId};
 use wheelspread::RetryPolicy;
 
-/// Rises with everything that is published by one controller, over restarts too.
+/// Version of a table set. It rises with everything that a controller publishes, across restarts too.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Version(pub u64);
 
-/// A combination of tables that proxies share.
+/// Identifies a bundle, which is a combination of tables that proxies share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BundleId(pub u32);
 
 /// A node in a table.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TableEntry {
-    /// Where requests go.
+    /// The node to which requests are sent.
     pub node: NodeId,
     /// The node's zone.
     pub zone: String,
-    /// Its weight among the table's entries.
+    /// The node's weight, relative to the weights of the other entries.
     pub weight: f64,
 }
 
-/// What a proxy does for one operation.
+/// The entries and policies that a proxy applies to one operation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OperationTable {
     /// The operation.
     pub operation: OperationId,
-    /// The shared table that its entries come from.
+    /// The shared table that the entries come from.
     pub table: TableId,
-    /// Its entries, by node.
+    /// The entries, ordered by node.
     pub entries: Vec<TableEntry>,
-    /// The admission limit: a share of 1, or requests a second at each proxy, as the deployment's form says.
+    /// The admission limit: a ratio of 0 to 1, or requests per second at each proxy, as the deployment is configured.
     pub admission_limit: Option<f64>,
-    /// Which failed requests are retried.
+    /// The retry policy.
     pub retry: RetryPolicy,
 }
 
-/// Everything that a proxy holds, at one version.
+/// All tables of a proxy, at one version.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TableSet {
-    /// Which combination of tables it is a version of.
+    /// The bundle of which this is a version.
     pub bundle: BundleId,
-    /// Its version.
+    /// The version.
     pub version: Version,
-    /// The version of the configuration that it was made under.
+    /// The version of the configuration under which it was made.
     pub configuration: u64,
-    /// A table for each operation.
+    /// The table of each operation.
     pub operations: Vec<OperationTable>,
 }
 
@@ -60,8 +60,8 @@
     }
 }
 
-/// How many entries and policies differ between two sets, by what a proxy has to take in: each table's entries
-/// count once, though several operations share them.
+/// Counts the entries and policies that a proxy has to update between two sets. Entries of a table that several
+/// operations share count once.
 pub fn count_entry_changes(from: Option<&TableSet>, to: &TableSet) -> usize {
     let mut counted = BTreeSet::new();
     let mut changes = 0;
@@ -104,7 +104,7 @@
         .collect()
 }
 
-/// Whether `to` lacks a node that `from` names.
+/// Whether an operation of `to` lacks a node that the same operation of `from` has.
 pub fn removes_entries(from: &TableSet, to: &TableSet) -> bool {
     from.operations.iter().any(|old| {
         let new = to
--- a/crates/controller-core/src/publication/tests.rs
+++ b/crates/controller-core/src/publication/tests.rs
@@ -32,18 +32,18 @@
     assert_eq!(
         publication.last_version(),
         Version(41),
-        "it goes on after what was published before"
+        "versions continue above those published before"
     );
     publication.set_weight(TableId(0), node(1), 25.0);
     assert_eq!(
         publication.publish(|_| String::new()),
         [],
-        "the same content is no new version"
+        "unchanged content makes no new version"
     );
 }
 
 #[test]
-fn a_change_of_two_tables_is_one_version_of_both() {
+fn a_bundle_with_two_changed_tables_gets_one_version() {
     let mut publication = publication();
     publication.bind(ProxyId(0), TableId(1), &[ORDER]);
     publication.set_weight(TableId(1), node(9), 1.0);
@@ -54,7 +54,7 @@
     assert_eq!(
         published.len(),
         2,
-        "the bundle with both tables and the one with the first only"
+        "the bundle with both tables and the bundle with the first one only"
     );
     let both = publication
         .bundle_of(ProxyId(0))
@@ -65,12 +65,12 @@
 }
 
 #[test]
-fn entry_changes_count_what_a_proxy_takes_in() {
+fn entries_of_a_shared_table_count_once_and_policies_count_per_operation() {
     let mut publication = publication();
     publication.publish(|_| String::new());
     let bundle = publication.bundle_of(ProxyId(0)).expect("bound");
     let first = publication.newest(bundle).expect("published").clone();
-    // Two operations share the table: its four entries count once, and a policy for each.
+    // Two operations share the table: its four entries count once, and the policy of each operation counts.
     assert_eq!(count_entry_changes(None, &first), 6);
     publication.set_weight(TableId(0), node(1), 0.0);
     publication.set_weight(TableId(0), node(2), 30.0);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn the_lower_limit_prevails_and_ejected_nodes_are_left_out() {
+fn the_lower_admission_limit_applies_and_ejected_nodes_have_no_entries() {
     let mut publication = publication();
     publication.set_admission(None, &[], 0.5, RetryPolicy::OnceOnAnyFailure);
     publication.set_admission(Some(TableId(0)), &[QUOTE], 0.8, RetryPolicy::Never);
--- a/crates/controller-core/src/rollback.rs
+++ b/crates/controller-core/src/rollback.rs
@@ -1,8 +1,8 @@
 //! Rollback to an older version of a table.
 //!
-//! The old entries are not sent as they were: nodes among them may be draining by now, be gone or be warming up.
-//! Instead the endpoint list gives those nodes that may have it the weight of the old version, and the balancer
-//! orders the way there as for any list: removals before additions, within headroom.
+//! The old entries are not sent unchanged, because some of their nodes may be draining, removed or warming up by now.
+//! Instead, the listed weights of the remaining nodes are set so that they lead to the old version, and the balancer
+//! orders the updates as for any endpoint list: removals before additions, within headroom.
 
 use crate::deployment::RulePlan;
 use crate::publication::{OperationTable, TableSet, Version};
@@ -13,32 +13,33 @@
 use wheelspread::time::{Moment, Span};
 use wheelspread::{EndpointEntry, EndpointStatus, Event};
 
-/// Listed weights stay between these multiples of an even one.
+/// Bounds of the listed weights that a rollback sets, as multiples of an even weight.
 const MIN_WEIGHT: f64 = 0.05;
 const MAX_WEIGHT: f64 = 20.0;
-/// The balancer combines listed weights with what it knows of nodes: so often the remaining difference is worked
-/// out again, then the balancer's weights stand.
+/// Maximum number of corrections after the first step. The balancer combines listed weights with its own estimates,
+/// so the remaining difference to the target is computed again each time. After the last one the balancer's weights
+/// stand.
 const MAX_CORRECTIONS: u32 = 6;
-/// Time between two corrections, in which the balancer takes its steps.
+/// Time between two corrections, in which the balancer takes its update steps.
 const CORRECTION_INTERVAL: Duration = Duration::from_secs(2);
-/// Keeps a share of 0 from being divided by.
+/// Lower bound of a share used as a divisor, which avoids a division by 0.
 const MIN_SHARE: f64 = 1e-9;
 
-/// Why an entry of the old version doesn't come back.
+/// Why a node of the old version is excluded from the rollback.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExclusionReason {
-    /// The node isn't listed any more.
+    /// The node is no longer listed.
     NotListed,
     /// The node drains.
     Draining,
     /// The node is warming up.
     WarmingUp,
-    /// The balancer keeps the node out of the table now, as an outlier.
+    /// The balancer leaves the node out of the current table, for example as an outlier.
     OmittedByBalancer,
 }
 
 impl ExclusionReason {
-    /// The reason as operators read it.
+    /// The reason as shown to operators.
     pub fn as_str(self) -> &'static str {
         match self {
             ExclusionReason::NotListed => "not listed any more",
@@ -49,32 +50,32 @@
     }
 }
 
-/// What a rollback, or its end, leads to.
+/// The outcome of a rollback, or of its end.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RollbackResult {
     /// The version that tables are rolled back to.
     pub version: Version,
-    /// Entries of the old version that are in force again, or will be.
+    /// Number of entries that get the weights of the old version or, at the end of a rollback, the listed ones.
     pub entries: usize,
-    /// Nodes of the old version that don't come back.
+    /// Nodes of the old version that are excluded, and why.
     pub excluded: Vec<(NodeId, ExclusionReason)>,
 }
 
-/// Why a rollback, or its end, isn't possible.
+/// Why a rollback, or its end, was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RollbackError {
     /// The version is too old, was made by an earlier run or belongs to another table.
-    #[error("version {} of this table is not kept", .0 .0)]
+    #[error("version {} of this table is not kept; only its newest versions of this run are", .0 .0)]
     VersionNotRetained(Version),
     /// The table has no newest version to roll back from.
-    #[error("this table was never published")]
+    #[error("this table has no published version to roll back from")]
     NeverPublished,
-    /// There is no rollback that could end.
-    #[error("no version is stepped back to")]
+    /// No rollback is in force.
+    #[error("no rollback is in force")]
     NotRolledBack,
 }
 
-/// A rollback that is approached in several steps.
+/// The next correction of a rollback.
 #[derive(Clone, Debug)]
 struct Correction {
     target: Arc<TableSet>,
@@ -82,7 +83,7 @@
     next_at: Moment,
 }
 
-/// The listed weights that a rollback puts in the place of others.
+/// The weights that replace those of the endpoint list during a rollback.
 #[derive(Clone, Debug, Default)]
 pub struct RollbackWeights {
     weights: BTreeMap<NodeId, f64>,
@@ -90,15 +91,15 @@
     correction: Option<Correction>,
 }
 
-/// What a rollback starts from and leads to.
+/// The inputs of a rollback step.
 pub struct RollbackRequest<'a> {
-    /// The version to go back to.
+    /// The version to roll back to.
     pub target: &'a Arc<TableSet>,
     /// The table's newest version.
     pub current: &'a TableSet,
-    /// Every listed node, as the balancer knows it.
+    /// The entry of every listed node, with node overrides applied.
     pub listed: &'a BTreeMap<NodeId, EndpointEntry>,
-    /// The deployment's rules, which tell how long a node warms up.
+    /// The deployment's rules, which set the warm-up time of nodes.
     pub rules: &'a RulePlan,
 }
 
@@ -123,7 +124,7 @@
     }
 }
 
-/// Each node's share of its tables' weights, summed over the tables, among the nodes that are included.
+/// The share of each included node in the summed weights of the included nodes of a table, added up over the tables.
 fn summed_shares(
     tables: &[OperationTable],
     is_included: impl Fn(NodeId) -> bool,
@@ -149,7 +150,7 @@
         self.version
     }
 
-    /// Puts the rollback's weights in the place of those of an endpoint list.
+    /// Replaces the weights in an endpoint list event by those of the rollback.
     pub fn apply(&self, mut event: Event) -> Event {
         if let Event::EndpointList { entries, .. } = &mut event {
             for entry in entries {
@@ -161,7 +162,7 @@
         event
     }
 
-    /// Works out the weights that lead from the current version to the target.
+    /// Computes the weights that lead from the current version to the target, and schedules the next correction.
     pub fn step(&mut self, now: Moment, request: &RollbackRequest) -> RollbackResult {
         let target_shares = summed_shares(&request.target.operations, |_| true);
         let current_shares = summed_shares(&request.current.operations, |_| true);
@@ -173,7 +174,8 @@
         let is_included =
             |node: NodeId| target_shares.contains_key(&node) && !excluded.contains_key(&node);
         let entries = self.scale_weights(request, is_included);
-        // What the old version did not name gets next to nothing; the balancer decides on nodes that warm up.
+        // Nodes without an entry in the old version get the minimum weight, except excluded ones such as warming nodes,
+        // on which the balancer decides.
         for node in current_shares.keys() {
             if !target_shares.contains_key(node) && exclusion(*node).is_none() {
                 self.weights.insert(*node, MIN_WEIGHT);
@@ -188,8 +190,8 @@
         }
     }
 
-    /// Scales the listed weight of each included node by the share it should have to the share it has; returns
-    /// how many nodes should have one.
+    /// Scales the listed weight of each included node by the ratio of its target share to its current share; returns
+    /// the number of nodes with a target share.
     fn scale_weights(
         &mut self,
         request: &RollbackRequest,
@@ -225,7 +227,7 @@
         });
     }
 
-    /// The version towards which weights are to be corrected now.
+    /// The target of the rollback, if a correction is due.
     pub fn due_correction(&self, now: Moment) -> Option<Arc<TableSet>> {
         self.correction
             .as_ref()
@@ -233,7 +235,7 @@
             .map(|correction| correction.target.clone())
     }
 
-    /// Ends the rollback; returns the nodes whose weight is again the listed one.
+    /// Ends the rollback; returns the nodes whose weight is the listed one again.
     pub fn end(&mut self) -> Vec<NodeId> {
         (self.version, self.correction) = (None, None);
         std::mem::take(&mut self.weights).into_keys().collect()
--- a/crates/controller-core/src/span_format.rs
+++ b/crates/controller-core/src/span_format.rs
@@ -1,5 +1,5 @@
-//! Spans as people write them in settings: a number and its unit (`250ms`, `1.2s`, `2m`). As a serde module:
-//! `#[serde(with = "span_format")]`.
+//! The text format of time spans in settings: a number and a unit, such as `250ms`, `1.2s` or `2m`. Use it as a serde
+//! module: `#[serde(with = "span_format")]`.
 
 use serde::{de::Error, Deserialize, Deserializer, Serializer};
 use wheelspread::time::Span;
@@ -36,16 +36,16 @@
     },
 ];
 
-/// Why a text is no span.
+/// Why a text is not a valid span.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SpanFormatError {
-    /// It is not a number followed by a unit.
-    #[error("`{text}` is no span of time: a number and one of us, ms, s, m, h is")]
+    /// The text is not a number followed by a unit.
+    #[error("`{text}` is not a time span: expected a number and one of us, ms, s, m, h")]
     Malformed {
         /// The text.
         text: String,
     },
-    /// It is negative, too long or no number.
+    /// The number is negative or not finite, or the span exceeds the maximum.
     #[error("`{text}` should lie between 0 and 30 days")]
     OutOfRange {
         /// The text.
@@ -53,7 +53,7 @@
     },
 }
 
-/// Reads a span: a number and its unit.
+/// Parses a span: a number and its unit.
 pub fn read(text: &str) -> Result<Span, SpanFormatError> {
     let malformed = || SpanFormatError::Malformed {
         text: text.to_string(),
@@ -74,7 +74,7 @@
     Ok(Span::from_seconds(seconds))
 }
 
-/// Writes a span in the largest of seconds, milliseconds and microseconds that gives a whole number.
+/// Formats a span in the largest of the units s, ms and us in which it is a whole number.
 pub fn write(span: Span) -> String {
     match span.micros() {
         us if us % MICROS_PER_SECOND == 0 => format!("{}s", us / MICROS_PER_SECOND),
@@ -83,12 +83,12 @@
     }
 }
 
-/// For serde: reads the text of a span.
+/// Deserializes a span from its text, for serde.
 pub fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<Span, D::Error> {
     read(&String::deserialize(from)?).map_err(D::Error::custom)
 }
 
-/// For serde: writes a span as text.
+/// Serializes a span as text, for serde.
 pub fn serialize<S: Serializer>(span: &Span, to: S) -> Result<S::Ok, S::Error> {
     to.serialize_str(&write(*span))
 }
--- a/crates/controller-core/src/transport.rs
+++ b/crates/controller-core/src/transport.rs
@@ -1,8 +1,8 @@
-//! How each proxy gets its tables: by files, or by a discovery stream that it opened.
+//! The transport of each proxy's tables: files, or a discovery stream that the proxy opened.
 //!
-//! Files are not written for a proxy that once came by a stream; while it is disconnected nothing is sent to it,
-//! and when it comes back it gets the newest tables alone. Where most proxies reject a table, its ordinary
-//! updates wait here.
+//! No files are written for a proxy that once opened a stream. While it is disconnected nothing is sent to it, and
+//! when it reconnects it gets only the newest tables. Ordinary updates of a table that most proxies reject are
+//! postponed here.
 
 use crate::membership::StreamId;
 use crate::publication::{BundleId, Version};
@@ -10,33 +10,33 @@
 use wheelspread::ids::ProxyId;
 use wheelspread::time::Moment;
 
-/// How a proxy gets its tables.
+/// The way in which a proxy gets its tables.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Transport {
-    /// It reads files that are swapped in.
+    /// The proxy reads files, which are replaced atomically.
     Files,
-    /// It reads this stream.
+    /// The proxy reads this stream.
     Stream(StreamId),
-    /// It reads a stream and has none now.
+    /// The proxy reads its tables from streams and has none open.
     Disconnected,
 }
 
-/// The transport of every proxy, and the updates that wait.
+/// The transport of every proxy, and the postponed updates.
 #[derive(Clone, Debug, Default)]
 pub struct Transports {
-    /// No files are written: a proxy without a stream waits for one.
+    /// Whether no files are written, so that a proxy without a stream gets no tables.
     streams_only: bool,
     subscribers: BTreeMap<ProxyId, Option<StreamId>>,
     proxies_by_stream: BTreeMap<StreamId, ProxyId>,
-    /// Until when ordinary updates of a bundle wait.
+    /// When the pause of ordinary updates of a bundle ends.
     paused_until: BTreeMap<BundleId, Moment>,
     postponed: BTreeSet<(BundleId, ProxyId)>,
-    /// What a proxy said it held when it subscribed.
+    /// The version that a proxy reported to hold when it subscribed.
     initial_versions: BTreeMap<ProxyId, Version>,
 }
 
 impl Transports {
-    /// `files`: proxies that never opened a stream get files.
+    /// `files` is whether proxies that never opened a stream get files.
     pub fn new(files: bool) -> Transports {
         Transports {
             streams_only: !files,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// How a proxy gets its tables now.
+    /// The current transport of a proxy.
     pub fn transport(&self, proxy: ProxyId) -> Transport {
         match self.subscribers.get(&proxy) {
             None if self.streams_only => Transport::Disconnected,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// A proxy opened a stream; returns the one that it replaces.
+    /// Records that a proxy opened a stream; returns the open stream that it replaces.
     pub fn open(
         &mut self,
         proxy: ProxyId,
@@ -73,24 +73,25 @@
         replaced
     }
 
-    /// A stream ended; returns the proxy that read it.
+    /// Records that a stream ended; returns the proxy that read it.
     pub fn close(&mut self, stream: StreamId) -> Option<ProxyId> {
         let proxy = self.proxies_by_stream.remove(&stream)?;
         self.subscribers.insert(proxy, None);
         Some(proxy)
     }
 
-    /// Whether tables are read from this stream.
+    /// Whether the stream is an open stream of tables.
     pub fn is_table_stream(&self, stream: StreamId) -> bool {
         self.proxies_by_stream.contains_key(&stream)
     }
 
-    /// Whether the proxy held tables when it subscribed: it can wait longer than one that holds nothing.
+    /// Whether the proxy reported a version when it subscribed. Its first update is then less urgent than that of a
+    /// proxy without tables.
     pub fn has_initial_version(&self, proxy: ProxyId) -> bool {
         self.initial_versions.contains_key(&proxy)
     }
 
-    /// Nothing is known of the proxy any more.
+    /// Forgets a proxy.
     pub fn forget(&mut self, proxy: ProxyId) {
         if let Some(stream) = self.subscribers.remove(&proxy).flatten() {
             self.proxies_by_stream.remove(&stream);
@@ -99,13 +100,14 @@
         self.postponed.retain(|(_, other)| *other != proxy);
     }
 
-    /// Ordinary updates of a bundle wait until then.
+    /// Pauses ordinary updates of a bundle until `until`, or until the end of a longer pause in force.
     pub fn pause_updates(&mut self, bundle: BundleId, until: Moment) {
         let paused_until = self.paused_until.entry(bundle).or_insert(until);
         *paused_until = until.max(*paused_until);
     }
 
-    /// Whether an update has to wait; if so, [`Transports::take_resumed`] names the proxy when it may go.
+    /// Whether an ordinary update is postponed by a pause; if so, [`Transports::take_resumed`] returns the proxy when
+    /// the pause ends.
     pub fn postpone(&mut self, now: Moment, bundle: BundleId, proxy: ProxyId) -> bool {
         let is_paused = self
             .paused_until
@@ -117,7 +119,7 @@
         is_paused
     }
 
-    /// Proxies whose postponed updates may go now.
+    /// Removes and returns the proxies whose postponed updates may be sent now.
     pub fn take_resumed(&mut self, now: Moment) -> Vec<ProxyId> {
         self.paused_until.retain(|_, until| *until > now);
         let paused = &self.paused_until;
--- a/crates/controller-core/src/update_queue.rs
+++ b/crates/controller-core/src/update_queue.rs
@@ -1,7 +1,7 @@
-//! The queue of table updates: what waits for which proxy, whose turn it is, and at what pace.
+//! The queue of table updates, which orders and paces the updates to proxies.
 //!
-//! A proxy has at most one update waiting, its newest version: what is superseded is never sent, so a slow disk
-//! or a slow proxy builds up no backlog. Removals of entries go first, then proxies that hold nothing.
+//! A proxy has at most one queued update, that of its newest version. A superseded version is never sent, so a slow
+//! disk or a slow proxy builds up no backlog. Removals of entries go first, then updates of proxies without tables.
 
 use crate::deployment::UpdateQueuePlan;
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,28 +10,29 @@
 use wheelspread::rolling_window::RollingWindow;
 use wheelspread::time::{Moment, Span};
 
-/// Buckets of the window in which updates to one proxy are counted; two more are kept, so that an update
-/// counts until it is surely outside.
+/// Buckets of the window in which updates to one proxy are counted for the message cap.
 const WINDOW_BUCKETS: usize = 20;
+/// Buckets kept beyond the window, so that an update is counted until it is certainly outside the window.
 const MARGIN_BUCKETS: usize = 2;
-/// The queue writes so far ahead of its pace, and saves up no more idle time than this.
+/// Maximum burst beyond the pacing: entries in flight take up at most this time, plus one update's overhead, and
+/// idle time beyond it is not saved up.
 const MAX_WRITE_AHEAD: Duration = Duration::from_millis(100);
-/// The first wait after a failed write, as a multiple of the longest delay of an update; it doubles with each
-/// further failure.
+/// The backoff after the first failed write, as a multiple of the maximum update delay. It doubles with each further
+/// failure.
 const FIRST_BACKOFF_DELAYS: f64 = 0.5;
 const MAX_BACKOFF_DOUBLINGS: u32 = 5;
 const MIN_ENTRIES_PER_SECOND: f64 = 1.0;
 
-/// In which order updates go.
+/// The urgency of an update; more urgent updates go first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Urgency {
-    /// It takes a node away, as when it drains.
+    /// The update removes a node, for example because it drains.
     Removal,
-    /// The proxy holds no tables of this controller yet.
+    /// The proxy does not hold tables of this controller yet.
     FirstTables,
     /// An ordinary update.
     Update,
-    /// The proxy's stream broke; it still reads what is swapped in.
+    /// The proxy reads files and is not joined.
     Disconnected,
 }
 
@@ -43,29 +44,29 @@
     urgency: Urgency,
 }
 
-/// How many updates went out.
+/// Counts of updates since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct UpdateCounts {
     /// Updates that were sent to proxies.
     pub sent: u64,
-    /// Updates that a newer one replaced while they waited.
+    /// Queued updates that were replaced by a newer one.
     pub superseded: u64,
 }
 
-/// The updates that wait and those being written.
+/// The queued updates and those in flight.
 #[derive(Clone, Debug)]
 pub struct UpdateQueue {
     entries_per_second: f64,
-    /// Counted for each update on top of its entries.
+    /// Cost of each update on top of its entries, in entries.
     overhead_entries: f64,
-    /// In the window, to one proxy; 0: no limit.
+    /// Message cap: maximum updates to one proxy in the window; 0 means no limit.
     max_updates: f64,
     window: Span,
     max_delay: Span,
     max_queued_entries: f64,
     queued: BTreeMap<ProxyId, QueuedUpdate>,
     send_order: BTreeSet<(Urgency, Moment, ProxyId)>,
-    /// Entries that are being written, overhead included.
+    /// Entries in flight to each proxy, overhead included.
     in_flight: BTreeMap<ProxyId, f64>,
     failures: BTreeMap<ProxyId, u32>,
     sent_updates: BTreeMap<ProxyId, RollingWindow<f64>>,
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Other limits from now on; updates that were written still count.
+    /// Replaces the limits. Updates sent before still count towards the message cap.
     pub fn reconfigure(&mut self, settings: &UpdateQueuePlan) {
         self.set_pacing(settings.lines_per_second);
         self.overhead_entries = settings.head_lines;
@@ -102,19 +103,19 @@
         self.max_updates = f64::from(settings.messages_at_most);
     }
 
-    /// Another pace, as when settings are read again.
+    /// Changes the pacing.
     pub fn set_pacing(&mut self, entries_per_second: f64) {
         self.entries_per_second = entries_per_second.max(MIN_ENTRIES_PER_SECOND);
     }
 
-    /// Entries that wait or are being written, overhead included.
+    /// Entries that are queued or in flight, overhead included.
     pub fn queued_entries(&self) -> f64 {
         let queued: f64 = self
             .queued
             .values()
             .map(|update| update.entries + self.overhead_entries)
             .sum();
-        // Adding to 0 keeps the sum of nothing from being -0.
+        // The sum of an empty iterator of f64 is -0; adding 0 makes it 0.
         0.0 + queued + self.entries_in_flight()
     }
 
@@ -122,28 +123,28 @@
         self.in_flight.values().sum()
     }
 
-    /// Whether more entries wait than the deployment allows.
+    /// Whether more entries are queued or in flight than the deployment allows.
     pub fn is_over_limit(&self) -> bool {
         self.queued_entries() > self.max_queued_entries
     }
 
-    /// How many updates went out until now.
+    /// Counts of updates since the start.
     pub fn counts(&self) -> UpdateCounts {
         self.counts
     }
 
-    /// Queues an update for a proxy, in the place of one that still waits.
+    /// Queues an update for a proxy; it replaces one that is still queued.
     pub fn offer(&mut self, now: Moment, proxy: ProxyId, entries: f64, urgency: Urgency) {
         let replaced = self.remove(proxy);
         self.counts.superseded += u64::from(replaced.is_some());
         self.insert(
             proxy,
             QueuedUpdate {
-                // The turn is that of the first update: a proxy isn't starved by newer ones.
+                // The replaced update's place in the order is kept, so that newer updates do not starve the proxy.
                 queued_at: replaced.map_or(now, |replaced| replaced.queued_at),
                 not_before: replaced.map_or(now, |replaced| replaced.not_before),
                 entries,
-                // What was more urgent stays so.
+                // The higher urgency of the two is kept.
                 urgency: replaced.map_or(urgency, |replaced| replaced.urgency.min(urgency)),
             },
         );
@@ -162,21 +163,21 @@
         Some(update)
     }
 
-    /// Drops what waits for a proxy or is being written for it; updates that it got still count.
+    /// Drops the queued update of a proxy and the one in flight. Updates sent before still count towards the cap.
     pub fn drop_updates(&mut self, proxy: ProxyId) {
         self.remove(proxy);
         self.in_flight.remove(&proxy);
     }
 
-    /// Nothing is known of a proxy any more and nothing waits for it.
+    /// Forgets a proxy: its queued update, its failures and the updates counted towards the cap.
     pub fn forget(&mut self, proxy: ProxyId) {
         self.remove(proxy);
         self.sent_updates.remove(&proxy);
         self.failures.remove(&proxy);
     }
 
-    /// The proxy whose update goes now. It counts as written; [`UpdateQueue::on_written`] or
-    /// [`UpdateQueue::on_write_failed`] must follow.
+    /// Puts the next update in flight and returns its proxy; `None` if no update may go now. The update counts as
+    /// sent. The caller must then call [`UpdateQueue::on_written`] or [`UpdateQueue::on_write_failed`].
     pub fn start_next(&mut self, now: Moment) -> Option<ProxyId> {
         let write_ahead = MAX_WRITE_AHEAD.as_secs_f64();
         let max_in_flight = self.entries_per_second * write_ahead + self.overhead_entries;
@@ -221,14 +222,14 @@
         self.max_updates <= 0.0 || sent + 1.0 <= self.max_updates
     }
 
-    /// The update was written for the proxy, or sent to it.
+    /// The update in flight was written for the proxy, or sent to it.
     pub fn on_written(&mut self, proxy: ProxyId) {
         self.in_flight.remove(&proxy);
         self.failures.remove(&proxy);
     }
 
-    /// The write failed: it is retried after a backoff, which is returned. A newer update that came meanwhile
-    /// waits as long and goes in its place.
+    /// The write failed: it is retried after the returned backoff. If a newer update was queued meanwhile, it is sent
+    /// instead, after the same backoff.
     pub fn on_write_failed(&mut self, now: Moment, proxy: ProxyId, urgency: Urgency) -> Span {
         let entries = self
             .in_flight
@@ -251,7 +252,8 @@
         backoff
     }
 
-    /// When [`UpdateQueue::next`] should be called again; `None` while nothing waits, or only for a write.
+    /// When [`UpdateQueue::start_next`] should be called again; `None` if nothing is queued, or only updates of proxies
+    /// with one in flight.
     pub fn wake_at(&self, now: Moment) -> Option<Moment> {
         self.queued
             .iter()
--- a/crates/controller-core/src/update_queue/tests.rs
+++ b/crates/controller-core/src/update_queue/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn removals_go_before_first_tables_and_updates_and_a_newer_update_replaces_an_older() {
+fn updates_go_by_urgency_and_a_newer_update_replaces_an_older_one() {
     let mut queue = queue(1e6, 0);
     for (proxy, urgency) in [
         (1, Urgency::Disconnected),
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_slow_queue_keeps_its_pace_and_builds_up_no_backlog() {
+fn a_slow_queue_keeps_its_pacing_and_builds_up_no_backlog() {
     let mut queue = queue(100.0, 0);
     let mut sent = 0;
     for tick in 0..1000 {
@@ -53,7 +53,7 @@
         }
         assert!(queue.queued_entries() <= 20.0 * 10.0);
     }
-    // Ten seconds at 100 entries a second and ten entries an update.
+    // Ten seconds at 100 entries per second, with ten entries per update including overhead.
     assert!((98..=103).contains(&sent), "{sent}");
 }
 
@@ -66,7 +66,7 @@
     assert_eq!(
         queue.start_next(at(1.2)),
         None,
-        "one write of a proxy at a time"
+        "only one write per proxy is in flight"
     );
     let first = queue.on_write_failed(at(1.2), ProxyId(1), Urgency::Update);
     assert_eq!(queue.start_next(at(1.2)), None);
@@ -83,9 +83,9 @@
 }
 
 proptest! {
-    // Whatever is offered and whenever the queue is polled, no proxy gets more than its cap.
+    // No proxy gets more updates in any window than the message cap, whatever is offered and whenever.
     #[test]
-    fn the_cap_on_updates_holds(steps in prop::collection::vec((0u16..4, 0u64..400, any::<bool>()), 1..400)) {
+    fn no_window_contains_more_updates_than_the_message_cap(steps in prop::collection::vec((0u16..4, 0u64..400, any::<bool>()), 1..400)) {
         let mut queue = queue(1e5, 5);
         let (mut now, mut sent) = (at(0.0), BTreeMap::<ProxyId, Vec<Moment>>::new());
         for (proxy, wait, fails) in steps {
